--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # The tasks of this repository; each is what its name says.
 CONFIG ?= $(GW_CONFIG)
 
-.PHONY: build test lint run demo check-ajp bench-ajp check-keep bench-keep check-results bench-results check-seeds bench-seeds check-fleet bench-fleet check-routes bench-routes check-service bench-service check-admission bench-admission check-saturation
+.PHONY: build test lint run demo check-ajp bench-ajp check-connection-admission check-admission bench-admission check-fleet bench-fleet check-idempotency check-results bench-results check-log-store check-keep bench-keep check-routes bench-routes check-saturation check-service bench-service check-simulator check-seeds bench-seeds
 build:
 	cargo build --locked --release
 
@@ -27,14 +27,14 @@
 	target/release/cleatpulley check ajp
 
 # What kept results cost and withstand, on this disk; 1 where it falls short.
-check-results bench-results: build
-	target/release/cleatpulley check results
+check-idempotency check-results bench-results: build
+	target/release/cleatpulley check idempotency
 
 # Look-ups, imports, expectations and a gateway before troubled targets; 1 where it falls short.
 check-routes bench-routes: build
 	target/release/cleatpulley check routes
 
-# Whole matchers on a virtual clock: speed, coverage, and planted bugs, for which it is built once more; 1 where it falls short.
+# A fleet's plan, its planner and a replacement under load; 1 where it falls short.
 check-fleet: build
 	target/release/cleatpulley check fleet
 
@@ -47,20 +47,21 @@
 	target/planted/release/cleatpulley check service
 
 # What a decision on a connection costs at a million addresses, and who is served in a flood; 1 where it falls short.
-check-admission bench-admission:
+check-connection-admission check-admission bench-admission:
 	cargo build --locked --release --features planted --target-dir target/planted
-	target/planted/release/cleatpulley check admission
+	target/planted/release/cleatpulley check connection-admission
 
 # How well the queueing model tells where upstreams saturate, and what a bound by it serves; 1 where it falls short.
 check-saturation:
 	cargo build --locked --release -p cleatpulley-saturation-bench
 	target/release/cleatpulley-saturation-bench
 
-check-seeds bench-seeds:
+# Whole servers on a virtual clock: speed, coverage, and injected bugs, for which it is built once more.
+check-simulator check-seeds bench-seeds:
 	cargo build --locked --release --features planted --target-dir target/planted
-	target/planted/release/cleatpulley check seeds
+	target/planted/release/cleatpulley check simulator
 
 # The embedded store beside a plain append-only file and a map on this disk; 1 where it falls short.
-check-keep bench-keep:
-	cargo build --locked --release -p cleatpulley-keep-bench
-	target/release/cleatpulley-keep-bench
+check-log-store check-keep bench-keep:
+	cargo build --locked --release -p cleatpulley-log-store-bench
+	target/release/cleatpulley-log-store-bench
--- a/crates/admission/src/book.rs
+++ b/crates/connection-admission/src/book.rs
@@ -1,8 +1,8 @@
 //! Earned standing in an embedded store, so that who is known before a restart is known after it. What is written is worth
 //! little each time, and is lost in a crash for the last second; whoever owns this decides on which thread it runs.
 
-use cleatpulley_keep::files::Files;
-use cleatpulley_keep::{Batch, Error, Found, Store};
+use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::{Batch, Error, Found, Store};
 use cleatpulley_policy::interface::Micros;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr};
@@ -139,7 +139,7 @@
         match written.and_then(|()| store.maintain(now, PIECE)) {
             Ok(work) => {
                 self.waits.clear();
-                work == cleatpulley_keep::Work::More
+                work == cleatpulley_log_store::Work::More
             }
             Err(e) => {
                 self.fail(&e);
@@ -160,8 +160,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cleatpulley_keep::memory::{Fault, Memory};
-    use cleatpulley_keep::Options;
+    use cleatpulley_log_store::memory::{Fault, Memory};
+    use cleatpulley_log_store::Options;
 
     const SECOND: Micros = 1_000_000;
 
--- a/crates/admission/tests/admit.rs
+++ b/crates/connection-admission/tests/admit.rs
@@ -1,10 +1,10 @@
 //! Who gets a place, by tables and by random histories.
 
-use cleatpulley_admission::admit::{Cap, Known, FAIR};
-use cleatpulley_admission::net::Net;
-use cleatpulley_admission::rate::Rate;
-use cleatpulley_admission::standing::{Earned, GAP};
-use cleatpulley_admission::{Admission, Decision, Settings, Why};
+use cleatpulley_connection_admission::admit::{Cap, Known, FAIR};
+use cleatpulley_connection_admission::net::Net;
+use cleatpulley_connection_admission::rate::Rate;
+use cleatpulley_connection_admission::standing::{Earned, GAP};
+use cleatpulley_connection_admission::{Admission, Decision, Settings, Why};
 use cleatpulley_policy::interface::Micros;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/agreed/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,8 +1,8 @@
 //! Where the log lies: an embedded store, or memory, or memory that forgets what a faulty disk would.
 
 use crate::change::Change;
-use cleatpulley_keep::files::Files;
-use cleatpulley_keep::{Batch, Options, Store};
+use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::BTreeMap;
 
 /// What a log needs of a disk: values under keys, written together, durable after a sync.
--- a/crates/agreed/tests/agreeing.rs
+++ b/crates/consensus/tests/agreeing.rs
@@ -2,8 +2,8 @@
 
 mod group;
 
-use cleatpulley_agreed::storage::Loses;
-use cleatpulley_agreed::{Event, Kind, Node, NodeId, Settings, Subject};
+use cleatpulley_consensus::storage::Loses;
+use cleatpulley_consensus::{Event, Kind, Node, NodeId, Settings, Subject};
 use group::{World, MS, SECOND};
 
 /// One seed: trouble for a while, then peace, in which all has to come to the same.
@@ -223,7 +223,7 @@
     assert_eq!(fault(Settings::new(1, vec![1, 2, 2])), "members");
     assert_eq!(fault(Settings { lease: 1, ..Settings::new(1, vec![1, 2, 3]) }), "lease");
     let mut node: Node<_> =
-        Node::new(Settings::new(1, vec![1, 2, 3]), cleatpulley_agreed::Forgetful::default(), 1)
+        Node::new(Settings::new(1, vec![1, 2, 3]), cleatpulley_consensus::Forgetful::default(), 1)
             .expect("it starts");
     let long = Subject { kind: Kind::Pool, name: String::new() };
     assert!(node.propose(0, long, None, None).is_err());
--- a/crates/agreed/tests/group/mod.rs
+++ b/crates/consensus/tests/group/mod.rs
@@ -1,8 +1,8 @@
 //! Processes that agree, on a virtual clock and sessions that break, cut and delay, all by a seed; after each step it is looked
 //! whether all agree on what was decided, whether each change counted once, and whether a lease held longer than it may.
 
-use cleatpulley_agreed::storage::{Forgetful, Loses};
-use cleatpulley_agreed::{ChangeId, Event, Kind, Node, NodeId, Outcome, Settings, Subject};
+use cleatpulley_consensus::storage::{Forgetful, Loses};
+use cleatpulley_consensus::{ChangeId, Event, Kind, Node, NodeId, Outcome, Settings, Subject};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const MS: u64 = 1_000;
--- a/crates/agreed/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -2,8 +2,8 @@
 //! changes are asked for, a process dies and returns, sessions break, and another takes the lead. A state is what each process
 //! has heard, in its order; the machine is played again from that, so nothing is left out of it.
 
-use cleatpulley_agreed::storage::{Forgetful, Loses};
-use cleatpulley_agreed::{ChangeId, Event, Kind, Node, NodeId, Outcome, Settings, Subject};
+use cleatpulley_consensus::storage::{Forgetful, Loses};
+use cleatpulley_consensus::{ChangeId, Event, Kind, Node, NodeId, Outcome, Settings, Subject};
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 use std::collections::BTreeMap;
 
--- a/crates/exchange/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -8,17 +8,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+use cleatpulley_idempotency::history::{Effect as KeyEffect, History, Recovered, Verdict};
+use cleatpulley_idempotency::record::{digest, Outcome as Ending, ScopedKey};
 use cleatpulley_policy::interface::{
     Action, Effect, Event, Gauges, Micros, Outcome, Request, RequestId, Settings,
 };
 use cleatpulley_policy::learned::Learned;
 use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_policy::Controller;
-use cleatpulley_results::history::{Effect as KeyEffect, History, Recovered, Verdict};
-use cleatpulley_results::record::{digest, Outcome as Ending, ScopedKey};
 use std::collections::{BTreeSet, HashMap};
 
-pub use cleatpulley_results::history;
+pub use cleatpulley_idempotency::history;
 
 mod counts;
 mod dues;
--- a/crates/exchange/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -3,9 +3,9 @@
 use crate::entry::{Entry, Stage};
 use crate::words::{Answer, Command, Order, Origin};
 use crate::Exchange;
+use cleatpulley_idempotency::record::Outcome as Ending;
 use cleatpulley_policy::interface::{Effect, Event, Micros, Outcome, RequestId};
 use cleatpulley_policy::plant::{planted, Bug};
-use cleatpulley_results::record::Outcome as Ending;
 
 impl Exchange {
     pub(crate) fn lose_origin(
--- a/crates/exchange/src/words.rs
+++ b/crates/dispatcher/src/words.rs
@@ -1,8 +1,8 @@
 //! What adapters tell the exchange, and what it wants done.
 
+use cleatpulley_idempotency::history::{Effect as KeyEffect, Recovered};
+use cleatpulley_idempotency::record::{Outcome as Ending, ScopedKey};
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome, RequestId};
-use cleatpulley_results::history::{Effect as KeyEffect, Recovered};
-use cleatpulley_results::record::{Outcome as Ending, ScopedKey};
 
 /// Where an answer goes: a connection of the client side and a stream on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/exchange/tests/keyed_crashes.rs
+++ b/crates/dispatcher/tests/keyed_crashes.rs
@@ -3,12 +3,12 @@
 //! runs twice, nobody is turned away after a run, no two results differ, none that was told is forgotten, and each try
 //! is answered once and by its due time, unless its process died.
 
-use cleatpulley_exchange::history::{Bounds, History};
-use cleatpulley_exchange::{Answer, Arrival, Command, Exchange, Fact, Keys, Order, Origin, Owner};
-use cleatpulley_keep::memory::{Fault, Memory};
-use cleatpulley_keep::Options;
+use cleatpulley_dispatcher::history::{Bounds, History};
+use cleatpulley_dispatcher::{Answer, Arrival, Command, Exchange, Fact, Keys, Order, Origin, Owner};
+use cleatpulley_idempotency::journal::Journal;
+use cleatpulley_log_store::memory::{Fault, Memory};
+use cleatpulley_log_store::Options;
 use cleatpulley_policy::interface::*;
-use cleatpulley_results::journal::Journal;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/crates/standin/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -4,7 +4,7 @@
 use crate::host::{look, shared, Clock, Host, Running, Shared};
 use crate::runtime::result_of;
 use crate::{Effect, Link, Service};
-use cleatpulley_exchange::Answer;
+use cleatpulley_dispatcher::Answer;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::codec::{self, Parsed, Request};
 use rand::rngs::SmallRng;
--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -8,8 +8,8 @@
 use crate::verdict::Counts;
 use crate::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 use crate::Micros;
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Options, Store, Work};
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Options, Store, Work};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::process::Signal;
@@ -224,7 +224,7 @@
         let files = Folder::new(folder.join("store"), true)?;
         let options = Options { segment_bytes: 1 << 20, ..Options::default() };
         let (store, _) = Store::open(files, options).map_err(|e| match e {
-            cleatpulley_keep::Error::Locked => failed("another daemon has this fleet".to_owned()),
+            cleatpulley_log_store::Error::Locked => failed("another daemon has this fleet".to_owned()),
             e => failed(e.to_string()),
         })?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_micros() as Micros);
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -4,7 +4,7 @@
 //! Each request gets one answer, by its due time, whatever its targets do. A request of a class with an effect that may
 //! have run at a target is answered as a failure and never sent again, and never told that nothing ran.
 
-use cleatpulley_exchange::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::limits::Limits;
 use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
--- a/crates/gateway/src/upstream/asking.rs
+++ b/crates/gateway/src/upstream/asking.rs
@@ -1,7 +1,7 @@
 //! A request as it is sent on, by frames or by AJP.
 
 use super::Names;
-use cleatpulley_exchange::{Arrival, Head};
+use cleatpulley_dispatcher::{Arrival, Head};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Request};
 use cleatpulley_protocol::frame::codec;
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,10 +1,10 @@
 //! Connections to targets whose system takes what the test says.
 
 use super::*;
-use cleatpulley_admission::book::Entry;
-use cleatpulley_matcher::world::{Keeper, Meeting, Passage, Standings, Stream};
+use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_policy::interface::RequestId;
-use cleatpulley_results::record::ScopedKey;
+use cleatpulley_server::world::{Keeper, Meeting, Passage, Standings, Stream};
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::IpAddr;
@@ -23,7 +23,7 @@
 struct NoKeeper;
 
 impl Keeper for NoKeeper {
-    fn write(&mut self, _: cleatpulley_exchange::history::Effect) {}
+    fn write(&mut self, _: cleatpulley_dispatcher::history::Effect) {}
     fn recall(&mut self, _: Micros, _: RequestId, _: u64, _: ScopedKey) {}
     fn release(&mut self) {}
     fn stop(self) {}
@@ -147,7 +147,7 @@
 
 fn arrival(id: u64) -> Arrival {
     Arrival {
-        origin: cleatpulley_exchange::Origin { connection: 1, stream: 1 },
+        origin: cleatpulley_dispatcher::Origin { connection: 1, stream: 1 },
         id,
         class: 0,
         caller: 1,
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -2,7 +2,7 @@
 //! from outside: one answer a request and by its due time, none with an effect at two targets that may have run it, no
 //! refusal after a run, further tries within their budget, and nothing left over in the end.
 
-use cleatpulley_exchange::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
 use cleatpulley_gateway::core::{Class, Core, Order, Reply, Settings};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::import::Import;
--- a/crates/results/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -4,8 +4,8 @@
 use crate::fence::{Fence, Fences};
 use crate::history::{Effect, Recovered};
 use crate::record::{Outcome, Record, ScopedKey};
-use cleatpulley_keep::files::Files;
-use cleatpulley_keep::{Batch, Error, Found, Options, Stats, Store, Work};
+use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::{Batch, Error, Found, Options, Stats, Store, Work};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::plant::{planted, Bug};
 
--- a/crates/results/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -2,7 +2,7 @@
 //!
 //! Entries stand in slots; an open-addressed index of slot numbers finds them by key, and a log in the order of their
 //! expiry finds what is over. As every key lives for the same window, the log is a plain queue: nothing is sorted. A
-//! clock that stepped back makes some entries stay longer in the log, never shorter. `cleatpulley check results`
+//! clock that stepped back makes some entries stay longer in the log, never shorter. `cleatpulley check idempotency`
 //! measures it beside a `HashMap` with a `BTreeSet` and a timing wheel.
 
 use crate::record::ScopedKey;
--- a/crates/results/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -6,8 +6,8 @@
 use crate::fence::{from_hex, to_hex, Fence, Range, Refused};
 use crate::journal::{self, Journal};
 use crate::record::{Record, ScopedKey};
-use cleatpulley_keep::files::Files;
-use cleatpulley_keep::Batch;
+use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::Batch;
 use cleatpulley_policy::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
@@ -23,7 +23,7 @@
 pub enum Error {
     /// The store's fault.
     #[error(transparent)]
-    Store(#[from] cleatpulley_keep::Error),
+    Store(#[from] cleatpulley_log_store::Error),
     /// The move is refused.
     #[error(transparent)]
     Refused(#[from] Refused),
--- a/crates/results/tests/history.rs
+++ b/crates/idempotency/tests/history.rs
@@ -1,8 +1,8 @@
 //! What a key's history permits, case by case.
 
-use cleatpulley_results::fence::{Fence, Range};
-use cleatpulley_results::history::{Bounds, Effect, History, Recovered, Verdict};
-use cleatpulley_results::record::{Outcome, Record, ScopedKey};
+use cleatpulley_idempotency::fence::{Fence, Range};
+use cleatpulley_idempotency::history::{Bounds, Effect, History, Recovered, Verdict};
+use cleatpulley_idempotency::record::{Outcome, Record, ScopedKey};
 
 const BOUNDS: Bounds = Bounds { entries: 2, bytes: 1_000, window: 100, stall: 10, seed: 1 };
 
--- a/crates/keep-bench/src/main.rs
+++ b/crates/log-store-bench/src/main.rs
@@ -6,8 +6,8 @@
 
 #![forbid(unsafe_code)]
 
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Options, Store, Work};
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Options, Store, Work};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/keep/src/format.rs
+++ b/crates/log-store/src/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of segments: heads and records. No I/O; `docs/design/keep.md` writes the same down for other programs.
+//! The bytes of segments: heads and records. No I/O; `docs/design/log-store.md` writes the same down for other programs.
 //!
 //! All numbers are little-endian. A record's header has a checksum of its own, mixed with its segment's salt and its
 //! offset: a copy of a record, in a value or at another place, is never taken for one.
--- a/crates/keep/src/lib.rs
+++ b/crates/log-store/src/lib.rs
@@ -6,10 +6,10 @@
 //! says what time it is.
 //!
 //! ```no_run
-//! use cleatpulley_keep::{files::Folder, Batch, Options, Store};
+//! use cleatpulley_log_store::{files::Folder, Batch, Options, Store};
 //!
-//! # fn main() -> Result<(), cleatpulley_keep::Error> {
-//! let folder = Folder::new("kept", true).map_err(cleatpulley_keep::Error::folder)?;
+//! # fn main() -> Result<(), cleatpulley_log_store::Error> {
+//! let folder = Folder::new("kept", true).map_err(cleatpulley_log_store::Error::folder)?;
 //! let (mut store, found) = Store::open(folder, Options::default())?;
 //! println!("{found}");
 //! store.write(Batch::default().put(b"key", b"value", None))?;
--- a/crates/keep/tests/common/mod.rs
+++ b/crates/log-store/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)] // Each test binary uses a part of it.
 
-use cleatpulley_keep::memory::Memory;
-use cleatpulley_keep::{Batch, Error, Options, Store, Work};
+use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::{Batch, Error, Options, Store, Work};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/keep/tests/crashes.rs
+++ b/crates/log-store/tests/crashes.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cleatpulley_keep::memory::{Fault, Memory};
-use cleatpulley_keep::{Batch, Error, Options, Store, Work};
+use cleatpulley_log_store::memory::{Fault, Memory};
+use cleatpulley_log_store::{Batch, Error, Options, Store, Work};
 use common::{content_of, options, Driver};
 use proptest::prelude::*;
 use proptest::test_runner::{TestRng, TestRunner};
--- a/crates/keep/tests/damage.rs
+++ b/crates/log-store/tests/damage.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use cleatpulley_keep::files::Files;
-use cleatpulley_keep::format::{named, segment_head, Head, Kind, Named, RECORD_HEAD, SEGMENT_HEAD};
-use cleatpulley_keep::memory::Memory;
-use cleatpulley_keep::scan::{self, Next};
-use cleatpulley_keep::{Batch, Error, Options, Store, Work};
+use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::format::{named, segment_head, Head, Kind, Named, RECORD_HEAD, SEGMENT_HEAD};
+use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::scan::{self, Next};
+use cleatpulley_log_store::{Batch, Error, Options, Store, Work};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -1,7 +1,7 @@
 //! What a controller has learned of its machine and of what lies below: it goes to the process that takes its place, which
 //! would else start as a stranger on a machine that it could know.
 
-use crate::balance::Controller;
+use crate::controller::Controller;
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -91,7 +91,7 @@
     /// What it has learned.
     #[must_use]
     pub fn learned(&self) -> Learned {
-        let class = |pace: &crate::balance::record::Pace| Class {
+        let class = |pace: &crate::controller::record::Pace| Class {
             run_time: pace.run_time,
             work: pace.work,
             patience: pace.patience,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -62,10 +62,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod balance;
+pub mod controller;
 pub mod interface;
 pub mod learned;
 pub mod plant;
 pub mod settings;
 
-pub use balance::Controller;
+pub use controller::Controller;
--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -7,7 +7,7 @@
 use super::table::Found;
 use crate::frame::codec::LONGEST_KEY;
 use crate::machine::{Context, Machine, Standing, Status};
-use cleatpulley_exchange::{Answer, Arrival, Fault, Head, Origin};
+use cleatpulley_dispatcher::{Answer, Arrival, Fault, Head, Origin};
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::rc::Rc;
 use subtle::ConstantTimeEq;
--- a/crates/protocol/src/ajp/server/settings.rs
+++ b/crates/protocol/src/ajp/server/settings.rs
@@ -1,7 +1,7 @@
 //! What the connections of one AJP front share: limits, from paths to classes, and where a request's figures stand.
 
 use crate::ajp::table::Table;
-use cleatpulley_exchange::Head;
+use cleatpulley_dispatcher::Head;
 use cleatpulley_policy::interface::Micros;
 use std::sync::Arc;
 
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -1,6 +1,6 @@
 //! The codec of front end frames: bytes to frames and requests, answers to bytes. No sockets here.
 
-use cleatpulley_exchange::Answer;
+use cleatpulley_dispatcher::Answer;
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::ops::Range;
 
--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -2,7 +2,7 @@
 
 use super::codec::{self, Parsed, Request};
 use crate::machine::{Context, Machine, Standing, Status};
-use cleatpulley_exchange::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::plant::{planted, Bug};
 use std::collections::BTreeSet;
--- a/crates/protocol/src/machine.rs
+++ b/crates/protocol/src/machine.rs
@@ -2,7 +2,7 @@
 //! requests, bytes to send and a deadline. The matcher accepts, reads, sends, closes and counts places the same
 //! way for all of them.
 
-use cleatpulley_exchange::{Answer, Arrival};
+use cleatpulley_dispatcher::{Answer, Arrival};
 use cleatpulley_policy::interface::Micros;
 
 /// How far a connection has come.
--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -1,6 +1,6 @@
 //! The AJP codec and connections, driven by bytes and time alone.
 
-use cleatpulley_exchange::{Answer, Arrival};
+use cleatpulley_dispatcher::{Answer, Arrival};
 use cleatpulley_protocol::ajp::client::{Client, Fate, Options, Request, Response, PING_AFTER};
 use cleatpulley_protocol::ajp::codec::{self, *};
 use cleatpulley_protocol::ajp::server::{id_of, Connection, Defaults, Figures, Settings, Source};
--- a/crates/matcher/src/front.rs
+++ b/crates/server/src/front.rs
@@ -10,10 +10,10 @@
 
 use super::secure::Tls;
 use super::world::{Readiness, World};
-use cleatpulley_admission::handshake::Handshakes;
-use cleatpulley_admission::identity::Identities;
-use cleatpulley_admission::Admission;
-use cleatpulley_exchange::{Answer, Arrival, Fact, Origin};
+use cleatpulley_connection_admission::handshake::Handshakes;
+use cleatpulley_connection_admission::identity::Identities;
+use cleatpulley_connection_admission::Admission;
+use cleatpulley_dispatcher::{Answer, Arrival, Fact, Origin};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::{Context, Machine, Standing};
 use peer::{Next, Peer};
--- a/crates/matcher/src/front/accept.rs
+++ b/crates/server/src/front/accept.rs
@@ -1,14 +1,14 @@
 //! Accepting: who gets a place, and what becomes of those who get none. What is decided lies with
-//! `cleatpulley_admission`, where it is on; otherwise those beyond the bound wait with the system.
+//! `cleatpulley_connection_admission`, where it is on; otherwise those beyond the bound wait with the system.
 
 use super::{Front, Peer};
 use crate::conn::Conn;
 use crate::secure::{Layer, BUSY_ALERT};
 use crate::world::{Readiness, World};
 use crate::Party;
-use cleatpulley_admission::admit::Known;
-use cleatpulley_admission::Decision;
-use cleatpulley_exchange::Fact;
+use cleatpulley_connection_admission::admit::Known;
+use cleatpulley_connection_admission::Decision;
+use cleatpulley_dispatcher::Fact;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::machine::Context;
--- a/crates/matcher/src/front/peer.rs
+++ b/crates/server/src/front/peer.rs
@@ -3,8 +3,8 @@
 use super::speaks::Spoken;
 use crate::conn::Conn;
 use crate::world::World;
-use cleatpulley_admission::admit::Known;
-use cleatpulley_exchange::Arrival;
+use cleatpulley_connection_admission::admit::Known;
+use cleatpulley_dispatcher::Arrival;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::connection::PARTING;
 use cleatpulley_protocol::machine::{Context, Standing};
--- a/crates/matcher/src/front/tls.rs
+++ b/crates/server/src/front/tls.rs
@@ -4,9 +4,9 @@
 use super::{Front, Speaks};
 use crate::secure::{Layer, Tls};
 use crate::world::World;
-use cleatpulley_admission::admit::Known;
-use cleatpulley_admission::handshake::{Offer, Turn};
-use cleatpulley_exchange::Fact;
+use cleatpulley_connection_admission::admit::Known;
+use cleatpulley_connection_admission::handshake::{Offer, Turn};
+use cleatpulley_dispatcher::Fact;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Context;
 
--- a/crates/matcher/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -3,11 +3,11 @@
 
 use super::world::{Keeper, World};
 use super::{operators, upgrade, Node, SPARE};
-use cleatpulley_exchange::history::History;
-use cleatpulley_exchange::Fact;
+use cleatpulley_dispatcher::history::History;
+use cleatpulley_dispatcher::Fact;
+use cleatpulley_hot_restart::{snapshot, Held};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::plant::{planted, Bug};
-use cleatpulley_upgrade::{snapshot, Held};
 use std::io;
 
 /// What a front end sent before it read that it should not may come so long after the hand-over.
--- a/crates/matcher/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -24,15 +24,15 @@
 pub use options::{AjpFront, Census, Options, Parties, Party, Reload, Results};
 pub use real::serve;
 
-use cleatpulley_admission::Admission;
-use cleatpulley_exchange::history::{Bounds, History};
-use cleatpulley_exchange::{Command, Exchange, Fact, Keys};
+use cleatpulley_connection_admission::Admission;
+use cleatpulley_dispatcher::history::{Bounds, History};
+use cleatpulley_dispatcher::{Command, Exchange, Fact, Keys};
+use cleatpulley_hot_restart::Held;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::interface::Settings;
 use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::frame::connection::Terms;
 use cleatpulley_protocol::mgmt;
-use cleatpulley_upgrade::Held;
 use std::cell::RefCell;
 use std::io;
 use std::path::PathBuf;
@@ -531,7 +531,7 @@
 /// What operators see of TLS: the certificate's expiry, renewals, and handshakes.
 fn tls_vars(
     tls: &secure::Tls,
-    handshakes: Option<&cleatpulley_admission::handshake::Handshakes>,
+    handshakes: Option<&cleatpulley_connection_admission::handshake::Handshakes>,
     now: Micros,
 ) -> serde_json::Value {
     let facts = tls.facts();
--- a/crates/matcher/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,9 +1,9 @@
 //! What a matcher is told, who it talks to, and what it holds.
 
 use super::{secure, store};
-use cleatpulley_admission::Settings as Admitting;
-use cleatpulley_exchange::history::Bounds;
-use cleatpulley_exchange::Owner;
+use cleatpulley_connection_admission::Settings as Admitting;
+use cleatpulley_dispatcher::history::Bounds;
+use cleatpulley_dispatcher::Owner;
 use cleatpulley_policy::interface::{Micros, Settings};
 use cleatpulley_protocol::ajp;
 use std::fmt;
--- a/crates/matcher/src/passage.rs
+++ b/crates/server/src/passage.rs
@@ -70,7 +70,7 @@
 
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<Passed>)> {
         // One byte more than any message has: a longer one shows as too long, and is not cut unseen.
-        let mut bytes = vec![0; cleatpulley_upgrade::message::LONGEST + 1];
+        let mut bytes = vec![0; cleatpulley_hot_restart::message::LONGEST + 1];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
--- a/crates/matcher/src/peers/marks.rs
+++ b/crates/server/src/peers/marks.rs
@@ -1,7 +1,7 @@
 //! The mark of used incarnations on the disk, in an embedded store that is open for that moment only.
 
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Options, Store};
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Options, Store};
 use cleatpulley_membership::incarnation::{Incarnations, Mark};
 use std::io;
 use std::path::Path;
--- a/crates/matcher/src/report.rs
+++ b/crates/server/src/report.rs
@@ -1,8 +1,8 @@
 //! The link to a fleet's daemon on the same host: how the matcher is, a line at a time. It decides nothing by it, and a
 //! daemon that is away or slow costs it nothing.
 
-use cleatpulley_admission::admit::Counts as Places;
-use cleatpulley_exchange::{Counts, Tally};
+use cleatpulley_connection_admission::admit::Counts as Places;
+use cleatpulley_dispatcher::{Counts, Tally};
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde::Serialize;
 use serde_json::{json, Map};
--- a/crates/matcher/src/runtime.rs
+++ b/crates/server/src/runtime.rs
@@ -3,7 +3,7 @@
 use super::conn::Conn;
 use super::world::{Readiness, World};
 use super::Party;
-use cleatpulley_exchange::{Fact, Order};
+use cleatpulley_dispatcher::{Fact, Order};
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome, RequestId};
 use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::line::{self, Notice};
--- a/crates/matcher/src/secure.rs
+++ b/crates/server/src/secure.rs
@@ -1,6 +1,6 @@
 //! TLS on the connections of a front: the layer between a socket's bytes and what a protocol's machine reads and writes,
 //! and what all connections of a front share (the setup, which is renewed in place, and the names that may ask for each
-//! class). Which handshakes run is decided by `cleatpulley_admission::handshake`; the session is `cleatpulley_tls`'s.
+//! class). Which handshakes run is decided by `cleatpulley_connection_admission::handshake`; the session is `cleatpulley_tls`'s.
 
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_tls::hello::{self, Offer, HEAD, LONGEST_RECORD};
@@ -217,9 +217,9 @@
     /// By class: the names of client certificates that may ask for it; none where anyone may.
     pub permits: Vec<Option<Vec<String>>>,
     /// Which handshakes run, and when; without it each begins at once.
-    pub handshakes: Option<cleatpulley_admission::handshake::Settings>,
+    pub handshakes: Option<cleatpulley_connection_admission::handshake::Settings>,
     /// Callers known by their certificate's names, and caps by name.
-    pub identities: Option<cleatpulley_admission::identity::Settings>,
+    pub identities: Option<cleatpulley_connection_admission::identity::Settings>,
     /// An expiry within so long is warned of.
     pub warn_before: Micros,
     /// The clock that certificates are judged by; the matcher sets it.
--- a/crates/matcher/src/store.rs
+++ b/crates/server/src/store.rs
@@ -3,7 +3,7 @@
 use super::conn::Conn;
 use super::world::{Readiness, World};
 use super::Party;
-use cleatpulley_exchange::{Call, Fact};
+use cleatpulley_dispatcher::{Call, Fact};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
 use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::ajp::client::{self, Client, Fate};
--- a/crates/matcher/src/upgrade.rs
+++ b/crates/server/src/upgrade.rs
@@ -1,16 +1,16 @@
 //! Upgrades in place: the connections to the process whose place this one takes, and to the one that takes its place. What
-//! is decided lies with `cleatpulley_upgrade`; what it comes to is told as steps to the node.
+//! is decided lies with `cleatpulley_hot_restart`; what it comes to is told as steps to the node.
 
 mod behind;
 
 use super::world::{Meeting, Passage, World};
 use super::Party;
 use behind::Behind;
+use cleatpulley_hot_restart::message::MOST_STANDING;
+use cleatpulley_hot_restart::predecessor::{self, Predecessor};
+use cleatpulley_hot_restart::successor::{self, Successor};
+use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_upgrade::message::MOST_STANDING;
-use cleatpulley_upgrade::predecessor::{self, Predecessor};
-use cleatpulley_upgrade::successor::{self, Successor};
-use cleatpulley_upgrade::{Held, Message};
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/matcher/src/upgrade/behind.rs
+++ b/crates/server/src/upgrade/behind.rs
@@ -3,8 +3,8 @@
 
 use super::{hear, Step};
 use crate::world::World;
+use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_upgrade::{Held, Message};
 
 /// What one that died had may have come from one before it, which is found within this time.
 const FOUND: Micros = 200_000;
--- a/crates/matcher/src/upgrade/tests.rs
+++ b/crates/server/src/upgrade/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::real::{Real, Served};
 use calloop::EventLoop;
-use cleatpulley_upgrade::message::VERSION;
+use cleatpulley_hot_restart::message::VERSION;
 
 fn turn(
     one: &mut Upgrade<Real>,
--- a/crates/matcher/src/world.rs
+++ b/crates/server/src/world.rs
@@ -2,11 +2,11 @@
 //! world it is in. `real` has the one of calloop and std; a simulator brings another.
 
 use super::Party;
-use cleatpulley_admission::book::Entry;
-use cleatpulley_exchange::history::Effect;
-use cleatpulley_exchange::Fact;
+use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_dispatcher::history::Effect;
+use cleatpulley_dispatcher::Fact;
+use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_policy::interface::{Micros, RequestId};
-use cleatpulley_results::record::ScopedKey;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
--- a/crates/rig/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::machine::at;
 use crate::plan::Fault;
 use crate::sim::{Sim, DIRECTORY, MS, RUDE, RUNTIMES};
-use cleatpulley_keep::memory::Fault as DiskFault;
+use cleatpulley_log_store::memory::Fault as DiskFault;
 use cleatpulley_policy::interface::Micros;
 use rand::Rng;
 
--- a/crates/rig/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -2,13 +2,13 @@
 //! advice or not, carry keys or not, and speak frames or AJP. Their books are their own; rules are judged from them.
 
 use crate::crowd::Refused;
+use cleatpulley_emulators::callers::{
+    read_answers, read_response, request_frame, said_by_ajp, send, Kind, Said,
+};
+use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request};
 use cleatpulley_protocol::ajp::codec::PACKET_SIZE;
-use cleatpulley_standin::callers::{
-    read_answers, read_response, request_frame, said_by_ajp, send, Kind, Said,
-};
-use cleatpulley_standin::{Effect, Link, Service};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
--- a/crates/rig/src/hall.rs
+++ b/crates/simulator/src/hall.rs
@@ -2,8 +2,8 @@
 //! them, as over a Unix socket.
 
 use crate::host::{Event, Shared, Virtual, VirtualListener};
-use cleatpulley_matcher::world::Passage;
 use cleatpulley_policy::interface::Micros;
+use cleatpulley_server::world::Passage;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
--- a/crates/rig/src/inspector.rs
+++ b/crates/simulator/src/inspector.rs
@@ -1,8 +1,8 @@
 //! Operators in the virtual world: each process is asked for its figures now and then, and answers in time.
 
+use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
-use cleatpulley_standin::{Effect, Link, Service};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/rig/src/parties.rs
+++ b/crates/simulator/src/parties.rs
@@ -2,8 +2,8 @@
 
 use crate::host::{Event, Owner, Shared};
 use crate::net::EndId;
+use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_standin::{Effect, Link, Service};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/rig/src/queue.rs
+++ b/crates/simulator/src/queue.rs
@@ -1,6 +1,6 @@
 //! The event queue, made for a simulation: nearly all events come within a fraction of a second, and time never steps
 //! back. A ring of short stretches of time takes those, each sorted only when its turn comes; a binary heap takes the
-//! rest until they are near. `cleatpulley check seeds` measures it beside a binary heap alone.
+//! rest until they are near. `cleatpulley check simulator` measures it beside a binary heap alone.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/rig/src/rollout.rs
+++ b/crates/simulator/src/rollout.rs
@@ -4,8 +4,8 @@
 use crate::host::{Event, Owner};
 use crate::plan::Killed;
 use crate::sim::{Sim, MS, SECOND, STOP};
-use cleatpulley_matcher::Node;
 use cleatpulley_policy::interface::Micros;
+use cleatpulley_server::Node;
 use rand::Rng;
 
 /// The new process says yes within this time.
--- a/crates/rig/src/rude.rs
+++ b/crates/simulator/src/rude.rs
@@ -2,10 +2,10 @@
 //! thousand from addresses that nobody knows.
 
 use crate::crowd::Refused;
+use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{push_forward, Outgoing, PACKET_SIZE};
 use cleatpulley_protocol::frame::codec::{self as frames, Parsed};
-use cleatpulley_standin::{Effect, Link, Service};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
--- a/crates/rig/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -4,9 +4,9 @@
 use crate::front::{Fate, Try};
 use crate::inspector::Call;
 use crate::sim::{Sim, GRACE};
+use cleatpulley_emulators::runtime::result_of;
+use cleatpulley_emulators::site::Setup;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_standin::runtime::result_of;
-use cleatpulley_standin::site::Setup;
 use std::collections::{BTreeMap, HashMap};
 
 const MS: Micros = 1_000;
--- a/crates/rig/src/shelf.rs
+++ b/crates/simulator/src/shelf.rs
@@ -1,11 +1,11 @@
 //! A matcher's book of earned standing in the virtual world, on a disk that outlives its processes.
 
 use crate::host::{Event, Lock, Virtual};
-use cleatpulley_admission::book::{Book, Entry};
-use cleatpulley_keep::memory::Memory;
-use cleatpulley_keep::{Error, Options, Store};
-use cleatpulley_matcher::world::Standings;
+use cleatpulley_connection_admission::book::{Book, Entry};
+use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::{Error, Options, Store};
 use cleatpulley_policy::interface::Micros;
+use cleatpulley_server::world::Standings;
 
 /// A store that another process has open is tried again after this time.
 const LOCKED: Micros = 50_000;
--- a/crates/rig/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -11,12 +11,12 @@
 use crate::rollout::Rollout;
 use crate::rude::Rude;
 use crate::rules::Rules;
-use cleatpulley_matcher::upgrade;
+use cleatpulley_emulators::directory::Directory;
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_emulators::store::Store;
+use cleatpulley_emulators::Service;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_standin::directory::Directory;
-use cleatpulley_standin::site::Setup;
-use cleatpulley_standin::store::Store;
-use cleatpulley_standin::Service;
+use cleatpulley_server::upgrade;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::cell::RefCell;
@@ -254,7 +254,7 @@
                             Some(Listens::Node(m, place)) => self.tell_all(m, |node| node.acceptable(place)),
                             Some(Listens::Operators(m, life)) => {
                                 self.tell(m, life, |node| {
-                                    node.acceptable(cleatpulley_matcher::operators::PLACE)
+                                    node.acceptable(cleatpulley_server::operators::PLACE)
                                 });
                             }
                             Some(Listens::Service(place, door)) => {
--- a/crates/rig/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,7 +1,7 @@
 //! A fixed range of seeds, and the same history twice.
 
-use cleatpulley_rig::plan::Plan;
-use cleatpulley_rig::seeds;
+use cleatpulley_simulator::plan::Plan;
+use cleatpulley_simulator::seeds;
 
 /// Whole matchers under faults: no rule is broken, and what the seeds are for is met.
 #[test]
--- a/crates/tls/src/hello.rs
+++ b/crates/tls/src/hello.rs
@@ -1,5 +1,5 @@
 //! The first record of a TLS client, read before any session is made for it: whether it is TLS at all, which name it asks
-//! for, and whether it offers to resume a session. A handshake's place is decided on this (`cleatpulley_admission::handshake`),
+//! for, and whether it offers to resume a session. A handshake's place is decided on this (`cleatpulley_connection_admission::handshake`),
 //! so that a flood costs no more than these bytes until it has one.
 //!
 //! Layouts are those of RFC 8446 (sections 4.1.2 and 4.2) and RFC 5077 (the ticket of TLS 1.2); nothing here is trusted
--- a/src/bin/cleatpulley-wirehost.rs
+++ b/src/bin/cleatpulley-simulator-adapter.rs
@@ -10,7 +10,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("cleatpulley-wirehost: {fault}");
+            eprintln!("cleatpulley-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
@@ -28,7 +28,7 @@
             return adapter.finish();
         }
         for note in adapter.take(line.trim_end(), &mut reply)? {
-            eprintln!("cleatpulley-wirehost: {note}");
+            eprintln!("cleatpulley-simulator-adapter: {note}");
         }
         if !reply.is_empty() {
             let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
--- a/src/tools/bench.rs
+++ b/src/commands/bench.rs
@@ -5,10 +5,10 @@
     push_chunks, push_end, push_forward, push_send_headers, Forward, Outgoing, HEAD, MOST_HEADERS, NO_HEADER,
     PACKET_SIZE,
 };
-use cleatpulley_standin::callers::{Front, Tally};
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{Class, Setup, Site};
-use cleatpulley_standin::trial::{Load, Report, Trial};
+use cleatpulley_emulators::callers::{Front, Tally};
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{Class, Setup, Site};
+use cleatpulley_emulators::trial::{Load, Report, Trial};
 use std::hint::black_box;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,7 +24,8 @@
     /// The AJP front: codec, CPU a request beside frames, memory a connection, a mixed load
     Ajp,
     /// Connection admission: what a decision costs at a million addresses, and who is served in a flood
-    Admission,
+    #[command(alias = "admission")]
+    ConnectionAdmission,
     /// A fleet: trials of the plan, the planner beside fixed batches, a replacement under load, the daemon's own figures
     Fleet {
         /// Replacements at 70, 90 and 100% load
@@ -32,11 +33,13 @@
         long: bool,
     },
     /// Kept results: the table, recovery, kills, keyed writes, service with keeping off and on
-    Results,
+    #[command(alias = "results")]
+    Idempotency,
     /// Routes and the gateway: look-ups, imports, expectations, the consistent hash, service before troubled targets
     Routes,
     /// Whole matchers on a virtual clock: speed, coverage, planted bugs
-    Seeds,
+    #[command(alias = "seeds")]
+    Simulator,
     /// Daily service: operators beside crowds, upgrades under load, both from seeds with planted bugs
     Service,
 }
@@ -50,11 +53,13 @@
     let (name, short) = match check {
         Check::Ajp => ("ajp", ajp(&program)?),
         Check::Fleet { long } => ("fleet", super::bench_fleet::run(&program, *long)),
-        Check::Seeds => ("seeds", super::bench_seeds::run()?),
+        Check::Simulator => ("simulator", super::bench_simulator::run()?),
         Check::Service => ("service", super::bench_service::run(&program)?),
-        Check::Admission => ("admission", super::bench_admission::run(&program)?),
+        Check::ConnectionAdmission => {
+            ("connection-admission", super::bench_connection_admission::run(&program)?)
+        }
         Check::Routes => ("routes", super::bench_routes::run(&program)?),
-        Check::Results => ("results", super::bench_results::run(&program)?),
+        Check::Idempotency => ("idempotency", super::bench_idempotency::run(&program)?),
     };
     for what in &short {
         say!("falls short: {what}");
--- a/src/tools/bench_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -1,15 +1,15 @@
-//! `cleatpulley check admission`: what a decision costs at a million addresses, and who is served while connections come
+//! `cleatpulley check connection-admission`: what a decision costs at a million addresses, and who is served while connections come
 //! without end.
 
-use cleatpulley_admission::admit::Cap;
-use cleatpulley_admission::net::Net;
-use cleatpulley_admission::rate::Rate;
-use cleatpulley_admission::{Admission, Decision, Settings};
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::flood::{knock, Flood};
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::site::Setup;
-use cleatpulley_standin::trial::{Load, Trial};
+use cleatpulley_connection_admission::admit::Cap;
+use cleatpulley_connection_admission::net::Net;
+use cleatpulley_connection_admission::rate::Rate;
+use cleatpulley_connection_admission::{Admission, Decision, Settings};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::flood::{knock, Flood};
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_emulators::trial::{Load, Trial};
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr};
--- a/src/tools/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -1,16 +1,16 @@
 //! `cleatpulley check fleet`: trials of the plan, the planner beside fixed batches, a replacement of twenty instances
 //! under load, and the daemon's own figures.
 
-use super::seeds::cores;
+use super::simulator::cores;
+use cleatpulley_emulators::callers::{Callers, Front, Plan, Tally};
+use cleatpulley_emulators::host::{look, shared, Clock, Host as Services, Running, Shared};
+use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_fleet::daemon::ask;
 use cleatpulley_fleet::plan::{Bounds, Phase};
 use cleatpulley_fleet::planner::{self, Answer, Forecast, Host, Question};
 use cleatpulley_fleet::restart::Policy;
 use cleatpulley_fleet::view::{Ask, Reply, View};
 use cleatpulley_fleet::{trial, verdict};
-use cleatpulley_standin::callers::{Callers, Front, Plan, Tally};
-use cleatpulley_standin::host::{look, shared, Clock, Host as Services, Running, Shared};
-use cleatpulley_standin::site::{Setup, Site};
 use std::collections::{BTreeMap, HashSet};
 use std::fs;
 use std::io;
--- a/src/tools/bench_results.rs
+++ b/src/commands/bench_idempotency.rs
@@ -1,14 +1,14 @@
-//! `cleatpulley check results`: what keeping the results of keyed requests costs, and what it withstands.
+//! `cleatpulley check idempotency`: what keeping the results of keyed requests costs, and what it withstands.
 
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Options, Store};
-use cleatpulley_results::journal::Journal;
-use cleatpulley_results::record::{Outcome, Record, ScopedKey};
-use cleatpulley_results::table::Table;
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::keyed::{Kills, FIELD};
-use cleatpulley_standin::site::Setup;
-use cleatpulley_standin::trial::{Load, Report, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::keyed::{Kills, FIELD};
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_emulators::trial::{Load, Report, Trial};
+use cleatpulley_idempotency::journal::Journal;
+use cleatpulley_idempotency::record::{Outcome, Record, ScopedKey};
+use cleatpulley_idempotency::table::Table;
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     let mut short = Vec::new();
     // Beside the programs and not in memory: what is measured is this disk.
     let home =
-        program.parent().unwrap_or(Path::new(".")).join(format!("check-results-{}", std::process::id()));
+        program.parent().unwrap_or(Path::new(".")).join(format!("check-idempotency-{}", std::process::id()));
     let done = measure(program, &home, &mut short);
     // Whatever is left there is of no use to anybody.
     let _ = std::fs::remove_dir_all(&home);
@@ -125,9 +125,9 @@
     show("HashMap and wheel", [enter, find, each(begun)], String::new());
 }
 
-fn recovery(home: &Path, short: &mut Vec<String>) -> Result<(), cleatpulley_keep::Error> {
+fn recovery(home: &Path, short: &mut Vec<String>) -> Result<(), cleatpulley_log_store::Error> {
     let folder = home.join("million");
-    let open = || Folder::new(&folder, true).map_err(cleatpulley_keep::Error::folder);
+    let open = || Folder::new(&folder, true).map_err(cleatpulley_log_store::Error::folder);
     let expiry = u64::MAX / 2;
     {
         let (mut store, _) = Store::open(open()?, Options::default())?;
@@ -246,7 +246,7 @@
     say!("service with keeping off and on, {} seeds of 6 s each, all four classes:", SEEDS.end - SEEDS.start);
     for share in [0.5, 0.9, 1.1] {
         let site = |seed| {
-            let store = cleatpulley_standin::store::Setup { slots: 48, ..Setup::default().store };
+            let store = cleatpulley_emulators::store::Setup { slots: 48, ..Setup::default().store };
             Setup { seed, cores: 24, store, stop: SECOND, grace: SECOND / 2, ..Setup::default() }
         };
         let trials: Vec<_> = SEEDS
--- a/src/tools/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -1,10 +1,10 @@
-//! The part of `cleatpulley check admission` that is played in the emulator: floods, restarts and shortages from seeds, and
+//! The part of `cleatpulley check connection-admission` that is played in the emulator: floods, restarts and shortages from seeds, and
 //! planted bugs.
 
-use super::seeds::cores;
+use super::simulator::cores;
 use cleatpulley::policy::plant::{plant, Bug};
-use cleatpulley_rig::plan::Plan;
-use cleatpulley_rig::seeds;
+use cleatpulley_simulator::plan::Plan;
+use cleatpulley_simulator::seeds;
 use std::time::Instant;
 
 /// Seeds that are to break no rule.
--- a/src/tools/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -1,14 +1,14 @@
 //! `cleatpulley check routes`: look-ups beside other ways, imports, expectations, the consistent hash, and a gateway's
 //! service before targets of which one is slow or half of them fail.
 
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::relay::{Act, Relay, Report};
+use cleatpulley_emulators::target::Setup;
 use cleatpulley_routes::expect::{check, Came, File};
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::locate::{Locator, Taken};
 use cleatpulley_routes::model::{Pool, Routes};
 use cleatpulley_routes::pool::Balancer;
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::relay::{Act, Relay, Report};
-use cleatpulley_standin::target::Setup;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
--- a/src/tools/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -1,12 +1,12 @@
 //! `cleatpulley check service`: operators beside crowds, upgrades under load, and the same from seeds.
 
 use cleatpulley::policy::plant::{plant, Bug};
-use cleatpulley_rig::plan::{Fault, Plan, Planned};
-use cleatpulley_rig::seeds;
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::site::Setup;
-use cleatpulley_standin::trial::{Going, Load, Report, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_emulators::trial::{Going, Load, Report, Trial};
+use cleatpulley_simulator::plan::{Fault, Plan, Planned};
+use cleatpulley_simulator::seeds;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
--- a/src/tools/bench_seeds.rs
+++ b/src/commands/bench_simulator.rs
@@ -1,12 +1,12 @@
-//! `cleatpulley check seeds`: speed, coverage, the same history twice, and planted bugs.
+//! `cleatpulley check simulator`: speed, coverage, the same history twice, and planted bugs.
 
-use super::seeds::{cores, show};
+use super::simulator::{cores, show};
 use cleatpulley::policy::plant::{plant, Bug};
-use cleatpulley_rig::front::Habit;
-use cleatpulley_rig::plan::Plan;
-use cleatpulley_rig::queue::Queue;
-use cleatpulley_rig::seeds;
-use cleatpulley_standin::site::Setup;
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_simulator::front::Habit;
+use cleatpulley_simulator::plan::Plan;
+use cleatpulley_simulator::queue::Queue;
+use cleatpulley_simulator::seeds;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::hint::black_box;
--- a/src/tools/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -1,10 +1,10 @@
-//! `cleatpulley check admission`, its part on TLS: what a handshake costs a core, full and resumed; what a request costs a
+//! `cleatpulley check connection-admission`, its part on TLS: what a handshake costs a core, full and resumed; what a request costs a
 //! matcher on a warm TLS connection beside a plain one; what idle connections and handshakes in flight hold; and what share
 //! of the CPU a flood of handshakes takes against the bound that was set.
 
-use cleatpulley_standin::callers::{request_frame, said, Said};
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{Setup, Site};
+use cleatpulley_emulators::callers::{request_frame, said, Said};
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority::{self, Made};
 use cleatpulley_tls::pair::{certificates, Pair};
 use cleatpulley_tls::rustls::{ClientConfig, ClientConnection, ServerConfig, StreamOwned};
@@ -378,7 +378,7 @@
     );
     let (one, share, done) = flood(program, &files)?;
     // Strangers have what the reserve leaves of the rate.
-    let strangers = BOUND * (1.0 - cleatpulley_admission::handshake::Settings::default().reserve);
+    let strangers = BOUND * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserve);
     let allowed = strangers * one / 1e6;
     say!(
         "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
--- a/src/tools/demo.rs
+++ b/src/commands/demo.rs
@@ -1,9 +1,9 @@
 //! `cleatpulley demo`: the main job against the stand-ins, in under twenty seconds.
 
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::site::Setup;
-use cleatpulley_standin::trial::{Going, Load, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::site::Setup;
+use cleatpulley_emulators::trial::{Going, Load, Trial};
 use std::io::Write;
 
 const SECOND: u64 = 1_000_000;
--- a/src/tools/standin.rs
+++ b/src/commands/emulators.rs
@@ -1,16 +1,16 @@
-//! `cleatpulley standin`: runtime, store and directory to talk to, and the configuration that goes with them.
+//! `cleatpulley emulators`: runtime, store and directory to talk to, and the configuration that goes with them.
 
 use clap::Args;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::site::{Setup, Site};
-use cleatpulley_standin::store;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::site::{Setup, Site};
+use cleatpulley_emulators::store;
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// How the stand-ins are set up.
 #[derive(Args)]
-pub struct StandinArgs {
+pub struct EmulatorsArgs {
     /// Where the matcher's configuration is written
     #[arg(long, value_name = "FILE", default_value = "standin.json")]
     write_config: PathBuf,
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Where ports or the file can't be had.
-pub fn run(args: &StandinArgs) -> Result<(), String> {
+pub fn run(args: &EmulatorsArgs) -> Result<(), String> {
     let store = store::Setup { time: args.store_ms * 1_000, ..store::Setup::default() };
     let processes = usize::from(args.processes.max(1));
     let setup = Setup { cores: args.cores.max(1), store, seed: args.seed, processes, ..Setup::default() };
--- a/src/tools/results.rs
+++ b/src/commands/idempotency.rs
@@ -1,12 +1,12 @@
-//! `cleatpulley results`: looks at the kept results of keyed requests, and moves them from one store to another.
+//! `cleatpulley idempotency`: looks at the kept results of keyed requests, and moves them from one store to another.
 
 use clap::{Args, Subcommand};
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Error, Options, Store};
-use cleatpulley_results::fence::{from_hex, Range};
-use cleatpulley_results::journal::{self, Journal};
-use cleatpulley_results::record::{Outcome, Record, ScopedKey};
-use cleatpulley_results::transfer;
+use cleatpulley_idempotency::fence::{from_hex, Range};
+use cleatpulley_idempotency::journal::{self, Journal};
+use cleatpulley_idempotency::record::{Outcome, Record, ScopedKey};
+use cleatpulley_idempotency::transfer;
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Error, Options, Store};
 use serde_json::{json, Value};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -19,7 +19,7 @@
 
 /// What is done.
 #[derive(Subcommand)]
-pub enum Results {
+pub enum Idempotency {
     /// Print what is kept of one key, as JSON; ends with 3 where nothing is. Works beside a running matcher
     Get {
         /// The folder of the store
@@ -108,13 +108,15 @@
 ///
 /// # Errors
 /// One line that says what is wrong.
-pub fn run(results: &Results) -> Result<ExitCode, String> {
-    match results {
-        Results::Get { dir, class, owner, key } => get(dir, &ScopedKey::new(*owner, *class, key.as_bytes())),
-        Results::List { dir, range, unknown } => list(dir, &range.range()?, *unknown),
-        Results::Stat { dir } => stat(dir),
-        Results::Export { dir, range, epoch, out } => export(dir, &range.range()?, *epoch, out),
-        Results::Import { dir, file } => import(dir, file),
+pub fn run(command: &Idempotency) -> Result<ExitCode, String> {
+    match command {
+        Idempotency::Get { dir, class, owner, key } => {
+            get(dir, &ScopedKey::new(*owner, *class, key.as_bytes()))
+        }
+        Idempotency::List { dir, range, unknown } => list(dir, &range.range()?, *unknown),
+        Idempotency::Stat { dir } => stat(dir),
+        Idempotency::Export { dir, range, epoch, out } => export(dir, &range.range()?, *epoch, out),
+        Idempotency::Import { dir, file } => import(dir, file),
     }
 }
 
--- a/src/tools/keep.rs
+++ b/src/commands/log_store.rs
@@ -1,8 +1,8 @@
-//! `cleatpulley keep`: looks at an embedded store, and mends one.
+//! `cleatpulley log-store`: looks at an embedded store, and mends one.
 
 use clap::{Args, Subcommand};
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Error, Found, Options, Store, Work};
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Error, Found, Options, Store, Work};
 use serde_json::json;
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 
 /// What is done.
 #[derive(Subcommand)]
-pub enum Keep {
+pub enum LogStore {
     /// Print figures, without changing anything; works beside a running program
     Stat(Dir),
     /// Read everything and say what is damaged, by file and offset; ends with 3 where something is
@@ -75,14 +75,14 @@
 ///
 /// # Errors
 /// The store's, in one line.
-pub fn run(keep: &Keep) -> Result<ExitCode, String> {
-    match keep {
-        Keep::Stat(dir) => dir.reader().map(|(store, found)| stat(&store, &found)),
-        Keep::Check(dir) => check(dir),
-        Keep::Dump(dir) => dump(dir),
-        Keep::Compact(dir) => compact(dir),
-        Keep::Repair(dir) => repair(dir),
-        Keep::Exercise { dir, from } => exercise(dir, *from),
+pub fn run(command: &LogStore) -> Result<ExitCode, String> {
+    match command {
+        LogStore::Stat(dir) => dir.reader().map(|(store, found)| stat(&store, &found)),
+        LogStore::Check(dir) => check(dir),
+        LogStore::Dump(dir) => dump(dir),
+        LogStore::Compact(dir) => compact(dir),
+        LogStore::Repair(dir) => repair(dir),
+        LogStore::Exercise { dir, from } => exercise(dir, *from),
     }
     .map_err(|e| e.to_string())
 }
--- a/src/tools/seeds.rs
+++ b/src/commands/simulator.rs
@@ -1,15 +1,15 @@
-//! `cleatpulley seeds`: whole matchers on a virtual clock, with faults from seeds.
+//! `cleatpulley simulator`: whole matchers on a virtual clock, with faults from seeds.
 
 use clap::{Args, Subcommand};
-use cleatpulley_rig::plan::{Places, Plan};
-use cleatpulley_rig::seeds::{self, Summary};
+use cleatpulley_simulator::plan::{Places, Plan};
+use cleatpulley_simulator::seeds::{self, Summary};
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 /// What is done.
 #[derive(Subcommand)]
-pub enum Seeds {
+pub enum Simulator {
     /// Play many seeds, say which broke a rule, and how often what was met; ends with 1 where one did
     Run {
         /// The first seed
@@ -84,11 +84,11 @@
 ///
 /// # Errors
 /// Where the system tells no number of cores.
-pub fn run(seeds: &Seeds) -> Result<ExitCode, String> {
-    match seeds {
-        Seeds::Run { from, count, jobs, plan } => Ok(many(*from, *count, *jobs, *plan)),
-        Seeds::Replay { seed, last } => Ok(replay(seed.plan(), *last)),
-        Seeds::Shrink { seed, most } => Ok(shrink(&seed.plan(), *most)),
+pub fn run(command: &Simulator) -> Result<ExitCode, String> {
+    match command {
+        Simulator::Run { from, count, jobs, plan } => Ok(many(*from, *count, *jobs, *plan)),
+        Simulator::Replay { seed, last } => Ok(replay(seed.plan(), *last)),
+        Simulator::Shrink { seed, most } => Ok(shrink(&seed.plan(), *most)),
     }
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,11 +2,11 @@
 //! environment, and that before the file.
 
 use crate::operator::Operator;
-use cleatpulley_exchange::history::Bounds;
-use cleatpulley_exchange::Owner;
-use cleatpulley_matcher::{Options, Parties, Results};
+use cleatpulley_dispatcher::history::Bounds;
+use cleatpulley_dispatcher::Owner;
 use cleatpulley_policy::interface::{Class, Effect, Micros, Settings};
 use cleatpulley_policy::settings::BootInfo;
+use cleatpulley_server::{Options, Parties, Results};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -175,7 +175,7 @@
             results,
             admission: operator
                 .admission
-                .map(|settings| cleatpulley_admission::Settings { seed: self.seed, ..settings }),
+                .map(|settings| cleatpulley_connection_admission::Settings { seed: self.seed, ..settings }),
             standings: operator.standings,
             tls: operator.tls,
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,9 +4,9 @@
 //! simulator's wire ([`wire`]).
 //!
 //! - [`policy`]: the controller, the types it is told in, and the settings object.
-//! - [`exchange`]: the core round it, without I/O and clock.
+//! - [`dispatcher`]: the core round it, without I/O and clock.
 //! - [`protocol`]: codecs and connections as state machines.
-//! - [`matcher`]: the event loop and the adapters.
+//! - [`server`]: the event loop and the adapters.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -16,8 +16,8 @@
 pub mod operator;
 pub mod wire;
 
-pub use cleatpulley_exchange as exchange;
-pub use cleatpulley_matcher as matcher;
+pub use cleatpulley_dispatcher as dispatcher;
 pub use cleatpulley_policy as policy;
-pub use cleatpulley_policy::{balance, interface, settings, Controller};
+pub use cleatpulley_policy::{controller, interface, settings, Controller};
 pub use cleatpulley_protocol as protocol;
+pub use cleatpulley_server as server;
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,15 +12,15 @@
     };
 }
 
-mod tools;
+mod commands;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use cleatpulley::config::{Config, Sources};
-use cleatpulley::matcher::peers;
-use cleatpulley::matcher::real::{serve_with, HeldSignals, Hosted, Real, Served};
-use cleatpulley::matcher::report::FleetLink;
-use cleatpulley::matcher::{Node, Options};
 use cleatpulley::operator::{cluster, Operator};
+use cleatpulley::server::peers;
+use cleatpulley::server::real::{serve_with, HeldSignals, Hosted, Real, Served};
+use cleatpulley::server::report::FleetLink;
+use cleatpulley::server::{Node, Options};
 use cleatpulley_gateway::Gateway;
 use cleatpulley_membership::Role;
 use std::io::Write;
@@ -61,19 +61,20 @@
     /// Play the main job against stand-ins on loopback and show what was served; needs nothing else
     Demo,
     /// Stand in for runtime, store and directory, and write the configuration of a matcher that goes with them
-    Standin(tools::standin::StandinArgs),
+    #[command(alias = "standin")]
+    Emulators(commands::emulators::EmulatorsArgs),
     /// Ask an AJP server by hand
     #[command(subcommand)]
-    Ajp(tools::ajp::Ask),
+    Ajp(commands::ajp::Ask),
     /// Look at or mend an embedded store
-    #[command(subcommand)]
-    Keep(tools::keep::Keep),
+    #[command(subcommand, alias = "keep")]
+    LogStore(commands::log_store::LogStore),
     /// Make an authority and certificates for a fleet on one host, and say what a client would refuse in one
     #[command(subcommand)]
-    Certs(tools::certs::Certs),
+    Certs(commands::certs::Certs),
     /// Look at the kept results of keyed requests, or move them
-    #[command(subcommand)]
-    Results(tools::results::Results),
+    #[command(subcommand, alias = "results")]
+    Idempotency(commands::idempotency::Idempotency),
     /// Be a gateway before a fleet of matchers, by the gateway section of an operator file, until SIGTERM or SIGINT;
     /// SIGHUP reads the routes and where targets are again
     Route {
@@ -86,18 +87,18 @@
     },
     /// Read nginx's upstream and location blocks as routing, compare them, and check expectations
     #[command(subcommand)]
-    Routes(tools::routes::Routes),
+    Routes(commands::routes::Routes),
     /// Play whole matchers on a virtual clock with faults from seeds, and check the rules after each step
-    #[command(subcommand)]
-    Seeds(tools::seeds::Seeds),
+    #[command(subcommand, alias = "seeds")]
+    Simulator(commands::simulator::Simulator),
     /// Put a new process in the place of one that serves, and show each step; ends with 1 where the old one serves on
-    Upgrade(tools::upgrade::Upgrade),
+    Upgrade(commands::upgrade::Upgrade),
     /// Start, drain and replace many instances on one host
     #[command(subcommand)]
-    Fleet(tools::fleet::Fleet),
+    Fleet(commands::fleet::Fleet),
     /// Measure a part of the program beside what it is compared with; the last line says ok or what falls short
     #[command(subcommand)]
-    Check(tools::bench::Check),
+    Check(commands::bench::Check),
     /// Print the version
     Version,
 }
@@ -231,9 +232,11 @@
     // Simulated matchers would log as if they were real.
     let quiet = matches!(
         cli.command,
-        Command::Seeds(_)
+        Command::Simulator(_)
             | Command::Check(
-                tools::bench::Check::Seeds | tools::bench::Check::Service | tools::bench::Check::Admission
+                commands::bench::Check::Simulator
+                    | commands::bench::Check::Service
+                    | commands::bench::Check::ConnectionAdmission
             )
     );
     log_to_standard_error(cli.log, quiet);
@@ -260,17 +263,17 @@
 
 fn run(command: Command) -> Result<ExitCode, String> {
     match command {
-        Command::Ajp(ask) => return tools::ajp::run(ask),
-        Command::Check(check) => return tools::bench::run(&check),
-        Command::Upgrade(upgrade) => return tools::upgrade::run(upgrade),
-        Command::Fleet(fleet) => return tools::fleet::run(&fleet),
-        Command::Keep(keep) => return tools::keep::run(&keep),
-        Command::Certs(certs) => return tools::certs::run(&certs),
-        Command::Seeds(seeds) => return tools::seeds::run(&seeds),
-        Command::Routes(routes) => return tools::routes::run(&routes),
-        Command::Results(results) => return tools::results::run(&results),
-        Command::Demo => tools::demo::run()?,
-        Command::Standin(args) => tools::standin::run(&args)?,
+        Command::Ajp(ask) => return commands::ajp::run(ask),
+        Command::Check(check) => return commands::bench::run(&check),
+        Command::Upgrade(upgrade) => return commands::upgrade::run(upgrade),
+        Command::Fleet(fleet) => return commands::fleet::run(&fleet),
+        Command::LogStore(command) => return commands::log_store::run(&command),
+        Command::Certs(certs) => return commands::certs::run(&certs),
+        Command::Simulator(command) => return commands::simulator::run(&command),
+        Command::Routes(routes) => return commands::routes::run(&routes),
+        Command::Idempotency(command) => return commands::idempotency::run(&command),
+        Command::Demo => commands::demo::run()?,
+        Command::Emulators(args) => commands::emulators::run(&args)?,
         Command::Route { operator, check } => {
             let signals = if check { None } else { hold_signals()? };
             let options = cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string())?;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -10,15 +10,15 @@
 mod tls;
 
 use crate::config::Config;
-use cleatpulley_exchange::Head;
+use cleatpulley_dispatcher::Head;
 use cleatpulley_gateway::core::asked;
-use cleatpulley_matcher::{store, AjpFront, Results};
 use cleatpulley_policy::interface::{Effect, Micros};
 use cleatpulley_protocol::ajp::client;
 use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZES};
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Lookup, Settings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
 use cleatpulley_routes::table::Decision;
+use cleatpulley_server::{store, AjpFront, Results};
 use jrsonnet_evaluator::error::Error as EvaluationError;
 use jrsonnet_evaluator::{EvaluationState, FileImportResolver};
 use serde::Deserialize;
@@ -71,11 +71,11 @@
     /// Kept results of keyed requests.
     pub results: Option<Results>,
     /// Who gets a place.
-    pub admission: Option<cleatpulley_admission::Settings>,
+    pub admission: Option<cleatpulley_connection_admission::Settings>,
     /// The folder that earned standing is kept in.
     pub standings: Option<PathBuf>,
     /// TLS on the fronts.
-    pub tls: Option<cleatpulley_matcher::secure::TlsFront>,
+    pub tls: Option<cleatpulley_server::secure::TlsFront>,
     /// The names of the classes, for what is shown.
     class_names: Vec<String>,
 }
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -1,11 +1,11 @@
 //! The section on who gets a place.
 
 use super::{wrong, Wrong};
-use cleatpulley_admission::admit::Cap;
-use cleatpulley_admission::net::Net;
-use cleatpulley_admission::rate::Rate;
-use cleatpulley_admission::standing::Earned;
-use cleatpulley_admission::Settings;
+use cleatpulley_connection_admission::admit::Cap;
+use cleatpulley_connection_admission::net::Net;
+use cleatpulley_connection_admission::rate::Rate;
+use cleatpulley_connection_admission::standing::Earned;
+use cleatpulley_connection_admission::Settings;
 use serde::Deserialize;
 use std::fmt;
 use std::path::{Path, PathBuf};
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -2,9 +2,9 @@
 
 use super::section::read_section;
 use super::{wrong, Fault, Wrong};
-use cleatpulley_matcher::peers::{Options, Rekey};
 use cleatpulley_membership::seal::Keys;
 use cleatpulley_membership::{Identity, Label, Role, Settings};
+use cleatpulley_server::peers::{Options, Rekey};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -2,10 +2,10 @@
 
 use super::{wrong, Wrong};
 use crate::config::Config;
-use cleatpulley_exchange::history::Bounds;
-use cleatpulley_exchange::Owner;
-use cleatpulley_matcher::Results;
+use cleatpulley_dispatcher::history::Bounds;
+use cleatpulley_dispatcher::Owner;
 use cleatpulley_policy::interface::Effect;
+use cleatpulley_server::Results;
 use serde::Deserialize;
 use std::fmt;
 use std::path::PathBuf;
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -3,8 +3,8 @@
 
 use super::{wrong, Wrong};
 use crate::config::Config;
-use cleatpulley_admission::handshake::Settings as Handshaking;
-use cleatpulley_matcher::secure::{Certificates, Loaded, TlsFront};
+use cleatpulley_connection_admission::handshake::Settings as Handshaking;
+use cleatpulley_server::secure::{Certificates, Loaded, TlsFront};
 use cleatpulley_tls::pair::{self, Pair};
 use cleatpulley_tls::setup::{self, Clients, Versions};
 use cleatpulley_tls::tickets::Tickets;
@@ -89,7 +89,7 @@
 }
 
 impl IdentitiesSection {
-    fn check(self) -> Result<cleatpulley_admission::identity::Settings, Wrong> {
+    fn check(self) -> Result<cleatpulley_connection_admission::identity::Settings, Wrong> {
         if self.places == Some(0) {
             return wrong("tls.identities.places", "0 lets nobody in; leave it out for no cap");
         }
@@ -107,11 +107,11 @@
                 if !(1.0..=1e6).contains(&burst) {
                     return wrong("tls.identities.burst", format!("{burst} is not within 1 to 1000000"));
                 }
-                Some(cleatpulley_admission::rate::Rate { per_second, burst })
+                Some(cleatpulley_connection_admission::rate::Rate { per_second, burst })
             }
         };
         let named = self.named.iter().map(|name| name.to_ascii_lowercase()).collect();
-        Ok(cleatpulley_admission::identity::Settings { named, places: self.places, rate })
+        Ok(cleatpulley_connection_admission::identity::Settings { named, places: self.places, rate })
     }
 }
 
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -3,12 +3,12 @@
 
 use cleatpulley::protocol::ajp::client::{Client, Fate, Options, Request, Response};
 use cleatpulley::protocol::ajp::codec::{push_body, push_forward, Outgoing, PACKET_SIZE};
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{classes, Setup, Site};
-use cleatpulley_standin::store;
-use cleatpulley_standin::trial::{Load, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{classes, Setup, Site};
+use cleatpulley_emulators::store;
+use cleatpulley_emulators::trial::{Load, Trial};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,8 +1,8 @@
 //! Several processes that hear of each other through ways that a test cuts, slows and loses: one is killed and restarted, one
 //! stands still, one is cut off. What each saw is compared with drawings in `tests/timelines/`.
 
-use cleatpulley_standin::cluster::Cluster;
-use cleatpulley_standin::wires::Weather;
+use cleatpulley_emulators::cluster::Cluster;
+use cleatpulley_emulators::wires::Weather;
 use cleatpulley_timeline::Drawing;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/tests/admission.rs
+++ b/tests/connection_admission.rs
@@ -1,8 +1,8 @@
 //! Places for connections on a real process: a flood that speaks, and a caller that was named.
 
-use cleatpulley_standin::flood::{knock, Flood};
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{Setup, Site};
+use cleatpulley_emulators::flood::{knock, Flood};
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{Setup, Site};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/tests/exchange.rs
+++ b/tests/dispatcher.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cleatpulley::exchange::history::{Bounds, Effect as KeyEffect, History, Recovered};
-use cleatpulley::exchange::{Answer, Arrival, Call, Command, Exchange, Fact, Keys, Order, Origin, Owner};
+use cleatpulley::dispatcher::history::{Bounds, Effect as KeyEffect, History, Recovered};
+use cleatpulley::dispatcher::{Answer, Arrival, Call, Command, Exchange, Fact, Keys, Order, Origin, Owner};
 use cleatpulley::interface::*;
 use common::{settings, MS, SECOND};
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! A daemon with real processes: started, killed at moments of a replacement and started again, a release that fails, and
 //! what else goes wrong with processes.
 
+use cleatpulley_emulators::callers::request_frame;
+use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_fleet::daemon::ask;
 use cleatpulley_fleet::plan::Phase;
 use cleatpulley_fleet::view::{Ask, Reply, View};
-use cleatpulley_standin::callers::request_frame;
-use cleatpulley_standin::site::{Setup, Site};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,10 +1,10 @@
 //! A gateway as a process before targets that die, drain, slow down and fail; and before a real matcher that speaks AJP.
 
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::relay::{Act, Relay, Report};
-use cleatpulley_standin::site::{Setup as SiteSetup, Site};
-use cleatpulley_standin::target::Setup;
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::relay::{Act, Relay, Report};
+use cleatpulley_emulators::site::{Setup as SiteSetup, Site};
+use cleatpulley_emulators::target::Setup;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
--- a/tests/results.rs
+++ b/tests/idempotency.rs
@@ -1,11 +1,11 @@
 //! Kept results on a real process, real files and real sockets.
 
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::keyed::{Kills, FIELD};
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::Site;
-use cleatpulley_standin::trial::{Load, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::keyed::{Kills, FIELD};
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::Site;
+use cleatpulley_emulators::trial::{Load, Trial};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -131,7 +131,7 @@
     let other_front = by_ajp(&matcher, "00000000000000aa", "a", "seat 7");
     // The key is the caller's, and both fronts say caller 1 and 0: another space of keys, another run.
     assert!(other_front.status.success(), "{other_front:?}");
-    let expected = (0, cleatpulley_standin::runtime::result_of(1));
+    let expected = (0, cleatpulley_emulators::runtime::result_of(1));
     for line in &mut lines {
         assert_eq!((line.answer(), line.answer()), (expected.clone(), expected.clone()));
     }
@@ -190,10 +190,10 @@
     let whole = std::fs::read(&file).expect("the file");
     for cut in 0..whole.len() {
         std::fs::write(format!("{file}.cut"), &whole[..cut]).expect("written");
-        let journal = cleatpulley_keep::memory::Memory::default();
+        let journal = cleatpulley_log_store::memory::Memory::default();
         let (mut journal, ..) =
-            cleatpulley_results::journal::Journal::open(journal, Default::default(), 0).expect("open");
-        let refused = cleatpulley_results::transfer::import(&mut journal, 0, &mut &whole[..cut]);
+            cleatpulley_idempotency::journal::Journal::open(journal, Default::default(), 0).expect("open");
+        let refused = cleatpulley_idempotency::transfer::import(&mut journal, 0, &mut &whole[..cut]);
         assert!(refused.is_err() || cut + 1 == whole.len(), "cut at {cut}");
     }
 }
@@ -214,7 +214,7 @@
         key_field: Some(FIELD.to_owned()),
     };
     let trial = Trial {
-        site: cleatpulley_standin::site::Setup::default(),
+        site: cleatpulley_emulators::site::Setup::default(),
         loads: vec![load(Front::Frames), load(Front::Ajp)],
         ajp: String::new(),
         outside: Kills::section(&folder),
@@ -261,7 +261,7 @@
     second.ask(2, "a", "seat 7");
     second.ask(3, "b", "seat 8");
     let answers = [second.answer(), second.answer()];
-    let expected = [1, 3].map(|id| (0, cleatpulley_standin::runtime::result_of(id)));
+    let expected = [1, 3].map(|id| (0, cleatpulley_emulators::runtime::result_of(id)));
     assert_eq!(first.answer(), expected[0]);
     assert!(expected.iter().all(|one| answers.contains(one)), "{answers:?}");
     drop(first);
--- a/tests/keep.rs
+++ b/tests/log_store.rs
@@ -1,7 +1,7 @@
 //! The embedded store on a real file system: a child process killed at random points, and the command line.
 
-use cleatpulley_keep::files::Folder;
-use cleatpulley_keep::{Batch, Options, Store};
+use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,10 +1,10 @@
 //! Daily service on real processes: the operators' address, and upgrades in place.
 
-use cleatpulley_standin::callers::Front;
-use cleatpulley_standin::host::look;
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{Setup, Site};
-use cleatpulley_standin::trial::{Going, Load, Trial};
+use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{Setup, Site};
+use cleatpulley_emulators::trial::{Going, Load, Trial};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -209,7 +209,7 @@
     let report = going.judge();
     let broken: Vec<_> = report.broken.iter().filter(|what| !what.contains("without an answer")).collect();
     assert!(broken.is_empty(), "{report}");
-    let total = |of: fn(&cleatpulley_standin::callers::Tally) -> u64| -> u64 {
+    let total = |of: fn(&cleatpulley_emulators::callers::Tally) -> u64| -> u64 {
         report.tallies.iter().map(|(.., tally)| of(tally)).sum()
     };
     assert!(total(|tally| tally.lost) < 40, "only what the dead one had read: {report}");
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -1,7 +1,7 @@
 //! Signals and kills in the first moments of a process. It reads its configuration from a pipe, so that the test holds it
 //! there until the signal was sent.
 
-use cleatpulley_standin::site::{Setup, Site};
+use cleatpulley_emulators::site::{Setup, Site};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -1,9 +1,9 @@
 //! TLS on a real process: requests over it, names that may ask for a class, a certificate renewed in place, and a flood
 //! of handshakes that are begun and left while a named caller comes in.
 
-use cleatpulley_standin::callers::{request_frame, said, Said};
-use cleatpulley_standin::matcher::Matcher;
-use cleatpulley_standin::site::{Setup, Site};
+use cleatpulley_emulators::callers::{request_frame, said, Said};
+use cleatpulley_emulators::matcher::Matcher;
+use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority::{self, Made};
 use cleatpulley_tls::pair::{certificates, Facts, Pair};
 use cleatpulley_tls::rustls::{ClientConnection, StreamOwned};
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -12,7 +12,7 @@
 );
 
 fn host(lines: &[&str]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cleatpulley-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_cleatpulley-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
