--- a/crates/connection-admission/src/admit.rs
+++ b/crates/connection-admission/src/admit.rs
@@ -142,7 +142,9 @@
             address_rates: rates(&settings.address, settings.width),
             // Fewer prefixes than addresses are busy at a time.
             prefix_rates: rates(&settings.prefix, settings.width / PREFIXES),
-            standing: settings.earned.map(|earned| Standing::new(earned, settings.seed)),
+            standing: settings
+                .earned
+                .map(|earned| Standing::new(earned, settings.seed)),
             places: HashMap::new(),
             groups: HashMap::new(),
             weights: BTreeSet::new(),
@@ -158,7 +160,14 @@
     #[must_use]
     pub fn prefix(&self, address: IpAddr) -> Net {
         let (four, six) = self.settings.bits;
-        Net::of(address, if address.to_canonical().is_ipv4() { four } else { six })
+        Net::of(
+            address,
+            if address.to_canonical().is_ipv4() {
+                four
+            } else {
+                six
+            },
+        )
     }
 
     /// How a caller is known at this time.
@@ -194,7 +203,11 @@
     /// Bytes that the counts of new connections take.
     #[must_use]
     pub fn memory(&self) -> usize {
-        [&self.address_rates, &self.prefix_rates].into_iter().flatten().map(Rates::memory).sum()
+        [&self.address_rates, &self.prefix_rates]
+            .into_iter()
+            .flatten()
+            .map(Rates::memory)
+            .sum()
     }
 
     /// A connection came from this address, and there are so many places; `spare` tells whether one owes nothing.
@@ -219,7 +232,13 @@
         decision
     }
 
-    fn weigh(&mut self, now: Micros, address: IpAddr, most: usize, spare: impl Fn(u64) -> bool) -> Decision {
+    fn weigh(
+        &mut self,
+        now: Micros,
+        address: IpAddr,
+        most: usize,
+        spare: impl Fn(u64) -> bool,
+    ) -> Decision {
         let known = self.known(now, address);
         let prefix = self.prefix(address);
         if known != Known::Named {
@@ -238,10 +257,13 @@
 
     /// The caps of an operator, which also hold where there is room.
     fn beyond_caps(&mut self, now: Micros, address: IpAddr, prefix: Net) -> Option<Why> {
-        let (address_places, prefix_places) = (self.settings.address.places, self.settings.prefix.places);
+        let (address_places, prefix_places) =
+            (self.settings.address.places, self.settings.prefix.places);
         if address_places.is_some() || prefix_places.is_some() {
             let group = self.groups.get(&prefix);
-            let of_address = group.and_then(|group| group.addresses.get(&address)).map_or(0, BTreeSet::len);
+            let of_address = group
+                .and_then(|group| group.addresses.get(&address))
+                .map_or(0, BTreeSet::len);
             if address_places.is_some_and(|most| of_address >= most) {
                 return Some(Why::AddressPlaces);
             }
@@ -251,7 +273,8 @@
         }
         // Both are looked at before either is decided on: their cells lie far apart in memory, and are fetched at once.
         let seed = self.settings.seed;
-        let looked = |rates: &Option<Rates>, net: &Net| rates.as_ref().map(|r| r.look(now, key(seed, net)));
+        let looked =
+            |rates: &Option<Rates>, net: &Net| rates.as_ref().map(|r| r.look(now, key(seed, net)));
         let own = looked(&self.address_rates, &Net::of(address, 128));
         let of_prefix = looked(&self.prefix_rates, &prefix);
         let room = |rates: &Option<Rates>, look: &Option<Look>| match (rates, look) {
@@ -266,7 +289,10 @@
             return Some(Why::PrefixRate);
         }
         // What is turned away counts for neither.
-        for (rates, look) in [(&mut self.address_rates, own), (&mut self.prefix_rates, of_prefix)] {
+        for (rates, look) in [
+            (&mut self.address_rates, own),
+            (&mut self.prefix_rates, of_prefix),
+        ] {
             if let (Some(rates), Some(look)) = (rates, look) {
                 rates.put(&look);
             }
@@ -282,7 +308,9 @@
         let kept = match known {
             Known::Named => 0,
             Known::Earned => for_named.saturating_sub(self.named),
-            Known::Unknown => for_named.saturating_sub(self.named) + for_earned.saturating_sub(self.earned),
+            Known::Unknown => {
+                for_named.saturating_sub(self.named) + for_earned.saturating_sub(self.earned)
+            }
         };
         self.places.len() + kept < most
     }
@@ -306,22 +334,43 @@
             }
             // Whoever owes nothing, from the heaviest prefix on.
             let spared = || {
-                self.weights.iter().rev().find_map(|(_, prefix)| self.lightest_loss(*prefix, None, &spare))
+                self.weights
+                    .iter()
+                    .rev()
+                    .find_map(|(_, prefix)| self.lightest_loss(*prefix, None, &spare))
+            };
+            let named = || {
+                self.silent_longest(now, Known::Named)
+                    .filter(|_| known == Known::Named)
             };
-            let named = || self.silent_longest(now, Known::Named).filter(|_| known == Known::Named);
-            return silent.or_else(spared).or_else(|| self.silent_longest(now, Known::Earned)).or_else(named);
+            return silent
+                .or_else(spared)
+                .or_else(|| self.silent_longest(now, Known::Earned))
+                .or_else(named);
         }
         let own = self.groups.get(&prefix);
-        let (own_prefix, own_address) =
-            own.map_or((0, 0), |group| (group.count, group.addresses.get(&address).map_or(0, BTreeSet::len)));
+        let (own_prefix, own_address) = own.map_or((0, 0), |group| {
+            (
+                group.count,
+                group.addresses.get(&address).map_or(0, BTreeSet::len),
+            )
+        });
         // Where all of the heaviest owe answers, the next gives.
-        let heavier = self.weights.iter().rev().take_while(|(count, _)| own_prefix + 1 < *count);
+        let heavier = self
+            .weights
+            .iter()
+            .rev()
+            .take_while(|(count, _)| own_prefix + 1 < *count);
         let mut heavier = heavier.filter(|_| !planted(Bug::ShareStuck));
-        if let Some(number) = heavier.find_map(|(_, heavy)| self.lightest_loss(*heavy, None, &spare)) {
+        if let Some(number) =
+            heavier.find_map(|(_, heavy)| self.lightest_loss(*heavy, None, &spare))
+        {
             return Some(number);
         }
         // Within its own prefix the same holds of addresses.
-        if let Some(number) = own.and_then(|_| self.lightest_loss(prefix, Some(own_address + 1), &spare)) {
+        if let Some(number) =
+            own.and_then(|_| self.lightest_loss(prefix, Some(own_address + 1), &spare))
+        {
             return Some(number);
         }
         silent
@@ -329,20 +378,35 @@
 
     /// Who is known so and has said nothing whole for longest.
     fn silent_longest(&self, now: Micros, known: Known) -> Option<u64> {
-        let first = self.silent.range((known, 0, 0)..).next().filter(|silent| silent.0 == known);
-        first.filter(|(_, since, _)| now >= since + FAIR).map(|(_, _, number)| *number)
+        let first = self
+            .silent
+            .range((known, 0, 0)..)
+            .next()
+            .filter(|silent| silent.0 == known);
+        first
+            .filter(|(_, since, _)| now >= since + FAIR)
+            .map(|(_, _, number)| *number)
     }
 
     /// Of a prefix's heaviest address the connection whose end costs least: one that has said nothing whole, then one that owes
     /// nothing. With `above` only an address with more places than that gives one.
-    fn lightest_loss(&self, prefix: Net, above: Option<usize>, spare: &impl Fn(u64) -> bool) -> Option<u64> {
+    fn lightest_loss(
+        &self,
+        prefix: Net,
+        above: Option<usize>,
+        spare: &impl Fn(u64) -> bool,
+    ) -> Option<u64> {
         let group = self.groups.get(&prefix)?;
         let mut addresses: Vec<_> = group.addresses.values().collect();
         addresses.sort_by_key(|numbers| std::cmp::Reverse(numbers.len()));
         let heavy = |numbers: &&&BTreeSet<u64>| above.is_none_or(|above| numbers.len() > above);
         addresses.iter().take_while(heavy).find_map(|numbers| {
-            let silent = numbers.iter().find(|number| self.places.get(number).is_some_and(|p| !p.spoken));
-            silent.or_else(|| numbers.iter().find(|number| spare(**number))).copied()
+            let silent = numbers
+                .iter()
+                .find(|number| self.places.get(number).is_some_and(|p| !p.spoken));
+            silent
+                .or_else(|| numbers.iter().find(|number| spare(**number)))
+                .copied()
         })
     }
 
@@ -350,7 +414,13 @@
     pub fn enter(&mut self, now: Micros, number: u64, address: IpAddr, known: Known) {
         let address = address.to_canonical();
         let prefix = self.prefix(address);
-        let place = Place { address, prefix, known, since: now, spoken: false };
+        let place = Place {
+            address,
+            prefix,
+            known,
+            since: now,
+            spoken: false,
+        };
         if self.places.insert(number, place).is_some() {
             return;
         }
@@ -387,7 +457,9 @@
 
     /// A connection's caller has shown who it is: it is known as named from now on, and its place is kept like theirs.
     pub fn promote(&mut self, number: u64) {
-        let Some(place) = self.places.get(&number).copied() else { return };
+        let Some(place) = self.places.get(&number).copied() else {
+            return;
+        };
         if place.known == Known::Named {
             return;
         }
@@ -400,13 +472,17 @@
 
     /// A connection has left its place.
     pub fn leave(&mut self, number: u64) {
-        let Some(place) = self.places.remove(&number) else { return };
+        let Some(place) = self.places.remove(&number) else {
+            return;
+        };
         self.silent.remove(&(place.known, place.since, number));
         match place.known {
             Known::Named => self.named -= 1,
             Known::Earned => self.earned -= 1,
             Known::Unknown => {
-                let Some(group) = self.groups.get_mut(&place.prefix) else { return };
+                let Some(group) = self.groups.get_mut(&place.prefix) else {
+                    return;
+                };
                 self.weights.remove(&(group.count, place.prefix));
                 group.count -= 1;
                 if let Some(numbers) = group.addresses.get_mut(&place.address) {
@@ -427,12 +503,16 @@
     /// What is to be kept of earned standing.
     #[must_use]
     pub fn export(&self, now: Micros) -> Vec<(IpAddr, f64)> {
-        self.standing.as_ref().map_or_else(Vec::new, |standing| standing.export(now))
+        self.standing
+            .as_ref()
+            .map_or_else(Vec::new, |standing| standing.export(now))
     }
 
     /// What of it is to be written to the book since this was last asked.
     pub fn moved(&mut self, now: Micros) -> Vec<book::Entry> {
-        self.standing.as_mut().map_or_else(Vec::new, |standing| standing.moved(now))
+        self.standing
+            .as_mut()
+            .map_or_else(Vec::new, |standing| standing.moved(now))
     }
 
     /// Takes up what the book had.
@@ -442,7 +522,8 @@
         }
         let (four, six) = self.settings.bits;
         if let Some(standing) = &mut self.standing {
-            let prefix = |address: IpAddr| Net::of(address, if address.is_ipv4() { four } else { six });
+            let prefix =
+                |address: IpAddr| Net::of(address, if address.is_ipv4() { four } else { six });
             standing.remember(now, entries, prefix);
         }
     }
@@ -451,8 +532,9 @@
     pub fn import(&mut self, now: Micros, kept: &[(IpAddr, f64)]) {
         let (four, six) = self.settings.bits;
         if let Some(standing) = &mut self.standing {
-            standing
-                .import(now, kept, |address| Net::of(address, if address.is_ipv4() { four } else { six }));
+            standing.import(now, kept, |address| {
+                Net::of(address, if address.is_ipv4() { four } else { six })
+            });
         }
     }
 }
--- a/crates/connection-admission/src/handshake.rs
+++ b/crates/connection-admission/src/handshake.rs
@@ -145,8 +145,11 @@
 
     fn refill(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        let (per_second, burst, share) =
-            (self.settings.per_second, self.settings.burst, 1.0 - self.settings.reserve);
+        let (per_second, burst, share) = (
+            self.settings.per_second,
+            self.settings.burst,
+            1.0 - self.settings.reserve,
+        );
         self.tokens = (self.tokens + passed * per_second).min(burst);
         self.strangers_tokens =
             (self.strangers_tokens + passed * per_second * share).min((burst * share).max(1.0));
@@ -176,7 +179,9 @@
     fn fits(&self, offer: Offer) -> bool {
         let stranger = offer.rank() == 3;
         let places = self.settings.at_once.max(1);
-        let stranger_places = ((1.0 - self.settings.reserve) * places as f64).floor().max(1.0) as usize;
+        let stranger_places = ((1.0 - self.settings.reserve) * places as f64)
+            .floor()
+            .max(1.0) as usize;
         let room = self.running.len() < places && (!stranger || self.strangers < stranger_places);
         room && self.short(offer) <= 1e-9
     }
@@ -212,7 +217,10 @@
         self.refill(now);
         let since = self.pending.remove(&number).unwrap_or(now);
         let rank = offer.rank();
-        let better_waits = self.queue.first().is_some_and(|&(first, _, _)| first <= rank);
+        let better_waits = self
+            .queue
+            .first()
+            .is_some_and(|&(first, _, _)| first <= rank);
         if !better_waits && self.fits(offer) {
             self.begin(number, offer, since);
             return Turn::Begin;
@@ -244,7 +252,8 @@
             self.strangers -= usize::from(stranger);
         }
         if let Some(waiting) = self.waiting.remove(&number) {
-            self.queue.remove(&(waiting.offer.rank(), waiting.since, number));
+            self.queue
+                .remove(&(waiting.offer.rank(), waiting.since, number));
         }
     }
 
@@ -253,7 +262,9 @@
         self.refill(now);
         let mut begun = Vec::new();
         while let Some(&(rank, since, number)) = self.queue.first() {
-            let Some(&Waiting { offer, .. }) = self.waiting.get(&number) else { break };
+            let Some(&Waiting { offer, .. }) = self.waiting.get(&number) else {
+                break;
+            };
             if !self.fits(offer) {
                 // Those behind it come after it, whether they would fit or not.
                 break;
@@ -271,9 +282,24 @@
     pub fn overdue(&mut self, now: Micros) -> Vec<u64> {
         let mut over = std::mem::take(&mut self.evicted);
         let late = |since: Micros| now >= since + self.settings.deadline;
-        over.extend(self.pending.iter().filter(|(_, &since)| late(since)).map(|(&n, _)| n));
-        over.extend(self.running.iter().filter(|(_, &(since, _))| late(since)).map(|(&n, _)| n));
-        over.extend(self.waiting.iter().filter(|(_, w)| late(w.since)).map(|(&n, _)| n));
+        over.extend(
+            self.pending
+                .iter()
+                .filter(|(_, &since)| late(since))
+                .map(|(&n, _)| n),
+        );
+        over.extend(
+            self.running
+                .iter()
+                .filter(|(_, &(since, _))| late(since))
+                .map(|(&n, _)| n),
+        );
+        over.extend(
+            self.waiting
+                .iter()
+                .filter(|(_, w)| late(w.since))
+                .map(|(&n, _)| n),
+        );
         for &number in &over {
             if self.pending.contains_key(&number)
                 || self.running.contains_key(&number)
@@ -294,12 +320,20 @@
             self.running.values().map(|&(since, _)| since).min(),
             self.waiting.values().map(|w| w.since).min(),
         ];
-        let deadline = deadline.into_iter().flatten().min().map(|since| since + self.settings.deadline);
+        let deadline = deadline
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|since| since + self.settings.deadline);
         // Where places are short, a handshake that ends makes the next begin; where tokens are, time does.
         let refill = self.queue.first().and_then(|&(rank, _, number)| {
             let offer = self.waiting.get(&number)?.offer;
             let short = self.short(offer);
-            let share = if rank == 3 { 1.0 - self.settings.reserve } else { 1.0 };
+            let share = if rank == 3 {
+                1.0 - self.settings.reserve
+            } else {
+                1.0
+            };
             let per_second = (self.settings.per_second * share).max(1e-9);
             (short > 1e-9).then(|| self.at + (short / per_second * 1e6).ceil() as Micros)
         });
--- a/crates/consensus/src/change.rs
+++ b/crates/consensus/src/change.rs
@@ -29,8 +29,15 @@
 
 impl Kind {
     /// All.
-    pub const ALL: [Self; 7] =
-        [Self::Routes, Self::Weight, Self::Pool, Self::Drain, Self::Release, Self::Calendar, Self::Override];
+    pub const ALL: [Self; 7] = [
+        Self::Routes,
+        Self::Weight,
+        Self::Pool,
+        Self::Drain,
+        Self::Release,
+        Self::Calendar,
+        Self::Override,
+    ];
 }
 
 /// What a change is about.
@@ -89,7 +96,10 @@
     /// # Errors
     /// What is not.
     pub fn check(&self) -> Result<(), BadChange> {
-        let (name, value) = (self.subject.name.len(), self.value.as_ref().map_or(0, Vec::len));
+        let (name, value) = (
+            self.subject.name.len(),
+            self.value.as_ref().map_or(0, Vec::len),
+        );
         if !(1..=MOST_NAME).contains(&name) {
             return Err(BadChange::Name(name));
         }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -36,7 +36,13 @@
     /// One of so long, where answers of so many of them are most.
     #[must_use]
     pub fn new(lasts: Micros, most: usize) -> Self {
-        Self { lasts, most, number: 0, asked: VecDeque::new(), sure: None }
+        Self {
+            lasts,
+            most,
+            number: 0,
+            asked: VecDeque::new(),
+            sure: None,
+        }
     }
 
     /// Others are asked from here on; what was sure stays so.
@@ -51,7 +57,11 @@
         if self.asked.len() == OPEN {
             self.asked.pop_front();
         }
-        self.asked.push_back(Asked { number: self.number, at: now, answers: BTreeMap::new() });
+        self.asked.push_back(Asked {
+            number: self.number,
+            at: now,
+            answers: BTreeMap::new(),
+        });
         self.number
     }
 
@@ -65,8 +75,14 @@
     /// Looks at the answers, where so much is decided here.
     pub fn look(&mut self, decided: u64) {
         let most = self.most;
-        let sure =
-            |asked: &&Asked| asked.answers.values().filter(|&&accepted| accepted <= decided).count() >= most;
+        let sure = |asked: &&Asked| {
+            asked
+                .answers
+                .values()
+                .filter(|&&accepted| accepted <= decided)
+                .count()
+                >= most
+        };
         let latest = self.asked.iter().rev().find(sure).map(|asked| asked.at);
         self.sure = self.sure.max(latest);
     }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -104,8 +104,10 @@
             return Err(no_log(DECIDED, "more is decided than is there"));
         }
         let base = group.as_ref().map_or(0, |group| group.base);
-        let tabled =
-            table.epoch.checked_sub(base).ok_or_else(|| no_log(TABLE, "it is older than its group"))?;
+        let tabled = table
+            .epoch
+            .checked_sub(base)
+            .ok_or_else(|| no_log(TABLE, "it is older than its group"))?;
         if (tabled as usize) < compacted {
             return Err(no_log(TABLE, "it is older than the log"));
         }
@@ -163,7 +165,10 @@
 
     /// Notes the first group.
     pub fn note_group(&self, group: &Group) {
-        self.0.borrow_mut().pending.push((GROUP.to_vec(), Some(bytes(group))));
+        self.0
+            .borrow_mut()
+            .pending
+            .push((GROUP.to_vec(), Some(bytes(group))));
     }
 
     /// The disk, as it is: for models and tests that crash it.
@@ -180,8 +185,15 @@
     #[must_use]
     pub fn changes(&self, from: usize, to: usize) -> Vec<Change> {
         let inner = self.0.borrow();
-        let (from, to) = (from.saturating_sub(inner.compacted), to.saturating_sub(inner.compacted));
-        inner.changes.get(from..to.min(inner.changes.len())).map(<[Change]>::to_vec).unwrap_or_default()
+        let (from, to) = (
+            from.saturating_sub(inner.compacted),
+            to.saturating_sub(inner.compacted),
+        );
+        inner
+            .changes
+            .get(from..to.min(inner.changes.len()))
+            .map(<[Change]>::to_vec)
+            .unwrap_or_default()
     }
 }
 
@@ -291,7 +303,9 @@
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Change>> {
         let inner = self.0.borrow();
-        let range = from.checked_sub(inner.compacted).zip(to.checked_sub(inner.compacted));
+        let range = from
+            .checked_sub(inner.compacted)
+            .zip(to.checked_sub(inner.compacted));
         Ok(range
             .and_then(|(from, to)| inner.changes.get(from..to))
             .map(<[Change]>::to_vec)
@@ -305,7 +319,10 @@
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Change>> {
         let inner = self.0.borrow();
         let from = from.checked_sub(inner.compacted);
-        Ok(from.and_then(|from| inner.changes.get(from..)).map(<[Change]>::to_vec).unwrap_or_default())
+        Ok(from
+            .and_then(|from| inner.changes.get(from..))
+            .map(<[Change]>::to_vec)
+            .unwrap_or_default())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
@@ -349,8 +366,12 @@
     found: &std::collections::BTreeMap<Vec<u8>, Vec<u8>>,
     key: &[u8],
 ) -> Result<Option<T>, Fault> {
-    let Some(value) = found.get(key) else { return Ok(None) };
-    postcard::from_bytes(value).map(Some).map_err(|e| no_log(key, &e.to_string()))
+    let Some(value) = found.get(key) else {
+        return Ok(None);
+    };
+    postcard::from_bytes(value)
+        .map(Some)
+        .map_err(|e| no_log(key, &e.to_string()))
 }
 
 fn no_log(key: &[u8], why: &str) -> Fault {
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -42,7 +42,15 @@
     /// Of so many.
     #[must_use]
     pub fn new(me: NodeId, members: Vec<NodeId>) -> Self {
-        Self { me, members, tick: 20_000, election: 15, lease: 3_000_000, ask: 250_000, keep: 1_024 }
+        Self {
+            me,
+            members,
+            tick: 20_000,
+            election: 15,
+            lease: 3_000_000,
+            ask: 250_000,
+            keep: 1_024,
+        }
     }
 
     /// Looks whether they go together.
@@ -56,10 +64,16 @@
         }
         check_members(&self.members).map_err(|why| ("members", why))?;
         if !(1_000..=1_000_000).contains(&self.tick) || self.election < 3 {
-            return bad("tick", "is not within 1 ms to 1 s, or an election takes fewer than 3 of them");
+            return bad(
+                "tick",
+                "is not within 1 ms to 1 s, or an election takes fewer than 3 of them",
+            );
         }
         if self.ask == 0 || self.lease < 4 * self.ask {
-            return bad("lease", "is less than four questions: a lost one would end it");
+            return bad(
+                "lease",
+                "is less than four questions: a lost one would end it",
+            );
         }
         if self.lease <= self.tick * self.election {
             return bad("lease", "is no longer than an election takes");
@@ -136,10 +150,16 @@
     /// # Errors
     /// Where the disk can't be read or holds no log, or the settings can't be.
     pub fn new(settings: Settings, disk: D, incarnation: u64) -> Result<Self, Fault> {
-        settings.check().map_err(|(key, why)| Fault(format!("{key}: {why}")))?;
+        settings
+            .check()
+            .map_err(|(key, why)| Fault(format!("{key}: {why}")))?;
         let (log, group, table, begun) = Log::open(disk)?;
         let group = group.unwrap_or_else(|| {
-            let first = Group { number: 1, members: settings.members.clone(), base: 0 };
+            let first = Group {
+                number: 1,
+                members: settings.members.clone(),
+                base: 0,
+            };
             log.note_group(&first);
             first
         });
@@ -185,14 +205,24 @@
             resend_message_tick_timeout: self.settings.election,
             ..ServerConfig::default()
         };
-        let config = OmniPaxosConfig { cluster_config, server_config };
-        config.build(self.log.clone()).map(Some).map_err(|e| Fault(format!("the group: {e}")))
+        let config = OmniPaxosConfig {
+            cluster_config,
+            server_config,
+        };
+        config
+            .build(self.log.clone())
+            .map(Some)
+            .map_err(|e| Fault(format!("the group: {e}")))
     }
 
     /// A session with another stands anew: nothing that was sent on an older one counts.
     pub fn connected(&mut self, now: Micros, peer: NodeId) {
         self.connected.insert(peer);
-        if let Some(paxos) = self.paxos.as_mut().filter(|_| self.group.members.contains(&peer)) {
+        if let Some(paxos) = self
+            .paxos
+            .as_mut()
+            .filter(|_| self.group.members.contains(&peer))
+        {
             paxos.reconnected(peer);
         }
         self.settle(now);
@@ -220,19 +250,44 @@
                 }
             }
             Say::Ask { group, number } if group == self.group.number => {
-                let accepted = self.paxos.as_ref().map_or(0, |paxos| paxos.get_accepted_idx() as u64);
-                self.say(from, &Say::Answer { group, number, accepted });
+                let accepted = self
+                    .paxos
+                    .as_ref()
+                    .map_or(0, |paxos| paxos.get_accepted_idx() as u64);
+                self.say(
+                    from,
+                    &Say::Answer {
+                        group,
+                        number,
+                        accepted,
+                    },
+                );
             }
-            Say::Answer { group, number, accepted } if group == self.group.number => {
+            Say::Answer {
+                group,
+                number,
+                accepted,
+            } if group == self.group.number => {
                 self.lease.answer(number, from, accepted);
             }
-            Say::Begin { group, table } if group.number > self.group.number => self.begin(group, *table),
+            Say::Begin { group, table } if group.number > self.group.number => {
+                self.begin(group, *table)
+            }
             // Whoever is ahead hears how far this process is, and tells it the rest.
             Say::Paxos { group, .. } | Say::Ask { group, .. } if group > self.group.number => {
-                self.say(from, &Say::Ask { group: self.group.number, number: 0 });
+                self.say(
+                    from,
+                    &Say::Ask {
+                        group: self.group.number,
+                        number: 0,
+                    },
+                );
             }
             Say::Paxos { group, .. } | Say::Ask { group, .. } if group < self.group.number => {
-                let begin = Say::Begin { group: self.group.clone(), table: Box::new(self.begun.clone()) };
+                let begin = Say::Begin {
+                    group: self.group.clone(),
+                    table: Box::new(self.begun.clone()),
+                };
                 self.say(from, &begin);
             }
             _ => {}
@@ -272,7 +327,9 @@
             return Micros::MAX;
         }
         let until = self.lease.until().filter(|_| self.held);
-        self.tick_at.min(self.ask_at).min(until.unwrap_or(Micros::MAX))
+        self.tick_at
+            .min(self.ask_at)
+            .min(until.unwrap_or(Micros::MAX))
     }
 
     /// Asks for a change; returns its number, under which [`Event::Decided`] tells of it. `seen` is the epoch of the subject
@@ -291,8 +348,17 @@
             return Err(None);
         }
         self.life.1 += 1;
-        let id = ChangeId { process: self.settings.me, incarnation: self.life.0, number: self.life.1 };
-        let change = Change { id, subject, value, seen };
+        let id = ChangeId {
+            process: self.settings.me,
+            incarnation: self.life.0,
+            number: self.life.1,
+        };
+        let change = Change {
+            id,
+            subject,
+            value,
+            seen,
+        };
         change.check().map_err(Some)?;
         self.waiting.push_back(change);
         self.settle(now);
@@ -305,10 +371,17 @@
     /// Where it can't be one, or none can be asked for now.
     pub fn propose_group(&mut self, members: Vec<NodeId>) -> Result<(), String> {
         check_members(&members)?;
-        let Some(paxos) = &mut self.paxos else { return Err("this process does not agree".to_owned()) };
-        let next =
-            ClusterConfig { configuration_id: self.group.number + 1, nodes: members, flexible_quorum: None };
-        paxos.reconfigure(next, None).map_err(|_| "another group is being agreed on".to_owned())
+        let Some(paxos) = &mut self.paxos else {
+            return Err("this process does not agree".to_owned());
+        };
+        let next = ClusterConfig {
+            configuration_id: self.group.number + 1,
+            nodes: members,
+            flexible_quorum: None,
+        };
+        paxos
+            .reconfigure(next, None)
+            .map_err(|_| "another group is being agreed on".to_owned())
     }
 
     /// Takes the lead, where most follow: before a leader leaves by plan, another does so.
@@ -375,7 +448,10 @@
         let Some(paxos) = &self.paxos else { return };
         let (number, accepted) = (self.lease.ask(now), paxos.get_accepted_idx() as u64);
         self.lease.answer(number, self.settings.me, accepted);
-        let ask = Say::Ask { group: self.group.number, number };
+        let ask = Say::Ask {
+            group: self.group.number,
+            number,
+        };
         for member in self.group.members.clone() {
             self.say(member, &ask);
         }
@@ -384,8 +460,13 @@
     fn trim(&mut self) {
         let keep = self.settings.keep;
         if let Some(paxos) = &mut self.paxos {
-            let leads = paxos.get_current_leader().is_some_and(|(leader, _)| leader == self.settings.me);
-            let long = paxos.get_decided_idx().saturating_sub(paxos.get_compacted_idx()) > 2 * keep;
+            let leads = paxos
+                .get_current_leader()
+                .is_some_and(|(leader, _)| leader == self.settings.me);
+            let long = paxos
+                .get_decided_idx()
+                .saturating_sub(paxos.get_compacted_idx())
+                > 2 * keep;
             if leads && long {
                 let to = paxos.get_decided_idx() - keep;
                 // Where one lags behind that, it is tried again.
@@ -397,7 +478,9 @@
     /// Asks for the first of our changes, again where it was not decided.
     fn ask_for_changes(&mut self, now: Micros) {
         let due = self.asked_at.is_none_or(|at| now >= at + AGAIN);
-        let (Some(change), Some(paxos), true) = (self.waiting.front(), &mut self.paxos, due) else { return };
+        let (Some(change), Some(paxos), true) = (self.waiting.front(), &mut self.paxos, due) else {
+            return;
+        };
         // Without a leader it would go nowhere.
         if paxos.get_current_leader().is_some() && paxos.append(change.clone()).is_ok() {
             self.asked_at = Some(now);
@@ -427,7 +510,13 @@
         }
         for message in messages {
             let to = message.get_receiver();
-            self.say(to, &Say::Paxos { group: self.group.number, message });
+            self.say(
+                to,
+                &Say::Paxos {
+                    group: self.group.number,
+                    message,
+                },
+            );
         }
         if let Some(paxos) = &self.paxos {
             self.lease.look(paxos.get_decided_idx() as u64);
@@ -453,24 +542,40 @@
         }
         let entries = paxos.read_decided_suffix(applied).unwrap_or_default();
         for entry in entries {
-            let LogEntry::Decided(change) = entry else { continue };
+            let LogEntry::Decided(change) = entry else {
+                continue;
+            };
             let outcome = self.table.apply(&change);
-            if self.waiting.front().is_some_and(|first| first.id == change.id) {
+            if self
+                .waiting
+                .front()
+                .is_some_and(|first| first.id == change.id)
+            {
                 self.waiting.pop_front();
                 self.asked_at = None;
             }
-            self.events.push_back(Event::Decided { epoch: self.table.epoch, change, outcome });
+            self.events.push_back(Event::Decided {
+                epoch: self.table.epoch,
+                change,
+                outcome,
+            });
         }
     }
 
     /// Goes over to the next group, where the present one has decided to end.
     fn follow_group(&mut self) {
-        let Some(stop) = self.paxos.as_ref().and_then(Paxos::is_reconfigured) else { return };
+        let Some(stop) = self.paxos.as_ref().and_then(Paxos::is_reconfigured) else {
+            return;
+        };
         let next = stop.next_config;
         if next.configuration_id <= self.group.number {
             return;
         }
-        let group = Group { number: next.configuration_id, members: next.nodes, base: self.table.epoch };
+        let group = Group {
+            number: next.configuration_id,
+            members: next.nodes,
+            base: self.table.epoch,
+        };
         self.enter(group, self.table.clone());
     }
 
@@ -501,7 +606,11 @@
         }
         self.events.push_back(Event::Group(group));
         for peer in self.connected.clone() {
-            if let Some(paxos) = self.paxos.as_mut().filter(|_| self.group.members.contains(&peer)) {
+            if let Some(paxos) = self
+                .paxos
+                .as_mut()
+                .filter(|_| self.group.members.contains(&peer))
+            {
                 paxos.reconnected(peer);
             }
         }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -43,11 +43,15 @@
     }
 
     fn write(&mut self, changes: &[(Vec<u8>, Option<Vec<u8>>)]) -> Result<(), Fault> {
-        let batch = changes.iter().fold(Batch::default(), |batch, (key, value)| match value {
-            Some(value) => batch.put(key, value, None),
-            None => batch.delete(key),
-        });
-        Store::write(self, batch).map(|_| ()).map_err(|e| Fault(e.to_string()))
+        let batch = changes
+            .iter()
+            .fold(Batch::default(), |batch, (key, value)| match value {
+                Some(value) => batch.put(key, value, None),
+                None => batch.delete(key),
+            });
+        Store::write(self, batch)
+            .map(|_| ())
+            .map_err(|e| Fault(e.to_string()))
     }
 
     fn sync(&mut self) -> Result<(), Fault> {
@@ -60,7 +64,8 @@
 /// # Errors
 /// Why it can't be opened.
 pub fn open<F: Files>(files: F) -> Result<Store<F>, Fault> {
-    let (store, found) = Store::open(files, Options::default()).map_err(|e| Fault(e.to_string()))?;
+    let (store, found) =
+        Store::open(files, Options::default()).map_err(|e| Fault(e.to_string()))?;
     tracing::debug!("agreed log: {found}");
     Ok(store)
 }
@@ -96,7 +101,10 @@
     /// An empty one with this fault.
     #[must_use]
     pub fn that(loses: Loses) -> Self {
-        Self { loses, ..Self::default() }
+        Self {
+            loses,
+            ..Self::default()
+        }
     }
 
     /// What a process finds that starts after a crash.
@@ -116,8 +124,12 @@
         if self.fails {
             return Err(Fault("the disk is full".to_owned()));
         }
-        let newest =
-            changes.iter().map(|(key, _)| key).filter(|key| crate::log::is_change(key)).max().cloned();
+        let newest = changes
+            .iter()
+            .map(|(key, _)| key)
+            .filter(|key| crate::log::is_change(key))
+            .max()
+            .cloned();
         for (key, value) in changes {
             let lost = match self.loses {
                 Loses::Promises => crate::log::is_promise(key),
--- a/crates/dispatcher/src/counts.rs
+++ b/crates/dispatcher/src/counts.rs
@@ -27,7 +27,9 @@
 
 impl Counts {
     pub(super) fn new(classes: usize) -> Self {
-        Self { classes: vec![Tally::default(); classes] }
+        Self {
+            classes: vec![Tally::default(); classes],
+        }
     }
 
     /// By the index of the class.
@@ -39,24 +41,30 @@
     /// All classes together.
     #[must_use]
     pub fn total(&self) -> Tally {
-        self.classes.iter().fold(Tally::default(), |sum, tally| Tally {
-            served: sum.served + tally.served,
-            refused: sum.refused + tally.refused,
-            failed: sum.failed + tally.failed,
-            late: sum.late + tally.late,
-            rejected: sum.rejected + tally.rejected,
-            relayed: sum.relayed + tally.relayed,
-        })
+        self.classes
+            .iter()
+            .fold(Tally::default(), |sum, tally| Tally {
+                served: sum.served + tally.served,
+                refused: sum.refused + tally.refused,
+                failed: sum.failed + tally.failed,
+                late: sum.late + tally.late,
+                rejected: sum.rejected + tally.rejected,
+                relayed: sum.relayed + tally.relayed,
+            })
     }
 
     pub(super) fn answered(&mut self, class: usize, answer: &Answer) {
-        let Some(tally) = self.classes.get_mut(class) else { return };
+        let Some(tally) = self.classes.get_mut(class) else {
+            return;
+        };
         match answer {
             Answer::Served(_) | Answer::Returned { .. } => tally.served += 1,
             Answer::Refused { .. } => tally.refused += 1,
             Answer::Failed => tally.failed += 1,
             Answer::Expired => (tally.failed, tally.late) = (tally.failed + 1, tally.late + 1),
-            Answer::Rejected(_) => (tally.failed, tally.rejected) = (tally.failed + 1, tally.rejected + 1),
+            Answer::Rejected(_) => {
+                (tally.failed, tally.rejected) = (tally.failed + 1, tally.rejected + 1)
+            }
         }
     }
 
--- a/crates/dispatcher/src/dues.rs
+++ b/crates/dispatcher/src/dues.rs
@@ -40,8 +40,15 @@
                 return;
             }
             self.events.push(Event::Gone(id));
-            let refused = Answer::Refused { later: 0, last: false };
-            let answer = if planted(Bug::RefusedAfterRun) { refused } else { Answer::Expired };
+            let refused = Answer::Refused {
+                later: 0,
+                last: false,
+            };
+            let answer = if planted(Bug::RefusedAfterRun) {
+                refused
+            } else {
+                Answer::Expired
+            };
             self.answer(now, id, answer, commands);
         }
     }
--- a/crates/dispatcher/src/keyed.rs
+++ b/crates/dispatcher/src/keyed.rs
@@ -2,8 +2,8 @@
 //! decisions and the adapters.
 
 use super::{
-    digest, planted, Answer, Bug, Command, Ending, Entry, Event, Exchange, Fact, Fault, History, KeyEffect,
-    Micros, Origin, Outcome, Recovered, Request, RequestId, ScopedKey, Stage, Verdict,
+    digest, planted, Answer, Bug, Command, Ending, Entry, Event, Exchange, Fact, Fault, History,
+    KeyEffect, Micros, Origin, Outcome, Recovered, Request, RequestId, ScopedKey, Stage, Verdict,
 };
 use std::collections::HashMap;
 
@@ -91,7 +91,11 @@
         }
         let Some(key) = key else {
             let missing = Meeting::Answer(Answer::Rejected(Fault::KeyMissing));
-            return if self.required { missing } else { Meeting::Decide };
+            return if self.required {
+                missing
+            } else {
+                Meeting::Decide
+            };
         };
         let class = u16::try_from(request.class).unwrap_or(u16::MAX);
         let owner = match self.owner {
@@ -133,13 +137,23 @@
             Verdict::NotYet => {
                 request.keep = true;
                 self.recalls += 1;
-                self.early.push(Early { id: request.id, number: self.recalls, key, digest });
+                self.early.push(Early {
+                    id: request.id,
+                    number: self.recalls,
+                    key,
+                    digest,
+                });
                 return Meeting::Wait(self.recalls);
             }
             Verdict::Unknown => return Meeting::Answer(Answer::Failed),
             Verdict::OtherRequest => return Meeting::Answer(Answer::Rejected(Fault::KeyTaken)),
             // It never ran here, and whoever owns the key now may take it at once.
-            Verdict::Elsewhere => return Meeting::Answer(Answer::Refused { later: 0, last: false }),
+            Verdict::Elsewhere => {
+                return Meeting::Answer(Answer::Refused {
+                    later: 0,
+                    last: false,
+                })
+            }
         }
         Meeting::Decide
     }
@@ -149,7 +163,11 @@
 /// number, and are booked by the controller.
 pub(super) fn fits_unseen(entries: &HashMap<RequestId, Entry>, memory_kb: f64, more: f64) -> bool {
     let is_unseen = |entry: &&Entry| matches!(entry.stage, Stage::Waiting) && entry.notice != 0;
-    let unseen: f64 = entries.values().filter(is_unseen).map(|entry| entry.request.memory_kb).sum();
+    let unseen: f64 = entries
+        .values()
+        .filter(is_unseen)
+        .map(|entry| entry.request.memory_kb)
+        .sum();
     unseen + more <= UNSEEN * memory_kb
 }
 
@@ -182,7 +200,9 @@
     /// Lets go of what is kept, where nobody waits for any of it and none of it runs: another process has it from here
     /// on, and a request with a key fails. False where it is too early for that.
     pub fn release_keys(&mut self) -> bool {
-        let Some(keys) = &mut self.keys else { return false };
+        let Some(keys) = &mut self.keys else {
+            return false;
+        };
         // Also what waits for a result to be read.
         let waits = |e: &Entry| matches!(e.stage, Stage::Waiting | Stage::Starting | Stage::Ending);
         let quiet = keys.history.runs() == 0
@@ -204,11 +224,17 @@
     }
 
     pub(super) fn hear_of_keys(&mut self, now: Micros, fact: Fact, commands: &mut Vec<Command>) {
-        let Some(keys) = self.keys.as_mut().filter(|keys| !keys.released) else { return };
+        let Some(keys) = self.keys.as_mut().filter(|keys| !keys.released) else {
+            return;
+        };
         match fact {
             Fact::Recovered(found) => {
                 let forgotten = planted(Bug::ResultForgotten) && !found.is_empty();
-                let found = if forgotten { Box::new(Recovered::new(0)) } else { found };
+                let found = if forgotten {
+                    Box::new(Recovered::new(0))
+                } else {
+                    found
+                };
                 keys.history.recovered(*found);
                 self.meet_early(now, commands);
             }
@@ -217,9 +243,14 @@
                 keys.history.set_well(well, &mut self.key_effects);
                 self.meet_early(now, commands);
             }
-            Fact::Recalled { id, number, outcome } => {
+            Fact::Recalled {
+                id,
+                number,
+                outcome,
+            } => {
                 let answer = outcome.map_or(Answer::Failed, answer_of);
-                let asked = |entry: &Entry| matches!(entry.stage, Stage::Waiting) && entry.notice == number;
+                let asked =
+                    |entry: &Entry| matches!(entry.stage, Stage::Waiting) && entry.notice == number;
                 if self.entries.get(&id).is_some_and(asked) {
                     self.answer(now, id, answer, commands);
                 }
@@ -240,8 +271,16 @@
     fn meet_early(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(keys) = &mut self.keys else { return };
         let early = std::mem::take(&mut keys.early);
-        for Early { id, number, key, digest } in early {
-            let (Some(entry), Some(keys)) = (self.entries.get_mut(&id), &mut self.keys) else { continue };
+        for Early {
+            id,
+            number,
+            key,
+            digest,
+        } in early
+        {
+            let (Some(entry), Some(keys)) = (self.entries.get_mut(&id), &mut self.keys) else {
+                continue;
+            };
             // Guards against another request that has the id of one that is gone.
             if !matches!(entry.stage, Stage::Waiting) || entry.notice != number {
                 continue;
@@ -255,7 +294,11 @@
                 Meeting::Recall(key) => {
                     keys.recalls += 1;
                     entry.notice = keys.recalls;
-                    commands.push(Command::Recall { id, number: entry.notice, key });
+                    commands.push(Command::Recall {
+                        id,
+                        number: entry.notice,
+                        key,
+                    });
                 }
                 Meeting::Answer(answer) => {
                     self.answer(now, id, answer, commands);
@@ -280,19 +323,28 @@
         let room = !std::mem::take(&mut keys.barred) && keys.history.room();
         let kept = (keys.history.len(), room);
         if std::mem::replace(&mut self.told_kept, kept) != kept {
-            self.events.insert(0, Event::Kept { entries: kept.0, room: kept.1 });
+            self.events.insert(
+                0,
+                Event::Kept {
+                    entries: kept.0,
+                    room: kept.1,
+                },
+            );
         }
     }
 
     /// The controller wants a keyed request run: its intent comes first.
     pub(super) fn run_keyed(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        let (Some(entry), Some(keys)) = (self.entries.get_mut(&id), &mut self.keys) else { return };
+        let (Some(entry), Some(keys)) = (self.entries.get_mut(&id), &mut self.keys) else {
+            return;
+        };
         entry.stage = Stage::Starting;
         let before = self.key_effects.len();
         keys.history.run(now, id, &mut self.key_effects);
         if self.key_effects.len() == before {
             // Guards against a run of what the history does not know: it found no room, and there is some now.
-            self.key_effects.extend([KeyEffect::DropRun(id), KeyEffect::TurnAway(id)]);
+            self.key_effects
+                .extend([KeyEffect::DropRun(id), KeyEffect::TurnAway(id)]);
         }
         self.settle_keys(now, commands);
     }
@@ -306,7 +358,9 @@
         refused: &Answer,
         commands: &mut Vec<Command>,
     ) -> bool {
-        let (Some(entry), Some(keys)) = (self.entries.get(&id), &mut self.keys) else { return false };
+        let (Some(entry), Some(keys)) = (self.entries.get(&id), &mut self.keys) else {
+            return false;
+        };
         if !entry.keyed {
             return false;
         }
@@ -348,7 +402,12 @@
         }
     }
 
-    pub(super) fn key_never_ran(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    pub(super) fn key_never_ran(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        commands: &mut Vec<Command>,
+    ) {
         if let Some(keys) = &mut self.keys {
             keys.history.never_ran(id, &mut self.key_effects);
             self.settle_keys(now, commands);
@@ -360,21 +419,35 @@
         while !self.key_effects.is_empty() {
             for effect in std::mem::take(&mut self.key_effects) {
                 match effect {
-                    KeyEffect::Write { .. } | KeyEffect::Erase { .. } => commands.push(Command::Keep(effect)),
+                    KeyEffect::Write { .. } | KeyEffect::Erase { .. } => {
+                        commands.push(Command::Keep(effect))
+                    }
                     KeyEffect::Start(id) => {
-                        let Some(entry) = self.entries.get_mut(&id) else { continue };
+                        let Some(entry) = self.entries.get_mut(&id) else {
+                            continue;
+                        };
                         entry.stage = Stage::Running;
                         self.counts.relayed(entry.class);
                         let body = std::mem::take(&mut entry.body);
-                        commands.push(Command::Start { id, class: entry.class, body });
+                        commands.push(Command::Start {
+                            id,
+                            class: entry.class,
+                            body,
+                        });
                     }
                     KeyEffect::DropRun(id) => {
-                        let Some(entry) = self.entries.get_mut(&id) else { continue };
+                        let Some(entry) = self.entries.get_mut(&id) else {
+                            continue;
+                        };
                         entry.stage = Stage::Waiting;
                         if entry.answered {
                             self.entries.remove(&id);
                         }
-                        self.events.push(Event::RunEnded { id, outcome: Outcome::Void, elapsed: 0 });
+                        self.events.push(Event::RunEnded {
+                            id,
+                            outcome: Outcome::Void,
+                            elapsed: 0,
+                        });
                     }
                     KeyEffect::Tell(id, outcome) => self.tell(now, id, outcome, commands),
                     KeyEffect::TurnAway(id) => {
@@ -389,11 +462,21 @@
 
     fn tell(&mut self, now: Micros, id: RequestId, outcome: Ending, commands: &mut Vec<Command>) {
         // The first's run was told of when it ended; those that wait for it end now.
-        let waits = self.entries.get(&id).is_some_and(|entry| !matches!(entry.stage, Stage::Ending));
+        let waits = self
+            .entries
+            .get(&id)
+            .is_some_and(|entry| !matches!(entry.stage, Stage::Ending));
         if waits {
-            let ended =
-                if matches!(outcome, Ending::Served(_)) { Outcome::Success } else { Outcome::Failure };
-            self.events.push(Event::RunEnded { id, outcome: ended, elapsed: 0 });
+            let ended = if matches!(outcome, Ending::Served(_)) {
+                Outcome::Success
+            } else {
+                Outcome::Failure
+            };
+            self.events.push(Event::RunEnded {
+                id,
+                outcome: ended,
+                elapsed: 0,
+            });
         }
         if self.answer(now, id, answer_of(outcome), commands) && waits {
             // Guards against a request that the controller has still to hear of.
@@ -402,7 +485,13 @@
         self.entries.remove(&id);
     }
 
-    fn turn_away(&mut self, now: Micros, id: RequestId, answer: &Answer, commands: &mut Vec<Command>) {
+    fn turn_away(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        answer: &Answer,
+        commands: &mut Vec<Command>,
+    ) {
         if self.answer(now, id, answer.clone(), commands) {
             self.events.push(Event::Gone(id));
         }
@@ -411,7 +500,9 @@
 
     /// A try takes the place of its key's first, which is gone: the controller decides on it as on one that came now.
     fn promote(&mut self, id: RequestId) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         entry.stage = Stage::Held;
         entry.request.prior = None;
         self.events.push(Event::Gone(id));
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -70,7 +70,10 @@
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         // A served answer must be the result of the request's own run: none is shared.
-        let settings = Settings { fresh: 0, ..settings };
+        let settings = Settings {
+            fresh: 0,
+            ..settings
+        };
         Self {
             controller: Controller::new(settings.clone(), seed),
             counts: Counts::new(settings.classes.len()),
@@ -96,8 +99,14 @@
     #[must_use]
     pub fn with_keys(mut settings: Settings, seed: u64, keys: Keys) -> Self {
         // The controller forgets tries that nobody can wait for; it is told how large the table is.
-        settings.classes.iter_mut().for_each(|class| class.window = class.window.min(class.deadline));
-        Self { keys: Some(keys), ..Self::new(settings, seed) }
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|class| class.window = class.window.min(class.deadline));
+        Self {
+            keys: Some(keys),
+            ..Self::new(settings, seed)
+        }
     }
 
     /// Requests that are known, answered ones whose run is still on among them.
@@ -111,7 +120,8 @@
     /// would hear of each start too late.
     #[must_use]
     pub fn held(&self) -> (usize, f64, usize) {
-        let count = |wanted: fn(&Stage) -> bool| self.entries.values().filter(|e| wanted(&e.stage)).count();
+        let count =
+            |wanted: fn(&Stage) -> bool| self.entries.values().filter(|e| wanted(&e.stage)).count();
         // In whole bytes: the sum is the same in whatever order.
         let of = |entry: &Entry| match entry.stage {
             Stage::Held | Stage::Waiting | Stage::Ending => (entry.request.memory_kb * 1e3) as u64,
@@ -120,11 +130,21 @@
         let running = count(|stage| matches!(stage, Stage::Running | Stage::Starting));
         let calls = count(|stage| matches!(stage, Stage::Calling));
         let more = (self.settings.run_factor.max(1.0) - 1.0) * 1e3;
-        let held = self.entries.values().filter(|entry| matches!(entry.stage, Stage::Held));
-        let mut to_come: Vec<_> = held.map(|entry| (entry.request.memory_kb * more) as u64).collect();
+        let held = self
+            .entries
+            .values()
+            .filter(|entry| matches!(entry.stage, Stage::Held));
+        let mut to_come: Vec<_> = held
+            .map(|entry| (entry.request.memory_kb * more) as u64)
+            .collect();
         to_come.sort_unstable_by(|one, other| other.cmp(one));
         let starts = (self.controller.learned().run_limit as usize).saturating_sub(running);
-        let booked = self.entries.values().map(of).chain(to_come.into_iter().take(starts)).sum::<u64>();
+        let booked = self
+            .entries
+            .values()
+            .map(of)
+            .chain(to_come.into_iter().take(starts))
+            .sum::<u64>();
         (running, booked as f64 / 1e3, calls)
     }
 
@@ -164,14 +184,19 @@
                 if arrival.class < self.settings.classes.len() {
                     self.counts.answered(arrival.class, &answer);
                 }
-                commands.push(Command::Answer { to: arrival.origin, answer });
+                commands.push(Command::Answer {
+                    to: arrival.origin,
+                    answer,
+                });
             }
             Fact::OriginLost(connection) => {
                 self.lose_origin(now, |origin| origin.connection == connection, commands);
             }
             Fact::Cancelled(origin) => self.lose_origin(now, |other| *other == origin, commands),
             Fact::CallWanted { id, notice, body } => {
-                let Some(entry) = self.entries.get_mut(&id) else { return };
+                let Some(entry) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 if matches!(entry.stage, Stage::Held) {
                     return;
                 }
@@ -184,14 +209,24 @@
                 entry.call = body;
                 self.events.push(Event::CallNeeded(id));
             }
-            Fact::RunEnded { id, outcome, elapsed, result } => {
+            Fact::RunEnded {
+                id,
+                outcome,
+                elapsed,
+                result,
+            } => {
                 self.end_run(now, id, outcome, elapsed, result, commands);
             }
-            Fact::OrderRefused { id, order: Order::Start } => {
+            Fact::OrderRefused {
+                id,
+                order: Order::Start,
+            } => {
                 self.end_run(now, id, Outcome::Void, 0, Vec::new(), commands);
             }
             // It ended by itself, or never was one.
-            Fact::OrderRefused { order: Order::Stop, .. } => {}
+            Fact::OrderRefused {
+                order: Order::Stop, ..
+            } => {}
             Fact::OrderRefused { id, .. } => {
                 // The run can't go on, and nothing better is known to be done for its caller.
                 if self.answer(now, id, Answer::Failed, commands) {
@@ -199,8 +234,15 @@
                 }
             }
             Fact::OrderInDoubt { id, order } => self.settle(now, id, order, commands),
-            Fact::CallEnded { id, outcome, elapsed, reply } => {
-                let Some(entry) = self.entries.get_mut(&id) else { return };
+            Fact::CallEnded {
+                id,
+                outcome,
+                elapsed,
+                reply,
+            } => {
+                let Some(entry) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 if !matches!(entry.stage, Stage::Calling) {
                     return;
                 }
@@ -210,7 +252,11 @@
                 } else {
                     entry.stage = Stage::AtCall;
                 }
-                self.events.push(Event::CallEnded { id, outcome, elapsed });
+                self.events.push(Event::CallEnded {
+                    id,
+                    outcome,
+                    elapsed,
+                });
             }
             Fact::Gauges(gauges) => {
                 self.gauges = gauges;
@@ -220,8 +266,16 @@
             Fact::Drain { .. } if planted(Bug::DrainForgotten) => {}
             Fact::Drain { stop_at } => self.begin_drain(stop_at, Event::Drain { stop_at }),
             Fact::Succeeded { stop_at } => self.begin_drain(stop_at, Event::Succeeded { stop_at }),
-            Fact::Beside { running, memory_kb, calls } => {
-                self.events.push(Event::Beside { running, memory_kb, calls });
+            Fact::Beside {
+                running,
+                memory_kb,
+                calls,
+            } => {
+                self.events.push(Event::Beside {
+                    running,
+                    memory_kb,
+                    calls,
+                });
             }
             Fact::Recovered(_) | Fact::Durable(_) | Fact::Keeping(_) | Fact::Recalled { .. } => {
                 self.hear_of_keys(now, fact, commands);
@@ -240,7 +294,11 @@
                 }
                 self.timers.pop_first();
                 let fresh = now.saturating_sub(self.gauged) <= GAUGE_AGE;
-                let gauges = if fresh { self.gauges } else { Gauges::default() };
+                let gauges = if fresh {
+                    self.gauges
+                } else {
+                    Gauges::default()
+                };
                 self.events.push(Event::Timer { token, gauges });
             }
             if !self.events.is_empty() {
@@ -295,7 +353,10 @@
         for event in &mut events {
             if let Event::Arrived(request) = event {
                 // The door stands still while the request waited for this step.
-                request.waited = self.entries.get(&request.id).map_or(0, |e| now.saturating_sub(e.door));
+                request.waited = self
+                    .entries
+                    .get(&request.id)
+                    .map_or(0, |e| now.saturating_sub(e.door));
             }
         }
         let mut actions = std::mem::take(&mut self.actions);
@@ -329,14 +390,23 @@
             id = self.own_id(id, origin, class);
         }
         let Some(settings) = self.settings.classes.get(class) else {
-            commands.push(Command::Answer { to: origin, answer: Answer::Failed });
+            commands.push(Command::Answer {
+                to: origin,
+                answer: Answer::Failed,
+            });
             return;
         };
         // Ids are new with every try: one that is open already may run, and must not run again.
-        let runs = self.keys.as_ref().is_some_and(|keys| keys.history.is_run(id));
+        let runs = self
+            .keys
+            .as_ref()
+            .is_some_and(|keys| keys.history.is_run(id));
         if runs || self.entries.contains_key(&id) {
             self.counts.answered(class, &Answer::Failed);
-            commands.push(Command::Answer { to: origin, answer: Answer::Failed });
+            commands.push(Command::Answer {
+                to: origin,
+                answer: Answer::Failed,
+            });
             return;
         }
         // Guards against clocks that differ: nothing came later than now, or longer ago than anyone waits.
@@ -395,7 +465,11 @@
                 entry.stage = Stage::Waiting;
                 entry.body = Vec::new();
                 entry.notice = self.next_recall();
-                commands.push(Command::Recall { id, number: entry.notice, key });
+                commands.push(Command::Recall {
+                    id,
+                    number: entry.notice,
+                    key,
+                });
             }
         }
         self.entries.insert(id, entry);
@@ -405,7 +479,9 @@
     fn act(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         match action {
             Action::Run(id) => {
-                let Some(entry) = self.entries.get_mut(&id) else { return };
+                let Some(entry) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 if !matches!(entry.stage, Stage::Held) {
                     return;
                 }
@@ -415,20 +491,47 @@
                 entry.stage = Stage::Running;
                 trace::starts(now, id);
                 let safe = self.settings.classes[entry.class].effect == Effect::Safe;
-                let body = if safe { entry.body.clone() } else { std::mem::take(&mut entry.body) };
+                let body = if safe {
+                    entry.body.clone()
+                } else {
+                    std::mem::take(&mut entry.body)
+                };
                 self.counts.relayed(entry.class);
-                commands.push(Command::Start { id, class: entry.class, body });
+                commands.push(Command::Start {
+                    id,
+                    class: entry.class,
+                    body,
+                });
             }
-            Action::Refuse { id, avoid_for, last } => {
+            Action::Refuse {
+                id,
+                avoid_for,
+                last,
+            } => {
                 // The promise that it never ran is only given where that is known.
-                let held = self.entries.get(&id).is_some_and(|e| matches!(e.stage, Stage::Held));
-                let refused = Answer::Refused { later: avoid_for, last };
+                let held = self
+                    .entries
+                    .get(&id)
+                    .is_some_and(|e| matches!(e.stage, Stage::Held));
+                let refused = Answer::Refused {
+                    later: avoid_for,
+                    last,
+                };
                 if !held || !self.refuse_keyed(now, id, &refused, commands) {
-                    self.answer(now, id, if held { refused } else { Answer::Failed }, commands);
+                    self.answer(
+                        now,
+                        id,
+                        if held { refused } else { Answer::Failed },
+                        commands,
+                    );
                 }
             }
             Action::Share(id) if self.entries.get(&id).is_some_and(|entry| entry.keyed) => {
-                if let Some(entry) = self.entries.get_mut(&id).filter(|e| matches!(e.stage, Stage::Held)) {
+                if let Some(entry) = self
+                    .entries
+                    .get_mut(&id)
+                    .filter(|e| matches!(e.stage, Stage::Held))
+                {
                     entry.stage = Stage::Waiting;
                 }
             }
@@ -436,26 +539,49 @@
                 // The controller gives up a little before the due time, so that the answer comes by then.
                 let late = self.stepped + self.settings.answer_slack;
                 let past = self.entries.get(&id).is_some_and(|entry| late >= entry.due);
-                self.answer(now, id, if past { Answer::Expired } else { Answer::Failed }, commands);
+                self.answer(
+                    now,
+                    id,
+                    if past {
+                        Answer::Expired
+                    } else {
+                        Answer::Failed
+                    },
+                    commands,
+                );
             }
             Action::Call { id, timeout } => {
-                let Some(entry) = self.entries.get_mut(&id) else { return };
+                let Some(entry) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 if matches!(entry.stage, Stage::AtCall) && !entry.answered {
                     entry.stage = Stage::Calling;
                     let repeatable = self.settings.classes[entry.class].effect == Effect::Safe;
-                    commands.push(Command::Call(Call { id, body: entry.call.clone(), timeout, repeatable }));
+                    commands.push(Command::Call(Call {
+                        id,
+                        body: entry.call.clone(),
+                        timeout,
+                        repeatable,
+                    }));
                 }
             }
             Action::SkipCall(id) => {
-                let Some(entry) = self.entries.get_mut(&id) else { return };
+                let Some(entry) = self.entries.get_mut(&id) else {
+                    return;
+                };
                 if matches!(entry.stage, Stage::AtCall) {
                     entry.stage = Stage::Running;
-                    commands.push(Command::Omit { id, notice: entry.notice });
+                    commands.push(Command::Omit {
+                        id,
+                        notice: entry.notice,
+                    });
                 }
             }
             // Only of what is over, and never of what has an effect that its repeats are told of.
             Action::Halt(id) => {
-                let Some(entry) = self.entries.get(&id) else { return };
+                let Some(entry) = self.entries.get(&id) else {
+                    return;
+                };
                 if matches!(entry.stage, Stage::Running) && entry.answered && !entry.keyed {
                     commands.push(Command::Stop(id));
                 }
@@ -475,18 +601,31 @@
     }
 
     /// Answers a request unless it was answered before; tells whether it did.
-    fn answer(&mut self, now: Micros, id: RequestId, answer: Answer, commands: &mut Vec<Command>) -> bool {
-        let Some(entry) = self.entries.get(&id).filter(|entry| !entry.answered) else { return false };
+    fn answer(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        answer: Answer,
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        let Some(entry) = self.entries.get(&id).filter(|entry| !entry.answered) else {
+            return false;
+        };
         self.counts.answered(entry.class, &answer);
         trace::answered(now, id, entry.request.caller, entry.door, &answer);
-        commands.push(Command::Answer { to: entry.origin, answer });
+        commands.push(Command::Answer {
+            to: entry.origin,
+            answer,
+        });
         self.over(now, id, commands);
         true
     }
 
     /// No answer is owed any more: a held request is gone, a call abandoned, and a run ends in its own time.
     fn over(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         entry.answered = true;
         self.dues.remove(&(entry.due, id));
         let keyed = entry.keyed;
@@ -503,7 +642,11 @@
             Stage::Running if entry.doubtful => {
                 // Guards against a run that never was and would hold its place on the cores for ever.
                 self.entries.remove(&id);
-                self.events.push(Event::RunEnded { id, outcome: Outcome::Withdrawn, elapsed: 0 });
+                self.events.push(Event::RunEnded {
+                    id,
+                    outcome: Outcome::Withdrawn,
+                    elapsed: 0,
+                });
             }
             Stage::Running | Stage::AtCall => {}
         }
--- a/crates/dispatcher/src/trace.rs
+++ b/crates/dispatcher/src/trace.rs
@@ -8,7 +8,14 @@
     ($($what:tt)*) => { tracing::trace!(target: "cleatpulley_requests", $($what)*) };
 }
 
-pub(crate) fn arrived(now: Micros, id: RequestId, class: usize, caller: u64, door: Micros, work: Micros) {
+pub(crate) fn arrived(
+    now: Micros,
+    id: RequestId,
+    class: usize,
+    caller: u64,
+    door: Micros,
+    work: Micros,
+) {
     follow!(
         now,
         id = format_args!("{id:016x}"),
@@ -34,7 +41,15 @@
         Answer::Returned { .. } => ("returned", 0),
     };
     let after = now.saturating_sub(door);
-    follow!(now, id = format_args!("{id:016x}"), caller, after, later, what, "answered");
+    follow!(
+        now,
+        id = format_args!("{id:016x}"),
+        caller,
+        after,
+        later,
+        what,
+        "answered"
+    );
 }
 
 pub(crate) fn advertised(now: Micros, value: f64) {
--- a/crates/emulators/src/callers.rs
+++ b/crates/emulators/src/callers.rs
@@ -242,7 +242,13 @@
     #[must_use]
     pub fn open(&self) -> usize {
         let frames: usize = self.frames.values().map(|link| link.open.len()).sum();
-        frames + self.ajp.values().filter(|link| link.asked.is_some()).count() + self.queue.len()
+        frames
+            + self
+                .ajp
+                .values()
+                .filter(|link| link.asked.is_some())
+                .count()
+            + self.queue.len()
     }
 
     /// Ids of the first class, which in trials of a gateway has an effect.
@@ -262,7 +268,10 @@
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        let frames = self.frames.values_mut().flat_map(|link| std::mem::take(&mut link.open).into_values());
+        let frames = self
+            .frames
+            .values_mut()
+            .flat_map(|link| std::mem::take(&mut link.open).into_values());
         let ajp = self.ajp.values_mut().filter_map(|link| link.asked.take());
         for asked in frames.chain(ajp).chain(self.queue.drain(..)) {
             self.tallies[asked.kind].lost += 1;
@@ -280,11 +289,17 @@
 
     fn rate(&self, now: Micros) -> Option<f64> {
         let since = now.saturating_sub(self.begin);
-        self.plan.rates.iter().find(|(until, _)| since < *until).map(|(_, rate)| *rate)
+        self.plan
+            .rates
+            .iter()
+            .find(|(until, _)| since < *until)
+            .map(|(_, rate)| *rate)
     }
 
     fn ask(&mut self, now: Micros, at: Micros, out: &mut Vec<Effect>) {
-        let mut place = self.random.random_range(0.0..self.plan.kinds.iter().map(|kind| kind.share).sum());
+        let mut place = self
+            .random
+            .random_range(0.0..self.plan.kinds.iter().map(|kind| kind.share).sum());
         let mut kind = 0;
         for (i, other) in self.plan.kinds.iter().enumerate() {
             kind = i;
@@ -293,7 +308,12 @@
                 break;
             }
         }
-        let asked = Asked { id: self.random.random(), kind, at, again: false };
+        let asked = Asked {
+            id: self.random.random(),
+            kind,
+            at,
+            again: false,
+        };
         self.tallies[kind].asked += 1;
         self.sent.push((asked.id, at));
         if kind == 0 {
@@ -309,8 +329,13 @@
     }
 
     fn ask_by_frames(&mut self, asked: Asked, out: &mut Vec<Effect>) {
-        let best = self.frames.iter().filter(|(_, link)| !link.gone && link.open.len() < 32);
-        let best = best.min_by_key(|(_, link)| link.open.len()).map(|(link, l)| (*link, l.open.len()));
+        let best = self
+            .frames
+            .iter()
+            .filter(|(_, link)| !link.gone && link.open.len() < 32);
+        let best = best
+            .min_by_key(|(_, link)| link.open.len())
+            .map(|(link, l)| (*link, l.open.len()));
         // One that was told to take no more only waits for its last answers: another may take its place.
         let number = self.frames.values().filter(|link| !link.gone).count();
         let link = match best {
@@ -338,7 +363,9 @@
         let kind = &self.plan.kinds[asked.kind];
         let caller = self.random.random_range(self.plan.callers.clone());
         let rank: f64 = self.random.random_range(0.0..0.99);
-        let Some(line) = self.frames.get_mut(&link) else { return };
+        let Some(line) = self.frames.get_mut(&link) else {
+            return;
+        };
         line.streams += 1;
         let mut fields = vec![
             ("verb", kind.name.clone()),
@@ -349,7 +376,12 @@
             ("ram", "20".to_owned()),
             ("standing", format!("{rank:.4}")),
         ];
-        fields.extend(self.plan.key_field.as_deref().map(|field| (field, format!("{:016x}", asked.id))));
+        fields.extend(
+            self.plan
+                .key_field
+                .as_deref()
+                .map(|field| (field, format!("{:016x}", asked.id))),
+        );
         let frame = request_frame(line.streams, &fields, &vec![b'.'; self.plan.body]);
         line.open.insert(line.streams, asked);
         send(link, line.up, &mut line.waiting, frame, out);
@@ -370,7 +402,14 @@
                     };
                     let client = Client::new(options, now);
                     let (input, waiting) = (Vec::new(), Vec::new());
-                    let fresh = AjpLink { client, input, asked: None, reused_at: None, waiting, up: false };
+                    let fresh = AjpLink {
+                        client,
+                        input,
+                        asked: None,
+                        reused_at: None,
+                        waiting,
+                        up: false,
+                    };
                     self.ajp.insert(self.links, fresh);
                     self.links
                 }
@@ -380,11 +419,20 @@
                 }
             };
             let kind = &self.plan.kinds[asked.kind];
-            let caller = self.random.random_range(self.plan.callers.clone()).to_string();
+            let caller = self
+                .random
+                .random_range(self.plan.callers.clone())
+                .to_string();
             let rank = format!("{:.4}", self.random.random_range(0.0..0.99));
-            let (id, work) = (format!("{:016x}", asked.id), format!("{:.2}", kind.work as f64 / 1_000.0));
-            let (door, uri, body) =
-                ((asked.at / 1_000).to_string(), format!("/{}", kind.name), vec![b'.'; self.plan.body]);
+            let (id, work) = (
+                format!("{:016x}", asked.id),
+                format!("{:.2}", kind.work as f64 / 1_000.0),
+            );
+            let (door, uri, body) = (
+                (asked.at / 1_000).to_string(),
+                format!("/{}", kind.name),
+                vec![b'.'; self.plan.body],
+            );
             let mut headers = vec![
                 ("X-Request-Id", id.as_str()),
                 ("X-Work-Ms", &work),
@@ -397,8 +445,15 @@
             if self.plan.key_field.is_some() {
                 headers.push(("Idempotency-Key", id.as_str()));
             }
-            let request = Request { method: "POST", uri: &uri, headers: &headers, body: &body };
-            let Some(line) = self.ajp.get_mut(&link) else { continue };
+            let request = Request {
+                method: "POST",
+                uri: &uri,
+                headers: &headers,
+                body: &body,
+            };
+            let Some(line) = self.ajp.get_mut(&link) else {
+                continue;
+            };
             let mut bytes = Vec::new();
             // So few headers fit.
             let _ = line.client.request(now, &request, &mut bytes);
@@ -442,7 +497,9 @@
     }
 
     fn frames_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(line) = self.frames.get_mut(&link) else { return };
+        let Some(line) = self.frames.get_mut(&link) else {
+            return;
+        };
         line.input.extend_from_slice(bytes);
         let (answers, stray) = read_answers(&mut line.input, &mut line.open, &mut line.gone);
         self.stray += stray;
@@ -459,8 +516,11 @@
     }
 
     fn ajp_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(line) = self.ajp.get_mut(&link) else { return };
-        let Ok(response) = read_response(&mut line.client, &mut line.input, bytes, now, link, out) else {
+        let Some(line) = self.ajp.get_mut(&link) else {
+            return;
+        };
+        let Ok(response) = read_response(&mut line.client, &mut line.input, bytes, now, link, out)
+        else {
             self.stray += 1;
             self.closed(now, link, out);
             return;
@@ -540,9 +600,12 @@
 pub fn said_by_ajp(response: &Response) -> Said {
     match response.status {
         200 => Said::Served(response.body.clone()),
-        503 if response.not_run() => {
-            Said::Refused(response.header(RETRY_AFTER_MS).and_then(|ms| ms.parse().ok()).unwrap_or(0))
-        }
+        503 if response.not_run() => Said::Refused(
+            response
+                .header(RETRY_AFTER_MS)
+                .and_then(|ms| ms.parse().ok())
+                .unwrap_or(0),
+        ),
         _ => Said::Failed,
     }
 }
@@ -565,7 +628,12 @@
     gone: &mut bool,
 ) -> (Vec<(T, Option<Said>)>, u64) {
     let (mut used, mut answers, mut stray) = (0, Vec::new(), 0);
-    while let Parsed::Frame { kind, stream, payload } = codec::parse(&input[used..]) {
+    while let Parsed::Frame {
+        kind,
+        stream,
+        payload,
+    } = codec::parse(&input[used..])
+    {
         let end = payload.end;
         let payload = &input[used..][payload];
         used += end;
@@ -640,8 +708,13 @@
             up = line.up;
             match line.asked {
                 // AJP has no word to part: what crosses the end of an idle connection is sent once more, as by frames.
-                Some(asked) if !asked.again && line.reused_at.is_some_and(|at| now < at + CROSSING) => {
-                    self.queue.push_front(Asked { again: true, ..asked });
+                Some(asked)
+                    if !asked.again && line.reused_at.is_some_and(|at| now < at + CROSSING) =>
+                {
+                    self.queue.push_front(Asked {
+                        again: true,
+                        ..asked
+                    });
                 }
                 asked => lost.extend(asked),
             }
@@ -671,7 +744,11 @@
             }
             let mean = 1e6 / (rate * self.share).max(0.001);
             let draw: f64 = self.random.random_range(1e-9..1.0);
-            let gap = if self.plan.random_gaps { -draw.ln() * mean } else { mean };
+            let gap = if self.plan.random_gaps {
+                -draw.ln() * mean
+            } else {
+                mean
+            };
             // The share may change before a long gap is over; a random one may begin anew at any time.
             self.looks = self.share != 1.0 && gap > LOOK as f64;
             let gap = if self.looks { LOOK } else { gap as Micros };
--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -48,10 +48,15 @@
     pub fn new(program: &Path, section: &str, seed: u64) -> io::Result<Self> {
         static NUMBER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let folder =
-            std::env::temp_dir().join(format!("cleatpulley-cluster-{}-{number}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "cleatpulley-cluster-{}-{number}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("cluster.keys"), format!("1 {}\n", "c1".repeat(32)))?;
+        std::fs::write(
+            folder.join("cluster.keys"),
+            format!("1 {}\n", "c1".repeat(32)),
+        )?;
         Ok(Self {
             program: program.to_owned(),
             wires: Wires::new(seed),
@@ -71,7 +76,12 @@
         for name in &names {
             let (reached, folder) = (self.wires.lead_to(name)?, self.folder.join(name));
             std::fs::create_dir_all(&folder)?;
-            let node = Node { process: None, reached, before: Vec::new(), folder };
+            let node = Node {
+                process: None,
+                reached,
+                before: Vec::new(),
+                folder,
+            };
             self.nodes.insert(name.clone(), node);
         }
         for name in &names {
@@ -86,9 +96,16 @@
     /// Where it does not start; its log is part of what is told.
     pub fn start(&mut self, name: &str) -> io::Result<()> {
         self.note(name, "starts");
-        let contacts: Vec<String> =
-            self.nodes.values().take(3).map(|node| format!("'{}'", node.reached)).collect();
-        let node = self.nodes.get_mut(name).ok_or_else(|| io::Error::other(format!("no {name}")))?;
+        let contacts: Vec<String> = self
+            .nodes
+            .values()
+            .take(3)
+            .map(|node| format!("'{}'", node.reached))
+            .collect();
+        let node = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
         let operator = format!(
             "{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
              routes: 'nginx.conf', classes: {{ a: {{ deadline_ms: 1000, effect: false }} }}, stop_ms: 4000 }}, \
@@ -102,20 +119,33 @@
         );
         let mut process = Matcher::gateway(&self.program, ROUTES, &operator)?;
         let line = process.wait_for("hears on ")?;
-        let at = line.split("hears on ").nth(1).and_then(|at| at.trim().parse().ok());
-        self.wires.is_at(name, at.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))?);
+        let at = line
+            .split("hears on ")
+            .nth(1)
+            .and_then(|at| at.trim().parse().ok());
+        self.wires.is_at(
+            name,
+            at.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))?,
+        );
         node.process = Some(process);
         Ok(())
     }
 
     fn process(&mut self, name: &str) -> io::Result<&mut Matcher> {
-        let node = self.nodes.get_mut(name).ok_or_else(|| io::Error::other(format!("no {name}")))?;
-        node.process.as_mut().ok_or_else(|| io::Error::other(format!("{name} does not run")))
+        let node = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
+        node.process
+            .as_mut()
+            .ok_or_else(|| io::Error::other(format!("{name} does not run")))
     }
 
     /// Writes a step of the test's own.
     pub fn note(&mut self, node: &str, what: &str) {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as u64);
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_micros() as u64);
         self.steps.push(Step::new(now, node, what));
     }
 
@@ -126,7 +156,10 @@
     pub fn kill(&mut self, name: &str) -> io::Result<()> {
         self.note(name, "dies");
         self.process(name)?.kill();
-        let node = self.nodes.get_mut(name).ok_or_else(|| io::Error::other(format!("no {name}")))?;
+        let node = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
         if let Some(process) = node.process.take() {
             node.before.extend(process.log());
         }
@@ -172,7 +205,13 @@
     ///
     /// # Errors
     /// Where one does not, with all that was done.
-    pub fn wait_for(&self, names: &[&str], what: &str, times: usize, patience: Duration) -> io::Result<()> {
+    pub fn wait_for(
+        &self,
+        names: &[&str],
+        what: &str,
+        times: usize,
+        patience: Duration,
+    ) -> io::Result<()> {
         let since = std::time::Instant::now();
         while !names.iter().all(|name| self.count(name, what) >= times) {
             if since.elapsed() > patience {
@@ -187,17 +226,23 @@
     }
 
     fn steps_of(&self, name: &str) -> Vec<Step> {
-        let Some(node) = self.nodes.get(name) else { return Vec::new() };
+        let Some(node) = self.nodes.get(name) else {
+            return Vec::new();
+        };
         let log = node.process.as_ref().map(Matcher::log).unwrap_or_default();
         let lines = node.before.iter().chain(&log);
-        lines.filter_map(|line| Step::read(line).ok().flatten()).collect()
+        lines
+            .filter_map(|line| Step::read(line).ok().flatten())
+            .collect()
     }
 
     /// All that was done.
     #[must_use]
     pub fn timeline(&self) -> Timeline {
         let mut steps = self.steps.clone();
-        self.nodes.keys().for_each(|name| steps.extend(self.steps_of(name)));
+        self.nodes
+            .keys()
+            .for_each(|name| steps.extend(self.steps_of(name)));
         Timeline::of(steps)
     }
 }
--- a/crates/emulators/src/directory.rs
+++ b/crates/emulators/src/directory.rs
@@ -21,7 +21,9 @@
     /// Whether this matcher is on the list.
     #[must_use]
     pub fn lists(&self, now: Micros, name: &str) -> bool {
-        self.reports.get(name).is_some_and(|report| now < report.0 + LAPSE)
+        self.reports
+            .get(name)
+            .is_some_and(|report| now < report.0 + LAPSE)
     }
 
     /// Whether this matcher's last report said that it is open.
@@ -47,14 +49,23 @@
                     return;
                 }
             };
-            let length = request.headers.iter().find(|h| h.name.eq_ignore_ascii_case("Content-Length"));
-            let length = length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok());
+            let length = request
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case("Content-Length"));
+            let length =
+                length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse().ok());
             let whole = head + length.unwrap_or(0usize).min(1_048_576);
             if input.len() < whole {
                 return;
             }
-            let name = request.path.and_then(|path| path.strip_prefix("/dir/nodes/")).map(str::to_owned);
-            let open = input[head..whole].windows(6).any(|part| part == b"\"open\"");
+            let name = request
+                .path
+                .and_then(|path| path.strip_prefix("/dir/nodes/"))
+                .map(str::to_owned);
+            let open = input[head..whole]
+                .windows(6)
+                .any(|part| part == b"\"open\"");
             input.drain(..whole);
             self.number += 1;
             let status = if let Some(name) = name {
--- a/crates/emulators/src/flood.rs
+++ b/crates/emulators/src/flood.rs
@@ -35,7 +35,9 @@
             let wanted = (begun.elapsed().as_secs_f64() * f64::from(self.per_second)) as u64;
             while number < wanted {
                 number += 1;
-                let Some(socket) = self.open(number) else { continue };
+                let Some(socket) = self.open(number) else {
+                    continue;
+                };
                 opened.fetch_add(1, Ordering::Relaxed);
                 held.push_back(socket);
                 if held.len() > self.hold {
@@ -53,7 +55,9 @@
         socket.set_nonblocking(true).ok()?;
         // Reset at the end: a flood leaves no port behind that waits.
         socket.set_linger(Some(Duration::ZERO)).ok()?;
-        socket.bind(&SockAddr::from(SocketAddr::from((from, 0)))).ok()?;
+        socket
+            .bind(&SockAddr::from(SocketAddr::from((from, 0))))
+            .ok()?;
         // It is on its way; how it ends is nobody's concern.
         let _ = socket.connect(&SockAddr::from(self.to));
         if self.speaks {
--- a/crates/emulators/src/host.rs
+++ b/crates/emulators/src/host.rs
@@ -38,8 +38,13 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros);
-        Self { unix, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_micros() as Micros);
+        Self {
+            unix,
+            start: Instant::now(),
+        }
     }
 }
 
@@ -93,7 +98,11 @@
     ///
     /// # Errors
     /// Where the address can't be listened on.
-    pub fn listen(&mut self, at: SocketAddr, service: Arc<Mutex<dyn Service>>) -> io::Result<SocketAddr> {
+    pub fn listen(
+        &mut self,
+        at: SocketAddr,
+        service: Arc<Mutex<dyn Service>>,
+    ) -> io::Result<SocketAddr> {
         self.listen_at(&[at], service).map(|addresses| addresses[0])
     }
 
@@ -128,7 +137,8 @@
     pub fn start(mut self, clock: Clock) -> io::Result<Running> {
         let poll = Poll::new()?;
         for (place, (listener, ..)) in self.doors.iter_mut().enumerate() {
-            poll.registry().register(listener, Token(place), Interest::READABLE)?;
+            poll.registry()
+                .register(listener, Token(place), Interest::READABLE)?;
         }
         let next_key = self.doors.len();
         let over = Arc::new(AtomicBool::new(false));
@@ -153,7 +163,10 @@
                 }
             }
         });
-        Ok(Running { over, thread: Some(thread) })
+        Ok(Running {
+            over,
+            thread: Some(thread),
+        })
     }
 }
 
@@ -173,7 +186,11 @@
 impl Work {
     fn turn(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
-        let next = self.ports.iter().filter_map(|port| look(&port.service, |service| service.next())).min();
+        let next = self
+            .ports
+            .iter()
+            .filter_map(|port| look(&port.service, |service| service.next()))
+            .min();
         let wait = next.map_or(BREATH, |at| at.saturating_sub(now)).min(BREATH);
         match self.poll.poll(events, Some(Duration::from_micros(wait))) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
@@ -189,7 +206,8 @@
             }
         }
         for place in 0..self.ports.len() {
-            let due = look(&self.ports[place].service, |service| service.next()).is_some_and(|at| at <= now);
+            let due = look(&self.ports[place].service, |service| service.next())
+                .is_some_and(|at| at <= now);
             if due {
                 self.tell(place, |service, effects| service.advance(now, effects));
             }
@@ -200,7 +218,9 @@
     /// Tells a service something, and carries out what it wants done.
     fn tell(&mut self, place: usize, what: impl FnOnce(&mut dyn Service, &mut Vec<Effect>)) {
         let mut effects = std::mem::take(&mut self.effects);
-        look(&self.ports[place].service, |service| what(service, &mut effects));
+        look(&self.ports[place].service, |service| {
+            what(service, &mut effects)
+        });
         while !effects.is_empty() {
             let mut lost = Vec::new();
             for effect in effects.drain(..) {
@@ -208,7 +228,9 @@
             }
             let now = self.clock.now();
             for link in lost {
-                look(&self.ports[place].service, |service| service.closed(now, link, &mut effects));
+                look(&self.ports[place].service, |service| {
+                    service.closed(now, link, &mut effects)
+                });
             }
         }
         self.effects = effects;
@@ -245,23 +267,46 @@
                 None
             }
             Effect::Dial(link, address) => match TcpStream::connect(address) {
-                Ok(stream) => self.add(place, link, stream, false).is_none().then_some(link),
+                Ok(stream) => self
+                    .add(place, link, stream, false)
+                    .is_none()
+                    .then_some(link),
                 Err(_) => Some(link),
             },
             Effect::DialFrom(link, address, from) => match dial_from(address, from) {
-                Ok(stream) => self.add(place, link, stream, false).is_none().then_some(link),
+                Ok(stream) => self
+                    .add(place, link, stream, false)
+                    .is_none()
+                    .then_some(link),
                 Err(_) => Some(link),
             },
         }
     }
 
-    fn add(&mut self, port: usize, link: Link, mut stream: TcpStream, connected: bool) -> Option<usize> {
+    fn add(
+        &mut self,
+        port: usize,
+        link: Link,
+        mut stream: TcpStream,
+        connected: bool,
+    ) -> Option<usize> {
         let key = self.next_key;
         self.next_key += 1;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(key), interest).ok()?;
+        self.poll
+            .registry()
+            .register(&mut stream, Token(key), interest)
+            .ok()?;
         let _ = stream.set_nodelay(true);
-        let wire = Wire { stream, port, link, out: Vec::new(), sent: 0, connected, closing: false };
+        let wire = Wire {
+            stream,
+            port,
+            link,
+            out: Vec::new(),
+            sent: 0,
+            connected,
+            closing: false,
+        };
         self.wires.insert(key, wire);
         self.keys.insert((port, link), key);
         Some(key)
@@ -280,18 +325,22 @@
             self.accepted += 2;
             let link = self.accepted;
             if self.add(place, link, stream, true).is_some() {
-                self.tell(place, |service, effects| service.opened_at(now, link, door, effects));
+                self.tell(place, |service, effects| {
+                    service.opened_at(now, link, door, effects)
+                });
             }
         }
     }
 
     fn ready(&mut self, now: Micros, key: usize, writable: bool) {
-        let Some(wire) = self.wires.get_mut(&key) else { return };
+        let Some(wire) = self.wires.get_mut(&key) else {
+            return;
+        };
         let (place, link) = (wire.port, wire.link);
         if writable && !wire.connected {
             // The first writability tells how the connecting went.
-            let failed =
-                wire.stream.take_error().ok().flatten().is_some() || wire.stream.peer_addr().is_err();
+            let failed = wire.stream.take_error().ok().flatten().is_some()
+                || wire.stream.peer_addr().is_err();
             if failed {
                 self.lose(now, key, place, link);
                 return;
@@ -299,7 +348,9 @@
             wire.connected = true;
             self.tell(place, |service, effects| service.opened(now, link, effects));
         }
-        let Some(wire) = self.wires.get_mut(&key) else { return };
+        let Some(wire) = self.wires.get_mut(&key) else {
+            return;
+        };
         if wire.connected && flush(wire).is_err() {
             self.lose(now, key, place, link);
             return;
@@ -315,11 +366,13 @@
                     self.lose(now, key, place, link);
                     break;
                 }
-                Ok(n) => {
-                    self.tell(place, |service, effects| service.received(now, link, &buffer[..n], effects))
-                }
+                Ok(n) => self.tell(place, |service, effects| {
+                    service.received(now, link, &buffer[..n], effects)
+                }),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => break,
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                    break
+                }
                 Err(_) => {
                     self.lose(now, key, place, link);
                     break;
--- a/crates/emulators/src/keyed.rs
+++ b/crates/emulators/src/keyed.rs
@@ -125,7 +125,8 @@
     pub fn set_target(&mut self, to: Option<SocketAddr>) {
         self.to = to;
         if to.is_none() {
-            self.spent.extend(std::mem::take(&mut self.lines).into_keys());
+            self.spent
+                .extend(std::mem::take(&mut self.lines).into_keys());
         }
     }
 
@@ -154,25 +155,44 @@
         if self.confirming {
             self.active.retain(|seat| !self.seats[seat].confirmed);
             let (seats, active) = (&self.seats, &mut self.active);
-            let rest = seats.iter().filter(|(_, seat)| !seat.confirmed).map(|(number, _)| *number);
-            active
-                .extend(rest.take(CONFIRMING).filter(|number| !active.contains(number)).collect::<Vec<_>>());
+            let rest = seats
+                .iter()
+                .filter(|(_, seat)| !seat.confirmed)
+                .map(|(number, _)| *number);
+            active.extend(
+                rest.take(CONFIRMING)
+                    .filter(|number| !active.contains(number))
+                    .collect::<Vec<_>>(),
+            );
             active.truncate(CONFIRMING);
         }
         while !self.confirming && self.active.len() < SEATS {
-            self.seats.insert(self.next_seat, Seat { next_at: now, ..Seat::default() });
+            self.seats.insert(
+                self.next_seat,
+                Seat {
+                    next_at: now,
+                    ..Seat::default()
+                },
+            );
             self.active.push(self.next_seat);
             self.next_seat += 1;
         }
-        let due: Vec<u64> =
-            self.active.iter().copied().filter(|seat| self.seats[seat].next_at <= now).collect();
+        let due: Vec<u64> = self
+            .active
+            .iter()
+            .copied()
+            .filter(|seat| self.seats[seat].next_at <= now)
+            .collect();
         for number in due {
             // Now and then one that was given up long ago comes again.
             let number = match self.random.random_range(0..8) {
                 0 if !self.confirming => self.random.random_range(1..self.next_seat),
                 _ => number,
             };
-            let best = self.lines.iter().filter(|(_, line)| !line.gone && line.open.len() < OPEN);
+            let best = self
+                .lines
+                .iter()
+                .filter(|(_, line)| !line.gone && line.open.len() < OPEN);
             let best = best.map(|(link, line)| (line.open.len(), *link)).min();
             let link = match best {
                 Some((open, link)) if open == 0 || self.lines.len() >= CONNECTIONS => link,
@@ -186,7 +206,8 @@
             };
             let id: u64 = self.random.random();
             let gap = self.random.random_range(2..40) * MS;
-            let (Some(seat), Some(line)) = (self.seats.get_mut(&number), self.lines.get_mut(&link)) else {
+            let (Some(seat), Some(line)) = (self.seats.get_mut(&number), self.lines.get_mut(&link))
+            else {
                 continue;
             };
             seat.next_at = now + gap;
@@ -203,7 +224,13 @@
                 (FIELD, format!("seat {number}")),
             ];
             let frame = request_frame(line.streams, &fields, format!("claim {number}").as_bytes());
-            line.open.insert(line.streams, Asked { seat: number, at: now });
+            line.open.insert(
+                line.streams,
+                Asked {
+                    seat: number,
+                    at: now,
+                },
+            );
             self.seen.asked += 1;
             if line.up {
                 out.push(Effect::Send(link, frame));
@@ -217,7 +244,9 @@
         if now > asked.at + self.deadline + 200 * MS {
             self.break_rule(format!("seat {}: answered after its due time", asked.seat));
         }
-        let Some(seat) = self.seats.get_mut(&asked.seat) else { return };
+        let Some(seat) = self.seats.get_mut(&asked.seat) else {
+            return;
+        };
         let mut broken = None;
         match said {
             Some(Said::Served(result)) => {
@@ -261,8 +290,11 @@
     pub fn judge(&mut self, starts: &HashMap<u64, (usize, u32, Micros)>) {
         let mut broken = Vec::new();
         for (number, seat) in &self.seats {
-            let ran: Vec<_> =
-                seat.ids.iter().filter_map(|id| starts.get(id).map(|seen| (id, seen))).collect();
+            let ran: Vec<_> = seat
+                .ids
+                .iter()
+                .filter_map(|id| starts.get(id).map(|seen| (id, seen)))
+                .collect();
             let runs: u32 = ran.iter().map(|(_, seen)| seen.1).sum();
             if runs > 1 {
                 broken.push(format!("seat {number} ran {runs} times"));
@@ -296,7 +328,9 @@
     }
 
     fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(line) = self.lines.get_mut(&link) else { return };
+        let Some(line) = self.lines.get_mut(&link) else {
+            return;
+        };
         line.input.extend_from_slice(bytes);
         let (answers, stray) = read_answers(&mut line.input, &mut line.open, &mut line.gone);
         if line.gone && line.open.is_empty() {
@@ -351,7 +385,12 @@
             worth: 1.0,
             skip_worth: 0.0,
         };
-        Setup { classes: vec![class], cores: 8, seed, ..Setup::default() }
+        Setup {
+            classes: vec![class],
+            cores: 8,
+            seed,
+            ..Setup::default()
+        }
     }
 
     /// The section of the operator file that keeps its results in this folder.
@@ -387,13 +426,18 @@
                 let until = Instant::now() + PATIENCE;
                 while !look(&callers, |callers| callers.is_settled()) {
                     if Instant::now() > until {
-                        return Err(io::Error::other("results that were told did not come again in time"));
+                        return Err(io::Error::other(
+                            "results that were told did not come again in time",
+                        ));
                     }
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
             if !matcher.is_alive() {
-                return Err(io::Error::other(format!("the matcher ended:\n{}", matcher.log().join("\n"))));
+                return Err(io::Error::other(format!(
+                    "the matcher ended:\n{}",
+                    matcher.log().join("\n")
+                )));
             }
             drop(matcher);
             look(&callers, |callers| callers.set_target(None));
--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -49,7 +49,8 @@
     fn folder() -> io::Result<PathBuf> {
         static NUMBER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("cleatpulley-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("cleatpulley-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         Ok(folder)
     }
@@ -85,7 +86,12 @@
             Some(at) => text.replace(anywhere, &format!("listen: ['{at}']")),
             None => text.to_owned(),
         });
-        let mut matcher = Self::begin(program, &config, operator.as_deref(), Arc::clone(&self.shared))?;
+        let mut matcher = Self::begin(
+            program,
+            &config,
+            operator.as_deref(),
+            Arc::clone(&self.shared),
+        )?;
         (matcher.frames, matcher.ajp) = (self.frames, self.ajp);
         Ok(matcher)
     }
@@ -102,7 +108,10 @@
         while !matches!(self.ask("/_ready"), Ok((200, _))) {
             if since.elapsed() > patience || !self.is_alive() {
                 std::thread::sleep(Duration::from_millis(50));
-                return Err(io::Error::other(format!("it is not ready:\n{}", self.log().join("\n"))));
+                return Err(io::Error::other(format!(
+                    "it is not ready:\n{}",
+                    self.log().join("\n")
+                )));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -172,13 +181,18 @@
         for variable in ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_MGMT"] {
             command.env_remove(variable);
         }
-        let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
+        let mut child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()?;
         let log = Arc::new(Mutex::new(Vec::new()));
         if let Some(stderr) = child.stderr.take() {
             let log = Arc::clone(&log);
             std::thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    log.lock().unwrap_or_else(PoisonError::into_inner).push(line);
+                    log.lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .push(line);
                 }
             });
         }
@@ -200,7 +214,10 @@
     /// Where the system refuses.
     pub fn limit_descriptors(&self, most: usize) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        let limit = Rlimit { current: Some(most as u64), maximum: Some(most as u64) };
+        let limit = Rlimit {
+            current: Some(most as u64),
+            maximum: Some(most as u64),
+        };
         prlimit(pid, Resource::Nofile, limit)?;
         Ok(())
     }
@@ -208,7 +225,10 @@
     /// Its log so far.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Waits for a line of the log with this in it.
@@ -225,7 +245,10 @@
             if ended || since.elapsed() > PATIENCE {
                 // What it said last may still be on its way here.
                 std::thread::sleep(Duration::from_millis(50));
-                return Err(io::Error::other(format!("no {text:?} in its log:\n{}", self.log().join("\n"))));
+                return Err(io::Error::other(format!(
+                    "no {text:?} in its log:\n{}",
+                    self.log().join("\n")
+                )));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -233,7 +256,11 @@
 
     fn wait_for_address(&mut self, text: &str) -> io::Result<SocketAddr> {
         let line = self.wait_for(text)?;
-        let address = line.split(text).nth(1).map(str::trim).and_then(|text| text.parse().ok());
+        let address = line
+            .split(text)
+            .nth(1)
+            .map(str::trim)
+            .and_then(|text| text.parse().ok());
         address.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))
     }
 
@@ -290,14 +317,18 @@
     /// # Errors
     /// Where it answers nobody there, or not whole.
     pub fn ask(&self, path: &str) -> io::Result<(u16, Vec<u8>)> {
-        let at = self.mgmt.ok_or_else(|| io::Error::other("it answers no operators"))?;
+        let at = self
+            .mgmt
+            .ok_or_else(|| io::Error::other("it answers no operators"))?;
         let mut stream = TcpStream::connect(at)?;
         stream.set_read_timeout(Some(PATIENCE))?;
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
         let reply = cleatpulley_protocol::http::parse(&bytes, true).map_err(io::Error::other)?;
-        reply.map(|reply| (reply.status, reply.body)).ok_or_else(|| io::Error::other("no whole answer"))
+        reply
+            .map(|reply| (reply.status, reply.body))
+            .ok_or_else(|| io::Error::other("no whole answer"))
     }
 
     /// It still runs.
@@ -325,12 +356,20 @@
     pub fn cpu(&self) -> Option<u64> {
         // In nanoseconds, and exact, where the system keeps it.
         let stat = self.stat("schedstat")?;
-        stat.split_whitespace().next()?.parse::<u64>().ok().map(|ns| ns / 1_000)
+        stat.split_whitespace()
+            .next()?
+            .parse::<u64>()
+            .ok()
+            .map(|ns| ns / 1_000)
     }
 
     /// Descriptors that it holds, where the system tells.
     #[must_use]
     pub fn descriptors(&self) -> Option<usize> {
-        Some(std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count())
+        Some(
+            std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+                .ok()?
+                .count(),
+        )
     }
 }
