--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -116,8 +116,10 @@
     }
 
     fn routes(&self, targets: &[Placed], version: usize) -> String {
-        let servers: String =
-            targets.iter().map(|target| format!("    server {} {};\n", target.at, self.words)).collect();
+        let servers: String = targets
+            .iter()
+            .map(|target| format!("    server {} {};\n", target.at, self.words))
+            .collect();
         let location = |name: &str| {
             format!("    location = /{name} {{ set $matcher_class {name}; proxy_pass http://fleet; }}\n")
         };
@@ -146,16 +148,26 @@
     pub fn play(&self, program: &Path) -> io::Result<Report> {
         let clock = Clock::default();
         let place = |number: usize| {
-            Placed::start(Setup { seed: self.seed + number as u64, ..self.setup.clone() }, clock)
+            Placed::start(
+                Setup {
+                    seed: self.seed + number as u64,
+                    ..self.setup.clone()
+                },
+                clock,
+            )
         };
-        let mut targets = (0..self.targets).map(place).collect::<io::Result<Vec<_>>>()?;
+        let mut targets = (0..self.targets)
+            .map(place)
+            .collect::<io::Result<Vec<_>>>()?;
         let mut gateway = Matcher::gateway(program, &self.routes(&targets, 0), &self.operator())?;
         let begin = clock.now() + 50 * MS;
         let (mut host, mut all) = (Host::default(), Vec::new());
         for (number, (front, rate)) in self.rates.iter().enumerate() {
             let to = match front {
                 Front::Frames => gateway.frames,
-                Front::Ajp => gateway.ajp.ok_or_else(|| io::Error::other("the gateway speaks no AJP"))?,
+                Front::Ajp => gateway
+                    .ajp
+                    .ok_or_else(|| io::Error::other("the gateway speaks no AJP"))?,
             };
             let plan = Plan {
                 front: *front,
@@ -187,18 +199,25 @@
                 match act {
                     Act::Kill => targets[target].kill(),
                     Act::Revive => targets[target].revive()?,
-                    Act::Drain(draining) => {
-                        look(&targets[target].target, |target| target.set_draining(draining))
+                    Act::Drain(draining) => look(&targets[target].target, |target| {
+                        target.set_draining(draining)
+                    }),
+                    Act::Slow(slowness) => {
+                        look(&targets[target].target, |target| target.slowness = slowness)
+                    }
+                    Act::Faults(faults) => {
+                        look(&targets[target].target, |target| target.faults = faults)
                     }
-                    Act::Slow(slowness) => look(&targets[target].target, |target| target.slowness = slowness),
-                    Act::Faults(faults) => look(&targets[target].target, |target| target.faults = faults),
                 }
             }
             if let Some((_, first)) = self.reroute_at.filter(|(at, _)| !rerouted && now >= *at) {
                 rerouted = true;
                 gateway.reroute(&self.routes(&targets[..first], 1))?;
                 gateway.wait_for("routes read again")?;
-                came_at = targets.iter().map(|target| look(&target.target, |target| target.came)).collect();
+                came_at = targets
+                    .iter()
+                    .map(|target| look(&target.target, |target| target.came))
+                    .collect();
             }
             if !left && self.leave_at.is_some_and(|at| now >= at) {
                 left = true;
@@ -207,13 +226,18 @@
             if let (Some((_, peak)), Some(cpu)) = (gateway.memory_kb(), gateway.cpu()) {
                 used = (peak.max(used.0), cpu.max(used.1));
             }
-            let done = all.iter().all(|callers| look(callers, |callers| callers.is_done()));
+            let done = all
+                .iter()
+                .all(|callers| look(callers, |callers| callers.is_done()));
             if now >= self.time && done || now >= self.time + 3_000 * MS {
                 break;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        let mut report = Report { memory_kb: used.0, ..Report::default() };
+        let mut report = Report {
+            memory_kb: used.0,
+            ..Report::default()
+        };
         let mut broken = |number: u64, what: &str| {
             if number > 0 {
                 report.broken.push(format!("{number} {what}"));
@@ -221,7 +245,10 @@
         };
         if left {
             let status = gateway.wait(Duration::from_secs(6));
-            broken(u64::from(!status.is_ok_and(|status| status.success())), "gateway did not leave well");
+            broken(
+                u64::from(!status.is_ok_and(|status| status.success())),
+                "gateway did not leave well",
+            );
         } else {
             broken(u64::from(!gateway.is_alive()), "gateway ended by itself");
         }
@@ -240,10 +267,19 @@
         }
         if let Some((_, first)) = self.reroute_at {
             // What was on its way as the table changed may still have come.
-            let after =
-                |(target, came): (&Placed, &u64)| look(&target.target, |target| target.came) > came + 2;
-            let still = targets.iter().zip(&came_at).skip(first).filter(|pair| after(*pair)).count();
-            broken(still as u64, "targets that still got requests after they left the table");
+            let after = |(target, came): (&Placed, &u64)| {
+                look(&target.target, |target| target.came) > came + 2
+            };
+            let still = targets
+                .iter()
+                .zip(&came_at)
+                .skip(first)
+                .filter(|pair| after(*pair))
+                .count();
+            broken(
+                still as u64,
+                "targets that still got requests after they left the table",
+            );
         }
         let mut latencies = Vec::new();
         for callers in &all {
@@ -253,29 +289,59 @@
                 // What crosses the end of an idle connection at a notice to leave may be lost by AJP, and never ran.
                 let crossed = |id: &&u64| left && front == Front::Ajp && !runs.contains_key(id);
                 let crossed = callers.lost.iter().filter(crossed).count() as u64;
-                broken(total.lost - crossed, &format!("requests by {front} without an answer"));
-                broken(total.overdue, &format!("answers by {front} after the due time"));
-                broken(total.wrong, &format!("results by {front} that no run made for the request"));
-                broken(callers.stray, &format!("answers by {front} that nobody asked for"));
-                let ran = callers.refused.iter().filter(|id| runs.contains_key(id)).count();
-                broken(ran as u64, &format!("requests by {front} turned away that had run"));
-                let twice =
-                    callers.seats().iter().filter(|id| runs.get(id).is_some_and(|runs| *runs > 1)).count();
-                broken(twice as u64, &format!("claim-seat by {front} that ran twice"));
+                broken(
+                    total.lost - crossed,
+                    &format!("requests by {front} without an answer"),
+                );
+                broken(
+                    total.overdue,
+                    &format!("answers by {front} after the due time"),
+                );
+                broken(
+                    total.wrong,
+                    &format!("results by {front} that no run made for the request"),
+                );
+                broken(
+                    callers.stray,
+                    &format!("answers by {front} that nobody asked for"),
+                );
+                let ran = callers
+                    .refused
+                    .iter()
+                    .filter(|id| runs.contains_key(id))
+                    .count();
+                broken(
+                    ran as u64,
+                    &format!("requests by {front} turned away that had run"),
+                );
+                let twice = callers
+                    .seats()
+                    .iter()
+                    .filter(|id| runs.get(id).is_some_and(|runs| *runs > 1))
+                    .count();
+                broken(
+                    twice as u64,
+                    &format!("claim-seat by {front} that ran twice"),
+                );
                 latencies.extend(callers.latencies.concat());
                 report.tallies.push((front, total));
             });
         }
         latencies.sort_unstable();
         let at = |share: f64| {
-            latencies.get((latencies.len() as f64 * share) as usize).map_or(0.0, |us| *us as f64 / 1e3)
+            latencies
+                .get((latencies.len() as f64 * share) as usize)
+                .map_or(0.0, |us| *us as f64 / 1e3)
         };
         report.latency_ms = (at(0.5), at(0.99));
         let asked = report.total().asked.max(1) as f64;
         report.tries = came as f64 / asked;
         report.cpu = used.1 as f64 / asked;
         let all_runs: u32 = own.iter().sum();
-        report.shares = own.iter().map(|runs| f64::from(*runs) / f64::from(all_runs.max(1))).collect();
+        report.shares = own
+            .iter()
+            .map(|runs| f64::from(*runs) / f64::from(all_runs.max(1)))
+            .collect();
         report.log = gateway.log();
         Ok(report)
     }
--- a/crates/emulators/src/runtime.rs
+++ b/crates/emulators/src/runtime.rs
@@ -189,7 +189,9 @@
     }
 
     fn break_off(&mut self, now: Micros, id: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.runs.remove(&id) else { return };
+        let Some(run) = self.runs.remove(&id) else {
+            return;
+        };
         let ms = now.saturating_sub(run.started) as f64 / 1_000.0;
         let rid = format!("{id:016x}");
         let notice = json!({"t": "end", "rid": rid, "status": "broken_off", "time_ms": ms});
@@ -248,20 +250,33 @@
         }
     }
 
-    fn notice(&mut self, channel: usize, mut value: serde_json::Value, out: &mut Vec<Effect>) -> u64 {
+    fn notice(
+        &mut self,
+        channel: usize,
+        mut value: serde_json::Value,
+        out: &mut Vec<Effect>,
+    ) -> u64 {
         let tears = &mut self.tears;
-        let Some(channel) = self.channels.get_mut(channel) else { return 0 };
+        let Some(channel) = self.channels.get_mut(channel) else {
+            return 0;
+        };
         channel.number += 1;
         value["no"] = json!(channel.number);
         let line = format!("{value}\n");
         if let Some(link) = channel.link.filter(|_| channel.synced) {
             if std::mem::take(tears) {
-                out.push(Effect::Send(link, line.as_bytes()[..line.len() / 2].to_vec()));
+                out.push(Effect::Send(
+                    link,
+                    line.as_bytes()[..line.len() / 2].to_vec(),
+                ));
                 out.push(Effect::Close(link));
                 (channel.link, channel.synced) = (None, false);
             } else {
                 out.push(Effect::Send(link, line.clone().into_bytes()));
-                let earlier = channel.notices.iter().nth_back((channel.number % 7) as usize);
+                let earlier = channel
+                    .notices
+                    .iter()
+                    .nth_back((channel.number % 7) as usize);
                 let repeats = channel.number.wrapping_mul(7_919) % 1_000 < u64::from(self.repeats);
                 if let Some((_, earlier)) = earlier.filter(|_| repeats) {
                     out.push(Effect::Send(link, earlier.clone().into_bytes()));
@@ -276,18 +291,20 @@
     }
 
     fn end(&mut self, now: Micros, id: u64, out: &mut Vec<Effect>) {
-        let Some(run) = self.runs.remove(&id) else { return };
+        let Some(run) = self.runs.remove(&id) else {
+            return;
+        };
         let mut random = SmallRng::seed_from_u64(self.setup.seed ^ id.rotate_left(17));
         let ms = now.saturating_sub(run.started) as f64 / 1_000.0;
         if random.random_range(0..1_000) < self.setup.faults_per_mille {
-            let notice = json!({"t": "end", "rid": format!("{id:016x}"), "status": "fault", "time_ms": ms});
+            let notice =
+                json!({"t": "end", "rid": format!("{id:016x}"), "status": "fault", "time_ms": ms});
             self.notice(run.channel, notice, out);
             return;
         }
         self.seen.fine += 1;
         let b64 = STANDARD.encode(result_of(id));
-        let notice =
-            json!({"t": "end", "rid": format!("{id:016x}"), "status": "fine", "time_ms": ms, "b64": b64});
+        let notice = json!({"t": "end", "rid": format!("{id:016x}"), "status": "fine", "time_ms": ms, "b64": b64});
         self.notice(run.channel, notice, out);
     }
 
@@ -297,14 +314,25 @@
         (self.channels[channel].link, self.channels[channel].synced) = (None, false);
     }
 
-    fn command(&mut self, now: Micros, channel: usize, link: Link, line: &[u8], out: &mut Vec<Effect>) {
+    fn command(
+        &mut self,
+        now: Micros,
+        channel: usize,
+        link: Link,
+        line: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         let Ok(command) = serde_json::from_slice::<Command>(line) else {
             return self.unreadable(channel, link, out);
         };
         let nack = |status: &str| {
             Effect::Send(
                 link,
-                format!("{}\n", json!({"t": "nack", "status": status, "rid": command.rid})).into_bytes(),
+                format!(
+                    "{}\n",
+                    json!({"t": "nack", "status": status, "rid": command.rid})
+                )
+                .into_bytes(),
             )
         };
         match command.t.as_str() {
@@ -315,14 +343,24 @@
                 let ms = now.saturating_sub(self.since) as f64 / 1_000.0;
                 let ready = json!({"t": "ready", "status": "running", "time_ms": ms});
                 let mut text = format!("{ready}\n");
-                let known = command.no.saturating_sub(if self.repeats > 0 { 9 } else { 0 });
+                let known = command
+                    .no
+                    .saturating_sub(if self.repeats > 0 { 9 } else { 0 });
                 let channel = &mut self.channels[channel];
-                channel.notices.iter().filter(|notice| notice.0 > known).for_each(|notice| text += &notice.1);
+                channel
+                    .notices
+                    .iter()
+                    .filter(|notice| notice.0 > known)
+                    .for_each(|notice| text += &notice.1);
                 out.push(Effect::Send(link, text.into_bytes()));
                 channel.synced = true;
             }
             "start" => {
-                let kind = self.setup.kinds.iter().position(|kind| kind.name == command.route);
+                let kind = self
+                    .setup
+                    .kinds
+                    .iter()
+                    .position(|kind| kind.name == command.route);
                 let body = STANDARD.decode(&command.b64);
                 match (kind, u64::from_str_radix(&command.rid, 16), body) {
                     (Some(kind), Ok(id), Ok(_)) => self.start(now, channel, kind, id, out),
@@ -371,7 +409,17 @@
         let work = random.random_range(of.work.0..=of.work.1) as f64;
         let calls = random.random_range(of.calls.0..=of.calls.1);
         let piece = work / f64::from(calls + 1);
-        self.runs.insert(id, Run { kind, channel, started: now, stage: Stage::Waiting(0), piece, calls });
+        self.runs.insert(
+            id,
+            Run {
+                kind,
+                channel,
+                started: now,
+                stage: Stage::Waiting(0),
+                piece,
+                calls,
+            },
+        );
         self.seen.most_running = self.seen.most_running.max(self.runs.len());
         if self.setup.instant {
             self.end(now, id, out);
@@ -384,7 +432,12 @@
     #[must_use]
     pub fn run_twice(&self) -> Vec<u64> {
         let twice = |seen: &&(usize, u32, Micros)| seen.1 > 1 && self.setup.kinds[seen.0].once;
-        self.seen.starts.iter().filter(|(_, seen)| twice(seen)).map(|(id, _)| *id).collect()
+        self.seen
+            .starts
+            .iter()
+            .filter(|(_, seen)| twice(seen))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
 
@@ -409,7 +462,11 @@
     }
 
     fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(channel) = self.channels.iter().position(|channel| channel.link == Some(link)) else {
+        let Some(channel) = self
+            .channels
+            .iter()
+            .position(|channel| channel.link == Some(link))
+        else {
             return;
         };
         self.pass(now);
@@ -428,7 +485,11 @@
     }
 
     fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
-        for channel in self.channels.iter_mut().filter(|channel| channel.link == Some(link)) {
+        for channel in self
+            .channels
+            .iter_mut()
+            .filter(|channel| channel.link == Some(link))
+        {
             (channel.link, channel.synced) = (None, false);
         }
     }
@@ -440,7 +501,9 @@
                 break;
             }
             self.working.pop_first();
-            let Some(run) = self.runs.get_mut(&id) else { continue };
+            let Some(run) = self.runs.get_mut(&id) else {
+                continue;
+            };
             if run.calls == 0 {
                 self.over.remove(&id);
                 self.end(now, id, out);
--- a/crates/emulators/src/site.rs
+++ b/crates/emulators/src/site.rs
@@ -39,22 +39,64 @@
 #[must_use]
 pub fn classes() -> Vec<Class> {
     let class =
-        |name, once, share, work: (u64, u64), calls, aim: u64, deadline: u64, worth, skip_worth| Class {
-            name,
-            once,
-            share,
-            work: (work.0 * MS, work.1 * MS),
-            calls,
-            aim: aim * MS,
-            deadline: deadline * MS,
-            worth,
-            skip_worth,
+        |name, once, share, work: (u64, u64), calls, aim: u64, deadline: u64, worth, skip_worth| {
+            Class {
+                name,
+                once,
+                share,
+                work: (work.0 * MS, work.1 * MS),
+                calls,
+                aim: aim * MS,
+                deadline: deadline * MS,
+                worth,
+                skip_worth,
+            }
         };
     vec![
-        class("find-race", false, 0.28, (78, 130), (1, 1), 800, 2_500, 1.0, 0.6),
-        class("lobby-view", false, 0.28, (55, 90), (1, 1), 600, 2_500, 1.0, 0.3),
-        class("set-prefs", false, 0.22, (55, 90), (1, 2), 650, 2_500, 2.0, 0.5),
-        class("claim-seat", true, 0.22, (32, 55), (0, 2), 450, 2_500, 4.0, 0.0),
+        class(
+            "find-race",
+            false,
+            0.28,
+            (78, 130),
+            (1, 1),
+            800,
+            2_500,
+            1.0,
+            0.6,
+        ),
+        class(
+            "lobby-view",
+            false,
+            0.28,
+            (55, 90),
+            (1, 1),
+            600,
+            2_500,
+            1.0,
+            0.3,
+        ),
+        class(
+            "set-prefs",
+            false,
+            0.22,
+            (55, 90),
+            (1, 2),
+            650,
+            2_500,
+            2.0,
+            0.5,
+        ),
+        class(
+            "claim-seat",
+            true,
+            0.22,
+            (32, 55),
+            (0, 2),
+            450,
+            2_500,
+            4.0,
+            0.0,
+        ),
     ]
 }
 
@@ -108,7 +150,8 @@
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        let work = |class: &Class| class.share / shares * (class.work.0 + class.work.1) as f64 / 2.0;
+        let work =
+            |class: &Class| class.share / shares * (class.work.0 + class.work.1) as f64 / 2.0;
         let mean: f64 = self.classes.iter().map(work).sum();
         f64::from(self.cores) * 1e6 / mean
     }
@@ -225,7 +268,16 @@
             "settings": setup.settings(),
         });
         let running = host.start(clock)?;
-        Ok(Self { clock, runtime, runtimes, store, directory, config, setup, _running: running })
+        Ok(Self {
+            clock,
+            runtime,
+            runtimes,
+            store,
+            directory,
+            config,
+            setup,
+            _running: running,
+        })
     }
 
     /// The text of an operator file that switches AJP on, on a port that the system chooses; `rest` is added to its
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -3,7 +3,9 @@
 
 use crate::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::codec::{self, kind, Forward, Way, MOST_HEADERS, NO_HEADER, PACKET_SIZE};
+use cleatpulley_protocol::ajp::codec::{
+    self, kind, Forward, Way, MOST_HEADERS, NO_HEADER, PACKET_SIZE,
+};
 use cleatpulley_protocol::ajp::server::NOT_RUN;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -143,7 +145,12 @@
         }
         let crowd = (self.ends.len() + 1).saturating_sub(setup.slots) as f64;
         let time = setup.time as f64 * (1.0 + setup.thrash * crowd) * self.slowing;
-        let end = now + if fate == Fate::Refused { 0 } else { time as Micros };
+        let end = now
+            + if fate == Fate::Refused {
+                0
+            } else {
+                time as Micros
+            };
         self.ends.insert((end, link));
         self.seen.most = self.seen.most.max(self.ends.len());
         self.fates.insert(link, (end, fate));
@@ -155,13 +162,21 @@
     /// Reads what is whole of a caller's bytes; one call at a time.
     fn read(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>) {
         loop {
-            let Some(caller) = self.callers.get_mut(&link) else { return };
+            let Some(caller) = self.callers.get_mut(&link) else {
+                return;
+            };
             if caller.busy {
                 return;
             }
-            let Some(&first) = caller.input.first() else { return };
+            let Some(&first) = caller.input.first() else {
+                return;
+            };
             let ajp = *caller.ajp.get_or_insert(first == 0x12);
-            let read = if ajp { read_ajp(caller) } else { read_http(caller) };
+            let read = if ajp {
+                read_ajp(caller)
+            } else {
+                read_http(caller)
+            };
             match read {
                 Ok(Read::Short) => return,
                 Ok(Read::Passed(bytes)) => {
@@ -205,8 +220,12 @@
         Ok(httparse::Status::Partial) => return Ok(Read::Short),
         Err(_) => return Err(()),
     };
-    let length = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case("Content-Length"));
-    let length = length.and_then(|header| std::str::from_utf8(header.value).ok()?.trim().parse().ok());
+    let length = request
+        .headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("Content-Length"));
+    let length =
+        length.and_then(|header| std::str::from_utf8(header.value).ok()?.trim().parse().ok());
     let whole = head + length.unwrap_or(0usize).min(1_048_576);
     if caller.input.len() < whole {
         return Ok(Read::Short);
@@ -230,7 +249,10 @@
             Read::Call
         } else {
             let mut ask = Vec::new();
-            codec::push_get_body(&mut ask, caller.body_left.min(PACKET_SIZE - codec::BODY_OVERHEAD));
+            codec::push_get_body(
+                &mut ask,
+                caller.body_left.min(PACKET_SIZE - codec::BODY_OVERHEAD),
+            );
             Read::Passed(ask)
         }
     } else if bytes == [kind::CPING] {
@@ -240,7 +262,9 @@
     } else {
         let mut headers = [NO_HEADER; MOST_HEADERS];
         let request = Forward::decode(bytes, &mut headers).map_err(|_| ())?;
-        let length = request.header("content-length").map(|value| std::str::from_utf8(value).unwrap_or("x"));
+        let length = request
+            .header("content-length")
+            .map(|value| std::str::from_utf8(value).unwrap_or("x"));
         caller.body_left = length.map_or(Ok(0), |text| text.parse::<usize>().map_err(|_| ()))?;
         if caller.body_left == 0 {
             Read::Call
@@ -295,7 +319,9 @@
         4 => bytes = vec![b'x'; 40_000],
         // A length that is too long, or no number.
         _ => match bytes.iter().position(|byte| *byte == b'1' && !ajp) {
-            Some(at) if bytes.len() > 40 => bytes.splice(at.max(33)..at.max(33) + 2, *b"-9").for_each(drop),
+            Some(at) if bytes.len() > 40 => bytes
+                .splice(at.max(33)..at.max(33) + 2, *b"-9")
+                .for_each(drop),
             _ => bytes[2..4].copy_from_slice(&[0xFF, 0xFF]),
         },
     }
@@ -326,8 +352,12 @@
                 break;
             }
             self.ends.pop_first();
-            let Some((_, fate)) = self.fates.remove(&link) else { continue };
-            let Some(caller) = self.callers.get_mut(&link) else { continue };
+            let Some((_, fate)) = self.fates.remove(&link) else {
+                continue;
+            };
+            let Some(caller) = self.callers.get_mut(&link) else {
+                continue;
+            };
             caller.busy = false;
             match fate {
                 Fate::Lost => caller.busy = true,
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -104,17 +104,34 @@
 
     fn begin(&mut self, now: Micros) {
         while self.running.len() < self.setup.workers {
-            let Some((number, _)) = self.queue.pop_front() else { return };
-            let Some(held) = self.at.get(&number) else { continue };
+            let Some((number, _)) = self.queue.pop_front() else {
+                return;
+            };
+            let Some(held) = self.at.get(&number) else {
+                continue;
+            };
             *self.runs.entry(held.id).or_default() += 1;
-            let work = self.random.random_range(self.setup.work.0..=self.setup.work.1) as f64 * self.slowness;
+            let work = self
+                .random
+                .random_range(self.setup.work.0..=self.setup.work.1) as f64
+                * self.slowness;
             self.running.insert((now + work as Micros, number));
         }
     }
 
-    fn request(&mut self, now: Micros, link: Link, stream: u32, payload: &[u8], out: &mut Vec<Effect>) {
+    fn request(
+        &mut self,
+        now: Micros,
+        link: Link,
+        stream: u32,
+        payload: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         self.came += 1;
-        let refused = Answer::Refused { later: self.setup.later, last: false };
+        let refused = Answer::Refused {
+            later: self.setup.later,
+            last: false,
+        };
         if self.draining {
             self.came_draining += 1;
             return self.answer(link, stream, &refused, out);
@@ -128,7 +145,14 @@
             return self.answer(link, stream, &refused, out);
         }
         self.next += 1;
-        self.at.insert(self.next, Held { link, stream, id: request.txn });
+        self.at.insert(
+            self.next,
+            Held {
+                link,
+                stream,
+                id: request.txn,
+            },
+        );
         self.queue.push_back((self.next, now));
         self.begin(now);
     }
@@ -140,7 +164,12 @@
         self.links.insert(link, Vec::new());
         input.extend_from_slice(bytes);
         let mut used = 0;
-        while let Parsed::Frame { kind, stream, payload } = codec::parse(&input[used..]) {
+        while let Parsed::Frame {
+            kind,
+            stream,
+            payload,
+        } = codec::parse(&input[used..])
+        {
             let payload = used + payload.start..used + payload.end;
             if kind == codec::REQUEST {
                 self.request(now, link, stream, &input[payload.clone()], out);
@@ -159,11 +188,17 @@
         if self.draining && !std::mem::replace(&mut self.told, true) {
             let mut goodbye = Vec::new();
             codec::push_goodbye(&mut goodbye);
-            out.extend(self.links.keys().map(|link| Effect::Send(*link, goodbye.clone())));
+            out.extend(
+                self.links
+                    .keys()
+                    .map(|link| Effect::Send(*link, goodbye.clone())),
+            );
         }
         while let Some(&(at, number)) = self.running.first().filter(|(at, _)| *at <= now) {
             self.running.remove(&(at, number));
-            let Some(held) = self.at.remove(&number) else { continue };
+            let Some(held) = self.at.remove(&number) else {
+                continue;
+            };
             let fails = self.random.random_range(0..1_000) < self.faults;
             let served = Answer::Served(result_of(held.id));
             let answer = if fails { Answer::Failed } else { served };
@@ -197,7 +232,12 @@
         let target = shared(Target::new(setup));
         let mut host = Host::default();
         let at = host.listen(([127, 0, 0, 1], 0).into(), target.clone())?;
-        Ok(Self { target, at, clock, running: Some(host.start(clock)?) })
+        Ok(Self {
+            target,
+            at,
+            clock,
+            running: Some(host.start(clock)?),
+        })
     }
 
     /// It dies: its connections break, and new ones are refused.
--- a/crates/emulators/src/wires.rs
+++ b/crates/emulators/src/wires.rs
@@ -37,7 +37,10 @@
 
 impl Rules {
     fn name_of(&self, from: SocketAddr) -> Option<&String> {
-        self.real.iter().find(|(_, at)| **at == from).map(|(name, _)| name)
+        self.real
+            .iter()
+            .find(|(_, at)| **at == from)
+            .map(|(name, _)| name)
     }
 }
 
@@ -53,7 +56,12 @@
     /// None yet.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        Self { rules: Arc::default(), over: Arc::default(), seed, threads: Vec::new() }
+        Self {
+            rules: Arc::default(),
+            over: Arc::default(),
+            seed,
+            threads: Vec::new(),
+        }
     }
 
     fn rules(&self) -> MutexGuard<'_, Rules> {
@@ -70,7 +78,9 @@
         let (rules, over) = (Arc::clone(&self.rules), Arc::clone(&self.over));
         self.seed = self.seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let (name, random) = (name.to_owned(), SmallRng::seed_from_u64(self.seed));
-        self.threads.push(std::thread::spawn(move || pass(&name, &socket, &rules, &over, random)));
+        self.threads.push(std::thread::spawn(move || {
+            pass(&name, &socket, &rules, &over, random)
+        }));
         Ok(at)
     }
 
@@ -87,7 +97,12 @@
     /// One hears nobody, and nobody hears it.
     pub fn cut_off(&self, name: &str) {
         let mut rules = self.rules();
-        let others: Vec<String> = rules.real.keys().filter(|other| *other != name).cloned().collect();
+        let others: Vec<String> = rules
+            .real
+            .keys()
+            .filter(|other| *other != name)
+            .cloned()
+            .collect();
         for other in others {
             rules.cut.insert((name.to_owned(), other.clone()));
             rules.cut.insert((other, name.to_owned()));
@@ -121,12 +136,21 @@
     }
 }
 
-fn pass(name: &str, socket: &UdpSocket, rules: &Mutex<Rules>, over: &AtomicBool, mut random: SmallRng) {
+fn pass(
+    name: &str,
+    socket: &UdpSocket,
+    rules: &Mutex<Rules>,
+    over: &AtomicBool,
+    mut random: SmallRng,
+) {
     let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 2_048];
     while !over.load(Ordering::Relaxed) {
         let now = Instant::now();
-        let next = waiting.iter().map(|(at, _)| at.saturating_duration_since(now)).min();
+        let next = waiting
+            .iter()
+            .map(|(at, _)| at.saturating_duration_since(now))
+            .min();
         let wait = next.unwrap_or(BEAT).clamp(Duration::from_micros(200), BEAT);
         if socket.set_read_timeout(Some(wait)).is_err() {
             return;
@@ -134,15 +158,25 @@
         match socket.recv_from(&mut buffer) {
             Ok((length, from)) => {
                 let mut rules = rules.lock().unwrap_or_else(PoisonError::into_inner);
-                let Weather { lost, doubled, slow } = rules.weather;
-                let way = rules.name_of(from).map(|from| (from.clone(), name.to_owned()));
+                let Weather {
+                    lost,
+                    doubled,
+                    slow,
+                } = rules.weather;
+                let way = rules
+                    .name_of(from)
+                    .map(|from| (from.clone(), name.to_owned()));
                 let is_cut = way.is_none_or(|way| rules.cut.contains(&way));
                 if is_cut || random.random_range(0..1_000) < lost {
                     rules.stopped += 1;
                     continue;
                 }
                 rules.passed += 1;
-                let copies = if random.random_range(0..1_000) < doubled { 2 } else { 1 };
+                let copies = if random.random_range(0..1_000) < doubled {
+                    2
+                } else {
+                    1
+                };
                 for _ in 0..copies {
                     let takes = slow.mul_f64(random.random());
                     waiting.push((Instant::now() + takes, buffer[..length].to_vec()));
@@ -153,7 +187,12 @@
             Err(_) => {}
         }
         let now = Instant::now();
-        let real = rules.lock().unwrap_or_else(PoisonError::into_inner).real.get(name).copied();
+        let real = rules
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .real
+            .get(name)
+            .copied();
         let due: Vec<_> = waiting.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, datagram) in due {
             if let Some(real) = real {
--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -119,7 +119,12 @@
 
 impl Link {
     fn new(stream: UnixStream) -> Self {
-        Self { stream, input: Vec::new(), incarnation: None, passed: None }
+        Self {
+            stream,
+            input: Vec::new(),
+            incarnation: None,
+            passed: None,
+        }
     }
 
     /// Reads what has come; false where no more will.
@@ -195,7 +200,10 @@
 }
 
 fn at(path: &Path) -> impl Fn(io::Error) -> Error + '_ {
-    |what| Error::File { path: path.to_owned(), what }
+    |what| Error::File {
+        path: path.to_owned(),
+        what,
+    }
 }
 
 fn listen(path: &Path) -> Result<UnixListener, Error> {
@@ -218,20 +226,31 @@
     /// Another daemon on the folder; a fleet there that has other places or bounds; the system.
     pub fn open(wanted: Wanted) -> Result<Self, Error> {
         let folder = wanted.folder.clone();
-        let failed = |what: String| Error::Store { folder: folder.clone(), what };
+        let failed = |what: String| Error::Store {
+            folder: folder.clone(),
+            what,
+        };
         fs::create_dir_all(folder.join("logs")).map_err(at(&folder))?;
         fs::set_permissions(&folder, fs::Permissions::from_mode(0o700)).map_err(at(&folder))?;
         let files = Folder::new(folder.join("store"), true)?;
-        let options = Options { segment_bytes: 1 << 20, ..Options::default() };
+        let options = Options {
+            segment_bytes: 1 << 20,
+            ..Options::default()
+        };
         let (store, _) = Store::open(files, options).map_err(|e| match e {
-            cleatpulley_log_store::Error::Locked => failed("another daemon has this fleet".to_owned()),
+            cleatpulley_log_store::Error::Locked => {
+                failed("another daemon has this fleet".to_owned())
+            }
             e => failed(e.to_string()),
         })?;
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |at| at.as_micros() as Micros);
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |at| at.as_micros() as Micros);
         let kept = store.get(now, KEY).map_err(|e| failed(e.to_string()))?;
         let state = match kept {
             Some(bytes) => {
-                let state = serde_json::from_slice(&bytes).map_err(|e| failed(format!("its state: {e}")))?;
+                let state = serde_json::from_slice(&bytes)
+                    .map_err(|e| failed(format!("its state: {e}")))?;
                 go_on(state, &wanted)?
             }
             None => State {
@@ -271,14 +290,22 @@
 
     fn token(&self, incarnation: u64) -> String {
         let secret = self.state.secret;
-        format!("{:032x}", xxh3_128_with_seed(&incarnation.to_le_bytes(), secret))
+        format!(
+            "{:032x}",
+            xxh3_128_with_seed(&incarnation.to_le_bytes(), secret)
+        )
     }
 
     /// Takes up the processes of a daemon before: by number and start, or, where it died before it knew of one, by the token
     /// that only this instance was started with.
     fn recover(&mut self) -> Result<(), Error> {
-        let known: Vec<_> =
-            self.state.plan.instances().iter().map(|one| (one.incarnation, one.process)).collect();
+        let known: Vec<_> = self
+            .state
+            .plan
+            .instances()
+            .iter()
+            .map(|one| (one.incarnation, one.process))
+            .collect();
         let mut facts = Vec::new();
         for (incarnation, process) in known {
             let words = || format!("{incarnation}:{}", self.token(incarnation));
@@ -298,7 +325,13 @@
         let (now, mut out) = (self.now(), Vec::new());
         self.state.plan.recover(now, facts, &mut out);
         // The daemon before may have died between the saving and the signal.
-        for one in self.state.plan.instances().iter().filter(|one| one.phase == Phase::Draining) {
+        for one in self
+            .state
+            .plan
+            .instances()
+            .iter()
+            .filter(|one| one.phase == Phase::Draining)
+        {
             if let Some(running) = self.running.get(&one.incarnation) {
                 running.signal(Signal::TERM);
             }
@@ -310,10 +343,15 @@
         if !std::mem::take(&mut self.dirty) {
             return Ok(());
         }
-        let failed = |what: String| Error::Store { folder: self.folder.clone(), what };
+        let failed = |what: String| Error::Store {
+            folder: self.folder.clone(),
+            what,
+        };
         let bytes = serde_json::to_vec(&self.state).map_err(|e| failed(e.to_string()))?;
         let written = self.store.write(Batch::default().put(KEY, &bytes, None));
-        written.and_then(|_| self.store.sync()).map_err(|e| failed(e.to_string()))
+        written
+            .and_then(|_| self.store.sync())
+            .map_err(|e| failed(e.to_string()))
     }
 
     /// Carries out what the plan wants, and what it wants after that.
@@ -332,7 +370,11 @@
                 _ => self.save()?,
             }
             match effect {
-                Effect::Spawn { incarnation, generation, address } => {
+                Effect::Spawn {
+                    incarnation,
+                    generation,
+                    address,
+                } => {
                     let event = self.spawn(incarnation, generation, address);
                     let (now, mut out) = (self.now(), Vec::new());
                     self.state.plan.handle(now, event, &mut out);
@@ -349,7 +391,11 @@
     fn signal(&self, incarnation: u64, signal: Signal) {
         tracing::info!(
             "instance {incarnation}: {}",
-            if signal == Signal::TERM { "told to leave" } else { "killed" }
+            if signal == Signal::TERM {
+                "told to leave"
+            } else {
+                "killed"
+            }
         );
         if let Some(running) = self.running.get(&incarnation) {
             running.signal(signal);
@@ -357,19 +403,30 @@
     }
 
     fn log(&self, address: usize) -> PathBuf {
-        let name = self.state.places.get(address).map_or("none", |place| place.name.as_str());
+        let name = self
+            .state
+            .places
+            .get(address)
+            .map_or("none", |place| place.name.as_str());
         self.folder.join("logs").join(format!("{name}.log"))
     }
 
     fn spawn(&mut self, incarnation: u64, generation: u32, address: usize) -> Event {
-        let listener = match self.state.shared.map(|address| self.shared_listener(address)) {
-            Some(Err(e)) => return Event::NotSpawned(incarnation, format!("the shared listener: {e}")),
+        let listener = match self
+            .state
+            .shared
+            .map(|address| self.shared_listener(address))
+        {
+            Some(Err(e)) => {
+                return Event::NotSpawned(incarnation, format!("the shared listener: {e}"))
+            }
             Some(Ok(listener)) => Some(listener),
             None => None,
         };
-        let (Some(place), Some(release)) =
-            (self.state.places.get(address), self.state.releases.get(&generation))
-        else {
+        let (Some(place), Some(release)) = (
+            self.state.places.get(address),
+            self.state.releases.get(&generation),
+        ) else {
             let why = format!("there is no place {address} or no release {generation}");
             self.close_shared();
             return Event::NotSpawned(incarnation, why);
@@ -408,7 +465,11 @@
         if let Some(listener) = &self.listener {
             return listener.try_clone();
         }
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
         socket.listen(BACKLOG)?;
@@ -461,7 +522,9 @@
             self.turn()?;
             if self.state.plan.ends() && self.state.plan.at_rest() {
                 // Whoever asked still gets the answer.
-                self.operators.iter_mut().for_each(|operator| drop(flush(operator)));
+                self.operators
+                    .iter_mut()
+                    .for_each(|operator| drop(flush(operator)));
                 tracing::info!("the fleet has ended");
                 return Ok(());
             }
@@ -477,21 +540,44 @@
         std::thread::sleep(TURN.saturating_sub(self.turned.elapsed()));
         self.turned = Instant::now();
         let now = self.now();
-        let wait = self.state.plan.next(now).map_or(1_000_000, |at| at.saturating_sub(now).min(1_000_000));
+        let wait = self
+            .state
+            .plan
+            .next(now)
+            .map_or(1_000_000, |at| at.saturating_sub(now).min(1_000_000));
         let ids: Vec<u64> = self.running.keys().copied().collect();
         let seen: Vec<bool> = {
             let read = PollFlags::IN;
-            let mut all = vec![PollFd::new(&self.status, read), PollFd::new(&self.control, read)];
-            all.extend(self.links.iter().map(|link| PollFd::new(&link.stream, read)));
+            let mut all = vec![
+                PollFd::new(&self.status, read),
+                PollFd::new(&self.control, read),
+            ];
+            all.extend(
+                self.links
+                    .iter()
+                    .map(|link| PollFd::new(&link.stream, read)),
+            );
             all.extend(self.operators.iter().map(|operator| {
-                let write = if operator.output.is_empty() { PollFlags::empty() } else { PollFlags::OUT };
+                let write = if operator.output.is_empty() {
+                    PollFlags::empty()
+                } else {
+                    PollFlags::OUT
+                };
                 PollFd::new(&operator.stream, read | write)
             }));
-            all.extend(self.running.values().map(|one| PollFd::from_borrowed_fd(one.descriptor(), read)));
-            let wait =
-                Timespec { tv_sec: (wait / 1_000_000) as i64, tv_nsec: (wait % 1_000_000) as i64 * 1_000 };
+            all.extend(
+                self.running
+                    .values()
+                    .map(|one| PollFd::from_borrowed_fd(one.descriptor(), read)),
+            );
+            let wait = Timespec {
+                tv_sec: (wait / 1_000_000) as i64,
+                tv_nsec: (wait % 1_000_000) as i64 * 1_000,
+            };
             match poll(&mut all, Some(&wait)) {
-                Err(e) if e.kind() != ErrorKind::Interrupted => return Err(io::Error::from(e).into()),
+                Err(e) if e.kind() != ErrorKind::Interrupted => {
+                    return Err(io::Error::from(e).into())
+                }
                 _ => all.iter().map(|one| !one.revents().is_empty()).collect(),
             }
         };
@@ -521,7 +607,11 @@
         }
         if seen[1] {
             accept(&self.control, |stream| {
-                self.operators.push(Operator { stream, input: Vec::new(), output: Vec::new() });
+                self.operators.push(Operator {
+                    stream,
+                    input: Vec::new(),
+                    output: Vec::new(),
+                });
             });
         }
         let (now, mut out) = (self.now(), Vec::new());
@@ -560,16 +650,31 @@
 
     /// Who is it? Numbers of processes come again and names are anybody's: the token tells.
     fn greet(&mut self, place: usize, line: &[u8]) -> bool {
-        let Ok(hello) = serde_json::from_slice::<Hello>(line) else { return false };
+        let Ok(hello) = serde_json::from_slice::<Hello>(line) else {
+            return false;
+        };
         if hello.token != self.token(hello.incarnation) {
-            tracing::warn!("somebody claims to be instance {} and is not", hello.incarnation);
+            tracing::warn!(
+                "somebody claims to be instance {} and is not",
+                hello.incarnation
+            );
             return false;
         }
-        if self.running.get(&hello.incarnation).is_none_or(|one| one.process.pid != hello.pid) {
+        if self
+            .running
+            .get(&hello.incarnation)
+            .is_none_or(|one| one.process.pid != hello.pid)
+        {
             // Guards against two owners of an address: it was counted as gone, and is not.
-            tracing::warn!("instance {} was given up and lives: killed", hello.incarnation);
+            tracing::warn!(
+                "instance {} was given up and lives: killed",
+                hello.incarnation
+            );
             let start = crate::process::started(hello.pid);
-            let process = start.map(|start| crate::plan::Process { pid: hello.pid, start });
+            let process = start.map(|start| crate::plan::Process {
+                pid: hello.pid,
+                start,
+            });
             if let Some(ghost) = process.ok().and_then(Running::adopt) {
                 ghost.signal(Signal::KILL);
             }
@@ -585,8 +690,12 @@
 
     fn note(&mut self, incarnation: u64, line: &Line) -> Status {
         let now = self.now();
-        let counts =
-            Counts { served: line.served, late: line.late, refused: line.refused, failed: line.failed };
+        let counts = Counts {
+            served: line.served,
+            late: line.late,
+            refused: line.refused,
+            failed: line.failed,
+        };
         let said = self.said.entry(incarnation).or_default();
         said.held = line.held;
         let (from, before) = said.from;
@@ -598,7 +707,11 @@
             said.refused_share = more.refused as f64 / more.all().max(1) as f64;
             said.from = (now, counts);
         }
-        Status { warmth: line.warmth, counts, drains: line.drains }
+        Status {
+            warmth: line.warmth,
+            counts,
+            drains: line.drains,
+        }
     }
 
     /// An operator asks; false where that is over.
@@ -624,7 +737,10 @@
         let plan = &mut self.state.plan;
         let done = match ask {
             Ask::Status => Ok(()),
-            Ask::Replace { generation, releases } => {
+            Ask::Replace {
+                generation,
+                releases,
+            } => {
                 let unknown = !releases.iter().any(|(number, _)| *number == generation);
                 let known: Vec<u32> = plan.instances().iter().map(|one| one.generation).collect();
                 for (number, release) in releases {
@@ -725,7 +841,10 @@
 fn go_on(mut state: State, wanted: &Wanted) -> Result<State, Error> {
     if state.plan.instances().is_empty() {
         // Nothing runs: all may be as wanted now, but no number comes again.
-        state.plan.begin_again(wanted.bounds, wanted.generation).map_err(|e| Error::Asked(e.to_string()))?;
+        state
+            .plan
+            .begin_again(wanted.bounds, wanted.generation)
+            .map_err(|e| Error::Asked(e.to_string()))?;
         state.places.clone_from(&wanted.places);
         state.releases.clone_from(&wanted.releases);
         state.shared = wanted.shared;
@@ -741,17 +860,27 @@
         let what = "its fleet has another number of instances or another surge: take it down first";
         return Err(Error::Asked(format!("{}: {what}", wanted.folder.display())));
     }
-    state.plan.set_bounds(wanted.bounds).map_err(|e| Error::Asked(e.to_string()))?;
+    state
+        .plan
+        .set_bounds(wanted.bounds)
+        .map_err(|e| Error::Asked(e.to_string()))?;
     for (generation, release) in &wanted.releases {
-        state.releases.entry(*generation).or_insert_with(|| release.clone());
+        state
+            .releases
+            .entry(*generation)
+            .or_insert_with(|| release.clone());
     }
     Ok(state)
 }
 
 fn tell(note: &Note) {
     match note {
-        Note::Failed(incarnation, why) => tracing::error!("instance {incarnation} has failed: {why}"),
-        Note::Overdue(incarnation) => tracing::warn!("instance {incarnation} does not leave in time"),
+        Note::Failed(incarnation, why) => {
+            tracing::error!("instance {incarnation} has failed: {why}")
+        }
+        Note::Overdue(incarnation) => {
+            tracing::warn!("instance {incarnation} does not leave in time")
+        }
         Note::Halted(why) => tracing::error!("the replacement goes back: {why}"),
         Note::Replaced(generation) => tracing::info!("all run generation {generation}"),
         Note::WentBack(generation) => tracing::info!("all run generation {generation} again"),
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -86,7 +86,9 @@
             return Err(Refused::Bound("batch: 0 would replace nothing"));
         }
         if !(0.0..=instances as f64).contains(&minimum) {
-            return Err(Refused::Bound("minimum: not between 0 and the number of instances"));
+            return Err(Refused::Bound(
+                "minimum: not between 0 and the number of instances",
+            ));
         }
         if self.surge == 0 && minimum > instances as f64 - 1.0 {
             return Err(Refused::Stuck { instances, minimum });
@@ -98,8 +100,12 @@
     /// than what the batch takes beyond the surge.
     #[must_use]
     pub fn floor(&self) -> f64 {
-        let without = self.batch.saturating_sub(self.surge).max(usize::from(self.surge == 0));
-        self.minimum.max(self.instances.saturating_sub(without) as f64)
+        let without = self
+            .batch
+            .saturating_sub(self.surge)
+            .max(usize::from(self.surge == 0));
+        self.minimum
+            .max(self.instances.saturating_sub(without) as f64)
     }
 }
 
@@ -174,7 +180,10 @@
     }
 
     fn stays(&self) -> bool {
-        matches!(self.phase, Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm)
+        matches!(
+            self.phase,
+            Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm
+        )
     }
 
     fn serves(&self) -> bool {
@@ -445,12 +454,19 @@
     ///
     /// # Errors
     /// Where a replacement is on, or the generation runs already.
-    pub fn replace(&mut self, now: Micros, generation: u32, out: &mut Vec<Effect>) -> Result<(), Refused> {
+    pub fn replace(
+        &mut self,
+        now: Micros,
+        generation: u32,
+        out: &mut Vec<Effect>,
+    ) -> Result<(), Refused> {
         if self.ends {
             return Err(Refused::Now("the fleet is going down"));
         }
         if self.replacement.is_some() {
-            return Err(Refused::Now("a replacement is on: wait for its end, or roll it back"));
+            return Err(Refused::Now(
+                "a replacement is on: wait for its end, or roll it back",
+            ));
         }
         if generation == self.stable {
             return Err(Refused::Now("this generation runs already"));
@@ -492,7 +508,13 @@
     /// # Errors
     /// Where none is on.
     pub fn pause(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
-        self.change_mode(now, &[Mode::Rolling], Mode::Paused, "no replacement goes on", out)
+        self.change_mode(
+            now,
+            &[Mode::Rolling],
+            Mode::Paused,
+            "no replacement goes on",
+            out,
+        )
     }
 
     /// Lets a replacement go on.
@@ -500,7 +522,13 @@
     /// # Errors
     /// Where none was stopped.
     pub fn resume(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
-        self.change_mode(now, &[Mode::Paused], Mode::Rolling, "no replacement was paused", out)
+        self.change_mode(
+            now,
+            &[Mode::Paused],
+            Mode::Rolling,
+            "no replacement was paused",
+            out,
+        )
     }
 
     /// Goes back to the old generation.
@@ -509,7 +537,13 @@
     /// Where no replacement is on, or it goes back already.
     pub fn roll_back(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
         let from = [Mode::Rolling, Mode::Paused];
-        self.change_mode(now, &from, Mode::Back, "there is no replacement to go back from", out)
+        self.change_mode(
+            now,
+            &from,
+            Mode::Back,
+            "there is no replacement to go back from",
+            out,
+        )
     }
 
     /// Ends the whole fleet.
@@ -552,11 +586,15 @@
     }
 
     fn find(&mut self, incarnation: u64) -> Option<&mut Instance> {
-        self.instances.iter_mut().find(|one| one.incarnation == incarnation)
+        self.instances
+            .iter_mut()
+            .find(|one| one.incarnation == incarnation)
     }
 
     fn heard(&mut self, now: Micros, incarnation: u64, status: &Status, out: &mut Vec<Effect>) {
-        let Some(one) = self.find(incarnation) else { return };
+        let Some(one) = self.find(incarnation) else {
+            return;
+        };
         (one.heard, one.counts) = (now, status.counts);
         if status.warmth.is_finite() {
             one.warmth = status.warmth;
@@ -564,7 +602,9 @@
         let before = one.phase;
         let after = match before {
             // Somebody told it to leave by hand: it is no crash when it ends.
-            Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm if status.drains => Phase::Draining,
+            Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm if status.drains => {
+                Phase::Draining
+            }
             Phase::Planned | Phase::Starting | Phase::Cold if one.warmth >= WARM => Phase::Warm,
             Phase::Planned | Phase::Starting => Phase::Cold,
             other => other,
@@ -584,7 +624,11 @@
 
     /// From the first warm instance of a new generation on the two are compared.
     fn begin_to_compare(&mut self, generation: u32) {
-        let Some(replacement) = self.replacement.as_mut().filter(|one| one.generation == generation) else {
+        let Some(replacement) = self
+            .replacement
+            .as_mut()
+            .filter(|one| one.generation == generation)
+        else {
             return;
         };
         let first = !std::mem::replace(&mut replacement.compared, true);
@@ -597,7 +641,11 @@
     }
 
     fn ended(&mut self, now: Micros, incarnation: u64, why: Option<String>, out: &mut Vec<Effect>) {
-        let Some(place) = self.instances.iter().position(|one| one.incarnation == incarnation) else {
+        let Some(place) = self
+            .instances
+            .iter()
+            .position(|one| one.incarnation == incarnation)
+        else {
             return;
         };
         let mut one = self.instances.remove(place);
@@ -609,18 +657,28 @@
             (Some(why), _, Some(_)) => Some(one.why.take().unwrap_or(why)),
             (why, ..) => why,
         };
-        one.phase = if why.is_some() { Phase::Failed } else { Phase::Stopped };
+        one.phase = if why.is_some() {
+            Phase::Failed
+        } else {
+            Phase::Stopped
+        };
         if let Some(why) = why {
             self.restarts.failed(now, one.generation);
             self.failed_at.insert(one.address, now);
             out.push(Effect::Note(Note::Failed(incarnation, why.clone())));
             one.why = Some(why);
             let limit = self.bounds.crashes;
-            if let Some(replacement) = self.replacement.as_mut().filter(|of| of.generation == one.generation)
+            if let Some(replacement) = self
+                .replacement
+                .as_mut()
+                .filter(|of| of.generation == one.generation)
             {
                 replacement.crashes += 1;
                 if replacement.crashes >= limit {
-                    let text = format!("{} instances of the new generation failed", replacement.crashes);
+                    let text = format!(
+                        "{} instances of the new generation failed",
+                        replacement.crashes
+                    );
                     self.halt(text, out);
                 }
             }
@@ -633,13 +691,19 @@
     }
 
     fn keep_counts(&mut self, one: &Instance) {
-        let (Some(replacement), Some(baseline)) = (&mut self.replacement, one.baseline) else { return };
+        let (Some(replacement), Some(baseline)) = (&mut self.replacement, one.baseline) else {
+            return;
+        };
         let side = usize::from(one.generation != replacement.generation);
         replacement.gone[side] = replacement.gone[side].plus(one.counts.since(baseline));
     }
 
     fn halt(&mut self, why: String, out: &mut Vec<Effect>) {
-        let Some(replacement) = self.replacement.as_mut().filter(|one| one.mode != Mode::Back) else {
+        let Some(replacement) = self
+            .replacement
+            .as_mut()
+            .filter(|one| one.mode != Mode::Back)
+        else {
             return;
         };
         replacement.mode = Mode::Back;
@@ -651,7 +715,11 @@
 
     /// Whether the new generation answers worse than the old one.
     fn judge(&mut self, out: &mut Vec<Effect>) {
-        let Some(replacement) = self.replacement.as_ref().filter(|one| one.mode != Mode::Back) else {
+        let Some(replacement) = self
+            .replacement
+            .as_ref()
+            .filter(|one| one.mode != Mode::Back)
+        else {
             return;
         };
         let mut sides = replacement.gone;
@@ -679,7 +747,12 @@
                 _ => false,
             };
             let cold = one.phase == Phase::Cold && now >= one.since + bounds.warm_within;
-            if cold && self.replacement.as_ref().is_some_and(|of| of.generation == one.generation) {
+            if cold
+                && self
+                    .replacement
+                    .as_ref()
+                    .is_some_and(|of| of.generation == one.generation)
+            {
                 slow = Some(one.incarnation);
             }
             if !overdue || one.killed.is_some_and(|at| now < at + KILL_AGAIN) {
@@ -689,8 +762,11 @@
                 if one.phase == Phase::Draining {
                     out.push(Effect::Note(Note::Overdue(one.incarnation)));
                 } else {
-                    let silent =
-                        if one.phase == Phase::Starting { "it never said a word" } else { "it hung" };
+                    let silent = if one.phase == Phase::Starting {
+                        "it never said a word"
+                    } else {
+                        "it hung"
+                    };
                     one.why = Some(silent.to_owned());
                 }
                 // Guards against counting on it after whoever runs this has died.
@@ -699,7 +775,10 @@
             out.push(Effect::Kill(one.incarnation));
         }
         if let Some(incarnation) = slow {
-            self.halt(format!("instance {incarnation} of the new generation does not get warm"), out);
+            self.halt(
+                format!("instance {incarnation} of the new generation does not get warm"),
+                out,
+            );
         }
         self.work(now, out);
     }
@@ -718,15 +797,29 @@
             };
             Some(one.killed.map_or(due, |at| due.max(at + KILL_AGAIN)))
         };
-        let new = self.replacement.as_ref().filter(|one| one.mode != Mode::Back).map(|one| one.generation);
+        let new = self
+            .replacement
+            .as_ref()
+            .filter(|one| one.mode != Mode::Back)
+            .map(|one| one.generation);
         let warm = self
             .instances
             .iter()
             .filter(|one| one.phase == Phase::Cold && Some(one.generation) == new)
             .map(|one| one.since + bounds.warm_within);
-        let starts = self.wanted().into_iter().filter(|(generation, want)| self.have(*generation) < *want);
-        let starts = starts.map(|(generation, _)| self.restarts.from(now, generation)).filter(|at| *at > now);
-        self.instances.iter().filter_map(of).chain(warm).chain(starts).min()
+        let starts = self
+            .wanted()
+            .into_iter()
+            .filter(|(generation, want)| self.have(*generation) < *want);
+        let starts = starts
+            .map(|(generation, _)| self.restarts.from(now, generation))
+            .filter(|at| *at > now);
+        self.instances
+            .iter()
+            .filter_map(of)
+            .chain(warm)
+            .chain(starts)
+            .min()
     }
 
     /// How many of each generation are wanted now.
@@ -735,12 +828,18 @@
         match &self.replacement {
             _ if self.ends => Vec::new(),
             None => vec![(self.stable, all)],
-            Some(one) => vec![(one.generation, one.quota), (self.stable, all - one.quota.min(all))],
+            Some(one) => vec![
+                (one.generation, one.quota),
+                (self.stable, all - one.quota.min(all)),
+            ],
         }
     }
 
     fn have(&self, generation: u32) -> usize {
-        self.instances.iter().filter(|one| one.generation == generation && one.stays()).count()
+        self.instances
+            .iter()
+            .filter(|one| one.generation == generation && one.stays())
+            .count()
     }
 
     /// Each step from what is to what is wanted that may be done now.
@@ -748,9 +847,15 @@
         self.judge(out);
         self.move_quota(out);
         if self.ends {
-            let leaving: Vec<u64> =
-                self.instances.iter().filter(|one| one.stays()).map(|one| one.incarnation).collect();
-            leaving.into_iter().for_each(|incarnation| self.tell_to_leave(now, incarnation, out));
+            let leaving: Vec<u64> = self
+                .instances
+                .iter()
+                .filter(|one| one.stays())
+                .map(|one| one.incarnation)
+                .collect();
+            leaving
+                .into_iter()
+                .for_each(|incarnation| self.tell_to_leave(now, incarnation, out));
             return;
         }
         self.let_go(now, out);
@@ -760,12 +865,19 @@
     /// The new generation's share grows with what of it is warm, and not by time.
     fn move_quota(&mut self, out: &mut Vec<Effect>) {
         let (all, batch) = (self.bounds.instances, self.bounds.batch);
-        let Some(replacement) = &mut self.replacement else { return };
+        let Some(replacement) = &mut self.replacement else {
+            return;
+        };
         let new = replacement.generation;
-        let warm =
-            |one: &&Instance, right: bool| one.phase == Phase::Warm && (one.generation == new) == right;
+        let warm = |one: &&Instance, right: bool| {
+            one.phase == Phase::Warm && (one.generation == new) == right
+        };
         let warm_new = self.instances.iter().filter(|one| warm(one, true)).count();
-        let others = |right| self.instances.iter().any(|one| (one.generation == new) == right);
+        let others = |right| {
+            self.instances
+                .iter()
+                .any(|one| (one.generation == new) == right)
+        };
         let before = replacement.quota;
         replacement.quota = match replacement.mode {
             Mode::Rolling => before.max(all.min(warm_new + batch)),
@@ -787,13 +899,17 @@
     fn finish(&mut self, generation: u32, note: Note, out: &mut Vec<Effect>) {
         self.stable = generation;
         self.replacement = None;
-        self.instances.iter_mut().for_each(|one| one.baseline = None);
+        self.instances
+            .iter_mut()
+            .for_each(|one| one.baseline = None);
         out.push(Effect::Note(note));
         out.push(Effect::Save);
     }
 
     fn tell_to_leave(&mut self, now: Micros, incarnation: u64, out: &mut Vec<Effect>) {
-        let Some(one) = self.find(incarnation) else { return };
+        let Some(one) = self.find(incarnation) else {
+            return;
+        };
         // A process that is not there yet hears nothing: it is told once it is.
         if one.phase == Phase::Planned {
             return;
@@ -809,29 +925,47 @@
         // Guards against standing still for ever: where a generation that was given up holds all addresses, one of it
         // that is not warm has to leave before anything else can be started, whatever it still serves.
         let most = self.bounds.instances + self.bounds.surge;
-        let back = self.replacement.as_ref().is_some_and(|one| one.mode == Mode::Back);
-        let stuck = back && self.instances.len() >= most && self.have(self.stable) < self.bounds.instances;
+        let back = self
+            .replacement
+            .as_ref()
+            .is_some_and(|one| one.mode == Mode::Back);
+        let stuck =
+            back && self.instances.len() >= most && self.have(self.stable) < self.bounds.instances;
         for (generation, want) in self.wanted() {
             while self.have(generation) > want {
-                let warm =
-                    self.instances.iter().filter(|one| one.phase == Phase::Warm && one.killed.is_none());
+                let warm = self
+                    .instances
+                    .iter()
+                    .filter(|one| one.phase == Phase::Warm && one.killed.is_none());
                 let warm = warm.count() as f64;
-                let draining = self.instances.iter().filter(|one| one.phase == Phase::Draining).count();
+                let draining = self
+                    .instances
+                    .iter()
+                    .filter(|one| one.phase == Phase::Draining)
+                    .count();
                 let capacity = self.capacity();
                 // Those first that are worth least; among equals the oldest.
                 let candidate = self
                     .instances
                     .iter()
-                    .filter(|one| one.generation == generation && one.stays() && one.killed.is_none())
+                    .filter(|one| {
+                        one.generation == generation && one.stays() && one.killed.is_none()
+                    })
                     .filter(|one| one.phase != Phase::Planned)
-                    .min_by(|a, b| a.weight().total_cmp(&b.weight()).then(a.incarnation.cmp(&b.incarnation)));
+                    .min_by(|a, b| {
+                        a.weight()
+                            .total_cmp(&b.weight())
+                            .then(a.incarnation.cmp(&b.incarnation))
+                    });
                 let Some(one) = candidate else { break };
                 let floor = self.bounds.floor();
                 let fits = match one.phase {
                     // Guards against counting on what may never get warm: warm ones leave for warm ones.
                     Phase::Warm => warm - 1.0 + ROUNDING >= floor,
                     _ => {
-                        warm >= floor || capacity - one.weight() + ROUNDING >= floor || stuck && draining == 0
+                        warm >= floor
+                            || capacity - one.weight() + ROUNDING >= floor
+                            || stuck && draining == 0
                     }
                 };
                 // What serves nothing yet is no loss.
@@ -852,10 +986,12 @@
                 if self.restarts.from(now, generation) > now {
                     break;
                 }
-                let taken = |address: &usize| self.instances.iter().any(|one| one.address == *address);
+                let taken =
+                    |address: &usize| self.instances.iter().any(|one| one.address == *address);
                 // Guards against trying again and again an address that somebody else has taken.
                 let last = |address: &usize| self.failed_at.get(address).copied().unwrap_or(0);
-                let Some(address) = (0..most).filter(|address| !taken(address)).min_by_key(last) else {
+                let Some(address) = (0..most).filter(|address| !taken(address)).min_by_key(last)
+                else {
                     return;
                 };
                 let incarnation = self.next_incarnation;
@@ -878,7 +1014,11 @@
                 });
                 // Guards against an incarnation that comes twice after a crash of whoever runs this.
                 out.push(Effect::Save);
-                out.push(Effect::Spawn { incarnation, generation, address });
+                out.push(Effect::Spawn {
+                    incarnation,
+                    generation,
+                    address,
+                });
             }
         }
     }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -43,7 +43,11 @@
     /// What is expected then: before the first point as there, after the last as there.
     #[must_use]
     pub fn at(&self, time: Micros) -> f64 {
-        let after = self.0.iter().position(|point| point.0 > time).unwrap_or(self.0.len());
+        let after = self
+            .0
+            .iter()
+            .position(|point| point.0 > time)
+            .unwrap_or(self.0.len());
         match (after.checked_sub(1).map(|i| self.0[i]), self.0.get(after)) {
             (Some((from, low)), Some(&(to, high))) => {
                 low + (high - low) * (time - from) as f64 / (to - from).max(1) as f64
@@ -177,7 +181,11 @@
 /// # Errors
 /// Where the bounds are none.
 pub fn answer(question: &Question) -> Result<Answer, Refused> {
-    Bounds { surge: question.bounds.surge.max(1), ..question.bounds }.check()?;
+    Bounds {
+        surge: question.bounds.surge.max(1),
+        ..question.bounds
+    }
+    .check()?;
     let best = search(question, question.bounds.surge);
     if let Some(course) = best.as_ref().filter(|course| course.holds()) {
         return Ok(Answer::Possible(course.clone()));
@@ -200,14 +208,29 @@
     if holds(question, wide).is_some() {
         // The fewest that would do; more never harm.
         let needed = (bounds.surge + 1..=wide).find(|surge| holds(question, *surge).is_some());
-        return Limit::Surge { allowed: bounds.surge, needed: needed.unwrap_or(wide) };
+        return Limit::Surge {
+            allowed: bounds.surge,
+            needed: needed.unwrap_or(wide),
+        };
     }
-    let free = Question { host: Host { cores: f64::MAX, ..*host }, ..question.clone() };
+    let free = Question {
+        host: Host {
+            cores: f64::MAX,
+            ..*host
+        },
+        ..question.clone()
+    };
     if let Some(course) = holds(&free, wide) {
-        return Limit::Cores { there: host.cores, needed: course.cores };
+        return Limit::Cores {
+            there: host.cores,
+            needed: course.cores,
+        };
     }
     let best = search(&free, wide).map_or((0.0, 0), |course| course.margin);
-    Limit::Meanwhile { short: -best.0, at: best.1 }
+    Limit::Meanwhile {
+        short: -best.0,
+        at: best.1,
+    }
 }
 
 /// What so many warm instances can do on the host's cores.
@@ -220,12 +243,16 @@
     let mut best: Option<Course> = None;
     for surge in steps_to(surge, true) {
         for batch in steps_to(question.bounds.batch.min(question.bounds.instances), false) {
-            let Some(course) = play(question, batch, surge) else { continue };
-            let better = best.as_ref().is_none_or(|best| match (course.holds(), best.holds()) {
-                (true, true) => course.takes < best.takes,
-                (false, false) => course.margin.0 > best.margin.0,
-                (holds, _) => holds,
-            });
+            let Some(course) = play(question, batch, surge) else {
+                continue;
+            };
+            let better = best
+                .as_ref()
+                .is_none_or(|best| match (course.holds(), best.holds()) {
+                    (true, true) => course.takes < best.takes,
+                    (false, false) => course.margin.0 > best.margin.0,
+                    (holds, _) => holds,
+                });
             if better {
                 best = Some(course);
             }
@@ -294,7 +321,9 @@
             course.takes = Some(now);
             break;
         }
-        let Some(next) = stage.due.keys().next().map(|due| due.0) else { break };
+        let Some(next) = stage.due.keys().next().map(|due| due.0) else {
+            break;
+        };
         sampled = sampled.max(now) + SAMPLE;
         now = next.min(sampled).max(now);
         if now > LONGEST {
@@ -313,9 +342,17 @@
         if there - needed < self.margin.0 {
             self.margin = (there - needed, now);
         }
-        let runs = plan.instances().iter().filter(|one| one.phase != Phase::Planned).count();
+        let runs = plan
+            .instances()
+            .iter()
+            .filter(|one| one.phase != Phase::Planned)
+            .count();
         self.cores = self.cores.max(runs as f64 * host.cores_each);
-        if self.samples.last().is_none_or(|last| now >= last.0 + SAMPLE || last.1 != there) {
+        if self
+            .samples
+            .last()
+            .is_none_or(|last| now >= last.0 + SAMPLE || last.1 != there)
+        {
             self.samples.push((now, there, needed));
         }
     }
@@ -338,9 +375,18 @@
     }
 
     fn step(&mut self, at: Micros, what: What, incarnation: u64) {
-        let one = self.plan.instances().iter().find(|one| one.incarnation == incarnation);
+        let one = self
+            .plan
+            .instances()
+            .iter()
+            .find(|one| one.incarnation == incarnation);
         if let (Some(one), true) = (one, self.fleet_is_up) {
-            self.steps.push(Step { at, what, incarnation, address: one.address });
+            self.steps.push(Step {
+                at,
+                what,
+                incarnation,
+                address: one.address,
+            });
         }
     }
 
@@ -349,8 +395,25 @@
             match effect {
                 Effect::Spawn { incarnation, .. } => {
                     self.step(now, What::Start, incarnation);
-                    self.later(now, Event::Spawned(incarnation, Process { pid: 1, start: incarnation }));
-                    let says = |warmth| Event::Heard(incarnation, Status { warmth, ..Status::default() });
+                    self.later(
+                        now,
+                        Event::Spawned(
+                            incarnation,
+                            Process {
+                                pid: 1,
+                                start: incarnation,
+                            },
+                        ),
+                    );
+                    let says = |warmth| {
+                        Event::Heard(
+                            incarnation,
+                            Status {
+                                warmth,
+                                ..Status::default()
+                            },
+                        )
+                    };
                     if !self.fleet_is_up {
                         self.later(now, says(1.0));
                         continue;
@@ -359,16 +422,24 @@
                     let mut passed = 0;
                     while passed < host.warm_after {
                         let share = passed as f64 / host.warm_after as f64;
-                        self.later(begins + passed, says(host.cold_from + (1.0 - host.cold_from) * share));
+                        self.later(
+                            begins + passed,
+                            says(host.cold_from + (1.0 - host.cold_from) * share),
+                        );
                         passed += SAYS;
                     }
                     self.later(begins + host.warm_after, says(1.0));
                 }
                 Effect::Leave(incarnation) => {
                     self.step(now, What::Leave, incarnation);
-                    self.later(now + self.host.drain, Event::Exited(incarnation, Exit::Clean));
+                    self.later(
+                        now + self.host.drain,
+                        Event::Exited(incarnation, Exit::Clean),
+                    );
+                }
+                Effect::Kill(incarnation) => {
+                    self.later(now, Event::Exited(incarnation, Exit::Signal(9)))
                 }
-                Effect::Kill(incarnation) => self.later(now, Event::Exited(incarnation, Exit::Signal(9))),
                 Effect::Save | Effect::Note(_) => {}
             }
         }
@@ -383,7 +454,10 @@
             | Event::Heard(incarnation, _)
             | Event::Exited(incarnation, _)) = event;
             let phase = |plan: &Plan| {
-                plan.instances().iter().find(|one| one.incarnation == incarnation).map(|one| one.phase)
+                plan.instances()
+                    .iter()
+                    .find(|one| one.incarnation == incarnation)
+                    .map(|one| one.phase)
             };
             let before = phase(&self.plan);
             if matches!(event, Event::Exited(..)) {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -89,7 +89,11 @@
 
 /// Bytes that a request holds, about.
 fn size(head: &Head, arrival: &Arrival) -> usize {
-    let headers: usize = head.headers.iter().map(|(name, value)| name.len() + value.len() + 48).sum();
+    let headers: usize = head
+        .headers
+        .iter()
+        .map(|(name, value)| name.len() + value.len() + 48)
+        .sum();
     let frame = head.frame.as_ref().map_or(0, Vec::len);
     512 + headers + frame + head.target.len() + head.host.len() + arrival.body.len()
 }
@@ -98,7 +102,11 @@
     fn new(pool: &PoolModel, share: f64, seed: u64) -> Result<Self, String> {
         Ok(Self {
             balancer: Balancer::new(pool, seed),
-            addresses: pool.targets.iter().map(|target| Arc::from(target.address.as_str())).collect(),
+            addresses: pool
+                .targets
+                .iter()
+                .map(|target| Arc::from(target.address.as_str()))
+                .collect(),
             key: match &pool.way {
                 Way::Hash { key, .. } => Some(Template::read(key)?),
                 _ => None,
@@ -201,7 +209,10 @@
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
-            pools.insert(Arc::from(name.as_str()), Pool::new(pool, settings.share, seed)?);
+            pools.insert(
+                Arc::from(name.as_str()),
+                Pool::new(pool, settings.share, seed)?,
+            );
         }
         Ok(Self {
             table,
@@ -233,14 +244,23 @@
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
-            pools.insert(Arc::<str>::from(name.as_str()), Pool::new(pool, settings.share, seed)?);
+            pools.insert(
+                Arc::<str>::from(name.as_str()),
+                Pool::new(pool, settings.share, seed)?,
+            );
         }
         // By pool: the new numbers of its targets, by the old ones.
         let mut places: HashMap<Arc<str>, HashMap<usize, usize>> = HashMap::new();
         for (name, pool) in &mut pools {
-            let Some(mut old) = self.pools.remove(name) else { continue };
+            let Some(mut old) = self.pools.remove(name) else {
+                continue;
+            };
             let from = old.balancer.reload(&settings.routes.pools[&**name]);
-            let place = from.iter().enumerate().filter_map(|(new, old)| Some(((*old)?, new))).collect();
+            let place = from
+                .iter()
+                .enumerate()
+                .filter_map(|(new, old)| Some(((*old)?, new)))
+                .collect();
             places.insert(name.clone(), place);
             (pool.balancer, pool.budget, pool.latency) = (old.balancer, old.budget, old.latency);
         }
@@ -250,7 +270,10 @@
             open.at = open.at.map(|(target, since)| (target.and_then(new), since));
             // One that is gone can't be tried again; how many there were still counts.
             open.gone += open.tries.len() as u32;
-            open.tries = std::mem::take(&mut open.tries).into_iter().filter_map(new).collect();
+            open.tries = std::mem::take(&mut open.tries)
+                .into_iter()
+                .filter_map(new)
+                .collect();
             open.gone -= open.tries.len() as u32;
         }
         (self.table, self.pools) = (table, pools);
@@ -289,7 +312,10 @@
         let size = size(&head, &arrival);
         // Guards against callers that fill the memory with requests that are let through and wait.
         let routed = match self.held + size > self.most_held {
-            true => Err(Answer::Refused { later: 0, last: false }),
+            true => Err(Answer::Refused {
+                later: 0,
+                last: false,
+            }),
             false => self.route(now, &head, &mut arrival),
         };
         let answer = match routed {
@@ -298,9 +324,21 @@
                 arrival.head = Some(head);
                 let number = self.next;
                 self.next += 1;
-                self.origins.insert((origin.connection, origin.stream, number));
-                self.open.insert(number, Open { arrival, size, ..open });
-                if let Some(pool) = self.open.get(&number).and_then(|open| self.pools.get_mut(&open.pool)) {
+                self.origins
+                    .insert((origin.connection, origin.stream, number));
+                self.open.insert(
+                    number,
+                    Open {
+                        arrival,
+                        size,
+                        ..open
+                    },
+                );
+                if let Some(pool) = self
+                    .open
+                    .get(&number)
+                    .and_then(|open| self.pools.get_mut(&open.pool))
+                {
                     pool.budget.first();
                 }
                 return self.try_next(now, number, orders);
@@ -317,17 +355,33 @@
         // Guards against clocks that differ: nothing came later than now.
         let came = arrival.door.min(now);
         let asked = asked(self.listen.as_deref(), head);
-        let returned = |status: u16, body: String| Answer::Returned { status, body: body.into_bytes() };
-        let decision = self.table.decide(&asked).map_err(|what| returned(404, what))?;
+        let returned = |status: u16, body: String| Answer::Returned {
+            status,
+            body: body.into_bytes(),
+        };
+        let decision = self
+            .table
+            .decide(&asked)
+            .map_err(|what| returned(404, what))?;
         let (server, location, pool, uri, class) = match decision {
-            Decision::Pass { server, location, pool, uri, class } => (server, location, pool, uri, class),
+            Decision::Pass {
+                server,
+                location,
+                pool,
+                uri,
+                class,
+            } => (server, location, pool, uri, class),
             Decision::Answer { code, text, .. } => return Err(returned(code, text)),
         };
         // A frame brings its class along; what a route says of it has to be the same.
-        let by_route =
-            class.as_ref().and_then(|name| self.classes.iter().position(|class| class.name == *name));
+        let by_route = class
+            .as_ref()
+            .and_then(|name| self.classes.iter().position(|class| class.name == *name));
         if head.frame.is_some() && by_route.is_some_and(|class| class != arrival.class) {
-            return Err(returned(404, format!("this route is for {}", class.unwrap_or_default())));
+            return Err(returned(
+                404,
+                format!("this route is for {}", class.unwrap_or_default()),
+            ));
         }
         let class = match (head.frame.is_some(), by_route) {
             (true, _) => arrival.class,
@@ -335,15 +389,25 @@
             (false, None) => return Err(returned(404, "this route has no class".to_owned())),
         };
         arrival.class = class;
-        let Class { effect, deadline, .. } = self.classes[class];
+        let Class {
+            effect, deadline, ..
+        } = self.classes[class];
         let due = came + deadline;
         if self.closed_at.is_some_and(|at| now >= at) || now + SLACK >= due {
             return Err(refuse(0));
         }
-        let Some(site) = self.table.site(server, location) else { return Err(Answer::Failed) };
-        let limits: Vec<_> =
-            site.limits.iter().map(|(key, limit)| (limit.clone(), self.table.text(key, &asked))).collect();
-        let entering: Vec<_> = limits.iter().map(|(limit, key)| (limit, key.clone())).collect();
+        let Some(site) = self.table.site(server, location) else {
+            return Err(Answer::Failed);
+        };
+        let limits: Vec<_> = site
+            .limits
+            .iter()
+            .map(|(key, limit)| (limit.clone(), self.table.text(key, &asked)))
+            .collect();
+        let entering: Vec<_> = limits
+            .iter()
+            .map(|(limit, key)| (limit, key.clone()))
+            .collect();
         if let Err(over) = self.limits.enter(now, &entering) {
             return Err(match over.status {
                 429 | 503 => refuse(over.later),
@@ -351,7 +415,12 @@
             });
         }
         Ok(Open {
-            arrival: Arrival { head: None, body: Vec::new(), key: None, ..arrival.clone() },
+            arrival: Arrival {
+                head: None,
+                body: Vec::new(),
+                key: None,
+                ..arrival.clone()
+            },
             effect,
             came: now,
             due,
@@ -371,7 +440,9 @@
 
     /// Makes the next try of a request, or answers it where nobody can take it.
     fn try_next(&mut self, now: Micros, number: Number, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get_mut(&number) else { return };
+        let Some(open) = self.open.get_mut(&number) else {
+            return;
+        };
         let Some(pool) = self.pools.get_mut(&open.pool) else {
             return self.finish(number, Answer::Failed, orders);
         };
@@ -382,7 +453,9 @@
             }
             (None, Some(head)) if pool.by_address => {
                 // As in nginx, the first three numbers of an address count.
-                head.remote.rsplit_once('.').map_or(head.remote.clone(), |(net, _)| net.to_owned())
+                head.remote
+                    .rsplit_once('.')
+                    .map_or(head.remote.clone(), |(net, _)| net.to_owned())
             }
             _ => String::new(),
         };
@@ -404,14 +477,20 @@
             }
             Err(nobody) => {
                 let later = nobody.until.map_or(0, |until| until.saturating_sub(now));
-                let answer = if open.ran { Answer::Failed } else { Answer::Refused { later, last: false } };
+                let answer = if open.ran {
+                    Answer::Failed
+                } else {
+                    Answer::Refused { later, last: false }
+                };
                 self.finish(number, answer, orders);
             }
         }
     }
 
     fn set_timer(&mut self, number: Number, at: Micros) {
-        let Some(open) = self.open.get_mut(&number) else { return };
+        let Some(open) = self.open.get_mut(&number) else {
+            return;
+        };
         self.timers.remove(&(open.timer, number));
         open.timer = at;
         self.timers.insert((at, number));
@@ -419,8 +498,12 @@
 
     /// A try has ended.
     pub fn ended(&mut self, now: Micros, number: Number, reply: Reply, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get_mut(&number) else { return };
-        let Some((target, since)) = open.at else { return };
+        let Some(open) = self.open.get_mut(&number) else {
+            return;
+        };
+        let Some((target, since)) = open.at else {
+            return;
+        };
         let mut pool = self.pools.get_mut(&open.pool);
         let mut tell = |told: &mut dyn FnMut(&mut Pool, usize)| {
             // Of a target or pool that a reload took away nothing is kept.
@@ -429,13 +512,19 @@
             }
         };
         let what = match reply {
-            Reply::Advised(most) => return tell(&mut |pool, target| pool.balancer.advise(target, most)),
+            Reply::Advised(most) => {
+                return tell(&mut |pool, target| pool.balancer.advise(target, most))
+            }
             Reply::Answered(answer) => {
                 open.at = None;
                 let took = now.saturating_sub(since) as f64;
                 tell(&mut |pool, target| {
                     pool.balancer.ended(now, target, End::Answered);
-                    pool.latency = if pool.latency == 0.0 { took } else { 0.9 * pool.latency + 0.1 * took };
+                    pool.latency = if pool.latency == 0.0 {
+                        took
+                    } else {
+                        0.9 * pool.latency + 0.1 * took
+                    };
                 });
                 // Nothing that may have run before is told to be at fault, or not to have run.
                 let safe = matches!(answer, Answer::Served(_)) || !open.ran;
@@ -467,7 +556,8 @@
         let (verdict, stopped) = match pool {
             Some(pool) => {
                 let shortest = (pool.latency / 4.0) as Micros;
-                pool.budget.decide(now, &between, what, &open.next, shortest)
+                pool.budget
+                    .decide(now, &between, what, &open.next, shortest)
             }
             // Its pool is gone, and nobody else is asked.
             None if open.ran => (Verdict::Fail, None),
@@ -480,7 +570,9 @@
         match verdict {
             Verdict::Again => self.try_next(now, number, orders),
             Verdict::Refuse(later) => self.finish(number, Answer::Refused { later, last }, orders),
-            Verdict::Fail if now + SLACK >= between.due => self.finish(number, Answer::Expired, orders),
+            Verdict::Fail if now + SLACK >= between.due => {
+                self.finish(number, Answer::Expired, orders)
+            }
             Verdict::Fail => self.finish(number, Answer::Failed, orders),
         }
     }
@@ -488,14 +580,20 @@
     /// Requests whose time for something is over, with whether nothing more can be waited for. Each is to be given to
     /// [`late`](Self::late).
     pub fn overdue(&mut self, now: Micros) -> Vec<Number> {
-        let upto: Vec<_> = self.timers.range(..=(now, Number::MAX)).map(|(_, number)| *number).collect();
+        let upto: Vec<_> = self
+            .timers
+            .range(..=(now, Number::MAX))
+            .map(|(_, number)| *number)
+            .collect();
         upto
     }
 
     /// A try was not answered in its time. Whether all of it was written tells whether it may have run; one that was, and
     /// whose connection had only a shorter time, is waited for still.
     pub fn late(&mut self, now: Micros, number: Number, written: bool, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get(&number) else { return };
+        let Some(open) = self.open.get(&number) else {
+            return;
+        };
         let Some((_, since)) = open.at else { return };
         let last = open.due - SLACK;
         let read = open.times.read * 1_000;
@@ -511,7 +609,11 @@
     /// A caller's connection is gone: nobody waits for what was open on it.
     pub fn lose_origin(&mut self, now: Micros, connection: u64, orders: &mut Vec<Order>) {
         let range = (connection, 0, 0)..=(connection, u32::MAX, Number::MAX);
-        let lost: Vec<_> = self.origins.range(range).map(|(.., number)| *number).collect();
+        let lost: Vec<_> = self
+            .origins
+            .range(range)
+            .map(|(.., number)| *number)
+            .collect();
         for number in lost {
             if let Some(open) = self.open.get(&number) {
                 if let Some((target, _)) = open.at {
@@ -531,7 +633,11 @@
         let Origin { connection, stream } = open.arrival.origin;
         self.origins.remove(&(connection, stream, number));
         self.timers.remove(&(open.timer, number));
-        let left: Vec<_> = open.limits.iter().map(|(limit, key)| (limit, key.clone())).collect();
+        let left: Vec<_> = open
+            .limits
+            .iter()
+            .map(|(limit, key)| (limit, key.clone()))
+            .collect();
         self.limits.leave(&left);
         Some(open)
     }
@@ -555,8 +661,11 @@
     /// Open requests at all targets, as the pools count them; each has one try out at most.
     #[must_use]
     pub fn out(&self) -> usize {
-        let of =
-            |pool: &Pool| (0..pool.addresses.len()).map(|at| pool.balancer.open(at) as usize).sum::<usize>();
+        let of = |pool: &Pool| {
+            (0..pool.addresses.len())
+                .map(|at| pool.balancer.open(at) as usize)
+                .sum::<usize>()
+        };
         self.pools.values().map(of).sum()
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -100,7 +100,12 @@
     /// # Errors
     /// Where an address can't be had, or the routes can't be prepared.
     pub fn new(world: W, options: Options, reload: Reload) -> io::Result<Self> {
-        let classes: Vec<_> = options.settings.classes.iter().map(|class| class.name.clone()).collect();
+        let classes: Vec<_> = options
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
         let most = (options.sockets.saturating_sub(SPARE) / 2).max(1);
         let mut front = Front::new(world.clone(), classes.clone(), most);
         let mut listen = |address, speaks| {
@@ -115,15 +120,31 @@
         if let Some((addresses, settings, trusted)) = options.ajp {
             let (settings, trusted) = (Rc::new(settings), Rc::new(trusted));
             for address in addresses {
-                let address = listen(address, Speaks::Ajp(Rc::clone(&settings), Rc::clone(&trusted)))?;
+                let address = listen(
+                    address,
+                    Speaks::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
+                )?;
                 tracing::info!("{} speaks AJP on {address}", options.name);
             }
         }
         front.set_idle(30_000_000);
         let core = Core::new(&options.settings).map_err(io::Error::other)?;
-        let Options { speaks, names, addresses, connections, tls, .. } = options;
-        let mut upstream =
-            upstream::Upstream::new(world.clone(), speaks, names, classes, addresses, connections);
+        let Options {
+            speaks,
+            names,
+            addresses,
+            connections,
+            tls,
+            ..
+        } = options;
+        let mut upstream = upstream::Upstream::new(
+            world.clone(),
+            speaks,
+            names,
+            classes,
+            addresses,
+            connections,
+        );
         if let Some(links) = tls {
             upstream.set_tls(links);
         }
@@ -158,8 +179,11 @@
                     Order::Answer(to, answer) => self.front.answer(now, to, &answer),
                     Order::Abandon(number) => self.upstream.abandon(number, &mut self.replies),
                     Order::Send { number, to, uri } => {
-                        let Some(arrival) = self.core.request(number) else { continue };
-                        self.upstream.send(now, number, &to, &uri, arrival, &mut self.replies);
+                        let Some(arrival) = self.core.request(number) else {
+                            continue;
+                        };
+                        self.upstream
+                            .send(now, number, &to, &uri, arrival, &mut self.replies);
                     }
                 }
             }
@@ -217,7 +241,9 @@
         for fact in std::mem::take(&mut self.facts) {
             match fact {
                 Fact::Arrived(arrival) => self.core.arrive(now, arrival, &mut self.orders),
-                Fact::OriginLost(connection) => self.core.lose_origin(now, connection, &mut self.orders),
+                Fact::OriginLost(connection) => {
+                    self.core.lose_origin(now, connection, &mut self.orders)
+                }
                 _ => {}
             }
         }
@@ -243,19 +269,32 @@
             return 0;
         }
         let next = [self.core.due(), self.stop_at].into_iter().flatten();
-        next.chain([self.front.next(), self.sweep_at]).min().unwrap_or(0)
+        next.chain([self.front.next(), self.sweep_at])
+            .min()
+            .unwrap_or(0)
     }
 
     fn is_over(&self) -> bool {
         self.stop_at.is_some_and(|at| {
             let now = self.world.now();
             now >= at
-                || self.core.unanswered() == 0 && self.front.connections() == 0 && now + FAREWELL / 2 >= at
+                || self.core.unanswered() == 0
+                    && self.front.connections() == 0
+                    && now + FAREWELL / 2 >= at
         })
     }
 
     fn close(&mut self) {
-        let Counts { requests, first, again, served, refused, failed, returned, .. } = &self.core.counts;
+        let Counts {
+            requests,
+            first,
+            again,
+            served,
+            refused,
+            failed,
+            returned,
+            ..
+        } = &self.core.counts;
         tracing::info!(
             "{requests} requests: {served} served, {refused} turned away, {failed} failed, {returned} answered by routes; {first} first and {again} further tries"
         );
@@ -283,5 +322,7 @@
 /// # Errors
 /// When the event loop or an address can't be had.
 pub fn serve(options: Options, reload: Reload, hosted: Hosted) -> io::Result<()> {
-    serve_with(hosted, |world: Real| Ok(Box::new(Gateway::new(world, options, reload)?)))
+    serve_with(hosted, |world: Real| {
+        Ok(Box::new(Gateway::new(world, options, reload)?))
+    })
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -205,7 +205,9 @@
             Err(what) => return replies.push((number, Reply::Nothing(what))),
         };
         let (speaks_names, classes) = (&self.names, &self.classes);
-        let Some(at) = self.lines.get_mut(&line) else { return };
+        let Some(at) = self.lines.get_mut(&line) else {
+            return;
+        };
         let before = at.conn.output().len();
         let sent = match &mut at.kind {
             Kind::Frames { open, streams, .. } => {
@@ -229,7 +231,10 @@
         at.used = now;
         if !sent {
             // Its head does not fit into a packet.
-            let answer = Answer::Returned { status: 431, body: b"the head is too large".to_vec() };
+            let answer = Answer::Returned {
+                status: 431,
+                body: b"the head is too large".to_vec(),
+            };
             replies.push((number, Reply::Answered(answer)));
         }
         self.noted.push(line);
@@ -239,7 +244,10 @@
     fn line(&mut self, now: Micros, to: &Arc<str>) -> Result<u64, Try> {
         let free = |line: &Line<W>| match &line.kind {
             Kind::Frames { open, gone, .. } if !gone && open.len() < OPEN => Some(open.len()),
-            Kind::Ajp { asked: None, client } if client.is_idle() => Some(0),
+            Kind::Ajp {
+                asked: None,
+                client,
+            } if client.is_idle() => Some(0),
             _ => None,
         };
         let own = self.by_target.get(to).map_or(&[][..], |own| own);
@@ -248,21 +256,33 @@
                 .filter_map(|number| Some((number, self.lines.get(number)?)))
                 .filter(|(_, line)| !line.conn.ended)
         };
-        let best = here().filter_map(|(number, line)| Some((free(line)?, *number))).min();
+        let best = here()
+            .filter_map(|(number, line)| Some((free(line)?, *number)))
+            .min();
         let count = here().count();
         match best {
             Some((open, number)) if open == 0 || count >= self.most => return Ok(number),
-            None if count >= self.most => return Err(Try::Refused { later: 0, last: false }),
+            None if count >= self.most => {
+                return Err(Try::Refused {
+                    later: 0,
+                    last: false,
+                })
+            }
             _ => {}
         }
         let address = *self.addresses.get(to).ok_or(Try::Unsent)?;
         let number = self.next;
         self.next += 1;
         let kind = match &self.speaks {
-            Speaks::Frames => Kind::Frames { open: BTreeMap::new(), streams: 0, gone: false },
-            Speaks::Ajp(options) => {
-                Kind::Ajp { client: Box::new(Client::new(options.clone(), now)), asked: None }
-            }
+            Speaks::Frames => Kind::Frames {
+                open: BTreeMap::new(),
+                streams: 0,
+                gone: false,
+            },
+            Speaks::Ajp(options) => Kind::Ajp {
+                client: Box::new(Client::new(options.clone(), now)),
+                asked: None,
+            },
         };
         let secured = |mut conn: Conn<W>| -> std::io::Result<Conn<W>> {
             if let Some(links) = &self.tls {
@@ -274,7 +294,15 @@
         };
         match Conn::connect(&self.world, address, Party::Target(number)).and_then(secured) {
             Ok(conn) => {
-                let line = Line { conn, to: to.clone(), kind, up: false, pushed: 0, written: 0, used: now };
+                let line = Line {
+                    conn,
+                    to: to.clone(),
+                    kind,
+                    up: false,
+                    pushed: 0,
+                    written: 0,
+                    used: now,
+                };
                 self.lines.insert(number, line);
                 self.by_target.entry(to.clone()).or_default().push(number);
                 Ok(number)
@@ -291,19 +319,27 @@
     /// Whether a request may still reach its target, or has: what was put on a connection that stands can't be taken back.
     #[must_use]
     pub fn is_written(&self, number: Number) -> bool {
-        let Some((line, _)) = self.at.get(&number) else { return false };
+        let Some((line, _)) = self.at.get(&number) else {
+            return false;
+        };
         self.lines.get(line).is_some_and(|line| match &line.kind {
             Kind::Frames { .. } => line.up,
             // The connection ends with the request: what was not handed to the system never arrives.
-            Kind::Ajp { client, .. } => line.up && client.fate(line.conn.unsent()) == Fate::MayHaveRun,
+            Kind::Ajp { client, .. } => {
+                line.up && client.fate(line.conn.unsent()) == Fate::MayHaveRun
+            }
         })
     }
 
     /// Nobody waits for a request's reply any more. A connection that never stood goes with it: the request's bytes would
     /// be sent once it does, and run beside the next try. Others on it are among the replies.
     pub fn abandon(&mut self, number: Number, replies: &mut Vec<(Number, Reply)>) {
-        let Some((at, stream)) = self.at.remove(&number) else { return };
-        let Some(line) = self.lines.get_mut(&at) else { return };
+        let Some((at, stream)) = self.at.remove(&number) else {
+            return;
+        };
+        let Some(line) = self.lines.get_mut(&at) else {
+            return;
+        };
         match &mut line.kind {
             Kind::Frames { open, .. } if line.up => {
                 if let Some(open) = open.get_mut(&stream) {
@@ -330,7 +366,9 @@
         noted.sort_unstable();
         noted.dedup();
         for number in noted {
-            let Some(line) = self.lines.get_mut(&number) else { continue };
+            let Some(line) = self.lines.get_mut(&number) else {
+                continue;
+            };
             let mut told = Vec::new();
             let stands = match line.serve(now, &mut told) {
                 Ok(more) => {
@@ -363,7 +401,9 @@
 
     /// A connection is over: what was open on it came to nothing.
     fn close(&mut self, number: u64, replies: &mut Vec<(Number, Reply)>) {
-        let Some(line) = self.remove(number) else { return };
+        let Some(line) = self.remove(number) else {
+            return;
+        };
         match line.kind {
             Kind::Frames { open, .. } => {
                 for (_, (asked, end)) in open {
@@ -372,13 +412,22 @@
                     // Also after a goodbye: a target that is killed then ends its connections as one that has answered
                     // all does.
                     let unread = line.written < end;
-                    replies.push((asked, Reply::Nothing(if unread { Try::Unsent } else { Try::Lost })));
+                    replies.push((
+                        asked,
+                        Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
+                    ));
                 }
             }
-            Kind::Ajp { client, asked: Some(asked) } => {
+            Kind::Ajp {
+                client,
+                asked: Some(asked),
+            } => {
                 self.at.remove(&asked);
                 let unread = !line.up || client.fate(line.conn.unsent()) == Fate::NeverRan;
-                replies.push((asked, Reply::Nothing(if unread { Try::Unsent } else { Try::Lost })));
+                replies.push((
+                    asked,
+                    Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
+                ));
             }
             Kind::Ajp { .. } => {}
         }
@@ -396,7 +445,10 @@
             Kind::Frames { open, .. } => open.is_empty(),
             Kind::Ajp { asked, .. } => asked.is_none(),
         };
-        let idle = self.lines.iter().filter(|(_, line)| is_idle(line) && now >= line.used + IDLE);
+        let idle = self
+            .lines
+            .iter()
+            .filter(|(_, line)| is_idle(line) && now >= line.used + IDLE);
         let idle: Vec<u64> = idle.map(|(number, _)| *number).collect();
         for number in idle {
             self.remove(number);
@@ -447,7 +499,11 @@
             Kind::Frames { open, gone, .. } => loop {
                 match codec::parse(&input[used..]) {
                     Parsed::Short => return Ok(used),
-                    Parsed::Frame { kind, stream, payload } => {
+                    Parsed::Frame {
+                        kind,
+                        stream,
+                        payload,
+                    } => {
                         let bytes = &input[used..][payload.clone()];
                         used += payload.end;
                         self.used = now;
@@ -455,11 +511,14 @@
                             codec::GOODBYE => *gone = true,
                             codec::ANSWER => {
                                 let Some((asked, _)) = open.remove(&stream) else {
-                                    return Err(format!("an answer on stream {stream}, which is not open"));
+                                    return Err(format!(
+                                        "an answer on stream {stream}, which is not open"
+                                    ));
                                 };
                                 let (reply, advice) = read_answer(bytes)?;
                                 if let Some(asked) = asked {
-                                    replies.extend(advice.map(|most| (asked, Reply::Advised(most))));
+                                    replies
+                                        .extend(advice.map(|most| (asked, Reply::Advised(most))));
                                     replies.push((asked, reply));
                                 }
                             }
@@ -473,13 +532,21 @@
             },
             Kind::Ajp { client, asked } => {
                 let before = self.conn.output().len();
-                let used = client.receive(now, input, self.conn.output()).map_err(|e| e.to_string())?;
+                let used = client
+                    .receive(now, input, self.conn.output())
+                    .map_err(|e| e.to_string())?;
                 self.pushed += (self.conn.output().len() - before) as u64;
                 if let Some(response) = client.take() {
                     self.used = now;
-                    let number = |name: &str| response.header(name).and_then(|text| text.parse::<f64>().ok());
+                    let number = |name: &str| {
+                        response
+                            .header(name)
+                            .and_then(|text| text.parse::<f64>().ok())
+                    };
                     if let Some(asked) = asked.take() {
-                        replies.extend(number(FEEDBACK).map(|most| (asked, Reply::Advised(most as u32))));
+                        replies.extend(
+                            number(FEEDBACK).map(|most| (asked, Reply::Advised(most as u32))),
+                        );
                         let later = number(RETRY_AFTER_MS).unwrap_or(0.0) as Micros * 1_000;
                         let last = response.header(NO_RETRY) == Some("1");
                         let never = response.not_run();
@@ -488,9 +555,10 @@
                             match response.status {
                                 200 => Reply::Answered(Answer::Served(response.body)),
                                 503 | 429 if never => Reply::Nothing(Try::Refused { later, last }),
-                                status if never => {
-                                    Reply::Answered(Answer::Returned { status, body: response.body })
-                                }
+                                status if never => Reply::Answered(Answer::Returned {
+                                    status,
+                                    body: response.body,
+                                }),
                                 _ => Reply::Nothing(Try::Failed),
                             },
                         ));
@@ -518,17 +586,32 @@
     let broken = || "an answer that can't be read".to_owned();
     let (code, rest) = payload.split_first().ok_or_else(broken)?;
     let (fields, body) = codec::fields(rest).ok_or_else(broken)?;
-    let find = |name: &str| fields.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
-    let advice = find("feedback").and_then(|value| value.parse::<f64>().ok()).map(|most| most as u32);
+    let find = |name: &str| {
+        fields
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, value)| *value)
+    };
+    let advice = find("feedback")
+        .and_then(|value| value.parse::<f64>().ok())
+        .map(|most| most as u32);
     let reply = match code {
         0 => Reply::Answered(Answer::Served(body.to_vec())),
         1 => {
-            let later = find("later").and_then(|ms| ms.parse::<Micros>().ok()).unwrap_or(0);
+            let later = find("later")
+                .and_then(|ms| ms.parse::<Micros>().ok())
+                .unwrap_or(0);
             let last = find("giveup") == Some("1");
-            Reply::Nothing(Try::Refused { later: later.saturating_mul(1_000), last })
+            Reply::Nothing(Try::Refused {
+                later: later.saturating_mul(1_000),
+                last,
+            })
         }
         // With words it is the request that is at fault.
-        2 if !body.is_empty() => Reply::Answered(Answer::Returned { status: 400, body: body.to_vec() }),
+        2 if !body.is_empty() => Reply::Answered(Answer::Returned {
+            status: 400,
+            body: body.to_vec(),
+        }),
         2 => Reply::Nothing(Try::Failed),
         _ => return Err(broken()),
     };
--- a/crates/gateway/src/upstream/asking.rs
+++ b/crates/gateway/src/upstream/asking.rs
@@ -26,10 +26,16 @@
         ("ram", format!("{:.1}", arrival.memory_kb)),
         ("standing", format!("{:.4}", arrival.rank.min(0.999_9))),
     ];
-    let subject = arrival.head.as_ref().and_then(|head| header(head, &names.subject));
-    fields.extend(
-        subject.map(|subject| ("item", format!("{:016x}", xxhash_rust::xxh3::xxh3_64(subject.as_bytes())))),
-    );
+    let subject = arrival
+        .head
+        .as_ref()
+        .and_then(|head| header(head, &names.subject));
+    fields.extend(subject.map(|subject| {
+        (
+            "item",
+            format!("{:016x}", xxhash_rust::xxh3::xxh3_64(subject.as_bytes())),
+        )
+    }));
     let mut payload = Vec::new();
     codec::push_fields(&mut payload, &fields);
     payload.extend_from_slice(&arrival.body);
@@ -37,7 +43,10 @@
 }
 
 fn header<'a>(head: &'a Head, name: &str) -> Option<&'a str> {
-    head.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+    head.headers
+        .iter()
+        .find(|(known, _)| known.eq_ignore_ascii_case(name))
+        .map(|(_, value)| value.as_str())
 }
 
 /// False where the head does not fit into a packet.
@@ -53,9 +62,18 @@
     let head = arrival.head.as_deref().unwrap_or(&empty);
     let figures = [
         (names.id.as_str(), format!("{:016x}", arrival.id)),
-        (names.work_ms.as_str(), format!("{:.2}", arrival.work as f64 / 1_000.0)),
-        (names.memory_kb.as_str(), format!("{:.1}", arrival.memory_kb)),
-        (names.rank.as_str(), format!("{:.4}", arrival.rank.min(0.999_9))),
+        (
+            names.work_ms.as_str(),
+            format!("{:.2}", arrival.work as f64 / 1_000.0),
+        ),
+        (
+            names.memory_kb.as_str(),
+            format!("{:.1}", arrival.memory_kb),
+        ),
+        (
+            names.rank.as_str(),
+            format!("{:.4}", arrival.rank.min(0.999_9)),
+        ),
         (names.caller.as_str(), arrival.caller.to_string()),
     ];
     let mut headers: Vec<(&str, &str)> = Vec::new();
@@ -66,7 +84,9 @@
     } else {
         // The length is told anew, and a body is never sent in chunks.
         let told = |name: &str| {
-            ["content-length", "transfer-encoding"].iter().any(|known| name.eq_ignore_ascii_case(known))
+            ["content-length", "transfer-encoding"]
+                .iter()
+                .any(|known| name.eq_ignore_ascii_case(known))
         };
         let own = head.headers.iter().filter(|(name, _)| !told(name));
         headers.extend(own.map(|(name, value)| (name.as_str(), value.as_str())));
@@ -75,6 +95,21 @@
             headers.push((names.id.as_str(), &figures[0].1));
         }
     }
-    let method = if head.method.is_empty() { "POST" } else { &head.method };
-    client.request(now, &Request { method, uri, headers: &headers, body: &arrival.body }, out).is_ok()
+    let method = if head.method.is_empty() {
+        "POST"
+    } else {
+        &head.method
+    };
+    client
+        .request(
+            now,
+            &Request {
+                method,
+                uri,
+                headers: &headers,
+                body: &arrival.body,
+            },
+            out,
+        )
+        .is_ok()
 }
