--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -28,12 +28,25 @@
     ///
     /// # Errors
     /// The store's.
-    pub fn open(files: F, options: Options, now: Micros) -> Result<(Self, Recovered, Found), Error> {
+    pub fn open(
+        files: F,
+        options: Options,
+        now: Micros,
+    ) -> Result<(Self, Recovered, Found), Error> {
         let seed = options.seed;
         let (store, found) = Store::open(files, options)?;
         let recovered = read(&store, now, seed)?;
         let fences = recovered.fences.clone();
-        Ok((Self { store, fences, written: 0, durable: 0 }, recovered, found))
+        Ok((
+            Self {
+                store,
+                fences,
+                written: 0,
+                durable: 0,
+            },
+            recovered,
+            found,
+        ))
     }
 
     /// Writes what a history decided; all else is the caller's.
@@ -42,7 +55,12 @@
     /// The store's: then nothing of it counts as written.
     pub fn write(&mut self, effect: &Effect) -> Result<(), Error> {
         match effect {
-            Effect::Write { ticket, key, record, expiry } => {
+            Effect::Write {
+                ticket,
+                key,
+                record,
+                expiry,
+            } => {
                 self.store.write(Batch::default().put(
                     key.bytes(),
                     &value(*expiry, record),
@@ -85,7 +103,9 @@
     /// # Errors
     /// Where it is damaged or can't be read.
     pub fn recall(&self, now: Micros, key: &ScopedKey) -> Result<Option<Outcome>, Error> {
-        let Some(bytes) = self.store.get(now, key.bytes())? else { return Ok(None) };
+        let Some(bytes) = self.store.get(now, key.bytes())? else {
+            return Ok(None);
+        };
         Ok(match bytes.get(8..).and_then(Record::decode) {
             Some(Record::Finished { outcome, .. }) => Some(outcome),
             _ => None,
@@ -104,7 +124,9 @@
             let key = [FENCE, &(number as u32).to_be_bytes()].concat();
             match fences.all().get(number) {
                 // What was read from JSON can be written as such.
-                Some(fence) => batch.push_put(&key, &serde_json::to_vec(fence).unwrap_or_default(), None),
+                Some(fence) => {
+                    batch.push_put(&key, &serde_json::to_vec(fence).unwrap_or_default(), None)
+                }
                 None => batch.push_delete(&key),
             }
         }
@@ -174,7 +196,9 @@
     store.by_age(now, |_, key, value| {
         let expiry = value.first_chunk().map(|bytes| u64::from_be_bytes(*bytes));
         let record = value.get(8..).and_then(Record::decode);
-        if let (Some(key), Some(record), Some(expiry)) = (ScopedKey::from_bytes(key), record, expiry) {
+        if let (Some(key), Some(record), Some(expiry)) =
+            (ScopedKey::from_bytes(key), record, expiry)
+        {
             each(key, record, expiry);
         }
         true
@@ -187,10 +211,14 @@
 /// The store's.
 pub fn read<F: Files>(store: &Store<F>, now: Micros, seed: u64) -> Result<Recovered, Error> {
     let mut recovered = Recovered::new(seed);
-    each(store, now, |key, record, expiry| recovered.add(key, &record, expiry))?;
+    each(store, now, |key, record, expiry| {
+        recovered.add(key, &record, expiry)
+    })?;
     for number in 0..u32::MAX {
         let key = [FENCE, &number.to_be_bytes()].concat();
-        let Some(text) = store.get(now, &key)? else { break };
+        let Some(text) = store.get(now, &key)? else {
+            break;
+        };
         if let Ok(fence) = serde_json::from_slice(&text) {
             // Those that stand together were set together.
             let _ = recovered.fences.set(fence);
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -32,7 +32,10 @@
     /// Its class.
     #[must_use]
     pub fn class(&self) -> u16 {
-        self.0.get(8..).and_then(|rest| rest.first_chunk()).map_or(0, |bytes| u16::from_be_bytes(*bytes))
+        self.0
+            .get(8..)
+            .and_then(|rest| rest.first_chunk())
+            .map_or(0, |bytes| u16::from_be_bytes(*bytes))
     }
 
     /// The key as its caller told it.
@@ -44,13 +47,21 @@
     /// Whose it is.
     #[must_use]
     pub fn owner(&self) -> u64 {
-        self.0.first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes))
+        self.0
+            .first_chunk()
+            .map_or(0, |bytes| u64::from_be_bytes(*bytes))
     }
 }
 
 impl fmt::Debug for ScopedKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}", self.owner(), self.class(), self.told().escape_ascii())
+        write!(
+            f,
+            "{}:{}:{}",
+            self.owner(),
+            self.class(),
+            self.told().escape_ascii()
+        )
     }
 }
 
@@ -95,8 +106,14 @@
     pub fn encode(&self) -> Vec<u8> {
         let (kind, digest, body): (u8, u128, &[u8]) = match self {
             Self::Intent { digest } => (1, *digest, &[]),
-            Self::Finished { digest, outcome: Outcome::Served(result) } => (2, *digest, result),
-            Self::Finished { digest, outcome: Outcome::Failed } => (3, *digest, &[]),
+            Self::Finished {
+                digest,
+                outcome: Outcome::Served(result),
+            } => (2, *digest, result),
+            Self::Finished {
+                digest,
+                outcome: Outcome::Failed,
+            } => (3, *digest, &[]),
         };
         let mut bytes = Vec::with_capacity(17 + body.len());
         bytes.push(kind);
@@ -113,8 +130,14 @@
         let digest = u128::from_be_bytes(*digest);
         Some(match (kind, body) {
             (1, []) => Self::Intent { digest },
-            (2, result) => Self::Finished { digest, outcome: Outcome::Served(result.to_vec()) },
-            (3, []) => Self::Finished { digest, outcome: Outcome::Failed },
+            (2, result) => Self::Finished {
+                digest,
+                outcome: Outcome::Served(result.to_vec()),
+            },
+            (3, []) => Self::Finished {
+                digest,
+                outcome: Outcome::Failed,
+            },
             _ => return None,
         })
     }
@@ -136,9 +159,18 @@
     fn records_and_keys_are_read_as_they_were_written() {
         for record in [
             Record::Intent { digest: 7 },
-            Record::Finished { digest: u128::MAX, outcome: Outcome::Served(vec![0, 255]) },
-            Record::Finished { digest: 0, outcome: Outcome::Served(Vec::new()) },
-            Record::Finished { digest: 1, outcome: Outcome::Failed },
+            Record::Finished {
+                digest: u128::MAX,
+                outcome: Outcome::Served(vec![0, 255]),
+            },
+            Record::Finished {
+                digest: 0,
+                outcome: Outcome::Served(Vec::new()),
+            },
+            Record::Finished {
+                digest: 1,
+                outcome: Outcome::Failed,
+            },
         ] {
             let bytes = record.encode();
             assert_eq!(Record::decode(&bytes), Some(record));
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -76,7 +76,11 @@
     epoch: u64,
     out: &mut impl Write,
 ) -> Result<usize, Error> {
-    journal.fence(Fence { range: range.clone(), epoch, here: false })?;
+    journal.fence(Fence {
+        range: range.clone(),
+        epoch,
+        here: false,
+    })?;
     copy(journal, now, range, epoch, out)
 }
 
@@ -99,15 +103,24 @@
         writeln!(out, "{text}")
     };
     let json = |value: serde_json::Result<String>| value.map_err(std::io::Error::other);
-    let head = Head { format: FORMAT.to_owned(), range: range.clone(), epoch };
+    let head = Head {
+        format: FORMAT.to_owned(),
+        range: range.clone(),
+        epoch,
+    };
     put(out, Some(&mut sum), json(serde_json::to_string(&head))?)?;
     let (mut entries, mut failed) = (0, None);
     journal::each(journal.store(), now, |key, record, expiry| {
         if !range.contains(&key) || failed.is_some() {
             return;
         }
-        let line = Line { key: to_hex(key.bytes()), expiry, record: to_hex(&record.encode()) };
-        let written = json(serde_json::to_string(&line)).and_then(|text| put(out, Some(&mut sum), text));
+        let line = Line {
+            key: to_hex(key.bytes()),
+            expiry,
+            record: to_hex(&record.encode()),
+        };
+        let written =
+            json(serde_json::to_string(&line)).and_then(|text| put(out, Some(&mut sum), text));
         match written {
             Ok(()) => entries += 1,
             Err(e) => failed = Some(e),
@@ -116,7 +129,10 @@
     if let Some(e) = failed {
         return Err(e.into());
     }
-    let foot = Foot { entries, checksum: format!("{:016x}", sum.digest()) };
+    let foot = Foot {
+        entries,
+        checksum: format!("{:016x}", sum.digest()),
+    };
     put(out, None, json(serde_json::to_string(&foot))?)?;
     out.flush()?;
     Ok(entries)
@@ -134,7 +150,11 @@
     input: &mut impl BufRead,
 ) -> Result<usize, Error> {
     let (head, entries) = read(input)?;
-    let fence = Fence { range: head.range, epoch: head.epoch, here: true };
+    let fence = Fence {
+        range: head.range,
+        epoch: head.epoch,
+        here: true,
+    };
     journal.fences().clone().set(fence.clone())?;
     let mut taken = 0;
     for some in entries.chunks(BATCH) {
@@ -153,7 +173,10 @@
 type Entries = Vec<(ScopedKey, Micros, Record)>;
 
 fn read(input: &mut impl BufRead) -> Result<(Head, Entries), Error> {
-    let wrong = |line: usize, what: &str| Error::Form { line, what: what.to_owned() };
+    let wrong = |line: usize, what: &str| Error::Form {
+        line,
+        what: what.to_owned(),
+    };
     let mut lines = Vec::new();
     for (number, line) in input.lines().enumerate() {
         let line = line.map_err(|e| match e.kind() {
@@ -162,22 +185,33 @@
         })?;
         lines.push(line);
     }
-    let [first, entries @ .., last] = &lines[..] else { return Err(wrong(1, "no head and foot")) };
+    let [first, entries @ .., last] = &lines[..] else {
+        return Err(wrong(1, "no head and foot"));
+    };
     let head: Head = serde_json::from_str(first).map_err(|e| wrong(1, &format!("no head: {e}")))?;
     if head.format != FORMAT {
-        return Err(wrong(1, &format!("the format is {:?} and not {FORMAT:?}", head.format)));
+        return Err(wrong(
+            1,
+            &format!("the format is {:?} and not {FORMAT:?}", head.format),
+        ));
     }
     let number = lines.len();
-    let foot: Foot =
-        serde_json::from_str(last).map_err(|e| wrong(number, &format!("no foot, the file is cut: {e}")))?;
+    let foot: Foot = serde_json::from_str(last)
+        .map_err(|e| wrong(number, &format!("no foot, the file is cut: {e}")))?;
     let mut sum = Xxh3::new();
-    lines[..number - 1].iter().for_each(|line| sum.update(line.as_bytes()));
+    lines[..number - 1]
+        .iter()
+        .for_each(|line| sum.update(line.as_bytes()));
     if foot.entries != entries.len() || foot.checksum != format!("{:016x}", sum.digest()) {
-        return Err(wrong(number, "number or checksum don't fit: the file is damaged"));
+        return Err(wrong(
+            number,
+            "number or checksum don't fit: the file is damaged",
+        ));
     }
     let mut read = Vec::with_capacity(entries.len());
     for (place, text) in entries.iter().enumerate() {
-        let line: Line = serde_json::from_str(text).map_err(|e| wrong(place + 2, &e.to_string()))?;
+        let line: Line =
+            serde_json::from_str(text).map_err(|e| wrong(place + 2, &e.to_string()))?;
         let key = from_hex(&line.key).and_then(|bytes| ScopedKey::from_bytes(&bytes));
         let key = key.filter(|key| head.range.contains(key));
         let record = from_hex(&line.record).and_then(|bytes| Record::decode(&bytes));
--- a/crates/log-store/src/choose.rs
+++ b/crates/log-store/src/choose.rs
@@ -36,16 +36,21 @@
     let dead = |segment: &Sealed| {
         // Deletes are dead where nothing older is left that they could hide; else a rewrite would keep them, and
         // choosing the segment for them would never end.
-        let hides = all.iter().any(|other| other.slot != segment.slot && other.min_seq < segment.max_seq);
+        let hides = all
+            .iter()
+            .any(|other| other.slot != segment.slot && other.min_seq < segment.max_seq);
         let kept = segment.live + if hides { segment.deletes } else { 0 };
         segment.size.saturating_sub(kept + OVERHEAD)
     };
     let sealed = || all.iter().filter(|segment| segment.sealed);
-    let mut candidates: Vec<&Sealed> =
-        sealed().filter(|segment| dead(segment) * 100 > segment.size * DEAD_SHARE).collect();
+    let mut candidates: Vec<&Sealed> = sealed()
+        .filter(|segment| dead(segment) * 100 > segment.size * DEAD_SHARE)
+        .collect();
     candidates.sort_by_key(|segment| (std::cmp::Reverse(dead(segment)), segment.slot));
     if candidates.is_empty() {
-        candidates = sealed().filter(|segment| segment.size * 4 < segment_bytes).collect();
+        candidates = sealed()
+            .filter(|segment| segment.size * 4 < segment_bytes)
+            .collect();
         if candidates.len() < SMALL {
             return Vec::new();
         }
@@ -85,7 +90,15 @@
     use super::*;
 
     fn sealed(slot: u16, size: u64, live: u64, deletes: u64, min_seq: u64) -> Sealed {
-        Sealed { slot, size, live, deletes, min_seq, max_seq: min_seq + 9, sealed: true }
+        Sealed {
+            slot,
+            size,
+            live,
+            deletes,
+            min_seq,
+            max_seq: min_seq + 9,
+            sealed: true,
+        }
     }
 
     #[test]
@@ -99,23 +112,37 @@
         assert_eq!(victims(&all, 10_000), [1, 3]);
         assert_eq!(victims(&all, 50_000), [1, 3, 2]);
         assert!(victims(&all[..1], 10_000).is_empty());
-        let active = [Sealed { sealed: false, ..all[1] }];
+        let active = [Sealed {
+            sealed: false,
+            ..all[1]
+        }];
         assert!(victims(&active, 10_000).is_empty());
     }
 
     #[test]
     fn deletes_count_as_dead_only_where_nothing_older_is_left() {
-        let all = [sealed(0, 10_000, 6_000, 3_700, 10), sealed(1, 10_000, 6_000, 3_700, 20)];
+        let all = [
+            sealed(0, 10_000, 6_000, 3_700, 10),
+            sealed(1, 10_000, 6_000, 3_700, 20),
+        ];
         assert_eq!(victims(&all, 40_000), [0]);
         // One that reaches into the other's numbers may hide something there.
-        let reaching = [Sealed { max_seq: 25, ..all[0] }, all[1]];
+        let reaching = [
+            Sealed {
+                max_seq: 25,
+                ..all[0]
+            },
+            all[1],
+        ];
         assert!(victims(&reaching, 40_000).is_empty());
         assert!(may_hide(5, [9, 4]) && !may_hide(5, [5, 9]) && !may_hide(5, []));
     }
 
     #[test]
     fn small_segments_are_put_together_once_there_are_some_and_none_for_its_head_alone() {
-        let small: Vec<_> = (0..4).map(|n| sealed(n, 300, 100, 0, 10 * u64::from(n))).collect();
+        let small: Vec<_> = (0..4)
+            .map(|n| sealed(n, 300, 100, 0, 10 * u64::from(n)))
+            .collect();
         assert!(victims(&small[..3], 4_000).is_empty());
         assert_eq!(victims(&small, 4_000), [0, 1, 2, 3]);
     }
--- a/crates/log-store/src/compact.rs
+++ b/crates/log-store/src/compact.rs
@@ -8,7 +8,8 @@
 use crate::error::Error;
 use crate::files::{Files, Handle};
 use crate::format::{
-    hint_name, push_record, segment_name, unfinished_name, Kind, RecordHead, SegmentHead, SEGMENT_HEAD,
+    hint_name, push_record, segment_name, unfinished_name, Kind, RecordHead, SegmentHead,
+    SEGMENT_HEAD,
 };
 use crate::hint::{trailer, Writer};
 use crate::index::Place;
@@ -57,30 +58,58 @@
         named: bool,
     },
     /// Writes a segment's hint.
-    Hint { slot: u16, reader: Reader, writer: Writer, output: Output },
+    Hint {
+        slot: u16,
+        reader: Reader,
+        writer: Writer,
+        output: Output,
+    },
     /// Drops a segment with all that lives in it.
     Evict { slot: u16, reader: Reader },
 }
 
 impl Job {
     pub(crate) fn evict(slot: u16) -> Self {
-        Self::Evict { slot, reader: Reader::new(SEGMENT_HEAD as u64) }
+        Self::Evict {
+            slot,
+            reader: Reader::new(SEGMENT_HEAD as u64),
+        }
     }
 
     pub(crate) fn hint<F: Files>(store: &mut Store<F>, slot: u16) -> Result<Self, Error> {
         let id = store.segment(slot).map_or(0, |segment| segment.head.id);
         let name = format!("{}.tmp", hint_name(id));
-        let file = store.files.create(&name).map_err(Error::io(&name, "create"))?;
-        let output = Output { file, name, size: 0, synced: 0 };
-        Ok(Self::Hint { slot, reader: Reader::new(SEGMENT_HEAD as u64), writer: Writer::default(), output })
+        let file = store
+            .files
+            .create(&name)
+            .map_err(Error::io(&name, "create"))?;
+        let output = Output {
+            file,
+            name,
+            size: 0,
+            synced: 0,
+        };
+        Ok(Self::Hint {
+            slot,
+            reader: Reader::new(SEGMENT_HEAD as u64),
+            writer: Writer::default(),
+            output,
+        })
     }
 
     pub(crate) fn compact<F: Files>(store: &mut Store<F>, slots: Vec<u16>) -> Result<Self, Error> {
         let id = store.next_id;
         store.next_id += 1;
         let name = unfinished_name(id);
-        let head = SegmentHead { id, salt: store.new_salt(id), compacted: true };
-        let ids = slots.iter().filter_map(|slot| store.segment(*slot)).map(|segment| segment.head.id);
+        let head = SegmentHead {
+            id,
+            salt: store.new_salt(id),
+            compacted: true,
+        };
+        let ids = slots
+            .iter()
+            .filter_map(|slot| store.segment(*slot))
+            .map(|segment| segment.head.id);
         let replaces: Vec<u8> = ids.flat_map(u64::to_le_bytes).collect();
         let mut bytes = head.encode().to_vec();
         let record = RecordHead {
@@ -95,11 +124,22 @@
             seq: 0,
             sum: 0,
         };
-        push_record(&mut bytes, head.salt, SEGMENT_HEAD as u64, &record, &[], &replaces);
-        let file = store.files.create(&name).map_err(Error::io(&name, "create"))?;
+        push_record(
+            &mut bytes,
+            head.salt,
+            SEGMENT_HEAD as u64,
+            &record,
+            &[],
+            &replaces,
+        );
+        let file = store
+            .files
+            .create(&name)
+            .map_err(Error::io(&name, "create"))?;
         let size = bytes.len() as u64;
         let begun = store.append_bytes(file, &name, 0, &bytes);
-        let begun = begun.and_then(|()| store.add_segment(Segment::new(head, file, name.clone(), size)));
+        let begun =
+            begun.and_then(|()| store.add_segment(Segment::new(head, file, name.clone(), size)));
         let slot = match begun {
             Ok(slot) => slot,
             Err(e) => {
@@ -108,8 +148,17 @@
                 return Err(e);
             }
         };
-        let victim = |slot| Victim { slot, reader: Reader::new(SEGMENT_HEAD as u64), next: None };
-        let output = Output { file, name, size, synced: 0 };
+        let victim = |slot| Victim {
+            slot,
+            reader: Reader::new(SEGMENT_HEAD as u64),
+            next: None,
+        };
+        let output = Output {
+            file,
+            name,
+            size,
+            synced: 0,
+        };
         Ok(Self::Compact {
             victims: slots.into_iter().map(victim).collect(),
             slot,
@@ -128,8 +177,19 @@
         budget: usize,
     ) -> Result<Option<Self>, Error> {
         let over = match &mut self {
-            Self::Compact { victims, named: true, .. } => drop_victims(store, victims),
-            Self::Compact { victims, slot, output, moved, needs, named } => {
+            Self::Compact {
+                victims,
+                named: true,
+                ..
+            } => drop_victims(store, victims),
+            Self::Compact {
+                victims,
+                slot,
+                output,
+                moved,
+                needs,
+                named,
+            } => {
                 let copied = compact_step(store, victims, *slot, output, moved, now, budget);
                 copied.and_then(|over| {
                     if over {
@@ -144,9 +204,12 @@
                     Ok(false)
                 })
             }
-            Self::Hint { slot, reader, writer, output } => {
-                hint_step(store, *slot, reader, writer, output, budget)
-            }
+            Self::Hint {
+                slot,
+                reader,
+                writer,
+                output,
+            } => hint_step(store, *slot, reader, writer, output, budget),
             Self::Evict { slot, reader } => evict_step(store, *slot, reader, budget),
         };
         match over {
@@ -162,12 +225,23 @@
     /// Takes back what a job that did not end has done.
     pub(crate) fn abort<F: Files>(self, store: &mut Store<F>) {
         match self {
-            Self::Compact { slot, output, moved, .. } => {
+            Self::Compact {
+                slot,
+                output,
+                moved,
+                ..
+            } => {
                 // Named already: the folder's fate is unknown, and the copies are whole. They stay.
                 if store.segment(slot).is_none_or(|segment| segment.sealed) {
                     return;
                 }
-                for Moved { print, from, to, size } in moved {
+                for Moved {
+                    print,
+                    from,
+                    to,
+                    size,
+                } in moved
+                {
                     if store.index.replace(print, to, from) {
                         if let Some(segment) = store.segment_mut(from.segment) {
                             segment.live += size as u64;
@@ -191,8 +265,14 @@
 
 /// The lowest sequence numbers of all segments but those that go.
 fn staying<F: Files>(store: &Store<F>, goes: impl Fn(u16) -> bool) -> Vec<u64> {
-    let segments = store.segments.iter().enumerate().filter(|(slot, _)| !goes(*slot as u16));
-    segments.filter_map(|(_, segment)| segment.as_ref().map(|segment| segment.min_seq)).collect()
+    let segments = store
+        .segments
+        .iter()
+        .enumerate()
+        .filter(|(slot, _)| !goes(*slot as u16));
+    segments
+        .filter_map(|(_, segment)| segment.as_ref().map(|segment| segment.min_seq))
+        .collect()
 }
 
 /// Appends to an output; syncs it where enough has come together. True where it synced: that is work enough for a step.
@@ -204,7 +284,10 @@
 
 fn sync<F: Files>(store: &mut Store<F>, output: &mut Output) -> Result<(), Error> {
     store.stats.syncs += 1;
-    store.files.sync(output.file).map_err(Error::io(&output.name, "sync"))?;
+    store
+        .files
+        .sync(output.file)
+        .map_err(Error::io(&output.name, "sync"))?;
     output.synced = output.size;
     Ok(())
 }
@@ -222,7 +305,9 @@
         sync(store, output)?;
         return Ok(false);
     }
-    let staying = staying(store, |other| other == slot || victims.iter().any(|victim| victim.slot == other));
+    let staying = staying(store, |other| {
+        other == slot || victims.iter().any(|victim| victim.slot == other)
+    });
     let salt = store.segment(slot).map_or(0, |segment| segment.head.salt);
     let mut bytes = Vec::new();
     let mut copies = Vec::new();
@@ -234,11 +319,14 @@
             peek(store, victim)?;
         }
         let next = victims.iter_mut().filter(|victim| victim.next.is_some());
-        let Some(victim) = next.min_by_key(|victim| victim.next.map_or(u64::MAX, |head| head.seq)) else {
+        let Some(victim) = next.min_by_key(|victim| victim.next.map_or(u64::MAX, |head| head.seq))
+        else {
             over = true;
             break;
         };
-        let Some(head) = victim.next.take() else { break };
+        let Some(head) = victim.next.take() else {
+            break;
+        };
         let size = head.size();
         read += size;
         let from = Place::new(victim.slot, victim.reader.offset as u32, size);
@@ -247,17 +335,36 @@
         let print = print_of(key);
         let live = head.kind == Kind::Put && store.index.contains(print, from);
         let expired = live && head.expired(now);
-        let hides = (head.kind == Kind::Delete || expired) && may_hide(head.seq, staying.iter().copied());
+        let hides =
+            (head.kind == Kind::Delete || expired) && may_hide(head.seq, staying.iter().copied());
         let offset = output.size + bytes.len() as u64;
         // Each counts by itself from here on: its batch was whole, or it would not be here.
-        let copy = RecordHead { first: true, last: true, synced: false, ..head };
+        let copy = RecordHead {
+            first: true,
+            last: true,
+            synced: false,
+            ..head
+        };
         if live && !expired {
             push_record(&mut bytes, salt, offset, &copy, key, value);
-            copies.push((head.seq, Moved { print, from, to: Place::new(slot, offset as u32, size), size }));
+            copies.push((
+                head.seq,
+                Moved {
+                    print,
+                    from,
+                    to: Place::new(slot, offset as u32, size),
+                    size,
+                },
+            ));
         } else if hides {
             // An older value in another segment must stay hidden.
-            let delete =
-                RecordHead { kind: Kind::Delete, value_len: 0, compressed: false, expiry: 0, ..copy };
+            let delete = RecordHead {
+                kind: Kind::Delete,
+                value_len: 0,
+                compressed: false,
+                expiry: 0,
+                ..copy
+            };
             push_record(&mut bytes, salt, offset, &delete, key, &[]);
             deletes += delete.size() as u64;
             if let Some(segment) = store.segment_mut(slot) {
@@ -281,7 +388,11 @@
             for (at, add) in [(copy.from.segment, false), (copy.to.segment, true)] {
                 if let Some(segment) = store.segment_mut(at) {
                     let size = copy.size as u64;
-                    segment.live = if add { segment.live + size } else { segment.live.saturating_sub(size) };
+                    segment.live = if add {
+                        segment.live + size
+                    } else {
+                        segment.live.saturating_sub(size)
+                    };
                 }
             }
             moved.push(copy);
@@ -299,7 +410,9 @@
 
 fn peek<F: Files>(store: &mut Store<F>, victim: &mut Victim) -> Result<(), Error> {
     while victim.next.is_none() {
-        let Some(segment) = store.segment(victim.slot) else { return Ok(()) };
+        let Some(segment) = store.segment(victim.slot) else {
+            return Ok(());
+        };
         match victim.reader.next(store, segment)? {
             Step::Record(head) => victim.next = Some(head),
             Step::Damaged(bytes) => {
@@ -316,9 +429,14 @@
 
 /// The copies are durable: they get their name, and only then the victims may go.
 fn finish<F: Files>(store: &mut Store<F>, slot: u16, output: &mut Output) -> Result<(), Error> {
-    let Some(id) = store.segment(slot).map(|segment| segment.head.id) else { return Ok(()) };
+    let Some(id) = store.segment(slot).map(|segment| segment.head.id) else {
+        return Ok(());
+    };
     let name = segment_name(id);
-    store.files.rename(&output.name, &name).map_err(Error::io(&name, "give the name"))?;
+    store
+        .files
+        .rename(&output.name, &name)
+        .map_err(Error::io(&name, "give the name"))?;
     if let Some(segment) = store.segment_mut(slot) {
         segment.name = name;
         segment.sealed = true;
@@ -328,7 +446,10 @@
 
 /// What names exist is not known after a fault here, so that no more may be written.
 fn sync_folder<F: Files>(store: &mut Store<F>) -> Result<(), Error> {
-    store.files.sync_folder().map_err(|e| store.poison(Error::folder(e)))
+    store
+        .files
+        .sync_folder()
+        .map_err(|e| store.poison(Error::folder(e)))
 }
 
 fn drop_victims<F: Files>(store: &mut Store<F>, victims: &[Victim]) -> Result<bool, Error> {
@@ -348,17 +469,26 @@
 }
 
 pub(crate) fn take_out<F: Files>(store: &mut Store<F>, slot: u16) -> Result<(), Error> {
-    let Some(segment) = store.segments.get_mut(usize::from(slot)).and_then(Option::take) else {
+    let Some(segment) = store
+        .segments
+        .get_mut(usize::from(slot))
+        .and_then(Option::take)
+    else {
         return Ok(());
     };
     store.files.close(segment.file);
     let id = segment.head.id;
     if segment.hinted {
         let name = hint_name(id);
-        store.files.remove(&name).map_err(Error::io(&name, "remove"))?;
+        store
+            .files
+            .remove(&name)
+            .map_err(Error::io(&name, "remove"))?;
     }
     let gone = if segment.damaged {
-        store.files.rename(&segment.name, &format!("{id:016x}.damaged"))
+        store
+            .files
+            .rename(&segment.name, &format!("{id:016x}.damaged"))
     } else {
         store.files.remove(&segment.name)
     };
@@ -381,11 +511,17 @@
     let mut bytes = Vec::new();
     let mut over = false;
     while reader.offset - begin < budget.max(1) as u64 {
-        let Some(segment) = store.segment(slot) else { return Ok(true) };
+        let Some(segment) = store.segment(slot) else {
+            return Ok(true);
+        };
         match reader.next(store, segment)? {
             Step::Record(head) => {
                 let offset = reader.offset as u32;
-                bytes.extend(writer.push(&head, offset, reader.key(&head)).unwrap_or_default());
+                bytes.extend(
+                    writer
+                        .push(&head, offset, reader.key(&head))
+                        .unwrap_or_default(),
+                );
                 reader.skip(head.size());
             }
             Step::Damaged(_) => {
@@ -394,7 +530,10 @@
                     segment.damaged = true;
                 }
                 store.files.close(output.file);
-                store.files.remove(&output.name).map_err(Error::io(&output.name, "remove"))?;
+                store
+                    .files
+                    .remove(&output.name)
+                    .map_err(Error::io(&output.name, "remove"))?;
                 return Ok(true);
             }
             Step::End => {
@@ -404,7 +543,9 @@
         }
     }
     if over {
-        let Some(segment) = store.segment(slot) else { return Ok(true) };
+        let Some(segment) = store.segment(slot) else {
+            return Ok(true);
+        };
         let end = trailer(&segment.head, segment.size, writer.entries);
         let id = segment.head.id;
         bytes.extend(writer.take_block());
@@ -413,7 +554,10 @@
         sync(store, output)?;
         store.files.close(output.file);
         let name = hint_name(id);
-        store.files.rename(&output.name, &name).map_err(Error::io(&name, "give the name"))?;
+        store
+            .files
+            .rename(&output.name, &name)
+            .map_err(Error::io(&name, "give the name"))?;
         if let Some(segment) = store.segment_mut(slot) {
             segment.hinted = true;
         }
@@ -434,14 +578,18 @@
     let mut hiding = Batch::default();
     let mut over = false;
     while reader.offset - begin < budget.max(1) as u64 {
-        let Some(segment) = store.segment(slot) else { return Ok(true) };
+        let Some(segment) = store.segment(slot) else {
+            return Ok(true);
+        };
         match reader.next(store, segment)? {
             Step::Record(head) => {
                 let key = reader.key(&head);
                 let print = print_of(key);
                 let place = Place::new(slot, reader.offset as u32, head.size());
                 let live = head.kind == Kind::Put && store.index.contains(print, place);
-                if (live || head.kind == Kind::Delete) && may_hide(head.seq, staying.iter().copied()) {
+                if (live || head.kind == Kind::Delete)
+                    && may_hide(head.seq, staying.iter().copied())
+                {
                     // A delete of an older key must go on hiding it, and a value that goes must not bring an older
                     // one back.
                     if live || store.find(key)?.is_none() {
--- a/crates/log-store/src/error.rs
+++ b/crates/log-store/src/error.rs
@@ -68,14 +68,22 @@
     /// A fault of the folder itself.
     #[must_use]
     pub fn folder(source: io::Error) -> Self {
-        Self::Io { file: "folder".to_owned(), doing: "open", source }
+        Self::Io {
+            file: "folder".to_owned(),
+            doing: "open",
+            source,
+        }
     }
 
     pub(crate) fn io(file: &str, doing: &'static str) -> impl FnOnce(io::Error) -> Self {
         let file = file.to_owned();
         move |source| match source.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::Full { file },
-            _ => Self::Io { file, doing, source },
+            _ => Self::Io {
+                file,
+                doing,
+                source,
+            },
         }
     }
 }
--- a/crates/log-store/src/files.rs
+++ b/crates/log-store/src/files.rs
@@ -129,15 +129,27 @@
         if create {
             std::fs::create_dir_all(&path).map_err(|e| named(&path, e))?;
         } else if !path.is_dir() {
-            return Err(named(&path, io::Error::new(ErrorKind::NotFound, "no such folder")));
+            return Err(named(
+                &path,
+                io::Error::new(ErrorKind::NotFound, "no such folder"),
+            ));
         }
-        Ok(Self { path, files: HashMap::new(), next: 0, lock: None, lasting: true })
+        Ok(Self {
+            path,
+            files: HashMap::new(),
+            next: 0,
+            lock: None,
+            lasting: true,
+        })
     }
 
     /// One that is to outlive its process and not its host: nothing is waited for to reach the disk.
     #[must_use]
     pub fn passing(self) -> Self {
-        Self { lasting: false, ..self }
+        Self {
+            lasting: false,
+            ..self
+        }
     }
 
     fn keep(&mut self, file: File) -> Handle {
@@ -148,7 +160,9 @@
     }
 
     fn file(&self, handle: Handle) -> io::Result<&File> {
-        self.files.get(&handle).ok_or_else(|| io::Error::other("a handle that was closed"))
+        self.files
+            .get(&handle)
+            .ok_or_else(|| io::Error::other("a handle that was closed"))
     }
 }
 
@@ -168,7 +182,11 @@
 
     fn create(&mut self, name: &str) -> io::Result<Handle> {
         let path = self.path.join(name);
-        let file = OpenOptions::new().read(true).write(true).create_new(true).open(&path);
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(&path);
         let file = file.map_err(|e| named(&path, e))?;
         Ok(self.keep(file))
     }
@@ -176,7 +194,11 @@
     fn open(&mut self, name: &str) -> io::Result<Handle> {
         let path = self.path.join(name);
         // One that may not be written can still be read.
-        let file = OpenOptions::new().read(true).write(true).open(&path).or_else(|_| File::open(&path));
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .open(&path)
+            .or_else(|_| File::open(&path));
         let file = file.map_err(|e| named(&path, e))?;
         Ok(self.keep(file))
     }
@@ -251,7 +273,12 @@
 
     fn lock(&mut self) -> io::Result<bool> {
         let path = self.path.join(LOCK);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(&path);
         let file = file.map_err(|e| named(&path, e))?;
         match file.try_lock() {
             Ok(()) => {
--- a/crates/log-store/src/hint.rs
+++ b/crates/log-store/src/hint.rs
@@ -48,9 +48,11 @@
         };
         self.entries += 1;
         self.block.extend_from_slice(&[kind, 0]);
-        self.block.extend_from_slice(&(key.len() as u16).to_le_bytes());
+        self.block
+            .extend_from_slice(&(key.len() as u16).to_le_bytes());
         self.block.extend_from_slice(&offset.to_le_bytes());
-        self.block.extend_from_slice(&(head.size() as u32).to_le_bytes());
+        self.block
+            .extend_from_slice(&(head.size() as u32).to_le_bytes());
         self.block.extend_from_slice(&[0; 4]);
         self.block.extend_from_slice(&head.seq.to_le_bytes());
         self.block.extend_from_slice(&head.expiry.to_le_bytes());
@@ -123,8 +125,12 @@
 
 /// The block at the front, and what follows it.
 fn block(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
-    let length = bytes.get(..BLOCK_HEAD).map(|head| read_u32(head, 0) as usize)?;
-    let rest = bytes.get(BLOCK_HEAD..).filter(|_| length <= LARGEST_BLOCK)?;
+    let length = bytes
+        .get(..BLOCK_HEAD)
+        .map(|head| read_u32(head, 0) as usize)?;
+    let rest = bytes
+        .get(BLOCK_HEAD..)
+        .filter(|_| length <= LARGEST_BLOCK)?;
     rest.split_at_checked(length)
 }
 
@@ -140,7 +146,17 @@
     };
     let (offset, size) = (read_u32(head, 4), read_u32(head, 8));
     let (seq, expiry) = (read_u64(head, 16), read_u64(head, 24));
-    Some((Entry { kind, seq, expiry, offset, size, key }, ENTRY + key_len))
+    Some((
+        Entry {
+            kind,
+            seq,
+            expiry,
+            offset,
+            size,
+            key,
+        },
+        ENTRY + key_len,
+    ))
 }
 
 impl<'a> Entries<'a> {
@@ -173,11 +189,19 @@
 
     #[test]
     fn a_hint_is_believed_whole_or_not_at_all() {
-        let segment = SegmentHead { id: 4, salt: 8, compacted: false };
+        let segment = SegmentHead {
+            id: 4,
+            salt: 8,
+            compacted: false,
+        };
         let mut writer = Writer::default();
         let mut body = Vec::new();
         for seq in 0..3_000_u64 {
-            let kind = if seq % 9 == 0 { Kind::Delete } else { Kind::Put };
+            let kind = if seq % 9 == 0 {
+                Kind::Delete
+            } else {
+                Kind::Put
+            };
             let record = RecordHead {
                 kind,
                 first: true,
@@ -190,7 +214,11 @@
                 seq,
                 sum: 0,
             };
-            body.extend(writer.push(&record, 80 + 54 * seq as u32, &seq.to_be_bytes()).unwrap_or_default());
+            body.extend(
+                writer
+                    .push(&record, 80 + 54 * seq as u32, &seq.to_be_bytes())
+                    .unwrap_or_default(),
+            );
         }
         body.extend(writer.take_block());
         let size = 80 + 54 * 3_000;
--- a/crates/log-store/src/index.rs
+++ b/crates/log-store/src/index.rs
@@ -17,7 +17,11 @@
     /// The place of a record of this size.
     #[must_use]
     pub fn new(segment: u16, offset: u32, size: usize) -> Self {
-        Self { segment, offset, units: u16::try_from(size.div_ceil(8)).unwrap_or(u16::MAX) }
+        Self {
+            segment,
+            offset,
+            units: u16::try_from(size.div_ceil(8)).unwrap_or(u16::MAX),
+        }
     }
 
     fn pack(self) -> u64 {
@@ -25,7 +29,11 @@
     }
 
     fn unpack(packed: u64) -> Self {
-        Self { segment: (packed >> 48) as u16, offset: (packed >> 16) as u32, units: packed as u16 }
+        Self {
+            segment: (packed >> 48) as u16,
+            offset: (packed >> 16) as u32,
+            units: packed as u16,
+        }
     }
 }
 
@@ -54,7 +62,12 @@
 impl Index {
     fn with_homes(homes: usize, slack: usize) -> Self {
         let slots = homes + slack;
-        Self { prints: vec![0; slots], places: vec![0; slots], homes, len: 0 }
+        Self {
+            prints: vec![0; slots],
+            places: vec![0; slots],
+            homes,
+            len: 0,
+        }
     }
 
     /// Entries.
@@ -182,10 +195,13 @@
 
     /// Removes an entry; false where it is not there.
     pub fn remove(&mut self, print: u32, place: Place) -> bool {
-        let Some(slot) = self.slot_of(print, place) else { return false };
+        let Some(slot) = self.slot_of(print, place) else {
+            return false;
+        };
         // What was shifted away from its home moves back.
         let mut end = slot + 1;
-        while end < self.places.len() && self.places[end] != 0 && self.home(self.prints[end]) < end {
+        while end < self.places.len() && self.places[end] != 0 && self.home(self.prints[end]) < end
+        {
             end += 1;
         }
         self.prints.copy_within(slot + 1..end, slot);
@@ -197,7 +213,11 @@
 
     /// All entries, in the order of their fingerprints.
     pub fn iter(&self) -> impl Iterator<Item = (u32, Place)> + '_ {
-        let taken = self.prints.iter().zip(&self.places).filter(|(_, packed)| **packed != 0);
+        let taken = self
+            .prints
+            .iter()
+            .zip(&self.places)
+            .filter(|(_, packed)| **packed != 0);
         taken.map(|(print, packed)| (*print, Place::unpack(*packed)))
     }
 }
@@ -222,7 +242,10 @@
             for n in 0..6_000 {
                 let print = u32::MAX - random.random_range(0..prints);
                 if random.random_range(0..3) == 0 {
-                    let some = plain.iter().nth(random.random_range(0..plain.len().max(1))).copied();
+                    let some = plain
+                        .iter()
+                        .nth(random.random_range(0..plain.len().max(1)))
+                        .copied();
                     if let Some((print, at)) = some {
                         plain.remove(&(print, at));
                         assert!(index.remove(print, at) && !index.contains(print, at));
--- a/crates/log-store/src/memory.rs
+++ b/crates/log-store/src/memory.rs
@@ -95,12 +95,17 @@
     }
 
     fn inode(&self, file: Handle) -> io::Result<u64> {
-        self.handles.get(&file).copied().ok_or_else(|| io::Error::other("a handle that was closed"))
+        self.handles
+            .get(&file)
+            .copied()
+            .ok_or_else(|| io::Error::other("a handle that was closed"))
     }
 
     fn at(&mut self, file: Handle) -> io::Result<&mut Inode> {
         let inode = self.inode(file)?;
-        self.inodes.get_mut(&inode).ok_or_else(|| io::Error::other("no such inode"))
+        self.inodes
+            .get_mut(&inode)
+            .ok_or_else(|| io::Error::other("no such inode"))
     }
 
     fn handle(&mut self, inode: u64) -> Handle {
@@ -165,7 +170,14 @@
                     }
                 }
             }
-            inodes.insert(*number, Inode { durable: data.clone(), data, ..Inode::default() });
+            inodes.insert(
+                *number,
+                Inode {
+                    durable: data.clone(),
+                    data,
+                    ..Inode::default()
+                },
+            );
         }
         let after = Disk {
             inodes,
@@ -187,7 +199,11 @@
             ..Inode::default()
         };
         let after = Disk {
-            inodes: disk.inodes.iter().map(|(number, inode)| (*number, settled(inode))).collect(),
+            inodes: disk
+                .inodes
+                .iter()
+                .map(|(number, inode)| (*number, settled(inode)))
+                .collect(),
             names: disk.names.clone(),
             durable_names: disk.names.clone(),
             next_inode: disk.next_inode,
@@ -211,7 +227,14 @@
         let mut disk = self.disk();
         let next = disk.next_inode;
         disk.next_inode += 1;
-        disk.inodes.insert(next, Inode { durable: bytes.clone(), data: bytes, ..Inode::default() });
+        disk.inodes.insert(
+            next,
+            Inode {
+                durable: bytes.clone(),
+                data: bytes,
+                ..Inode::default()
+            },
+        );
         disk.names.insert(name.to_owned(), next);
         disk.durable_names.insert(name.to_owned(), next);
     }
@@ -263,7 +286,9 @@
 fn sync(disk: &Mutex<Disk>, inode: u64) -> io::Result<()> {
     let mut disk = disk.lock().unwrap_or_else(PoisonError::into_inner);
     let failed = disk.step();
-    let Some(inode) = disk.inodes.get_mut(&inode) else { return Err(io::Error::other("no such inode")) };
+    let Some(inode) = disk.inodes.get_mut(&inode) else {
+        return Err(io::Error::other("no such inode"));
+    };
     if let Err(e) = failed {
         // The kernel marks the pages clean all the same: what was written is never durable.
         inode.dropped = true;
@@ -304,7 +329,11 @@
         if disk.crashed {
             return Err(io::Error::other("crashed"));
         }
-        let inode = disk.names.get(name).copied().ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
+        let inode = disk
+            .names
+            .get(name)
+            .copied()
+            .ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
         Ok(disk.handle(inode))
     }
 
@@ -318,7 +347,9 @@
             return Err(io::Error::other("crashed"));
         }
         let data = &disk.at(file)?.data;
-        let from = usize::try_from(offset).unwrap_or(usize::MAX).min(data.len());
+        let from = usize::try_from(offset)
+            .unwrap_or(usize::MAX)
+            .min(data.len());
         let size = buffer.len().min(data.len() - from);
         buffer[..size].copy_from_slice(&data[from..from + size]);
         Ok(size)
@@ -338,7 +369,9 @@
         }
         let inode = disk.at(file)?;
         write(&mut inode.data, offset as usize, &bytes[..taken]);
-        inode.unsynced.push(Change::Write(offset as usize, bytes[..taken].to_vec()));
+        inode
+            .unsynced
+            .push(Change::Write(offset as usize, bytes[..taken].to_vec()));
         Ok(taken)
     }
 
@@ -385,16 +418,22 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut disk = self.disk();
         disk.step()?;
-        let inode = disk.names.remove(from).ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
+        let inode = disk
+            .names
+            .remove(from)
+            .ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
         disk.names.insert(to.to_owned(), inode);
-        disk.pending.push(Naming::Rename(from.to_owned(), to.to_owned(), inode));
+        disk.pending
+            .push(Naming::Rename(from.to_owned(), to.to_owned(), inode));
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.disk();
         disk.step()?;
-        disk.names.remove(name).ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
+        disk.names
+            .remove(name)
+            .ok_or_else(|| io::Error::from(ErrorKind::NotFound))?;
         disk.pending.push(Naming::Unbind(name.to_owned()));
         Ok(())
     }
--- a/crates/log-store/src/opening.rs
+++ b/crates/log-store/src/opening.rs
@@ -4,8 +4,8 @@
 use crate::error::Error;
 use crate::files::{Files, Handle};
 use crate::format::{
-    hint_name, named, record_head, segment_head, segment_name, Head, Kind, Named, RecordHead, RECORD_HEAD,
-    SEGMENT_HEAD,
+    hint_name, named, record_head, segment_head, segment_name, Head, Kind, Named, RecordHead,
+    RECORD_HEAD, SEGMENT_HEAD,
 };
 use crate::hint;
 use crate::index::{Index, Place};
@@ -34,7 +34,11 @@
 
 impl<F: Files> Store<F> {
     /// Reads what is there; appends to `unproven` the places of records that may not be durable, whatever is synced.
-    pub(crate) fn recover(&mut self, writer: bool, unproven: &mut Vec<(u32, Place)>) -> Result<Found, Error> {
+    pub(crate) fn recover(
+        &mut self,
+        writer: bool,
+        unproven: &mut Vec<(u32, Place)>,
+    ) -> Result<Found, Error> {
         let mut found = Found::default();
         let names = self.files.list().map_err(Error::folder)?;
         let (mut ids, mut hints) = (Vec::new(), BTreeSet::new());
@@ -63,7 +67,10 @@
             }
         }
         // What compaction replaced may still be there: it must not be read, as its deletes are perhaps gone.
-        let replaced: BTreeSet<u64> = opened.iter().flat_map(|one| one.replaces.iter().copied()).collect();
+        let replaced: BTreeSet<u64> = opened
+            .iter()
+            .flat_map(|one| one.replaces.iter().copied())
+            .collect();
         opened.retain(|one| {
             let stays = !replaced.contains(&one.segment.head.id);
             if !stays {
@@ -79,28 +86,42 @@
         );
         if writer {
             for name in &leftovers {
-                self.files.remove(name).map_err(Error::io(name, "remove a leftover"))?;
+                self.files
+                    .remove(name)
+                    .map_err(Error::io(name, "remove a leftover"))?;
             }
             if !leftovers.is_empty() {
                 self.files.sync_folder().map_err(Error::folder)?;
             }
             found.leftovers = leftovers.len();
         }
-        let newest =
-            opened.iter().filter(|one| !one.segment.head.compacted).map(|one| one.segment.head.id).max();
+        let newest = opened
+            .iter()
+            .filter(|one| !one.segment.head.compacted)
+            .map(|one| one.segment.head.id)
+            .max();
         let (mut claims, mut empty) = (Vec::new(), None);
         for one in opened {
             let id = one.segment.head.id;
             let slot = self.add_segment(one.segment)?;
             found.segments += 1;
-            let hinted =
-                hints.contains(&id) && Some(id) != newest && self.read_hint(slot, &mut claims, &mut found)?;
+            let hinted = hints.contains(&id)
+                && Some(id) != newest
+                && self.read_hint(slot, &mut claims, &mut found)?;
             if !hinted {
-                let proven = self.read_segment(slot, Some(id) == newest, writer, &mut claims, &mut found)?;
+                let proven =
+                    self.read_segment(slot, Some(id) == newest, writer, &mut claims, &mut found)?;
                 let after = |claim: &&Claim| {
-                    claim.put && claim.place.segment == slot && u64::from(claim.place.offset) >= proven
+                    claim.put
+                        && claim.place.segment == slot
+                        && u64::from(claim.place.offset) >= proven
                 };
-                unproven.extend(claims.iter().filter(after).map(|claim| (claim.print, claim.place)));
+                unproven.extend(
+                    claims
+                        .iter()
+                        .filter(after)
+                        .map(|claim| (claim.print, claim.place)),
+                );
             }
             if let Some(segment) = self.segment_mut(slot) {
                 segment.sealed = true;
@@ -131,11 +152,19 @@
     ) -> Result<Option<Result<Opened, String>>, Error> {
         let name = segment_name(id);
         let file = self.files.open(&name).map_err(Error::io(&name, "open"))?;
-        let size = self.files.size(file).map_err(Error::io(&name, "look at the size"))?;
+        let size = self
+            .files
+            .size(file)
+            .map_err(Error::io(&name, "look at the size"))?;
         let bytes = self.read(file, &name, 0, SEGMENT_HEAD)?;
         let head = match segment_head(&bytes) {
             Head::Good(head) if head.id == id => head,
-            Head::Newer(version) => return Err(Error::Newer { file: name, version }),
+            Head::Newer(version) => {
+                return Err(Error::Newer {
+                    file: name,
+                    version,
+                })
+            }
             _ => {
                 self.files.close(file);
                 // A crash while it was created: nothing in it can have been acknowledged.
@@ -144,7 +173,9 @@
                 }
                 if writer {
                     let aside = format!("{id:016x}.damaged");
-                    self.files.rename(&name, &aside).map_err(Error::io(&name, "set aside"))?;
+                    self.files
+                        .rename(&name, &aside)
+                        .map_err(Error::io(&name, "set aside"))?;
                     found.quarantined.push(aside);
                 } else {
                     found.quarantined.push(name);
@@ -158,7 +189,9 @@
             let mut at = SEGMENT_HEAD as u64;
             if let Some((record, bytes)) = self.read_good(&segment, &mut at)? {
                 if record.kind == Kind::Replaces {
-                    let ids = bytes[RECORD_HEAD..].chunks_exact(8).filter_map(|c| c.first_chunk::<8>());
+                    let ids = bytes[RECORD_HEAD..]
+                        .chunks_exact(8)
+                        .filter_map(|c| c.first_chunk::<8>());
                     replaces = ids.map(|c| u64::from_le_bytes(*c)).collect();
                 }
             }
@@ -168,7 +201,11 @@
     }
 
     /// The record at this place, if there is a good one.
-    fn read_good(&self, segment: &Segment, at: &mut u64) -> Result<Option<(RecordHead, Vec<u8>)>, Error> {
+    fn read_good(
+        &self,
+        segment: &Segment,
+        at: &mut u64,
+    ) -> Result<Option<(RecordHead, Vec<u8>)>, Error> {
         let mut have = 4_096;
         loop {
             let bytes = self.read(segment.file, &segment.name, *at, have)?;
@@ -183,22 +220,51 @@
         }
     }
 
-    fn read_hint(&mut self, slot: u16, claims: &mut Vec<Claim>, found: &mut Found) -> Result<bool, Error> {
-        let Some(segment) = self.segment(slot) else { return Ok(false) };
+    fn read_hint(
+        &mut self,
+        slot: u16,
+        claims: &mut Vec<Claim>,
+        found: &mut Found,
+    ) -> Result<bool, Error> {
+        let Some(segment) = self.segment(slot) else {
+            return Ok(false);
+        };
         let (head, size) = (segment.head, segment.size);
         let name = hint_name(head.id);
-        let Ok(file) = self.files.open(&name) else { return Ok(false) };
-        let length = self.files.size(file).map_err(Error::io(&name, "look at the size"))?;
-        let bytes = self.read(file, &name, 0, usize::try_from(length).unwrap_or(usize::MAX));
+        let Ok(file) = self.files.open(&name) else {
+            return Ok(false);
+        };
+        let length = self
+            .files
+            .size(file)
+            .map_err(Error::io(&name, "look at the size"))?;
+        let bytes = self.read(
+            file,
+            &name,
+            0,
+            usize::try_from(length).unwrap_or(usize::MAX),
+        );
         self.files.close(file);
         let bytes = bytes?;
-        let Some(entries) = hint::read(&bytes, &head, size) else { return Ok(false) };
+        let Some(entries) = hint::read(&bytes, &head, size) else {
+            return Ok(false);
+        };
         claims.reserve(entries.number());
-        let Some(segment) = self.segment_mut(slot) else { return Ok(false) };
+        let Some(segment) = self.segment_mut(slot) else {
+            return Ok(false);
+        };
         for entry in entries.iter() {
             found.records += 1;
             let place = Place::new(slot, entry.offset, entry.size as usize);
-            claim(segment, claims, entry.kind, entry.seq, place, entry.size as usize, entry.key);
+            claim(
+                segment,
+                claims,
+                entry.kind,
+                entry.seq,
+                place,
+                entry.size as usize,
+                entry.key,
+            );
         }
         found.hinted += 1;
         Ok(true)
@@ -212,20 +278,31 @@
         claims: &mut Vec<Claim>,
         found: &mut Found,
     ) -> Result<u64, Error> {
-        let Some(segment) = self.segment(slot) else { return Ok(u64::MAX) };
+        let Some(segment) = self.segment(slot) else {
+            return Ok(u64::MAX);
+        };
         let (file, name, size) = (segment.file, segment.name.clone(), segment.size);
         let mut judge = Judge::new(newest, SEGMENT_HEAD as u64);
         let mut kept = Vec::new();
         let mut reader = Reader::new(SEGMENT_HEAD as u64);
         loop {
-            let Some(segment) = self.segment(slot) else { return Ok(u64::MAX) };
+            let Some(segment) = self.segment(slot) else {
+                return Ok(u64::MAX);
+            };
             match reader.next(self, segment)? {
                 Step::Record(record) => {
                     found.records += 1;
                     let key = reader.key(&record).to_vec();
                     let offset = reader.offset;
                     reader.skip(record.size());
-                    judge.record(Kept { head: record, offset, key }, &mut kept);
+                    judge.record(
+                        Kept {
+                            head: record,
+                            offset,
+                            key,
+                        },
+                        &mut kept,
+                    );
                 }
                 Step::Damaged(bytes) => {
                     judge.damage(reader.offset, bytes as u64);
@@ -233,10 +310,20 @@
                 }
                 Step::End => break,
             }
-            let Some(segment) = self.segment_mut(slot) else { return Ok(u64::MAX) };
+            let Some(segment) = self.segment_mut(slot) else {
+                return Ok(u64::MAX);
+            };
             for one in kept.drain(..) {
                 let place = Place::new(slot, one.offset as u32, one.head.size());
-                claim(segment, claims, one.head.kind, one.head.seq, place, one.head.size(), &one.key);
+                claim(
+                    segment,
+                    claims,
+                    one.head.kind,
+                    one.head.seq,
+                    place,
+                    one.head.size(),
+                    &one.key,
+                );
             }
         }
         let proven = if newest { judge.proven() } else { u64::MAX };
@@ -254,7 +341,9 @@
             }
             if writer {
                 // Durable before anything is written after it: else this end might come back behind newer records.
-                self.files.truncate(file, cut).map_err(Error::io(&name, "cut the torn end"))?;
+                self.files
+                    .truncate(file, cut)
+                    .map_err(Error::io(&name, "cut the torn end"))?;
                 self.files.sync(file).map_err(Error::io(&name, "sync"))?;
             }
         } else if newest && writer {
@@ -273,14 +362,20 @@
             if !self.index.contains(*print, *place) {
                 continue;
             }
-            let Some(segment) = self.segment(place.segment) else { continue };
+            let Some(segment) = self.segment(place.segment) else {
+                continue;
+            };
             let (file, name, salt) = (segment.file, segment.name.clone(), segment.head.salt);
             let offset = u64::from(place.offset);
             let head = self.read(file, &name, offset, RECORD_HEAD)?;
-            let Some(head) = record_head(&head, salt, offset) else { continue };
+            let Some(head) = record_head(&head, salt, offset) else {
+                continue;
+            };
             let key = self.read(file, &name, offset + RECORD_HEAD as u64, head.key_len)?;
             // One that was damaged meanwhile is told of when it is read.
-            let Ok(Some(value)) = self.get(0, &key) else { continue };
+            let Ok(Some(value)) = self.get(0, &key) else {
+                continue;
+            };
             let expiry = (head.expiry > 0).then_some(head.expiry);
             self.write(Batch::default().put(&key, &value, expiry))?;
             again = true;
@@ -308,15 +403,21 @@
     /// and only where two fingerprints agree.
     fn settle(&mut self, claims: Vec<Claim>) -> Result<(), Error> {
         // Plain numbers sort several times as fast as the claims themselves.
-        let mut order: Vec<u64> =
-            claims.iter().enumerate().map(|(i, claim)| u64::from(claim.print) << 32 | i as u64).collect();
+        let mut order: Vec<u64> = claims
+            .iter()
+            .enumerate()
+            .map(|(i, claim)| u64::from(claim.print) << 32 | i as u64)
+            .collect();
         order.sort_unstable();
         let claim_at = |number: u64| claims[(number & 0xFFFF_FFFF) as usize];
         let mut entries = Vec::with_capacity(claims.len());
         let mut from = 0;
         while from < order.len() {
             let print = (order[from] >> 32) as u32;
-            let number = order[from..].iter().take_while(|other| *other >> 32 == u64::from(print)).count();
+            let number = order[from..]
+                .iter()
+                .take_while(|other| *other >> 32 == u64::from(print))
+                .count();
             let group = &order[from..from + number];
             from += number;
             let alone = [(Vec::new(), claim_at(group[0]))];
@@ -345,7 +446,9 @@
 
     /// The key of a record; of one whose header is damaged since its hint was written, none that any other has.
     fn key_at(&self, claim: &Claim) -> Result<Vec<u8>, Error> {
-        let Some(segment) = self.segment(claim.place.segment) else { return Ok(Vec::new()) };
+        let Some(segment) = self.segment(claim.place.segment) else {
+            return Ok(Vec::new());
+        };
         let offset = u64::from(claim.place.offset);
         let size = RECORD_HEAD + claim.key_len as usize;
         let mut bytes = self.read(segment.file, &segment.name, offset, size)?;
@@ -374,5 +477,12 @@
     };
     segment.note(seq);
     let (print, key_len) = (print_of(key), key.len() as u16);
-    claims.push(Claim { seq, place, print, size: size as u32, key_len, put });
+    claims.push(Claim {
+        seq,
+        place,
+        print,
+        size: size as u32,
+        key_len,
+        put,
+    });
 }
--- a/crates/log-store/src/reader.rs
+++ b/crates/log-store/src/reader.rs
@@ -26,11 +26,20 @@
 
 impl Reader {
     pub(crate) fn new(offset: u64) -> Self {
-        Self { offset, window: Vec::new(), at: offset }
+        Self {
+            offset,
+            window: Vec::new(),
+            at: offset,
+        }
     }
 
-    pub(crate) fn next<F: Files>(&mut self, store: &Store<F>, segment: &Segment) -> Result<Step, Error> {
-        let (file, name, salt, size) = (segment.file, &segment.name, segment.head.salt, segment.size);
+    pub(crate) fn next<F: Files>(
+        &mut self,
+        store: &Store<F>,
+        segment: &Segment,
+    ) -> Result<Step, Error> {
+        let (file, name, salt, size) =
+            (segment.file, &segment.name, segment.head.salt, segment.size);
         let mut needed = 1;
         loop {
             let from = (self.offset - self.at) as usize;
--- a/crates/log-store/src/recover.rs
+++ b/crates/log-store/src/recover.rs
@@ -145,7 +145,11 @@
             self.after.push(record);
             return;
         }
-        let follows = if head.first { self.open.is_none() } else { self.open == Some(head.seq) };
+        let follows = if head.first {
+            self.open.is_none()
+        } else {
+            self.open == Some(head.seq)
+        };
         if !follows {
             // A batch without its begin or its end: only a fault of the disk leaves that.
             self.doubt = Some(self.good);
@@ -176,9 +180,16 @@
     /// The segment is over: where it is to be cut, and the damage before that place.
     #[must_use]
     pub fn end(self, size: u64) -> (u64, Vec<(u64, u64)>) {
-        let cut =
-            if self.newest && (self.doubt.is_some() || !self.waiting.is_empty()) { self.good } else { size };
-        let inside = self.damage.into_iter().filter(|(offset, _)| *offset < cut).collect();
+        let cut = if self.newest && (self.doubt.is_some() || !self.waiting.is_empty()) {
+            self.good
+        } else {
+            size
+        };
+        let inside = self
+            .damage
+            .into_iter()
+            .filter(|(offset, _)| *offset < cut)
+            .collect();
         (cut, inside)
     }
 }
@@ -201,7 +212,11 @@
             seq,
             sum: 0,
         };
-        Kept { head, offset: 100 * seq, key: Vec::new() }
+        Kept {
+            head,
+            offset: 100 * seq,
+            key: Vec::new(),
+        }
     }
 
     /// Records 1 up, one letter each: `s` single, `S` single after a sync, `f` first, `m` middle, `l` last, `x` damage.
--- a/crates/log-store/src/scan.rs
+++ b/crates/log-store/src/scan.rs
@@ -19,7 +19,11 @@
 #[must_use]
 pub fn next(bytes: &[u8], salt: u64, offset: u64, at_end: bool) -> Next {
     if bytes.is_empty() {
-        return if at_end { Next::End } else { Next::More(RECORD_HEAD) };
+        return if at_end {
+            Next::End
+        } else {
+            Next::More(RECORD_HEAD)
+        };
     }
     if bytes.len() < RECORD_HEAD && !at_end {
         return Next::More(RECORD_HEAD);
--- a/crates/log-store/src/store.rs
+++ b/crates/log-store/src/store.rs
@@ -5,7 +5,9 @@
 use crate::compact::Job;
 use crate::error::Error;
 use crate::files::{Files, Handle, SyncTask};
-use crate::format::{body_is_good, record_head, Kind, RecordHead, SegmentHead, RECORD_HEAD, SEGMENT_HEAD};
+use crate::format::{
+    body_is_good, record_head, Kind, RecordHead, SegmentHead, RECORD_HEAD, SEGMENT_HEAD,
+};
 use crate::index::{Index, Place};
 use crate::reader::{Reader, Step, WINDOW};
 use crate::recover::Found;
@@ -31,7 +33,12 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Self { segment_bytes: 67_108_864, max_bytes: None, compress_from: None, seed: 0 }
+        Self {
+            segment_bytes: 67_108_864,
+            max_bytes: None,
+            compress_from: None,
+            seed: 0,
+        }
     }
 }
 
@@ -65,12 +72,20 @@
     /// Adds a value.
     pub fn push_put(&mut self, key: &[u8], value: &[u8], expiry: Option<u64>) {
         let expiry = expiry.map_or(0, |at| at.max(1));
-        self.0.push(Change { key: key.to_vec(), value: Some(value.to_vec()), expiry });
+        self.0.push(Change {
+            key: key.to_vec(),
+            value: Some(value.to_vec()),
+            expiry,
+        });
     }
 
     /// Adds a delete.
     pub fn push_delete(&mut self, key: &[u8]) {
-        self.0.push(Change { key: key.to_vec(), value: None, expiry: 0 });
+        self.0.push(Change {
+            key: key.to_vec(),
+            value: None,
+            expiry: 0,
+        });
     }
 
     /// Changes.
@@ -219,7 +234,11 @@
     pub fn open(mut files: F, options: Options) -> Result<(Self, Found), Error> {
         if !SEGMENTS.contains(&options.segment_bytes) {
             let (size, most) = (options.segment_bytes as usize, *SEGMENTS.end() as usize);
-            return Err(Error::TooLarge { what: "a segment", size, most });
+            return Err(Error::TooLarge {
+                what: "a segment",
+                size,
+                most,
+            });
         }
         if !files.lock().map_err(Error::folder)? {
             return Err(Error::Locked);
@@ -245,9 +264,15 @@
         loop {
             match store.recover(false, &mut Vec::new()) {
                 // A writer beside it compacted meanwhile: what was listed is gone.
-                Err(Error::Io { source, .. }) if source.kind() == ErrorKind::NotFound && tries < 5 => {
+                Err(Error::Io { source, .. })
+                    if source.kind() == ErrorKind::NotFound && tries < 5 =>
+                {
                     tries += 1;
-                    store.segments.iter().flatten().for_each(|segment| store.files.close(segment.file));
+                    store
+                        .segments
+                        .iter()
+                        .flatten()
+                        .for_each(|segment| store.files.close(segment.file));
                     store.segments.clear();
                     store.index = Index::default();
                 }
@@ -348,9 +373,18 @@
 
     // Reading.
 
-    pub(crate) fn read(&self, file: Handle, name: &str, offset: u64, size: usize) -> Result<Vec<u8>, Error> {
+    pub(crate) fn read(
+        &self,
+        file: Handle,
+        name: &str,
+        offset: u64,
+        size: usize,
+    ) -> Result<Vec<u8>, Error> {
         let mut bytes = vec![0; size];
-        let have = self.files.read_at(file, offset, &mut bytes).map_err(Error::io(name, "read"))?;
+        let have = self
+            .files
+            .read_at(file, offset, &mut bytes)
+            .map_err(Error::io(name, "read"))?;
         bytes.truncate(have);
         Ok(bytes)
     }
@@ -360,7 +394,9 @@
     pub(crate) fn find(&self, key: &[u8]) -> Result<Option<(Place, RecordHead)>, Error> {
         let mut damaged = None;
         for place in self.index.find(print_of(key)) {
-            let Some(segment) = self.segment(place.segment) else { continue };
+            let Some(segment) = self.segment(place.segment) else {
+                continue;
+            };
             let offset = u64::from(place.offset);
             let bytes = self.read(segment.file, &segment.name, offset, RECORD_HEAD + key.len())?;
             match record_head(&bytes, segment.head.salt, offset) {
@@ -395,10 +431,20 @@
     pub fn get(&self, now: u64, key: &[u8]) -> Result<Option<Vec<u8>>, Error> {
         let mut damaged = None;
         for place in self.index.find(print_of(key)) {
-            let Some(segment) = self.segment(place.segment) else { continue };
+            let Some(segment) = self.segment(place.segment) else {
+                continue;
+            };
             let offset = u64::from(place.offset);
-            let mut bytes = self.read(segment.file, &segment.name, offset, usize::from(place.units) * 8)?;
-            let lost = || Error::Damaged { file: segment.name.clone(), offset };
+            let mut bytes = self.read(
+                segment.file,
+                &segment.name,
+                offset,
+                usize::from(place.units) * 8,
+            )?;
+            let lost = || Error::Damaged {
+                file: segment.name.clone(),
+                offset,
+            };
             let Some(head) = record_head(&bytes, segment.head.salt, offset) else {
                 damaged = Some(lost());
                 continue;
@@ -419,7 +465,9 @@
             }
             bytes.drain(..RECORD_HEAD + head.key_len);
             if head.compressed {
-                return lz4_flex::decompress_size_prepended(&bytes).map(Some).map_err(|_| lost());
+                return lz4_flex::decompress_size_prepended(&bytes)
+                    .map(Some)
+                    .map_err(|_| lost());
             }
             return Ok(Some(bytes));
         }
@@ -431,7 +479,11 @@
     ///
     /// # Errors
     /// Where the system refuses to read.
-    pub fn by_age(&self, now: u64, mut each: impl FnMut(u64, &[u8], &[u8]) -> bool) -> Result<(), Error> {
+    pub fn by_age(
+        &self,
+        now: u64,
+        mut each: impl FnMut(u64, &[u8], &[u8]) -> bool,
+    ) -> Result<(), Error> {
         // Sequence numbers rise within a segment: the next of all is the lowest of their next ones.
         let mut readers: Vec<(u16, Reader, Option<RecordHead>)> = Vec::new();
         for (slot, segment) in self.segments.iter().enumerate() {
@@ -442,7 +494,9 @@
         loop {
             for (slot, reader, head) in &mut readers {
                 while head.is_none() {
-                    let Some(segment) = self.segment(*slot) else { break };
+                    let Some(segment) = self.segment(*slot) else {
+                        break;
+                    };
                     match reader.next(self, segment)? {
                         Step::Record(record) => *head = Some(record),
                         Step::Damaged(bytes) => reader.skip(bytes),
@@ -507,8 +561,10 @@
                         reader.skip(record.size());
                     }
                     Step::Damaged(bytes) => {
-                        let mut found =
-                            Found { damaged: std::mem::take(&mut checked.damaged), ..Found::default() };
+                        let mut found = Found {
+                            damaged: std::mem::take(&mut checked.damaged),
+                            ..Found::default()
+                        };
                         found.damage(&segment.name, begin, bytes as u64);
                         checked.damaged = found.damaged;
                         reader.skip(bytes);
@@ -552,7 +608,9 @@
         if self.job.is_none() {
             self.job = self.next_job()?;
         }
-        let Some(job) = self.job.take() else { return Ok(Work::Idle) };
+        let Some(job) = self.job.take() else {
+            return Ok(Work::Idle);
+        };
         match job.step(self, now, budget) {
             Ok(next) => {
                 self.job = next;
@@ -564,7 +622,12 @@
 
     fn next_job(&mut self) -> Result<Option<Job>, Error> {
         let known = self.known();
-        let total = self.segments.iter().flatten().map(|segment| segment.size).sum();
+        let total = self
+            .segments
+            .iter()
+            .flatten()
+            .map(|segment| segment.size)
+            .sum();
         if let Some(slot) = choose::oldest_beyond(&known, total, self.options.max_bytes) {
             return Ok(Some(Job::evict(slot)));
         }
@@ -572,10 +635,10 @@
         if !victims.is_empty() {
             return Job::compact(self, victims).map(Some);
         }
-        let unhinted = self
-            .segments
-            .iter()
-            .position(|s| s.as_ref().is_some_and(|s| s.sealed && !s.hinted && !s.damaged));
+        let unhinted = self.segments.iter().position(|s| {
+            s.as_ref()
+                .is_some_and(|s| s.sealed && !s.hinted && !s.damaged)
+        });
         match unhinted {
             Some(slot) => Job::hint(self, slot as u16).map(Some),
             None => Ok(None),
@@ -592,8 +655,11 @@
         self.abort_job();
         let mut rewritten = 0;
         for name in names {
-            let named = |s: &Option<Segment>| s.as_ref().is_some_and(|s| s.sealed && s.name == *name);
-            let Some(slot) = self.segments.iter().position(named) else { continue };
+            let named =
+                |s: &Option<Segment>| s.as_ref().is_some_and(|s| s.sealed && s.name == *name);
+            let Some(slot) = self.segments.iter().position(named) else {
+                continue;
+            };
             let mut job = Some(Job::compact(self, vec![slot as u16])?);
             while let Some(going) = job.take() {
                 job = going.step(self, now, WINDOW)?;
--- a/crates/log-store/src/writing.rs
+++ b/crates/log-store/src/writing.rs
@@ -4,8 +4,8 @@
 use crate::error::Error;
 use crate::files::{Files, Handle};
 use crate::format::{
-    push_record, segment_name, Kind, RecordHead, SegmentHead, LARGEST_BATCH, LARGEST_VALUE, LONGEST_KEY,
-    RECORD_HEAD, SEGMENT_HEAD,
+    push_record, segment_name, Kind, RecordHead, SegmentHead, LARGEST_BATCH, LARGEST_VALUE,
+    LONGEST_KEY, RECORD_HEAD, SEGMENT_HEAD,
 };
 use crate::index::Place;
 use crate::reader::WINDOW;
@@ -46,7 +46,9 @@
     }
 
     fn append(&mut self, slot: u16, batch: Batch) -> Result<u64, Error> {
-        let Some(segment) = self.segment(slot) else { return Err(Error::ReadOnly) };
+        let Some(segment) = self.segment(slot) else {
+            return Err(Error::ReadOnly);
+        };
         let (file, salt, begin) = (segment.file, segment.head.salt, segment.size);
         let name = segment.name.clone();
         let mut bytes = std::mem::take(&mut self.buffer);
@@ -63,9 +65,16 @@
                     packed = packed.filter(|packed| packed.len() <= value.len() - value.len() / 8);
                 }
             }
-            let stored = packed.as_deref().or(change.value.as_deref()).unwrap_or_default();
+            let stored = packed
+                .as_deref()
+                .or(change.value.as_deref())
+                .unwrap_or_default();
             let head = RecordHead {
-                kind: if change.value.is_some() { Kind::Put } else { Kind::Delete },
+                kind: if change.value.is_some() {
+                    Kind::Put
+                } else {
+                    Kind::Delete
+                },
                 first: i == 0,
                 last: i == last,
                 compressed: packed.is_some(),
@@ -113,7 +122,11 @@
                 }
             }
             if head.kind == Kind::Put {
-                self.enter(print, Place::new(slot, offset as u32, head.size()), head.size());
+                self.enter(
+                    print,
+                    Place::new(slot, offset as u32, head.size()),
+                    head.size(),
+                );
             }
         }
         Ok(self.next_seq - 1)
@@ -129,9 +142,13 @@
     ) -> Result<(), Error> {
         let mut written = 0;
         while written < bytes.len() {
-            let taken = self.files.append(file, begin + written as u64, &bytes[written..]);
+            let taken = self
+                .files
+                .append(file, begin + written as u64, &bytes[written..]);
             let fault = match taken {
-                Ok(0) => Error::Full { file: name.to_owned() },
+                Ok(0) => Error::Full {
+                    file: name.to_owned(),
+                },
                 Ok(n) => {
                     written += n;
                     continue;
@@ -156,7 +173,9 @@
     /// writes.
     pub fn sync(&mut self) -> Result<(), Error> {
         let slot = self.writable()?;
-        let Some(segment) = self.segment(slot) else { return Err(Error::ReadOnly) };
+        let Some(segment) = self.segment(slot) else {
+            return Err(Error::ReadOnly);
+        };
         let (file, size) = (segment.file, segment.size);
         if self.durable == size {
             return Ok(());
@@ -192,16 +211,26 @@
     /// As [`sync`](Self::sync).
     pub fn begin_sync(&mut self) -> Result<Option<Syncing>, Error> {
         let slot = self.writable()?;
-        let Some(segment) = self.segment(slot) else { return Err(Error::ReadOnly) };
+        let Some(segment) = self.segment(slot) else {
+            return Err(Error::ReadOnly);
+        };
         let (file, size, id) = (segment.file, segment.size, segment.head.id);
         if self.durable == size {
             return Ok(None);
         }
         let name = segment.name.clone();
         self.stats.syncs += 1;
-        let task = self.files.sync_task(file).map_err(Error::io(&name, "sync"))?;
+        let task = self
+            .files
+            .sync_task(file)
+            .map_err(Error::io(&name, "sync"))?;
         let result = Err(io::Error::other("the sync was never run"));
-        Ok(Some(Syncing { segment: id, upto: size, task: Some(task), result }))
+        Ok(Some(Syncing {
+            segment: id,
+            upto: size,
+            task: Some(task),
+            result,
+        }))
     }
 
     /// Takes the result of a sync: what was written before it began is durable.
@@ -210,7 +239,9 @@
     /// As [`sync`](Self::sync).
     pub fn end_sync(&mut self, done: Syncing) -> Result<(), Error> {
         let slot = self.writable()?;
-        let Some(segment) = self.segment(slot) else { return Err(Error::ReadOnly) };
+        let Some(segment) = self.segment(slot) else {
+            return Err(Error::ReadOnly);
+        };
         let (same, name) = (segment.head.id == done.segment, segment.name.clone());
         if let Err(e) = done.result {
             let e = Error::io(&name, "sync")(e);
@@ -237,33 +268,54 @@
 
     /// Gives back what was reserved and not used; the next sync makes it durable.
     fn trim(&mut self) -> Result<(), Error> {
-        let Some(slot) = self.active else { return Ok(()) };
-        let Some(segment) = self.segment_mut(slot).filter(|segment| segment.reserved > segment.size) else {
+        let Some(slot) = self.active else {
+            return Ok(());
+        };
+        let Some(segment) = self
+            .segment_mut(slot)
+            .filter(|segment| segment.reserved > segment.size)
+        else {
             return Ok(());
         };
         segment.reserved = 0;
         let (file, size, name) = (segment.file, segment.size, segment.name.clone());
         // Not durable before it is synced again, whatever was written.
         self.durable = self.durable.min(size.saturating_sub(1));
-        self.files.truncate(file, size).map_err(Error::io(&name, "give back the reserve"))
+        self.files
+            .truncate(file, size)
+            .map_err(Error::io(&name, "give back the reserve"))
     }
 
     pub(crate) fn create_segment(&mut self) -> Result<u16, Error> {
         let id = self.next_id;
         self.next_id += 1;
         let name = segment_name(id);
-        let head = SegmentHead { id, salt: self.new_salt(id), compacted: false };
-        let file = self.files.create(&name).map_err(Error::io(&name, "create"))?;
+        let head = SegmentHead {
+            id,
+            salt: self.new_salt(id),
+            compacted: false,
+        };
+        let file = self
+            .files
+            .create(&name)
+            .map_err(Error::io(&name, "create"))?;
         let begun = self
             .append_bytes(file, &name, 0, &head.encode())
             // Durable before any record: a crash leaves no segment without a head.
             .and_then(|()| self.files.sync(file).map_err(Error::io(&name, "sync")))
-            .and_then(|()| self.files.sync_folder().map_err(Error::io(&name, "sync the folder")));
+            .and_then(|()| {
+                self.files
+                    .sync_folder()
+                    .map_err(Error::io(&name, "sync the folder"))
+            });
         if let Err(e) = begun {
             self.files.close(file);
             // Guards against an empty segment that comes back and is taken for the newest, while this one is
             // written on: its torn end would then be believed.
-            let gone = self.files.remove(&name).and_then(|()| self.files.sync_folder());
+            let gone = self
+                .files
+                .remove(&name)
+                .and_then(|()| self.files.sync_folder());
             if let Err(other) = gone {
                 self.poison(Error::io(&name, "take back a new segment")(other));
             }
@@ -282,14 +334,23 @@
     pub fn close(mut self) -> Result<(), Error> {
         self.abort_job();
         let slot = self.writable()?;
-        let Some(segment) = self.segment(slot) else { return Ok(()) };
+        let Some(segment) = self.segment(slot) else {
+            return Ok(());
+        };
         if segment.size == SEGMENT_HEAD as u64 {
             return Ok(());
         }
         self.trim()?;
         self.sync()?;
-        let Some(segment) = self.segment(slot) else { return Ok(()) };
-        let (file, begin, salt, name) = (segment.file, segment.size, segment.head.salt, segment.name.clone());
+        let Some(segment) = self.segment(slot) else {
+            return Ok(());
+        };
+        let (file, begin, salt, name) = (
+            segment.file,
+            segment.size,
+            segment.head.salt,
+            segment.name.clone(),
+        );
         let head = RecordHead {
             kind: Kind::Mark,
             first: true,
--- a/crates/membership/src/bounds.rs
+++ b/crates/membership/src/bounds.rs
@@ -83,7 +83,11 @@
         room.then_some(header).ok_or(Unread::Room)
     }
 
-    fn encode_member(&mut self, member: &foca::Member<Identity>, buf: impl BufMut) -> Result<(), Unread> {
+    fn encode_member(
+        &mut self,
+        member: &foca::Member<Identity>,
+        buf: impl BufMut,
+    ) -> Result<(), Unread> {
         Ok(PostcardCodec.encode_member(member, buf)?)
     }
 
@@ -105,7 +109,8 @@
 impl Invalidates for Key {
     fn invalidates(&self, other: &Self) -> bool {
         let rank = |key: &Self| (key.0.incarnation, key.0.version);
-        (self.0.address, self.0.kind) == (other.0.address, other.0.kind) && rank(self) >= rank(other)
+        (self.0.address, self.0.kind) == (other.0.address, other.0.kind)
+            && rank(self) >= rank(other)
     }
 }
 
@@ -113,10 +118,17 @@
     type Key = Key;
     type Error = postcard::Error;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Identity>) -> Result<Option<Key>, postcard::Error> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Identity>,
+    ) -> Result<Option<Key>, postcard::Error> {
         let figure: Figure = postcard::from_bytes(data)?;
         let mut shared = self.shared.borrow_mut();
         let now = shared.now;
-        Ok(shared.figures.merge(now, figure.clone()).then_some(Key(figure)))
+        Ok(shared
+            .figures
+            .merge(now, figure.clone())
+            .then_some(Key(figure)))
     }
 }
--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -73,7 +73,12 @@
     /// # Errors
     /// The first key that does not.
     pub fn check(&self) -> Result<(), BadSettings> {
-        let bad = |key, why: &str| Err(BadSettings { key, why: why.to_owned() });
+        let bad = |key, why: &str| {
+            Err(BadSettings {
+                key,
+                why: why.to_owned(),
+            })
+        };
         if self.probe < 10_000 {
             return bad("probe", "is less than 10 ms");
         }
@@ -84,7 +89,10 @@
             );
         }
         if self.suspicion < 2 * self.probe {
-            return bad("suspicion", "is less than two probes: every lost datagram would be believed");
+            return bad(
+                "suspicion",
+                "is less than two probes: every lost datagram would be believed",
+            );
         }
         if self.remembered < self.suspicion {
             return bad("remembered", "is less than suspicion");
@@ -102,7 +110,12 @@
         let time = Duration::from_micros;
         let one = NonZeroUsize::MIN;
         let some = one.saturating_add(2);
-        let periodic = |frequency, num_members| Some(PeriodicParams { frequency, num_members });
+        let periodic = |frequency, num_members| {
+            Some(PeriodicParams {
+                frequency,
+                num_members,
+            })
+        };
         Config {
             probe_period: time(self.probe),
             probe_rtt: time(self.answer),
@@ -187,7 +200,11 @@
     ) -> Result<Self, BadSettings> {
         settings.check()?;
         identity.incarnation = incarnations.current();
-        let shared = Shared { most: settings.most, own: Some(identity.clone()), ..Shared::default() };
+        let shared = Shared {
+            most: settings.most,
+            own: Some(identity.clone()),
+            ..Shared::default()
+        };
         let shared = Rc::new(RefCell::new(shared));
         Ok(Self {
             foca: foca(identity, &settings, &shared, seed),
@@ -235,7 +252,10 @@
     /// Where its seal is not right; nothing has come of it then.
     pub fn hear(&mut self, now: Micros, datagram: &[u8]) -> Result<(), Unheard> {
         self.shared.borrow_mut().now = now;
-        let payload = self.keys.open(datagram).inspect_err(|_| self.unheard += 1)?;
+        let payload = self
+            .keys
+            .open(datagram)
+            .inspect_err(|_| self.unheard += 1)?;
         match payload.split_first() {
             Some((&GOSSIP, gossip)) => {
                 self.shared.borrow_mut().sender = None;
@@ -274,9 +294,14 @@
         }
         if now >= self.renew_at {
             self.renew_at = now + RENEWS;
-            self.shared.borrow_mut().figures.age_out(now, self.settings.figures);
+            self.shared
+                .borrow_mut()
+                .figures
+                .age_out(now, self.settings.figures);
             let kinds: Vec<Kind> = self.own.keys().copied().collect();
-            kinds.into_iter().for_each(|kind| self.tell_again(now, kind));
+            kinds
+                .into_iter()
+                .for_each(|kind| self.tell_again(now, kind));
         }
     }
 
@@ -322,10 +347,17 @@
                 continue;
             }
             let suspected = member.state() == State::Suspect;
-            let later =
-                members.get(&identity.name).is_none_or(|known| known.identity.rank() < identity.rank());
+            let later = members
+                .get(&identity.name)
+                .is_none_or(|known| known.identity.rank() < identity.rank());
             if later {
-                members.insert(identity.name.clone(), Member { identity, suspected });
+                members.insert(
+                    identity.name.clone(),
+                    Member {
+                        identity,
+                        suspected,
+                    },
+                );
             }
         }
         members
@@ -351,8 +383,13 @@
 
     /// Tells whoever spoke under a life that is held to be gone here.
     fn notify_sender(&mut self, now: Micros) {
-        let Some(sender) = self.shared.borrow_mut().sender.take() else { return };
-        let known = self.foca.iter_membership_state().find(|member| member.id().address == sender.address);
+        let Some(sender) = self.shared.borrow_mut().sender.take() else {
+            return;
+        };
+        let known = self
+            .foca
+            .iter_membership_state()
+            .find(|member| member.id().address == sender.address);
         let gone = known.is_some_and(|known| {
             let later = known.id().rank() > sender.rank();
             later || *known.id() == sender && known.state() == State::Down
@@ -360,7 +397,11 @@
         if !gone {
             return;
         }
-        let lost = self.foca.iter_membership_state().filter(|member| member.state() == State::Down).count();
+        let lost = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.state() == State::Down)
+            .count();
         if lost > self.foca.num_members() {
             self.start_over(now);
         } else if let Ok(bytes) = postcard::to_allocvec(&sender) {
@@ -371,7 +412,12 @@
     /// Forgets who was there. Guards the many against one that was cut off and holds all of them to be gone: the smaller part
     /// comes back, and not the larger.
     fn start_over(&mut self, now: Micros) {
-        self.foca = foca(self.identity().clone(), &self.settings, &self.shared, self.seed);
+        self.foca = foca(
+            self.identity().clone(),
+            &self.settings,
+            &self.shared,
+            self.seed,
+        );
         self.timers.clear();
         self.note_changes();
         let seen = self.shared.borrow().seen;
@@ -388,23 +434,34 @@
     /// Guards against a process that stood still and takes the silence for that of the others: its timers begin anew, and
     /// whoever it was about to ask or to give up has the full time again.
     fn forgive_own_pause(&mut self, now: Micros) {
-        let Some(&(first, _)) = self.timers.keys().next() else { return };
+        let Some(&(first, _)) = self.timers.keys().next() else {
+            return;
+        };
         let late = now.saturating_sub(first);
         if late < STOOD_STILL {
             return;
         }
         let timers = std::mem::take(&mut self.timers);
-        self.timers = timers.into_iter().map(|((at, number), timer)| ((at + late, number), timer)).collect();
+        self.timers = timers
+            .into_iter()
+            .map(|((at, number), timer)| ((at + late, number), timer))
+            .collect();
     }
 
     fn contact(&mut self, now: Micros) {
-        let known: Vec<SocketAddr> = self.foca.iter_members().map(|member| member.id().address).collect();
+        let known: Vec<SocketAddr> = self
+            .foca
+            .iter_members()
+            .map(|member| member.id().address)
+            .collect();
         let own = self.identity().clone();
         for &address in &self.contacts.clone() {
             if address != own.address && !known.contains(&address) {
                 let mut gathered = Gathered::default();
                 // Whoever is there goes by its address until it is heard of.
-                let _ = self.foca.announce(whoever_is_at(address, &own), &mut gathered);
+                let _ = self
+                    .foca
+                    .announce(whoever_is_at(address, &own), &mut gathered);
                 self.take(now, gathered);
             }
         }
@@ -441,8 +498,15 @@
     /// Who has our name by a later life, at another address.
     fn holder(&self) -> Option<Identity> {
         let own = self.identity();
-        let namesakes = self.foca.iter_members().map(foca::Member::id).filter(|id| id.name == own.name);
-        namesakes.filter(|id| id.rank() > own.rank()).max_by_key(|id| id.rank()).cloned()
+        let namesakes = self
+            .foca
+            .iter_members()
+            .map(foca::Member::id)
+            .filter(|id| id.name == own.name);
+        namesakes
+            .filter(|id| id.rank() > own.rank())
+            .max_by_key(|id| id.rank())
+            .cloned()
     }
 
     fn bump(&mut self, now: Micros, seen: u64) {
@@ -455,7 +519,10 @@
             }
         }
         let incarnation = self.incarnations.current();
-        let identity = Identity { incarnation, ..self.identity().clone() };
+        let identity = Identity {
+            incarnation,
+            ..self.identity().clone()
+        };
         self.shared.borrow_mut().own = Some(identity.clone());
         let mut gathered = Gathered::default();
         if self.foca.change_identity(identity, &mut gathered).is_ok() {
@@ -467,10 +534,22 @@
     }
 
     fn tell_again(&mut self, now: Micros, kind: Kind) {
-        let Identity { address, incarnation, .. } = *self.identity();
-        let Some((version, value)) = self.own.get_mut(&kind) else { return };
+        let Identity {
+            address,
+            incarnation,
+            ..
+        } = *self.identity();
+        let Some((version, value)) = self.own.get_mut(&kind) else {
+            return;
+        };
         *version += 1;
-        let figure = Figure { address, incarnation, kind, version: *version, value: value.clone() };
+        let figure = Figure {
+            address,
+            incarnation,
+            kind,
+            version: *version,
+            value: value.clone(),
+        };
         {
             let own = self.identity().clone();
             let mut shared = self.shared.borrow_mut();
@@ -484,7 +563,10 @@
 
     /// Tells of those that came and went since it was last looked.
     fn note_changes(&mut self) {
-        let there = self.foca.iter_members().map(|member| (member.id().address, member.id().clone()));
+        let there = self
+            .foca
+            .iter_members()
+            .map(|member| (member.id().address, member.id().clone()));
         let there: BTreeMap<SocketAddr, Identity> = there.collect();
         let before = std::mem::replace(&mut self.there, there);
         let mut shared = self.shared.borrow_mut();
@@ -518,7 +600,11 @@
         // Those that are gone and no longer remembered leave their room.
         let mut shared = self.shared.borrow_mut();
         if shared.addresses.len() >= shared.most {
-            let known = self.foca.iter_membership_state().map(|member| member.id().address).collect();
+            let known = self
+                .foca
+                .iter_membership_state()
+                .map(|member| member.id().address)
+                .collect();
             shared.addresses = known;
         }
     }
@@ -530,8 +616,12 @@
     shared: &Rc<RefCell<Shared>>,
     seed: u64,
 ) -> Foca<Identity, Bounded, SmallRng, Told> {
-    let codec = Bounded { shared: shared.clone() };
-    let told = Told { shared: shared.clone() };
+    let codec = Bounded {
+        shared: shared.clone(),
+    };
+    let told = Told {
+        shared: shared.clone(),
+    };
     // Each life its own numbers, so that none asks in the order of the former.
     let random = SmallRng::seed_from_u64(seed ^ identity.incarnation.rotate_left(32));
     Foca::with_custom_broadcast(identity, settings.config(), random, codec, told)
@@ -540,7 +630,13 @@
 /// An identity that is nobody's: only its address counts.
 fn whoever_is_at(address: SocketAddr, own: &Identity) -> Identity {
     let name = Label::try_from("?".to_owned()).unwrap_or_else(|_| own.name.clone());
-    Identity { name, incarnation: 0, boot: 0, address, ..own.clone() }
+    Identity {
+        name,
+        incarnation: 0,
+        boot: 0,
+        address,
+        ..own.clone()
+    }
 }
 
 /// What the library asks for.
@@ -569,6 +665,9 @@
     }
 
     fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
-        self.timers.push((Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX), event));
+        self.timers.push((
+            Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX),
+            event,
+        ));
     }
 }
--- a/crates/membership/src/figures.rs
+++ b/crates/membership/src/figures.rs
@@ -85,14 +85,17 @@
     pub fn down(&mut self, identity: &Identity) {
         if self.there.get(&identity.address) == Some(&identity.incarnation) {
             self.there.remove(&identity.address);
-            self.known.retain(|(address, _), _| *address != identity.address);
+            self.known
+                .retain(|(address, _), _| *address != identity.address);
         }
     }
 
     /// Takes one up; true where it is news. Guards against values of any length, more kinds than fit, and processes that are
     /// not there.
     pub fn merge(&mut self, now: Micros, figure: Figure) -> bool {
-        if figure.value.len() > MOST_BYTES || self.there.get(&figure.address) != Some(&figure.incarnation) {
+        if figure.value.len() > MOST_BYTES
+            || self.there.get(&figure.address) != Some(&figure.incarnation)
+        {
             return false;
         }
         let key = (figure.address, figure.kind);
@@ -109,13 +112,17 @@
 
     /// Forgets what is older than this.
     pub fn age_out(&mut self, now: Micros, oldest: Micros) {
-        self.known.retain(|_, heard| now.saturating_sub(heard.since) <= oldest);
+        self.known
+            .retain(|_, heard| now.saturating_sub(heard.since) <= oldest);
     }
 
     /// What one process told.
     pub fn of(&self, address: SocketAddr) -> impl Iterator<Item = &Figure> {
         let from = (address, Kind::Warmth);
-        let of = self.known.range(from..).take_while(move |((whose, _), _)| *whose == address);
+        let of = self
+            .known
+            .range(from..)
+            .take_while(move |((whose, _), _)| *whose == address);
         of.map(|(_, heard)| &heard.figure)
     }
 
@@ -158,10 +165,18 @@
     }
 
     fn figure() -> impl Strategy<Value = Figure> {
-        (1..4u16, 1..3u64, 0..3u16, 0..4u64, 0..3u8).prop_map(|(port, incarnation, kind, version, value)| {
-            let address = ([127, 0, 0, 1], port).into();
-            Figure { address, incarnation, kind: Kind::Other(kind), version, value: vec![value] }
-        })
+        (1..4u16, 1..3u64, 0..3u16, 0..4u64, 0..3u8).prop_map(
+            |(port, incarnation, kind, version, value)| {
+                let address = ([127, 0, 0, 1], port).into();
+                Figure {
+                    address,
+                    incarnation,
+                    kind: Kind::Other(kind),
+                    version,
+                    value: vec![value],
+                }
+            },
+        )
     }
 
     proptest! {
@@ -196,7 +211,10 @@
         figures.up(&old);
         assert!(figures.merge(0, of(&old, 9)) && !figures.merge(0, of(&old, 9)));
         assert_eq!(
-            figures.all(7, Kind::Warmth).next().map(|(f, age)| (f.number(), age)),
+            figures
+                .all(7, Kind::Warmth)
+                .next()
+                .map(|(f, age)| (f.number(), age)),
             Some((Some(0.5), 7))
         );
         figures.up(&new);
@@ -216,8 +234,13 @@
         figures.up(&process(1, 1));
         let address = process(1, 1).address;
         for kind in 0..200 {
-            let figure =
-                Figure { address, incarnation: 1, kind: Kind::Other(kind), version: 1, value: vec![0] };
+            let figure = Figure {
+                address,
+                incarnation: 1,
+                kind: Kind::Other(kind),
+                version: 1,
+                value: vec![0],
+            };
             figures.merge(0, figure);
         }
         assert_eq!(figures.len(), MOST_KINDS);
--- a/crates/policy/src/controller/advice.rs
+++ b/crates/policy/src/controller/advice.rs
@@ -19,7 +19,9 @@
         } else {
             (self.welcome * (1.0 - self.lag / self.held_work().1)).max(ADVERT_FLOOR)
         };
-        if (welcome - self.advertised).abs() < ADVERT_STEP && (welcome < 1.0) == (self.advertised < 1.0) {
+        if (welcome - self.advertised).abs() < ADVERT_STEP
+            && (welcome < 1.0) == (self.advertised < 1.0)
+        {
             return;
         }
         self.advertised = welcome;
@@ -39,9 +41,11 @@
     /// which takes of the cores and shuts callers out; under strain less so, since new ones would add to it.
     pub(super) fn close_idle(&mut self, actions: &mut Vec<Action>) {
         let idle = self.settings.idle as f64;
-        let interval = f64::from(self.settings.callers) * self.memory_span() / self.arrivals.max(1.0);
+        let interval =
+            f64::from(self.settings.callers) * self.memory_span() / self.arrivals.max(1.0);
         let strain =
-            (self.runnable.unwrap_or(0.0) / f64::from(self.settings.cores.max(1)) / FULL_CORES).max(1.0);
+            (self.runnable.unwrap_or(0.0) / f64::from(self.settings.cores.max(1)) / FULL_CORES)
+                .max(1.0);
         let keep = idle * (strain * idle / interval.max(1.0)).min(1.0).powi(2);
         if keep < 0.9 * self.kept_idle || keep > 1.1 * self.kept_idle {
             self.kept_idle = keep;
--- a/crates/policy/src/controller/arrival.rs
+++ b/crates/policy/src/controller/arrival.rs
@@ -29,7 +29,9 @@
         let id = record.id;
         self.requests.insert(id, record);
         self.shed(actions);
-        let Some(record) = self.requests.get(&id) else { return };
+        let Some(record) = self.requests.get(&id) else {
+            return;
+        };
         let class = &self.settings.classes[record.class];
         if class.calls {
             self.gate.admit(self.now);
@@ -62,14 +64,23 @@
     /// Guards against a second run: whatever is not known to be held may have run. A keyed request that is
     /// still held gives way to its newer try, whose caller is the one that waits; both do where results are
     /// kept.
-    fn follow_prior(&mut self, record: &mut Record, prior: RequestId, actions: &mut Vec<Action>) -> bool {
+    fn follow_prior(
+        &mut self,
+        record: &mut Record,
+        prior: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let keyed = self.class(record).effect != Effect::Safe;
         match self.requests.get_mut(&prior) {
             Some(old) if old.stage == Stage::Sharing(record.id) => return false,
             Some(old) if old.stage == Stage::Held && keyed && !record.keep => {
                 self.entries.remove(&prior);
                 self.requests.remove(&prior);
-                actions.push(Action::Refuse { id: prior, avoid_for: 0, last: true });
+                actions.push(Action::Refuse {
+                    id: prior,
+                    avoid_for: 0,
+                    last: true,
+                });
                 return false;
             }
             Some(old) => old.joiners += 1,
@@ -82,12 +93,17 @@
 
     fn turns_away(&self, record: &Record) -> bool {
         let class = self.class(record);
-        let entry = if record.keep || class.effect == Effect::Keyed { self.settings.entry_kb } else { 0.0 };
+        let entry = if record.keep || class.effect == Effect::Keyed {
+            self.settings.entry_kb
+        } else {
+            0.0
+        };
         let standing = self.standing_of(record);
         self.too_late_to_run(record)
             || record.keep && !self.keeps
             || self.memory_full(record.memory_kb + entry)
-            || must_call(class) && (self.gate.closed(self.now, standing) || self.calls_crowded(record))
+            || must_call(class)
+                && (self.gate.closed(self.now, standing) || self.calls_crowded(record))
             || self.would_wait() && standing < self.cut
     }
 
--- a/crates/policy/src/controller/gate.rs
+++ b/crates/policy/src/controller/gate.rs
@@ -60,15 +60,36 @@
     pub(super) fn new(settings: &Settings, period: Micros) -> Self {
         let cores = f64::from(settings.cores.max(1));
         let (share, span, start, least) = match settings.below {
-            Below::Shared { share, span } => {
-                (MARGIN * share.max(0.0), span, 1.0, LEAST_SHARE * MARGIN * share)
-            }
-            _ => (cores * settings.crowd.max(1.0), settings.warm_after, cores, 1.0),
+            Below::Shared { share, span } => (
+                MARGIN * share.max(0.0),
+                span,
+                1.0,
+                LEAST_SHARE * MARGIN * share,
+            ),
+            _ => (
+                cores * settings.crowd.max(1.0),
+                settings.warm_after,
+                cores,
+                1.0,
+            ),
         };
-        let aim = settings.classes.iter().map(|class| class.aim).min().unwrap_or(0);
+        let aim = settings
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .min()
+            .unwrap_or(0);
         let latency = (GAP_FLOOR * aim as f64).max(1.0);
         let (bound, least) = (start.min(share.max(1.0)), least.max(1.0));
-        Self { bound, least, share, span, period, latency, ..Self::default() }
+        Self {
+            bound,
+            least,
+            share,
+            span,
+            period,
+            latency,
+            ..Self::default()
+        }
     }
 
     /// A gap holds off the least worth for twice its length and the most for hardly any.
@@ -85,7 +106,9 @@
     pub(super) fn has_room(&self, now: Micros, in_hand: usize) -> bool {
         let taken = self.taken(now, in_hand) as f64;
         (now >= self.paused_until && taken < self.bound.floor().max(1.0) && self.budget >= 0.0)
-            && self.allowance(now).is_none_or(|left| left >= self.latency.min(self.whole()))
+            && self
+                .allowance(now)
+                .is_none_or(|left| left >= self.latency.min(self.whole()))
     }
 
     /// The call time of one span that the told share stands for.
@@ -102,7 +125,11 @@
     /// what lies below turning slow, when all servers at once make calls as long as they may.
     pub(super) fn allowance(&self, now: Micros) -> Option<f64> {
         let from = now.saturating_sub(self.span);
-        let used: Micros = self.past.iter().map(|call| call.1.saturating_sub(call.0.max(from))).sum();
+        let used: Micros = self
+            .past
+            .iter()
+            .map(|call| call.1.saturating_sub(call.0.max(from)))
+            .sum();
         (self.share < 1.0).then(|| self.whole() - used as f64)
     }
 
@@ -124,9 +151,22 @@
         self.gap = (self.gap * phi).clamp(GAP_FLOOR * self.latency, GAP_CEILING * self.latency);
     }
 
-    pub(super) fn call_ended(&mut self, now: Micros, outcome: Outcome, elapsed: Micros, linger: Micros) {
+    pub(super) fn call_ended(
+        &mut self,
+        now: Micros,
+        outcome: Outcome,
+        elapsed: Micros,
+        linger: Micros,
+    ) {
         let made = now.saturating_sub(elapsed);
-        self.past.push((made, if outcome == Outcome::TimedOut { now + linger } else { now }));
+        self.past.push((
+            made,
+            if outcome == Outcome::TimedOut {
+                now + linger
+            } else {
+                now
+            },
+        ));
         let answered = matches!(outcome, Outcome::Success | Outcome::Failure);
         self.heard = self.heard.max(if answered { made } else { 0 });
         // Guards against taking a connection that broke or fell silent for trouble below: there, the next
@@ -140,7 +180,11 @@
             self.latency = smooth(self.latency, elapsed as f64).max(1.0);
         }
         if answered {
-            let old = if self.usual > 0.0 { self.usual } else { elapsed as f64 };
+            let old = if self.usual > 0.0 {
+                self.usual
+            } else {
+                elapsed as f64
+            };
             self.usual = old + USUAL_SMOOTH * (elapsed as f64 - old);
         }
         if !answered && outcome != Outcome::TimedOut {
--- a/crates/policy/src/controller/mod.rs
+++ b/crates/policy/src/controller/mod.rs
@@ -80,9 +80,19 @@
     /// A controller for a server that has just started. Nothing is carried over from an earlier life.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let period = settings.tick.max(settings.answer_slack / PERIODS_IN_SLACK).max(1);
-        let guess = if settings.cold_start { 2.0 * FIRST_GUESS } else { FIRST_GUESS };
-        let pace = |class: &Class| Pace { run_time: (guess * class.aim as f64).max(1.0), ..Pace::default() };
+        let period = settings
+            .tick
+            .max(settings.answer_slack / PERIODS_IN_SLACK)
+            .max(1);
+        let guess = if settings.cold_start {
+            2.0 * FIRST_GUESS
+        } else {
+            FIRST_GUESS
+        };
+        let pace = |class: &Class| Pace {
+            run_time: (guess * class.aim as f64).max(1.0),
+            ..Pace::default()
+        };
         Self {
             random: seed,
             period,
@@ -124,15 +134,30 @@
                 self.progress = self.now;
                 self.put(id, Stage::AwaitingCall);
             }
-            Event::CallEnded { id, outcome, elapsed } => self.call_ended(id, outcome, elapsed, actions),
-            Event::RunEnded { id, outcome, elapsed } => self.run_ended(id, outcome, elapsed, actions),
+            Event::CallEnded {
+                id,
+                outcome,
+                elapsed,
+            } => self.call_ended(id, outcome, elapsed, actions),
+            Event::RunEnded {
+                id,
+                outcome,
+                elapsed,
+            } => self.run_ended(id, outcome, elapsed, actions),
             Event::Timer { gauges, .. } => {
                 self.runnable = gauges.runnable;
-                actions.push(Action::Timer { at: self.now + self.period, token: 0 });
+                actions.push(Action::Timer {
+                    at: self.now + self.period,
+                    token: 0,
+                });
             }
             Event::Drain { stop_at } => self.begin_drain(stop_at, false, actions),
             Event::Succeeded { stop_at } => self.begin_drain(stop_at, true, actions),
-            Event::Beside { running, memory_kb, calls } => self.beside = (running, memory_kb, calls),
+            Event::Beside {
+                running,
+                memory_kb,
+                calls,
+            } => self.beside = (running, memory_kb, calls),
             Event::Kept { entries, room } => (self.kept, self.keeps) = (entries, room),
         }
     }
@@ -140,8 +165,14 @@
     fn start(&mut self, actions: &mut Vec<Action>) {
         (self.started, self.adjusted, self.progress) = (self.now, self.now, self.now);
         // Checks that do real work would take cores and calls from requests.
-        actions.push(Action::Health { good: true, from_state: true });
-        actions.push(Action::Timer { at: self.now + self.period, token: 0 });
+        actions.push(Action::Health {
+            good: true,
+            from_state: true,
+        });
+        actions.push(Action::Timer {
+            at: self.now + self.period,
+            token: 0,
+        });
     }
 
     fn adjust(&mut self, actions: &mut Vec<Action>) {
@@ -149,7 +180,10 @@
         self.adjusted = self.now;
         self.entries.retain(|_, until| *until > self.adjusted);
         let keep = (1.0 - passed as f64 / self.memory_span()).max(0.0);
-        self.tries.iter_mut().chain([&mut self.arrivals]).for_each(|count| *count *= keep);
+        self.tries
+            .iter_mut()
+            .chain([&mut self.arrivals])
+            .for_each(|count| *count *= keep);
         let must = |r: &&Record| r.stage == Stage::AwaitingCall && must_call(self.class(r));
         let backlog = self.requests.values().filter(must).count(); // The others go on without one.
         let in_hand = self.calls_in_hand();
--- a/crates/policy/src/controller/record.rs
+++ b/crates/policy/src/controller/record.rs
@@ -60,21 +60,38 @@
         let class = &self.settings.classes[request.class];
         let pace = &mut self.paces[request.class];
         let arrived = self.now.saturating_sub(request.waited);
-        let due = request.due.unwrap_or(arrived + class.deadline).max(self.now);
+        let due = request
+            .due
+            .unwrap_or(arrived + class.deadline)
+            .max(self.now);
         let left = due - arrived.min(due);
         // A further try with less time left than a first one is at least so much older; one with more has
         // what is left of its client's whole time.
         if !request.retry {
             pace.patience = pace.patience.max(left);
         }
-        let whole = if left > pace.patience && pace.patience > 0 { class.deadline } else { pace.patience };
-        let age = if request.retry { whole.saturating_sub(left) } else { 0 };
+        let whole = if left > pace.patience && pace.patience > 0 {
+            class.deadline
+        } else {
+            pace.patience
+        };
+        let age = if request.retry {
+            whole.saturating_sub(left)
+        } else {
+            0
+        };
         let size = request.work.map_or(1.0, |work| {
-            pace.work = if pace.work > 0.0 { smooth(pace.work, work as f64) } else { work as f64 };
+            pace.work = if pace.work > 0.0 {
+                smooth(pace.work, work as f64)
+            } else {
+                work as f64
+            };
             HINT_SHARE * work as f64 / pace.work + (1.0 - HINT_SHARE)
         });
         let stretch = class.aim_stretch * request.work.unwrap_or(0) as f64;
-        let aim = (arrived + class.aim + stretch as Micros).saturating_sub(age).min(due);
+        let aim = (arrived + class.aim + stretch as Micros)
+            .saturating_sub(age)
+            .min(due);
         let bands = self.settings.classes.len() as f64;
         Record {
             id: request.id,
@@ -84,7 +101,12 @@
             due: due.min(self.drain.map_or(due, |d| d.stop_at)),
             aim,
             size,
-            worth: class.worth * if self.settings.worth_by_work { size * pace.work.max(1.0) } else { 1.0 },
+            worth: class.worth
+                * if self.settings.worth_by_work {
+                    size * pace.work.max(1.0)
+                } else {
+                    1.0
+                },
             retry: request.retry,
             keep: request.keep,
             place: (request.rank * bands).fract(),
@@ -99,7 +121,9 @@
 
     /// Held requests.
     pub(super) fn held(&self) -> impl Iterator<Item = &Record> {
-        self.requests.values().filter(|record| record.stage == Stage::Held)
+        self.requests
+            .values()
+            .filter(|record| record.stage == Stage::Held)
     }
 
     pub(super) fn put(&mut self, id: RequestId, stage: Stage) {
@@ -113,7 +137,10 @@
     }
 
     fn count_stage(&self, stage: impl Fn(Stage) -> bool) -> usize {
-        self.requests.values().filter(|record| stage(record.stage)).count()
+        self.requests
+            .values()
+            .filter(|record| stage(record.stage))
+            .count()
     }
 
     pub(super) fn on_cores(&self) -> usize {
--- a/crates/policy/src/controller/runs.rs
+++ b/crates/policy/src/controller/runs.rs
@@ -38,10 +38,20 @@
         }
     }
 
-    pub(super) fn run_ended(&mut self, id: RequestId, outcome: Outcome, took: Micros, actions: &mut Actions) {
-        let Some(record) = self.requests.remove(&id) else { return };
+    pub(super) fn run_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        took: Micros,
+        actions: &mut Actions,
+    ) {
+        let Some(record) = self.requests.remove(&id) else {
+            return;
+        };
         if record.stage == Stage::Calling {
-            self.gate.past.push((record.called, self.now + self.settings.linger));
+            self.gate
+                .past
+                .push((record.called, self.now + self.settings.linger));
         }
         match record.stage {
             Stage::Sharing(prior) => self.leave_share(prior),
@@ -69,20 +79,27 @@
     /// stays under the crowd survived at present speed.
     pub(super) fn adjust_run_limit(&mut self) {
         let cores = f64::from(self.settings.cores.max(1));
-        let waits = self.held().next().is_some() && self.on_cores() as f64 >= self.run_limit.floor();
+        let waits =
+            self.held().next().is_some() && self.on_cores() as f64 >= self.run_limit.floor();
         match self.runnable {
             Some(runnable) if runnable > FULL_CORES * cores => self.run_limit -= RUN_STEP * cores,
             Some(runnable) if runnable < cores && waits => self.run_limit += RUN_STEP * cores,
             _ => {}
         }
         let crowd = (1.0 + (self.settings.crowd - 1.0).max(0.0) * self.speed()) * cores;
-        self.run_limit = self.run_limit.clamp(cores, (CROWD_MARGIN * crowd).max(cores));
+        self.run_limit = self
+            .run_limit
+            .clamp(cores, (CROWD_MARGIN * crowd).max(cores));
     }
 
     /// The share of full speed that a cold start surely has by now.
     pub(super) fn speed(&self) -> f64 {
         let warmth = (self.now - self.started) as f64 / self.settings.warm_after.max(1) as f64;
-        let cold = if self.settings.cold_start { self.settings.cold_speed } else { 1.0 };
+        let cold = if self.settings.cold_start {
+            self.settings.cold_speed
+        } else {
+            1.0
+        };
         (cold + (1.0 - cold) * warmth).min(1.0)
     }
 }
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -60,7 +60,10 @@
     /// Guards the controller against figures that no controller has.
     fn check(&self, classes: usize) -> Result<(), String> {
         if self.classes.len() != classes {
-            return Err(format!("classes: {} of them, {classes} here", self.classes.len()));
+            return Err(format!(
+                "classes: {} of them, {classes} here",
+                self.classes.len()
+            ));
         }
         let within = |name: &str, value: f64, from: f64, to: f64| {
             if (from..=to).contains(&value) {
@@ -70,9 +73,19 @@
             }
         };
         for (n, class) in self.classes.iter().enumerate() {
-            within(&format!("classes[{n}].run_time"), class.run_time, 1.0, LONGEST)?;
+            within(
+                &format!("classes[{n}].run_time"),
+                class.run_time,
+                1.0,
+                LONGEST,
+            )?;
             within(&format!("classes[{n}].work"), class.work, 0.0, LONGEST)?;
-            within(&format!("classes[{n}].patience"), class.patience as f64, 0.0, LONGEST)?;
+            within(
+                &format!("classes[{n}].patience"),
+                class.patience as f64,
+                0.0,
+                LONGEST,
+            )?;
         }
         within("calls.bound", self.calls.bound, 1.0, 1e6)?;
         within("calls.latency", self.calls.latency, 1.0, LONGEST)?;
@@ -121,7 +134,8 @@
     pub fn learn(&mut self, learned: &Learned) -> Result<(), String> {
         learned.check(self.paces.len())?;
         for (pace, class) in self.paces.iter_mut().zip(&learned.classes) {
-            (pace.run_time, pace.work, pace.patience) = (class.run_time, class.work, class.patience);
+            (pace.run_time, pace.work, pace.patience) =
+                (class.run_time, class.work, class.patience);
         }
         let gate = &mut self.gate;
         gate.bound = learned.calls.bound.min(gate.share.max(1.0));
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -108,7 +108,10 @@
     /// The names of the classes, in the order of their indexes.
     #[must_use]
     pub fn class_names(&self) -> Vec<String> {
-        self.classes.iter().map(|class| class.name.clone()).collect()
+        self.classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect()
     }
 
     /// The names of the server's own gauges, in the order they are told in.
@@ -126,9 +129,14 @@
             return Err("classes: at least one is needed".to_owned());
         }
         for (i, class) in self.classes.iter().enumerate() {
-            let twice = self.classes[..i].iter().any(|other| other.name == class.name);
+            let twice = self.classes[..i]
+                .iter()
+                .any(|other| other.name == class.name);
             if class.name.is_empty() || twice {
-                return Err(format!("classes[{i}].name: {:?} is empty or taken", class.name));
+                return Err(format!(
+                    "classes[{i}].name: {:?} is empty or taken",
+                    class.name
+                ));
             }
             match class.effect.as_str() {
                 "idempotent" | "at_most_once" | "deduplicated" => {}
@@ -136,7 +144,9 @@
             }
             for (key, value) in [("on_time", class.on_time), ("give_up", class.give_up)] {
                 if value == 0 || value > LONGEST {
-                    return Err(format!("classes[{i}].{key}: {value} is not within 1 to {LONGEST}"));
+                    return Err(format!(
+                        "classes[{i}].{key}: {value} is not within 1 to {LONGEST}"
+                    ));
                 }
             }
         }
@@ -145,10 +155,19 @@
             return Err("specifics.cores: at least one is needed".to_owned());
         }
         if !(specifics.memory_kb.is_finite() && specifics.memory_kb > 0.0) {
-            return Err(format!("specifics.memory_kb: {} is no memory", specifics.memory_kb));
+            return Err(format!(
+                "specifics.memory_kb: {} is no memory",
+                specifics.memory_kb
+            ));
         }
-        if !matches!(specifics.halt.as_str(), "" | "silent" | "discard" | "freeze") {
-            return Err(format!("specifics.halt: unknown way to stop a run: {:?}", specifics.halt));
+        if !matches!(
+            specifics.halt.as_str(),
+            "" | "silent" | "discard" | "freeze"
+        ) {
+            return Err(format!(
+                "specifics.halt: unknown way to stop a run: {:?}",
+                specifics.halt
+            ));
         }
         if self.tick == 0 || self.tick > 1_000_000 {
             return Err(format!("tick: {} is not within 1 to 1000000", self.tick));
@@ -160,16 +179,28 @@
     #[must_use]
     pub fn settings(self) -> Settings {
         let below = match self.specifics.below.as_str() {
-            "one_for_all" => {
-                Below::Shared { share: self.specifics.calls_out, span: self.specifics.calls_over }
-            }
+            "one_for_all" => Below::Shared {
+                share: self.specifics.calls_out,
+                span: self.specifics.calls_over,
+            },
             "tier" => Below::Tier,
             _ => Below::Nothing,
         };
-        let classes = self.classes.iter().enumerate().map(|(i, c)| c.class(i, &self.specifics)).collect();
+        let classes = self
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(i, c)| c.class(i, &self.specifics))
+            .collect();
         Settings {
             classes,
-            tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_rps }).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| Tenant {
+                    quota_per_s: t.quota_rps,
+                })
+                .collect(),
             over_share_worth: self.over_share_worth,
             worth_by_work: self.worth_by == "work",
             marks_retry: self.clients.marks_retry,
@@ -189,7 +220,11 @@
                 "weight" => Advert::Weight,
                 _ => Advert::Unused,
             },
-            max_avoid: if self.limits.retry_after { self.limits.max_retry_after } else { 0 },
+            max_avoid: if self.limits.retry_after {
+                self.limits.max_retry_after
+            } else {
+                0
+            },
             tells_gone: self.specifics.tells_gone,
             halt: match self.specifics.halt.as_str() {
                 "discard" => Halt::Discard,
@@ -223,7 +258,11 @@
             worth: self.value,
             window: self.repeat_window,
             calls: specifics.class_calls.get(index).copied().unwrap_or(false),
-            skip_worth: specifics.class_skip_worth.get(index).copied().unwrap_or(0.0),
+            skip_worth: specifics
+                .class_skip_worth
+                .get(index)
+                .copied()
+                .unwrap_or(0.0),
         }
     }
 }
