--- a/crates/protocol/src/ajp/client.rs
+++ b/crates/protocol/src/ajp/client.rs
@@ -1,7 +1,9 @@
 //! A connection to an AJP server, seen from the client: one request at a time, kept alive between them, and asked
 //! for a sign of life before an old connection is trusted with a request.
 
-use super::codec::{self, Fault, Outgoing, Reply, TooLarge, Way, BODY_OVERHEAD, MOST_HEADERS, NO_HEADER};
+use super::codec::{
+    self, Fault, Outgoing, Reply, TooLarge, Way, BODY_OVERHEAD, MOST_HEADERS, NO_HEADER,
+};
 use super::server::NOT_RUN;
 use cleatpulley_policy::interface::Micros;
 
@@ -40,7 +42,10 @@
     /// The value of the first header of this name, in any case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|header| header.0.eq_ignore_ascii_case(name));
+        let found = self
+            .headers
+            .iter()
+            .find(|header| header.0.eq_ignore_ascii_case(name));
         found.map(|header| header.1.as_str())
     }
 
@@ -129,10 +134,17 @@
     ///
     /// # Errors
     /// Where its head does not fit into a packet; nothing is sent then.
-    pub fn request(&mut self, now: Micros, request: &Request, out: &mut Vec<u8>) -> Result<(), TooLarge> {
+    pub fn request(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        out: &mut Vec<u8>,
+    ) -> Result<(), TooLarge> {
         let length = request.body.len().to_string();
-        let (uri, query) =
-            request.uri.split_once('?').map_or((request.uri, None), |(uri, query)| (uri, Some(query)));
+        let (uri, query) = request
+            .uri
+            .split_once('?')
+            .map_or((request.uri, None), |(uri, query)| (uri, Some(query)));
         let mut headers = request.headers.to_vec();
         headers.push(("Content-Length", &length));
         let forward = Outgoing {
@@ -183,7 +195,9 @@
 
     fn send_body(&mut self, wanted: usize, out: &mut Vec<u8>) {
         let most = self.options.packet_size;
-        let size = (self.body.len() - self.written).min(wanted).min(most - BODY_OVERHEAD);
+        let size = (self.body.len() - self.written)
+            .min(wanted)
+            .min(most - BODY_OVERHEAD);
         // A piece is cut to fit.
         let _ = codec::push_body(out, &self.body[self.written..self.written + size], most);
         self.written += size;
@@ -194,15 +208,25 @@
     ///
     /// # Errors
     /// What can't be read; the connection is of no further use.
-    pub fn receive(&mut self, now: Micros, input: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        input: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Result<usize, Fault> {
         let mut used = 0;
-        while let Some(payload) = codec::packet(&input[used..], Way::ToProxy, self.options.packet_size)? {
+        while let Some(payload) =
+            codec::packet(&input[used..], Way::ToProxy, self.options.packet_size)?
+        {
             let packet = &input[used..used + payload.end];
             used += payload.end;
             self.used = now;
             let mut headers = [NO_HEADER; MOST_HEADERS];
             let reply = Reply::decode(&packet[payload], &mut headers)?;
-            self.take_reply(reply, out).map_err(|what| Fault { at: codec::HEAD, what })?;
+            self.take_reply(reply, out).map_err(|what| Fault {
+                at: codec::HEAD,
+                what,
+            })?;
         }
         Ok(used)
     }
@@ -211,12 +235,19 @@
         match (&self.stage, reply) {
             (Stage::Ping, Reply::Pong) => self.send(out),
             (Stage::Idle, Reply::Pong) => self.pong = true,
-            (Stage::Asked, Reply::Headers { status, headers, .. }) if !self.headed => {
+            (
+                Stage::Asked,
+                Reply::Headers {
+                    status, headers, ..
+                },
+            ) if !self.headed => {
                 self.headed = true;
                 self.response.status = status;
                 let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-                self.response.headers =
-                    headers.iter().map(|(name, value)| (text(name), text(value))).collect();
+                self.response.headers = headers
+                    .iter()
+                    .map(|(name, value)| (text(name), text(value)))
+                    .collect();
             }
             (Stage::Asked, Reply::Chunk(data)) if self.headed => {
                 if self.response.body.len() + data.len() > LARGEST_BODY {
@@ -250,7 +281,8 @@
     /// What is known of the request, if the connection ended now with so many bytes never handed to the system.
     #[must_use]
     pub fn fate(&self, unsent: usize) -> Fate {
-        let whole = matches!(self.stage, Stage::Asked) && self.written == self.body.len() && unsent == 0;
+        let whole =
+            matches!(self.stage, Stage::Asked) && self.written == self.body.len() && unsent == 0;
         if whole {
             Fate::MayHaveRun
         } else {
--- a/crates/protocol/src/ajp/codec.rs
+++ b/crates/protocol/src/ajp/codec.rs
@@ -69,7 +69,11 @@
 /// # Errors
 /// On a wrong magic or a length beyond the packet size: nothing after it can be read.
 pub fn packet(bytes: &[u8], way: Way, most: usize) -> Result<Option<Range<usize>>, Fault> {
-    let magic = if way == Way::ToServer { TO_SERVER } else { TO_PROXY };
+    let magic = if way == Way::ToServer {
+        TO_SERVER
+    } else {
+        TO_PROXY
+    };
     for (at, expected) in magic.iter().enumerate() {
         match bytes.get(at) {
             None => return Ok(None),
@@ -77,7 +81,9 @@
             Some(_) => {}
         }
     }
-    let Some(length) = bytes.get(2..HEAD).and_then(|b| b.first_chunk::<2>()) else { return Ok(None) };
+    let Some(length) = bytes.get(2..HEAD).and_then(|b| b.first_chunk::<2>()) else {
+        return Ok(None);
+    };
     let whole = HEAD + usize::from(u16::from_be_bytes(*length));
     if whole > most {
         return fault(2, "the packet is larger than the packet size");
@@ -111,7 +117,11 @@
 
     #[inline]
     fn int(&mut self) -> Result<u16, Fault> {
-        let Some(pair) = self.bytes.get(self.at..).and_then(|rest| rest.first_chunk::<2>()) else {
+        let Some(pair) = self
+            .bytes
+            .get(self.at..)
+            .and_then(|rest| rest.first_chunk::<2>())
+        else {
             return fault(self.place(), "the packet ends where a number is needed");
         };
         self.at += 2;
@@ -151,12 +161,17 @@
     ) -> Result<&'h [Header<'a>], Fault> {
         let at = self.place();
         let number = usize::from(self.int()?);
-        let Some(places) = places.get_mut(..number) else { return fault(at, "too many headers") };
+        let Some(places) = places.get_mut(..number) else {
+            return fault(at, "too many headers");
+        };
         for place in places.iter_mut() {
             let at = self.place();
             let length = self.int()?;
             let name = if length & 0xFF00 == names::CODED {
-                known(length).ok_or(Fault { at, what: "an unknown header code" })?
+                known(length).ok_or(Fault {
+                    at,
+                    what: "an unknown header code",
+                })?
             } else {
                 self.text(usize::from(length))?
             };
@@ -309,7 +324,10 @@
     /// The value of the first header of this name, in any case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&'a [u8]> {
-        let found = self.headers.iter().find(|header| header.0.eq_ignore_ascii_case(name.as_bytes()));
+        let found = self
+            .headers
+            .iter()
+            .find(|header| header.0.eq_ignore_ascii_case(name.as_bytes()));
         found.map(|header| header.1)
     }
 
@@ -354,7 +372,11 @@
                 let status = reader.int()?;
                 let message = reader.string()?.unwrap_or_default();
                 let headers = reader.headers(headers, names::response_header)?;
-                Reply::Headers { status, message, headers }
+                Reply::Headers {
+                    status,
+                    message,
+                    headers,
+                }
             }
             kind::SEND_BODY_CHUNK => {
                 let length = usize::from(reader.int()?);
@@ -374,7 +396,10 @@
             _ => return fault(HEAD, "an unknown type of packet"),
         };
         if reader.at != payload.len() {
-            return fault(reader.place(), "bytes after the end of the packet's content");
+            return fault(
+                reader.place(),
+                "bytes after the end of the packet's content",
+            );
         }
         Ok(reply)
     }
@@ -403,7 +428,11 @@
 
 fn open(out: &mut Vec<u8>, way: Way) -> usize {
     let start = out.len();
-    out.extend_from_slice(if way == Way::ToServer { &TO_SERVER } else { &TO_PROXY });
+    out.extend_from_slice(if way == Way::ToServer {
+        &TO_SERVER
+    } else {
+        &TO_PROXY
+    });
     out.extend_from_slice(&[0; 2]);
     start
 }
@@ -425,7 +454,9 @@
 
 /// A string; one beyond what a length can tell makes the packet too large as well.
 fn push_string(out: &mut Vec<u8>, text: Option<&[u8]>) {
-    let Some(text) = text else { return push_int(out, 0xFFFF) };
+    let Some(text) = text else {
+        return push_int(out, 0xFFFF);
+    };
     push_int(out, text.len().min(0xFFFE) as u16);
     out.extend_from_slice(text);
     out.push(0);
--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -65,7 +65,11 @@
 }
 
 fn refusal<T>(status: u16, what: impl Into<String>) -> Result<T, Refusal> {
-    Err(Refusal { status, what: what.into(), allow: None })
+    Err(Refusal {
+        status,
+        what: what.into(),
+        allow: None,
+    })
 }
 
 fn message(status: u16) -> &'static str {
@@ -89,7 +93,15 @@
     #[must_use]
     pub fn new(settings: Rc<Settings>, now: Micros, trusted: bool) -> Self {
         let (status, stage) = (Status::new(now), Stage::Ready);
-        Self { settings, status, stage, streams: 0, began: None, trusted, leaving: false }
+        Self {
+            settings,
+            status,
+            stage,
+            streams: 0,
+            began: None,
+            trusted,
+            leaving: false,
+        }
     }
 
     /// Takes one packet from the front of the bytes; none where it is not whole.
@@ -151,20 +163,28 @@
                     self.status.waits = Some(context.now);
                     self.stage = Stage::Body { arrival, told };
                 }
-                Err(Refusal { status, what, allow }) => {
+                Err(Refusal {
+                    status,
+                    what,
+                    allow,
+                }) => {
                     self.refuse(context, status, &what, allow.as_deref(), out);
                 }
             },
             // A leaving server does not answer: the proxy takes its next connection elsewhere.
-            Some(&kind::CPING) if payload.len() == 1 && self.leaving => self.status.standing = Standing::Lost,
+            Some(&kind::CPING) if payload.len() == 1 && self.leaving => {
+                self.status.standing = Standing::Lost
+            }
             Some(&kind::CPING) if payload.len() == 1 => {
                 self.status.spoken = true;
                 codec::push_cpong(out);
             }
             Some(&kind::SHUTDOWN) => self.lose(context, "a wish to shut down is not obeyed", out),
-            Some(_) => {
-                self.lose(context, "a packet of an unknown type, or a body that was not asked for", out)
-            }
+            Some(_) => self.lose(
+                context,
+                "a packet of an unknown type, or a body that was not asked for",
+                out,
+            ),
             None => self.lose(context, "an empty packet that belongs to no body", out),
         }
     }
@@ -178,7 +198,8 @@
     ) -> Result<(Box<Arrival>, Option<usize>), Refusal> {
         let settings = &self.settings;
         let mut headers = [NO_HEADER; MOST_HEADERS];
-        let request = Forward::decode(payload, &mut headers).or_else(|e| refusal(400, e.to_string()))?;
+        let request =
+            Forward::decode(payload, &mut headers).or_else(|e| refusal(400, e.to_string()))?;
         if let Some(secret) = &settings.secret {
             // Guards against a guess byte by byte: the comparison takes as long wherever they differ.
             if !bool::from(request.secret.unwrap_or_default().ct_eq(secret)) {
@@ -186,14 +207,22 @@
             }
         }
         let head = settings.lookup.as_ref().map(|_| head(&request));
-        let found = settings.lookup.as_ref().zip(head.as_ref()).map(|(lookup, head)| lookup.find(head));
+        let found = settings
+            .lookup
+            .as_ref()
+            .zip(head.as_ref())
+            .map(|(lookup, head)| lookup.find(head));
         let class = match found {
             Some(found) => found.or_else(|(status, what)| refusal(status, what))?,
             None => match settings.table.find(request.method, request.uri) {
                 Found::Class(class) => class,
                 Found::OtherMethods(methods) => {
                     let (status, what) = (405, "this path does not take the method".to_owned());
-                    return Err(Refusal { status, what, allow: Some(methods.join(", ")) });
+                    return Err(Refusal {
+                        status,
+                        what,
+                        allow: Some(methods.join(", ")),
+                    });
                 }
                 Found::Nothing => return refusal(404, "no class has this path"),
             },
@@ -204,8 +233,14 @@
         }
         let mut arrival = self.figures(context, class, began, &request)?;
         arrival.body.reserve_exact(told.unwrap_or(0));
-        arrival.head =
-            head.filter(|_| settings.lookup.as_ref().is_some_and(|lookup| lookup.relays())).map(Box::new);
+        arrival.head = head
+            .filter(|_| {
+                settings
+                    .lookup
+                    .as_ref()
+                    .is_some_and(|lookup| lookup.relays())
+            })
+            .map(Box::new);
         Ok((Box::new(arrival), told))
     }
 
@@ -215,12 +250,18 @@
         let mut chunked = false;
         for (name, value) in request.headers {
             if name.eq_ignore_ascii_case(b"content-length") {
-                let digits = !value.is_empty() && value.len() < 16 && value.iter().all(u8::is_ascii_digit);
-                let length = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
+                let digits =
+                    !value.is_empty() && value.len() < 16 && value.iter().all(u8::is_ascii_digit);
+                let length = std::str::from_utf8(value)
+                    .ok()
+                    .filter(|_| digits)
+                    .and_then(|v| v.parse().ok());
                 // Guards against two lengths, of which proxy and server might each believe another.
                 match length {
                     Some(length) if told.is_none_or(|other| other == length) => told = Some(length),
-                    _ => return refusal(400, "header content-length: no length, or two that differ"),
+                    _ => {
+                        return refusal(400, "header content-length: no length, or two that differ")
+                    }
                 }
             } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
                 chunked = value.eq_ignore_ascii_case(b"chunked");
@@ -247,24 +288,40 @@
         let Some(defaults) = self.settings.defaults.get(class) else {
             return refusal(500, "a class without defaults");
         };
-        let number = |name: &str, place: &Option<Source>, most: f64| -> Result<Option<f64>, Refusal> {
-            let Some(text) = find(request, place.as_ref()) else { return Ok(None) };
-            let value = std::str::from_utf8(text).ok().and_then(|text| text.trim().parse::<f64>().ok());
-            match value.filter(|value| (0.0..most).contains(value)) {
-                Some(value) => Ok(Some(value)),
-                None => refusal(
-                    400,
-                    format!("figure {name}: {:?} is out of place", text.escape_ascii().to_string()),
-                ),
-            }
-        };
+        let number =
+            |name: &str, place: &Option<Source>, most: f64| -> Result<Option<f64>, Refusal> {
+                let Some(text) = find(request, place.as_ref()) else {
+                    return Ok(None);
+                };
+                let value = std::str::from_utf8(text)
+                    .ok()
+                    .and_then(|text| text.trim().parse::<f64>().ok());
+                match value.filter(|value| (0.0..most).contains(value)) {
+                    Some(value) => Ok(Some(value)),
+                    None => refusal(
+                        400,
+                        format!(
+                            "figure {name}: {:?} is out of place",
+                            text.escape_ascii().to_string()
+                        ),
+                    ),
+                }
+            };
         let whole = |name: &str, place: &Option<Source>| -> Result<Option<u64>, Refusal> {
-            let Some(text) = find(request, place.as_ref()) else { return Ok(None) };
-            match std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok()) {
+            let Some(text) = find(request, place.as_ref()) else {
+                return Ok(None);
+            };
+            match std::str::from_utf8(text)
+                .ok()
+                .and_then(|text| text.trim().parse().ok())
+            {
                 Some(value) => Ok(Some(value)),
                 None => refusal(
                     400,
-                    format!("figure {name}: {:?} is out of place", text.escape_ascii().to_string()),
+                    format!(
+                        "figure {name}: {:?} is out of place",
+                        text.escape_ascii().to_string()
+                    ),
                 ),
             }
         };
@@ -282,18 +339,29 @@
                 xxhash_rust::xxh3::xxh3_64_with_seed(&own, self.settings.seed)
             }
         };
-        let told = if self.trusted { whole("door", &places.door)? } else { None };
-        let memory_kb = number("memory_kb", &places.memory_kb, MOST_MEMORY)?.unwrap_or(defaults.memory_kb);
+        let told = if self.trusted {
+            whole("door", &places.door)?
+        } else {
+            None
+        };
+        let memory_kb =
+            number("memory_kb", &places.memory_kb, MOST_MEMORY)?.unwrap_or(defaults.memory_kb);
         if memory_kb <= 0.0 {
             return refusal(400, "figure memory_kb: it must be above 0");
         }
         let key = find(request, places.key.as_ref());
         if key.is_some_and(|key| key.is_empty() || key.len() > LONGEST_KEY) {
-            return refusal(400, format!("figure key: not within 1 to {LONGEST_KEY} bytes"));
+            return refusal(
+                400,
+                format!("figure key: not within 1 to {LONGEST_KEY} bytes"),
+            );
         }
         let work = number("work_ms", &places.work_ms, MOST_WORK)?;
         Ok(Arrival {
-            origin: Origin { connection: context.number, stream },
+            origin: Origin {
+                connection: context.number,
+                stream,
+            },
             id,
             class,
             caller: whole("caller", &places.caller)?.unwrap_or(defaults.caller),
@@ -369,7 +437,14 @@
 
     /// Answers a request that the exchange never hears of. The rest of its body may be on its way and would be
     /// taken for the next request, so that it is the last on this connection.
-    fn refuse(&mut self, context: &Context, status: u16, what: &str, allow: Option<&str>, out: &mut Vec<u8>) {
+    fn refuse(
+        &mut self,
+        context: &Context,
+        status: u16,
+        what: &str,
+        allow: Option<&str>,
+        out: &mut Vec<u8>,
+    ) {
         self.warn(context, &format!("{status}, {what}"));
         let mut headers = vec![(NOT_RUN, "1")];
         headers.extend(allow.map(|methods| ("Allow", methods)));
@@ -382,13 +457,30 @@
         self.status.standing = Standing::Lost;
     }
 
-    fn respond(&self, out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8], reuse: bool) {
+    fn respond(
+        &self,
+        out: &mut Vec<u8>,
+        status: u16,
+        headers: &[(&str, &str)],
+        body: &[u8],
+        reuse: bool,
+    ) {
         let length = body.len().to_string();
-        let kind = if status == 200 { "application/octet-stream" } else { "text/plain" };
+        let kind = if status == 200 {
+            "application/octet-stream"
+        } else {
+            "text/plain"
+        };
         let mut all = vec![("Content-Type", kind), ("Content-Length", length.as_str())];
         all.extend_from_slice(headers);
         // Names and values are our own and short: they fit into the smallest packet.
-        let _ = codec::push_send_headers(out, status, message(status), &all, self.settings.packet_size);
+        let _ = codec::push_send_headers(
+            out,
+            status,
+            message(status),
+            &all,
+            self.settings.packet_size,
+        );
         codec::push_chunks(out, body, self.settings.packet_size);
         codec::push_end(out, reuse);
     }
@@ -413,12 +505,20 @@
         target = target + "?" + &text(query);
     }
     // The proxy may tell the host apart from the headers.
-    let host = request.header("host").or(request.server_name).map(text).unwrap_or_default();
+    let host = request
+        .header("host")
+        .or(request.server_name)
+        .map(text)
+        .unwrap_or_default();
     Head {
         method: text(request.method),
         host,
         target,
-        headers: request.headers.iter().map(|(name, value)| (text(name), text(value))).collect(),
+        headers: request
+            .headers
+            .iter()
+            .map(|(name, value)| (text(name), text(value)))
+            .collect(),
         remote: request.remote_addr.map(text).unwrap_or_default(),
         frame: None,
     }
@@ -466,7 +566,13 @@
         used
     }
 
-    fn answer(&mut self, context: &Context, stream: u32, answer: &Answer, out: &mut Vec<u8>) -> bool {
+    fn answer(
+        &mut self,
+        context: &Context,
+        stream: u32,
+        answer: &Answer,
+        out: &mut Vec<u8>,
+    ) -> bool {
         if !matches!(self.stage, Stage::Handed(open) if open == stream) {
             return false;
         }
@@ -480,11 +586,16 @@
         match answer {
             Answer::Served(body) => self.respond(out, 200, &headers, body, reuse),
             Answer::Refused { later, last } => {
-                let (seconds, ms) =
-                    (later.div_ceil(1_000_000).to_string(), later.div_ceil(1_000).to_string());
+                let (seconds, ms) = (
+                    later.div_ceil(1_000_000).to_string(),
+                    later.div_ceil(1_000).to_string(),
+                );
                 headers.push((NOT_RUN, "1"));
                 if *later > 0 {
-                    headers.extend([("Retry-After", seconds.as_str()), (RETRY_AFTER_MS, ms.as_str())]);
+                    headers.extend([
+                        ("Retry-After", seconds.as_str()),
+                        (RETRY_AFTER_MS, ms.as_str()),
+                    ]);
                 }
                 if *last {
                     headers.push((NO_RETRY, "1"));
@@ -509,9 +620,13 @@
                 }
                 self.respond(out, *status, &headers, body, reuse);
             }
-            Answer::Expired => {
-                self.respond(out, 504, &headers, b"not done in time; it may have run\n", reuse)
-            }
+            Answer::Expired => self.respond(
+                out,
+                504,
+                &headers,
+                b"not done in time; it may have run\n",
+                reuse,
+            ),
         }
         if !reuse {
             self.status.standing = Standing::Lost;
@@ -535,9 +650,13 @@
 
     fn expire(&mut self, context: &Context, out: &mut Vec<u8>) {
         match self.stage {
-            Stage::Body { .. } => {
-                self.refuse(context, 408, "the rest of the body did not come in time", None, out)
-            }
+            Stage::Body { .. } => self.refuse(
+                context,
+                408,
+                "the rest of the body did not come in time",
+                None,
+                out,
+            ),
             // An idle connection, or one whose first packet did not come: nobody is owed a word.
             _ => self.status.standing = Standing::Lost,
         }
--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -38,7 +38,11 @@
             return false;
         }
         self.0.insert(place, (stream, stream));
-        if self.0.get(place + 1).is_some_and(|next| next.0 - 1 == stream) {
+        if self
+            .0
+            .get(place + 1)
+            .is_some_and(|next| next.0 - 1 == stream)
+        {
             self.0[place].1 = self.0.remove(place + 1).1;
         }
         if place > 0 && self.0[place - 1].1 + 1 == stream {
@@ -74,13 +78,25 @@
     #[must_use]
     pub fn new(now: Micros, terms: Rc<Terms>) -> Self {
         let (status, streams, open) = (Status::new(now), Streams::default(), BTreeSet::new());
-        Self { status, streams, open, began: None, skip: 0, terms, cancelled: Vec::new(), relays: None }
+        Self {
+            status,
+            streams,
+            open,
+            began: None,
+            skip: 0,
+            terms,
+            cancelled: Vec::new(),
+            relays: None,
+        }
     }
 
     /// The same for a gateway, whose routes look for this host.
     #[must_use]
     pub fn relaying(self, host: Rc<str>) -> Self {
-        Self { relays: Some(host), ..self }
+        Self {
+            relays: Some(host),
+            ..self
+        }
     }
 
     /// Takes one frame; one too large comes without its payload.
@@ -101,24 +117,31 @@
             // Guards against a client that goes on as if it had not been told to stop; one that writes slowly began before.
             codec::REQUEST if matches!(self.status.standing, Standing::Parting(since) if began >= since + PARTING) =>
             {
-                self.fault(context, 0, "a request long after the word that none may come", out);
+                self.fault(
+                    context,
+                    0,
+                    "a request long after the word that none may come",
+                    out,
+                );
             }
             codec::REQUEST if self.open.len() >= OPEN => {
                 self.fault(context, stream, "too many open requests", out);
             }
             codec::REQUEST => match payload.ok_or("the frame is too large".to_owned()) {
-                Ok(payload) => match arrival(payload, stream, self.terms.key_field.as_deref(), context) {
-                    Ok(mut arrival) => {
-                        if let Some(host) = &self.relays {
-                            arrival.head = codec::fields(payload)
-                                .map(|(fields, _)| Box::new(head(host, &fields, payload)));
+                Ok(payload) => {
+                    match arrival(payload, stream, self.terms.key_field.as_deref(), context) {
+                        Ok(mut arrival) => {
+                            if let Some(host) = &self.relays {
+                                arrival.head = codec::fields(payload)
+                                    .map(|(fields, _)| Box::new(head(host, &fields, payload)));
+                            }
+                            self.open.insert(stream);
+                            self.status.open += 1;
+                            arrivals.push(arrival);
                         }
-                        self.open.insert(stream);
-                        self.status.open += 1;
-                        arrivals.push(arrival);
+                        Err(what) => self.fault(context, stream, &what, out),
                     }
-                    Err(what) => self.fault(context, stream, &what, out),
-                },
+                }
                 Err(what) => self.fault(context, stream, &what, out),
             },
             codec::CANCEL if self.terms.cancels && stream == 0 => {
@@ -198,17 +221,36 @@
             } else {
                 match codec::parse(rest) {
                     Parsed::Short => break,
-                    Parsed::Frame { kind, stream, payload } => {
+                    Parsed::Frame {
+                        kind,
+                        stream,
+                        payload,
+                    } => {
                         used += payload.end;
                         whole = true;
-                        self.take_frame((kind, stream), Some(&rest[payload]), context, out, arrivals);
+                        self.take_frame(
+                            (kind, stream),
+                            Some(&rest[payload]),
+                            context,
+                            out,
+                            arrivals,
+                        );
                     }
-                    Parsed::Large { kind, stream, whole } => {
+                    Parsed::Large {
+                        kind,
+                        stream,
+                        whole,
+                    } => {
                         self.skip = whole;
                         self.take_frame((kind, stream), None, context, out, arrivals);
                     }
                     Parsed::Lost(length) => {
-                        self.fault(context, 0, &format!("no frame has the length {length}"), out);
+                        self.fault(
+                            context,
+                            0,
+                            &format!("no frame has the length {length}"),
+                            out,
+                        );
                     }
                 }
             }
@@ -225,7 +267,13 @@
         used
     }
 
-    fn answer(&mut self, context: &Context, stream: u32, answer: &Answer, out: &mut Vec<u8>) -> bool {
+    fn answer(
+        &mut self,
+        context: &Context,
+        stream: u32,
+        answer: &Answer,
+        out: &mut Vec<u8>,
+    ) -> bool {
         if !self.open.remove(&stream) {
             return false;
         }
@@ -245,11 +293,17 @@
 
     fn deadline(&self) -> Option<Micros> {
         let ends = self.status.standing == Standing::Lost;
-        self.status.waits.filter(|_| !ends).map(|since| since + SILENCE)
+        self.status
+            .waits
+            .filter(|_| !ends)
+            .map(|since| since + SILENCE)
     }
 
     fn expire(&mut self, context: &Context, out: &mut Vec<u8>) {
-        tracing::debug!("front end connection {}: no whole frame in time", context.number);
+        tracing::debug!(
+            "front end connection {}: no whole frame in time",
+            context.number
+        );
         // One that was told to part knows that it is to end.
         if self.status.standing == Standing::Open {
             self.give_up("no whole frame in time", out);
@@ -270,12 +324,20 @@
 
 /// A frame names no path: its class is one.
 fn head(host: &str, fields: &[(&str, &str)], payload: &[u8]) -> Head {
-    let value = |wanted: &str| fields.iter().find(|(name, _)| *name == wanted).map_or("", |(_, value)| value);
+    let value = |wanted: &str| {
+        fields
+            .iter()
+            .find(|(name, _)| *name == wanted)
+            .map_or("", |(_, value)| value)
+    };
     Head {
         method: "POST".to_owned(),
         host: host.to_owned(),
         target: format!("/{}", value("verb")),
-        headers: fields.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
+        headers: fields
+            .iter()
+            .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
+            .collect(),
         remote: value("lb").to_owned(),
         frame: Some(payload.to_vec()),
     }
@@ -290,7 +352,10 @@
     let request = Request::decode(payload, key_field)?;
     let class = context.classes.iter().position(|name| name == request.verb);
     Ok(Arrival {
-        origin: Origin { connection: context.number, stream },
+        origin: Origin {
+            connection: context.number,
+            stream,
+        },
         id: request.txn,
         class: class.ok_or_else(|| format!("field `verb` names no class: {:?}", request.verb))?,
         caller: request.lb,
--- a/crates/protocol/src/line.rs
+++ b/crates/protocol/src/line.rs
@@ -102,7 +102,9 @@
     /// # Errors
     /// Where it is not base64.
     pub fn body(&self) -> Result<Vec<u8>, String> {
-        STANDARD.decode(self.b64.as_deref().unwrap_or_default()).map_err(|e| format!("b64: {e}"))
+        STANDARD
+            .decode(self.b64.as_deref().unwrap_or_default())
+            .map_err(|e| format!("b64: {e}"))
     }
 
     /// The time it tells.
--- a/crates/protocol/src/machine.rs
+++ b/crates/protocol/src/machine.rs
@@ -35,7 +35,13 @@
     /// That of a connection accepted now.
     #[must_use]
     pub fn new(now: Micros) -> Self {
-        Self { standing: Standing::Open, open: 0, used: now, waits: Some(now), spoken: false }
+        Self {
+            standing: Standing::Open,
+            open: 0,
+            used: now,
+            waits: Some(now),
+            spoken: false,
+        }
     }
 
     /// Nothing is open on it and nothing on its way, though it has been used.
@@ -79,7 +85,13 @@
     ) -> usize;
 
     /// Answers a request; false where the connection owes no answer on this stream.
-    fn answer(&mut self, context: &Context, stream: u32, answer: &Answer, out: &mut Vec<u8>) -> bool;
+    fn answer(
+        &mut self,
+        context: &Context,
+        stream: u32,
+        answer: &Answer,
+        out: &mut Vec<u8>,
+    ) -> bool;
 
     /// Streams on which requests were handed over and that nobody waits for any more, each told once: no answer is owed.
     fn take_cancelled(&mut self) -> Vec<u32> {
--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -45,8 +45,13 @@
 #[must_use]
 pub fn outcome(found: &Result<Decision, String>) -> String {
     match found {
-        Ok(Decision::Pass { pool, uri, class, .. }) => {
-            let class = class.as_ref().map(|class| format!(" as {class}")).unwrap_or_default();
+        Ok(Decision::Pass {
+            pool, uri, class, ..
+        }) => {
+            let class = class
+                .as_ref()
+                .map(|class| format!(" as {class}"))
+                .unwrap_or_default();
             format!("{pool} {uri}{class}")
         }
         Ok(Decision::Answer { code, text, .. }) if text.is_empty() => code.to_string(),
@@ -57,10 +62,21 @@
 
 fn by(table: &Table, found: &Result<Decision, String>) -> String {
     match found {
-        Ok(Decision::Pass { server, location, pool, class, .. }) => {
+        Ok(Decision::Pass {
+            server,
+            location,
+            pool,
+            class,
+            ..
+        }) => {
             let site = table.site(*server, *location);
-            let site = site.map(|site| format!("{} at {}", site.name, site.place)).unwrap_or_default();
-            let class = class.as_ref().map(|class| format!(" as {class}")).unwrap_or_default();
+            let site = site
+                .map(|site| format!("{} at {}", site.name, site.place))
+                .unwrap_or_default();
+            let class = class
+                .as_ref()
+                .map(|class| format!(" as {class}"))
+                .unwrap_or_default();
             format!("{pool}{class} by {site}")
         }
         Ok(Decision::Answer { code, by, .. }) => format!("{code}: {by}"),
@@ -78,8 +94,15 @@
     });
     let mut found = BTreeSet::new();
     for source in sources {
-        let Ok(template) = crate::text::Template::read(source) else { continue };
-        found.extend(template.variables().filter(|name| name.starts_with("http_")).map(str::to_owned));
+        let Ok(template) = crate::text::Template::read(source) else {
+            continue;
+        };
+        found.extend(
+            template
+                .variables()
+                .filter(|name| name.starts_with("http_"))
+                .map(str::to_owned),
+        );
     }
     found
 }
@@ -93,11 +116,23 @@
     let all: BTreeSet<Probe> = probes(old).into_iter().chain(probes(new)).collect();
     // With no header, and with each value that a map names and some that none does.
     let mut variants: Vec<Vec<(String, String)>> = vec![Vec::new()];
-    for name in headers(old).into_iter().chain(headers(new)).collect::<BTreeSet<_>>() {
+    for name in headers(old)
+        .into_iter()
+        .chain(headers(new))
+        .collect::<BTreeSet<_>>()
+    {
         let header = name.trim_start_matches("http_").replace('_', "-");
-        let mut tried: BTreeSet<String> = values(old, &name).into_iter().chain(values(new, &name)).collect();
+        let mut tried: BTreeSet<String> = values(old, &name)
+            .into_iter()
+            .chain(values(new, &name))
+            .collect();
         tried.extend((0..16).map(|number| format!("sample-{number}")));
-        variants.extend(tried.into_iter().take(VALUES).map(|value| vec![(header.clone(), value)]));
+        variants.extend(
+            tried
+                .into_iter()
+                .take(VALUES)
+                .map(|value| vec![(header.clone(), value)]),
+        );
     }
     let mut difference = Difference::default();
     let mut groups: BTreeMap<(String, String), (String, usize)> = BTreeMap::new();
@@ -117,16 +152,30 @@
                 continue;
             }
             let port = probe.listen.rsplit(':').next().unwrap_or("80");
-            let header: String =
-                headers.iter().map(|(name, value)| format!(" with {name}: {value}")).collect();
-            let host = if probe.host.is_empty() { "-" } else { &probe.host };
+            let header: String = headers
+                .iter()
+                .map(|(name, value)| format!(" with {name}: {value}"))
+                .collect();
+            let host = if probe.host.is_empty() {
+                "-"
+            } else {
+                &probe.host
+            };
             let example = format!("POST http://{host}:{port}{}{header}", probe.path);
-            let group = groups.entry((by(&before, &was), by(&after, &is))).or_insert((example, 0));
+            let group = groups
+                .entry((by(&before, &was), by(&after, &is)))
+                .or_insert((example, 0));
             group.1 += 1;
         }
     }
-    let moved =
-        groups.into_iter().map(|((before, after), (example, count))| Moved { before, after, example, count });
+    let moved = groups
+        .into_iter()
+        .map(|((before, after), (example, count))| Moved {
+            before,
+            after,
+            example,
+            count,
+        });
     difference.moved = moved.collect();
     let names: BTreeSet<_> = old.pools.keys().chain(new.pools.keys()).collect();
     for name in names {
@@ -141,7 +190,10 @@
 
 fn pool(name: &str, was: &Pool, is: &Pool, out: &mut Vec<String>) {
     if was.way != is.way {
-        out.push(format!("{name}: chooses by {:?}, before by {:?}", is.way, was.way));
+        out.push(format!(
+            "{name}: chooses by {:?}, before by {:?}",
+            is.way, was.way
+        ));
     }
     let lines = |pool: &Pool| -> Vec<String> {
         let one = |target: &crate::model::Target| {
@@ -149,17 +201,36 @@
             target.place.line = 0;
             let parts = [
                 format!("weight {}", target.weight),
-                format!("fails {} in {} ms", target.max_fails, target.fail_timeout_ms),
+                format!(
+                    "fails {} in {} ms",
+                    target.max_fails, target.fail_timeout_ms
+                ),
                 format!("open {}", target.max_connections),
                 format!("slow start {} ms", target.slow_start_ms),
-                if target.backup { "backup".to_owned() } else { String::new() },
-                if target.down { "down".to_owned() } else { String::new() },
+                if target.backup {
+                    "backup".to_owned()
+                } else {
+                    String::new()
+                },
+                if target.down {
+                    "down".to_owned()
+                } else {
+                    String::new()
+                },
             ];
             format!("{} {}", target.address, parts.join(" ").trim_end())
         };
         pool.targets.iter().map(one).collect()
     };
     let (was, is) = (lines(was), lines(is));
-    out.extend(was.iter().filter(|line| !is.contains(line)).map(|line| format!("{name}: no longer {line}")));
-    out.extend(is.iter().filter(|line| !was.contains(line)).map(|line| format!("{name}: now {line}")));
+    out.extend(
+        was.iter()
+            .filter(|line| !is.contains(line))
+            .map(|line| format!("{name}: no longer {line}")),
+    );
+    out.extend(
+        is.iter()
+            .filter(|line| !was.contains(line))
+            .map(|line| format!("{name}: now {line}")),
+    );
 }
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -194,9 +194,14 @@
             Way::Hash { key, .. } => Template::read(key).ok(),
             _ => None,
         };
-        let one = |(name, pool): (&String, &_)| (name.clone(), (Balancer::new(pool, 0), key(&pool.way)));
+        let one =
+            |(name, pool): (&String, &_)| (name.clone(), (Balancer::new(pool, 0), key(&pool.way)));
         let pools = routes.pools.iter().map(one).collect();
-        Ok(Self { routes, table: Table::new(routes)?, pools })
+        Ok(Self {
+            routes,
+            table: Table::new(routes)?,
+            pools,
+        })
     }
 
     fn decide(
@@ -213,9 +218,17 @@
         match decision {
             // The text of an answer may differ; its status does not.
             Decision::Answer { .. } => true,
-            Decision::Pass { server, location, .. } => {
-                self.table.site(*server, *location).is_some_and(crate::table::Site::is_settled)
-                    && self.table.servers.get(*server).is_some_and(crate::table::Host::is_settled)
+            Decision::Pass {
+                server, location, ..
+            } => {
+                self.table
+                    .site(*server, *location)
+                    .is_some_and(crate::table::Site::is_settled)
+                    && self
+                        .table
+                        .servers
+                        .get(*server)
+                        .is_some_and(crate::table::Host::is_settled)
             }
         }
     }
@@ -225,14 +238,22 @@
         let asked = asked(requests, path, headers);
         let found = self.table.decide(&asked);
         let Ok(Decision::Pass { pool, .. }) = &found else {
-            return Home { found: crate::diff::outcome(&found).into(), passes: false, target: None };
+            return Home {
+                found: crate::diff::outcome(&found).into(),
+                passes: false,
+                target: None,
+            };
         };
         let target = self.pools.get(&**pool).and_then(|(balancer, key)| {
             let key = key.as_ref()?;
             let at = balancer.home(self.table.text(key, &asked).as_bytes())?;
             balancer.addresses().nth(at).map(str::to_owned)
         });
-        Home { found: pool.clone(), passes: true, target }
+        Home {
+            found: pool.clone(),
+            passes: true,
+            target,
+        }
     }
 }
 
@@ -255,7 +276,14 @@
 
 fn asked<'a>(requests: &'a Requests, path: &'a str, headers: &'a [(String, String)]) -> Asked<'a> {
     let (host, method) = (requests.host.as_str(), requests.method.as_str());
-    Asked { listen: None, host, method, target: path, headers, remote: "192.0.2.1" }
+    Asked {
+        listen: None,
+        host,
+        method,
+        target: path,
+        headers,
+        remote: "192.0.2.1",
+    }
 }
 
 /// Paths that requests are about, and whether these stand for all of them.
@@ -267,7 +295,11 @@
     let mut found: BTreeSet<String> = BTreeSet::from([under.clone(), format!("{under}x")]);
     let stem = under.trim_end_matches('/');
     for server in &routes.servers {
-        found.extend(probe::server_paths(server).into_iter().filter(|path| path.starts_with(&under)));
+        found.extend(
+            probe::server_paths(server)
+                .into_iter()
+                .filter(|path| path.starts_with(&under)),
+        );
         // A regular expression without an anchor takes paths below any prefix.
         crate::import::locations(&server.locations, &mut |location| {
             if let Some(text) = probe::location_example(location) {
@@ -286,20 +318,38 @@
         });
         any
     };
-    (found.into_iter().collect(), !routes.servers.iter().any(any_regex))
+    (
+        found.into_iter().collect(),
+        !routes.servers.iter().any(any_regex),
+    )
 }
 
 /// Why requests meet nothing, if they do.
 fn vacuous(checked: &Checked<'_>, requests: &Requests) -> Option<String> {
-    let name = requests.host.rsplit_once(':').map_or(requests.host.as_str(), |(name, _)| name).to_lowercase();
-    let named = checked.routes.servers.iter().flat_map(|server| &server.names).any(|known| {
-        let regex = known.strip_prefix('~').and_then(|regex| crate::pattern::compile(regex, true).ok());
-        *known == name
-            || known.strip_prefix('*').is_some_and(|end| name.ends_with(end))
-            || known.strip_suffix('*').is_some_and(|start| name.starts_with(start))
-            || regex.is_some_and(|regex| regex.is_match(name.as_bytes()))
-            || known.is_empty() && checked.routes.servers.len() == 1
-    });
+    let name = requests
+        .host
+        .rsplit_once(':')
+        .map_or(requests.host.as_str(), |(name, _)| name)
+        .to_lowercase();
+    let named = checked
+        .routes
+        .servers
+        .iter()
+        .flat_map(|server| &server.names)
+        .any(|known| {
+            let regex = known
+                .strip_prefix('~')
+                .and_then(|regex| crate::pattern::compile(regex, true).ok());
+            *known == name
+                || known
+                    .strip_prefix('*')
+                    .is_some_and(|end| name.ends_with(end))
+                || known
+                    .strip_suffix('*')
+                    .is_some_and(|start| name.starts_with(start))
+                || regex.is_some_and(|regex| regex.is_match(name.as_bytes()))
+                || known.is_empty() && checked.routes.servers.len() == 1
+        });
     if !named {
         return Some(format!("no server is called {:?}", requests.host));
     }
@@ -334,7 +384,11 @@
 ) -> Result<Vec<Report>, String> {
     let checked = Checked::new(routes)?;
     let subjects = Sample::new(routes, &file.subjects);
-    Ok(file.expect.iter().map(|one| report(&checked, &subjects, one, old)).collect())
+    Ok(file
+        .expect
+        .iter()
+        .map(|one| report(&checked, &subjects, one, old))
+        .collect())
 }
 
 /// The subjects that are tried.
@@ -351,8 +405,15 @@
         all.extend(probe::values(routes, &variable));
         let mut random = SmallRng::seed_from_u64(subjects.seed);
         let number = |_| random.random_range(0..subjects.numbers.max(1)).to_string();
-        all.extend((0..subjects.samples).map(number).map(|number| subjects.pattern.replace("%d", &number)));
-        Self { header: subjects.header.clone(), all }
+        all.extend(
+            (0..subjects.samples)
+                .map(number)
+                .map(|number| subjects.pattern.replace("%d", &number)),
+        );
+        Self {
+            header: subjects.header.clone(),
+            all,
+        }
     }
 
     fn of<'a>(&'a self, requests: &'a Requests) -> &'a [String] {
@@ -372,7 +433,11 @@
 ) -> Report {
     let mut tried = 0;
     let came = came(checked, sample, one, old, &mut tried);
-    Report { name: one.name.clone(), came, tried }
+    Report {
+        name: one.name.clone(),
+        came,
+        tried,
+    }
 }
 
 fn came(
@@ -388,7 +453,11 @@
     if one.requests.is_empty() {
         return Came::Vacuous("it is about no requests".to_owned());
     }
-    if let Some(why) = one.requests.iter().find_map(|requests| vacuous(checked, requests)) {
+    if let Some(why) = one
+        .requests
+        .iter()
+        .find_map(|requests| vacuous(checked, requests))
+    {
         return Came::Vacuous(why);
     }
     if let Some(lands) = &one.lands {
@@ -399,7 +468,9 @@
     }
     match &one.moves {
         Some(moves) => few_move(checked, sample, one, moves, old, tried),
-        None => Came::Vacuous("it says nothing: one of lands, never, one_pool and moves does".to_owned()),
+        None => Came::Vacuous(
+            "it says nothing: one of lands, never, one_pool and moves does".to_owned(),
+        ),
     }
 }
 
@@ -422,7 +493,11 @@
     lands: &Lands,
     tried: &mut usize,
 ) -> Came {
-    if let Some(pool) = lands.pools.iter().find(|pool| !checked.routes.pools.contains_key(*pool)) {
+    if let Some(pool) = lands
+        .pools
+        .iter()
+        .find(|pool| !checked.routes.pools.contains_key(*pool))
+    {
         return Came::Vacuous(format!("there is no pool {pool:?}"));
     }
     let (mut how, mut broken, mut example) = (How::Proven, 0, None);
@@ -433,7 +508,9 @@
         }
         for path in &paths {
             let first = checked.decide(requests, path, &[]);
-            let settled = first.as_ref().is_ok_and(|decision| checked.is_settled(decision));
+            let settled = first
+                .as_ref()
+                .is_ok_and(|decision| checked.is_settled(decision));
             let none = vec![String::new()];
             let subjects = if settled { &none } else { sample.of(requests) };
             // A set that is named is tried whole.
@@ -449,17 +526,27 @@
                 *tried += 1;
                 if !lands_there(lands, &found) {
                     broken += 1;
-                    let for_whom = if settled { String::new() } else { format!(" for {subject:?}") };
+                    let for_whom = if settled {
+                        String::new()
+                    } else {
+                        format!(" for {subject:?}")
+                    };
                     let become_of = crate::diff::outcome(&found);
                     example.get_or_insert_with(|| {
-                        format!("{} {}{path}{for_whom}: {become_of}", requests.method, requests.host)
+                        format!(
+                            "{} {}{path}{for_whom}: {become_of}",
+                            requests.method, requests.host
+                        )
                     });
                 }
             }
         }
     }
     match example {
-        Some(example) => Came::Broken { example, count: broken },
+        Some(example) => Came::Broken {
+            example,
+            count: broken,
+        },
         None => Came::Holds(how),
     }
 }
@@ -467,26 +554,44 @@
 /// Each pool that a location leads to is looked at, whatever leads there.
 fn never(checked: &Checked<'_>, one: &Expectation) -> Came {
     let named = |address: &String| {
-        checked.routes.pools.values().flat_map(|pool| &pool.targets).any(|target| target.address == *address)
+        checked
+            .routes
+            .pools
+            .values()
+            .flat_map(|pool| &pool.targets)
+            .any(|target| target.address == *address)
     };
     if let Some(address) = one.never.iter().find(|address| !named(address)) {
         return Came::Vacuous(format!("no pool names {address}"));
     }
     let mut broken = Vec::new();
     for (name, pool) in &checked.routes.pools {
-        for target in pool.targets.iter().filter(|target| one.never.contains(&target.address) && !target.down)
+        for target in pool
+            .targets
+            .iter()
+            .filter(|target| one.never.contains(&target.address) && !target.down)
         {
-            broken
-                .push(format!("{} is in the pool {name}, at {}, and not down", target.address, target.place));
+            broken.push(format!(
+                "{} is in the pool {name}, at {}, and not down",
+                target.address, target.place
+            ));
         }
     }
     match broken.first().cloned() {
-        Some(example) => Came::Broken { example, count: broken.len() },
+        Some(example) => Came::Broken {
+            example,
+            count: broken.len(),
+        },
         None => Came::Holds(How::Proven),
     }
 }
 
-fn in_one_pool(checked: &Checked<'_>, sample: &Sample, one: &Expectation, tried: &mut usize) -> Came {
+fn in_one_pool(
+    checked: &Checked<'_>,
+    sample: &Sample,
+    one: &Expectation,
+    tried: &mut usize,
+) -> Came {
     let mut settled = true;
     let mut homes: BTreeMap<&str, (Arc<str>, String)> = BTreeMap::new();
     let (mut broken, mut example) = (BTreeSet::new(), None);
@@ -497,26 +602,39 @@
             for subject in sample.of(requests) {
                 let headers = sample.headers(subject);
                 let found = checked.decide(requests, path, &headers);
-                settled &= found.as_ref().is_ok_and(|decision| checked.is_settled(decision));
+                settled &= found
+                    .as_ref()
+                    .is_ok_and(|decision| checked.is_settled(decision));
                 *tried += 1;
-                let Home { found: pool, passes, .. } = checked.home(requests, path, &headers);
+                let Home {
+                    found: pool,
+                    passes,
+                    ..
+                } = checked.home(requests, path, &headers);
                 // Answers reach no pool.
                 if !passes {
                     continue;
                 }
-                let home = homes.entry(subject).or_insert_with(|| (pool.clone(), path.clone()));
+                let home = homes
+                    .entry(subject)
+                    .or_insert_with(|| (pool.clone(), path.clone()));
                 if home.0 != pool {
                     broken.insert(subject.clone());
                     let (other, other_path) = (home.0.clone(), home.1.clone());
                     example.get_or_insert_with(|| {
-                        format!("{subject:?} lands in {other} by {other_path} and in {pool} by {path}")
+                        format!(
+                            "{subject:?} lands in {other} by {other_path} and in {pool} by {path}"
+                        )
                     });
                 }
             }
         }
     }
     match example {
-        Some(example) => Came::Broken { example, count: broken.len() },
+        Some(example) => Came::Broken {
+            example,
+            count: broken.len(),
+        },
         None if homes.is_empty() => Came::Vacuous("no request of it lands in a pool".to_owned()),
         None => Came::Holds(if settled { How::Proven } else { How::Sampled }),
     }
@@ -549,7 +667,9 @@
                 *tried += 1;
                 if was != is {
                     moved += 1;
-                    example.get_or_insert_with(|| format!("{subject:?} by {path} moves from {was} to {is}"));
+                    example.get_or_insert_with(|| {
+                        format!("{subject:?} by {path} moves from {was} to {is}")
+                    });
                 }
             }
         }
@@ -559,9 +679,10 @@
     }
     let share = moved as f64 / *tried as f64;
     match example {
-        Some(example) if share > moves.at_most => {
-            Came::Broken { example: format!("{:.2}% move; {example}", share * 100.0), count: moved }
-        }
+        Some(example) if share > moves.at_most => Came::Broken {
+            example: format!("{:.2}% move; {example}", share * 100.0),
+            count: moved,
+        },
         _ => Came::Holds(How::Sampled),
     }
 }
--- a/crates/routes/src/import/limits.rs
+++ b/crates/routes/src/import/limits.rs
@@ -7,7 +7,9 @@
 impl Reader {
     pub(super) fn zone(&mut self, one: &Directive) {
         let rate = one.name.text == "limit_req_zone";
-        let Some(words) = self.args(one, 2, if rate { 4 } else { 2 }) else { return };
+        let Some(words) = self.args(one, 2, if rate { 4 } else { 2 }) else {
+            return;
+        };
         self.template(&words[0]);
         let (mut zone, mut per_second) = (None, 0);
         for word in &words[1..] {
@@ -19,12 +21,20 @@
                 zone = Some(name.to_owned());
             } else if let Some(text) = word.text.strip_prefix("rate=").filter(|_| rate) {
                 // In thousandths of a request a second.
-                let second = text.strip_suffix("r/s").and_then(|n| n.parse::<u64>().ok()).map(|n| n * 1_000);
-                let minute =
-                    text.strip_suffix("r/m").and_then(|n| n.parse::<u64>().ok()).map(|n| n * 1_000 / 60);
+                let second = text
+                    .strip_suffix("r/s")
+                    .and_then(|n| n.parse::<u64>().ok())
+                    .map(|n| n * 1_000);
+                let minute = text
+                    .strip_suffix("r/m")
+                    .and_then(|n| n.parse::<u64>().ok())
+                    .map(|n| n * 1_000 / 60);
                 match second.or(minute) {
                     Some(rate @ 1..=1_000_000_000) => per_second = rate,
-                    _ => self.error(word, format!("{text:?} is not a rate such as 10r/s or 30r/m")),
+                    _ => self.error(
+                        word,
+                        format!("{text:?} is not a rate such as 10r/s or 30r/m"),
+                    ),
                 }
             } else {
                 self.refuse(word, format!("{:?} is not understood", word.text));
@@ -36,7 +46,11 @@
         if rate && per_second == 0 {
             return self.error(&one.name, format!("zone {zone:?} has no rate"));
         }
-        if self.zones.insert(zone.clone(), (words[0].text.clone(), per_second)).is_some() {
+        if self
+            .zones
+            .insert(zone.clone(), (words[0].text.clone(), per_second))
+            .is_some()
+        {
             self.error(&one.name, format!("zone {zone:?} is there already"));
         }
     }
@@ -64,7 +78,13 @@
             return None;
         };
         match self.zones.get(&zone).cloned() {
-            Some((key, rate)) if rate > 0 => Some(Limit { key, zone, rate, burst, status: 503 }),
+            Some((key, rate)) if rate > 0 => Some(Limit {
+                key,
+                zone,
+                rate,
+                burst,
+                status: 503,
+            }),
             _ => {
                 self.error(word, format!("no limit_req_zone is called {zone:?}"));
                 None
@@ -73,11 +93,19 @@
     }
 
     pub(super) fn limit_open(&mut self, one: &Directive) -> Option<Limit> {
-        let [name, count] = self.args(one, 2, 2)? else { return None };
+        let [name, count] = self.args(one, 2, 2)? else {
+            return None;
+        };
         let burst = u64::from(self.number(count)?);
         let zone = name.text.clone();
         match self.zones.get(&zone).cloned() {
-            Some((key, 0)) if burst > 0 => Some(Limit { key, zone, rate: 0, burst, status: 503 }),
+            Some((key, 0)) if burst > 0 => Some(Limit {
+                key,
+                zone,
+                rate: 0,
+                burst,
+                status: 503,
+            }),
             Some((_, 0)) => {
                 self.error(count, "a limit of 0 lets nothing through");
                 None
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -54,21 +54,38 @@
         };
         reader.main(&directives);
         reader.references();
-        let Reader { mut tree, routes, .. } = reader;
-        tree.findings.sort_by(|a, b| a.place.cmp(&b.place).then_with(|| a.gravity.cmp(&b.gravity)));
+        let Reader {
+            mut tree, routes, ..
+        } = reader;
+        tree.findings.sort_by(|a, b| {
+            a.place
+                .cmp(&b.place)
+                .then_with(|| a.gravity.cmp(&b.gravity))
+        });
         let count = count(&directives);
-        Self { routes, findings: tree.findings, untold: tree.untold, directives: count }
+        Self {
+            routes,
+            findings: tree.findings,
+            untold: tree.untold,
+            directives: count,
+        }
     }
 
     /// Whether the table means all that the file means.
     #[must_use]
     pub fn is_whole(&self) -> bool {
-        self.untold == 0 && self.findings.iter().all(|finding| finding.gravity == Gravity::Differs)
+        self.untold == 0
+            && self
+                .findings
+                .iter()
+                .all(|finding| finding.gravity == Gravity::Differs)
     }
 }
 
 fn count(all: &[Directive]) -> usize {
-    all.iter().map(|one| 1 + one.block.as_deref().map_or(0, count)).sum()
+    all.iter()
+        .map(|one| 1 + one.block.as_deref().map_or(0, count))
+        .sum()
 }
 
 /// What locations inherit.
@@ -167,7 +184,11 @@
                 | "geo"
         );
         if takes_block != one.block.is_some() {
-            let what = if takes_block { "has no block" } else { "takes no block" };
+            let what = if takes_block {
+                "has no block"
+            } else {
+                "takes no block"
+            };
             self.error(&one.name, format!("{name:?} {what}"));
             return false;
         }
@@ -188,7 +209,10 @@
         let name = &one.name.text;
         self.error(
             &one.name,
-            format!("{name:?} has {} arguments, which is not what it takes", one.args.len()),
+            format!(
+                "{name:?} has {} arguments, which is not what it takes",
+                one.args.len()
+            ),
         );
         None
     }
@@ -210,7 +234,10 @@
         let bare: Vec<_> = all.iter().filter(|one| is_bare(one)).cloned().collect();
         if let Some(one) = bare.first() {
             if seen {
-                self.error(&one.name, format!("{:?} is not allowed in main", one.name.text));
+                self.error(
+                    &one.name,
+                    format!("{:?} is not allowed in main", one.name.text),
+                );
             } else {
                 self.http(&bare);
             }
@@ -221,7 +248,11 @@
                 column: 1,
             };
             self.error(
-                &Word { text: String::new(), place, length: 1 },
+                &Word {
+                    text: String::new(),
+                    place,
+                    length: 1,
+                },
                 "there is no http block and no server in it",
             );
         }
@@ -267,20 +298,27 @@
             }
             match one.name.text.as_str() {
                 "limit_req_status" | "limit_conn_status" => {
-                    let Some([word]) = self.args(one, 1, 1) else { continue };
+                    let Some([word]) = self.args(one, 1, 1) else {
+                        continue;
+                    };
                     match word.text.parse() {
                         Ok(status @ 400..=599) if one.name.text == "limit_req_status" => {
                             here.request_status = status
                         }
                         Ok(status @ 400..=599) => here.open_status = status,
-                        _ => self.error(word, format!("{:?} is not a status from 400 to 599", word.text)),
+                        _ => self.error(
+                            word,
+                            format!("{:?} is not a status from 400 to 599", word.text),
+                        ),
                     }
                 }
                 "merge_slashes" => match self.args(one, 1, 1) {
                     Some([word]) if word.text == "on" || word.text == "off" => {
                         here.merge_slashes = word.text == "on"
                     }
-                    Some([word, ..]) => self.error(word, format!("{:?} is neither on nor off", word.text)),
+                    Some([word, ..]) => {
+                        self.error(word, format!("{:?} is neither on nor off", word.text))
+                    }
                     _ => {}
                 },
                 "proxy_next_upstream" => self.next(one, &mut here.next),
@@ -289,7 +327,9 @@
                         here.next.tries = self.number(word).unwrap_or(0);
                     }
                 }
-                "proxy_next_upstream_timeout" => here.next.timeout_ms = self.time_of(one).unwrap_or(0),
+                "proxy_next_upstream_timeout" => {
+                    here.next.timeout_ms = self.time_of(one).unwrap_or(0)
+                }
                 "proxy_connect_timeout" => here.times.connect = self.time_of(one).unwrap_or(60_000),
                 "proxy_send_timeout" => here.times.send = self.time_of(one).unwrap_or(60_000),
                 "proxy_read_timeout" => here.times.read = self.time_of(one).unwrap_or(60_000),
@@ -306,13 +346,21 @@
             here.limits.retain(|limit| (limit.rate > 0) != rate);
             for one in own {
                 if self.takes(one, context) {
-                    let limit = if rate { self.limit_rate(one) } else { self.limit_open(one) };
+                    let limit = if rate {
+                        self.limit_rate(one)
+                    } else {
+                        self.limit_open(one)
+                    };
                     here.limits.extend(limit);
                 }
             }
         }
         for limit in &mut here.limits {
-            limit.status = if limit.rate > 0 { here.request_status } else { here.open_status };
+            limit.status = if limit.rate > 0 {
+                here.request_status
+            } else {
+                here.open_status
+            };
         }
         here
     }
@@ -326,14 +374,19 @@
     }
 
     fn time_of(&mut self, one: &Directive) -> Option<u64> {
-        let [word] = self.args(one, 1, 1)? else { return None };
+        let [word] = self.args(one, 1, 1)? else {
+            return None;
+        };
         self.time(word, &word.text)
     }
 
     fn time(&mut self, word: &Word, text: &str) -> Option<u64> {
         let time = milliseconds(text);
         if time.is_none() {
-            self.error(word, format!("{text:?} is not a time such as 10s, 1m30s or 250ms"));
+            self.error(
+                word,
+                format!("{text:?} is not a time such as 10s, 1m30s or 250ms"),
+            );
         }
         time
     }
@@ -345,8 +398,15 @@
     }
 
     fn next(&mut self, one: &Directive, next: &mut Next) {
-        let Some(words) = self.args(one, 1, 20) else { return };
-        *next = Next { error: false, timeout: false, statuses: Vec::new(), ..next.clone() };
+        let Some(words) = self.args(one, 1, 20) else {
+            return;
+        };
+        *next = Next {
+            error: false,
+            timeout: false,
+            statuses: Vec::new(),
+            ..next.clone()
+        };
         for word in words {
             match word.text.as_str() {
                 "error" => next.error = true,
@@ -358,8 +418,13 @@
                         "non_idempotent: what may have run of a class with an effect is never tried again";
                     self.differs(word, what);
                 }
-                other => match other.strip_prefix("http_").and_then(|code| code.parse::<u16>().ok()) {
-                    Some(code @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => next.statuses.push(code),
+                other => match other
+                    .strip_prefix("http_")
+                    .and_then(|code| code.parse::<u16>().ok())
+                {
+                    Some(code @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => {
+                        next.statuses.push(code)
+                    }
                     _ => self.error(word, format!("{other:?} is no outcome of a try")),
                 },
             }
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -9,9 +9,15 @@
 
 impl Reader {
     pub(super) fn upstream(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([name]) = self.args(one, 1, 1) else { return };
-        let mut pool =
-            Pool { place: one.name.place.clone(), way: Way::RoundRobin, keepalive: 0, targets: Vec::new() };
+        let Some([name]) = self.args(one, 1, 1) else {
+            return;
+        };
+        let mut pool = Pool {
+            place: one.name.place.clone(),
+            way: Way::RoundRobin,
+            keepalive: 0,
+            targets: Vec::new(),
+        };
         let mut backup = None;
         for inner in block {
             if inner.name.text == "server" {
@@ -36,10 +42,14 @@
                 self.error(&inner.name, "the pool has a way to choose already");
             }
             match inner.name.text.as_str() {
-                "least_conn" if self.args(inner, 0, 0).is_some() => pool.way = Way::LeastConnections,
+                "least_conn" if self.args(inner, 0, 0).is_some() => {
+                    pool.way = Way::LeastConnections
+                }
                 "ip_hash" if self.args(inner, 0, 0).is_some() => pool.way = Way::AddressHash,
                 "hash" => {
-                    let Some(words) = self.args(inner, 1, 2) else { continue };
+                    let Some(words) = self.args(inner, 1, 2) else {
+                        continue;
+                    };
                     self.template(&words[0]);
                     let consistent = match words.get(1) {
                         Some(word) if word.text != "consistent" => {
@@ -48,15 +58,20 @@
                         }
                         other => other.is_some(),
                     };
-                    pool.way = Way::Hash { key: words[0].text.clone(), consistent };
+                    pool.way = Way::Hash {
+                        key: words[0].text.clone(),
+                        consistent,
+                    };
                 }
                 "random" => {
                     let words: Vec<_> = inner.args.iter().map(|word| word.text.as_str()).collect();
                     match words[..] {
                         [] => pool.way = Way::Random,
                         ["two"] | ["two", "least_conn"] => pool.way = Way::RandomTwo,
-                        _ => self
-                            .refuse(&inner.name, format!("random {} is not measured here", words.join(" "))),
+                        _ => self.refuse(
+                            &inner.name,
+                            format!("random {} is not measured here", words.join(" ")),
+                        ),
                     }
                 }
                 _ => {}
@@ -81,14 +96,20 @@
             return None;
         }
         let (address, rest) = self.args(one, 1, 20)?.split_first()?;
-        let mut target = Target::new(one.name.place.clone(), self.address(address, &address.text)?);
+        let mut target = Target::new(
+            one.name.place.clone(),
+            self.address(address, &address.text)?,
+        );
         for word in rest {
             match word.text.split_once('=') {
                 None if word.text == "backup" => target.backup = true,
                 None if word.text == "down" => target.down = true,
                 Some(("weight", text)) => match text.parse() {
                     Ok(weight @ 1..=65_535) => target.weight = weight,
-                    _ => self.error(word, format!("weight {text:?} is not a whole number from 1 to 65535")),
+                    _ => self.error(
+                        word,
+                        format!("weight {text:?} is not a whole number from 1 to 65535"),
+                    ),
                 },
                 Some((key @ ("max_fails" | "max_conns"), text)) => match text.parse() {
                     Ok(count) if key == "max_fails" => target.max_fails = count,
@@ -98,8 +119,12 @@
                 Some(("fail_timeout", text)) => {
                     target.fail_timeout_ms = self.time(word, text).unwrap_or(10_000)
                 }
-                Some(("slow_start", text)) => target.slow_start_ms = self.time(word, text).unwrap_or(0),
-                _ if word.text == "resolve" => self.refuse(word, "resolve: names are not looked up again"),
+                Some(("slow_start", text)) => {
+                    target.slow_start_ms = self.time(word, text).unwrap_or(0)
+                }
+                _ if word.text == "resolve" => {
+                    self.refuse(word, "resolve: names are not looked up again")
+                }
                 _ => self.refuse(word, format!("{:?} is not understood", word.text)),
             }
         }
@@ -118,7 +143,9 @@
         };
         let port = port.map_or(Ok(80), str::parse::<u16>);
         let plain = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
-        let literal = host.strip_prefix('[').and_then(|host| host.strip_suffix(']'));
+        let literal = host
+            .strip_prefix('[')
+            .and_then(|host| host.strip_suffix(']'));
         let good = match literal {
             Some(inner) => inner.parse::<std::net::Ipv6Addr>().is_ok(),
             None => !host.is_empty() && host.chars().all(plain),
@@ -133,7 +160,9 @@
     }
 
     pub(super) fn map(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([source, variable]) = self.args(one, 2, 2) else { return };
+        let Some([source, variable]) = self.args(one, 2, 2) else {
+            return;
+        };
         self.template(source);
         let (mut cases, mut default, mut hostnames) = (Vec::new(), String::new(), false);
         let mut seen = BTreeSet::new();
@@ -149,8 +178,9 @@
                 (_, [value]) => {
                     self.template(value);
                     if let Some(regex) = case.strip_prefix('~') {
-                        let (regex, any_case) =
-                            regex.strip_prefix('*').map_or((regex, false), |regex| (regex, true));
+                        let (regex, any_case) = regex
+                            .strip_prefix('*')
+                            .map_or((regex, false), |regex| (regex, true));
                         if let Err(what) = pattern::compile(regex, any_case) {
                             self.refuse(&inner.name, what);
                         }
@@ -163,12 +193,19 @@
                 _ => self.error(&inner.name, "a map has a value beside each case"),
             }
         }
-        let map = Variable::Map { source: source.text.clone(), cases, default, hostnames };
+        let map = Variable::Map {
+            source: source.text.clone(),
+            cases,
+            default,
+            hostnames,
+        };
         self.variable(variable, map);
     }
 
     pub(super) fn split(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([key, variable]) = self.args(one, 2, 2) else { return };
+        let Some([key, variable]) = self.args(one, 2, 2) else {
+            return;
+        };
         self.template(key);
         let (mut parts, mut sum) = (Vec::new(), 0);
         for inner in block {
@@ -179,7 +216,10 @@
             let text = inner.name.text.as_str();
             let share = if text == "*" { Some(0) } else { share(text) };
             let Some(share) = share else {
-                self.error(&inner.name, format!("{text:?} is not a share such as 12.5% or *"));
+                self.error(
+                    &inner.name,
+                    format!("{text:?} is not a share such as 12.5% or *"),
+                );
                 continue;
             };
             sum += share;
@@ -188,7 +228,13 @@
             }
             parts.push((share, value.text.clone()));
         }
-        self.variable(variable, Variable::Split { key: key.text.clone(), parts });
+        self.variable(
+            variable,
+            Variable::Split {
+                key: key.text.clone(),
+                parts,
+            },
+        );
     }
 
     pub(super) fn variable(&mut self, word: &Word, variable: Variable) {
@@ -196,7 +242,12 @@
             return self.error(word, format!("{:?} is no variable", word.text));
         };
         self.made.insert(name.to_owned(), word.clone());
-        if self.routes.variables.insert(name.to_owned(), variable).is_some() {
+        if self
+            .routes
+            .variables
+            .insert(name.to_owned(), variable)
+            .is_some()
+        {
             self.error(word, format!("{:?} is there already", word.text));
         }
     }
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -23,35 +23,55 @@
             let mut faults = Vec::new();
             locations(&server.locations, &mut |location| {
                 if let Some(pass) = &location.pass {
-                    faults
-                        .extend(pool_fault(&routes, server, pass).map(|what| (location.place.clone(), what)));
+                    faults.extend(
+                        pool_fault(&routes, server, pass)
+                            .map(|what| (location.place.clone(), what)),
+                    );
                 }
                 for text in texts(location) {
                     faults.extend(
-                        variable_fault(&routes, &known, &text).map(|what| (location.place.clone(), what)),
+                        variable_fault(&routes, &known, &text)
+                            .map(|what| (location.place.clone(), what)),
                     );
                 }
             });
             for step in &server.steps {
                 for text in step_texts(step) {
                     faults.extend(
-                        variable_fault(&routes, &known, &text).map(|what| (server.place.clone(), what)),
+                        variable_fault(&routes, &known, &text)
+                            .map(|what| (server.place.clone(), what)),
                     );
                 }
             }
             for (place, what) in faults {
-                self.refuse(&Word { text: String::new(), place, length: 8 }, what);
+                self.refuse(
+                    &Word {
+                        text: String::new(),
+                        place,
+                        length: 8,
+                    },
+                    what,
+                );
             }
         }
         for (name, variable) in &routes.variables {
             let texts: Vec<&String> = match variable {
-                Variable::Map { source, cases, default, .. } => {
-                    cases.iter().map(|(_, value)| value).chain([source, default]).collect()
-                }
+                Variable::Map {
+                    source,
+                    cases,
+                    default,
+                    ..
+                } => cases
+                    .iter()
+                    .map(|(_, value)| value)
+                    .chain([source, default])
+                    .collect(),
                 Variable::Split { key, .. } => vec![key],
             };
             let known = BTreeSet::new();
-            let fault = texts.into_iter().find_map(|text| variable_fault(&routes, &known, text));
+            let fault = texts
+                .into_iter()
+                .find_map(|text| variable_fault(&routes, &known, text));
             if let Some((what, word)) = fault.zip(self.made.get(name).cloned()) {
                 self.refuse(&word, what);
             }
@@ -94,7 +114,9 @@
         (!routes.pools.contains_key(pool))
             .then(|| format!("no upstream is called {pool:?}, and names are not looked up"))
     };
-    let Some(variable) = pass.pool.strip_prefix('$') else { return missing(&pass.pool) };
+    let Some(variable) = pass.pool.strip_prefix('$') else {
+        return missing(&pass.pool);
+    };
     let mut values: Vec<&str> = Vec::new();
     match routes.variables.get(variable) {
         Some(Variable::Map { cases, default, .. }) => {
@@ -111,16 +133,26 @@
         }
         None => {
             let collect = |steps: &'_ [Step]| {
-                steps.iter().any(|step| matches!(step, Step::Set { variable: name, .. } if name == variable))
+                steps.iter().any(
+                    |step| matches!(step, Step::Set { variable: name, .. } if name == variable),
+                )
             };
             let mut found = collect(&server.steps);
-            locations(&server.locations, &mut |location| found |= collect(&location.steps));
+            locations(&server.locations, &mut |location| {
+                found |= collect(&location.steps)
+            });
             if !found {
-                return Some(format!("the pool is ${variable}, which no map, split_clients or set makes"));
+                return Some(format!(
+                    "the pool is ${variable}, which no map, split_clients or set makes"
+                ));
             }
             let set = |steps: &[Step]| {
                 for step in steps {
-                    if let Step::Set { variable: name, value } = step {
+                    if let Step::Set {
+                        variable: name,
+                        value,
+                    } = step
+                    {
                         if name == variable && !routes.pools.contains_key(value) {
                             return Some(value.clone());
                         }
@@ -134,11 +166,17 @@
                     bad = set(&location.steps);
                 }
             });
-            return bad.map(|value| format!("${variable} may be {value:?}, and no upstream is called that"));
+            return bad.map(|value| {
+                format!("${variable} may be {value:?}, and no upstream is called that")
+            });
         }
     }
-    let bad = values.into_iter().find(|value| !routes.pools.contains_key(*value))?;
-    Some(format!("${variable} may be {bad:?}, and no upstream is called that"))
+    let bad = values
+        .into_iter()
+        .find(|value| !routes.pools.contains_key(*value))?;
+    Some(format!(
+        "${variable} may be {bad:?}, and no upstream is called that"
+    ))
 }
 
 fn variable_fault(routes: &Routes, known: &BTreeSet<String>, text: &str) -> Option<String> {
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -45,7 +45,12 @@
             server.names.push(String::new());
         }
         for (listen, default) in &server.listens {
-            if *default && self.defaults.insert(listen.clone(), server.place.clone()).is_some() {
+            if *default
+                && self
+                    .defaults
+                    .insert(listen.clone(), server.place.clone())
+                    .is_some()
+            {
                 self.error(&one.name, format!("{listen} has a default server already"));
             }
             for name in &server.names {
@@ -65,16 +70,20 @@
     }
 
     pub(super) fn listen(&mut self, one: &Directive, server: &mut Server) {
-        let Some((word, rest)) = self.args(one, 1, 20).and_then(<[_]>::split_first) else { return };
+        let Some((word, rest)) = self.args(one, 1, 20).and_then(<[_]>::split_first) else {
+            return;
+        };
         let text = word.text.as_str();
         if text.starts_with("unix:") {
             return self.refuse(word, "callers come over TCP only");
         }
         let address = match text.rsplit_once(':') {
             _ if text.parse::<u16>().is_ok() => Some(format!("*:{text}")),
-            Some((host, port)) if !port.contains(']') => {
-                port.parse::<u16>().ok().filter(|_| !host.is_empty()).map(|port| format!("{host}:{port}"))
-            }
+            Some((host, port)) if !port.contains(']') => port
+                .parse::<u16>()
+                .ok()
+                .filter(|_| !host.is_empty())
+                .map(|port| format!("{host}:{port}")),
             _ => Some(format!("{text}:80")),
         };
         let Some(address) = address else {
@@ -86,9 +95,13 @@
                 "default_server" | "default" => default = true,
                 "ssl" => self.differs(word, "listen ssl: TLS is ended elsewhere"),
                 "http2" | "quic" => self.differs(word, "listen: callers speak AJP or frames here"),
-                "proxy_protocol" => self.refuse(word, "the address of a caller is its connection's"),
-                text if text == "reuseport" || text == "deferred" || text == "bind" || text.contains('=') => {
+                "proxy_protocol" => {
+                    self.refuse(word, "the address of a caller is its connection's")
                 }
+                text if text == "reuseport"
+                    || text == "deferred"
+                    || text == "bind"
+                    || text.contains('=') => {}
                 other => self.error(word, format!("{other:?} is not understood")),
             }
         }
@@ -107,10 +120,15 @@
             return server.names.push(name.to_owned());
         }
         let name = name.to_lowercase();
-        let inner = name.strip_prefix("*.").or_else(|| name.strip_suffix(".*")).unwrap_or(&name);
+        let inner = name
+            .strip_prefix("*.")
+            .or_else(|| name.strip_suffix(".*"))
+            .unwrap_or(&name);
         if inner.contains('*') || inner.contains('$') {
-            return self
-                .error(word, format!("{name:?}: a star stands for whole labels at the begin or end only"));
+            return self.error(
+                word,
+                format!("{name:?}: a star stands for whole labels at the begin or end only"),
+            );
         }
         // A name that begins with a dot means itself and all below it.
         match name.strip_prefix('.') {
@@ -122,16 +140,25 @@
     pub(super) fn step(&mut self, one: &Directive, in_location: bool) -> Option<Step> {
         match one.name.text.as_str() {
             "set" => {
-                let [variable, value] = self.args(one, 2, 2)? else { return None };
+                let [variable, value] = self.args(one, 2, 2)? else {
+                    return None;
+                };
                 self.template(value);
-                let Some(name) = variable.text.strip_prefix('$').filter(|name| !name.is_empty()) else {
+                let Some(name) = variable
+                    .text
+                    .strip_prefix('$')
+                    .filter(|name| !name.is_empty())
+                else {
                     self.error(variable, format!("{:?} is no variable", variable.text));
                     return None;
                 };
                 if crate::text::is_given(name) {
                     self.error(variable, format!("{:?} can't be set", variable.text));
                 }
-                Some(Step::Set { variable: name.to_owned(), value: value.text.clone() })
+                Some(Step::Set {
+                    variable: name.to_owned(),
+                    value: value.text.clone(),
+                })
             }
             "break" => self.args(one, 0, 0).map(|_| Step::Break),
             "return" => {
@@ -141,17 +168,24 @@
                     self.template(text);
                 }
                 match first.text.parse::<u16>() {
-                    Ok(code @ 100..=999) => {
-                        Some(Step::Return { code, text: words.get(1).map(|word| word.text.clone()) })
-                    }
+                    Ok(code @ 100..=999) => Some(Step::Return {
+                        code,
+                        text: words.get(1).map(|word| word.text.clone()),
+                    }),
                     _ if first.text.starts_with("http://")
                         || first.text.starts_with("https://")
                         || first.text.starts_with('$') =>
                     {
-                        Some(Step::Return { code: 302, text: Some(first.text.clone()) })
+                        Some(Step::Return {
+                            code: 302,
+                            text: Some(first.text.clone()),
+                        })
                     }
                     _ => {
-                        self.error(first, format!("{:?} is neither a status nor an address", first.text));
+                        self.error(
+                            first,
+                            format!("{:?} is neither a status nor an address", first.text),
+                        );
                         None
                     }
                 }
@@ -163,8 +197,9 @@
                 }
                 self.template(&words[1]);
                 let replacement = words[1].text.clone();
-                let away =
-                    ["http://", "https://", "$scheme"].iter().any(|start| replacement.starts_with(start));
+                let away = ["http://", "https://", "$scheme"]
+                    .iter()
+                    .any(|start| replacement.starts_with(start));
                 let after = match words.get(2).map(|word| word.text.as_str()) {
                     None if away => After::Redirect,
                     None => After::Next,
@@ -173,7 +208,10 @@
                     Some("redirect") => After::Redirect,
                     Some("permanent") => After::Permanent,
                     Some(_) => {
-                        self.error(&words[2], format!("{:?} is no flag of a rewrite", words[2].text));
+                        self.error(
+                            &words[2],
+                            format!("{:?} is no flag of a rewrite", words[2].text),
+                        );
                         return None;
                     }
                 };
@@ -185,7 +223,11 @@
                         after: After::Last,
                     });
                 }
-                Some(Step::Rewrite { regex: words[0].text.clone(), replacement, after })
+                Some(Step::Rewrite {
+                    regex: words[0].text.clone(),
+                    replacement,
+                    after,
+                })
             }
             _ => None,
         }
@@ -198,19 +240,31 @@
         inherited: &Inherited,
         into: &mut Siblings,
     ) {
-        let Some(words) = self.args(one, 1, 2) else { return };
-        let Some((how, pattern)) = self.matcher(words) else { return };
+        let Some(words) = self.args(one, 1, 2) else {
+            return;
+        };
+        let Some((how, pattern)) = self.matcher(words) else {
+            return;
+        };
         let at = words.last().unwrap_or(&one.name);
         if let Some(above) = above {
             if above.how == Match::Exact {
                 return self.error(at, "a location within an exact one is never reached");
             }
             if above.how == Match::Named || how == Match::Named {
-                return self.error(at, "named locations stand in a server only, with none within");
+                return self.error(
+                    at,
+                    "named locations stand in a server only, with none within",
+                );
             }
             if !how.is_regex() && !above.how.is_regex() && !pattern.starts_with(&above.pattern) {
-                return self
-                    .error(at, format!("{pattern:?} is outside of {:?}, in which it stands", above.pattern));
+                return self.error(
+                    at,
+                    format!(
+                        "{pattern:?} is outside of {:?}, in which it stands",
+                        above.pattern
+                    ),
+                );
             }
         }
         if how.is_regex() {
@@ -225,7 +279,10 @@
         if !how.is_regex() {
             let place = one.name.place.clone();
             if let Some(other) = into.seen.insert((kind.sign(), pattern.clone()), place) {
-                let what = format!("location {}{pattern} is there already, at {other}", how.sign());
+                let what = format!(
+                    "location {}{pattern} is there already, at {other}",
+                    how.sign()
+                );
                 self.error(at, what);
             }
         }
@@ -278,7 +335,10 @@
             ) || inner.name.text == "proxy_pass"
         });
         if location.pass.is_none() && !location.steps.iter().any(answers) && !refused {
-            self.refuse(at, "nothing is passed on or returned here, and nginx would look for a file");
+            self.refuse(
+                at,
+                "nothing is passed on or returned here, and nginx would look for a file",
+            );
         }
         into.all.push(location);
     }
@@ -294,7 +354,9 @@
                     ("~", Match::Regex),
                     ("@", Match::Named),
                 ];
-                let found = signs.iter().find_map(|(sign, how)| Some((*how, word.text.strip_prefix(sign)?)));
+                let found = signs
+                    .iter()
+                    .find_map(|(sign, how)| Some((*how, word.text.strip_prefix(sign)?)));
                 let (how, pattern) = found.unwrap_or((Match::Prefix, &word.text));
                 (how, word, pattern.to_owned())
             }
@@ -316,15 +378,24 @@
         if matches!(how, Match::Exact | Match::Prefix | Match::Final) && !pattern.starts_with('/') {
             self.refuse(
                 word,
-                format!("{pattern:?} does not begin with a slash, as all paths do: nothing reaches it"),
+                format!(
+                    "{pattern:?} does not begin with a slash, as all paths do: nothing reaches it"
+                ),
             );
             return None;
         }
         Some((how, pattern))
     }
 
-    pub(super) fn pass(&mut self, one: &Directive, location: &Location, place: &Place) -> Option<Pass> {
-        let [word] = self.args(one, 1, 1)? else { return None };
+    pub(super) fn pass(
+        &mut self,
+        one: &Directive,
+        location: &Location,
+        place: &Place,
+    ) -> Option<Pass> {
+        let [word] = self.args(one, 1, 1)? else {
+            return None;
+        };
         if word.text.starts_with("https://") {
             self.refuse(word, "https: targets speak AJP or frames, without TLS");
             return None;
@@ -349,12 +420,16 @@
             return None;
         }
         if host.contains('$') {
-            if !host.starts_with('$') || host[1..].contains(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+            if !host.starts_with('$')
+                || host[1..].contains(|c: char| !c.is_ascii_alphanumeric() && c != '_')
             {
                 self.refuse(word, "the host is one variable or none");
                 return None;
             }
-            return Some(Pass { pool: host.to_owned(), uri });
+            return Some(Pass {
+                pool: host.to_owned(),
+                uri,
+            });
         }
         if host.starts_with("unix:") {
             self.refuse(word, "targets are reached over TCP only");
@@ -363,12 +438,22 @@
         // Whether it names a pool is known once all of the file was read; an address is one of its own.
         if host.contains([':', '.', '[']) && !self.routes.pools.contains_key(host) {
             let address = self.address(word, host)?;
-            let target = Target { max_fails: 0, ..Target::new(place.clone(), address.clone()) };
-            let pool =
-                Pool { place: place.clone(), way: Way::RoundRobin, keepalive: 0, targets: vec![target] };
+            let target = Target {
+                max_fails: 0,
+                ..Target::new(place.clone(), address.clone())
+            };
+            let pool = Pool {
+                place: place.clone(),
+                way: Way::RoundRobin,
+                keepalive: 0,
+                targets: vec![target],
+            };
             self.routes.pools.entry(address.clone()).or_insert(pool);
             return Some(Pass { pool: address, uri });
         }
-        Some(Pass { pool: host.to_owned(), uri })
+        Some(Pass {
+            pool: host.to_owned(),
+            uri,
+        })
     }
 }
--- a/crates/routes/src/import/values.rs
+++ b/crates/routes/src/import/values.rs
@@ -51,8 +51,12 @@
 
     #[test]
     fn times_and_shares_are_read_as_nginx_reads_them() {
-        let times =
-            [("10", Some(10_000)), ("1m30s", Some(90_000)), ("250ms", Some(250)), ("1h 5m", Some(3_900_000))];
+        let times = [
+            ("10", Some(10_000)),
+            ("1m30s", Some(90_000)),
+            ("250ms", Some(250)),
+            ("1h 5m", Some(3_900_000)),
+        ];
         let wrong = [
             ("", None),
             ("5x", None),
--- a/crates/routes/src/locate.rs
+++ b/crates/routes/src/locate.rs
@@ -65,13 +65,19 @@
         for location in locations {
             let number = self.known.len() as u32;
             let is_final = location.how == Match::Final;
-            self.known.push(Known { is_final, adds_slash: adds_slash(location), within: None, regex: None });
+            self.known.push(Known {
+                is_final,
+                adds_slash: adds_slash(location),
+                within: None,
+                regex: None,
+            });
             let pattern = location.pattern.as_bytes();
             match location.how {
                 Match::Exact => items.push((pattern, Some(number), None)),
                 Match::Prefix | Match::Final => items.push((pattern, None, Some(number))),
                 Match::Regex | Match::RegexAnyCase => {
-                    let regex = pattern::compile(&location.pattern, location.how == Match::RegexAnyCase)?;
+                    let regex =
+                        pattern::compile(&location.pattern, location.how == Match::RegexAnyCase)?;
                     self.known[number as usize].regex = Some(regex.clone());
                     level.regexes.push((regex, number));
                 }
@@ -84,10 +90,13 @@
         }
         level.trie = Trie::new(items);
         if level.regexes.len() >= TOGETHER {
-            let any = locations.iter().filter(|one| one.how.is_regex()).map(|one| match one.how {
-                Match::RegexAnyCase => format!("(?i){}", one.pattern),
-                _ => one.pattern.clone(),
-            });
+            let any = locations
+                .iter()
+                .filter(|one| one.how.is_regex())
+                .map(|one| match one.how {
+                    Match::RegexAnyCase => format!("(?i){}", one.pattern),
+                    _ => one.pattern.clone(),
+                });
             // A set that grows too large is left out: then they are tried in turn.
             level.together = RegexSetBuilder::new(any).unicode(false).build().ok();
         }
@@ -111,7 +120,10 @@
     }
 
     fn within(&self, number: u32, path: &[u8]) -> Inner {
-        self.known[number as usize].within.as_ref().map_or(Inner::Nobody, |level| self.find_in(level, path))
+        self.known[number as usize]
+            .within
+            .as_ref()
+            .map_or(Inner::Nobody, |level| self.find_in(level, path))
     }
 
     fn find_in(&self, level: &Level, path: &[u8]) -> Inner {
@@ -119,7 +131,9 @@
         if let Some(number) = hit.exact {
             return Inner::Settled(number);
         }
-        let slashed = hit.slashed.filter(|number| !hit.whole && self.known[*number as usize].adds_slash);
+        let slashed = hit
+            .slashed
+            .filter(|number| !hit.whole && self.known[*number as usize].adds_slash);
         if let Some(number) = slashed {
             return Inner::Slash(number);
         }
@@ -134,7 +148,9 @@
                 return found;
             }
         }
-        let Some(number) = level.first_regex(path) else { return found };
+        let Some(number) = level.first_regex(path) else {
+            return found;
+        };
         match self.within(number, path) {
             Inner::Settled(inner) | Inner::Open(inner) => Inner::Settled(inner),
             Inner::Slash(inner) => Inner::Slash(inner),
@@ -158,7 +174,11 @@
     fn first_regex(&self, path: &[u8]) -> Option<u32> {
         match &self.together {
             Some(set) => set.matches(path).iter().next().map(|at| self.regexes[at].1),
-            None => self.regexes.iter().find(|(regex, _)| regex.is_match(path)).map(|(_, number)| *number),
+            None => self
+                .regexes
+                .iter()
+                .find(|(regex, _)| regex.is_match(path))
+                .map(|(_, number)| *number),
         }
     }
 }
@@ -183,21 +203,27 @@
     fn block(locations: &[Location], from: u32, path: &[u8]) -> Option<(Taken, bool)> {
         let all = numbered(locations, from);
         let named = |how: Match, pattern: &[u8]| {
-            all.iter().find(|(_, one)| one.how == how && one.pattern.as_bytes() == pattern)
+            all.iter()
+                .find(|(_, one)| one.how == how && one.pattern.as_bytes() == pattern)
         };
         if let Some((number, _)) = named(Match::Exact, path) {
             return Some((Taken::By(*number), false));
         }
-        let whole = [Match::Prefix, Match::Final].into_iter().any(|how| named(how, path).is_some());
+        let whole = [Match::Prefix, Match::Final]
+            .into_iter()
+            .any(|how| named(how, path).is_some());
         let slash = [path, b"/"].concat();
-        let mut slashed =
-            [Match::Exact, Match::Prefix, Match::Final].into_iter().filter_map(|how| named(how, &slash));
+        let mut slashed = [Match::Exact, Match::Prefix, Match::Final]
+            .into_iter()
+            .filter_map(|how| named(how, &slash));
         if let Some((number, one)) = slashed.next().filter(|_| !whole) {
             if adds_slash(one) {
                 return Some((Taken::Slash(*number), false));
             }
         }
-        let plain = all.iter().filter(|(_, one)| matches!(one.how, Match::Prefix | Match::Final));
+        let plain = all
+            .iter()
+            .filter(|(_, one)| matches!(one.how, Match::Prefix | Match::Final));
         let best = plain
             .filter(|(_, one)| path.starts_with(one.pattern.as_bytes()))
             .max_by_key(|(_, one)| one.pattern.len());
@@ -228,17 +254,34 @@
     use proptest::prelude::*;
 
     fn location(how: Match, pattern: String, pass: bool, nested: Vec<Location>) -> Location {
-        let pass = pass.then(|| Pass { pool: "p".to_owned(), uri: None });
+        let pass = pass.then(|| Pass {
+            pool: "p".to_owned(),
+            uri: None,
+        });
         Location {
-            place: Place { file: "t".into(), line: 1, column: 1 },
+            place: Place {
+                file: "t".into(),
+                line: 1,
+                column: 1,
+            },
             how,
             pattern,
             internal: false,
             steps: Vec::new(),
             pass,
-            next: Next { error: true, timeout: true, statuses: Vec::new(), tries: 0, timeout_ms: 0 },
+            next: Next {
+                error: true,
+                timeout: true,
+                statuses: Vec::new(),
+                tries: 0,
+                timeout_ms: 0,
+            },
             limits: Vec::new(),
-            times: Times { connect: 1, send: 1, read: 1 },
+            times: Times {
+                connect: 1,
+                send: 1,
+                read: 1,
+            },
             nested,
         }
     }
@@ -250,7 +293,11 @@
             prop::sample::select(vec!["^/a", "b$", "/", "A", "a.b", "^/b/?$", "x"]),
             any::<bool>(),
         );
-        let nested = if depth == 0 { Just(Vec::new()).boxed() } else { siblings(depth - 1) };
+        let nested = if depth == 0 {
+            Just(Vec::new()).boxed()
+        } else {
+            siblings(depth - 1)
+        };
         let either = prop_oneof![
             plain.prop_map(|(how, path, pass)| (
                 [Match::Exact, Match::Prefix, Match::Final][how],
@@ -258,14 +305,22 @@
                 pass
             )),
             regex.prop_map(|(any, text, pass)| (
-                if any { Match::RegexAnyCase } else { Match::Regex },
+                if any {
+                    Match::RegexAnyCase
+                } else {
+                    Match::Regex
+                },
                 text.to_owned(),
                 pass
             )),
         ];
         (either, nested)
             .prop_map(|((how, pattern, pass), nested)| {
-                let nested = if how == Match::Exact { Vec::new() } else { nested };
+                let nested = if how == Match::Exact {
+                    Vec::new()
+                } else {
+                    nested
+                };
                 location(how, pattern, pass, nested)
             })
             .boxed()
@@ -277,7 +332,8 @@
             .prop_map(|mut all| {
                 let mut seen = std::collections::HashSet::new();
                 all.retain(|one| {
-                    one.how.is_regex() || seen.insert((one.how == Match::Exact, one.pattern.clone()))
+                    one.how.is_regex()
+                        || seen.insert((one.how == Match::Exact, one.pattern.clone()))
                 });
                 all
             })
--- a/crates/routes/src/place.rs
+++ b/crates/routes/src/place.rs
@@ -67,11 +67,25 @@
 impl Finding {
     /// One about this many bytes at a place of a text.
     #[must_use]
-    pub fn new(place: Place, gravity: Gravity, what: impl Into<String>, text: &[u8], length: usize) -> Self {
-        let line = text.split(|byte| *byte == b'\n').nth(place.line - 1).unwrap_or_default();
+    pub fn new(
+        place: Place,
+        gravity: Gravity,
+        what: impl Into<String>,
+        text: &[u8],
+        length: usize,
+    ) -> Self {
+        let line = text
+            .split(|byte| *byte == b'\n')
+            .nth(place.line - 1)
+            .unwrap_or_default();
         let line = &line[..line.len().min(SHOWN)];
         let shown = String::from_utf8_lossy(line).replace(|c: char| c.is_control(), " ");
-        Self { place, gravity, what: what.into(), shown: (shown, length) }
+        Self {
+            place,
+            gravity,
+            what: what.into(),
+            shown: (shown, length),
+        }
     }
 
     /// Text with the line and a mark below it.
@@ -86,7 +100,11 @@
             return format!("{self}\n  {line} ...");
         }
         let marks = (*length).clamp(1, SHOWN - before);
-        format!("{self}\n  {line}\n  {}{}", " ".repeat(before), "^".repeat(marks))
+        format!(
+            "{self}\n  {line}\n  {}{}",
+            " ".repeat(before),
+            "^".repeat(marks)
+        )
     }
 }
 
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -61,13 +61,25 @@
 /// A plain letter or digit where the class has one.
 fn one_of(class: &Class) -> Option<u8> {
     let ranges: Vec<(u8, u8)> = match class {
-        Class::Bytes(class) => class.ranges().iter().map(|range| (range.start(), range.end())).collect(),
+        Class::Bytes(class) => class
+            .ranges()
+            .iter()
+            .map(|range| (range.start(), range.end()))
+            .collect(),
         Class::Unicode(class) => {
             let byte = |c: char| u8::try_from(u32::from(c)).unwrap_or(0x7f);
-            class.ranges().iter().map(|range| (byte(range.start()), byte(range.end()))).collect()
+            class
+                .ranges()
+                .iter()
+                .map(|range| (byte(range.start()), byte(range.end())))
+                .collect()
         }
     };
-    let has = |wanted: &u8| ranges.iter().any(|(from, to)| (from..=to).contains(&wanted));
+    let has = |wanted: &u8| {
+        ranges
+            .iter()
+            .any(|(from, to)| (from..=to).contains(&wanted))
+    };
     let wanted = b"x1a-_/.".iter().copied().find(|byte| has(byte));
     wanted.or_else(|| ranges.first().map(|(from, _)| *from))
 }
@@ -75,8 +87,10 @@
 /// A text that the regular expression of a location matches.
 #[must_use]
 pub fn location_example(location: &Location) -> Option<String> {
-    let text =
-        location.how.is_regex().then(|| example(&location.pattern, location.how == Match::RegexAnyCase));
+    let text = location
+        .how
+        .is_regex()
+        .then(|| example(&location.pattern, location.how == Match::RegexAnyCase));
     text.flatten().filter(|text| !text.is_empty())
 }
 
@@ -86,7 +100,11 @@
     match location.how {
         Match::Named => {}
         Match::Exact => {
-            into.extend([pattern.clone(), format!("{pattern}/"), format!("{pattern}x")]);
+            into.extend([
+                pattern.clone(),
+                format!("{pattern}/"),
+                format!("{pattern}x"),
+            ]);
         }
         Match::Prefix | Match::Final => {
             into.extend([
@@ -97,14 +115,19 @@
             // The path without its last byte just misses it.
             if pattern.len() > 1 {
                 into.insert(
-                    pattern[..pattern.len() - pattern.chars().next_back().map_or(1, char::len_utf8)]
+                    pattern
+                        [..pattern.len() - pattern.chars().next_back().map_or(1, char::len_utf8)]
                         .to_owned(),
                 );
             }
         }
         Match::Regex | Match::RegexAnyCase => {
             if let Some(text) = location_example(location) {
-                let rooted = if text.starts_with('/') { text } else { format!("/{text}") };
+                let rooted = if text.starts_with('/') {
+                    text
+                } else {
+                    format!("/{text}")
+                };
                 into.extend([format!("{rooted}x"), rooted]);
             }
         }
@@ -130,17 +153,24 @@
 #[must_use]
 pub fn server_paths(server: &Server) -> BTreeSet<String> {
     let mut found = BTreeSet::from(["/".to_owned()]);
-    locations(&server.locations, &mut |location| paths(location, &mut found));
+    locations(&server.locations, &mut |location| {
+        paths(location, &mut found)
+    });
     // What a rewrite matches goes elsewhere than the locations say.
     let mut steps: Vec<_> = server.steps.iter().collect();
-    locations(&server.locations, &mut |location| steps.extend(&location.steps));
+    locations(&server.locations, &mut |location| {
+        steps.extend(&location.steps)
+    });
     for step in steps {
         if let crate::model::Step::Rewrite { regex, .. } = step {
             found.extend(example(regex, false).filter(|text| text.starts_with('/')));
         }
     }
     found.retain(|path| path.starts_with('/'));
-    found.into_iter().map(|path| crate::uri::escape(path.as_bytes())).collect()
+    found
+        .into_iter()
+        .map(|path| crate::uri::escape(path.as_bytes()))
+        .collect()
 }
 
 /// Requests near all locations of a table.
@@ -152,7 +182,11 @@
         for (listen, _) in &server.listens {
             for name in &server.names {
                 for path in &paths {
-                    found.insert(Probe { listen: listen.clone(), host: host(name), path: path.clone() });
+                    found.insert(Probe {
+                        listen: listen.clone(),
+                        host: host(name),
+                        path: path.clone(),
+                    });
                 }
             }
         }
@@ -165,15 +199,23 @@
 pub fn values(routes: &Routes, variable: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for made in routes.variables.values() {
-        let Variable::Map { source, cases, .. } = made else { continue };
-        if source.trim_start_matches("${").trim_start_matches('$').trim_end_matches('}') != variable {
+        let Variable::Map { source, cases, .. } = made else {
+            continue;
+        };
+        if source
+            .trim_start_matches("${")
+            .trim_start_matches('$')
+            .trim_end_matches('}')
+            != variable
+        {
             continue;
         }
         for (case, _) in cases {
             match case.strip_prefix('~') {
                 Some(regex) => {
-                    let (regex, any_case) =
-                        regex.strip_prefix('*').map_or((regex, false), |regex| (regex, true));
+                    let (regex, any_case) = regex
+                        .strip_prefix('*')
+                        .map_or((regex, false), |regex| (regex, true));
                     found.extend(example(regex, any_case));
                 }
                 None => {
@@ -191,12 +233,19 @@
 
     #[test]
     fn examples_match_what_they_are_made_from() {
-        for regex in
-            [r"^/api/v\d+/(?:seat|lobby)s?$", r"\.(png|gif)$", "^/[^/]+/x{3}", "a*b+", "(?i)^/QUEUE", "^$"]
-        {
+        for regex in [
+            r"^/api/v\d+/(?:seat|lobby)s?$",
+            r"\.(png|gif)$",
+            "^/[^/]+/x{3}",
+            "a*b+",
+            "(?i)^/QUEUE",
+            "^$",
+        ] {
             let text = example(regex, false).unwrap();
             assert!(
-                crate::pattern::compile(regex, false).unwrap().is_match(text.as_bytes()),
+                crate::pattern::compile(regex, false)
+                    .unwrap()
+                    .is_match(text.as_bytes()),
                 "{regex}: {text}"
             );
         }
