--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -2,7 +2,9 @@
 //! goes on, and the class; or to an answer.
 
 use crate::locate::{Locator, Taken};
-use crate::model::{After, Limit, Location, Match, Next, Routes, Server, Step, Times, Variable, CLASS};
+use crate::model::{
+    After, Limit, Location, Match, Next, Routes, Server, Step, Times, Variable, CLASS,
+};
 use crate::pattern;
 use crate::place::Place;
 use crate::text::{Piece, Template};
@@ -162,12 +164,19 @@
     let one = |step: &Step| {
         Ok(match step {
             Step::Set { variable, value } => Prepared::Set(variable.clone(), read(value)?),
-            Step::Rewrite { regex, replacement, after } => {
-                let (text, drops) =
-                    replacement.strip_suffix('?').map_or((replacement.as_str(), false), |text| (text, true));
+            Step::Rewrite {
+                regex,
+                replacement,
+                after,
+            } => {
+                let (text, drops) = replacement
+                    .strip_suffix('?')
+                    .map_or((replacement.as_str(), false), |text| (text, true));
                 Prepared::Rewrite(pattern::compile(regex, false)?, read(text)?, drops, *after)
             }
-            Step::Return { code, text } => Prepared::Return(*code, text.as_deref().map(read).transpose()?),
+            Step::Return { code, text } => {
+                Prepared::Return(*code, text.as_deref().map(read).transpose()?)
+            }
             Step::Break => Prepared::Break,
         })
     };
@@ -194,12 +203,21 @@
         for location in locations {
             let number = out.len() as u32;
             let pass = match &location.pass {
-                Some(pass) => Some((read(&pass.pool)?, pass.uri.as_deref().map(read).transpose()?)),
+                Some(pass) => Some((
+                    read(&pass.pool)?,
+                    pass.uri.as_deref().map(read).transpose()?,
+                )),
                 None => None,
             };
-            let pool =
-                location.pass.as_ref().map(|pass| pass.pool.as_str()).filter(|pool| !pool.starts_with('$'));
-            let limits = location.limits.iter().map(|limit| Ok((read(&limit.key)?, limit.clone())));
+            let pool = location
+                .pass
+                .as_ref()
+                .map(|pass| pass.pool.as_str())
+                .filter(|pool| !pool.starts_with('$'));
+            let limits = location
+                .limits
+                .iter()
+                .map(|limit| Ok((read(&limit.key)?, limit.clone())));
             out.push(Self {
                 place: location.place.clone(),
                 name: format!("{}{}", location.how.sign(), location.pattern),
@@ -244,13 +262,19 @@
 impl Known {
     fn new(variable: &Variable) -> Result<Self, String> {
         Ok(match variable {
-            Variable::Map { source, cases, default, hostnames } => {
+            Variable::Map {
+                source,
+                cases,
+                default,
+                hostnames,
+            } => {
                 let (mut whole, mut names, mut regexes) = (HashMap::new(), Vec::new(), Vec::new());
                 for (case, value) in cases {
                     let value = read(value)?;
                     if let Some(regex) = case.strip_prefix('~') {
-                        let (regex, any_case) =
-                            regex.strip_prefix('*').map_or((regex, false), |regex| (regex, true));
+                        let (regex, any_case) = regex
+                            .strip_prefix('*')
+                            .map_or((regex, false), |regex| (regex, true));
                         regexes.push((pattern::compile(regex, any_case)?, value));
                     } else if let Some(rest) = case.strip_prefix('.').filter(|_| *hostnames) {
                         // A name and all below it.
@@ -260,11 +284,20 @@
                         names.push((case.to_lowercase(), value));
                     } else {
                         // A backslash takes the meaning of what follows away.
-                        whole.insert(case.strip_prefix('\\').unwrap_or(case).to_lowercase(), value);
+                        whole.insert(
+                            case.strip_prefix('\\').unwrap_or(case).to_lowercase(),
+                            value,
+                        );
                     }
                 }
                 names.sort_by_key(|(name, _)| (name.ends_with('*'), usize::MAX - name.len()));
-                Self::Map { source: read(source)?, whole, names, regexes, default: read(default)? }
+                Self::Map {
+                    source: read(source)?,
+                    whole,
+                    names,
+                    regexes,
+                    default: read(default)?,
+                }
             }
             Variable::Split { key, parts } => {
                 let mut last = 0_u64;
@@ -272,7 +305,10 @@
                     last += u64::from(*share) * 0xffff_ffff / 10_000;
                     (if *share == 0 { 0 } else { last as u32 }, value.clone())
                 };
-                Self::Split { key: read(key)?, parts: parts.iter().map(bound).collect() }
+                Self::Split {
+                    key: read(key)?,
+                    parts: parts.iter().map(bound).collect(),
+                }
             }
         })
     }
@@ -284,7 +320,11 @@
     /// # Errors
     /// What can't be prepared; a table that was imported can.
     pub fn new(routes: &Routes) -> Result<Self, String> {
-        let servers = routes.servers.iter().map(Host::new).collect::<Result<Vec<_>, _>>()?;
+        let servers = routes
+            .servers
+            .iter()
+            .map(Host::new)
+            .collect::<Result<Vec<_>, _>>()?;
         let mut listens: BTreeMap<String, Listen> = BTreeMap::new();
         for (number, server) in routes.servers.iter().enumerate() {
             for (address, default) in &server.listens {
@@ -293,7 +333,10 @@
                     let first = listen.default.replace(number);
                     // One that is the default by its place gives way to one that says so, and not the other way.
                     let said = |at: usize| {
-                        routes.servers[at].listens.iter().any(|(other, said)| other == address && *said)
+                        routes.servers[at]
+                            .listens
+                            .iter()
+                            .any(|(other, said)| other == address && *said)
                     };
                     if let Some(first) = first.filter(|first| said(*first)) {
                         listen.default = Some(first);
@@ -301,7 +344,9 @@
                 }
                 for name in &server.names {
                     if let Some(regex) = name.strip_prefix('~') {
-                        listen.regexes.push((pattern::compile(regex, true)?, number));
+                        listen
+                            .regexes
+                            .push((pattern::compile(regex, true)?, number));
                     } else if let Some(rest) = name.strip_prefix('*') {
                         listen.below.push((rest.to_owned(), number));
                     } else if let Some(rest) = name.strip_suffix('*') {
@@ -313,12 +358,22 @@
             }
         }
         for listen in listens.values_mut() {
-            listen.below.sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
-            listen.above.sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
+            listen
+                .below
+                .sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
+            listen
+                .above
+                .sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
         }
-        let variables =
-            routes.variables.iter().map(|(name, variable)| Ok((name.clone(), Known::new(variable)?)));
-        Ok(Self { servers, listens, variables: variables.collect::<Result<_, String>>()? })
+        let variables = routes
+            .variables
+            .iter()
+            .map(|(name, variable)| Ok((name.clone(), Known::new(variable)?)));
+        Ok(Self {
+            servers,
+            listens,
+            variables: variables.collect::<Result<_, String>>()?,
+        })
     }
 
     /// Decides on a request.
@@ -347,11 +402,17 @@
 
     fn listen(&self, asked: &Asked<'_>) -> Result<(&str, &Listen), String> {
         if let Some(at) = asked.listen {
-            let found = self.listens.get_key_value(at).map(|(key, listen)| (key.as_str(), listen));
+            let found = self
+                .listens
+                .get_key_value(at)
+                .map(|(key, listen)| (key.as_str(), listen));
             return found.ok_or_else(|| format!("no server listens on {at}"));
         }
         let port = split_port(asked.host).1.unwrap_or("80");
-        let mut found = self.listens.iter().filter(|(at, _)| at.rsplit(':').next() == Some(port));
+        let mut found = self
+            .listens
+            .iter()
+            .filter(|(at, _)| at.rsplit(':').next() == Some(port));
         match (found.next(), found.next()) {
             (Some((at, listen)), None) => Ok((at, listen)),
             (None, _) => Err(format!("no server listens on port {port}")),
@@ -359,24 +420,43 @@
                 // A request to a name may have come to any of these addresses.
                 let any = self.listens.get_key_value(&format!("*:{port}"));
                 any.map(|(at, listen)| (at.as_str(), listen))
-                    .ok_or_else(|| format!("several addresses have port {port}: name the one it came to"))
+                    .ok_or_else(|| {
+                        format!("several addresses have port {port}: name the one it came to")
+                    })
             }
         }
     }
 
     fn walk(&self, asked: &Asked<'_>, said: &mut Option<Vec<String>>) -> Result<Decision, String> {
         let (at, listen) = self.listen(asked)?;
-        let name = split_port(asked.host).0.trim_end_matches('.').to_lowercase();
+        let name = split_port(asked.host)
+            .0
+            .trim_end_matches('.')
+            .to_lowercase();
         let (number, why) = listen.choose(&name);
         let host = &self.servers[number];
-        say(said, || format!("{} server {:?} on {at}: {why}", host.place, host.name));
+        say(said, || {
+            format!("{} server {:?} on {at}: {why}", host.place, host.name)
+        });
         let answer = |code: u16, text: String, by: String| Ok(Decision::Answer { code, text, by });
         let uri = match uri::read(asked.target, host.merge_slashes) {
             Ok(uri) => uri,
-            Err(what) => return answer(400, String::new(), format!("the path can't be read: {what}")),
+            Err(what) => {
+                return answer(
+                    400,
+                    String::new(),
+                    format!("the path can't be read: {what}"),
+                )
+            }
+        };
+        let mut walk = Walk {
+            asked,
+            uri,
+            changed: false,
+            stays: false,
+            set: HashMap::new(),
+            groups: Vec::new(),
         };
-        let mut walk =
-            Walk { asked, uri, changed: false, stays: false, set: HashMap::new(), groups: Vec::new() };
         if let Some(done) = self.steps(&host.steps, &host.place, &mut walk, said).1 {
             return Ok(done);
         }
@@ -396,16 +476,25 @@
                     return answer(
                         301,
                         to,
-                        format!("{} adds the slash at the end", host.sites[number as usize].place),
+                        format!(
+                            "{} adds the slash at the end",
+                            host.sites[number as usize].place
+                        ),
                     );
                 }
-                Taken::Nobody => return answer(404, String::new(), "no location takes the path".to_owned()),
+                Taken::Nobody => {
+                    return answer(404, String::new(), "no location takes the path".to_owned())
+                }
             };
             let site = &host.sites[number as usize];
             if site.internal && !walk.changed {
                 return answer(404, String::new(), format!("{} is internal", site.place));
             }
-            if let Some(groups) = host.locator.regex(number).and_then(|regex| regex.captures(&path)) {
+            if let Some(groups) = host
+                .locator
+                .regex(number)
+                .and_then(|regex| regex.captures(&path))
+            {
                 walk.capture(host.locator.regex(number), &groups);
             }
             let (again, done) = self.steps(&site.steps, &site.place, &mut walk, said);
@@ -416,22 +505,47 @@
                 continue;
             }
             let Some((pool, uri)) = &site.pass else {
-                return answer(404, String::new(), format!("{} passes nothing on", site.place));
+                return answer(
+                    404,
+                    String::new(),
+                    format!("{} passes nothing on", site.place),
+                );
             };
             let pool = match &site.pool {
                 Some(pool) => pool.clone(),
                 None => Arc::from(self.fill(pool, &walk)),
             };
-            let uri = uri
-                .as_ref()
-                .map(|uri| (self.fill(uri, &walk), uri.0.len() > 1 || uri.variables().next().is_some()));
-            let class = walk.set.get(CLASS).filter(|class| !class.is_empty()).cloned();
+            let uri = uri.as_ref().map(|uri| {
+                (
+                    self.fill(uri, &walk),
+                    uri.0.len() > 1 || uri.variables().next().is_some(),
+                )
+            });
+            let class = walk
+                .set
+                .get(CLASS)
+                .filter(|class| !class.is_empty())
+                .cloned();
             let location = number;
-            let server = self.servers.iter().position(|other| std::ptr::eq(other, host)).unwrap_or_default();
+            let server = self
+                .servers
+                .iter()
+                .position(|other| std::ptr::eq(other, host))
+                .unwrap_or_default();
             let uri = walk.goes_on(site, uri);
-            return Ok(Decision::Pass { server, location, pool, uri, class });
+            return Ok(Decision::Pass {
+                server,
+                location,
+                pool,
+                uri,
+                class,
+            });
         }
-        answer(500, String::new(), format!("rewrites sent it back more than {CYCLES} times"))
+        answer(
+            500,
+            String::new(),
+            format!("rewrites sent it back more than {CYCLES} times"),
+        )
     }
 
     /// Takes steps; whether a location has to be looked up again, and an answer where they give one.
@@ -451,15 +565,24 @@
                 }
                 Prepared::Break => return (again, None),
                 Prepared::Return(code, text) => {
-                    let text = text.as_ref().map(|text| self.fill(text, walk)).unwrap_or_default();
+                    let text = text
+                        .as_ref()
+                        .map(|text| self.fill(text, walk))
+                        .unwrap_or_default();
                     return (
                         false,
-                        Some(Decision::Answer { code: *code, text, by: format!("{place} returns it") }),
+                        Some(Decision::Answer {
+                            code: *code,
+                            text,
+                            by: format!("{place} returns it"),
+                        }),
                     );
                 }
                 Prepared::Rewrite(regex, to, drops, after) => {
                     let path = walk.uri.path.clone();
-                    let Some(groups) = regex.captures(&path) else { continue };
+                    let Some(groups) = regex.captures(&path) else {
+                        continue;
+                    };
                     walk.capture(Some(regex), &groups);
                     let to = self.fill(to, walk);
                     let redirect = |code| Decision::Answer {
@@ -472,8 +595,9 @@
                         After::Permanent => return (false, Some(redirect(301))),
                         _ => {}
                     }
-                    let (path, args) =
-                        to.split_once('?').map_or((to.as_str(), None), |(path, args)| (path, Some(args)));
+                    let (path, args) = to
+                        .split_once('?')
+                        .map_or((to.as_str(), None), |(path, args)| (path, Some(args)));
                     let old = std::mem::take(&mut walk.uri.args);
                     walk.uri.args = match args {
                         _ if *drops => args.unwrap_or_default().to_owned(),
@@ -513,8 +637,18 @@
     /// A text with the values that a request gives to its variables.
     #[must_use]
     pub fn text(&self, template: &Template, asked: &Asked<'_>) -> String {
-        let uri = uri::read(asked.target, true).unwrap_or(Uri { path: Vec::new(), args: String::new() });
-        let walk = Walk { asked, uri, changed: false, stays: false, set: HashMap::new(), groups: Vec::new() };
+        let uri = uri::read(asked.target, true).unwrap_or(Uri {
+            path: Vec::new(),
+            args: String::new(),
+        });
+        let walk = Walk {
+            asked,
+            uri,
+            changed: false,
+            stays: false,
+            set: HashMap::new(),
+            groups: Vec::new(),
+        };
         self.fill(template, &walk)
     }
 
@@ -526,17 +660,26 @@
             return walk.given(name);
         };
         match known {
-            Known::Map { source, whole, names, regexes, default } => {
+            Known::Map {
+                source,
+                whole,
+                names,
+                regexes,
+                default,
+            } => {
                 let source = self.fill_at(source, walk, depth + 1);
                 let lower = source.to_lowercase();
                 let by_name = || {
                     let fits = |name: &str| match name.strip_prefix('*') {
                         Some(end) => lower.len() > end.len() && lower.ends_with(end),
-                        None => name
-                            .strip_suffix('*')
-                            .is_some_and(|start| lower.len() > start.len() && lower.starts_with(start)),
+                        None => name.strip_suffix('*').is_some_and(|start| {
+                            lower.len() > start.len() && lower.starts_with(start)
+                        }),
                     };
-                    names.iter().find(|(name, _)| fits(name)).map(|(_, value)| value)
+                    names
+                        .iter()
+                        .find(|(name, _)| fits(name))
+                        .map(|(_, value)| value)
                 };
                 let by_regex = || {
                     regexes
@@ -544,7 +687,11 @@
                         .find(|(regex, _)| regex.is_match(source.as_bytes()))
                         .map(|(_, value)| value)
                 };
-                let value = whole.get(&lower).or_else(by_name).or_else(by_regex).unwrap_or(default);
+                let value = whole
+                    .get(&lower)
+                    .or_else(by_name)
+                    .or_else(by_regex)
+                    .unwrap_or(default);
                 self.fill_at(value, walk, depth + 1)
             }
             Known::Split { key, parts } => {
@@ -563,24 +710,43 @@
             return (*number, "the whole name".to_owned());
         }
         // `*.x` stands for labels below x, and not for x itself.
-        if let Some((end, number)) =
-            self.below.iter().find(|(end, _)| name.len() > end.len() && name.ends_with(end))
+        if let Some((end, number)) = self
+            .below
+            .iter()
+            .find(|(end, _)| name.len() > end.len() && name.ends_with(end))
         {
-            return (*number, format!("the longest name with a star before, *{end}"));
+            return (
+                *number,
+                format!("the longest name with a star before, *{end}"),
+            );
         }
-        if let Some((start, number)) =
-            self.above.iter().find(|(start, _)| name.len() > start.len() && name.starts_with(start))
+        if let Some((start, number)) = self
+            .above
+            .iter()
+            .find(|(start, _)| name.len() > start.len() && name.starts_with(start))
         {
-            return (*number, format!("the longest name with a star after, {start}*"));
+            return (
+                *number,
+                format!("the longest name with a star after, {start}*"),
+            );
         }
-        if let Some((regex, number)) = self.regexes.iter().find(|(regex, _)| regex.is_match(name.as_bytes()))
+        if let Some((regex, number)) = self
+            .regexes
+            .iter()
+            .find(|(regex, _)| regex.is_match(name.as_bytes()))
         {
-            return (*number, format!("the first regular expression that matches, {regex}"));
+            return (
+                *number,
+                format!("the first regular expression that matches, {regex}"),
+            );
         }
         if let Some(number) = self.whole.get("").filter(|_| name.is_empty()) {
             return (*number, "the server without a name".to_owned());
         }
-        (self.default.unwrap_or_default(), "the default server: no name fits".to_owned())
+        (
+            self.default.unwrap_or_default(),
+            "the default server: no name fits".to_owned(),
+        )
     }
 }
 
@@ -599,8 +765,12 @@
         way.reverse();
         let mut parent = None;
         for depth in 0..=way.len() {
-            let here: Vec<_> =
-                self.sites.iter().enumerate().filter(|(_, site)| site.parent == parent).collect();
+            let here: Vec<_> = self
+                .sites
+                .iter()
+                .enumerate()
+                .filter(|(_, site)| site.parent == parent)
+                .collect();
             if here.is_empty() {
                 break;
             }
@@ -626,7 +796,9 @@
                             "adds the slash that the path lacks".to_owned()
                         }
                         (Match::Exact, _) => "is the whole path".to_owned(),
-                        (how, _) if how.is_regex() => "the first regular expression that matches".to_owned(),
+                        (how, _) if how.is_regex() => {
+                            "the first regular expression that matches".to_owned()
+                        }
                         (Match::Final, _) => {
                             "the longest prefix, and no regular expression is tried".to_owned()
                         }
@@ -637,8 +809,12 @@
                     match site.how {
                         Match::Named => "is reached by name only".to_owned(),
                         Match::Exact => "is not the path".to_owned(),
-                        Match::Prefix | Match::Final if !fits(site) => "is no prefix of the path".to_owned(),
-                        Match::Prefix | Match::Final if longest.is_some_and(|(other, _)| other != number) => {
+                        Match::Prefix | Match::Final if !fits(site) => {
+                            "is no prefix of the path".to_owned()
+                        }
+                        Match::Prefix | Match::Final
+                            if longest.is_some_and(|(other, _)| other != number) =>
+                        {
                             let other = longest.map_or("", |(_, site)| &site.name);
                             format!("a prefix, and {other} is longer")
                         }
@@ -652,8 +828,19 @@
                         _ => "does not match".to_owned(),
                     }
                 };
-                let mark = if Some(*number as u32) == chosen { "*" } else { "-" };
-                say(said, || format!("  {}{mark} {} {}: {why}", "  ".repeat(depth), site.place, site.name));
+                let mark = if Some(*number as u32) == chosen {
+                    "*"
+                } else {
+                    "-"
+                };
+                say(said, || {
+                    format!(
+                        "  {}{mark} {} {}: {why}",
+                        "  ".repeat(depth),
+                        site.place,
+                        site.name
+                    )
+                });
             }
             let Some(next) = chosen else { break };
             parent = Some(next);
@@ -663,9 +850,16 @@
 
 impl Walk<'_> {
     fn capture(&mut self, regex: Option<&Regex>, groups: &regex::bytes::Captures<'_>) {
-        let text = |found: regex::bytes::Match<'_>| String::from_utf8_lossy(found.as_bytes()).into_owned();
-        self.groups = groups.iter().map(|group| group.map(text).unwrap_or_default()).collect();
-        for name in regex.into_iter().flat_map(|regex| regex.capture_names().flatten()) {
+        let text =
+            |found: regex::bytes::Match<'_>| String::from_utf8_lossy(found.as_bytes()).into_owned();
+        self.groups = groups
+            .iter()
+            .map(|group| group.map(text).unwrap_or_default())
+            .collect();
+        for name in regex
+            .into_iter()
+            .flat_map(|regex| regex.capture_names().flatten())
+        {
             let value = groups.name(name).map(text).unwrap_or_default();
             self.set.insert(name.to_owned(), value);
         }
@@ -682,11 +876,17 @@
             "request_method" => asked.method.to_owned(),
             "remote_addr" | "binary_remote_addr" => asked.remote.to_owned(),
             "scheme" => "http".to_owned(),
-            "server_port" => split_port(asked.listen.unwrap_or(asked.host)).1.unwrap_or("80").to_owned(),
+            "server_port" => split_port(asked.listen.unwrap_or(asked.host))
+                .1
+                .unwrap_or("80")
+                .to_owned(),
             _ => {
                 if let Some(wanted) = name.strip_prefix("arg_") {
-                    let pairs =
-                        self.uri.args.split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
+                    let pairs = self
+                        .uri
+                        .args
+                        .split('&')
+                        .map(|pair| pair.split_once('=').unwrap_or((pair, "")));
                     return pairs
                         .filter(|(name, _)| name.eq_ignore_ascii_case(wanted))
                         .map(|(_, value)| value.to_owned())
@@ -694,8 +894,10 @@
                         .unwrap_or_default();
                 }
                 if let Some(wanted) = name.strip_prefix("cookie_") {
-                    let cookies =
-                        asked.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("cookie"));
+                    let cookies = asked
+                        .headers
+                        .iter()
+                        .filter(|(name, _)| name.eq_ignore_ascii_case("cookie"));
                     let pairs = cookies
                         .flat_map(|(_, value)| value.split(';'))
                         .filter_map(|pair| pair.trim().split_once('='));
@@ -705,7 +907,9 @@
                         .next()
                         .unwrap_or_default();
                 }
-                let Some(wanted) = name.strip_prefix("http_") else { return String::new() };
+                let Some(wanted) = name.strip_prefix("http_") else {
+                    return String::new();
+                };
                 if wanted == "host" {
                     return asked.host.to_owned();
                 }
@@ -732,11 +936,21 @@
             // One with variables is the whole of it.
             Some((uri, true)) => return uri,
             Some((uri, false)) if !self.stays => {
-                let rest = self.uri.path.strip_prefix(site.pattern.as_bytes()).unwrap_or_default();
+                let rest = self
+                    .uri
+                    .path
+                    .strip_prefix(site.pattern.as_bytes())
+                    .unwrap_or_default();
                 uri + &uri::escape(rest)
             }
             None if !self.changed => {
-                return self.asked.target.split('#').next().unwrap_or_default().to_owned()
+                return self
+                    .asked
+                    .target
+                    .split('#')
+                    .next()
+                    .unwrap_or_default()
+                    .to_owned()
             }
             _ => uri::escape(&self.uri.path),
         };
@@ -789,8 +1003,12 @@
     /// Values of the reference's own making, with the seed 0.
     #[test]
     fn the_split_hashes_as_murmur_does() {
-        for (text, hash) in [("", 0), ("a", 0x9268_5f5e), ("abcd", 0x2687_3021), ("hello world", 0x44a8_1419)]
-        {
+        for (text, hash) in [
+            ("", 0),
+            ("a", 0x9268_5f5e),
+            ("abcd", 0x2687_3021),
+            ("hello world", 0x44a8_1419),
+        ] {
             assert_eq!(murmur2(text.as_bytes()), hash, "{text}");
         }
     }
--- a/crates/routes/src/text.rs
+++ b/crates/routes/src/text.rs
@@ -28,19 +28,22 @@
             }
             rest = &rest[at + 1..];
             let (name, after) = match rest.strip_prefix('{') {
-                Some(inner) => {
-                    inner.split_once('}').ok_or_else(|| format!("{text:?}: a brace is not closed"))?
-                }
+                Some(inner) => inner
+                    .split_once('}')
+                    .ok_or_else(|| format!("{text:?}: a brace is not closed"))?,
                 None if rest.starts_with(|c: char| c.is_ascii_digit()) => rest.split_at(1),
                 None => {
-                    let end =
-                        rest.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(rest.len());
+                    let end = rest
+                        .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+                        .unwrap_or(rest.len());
                     rest.split_at(end)
                 }
             };
             rest = after;
             if name.is_empty() || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_') {
-                return Err(format!("{text:?}: a variable's name is missing after the sign"));
+                return Err(format!(
+                    "{text:?}: a variable's name is missing after the sign"
+                ));
             }
             pieces.push(match name.parse() {
                 Ok(group @ 0..=9) => Piece::Group(group),
@@ -91,7 +94,10 @@
         "scheme",
         "server_port",
     ];
-    GIVEN.contains(&name) || ["arg_", "http_", "cookie_"].iter().any(|start| name.starts_with(start))
+    GIVEN.contains(&name)
+        || ["arg_", "http_", "cookie_"]
+            .iter()
+            .any(|start| name.starts_with(start))
 }
 
 #[cfg(test)]
@@ -115,7 +121,9 @@
         ];
         assert_eq!(read.0, expected);
         assert!(
-            Template::read("a$").is_err() && Template::read("${a").is_err() && Template::read("$-").is_err()
+            Template::read("a$").is_err()
+                && Template::read("${a").is_err()
+                && Template::read("$-").is_err()
         );
     }
 }
--- a/crates/routes/src/trie.rs
+++ b/crates/routes/src/trie.rs
@@ -53,14 +53,21 @@
             same
         });
         let mut trie = Self::default();
-        let root = Node { label: (0, 0), exact: NONE, prefix: NONE, children: (0, 0) };
+        let root = Node {
+            label: (0, 0),
+            exact: NONE,
+            prefix: NONE,
+            children: (0, 0),
+        };
         trie.nodes.push(root);
         trie.firsts.push(0);
         // Nodes whose items are not spread yet: range of the items, and how much of their paths is used.
         let mut waiting = std::collections::VecDeque::from([(0_usize, 0..items.len(), 0_usize)]);
         while let Some((node, range, used)) = waiting.pop_front() {
             let mut range = range;
-            if let Some((path, exact, prefix)) = items.get(range.start).filter(|_| !range.is_empty()) {
+            if let Some((path, exact, prefix)) =
+                items.get(range.start).filter(|_| !range.is_empty())
+            {
                 if path.len() == used {
                     trie.nodes[node].exact = exact.unwrap_or(NONE);
                     trie.nodes[node].prefix = prefix.unwrap_or(NONE);
@@ -73,11 +80,19 @@
                 let group = &items[range.clone()];
                 let count = group.partition_point(|item| item.0[used] == byte);
                 let (low, high) = (group[0].0, group[count - 1].0);
-                let shared = low[used..].iter().zip(&high[used..]).take_while(|(a, b)| a == b).count();
+                let shared = low[used..]
+                    .iter()
+                    .zip(&high[used..])
+                    .take_while(|(a, b)| a == b)
+                    .count();
                 let start = trie.labels.len() as u32;
                 trie.labels.extend_from_slice(&low[used..used + shared]);
                 let label = (start, start + shared as u32);
-                waiting.push_back((trie.nodes.len(), range.start..range.start + count, used + shared));
+                waiting.push_back((
+                    trie.nodes.len(),
+                    range.start..range.start + count,
+                    used + shared,
+                ));
                 trie.nodes.push(Node { label, ..root });
                 trie.firsts.push(byte);
                 range.start += count;
@@ -93,7 +108,9 @@
         let some = |value: u32| (value != NONE).then_some(value);
         let at_slash = |node: &Node| some(node.exact).or(some(node.prefix));
         let mut hit = Hit::default();
-        let Some(mut node) = self.nodes.first() else { return hit };
+        let Some(mut node) = self.nodes.first() else {
+            return hit;
+        };
         let mut rest = path;
         loop {
             if node.prefix != NONE {
@@ -108,12 +125,15 @@
                     .and_then(at_slash);
                 return hit;
             };
-            let Some(child) = self.child(node, *byte) else { return hit };
+            let Some(child) = self.child(node, *byte) else {
+                return hit;
+            };
             let label = &self.labels[child.label.0 as usize..child.label.1 as usize];
             if let Some(after) = rest.strip_prefix(label) {
                 (node, rest) = (child, after);
             } else {
-                if label.len() == rest.len() + 1 && label.starts_with(rest) && label.ends_with(b"/") {
+                if label.len() == rest.len() + 1 && label.starts_with(rest) && label.ends_with(b"/")
+                {
                     hit.slashed = at_slash(child);
                 }
                 return hit;
--- a/crates/routes/src/uri.rs
+++ b/crates/routes/src/uri.rs
@@ -41,13 +41,19 @@
     // Without any of these the path is normal as it stands.
     let odd = |pair: &[u8]| matches!(pair, [b'/', b'/' | b'.']);
     if !decoded.windows(2).any(odd) {
-        return Ok(Uri { path: decoded, args: args.to_owned() });
+        return Ok(Uri {
+            path: decoded,
+            args: args.to_owned(),
+        });
     }
     let mut out: Vec<u8> = Vec::with_capacity(decoded.len());
     let mut rest = &decoded[..];
     // Each turn takes a slash and the segment after it.
     while let Some(after) = rest.strip_prefix(b"/") {
-        let end = after.iter().position(|byte| *byte == b'/').unwrap_or(after.len());
+        let end = after
+            .iter()
+            .position(|byte| *byte == b'/')
+            .unwrap_or(after.len());
         let (segment, next) = after.split_at(end);
         rest = next;
         match segment {
@@ -69,7 +75,10 @@
             }
         }
     }
-    Ok(Uri { path: out, args: args.to_owned() })
+    Ok(Uri {
+        path: out,
+        args: args.to_owned(),
+    })
 }
 
 /// Writes a decoded path as it may stand in a request.
@@ -78,7 +87,9 @@
     let mut out = String::with_capacity(path.len());
     for byte in path {
         match byte {
-            0..=0x20 | 0x7f..=0xff | b'#' | b'%' | b'?' | b'"' => out.push_str(&format!("%{byte:02X}")),
+            0..=0x20 | 0x7f..=0xff | b'#' | b'%' | b'?' | b'"' => {
+                out.push_str(&format!("%{byte:02X}"))
+            }
             byte => out.push(char::from(*byte)),
         }
     }
@@ -112,13 +123,26 @@
         for (target, path, args) in cases {
             let found = read(target, true).unwrap();
             assert_eq!(
-                (String::from_utf8_lossy(&found.path).as_ref(), found.args.as_str()),
+                (
+                    String::from_utf8_lossy(&found.path).as_ref(),
+                    found.args.as_str()
+                ),
                 (path, args),
                 "{target}"
             );
         }
         assert_eq!(read("/a//b", false).unwrap().path, b"/a//b");
-        for target in ["a", "", "/..", "/a/../..", "/%", "/%4", "/%zz", "/%00", "/a/../../b"] {
+        for target in [
+            "a",
+            "",
+            "/..",
+            "/a/../..",
+            "/%",
+            "/%4",
+            "/%zz",
+            "/%00",
+            "/a/../../b",
+        ] {
             assert!(read(target, true).is_err(), "{target}");
         }
         assert_eq!(escape(b"/a b%?\xff"), "/a%20b%25%3F%FF");
--- a/crates/saturation/src/seen.rs
+++ b/crates/saturation/src/seen.rs
@@ -47,7 +47,9 @@
 
 impl Default for Seen {
     fn default() -> Self {
-        Self { cells: [Cell::default(); CELLS] }
+        Self {
+            cells: [Cell::default(); CELLS],
+        }
     }
 }
 
@@ -107,7 +109,9 @@
     /// Seconds that ended work took, and how many.
     #[must_use]
     pub fn times(&self) -> (f64, f64) {
-        self.cells.iter().fold((0.0, 0.0), |(took, came), cell| (took + cell.took, came + cell.came))
+        self.cells.iter().fold((0.0, 0.0), |(took, came), cell| {
+            (took + cell.took, came + cell.came)
+        })
     }
 
     /// Cells in which something was in hand.
@@ -118,14 +122,17 @@
     /// All ends, and all time.
     #[must_use]
     pub fn total(&self) -> (f64, f64) {
-        self.cells.iter().fold((0.0, 0.0), |(ends, time), cell| (ends + cell.ends, time + cell.time))
+        self.cells.iter().fold((0.0, 0.0), |(ends, time), cell| {
+            (ends + cell.ends, time + cell.time)
+        })
     }
 
     /// The mean number in hand.
     #[must_use]
     pub fn mean(&self) -> f64 {
-        let (area, time) =
-            self.cells.iter().fold((0.0, 0.0), |(area, time), cell| (area + cell.area, time + cell.time));
+        let (area, time) = self.cells.iter().fold((0.0, 0.0), |(area, time), cell| {
+            (area + cell.area, time + cell.time)
+        });
         if time > 0.0 {
             area / time
         } else {
--- a/crates/saturation/src/upstream.rs
+++ b/crates/saturation/src/upstream.rs
@@ -17,7 +17,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { half_life: 60_000_000, lately: 2_000_000, sigmas: 6.0 }
+        Self {
+            half_life: 60_000_000,
+            lately: 2_000_000,
+            sigmas: 6.0,
+        }
     }
 }
 
@@ -109,13 +113,25 @@
         let rate = if time > 0.0 { ends / time } else { 0.0 };
         let (took, count) = seen.times();
         let mean_time = took / count.max(1.0);
-        let little =
-            if rate * mean_time > 0.0 { (seen.mean() / (rate * mean_time) - 1.0).abs() } else { 0.0 };
+        let little = if rate * mean_time > 0.0 {
+            (seen.mean() / (rate * mean_time) - 1.0).abs()
+        } else {
+            0.0
+        };
         let lately = self.rates[self.rates.len() - 1].max(0.0);
         let (slope, level) = self.trend();
         let headroom = fit.map(|fit| (1.0 - level.max(lately) / fit.rate).max(0.0));
-        let until = fit.filter(|_| slope > 0.0).map(|fit| ((fit.rate - level) / slope).max(0.0));
-        Prediction { fit, rate: lately, little, headroom, until, regimes: self.regimes }
+        let until = fit
+            .filter(|_| slope > 0.0)
+            .map(|fit| ((fit.rate - level) / slope).max(0.0));
+        Prediction {
+            fit,
+            rate: lately,
+            little,
+            headroom,
+            until,
+            regimes: self.regimes,
+        }
     }
 
     fn pass(&mut self, now: Micros) {
@@ -152,19 +168,31 @@
     /// Whether what ended in this stretch is far off what was seen before gives for the numbers that were in hand. More in hand than
     /// ever before should end no less than the most did: how a curve goes on is not known, and no reason for an alarm.
     fn is_another_regime(&self) -> bool {
-        let Some(fit) = curve::fit(&self.seen) else { return false };
+        let Some(fit) = curve::fit(&self.seen) else {
+            return false;
+        };
         let largest = self.seen.largest();
         let rate = |number: f64| fit.best.rate(number.min(largest));
-        let expected: f64 = self.now.busy().map(|cell| cell.time * rate(cell.number())).sum();
+        let expected: f64 = self
+            .now
+            .busy()
+            .map(|cell| cell.time * rate(cell.number()))
+            .sum();
         let ends: f64 = self.now.busy().map(|cell| cell.ends).sum();
         // Of ends that come together there is more chance than a Poisson count has.
         let sigma = (2.0 * expected.max(4.0)).sqrt();
-        (ends - expected).abs() > self.limits.sigmas * sigma && (ends / expected.max(1.0) - 1.0).abs() > 0.2
+        (ends - expected).abs() > self.limits.sigmas * sigma
+            && (ends / expected.max(1.0) - 1.0).abs() > 0.2
     }
 
     /// The rise of the rate a second, and its level now, by least squares over the stretches.
     fn trend(&self) -> (f64, f64) {
-        let known: Vec<f64> = self.rates.iter().copied().skip_while(|rate| *rate == 0.0).collect();
+        let known: Vec<f64> = self
+            .rates
+            .iter()
+            .copied()
+            .skip_while(|rate| *rate == 0.0)
+            .collect();
         let count = known.len() as f64;
         if known.len() < 4 {
             return (0.0, known.last().copied().unwrap_or(0.0));
--- a/crates/server/src/directory.rs
+++ b/crates/server/src/directory.rs
@@ -79,7 +79,11 @@
 
     /// Takes note of what the event loop saw on a connection.
     pub fn note(&mut self, number: u64, readiness: Readiness) {
-        if let Some(channel) = self.channels.iter_mut().find(|channel| channel.number == number) {
+        if let Some(channel) = self
+            .channels
+            .iter_mut()
+            .find(|channel| channel.number == number)
+        {
             channel.conn.note(readiness);
         }
     }
@@ -92,16 +96,20 @@
         if open != self.said && self.oldest().is_none() {
             self.beat_at = now;
         }
-        let in_time = |channel: &Channel<W>| channel.asked.is_none_or(|asked| now < asked + PATIENCE);
+        let in_time =
+            |channel: &Channel<W>| channel.asked.is_none_or(|asked| now < asked + PATIENCE);
         if self
             .channels
             .iter_mut()
             .filter(|channel| !in_time(channel))
-            .fold(false, |seen, channel| seen | !std::mem::replace(&mut channel.late, true))
+            .fold(false, |seen, channel| {
+                seen | !std::mem::replace(&mut channel.late, true)
+            })
         {
             self.fail("no answer in time, which is waited for");
         }
-        self.channels.retain(|channel| channel.asked.is_none_or(|asked| now < asked + LAPSE));
+        self.channels
+            .retain(|channel| channel.asked.is_none_or(|asked| now < asked + LAPSE));
         if now >= self.beat_at && !self.silent {
             self.beat_at = now + BEAT;
             self.said = open;
@@ -125,36 +133,67 @@
     /// When the next report is due, one is late or one is given up.
     #[must_use]
     pub fn next(&self) -> Micros {
-        let beat_at = if self.silent { Micros::MAX } else { self.beat_at };
+        let beat_at = if self.silent {
+            Micros::MAX
+        } else {
+            self.beat_at
+        };
         let due = |channel: &Channel<W>| {
             let patience = if channel.late { LAPSE } else { PATIENCE };
             channel.asked.map(|asked| asked + patience)
         };
-        self.channels.iter().filter_map(due).fold(beat_at, Micros::min)
+        self.channels
+            .iter()
+            .filter_map(due)
+            .fold(beat_at, Micros::min)
     }
 
     /// When the oldest report on its way was made.
     fn oldest(&self) -> Option<Micros> {
-        self.channels.iter().filter_map(|channel| channel.asked).min()
+        self.channels
+            .iter()
+            .filter_map(|channel| channel.asked)
+            .min()
     }
 
     fn report(&mut self, now: Micros) -> io::Result<()> {
-        let place = match self.channels.iter().position(|channel| channel.asked.is_none()) {
+        let place = match self
+            .channels
+            .iter()
+            .position(|channel| channel.asked.is_none())
+        {
             Some(place) => place,
             // Guards the descriptors against a directory that answers nothing.
             None if self.channels.len() >= MOST => return Ok(()),
             None => {
                 self.numbers += 1;
-                let conn = Conn::connect(&self.world, self.address, Party::Directory(self.numbers))?;
-                self.channels.push(Channel { number: self.numbers, conn, asked: None, late: false });
+                let conn =
+                    Conn::connect(&self.world, self.address, Party::Directory(self.numbers))?;
+                self.channels.push(Channel {
+                    number: self.numbers,
+                    conn,
+                    asked: None,
+                    late: false,
+                });
                 self.channels.len() - 1
             }
         };
-        let body = if self.said { &br#"{"mode":"open"}"#[..] } else { br#"{"mode":"closed"}"# };
+        let body = if self.said {
+            &br#"{"mode":"open"}"#[..]
+        } else {
+            br#"{"mode":"closed"}"#
+        };
         let host = self.address.to_string();
         let headers = [("Content-Type", "application/json".to_owned())];
         let channel = &mut self.channels[place];
-        http::push_request(channel.conn.output(), "PUT", &self.path, &host, &headers, body);
+        http::push_request(
+            channel.conn.output(),
+            "PUT",
+            &self.path,
+            &host,
+            &headers,
+            body,
+        );
         (channel.asked, channel.late) = (Some(now), false);
         Ok(())
     }
@@ -179,7 +218,11 @@
                     self.well = true;
                 }
                 // Those that slow answers were waited for on are more than one report needs.
-                let idle = self.channels.iter().filter(|channel| channel.asked.is_none()).count();
+                let idle = self
+                    .channels
+                    .iter()
+                    .filter(|channel| channel.asked.is_none())
+                    .count();
                 return Ok(!spent && idle == 1);
             }
         }
--- a/crates/server/src/front.rs
+++ b/crates/server/src/front.rs
@@ -131,7 +131,9 @@
     }
 
     fn secures(&self, speaks: &Speaks) -> bool {
-        self.tls.as_ref().is_some_and(|tls| tls.borrow().speaks(speaks))
+        self.tls
+            .as_ref()
+            .is_some_and(|tls| tls.borrow().speaks(speaks))
     }
 
     /// Lets these decisions say who gets a place.
@@ -154,7 +156,13 @@
     /// Adds an address whose listening socket comes later.
     pub fn expect(&mut self, address: SocketAddr, speaks: Speaks) {
         let secure = self.secures(&speaks);
-        self.doors.push(Door { address, listener: None, speaks, acceptable: false, secure });
+        self.doors.push(Door {
+            address,
+            listener: None,
+            speaks,
+            acceptable: false,
+            secure,
+        });
     }
 
     /// Takes up the listening socket of an address that one is expected for; tells whether there is one.
@@ -167,7 +175,9 @@
         listener: impl FnOnce(usize) -> io::Result<W::Listener>,
     ) -> io::Result<bool> {
         let expects = |door: &Door<W>| door.address == address && door.listener.is_none();
-        let Some(place) = self.doors.iter().position(expects) else { return Ok(false) };
+        let Some(place) = self.doors.iter().position(expects) else {
+            return Ok(false);
+        };
         self.doors[place].listener = Some(listener(place)?);
         // Connections may wait there already.
         self.doors[place].acceptable = true;
@@ -185,7 +195,10 @@
                 continue;
             }
             let address = self.doors[place].address;
-            let (listener, address) = self.world.listen(address, place).map_err(|e| (address, e))?;
+            let (listener, address) = self
+                .world
+                .listen(address, place)
+                .map_err(|e| (address, e))?;
             let door = &mut self.doors[place];
             (door.address, door.listener, door.acceptable) = (address, Some(listener), true);
             addresses.push(address);
@@ -195,7 +208,9 @@
 
     /// Where it listens, with the sockets.
     pub fn listeners(&self) -> impl Iterator<Item = (SocketAddr, Option<&W::Listener>)> {
-        self.doors.iter().map(|door| (door.address, door.listener.as_ref()))
+        self.doors
+            .iter()
+            .map(|door| (door.address, door.listener.as_ref()))
     }
 
     /// Accepts nothing until it is told to.
@@ -206,7 +221,9 @@
     /// Accepts, again or at last.
     pub fn resume(&mut self) {
         (self.resting, self.yielding) = (false, false);
-        self.doors.iter_mut().for_each(|door| door.acceptable = door.listener.is_some());
+        self.doors
+            .iter_mut()
+            .for_each(|door| door.acceptable = door.listener.is_some());
     }
 
     /// Another process accepts from here on: connections are told to close, each as soon as nothing is on its way on it.
@@ -241,7 +258,13 @@
     fn send_away(&mut self, now: Micros) {
         let (good, feedback) = (self.good, self.feedback);
         for (&number, peer) in &mut self.peers {
-            let context = Context { now, number, classes: &self.classes, good, feedback };
+            let context = Context {
+                now,
+                number,
+                classes: &self.classes,
+                good,
+                feedback,
+            };
             peer.send_away(&context);
             self.noted.push(number);
         }
@@ -254,15 +277,29 @@
     pub fn listen(&mut self, address: SocketAddr, speaks: Speaks) -> io::Result<SocketAddr> {
         let (listener, address) = self.world.listen(address, self.doors.len())?;
         let secure = self.secures(&speaks);
-        self.doors.push(Door { address, listener: Some(listener), speaks, acceptable: true, secure });
+        self.doors.push(Door {
+            address,
+            listener: Some(listener),
+            speaks,
+            acceptable: true,
+            secure,
+        });
         Ok(address)
     }
 
     /// Listeners, connections, and the requests that are open on those.
     #[must_use]
     pub fn census(&self) -> (usize, usize, usize) {
-        let open = self.peers.values().map(|peer| peer.machine.status().open).sum();
-        let listeners = self.doors.iter().filter(|door| door.listener.is_some()).count();
+        let open = self
+            .peers
+            .values()
+            .map(|peer| peer.machine.status().open)
+            .sum();
+        let listeners = self
+            .doors
+            .iter()
+            .filter(|door| door.listener.is_some())
+            .count();
         (listeners, self.peers.len(), open)
     }
 
@@ -310,10 +347,21 @@
 
     /// Answers a request. A connection that is gone needs no answer.
     pub fn answer(&mut self, now: Micros, to: Origin, answer: &Answer) {
-        let Some(peer) = self.peers.get_mut(&to.connection) else { return };
+        let Some(peer) = self.peers.get_mut(&to.connection) else {
+            return;
+        };
         let (good, feedback) = (self.good, self.feedback);
-        let context = Context { now, number: to.connection, classes: &self.classes, good, feedback };
-        if peer.machine.answer(&context, to.stream, answer, peer.conn.output()) {
+        let context = Context {
+            now,
+            number: to.connection,
+            classes: &self.classes,
+            good,
+            feedback,
+        };
+        if peer
+            .machine
+            .answer(&context, to.stream, answer, peer.conn.output())
+        {
             self.noted.push(to.connection);
             if let (Some(admission), Answer::Served(_)) = (&mut self.admission, answer) {
                 admission.served(now, to.connection);
@@ -339,15 +387,27 @@
     pub fn part(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.parting, true) {
             self.tell_all(now, |machine, context, out| machine.part(context, out));
-            self.doors.iter_mut().for_each(|door| door.acceptable = true);
+            self.doors
+                .iter_mut()
+                .for_each(|door| door.acceptable = true);
         }
     }
 
     fn tell_all(&mut self, now: Micros, tell: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>)) {
         let (good, feedback) = (self.good, self.feedback);
         // Guards what was answered last on a connection whose end is closed: a word more would break it.
-        for (&number, peer) in self.peers.iter_mut().filter(|(_, peer)| peer.lingers.is_none()) {
-            let context = Context { now, number, classes: &self.classes, good, feedback };
+        for (&number, peer) in self
+            .peers
+            .iter_mut()
+            .filter(|(_, peer)| peer.lingers.is_none())
+        {
+            let context = Context {
+                now,
+                number,
+                classes: &self.classes,
+                good,
+                feedback,
+            };
             tell(&mut *peer.machine, &context, peer.conn.output());
             self.noted.push(number);
         }
@@ -361,7 +421,9 @@
         noted.append(&mut self.again);
         noted.sort_unstable();
         noted.dedup();
-        noted.into_iter().for_each(|number| self.serve(now, number, facts));
+        noted
+            .into_iter()
+            .for_each(|number| self.serve(now, number, facts));
         // After what has come was read: a pause of the machine is no silence.
         if now >= self.sweep_at {
             self.sweep(now, facts);
@@ -371,9 +433,17 @@
 
     /// Reads and sends on a connection, and closes it where it is over.
     fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Fact>) {
-        let Some(peer) = self.peers.get_mut(&number) else { return };
+        let Some(peer) = self.peers.get_mut(&number) else {
+            return;
+        };
         let (good, feedback) = (self.good, self.feedback);
-        let context = Context { now, number, classes: &self.classes, good, feedback };
+        let context = Context {
+            now,
+            number,
+            classes: &self.classes,
+            good,
+            feedback,
+        };
         let next = peer.serve(&context, &mut self.arrivals);
         if let (Some(admission), true) = (&mut self.admission, peer.machine.status().spoken) {
             admission.spoke(number);
@@ -386,7 +456,12 @@
         // Behind the requests that came with them.
         if let Some(peer) = self.peers.get_mut(&number) {
             let cancelled = peer.machine.take_cancelled().into_iter();
-            facts.extend(cancelled.map(|stream| Fact::Cancelled(Origin { connection: number, stream })));
+            facts.extend(cancelled.map(|stream| {
+                Fact::Cancelled(Origin {
+                    connection: number,
+                    stream,
+                })
+            }));
         }
         match next {
             Ok(Next::Wait) => {}
@@ -405,7 +480,9 @@
         noted.sort_unstable();
         noted.dedup();
         for number in noted {
-            let Some(peer) = self.peers.get_mut(&number) else { continue };
+            let Some(peer) = self.peers.get_mut(&number) else {
+                continue;
+            };
             if peer.conn.flush().is_err() {
                 self.close(number, facts);
             } else if peer.rests(now) {
@@ -422,7 +499,10 @@
         } else {
             self.sweep_at
         };
-        self.handshakes.as_ref().and_then(Handshakes::wake_at).map_or(next, |at| next.min(at))
+        self.handshakes
+            .as_ref()
+            .and_then(Handshakes::wake_at)
+            .map_or(next, |at| next.min(at))
     }
 
     fn acceptable(&self) -> bool {
@@ -444,7 +524,9 @@
             if let Some(identities) = &mut self.identities {
                 identities.leave(number);
             }
-            self.doors.iter_mut().for_each(|door| door.acceptable = true);
+            self.doors
+                .iter_mut()
+                .for_each(|door| door.acceptable = true);
         }
     }
 
@@ -453,15 +535,23 @@
     /// all places and say nothing, while front ends wait to be accepted.
     fn make_room(&mut self, now: Micros, facts: &mut Vec<Fact>) -> bool {
         let spare = |(number, peer): (&u64, &Peer<W>)| {
-            peer.spare_since(now).map(|(rank, since)| (rank, since, *number))
+            peer.spare_since(now)
+                .map(|(rank, since)| (rank, since, *number))
         };
         while let Some((_, _, number)) = self.peers.iter().filter_map(spare).min() {
             // What it sent may have come since it was last read: closing over that would lose it.
             if let Some(peer) = self.peers.get_mut(&number) {
-                peer.conn.note(Readiness { readable: true, writable: false });
+                peer.conn.note(Readiness {
+                    readable: true,
+                    writable: false,
+                });
             }
             self.serve(now, number, facts);
-            match self.peers.get(&number).map(|peer| peer.spare_since(now).is_some()) {
+            match self
+                .peers
+                .get(&number)
+                .map(|peer| peer.spare_since(now).is_some())
+            {
                 Some(false) => {}
                 Some(true) => {
                     self.close(number, facts);
@@ -488,7 +578,13 @@
                 self.noted.push(number);
                 continue;
             }
-            let context = Context { now, number, classes: &self.classes, good, feedback };
+            let context = Context {
+                now,
+                number,
+                classes: &self.classes,
+                good,
+                feedback,
+            };
             if paused && peer.machine.status().waits.is_some() {
                 peer.machine.status_mut().waits = Some(now);
             }
@@ -504,8 +600,9 @@
             }
         }
         let crowd = (CROWDED * self.most as f64) as usize;
-        let ends =
-            |peer: &&Peer<W>| peer.lingers.is_some() || peer.machine.status().standing != Standing::Open;
+        let ends = |peer: &&Peer<W>| {
+            peer.lingers.is_some() || peer.machine.status().standing != Standing::Open
+        };
         let going = self.peers.values().filter(ends).count();
         let excess = (self.peers.len() - going).saturating_sub(crowd);
         if excess > 0 {
@@ -517,7 +614,13 @@
             let mut idle: Vec<_> = self.peers.iter().filter_map(idle).collect();
             idle.sort_unstable();
             for (_, number) in idle.into_iter().take(excess) {
-                let context = Context { now, number, classes: &self.classes, good, feedback };
+                let context = Context {
+                    now,
+                    number,
+                    classes: &self.classes,
+                    good,
+                    feedback,
+                };
                 if let Some(peer) = self.peers.get_mut(&number) {
                     peer.machine.part(&context, peer.conn.output());
                 }
--- a/crates/server/src/front/accept.rs
+++ b/crates/server/src/front/accept.rs
@@ -139,7 +139,13 @@
         let secure = self.doors[place].secure;
         let known = self.admit(now, caller, facts);
         let (good, feedback) = (self.good, self.feedback);
-        let context = Context { now, number, classes: &self.classes, good, feedback };
+        let context = Context {
+            now,
+            number,
+            classes: &self.classes,
+            good,
+            feedback,
+        };
         let names = Vec::new();
         match known {
             Ok(known) => {
@@ -158,7 +164,17 @@
                 if self.parting {
                     machine.part(&context, conn.output());
                 }
-                self.peers.insert(number, Peer { conn, machine, lingers: None, known, names, over: false });
+                self.peers.insert(
+                    number,
+                    Peer {
+                        conn,
+                        machine,
+                        lingers: None,
+                        known,
+                        names,
+                        over: false,
+                    },
+                );
             }
             // Nothing can be asked before a handshake: the alert is all.
             Err(_) if secure => {
@@ -175,8 +191,21 @@
                 }
                 // What came with the connection is read and answered, for closing over it would lose it, and a keyed request
                 // among it may have run before.
-                conn.note(Readiness { readable: true, writable: true });
-                self.peers.insert(number, Peer { conn, machine, lingers: None, known, names, over: true });
+                conn.note(Readiness {
+                    readable: true,
+                    writable: true,
+                });
+                self.peers.insert(
+                    number,
+                    Peer {
+                        conn,
+                        machine,
+                        lingers: None,
+                        known,
+                        names,
+                        over: true,
+                    },
+                );
                 self.refused += 1;
                 self.noted.push(number);
             }
@@ -196,21 +225,39 @@
             let unread = peer.lingers.is_none() && !peer.conn.is_drained();
             peer.machine.status().open > 0 || peer.conn.unsent() > 0 || unread
         };
-        let oldest = self.peers.iter().find(|(_, peer)| peer.over && !owes(peer)).map(|(number, _)| *number);
-        oldest.inspect(|&number| self.close(number, facts)).is_some()
+        let oldest = self
+            .peers
+            .iter()
+            .find(|(_, peer)| peer.over && !owes(peer))
+            .map(|(number, _)| *number);
+        oldest
+            .inspect(|&number| self.close(number, facts))
+            .is_some()
     }
 
     /// Whether a caller gets a place, and how it is known; another may lose its own for it.
-    fn admit(&mut self, now: Micros, caller: &Caller, facts: &mut Vec<Fact>) -> Result<Known, Known> {
+    fn admit(
+        &mut self,
+        now: Micros,
+        caller: &Caller,
+        facts: &mut Vec<Fact>,
+    ) -> Result<Known, Known> {
         let places = self.most - self.held().min(self.most - 1);
-        let Some(admission) = &mut self.admission else { return Ok(Known::Unknown) };
+        let Some(admission) = &mut self.admission else {
+            return Ok(Known::Unknown);
+        };
         // Where no descriptor is left, all places there are are taken.
-        let places = if caller.short { admission.len().min(places) } else { places };
+        let places = if caller.short {
+            admission.len().min(places)
+        } else {
+            places
+        };
         let peers = &self.peers;
         let spare = |number: u64| {
             peers.get(&number).is_some_and(|peer| {
                 let status = peer.machine.status();
-                status.open == 0 && (peer.lingers.is_some() || !status.spoken || status.waits.is_none())
+                status.open == 0
+                    && (peer.lingers.is_some() || !status.spoken || status.waits.is_none())
             })
         };
         match admission.decide(now, caller.address, places, spare) {
@@ -221,7 +268,10 @@
             }
             Decision::Refuse(why) => {
                 let known = admission.known(now, caller.address);
-                tracing::debug!("a connection from {} gets no place: {why:?}", caller.address);
+                tracing::debug!(
+                    "a connection from {} gets no place: {why:?}",
+                    caller.address
+                );
                 Err(known)
             }
         }
@@ -239,11 +289,17 @@
 
 /// Nothing is short: nobody waits, or whoever waited is gone.
 fn is_passing(e: &io::Error) -> bool {
-    matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted | ErrorKind::ConnectionAborted)
+    matches!(
+        e.kind(),
+        ErrorKind::WouldBlock | ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+    )
 }
 
 /// Says what is to be said as far as the system takes it now; nothing is read.
 fn say_at_once<W: World>(conn: &mut Conn<W>) {
-    conn.note(Readiness { readable: false, writable: true });
+    conn.note(Readiness {
+        readable: false,
+        writable: true,
+    });
     let _ = conn.flush();
 }
--- a/crates/server/src/front/peer.rs
+++ b/crates/server/src/front/peer.rs
@@ -47,7 +47,11 @@
 }
 
 impl<W: World> Peer<W> {
-    pub(super) fn serve(&mut self, context: &Context, arrivals: &mut Vec<Arrival>) -> io::Result<Next> {
+    pub(super) fn serve(
+        &mut self,
+        context: &Context,
+        arrivals: &mut Vec<Arrival>,
+    ) -> io::Result<Next> {
         let mut more = false;
         self.conn.flush()?;
         if self.conn.unsent() < UNREAD {
@@ -55,7 +59,9 @@
             let input = std::mem::take(&mut self.conn.input);
             let used = match self.lingers {
                 Some(_) => input.len(),
-                None => self.machine.receive(context, &input, self.conn.output(), arrivals),
+                None => self
+                    .machine
+                    .receive(context, &input, self.conn.output(), arrivals),
             };
             self.conn.input = input;
             self.conn.consume(used);
@@ -109,9 +115,13 @@
         let status = self.machine.status();
         let over = match status.standing {
             Standing::Open => self.conn.ended,
-            Standing::Parting(since) if self.over => self.conn.ended || now >= since + REFUSED_LINGER,
+            Standing::Parting(since) if self.over => {
+                self.conn.ended || now >= since + REFUSED_LINGER
+            }
             // What had begun to come by then has the machine's time to come whole.
-            Standing::Parting(since) => self.conn.ended || (now >= since + PARTING && !self.is_halfway()),
+            Standing::Parting(since) => {
+                self.conn.ended || (now >= since + PARTING && !self.is_halfway())
+            }
             Standing::Lost => true,
         };
         self.lingers.is_none() && over && status.open == 0 && self.conn.unsent() == 0
--- a/crates/server/src/front/speaks.rs
+++ b/crates/server/src/front/speaks.rs
@@ -20,14 +20,18 @@
 impl Speaks {
     pub(super) fn machine(&self, now: Micros, peer: IpAddr) -> Spoken {
         match self {
-            Self::Frames(terms) => Spoken::Frames(frame::connection::Connection::new(now, Rc::clone(terms))),
+            Self::Frames(terms) => {
+                Spoken::Frames(frame::connection::Connection::new(now, Rc::clone(terms)))
+            }
             Self::Relayed(host) => {
                 let connection = frame::connection::Connection::new(now, Rc::default());
                 Spoken::Frames(connection.relaying(Rc::clone(host)))
             }
-            Self::Ajp(settings, trusted) => {
-                Spoken::Ajp(ajp::server::Connection::new(Rc::clone(settings), now, trusted.contains(&peer)))
-            }
+            Self::Ajp(settings, trusted) => Spoken::Ajp(ajp::server::Connection::new(
+                Rc::clone(settings),
+                now,
+                trusted.contains(&peer),
+            )),
         }
     }
 }
--- a/crates/server/src/front/tls.rs
+++ b/crates/server/src/front/tls.rs
@@ -35,26 +35,38 @@
         };
         if let Some(offer) = layer.offer() {
             layer.asked();
-            let offer = Offer { resumes: offer.resumes, known: peer.known };
-            let turn = self
-                .handshakes
-                .as_mut()
-                .map_or(Turn::Begin, |handshakes| handshakes.offer(now, number, offer));
+            let offer = Offer {
+                resumes: offer.resumes,
+                known: peer.known,
+            };
+            let turn = self.handshakes.as_mut().map_or(Turn::Begin, |handshakes| {
+                handshakes.offer(now, number, offer)
+            });
             match turn {
                 Turn::Begin => self.begin(number, facts),
                 Turn::Wait => {}
                 Turn::Refuse => self.refuse(number, facts),
             }
         }
-        let Some(peer) = self.peers.get_mut(&number) else { return };
+        let Some(peer) = self.peers.get_mut(&number) else {
+            return;
+        };
         let mut over = None;
         if peer.conn.layer_mut().is_some_and(Layer::established) {
             if let Some(handshakes) = &mut self.handshakes {
                 handshakes.done(number);
             }
-            peer.names =
-                peer.conn.layer().and_then(Layer::session).map(|s| s.peer_names()).unwrap_or_default();
-            match self.identities.as_mut().map(|identities| identities.identify(now, number, &peer.names)) {
+            peer.names = peer
+                .conn
+                .layer()
+                .and_then(Layer::session)
+                .map(|s| s.peer_names())
+                .unwrap_or_default();
+            match self
+                .identities
+                .as_mut()
+                .map(|identities| identities.identify(now, number, &peer.names))
+            {
                 Some(Ok(true)) => {
                     peer.known = Known::Named;
                     if let Some(admission) = &mut self.admission {
@@ -67,8 +79,13 @@
         }
         if let Some(why) = over {
             // Told to part; what it asked already goes on, for a keyed request may have run before.
-            let context =
-                Context { now, number, classes: &self.classes, good: self.good, feedback: self.feedback };
+            let context = Context {
+                now,
+                number,
+                classes: &self.classes,
+                good: self.good,
+                feedback: self.feedback,
+            };
             tracing::debug!("front end connection {number}: its name is over its cap: {why:?}");
             peer.over = true;
             self.refused += 1;
@@ -76,21 +93,33 @@
         }
         let tls = self.tls.as_ref().map(|tls| tls.borrow());
         for arrival in self.arrivals.drain(..) {
-            let permitted = tls.as_ref().is_none_or(|tls| tls.permits(arrival.class, &peer.names));
-            facts.push(if permitted { Fact::Arrived(arrival) } else { Fact::Forbidden(arrival) });
+            let permitted = tls
+                .as_ref()
+                .is_none_or(|tls| tls.permits(arrival.class, &peer.names));
+            facts.push(if permitted {
+                Fact::Arrived(arrival)
+            } else {
+                Fact::Forbidden(arrival)
+            });
         }
     }
 
     /// Handshakes that waited and may begin now, and those that are past their deadline.
     pub(super) fn handshakes_turn(&mut self, now: Micros, facts: &mut Vec<Fact>) {
-        let Some(handshakes) = &mut self.handshakes else { return };
+        let Some(handshakes) = &mut self.handshakes else {
+            return;
+        };
         let (begun, over) = (handshakes.next(now), handshakes.overdue(now));
         for number in begun {
             self.begin(number, facts);
         }
         for number in over {
             // Before its handshake has ended nothing can be open on it.
-            if self.peers.get(&number).is_some_and(|peer| peer.machine.status().open == 0) {
+            if self
+                .peers
+                .get(&number)
+                .is_some_and(|peer| peer.machine.status().open == 0)
+            {
                 tracing::debug!("front end connection {number}: the handshake did not end in time");
                 self.close(number, facts);
             }
@@ -98,7 +127,9 @@
     }
 
     fn begin(&mut self, number: u64, facts: &mut Vec<Fact>) {
-        let (Some(tls), Some(peer)) = (&self.tls, self.peers.get_mut(&number)) else { return };
+        let (Some(tls), Some(peer)) = (&self.tls, self.peers.get_mut(&number)) else {
+            return;
+        };
         let config = tls.borrow().config();
         match peer.conn.begin(config) {
             // What came with the first record is read now, and what is to be said goes out.
--- a/crates/server/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -24,7 +24,9 @@
 impl<W: World> Node<W> {
     /// The notice to leave, where another process has its place: nobody is sent elsewhere, and what was read is answered.
     pub(super) fn leave_to_successor(&mut self, now: Micros) {
-        let stop = self.stop.min(self.longest.min(LONGEST_WAIT) + AFTER_LONGEST);
+        let stop = self
+            .stop
+            .min(self.longest.min(LONGEST_WAIT) + AFTER_LONGEST);
         tracing::info!("leaving within {} ms, to its successor", stop / 1_000);
         let stop_at = now + stop;
         self.stop_at = Some(stop_at);
@@ -35,14 +37,18 @@
 
     /// Goes on with taking another process's place, or giving up its own.
     pub(super) fn go_on_with_upgrade(&mut self, now: Micros) {
-        let Some(mut upgrade) = self.upgrade.take() else { return };
+        let Some(mut upgrade) = self.upgrade.take() else {
+            return;
+        };
         loop {
             let mut steps = Vec::new();
             let listens: Vec<_> = self.front.listeners().collect();
             // One that does not listen yet has nothing to take clients with.
             let up = self.runtime.up() && self.listen_at.is_none();
             upgrade.turn(now, up, &listens, || self.held(), &mut steps);
-            let adopts = steps.iter().any(|step| matches!(step, upgrade::Step::Adopt(_)));
+            let adopts = steps
+                .iter()
+                .any(|step| matches!(step, upgrade::Step::Adopt(_)));
             for step in steps {
                 self.take_step(now, step, &mut upgrade);
             }
@@ -53,18 +59,30 @@
         self.upgrade = Some(upgrade);
     }
 
-    fn take_step(&mut self, now: Micros, step: upgrade::Step<W>, upgrade: &mut upgrade::Upgrade<W>) {
+    fn take_step(
+        &mut self,
+        now: Micros,
+        step: upgrade::Step<W>,
+        upgrade: &mut upgrade::Upgrade<W>,
+    ) {
         match step {
             upgrade::Step::Adopt(_) if planted(Bug::SocketDropped) => self.listen(),
             upgrade::Step::Adopt(passed) => {
                 let mut short = false;
                 for (address, passed) in passed {
-                    let adopted = self.front.adopt(address, |place| self.world.adopt(passed, address, place));
+                    let adopted = self
+                        .front
+                        .adopt(address, |place| self.world.adopt(passed, address, place));
                     match adopted {
-                        Ok(true) => tracing::info!("{} listens on {address}, which was passed on", self.name),
+                        Ok(true) => tracing::info!(
+                            "{} listens on {address}, which was passed on",
+                            self.name
+                        ),
                         Ok(false) => {}
                         Err(e) if is_short(&e) => {
-                            tracing::warn!("upgrade: what was passed for {address} is not taken up: {e}");
+                            tracing::warn!(
+                                "upgrade: what was passed for {address} is not taken up: {e}"
+                            );
                             short = true;
                         }
                         Err(e) => tracing::warn!("upgrade: {address} is listened on anew: {e}"),
@@ -76,7 +94,9 @@
                 }
             }
             upgrade::Step::Listen => {
-                tracing::warn!("upgrade: nothing was passed on; listens beside the process that serves");
+                tracing::warn!(
+                    "upgrade: nothing was passed on; listens beside the process that serves"
+                );
                 self.listen();
             }
             upgrade::Step::Serve => {
@@ -88,7 +108,10 @@
                     upgrade.post(address);
                 }
             }
-            upgrade::Step::MakeRoom => self.front.spare_one(now, now + 2 * upgrade::LET_IN, &mut self.facts),
+            upgrade::Step::MakeRoom => {
+                self.front
+                    .spare_one(now, now + 2 * upgrade::LET_IN, &mut self.facts)
+            }
             upgrade::Step::Standing(standing) => {
                 if let Some(admission) = self.front.admission_mut() {
                     tracing::info!("upgrade: {} callers have earned standing", standing.len());
@@ -98,9 +121,18 @@
             upgrade::Step::OpenStore => self.open_store(),
             upgrade::Step::Beside(_) if planted(Bug::ShareTwice) => {}
             upgrade::Step::Beside(held) => {
-                let Held { running, memory_kb, calls, .. } = held;
+                let Held {
+                    running,
+                    memory_kb,
+                    calls,
+                    ..
+                } = held;
                 self.beside = held;
-                self.facts.push(Fact::Beside { running, memory_kb, calls });
+                self.facts.push(Fact::Beside {
+                    running,
+                    memory_kb,
+                    calls,
+                });
                 self.share_descriptors(now);
             }
             upgrade::Step::Learn(text) => {
@@ -112,7 +144,9 @@
                         tracing::info!("upgrade: goes on with what the predecessor had learned");
                     }
                     Err(e) => {
-                        tracing::warn!("upgrade: what the predecessor had learned is not believed: {e}")
+                        tracing::warn!(
+                            "upgrade: what the predecessor had learned is not believed: {e}"
+                        )
                     }
                 }
             }
@@ -125,12 +159,20 @@
                 self.share_descriptors(now);
                 self.release_standings(now);
                 let site = snapshot::site(&self.name, &self.class_names);
-                let standing =
-                    self.front.admission().map_or_else(Vec::new, |admission| admission.export(now));
-                upgrade.yielded(self.held(), snapshot::encode(site, now, &self.exchange.learned()), standing);
+                let standing = self
+                    .front
+                    .admission()
+                    .map_or_else(Vec::new, |admission| admission.export(now));
+                upgrade.yielded(
+                    self.held(),
+                    snapshot::encode(site, now, &self.exchange.learned()),
+                    standing,
+                );
             }
             upgrade::Step::Resume => {
-                if let (Some((_, true)), Some((_, bounds, _))) = (self.yielded.take(), &self.kept_in) {
+                if let (Some((_, true)), Some((_, bounds, _))) =
+                    (self.yielded.take(), &self.kept_in)
+                {
                     self.exchange.take_keys(History::new(*bounds));
                     self.close();
                     self.open_store();
@@ -139,9 +181,12 @@
                 self.open_standings();
                 self.share_descriptors(now);
                 if std::mem::take(&mut self.succeeded) {
-                    tracing::error!("upgrade: the successor is gone, and this process leaves as well");
+                    tracing::error!(
+                        "upgrade: the successor is gone, and this process leaves as well"
+                    );
                     // From here on it is an ordinary drain: callers are sent elsewhere.
-                    self.facts.extend(self.stop_at.map(|stop_at| Fact::Drain { stop_at }));
+                    self.facts
+                        .extend(self.stop_at.map(|stop_at| Fact::Drain { stop_at }));
                     self.front.leave(now);
                 } else {
                     tracing::warn!("upgrade: the successor is gone; takes clients again");
@@ -158,7 +203,9 @@
     /// Opens the store of results, where there is one and it is not open.
     fn open_store(&mut self) {
         let kept_in = self.kept_in.clone().filter(|_| self.keeper.is_none());
-        let Some((folder, bounds, lasting)) = kept_in else { return };
+        let Some((folder, bounds, lasting)) = kept_in else {
+            return;
+        };
         match self.world.keeper(folder, bounds.seed, lasting) {
             Ok(keeper) => self.keeper = Some(keeper),
             Err(e) => {
@@ -171,7 +218,9 @@
     /// Lets go of the store of results once a successor is here, what crossed the hand-over has come, and no key is at
     /// work: it has one owner at a time.
     pub(super) fn pass_store_on(&mut self, now: Micros) {
-        let Some((since, false)) = self.yielded else { return };
+        let Some((since, false)) = self.yielded else {
+            return;
+        };
         if !self.front.is_sent_away() {
             self.yielded = Some((now, false));
             return;
@@ -193,7 +242,11 @@
     fn share_descriptors(&mut self, now: Micros) {
         let beside = self.beside.descriptors > 0;
         // What the other still has, and what each process needs for itself.
-        let taken = if beside { self.beside.descriptors + SPARE / 2 } else { 0 };
+        let taken = if beside {
+            self.beside.descriptors + SPARE / 2
+        } else {
+            0
+        };
         let most = self.most.saturating_sub(taken);
         let (most, asked) = match (self.yielded, beside) {
             (Some(_), _) => (most.min(self.most / 3), operators::PLACES / 4),
@@ -202,7 +255,8 @@
             (None, true) => (most, operators::PLACES / 2),
             (None, false) => (most, operators::PLACES),
         };
-        self.front.set_most(now, most.max(FEWEST.min(self.most)), &mut self.facts);
+        self.front
+            .set_most(now, most.max(FEWEST.min(self.most)), &mut self.facts);
         if let Some(operators) = &mut self.operators {
             operators.set_most(asked);
         }
--- a/crates/server/src/keeping.rs
+++ b/crates/server/src/keeping.rs
@@ -55,7 +55,13 @@
 
 impl<F: Files> Default for Core<F> {
     fn default() -> Self {
-        Self { journal: None, recovered: false, well: true, locked: 0, results: 0 }
+        Self {
+            journal: None,
+            recovered: false,
+            well: true,
+            locked: 0,
+            results: 0,
+        }
     }
 }
 
@@ -73,7 +79,11 @@
     }
 
     /// Takes up a store that was opened, or not. What the first one holds is told.
-    pub fn open(&mut self, opened: Result<(Journal<F>, Recovered, Found), Error>, facts: &mut Vec<Fact>) {
+    pub fn open(
+        &mut self,
+        opened: Result<(Journal<F>, Recovered, Found), Error>,
+        facts: &mut Vec<Fact>,
+    ) {
         let (mut journal, recovered, found) = match opened {
             Ok(opened) => opened,
             // The process whose place this one takes lets go of it once its last run has ended. Until then nothing is
@@ -137,10 +147,18 @@
                         tracing::error!("results: what was kept of {key:?} can't be read: {e}");
                         None
                     });
-                    facts.push(Fact::Recalled { id, number, outcome });
+                    facts.push(Fact::Recalled {
+                        id,
+                        number,
+                        outcome,
+                    });
                 }
                 (Job::Recall(_, id, number, _), None) => {
-                    facts.push(Fact::Recalled { id, number, outcome: None });
+                    facts.push(Fact::Recalled {
+                        id,
+                        number,
+                        outcome: None,
+                    });
                 }
             }
         }
@@ -148,7 +166,9 @@
 
     /// Makes what was written durable with one sync.
     pub fn sync(&mut self, facts: &mut Vec<Fact>) {
-        let Some(journal) = self.journal.as_mut().filter(|journal| journal.waits()) else { return };
+        let Some(journal) = self.journal.as_mut().filter(|journal| journal.waits()) else {
+            return;
+        };
         match journal.flush() {
             Ok(ticket) => facts.push(Fact::Durable(ticket)),
             Err(e) => self.fail(&e, facts),
@@ -157,7 +177,9 @@
 
     /// Does a piece of maintenance of about so many bytes; true where there is more to do.
     pub fn maintain(&mut self, now: Micros, budget: usize, facts: &mut Vec<Fact>) -> bool {
-        let Some(journal) = &mut self.journal else { return false };
+        let Some(journal) = &mut self.journal else {
+            return false;
+        };
         match journal.maintain(now, budget) {
             Ok(work) => work == Work::More,
             Err(e) => {
@@ -172,7 +194,9 @@
 
     /// Closes the store well.
     pub fn close(&mut self) {
-        let Some(journal) = self.journal.take() else { return };
+        let Some(journal) = self.journal.take() else {
+            return;
+        };
         let stats = journal.stats();
         tracing::info!(
             "results: {} kept since the start with {} syncs; {} keys in {} bytes",
@@ -188,7 +212,13 @@
 }
 
 fn ends(effect: &Effect) -> bool {
-    matches!(effect, Effect::Write { record: Record::Finished { .. }, .. })
+    matches!(
+        effect,
+        Effect::Write {
+            record: Record::Finished { .. },
+            ..
+        }
+    )
 }
 
 /// Access to the keeper; it ends when this is dropped.
@@ -210,7 +240,14 @@
     #[must_use]
     pub fn at_once(folder: PathBuf, seed: u64) -> Self {
         let core = Core::default();
-        let passing = Passing { folder, seed, core, facts: Vec::new(), next: Some(0), released: false };
+        let passing = Passing {
+            folder,
+            seed,
+            core,
+            facts: Vec::new(),
+            next: Some(0),
+            released: false,
+        };
         Self::Passing(Box::new(passing))
     }
 
@@ -230,18 +267,31 @@
             .map_err(|e| io::Error::other(e.to_string()))?;
         let (jobs, taken) = mpsc::channel();
         let (ended, over) = mpsc::channel();
-        let keeper = Thread { folder, seed, jobs: taken, facts, core: Core::default() };
-        std::thread::Builder::new().name("keeper".to_owned()).spawn(move || {
-            keeper.run();
-            // Nobody may wait for it any more.
-            let _ = ended.send(());
-        })?;
-        Ok(Self::Lasting { jobs: Some(jobs), over })
+        let keeper = Thread {
+            folder,
+            seed,
+            jobs: taken,
+            facts,
+            core: Core::default(),
+        };
+        std::thread::Builder::new()
+            .name("keeper".to_owned())
+            .spawn(move || {
+                keeper.run();
+                // Nobody may wait for it any more.
+                let _ = ended.send(());
+            })?;
+        Ok(Self::Lasting {
+            jobs: Some(jobs),
+            over,
+        })
     }
 
     fn ask(&mut self, job: Job) {
         match self {
-            Self::Lasting { jobs: Some(jobs), .. } => {
+            Self::Lasting {
+                jobs: Some(jobs), ..
+            } => {
                 // A keeper that is gone has said so: nothing is admitted then.
                 let _ = jobs.send(job);
             }
@@ -332,8 +382,14 @@
                 let more = self.core.maintain(now, PIECE, &mut self.facts);
                 self.next = more.then_some(now + REST.as_micros() as Micros);
             } else {
-                let folder = Folder::new(&self.folder, true).map(Folder::passing).map_err(Error::folder);
-                let options = Options { segment_bytes: PASSING, seed: self.seed, ..Options::default() };
+                let folder = Folder::new(&self.folder, true)
+                    .map(Folder::passing)
+                    .map_err(Error::folder);
+                let options = Options {
+                    segment_bytes: PASSING,
+                    seed: self.seed,
+                    ..Options::default()
+                };
                 let opened = folder.and_then(|folder| Journal::open(folder, options, now));
                 self.core.open(opened, &mut self.facts);
                 let wait = match (self.core.is_open(), self.core.is_locked()) {
@@ -375,8 +431,14 @@
         loop {
             if !self.core.is_open() && Instant::now() >= open_at {
                 let folder = Folder::new(&self.folder, true).map_err(Error::folder);
-                let options = Options { seed: self.seed, ..Options::default() };
-                self.core.open(folder.and_then(|folder| Journal::open(folder, options, now())), &mut facts);
+                let options = Options {
+                    seed: self.seed,
+                    ..Options::default()
+                };
+                self.core.open(
+                    folder.and_then(|folder| Journal::open(folder, options, now())),
+                    &mut facts,
+                );
                 open_at = Instant::now() + if self.core.is_locked() { LOCKED } else { RETRY };
             }
             let rest = match self.core.is_open() {
@@ -388,7 +450,8 @@
             match self.jobs.recv_timeout(rest) {
                 Ok(job) => {
                     let jobs = &self.jobs;
-                    let mut all = std::iter::once(job).chain(std::iter::from_fn(|| jobs.try_recv().ok()));
+                    let mut all =
+                        std::iter::once(job).chain(std::iter::from_fn(|| jobs.try_recv().ok()));
                     self.core.work(&mut all, &mut facts);
                     // What was read waits for no sync: on a slow disk those reads would pile up behind it.
                     self.tell(&mut facts);
@@ -396,7 +459,9 @@
                     more = false;
                 }
                 // A piece at a time, where there is nothing else to do.
-                Err(RecvTimeoutError::Timeout) => more = self.core.maintain(now(), PIECE, &mut facts),
+                Err(RecvTimeoutError::Timeout) => {
+                    more = self.core.maintain(now(), PIECE, &mut facts)
+                }
                 Err(RecvTimeoutError::Disconnected) => return self.core.close(),
             }
         }
@@ -404,5 +469,7 @@
 }
 
 fn now() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as Micros)
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -111,20 +111,35 @@
         let asked = options.mgmt.map_or(0, |_| operators::PLACES + 1);
         let most = options.sockets.saturating_sub(SPARE + calls + asked).max(1);
         let mut front = front::Front::new(world.clone(), options.class_names.clone(), most);
-        let earned = options.admission.as_ref().and_then(|admission| admission.earned);
-        let standings_in = options.standings.zip(earned).map(|(folder, earned)| (folder, earned.most));
+        let earned = options
+            .admission
+            .as_ref()
+            .and_then(|admission| admission.earned);
+        let standings_in = options
+            .standings
+            .zip(earned)
+            .map(|(folder, earned)| (folder, earned.most));
         if let Some(settings) = options.admission {
             front.set_admission(Admission::new(settings, world.now()));
         }
-        let tls = options.tls.map(|tls| secure::Tls::new(tls, world.now())).transpose();
+        let tls = options
+            .tls
+            .map(|tls| secure::Tls::new(tls, world.now()))
+            .transpose();
         let tls = tls
             .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e))?
             .map(|tls| Rc::new(RefCell::new(tls)));
         if let Some(tls) = &tls {
             front.set_tls(world.now(), Rc::clone(tls));
         }
-        let key_field = options.results.as_ref().and_then(|results| results.frame_field.clone());
-        let terms = Rc::new(Terms { key_field, cancels: options.settings.tells_gone });
+        let key_field = options
+            .results
+            .as_ref()
+            .and_then(|results| results.frame_field.clone());
+        let terms = Rc::new(Terms {
+            key_field,
+            cancels: options.settings.tells_gone,
+        });
         let mut doors = vec![(options.listen, front::Speaks::Frames(terms))];
         if let Some(ajp) = options.ajp {
             let (settings, trusted) = (Rc::new(ajp.settings), Rc::new(ajp.trusted));
@@ -132,7 +147,11 @@
             doors.extend(ajp.listen.iter().map(|address| (*address, speaks(()))));
         }
         let mut upgrade = options.meets_in.map(|folder| {
-            let meeting = Meeting { folder, name: options.name.clone(), address: options.listen };
+            let meeting = Meeting {
+                folder,
+                name: options.name.clone(),
+                address: options.listen,
+            };
             let listen: Vec<_> = doors.iter().map(|(address, _)| *address).collect();
             upgrade::Upgrade::new(world.clone(), meeting, &listen)
         });
@@ -145,46 +164,79 @@
             }
             // Guards against a stranger on the address, which it would else be shared with: a process whose place could be taken
             // would have been met.
-            if upgrade.as_ref().is_some_and(|upgrade| !upgrade.is_unmet()) && world.is_taken(address) {
-                let what = format!("listen: {address}: somebody listens there, and passes nothing on");
+            if upgrade.as_ref().is_some_and(|upgrade| !upgrade.is_unmet())
+                && world.is_taken(address)
+            {
+                let what =
+                    format!("listen: {address}: somebody listens there, and passes nothing on");
                 return Err(io::Error::new(io::ErrorKind::AddrInUse, what));
             }
             let listened = front.listen(address, speaks);
-            let address =
-                listened.map_err(|e| io::Error::new(e.kind(), format!("listen: {address}: {e}")))?;
+            let address = listened
+                .map_err(|e| io::Error::new(e.kind(), format!("listen: {address}: {e}")))?;
             // Not among the line's arguments: those are not looked at where the log's level leaves the line out.
             tracing::info!(
                 "{} {} {address}",
                 options.name,
-                if n == 0 { "listens on" } else { "speaks AJP on" }
+                if n == 0 {
+                    "listens on"
+                } else {
+                    "speaks AJP on"
+                }
             );
             if let Some(upgrade) = upgrade.as_mut().filter(|_| n == 0) {
                 upgrade.post(address);
             }
         }
-        let mut operators =
-            options.mgmt.map(|address| operators::Operators::listen(world.clone(), address)).transpose()?;
-        if let (Some(operators), Some(tls)) =
-            (&mut operators, tls.as_ref().filter(|tls| tls.borrow().options().mgmt))
-        {
+        let mut operators = options
+            .mgmt
+            .map(|address| operators::Operators::listen(world.clone(), address))
+            .transpose()?;
+        if let (Some(operators), Some(tls)) = (
+            &mut operators,
+            tls.as_ref().filter(|tls| tls.borrow().options().mgmt),
+        ) {
             operators.set_tls(Rc::clone(tls));
         }
-        let longest = options.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = options
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let warming = (options.settings.cold_speed, options.settings.warm_after);
         let mut kept_in = None;
         let (exchange, keeper) = match options.results {
             None => (Exchange::new(options.settings, options.seed), None),
             Some(results) => {
-                let Results { classes, required, owner, bounds, entry_kb, lasting, .. } = results;
+                let Results {
+                    classes,
+                    required,
+                    owner,
+                    bounds,
+                    entry_kb,
+                    lasting,
+                    ..
+                } = results;
                 kept_in = Some((results.folder.clone(), bounds, lasting));
                 // A process that takes another's place has the store once that one has let go of it.
-                let keeper = alone.then(|| world.keeper(results.folder, bounds.seed, lasting)).transpose()?;
+                let keeper = alone
+                    .then(|| world.keeper(results.folder, bounds.seed, lasting))
+                    .transpose()?;
                 let keys = Keys::new(classes, required, owner, History::new(bounds));
-                let settings = Settings { entry_kb, ..options.settings };
+                let settings = Settings {
+                    entry_kb,
+                    ..options.settings
+                };
                 (Exchange::with_keys(settings, options.seed, keys), keeper)
             }
         };
-        let Parties { runtime, store, lookup } = options.parties;
+        let Parties {
+            runtime,
+            store,
+            lookup,
+        } = options.parties;
         let (classes, gauges) = (options.class_names, options.gauge_names);
         let mut node = Self {
             reload,
@@ -237,9 +289,16 @@
     pub fn census(&self) -> Census {
         let (listeners, connections, open) = self.front.census();
         let (calls, pool) = self.store.census();
-        let asked = self.operators.as_ref().map_or(0, |operators| operators.connections() + 1);
-        let passes = self.upgrade.as_ref().map_or(0, upgrade::Upgrade::descriptors);
-        let links = usize::from(self.runtime.linked()) + self.directory.links() + self.front.spares();
+        let asked = self
+            .operators
+            .as_ref()
+            .map_or(0, |operators| operators.connections() + 1);
+        let passes = self
+            .upgrade
+            .as_ref()
+            .map_or(0, upgrade::Upgrade::descriptors);
+        let links =
+            usize::from(self.runtime.linked()) + self.directory.links() + self.front.spares();
         Census {
             requests: self.exchange.requests(),
             unanswered: self.exchange.unanswered(),
@@ -308,7 +367,11 @@
     pub fn leave(&mut self) {
         if self.stop_at.is_none() {
             let now = self.world.now();
-            if self.upgrade.as_ref().is_some_and(upgrade::Upgrade::succeeded) {
+            if self
+                .upgrade
+                .as_ref()
+                .is_some_and(upgrade::Upgrade::succeeded)
+            {
                 return self.leave_to_successor(now);
             }
             let stop_at = now + self.stop;
@@ -330,7 +393,11 @@
     /// Reads the configuration again and goes on with the addresses of the other parties in it; the rest of it
     /// takes hold with the next start. A faulty one changes nothing.
     pub fn reload(&mut self) {
-        let Parties { runtime, store, lookup } = match (self.reload)() {
+        let Parties {
+            runtime,
+            store,
+            lookup,
+        } = match (self.reload)() {
             Ok(parties) => parties,
             Err(fault) => {
                 tracing::error!("the configuration stays as it was: {fault}");
@@ -341,7 +408,9 @@
         if let Some(tls) = &self.tls {
             tls.borrow_mut().turn(now, true);
         }
-        tracing::info!("configuration read again: runtime {runtime}, store {store}, directory {lookup}");
+        tracing::info!(
+            "configuration read again: runtime {runtime}, store {store}, directory {lookup}"
+        );
         self.runtime.relocate(now, runtime);
         self.store.relocate(now, store, &mut self.facts);
         self.directory.relocate(now, lookup);
@@ -353,14 +422,22 @@
         self.stop_at.is_some_and(|at| {
             let now = self.world.now();
             let quiet = self.exchange.unanswered() == 0 && self.front.connections() == 0;
-            let quiet = quiet || planted(Bug::LeftEarly) || (self.succeeded && planted(Bug::SucceededEarly));
+            let quiet = quiet
+                || planted(Bug::LeftEarly)
+                || (self.succeeded && planted(Bug::SucceededEarly));
             // Where a successor accepts, nobody can come here any more. One whose own predecessor is still there waits for
             // its end, which would else take it for dead, and whose share the successor hears of only here.
-            let waits = |upgrade: &upgrade::Upgrade<W>| upgrade.has_predecessor() || upgrade.is_orphaned();
+            let waits =
+                |upgrade: &upgrade::Upgrade<W>| upgrade.has_predecessor() || upgrade.is_orphaned();
             let before = self.upgrade.as_ref().is_some_and(waits);
             // What runs with an effect is told to its repeats by whoever has the place.
-            let ends = self.exchange.history().is_none_or(|history| history.runs() == 0);
-            now >= at || (quiet && self.succeeded && !before && ends) || (quiet && now + FAREWELL / 2 >= at)
+            let ends = self
+                .exchange
+                .history()
+                .is_none_or(|history| history.runs() == 0);
+            now >= at
+                || (quiet && self.succeeded && !before && ends)
+                || (quiet && now + FAREWELL / 2 >= at)
         })
     }
 
@@ -428,15 +505,25 @@
             self.listen_at,
             self.keeper.as_ref().and_then(Keeper::next),
         ];
-        let store = self.yielded.filter(|(since, passed)| !passed && now < since + handover::CROSSING);
-        let next = next.into_iter().flatten().chain(store.map(|(since, _)| since + handover::CROSSING));
+        let store = self
+            .yielded
+            .filter(|(since, passed)| !passed && now < since + handover::CROSSING);
+        let next = next
+            .into_iter()
+            .flatten()
+            .chain(store.map(|(since, _)| since + handover::CROSSING));
         let watch = self.tls.as_ref().map(|_| now + secure::WATCH);
-        let next = next.chain([self.front.next(), self.directory.next()]).chain(watch).min();
+        let next = next
+            .chain([self.front.next(), self.directory.next()])
+            .chain(watch)
+            .min();
         next.unwrap_or(0)
     }
 
     fn answer_operators(&mut self, now: Micros) -> bool {
-        let Some(mut operators) = self.operators.take() else { return false };
+        let Some(mut operators) = self.operators.take() else {
+            return false;
+        };
         let more = operators.turn(now, &*self);
         self.operators = Some(operators);
         more
@@ -475,7 +562,10 @@
         let total = self.exchange.counts().total();
         report::Status {
             // Without its runtime it serves nothing.
-            warmth: self.up_since.filter(|_| self.runtime.up()).map_or(0.0, warmth),
+            warmth: self
+                .up_since
+                .filter(|_| self.runtime.up())
+                .map_or(0.0, warmth),
             held: self.exchange.unanswered(),
             drains: self.stop_at.is_some(),
             served: total.served,
@@ -497,7 +587,10 @@
             Command::Abandon(id) => self.store.abandon(id),
             Command::AskGauges => self.runtime.ask_gauges(),
             Command::Health(good) => {
-                tracing::info!("health checks are answered {}", if good { "good" } else { "bad" });
+                tracing::info!(
+                    "health checks are answered {}",
+                    if good { "good" } else { "bad" }
+                );
                 self.front.set_health(good);
             }
             Command::Feedback(value) => self.front.set_feedback(value),
@@ -523,8 +616,17 @@
 
     fn vars(&self) -> Vec<u8> {
         let admission = self.front.admission().map(|admission| admission.counts);
-        let tls = self.tls.as_ref().map(|tls| tls_vars(&tls.borrow(), self.front.handshakes(), self.now()));
-        report::vars(&self.class_names, self.exchange.counts(), self.exchange.unanswered(), admission, tls)
+        let tls = self
+            .tls
+            .as_ref()
+            .map(|tls| tls_vars(&tls.borrow(), self.front.handshakes(), self.now()));
+        report::vars(
+            &self.class_names,
+            self.exchange.counts(),
+            self.exchange.unanswered(),
+            admission,
+            tls,
+        )
     }
 }
 
--- a/crates/server/src/operators.rs
+++ b/crates/server/src/operators.rs
@@ -111,10 +111,14 @@
         }
         // Those that stand come first: room for the next is made of what has still no whole call.
         self.accept(now, answers);
-        let due = |(number, caller): (&u64, &Caller<W>)| (now >= caller.call.deadline()).then_some(*number);
+        let due = |(number, caller): (&u64, &Caller<W>)| {
+            (now >= caller.call.deadline()).then_some(*number)
+        };
         let due: Vec<_> = self.callers.iter().filter_map(due).collect();
         for number in due {
-            let Some(caller) = self.callers.get_mut(&number) else { continue };
+            let Some(caller) = self.callers.get_mut(&number) else {
+                continue;
+            };
             if caller.call.expire(now, caller.conn.output()) {
                 self.callers.remove(&number);
             } else {
@@ -127,7 +131,11 @@
     /// When something is to be looked at, though nothing happened.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
-        let deadline = self.callers.values().map(|caller| caller.call.deadline()).min();
+        let deadline = self
+            .callers
+            .values()
+            .map(|caller| caller.call.deadline())
+            .min();
         let accept = (self.acceptable && self.accept_at > 0).then_some(self.accept_at);
         [deadline, accept].into_iter().flatten().min()
     }
@@ -148,7 +156,12 @@
                     self.acceptable = false;
                     return;
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) =>
+                {
                     continue
                 }
                 Err(e) => {
@@ -161,11 +174,21 @@
             };
             self.numbers = number;
             // A call that came with its connection is answered before the next can push it out.
-            conn.note(Readiness { readable: true, writable: true });
+            conn.note(Readiness {
+                readable: true,
+                writable: true,
+            });
             if self.tls.is_some() {
                 conn.secure(Layer::new());
             }
-            self.callers.insert(number, Caller { conn, call: Connection::new(now), finished: false });
+            self.callers.insert(
+                number,
+                Caller {
+                    conn,
+                    call: Connection::new(now),
+                    finished: false,
+                },
+            );
             self.serve(now, number, answers);
         }
     }
@@ -180,12 +203,16 @@
         if planted(Bug::OperatorsStarved) {
             return false;
         }
-        let Some((_, number)) = self.callers.iter().filter_map(rank).min() else { return false };
+        let Some((_, number)) = self.callers.iter().filter_map(rank).min() else {
+            return false;
+        };
         self.callers.remove(&number).is_some()
     }
 
     fn serve(&mut self, now: Micros, number: u64, answers: &dyn Answers) {
-        let Some(caller) = self.callers.get_mut(&number) else { return };
+        let Some(caller) = self.callers.get_mut(&number) else {
+            return;
+        };
         let tls = self.tls.as_ref().map(|tls| tls.borrow());
         if !caller.go_on(now, answers, tls.as_deref()) {
             self.callers.remove(&number);
@@ -197,7 +224,9 @@
     /// Reads, answers and sends; false where the connection is over.
     fn go_on(&mut self, now: Micros, answers: &dyn Answers, tls: Option<&Tls>) -> bool {
         loop {
-            let Ok(mut more) = self.conn.read(READ_AT_ONCE) else { return false };
+            let Ok(mut more) = self.conn.read(READ_AT_ONCE) else {
+                return false;
+            };
             if let (Some(tls), true) = (tls, self.conn.layer().and_then(Layer::offer).is_some()) {
                 if self.conn.begin(tls.config()).is_err() {
                     return false;
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -144,7 +144,15 @@
 
 impl fmt::Display for Census {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { requests, unanswered, descriptors, connections, pool, asked, .. } = self;
+        let Self {
+            requests,
+            unanswered,
+            descriptors,
+            connections,
+            pool,
+            asked,
+            ..
+        } = self;
         write!(f, "{descriptors} descriptors: {connections} connections, {pool} to the store, {asked} of operators; ")?;
         write!(f, "{requests} requests, {unanswered} unanswered")
     }
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/peers.rs
@@ -66,7 +66,14 @@
     /// # Errors
     /// Where the address, the keys or the folder can't be had.
     pub fn new(world: W, options: Options) -> io::Result<Self> {
-        let Options { mut identity, listen, contacts, settings, mut keys, folder } = options;
+        let Options {
+            mut identity,
+            listen,
+            contacts,
+            settings,
+            mut keys,
+            folder,
+        } = options;
         let incarnations = marks::begin(&folder)?;
         let (socket, at) = world.datagrams(listen, PLACE)?;
         if identity.address.port() == 0 {
@@ -79,7 +86,16 @@
             .map_err(|fault| io::Error::new(ErrorKind::InvalidInput, fault.to_string()))?;
         membership.join(contacts);
         tracing::info!("cluster: {} hears on {at}", membership.identity());
-        Ok(Self { world, socket, membership, keys, folder, readable: true, told: None, tell_at: 0 })
+        Ok(Self {
+            world,
+            socket,
+            membership,
+            keys,
+            folder,
+            readable: true,
+            told: None,
+            tell_at: 0,
+        })
     }
 
     /// Datagrams may have come.
@@ -156,9 +172,11 @@
         });
         if moved {
             self.told = Some((warmth, drains));
-            self.membership.tell(now, Kind::Warmth, warmth.to_le_bytes().to_vec());
+            self.membership
+                .tell(now, Kind::Warmth, warmth.to_le_bytes().to_vec());
             let drains = f64::from(u8::from(drains));
-            self.membership.tell(now, Kind::Drain, drains.to_le_bytes().to_vec());
+            self.membership
+                .tell(now, Kind::Drain, drains.to_le_bytes().to_vec());
         }
     }
 
@@ -190,7 +208,9 @@
                     );
                 }
             }
-            Event::Exhausted => tracing::error!("cluster: no incarnation is left; this process stays out"),
+            Event::Exhausted => {
+                tracing::error!("cluster: no incarnation is left; this process stays out")
+            }
         }
     }
 }
--- a/crates/server/src/peers/marks.rs
+++ b/crates/server/src/peers/marks.rs
@@ -15,8 +15,11 @@
     let mark = match mark.map(<[u8; 8]>::try_from) {
         Some(Ok(bytes)) => u64::from_le_bytes(bytes),
         Some(Err(bytes)) => {
-            let what =
-                format!("{}: the mark has {} bytes, and no number of 8", folder.display(), bytes.len());
+            let what = format!(
+                "{}: the mark has {} bytes, and no number of 8",
+                folder.display(),
+                bytes.len()
+            );
             return Err(io::Error::other(what));
         }
         None => 0,
@@ -39,7 +42,9 @@
 }
 
 fn put(store: &mut Store<Folder>, mark: Mark) -> io::Result<()> {
-    store.write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None)).map_err(io::Error::other)?;
+    store
+        .write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None))
+        .map_err(io::Error::other)?;
     store.sync().map_err(io::Error::other)
 }
 
--- a/crates/server/src/real.rs
+++ b/crates/server/src/real.rs
@@ -129,8 +129,13 @@
 
 impl Clock {
     fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros);
-        Self { unix, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |t| t.as_micros() as Micros);
+        Self {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     fn now(&self) -> Micros {
@@ -214,14 +219,22 @@
     /// That of an event loop.
     #[must_use]
     pub fn new(handle: Handle) -> Self {
-        Self { handle, clock: Clock::new(), inherited: Rc::default(), shares_addresses: false }
+        Self {
+            handle,
+            clock: Clock::new(),
+            inherited: Rc::default(),
+            shares_addresses: false,
+        }
     }
 
     /// Listening sockets share their addresses with those of other processes that do likewise (SO_REUSEPORT), so that a
     /// successor can listen beside this one where no socket passes between them.
     #[must_use]
     pub fn sharing_addresses(self, shares_addresses: bool) -> Self {
-        Self { shares_addresses, ..self }
+        Self {
+            shares_addresses,
+            ..self
+        }
     }
 
     fn watch_for<S: AsFd + 'static>(
@@ -236,21 +249,37 @@
             Ok(PostAction::Continue)
         });
         let token = watched.map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Watch { handle: self.handle.clone(), token })
+        Ok(Watch {
+            handle: self.handle.clone(),
+            token,
+        })
     }
 
     fn watch_listener(&self, socket: TcpListener, place: usize) -> io::Result<Listener> {
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
-        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| node.acceptable(place))?;
-        Ok(Listener { socket, _watch: watch })
+        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
+            node.acceptable(place)
+        })?;
+        Ok(Listener {
+            socket,
+            _watch: watch,
+        })
     }
 
     fn passage(&self, socket: Socket, party: Party) -> io::Result<Passage> {
         let socket = Rc::new(socket);
-        let seen = Readiness { readable: true, writable: false };
-        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| node.ready(party, seen))?;
-        Ok(Passage { socket, _watch: watch })
+        let seen = Readiness {
+            readable: true,
+            writable: false,
+        };
+        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
+            node.ready(party, seen)
+        })?;
+        Ok(Passage {
+            socket,
+            _watch: watch,
+        })
     }
 
     fn watch(&self, socket: TcpStream, party: Party) -> io::Result<Connection> {
@@ -259,13 +288,19 @@
         let socket = Rc::new(socket);
         let source = Generic::new(Rc::clone(&socket), Interest::BOTH, Mode::Edge);
         let watched = self.handle.insert_source(source, move |seen, _, node| {
-            let readiness =
-                Readiness { readable: seen.readable || seen.error, writable: seen.writable || seen.error };
+            let readiness = Readiness {
+                readable: seen.readable || seen.error,
+                writable: seen.writable || seen.error,
+            };
             node.ready(party, readiness);
             Ok(PostAction::Continue)
         });
         let token = watched.map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Connection { socket, handle: self.handle.clone(), token })
+        Ok(Connection {
+            socket,
+            handle: self.handle.clone(),
+            token,
+        })
     }
 }
 
@@ -283,11 +318,19 @@
     }
 
     fn listen(&self, address: SocketAddr, place: usize) -> io::Result<(Listener, SocketAddr)> {
-        let inherited = if place == 0 { self.inherited.take() } else { None };
+        let inherited = if place == 0 {
+            self.inherited.take()
+        } else {
+            None
+        };
         let socket = match inherited {
             Some(socket) => socket,
             None => {
-                let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+                let socket = Socket::new(
+                    Domain::for_address(address),
+                    Type::STREAM,
+                    Some(Protocol::TCP),
+                )?;
                 socket.set_reuse_address(true)?;
                 if self.shares_addresses {
                     socket.set_reuse_port(true)?;
@@ -303,7 +346,11 @@
 
     fn is_taken(&self, address: SocketAddr) -> bool {
         let alone = || -> io::Result<()> {
-            let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+            let socket = Socket::new(
+                Domain::for_address(address),
+                Type::STREAM,
+                Some(Protocol::TCP),
+            )?;
             socket.set_reuse_address(true)?;
             socket.bind(&address.into())
         };
@@ -317,8 +364,13 @@
 
     fn post(&self, meeting: &Meeting, place: usize) -> io::Result<Post> {
         let socket = Rc::new(passage::post(meeting)?);
-        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| node.acceptable(place))?;
-        Ok(Post { socket, _watch: watch })
+        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
+            node.acceptable(place)
+        })?;
+        Ok(Post {
+            socket,
+            _watch: watch,
+        })
     }
 
     fn welcome(&self, post: &Post, party: Party) -> io::Result<Passage> {
@@ -347,7 +399,9 @@
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(libc::EINPROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
+            Err(e)
+                if e.raw_os_error() == Some(libc::EINPROGRESS)
+                    || e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         self.watch(socket.into(), party)
@@ -391,8 +445,16 @@
         socket.set_nonblocking(true)?;
         let at = socket.local_addr()?;
         let socket = Rc::new(socket);
-        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| node.acceptable(place))?;
-        Ok((Udp { socket, _watch: watch }, at))
+        let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
+            node.acceptable(place)
+        })?;
+        Ok((
+            Udp {
+                socket,
+                _watch: watch,
+            },
+            at,
+        ))
     }
 
     fn random(&self) -> u64 {
@@ -439,26 +501,39 @@
 /// # Errors
 /// When the event loop or a listening socket can't be had.
 pub fn serve(options: Options, reload: Reload, hosted: Hosted) -> io::Result<()> {
-    serve_with(hosted, |world| Ok(Box::new(Node::new(world, options, reload)?)))
+    serve_with(hosted, |world| {
+        Ok(Box::new(Node::new(world, options, reload)?))
+    })
 }
 
 /// The same for whatever is made in the real world.
 ///
 /// # Errors
 /// When the event loop can't be had, or what is to be served can't be made.
-pub fn serve_with(hosted: Hosted, make: impl FnOnce(Real) -> io::Result<Box<dyn Served>>) -> io::Result<()> {
+pub fn serve_with(
+    hosted: Hosted,
+    make: impl FnOnce(Real) -> io::Result<Box<dyn Served>>,
+) -> io::Result<()> {
     let mut event_loop: EventLoop<'static, Box<dyn Served>> =
         EventLoop::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
     let HeldSignals(signals) = hosted.signals.map_or_else(HeldSignals::hold, Ok)?;
-    let heard = |event: calloop::signals::Event, (): &mut (), node: &mut Box<dyn Served>| match event.signal()
-    {
-        Signal::SIGHUP => node.reload(),
-        _ => node.leave(),
-    };
-    handle.insert_source(signals, heard).map_err(|e| io::Error::other(e.to_string()))?;
+    let heard =
+        |event: calloop::signals::Event, (): &mut (), node: &mut Box<dyn Served>| match event
+            .signal()
+        {
+            Signal::SIGHUP => node.reload(),
+            _ => node.leave(),
+        };
+    handle
+        .insert_source(signals, heard)
+        .map_err(|e| io::Error::other(e.to_string()))?;
     let world = Real::new(handle.clone()).sharing_addresses(hosted.shares_addresses);
-    let shared = hosted.listener.as_ref().map(TcpListener::try_clone).transpose()?;
+    let shared = hosted
+        .listener
+        .as_ref()
+        .map(TcpListener::try_clone)
+        .transpose()?;
     *world.inherited.borrow_mut() = hosted.listener;
     if let Some(link) = hosted.link {
         let mut reporter = Reporter::new(link, shared);
@@ -467,7 +542,9 @@
             TimeoutAction::ToDuration(TELLS)
         };
         let timer = Timer::immediate();
-        handle.insert_source(timer, tell).map_err(|e| io::Error::other(e.to_string()))?;
+        handle
+            .insert_source(timer, tell)
+            .map_err(|e| io::Error::other(e.to_string()))?;
     }
     let mut node = make(world)?;
     loop {
