--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -49,8 +49,11 @@
             "relayed": tally.relayed,
         })
     };
-    let operations: Map<_, _> =
-        names.iter().zip(counts.classes()).map(|(name, tally)| (name.clone(), operation(tally))).collect();
+    let operations: Map<_, _> = names
+        .iter()
+        .zip(counts.classes())
+        .map(|(name, tally)| (name.clone(), operation(tally)))
+        .collect();
     let mut figures = json!({
         "operations": operations,
         "open_requests": open,
@@ -103,7 +106,11 @@
     /// One that has no link yet.
     #[must_use]
     pub fn new(link: FleetLink, listener: Option<TcpListener>) -> Self {
-        Self { link, socket: None, listener }
+        Self {
+            link,
+            socket: None,
+            listener,
+        }
     }
 
     /// Says how the matcher is; where nobody listens or nobody reads, nothing is said, and the next time will do.
@@ -123,14 +130,26 @@
         socket.set_nonblocking(true)?;
         socket.connect(&SockAddr::unix(&self.link.socket)?)?;
         let (incarnation, token) = (self.link.incarnation, self.link.token.as_str());
-        let bytes = line(&Hello { incarnation, token, pid: std::process::id() })?;
+        let bytes = line(&Hello {
+            incarnation,
+            token,
+            pid: std::process::id(),
+        })?;
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut along = SendAncillaryBuffer::new(&mut space);
         let passed: Vec<_> = self.listener.iter().map(AsFd::as_fd).collect();
         if !passed.is_empty() {
             along.push(SendAncillaryMessage::ScmRights(&passed));
         }
-        whole(sendmsg(&socket, &[IoSlice::new(&bytes)], &mut along, SendFlags::NOSIGNAL)?, &bytes)?;
+        whole(
+            sendmsg(
+                &socket,
+                &[IoSlice::new(&bytes)],
+                &mut along,
+                SendFlags::NOSIGNAL,
+            )?,
+            &bytes,
+        )?;
         Ok(socket)
     }
 }
--- a/crates/server/src/runtime.rs
+++ b/crates/server/src/runtime.rs
@@ -75,7 +75,12 @@
 impl<W: World> Runtime<W> {
     /// A link that is tried at once.
     #[must_use]
-    pub fn new(world: W, address: SocketAddr, routes: Vec<String>, gauge_names: Vec<String>) -> Self {
+    pub fn new(
+        world: W,
+        address: SocketAddr,
+        routes: Vec<String>,
+        gauge_names: Vec<String>,
+    ) -> Self {
         Self {
             world,
             address,
@@ -137,22 +142,50 @@
     /// Starts a run.
     pub fn start(&mut self, id: RequestId, class: usize, body: &[u8]) {
         let route = self.routes.get(class).map_or("", String::as_str);
-        self.push(line::start(id, route, body), Some(Sent { id, order: Order::Start }), None);
+        self.push(
+            line::start(id, route, body),
+            Some(Sent {
+                id,
+                order: Order::Start,
+            }),
+            None,
+        );
     }
 
     /// Hands over the reply to a call.
     pub fn give(&mut self, id: RequestId, body: &[u8]) {
-        self.push(line::give(id, body), Some(Sent { id, order: Order::Give }), None);
+        self.push(
+            line::give(id, body),
+            Some(Sent {
+                id,
+                order: Order::Give,
+            }),
+            None,
+        );
     }
 
     /// Leaves out a call.
     pub fn omit(&mut self, id: RequestId, notice: u64) {
-        self.push(line::omit(id, notice), Some(Sent { id, order: Order::Omit }), None);
+        self.push(
+            line::omit(id, notice),
+            Some(Sent {
+                id,
+                order: Order::Omit,
+            }),
+            None,
+        );
     }
 
     /// Stops a run.
     pub fn stop(&mut self, id: RequestId) {
-        self.push(line::stop(id), Some(Sent { id, order: Order::Stop }), None);
+        self.push(
+            line::stop(id),
+            Some(Sent {
+                id,
+                order: Order::Stop,
+            }),
+            None,
+        );
     }
 
     /// Asks for the gauges; while no link stands there is nobody to ask.
@@ -180,12 +213,17 @@
         if self.conn.is_none() && now >= self.retry_at {
             self.connect(now);
         }
-        let Some(conn) = &mut self.conn else { return false };
+        let Some(conn) = &mut self.conn else {
+            return false;
+        };
         let read = conn.read(READ_AT_ONCE);
         let ended = conn.ended;
         self.read_lines(facts);
         let sent = self.send();
-        if self.leaving.is_some_and(|(mark, until)| mark <= self.confirmed || now >= until) {
+        if self
+            .leaving
+            .is_some_and(|(mark, until)| mark <= self.confirmed || now >= until)
+        {
             tracing::info!("runtime: moves to {}", self.address);
             self.well = false;
             self.lose(now, "it has moved");
@@ -246,15 +284,20 @@
                 self.doubtful.extend(outgoing.sent);
             }
         }
-        self.queue.retain(|outgoing| outgoing.mark.is_none() && !planted(Bug::QueueLost));
+        self.queue
+            .retain(|outgoing| outgoing.mark.is_none() && !planted(Bug::QueueLost));
     }
 
     /// Hands over lines one after the other, as far as the system takes them.
     fn send(&mut self) -> std::io::Result<()> {
-        let Some(conn) = &mut self.conn else { return Ok(()) };
+        let Some(conn) = &mut self.conn else {
+            return Ok(());
+        };
         // Nothing but `sync` is sent before the runtime is up, and nothing more on a link that is being left.
         while self.synced && self.leaving.is_none() {
-            let Some(outgoing) = self.queue.pop_front() else { break };
+            let Some(outgoing) = self.queue.pop_front() else {
+                break;
+            };
             conn.output().extend_from_slice(&outgoing.line);
             self.handed += outgoing.line.len() as u64;
             self.flying.push_back((self.handed, outgoing));
@@ -279,7 +322,10 @@
         }
         input.drain(..used);
         if input.len() > LONGEST_LINE {
-            tracing::warn!("runtime: a line without an end, {} bytes passed over", input.len());
+            tracing::warn!(
+                "runtime: a line without an end, {} bytes passed over",
+                input.len()
+            );
             input.clear();
         }
         if let Some(conn) = &mut self.conn {
@@ -298,7 +344,11 @@
         }
         match &*notice.t {
             "ready" => {
-                tracing::info!("runtime: {}, up for {} ms", notice.status, notice.time() / 1_000);
+                tracing::info!(
+                    "runtime: {}, up for {} ms",
+                    notice.status,
+                    notice.time() / 1_000
+                );
                 // One that is younger than it was is another process: what ran there is gone with the notices of it.
                 if std::mem::replace(&mut self.age, notice.time()) > notice.time() + YOUNGER {
                     tracing::warn!("runtime: it was started again; what ran there has no end");
@@ -332,20 +382,32 @@
                     Vec::new()
                 });
                 self.doubtful.retain(|sent| sent.id != id);
-                facts.push(Fact::RunEnded { id, outcome, elapsed: notice.time(), result });
+                facts.push(Fact::RunEnded {
+                    id,
+                    outcome,
+                    elapsed: notice.time(),
+                    result,
+                });
             }
             "wants" => {
                 let id = notice.request()?;
                 let number = notice.no.ok_or("a call without a number")?;
                 self.doubtful.retain(|sent| sent.id != id);
-                facts.push(Fact::CallWanted { id, notice: number, body: notice.body()? });
+                facts.push(Fact::CallWanted {
+                    id,
+                    notice: number,
+                    body: notice.body()?,
+                });
             }
             "load" => {
                 let find = |name: &str| {
                     let place = self.gauge_names.iter().position(|n| n == name)?;
                     notice.v.get(place).copied()
                 };
-                facts.push(Fact::Gauges(Gauges { runnable: find("runnable"), memory: find("mem_used") }));
+                facts.push(Fact::Gauges(Gauges {
+                    runnable: find("runnable"),
+                    memory: find("mem_used"),
+                }));
                 if let Some(mark) = notice.mark() {
                     self.confirm(mark, facts);
                 }
@@ -359,7 +421,11 @@
                     "stop" => Order::Stop,
                     other => return Err(format!("nack of {other:?}")),
                 };
-                tracing::warn!("runtime: {} of {} not carried out", notice.status, line::rid(id));
+                tracing::warn!(
+                    "runtime: {} of {} not carried out",
+                    notice.status,
+                    line::rid(id)
+                );
                 facts.push(Fact::OrderRefused { id, order });
             }
             "info" => {}
@@ -376,7 +442,10 @@
         }
         if mark >= self.barrier {
             let doubtful = std::mem::take(&mut self.doubtful);
-            let told = doubtful.into_iter().map(|s| Fact::OrderInDoubt { id: s.id, order: s.order });
+            let told = doubtful.into_iter().map(|s| Fact::OrderInDoubt {
+                id: s.id,
+                order: s.order,
+            });
             facts.extend(told);
         }
     }
--- a/crates/server/src/secure.rs
+++ b/crates/server/src/secure.rs
@@ -62,14 +62,23 @@
     ///
     /// # Errors
     /// Where the peer broke the protocol; an alert may wait in `out` then.
-    pub fn take(&mut self, bytes: &[u8], plain: &mut Vec<u8>, out: &mut Vec<u8>) -> io::Result<bool> {
+    pub fn take(
+        &mut self,
+        bytes: &[u8],
+        plain: &mut Vec<u8>,
+        out: &mut Vec<u8>,
+    ) -> io::Result<bool> {
         match self {
             Self::Hello(held) => {
                 held.extend_from_slice(bytes);
                 match hello::peek(held) {
                     Ok(Some(offer)) => {
                         let bytes = std::mem::take(held);
-                        *self = Self::Offered { bytes, offer, asked: false };
+                        *self = Self::Offered {
+                            bytes,
+                            offer,
+                            asked: false,
+                        };
                         Ok(false)
                     }
                     Ok(None) if held.len() <= HEAD + LONGEST_RECORD => Ok(false),
@@ -80,7 +89,9 @@
             Self::Offered { bytes: held, .. } => {
                 held.extend_from_slice(bytes);
                 if held.len() > HELD {
-                    return Err(broken("tls: too much sent before the handshake could begin"));
+                    return Err(broken(
+                        "tls: too much sent before the handshake could begin",
+                    ));
                 }
                 Ok(false)
             }
@@ -102,7 +113,9 @@
         plain: &mut Vec<u8>,
         out: &mut Vec<u8>,
     ) -> io::Result<bool> {
-        let Self::Offered { bytes, .. } = self else { return Ok(false) };
+        let Self::Offered { bytes, .. } = self else {
+            return Ok(false);
+        };
         let bytes = std::mem::take(bytes);
         *self = Self::Open(Box::new(Session::accept(config).map_err(broken)?), false);
         self.take(&bytes, plain, out)
@@ -112,7 +125,11 @@
     #[must_use]
     pub fn offer(&self) -> Option<Offer> {
         match self {
-            Self::Offered { offer, asked: false, .. } => Some(offer.clone()),
+            Self::Offered {
+                offer,
+                asked: false,
+                ..
+            } => Some(offer.clone()),
             _ => None,
         }
     }
--- a/crates/server/src/upgrade.rs
+++ b/crates/server/src/upgrade.rs
@@ -109,7 +109,8 @@
                     // Nothing but a word goes out before the first turn; where that fails, the turn sees it.
                     let _ = new.before_does(effects, &mut Vec::new());
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {}
+                Err(e)
+                    if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {}
                 Err(e) => {
                     tracing::warn!("upgrade: the process that serves can't be met: {e}");
                     new.unmet = true;
@@ -122,7 +123,10 @@
     /// It accepts clients: nobody else has the queue.
     #[must_use]
     pub fn serves(&self) -> bool {
-        self.before.as_ref().is_none_or(|(decides, _)| decides.serves()) && !self.after.0.yielded()
+        self.before
+            .as_ref()
+            .is_none_or(|(decides, _)| decides.serves())
+            && !self.after.0.yielded()
     }
 
     /// Whether a process serves could not be told: it may be listened beside one.
@@ -152,14 +156,25 @@
     /// The process whose place it has taken is still there.
     #[must_use]
     pub fn has_predecessor(&self) -> bool {
-        self.before.as_ref().is_some_and(|(_, passage)| passage.is_some()) || self.behind.count() > 0
+        self.before
+            .as_ref()
+            .is_some_and(|(_, passage)| passage.is_some())
+            || self.behind.count() > 0
     }
 
     /// Connections that stand, and where successors come to.
     #[must_use]
     pub fn descriptors(&self) -> usize {
-        let before = self.before.as_ref().is_some_and(|(_, passage)| passage.is_some());
-        let own = [self.post.is_some(), before, self.after.1.is_some(), self.spare.is_some()];
+        let before = self
+            .before
+            .as_ref()
+            .is_some_and(|(_, passage)| passage.is_some());
+        let own = [
+            self.post.is_some(),
+            before,
+            self.after.1.is_some(),
+            self.spare.is_some(),
+        ];
         own.into_iter().filter(|there| *there).count() + self.behind.count()
     }
 
@@ -233,7 +248,9 @@
         // The name may still be this process's own.
         self.post = None;
         // Where nobody is met, that is tried again until its time is over.
-        let Ok(passage) = self.world.visit(&self.meeting, Party::Successor) else { return };
+        let Ok(passage) = self.world.visit(&self.meeting, Party::Successor) else {
+            return;
+        };
         tracing::info!("upgrade: another process has the place of the successor that is gone");
         self.after.1 = Some(passage);
         let effects = self.after.0.found(now, held());
@@ -243,7 +260,9 @@
     /// What was passed could not all be taken up for want of descriptors. True where the predecessor is asked again: nothing
     /// of it is taken then.
     pub fn retreat(&mut self, now: Micros) -> bool {
-        let Some((decides, _)) = &mut self.before else { return false };
+        let Some((decides, _)) = &mut self.before else {
+            return false;
+        };
         let effects = decides.retreat(now);
         let again = !effects.is_empty();
         // All that is done is to close.
@@ -254,7 +273,11 @@
     /// The node has yielded.
     pub fn yielded(&mut self, held: Held, learned: String, mut standing: Vec<(IpAddr, f64)>) {
         standing.truncate(MOST_STANDING);
-        let effects = vec![predecessor::Effect::Send(Message::Yours { held, learned, standing })];
+        let effects = vec![predecessor::Effect::Send(Message::Yours {
+            held,
+            learned,
+            standing,
+        })];
         self.after_goes(self.world.now(), effects, &[], &mut Vec::new());
     }
 
@@ -277,7 +300,13 @@
     pub fn next(&self) -> Option<Micros> {
         let before = self.before.as_ref().and_then(|(decides, _)| decides.next());
         let let_in = (self.knocked && self.let_in_at > 0).then_some(self.let_in_at);
-        let next = [before, self.after.0.next(), let_in, self.post_at, self.behind.next()];
+        let next = [
+            before,
+            self.after.0.next(),
+            let_in,
+            self.post_at,
+            self.behind.next(),
+        ];
         next.into_iter().flatten().min()
     }
 
@@ -287,7 +316,9 @@
                 Ok(None) => return,
                 Ok(Some((message, passed))) => {
                     if let Message::Refused { why } = &message {
-                        tracing::warn!("upgrade: the process that serves passes nothing yet: {why}");
+                        tracing::warn!(
+                            "upgrade: the process that serves passes nothing yet: {why}"
+                        );
                     }
                     self.passed = passed;
                     decides.hear(now, message, self.passed.len())
@@ -303,13 +334,20 @@
     }
 
     /// Does what was decided; where that fails, what is decided then.
-    fn before_goes(&mut self, now: Micros, effects: Vec<successor::Effect>, steps: &mut Vec<Step<W>>) {
+    fn before_goes(
+        &mut self,
+        now: Micros,
+        effects: Vec<successor::Effect>,
+        steps: &mut Vec<Step<W>>,
+    ) {
         let visits = effects.contains(&successor::Effect::Visit);
         let mut done = self.before_does(effects, steps);
         if visits {
             done = match self.world.visit(&self.meeting, Party::Predecessor) {
                 Ok(passage) => {
-                    let Some((decides, there)) = &mut self.before else { return };
+                    let Some((decides, there)) = &mut self.before else {
+                        return;
+                    };
                     *there = Some(passage);
                     let effects = decides.visited(now);
                     self.before_does(effects, steps)
@@ -319,16 +357,24 @@
         }
         if let Err(e) = done {
             tracing::info!("upgrade: the predecessor is gone: {e}");
-            let Some((decides, _)) = &mut self.before else { return };
+            let Some((decides, _)) = &mut self.before else {
+                return;
+            };
             let effects = decides.ended(now);
             // Nothing is said to one that is gone.
             let _ = self.before_does(effects, steps);
         }
     }
 
-    fn before_does(&mut self, effects: Vec<successor::Effect>, steps: &mut Vec<Step<W>>) -> io::Result<()> {
+    fn before_does(
+        &mut self,
+        effects: Vec<successor::Effect>,
+        steps: &mut Vec<Step<W>>,
+    ) -> io::Result<()> {
         use successor::Effect;
-        let Some((_, passage)) = &mut self.before else { return Ok(()) };
+        let Some((_, passage)) = &mut self.before else {
+            return Ok(());
+        };
         for effect in effects {
             match effect {
                 Effect::Send(message) => {
@@ -350,7 +396,8 @@
                 Effect::Standing(standing) => steps.push(Step::Standing(standing)),
                 Effect::Close => *passage = None,
                 Effect::Mourn => {
-                    self.behind.mourn(self.world.now(), std::mem::take(&mut self.beside));
+                    self.behind
+                        .mourn(self.world.now(), std::mem::take(&mut self.beside));
                     steps.push(Step::Beside(behind::sum(self.beside, self.behind.held())));
                 }
                 // The caller's: it takes another connection.
@@ -406,7 +453,11 @@
         listens: &[(SocketAddr, Option<&W::Listener>)],
         steps: &mut Vec<Step<W>>,
     ) {
-        let passes: Vec<_> = listens.iter().filter(|(_, listener)| listener.is_some()).map(|l| l.0).collect();
+        let passes: Vec<_> = listens
+            .iter()
+            .filter(|(_, listener)| listener.is_some())
+            .map(|l| l.0)
+            .collect();
         while let (decides, Some(passage)) = &mut self.after {
             let effects = match hear(passage) {
                 Ok(None) => return,
@@ -447,13 +498,20 @@
             match effect {
                 Effect::Send(message) => match passage?.send(&message.encode(), &[]) {
                     // What is left is told again soon.
-                    Err(e) if e.kind() == ErrorKind::WouldBlock && matches!(message, Message::Left(_)) => {}
+                    Err(e)
+                        if e.kind() == ErrorKind::WouldBlock
+                            && matches!(message, Message::Left(_)) => {}
                     sent => sent?,
                 },
                 Effect::Pass(message) => {
-                    let Message::Offer { listen, .. } = &message else { continue };
+                    let Message::Offer { listen, .. } = &message else {
+                        continue;
+                    };
                     let of = |address: &SocketAddr| {
-                        listens.iter().find(|(at, _)| at == address).and_then(|(_, listener)| *listener)
+                        listens
+                            .iter()
+                            .find(|(at, _)| at == address)
+                            .and_then(|(_, listener)| *listener)
                     };
                     let along: Vec<_> = listen.iter().filter_map(of).collect();
                     passage?.send(&message.encode(), &along)?;
@@ -462,7 +520,9 @@
                 Effect::Resume => steps.push(Step::Resume),
                 Effect::Close => self.after.1 = None,
                 Effect::Behind(held) => {
-                    tracing::info!("upgrade: a process whose successor is gone comes before this one");
+                    tracing::info!(
+                        "upgrade: a process whose successor is gone comes before this one"
+                    );
                     if let Some(passage) = self.after.1.take() {
                         self.behind.take(passage, held);
                     }
@@ -482,7 +542,9 @@
 fn hear<P: Passage>(passage: &P) -> Heard<P::Passed> {
     match passage.receive() {
         Ok((bytes, _)) if bytes.is_empty() => Err("it ended".to_owned()),
-        Ok((bytes, passed)) => Message::decode(&bytes).map(|m| Some((m, passed))).map_err(|e| e.to_string()),
+        Ok((bytes, passed)) => Message::decode(&bytes)
+            .map(|m| Some((m, passed)))
+            .map_err(|e| e.to_string()),
         Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(None),
         Err(e) => Err(e.to_string()),
     }
--- a/crates/server/src/upgrade/behind.rs
+++ b/crates/server/src/upgrade/behind.rs
@@ -20,7 +20,10 @@
 
 impl<W: World> Default for Behind<W> {
     fn default() -> Self {
-        Self { there: Vec::new(), gone: Vec::new() }
+        Self {
+            there: Vec::new(),
+            gone: Vec::new(),
+        }
     }
 }
 
@@ -33,7 +36,9 @@
     /// What all of them have.
     pub(super) fn held(&self) -> Held {
         let there = self.there.iter().map(|(_, held)| *held);
-        there.chain(self.gone.iter().map(|(_, held)| *held)).fold(Held::default(), sum)
+        there
+            .chain(self.gone.iter().map(|(_, held)| *held))
+            .fold(Held::default(), sum)
     }
 
     pub(super) fn take(&mut self, passage: W::Passage, held: Held) {
@@ -42,10 +47,29 @@
 
     /// One is gone that had so much.
     pub(super) fn mourn(&mut self, now: Micros, had: Held) {
-        let Held { running, memory_kb, calls, descriptors } = had;
-        self.gone.push((now + FOUND, Held { calls, descriptors, ..Held::default() }));
+        let Held {
+            running,
+            memory_kb,
+            calls,
+            descriptors,
+        } = had;
+        self.gone.push((
+            now + FOUND,
+            Held {
+                calls,
+                descriptors,
+                ..Held::default()
+            },
+        ));
         if running > 0 {
-            self.gone.push((now + RUNS_ON, Held { running, memory_kb, ..Held::default() }));
+            self.gone.push((
+                now + RUNS_ON,
+                Held {
+                    running,
+                    memory_kb,
+                    ..Held::default()
+                },
+            ));
         }
     }
 
@@ -63,7 +87,9 @@
                 Ok(None) => return true,
                 Ok(Some((Message::Left(left), _))) => (*held, changed) = (left, true),
                 Ok(Some((Message::StoreFree {}, _))) => steps.push(Step::OpenStore),
-                Ok(Some(_)) => tracing::warn!("upgrade: one that came before says what is out of turn"),
+                Ok(Some(_)) => {
+                    tracing::warn!("upgrade: one that came before says what is out of turn")
+                }
                 Err(why) => {
                     tracing::info!("upgrade: one that came before is gone: {why}");
                     ended.push(*held);
--- a/crates/server/src/world.rs
+++ b/crates/server/src/world.rs
@@ -144,7 +144,8 @@
     ///
     /// # Errors
     /// Those of the system.
-    fn listen(&self, address: SocketAddr, place: usize) -> io::Result<(Self::Listener, SocketAddr)>;
+    fn listen(&self, address: SocketAddr, place: usize)
+        -> io::Result<(Self::Listener, SocketAddr)>;
 
     /// Somebody listens there already, where [`listen`](Self::listen) would share the address with it.
     fn is_taken(&self, address: SocketAddr) -> bool;
@@ -153,7 +154,8 @@
     ///
     /// # Errors
     /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
-    fn accept(&self, listener: &Self::Listener, party: Party) -> io::Result<(Self::Stream, IpAddr)>;
+    fn accept(&self, listener: &Self::Listener, party: Party)
+        -> io::Result<(Self::Stream, IpAddr)>;
 
     /// Keeps a descriptor, so that a connection can be accepted where no other is left.
     ///
@@ -235,7 +237,11 @@
     ///
     /// # Errors
     /// Those of the system.
-    fn datagrams(&self, address: SocketAddr, place: usize) -> io::Result<(Self::Datagrams, SocketAddr)>;
+    fn datagrams(
+        &self,
+        address: SocketAddr,
+        place: usize,
+    ) -> io::Result<(Self::Datagrams, SocketAddr)>;
 
     /// A random number.
     fn random(&self) -> u64;
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -124,7 +124,16 @@
     #[must_use]
     pub fn new(disk: Memory, lock: Lock, life: u64) -> Self {
         let (jobs, core) = (VecDeque::new(), Core::default());
-        Self { lock, life, released: false, jobs, core, disk, scheduled: false, stalled_until: 0 }
+        Self {
+            lock,
+            life,
+            released: false,
+            jobs,
+            core,
+            disk,
+            scheduled: false,
+            stalled_until: 0,
+        }
     }
 
     /// Its process is gone: the system opens the lock.
@@ -164,7 +173,10 @@
             }
             self.lock.set(Some(self.life));
             self.disk.release();
-            let options = Options { segment_bytes: 16_384, ..Options::default() };
+            let options = Options {
+                segment_bytes: 16_384,
+                ..Options::default()
+            };
             let opened = Journal::open(self.disk.clone(), options, now);
             self.core.open(opened, facts);
         }
@@ -240,7 +252,9 @@
 
 impl Drop for VirtualListener {
     fn drop(&mut self) {
-        self.net.borrow_mut().close_door(self.address, self.number, self.process);
+        self.net
+            .borrow_mut()
+            .close_door(self.address, self.number, self.process);
     }
 }
 
@@ -258,7 +272,12 @@
 
 impl VirtualListener {
     pub(crate) fn new(net: Shared, address: SocketAddr, number: u64, process: usize) -> Self {
-        Self { net, address, number, process }
+        Self {
+            net,
+            address,
+            number,
+            process,
+        }
     }
 
     /// Where it listens, and its number there.
@@ -284,7 +303,8 @@
             let mut net = self.world.net.borrow_mut();
             // A sync takes its time, and what comes meanwhile shares the next.
             let at = net.now + 700 + (net.now / 7) % 900;
-            net.queue.push(at, Event::Keeper(self.world.node, self.world.life));
+            net.queue
+                .push(at, Event::Keeper(self.world.node, self.world.life));
         }
     }
 }
@@ -320,7 +340,10 @@
 
     fn spare(&self) -> io::Result<VirtualSpare> {
         self.net.borrow_mut().hold(self.process)?;
-        Ok(VirtualSpare { net: Rc::clone(&self.net), process: self.process })
+        Ok(VirtualSpare {
+            net: Rc::clone(&self.net),
+            process: self.process,
+        })
     }
 
     fn standings(&self, _: PathBuf, most: usize) -> io::Result<VirtualStandings> {
@@ -331,7 +354,12 @@
         self.net.borrow().listeners(address) > 0
     }
 
-    fn adopt(&self, passed: VirtualPassed, address: SocketAddr, _: usize) -> io::Result<VirtualListener> {
+    fn adopt(
+        &self,
+        passed: VirtualPassed,
+        address: SocketAddr,
+        _: usize,
+    ) -> io::Result<VirtualListener> {
         passed.take_up(address, self.process)
     }
 
@@ -351,24 +379,49 @@
         self.net.borrow().now
     }
 
-    fn listen(&self, address: SocketAddr, _place: usize) -> io::Result<(VirtualListener, SocketAddr)> {
+    fn listen(
+        &self,
+        address: SocketAddr,
+        _place: usize,
+    ) -> io::Result<(VirtualListener, SocketAddr)> {
         let number = self.net.borrow_mut().listen(address, self.process, true)?;
         let (net, process) = (Rc::clone(&self.net), self.process);
-        Ok((VirtualListener { net, address, number, process }, address))
-    }
-
-    fn accept(&self, listener: &VirtualListener, party: Party) -> io::Result<(VirtualStream, IpAddr)> {
+        Ok((
+            VirtualListener {
+                net,
+                address,
+                number,
+                process,
+            },
+            address,
+        ))
+    }
+
+    fn accept(
+        &self,
+        listener: &VirtualListener,
+        party: Party,
+    ) -> io::Result<(VirtualStream, IpAddr)> {
         let mut net = self.net.borrow_mut();
         let owner = Owner::Node(self.slot, party).encode();
         let end = net.accept_at(listener.address, listener.number, self.process, owner)?;
         let address = net.address_of(end);
-        Ok((VirtualStream { net: Rc::clone(&self.net), end }, address))
+        Ok((
+            VirtualStream {
+                net: Rc::clone(&self.net),
+                end,
+            },
+            address,
+        ))
     }
 
     fn connect(&self, to: SocketAddr, party: Party) -> io::Result<VirtualStream> {
         let owner = Owner::Node(self.slot, party).encode();
         let end = self.net.borrow_mut().connect(to, self.process, owner)?;
-        Ok(VirtualStream { net: Rc::clone(&self.net), end })
+        Ok(VirtualStream {
+            net: Rc::clone(&self.net),
+            end,
+        })
     }
 
     fn keeper(&self, _folder: PathBuf, _seed: u64, _lasting: bool) -> io::Result<VirtualKeeper> {
@@ -379,9 +432,14 @@
         (desk.scheduled, desk.released, desk.core) = (true, false, Core::default());
         net.queue.push(at, Event::Keeper(self.node, self.life));
         drop(net);
-        Ok(VirtualKeeper { world: self.clone() })
+        Ok(VirtualKeeper {
+            world: self.clone(),
+        })
     }
 }
 
 /// Both ways are worth a try: an end may have become readable, writable or broken.
-pub const READY: Readiness = Readiness { readable: true, writable: true };
+pub const READY: Readiness = Readiness {
+    readable: true,
+    writable: true,
+};
--- a/crates/simulator/src/inspector.rs
+++ b/crates/simulator/src/inspector.rs
@@ -46,7 +46,9 @@
     }
 
     fn received(&mut self, _: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(call) = self.calls.get_mut(&link) else { return };
+        let Some(call) = self.calls.get_mut(&link) else {
+            return;
+        };
         call.input.extend_from_slice(bytes);
         let reply = http::parse(&call.input, false);
         if matches!(reply, Ok(None)) {
@@ -75,7 +77,16 @@
         for (matcher, life, to) in std::mem::take(&mut self.wanted) {
             self.links += 2;
             let link = self.links + 1;
-            self.calls.insert(link, Call { matcher, life, asked: now, to, input: Vec::new() });
+            self.calls.insert(
+                link,
+                Call {
+                    matcher,
+                    life,
+                    asked: now,
+                    to,
+                    input: Vec::new(),
+                },
+            );
             out.push(Effect::Dial(link, to));
         }
     }
--- a/crates/simulator/src/parties.rs
+++ b/crates/simulator/src/parties.rs
@@ -59,21 +59,39 @@
     }
 
     /// Accepts all that wait at this of the service's doors.
-    pub fn acceptable<S: Service + ?Sized>(&mut self, service: &mut S, at: SocketAddr, door: usize) {
+    pub fn acceptable<S: Service + ?Sized>(
+        &mut self,
+        service: &mut S,
+        at: SocketAddr,
+        door: usize,
+    ) {
         loop {
             let link = self.accepted + 2;
             let owner = Owner::Service(self.number, link).encode();
             let accepted = self.net.borrow_mut().accept(at, owner);
             let Ok(end) = accepted else { return };
             self.accepted = link;
-            self.wires.insert(link, Wire { end, out: Vec::new(), up: true, closing: false, dialled: false });
-            self.tell(service, |service, now, out| service.opened_at(now, link, door, out));
+            self.wires.insert(
+                link,
+                Wire {
+                    end,
+                    out: Vec::new(),
+                    up: true,
+                    closing: false,
+                    dialled: false,
+                },
+            );
+            self.tell(service, |service, now, out| {
+                service.opened_at(now, link, door, out)
+            });
         }
     }
 
     /// Something happened on a link.
     pub fn ready<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
-        let Some(wire) = self.wires.get_mut(&link) else { return };
+        let Some(wire) = self.wires.get_mut(&link) else {
+            return;
+        };
         let end = wire.end;
         if !wire.up {
             if self.net.borrow_mut().check(end).is_err() {
@@ -95,9 +113,9 @@
                     self.lose(service, link);
                     break;
                 }
-                Ok(n) => {
-                    self.tell(service, |service, now, out| service.received(now, link, &buffer[..n], out))
-                }
+                Ok(n) => self.tell(service, |service, now, out| {
+                    service.received(now, link, &buffer[..n], out)
+                }),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
                     self.lose(service, link);
@@ -123,7 +141,9 @@
     }
 
     fn flush(&mut self, link: Link) {
-        let Some(wire) = self.wires.get_mut(&link) else { return };
+        let Some(wire) = self.wires.get_mut(&link) else {
+            return;
+        };
         let mut sent = 0;
         while sent < wire.out.len() {
             match self.net.borrow_mut().write(wire.end, &wire.out[sent..]) {
@@ -210,7 +230,13 @@
         let mut net = self.net.borrow_mut();
         let from = from.unwrap_or_else(|| net.address());
         if let Ok(end) = net.connect_from(to, self.process, owner, from) {
-            let wire = Wire { end, out: Vec::new(), up: false, closing: false, dialled: true };
+            let wire = Wire {
+                end,
+                out: Vec::new(),
+                up: false,
+                closing: false,
+                dialled: true,
+            };
             self.wires.insert(link, wire);
         }
     }
@@ -218,19 +244,26 @@
     /// Connections that it has dialled and that stand.
     #[must_use]
     pub fn dialled(&self) -> Vec<(Link, EndId)> {
-        let mine = self.wires.iter().filter(|(_, wire)| wire.dialled && wire.up);
+        let mine = self
+            .wires
+            .iter()
+            .filter(|(_, wire)| wire.dialled && wire.up);
         mine.map(|(link, wire)| (*link, wire.end)).collect()
     }
 
     /// Whose the other side of a link is, where it was accepted.
     #[must_use]
     pub fn peer(&self, link: Link) -> Option<u64> {
-        self.wires.get(&link).and_then(|wire| self.net.borrow().peer_owner(wire.end))
+        self.wires
+            .get(&link)
+            .and_then(|wire| self.net.borrow().peer_owner(wire.end))
     }
 
     /// When the other side of a link has accepted it.
     #[must_use]
     pub fn accepted(&self, link: Link) -> Option<Micros> {
-        self.wires.get(&link).and_then(|wire| self.net.borrow().accepted(wire.end))
+        self.wires
+            .get(&link)
+            .and_then(|wire| self.net.borrow().accepted(wire.end))
     }
 }
--- a/crates/timeline/src/draw.rs
+++ b/crates/timeline/src/draw.rs
@@ -16,7 +16,9 @@
         None => steps[at].what.clone(),
     };
     let width = |node: &str| {
-        let texts = (0..steps.len()).filter(|&at| steps[at].node == node).map(|at| text(at).chars().count());
+        let texts = (0..steps.len())
+            .filter(|&at| steps[at].node == node)
+            .map(|at| text(at).chars().count());
         texts.max().unwrap_or(0).max(node.chars().count())
     };
     let widths: Vec<usize> = nodes.iter().map(|node| width(node)).collect();
@@ -26,12 +28,20 @@
     }
     drawn.push('\n');
     let first = steps.first().map_or(0, |step| step.at);
-    for (at, step) in steps.iter().enumerate().filter(|(_, step)| nodes.contains(&step.node.as_str())) {
+    for (at, step) in steps
+        .iter()
+        .enumerate()
+        .filter(|(_, step)| nodes.contains(&step.node.as_str()))
+    {
         let mark = if marked == Some(at) { '>' } else { ' ' };
         let ms = (step.at - first) as f64 / 1e3;
         let _ = write!(drawn, "{mark}{ms:>6.1}");
         for (node, width) in nodes.iter().zip(&widths) {
-            let cell = if *node == step.node { text(at) } else { NOTHING.to_owned() };
+            let cell = if *node == step.node {
+                text(at)
+            } else {
+                NOTHING.to_owned()
+            };
             let _ = write!(drawn, "{GAP}{cell:<width$}");
         }
         drawn.push('\n');
--- a/crates/tls/src/authority.rs
+++ b/crates/tls/src/authority.rs
@@ -28,7 +28,8 @@
 }
 
 fn at(seconds: i64) -> Result<OffsetDateTime, Fault> {
-    OffsetDateTime::from_unix_timestamp(seconds).map_err(|e| Fault::Input(format!("time {seconds}: {e}")))
+    OffsetDateTime::from_unix_timestamp(seconds)
+        .map_err(|e| Fault::Input(format!("time {seconds}: {e}")))
 }
 
 /// A new authority of this name, valid from `now` for so many days.
@@ -40,13 +41,19 @@
     let mut params = CertificateParams::new(Vec::<String>::new())?;
     params.distinguished_name.push(DnType::CommonName, name);
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
-    params.key_usages =
-        vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign, KeyUsagePurpose::DigitalSignature];
+    params.key_usages = vec![
+        KeyUsagePurpose::KeyCertSign,
+        KeyUsagePurpose::CrlSign,
+        KeyUsagePurpose::DigitalSignature,
+    ];
     // A minute back: a clock of another process a little behind still takes it.
     params.not_before = at(now - 60)?;
     params.not_after = at(now + days * 86_400)?;
     let certificate = params.self_signed(&key)?;
-    Ok(Made { certificate: certificate.pem(), key: key.serialize_pem() })
+    Ok(Made {
+        certificate: certificate.pem(),
+        key: key.serialize_pem(),
+    })
 }
 
 /// A certificate for these names (hosts or addresses; the first is its common name) that servers and clients may both
@@ -72,14 +79,21 @@
         None => KeyPair::generate()?,
     };
     let mut params = CertificateParams::new(names.to_vec())?;
-    params.distinguished_name.push(DnType::CommonName, first.as_str());
+    params
+        .distinguished_name
+        .push(DnType::CommonName, first.as_str());
     params.is_ca = IsCa::ExplicitNoCa;
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-    params.extended_key_usages =
-        vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
+    params.extended_key_usages = vec![
+        ExtendedKeyUsagePurpose::ServerAuth,
+        ExtendedKeyUsagePurpose::ClientAuth,
+    ];
     params.not_before = at(now - 60)?;
     params.not_after = at(now + days * 86_400)?;
     params.use_authority_key_identifier_extension = true;
     let certificate = params.signed_by(&key, &issuer)?;
-    Ok(Made { certificate: certificate.pem(), key: key.serialize_pem() })
+    Ok(Made {
+        certificate: certificate.pem(),
+        key: key.serialize_pem(),
+    })
 }
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -56,7 +56,9 @@
 
 impl rustls::time_provider::TimeProvider for Clock {
     fn current_time(&self) -> Option<UnixTime> {
-        Some(UnixTime::since_unix_epoch(Duration::from_micros(self.micros())))
+        Some(UnixTime::since_unix_epoch(Duration::from_micros(
+            self.micros(),
+        )))
     }
 }
 
--- a/crates/tls/src/pair.rs
+++ b/crates/tls/src/pair.rs
@@ -22,7 +22,10 @@
 }
 
 fn fault<T>(file: &Path, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { file: file.to_owned(), what: what.into() })
+    Err(Fault {
+        file: file.to_owned(),
+        what: what.into(),
+    })
 }
 
 /// What a certificate says of itself.
@@ -52,8 +55,8 @@
     /// # Errors
     /// Where it is no certificate that can be read.
     pub fn of(certificate: &CertificateDer<'_>) -> Result<Self, String> {
-        let (_, parsed) =
-            X509Certificate::from_der(certificate).map_err(|e| format!("not a certificate: {e}"))?;
+        let (_, parsed) = X509Certificate::from_der(certificate)
+            .map_err(|e| format!("not a certificate: {e}"))?;
         let fingerprint = digest::digest(&digest::SHA256, certificate);
         Ok(Self {
             subject: parsed.subject().to_string(),
@@ -81,10 +84,22 @@
         writeln!(
             f,
             "names        {}",
-            if self.names.is_empty() { "-".to_owned() } else { self.names.join(", ") }
+            if self.names.is_empty() {
+                "-".to_owned()
+            } else {
+                self.names.join(", ")
+            }
+        )?;
+        writeln!(
+            f,
+            "valid        {} to {} (Unix seconds)",
+            self.not_before, self.not_after
+        )?;
+        writeln!(
+            f,
+            "authority    {}",
+            if self.authority { "yes" } else { "no" }
         )?;
-        writeln!(f, "valid        {} to {} (Unix seconds)", self.not_before, self.not_after)?;
-        writeln!(f, "authority    {}", if self.authority { "yes" } else { "no" })?;
         writeln!(f, "serial       {}", self.serial)?;
         write!(f, "sha-256      {}", self.fingerprint)
     }
@@ -102,7 +117,8 @@
                 GeneralName::DNSName(dns) => names.push(dns.to_ascii_lowercase()),
                 GeneralName::IPAddress(bytes) => match bytes.len() {
                     4 => names.push(
-                        std::net::Ipv4Addr::from(<[u8; 4]>::try_from(*bytes).unwrap_or_default()).to_string(),
+                        std::net::Ipv4Addr::from(<[u8; 4]>::try_from(*bytes).unwrap_or_default())
+                            .to_string(),
                     ),
                     16 => names.push(
                         std::net::Ipv6Addr::from(<[u8; 16]>::try_from(*bytes).unwrap_or_default())
@@ -115,7 +131,10 @@
         }
     }
     if names.is_empty() {
-        let common = parsed.subject().iter_common_name().filter_map(|name| name.as_str().ok());
+        let common = parsed
+            .subject()
+            .iter_common_name()
+            .filter_map(|name| name.as_str().ok());
         names.extend(common.map(str::to_ascii_lowercase));
     }
     names
@@ -124,7 +143,9 @@
 /// The names a certificate was issued for; none where it can't be read.
 #[must_use]
 pub fn names(certificate: &CertificateDer<'_>) -> Vec<String> {
-    X509Certificate::from_der(certificate).map(|(_, parsed)| names_of(&parsed)).unwrap_or_default()
+    X509Certificate::from_der(certificate)
+        .map(|(_, parsed)| names_of(&parsed))
+        .unwrap_or_default()
 }
 
 /// Certificates of a PEM file, in their order.
@@ -159,7 +180,10 @@
 impl fmt::Debug for Pair {
     // The key is never shown, not even by accident.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Pair").field("facts", &self.facts).field("chain", &self.chain.len()).finish()
+        f.debug_struct("Pair")
+            .field("facts", &self.facts)
+            .field("chain", &self.chain.len())
+            .finish()
     }
 }
 
@@ -177,22 +201,37 @@
     ///
     /// # Errors
     /// The file whose bytes do not fit, and why.
-    pub fn from_pem(certificate: &Path, chain: &[u8], key_file: &Path, key: &[u8]) -> Result<Self, Fault> {
+    pub fn from_pem(
+        certificate: &Path,
+        chain: &[u8],
+        key_file: &Path,
+        key: &[u8],
+    ) -> Result<Self, Fault> {
         let chain = certificates(certificate, chain)?;
         let facts = Facts::of(&chain[0]).or_else(|what| fault(certificate, what))?;
         let key = match PrivateKeyDer::from_pem_slice(key) {
             Ok(key) => key,
             // What the error says is of the file's shape, never of the key's bytes.
-            Err(_) => return fault(key_file, "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)"),
+            Err(_) => {
+                return fault(
+                    key_file,
+                    "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)",
+                )
+            }
         };
         let provider = crate::provider();
         let signing = provider.key_provider.load_private_key(key);
-        let signing = signing.or_else(|e| fault(key_file, format!("the key can't be used: {e}")))?;
+        let signing =
+            signing.or_else(|e| fault(key_file, format!("the key can't be used: {e}")))?;
         let certified = CertifiedKey::new(chain.clone(), signing);
         if let Err(e) = certified.keys_match() {
             let what = format!("the key is not that of {}: {e}", certificate.display());
             return fault(key_file, what);
         }
-        Ok(Self { chain, facts, certified: Arc::new(certified) })
+        Ok(Self {
+            chain,
+            facts,
+            certified: Arc::new(certified),
+        })
     }
 }
