--- a/crates/tls/src/session.rs
+++ b/crates/tls/src/session.rs
@@ -2,7 +2,9 @@
 //! itself. The same for both sides; what a peer may make it hold is bounded here.
 
 use rustls::pki_types::ServerName;
-use rustls::{ClientConfig, ClientConnection, Connection, HandshakeKind, ServerConfig, ServerConnection};
+use rustls::{
+    ClientConfig, ClientConnection, Connection, HandshakeKind, ServerConfig, ServerConnection,
+};
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 
@@ -53,7 +55,9 @@
     /// # Errors
     /// Where rustls can't make one with what it shares.
     pub fn accept(config: Arc<ServerConfig>) -> Result<Self, Fault> {
-        Ok(Self::new(Connection::Server(ServerConnection::new(config)?)))
+        Ok(Self::new(Connection::Server(ServerConnection::new(
+            config,
+        )?)))
     }
 
     /// The client's side of a connection to a server of this name (a host's name or an address).
@@ -61,14 +65,21 @@
     /// # Errors
     /// Where the name is none, or rustls can't make one.
     pub fn connect(config: Arc<ClientConfig>, name: &str) -> Result<Self, Fault> {
-        let server = ServerName::try_from(name.to_owned()).map_err(|_| Fault::Name(name.to_owned()))?;
-        Ok(Self::new(Connection::Client(ClientConnection::new(config, server)?)))
+        let server =
+            ServerName::try_from(name.to_owned()).map_err(|_| Fault::Name(name.to_owned()))?;
+        Ok(Self::new(Connection::Client(ClientConnection::new(
+            config, server,
+        )?)))
     }
 
     fn new(mut inner: Connection) -> Self {
         // What is written is bounded by whoever writes it; a short write would lose an answer here.
         inner.set_buffer_limit(None);
-        Self { inner, handshake: 0, useless: 0 }
+        Self {
+            inner,
+            handshake: 0,
+            useless: 0,
+        }
     }
 
     /// Takes what came from the peer and appends what it carried. Whatever comes of it, [`output`](Self::output) may
@@ -119,7 +130,9 @@
                     break;
                 }
                 // Nothing moves: rustls takes no more until it is read, and nothing is there to read.
-                return Err(Fault::Protocol(rustls::Error::General("no progress".to_owned())));
+                return Err(Fault::Protocol(rustls::Error::General(
+                    "no progress".to_owned(),
+                )));
             }
         }
         opened.established = handshaking && !self.inner.is_handshaking();
@@ -179,7 +192,10 @@
     #[must_use]
     pub fn peer_names(&self) -> Vec<String> {
         let chain = self.inner.peer_certificates();
-        chain.and_then(|chain| chain.first()).map(|end| crate::pair::names(end)).unwrap_or_default()
+        chain
+            .and_then(|chain| chain.first())
+            .map(|end| crate::pair::names(end))
+            .unwrap_or_default()
     }
 }
 
--- a/crates/tls/src/setup.rs
+++ b/crates/tls/src/setup.rs
@@ -5,9 +5,13 @@
 use crate::Clock;
 use rustls::client::ResolvesClientCert;
 use rustls::pki_types::CertificateDer;
-use rustls::server::{ClientHello, ResolvesServerCert, ServerSessionMemoryCache, WebPkiClientVerifier};
+use rustls::server::{
+    ClientHello, ResolvesServerCert, ServerSessionMemoryCache, WebPkiClientVerifier,
+};
 use rustls::sign::CertifiedKey;
-use rustls::{ClientConfig, RootCertStore, ServerConfig, SignatureScheme, SupportedProtocolVersion};
+use rustls::{
+    ClientConfig, RootCertStore, ServerConfig, SignatureScheme, SupportedProtocolVersion,
+};
 use std::sync::Arc;
 
 /// Sessions of TLS 1.2 that are kept by id for resumption, where a client brings no ticket.
@@ -27,7 +31,8 @@
 
 impl Versions {
     fn list(self) -> &'static [&'static SupportedProtocolVersion] {
-        static BOTH: [&SupportedProtocolVersion; 2] = [&rustls::version::TLS13, &rustls::version::TLS12];
+        static BOTH: [&SupportedProtocolVersion; 2] =
+            [&rustls::version::TLS13, &rustls::version::TLS12];
         match self {
             Self::Both => &BOTH,
             Self::Only13 => &BOTH[..1],
@@ -67,7 +72,9 @@
 fn roots(certificates: &[CertificateDer<'static>]) -> Result<RootCertStore, String> {
     let mut store = RootCertStore::empty();
     for (i, root) in certificates.iter().enumerate() {
-        store.add(root.clone()).map_err(|e| format!("root {}: {e}", i + 1))?;
+        store
+            .add(root.clone())
+            .map_err(|e| format!("root {}: {e}", i + 1))?;
     }
     Ok(store)
 }
@@ -84,15 +91,22 @@
     clock: &Clock,
 ) -> Result<Arc<ServerConfig>, String> {
     let provider = crate::provider();
-    let builder = ServerConfig::builder_with_details(Arc::clone(&provider), Arc::new(clock.clone()))
-        .with_protocol_versions(versions.list())
-        .map_err(|e| e.to_string())?;
+    let builder =
+        ServerConfig::builder_with_details(Arc::clone(&provider), Arc::new(clock.clone()))
+            .with_protocol_versions(versions.list())
+            .map_err(|e| e.to_string())?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(clients) => {
-            let verifier =
-                WebPkiClientVerifier::builder_with_provider(Arc::new(roots(&clients.roots)?), provider);
-            let verifier = if clients.required { verifier } else { verifier.allow_unauthenticated() };
+            let verifier = WebPkiClientVerifier::builder_with_provider(
+                Arc::new(roots(&clients.roots)?),
+                provider,
+            );
+            let verifier = if clients.required {
+                verifier
+            } else {
+                verifier.allow_unauthenticated()
+            };
             builder.with_client_cert_verifier(verifier.build().map_err(|e| e.to_string())?)
         }
     };
--- a/crates/tls/src/verdict.rs
+++ b/crates/tls/src/verdict.rs
@@ -55,25 +55,39 @@
     name: &str,
     now_seconds: u64,
 ) -> Result<Verdict, String> {
-    let Some((end, between)) = chain.split_first() else { return Err("no certificate".to_owned()) };
+    let Some((end, between)) = chain.split_first() else {
+        return Err("no certificate".to_owned());
+    };
     let facts = Facts::of(end)?;
     let mut store = RootCertStore::empty();
     for (i, root) in roots.iter().enumerate() {
-        store.add(root.clone()).map_err(|e| format!("root {}: {e}", i + 1))?;
+        store
+            .add(root.clone())
+            .map_err(|e| format!("root {}: {e}", i + 1))?;
     }
     let store = Arc::new(store);
     let now = UnixTime::since_unix_epoch(Duration::from_secs(now_seconds));
     let provider = crate::provider();
-    let server = WebPkiServerVerifier::builder_with_provider(Arc::clone(&store), Arc::clone(&provider));
+    let server =
+        WebPkiServerVerifier::builder_with_provider(Arc::clone(&store), Arc::clone(&provider));
     let server = server.build().map_err(|e| e.to_string())?;
     let as_server = match ServerName::try_from(name.to_owned()) {
         Err(_) => Some(format!("{name:?} is no name a client could ask for")),
-        Ok(server_name) => {
-            server.verify_server_cert(end, between, &server_name, &[], now).err().map(|e| e.to_string())
-        }
+        Ok(server_name) => server
+            .verify_server_cert(end, between, &server_name, &[], now)
+            .err()
+            .map(|e| e.to_string()),
     };
-    let client =
-        WebPkiClientVerifier::builder_with_provider(store, provider).build().map_err(|e| e.to_string())?;
-    let as_client = client.verify_client_cert(end, between, now).err().map(|e| e.to_string());
-    Ok(Verdict { facts, as_server, as_client })
+    let client = WebPkiClientVerifier::builder_with_provider(store, provider)
+        .build()
+        .map_err(|e| e.to_string())?;
+    let as_client = client
+        .verify_client_cert(end, between, now)
+        .err()
+        .map(|e| e.to_string());
+    Ok(Verdict {
+        facts,
+        as_server,
+        as_client,
+    })
 }
--- a/src/bin/cleatpulley-simulator-adapter.rs
+++ b/src/bin/cleatpulley-simulator-adapter.rs
@@ -23,7 +23,9 @@
     let mut reply = String::new();
     loop {
         line.clear();
-        let read = input.read_line(&mut line).map_err(|e| format!("reading standard input: {e}"))?;
+        let read = input
+            .read_line(&mut line)
+            .map_err(|e| format!("reading standard input: {e}"))?;
         if read == 0 {
             return adapter.finish();
         }
@@ -31,7 +33,9 @@
             eprintln!("cleatpulley-simulator-adapter: {note}");
         }
         if !reply.is_empty() {
-            let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+            let sent = output
+                .write_all(reply.as_bytes())
+                .and_then(|()| output.flush());
             sent.map_err(|e| format!("writing standard output: {e}"))?;
             reply.clear();
         }
--- a/src/commands/ajp.rs
+++ b/src/commands/ajp.rs
@@ -74,27 +74,38 @@
 impl Line {
     fn open(server: &Server) -> Result<Self, String> {
         let wait = Duration::from_millis(server.wait_ms.max(1));
-        let stream =
-            TcpStream::connect_timeout(&server.to, wait).map_err(|e| format!("{}: {e}", server.to))?;
+        let stream = TcpStream::connect_timeout(&server.to, wait)
+            .map_err(|e| format!("{}: {e}", server.to))?;
         let options = Options {
             packet_size: PACKET_SIZE,
             secret: server.secret.clone(),
             server: (server.to.ip().to_string(), server.to.port()),
         };
-        Ok(Self { stream, client: Client::new(options, 0), until: Instant::now() + wait })
+        Ok(Self {
+            stream,
+            client: Client::new(options, 0),
+            until: Instant::now() + wait,
+        })
     }
 
     fn read(&mut self, input: &mut Vec<u8>) -> Result<(), String> {
-        let left = self.until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        self.stream.set_read_timeout(Some(left)).map_err(|e| e.to_string())?;
+        let left = self
+            .until
+            .saturating_duration_since(Instant::now())
+            .max(Duration::from_millis(1));
+        self.stream
+            .set_read_timeout(Some(left))
+            .map_err(|e| e.to_string())?;
         let mut buffer = [0; 8_192];
         match self.stream.read(&mut buffer) {
             Ok(0) => Err("the server closed the connection".to_owned()),
             Ok(n) => {
                 input.extend_from_slice(&buffer[..n]);
                 let mut more = Vec::new();
-                let used =
-                    self.client.receive(0, input, &mut more).map_err(|e| format!("the answer: {e}"))?;
+                let used = self
+                    .client
+                    .receive(0, input, &mut more)
+                    .map_err(|e| format!("the answer: {e}"))?;
                 input.drain(..used);
                 self.stream.write_all(&more).map_err(|e| e.to_string())
             }
@@ -114,14 +125,20 @@
     while !line.client.take_pong() {
         line.read(&mut input)?;
     }
-    say!("pong from {} in {} us", server.to, begun.elapsed().as_micros());
+    say!(
+        "pong from {} in {} us",
+        server.to,
+        begun.elapsed().as_micros()
+    );
     Ok(ExitCode::SUCCESS)
 }
 
 fn request(args: &RequestArgs) -> Result<ExitCode, String> {
     let mut headers = Vec::new();
     for header in &args.headers {
-        let parts = header.split_once(':').ok_or_else(|| format!("--header {header:?} is not NAME:VALUE"))?;
+        let parts = header
+            .split_once(':')
+            .ok_or_else(|| format!("--header {header:?} is not NAME:VALUE"))?;
         headers.push((parts.0.trim(), parts.1.trim()));
     }
     let mut line = match Line::open(&args.server) {
@@ -131,10 +148,16 @@
             return Ok(ExitCode::from(NEVER_RAN));
         }
     };
-    let request =
-        Request { method: &args.method, uri: &args.path, headers: &headers, body: args.body.as_bytes() };
+    let request = Request {
+        method: &args.method,
+        uri: &args.path,
+        headers: &headers,
+        body: args.body.as_bytes(),
+    };
     let mut out = Vec::new();
-    line.client.request(0, &request, &mut out).map_err(|e| format!("the request: {e}"))?;
+    line.client
+        .request(0, &request, &mut out)
+        .map_err(|e| format!("the request: {e}"))?;
     let mut input = Vec::new();
     let mut sent = line.stream.write_all(&out).map_err(|e| e.to_string());
     let response = loop {
--- a/src/commands/certs.rs
+++ b/src/commands/certs.rs
@@ -80,7 +80,9 @@
 }
 
 fn now() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as i64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs() as i64)
 }
 
 fn read(file: &Path) -> Result<String, String> {
@@ -89,10 +91,17 @@
 
 /// Writes a file that is not there yet, with this mode.
 fn create(file: &Path, text: &str, mode: u32) -> Result<(), String> {
-    let opened = OpenOptions::new().write(true).create_new(true).mode(mode).open(file);
+    let opened = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(mode)
+        .open(file);
     let mut opened = opened.map_err(|e| match e.kind() {
         std::io::ErrorKind::AlreadyExists => {
-            format!("{}: is there already; `certs renew` replaces it", file.display())
+            format!(
+                "{}: is there already; `certs renew` replaces it",
+                file.display()
+            )
         }
         _ => format!("{}: {e}", file.display()),
     })?;
@@ -125,11 +134,19 @@
     if !(1..=3_650).contains(&issued.days) {
         return Err(format!("--days {}: not within 1 to 3650", issued.days));
     }
-    Ok((issued.dir.join(format!("{}.pem", issued.name)), issued.dir.join(format!("{}.key", issued.name))))
+    Ok((
+        issued.dir.join(format!("{}.pem", issued.name)),
+        issued.dir.join(format!("{}.key", issued.name)),
+    ))
 }
 
 fn told(made: &Made, certificate: &Path, key: &Path) -> Result<(), String> {
-    let pair = Pair::from_pem(certificate, made.certificate.as_bytes(), key, made.key.as_bytes());
+    let pair = Pair::from_pem(
+        certificate,
+        made.certificate.as_bytes(),
+        key,
+        made.key.as_bytes(),
+    );
     let facts = pair.map_err(|e| e.to_string())?.facts;
     say!(
         "{} for {}, valid until {} (Unix seconds)",
@@ -150,8 +167,11 @@
         Certs::Init { dir, name, days } => {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
             let made = authority::init(name, now(), *days).map_err(|e| e.to_string())?;
-            let (certificate, key, secret) =
-                (dir.join("ca.pem"), dir.join("ca.key"), dir.join("tickets.key"));
+            let (certificate, key, secret) = (
+                dir.join("ca.pem"),
+                dir.join("ca.key"),
+                dir.join("tickets.key"),
+            );
             create(&key, &made.key, 0o600)?;
             create(&certificate, &made.certificate, 0o644)?;
             create(&secret, &format!("{}\n", tickets::new_secret()?), 0o600)?;
@@ -164,8 +184,9 @@
         }
         Certs::Issue { issued, also } => {
             let (certificate, key) = files(issued)?;
-            let names: Vec<String> =
-                std::iter::once(issued.name.clone()).chain(also.iter().cloned()).collect();
+            let names: Vec<String> = std::iter::once(issued.name.clone())
+                .chain(also.iter().cloned())
+                .collect();
             let (ca, ca_key) = authority(&issued.dir)?;
             let made = authority::issue((&ca, &ca_key), &names, None, now(), issued.days)
                 .map_err(|e| e.to_string())?;
@@ -179,7 +200,8 @@
             let (ca, ca_key) = authority(&issued.dir)?;
             let kept = if *new_key { None } else { Some(read(&key)?) };
             let names = old.facts.names;
-            let made = authority::issue((&ca, &ca_key), &names, kept.as_deref(), now(), issued.days);
+            let made =
+                authority::issue((&ca, &ca_key), &names, kept.as_deref(), now(), issued.days);
             let made = made.map_err(|e| e.to_string())?;
             if *new_key {
                 // The key first: a server that reads between the two sees a pair that does not fit and keeps its own.
@@ -198,12 +220,19 @@
                     say!();
                 }
                 say!("{facts}");
-                say!("days left    {}", facts.left(now() as u64).div_euclid(86_400));
+                say!(
+                    "days left    {}",
+                    facts.left(now() as u64).div_euclid(86_400)
+                );
             }
         }
-        Certs::Check { file, roots, name, key, at } => {
-            return check(file, roots, name.as_deref(), key.as_deref(), *at)
-        }
+        Certs::Check {
+            file,
+            roots,
+            name,
+            key,
+            at,
+        } => return check(file, roots, name.as_deref(), key.as_deref(), *at),
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -219,17 +248,26 @@
     let trusted = std::fs::read(roots).map_err(|e| format!("{}: {e}", roots.display()))?;
     let first = certificates(file, &chain).map_err(|e| e.to_string())?;
     let facts = Facts::of(&first[0]).map_err(|what| format!("{}: {what}", file.display()))?;
-    let name = name.map(str::to_owned).or_else(|| facts.names.first().cloned()).unwrap_or_default();
+    let name = name
+        .map(str::to_owned)
+        .or_else(|| facts.names.first().cloned())
+        .unwrap_or_default();
     let at = at.unwrap_or(now() as u64);
     let verdict = verdict::judge((file, &chain), (roots, &trusted), &name, at)?;
     let mut good = verdict.is_good();
     say!(
         "as the server {name:?}: {}",
-        verdict.as_server.as_deref().map_or("taken".to_owned(), |why| format!("refused: {why}"))
+        verdict
+            .as_server
+            .as_deref()
+            .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
     say!(
         "as a client: {}",
-        verdict.as_client.as_deref().map_or("taken".to_owned(), |why| format!("refused: {why}"))
+        verdict
+            .as_client
+            .as_deref()
+            .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
     if let Some(key) = key {
         match Pair::from_pem(
@@ -247,5 +285,9 @@
     }
     let left = facts.left(at);
     say!("expires in {} days ({left} s)", left.div_euclid(86_400));
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if good {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -21,12 +21,27 @@
     );
     say!("Callers by frames and by AJP ask half of that for 6 s, twice that in a surge of 3 s, and half again.");
     let rate = |share: f64| capacity * share / 2.0;
-    let rates = vec![(6 * SECOND, rate(0.5)), (9 * SECOND, rate(2.0)), (14 * SECOND, rate(0.5))];
-    let load =
-        |front, connections| Load { front, rates: rates.clone(), connections, body: 200, key_field: None };
+    let rates = vec![
+        (6 * SECOND, rate(0.5)),
+        (9 * SECOND, rate(2.0)),
+        (14 * SECOND, rate(0.5)),
+    ];
+    let load = |front, connections| Load {
+        front,
+        rates: rates.clone(),
+        connections,
+        body: 200,
+        key_field: None,
+    };
     let loads = vec![load(Front::Frames, 8), load(Front::Ajp, 200)];
     let leave_at = Some(13 * SECOND);
-    let trial = Trial { site, loads, ajp: String::new(), outside: String::new(), leave_at };
+    let trial = Trial {
+        site,
+        loads,
+        ajp: String::new(),
+        outside: String::new(),
+        leave_at,
+    };
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut shown = 0.0;
     let progress = |going: &Going, at: f64| {
@@ -38,9 +53,16 @@
                 9.0..13.0 => "calm again",
                 _ => "leaving",
             };
-            let totals = going.callers.iter().map(|callers| look(callers, |callers| callers.total()));
+            let totals = going
+                .callers
+                .iter()
+                .map(|callers| look(callers, |callers| callers.total()));
             let (asked, served, refused) = totals.fold((0, 0, 0), |sum, t| {
-                (sum.0 + t.asked, sum.1 + t.in_time + t.late, sum.2 + t.refused_with_time + t.refused_bare)
+                (
+                    sum.0 + t.asked,
+                    sum.1 + t.in_time + t.late,
+                    sum.2 + t.refused_with_time + t.refused_bare,
+                )
             });
             eprint!("\r{at:5.1} s  {phase:<10}  asked {asked}, served {served}, turned away {refused}   ");
             let _ = std::io::stderr().flush();
--- a/src/commands/emulators.rs
+++ b/src/commands/emulators.rs
@@ -42,9 +42,18 @@
 /// # Errors
 /// Where ports or the file can't be had.
 pub fn run(args: &EmulatorsArgs) -> Result<(), String> {
-    let store = store::Setup { time: args.store_ms * 1_000, ..store::Setup::default() };
+    let store = store::Setup {
+        time: args.store_ms * 1_000,
+        ..store::Setup::default()
+    };
     let processes = usize::from(args.processes.max(1));
-    let setup = Setup { cores: args.cores.max(1), store, seed: args.seed, processes, ..Setup::default() };
+    let setup = Setup {
+        cores: args.cores.max(1),
+        store,
+        seed: args.seed,
+        processes,
+        ..Setup::default()
+    };
     let site = Site::start(setup).map_err(|e| e.to_string())?;
     let mut config = site.config.clone();
     config["listen"] = json!(args.listen);
@@ -53,7 +62,8 @@
         if n > 0 {
             file.push(format!(".{}", n + 1));
         }
-        let mgmt = std::net::SocketAddr::new(args.mgmt.ip(), args.mgmt.port().saturating_add(n as u16));
+        let mgmt =
+            std::net::SocketAddr::new(args.mgmt.ip(), args.mgmt.port().saturating_add(n as u16));
         (config["runtime"], config["mgmt"]) = (json!(runtime.to_string()), json!(mgmt.to_string()));
         let text = serde_json::to_string_pretty(&config).map_err(|e| e.to_string())?;
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -75,10 +75,17 @@
     match fleet {
         Fleet::Up { file, generation } => up(file, *generation),
         Fleet::Status(asked) => tell(asked, &Ask::Status),
-        Fleet::Replace { generation, asked, wait } => {
+        Fleet::Replace {
+            generation,
+            asked,
+            wait,
+        } => {
             let file = load(&asked.file)?;
             let releases = file.releases.into_iter().collect();
-            let ask = Ask::Replace { generation: *generation, releases };
+            let ask = Ask::Replace {
+                generation: *generation,
+                releases,
+            };
             if *wait {
                 return replace(&file.folder, &ask, *generation);
             }
@@ -99,10 +106,18 @@
 
 fn up(file: &Path, generation: Option<u32>) -> Result<ExitCode, String> {
     let fleet = load(file)?;
-    let newest = fleet.releases.keys().next_back().copied().unwrap_or_default();
+    let newest = fleet
+        .releases
+        .keys()
+        .next_back()
+        .copied()
+        .unwrap_or_default();
     let generation = generation.unwrap_or(newest);
     if !fleet.releases.contains_key(&generation) {
-        return Err(format!("{}: fleet.releases: there is no release {generation}", file.display()));
+        return Err(format!(
+            "{}: fleet.releases: there is no release {generation}",
+            file.display()
+        ));
     }
     let wanted = Wanted {
         folder: fleet.folder,
@@ -114,7 +129,10 @@
     };
     let mut daemon = Daemon::open(wanted).map_err(|e| e.to_string())?;
     if daemon.adopted > 0 {
-        tracing::info!("{} instances of a daemon before this one were taken up", daemon.adopted);
+        tracing::info!(
+            "{} instances of a daemon before this one were taken up",
+            daemon.adopted
+        );
     }
     daemon.run().map_err(|e| e.to_string())?;
     Ok(ExitCode::SUCCESS)
@@ -134,7 +152,10 @@
 fn tell(asked: &Asked, what: &Ask) -> Result<ExitCode, String> {
     let view = ask(&load(&asked.file)?.folder, what)?;
     if asked.json {
-        say!("{}", serde_json::to_string_pretty(&view).map_err(|e| e.to_string())?);
+        say!(
+            "{}",
+            serde_json::to_string_pretty(&view).map_err(|e| e.to_string())?
+        );
     } else {
         show_fleet(&view);
     }
@@ -148,26 +169,35 @@
         _ if view.ends => "going down".to_owned(),
         None => {
             let rest = if view.at_rest { ", at rest" } else { "" };
-            let back = view
-                .halted
-                .as_ref()
-                .map_or(String::new(), |why| format!("; the last replacement went back: {why}"));
+            let back = view.halted.as_ref().map_or(String::new(), |why| {
+                format!("; the last replacement went back: {why}")
+            });
             format!("generation {}{rest}{back}", view.stable)
         }
         Some(one) => {
-            let why = one.halted.as_ref().map_or(String::new(), |why| format!(": {why}"));
+            let why = one
+                .halted
+                .as_ref()
+                .map_or(String::new(), |why| format!(": {why}"));
             let mode = format!("{:?}", one.mode).to_lowercase();
             let done = view
                 .instances
                 .iter()
                 .filter(|of| {
-                    of.generation == one.generation && of.phase == cleatpulley_fleet::plan::Phase::Warm
+                    of.generation == one.generation
+                        && of.phase == cleatpulley_fleet::plan::Phase::Warm
                 })
                 .count();
-            format!("generation {} to {}, {mode}{why}; {done} warm", view.stable, one.generation)
+            format!(
+                "generation {} to {}, {mode}{why}; {done} warm",
+                view.stable, one.generation
+            )
         }
     };
-    format!("{state}; capacity {:.1}, floor {:.1}; table {}", view.capacity, view.floor, view.version)
+    format!(
+        "{state}; capacity {:.1}, floor {:.1}; table {}",
+        view.capacity, view.floor, view.version
+    )
 }
 
 fn show_fleet(view: &View) {
@@ -203,7 +233,11 @@
     for one in view.gone.iter().filter(|one| one.why.is_some()) {
         let why = one.why.as_deref().unwrap_or_default();
         let log = one.log.display();
-        say!("failed: instance {}, generation {}: {why}; log {log}", one.incarnation, one.generation);
+        say!(
+            "failed: instance {}, generation {}: {why}; log {log}",
+            one.incarnation,
+            one.generation
+        );
     }
 }
 
@@ -235,15 +269,23 @@
         };
     }
     say!("{}", summary(&view));
-    Ok(if view.stable == generation { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if view.stable == generation {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn plan(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let fleet = FleetFile::load(file).map_err(|e| e.to_string())?;
     let question = fleet.question.as_ref().ok_or_else(|| {
-        format!("{}: fleet.host: missing: planning needs to know what instances are like", file.display())
+        format!(
+            "{}: fleet.host: missing: planning needs to know what instances are like",
+            file.display()
+        )
     })?;
-    let answer = planner::answer(question).map_err(|e| format!("{}: fleet: {e}", file.display()))?;
+    let answer =
+        planner::answer(question).map_err(|e| format!("{}: fleet: {e}", file.display()))?;
     let possible = matches!(answer, Answer::Possible(_));
     if as_json {
         let value = match &answer {
@@ -256,7 +298,11 @@
     } else {
         show(&fleet, question, &answer);
     }
-    Ok(if possible { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if possible {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn seconds(micros: u64) -> f64 {
@@ -272,7 +318,9 @@
             course
         }
     };
-    let takes = course.takes.map_or("it does not end".to_owned(), |at| format!("{:.1} s", seconds(at)));
+    let takes = course.takes.map_or("it does not end".to_owned(), |at| {
+        format!("{:.1} s", seconds(at))
+    });
     say!(
         "{} instances, batch {}, surge {}: {takes}; least margin {:.1} requests a second at {:.1} s; {:.1} of {:.1} cores \
          at most",
@@ -292,17 +340,35 @@
             What::Leave => "leave",
             What::Gone => "gone",
         };
-        let place = fleet.places.get(step.address).map_or("", |place| place.name.as_str());
-        say!("{:>9.2}  {what:<5}  {:>8}  {place}", seconds(step.at), step.incarnation);
+        let place = fleet
+            .places
+            .get(step.address)
+            .map_or("", |place| place.name.as_str());
+        say!(
+            "{:>9.2}  {what:<5}  {:>8}  {place}",
+            seconds(step.at),
+            step.incarnation
+        );
     }
     chart(course);
 }
 
 /// Capacity as a bar, and what is needed as a mark in it.
 fn chart(course: &Course) {
-    let Some(last) = course.samples.last() else { return };
-    let most = course.samples.iter().map(|sample| sample.1.max(sample.2)).fold(1.0, f64::max);
-    say!("\n{:>9}  {:>9}  {:>9}  # capacity, | needed", "s", "capacity", "needed");
+    let Some(last) = course.samples.last() else {
+        return;
+    };
+    let most = course
+        .samples
+        .iter()
+        .map(|sample| sample.1.max(sample.2))
+        .fold(1.0, f64::max);
+    say!(
+        "\n{:>9}  {:>9}  {:>9}  # capacity, | needed",
+        "s",
+        "capacity",
+        "needed"
+    );
     let place = |value: f64| (value / most * WIDTH as f64).round() as usize;
     let lines = LINES.min(course.samples.len());
     for line in 0..lines {
@@ -314,11 +380,17 @@
             .filter(|one| one.0 >= from && (one.0 < to || line + 1 == lines && one.0 == to));
         // Of each stretch its worst moment.
         let worst = within.min_by(|a, b| (a.1 - a.2).total_cmp(&(b.1 - b.2)));
-        let Some(&(at, there, needed)) = worst else { continue };
+        let Some(&(at, there, needed)) = worst else {
+            continue;
+        };
         let mut bar = vec![b' '; WIDTH + 1];
         bar[..place(there)].fill(b'#');
         bar[place(needed)] = b'|';
         let bar = String::from_utf8(bar).unwrap_or_default();
-        say!("{:>9.2}  {there:>9.1}  {needed:>9.1}  {}", seconds(at), bar.trim_end());
+        say!(
+            "{:>9.2}  {there:>9.1}  {needed:>9.1}  {}",
+            seconds(at),
+            bar.trim_end()
+        );
     }
 }
--- a/src/commands/fleet_top.rs
+++ b/src/commands/fleet_top.rs
@@ -22,7 +22,9 @@
 /// Where there is no terminal.
 pub fn run(folder: &Path) -> Result<ExitCode, String> {
     if !std::io::stdout().is_terminal() {
-        return Err("fleet top: standard output is no terminal; fleet status shows the same".to_owned());
+        return Err(
+            "fleet top: standard output is no terminal; fleet status shows the same".to_owned(),
+        );
     }
     // Asked once before the screen is taken: a daemon that is not there is an error like any other.
     let mut view = ask(folder, &Ask::Status);
@@ -83,7 +85,11 @@
         })
         .take(6)
         .collect();
-    let below = if failed.is_empty() { 0 } else { failed.len() as u16 + 2 };
+    let below = if failed.is_empty() {
+        0
+    } else {
+        failed.len() as u16 + 2
+    };
     let parts = Layout::vertical([
         Constraint::Length(1),
         Constraint::Length(1),
@@ -92,11 +98,25 @@
     ]);
     let [top, bar, table, bottom] = parts.areas(frame.area());
     frame.render_widget(Paragraph::new(summary(view)), top);
-    let all = view.instances.iter().filter(|one| one.phase != Phase::Draining).count().max(1);
-    let new = view.replacement.as_ref().map_or(view.stable, |one| one.generation);
-    let done = view.instances.iter().filter(|one| one.generation == new && one.phase == Phase::Warm).count();
+    let all = view
+        .instances
+        .iter()
+        .filter(|one| one.phase != Phase::Draining)
+        .count()
+        .max(1);
+    let new = view
+        .replacement
+        .as_ref()
+        .map_or(view.stable, |one| one.generation);
+    let done = view
+        .instances
+        .iter()
+        .filter(|one| one.generation == new && one.phase == Phase::Warm)
+        .count();
     let share = (done as f64 / all as f64).clamp(0.0, 1.0);
-    let gauge = Gauge::default().ratio(share).label(format!("{done} warm of generation {new}"));
+    let gauge = Gauge::default()
+        .ratio(share)
+        .label(format!("{done} warm of generation {new}"));
     frame.render_widget(gauge.gauge_style(Style::new().fg(Color::Green)), bar);
     let rows = view.instances.iter().map(|one| {
         Row::new([
@@ -114,9 +134,16 @@
         .style(Style::new().fg(colour(one.phase)))
     });
     let widths = [12, 21, 7, 4, 15, 8, 7, 8, 8, 6].map(Constraint::Length);
-    let heads = ["name", "address", "number", "gen", "phase", "pid", "warmth", "rate", "refused", "held"];
+    let heads = [
+        "name", "address", "number", "gen", "phase", "pid", "warmth", "rate", "refused", "held",
+    ];
     let block = Block::bordered().title(" q ends this, not the fleet ");
-    frame.render_widget(Table::new(rows, widths).header(Row::new(heads)).block(block), table);
+    frame.render_widget(
+        Table::new(rows, widths)
+            .header(Row::new(heads))
+            .block(block),
+        table,
+    );
     if below > 0 {
         let list = List::new(failed).style(Style::new().fg(Color::Red));
         frame.render_widget(list.block(Block::bordered().title(" failed ")), bottom);
--- a/src/commands/idempotency.rs
+++ b/src/commands/idempotency.rs
@@ -92,11 +92,13 @@
         }
         let bound = |name: &str, text: &Option<String>| match text {
             None => Ok(Vec::new()),
-            Some(text) => {
-                from_hex(text).ok_or_else(|| format!("--{name}: {text:?} is no even number of hex digits"))
-            }
+            Some(text) => from_hex(text)
+                .ok_or_else(|| format!("--{name}: {text:?} is no even number of hex digits")),
+        };
+        let range = Range {
+            from: bound("from", &self.from)?,
+            to: bound("to", &self.to)?,
         };
-        let range = Range { from: bound("from", &self.from)?, to: bound("to", &self.to)? };
         if !range.to.is_empty() && range.to <= range.from {
             return Err("--to: it is not beyond --from".to_owned());
         }
@@ -110,29 +112,54 @@
 /// One line that says what is wrong.
 pub fn run(command: &Idempotency) -> Result<ExitCode, String> {
     match command {
-        Idempotency::Get { dir, class, owner, key } => {
-            get(dir, &ScopedKey::new(*owner, *class, key.as_bytes()))
-        }
-        Idempotency::List { dir, range, unknown } => list(dir, &range.range()?, *unknown),
+        Idempotency::Get {
+            dir,
+            class,
+            owner,
+            key,
+        } => get(dir, &ScopedKey::new(*owner, *class, key.as_bytes())),
+        Idempotency::List {
+            dir,
+            range,
+            unknown,
+        } => list(dir, &range.range()?, *unknown),
         Idempotency::Stat { dir } => stat(dir),
-        Idempotency::Export { dir, range, epoch, out } => export(dir, &range.range()?, *epoch, out),
+        Idempotency::Export {
+            dir,
+            range,
+            epoch,
+            out,
+        } => export(dir, &range.range()?, *epoch, out),
         Idempotency::Import { dir, file } => import(dir, file),
     }
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as u64)
 }
 
 fn reader(dir: &Path) -> Result<Store<Folder>, String> {
-    let folder = Folder::new(dir, false).map_err(Error::folder).map_err(|e| e.to_string())?;
-    Store::open_read_only(folder).map(|(store, _)| store).map_err(|e| e.to_string())
+    let folder = Folder::new(dir, false)
+        .map_err(Error::folder)
+        .map_err(|e| e.to_string())?;
+    Store::open_read_only(folder)
+        .map(|(store, _)| store)
+        .map_err(|e| e.to_string())
 }
 
 fn writer(dir: &Path, create: bool) -> Result<Journal<Folder>, String> {
-    let folder = Folder::new(dir, create).map_err(Error::folder).map_err(|e| e.to_string())?;
-    let options = Options { seed: now(), ..Options::default() };
-    Journal::open(folder, options, now()).map(|(journal, ..)| journal).map_err(|e| e.to_string())
+    let folder = Folder::new(dir, create)
+        .map_err(Error::folder)
+        .map_err(|e| e.to_string())?;
+    let options = Options {
+        seed: now(),
+        ..Options::default()
+    };
+    Journal::open(folder, options, now())
+        .map(|(journal, ..)| journal)
+        .map_err(|e| e.to_string())
 }
 
 fn shown(key: &ScopedKey, record: &Record, expiry: u64) -> Value {
@@ -140,10 +167,14 @@
     let left = expiry.saturating_sub(now()) / 1_000;
     let (state, result) = match record {
         Record::Intent { .. } => ("may have run", None),
-        Record::Finished { outcome: Outcome::Failed, .. } => ("failed", None),
-        Record::Finished { outcome: Outcome::Served(result), .. } => {
-            ("served", Some(String::from_utf8_lossy(result).into_owned()))
-        }
+        Record::Finished {
+            outcome: Outcome::Failed,
+            ..
+        } => ("failed", None),
+        Record::Finished {
+            outcome: Outcome::Served(result),
+            ..
+        } => ("served", Some(String::from_utf8_lossy(result).into_owned())),
     };
     let digest = format!("{:032x}", record.digest());
     let (owner, class) = (key.owner(), key.class());
@@ -152,12 +183,16 @@
 }
 
 fn get(dir: &Path, key: &ScopedKey) -> Result<ExitCode, String> {
-    let value = reader(dir)?.get(now(), key.bytes()).map_err(|e| e.to_string())?;
+    let value = reader(dir)?
+        .get(now(), key.bytes())
+        .map_err(|e| e.to_string())?;
     let Some(value) = value else {
         eprintln!("nothing is kept of {key:?}");
         return Ok(ExitCode::from(NOT_KEPT));
     };
-    let expiry = value.first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
+    let expiry = value
+        .first_chunk()
+        .map_or(0, |bytes| u64::from_be_bytes(*bytes));
     let record = value.get(8..).and_then(Record::decode);
     let record = record.ok_or_else(|| format!("what is kept of {key:?} can't be read"))?;
     say!("{}", shown(key, &record, expiry));
@@ -192,8 +227,15 @@
         (recovered.memory() as f64 + stats.index_bytes as f64) / recovered.len().max(1) as f64
     );
     for fence in recovered.fences.all() {
-        let whose = if fence.here { "taken over" } else { "given away" };
-        say!("{}", json!({"range": fence.range, "epoch": fence.epoch, "keys": whose}));
+        let whose = if fence.here {
+            "taken over"
+        } else {
+            "given away"
+        };
+        say!(
+            "{}",
+            json!({"range": fence.range, "epoch": fence.epoch, "keys": whose})
+        );
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -202,9 +244,11 @@
     let mut journal = writer(dir, false)?;
     let file = File::create_new(to).map_err(|e| format!("{}: {e}", to.display()))?;
     let mut out = BufWriter::new(file);
-    let entries = transfer::export(&mut journal, now(), range, epoch, &mut out).map_err(|e| e.to_string())?;
+    let entries =
+        transfer::export(&mut journal, now(), range, epoch, &mut out).map_err(|e| e.to_string())?;
     let file = out.into_inner().map_err(|e| e.to_string())?;
-    file.sync_all().map_err(|e| format!("{}: {e}", to.display()))?;
+    file.sync_all()
+        .map_err(|e| format!("{}: {e}", to.display()))?;
     journal.close().map_err(|e| e.to_string())?;
     say!("{entries} keys given away in {}", to.display());
     Ok(ExitCode::SUCCESS)
--- a/src/commands/log_store.rs
+++ b/src/commands/log_store.rs
@@ -46,7 +46,9 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as u64)
 }
 
 impl Dir {
@@ -56,7 +58,13 @@
 
     fn writer(&self, create: bool) -> Result<(Store<Folder>, Found), Error> {
         let folder = Folder::new(&self.dir, create).map_err(Error::folder)?;
-        Store::open(folder, Options { seed: now(), ..Options::default() })
+        Store::open(
+            folder,
+            Options {
+                seed: now(),
+                ..Options::default()
+            },
+        )
     }
 }
 
@@ -106,18 +114,29 @@
     let (store, found) = dir.reader()?;
     let checked = store.check(|done, all| progress("reading", done, all))?;
     say!("{found}");
-    say!("{} good records in {} bytes", checked.records, checked.bytes);
+    say!(
+        "{} good records in {} bytes",
+        checked.records,
+        checked.bytes
+    );
     for (file, offset, bytes) in &checked.damaged {
         say!("damaged: {file}: {bytes} bytes at {offset}");
     }
-    let good = checked.damaged.is_empty() && found.quarantined.is_empty() && found.damaged.is_empty();
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::from(DAMAGED) })
+    let good =
+        checked.damaged.is_empty() && found.quarantined.is_empty() && found.damaged.is_empty();
+    Ok(if good {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(DAMAGED)
+    })
 }
 
 fn text(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.starts_with("0x") => text.to_owned(),
-        _ => bytes.iter().fold("0x".to_owned(), |hex, byte| hex + &format!("{byte:02x}")),
+        _ => bytes
+            .iter()
+            .fold("0x".to_owned(), |hex, byte| hex + &format!("{byte:02x}")),
     }
 }
 
@@ -126,7 +145,12 @@
     let mut out = std::io::stdout().lock();
     store.by_age(now(), |seq, key, value| {
         // Whoever reads may stop reading.
-        writeln!(out, "{}", json!({"seq": seq, "key": text(key), "value": text(value)})).is_ok()
+        writeln!(
+            out,
+            "{}",
+            json!({"seq": seq, "key": text(key), "value": text(value)})
+        )
+        .is_ok()
     })?;
     Ok(ExitCode::SUCCESS)
 }
@@ -157,7 +181,11 @@
     let (mut store, found) = dir.writer(false)?;
     say!("{found}");
     let checked = store.check(|done, all| progress("reading", done, all))?;
-    let mut names: Vec<_> = checked.damaged.iter().map(|(file, ..)| file.clone()).collect();
+    let mut names: Vec<_> = checked
+        .damaged
+        .iter()
+        .map(|(file, ..)| file.clone())
+        .collect();
     names.dedup();
     let rewritten = store.rewrite(now(), &names)?;
     maintain(&mut store)?;
@@ -176,7 +204,9 @@
     for n in from.. {
         let key = |n: u64| (n % 64).to_be_bytes();
         let value = [&n.to_be_bytes()[..], &vec![n as u8; (n % 900) as usize]].concat();
-        let batch = Batch::default().put(&key(n), &value, None).put(&key(n * 31), &value, None);
+        let batch = Batch::default()
+            .put(&key(n), &value, None)
+            .put(&key(n * 31), &value, None);
         store.write(batch.delete(&key(n * 17 + 5)))?;
         if n % 3 == 0 {
             store.sync()?;
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -86,7 +86,12 @@
 /// Where the system tells no number of cores.
 pub fn run(command: &Simulator) -> Result<ExitCode, String> {
     match command {
-        Simulator::Run { from, count, jobs, plan } => Ok(many(*from, *count, *jobs, *plan)),
+        Simulator::Run {
+            from,
+            count,
+            jobs,
+            plan,
+        } => Ok(many(*from, *count, *jobs, *plan)),
         Simulator::Replay { seed, last } => Ok(replay(seed.plan(), *last)),
         Simulator::Shrink { seed, most } => Ok(shrink(&seed.plan(), *most)),
     }
@@ -115,7 +120,15 @@
         }
     };
     let jobs = jobs.unwrap_or_else(cores);
-    let summary = seeds::run(|seed| kind.plan(seed), from, count, jobs, false, || (), progress);
+    let summary = seeds::run(
+        |seed| kind.plan(seed),
+        from,
+        count,
+        jobs,
+        false,
+        || (),
+        progress,
+    );
     if watched {
         eprintln!();
     }
@@ -123,7 +136,12 @@
     for outcome in summary.failed.iter().take(20) {
         say!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
     }
-    say!("{} seeds, {} broke a rule; digest {:016x}", summary.seeds, summary.failed.len(), summary.digest);
+    say!(
+        "{} seeds, {} broke a rule; digest {:016x}",
+        summary.seeds,
+        summary.failed.len(),
+        summary.digest
+    );
     status(summary.failed.is_empty())
 }
 
@@ -156,7 +174,11 @@
         plan.load * 100.0,
         plan.asks as f64 / 1e6,
         plan.sockets,
-        if plan.partial { ", reads and writes cut short" } else { "" },
+        if plan.partial {
+            ", reads and writes cut short"
+        } else {
+            ""
+        },
         match plan.places {
             Places::FirstCome => "",
             Places::Named => ", places decided, the front ends' address named",
@@ -180,8 +202,15 @@
             break;
         }
     }
-    let _ = writeln!(out, "{} events, digest {:016x}", outcome.events, outcome.digest);
-    outcome.broken.iter().for_each(|what| drop(writeln!(out, "broken: {what}")));
+    let _ = writeln!(
+        out,
+        "{} events, digest {:016x}",
+        outcome.events, outcome.digest
+    );
+    outcome
+        .broken
+        .iter()
+        .for_each(|what| drop(writeln!(out, "broken: {what}")));
     status(outcome.broken.is_empty())
 }
 
@@ -191,10 +220,19 @@
         return ExitCode::SUCCESS;
     }
     let (small, played) = seeds::shrink(whole.clone(), most);
-    say!("{played} plans played; {} faults of {} are left:", small.faults.len(), whole.faults.len());
+    say!(
+        "{played} plans played; {} faults of {} are left:",
+        small.faults.len(),
+        whole.faults.len()
+    );
     describe(&small);
     let (outcome, trace) = seeds::replay(small);
-    trace[trace.len().saturating_sub(40)..].iter().for_each(|line| say!("{line}"));
-    outcome.broken.iter().for_each(|what| say!("broken: {what}"));
+    trace[trace.len().saturating_sub(40)..]
+        .iter()
+        .for_each(|line| say!("{line}"));
+    outcome
+        .broken
+        .iter()
+        .for_each(|what| say!("broken: {what}"));
     ExitCode::FAILURE
 }
--- a/src/commands/upgrade.rs
+++ b/src/commands/upgrade.rs
@@ -52,8 +52,8 @@
     let args = upgrade.sourced.args();
     let (config, ..) = upgrade.sourced.load()?;
     let mgmt = config.mgmt.filter(|address| address.port() != 0);
-    let mgmt =
-        mgmt.ok_or("mgmt: the new process needs an address of its own, with a port, to be asked at")?;
+    let mgmt = mgmt
+        .ok_or("mgmt: the new process needs an address of its own, with a port, to be asked at")?;
     if ask(mgmt).is_ok() {
         return Err(format!(
             "mgmt: somebody answers at {mgmt} already; the new process needs another address"
@@ -63,23 +63,49 @@
         Some(program) => program,
         None => std::env::current_exe().map_err(|e| e.to_string())?,
     };
-    let log = File::options().create(true).append(true).open(&upgrade.log_file);
+    let log = File::options()
+        .create(true)
+        .append(true)
+        .open(&upgrade.log_file);
     let log = log.map_err(|e| format!("--log-file: {}: {e}", upgrade.log_file.display()))?;
     let mut command = Command::new(&program);
-    command.arg("serve").args(args).arg("--upgrade-folder").arg(&upgrade.upgrade_folder);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+    command
+        .arg("serve")
+        .args(args)
+        .arg("--upgrade-folder")
+        .arg(&upgrade.upgrade_folder);
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(log);
     // It outlives this command and its terminal.
     command.process_group(0);
-    let mut new = command.spawn().map_err(|e| format!("--program: {}: {e}", program.display()))?;
-    say!("1. process {} started, log in {}", new.id(), upgrade.log_file.display());
+    let mut new = command
+        .spawn()
+        .map_err(|e| format!("--program: {}: {e}", program.display()))?;
+    say!(
+        "1. process {} started, log in {}",
+        new.id(),
+        upgrade.log_file.display()
+    );
     let begun = Instant::now();
-    if let Err(fault) = wait_ready(&mut new, mgmt, Duration::from_secs_f64(upgrade.ready_within)) {
+    if let Err(fault) = wait_ready(
+        &mut new,
+        mgmt,
+        Duration::from_secs_f64(upgrade.ready_within),
+    ) {
         // It never was believed: the old one takes clients again at once.
         let _ = new.kill();
         let _ = new.wait();
-        return Err(format!("{fault}; it was ended, and process {} serves on", upgrade.pid));
+        return Err(format!(
+            "{fault}; it was ended, and process {} serves on",
+            upgrade.pid
+        ));
     }
-    say!("2. it takes clients after {} ms", begun.elapsed().as_millis());
+    say!(
+        "2. it takes clients after {} ms",
+        begun.elapsed().as_millis()
+    );
     pidfd_send_signal(&watch, Signal::TERM).map_err(|e| format!("process {}: {e}", upgrade.pid))?;
     say!("3. process {} told to leave", upgrade.pid);
     let told = Instant::now();
@@ -102,7 +128,10 @@
 
 /// A process, by a descriptor that means no other one later.
 fn open(pid: u32) -> io::Result<OwnedFd> {
-    let pid = i32::try_from(pid).ok().and_then(Pid::from_raw).ok_or(io::ErrorKind::InvalidInput)?;
+    let pid = i32::try_from(pid)
+        .ok()
+        .and_then(Pid::from_raw)
+        .ok_or(io::ErrorKind::InvalidInput)?;
     Ok(pidfd_open(pid, PidfdFlags::empty())?)
 }
 
@@ -111,8 +140,14 @@
     let until = Instant::now() + patience;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let wait = Timespec { tv_sec: left.as_secs() as i64, tv_nsec: i64::from(left.subsec_nanos()) };
-        match poll(&mut [PollFd::from_borrowed_fd(watch.as_fd(), PollFlags::IN)], Some(&wait)) {
+        let wait = Timespec {
+            tv_sec: left.as_secs() as i64,
+            tv_nsec: i64::from(left.subsec_nanos()),
+        };
+        match poll(
+            &mut [PollFd::from_borrowed_fd(watch.as_fd(), PollFlags::IN)],
+            Some(&wait),
+        ) {
             Ok(number) => return Ok(number > 0),
             Err(e) if e == rustix::io::Errno::INTR => {}
             Err(e) => return Err(e.into()),
@@ -124,13 +159,17 @@
     let begun = Instant::now();
     loop {
         if let Ok(Some(status)) = new.try_wait() {
-            return Err(format!("the new process has ended with {status}: look at its log"));
+            return Err(format!(
+                "the new process has ended with {status}: look at its log"
+            ));
         }
         if matches!(ask(mgmt), Ok(200)) {
             return Ok(());
         }
         if begun.elapsed() > patience {
-            return Err(format!("the new process takes no clients after {patience:?}: look at its log"));
+            return Err(format!(
+                "the new process takes no clients after {patience:?}: look at its log"
+            ));
         }
         std::thread::sleep(LOOKS);
     }
@@ -146,5 +185,7 @@
     bytes.clear();
     stream.read_to_end(&mut bytes)?;
     let reply = http::parse(&bytes, true).map_err(io::Error::other)?;
-    reply.map(|reply| reply.status).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+    reply
+        .map(|reply| reply.status)
+        .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -110,17 +110,28 @@
     /// Where the other parties are.
     #[must_use]
     pub fn parties(&self) -> Parties {
-        Parties { runtime: self.runtime, store: self.store, lookup: self.lookup }
+        Parties {
+            runtime: self.runtime,
+            store: self.store,
+            lookup: self.lookup,
+        }
     }
 
     /// What is kept of keyed requests where no operator file says more: enough to tell their repeats within the window, for
     /// as long as this matcher lives, whichever process it is. The folder is the process's own for its files.
     fn results(&self, scratch: &Path) -> Option<Results> {
         let classes = &self.settings.classes;
-        let keyed: Vec<_> = classes.iter().map(|class| class.effect == Effect::Keyed).collect();
+        let keyed: Vec<_> = classes
+            .iter()
+            .map(|class| class.effect == Effect::Keyed)
+            .collect();
         let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
         let address = self.listen.to_string().replace([':', '[', ']'], "-");
-        let process = if self.listen.port() == 0 { std::process::id() } else { 0 };
+        let process = if self.listen.port() == 0 {
+            std::process::id()
+        } else {
+            0
+        };
         let entries = (self.memory_mb * 1_000_000 / RESULTS_SHARE / LARGEST_RESULT).max(1);
         keyed.contains(&true).then(|| Results {
             folder: scratch.join(format!("results-{}-{address}-{process}", self.name)),
@@ -173,9 +184,12 @@
             ajp: operator.ajp,
             store_speaks: operator.store,
             results,
-            admission: operator
-                .admission
-                .map(|settings| cleatpulley_connection_admission::Settings { seed: self.seed, ..settings }),
+            admission: operator.admission.map(|settings| {
+                cleatpulley_connection_admission::Settings {
+                    seed: self.seed,
+                    ..settings
+                }
+            }),
             standings: operator.standings,
             tls: operator.tls,
         }
@@ -186,8 +200,10 @@
     /// # Errors
     /// One line that names the faulty key.
     pub fn load(sources: &Sources) -> Result<Self, String> {
-        let file =
-            sources.file.as_deref().ok_or("GW_CONFIG (or --config): no configuration file is named")?;
+        let file = sources
+            .file
+            .as_deref()
+            .ok_or("GW_CONFIG (or --config): no configuration file is named")?;
         let text = std::fs::read_to_string(file)
             .map_err(|e| format!("GW_CONFIG (or --config): {}: {e}", Path::display(file)))?;
         Self::parse(&text, sources)
@@ -209,12 +225,16 @@
             }
         })?;
         json.end().map_err(|e| e.to_string())?;
-        file.settings.check().map_err(|fault| format!("settings.{fault}"))?;
+        file.settings
+            .check()
+            .map_err(|fault| format!("settings.{fault}"))?;
 
         let name = sources.name.clone().or(file.name).ok_or("name: missing")?;
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name.is_empty() || !name.chars().all(plain) {
-            return Err(format!("name: {name:?} is not letters, digits, '-', '_' and '.'"));
+            return Err(format!(
+                "name: {name:?} is not letters, digits, '-', '_' and '.'"
+            ));
         }
         let seed = match &file.seed {
             None => 0,
@@ -227,7 +247,9 @@
         }
         let sockets = file.limits.sockets.unwrap_or(SOCKETS);
         if sockets < FEWEST_SOCKETS {
-            return Err(format!("limits.sockets: {sockets} is less than {FEWEST_SOCKETS}"));
+            return Err(format!(
+                "limits.sockets: {sockets} is less than {FEWEST_SOCKETS}"
+            ));
         }
         let memory_mb = file.limits.memory_mb.unwrap_or(MEMORY_MB);
         if memory_mb == 0 {
@@ -258,5 +280,6 @@
 
 fn address(key: &str, text: Option<&String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("{key}: missing"))?;
-    text.parse().map_err(|_| format!("{key}: {text:?} is not an address and port, such as 127.0.0.1:5050"))
+    text.parse()
+        .map_err(|_| format!("{key}: {text:?} is not an address and port, such as 127.0.0.1:5050"))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -123,17 +123,23 @@
 
 /// The listening socket that standard input is.
 fn inherited() -> Result<TcpListener, String> {
-    let socket = std::io::stdin().as_fd().try_clone_to_owned().map(TcpListener::from);
+    let socket = std::io::stdin()
+        .as_fd()
+        .try_clone_to_owned()
+        .map(TcpListener::from);
     let socket = socket.map_err(|e| format!("--inherit-listener: standard input: {e}"))?;
     match socket.local_addr() {
         Ok(_) => Ok(socket),
-        Err(e) => Err(format!("--inherit-listener: standard input is no listening socket: {e}")),
+        Err(e) => Err(format!(
+            "--inherit-listener: standard input is no listening socket: {e}"
+        )),
     }
 }
 
 fn instance(text: &str) -> Result<(u64, String), String> {
-    let parts =
-        text.split_once(':').and_then(|(number, token)| Some((number.parse().ok()?, token.to_owned())));
+    let parts = text
+        .split_once(':')
+        .and_then(|(number, token)| Some((number.parse().ok()?, token.to_owned())));
     parts.ok_or_else(|| "not a number, a colon and a token".to_owned())
 }
 
@@ -168,7 +174,11 @@
         if let Some(file) = &self.operator {
             push("--operator", file.into());
         }
-        for (name, value) in [("--name", &self.name), ("--listen", &self.listen), ("--mgmt", &self.mgmt)] {
+        for (name, value) in [
+            ("--name", &self.name),
+            ("--listen", &self.listen),
+            ("--mgmt", &self.mgmt),
+        ] {
             if let Some(value) = value {
                 push(name, value.into());
             }
@@ -177,7 +187,12 @@
     }
 
     fn load(self) -> Result<(Config, Operator, Sources), String> {
-        let sources = Sources { file: self.config, name: self.name, listen: self.listen, mgmt: self.mgmt };
+        let sources = Sources {
+            file: self.config,
+            name: self.name,
+            listen: self.listen,
+            mgmt: self.mgmt,
+        };
         let sources = sources.or_environment(|key| std::env::var(key).ok());
         let config = Config::load(&sources)?;
         let operator = match &self.operator {
@@ -194,7 +209,9 @@
 
 /// The signals that a process which serves hears, held back while it reads its configuration.
 fn hold_signals() -> Result<Option<HeldSignals>, String> {
-    HeldSignals::hold().map(Some).map_err(|e| format!("signals: {e}"))
+    HeldSignals::hold()
+        .map(Some)
+        .map_err(|e| format!("signals: {e}"))
 }
 
 /// A matcher's section on the other processes, where its operator file has one.
@@ -209,7 +226,9 @@
     served: Box<dyn Served>,
     cluster: Option<peers::Options>,
 ) -> std::io::Result<Box<dyn Served>> {
-    let Some(options) = cluster else { return Ok(served) };
+    let Some(options) = cluster else {
+        return Ok(served);
+    };
     let peers = peers::Peers::new(world, options)
         .map_err(|e| std::io::Error::new(e.kind(), format!("cluster: {e}")))?;
     Ok(Box::new(peers::Accompanied::new(served, peers)))
@@ -250,8 +269,14 @@
 }
 
 fn log_to_standard_error(form: LogForm, quiet: bool) {
-    let level = std::env::var("RUST_LOG").ok().and_then(|text| text.parse::<Targets>().ok());
-    let usual = if quiet { Targets::new() } else { Targets::new().with_default(tracing::Level::INFO) };
+    let level = std::env::var("RUST_LOG")
+        .ok()
+        .and_then(|text| text.parse::<Targets>().ok());
+    let usual = if quiet {
+        Targets::new()
+    } else {
+        Targets::new().with_default(tracing::Level::INFO)
+    };
     let level = level.unwrap_or(usual);
     let registry = tracing_subscriber::registry().with(level);
     let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr);
@@ -276,20 +301,33 @@
         Command::Emulators(args) => commands::emulators::run(&args)?,
         Command::Route { operator, check } => {
             let signals = if check { None } else { hold_signals()? };
-            let options = cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string())?;
-            let cluster =
-                cluster::load(&operator, Role::Gateway, &options.name).map_err(|e| e.to_string())?;
+            let options =
+                cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string())?;
+            let cluster = cluster::load(&operator, Role::Gateway, &options.name)
+                .map_err(|e| e.to_string())?;
             if check {
-                options.settings.routes.lines().iter().for_each(|line| say!("{line}"));
+                options
+                    .settings
+                    .routes
+                    .lines()
+                    .iter()
+                    .for_each(|line| say!("{line}"));
                 say!("{}", cluster::show(cluster.as_ref()));
                 return Ok(ExitCode::SUCCESS);
             }
-            let reload = move || cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string());
+            let reload =
+                move || cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string());
             let gateway = |world| Gateway::new(world, options, Box::new(reload));
-            serve_with(Hosted { signals, ..Hosted::default() }, |world| {
-                let gateway = Box::new(gateway(world.clone())?);
-                accompany(world, gateway, cluster)
-            })
+            serve_with(
+                Hosted {
+                    signals,
+                    ..Hosted::default()
+                },
+                |world| {
+                    let gateway = Box::new(gateway(world.clone())?);
+                    accompany(world, gateway, cluster)
+                },
+            )
             .map_err(|e| e.to_string())?;
         }
         Command::Serve(serve) => {
@@ -298,7 +336,11 @@
             let (config, operator, sources) = serve.sourced.load()?;
             let cluster = cluster_of(file.as_deref(), &config.name)?;
             let link = serve.fleet_socket.zip(serve.fleet_instance);
-            let link = link.map(|(socket, (incarnation, token))| FleetLink { socket, incarnation, token });
+            let link = link.map(|(socket, (incarnation, token))| FleetLink {
+                socket,
+                incarnation,
+                token,
+            });
             let reload = move || Config::load(&sources).map(|config| config.parties());
             let listener = serve.inherit_listener.then(inherited).transpose()?;
             let hosted = link.is_some() || listener.is_some();
@@ -310,7 +352,12 @@
                 meets_in,
                 ..config.options(operator, &std::env::temp_dir())
             };
-            let hosted = Hosted { signals, link, listener, shares_addresses };
+            let hosted = Hosted {
+                signals,
+                link,
+                listener,
+                shares_addresses,
+            };
             serve_with(hosted, |world| {
                 let node = Box::new(Node::new(world.clone(), options, Box::new(reload))?);
                 accompany(world, node, cluster)
@@ -334,8 +381,9 @@
                 config.sockets,
             );
             say!("{operator}");
-            if let Some(line) =
-                config.shows_results(&std::env::temp_dir()).filter(|_| operator.results.is_none())
+            if let Some(line) = config
+                .shows_results(&std::env::temp_dir())
+                .filter(|_| operator.results.is_none())
             {
                 say!("{line}");
             }
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -18,7 +18,10 @@
             return Err("it is no file".to_owned());
         }
         if about.len() > LARGEST {
-            return Err(format!("it has {} bytes, and {LARGEST} are read at most", about.len()));
+            return Err(format!(
+                "it has {} bytes, and {LARGEST} are read at most",
+                about.len()
+            ));
         }
         std::fs::read(name).map_err(|e| e.to_string())
     }
@@ -27,11 +30,16 @@
         if !pattern.contains(['*', '?', '[']) {
             return Ok(vec![pattern.to_owned()]);
         }
-        let options = glob::MatchOptions { require_literal_separator: true, ..Default::default() };
+        let options = glob::MatchOptions {
+            require_literal_separator: true,
+            ..Default::default()
+        };
         let found = glob::glob_with(pattern, options).map_err(|e| e.to_string())?;
         let name = |path: Result<std::path::PathBuf, glob::GlobError>| {
             let path = path.map_err(|e| e.to_string())?;
-            path.into_os_string().into_string().map_err(|_| "a file's name is no text".to_owned())
+            path.into_os_string()
+                .into_string()
+                .map_err(|_| "a file's name is no text".to_owned())
         };
         found.map(name).collect()
     }
@@ -42,7 +50,9 @@
 /// # Errors
 /// All that is wrong with it, or can't be expressed.
 pub fn load(file: &Path) -> Result<Routes, String> {
-    let name = file.to_str().ok_or_else(|| format!("{}: its name is no text", file.display()))?;
+    let name = file
+        .to_str()
+        .ok_or_else(|| format!("{}: its name is no text", file.display()))?;
     if file.extension().is_some_and(|end| end == "json") {
         let text = Disk.read(name).map_err(|e| format!("{name}: {e}"))?;
         let routes: Routes = serde_json::from_slice(&text).map_err(|e| format!("{name}: {e}"))?;
@@ -60,8 +70,12 @@
     if import.is_whole() {
         return Ok(import.routes);
     }
-    let faults =
-        import.findings.iter().filter(|one| one.gravity != cleatpulley_routes::place::Gravity::Differs);
-    let told: Vec<_> = faults.map(cleatpulley_routes::place::Finding::pointed).collect();
+    let faults = import
+        .findings
+        .iter()
+        .filter(|one| one.gravity != cleatpulley_routes::place::Gravity::Differs);
+    let told: Vec<_> = faults
+        .map(cleatpulley_routes::place::Finding::pointed)
+        .collect();
     Err(told.join("\n"))
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -138,7 +138,11 @@
 
 impl Default for Timeouts {
     fn default() -> Self {
-        Self { first_packet: 2_000, body: 2_000, idle: 30_000 }
+        Self {
+            first_packet: 2_000,
+            body: 2_000,
+            idle: 30_000,
+        }
     }
 }
 
@@ -206,7 +210,12 @@
         let folder = file.parent().map(Path::to_owned).unwrap_or_default();
         Self::parse(&json, config, &folder).map_err(|(key, what)| {
             let line = locate(&source, &key, &what);
-            Fault { file: file.to_owned(), line, key, what }
+            Fault {
+                file: file.to_owned(),
+                line,
+                key,
+                what,
+            }
         })
     }
 
@@ -217,7 +226,10 @@
     pub fn covers(&self, config: &Config) -> Result<(), String> {
         for (i, class) in config.settings.classes.iter().enumerate() {
             // Without that section they are kept by themselves.
-            let kept = self.results.as_ref().is_none_or(|results| results.classes[i]);
+            let kept = self
+                .results
+                .as_ref()
+                .is_none_or(|results| results.classes[i]);
             if class.effect == Effect::Keyed && !kept {
                 return Err(format!(
                     "settings.classes[{i}].effect: further tries can't be told without kept results of {:?}",
@@ -237,24 +249,48 @@
             let key = e.path().to_string();
             let what = e.into_inner().to_string();
             // Lines of the evaluated text mean nothing to whoever wrote the template.
-            let what = what.split(" at line ").next().unwrap_or_default().to_owned();
+            let what = what
+                .split(" at line ")
+                .next()
+                .unwrap_or_default()
+                .to_owned();
             (if key == "." { String::new() } else { key }, what)
         })?;
-        let ajp = file.ajp.map(|section| section.check(config, folder)).transpose()?;
-        let ajp_key = ajp.as_ref().is_some_and(|ajp| ajp.settings.figures.key.is_some());
-        let admission = file.admission.map(|section| section.check(&config.name, folder)).transpose()?;
+        let ajp = file
+            .ajp
+            .map(|section| section.check(config, folder))
+            .transpose()?;
+        let ajp_key = ajp
+            .as_ref()
+            .is_some_and(|ajp| ajp.settings.figures.key.is_some());
+        let admission = file
+            .admission
+            .map(|section| section.check(&config.name, folder))
+            .transpose()?;
         let (admission, standings) =
             admission.map_or((None, None), |(admission, kept)| (Some(admission), kept));
         let operator = Self {
             ajp,
-            store: file.store.map(StoreSection::check).transpose()?.unwrap_or_default(),
-            results: file.results.map(|section| section.check(config, ajp_key)).transpose()?,
+            store: file
+                .store
+                .map(StoreSection::check)
+                .transpose()?
+                .unwrap_or_default(),
+            results: file
+                .results
+                .map(|section| section.check(config, ajp_key))
+                .transpose()?,
             admission,
             standings,
-            tls: file.tls.map(|section| section.check(config, folder)).transpose()?,
+            tls: file
+                .tls
+                .map(|section| section.check(config, folder))
+                .transpose()?,
             class_names: config.class_names.clone(),
         };
-        operator.covers(config).map_err(|what| ("results".to_owned(), what))?;
+        operator
+            .covers(config)
+            .map_err(|what| ("results".to_owned(), what))?;
         Ok(operator)
     }
 }
@@ -267,12 +303,24 @@
     let state = EvaluationState::default();
     state.with_stdlib();
     let folder = file.parent().map(Path::to_owned).unwrap_or_default();
-    state.set_import_resolver(Box::new(FileImportResolver { library_paths: vec![folder] }));
-    let value = state.evaluate_file_raw(file).and_then(|value| state.manifest(value));
+    state.set_import_resolver(Box::new(FileImportResolver {
+        library_paths: vec![folder],
+    }));
+    let value = state
+        .evaluate_file_raw(file)
+        .and_then(|value| state.manifest(value));
     value.map(|json| json.to_string()).map_err(|e| {
-        let fault = |file: PathBuf, line, what| Fault { file, line, key: String::new(), what };
+        let fault = |file: PathBuf, line, what| Fault {
+            file,
+            line,
+            key: String::new(),
+            what,
+        };
         // Guards against a panic of the evaluator, which can't show a place in nothing.
-        if let EvaluationError::ImportSyntaxError { path, source_code, .. } = e.error() {
+        if let EvaluationError::ImportSyntaxError {
+            path, source_code, ..
+        } = e.error()
+        {
             if source_code.is_empty() {
                 return fault(path.to_path_buf(), Some(1), "the file is empty".to_owned());
             }
@@ -282,17 +330,26 @@
         let what = lines.next().unwrap_or("can't be evaluated").to_owned();
         // The places follow, the innermost first, as FILE:LINE:COLUMN; the file may be one that was imported.
         let place = lines.next().and_then(|line| {
-            let ends =
-                [".jsonnet:", ".libsonnet:"].iter().filter_map(|end| Some(line.find(end)? + end.len()));
+            let ends = [".jsonnet:", ".libsonnet:"]
+                .iter()
+                .filter_map(|end| Some(line.find(end)? + end.len()));
             let end = ends.min()?;
-            let number = line[end..].split(|c: char| !c.is_ascii_digit()).next()?.parse::<usize>().ok()?;
+            let number = line[end..]
+                .split(|c: char| !c.is_ascii_digit())
+                .next()?
+                .parse::<usize>()
+                .ok()?;
             Some((PathBuf::from(&line[..end - 1]), number.max(1)))
         });
         match place {
             Some((found, line)) => fault(found, Some(line), what),
             None => {
                 let rest: Vec<_> = lines.take(3).collect();
-                let what = if rest.is_empty() { what } else { format!("{what} ({})", rest.join(", ")) };
+                let what = if rest.is_empty() {
+                    what
+                } else {
+                    format!("{what} ({})", rest.join(", "))
+                };
                 fault(file.to_owned(), None, what)
             }
         }
@@ -302,12 +359,18 @@
 /// The line where a key is written, looked for part by part; the template may build it elsewhere, and then no line
 /// is told.
 fn locate(source: &str, key: &str, what: &str) -> Option<usize> {
-    let unknown = what.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next());
-    let parts = key.split(['.', '[']).filter(|part| !part.ends_with(']') && !part.is_empty() && *part != "?");
+    let unknown = what
+        .strip_prefix("unknown field `")
+        .and_then(|rest| rest.split('`').next());
+    let parts = key
+        .split(['.', '['])
+        .filter(|part| !part.ends_with(']') && !part.is_empty() && *part != "?");
     let mut from = 0;
     let mut found = None;
     for part in parts.chain(unknown) {
-        let Some(at) = find_key(source, from, part) else { break };
+        let Some(at) = find_key(source, from, part) else {
+            break;
+        };
         from = at + part.len();
         found = Some(at);
     }
@@ -315,13 +378,20 @@
 }
 
 fn find_key(source: &str, from: usize, name: &str) -> Option<usize> {
-    source[from..].match_indices(name).map(|(at, _)| from + at).find(|&at| {
-        let before = source[..at].chars().next_back();
-        let after = source[at + name.len()..].trim_start_matches(['"', '\'', ' ', '+']);
-        let comment =
-            source[..at].rsplit('\n').next().is_some_and(|line| line.contains("//") || line.contains('#'));
-        !comment && !before.is_some_and(|c| c.is_alphanumeric() || c == '_') && after.starts_with(':')
-    })
+    source[from..]
+        .match_indices(name)
+        .map(|(at, _)| from + at)
+        .find(|&at| {
+            let before = source[..at].chars().next_back();
+            let after = source[at + name.len()..].trim_start_matches(['"', '\'', ' ', '+']);
+            let comment = source[..at]
+                .rsplit('\n')
+                .next()
+                .is_some_and(|line| line.contains("//") || line.contains('#'));
+            !comment
+                && !before.is_some_and(|c| c.is_alphanumeric() || c == '_')
+                && after.starts_with(':')
+        })
 }
 
 fn addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, Wrong> {
@@ -337,7 +407,11 @@
     if !PACKET_SIZES.contains(&size) {
         return wrong(
             key,
-            format!("{size} is not within {} to {}", PACKET_SIZES.start(), PACKET_SIZES.end()),
+            format!(
+                "{size} is not within {} to {}",
+                PACKET_SIZES.start(),
+                PACKET_SIZES.end()
+            ),
         );
     }
     Ok(size)
@@ -355,7 +429,9 @@
     fn find(&self, head: &Head) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
         match self.table.decide(&asked).map_err(|what| (404, what))? {
-            Decision::Pass { class: Some(class), .. } => {
+            Decision::Pass {
+                class: Some(class), ..
+            } => {
                 let found = self.classes.iter().position(|known| *known == class);
                 found.ok_or_else(|| (404, format!("{class:?} is no class")))
             }
@@ -369,11 +445,19 @@
     }
 }
 
-fn imported(file: &Path, listen: Option<String>, config: &Config) -> Result<Arc<dyn Lookup>, Wrong> {
+fn imported(
+    file: &Path,
+    listen: Option<String>,
+    config: &Config,
+) -> Result<Arc<dyn Lookup>, Wrong> {
     let fault = |what| ("routes_from".to_owned(), what);
     let routes = crate::nginx::load(file).map_err(fault)?;
     let table = cleatpulley_routes::table::Table::new(&routes).map_err(fault)?;
-    Ok(Arc::new(Imported { table, listen, classes: config.class_names.clone() }))
+    Ok(Arc::new(Imported {
+        table,
+        listen,
+        classes: config.class_names.clone(),
+    }))
 }
 
 /// A header's name, or `attribute:` and the name of a request attribute.
@@ -385,7 +469,10 @@
     };
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || !name.chars().all(plain) {
-        return wrong(format!("figures.{key}"), format!("{text:?} is not the name of a header or attribute"));
+        return wrong(
+            format!("figures.{key}"),
+            format!("{text:?} is not the name of a header or attribute"),
+        );
     }
     Ok(Some(source(name.to_owned())))
 }
@@ -393,36 +480,58 @@
 impl AjpSection {
     fn check(mut self, config: &Config, folder: &Path) -> Result<AjpFront, Wrong> {
         self.routes_from = self.routes_from.map(|file| folder.join(file));
-        self.checked(config).map_err(|(key, what)| (format!("ajp.{key}"), what))
+        self.checked(config)
+            .map_err(|(key, what)| (format!("ajp.{key}"), what))
     }
 
     fn checked(self, config: &Config) -> Result<AjpFront, Wrong> {
         let listen = addresses("listen", &self.listen)?;
         if listen.is_empty() {
-            return wrong("listen", "no address; leave the section out to switch AJP off");
+            return wrong(
+                "listen",
+                "no address; leave the section out to switch AJP off",
+            );
         }
         match &self.secret {
-            Some(secret) if secret.is_empty() => return wrong("secret", "it is empty; null asks for none"),
+            Some(secret) if secret.is_empty() => {
+                return wrong("secret", "it is empty; null asks for none")
+            }
             Some(_) => {}
             // Whoever reaches the port speaks for all callers: beyond this machine that takes a secret.
             None => {
-                if let Some(i) = listen.iter().position(|address| !address.ip().is_loopback()) {
-                    let what = format!("{} is no loopback address, which takes a secret", listen[i]);
+                if let Some(i) = listen
+                    .iter()
+                    .position(|address| !address.ip().is_loopback())
+                {
+                    let what =
+                        format!("{} is no loopback address, which takes a secret", listen[i]);
                     return wrong(format!("listen[{i}]"), what);
                 }
             }
         }
         let max_body = self.max_body.unwrap_or(2_048);
         if max_body > LARGEST_BODY {
-            return wrong("max_body", format!("{max_body} is more than {LARGEST_BODY}"));
+            return wrong(
+                "max_body",
+                format!("{max_body} is more than {LARGEST_BODY}"),
+            );
         }
         let time = |key: &str, ms: u64| match ms {
             1..=86_400_000 => Ok(ms * 1_000),
-            _ => wrong(format!("timeouts_ms.{key}"), format!("{ms} is not within 1 to 86400000")),
+            _ => wrong(
+                format!("timeouts_ms.{key}"),
+                format!("{ms} is not within 1 to 86400000"),
+            ),
         };
         let body = time("body", self.timeouts_ms.body)?;
         // A body that comes late has to be answered by its request's due time.
-        let shortest = config.settings.classes.iter().map(|class| class.deadline).min().unwrap_or(0);
+        let shortest = config
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .min()
+            .unwrap_or(0);
         if body + MARGIN > shortest {
             let what = format!(
                 "{} ms leave no time to answer: a class has {} ms in all",
@@ -435,7 +544,12 @@
         for (i, text) in self.trusted_proxies.iter().enumerate() {
             match text.parse::<IpAddr>() {
                 Ok(address) => trusted.push(address),
-                Err(_) => return wrong(format!("trusted_proxies[{i}]"), format!("{text:?} is no address")),
+                Err(_) => {
+                    return wrong(
+                        format!("trusted_proxies[{i}]"),
+                        format!("{text:?} is no address"),
+                    )
+                }
             }
         }
         if self.figures.door.is_some() && trusted.is_empty() {
@@ -444,18 +558,31 @@
                 "it is believed of trusted proxies only, and trusted_proxies names none",
             );
         }
-        let class_of = |key: &str, name: &str| match config.class_names.iter().position(|known| known == name)
-        {
-            Some(class) => Ok(class),
-            None => wrong(key, format!("{name:?} is no class; there are {}", config.class_names.join(", "))),
-        };
+        let class_of =
+            |key: &str, name: &str| match config.class_names.iter().position(|known| known == name)
+            {
+                Some(class) => Ok(class),
+                None => wrong(
+                    key,
+                    format!(
+                        "{name:?} is no class; there are {}",
+                        config.class_names.join(", ")
+                    ),
+                ),
+            };
         let mut entries = Vec::new();
         for (i, route) in self.routes.into_iter().enumerate() {
             let class = class_of(&format!("routes[{i}].class"), &route.class)?;
-            entries.push(Entry { path: route.path, methods: route.methods, class });
+            entries.push(Entry {
+                path: route.path,
+                methods: route.methods,
+                class,
+            });
         }
         let lookup = match &self.routes_from {
-            Some(_) if !entries.is_empty() => return wrong("routes_from", "there are routes as well"),
+            Some(_) if !entries.is_empty() => {
+                return wrong("routes_from", "there are routes as well")
+            }
             Some(file) => Some(imported(file, self.routes_listen.clone(), config)?),
             None if entries.is_empty() => return wrong("routes", "no path leads to a class"),
             None => None,
@@ -473,7 +600,10 @@
                 memory_kb: own.memory_kb.or(all.memory_kb).unwrap_or(30.0),
                 rank: own.rank.or(all.rank).unwrap_or(0.5),
                 caller: own.caller.or(all.caller).unwrap_or(0),
-                needs_id: own.needs_id.or(all.needs_id).unwrap_or(class.effect != Effect::Safe),
+                needs_id: own
+                    .needs_id
+                    .or(all.needs_id)
+                    .unwrap_or(class.effect != Effect::Safe),
             };
             let place = |key: &str| {
                 if self.classes.contains_key(name) {
@@ -489,11 +619,15 @@
                 );
             }
             if !(0.0..1.0).contains(&found.rank) {
-                return wrong(place("rank"), format!("{} is not from 0 to under 1", found.rank));
+                return wrong(
+                    place("rank"),
+                    format!("{} is not from 0 to under 1", found.rank),
+                );
             }
             if found.needs_id && self.figures.id.is_none() {
-                let what =
-                    format!("class {name:?} has an effect and needs ids, but no header is named for them");
+                let what = format!(
+                    "class {name:?} has an effect and needs ids, but no header is named for them"
+                );
                 return wrong("figures.id", what);
             }
             defaults.push(found);
@@ -521,21 +655,30 @@
             defaults,
             seed: config.seed,
         };
-        Ok(AjpFront { listen, trusted, settings })
+        Ok(AjpFront {
+            listen,
+            trusted,
+            settings,
+        })
     }
 }
 
 impl StoreSection {
     fn check(self) -> Result<store::Speaks, Wrong> {
         match self.protocol.as_str() {
-            "http" if self.secret.is_some() => wrong("store.secret", "HTTP to the store knows no secret"),
+            "http" if self.secret.is_some() => {
+                wrong("store.secret", "HTTP to the store knows no secret")
+            }
             "http" => Ok(store::Speaks::Http),
             "ajp" => Ok(store::Speaks::Ajp(client::Options {
                 packet_size: packet_size("store.packet_size", self.packet_size)?,
                 secret: self.secret,
                 server: (String::new(), 0),
             })),
-            other => wrong("store.protocol", format!("{other:?} is neither \"http\" nor \"ajp\"")),
+            other => wrong(
+                "store.protocol",
+                format!("{other:?} is neither \"http\" nor \"ajp\""),
+            ),
         }
     }
 }
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -82,7 +82,10 @@
 impl CapSection {
     fn check(self, name: &str) -> Result<Cap, Wrong> {
         if self.places == Some(0) {
-            return wrong(format!("admission.{name}.places"), "0 lets nobody in; leave it out for no cap");
+            return wrong(
+                format!("admission.{name}.places"),
+                "0 lets nobody in; leave it out for no cap",
+            );
         }
         let rate = match (self.per_second, self.burst) {
             (None, None) => None,
@@ -102,13 +105,20 @@
                 Some(Rate { per_second, burst })
             }
         };
-        Ok(Cap { places: self.places, rate })
+        Ok(Cap {
+            places: self.places,
+            rate,
+        })
     }
 }
 
 impl AdmissionSection {
     /// The settings, and the folder that earned standing is kept in: each matcher has one of its own there, by its name.
-    pub(super) fn check(self, name: &str, beside: &Path) -> Result<(Settings, Option<PathBuf>), Wrong> {
+    pub(super) fn check(
+        self,
+        name: &str,
+        beside: &Path,
+    ) -> Result<(Settings, Option<PathBuf>), Wrong> {
         let mut named = Vec::new();
         for (i, text) in self.named.iter().enumerate() {
             match text.parse::<Net>() {
@@ -117,14 +127,20 @@
             }
         }
         if !(0.0..=0.9).contains(&self.reserve) {
-            return wrong("admission.reserve", format!("{} is not within 0 to 0.9", self.reserve));
+            return wrong(
+                "admission.reserve",
+                format!("{} is not within 0 to 0.9", self.reserve),
+            );
         }
         let (four, six) = self.prefix_bits;
         if !(8..=32).contains(&four) || !(16..=128).contains(&six) {
             let what = format!("{four} and {six} are not within 8 to 32 and 16 to 128");
             return wrong("admission.prefix_bits", what);
         }
-        let kept = self.earned.as_ref().and_then(|earned| earned.folder.as_deref());
+        let kept = self
+            .earned
+            .as_ref()
+            .and_then(|earned| earned.folder.as_deref());
         let folder = kept.map(|text| folder_of(text, name, beside)).transpose()?;
         let earned = match self.earned {
             None => None,
@@ -135,9 +151,10 @@
                 }
                 let within = |key: &str, value: usize, most: usize| match value {
                     _ if (1..=most).contains(&value) => Ok(value),
-                    _ => {
-                        wrong(format!("admission.earned.{key}"), format!("{value} is not within 1 to {most}"))
-                    }
+                    _ => wrong(
+                        format!("admission.earned.{key}"),
+                        format!("{value} is not within 1 to {most}"),
+                    ),
                 };
                 let half_life = within("half_life_s", earned.half_life_s as usize, 31_536_000)?;
                 Some(Earned {
@@ -169,19 +186,30 @@
     }
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     if name.is_empty() || name.starts_with('.') || !name.chars().all(plain) {
-        let what =
-            format!("the matcher's name {name:?} can be no folder's: letters, digits, '.', '_' and '-' can");
+        let what = format!(
+            "the matcher's name {name:?} can be no folder's: letters, digits, '.', '_' and '-' can"
+        );
         return wrong("admission.earned.folder", what);
     }
     Ok(beside.join(text).join(name))
 }
 
-pub(super) fn show(settings: &Settings, folder: Option<&Path>, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+pub(super) fn show(
+    settings: &Settings,
+    folder: Option<&Path>,
+    f: &mut fmt::Formatter<'_>,
+) -> fmt::Result {
     let cap = |cap: &Cap| {
-        let places =
-            cap.places.map_or("any number of places".to_owned(), |places| format!("{places} places"));
+        let places = cap
+            .places
+            .map_or("any number of places".to_owned(), |places| {
+                format!("{places} places")
+            });
         let rate = cap.rate.map_or("any rate".to_owned(), |rate| {
-            format!("{} new a second and {} at once", rate.per_second, rate.burst)
+            format!(
+                "{} new a second and {} at once",
+                rate.per_second, rate.burst
+            )
         });
         format!("{places}, {rate}")
     };
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -50,7 +50,10 @@
 /// File, line where it is known, key, and what is wrong there.
 pub fn load(file: &Path, role: Role, name: &str) -> Result<Option<Options>, Fault> {
     read_section(file, |file: File, folder| {
-        let checked = file.cluster.map(|section| section.check(folder, role, name)).transpose();
+        let checked = file
+            .cluster
+            .map(|section| section.check(folder, role, name))
+            .transpose();
         checked.map_err(|(key, what)| (format!("cluster.{key}"), what))
     })
 }
@@ -58,7 +61,9 @@
 /// What it comes to, in a line.
 #[must_use]
 pub fn show(options: Option<&Options>) -> String {
-    let Some(options) = options else { return "cluster: off".to_owned() };
+    let Some(options) = options else {
+        return "cluster: off".to_owned();
+    };
     let (identity, settings) = (&options.identity, &options.settings);
     format!(
         "cluster: {} {} of host {} in zone {}, hears on {}; {} contacts; asks every {} ms, waits {} ms, gives up after {} ms",
@@ -91,7 +96,10 @@
             None => listen,
         };
         if self.contacts.len() > MOST_CONTACTS {
-            return wrong("contacts", format!("there are {}, {MOST_CONTACTS} at most", self.contacts.len()));
+            return wrong(
+                "contacts",
+                format!("there are {}, {MOST_CONTACTS} at most", self.contacts.len()),
+            );
         }
         let contacts = self.contacts.iter().enumerate();
         let contacts = contacts.map(|(i, text)| address(&format!("contacts[{i}]"), text));
@@ -121,14 +129,22 @@
         };
         let file = beside.join(&self.keys);
         let mut keys: Rekey = Box::new(move || {
-            let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let text =
+                std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             Keys::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
         });
         keys().map_err(|what| ("keys".to_owned(), what))?;
         if self.folder.as_os_str().is_empty() {
             return wrong("folder", "it names no folder");
         }
-        Ok(Options { identity, listen, contacts, settings, keys, folder: beside.join(self.folder) })
+        Ok(Options {
+            identity,
+            listen,
+            contacts,
+            settings,
+            keys,
+            folder: beside.join(self.folder),
+        })
     }
 }
 
