--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -66,7 +66,12 @@
 
 impl Default for Timeouts {
     fn default() -> Self {
-        Self { start: 5_000, warm: 120_000, drain: 10_000, silent: 2_000 }
+        Self {
+            start: 5_000,
+            warm: 120_000,
+            drain: 10_000,
+            silent: 2_000,
+        }
     }
 }
 
@@ -82,7 +87,13 @@
 
 impl Default for Worse {
     fn default() -> Self {
-        Self { samples: 500, refused: 0.05, failed: 0.01, late: 0.05, errors: 4.0 }
+        Self {
+            samples: 500,
+            refused: 0.05,
+            failed: 0.01,
+            late: 0.05,
+            errors: 4.0,
+        }
     }
 }
 
@@ -97,7 +108,12 @@
 
 impl Default for Restart {
     fn default() -> Self {
-        Self { first_ms: 200, most_ms: 30_000, budget: 20, within_ms: 60_000 }
+        Self {
+            first_ms: 200,
+            most_ms: 30_000,
+            budget: 20,
+            within_ms: 60_000,
+        }
     }
 }
 
@@ -152,7 +168,12 @@
         let source = std::fs::read_to_string(file).unwrap_or_default();
         Self::parse(&json).map_err(|(key, what)| {
             let line = locate(&source, &key, &what);
-            Fault { file: file.to_owned(), line, key, what }
+            Fault {
+                file: file.to_owned(),
+                line,
+                key,
+                what,
+            }
         })
     }
 
@@ -161,10 +182,16 @@
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let key = e.path().to_string();
             let what = e.into_inner().to_string();
-            let what = what.split(" at line ").next().unwrap_or_default().to_owned();
+            let what = what
+                .split(" at line ")
+                .next()
+                .unwrap_or_default()
+                .to_owned();
             (if key == "." { "fleet".to_owned() } else { key }, what)
         })?;
-        file.fleet.check().map_err(|(key, what)| (format!("fleet.{key}"), what))
+        file.fleet
+            .check()
+            .map_err(|(key, what)| (format!("fleet.{key}"), what))
     }
 }
 
@@ -180,13 +207,19 @@
             );
             return wrong("places", what);
         }
-        let shared = self.listen.as_deref().map(|text| address("listen".to_owned(), text)).transpose()?;
+        let shared = self
+            .listen
+            .as_deref()
+            .map(|text| address("listen".to_owned(), text))
+            .transpose()?;
         let places = places(&self.places, shared)?;
         if self.releases.is_empty() {
             return wrong("releases", "none: there is nothing to run");
         }
         let less = if self.surge == 0 { 1 } else { 0 };
-        let minimum = self.minimum.unwrap_or(self.instances.saturating_sub(less.max(self.batch)) as f64);
+        let minimum = self
+            .minimum
+            .unwrap_or(self.instances.saturating_sub(less.max(self.batch)) as f64);
         let bounds = Bounds {
             instances: self.instances,
             surge: self.surge,
@@ -228,7 +261,14 @@
                 headroom: self.headroom.max(0.0),
             }),
         };
-        Ok(Fleet { folder: self.folder, shared, places, releases: self.releases, bounds, question })
+        Ok(Fleet {
+            folder: self.folder,
+            shared,
+            places,
+            releases: self.releases,
+            bounds,
+            question,
+        })
     }
 }
 
@@ -242,7 +282,10 @@
     let one = |(i, section): (usize, &PlaceSection)| {
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if section.name.is_empty() || !section.name.chars().all(plain) {
-            let what = format!("{:?} is not letters, digits, '-', '_' and '.'", section.name);
+            let what = format!(
+                "{:?} is not letters, digits, '-', '_' and '.'",
+                section.name
+            );
             return wrong(format!("places[{i}].name"), what);
         }
         let key = || format!("places[{i}].listen");
@@ -253,12 +296,19 @@
             (None, None) => return wrong(key(), "missing, and fleet.listen names none for all"),
         };
         if !names.insert(section.name.clone()) {
-            return wrong(format!("places[{i}].name"), format!("{:?} is there twice", section.name));
+            return wrong(
+                format!("places[{i}].name"),
+                format!("{:?} is there twice", section.name),
+            );
         }
         if shared.is_none() && !addresses.insert(listen) {
             return wrong(key(), format!("{listen} is there twice"));
         }
-        Ok(Place { name: section.name.clone(), listen, config: section.config.clone() })
+        Ok(Place {
+            name: section.name.clone(),
+            listen,
+            config: section.config.clone(),
+        })
     };
     sections.iter().enumerate().map(one).collect()
 }
@@ -277,7 +327,10 @@
             }
         }
         if self.cold_from > 1.0 {
-            return wrong("host.cold_from", format!("{} is a share above 1", self.cold_from));
+            return wrong(
+                "host.cold_from",
+                format!("{} is a share above 1", self.cold_from),
+            );
         }
         Ok(Host {
             cores: self.cores,
@@ -300,7 +353,10 @@
             return wrong(format!("demand[{i}]"), what);
         }
         if !(rate.is_finite() && rate >= 0.0) {
-            return wrong(format!("demand[{i}]"), format!("{rate} is no number of requests a second"));
+            return wrong(
+                format!("demand[{i}]"),
+                format!("{rate} is no number of requests a second"),
+            );
         }
         before = seconds;
         all.push(((seconds * SECOND as f64) as u64, rate));
@@ -328,14 +384,38 @@
     fn each_fault_names_its_key() {
         assert_eq!(fault("127.0.0.1:2"), "fine");
         for (change, key) in [
-            ("127.0.0.1:2 => 127.0.0.1:1", "fleet.places[1].listen: 127.0.0.1:1 is there twice"),
-            ("127.0.0.1:2 => here", "fleet.places[1].listen: \"here\" is not"),
-            ("\"b\" => \"a\"", "fleet.places[1].name: \"a\" is there twice"),
-            ("\"surge\": 1 => \"surge\": 2", "fleet.places: 2 for 1 instances and a surge of 2"),
-            ("\"minimum\": 1 => \"minimum\": 2", "fleet.minimum: not between 0 and"),
-            ("\"surge\": 1 => \"surge\": 0", "fleet.minimum: with 1 instances, a surge of 0"),
-            ("\"minimum\": 1 => \"minimum\": 1, \"pace\": 2", "fleet.pace: unknown field `pace`"),
-            ("{\"1\": {\"program\": \"/p\"}} => {}", "fleet.releases: none"),
+            (
+                "127.0.0.1:2 => 127.0.0.1:1",
+                "fleet.places[1].listen: 127.0.0.1:1 is there twice",
+            ),
+            (
+                "127.0.0.1:2 => here",
+                "fleet.places[1].listen: \"here\" is not",
+            ),
+            (
+                "\"b\" => \"a\"",
+                "fleet.places[1].name: \"a\" is there twice",
+            ),
+            (
+                "\"surge\": 1 => \"surge\": 2",
+                "fleet.places: 2 for 1 instances and a surge of 2",
+            ),
+            (
+                "\"minimum\": 1 => \"minimum\": 2",
+                "fleet.minimum: not between 0 and",
+            ),
+            (
+                "\"surge\": 1 => \"surge\": 0",
+                "fleet.minimum: with 1 instances, a surge of 0",
+            ),
+            (
+                "\"minimum\": 1 => \"minimum\": 1, \"pace\": 2",
+                "fleet.pace: unknown field `pace`",
+            ),
+            (
+                "{\"1\": {\"program\": \"/p\"}} => {}",
+                "fleet.releases: none",
+            ),
             ("\"1\": {\"program => \"x\": {\"program", "fleet.releases"),
         ] {
             let told = fault(change);
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -135,10 +135,14 @@
     fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, Wrong> {
         use cleatpulley_tls::pair::{certificates, Pair};
         let roots_file = folder.join(&self.roots);
-        let bytes = std::fs::read(&roots_file)
-            .map_err(|e| ("targets.tls.roots".to_owned(), format!("{}: {e}", roots_file.display())))?;
-        let roots =
-            certificates(&roots_file, &bytes).map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
+        let bytes = std::fs::read(&roots_file).map_err(|e| {
+            (
+                "targets.tls.roots".to_owned(),
+                format!("{}: {e}", roots_file.display()),
+            )
+        })?;
+        let roots = certificates(&roots_file, &bytes)
+            .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
         let own = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
@@ -146,11 +150,16 @@
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
             (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
-            (None, Some(_)) => return wrong("targets.tls.certificate", "a key needs its certificate"),
+            (None, Some(_)) => {
+                return wrong("targets.tls.certificate", "a key needs its certificate")
+            }
         };
         if let Some(name) = &self.server_name {
             if cleatpulley_tls::rustls::pki_types::ServerName::try_from(name.as_str()).is_err() {
-                return wrong("targets.tls.server_name", format!("{name:?} is no host's name or address"));
+                return wrong(
+                    "targets.tls.server_name",
+                    format!("{name:?} is no host's name or address"),
+                );
             }
         }
         let clock = cleatpulley_tls::Clock::default();
@@ -161,7 +170,11 @@
             &clock,
         );
         let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
-        Ok(cleatpulley_gateway::upstream::Links { config, server_name: self.server_name, clock })
+        Ok(cleatpulley_gateway::upstream::Links {
+            config,
+            server_name: self.server_name,
+            clock,
+        })
     }
 }
 
@@ -171,13 +184,16 @@
 /// File, line where it is known, key, and what is wrong there.
 pub fn load(file: &Path) -> Result<Options, Fault> {
     read_section(file, |file: File, folder| {
-        file.gateway.check(folder).map_err(|(key, what)| (format!("gateway.{key}"), what))
+        file.gateway
+            .check(folder)
+            .map_err(|(key, what)| (format!("gateway.{key}"), what))
     })
 }
 
 impl Section {
     fn check(self, folder: &Path) -> Result<Options, Wrong> {
-        let routes = nginx::load(&folder.join(&self.routes)).map_err(|what| ("routes".to_owned(), what))?;
+        let routes =
+            nginx::load(&folder.join(&self.routes)).map_err(|what| ("routes".to_owned(), what))?;
         let frames = addresses("frames", &self.frames)?;
         if frames.is_empty() && self.ajp.is_none() {
             return wrong("frames", "no address, and no AJP either: nobody could come");
@@ -208,17 +224,31 @@
             return wrong("stop_ms", what);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
-            return wrong("memory_mb", format!("{} is not within 1 to 65536", self.memory_mb));
+            return wrong(
+                "memory_mb",
+                format!("{} is not within 1 to 65536", self.memory_mb),
+            );
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return wrong("retry_share", format!("{} is not from 0 to 1", self.retry_share));
+            return wrong(
+                "retry_share",
+                format!("{} is not from 0 to 1", self.retry_share),
+            );
         }
         for server in &routes.servers {
             classes_known(&server.locations, &server.steps, &self.classes)?;
         }
         if let Some(at) = &self.routes_listen {
-            if !routes.servers.iter().flat_map(|server| &server.listens).any(|(known, _)| known == at) {
-                return wrong("routes_listen", format!("no server of the routes listens on {at}"));
+            if !routes
+                .servers
+                .iter()
+                .flat_map(|server| &server.listens)
+                .any(|(known, _)| known == at)
+            {
+                return wrong(
+                    "routes_listen",
+                    format!("no server of the routes listens on {at}"),
+                );
             }
         }
         let speaks = match self.targets.protocol.as_deref() {
@@ -232,11 +262,18 @@
                 server: (self.name.clone(), 0),
             }),
             Some(other) => {
-                return wrong("targets.protocol", format!("{other:?} is neither \"frames\" nor \"ajp\""))
+                return wrong(
+                    "targets.protocol",
+                    format!("{other:?} is neither \"frames\" nor \"ajp\""),
+                )
             }
         };
         let resolved = resolve(&routes, &self.targets.names)?;
-        let tls = self.targets.tls.map(|links| links.check(folder)).transpose()?;
+        let tls = self
+            .targets
+            .tls
+            .map(|links| links.check(folder))
+            .transpose()?;
         let ajp = self.ajp.map(|ajp| ajp.check(self.seed)).transpose()?;
         Ok(Options {
             name: self.name,
@@ -271,8 +308,13 @@
 ) -> Result<(), Wrong> {
     for location in locations {
         for step in above.iter().chain(&location.steps) {
-            let Step::Set { variable, value } = step else { continue };
-            if variable == CLASS && !value.contains('$') && !value.is_empty() && !classes.contains_key(value)
+            let Step::Set { variable, value } = step else {
+                continue;
+            };
+            if variable == CLASS
+                && !value.contains('$')
+                && !value.is_empty()
+                && !classes.contains_key(value)
             {
                 let what = format!(
                     "{}: {value:?} is no class; there are {}",
@@ -309,7 +351,10 @@
 impl AjpSection {
     fn check(self, seed: u64) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), Wrong> {
         let listen = addresses("ajp.listen", &self.listen)?;
-        if let Some(i) = listen.iter().position(|at| !at.ip().is_loopback() && self.secret.is_none()) {
+        if let Some(i) = listen
+            .iter()
+            .position(|at| !at.ip().is_loopback() && self.secret.is_none())
+        {
             return wrong(
                 format!("ajp.listen[{i}]"),
                 format!("{} is no loopback address, which takes a secret", listen[i]),
@@ -336,7 +381,13 @@
                 subject: header(&names.subject),
                 key: None,
             },
-            defaults: vec![Defaults { work: 0, memory_kb: 30.0, rank: 0.5, caller: 0, needs_id: false }],
+            defaults: vec![Defaults {
+                work: 0,
+                memory_kb: 30.0,
+                rank: 0.5,
+                caller: 0,
+                needs_id: false,
+            }],
             seed,
         };
         Ok((listen, settings, self.trusted_proxies))
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -69,14 +69,20 @@
             return wrong("results.folder", "it names no folder");
         }
         if self.classes.is_empty() {
-            return wrong("results.classes", "no class; leave the section out to keep nothing");
+            return wrong(
+                "results.classes",
+                "no class; leave the section out to keep nothing",
+            );
         }
         let mut classes = vec![false; config.class_names.len()];
         let window = self.window_ms.saturating_mul(MS);
         if self.window_ms > LONGEST_WINDOW_MS {
             return wrong(
                 "results.window_ms",
-                format!("{} is more than {LONGEST_WINDOW_MS}, 30 days", self.window_ms),
+                format!(
+                    "{} is more than {LONGEST_WINDOW_MS}, 30 days",
+                    self.window_ms
+                ),
             );
         }
         for (i, name) in self.classes.iter().enumerate() {
@@ -84,12 +90,18 @@
             let Some(place) = config.class_names.iter().position(|known| known == name) else {
                 return wrong(
                     key,
-                    format!("{name:?} is no class; there are {}", config.class_names.join(", ")),
+                    format!(
+                        "{name:?} is no class; there are {}",
+                        config.class_names.join(", ")
+                    ),
                 );
             };
             let class = &config.settings.classes[place];
             if class.effect == Effect::Safe {
-                return wrong(key, format!("{name:?} is safe to repeat, and needs no result kept"));
+                return wrong(
+                    key,
+                    format!("{name:?} is safe to repeat, and needs no result kept"),
+                );
             }
             if class.effect == Effect::Keyed && !self.required {
                 return wrong(
@@ -98,7 +110,11 @@
                 );
             }
             // Guards against a repeat that comes while its first is still owed an answer and finds no entry.
-            let least = class.deadline.max(if class.effect == Effect::Keyed { class.window } else { 0 });
+            let least = class.deadline.max(if class.effect == Effect::Keyed {
+                class.window
+            } else {
+                0
+            });
             if window < least {
                 let what = format!(
                     "{} is less than the {} ms in which {name:?} may come again",
@@ -116,25 +132,44 @@
             );
         }
         if let Some(field) = &self.frame_field {
-            let known = ["verb", "txn", "door", "lb", "cpu", "ram", "standing", "item"];
+            let known = [
+                "verb", "txn", "door", "lb", "cpu", "ram", "standing", "item",
+            ];
             if field.is_empty() || field.len() > 255 || known.contains(&field.as_str()) {
-                return wrong("results.frame_field", format!("{field:?} is empty, too long or taken"));
+                return wrong(
+                    "results.frame_field",
+                    format!("{field:?} is empty, too long or taken"),
+                );
             }
         }
         let within = |key: &str, value: usize, most: usize| match value {
             _ if (1..=most).contains(&value) => Ok(value),
-            _ => wrong(format!("results.{key}"), format!("{value} is not within 1 to {most}")),
+            _ => wrong(
+                format!("results.{key}"),
+                format!("{value} is not within 1 to {most}"),
+            ),
         };
         if !(self.entry_kb >= 0.0 && self.entry_kb < 1_000.0) {
-            return wrong("results.entry_kb", format!("{} is not from 0 to under 1000", self.entry_kb));
+            return wrong(
+                "results.entry_kb",
+                format!("{} is not from 0 to under 1000", self.entry_kb),
+            );
         }
         if !(1..=60_000).contains(&self.stall_ms) {
-            return wrong("results.stall_ms", format!("{} is not within 1 to 60000", self.stall_ms));
+            return wrong(
+                "results.stall_ms",
+                format!("{} is not within 1 to 60000", self.stall_ms),
+            );
         }
         let owner = match self.owner.as_str() {
             "all" => Owner::All,
             "caller" => Owner::Caller,
-            other => return wrong("results.owner", format!("{other:?} is neither \"all\" nor \"caller\"")),
+            other => {
+                return wrong(
+                    "results.owner",
+                    format!("{other:?} is neither \"all\" nor \"caller\""),
+                )
+            }
         };
         let bounds = Bounds {
             entries: within("max_entries", self.max_entries, 50_000_000)?,
@@ -158,7 +193,13 @@
 
 /// What they come to, in one line.
 pub(crate) fn show(results: &Results, f: &mut impl fmt::Write) -> fmt::Result {
-    let Bounds { entries, bytes, window, stall, .. } = results.bounds;
+    let Bounds {
+        entries,
+        bytes,
+        window,
+        stall,
+        ..
+    } = results.bounds;
     let kept = results.classes.iter().filter(|kept| **kept).count();
     write!(
         f,
--- a/src/operator/section.rs
+++ b/src/operator/section.rs
@@ -18,11 +18,21 @@
     let read = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
         let (key, what) = (e.path().to_string(), e.inner().to_string());
         // Lines of the evaluated text mean nothing to whoever wrote the template.
-        let what = what.split(" at line ").next().unwrap_or_default().to_owned();
+        let what = what
+            .split(" at line ")
+            .next()
+            .unwrap_or_default()
+            .to_owned();
         (if key == "." { String::new() } else { key }, what)
     });
-    read.and_then(|read| check(read, &folder)).map_err(|(key, what)| {
-        let line = locate(&source, &key, &what);
-        Fault { file: file.to_owned(), line, key, what }
-    })
+    read.and_then(|read| check(read, &folder))
+        .map_err(|(key, what)| {
+            let line = locate(&source, &key, &what);
+            Fault {
+                file: file.to_owned(),
+                line,
+                key,
+                what,
+            }
+        })
 }
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -91,7 +91,10 @@
 impl IdentitiesSection {
     fn check(self) -> Result<cleatpulley_connection_admission::identity::Settings, Wrong> {
         if self.places == Some(0) {
-            return wrong("tls.identities.places", "0 lets nobody in; leave it out for no cap");
+            return wrong(
+                "tls.identities.places",
+                "0 lets nobody in; leave it out for no cap",
+            );
         }
         let rate = match (self.per_second, self.burst) {
             (None, None) => None,
@@ -105,13 +108,24 @@
                 }
                 let burst = burst.unwrap_or_else(|| per_second.max(1.0));
                 if !(1.0..=1e6).contains(&burst) {
-                    return wrong("tls.identities.burst", format!("{burst} is not within 1 to 1000000"));
+                    return wrong(
+                        "tls.identities.burst",
+                        format!("{burst} is not within 1 to 1000000"),
+                    );
                 }
                 Some(cleatpulley_connection_admission::rate::Rate { per_second, burst })
             }
         };
-        let named = self.named.iter().map(|name| name.to_ascii_lowercase()).collect();
-        Ok(cleatpulley_connection_admission::identity::Settings { named, places: self.places, rate })
+        let named = self
+            .named
+            .iter()
+            .map(|name| name.to_ascii_lowercase())
+            .collect();
+        Ok(cleatpulley_connection_admission::identity::Settings {
+            named,
+            places: self.places,
+            rate,
+        })
     }
 }
 
@@ -150,7 +164,14 @@
     fn paths(&self) -> impl Iterator<Item = &Path> {
         let roots = self.roots.as_ref().map(|(path, _)| path.as_path());
         let tickets = self.tickets.as_ref().map(|(path, _)| path.as_path());
-        [Some(self.certificate.as_path()), Some(self.key.as_path()), roots, tickets].into_iter().flatten()
+        [
+            Some(self.certificate.as_path()),
+            Some(self.key.as_path()),
+            roots,
+            tickets,
+        ]
+        .into_iter()
+        .flatten()
     }
 }
 
@@ -175,7 +196,11 @@
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
         for path in self.paths() {
             let meta = std::fs::metadata(path).ok();
-            (meta.as_ref().and_then(|m| m.modified().ok()), meta.map(|m| m.len())).hash(&mut hasher);
+            (
+                meta.as_ref().and_then(|m| m.modified().ok()),
+                meta.map(|m| m.len()),
+            )
+                .hash(&mut hasher);
         }
         hasher.finish()
     }
@@ -187,19 +212,26 @@
             Some((file, required)) => {
                 let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
                 let roots = pair::certificates(file, &bytes).map_err(|e| e.to_string())?;
-                Some(Clients { roots, required: *required })
+                Some(Clients {
+                    roots,
+                    required: *required,
+                })
             }
         };
         let tickets = match &self.tickets {
             None => None,
             Some((file, period)) => {
-                let tickets = Tickets::load(file, *period, self.clock.clone()).map_err(|e| e.to_string())?;
+                let tickets =
+                    Tickets::load(file, *period, self.clock.clone()).map_err(|e| e.to_string())?;
                 Some(Arc::new(tickets) as Arc<dyn cleatpulley_tls::rustls::server::ProducesTickets>)
             }
         };
         let config = setup::server(&pair, clients.as_ref(), self.versions, tickets, &self.clock);
         let config = config.map_err(|e| format!("{}: {e}", self.certificate.display()))?;
-        Ok(Loaded { config, facts: pair.facts })
+        Ok(Loaded {
+            config,
+            facts: pair.facts,
+        })
     }
 }
 
@@ -210,21 +242,54 @@
             if (low..=high).contains(&value) {
                 Ok(value)
             } else {
-                wrong(format!("tls.handshakes.{key}"), format!("{value} is not within {low} to {high}"))
+                wrong(
+                    format!("tls.handshakes.{key}"),
+                    format!("{value} is not within {low} to {high}"),
+                )
             }
         };
-        let per_second = within("per_second", self.per_second.unwrap_or(plain.per_second), 1.0, 1e6)?;
-        let burst = within("burst", self.burst.unwrap_or(plain.burst.min(per_second)), 1.0, 1e6)?;
-        let at_once =
-            within("at_once", self.at_once.unwrap_or(plain.at_once) as f64, 1.0, 65_536.0)? as usize;
-        let resumed_cost =
-            within("resumed_cost", self.resumed_cost.unwrap_or(plain.resumed_cost), 0.01, 1.0)?;
+        let per_second = within(
+            "per_second",
+            self.per_second.unwrap_or(plain.per_second),
+            1.0,
+            1e6,
+        )?;
+        let burst = within(
+            "burst",
+            self.burst.unwrap_or(plain.burst.min(per_second)),
+            1.0,
+            1e6,
+        )?;
+        let at_once = within(
+            "at_once",
+            self.at_once.unwrap_or(plain.at_once) as f64,
+            1.0,
+            65_536.0,
+        )? as usize;
+        let resumed_cost = within(
+            "resumed_cost",
+            self.resumed_cost.unwrap_or(plain.resumed_cost),
+            0.01,
+            1.0,
+        )?;
         let reserve = within("reserve", self.reserve.unwrap_or(plain.reserve), 0.0, 0.9)?;
         let deadline_ms = self.deadline_ms.unwrap_or(plain.deadline / 1_000);
         let deadline = within("deadline_ms", deadline_ms as f64, 50.0, 60_000.0)? as u64 * 1_000;
-        let waiting =
-            within("waiting", self.waiting.unwrap_or(plain.waiting) as f64, 0.0, 65_536.0)? as usize;
-        Ok(Handshaking { per_second, burst, at_once, resumed_cost, reserve, deadline, waiting })
+        let waiting = within(
+            "waiting",
+            self.waiting.unwrap_or(plain.waiting) as f64,
+            0.0,
+            65_536.0,
+        )? as usize;
+        Ok(Handshaking {
+            per_second,
+            burst,
+            at_once,
+            resumed_cost,
+            reserve,
+            deadline,
+            waiting,
+        })
     }
 }
 
@@ -238,7 +303,10 @@
             _ => {
                 return wrong(
                     "tls.versions",
-                    format!("{:?} is not [\"1.3\", \"1.2\"], [\"1.3\"] or [\"1.2\"]", self.versions),
+                    format!(
+                        "{:?} is not [\"1.3\", \"1.2\"], [\"1.3\"] or [\"1.2\"]",
+                        self.versions
+                    ),
                 )
             }
         };
@@ -248,45 +316,74 @@
                 "frames" => frames = true,
                 "ajp" => ajp = true,
                 "mgmt" => mgmt = true,
-                _ => return wrong(format!("tls.on[{i}]"), format!("{front:?} is not frames, ajp or mgmt")),
+                _ => {
+                    return wrong(
+                        format!("tls.on[{i}]"),
+                        format!("{front:?} is not frames, ajp or mgmt"),
+                    )
+                }
             }
         }
         let mut permits = vec![None; config.class_names.len()];
         for (class, names) in self.permits {
             let Some(i) = config.class_names.iter().position(|name| *name == class) else {
-                return wrong(format!("tls.permits.{class}"), "no such class in the settings");
+                return wrong(
+                    format!("tls.permits.{class}"),
+                    "no such class in the settings",
+                );
             };
             if names.is_empty() {
-                return wrong(format!("tls.permits.{class}"), "no name: nobody could ask for it");
+                return wrong(
+                    format!("tls.permits.{class}"),
+                    "no name: nobody could ask for it",
+                );
             }
             permits[i] = Some(names.iter().map(|name| name.to_ascii_lowercase()).collect());
         }
         if permits.iter().any(Option::is_some) && self.clients.is_none() {
-            return wrong("tls.permits", "names of clients need tls.clients: nobody would show one");
+            return wrong(
+                "tls.permits",
+                "names of clients need tls.clients: nobody would show one",
+            );
         }
         let clock = Clock::default();
         let files = Files {
             certificate: path(&self.certificate),
             key: path(&self.key),
-            roots: self.clients.map(|clients| (path(&clients.roots), clients.required)),
-            tickets: self.tickets.map(|tickets| (path(&tickets.secret), tickets.period_s)),
+            roots: self
+                .clients
+                .map(|clients| (path(&clients.roots), clients.required)),
+            tickets: self
+                .tickets
+                .map(|tickets| (path(&tickets.secret), tickets.period_s)),
             versions,
             clock: clock.clone(),
         };
         if let Some((_, period)) = files.tickets {
             if !(60..=7 * 86_400).contains(&period) {
-                return wrong("tls.tickets.period_s", format!("{period} is not within 60 to 604800"));
+                return wrong(
+                    "tls.tickets.period_s",
+                    format!("{period} is not within 60 to 604800"),
+                );
             }
         }
         // A pair that is faulty at the start is told at once, with its key and file.
-        files.load().map_err(|what| (files.key_of(&what).to_owned(), what))?;
+        files
+            .load()
+            .map_err(|what| (files.key_of(&what).to_owned(), what))?;
         let handshakes = self.handshakes.map(HandshakesSection::check).transpose()?;
         if self.identities.is_some() && files.roots.is_none() {
-            return wrong("tls.identities", "names of clients need tls.clients: nobody would show one");
+            return wrong(
+                "tls.identities",
+                "names of clients need tls.clients: nobody would show one",
+            );
         }
         let identities = self.identities.map(IdentitiesSection::check).transpose()?;
         if !(1..=365).contains(&self.warn_days) {
-            return wrong("tls.warn_days", format!("{} is not within 1 to 365", self.warn_days));
+            return wrong(
+                "tls.warn_days",
+                format!("{} is not within 1 to 365", self.warn_days),
+            );
         }
         Ok(TlsFront {
             certificates: Arc::new(files),
@@ -325,11 +422,19 @@
         }
     }
     if let Some(identities) = &tls.identities {
-        let places =
-            identities.places.map_or("any number of places".to_owned(), |most| format!("{most} places"));
-        let rate =
-            identities.rate.map_or("any rate".to_owned(), |rate| format!("{} new a second", rate.per_second));
-        write!(f, "; a certificate's name: {places}, {rate}, {} named", identities.named.len())?;
+        let places = identities
+            .places
+            .map_or("any number of places".to_owned(), |most| {
+                format!("{most} places")
+            });
+        let rate = identities.rate.map_or("any rate".to_owned(), |rate| {
+            format!("{} new a second", rate.per_second)
+        });
+        write!(
+            f,
+            "; a certificate's name: {places}, {rate}, {} named",
+            identities.named.len()
+        )?;
     }
     match &tls.handshakes {
         None => write!(f, "; each handshake begins at once"),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -60,17 +60,28 @@
     }
 
     fn fault(&self, verb: &str, what: &str) -> String {
-        let round = self.round.as_ref().map_or_else(|| "-".to_owned(), |r| r.number.to_string());
+        let round = self
+            .round
+            .as_ref()
+            .map_or_else(|| "-".to_owned(), |r| r.number.to_string());
         format!("round {round}, verb {verb}: {what}")
     }
 
-    fn dispatch(&mut self, verb: &str, value: Value, reply: &mut String) -> Result<Vec<String>, String> {
+    fn dispatch(
+        &mut self,
+        verb: &str,
+        value: Value,
+        reply: &mut String,
+    ) -> Result<Vec<String>, String> {
         if verb == "tick" {
             if self.round.is_some() {
                 return Err(self.fault(verb, "the last round is still open"));
             }
             let tick: Tick = self.read(verb, value)?;
-            self.round = Some(Round { clock: tick.clock, number: tick.round });
+            self.round = Some(Round {
+                clock: tick.clock,
+                number: tick.round,
+            });
             return Ok(Vec::new());
         }
         let Some(clock) = self.round.as_ref().map(|r| r.clock) else {
@@ -130,22 +141,59 @@
                 (line.instance_id, Event::CallNeeded(line.rid.0))
             }
             "call_ended" => {
-                let Ended { instance_id, rid, reason, elapsed } = self.read(verb, value)?;
-                (instance_id, Event::CallEnded { id: rid.0, outcome: reason.into(), elapsed })
+                let Ended {
+                    instance_id,
+                    rid,
+                    reason,
+                    elapsed,
+                } = self.read(verb, value)?;
+                (
+                    instance_id,
+                    Event::CallEnded {
+                        id: rid.0,
+                        outcome: reason.into(),
+                        elapsed,
+                    },
+                )
             }
             "finished" => {
-                let Ended { instance_id, rid, reason, elapsed } = self.read(verb, value)?;
-                (instance_id, Event::RunEnded { id: rid.0, outcome: reason.into(), elapsed })
+                let Ended {
+                    instance_id,
+                    rid,
+                    reason,
+                    elapsed,
+                } = self.read(verb, value)?;
+                (
+                    instance_id,
+                    Event::RunEnded {
+                        id: rid.0,
+                        outcome: reason.into(),
+                        elapsed,
+                    },
+                )
             }
             "leaving" => {
                 let line: Leaving = self.read(verb, value)?;
-                (line.instance_id, Event::Drain { stop_at: line.not_after.max(clock) })
+                (
+                    line.instance_id,
+                    Event::Drain {
+                        stop_at: line.not_after.max(clock),
+                    },
+                )
             }
             _ => {
                 let line: Wakeup = self.read(verb, value)?;
-                let gauges =
-                    Gauges { runnable: line.health_info.runnable, memory: line.health_info.mem_used };
-                (line.instance_id, Event::Timer { token: line.mark, gauges })
+                let gauges = Gauges {
+                    runnable: line.health_info.runnable,
+                    memory: line.health_info.mem_used,
+                };
+                (
+                    line.instance_id,
+                    Event::Timer {
+                        token: line.mark,
+                        gauges,
+                    },
+                )
             }
         };
         let Some(instance) = self.instances.get_mut(&name) else {
@@ -172,19 +220,31 @@
     }
 
     fn answer(&mut self, reply: &mut String) {
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.round.take() else {
+            return;
+        };
         for name in std::mem::take(&mut self.active) {
-            let Some(instance) = self.instances.get_mut(&name) else { continue };
+            let Some(instance) = self.instances.get_mut(&name) else {
+                continue;
+            };
             let events = std::mem::take(&mut instance.events);
             if events.is_empty() {
                 continue;
             }
-            instance.controller.step(round.clock, &events, &mut self.actions);
+            instance
+                .controller
+                .step(round.clock, &events, &mut self.actions);
             for action in self.actions.drain(..) {
                 push_line(reply, &Line::of(&name, &action));
             }
         }
-        push_line(reply, &Ready { verb: "ready", round: round.number });
+        push_line(
+            reply,
+            &Ready {
+                verb: "ready",
+                round: round.number,
+            },
+        );
     }
 }
 
@@ -224,7 +284,9 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
-        let plain = text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+        let plain = text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
         match u64::from_str_radix(&text, 16) {
             Ok(id) if plain && text.len() == 16 => Ok(Self(id)),
             _ => Err(format!("request id {text:?} is not 16 hex digits")),
@@ -303,18 +365,28 @@
 
 impl Accept {
     fn request(&self) -> Request {
-        let prior = self.prior.as_ref().and_then(Value::as_str).map(str::to_owned);
+        let prior = self
+            .prior
+            .as_ref()
+            .and_then(Value::as_str)
+            .map(str::to_owned);
         Request {
             id: self.rid.0,
             due: (self.not_after > 0).then_some(self.not_after),
-            prior: prior.and_then(|text| Hex::try_from(text).ok()).map(|hex| hex.0).filter(|id| *id != 0),
+            prior: prior
+                .and_then(|text| Hex::try_from(text).ok())
+                .map(|hex| hex.0)
+                .filter(|id| *id != 0),
             class: self.category,
             tenant: self.tenant,
             waited: self.queued_for,
             work: (self.marks & HINT_VALID != 0 && self.size_hint > 0).then_some(self.size_hint),
             retry: self.marks & FURTHER_TRY != 0,
             write: self.marks & WRITE != 0,
-            has_subject: self.entity.as_ref().is_some_and(|key| key.as_str().is_some_and(|k| !k.is_empty())),
+            has_subject: self
+                .entity
+                .as_ref()
+                .is_some_and(|key| key.as_str().is_some_and(|k| !k.is_empty())),
             caller: self.author,
             rank: self.rank,
             memory_kb: self.mem_kb,
@@ -386,32 +458,54 @@
 
 impl<'a> Line<'a> {
     fn of(instance_id: &'a str, action: &Action) -> Self {
-        let plain =
-            |verb, id: Option<RequestId>| Line { verb, instance_id, rid: id.map(hex), ..Line::default() };
+        let plain = |verb, id: Option<RequestId>| Line {
+            verb,
+            instance_id,
+            rid: id.map(hex),
+            ..Line::default()
+        };
         match *action {
             Action::Run(id) => plain("serve", Some(id)),
-            Action::Refuse { id, avoid_for, last } => Line {
+            Action::Refuse {
+                id,
+                avoid_for,
+                last,
+            } => Line {
                 cool_down: (avoid_for > 0).then_some(avoid_for),
                 dont_retry: last.then_some(true),
                 ..plain("not_now", Some(id))
             },
             Action::Fail(id) => plain("end_failed", Some(id)),
-            Action::Call { id, timeout } => Line { within: Some(timeout), ..plain("reach_out", Some(id)) },
+            Action::Call { id, timeout } => Line {
+                within: Some(timeout),
+                ..plain("reach_out", Some(id))
+            },
             Action::SkipCall(id) => plain("do_without", Some(id)),
             Action::Halt(id) => plain("yank", Some(id)),
             Action::Share(id) => plain("echo", Some(id)),
-            Action::Remember { id, lifetime } => {
-                Line { lifetime: Some(lifetime), ..plain("store_key", Some(id)) }
-            }
+            Action::Remember { id, lifetime } => Line {
+                lifetime: Some(lifetime),
+                ..plain("store_key", Some(id))
+            },
             Action::Forget(id) => plain("drop_key", Some(id)),
-            Action::Timer { at, token } => {
-                Line { moment: Some(at), mark: Some(token), ..plain("timer", None) }
-            }
-            Action::CloseIdle(after) => Line { lifetime: Some(after), ..plain("idle", None) },
-            Action::Advertise(value) => Line { x: Some(value), ..plain("signal", None) },
-            Action::Health { good, from_state } => {
-                Line { active: Some(good), from_state: Some(from_state), ..plain("health", None) }
-            }
+            Action::Timer { at, token } => Line {
+                moment: Some(at),
+                mark: Some(token),
+                ..plain("timer", None)
+            },
+            Action::CloseIdle(after) => Line {
+                lifetime: Some(after),
+                ..plain("idle", None)
+            },
+            Action::Advertise(value) => Line {
+                x: Some(value),
+                ..plain("signal", None)
+            },
+            Action::Health { good, from_state } => Line {
+                active: Some(good),
+                from_state: Some(from_state),
+                ..plain("health", None)
+            },
         }
     }
 }
