--- a/Makefile
+++ b/Makefile
@@ -41,15 +41,15 @@
 bench-fleet: build
 	target/release/cleatpulley check fleet --long
 
-# Operators beside crowds, upgrades under load, and both from seeds with planted bugs; 1 where it falls short.
+# Operators beside crowds, upgrades under load, and both from seeds with injected bugs; 1 where it falls short.
 check-service bench-service:
-	cargo build --locked --release --features planted --target-dir target/planted
-	target/planted/release/cleatpulley check service
+	cargo build --locked --release --features bug-injection --target-dir target/bug-injection
+	target/bug-injection/release/cleatpulley check service
 
 # What a decision on a connection costs at a million addresses, and who is served in a flood; 1 where it falls short.
 check-connection-admission check-admission bench-admission:
-	cargo build --locked --release --features planted --target-dir target/planted
-	target/planted/release/cleatpulley check connection-admission
+	cargo build --locked --release --features bug-injection --target-dir target/bug-injection
+	target/bug-injection/release/cleatpulley check connection-admission
 
 # How well the queueing model tells where upstreams saturate, and what a bound by it serves; 1 where it falls short.
 check-saturation:
@@ -58,8 +58,8 @@
 
 # Whole servers on a virtual clock: speed, coverage, and injected bugs, for which it is built once more.
 check-simulator check-seeds bench-seeds:
-	cargo build --locked --release --features planted --target-dir target/planted
-	target/planted/release/cleatpulley check simulator
+	cargo build --locked --release --features bug-injection --target-dir target/bug-injection
+	target/bug-injection/release/cleatpulley check simulator
 
 # The embedded store beside a plain append-only file and a map on this disk; 1 where it falls short.
 check-log-store check-keep bench-keep:
--- a/crates/connection-admission/src/admit.rs
+++ b/crates/connection-admission/src/admit.rs
@@ -4,8 +4,8 @@
 use crate::net::{key, Net};
 use crate::rate::{Look, Rate, Rates};
 use crate::standing::{Earned, Standing};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
@@ -278,7 +278,7 @@
         let own = looked(&self.address_rates, &Net::of(address, 128));
         let of_prefix = looked(&self.prefix_rates, &prefix);
         let room = |rates: &Option<Rates>, look: &Option<Look>| match (rates, look) {
-            _ if planted(Bug::RateUncounted) => true,
+            _ if is_bug_injected(InjectedBug::ConnectionRateUncounted) => true,
             (Some(rates), Some(look)) => rates.has_room(look),
             _ => true,
         };
@@ -329,7 +329,7 @@
     ) -> Option<u64> {
         let silent = self.silent_longest(now, Known::Unknown);
         if known != Known::Unknown {
-            if planted(Bug::StrangerStays) {
+            if is_bug_injected(InjectedBug::UnknownAddressKept) {
                 return None;
             }
             // Whoever owes nothing, from the heaviest prefix on.
@@ -361,7 +361,7 @@
             .iter()
             .rev()
             .take_while(|(count, _)| own_prefix + 1 < *count);
-        let mut heavier = heavier.filter(|_| !planted(Bug::ShareStuck));
+        let mut heavier = heavier.filter(|_| !is_bug_injected(InjectedBug::PrefixQuotaStuck));
         if let Some(number) =
             heavier.find_map(|(_, heavy)| self.lightest_loss(*heavy, None, &spare))
         {
@@ -517,7 +517,7 @@
 
     /// Takes up what the book had.
     pub fn remember(&mut self, now: Micros, entries: &[book::Entry]) {
-        if planted(Bug::StandingForgotten) {
+        if is_bug_injected(InjectedBug::ReputationLost) {
             return;
         }
         let (four, six) = self.settings.bits;
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -86,7 +86,7 @@
     Newest,
 }
 
-/// Values in memory, for tests and models: what is durable outlives a crash, and a fault can be planted.
+/// Values in memory, for tests and models: what is durable outlives a crash, and a fault can be injected.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Forgetful {
     durable: BTreeMap<Vec<u8>, Vec<u8>>,
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -344,7 +344,7 @@
 
 /// Faults that a disk may have are found on walks through the same model; without a fault none of these walks finds one.
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_found() {
     for loses in [Loses::Nothing, Loses::Syncs, Loses::Rounds, Loses::Newest] {
         let group = Group {
             asks: 2,
--- /dev/null
+++ b/crates/dispatcher/src/controller_actions.rs
@@ -0,0 +1,154 @@
+//! The controller's actions, carried out on the requests that they are about.
+
+use crate::command::{Command, DependencyCall};
+use crate::dispatcher::Dispatcher;
+use crate::request_state::RequestStage;
+use crate::request_trace;
+use crate::response::Response;
+use cleatpulley_policy::interface::{Action, Effect, Micros, RequestId};
+
+impl Dispatcher {
+    pub(crate) fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
+        match action {
+            Action::Run(id) => self.run(now, id, commands),
+            Action::Reject {
+                id,
+                retry_after,
+                no_failover,
+            } => {
+                let rejection = Response::Rejected {
+                    retry_after,
+                    no_failover,
+                };
+                self.reject(now, id, rejection, commands);
+            }
+            Action::Fail(id) => self.fail(now, id, commands),
+            Action::Call { id, timeout } => self.call(id, timeout, commands),
+            Action::SkipCall(id) => self.skip_call(id, commands),
+            Action::Preempt(id) => self.preempt(id, commands),
+            Action::ShareResponse(id) => self.share_response(now, id, commands),
+            Action::SetTimer { at, token } => self.timers.set(at, token),
+            Action::SetFeedback(value) => {
+                request_trace::feedback_changed(now, value);
+                commands.push(Command::SetFeedback(value));
+            }
+            Action::CloseIdleConnections(timeout) => {
+                commands.push(Command::CloseIdleConnections(timeout));
+            }
+            Action::SetHealth { healthy, .. } => commands.push(Command::SetHealth(healthy)),
+            // The table of keys decides for how long keys are kept.
+            Action::InsertKey { .. } | Action::RemoveKey(_) => {}
+        }
+    }
+
+    fn run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.stage != RequestStage::Queued {
+            return;
+        }
+        if request.has_key {
+            self.run_with_key(now, id, commands);
+            return;
+        }
+        request.stage = RequestStage::Running;
+        request_trace::started(now, id);
+        let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
+        let body = if is_idempotent {
+            request.body.clone()
+        } else {
+            std::mem::take(&mut request.body)
+        };
+        self.counters.on_forwarded(request.class);
+        commands.push(Command::StartRun {
+            id,
+            class: request.class,
+            body,
+        });
+    }
+
+    /// Rejects a request. The promise that it never ran is only given where that is known.
+    fn reject(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        rejection: Response,
+        commands: &mut Vec<Command>,
+    ) {
+        if !self.requests.has_stage(id, RequestStage::Queued) {
+            self.respond(now, id, Response::Failed, commands);
+        } else if !self.reject_with_key(now, id, &rejection, commands) {
+            self.respond(now, id, rejection, commands);
+        }
+    }
+
+    fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        // The controller gives up a little before the deadline, so that the response is in time.
+        let latest = self.driver.stepped_at + self.settings.response_slack;
+        let is_due = self
+            .requests
+            .get(id)
+            .is_some_and(|request| latest >= request.respond_by);
+        let response = if is_due {
+            Response::Expired
+        } else {
+            Response::Failed
+        };
+        self.respond(now, id, response, commands);
+    }
+
+    fn call(&mut self, id: RequestId, timeout: Micros, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.stage != RequestStage::AwaitingCall || request.is_answered {
+            return;
+        }
+        request.stage = RequestStage::Calling;
+        let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
+        commands.push(Command::MakeCall(DependencyCall {
+            id,
+            body: request.call.body.clone(),
+            timeout,
+            is_idempotent,
+        }));
+    }
+
+    fn skip_call(&mut self, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.stage == RequestStage::AwaitingCall {
+            request.stage = RequestStage::Running;
+            commands.push(Command::ResumeWithoutCall {
+                id,
+                notice: request.call.notice,
+            });
+        }
+    }
+
+    /// Stops the run of a request that has its response; never one with an effect that its repeats
+    /// are given the result of.
+    fn preempt(&mut self, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let is_running = request.stage == RequestStage::Running;
+        if is_running && request.is_answered && !request.has_key {
+            commands.push(Command::StopRun(id));
+        }
+    }
+
+    /// Lets a request with a key wait for the outcome of its key. Without a key nothing is shared.
+    fn share_response(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        match self.requests.get_mut(id) {
+            Some(request) if request.has_key => {
+                if request.stage == RequestStage::Queued {
+                    request.stage = RequestStage::AwaitingKey;
+                }
+            }
+            _ => self.fail(now, id, commands),
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/controller_timers.rs
@@ -0,0 +1,80 @@
+//! The controller's timers, and the gauges that it gets with them.
+
+use cleatpulley_policy::interface::{Event as ControllerEvent, Gauges, Micros};
+use std::collections::BTreeSet;
+
+/// Gauges are read so long before a timer expires that they are there and fresh by then.
+const GAUGE_LEAD: Micros = 4_000;
+/// Older gauges say nothing about the present.
+const LONGEST_GAUGE_AGE: Micros = 100_000;
+
+/// A timer of the controller.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    expires_at: Micros,
+    token: u64,
+}
+
+/// The timers that are set, and the gauges last read.
+#[derive(Debug, Default)]
+pub(crate) struct ControllerTimers {
+    timers: BTreeSet<Timer>,
+    gauges: Gauges,
+    gauges_read_at: Micros,
+    /// Expiry of the timer that gauges were last requested for.
+    gauges_requested_for: Micros,
+}
+
+impl ControllerTimers {
+    pub(crate) fn set(&mut self, expires_at: Micros, token: u64) {
+        self.timers.insert(Timer { expires_at, token });
+    }
+
+    pub(crate) fn set_gauges(&mut self, now: Micros, gauges: Gauges) {
+        self.gauges = gauges;
+        self.gauges_read_at = now;
+    }
+
+    /// Appends an event for each timer that has expired.
+    pub(crate) fn expire(&mut self, now: Micros, events: &mut Vec<ControllerEvent>) {
+        while let Some(timer) = self.timers.first().copied() {
+            if timer.expires_at > now {
+                return;
+            }
+            self.timers.pop_first();
+            let is_fresh = now.saturating_sub(self.gauges_read_at) <= LONGEST_GAUGE_AGE;
+            let gauges = if is_fresh {
+                self.gauges
+            } else {
+                Gauges::default()
+            };
+            events.push(ControllerEvent::TimerExpired {
+                token: timer.token,
+                gauges,
+            });
+        }
+    }
+
+    /// Returns whether gauges have to be read now, and assumes that they are.
+    pub(crate) fn take_gauge_request(&mut self, now: Micros) -> bool {
+        let Some(timer) = self.timers.first() else {
+            return false;
+        };
+        let is_requested = timer.expires_at == self.gauges_requested_for;
+        if is_requested || now + GAUGE_LEAD < timer.expires_at {
+            return false;
+        }
+        self.gauges_requested_for = timer.expires_at;
+        true
+    }
+
+    /// Returns when there is something to do, given when the controller may step next.
+    pub(crate) fn next_deadline(&self, next_step: Micros) -> Option<Micros> {
+        let timer = self.timers.first()?;
+        if timer.expires_at == self.gauges_requested_for {
+            Some(timer.expires_at.max(next_step))
+        } else {
+            Some(timer.expires_at.saturating_sub(GAUGE_LEAD))
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -0,0 +1,332 @@
+//! The dispatcher's state, and how it passes events, time and decisions on.
+
+use crate::command::Command;
+use crate::controller_timers::ControllerTimers;
+use crate::counters::Counters;
+use crate::deadlines::Deadlines;
+use crate::event::{Event, ResourceUsage};
+use crate::idempotency_keys::IdempotencyKeys;
+use crate::request_state::{RequestStage, RequestTable};
+use cleatpulley_idempotency::key_table::KeyCommand;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
+use cleatpulley_policy::interface::{Action, Event as ControllerEvent, Micros, Settings};
+use cleatpulley_policy::learned_state::{LearnedState, LearnedStateError};
+use cleatpulley_policy::Controller;
+
+/// The core of a server: the life cycle of its requests.
+pub struct Dispatcher {
+    pub(crate) settings: Settings,
+    pub(crate) driver: ControllerDriver,
+    pub(crate) requests: RequestTable,
+    pub(crate) deadlines: Deadlines,
+    pub(crate) timers: ControllerTimers,
+    pub(crate) keys: Option<IdempotencyKeys>,
+    /// What the table of keys wants done.
+    pub(crate) key_commands: Vec<KeyCommand>,
+    pub(crate) counters: Counters,
+}
+
+/// The controller, and what is exchanged with it in one step.
+pub(crate) struct ControllerDriver {
+    controller: Controller,
+    is_started: bool,
+    /// When it last made a step.
+    pub(crate) stepped_at: Micros,
+    /// Events that wait for the next step.
+    pub(crate) events: Vec<ControllerEvent>,
+    actions: Vec<Action>,
+    /// The usage of the table of keys that it was last notified of.
+    pub(crate) reported_keys: ReportedKeys,
+}
+
+/// The usage of the table of keys.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ReportedKeys {
+    pub(crate) entries: usize,
+    pub(crate) has_capacity: bool,
+}
+
+impl ControllerDriver {
+    fn new(settings: Settings, seed: u64) -> Self {
+        Self {
+            controller: Controller::new(settings, seed),
+            is_started: false,
+            stepped_at: 0,
+            events: Vec::new(),
+            actions: Vec::new(),
+            reported_keys: ReportedKeys {
+                entries: 0,
+                has_capacity: true,
+            },
+        }
+    }
+
+    /// Notes an event for the next step.
+    pub(crate) fn notify(&mut self, event: ControllerEvent) {
+        self.events.push(event);
+    }
+}
+
+impl Dispatcher {
+    /// Creates the dispatcher of a process that has just started.
+    #[must_use]
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        // A response must be the result of the request's own run: none is shared.
+        let settings = Settings {
+            shared_response_lifetime: 0,
+            ..settings
+        };
+        Self {
+            driver: ControllerDriver::new(settings.clone(), seed),
+            requests: RequestTable::default(),
+            deadlines: Deadlines::new(),
+            timers: ControllerTimers::default(),
+            keys: None,
+            key_commands: Vec::new(),
+            counters: Counters::new(settings.classes.len()),
+            settings,
+        }
+    }
+
+    /// Creates a dispatcher that caches the results of requests with an idempotency key.
+    #[must_use]
+    pub fn with_keys(mut settings: Settings, seed: u64, keys: IdempotencyKeys) -> Self {
+        // The controller forgets attempts that nobody can wait for any more; it is notified of the
+        // size of the table.
+        for class in &mut settings.classes {
+            class.deduplication_window = class.deduplication_window.min(class.client_timeout);
+        }
+        Self {
+            keys: Some(keys),
+            ..Self::new(settings, seed)
+        }
+    }
+
+    /// Returns the number of known requests, those included that have their response and still run.
+    #[must_use]
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Returns the number of requests that have no response yet.
+    #[must_use]
+    pub fn pending_count(&self) -> usize {
+        self.deadlines.len()
+    }
+
+    /// Returns the counts of responses since the start.
+    #[must_use]
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    /// Returns what requests use of the machine.
+    ///
+    /// The memory is what it will be once the cores have started as many queued requests as they
+    /// may: a successor leaves room for it, and would be notified of each start too late.
+    #[must_use]
+    pub fn resource_usage(&self) -> ResourceUsage {
+        let count = |matches: fn(RequestStage) -> bool| {
+            self.requests
+                .iter()
+                .filter(|request| matches(request.stage))
+                .count()
+        };
+        let running = count(|stage| {
+            matches!(
+                stage,
+                RequestStage::Running | RequestStage::PersistingIntent
+            )
+        });
+        let calls = count(|stage| stage == RequestStage::Calling);
+        ResourceUsage {
+            running,
+            memory_kb: self.reserved_memory_bytes(running) as f64 / 1e3,
+            calls,
+        }
+    }
+
+    /// Returns the memory of all requests, and of those queued ones that may still start beside
+    /// `running` others. In whole bytes, so that the sum is the same in any order.
+    fn reserved_memory_bytes(&self, running: usize) -> u64 {
+        let factor = self.settings.running_memory_factor.max(1.0);
+        let present: u64 = self
+            .requests
+            .iter()
+            .map(|request| {
+                let queued_kb = request.request.memory_kb;
+                if request.stage.has_running_memory() {
+                    (queued_kb * factor * 1e3) as u64
+                } else {
+                    (queued_kb * 1e3) as u64
+                }
+            })
+            .sum();
+        let growth_factor = (factor - 1.0) * 1e3;
+        let mut growth: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|request| request.stage == RequestStage::Queued)
+            .map(|request| (request.request.memory_kb * growth_factor) as u64)
+            .collect();
+        growth.sort_unstable_by(|one, other| other.cmp(one));
+        let run_limit = self.driver.controller.learned_state().run_limit as usize;
+        let starts = run_limit.saturating_sub(running);
+        present + growth.into_iter().take(starts).sum::<u64>()
+    }
+
+    /// Returns what the controller has learned.
+    #[must_use]
+    pub fn learned_state(&self) -> LearnedState {
+        self.driver.controller.learned_state()
+    }
+
+    /// Restores what the controller of another process has learned on this machine.
+    ///
+    /// # Errors
+    /// When a value is one that no controller can have; nothing is restored then.
+    pub fn restore_learned_state(
+        &mut self,
+        learned: &LearnedState,
+    ) -> Result<(), LearnedStateError> {
+        self.driver.controller.restore_learned_state(learned)
+    }
+
+    /// Handles an event. What the controller has to decide waits for the next [`poll`](Self::poll).
+    pub fn handle_event(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
+        match event {
+            Event::RuntimeReady(since) => self.start(now, now.saturating_sub(since), commands),
+            Event::RequestRead(request) => self.on_request(now, request, commands),
+            Event::RequestForbidden(request) => self.on_forbidden_request(&request, commands),
+            Event::ConnectionLost(connection) => {
+                self.abandon_requests(now, |client| client.connection == connection, commands);
+            }
+            Event::RequestCancelled(cancelled) => {
+                self.abandon_requests(now, |client| *client == cancelled, commands);
+            }
+            Event::CallRequested { id, notice, body } => {
+                self.on_call_requested(id, notice, body, commands);
+            }
+            Event::RunEnded {
+                id,
+                outcome,
+                elapsed,
+                result,
+            } => self.end_run(now, id, outcome, elapsed, result, commands),
+            Event::CommandRejected { id, command } => {
+                self.on_command_rejected(now, id, command, commands);
+            }
+            Event::CommandUncertain { id, command } => {
+                self.resolve_uncertain_command(now, id, command, commands);
+            }
+            Event::CallEnded {
+                id,
+                outcome,
+                elapsed,
+                reply,
+            } => self.on_call_ended(id, outcome, elapsed, reply, commands),
+            Event::Gauges(gauges) => self.timers.set_gauges(now, gauges),
+            Event::RuntimeReplaced => self.lose_runs(now, commands),
+            Event::DrainStarted { .. } if is_bug_injected(InjectedBug::DrainIgnored) => {}
+            Event::DrainStarted { stop_at } => {
+                self.begin_shutdown(stop_at, ControllerEvent::DrainStarted { stop_at });
+            }
+            Event::Replaced { stop_at } => {
+                self.begin_shutdown(stop_at, ControllerEvent::Replaced { stop_at });
+            }
+            Event::PredecessorUsage(usage) => {
+                self.driver.notify(ControllerEvent::PredecessorUsage {
+                    running: usage.running,
+                    memory_kb: usage.memory_kb,
+                    calls: usage.calls,
+                });
+            }
+            Event::KeysRecovered(_)
+            | Event::KeysDurable(_)
+            | Event::PersistenceAvailable(_)
+            | Event::CachedResultLoaded { .. } => self.on_key_event(now, event, commands),
+        }
+    }
+
+    /// Lets the controller decide where it is time to, and keeps deadlines. Events are gathered
+    /// into one step, and steps are no closer than the tick.
+    pub fn poll(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        self.poll_keys(now, commands);
+        if now >= self.next_step_at() {
+            self.timers.expire(now, &mut self.driver.events);
+            if !self.driver.events.is_empty() {
+                if !self.driver.is_started {
+                    self.start(now, now, commands);
+                }
+                self.step(now, commands);
+            }
+        }
+        if self.timers.take_gauge_request(now) {
+            commands.push(Command::ReadGauges);
+        }
+        self.respond_to_expired(now, commands);
+    }
+
+    /// Returns when [`poll`](Self::poll) has something to do next, if there is no event before.
+    #[must_use]
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let next_step = self.next_step_at();
+        let events = (!self.driver.events.is_empty()).then_some(next_step);
+        let timer = self.timers.next_deadline(next_step);
+        let response = self
+            .deadlines
+            .first()
+            .map(|deadline| self.expires_at(deadline.respond_by));
+        let keys = self
+            .keys
+            .as_ref()
+            .and_then(|keys| keys.table.next_deadline());
+        [events, timer, response, keys].into_iter().flatten().min()
+    }
+
+    fn next_step_at(&self) -> Micros {
+        self.driver.stepped_at + self.settings.tick
+    }
+
+    /// Starts the controller, as of `since`.
+    fn start(&mut self, now: Micros, since: Micros, commands: &mut Vec<Command>) {
+        if self.driver.is_started {
+            return;
+        }
+        self.driver.is_started = true;
+        let start = vec![ControllerEvent::Started];
+        let waiting = std::mem::replace(&mut self.driver.events, start);
+        self.step(since, commands);
+        self.driver.events = waiting;
+        self.driver.stepped_at = now.saturating_sub(self.settings.tick);
+    }
+
+    /// Passes the events that wait to the controller, and carries out what it decides.
+    fn step(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        self.driver.stepped_at = now;
+        self.report_key_usage();
+        let mut events = std::mem::take(&mut self.driver.events);
+        self.update_read_delays(now, &mut events);
+        let mut actions = std::mem::take(&mut self.driver.actions);
+        self.driver.controller.step(now, &events, &mut actions);
+        for action in actions.drain(..) {
+            self.carry_out(now, action, commands);
+        }
+        self.driver.actions = actions;
+        events.clear();
+        events.append(&mut self.driver.events);
+        self.driver.events = events;
+    }
+
+    /// Adds the time for which arrivals waited for this step to their read delay.
+    fn update_read_delays(&self, now: Micros, events: &mut [ControllerEvent]) {
+        for event in events {
+            if let ControllerEvent::Arrived(request) = event {
+                request.read_delay = match self.requests.get(request.id) {
+                    Some(state) => now.saturating_sub(state.received_at),
+                    None => 0,
+                };
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/idempotency_keys.rs
@@ -0,0 +1,210 @@
+//! What the keys of requests permit, as the dispatcher asks for it: decisions only.
+
+use crate::response::{RequestError, Response};
+use cleatpulley_idempotency::key_table::{KeyStatus, KeyTable};
+use cleatpulley_idempotency::record::{request_digest, ScopedKey};
+use cleatpulley_policy::interface::{Micros, Request, RequestId};
+
+/// Who shares a space of keys.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum KeyScope {
+    /// All callers.
+    Global,
+    /// Each caller has its own.
+    PerCaller,
+}
+
+/// The idempotency keys of a server, and how they are used.
+#[derive(Debug)]
+pub struct IdempotencyKeys {
+    /// By class: whether results are cached.
+    pub classes: Vec<bool>,
+    /// A request of such a class without a key is invalid.
+    pub required: bool,
+    /// Who shares a space of keys.
+    pub scope: KeyScope,
+    /// The table of keys.
+    pub table: KeyTable,
+    /// Attempts that came before the keys were recovered.
+    early_attempts: Vec<EarlyAttempt>,
+    /// A request found no capacity since the controller last decided.
+    lacked_capacity: bool,
+    /// The last number under which a request waits.
+    last_wait_number: u64,
+    /// Another process owns the keys.
+    is_released: bool,
+}
+
+/// An attempt that came before the keys were recovered.
+#[derive(Debug)]
+pub(crate) struct EarlyAttempt {
+    pub(crate) id: RequestId,
+    pub(crate) wait_number: u64,
+    pub(crate) key: ScopedKey,
+    pub(crate) digest: u128,
+}
+
+/// What becomes of a request by its key.
+#[derive(Debug)]
+pub(crate) enum KeyDecision {
+    /// The controller decides.
+    Admit,
+    /// It gets its response at once.
+    Respond(Response),
+    /// Its key is completed, and its result has to be loaded.
+    LoadCachedResult(ScopedKey),
+    /// It waits under this number until the keys are recovered.
+    AwaitRecovery(u64),
+}
+
+impl IdempotencyKeys {
+    /// Creates keys that are not recovered yet. `classes` says by class whether results are cached.
+    #[must_use]
+    pub fn new(classes: Vec<bool>, required: bool, scope: KeyScope, table: KeyTable) -> Self {
+        Self {
+            classes,
+            required,
+            scope,
+            table,
+            early_attempts: Vec::new(),
+            lacked_capacity: false,
+            last_wait_number: 0,
+            is_released: false,
+        }
+    }
+
+    pub(crate) fn caches_results(&self, class: usize) -> bool {
+        self.classes.get(class).copied().unwrap_or(false)
+    }
+
+    pub(crate) fn is_released(&self) -> bool {
+        self.is_released
+    }
+
+    /// Decides on a request that was read, with or without a key. Notes in it what the controller
+    /// has to know. `fits` says whether the memory of one more request may wait without the
+    /// controller knowing.
+    pub(crate) fn on_request(
+        &mut self,
+        now: Micros,
+        request: &mut Request,
+        key: Option<&[u8]>,
+        body: &[u8],
+        fits: impl Fn(f64) -> bool,
+    ) -> KeyDecision {
+        if !self.caches_results(request.class) {
+            return KeyDecision::Admit;
+        }
+        let Some(key) = key else {
+            return if self.required {
+                KeyDecision::Respond(Response::Invalid(RequestError::KeyMissing))
+            } else {
+                KeyDecision::Admit
+            };
+        };
+        let class = u16::try_from(request.class).unwrap_or(u16::MAX);
+        let owner = match self.scope {
+            KeyScope::Global => 0,
+            KeyScope::PerCaller => request.caller,
+        };
+        let key = ScopedKey::new(owner, class, key);
+        let digest = request_digest(class, body);
+        self.decide(now, request, key, digest, fits)
+    }
+
+    /// Decides on a request by its scoped key and the digest of its body.
+    pub(crate) fn decide(
+        &mut self,
+        now: Micros,
+        request: &mut Request,
+        key: ScopedKey,
+        digest: u128,
+        fits: impl Fn(f64) -> bool,
+    ) -> KeyDecision {
+        match self.table.on_attempt(now, request.id, &key, digest) {
+            KeyStatus::First => {
+                request.caches_result = true;
+                KeyDecision::Admit
+            }
+            // The controller is notified of the lack before it is of the request, and rejects it.
+            KeyStatus::NoCapacity => {
+                request.caches_result = true;
+                self.lacked_capacity = true;
+                KeyDecision::Admit
+            }
+            KeyStatus::Pending(first) => {
+                request.caches_result = true;
+                request.duplicate_of = Some(first);
+                KeyDecision::Admit
+            }
+            // A rejection would promise what is not so, or not known.
+            KeyStatus::Completed | KeyStatus::NotRecovered if !fits(request.memory_kb) => {
+                KeyDecision::Respond(Response::Failed)
+            }
+            KeyStatus::Completed => {
+                request.caches_result = true;
+                KeyDecision::LoadCachedResult(key)
+            }
+            KeyStatus::NotRecovered => {
+                request.caches_result = true;
+                KeyDecision::AwaitRecovery(self.add_early_attempt(request.id, key, digest))
+            }
+            KeyStatus::Unknown => KeyDecision::Respond(Response::Failed),
+            KeyStatus::Mismatch => KeyDecision::Respond(Response::Invalid(RequestError::KeyReused)),
+            // It never ran here, and the owner of the key may admit it at once.
+            KeyStatus::OwnedElsewhere => KeyDecision::Respond(Response::Rejected {
+                retry_after: 0,
+                no_failover: false,
+            }),
+        }
+    }
+
+    fn add_early_attempt(&mut self, id: RequestId, key: ScopedKey, digest: u128) -> u64 {
+        let wait_number = self.next_wait_number();
+        self.early_attempts.push(EarlyAttempt {
+            id,
+            wait_number,
+            key,
+            digest,
+        });
+        wait_number
+    }
+
+    /// Removes and returns the attempts that wait for the keys to be recovered.
+    pub(crate) fn take_early_attempts(&mut self) -> Vec<EarlyAttempt> {
+        std::mem::take(&mut self.early_attempts)
+    }
+
+    pub(crate) fn next_wait_number(&mut self) -> u64 {
+        self.last_wait_number += 1;
+        self.last_wait_number
+    }
+
+    /// Returns whether the table takes further keys, as the controller has to know it.
+    ///
+    /// A request that found no capacity must not be admitted because there is some again by now: it
+    /// has no entry, and its key might run for another request meanwhile.
+    pub(crate) fn take_capacity(&mut self) -> bool {
+        let lacked_capacity = std::mem::take(&mut self.lacked_capacity);
+        !lacked_capacity && self.table.has_capacity()
+    }
+
+    /// Returns whether nothing waits for the table of keys and no run of it is active.
+    pub(crate) fn is_quiet(&self) -> bool {
+        self.table.active_runs() == 0
+            && self.table.pending_attempts() == 0
+            && self.early_attempts.is_empty()
+    }
+
+    /// Gives the keys up to another process.
+    pub(crate) fn release(&mut self) {
+        self.table.release();
+        self.is_released = true;
+    }
+
+    /// Takes the keys over again.
+    pub(crate) fn reclaim(&mut self, table: KeyTable) {
+        self.table = table;
+        self.is_released = false;
+    }
+}
--- a/crates/dispatcher/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -1,51 +1,61 @@
-//! The ends of runs and of those who wait for them, and what is settled after a break of the runtime's link.
+//! Runs at the runtime: their calls, their ends, and what is unclear after a lost connection.
 
-use crate::entry::{Entry, Stage};
-use crate::words::{Answer, Command, Order, Origin};
-use crate::Exchange;
-use cleatpulley_idempotency::record::Outcome as Ending;
-use cleatpulley_policy::interface::{Effect, Event, Micros, Outcome, RequestId};
-use cleatpulley_policy::plant::{planted, Bug};
+use crate::command::Command;
+use crate::dispatcher::Dispatcher;
+use crate::event::RuntimeCommand;
+use crate::request_state::{RequestStage, RequestedCall};
+use crate::response::Response;
+use cleatpulley_idempotency::record::KeyOutcome;
+use cleatpulley_policy::interface::{Effect, Event as ControllerEvent, Micros, Outcome, RequestId};
 
-impl Exchange {
-    pub(crate) fn lose_origin(
+impl Dispatcher {
+    pub(crate) fn on_call_requested(
         &mut self,
-        now: Micros,
-        is: impl Fn(&Origin) -> bool,
+        id: RequestId,
+        notice: u64,
+        body: Vec<u8>,
         commands: &mut Vec<Command>,
     ) {
-        let lost = |e: &Entry| is(&e.origin) && !e.answered;
-        let mut ids: Vec<_> = self
-            .entries
-            .iter()
-            .filter(|(_, e)| lost(e))
-            .map(|(id, e)| (e.door, *id))
-            .collect();
-        ids.sort_unstable();
-        for (_, id) in ids {
-            self.events.push(Event::Gone(id));
-            if planted(Bug::EntryLeaked) {
-                self.dues.retain(|due| due.1 != id);
-                continue;
-            }
-            self.over(now, id, commands);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.stage == RequestStage::Queued {
+            return;
+        }
+        if request.stage == RequestStage::Calling {
+            commands.push(Command::AbandonCall(id));
         }
+        request.stage = RequestStage::AwaitingCall;
+        request.is_start_uncertain = false;
+        request.call = RequestedCall { notice, body };
+        self.driver.notify(ControllerEvent::CallRequested(id));
     }
 
-    /// Ends all that was started: its end will never be told.
-    pub(crate) fn lose_runs(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        let started =
-            |entry: &Entry| matches!(entry.stage, Stage::Running | Stage::AtCall | Stage::Calling);
-        let mut ids: Vec<_> = self
-            .entries
-            .iter()
-            .filter(|(_, e)| started(e))
-            .map(|(id, e)| (e.door, *id))
-            .collect();
-        ids.sort_unstable();
-        for (_, id) in ids {
-            self.end_run(now, id, Outcome::Broken, 0, Vec::new(), commands);
+    pub(crate) fn on_call_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        elapsed: Micros,
+        reply: Vec<u8>,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.stage != RequestStage::Calling {
+            return;
+        }
+        if outcome == Outcome::Success {
+            request.stage = RequestStage::Running;
+            commands.push(Command::ResumeWithReply { id, body: reply });
+        } else {
+            request.stage = RequestStage::AwaitingCall;
         }
+        self.driver.notify(ControllerEvent::CallEnded {
+            id,
+            outcome,
+            elapsed,
+        });
     }
 
     pub(crate) fn end_run(
@@ -57,111 +67,137 @@
         result: Vec<u8>,
         commands: &mut Vec<Command>,
     ) {
-        let served = outcome == Outcome::Success;
-        let Some(entry) = self.entries.get_mut(&id) else {
-            // Nobody waits for it here any more; what is kept of its key is told all the same.
-            let ending = if served {
-                Ending::Served(result)
-            } else {
-                Ending::Failed
-            };
-            return self.end_key(now, id, ending, commands);
+        let is_success = outcome == Outcome::Success;
+        let Some(request) = self.requests.get_mut(id) else {
+            // Nobody waits for it here any more; its result is cached all the same.
+            self.end_key(now, id, key_outcome(is_success, result), commands);
+            return;
         };
-        if !matches!(entry.stage, Stage::Running | Stage::AtCall | Stage::Calling) {
+        if !request.stage.is_started() {
             return;
         }
-        if matches!(entry.stage, Stage::Calling) {
-            commands.push(Command::Abandon(id));
+        if request.stage == RequestStage::Calling {
+            commands.push(Command::AbandonCall(id));
         }
-        if self
-            .keys
-            .as_ref()
-            .is_some_and(|keys| keys.history.is_run(id))
-        {
-            // Told once its result is durable; its place on the cores is free now.
-            entry.stage = Stage::Ending;
-            if entry.answered {
-                self.entries.remove(&id);
-            }
-            self.events.push(Event::RunEnded {
-                id,
-                outcome,
-                elapsed,
-            });
-            if outcome == Outcome::Void {
-                return self.key_never_ran(now, id, commands);
-            }
-            let ending = if served {
-                Ending::Served(result)
-            } else {
-                Ending::Failed
-            };
-            return self.end_key(now, id, ending, commands);
-        }
-        self.answer(
-            now,
-            id,
-            if served {
-                Answer::Served(result)
-            } else {
-                Answer::Failed
-            },
-            commands,
-        );
-        self.entries.remove(&id);
-        self.events.push(Event::RunEnded {
+        let ended = ControllerEvent::RunEnded {
             id,
             outcome,
             elapsed,
-        });
+        };
+        if self.keys.as_ref().is_some_and(|keys| keys.table.is_run(id)) {
+            // The response follows once the result is durable; the core is free now.
+            request.stage = RequestStage::PersistingResult;
+            if request.is_answered {
+                self.requests.remove(id);
+            }
+            self.driver.notify(ended);
+            if outcome == Outcome::NotStarted {
+                self.release_unstarted_key(now, id, commands);
+            } else {
+                self.end_key(now, id, key_outcome(is_success, result), commands);
+            }
+            return;
+        }
+        let response = if is_success {
+            Response::Served(result)
+        } else {
+            Response::Failed
+        };
+        self.respond(now, id, response, commands);
+        self.requests.remove(id);
+        self.driver.notify(ended);
+    }
+
+    /// Ends everything that was started: its end will never be reported.
+    pub(crate) fn lose_runs(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let started = self
+            .requests
+            .ids_in_order(|request| request.stage.is_started());
+        for id in started {
+            self.end_run(now, id, Outcome::Interrupted, 0, Vec::new(), commands);
+        }
+    }
+
+    pub(crate) fn on_command_rejected(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        command: RuntimeCommand,
+        commands: &mut Vec<Command>,
+    ) {
+        match command {
+            RuntimeCommand::Start => {
+                self.end_run(now, id, Outcome::NotStarted, 0, Vec::new(), commands);
+            }
+            // The run ended by itself, or never was one.
+            RuntimeCommand::Stop => {}
+            RuntimeCommand::ResumeWithReply | RuntimeCommand::ResumeWithoutCall => {
+                // The run can't go on, and nothing better is known to be done for its caller.
+                if self.respond(now, id, Response::Failed, commands) {
+                    self.driver.notify(ControllerEvent::Abandoned(id));
+                }
+            }
+        }
     }
 
-    /// Settles a command that may or may not have reached the runtime, so that nothing runs twice: a start
-    /// again may run again what has run and ended, and a reply again may answer a later call.
-    pub(crate) fn settle(
+    /// Resolves a command that may or may not have reached the runtime, so that nothing runs twice:
+    /// a second start may run what has run and ended, and a second reply may answer a later call.
+    pub(crate) fn resolve_uncertain_command(
         &mut self,
         now: Micros,
         id: RequestId,
-        order: Order,
+        command: RuntimeCommand,
         commands: &mut Vec<Command>,
     ) {
-        let Some(entry) = self.entries.get_mut(&id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        let class = &self.settings.classes[entry.class];
-        if !matches!(entry.stage, Stage::Running) {
+        if request.stage != RequestStage::Running {
             return;
         }
-        match order {
-            Order::Start if entry.notice == 0 && class.effect == Effect::Safe => {
-                commands.push(Command::Start {
+        let class = &self.settings.classes[request.class];
+        let resume_without_call = Command::ResumeWithoutCall {
+            id,
+            notice: request.call.notice,
+        };
+        match command {
+            RuntimeCommand::Start if request.call.notice != 0 => {}
+            RuntimeCommand::Start if class.effect == Effect::Idempotent => {
+                commands.push(Command::StartRun {
                     id,
-                    class: entry.class,
-                    body: entry.body.clone(),
+                    class: request.class,
+                    body: request.body.clone(),
                 });
             }
-            Order::Start if entry.notice == 0 => {
-                entry.doubtful = true;
-                let answered = entry.answered;
-                if let Some(keys) = &mut self.keys {
-                    keys.history.doubtful(id);
-                }
-                if answered {
-                    self.over(now, id, commands);
-                }
+            RuntimeCommand::Start => self.mark_start_uncertain(now, id, commands),
+            // It names the call that is left out: harmless where the run has gone on already.
+            RuntimeCommand::ResumeWithoutCall => commands.push(resume_without_call),
+            RuntimeCommand::ResumeWithReply if class.weight_ratio_without_call > 0.0 => {
+                commands.push(resume_without_call);
             }
-            // Names the call that is left out: harmless where the run has gone on already.
-            Order::Omit => commands.push(Command::Omit {
-                id,
-                notice: entry.notice,
-            }),
-            Order::Give if class.skip_worth > 0.0 => {
-                commands.push(Command::Omit {
-                    id,
-                    notice: entry.notice,
-                });
-            }
-            _ => {}
+            RuntimeCommand::ResumeWithReply | RuntimeCommand::Stop => {}
         }
     }
+
+    fn mark_start_uncertain(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.is_start_uncertain = true;
+        let is_answered = request.is_answered;
+        if let Some(keys) = &mut self.keys {
+            keys.table.mark_start_uncertain(id);
+        }
+        if is_answered {
+            self.settle(now, id, commands);
+        }
+    }
+}
+
+fn key_outcome(is_success: bool, result: Vec<u8>) -> KeyOutcome {
+    if is_success {
+        KeyOutcome::Served(result)
+    } else {
+        KeyOutcome::Failed
+    }
 }
--- a/crates/dispatcher/tests/keyed_crashes.rs
+++ b/crates/dispatcher/tests/keyed_crashes.rs
@@ -3,9 +3,10 @@
 //! runs twice, nobody is turned away after a run, no two results differ, none that was told is forgotten, and each try
 //! is answered once and by its due time, unless its process died.
 
-use cleatpulley_dispatcher::history::{Bounds, History};
+use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
 use cleatpulley_dispatcher::{
-    Answer, Arrival, Command, Exchange, Fact, Keys, Order, Origin, Owner,
+    ClientStream, Command, Dispatcher, Event, IdempotencyKeys, IncomingRequest, KeyScope, Response,
+    RuntimeCommand,
 };
 use cleatpulley_idempotency::journal::Journal;
 use cleatpulley_log_store::memory::{Fault, Memory};
@@ -22,42 +23,42 @@
 fn settings() -> Settings {
     let class = |effect| Class {
         effect,
-        aim: SECOND,
-        aim_stretch: 0.0,
-        deadline: 2 * SECOND,
-        late_worth: 0.0,
-        worth: 1.0,
-        window: 0,
-        calls: false,
-        skip_worth: 0.0,
+        latency_objective: SECOND,
+        latency_objective_stretch: 0.0,
+        client_timeout: 2 * SECOND,
+        late_weight_ratio: 0.0,
+        priority_weight: 1.0,
+        deduplication_window: 0,
+        calls_dependency: false,
+        weight_ratio_without_call: 0.0,
     };
     Settings {
-        classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
+        classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        marks_retry: false,
+        over_quota_weight_ratio: 0.1,
+        weight_by_work: false,
+        marks_retries: false,
         servers: 1,
         callers: 2,
         cores: 3,
         memory_kb: 8_000.0,
-        entry_kb: 0.2,
-        run_factor: 4.0,
-        below: Below::Nothing,
-        idle: 30 * SECOND,
-        linger: 200 * MS,
-        fresh: 0,
-        advert: Advert::Unused,
-        max_avoid: SECOND,
-        tells_gone: true,
-        halt: Halt::Never,
-        list_follows_health: false,
+        key_entry_kb: 0.2,
+        running_memory_factor: 4.0,
+        dependency: DependencyLimit::NoDependency,
+        client_idle_timeout: 30 * SECOND,
+        abandoned_call_linger: 200 * MS,
+        shared_response_lifetime: 0,
+        feedback: FeedbackKind::Unused,
+        max_retry_after: SECOND,
+        reports_abandonment: true,
+        preemption: Preemption::Never,
+        discovery_follows_health: false,
         cold_start: false,
-        cold_speed: 0.2,
-        warm_after: 10 * SECOND,
-        answer_slack: 60 * MS,
+        cold_start_speed: 0.2,
+        warm_up_time: 10 * SECOND,
+        response_slack: 60 * MS,
         drain_grace: SECOND,
-        crowd: 6.0,
+        overload_concurrency_per_core: 6.0,
         tick: 2 * MS,
     }
 }
@@ -71,7 +72,7 @@
 
 /// The process and its keeper.
 struct Life {
-    exchange: Exchange,
+    exchange: Dispatcher,
     journal: Option<Journal<Memory>>,
     jobs: VecDeque<Command>,
     well: bool,
@@ -111,20 +112,20 @@
 
 impl World {
     fn start(&mut self) -> Life {
-        let bounds = Bounds {
+        let bounds = Capacity {
             entries: 500,
-            bytes: 100_000,
-            window: WINDOW,
-            stall: 40 * MS,
-            seed: 5,
+            result_bytes: 100_000,
+            deduplication_window: WINDOW,
+            stall_timeout: 40 * MS,
+            hash_seed: 5,
         };
-        let keys = Keys::new(
+        let keys = IdempotencyKeys::new(
             vec![false, true],
             false,
-            Owner::Caller,
-            History::new(bounds),
+            KeyScope::PerCaller,
+            KeyTable::new(bounds),
         );
-        let exchange = Exchange::with_keys(settings(), 7, keys);
+        let exchange = Dispatcher::with_keys(settings(), 7, keys);
         let (jobs, link, open) = (VecDeque::new(), VecDeque::new(), BTreeMap::new());
         let mut life = Life {
             exchange,
@@ -134,23 +135,23 @@
             open,
             link,
         };
-        self.hear(&mut life, Fact::Ready(100 * SECOND));
+        self.hear(&mut life, Event::RuntimeReady(100 * SECOND));
         life
     }
 
-    fn hear(&mut self, life: &mut Life, fact: Fact) {
+    fn hear(&mut self, life: &mut Life, fact: Event) {
         let mut commands = Vec::new();
-        life.exchange.hear(self.now, fact, &mut commands);
+        life.exchange.handle_event(self.now, fact, &mut commands);
         self.obey(life, commands);
     }
 
     fn advance(&mut self, life: &mut Life, by: Micros) {
         let until = self.now + by;
         loop {
-            let next = life.exchange.next().filter(|at| *at <= until);
+            let next = life.exchange.next_deadline().filter(|at| *at <= until);
             self.now = self.now.max(next.unwrap_or(until));
             let mut commands = Vec::new();
-            life.exchange.advance(self.now, &mut commands);
+            life.exchange.poll(self.now, &mut commands);
             self.obey(life, commands);
             if next.is_none() {
                 break;
@@ -167,7 +168,10 @@
     fn obey(&mut self, life: &mut Life, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Answer { to, answer } => {
+                Command::Respond {
+                    client: to,
+                    response: answer,
+                } => {
                     let asked = life
                         .open
                         .remove(&to.stream)
@@ -178,18 +182,20 @@
                     );
                     self.judge(&asked, answer);
                 }
-                Command::Start { id, body, .. } => life.link.push_back((id, body)),
-                Command::Keep(_) | Command::Recall { .. } => life.jobs.push_back(command),
+                Command::StartRun { id, body, .. } => life.link.push_back((id, body)),
+                Command::PersistKey(_) | Command::LoadCachedResult { .. } => {
+                    life.jobs.push_back(command)
+                }
                 _ => {}
             }
         }
     }
 
-    fn judge(&mut self, asked: &Try, answer: Answer) {
+    fn judge(&mut self, asked: &Try, answer: Response) {
         let Some(key) = asked.key else { return };
         let told = self.told.contains_key(&key);
         match answer {
-            Answer::Served(result) => {
+            Response::Served(result) => {
                 assert!(!asked.other_body, "another request's result");
                 assert_eq!(result, self.result(key), "the result of its own run");
                 let before = self.told.insert(key, result.clone());
@@ -199,16 +205,16 @@
                 );
                 self.met.recalled += u64::from(told);
             }
-            Answer::Refused { .. } => {
+            Response::Rejected { .. } => {
                 self.met.refused += 1;
                 assert!(
                     !self.runs.contains_key(&key),
                     "key {key} turned away after its run"
                 );
             }
-            Answer::Rejected(_) => assert!(asked.other_body),
-            Answer::Returned { .. } => panic!("no route answers here"),
-            Answer::Failed => {
+            Response::Invalid(_) => assert!(asked.other_body),
+            Response::Direct { .. } => panic!("no route answers here"),
+            Response::Failed => {
                 self.met.unknown += 1;
                 // A disk that fails may keep a result from being read, and takes nothing back.
                 assert!(
@@ -216,7 +222,7 @@
                     "a result that was told is forgotten"
                 );
             }
-            Answer::Expired => self.met.expired += 1,
+            Response::Expired => self.met.expired += 1,
         }
     }
 
@@ -232,17 +238,17 @@
                 segment_bytes: 4_096,
                 ..Options::default()
             };
-            let Ok((mut journal, recovered, _)) =
-                Journal::open(self.disk.clone(), options, self.now)
-            else {
+            let Ok(opened) = Journal::open(self.disk.clone(), options, self.now) else {
                 return;
             };
+            let mut journal = opened.journal;
+            let recovered = opened.recovered;
             if life
                 .exchange
-                .history()
+                .key_table()
                 .is_some_and(|history| history.is_empty())
             {
-                self.hear(life, Fact::Recovered(Box::new(recovered)));
+                self.hear(life, Event::KeysRecovered(Box::new(recovered)));
             }
             self.disk_failed = !life.well;
             if !life.well {
@@ -253,8 +259,8 @@
                 life.well = true;
                 // What was asked while nothing was kept is not done.
                 life.jobs
-                    .retain(|job| matches!(job, Command::Recall { .. }));
-                self.hear(life, Fact::Keeping(true));
+                    .retain(|job| matches!(job, Command::LoadCachedResult { .. }));
+                self.hear(life, Event::PersistenceAvailable(true));
             }
             life.journal = Some(journal);
         }
@@ -267,17 +273,17 @@
                 return;
             };
             match job {
-                Command::Keep(effect) if journal.write(&effect).is_err() => {
+                Command::PersistKey(effect) if journal.write(&effect).is_err() => {
                     return self.lose_journal(life)
                 }
-                Command::Recall { id, number, key } => {
-                    let outcome = journal.recall(self.now, &key).unwrap_or_else(|_| {
+                Command::LoadCachedResult { id, number, key } => {
+                    let outcome = journal.load_outcome(self.now, &key).unwrap_or_else(|_| {
                         self.disk_failed = true;
                         None
                     });
                     self.hear(
                         life,
-                        Fact::Recalled {
+                        Event::CachedResultLoaded {
                             id,
                             number,
                             outcome,
@@ -294,9 +300,9 @@
             return self.lose_journal(life);
         }
         if let Some(journal) = &mut life.journal {
-            if journal.waits() {
-                match journal.flush() {
-                    Ok(ticket) => self.hear(life, Fact::Durable(ticket)),
+            if journal.has_unsynced_writes() {
+                match journal.sync() {
+                    Ok(ticket) => self.hear(life, Event::KeysDurable(ticket)),
                     Err(_) => self.lose_journal(life),
                 }
             }
@@ -308,7 +314,7 @@
         life.journal = None;
         life.jobs.clear();
         if std::mem::replace(&mut life.well, false) {
-            self.hear(life, Fact::Keeping(false));
+            self.hear(life, Event::PersistenceAvailable(false));
         }
     }
 
@@ -343,7 +349,7 @@
         // A proxy sends a request again under the id that it had.
         let same = key.filter(|_| self.random.random_range(0..8) == 0);
         let id = same.map_or(1_000 + u64::from(self.next), |key| 500 + key);
-        let origin = Origin {
+        let origin = ClientStream {
             connection: u64::from(self.next % 5),
             stream: self.next,
         };
@@ -356,24 +362,24 @@
                 other_body,
             },
         );
-        let arrival = Arrival {
-            origin,
+        let arrival = IncomingRequest {
+            client: origin,
             id,
             class: usize::from(key.is_some()),
             caller: 3,
-            door: self.now,
-            work: 10 * MS,
+            received_at: self.now,
+            expected_work: 10 * MS,
             memory_kb: 10.0,
             rank: 0.5,
-            retry: false,
+            is_retry: false,
             has_subject: false,
             key: key.map(|key| key.to_string().into_bytes().into_boxed_slice()),
             body,
             head: None,
         };
-        let waits = life.exchange.unanswered();
-        self.hear(life, Fact::Arrived(arrival));
-        self.met.shared += u64::from(key.is_some() && life.exchange.unanswered() > waits);
+        let waits = life.exchange.pending_count();
+        self.hear(life, Event::RequestRead(arrival));
+        self.met.shared += u64::from(key.is_some() && life.exchange.pending_count() > waits);
     }
 
     fn step(&mut self, life: &mut Life) {
@@ -386,7 +392,7 @@
                 if let Some((&id, &key)) = self.running.iter().nth(place) {
                     self.running.remove(&id);
                     let result = key.map_or_else(Vec::new, |key| self.result(key));
-                    let ended = Fact::RunEnded {
+                    let ended = Event::RunEnded {
                         id,
                         outcome: Outcome::Success,
                         elapsed: MS,
@@ -406,9 +412,9 @@
                     self.met.doubts += 1;
                     self.hear(
                         life,
-                        Fact::OrderInDoubt {
+                        Event::CommandUncertain {
                             id,
-                            order: Order::Start,
+                            command: RuntimeCommand::Start,
                         },
                     );
                 }
@@ -417,7 +423,7 @@
                 let connection = self.random.random_range(0..5);
                 life.open
                     .retain(|stream, _| u64::from(stream % 5) != connection);
-                self.hear(life, Fact::OriginLost(connection));
+                self.hear(life, Event::ConnectionLost(connection));
             }
             _ => {
                 let by = self.random.random_range(1..30) * MS;
@@ -457,7 +463,7 @@
         if world.random.random() {
             world.advance(&mut life, 3 * SECOND);
             assert!(life.open.is_empty(), "tries without an answer");
-            assert_eq!(life.exchange.unanswered(), 0);
+            assert_eq!(life.exchange.pending_count(), 0);
         }
         world.met.crashes += 1;
         world.disk = world.disk.crash(seed ^ life_number);
@@ -509,55 +515,55 @@
 /// that fills the rest; and what waited for a slow disk to be read had no bound.
 #[test]
 fn what_waits_for_the_results_stays_within_its_share_of_the_memory() {
-    let bounds = Bounds {
+    let bounds = Capacity {
         entries: 1_000,
-        bytes: 1_000_000,
-        window: WINDOW,
-        stall: SECOND,
-        seed: 1,
+        result_bytes: 1_000_000,
+        deduplication_window: WINDOW,
+        stall_timeout: SECOND,
+        hash_seed: 1,
     };
-    let keys = Keys::new(
+    let keys = IdempotencyKeys::new(
         vec![false, true],
         false,
-        Owner::Caller,
-        History::new(bounds),
+        KeyScope::PerCaller,
+        KeyTable::new(bounds),
     );
-    let mut exchange = Exchange::with_keys(settings(), 7, keys);
+    let mut exchange = Dispatcher::with_keys(settings(), 7, keys);
     let mut commands = Vec::new();
-    exchange.hear(SECOND, Fact::Ready(100 * SECOND), &mut commands);
+    exchange.handle_event(SECOND, Event::RuntimeReady(100 * SECOND), &mut commands);
     for n in 0..60_u32 {
-        let arrival = Arrival {
-            origin: Origin {
+        let arrival = IncomingRequest {
+            client: ClientStream {
                 connection: 1,
                 stream: n,
             },
             id: u64::from(n) + 1,
             class: 1,
             caller: 3,
-            door: SECOND,
-            work: 10 * MS,
+            received_at: SECOND,
+            expected_work: 10 * MS,
             memory_kb: 20.0,
             rank: 0.5,
-            retry: false,
+            is_retry: false,
             has_subject: false,
             key: Some(n.to_string().into_bytes().into_boxed_slice()),
             body: Vec::new(),
             head: None,
         };
-        exchange.hear(SECOND, Fact::Arrived(arrival), &mut commands);
+        exchange.handle_event(SECOND, Event::RequestRead(arrival), &mut commands);
     }
     let failed = |command: &&Command| {
         matches!(
             command,
-            Command::Answer {
-                answer: Answer::Failed,
+            Command::Respond {
+                response: Response::Failed,
                 ..
             }
         )
     };
     assert_eq!(
         (
-            exchange.unanswered(),
+            exchange.pending_count(),
             commands.iter().filter(failed).count()
         ),
         (40, 20)
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -4,7 +4,7 @@
 use crate::host::{look, shared, Clock, Host, Running, Shared};
 use crate::runtime::result_of;
 use crate::{Effect, Link, Service};
-use cleatpulley_dispatcher::Answer;
+use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::codec::{self, Parsed, Request};
 use rand::rngs::SmallRng;
@@ -94,7 +94,7 @@
         self.queue.clear();
     }
 
-    fn answer(&self, link: Link, stream: u32, answer: &Answer, out: &mut Vec<Effect>) {
+    fn answer(&self, link: Link, stream: u32, answer: &Response, out: &mut Vec<Effect>) {
         let mut bytes = Vec::new();
         codec::push_answer(&mut bytes, stream, answer, None);
         if self.links.contains_key(&link) {
@@ -128,16 +128,16 @@
         out: &mut Vec<Effect>,
     ) {
         self.came += 1;
-        let refused = Answer::Refused {
-            later: self.setup.later,
-            last: false,
+        let refused = Response::Rejected {
+            retry_after: self.setup.later,
+            no_failover: false,
         };
         if self.draining {
             self.came_draining += 1;
             return self.answer(link, stream, &refused, out);
         }
         let Ok(request) = Request::decode(payload, None) else {
-            return self.answer(link, stream, &Answer::Failed, out);
+            return self.answer(link, stream, &Response::Failed, out);
         };
         let mean = (self.setup.work.0 + self.setup.work.1) as f64 / 2.0 * self.slowness;
         let wait = mean * self.queue.len() as f64 / self.setup.workers as f64;
@@ -200,8 +200,8 @@
                 continue;
             };
             let fails = self.random.random_range(0..1_000) < self.faults;
-            let served = Answer::Served(result_of(held.id));
-            let answer = if fails { Answer::Failed } else { served };
+            let served = Response::Served(result_of(held.id));
+            let answer = if fails { Response::Failed } else { served };
             self.answer(held.link, held.stream, &answer, out);
         }
         self.begin(now);
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -4,7 +4,7 @@
 //! Each request gets one answer, by its due time, whatever its targets do. A request of a class with an effect that may
 //! have run at a target is answered as a failure and never sent again, and never told that nothing ran.
 
-use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::limits::Limits;
 use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
@@ -33,7 +33,7 @@
 
 /// A request as routes look at it, which came to this `address:port` of theirs.
 #[must_use]
-pub fn asked<'a>(listen: Option<&'a str>, head: &'a Head) -> Asked<'a> {
+pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> Asked<'a> {
     Asked {
         listen,
         host: &head.host,
@@ -62,14 +62,14 @@
     /// Nobody waits for this try any more.
     Abandon(Number),
     /// Answer a request.
-    Answer(Origin, Answer),
+    Response(ClientStream, Response),
 }
 
 /// How a try ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
     /// The target's own answer, which goes on: served, or at fault.
-    Answered(Answer),
+    Answered(Response),
     /// It came to nothing.
     Nothing(Try),
     /// The target said so, and how many requests it wishes to have open.
@@ -88,7 +88,7 @@
 }
 
 /// Bytes that a request holds, about.
-fn size(head: &Head, arrival: &Arrival) -> usize {
+fn size(head: &RequestHead, arrival: &IncomingRequest) -> usize {
     let headers: usize = head
         .headers
         .iter()
@@ -120,7 +120,7 @@
 
 #[derive(Debug)]
 struct Open {
-    arrival: Arrival,
+    arrival: IncomingRequest,
     effect: bool,
     came: Micros,
     due: Micros,
@@ -289,7 +289,7 @@
 
     /// The request that a try is for.
     #[must_use]
-    pub fn request(&self, number: Number) -> Option<&Arrival> {
+    pub fn request(&self, number: Number) -> Option<&IncomingRequest> {
         self.open.get(&number).map(|open| &open.arrival)
     }
 
@@ -305,16 +305,16 @@
     }
 
     /// A request has come.
-    pub fn arrive(&mut self, now: Micros, mut arrival: Arrival, orders: &mut Vec<Order>) {
+    pub fn arrive(&mut self, now: Micros, mut arrival: IncomingRequest, orders: &mut Vec<Order>) {
         self.counts.requests += 1;
-        let origin = arrival.origin;
+        let origin = arrival.client;
         let head = arrival.head.take().unwrap_or_default();
         let size = size(&head, &arrival);
         // Guards against callers that fill the memory with requests that are let through and wait.
         let routed = match self.held + size > self.most_held {
-            true => Err(Answer::Refused {
-                later: 0,
-                last: false,
+            true => Err(Response::Rejected {
+                retry_after: 0,
+                no_failover: false,
             }),
             false => self.route(now, &head, &mut arrival),
         };
@@ -346,16 +346,24 @@
             Err(answer) => answer,
         };
         self.count(&answer);
-        orders.push(Order::Answer(origin, answer));
+        orders.push(Order::Response(origin, answer));
     }
 
     /// Finds a request's route, and lets it through its limits.
-    fn route(&mut self, now: Micros, head: &Head, arrival: &mut Arrival) -> Result<Open, Answer> {
-        let refuse = |later| Answer::Refused { later, last: false };
+    fn route(
+        &mut self,
+        now: Micros,
+        head: &RequestHead,
+        arrival: &mut IncomingRequest,
+    ) -> Result<Open, Response> {
+        let refuse = |later| Response::Rejected {
+            retry_after: later,
+            no_failover: false,
+        };
         // Guards against clocks that differ: nothing came later than now.
-        let came = arrival.door.min(now);
+        let came = arrival.received_at.min(now);
         let asked = asked(self.listen.as_deref(), head);
-        let returned = |status: u16, body: String| Answer::Returned {
+        let returned = |status: u16, body: String| Response::Direct {
             status,
             body: body.into_bytes(),
         };
@@ -397,7 +405,7 @@
             return Err(refuse(0));
         }
         let Some(site) = self.table.site(server, location) else {
-            return Err(Answer::Failed);
+            return Err(Response::Failed);
         };
         let limits: Vec<_> = site
             .limits
@@ -415,7 +423,7 @@
             });
         }
         Ok(Open {
-            arrival: Arrival {
+            arrival: IncomingRequest {
                 head: None,
                 body: Vec::new(),
                 key: None,
@@ -444,7 +452,7 @@
             return;
         };
         let Some(pool) = self.pools.get_mut(&open.pool) else {
-            return self.finish(number, Answer::Failed, orders);
+            return self.finish(number, Response::Failed, orders);
         };
         let key = match (&pool.key, &open.arrival.head) {
             (Some(key), Some(head)) => {
@@ -478,9 +486,12 @@
             Err(nobody) => {
                 let later = nobody.until.map_or(0, |until| until.saturating_sub(now));
                 let answer = if open.ran {
-                    Answer::Failed
+                    Response::Failed
                 } else {
-                    Answer::Refused { later, last: false }
+                    Response::Rejected {
+                        retry_after: later,
+                        no_failover: false,
+                    }
                 };
                 self.finish(number, answer, orders);
             }
@@ -527,8 +538,8 @@
                     };
                 });
                 // Nothing that may have run before is told to be at fault, or not to have run.
-                let safe = matches!(answer, Answer::Served(_)) || !open.ran;
-                return self.finish(number, if safe { answer } else { Answer::Failed }, orders);
+                let safe = matches!(answer, Response::Served(_)) || !open.ran;
+                return self.finish(number, if safe { answer } else { Response::Failed }, orders);
             }
             Reply::Nothing(what) => what,
         };
@@ -569,11 +580,18 @@
         let last = matches!(what, Try::Refused { last: true, .. });
         match verdict {
             Verdict::Again => self.try_next(now, number, orders),
-            Verdict::Refuse(later) => self.finish(number, Answer::Refused { later, last }, orders),
+            Verdict::Refuse(later) => self.finish(
+                number,
+                Response::Rejected {
+                    retry_after: later,
+                    no_failover: last,
+                },
+                orders,
+            ),
             Verdict::Fail if now + SLACK >= between.due => {
-                self.finish(number, Answer::Expired, orders)
+                self.finish(number, Response::Expired, orders)
             }
-            Verdict::Fail => self.finish(number, Answer::Failed, orders),
+            Verdict::Fail => self.finish(number, Response::Failed, orders),
         }
     }
 
@@ -630,7 +648,7 @@
     fn remove(&mut self, number: Number) -> Option<Open> {
         let open = self.open.remove(&number)?;
         self.held -= open.size;
-        let Origin { connection, stream } = open.arrival.origin;
+        let ClientStream { connection, stream } = open.arrival.client;
         self.origins.remove(&(connection, stream, number));
         self.timers.remove(&(open.timer, number));
         let left: Vec<_> = open
@@ -642,19 +660,19 @@
         Some(open)
     }
 
-    fn count(&mut self, answer: &Answer) {
+    fn count(&mut self, answer: &Response) {
         match answer {
-            Answer::Served(_) => self.counts.served += 1,
-            Answer::Refused { .. } => self.counts.refused += 1,
-            Answer::Failed | Answer::Expired => self.counts.failed += 1,
-            Answer::Rejected(_) | Answer::Returned { .. } => self.counts.returned += 1,
+            Response::Served(_) => self.counts.served += 1,
+            Response::Rejected { .. } => self.counts.refused += 1,
+            Response::Failed | Response::Expired => self.counts.failed += 1,
+            Response::Invalid(_) | Response::Direct { .. } => self.counts.returned += 1,
         }
     }
 
-    fn finish(&mut self, number: Number, answer: Answer, orders: &mut Vec<Order>) {
+    fn finish(&mut self, number: Number, answer: Response, orders: &mut Vec<Order>) {
         if let Some(open) = self.remove(number) {
             self.count(&answer);
-            orders.push(Order::Answer(open.arrival.origin, answer));
+            orders.push(Order::Response(open.arrival.client, answer));
         }
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod upstream;
 
 use crate::core::{Core, Counts, Order, Reply, Settings};
-use cleatpulley_dispatcher::{Fact, Head};
+use cleatpulley_dispatcher::{Event, RequestHead};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::server;
 use cleatpulley_server::front::{Front, Speaks};
@@ -34,7 +34,7 @@
 pub struct AnyPath;
 
 impl server::Lookup for AnyPath {
-    fn find(&self, _: &Head) -> Result<usize, (u16, String)> {
+    fn find(&self, _: &RequestHead) -> Result<usize, (u16, String)> {
         Ok(0)
     }
 
@@ -83,7 +83,7 @@
     front: Front<W>,
     core: Core,
     upstream: upstream::Upstream<W>,
-    facts: Vec<Fact>,
+    facts: Vec<Event>,
     orders: Vec<Order>,
     replies: Vec<(core::Number, Reply)>,
     sweep_at: Micros,
@@ -176,7 +176,7 @@
         while !self.orders.is_empty() || !self.replies.is_empty() {
             for order in std::mem::take(&mut self.orders) {
                 match order {
-                    Order::Answer(to, answer) => self.front.answer(now, to, &answer),
+                    Order::Response(to, answer) => self.front.answer(now, to, &answer),
                     Order::Abandon(number) => self.upstream.abandon(number, &mut self.replies),
                     Order::Send { number, to, uri } => {
                         let Some(arrival) = self.core.request(number) else {
@@ -240,8 +240,8 @@
         self.upstream.turn(now, &mut self.replies);
         for fact in std::mem::take(&mut self.facts) {
             match fact {
-                Fact::Arrived(arrival) => self.core.arrive(now, arrival, &mut self.orders),
-                Fact::OriginLost(connection) => {
+                Event::RequestRead(arrival) => self.core.arrive(now, arrival, &mut self.orders),
+                Event::ConnectionLost(connection) => {
                     self.core.lose_origin(now, connection, &mut self.orders)
                 }
                 _ => {}
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -4,7 +4,7 @@
 
 use super::core::{Number, Reply};
 use asking::{push_ajp, push_frame};
-use cleatpulley_dispatcher::{Answer, Arrival};
+use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Fate, Options};
 use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
@@ -197,7 +197,7 @@
         number: Number,
         to: &Arc<str>,
         uri: &str,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         replies: &mut Vec<(Number, Reply)>,
     ) {
         let line = match self.line(now, to) {
@@ -231,7 +231,7 @@
         at.used = now;
         if !sent {
             // Its head does not fit into a packet.
-            let answer = Answer::Returned {
+            let answer = Response::Direct {
                 status: 431,
                 body: b"the head is too large".to_vec(),
             };
@@ -553,9 +553,9 @@
                         replies.push((
                             asked,
                             match response.status {
-                                200 => Reply::Answered(Answer::Served(response.body)),
+                                200 => Reply::Answered(Response::Served(response.body)),
                                 503 | 429 if never => Reply::Nothing(Try::Refused { later, last }),
-                                status if never => Reply::Answered(Answer::Returned {
+                                status if never => Reply::Answered(Response::Direct {
                                     status,
                                     body: response.body,
                                 }),
@@ -596,7 +596,7 @@
         .and_then(|value| value.parse::<f64>().ok())
         .map(|most| most as u32);
     let reply = match code {
-        0 => Reply::Answered(Answer::Served(body.to_vec())),
+        0 => Reply::Answered(Response::Served(body.to_vec())),
         1 => {
             let later = find("later")
                 .and_then(|ms| ms.parse::<Micros>().ok())
@@ -608,7 +608,7 @@
             })
         }
         // With words it is the request that is at fault.
-        2 if !body.is_empty() => Reply::Answered(Answer::Returned {
+        2 if !body.is_empty() => Reply::Answered(Response::Direct {
             status: 400,
             body: body.to_vec(),
         }),
--- a/crates/gateway/src/upstream/asking.rs
+++ b/crates/gateway/src/upstream/asking.rs
@@ -1,7 +1,7 @@
 //! A request as it is sent on, by frames or by AJP.
 
 use super::Names;
-use cleatpulley_dispatcher::{Arrival, Head};
+use cleatpulley_dispatcher::{IncomingRequest, RequestHead};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Request};
 use cleatpulley_protocol::frame::codec;
@@ -9,7 +9,7 @@
 pub(super) fn push_frame(
     out: &mut Vec<u8>,
     stream: u32,
-    arrival: &Arrival,
+    arrival: &IncomingRequest,
     classes: &[String],
     names: &Names,
 ) {
@@ -20,9 +20,12 @@
     let mut fields = vec![
         ("verb", class.to_owned()),
         ("txn", format!("{:016x}", arrival.id)),
-        ("door", (arrival.door / 1_000).to_string()),
+        ("door", (arrival.received_at / 1_000).to_string()),
         ("lb", arrival.caller.to_string()),
-        ("cpu", format!("{:.2}", arrival.work as f64 / 1_000.0)),
+        (
+            "cpu",
+            format!("{:.2}", arrival.expected_work as f64 / 1_000.0),
+        ),
         ("ram", format!("{:.1}", arrival.memory_kb)),
         ("standing", format!("{:.4}", arrival.rank.min(0.999_9))),
     ];
@@ -42,7 +45,7 @@
     codec::push_request(out, stream, &payload);
 }
 
-fn header<'a>(head: &'a Head, name: &str) -> Option<&'a str> {
+fn header<'a>(head: &'a RequestHead, name: &str) -> Option<&'a str> {
     head.headers
         .iter()
         .find(|(known, _)| known.eq_ignore_ascii_case(name))
@@ -55,16 +58,16 @@
     now: Micros,
     client: &mut Client,
     uri: &str,
-    arrival: &Arrival,
+    arrival: &IncomingRequest,
     names: &Names,
 ) -> bool {
-    let empty = Head::default();
+    let empty = RequestHead::default();
     let head = arrival.head.as_deref().unwrap_or(&empty);
     let figures = [
         (names.id.as_str(), format!("{:016x}", arrival.id)),
         (
             names.work_ms.as_str(),
-            format!("{:.2}", arrival.work as f64 / 1_000.0),
+            format!("{:.2}", arrival.expected_work as f64 / 1_000.0),
         ),
         (
             names.memory_kb.as_str(),
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -23,7 +23,7 @@
 struct NoKeeper;
 
 impl Keeper for NoKeeper {
-    fn write(&mut self, _: cleatpulley_dispatcher::history::Effect) {}
+    fn write(&mut self, _: cleatpulley_dispatcher::key_table::KeyCommand) {}
     fn recall(&mut self, _: Micros, _: RequestId, _: u64, _: ScopedKey) {}
     fn release(&mut self) {}
     fn stop(self) {}
@@ -159,20 +159,20 @@
     )
 }
 
-fn arrival(id: u64) -> Arrival {
-    Arrival {
-        origin: cleatpulley_dispatcher::Origin {
+fn arrival(id: u64) -> IncomingRequest {
+    IncomingRequest {
+        client: cleatpulley_dispatcher::ClientStream {
             connection: 1,
             stream: 1,
         },
         id,
         class: 0,
         caller: 1,
-        door: 0,
-        work: 0,
+        received_at: 0,
+        expected_work: 0,
         memory_kb: 1.0,
         rank: 0.5,
-        retry: false,
+        is_retry: false,
         has_subject: false,
         key: None,
         body: vec![7; 40],
@@ -245,9 +245,9 @@
     upstream.turn(0, &mut replies);
     let mut said = Vec::new();
     codec::push_goodbye(&mut said);
-    let refused = Answer::Refused {
-        later: 70_000,
-        last: true,
+    let refused = Response::Rejected {
+        retry_after: 70_000,
+        no_failover: true,
     };
     codec::push_answer(&mut said, 2, &refused, Some(3.0));
     *fake.sends.borrow_mut() = said;
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -2,7 +2,7 @@
 //! from outside: one answer a request and by its due time, none with an effect at two targets that may have run it, no
 //! refusal after a run, further tries within their budget, and nothing left over in the end.
 
-use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
 use cleatpulley_gateway::core::{Class, Core, Order, Reply, Settings};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::import::Import;
@@ -55,9 +55,9 @@
     }
 }
 
-fn arrival(stream: u32, path: &str, now: Micros) -> Arrival {
+fn arrival(stream: u32, path: &str, now: Micros) -> IncomingRequest {
     let headers = [("X-Caller", stream % 3), ("X-Subject", stream)];
-    let head = Head {
+    let head = RequestHead {
         method: "POST".to_owned(),
         host: "h".to_owned(),
         target: path.to_owned(),
@@ -67,19 +67,19 @@
         remote: "192.0.2.7".to_owned(),
         frame: None,
     };
-    Arrival {
-        origin: Origin {
+    IncomingRequest {
+        client: ClientStream {
             connection: u64::from(stream % 5),
             stream,
         },
         id: u64::from(stream),
         class: 0,
         caller: 1,
-        door: now,
-        work: 0,
+        received_at: now,
+        expected_work: 0,
         memory_kb: 1.0,
         rank: 0.5,
-        retry: false,
+        is_retry: false,
         has_subject: false,
         key: None,
         body: Vec::new(),
@@ -117,7 +117,7 @@
         for order in orders {
             match order {
                 Order::Send { number, uri, .. } => {
-                    let stream = self.core.request(number).expect("it is open").origin.stream;
+                    let stream = self.core.request(number).expect("it is open").client.stream;
                     let seen = self.seen.get_mut(&stream).expect("it came");
                     assert!(seen.path != "/seat" || !seen.ran, "{stream} may run twice");
                     assert!(seen.path != "/view" || uri == "/new", "{uri}");
@@ -137,7 +137,7 @@
                 Order::Abandon(number) => {
                     self.out.remove(&number);
                 }
-                Order::Answer(origin, answer) => {
+                Order::Response(origin, answer) => {
                     let seen = self.seen.get_mut(&origin.stream).expect("it came");
                     seen.answers += 1;
                     assert!(
@@ -146,7 +146,7 @@
                         origin.stream
                     );
                     assert!(self.now <= seen.due, "late by {}", self.now - seen.due);
-                    let promises = matches!(answer, Answer::Refused { .. });
+                    let promises = matches!(answer, Response::Rejected { .. });
                     assert!(!promises || !seen.ran, "turned away after it may have run");
                 }
             }
@@ -212,12 +212,12 @@
         let later = self.random.random_range(0..3) * 100 * MS;
         let last = self.random.random_range(0..9) == 0;
         let reply = match self.random.random_range(0..9) {
-            0..=2 => Reply::Answered(Answer::Served(vec![1])),
+            0..=2 => Reply::Answered(Response::Served(vec![1])),
             3 => Reply::Nothing(Try::Refused { later, last }),
             4 => Reply::Nothing(Try::Failed),
             5 => Reply::Nothing(if written { Try::Lost } else { Try::Unsent }),
             6 => Reply::Advised(self.random.random_range(0..4)),
-            7 => Reply::Answered(Answer::Returned {
+            7 => Reply::Answered(Response::Direct {
                 status: 422,
                 body: Vec::new(),
             }),
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,8 +1,8 @@
 //! The process that serves, and what it does for the one that is to take its place.
 
 use crate::message::{Held, Message, VERSION};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use std::net::SocketAddr;
 
 /// A successor that has the sockets asks to take over within this time, or is forgotten: its runtime may come up late.
@@ -190,7 +190,7 @@
     /// The connection ended, or what came on it can't be read.
     pub fn ended(&mut self, now: Micros) -> Vec<Effect> {
         self.state = match self.state {
-            State::Yielded { .. } if planted(Bug::StoreReopened) => {
+            State::Yielded { .. } if is_bug_injected(InjectedBug::StoreReopened) => {
                 self.state = State::Alone;
                 return vec![Effect::Close, Effect::Resume];
             }
--- a/crates/hot-restart/src/snapshot.rs
+++ b/crates/hot-restart/src/snapshot.rs
@@ -1,9 +1,9 @@
 //! What a controller has learned, as it is passed on: with a version, the site it is of, its age and a checksum, so that one
 //! that is torn, old or of another site is told and not believed.
 
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::learned::Learned;
-use cleatpulley_policy::plant::{planted, Bug};
+use cleatpulley_policy::learned_state::LearnedState;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -63,7 +63,7 @@
 
 /// As it is passed on.
 #[must_use]
-pub fn encode(site: u64, now: Micros, learned: &Learned) -> String {
+pub fn encode(site: u64, now: Micros, learned: &LearnedState) -> String {
     // None of its parts can fail to be written.
     let learned = serde_json::to_string(learned).unwrap_or_default();
     let mut form = Form {
@@ -81,12 +81,12 @@
 ///
 /// # Errors
 /// Why it is not believed.
-pub fn decode(site: u64, now: Micros, text: &str) -> Result<Learned, Fault> {
+pub fn decode(site: u64, now: Micros, text: &str) -> Result<LearnedState, Fault> {
     let form: Form = serde_json::from_str(text)?;
     if form.version != VERSION {
         return Err(Fault::Version(form.version));
     }
-    if form.checksum != form.sum() && !planted(Bug::TornBelieved) {
+    if form.checksum != form.sum() && !is_bug_injected(InjectedBug::TornSnapshotAccepted) {
         return Err(Fault::Torn);
     }
     if form.site != site {
@@ -102,29 +102,29 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cleatpulley_policy::learned::{Calls, Class};
+    use cleatpulley_policy::learned_state::{LearnedClass, LearnedDependency};
 
     const NOW: Micros = 1_764_576_000_000_000;
 
-    fn learned() -> Learned {
-        Learned {
-            classes: vec![Class {
+    fn learned() -> LearnedState {
+        LearnedState {
+            classes: vec![LearnedClass {
                 run_time: 61_000.5,
-                work: 20_000.0,
-                patience: 900_000,
+                expected_work: 20_000.0,
+                longest_remaining_time: 900_000,
             }],
-            calls: Calls {
-                bound: 6.4,
+            dependency: LearnedDependency {
+                concurrency_limit: 6.4,
                 latency: 8_100.0,
-                usual: 7_900.0,
+                baseline_latency: 7_900.0,
                 backlog: 0.25,
                 gap: 810.0,
             },
             run_limit: 9.5,
-            cut: 0.125,
-            welcome: 0.9,
-            lag: 300.0,
-            again: 0.01,
+            rank_threshold: 0.125,
+            advertised_capacity: 0.9,
+            read_delay: 300.0,
+            retry_ratio: 0.01,
         }
     }
 
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -1,131 +1,144 @@
-//! Histories on an embedded store: writes what [`History`](crate::history::History) decides, and reads it back. One
-//! sync covers all that was written before it. Whoever owns it decides on which thread it runs.
-
-use crate::fence::{Fence, Fences};
-use crate::history::{Effect, Recovered};
-use crate::record::{Outcome, Record, ScopedKey};
+//! The records of keys in an embedded store: writes what a [`KeyTable`](crate::key_table::KeyTable)
+//! decides, and reads it back.
+//!
+//! One sync covers all that was written before it. The owner of the journal decides on which thread
+//! it runs.
+
+use crate::fence::{Fence, FenceTable};
+use crate::key_table::{KeyCommand, RecoveredKeys};
+use crate::record::{KeyOutcome, KeyRecord, ScopedKey};
+use crate::transfer::TransferError;
 use cleatpulley_log_store::files::Files;
 use cleatpulley_log_store::{Batch, Error, Found, Options, Stats, Store, Work};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 
-/// Keys of the store that are no keys of requests are shorter than those: a fence's number behind this.
-const FENCE: &[u8] = b"fence";
-/// Written and synced to see whether a disk takes writes again.
-const PROBE: &[u8] = b"probe";
+/// Prefix of the store's keys for fences; a number follows. Keys of requests are longer.
+const FENCE_PREFIX: &[u8] = b"fence";
+/// Written and synced to find out whether the store takes writes again.
+const PROBE_KEY: &[u8] = b"probe";
+/// Bytes of the expiry before each record.
+const EXPIRY_LENGTH: usize = 8;
 
-/// Histories in a store.
+/// The records of keys in a store.
 pub struct Journal<F: Files> {
     store: Store<F>,
-    fences: Fences,
-    /// The last ticket that was written, and the last that is durable.
-    written: u64,
-    durable: u64,
+    fences: FenceTable,
+    /// The last ticket that was written.
+    written_ticket: u64,
+    /// The last ticket that is durable.
+    durable_ticket: u64,
+}
+
+/// A journal that was opened, with what its store held.
+pub struct OpenedJournal<F: Files> {
+    /// The journal.
+    pub journal: Journal<F>,
+    /// The keys that the store held.
+    pub recovered: RecoveredKeys,
+    /// What the store found in its files.
+    pub found: Found,
 }
 
 impl<F: Files> Journal<F> {
-    /// Opens the store and reads what it holds.
+    /// Opens the store and recovers its keys.
     ///
     /// # Errors
-    /// The store's.
-    pub fn open(
-        files: F,
-        options: Options,
-        now: Micros,
-    ) -> Result<(Self, Recovered, Found), Error> {
-        let seed = options.seed;
+    /// Where the store can't be opened or read.
+    pub fn open(files: F, options: Options, now: Micros) -> Result<OpenedJournal<F>, Error> {
+        let hash_seed = options.seed;
         let (store, found) = Store::open(files, options)?;
-        let recovered = read(&store, now, seed)?;
-        let fences = recovered.fences.clone();
-        Ok((
-            Self {
-                store,
-                fences,
-                written: 0,
-                durable: 0,
-            },
+        let recovered = recover(&store, now, hash_seed)?;
+        let journal = Self {
+            store,
+            fences: recovered.fences.clone(),
+            written_ticket: 0,
+            durable_ticket: 0,
+        };
+        Ok(OpenedJournal {
+            journal,
             recovered,
             found,
-        ))
+        })
     }
 
-    /// Writes what a history decided; all else is the caller's.
+    /// Writes or erases a record; all other commands are the caller's.
     ///
     /// # Errors
-    /// The store's: then nothing of it counts as written.
-    pub fn write(&mut self, effect: &Effect) -> Result<(), Error> {
-        match effect {
-            Effect::Write {
+    /// Where the store can't be written: then nothing of it counts as written.
+    pub fn write(&mut self, command: &KeyCommand) -> Result<(), Error> {
+        match command {
+            KeyCommand::Write {
                 ticket,
                 key,
                 record,
-                expiry,
+                expires_at,
             } => {
-                self.store.write(Batch::default().put(
-                    key.bytes(),
-                    &value(*expiry, record),
-                    Some(*expiry),
-                ))?;
-                self.written = *ticket;
+                let value = encode_value(*expires_at, record);
+                let batch = Batch::default().put(key.as_bytes(), &value, Some(*expires_at));
+                self.store.write(batch)?;
+                self.written_ticket = *ticket;
             }
-            // Not durable by itself: what a crash brings back is an intent, and that never runs.
-            Effect::Erase { key } => {
-                self.store.write(Batch::default().delete(key.bytes()))?;
+            // Need not be durable: what a crash brings back is an intent, and that never runs.
+            KeyCommand::Erase { key } => {
+                self.store.write(Batch::default().delete(key.as_bytes()))?;
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// Something waits to be durable.
+    /// Returns whether a write is not durable yet.
     #[must_use]
-    pub fn waits(&self) -> bool {
-        self.written > self.durable
+    pub fn has_unsynced_writes(&self) -> bool {
+        self.written_ticket > self.durable_ticket
     }
 
-    /// Makes all that waits durable; returns the last ticket that is.
+    /// Makes all writes durable. Returns the last ticket that is.
     ///
     /// # Errors
-    /// The store's: then it takes no more writes, and what waited must not be believed to be durable.
-    pub fn flush(&mut self) -> Result<u64, Error> {
-        let ticket = self.written;
-        if self.waits() {
-            if !planted(Bug::SyncSkipped) {
+    /// Where the store can't be synced: then it takes no more writes, and what was not durable yet
+    /// may never be.
+    pub fn sync(&mut self) -> Result<u64, Error> {
+        if self.has_unsynced_writes() {
+            if !is_bug_injected(InjectedBug::SyncSkipped) {
                 self.store.sync()?;
             }
-            self.durable = ticket;
+            self.durable_ticket = self.written_ticket;
         }
-        Ok(ticket)
+        Ok(self.written_ticket)
     }
 
-    /// How a key ended, where the store has that.
+    /// Returns how a key ended, where the store has that.
     ///
     /// # Errors
-    /// Where it is damaged or can't be read.
-    pub fn recall(&self, now: Micros, key: &ScopedKey) -> Result<Option<Outcome>, Error> {
-        let Some(bytes) = self.store.get(now, key.bytes())? else {
+    /// Where the store is damaged or can't be read.
+    pub fn load_outcome(&self, now: Micros, key: &ScopedKey) -> Result<Option<KeyOutcome>, Error> {
+        let Some(value) = self.store.get(now, key.as_bytes())? else {
             return Ok(None);
         };
-        Ok(match bytes.get(8..).and_then(Record::decode) {
-            Some(Record::Finished { outcome, .. }) => Some(outcome),
-            _ => None,
-        })
+        let outcome = match decode_value(&value) {
+            Some((_, KeyRecord::Completed { outcome, .. })) => Some(outcome),
+            Some((_, KeyRecord::Intent { .. })) | None => None,
+        };
+        Ok(outcome)
     }
 
     /// Sets a fence, durably.
     ///
     /// # Errors
-    /// Where a later move is known, or the store refuses.
-    pub fn fence(&mut self, fence: Fence) -> Result<(), crate::transfer::Error> {
+    /// Where a later move is known, or the store can't be written.
+    pub fn set_fence(&mut self, fence: Fence) -> Result<(), TransferError> {
         let mut fences = self.fences.clone();
         fences.set(fence)?;
+        let old_count = self.fences.as_slice().len();
         let mut batch = Batch::default();
-        for number in 0..self.fences.all().len().max(fences.all().len()) {
-            let key = [FENCE, &(number as u32).to_be_bytes()].concat();
-            match fences.all().get(number) {
-                // What was read from JSON can be written as such.
+        for number in 0..old_count.max(fences.as_slice().len()) {
+            let key = fence_key(number as u32);
+            match fences.as_slice().get(number) {
                 Some(fence) => {
-                    batch.push_put(&key, &serde_json::to_vec(fence).unwrap_or_default(), None)
+                    let text = serde_json::to_vec(fence).map_err(std::io::Error::from)?;
+                    batch.push_put(&key, &text, None);
                 }
                 None => batch.push_delete(&key),
             }
@@ -136,91 +149,104 @@
         Ok(())
     }
 
-    /// The fences that are set.
+    /// Returns the fences that are set.
     #[must_use]
-    pub fn fences(&self) -> &Fences {
+    pub fn fences(&self) -> &FenceTable {
         &self.fences
     }
 
-    /// Whether the disk takes writes and syncs.
+    /// Checks whether the store takes writes and syncs.
     ///
     /// # Errors
-    /// The store's.
+    /// Where it does not.
     pub fn probe(&mut self) -> Result<(), Error> {
-        self.store.write(Batch::default().delete(PROBE))?;
+        self.store.write(Batch::default().delete(PROBE_KEY))?;
         self.store.sync()
     }
 
-    /// Does a piece of the store's maintenance.
+    /// Does a part of the store's maintenance, of about `budget` bytes.
     ///
     /// # Errors
-    /// The store's; nothing is lost by them.
+    /// Where that fails; nothing is lost.
     pub fn maintain(&mut self, now: Micros, budget: usize) -> Result<Work, Error> {
         self.store.maintain(now, budget)
     }
 
-    /// Figures of the store.
+    /// Returns the store's statistics.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.store.stats()
     }
 
-    /// The store.
-    pub fn store(&mut self) -> &mut Store<F> {
+    /// Returns the store.
+    pub fn store_mut(&mut self) -> &mut Store<F> {
         &mut self.store
     }
 
-    /// Closes the store well.
+    /// Closes the store.
     ///
     /// # Errors
-    /// The store's.
+    /// Where its last writes can't be made durable.
     pub fn close(self) -> Result<(), Error> {
         self.store.close()
     }
 }
 
-/// What stands in the store under a key.
-pub(crate) fn value(expiry: Micros, record: &Record) -> Vec<u8> {
-    [&expiry.to_be_bytes()[..], &record.encode()].concat()
+fn fence_key(number: u32) -> Vec<u8> {
+    [FENCE_PREFIX, &number.to_be_bytes()].concat()
 }
 
-/// Goes through all keys of requests that live, the oldest first.
+/// Returns the value that the store has for a key: its expiry and its record.
+pub(crate) fn encode_value(expires_at: Micros, record: &KeyRecord) -> Vec<u8> {
+    [&expires_at.to_be_bytes()[..], &record.encode()].concat()
+}
+
+fn decode_value(value: &[u8]) -> Option<(Micros, KeyRecord)> {
+    let (expires_at, record) = value.split_first_chunk::<EXPIRY_LENGTH>()?;
+    Some((
+        Micros::from_be_bytes(*expires_at),
+        KeyRecord::decode(record)?,
+    ))
+}
+
+/// Passes each key of a request that has not expired to `visit`, the oldest first.
 ///
 /// # Errors
-/// The store's.
-pub fn each<F: Files>(
+/// Where the store can't be read.
+pub fn for_each_record<F: Files>(
     store: &Store<F>,
     now: Micros,
-    mut each: impl FnMut(ScopedKey, Record, Micros),
+    mut visit: impl FnMut(ScopedKey, KeyRecord, Micros),
 ) -> Result<(), Error> {
     store.by_age(now, |_, key, value| {
-        let expiry = value.first_chunk().map(|bytes| u64::from_be_bytes(*bytes));
-        let record = value.get(8..).and_then(Record::decode);
-        if let (Some(key), Some(record), Some(expiry)) =
-            (ScopedKey::from_bytes(key), record, expiry)
+        if let (Some(key), Some((expires_at, record))) =
+            (ScopedKey::from_bytes(key), decode_value(value))
         {
-            each(key, record, expiry);
+            visit(key, record, expires_at);
         }
         true
     })
 }
 
-/// Reads what a store holds.
+/// Recovers the keys and fences of a store.
 ///
 /// # Errors
-/// The store's.
-pub fn read<F: Files>(store: &Store<F>, now: Micros, seed: u64) -> Result<Recovered, Error> {
-    let mut recovered = Recovered::new(seed);
-    each(store, now, |key, record, expiry| {
-        recovered.add(key, &record, expiry)
+/// Where the store can't be read.
+pub fn recover<F: Files>(
+    store: &Store<F>,
+    now: Micros,
+    hash_seed: u64,
+) -> Result<RecoveredKeys, Error> {
+    let mut recovered = RecoveredKeys::new(hash_seed);
+    for_each_record(store, now, |key, record, expires_at| {
+        recovered.add(key, &record, expires_at);
     })?;
     for number in 0..u32::MAX {
-        let key = [FENCE, &number.to_be_bytes()].concat();
-        let Some(text) = store.get(now, &key)? else {
+        let Some(text) = store.get(now, &fence_key(number))? else {
             break;
         };
         if let Ok(fence) = serde_json::from_slice(&text) {
-            // Those that stand together were set together.
+            // They were set together, so that none contradicts another.
             let _ = recovered.fences.set(fence);
         }
     }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,15 +1,20 @@
-//! Kept results of keyed requests: what a key's history permits, and where it is kept.
+//! Idempotency keys: what the key of a request permits, and where its result is cached, so that a
+//! repeated request gets the first response and never runs again.
 //!
-//! [`history`] decides, without I/O and clock; [`journal`] writes what it decides to an embedded store; [`table`] is the
-//! structure that finds entries by key and by age; [`fence`] and [`transfer`] move the keys of an owner from one store
-//! to another.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`key_table`] | what a key permits: decisions, without I/O or clock |
+//! | [`journal`] | the records of keys in an embedded store |
+//! | [`record`] | keys and records as they are stored |
+//! | [`expiring_table`] | a table that finds entries by key and by age |
+//! | [`fence`], [`transfer`] | moving a range of keys from one store to another |
+//! | [`hex`] | bytes as hex digits |
 
+pub mod expiring_table;
 pub mod fence;
-pub mod history;
+pub mod hex;
 pub mod journal;
+mod key_command;
+pub mod key_table;
 pub mod record;
-pub mod table;
 pub mod transfer;
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -1,187 +1,155 @@
-//! What is written of a key, and how keys are scoped.
+//! The record of a key as it is stored, and how keys are scoped.
 
 use std::fmt;
 
-/// A key within its scope: two callers, or two classes, never meet by chance.
+/// Bytes of the owner in a scoped key.
+const OWNER_LENGTH: usize = 8;
+/// Bytes of owner and class in a scoped key.
+const SCOPE_LENGTH: usize = OWNER_LENGTH + 2;
+/// Bytes of a record before the result: kind and digest.
+const RECORD_HEAD_LENGTH: usize = 17;
+
+/// Kinds of stored records.
+const INTENT: u8 = 1;
+const SERVED: u8 = 2;
+const FAILED: u8 = 3;
+
+/// A key within its scope: those of two callers or two classes never collide.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ScopedKey(Box<[u8]>);
 
 impl ScopedKey {
-    /// The key of an owner (a caller or tenant, 0 where all share) and a class.
+    /// Scopes a key by its owner (a caller or tenant, 0 where all share their keys) and class.
     #[must_use]
-    pub fn new(owner: u64, class: u16, key: &[u8]) -> Self {
-        let mut bytes = Vec::with_capacity(10 + key.len());
+    pub fn new(owner: u64, class: u16, client_key: &[u8]) -> Self {
+        let mut bytes = Vec::with_capacity(SCOPE_LENGTH + client_key.len());
         bytes.extend_from_slice(&owner.to_be_bytes());
         bytes.extend_from_slice(&class.to_be_bytes());
-        bytes.extend_from_slice(key);
+        bytes.extend_from_slice(client_key);
         Self(bytes.into_boxed_slice())
     }
 
-    /// Its bytes, as the store has them.
+    /// Returns its bytes, as they are stored.
     #[must_use]
-    pub fn bytes(&self) -> &[u8] {
+    pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads what the store has; shorter ones are not keys of requests.
+    /// Reads stored bytes; none where they are too short for the key of a request.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        (bytes.len() >= 10).then(|| Self(Box::from(bytes)))
+        (bytes.len() >= SCOPE_LENGTH).then(|| Self(Box::from(bytes)))
+    }
+
+    /// Returns its owner.
+    #[must_use]
+    pub fn owner(&self) -> u64 {
+        self.0
+            .first_chunk()
+            .map_or(0, |bytes| u64::from_be_bytes(*bytes))
     }
 
-    /// Its class.
+    /// Returns its class.
     #[must_use]
     pub fn class(&self) -> u16 {
         self.0
-            .get(8..)
+            .get(OWNER_LENGTH..)
             .and_then(|rest| rest.first_chunk())
             .map_or(0, |bytes| u16::from_be_bytes(*bytes))
     }
 
-    /// The key as its caller told it.
+    /// Returns the key as its caller sent it.
     #[must_use]
-    pub fn told(&self) -> &[u8] {
-        self.0.get(10..).unwrap_or_default()
-    }
-
-    /// Whose it is.
-    #[must_use]
-    pub fn owner(&self) -> u64 {
-        self.0
-            .first_chunk()
-            .map_or(0, |bytes| u64::from_be_bytes(*bytes))
+    pub fn client_key(&self) -> &[u8] {
+        self.0.get(SCOPE_LENGTH..).unwrap_or_default()
     }
 }
 
 impl fmt::Debug for ScopedKey {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
-            f,
+            formatter,
             "{}:{}:{}",
             self.owner(),
             self.class(),
-            self.told().escape_ascii()
+            self.client_key().escape_ascii()
         )
     }
 }
 
-/// What binds a key to its request: class and body.
+/// Returns the digest that binds a key to its request: of class and body.
 #[must_use]
-pub fn digest(class: u16, body: &[u8]) -> u128 {
+pub fn request_digest(class: u16, body: &[u8]) -> u128 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(&class.to_be_bytes());
     hasher.update(body);
     hasher.digest128()
 }
 
-/// How a keyed request ended, as every one of its tries is told.
+/// How a request with a key ended; every attempt gets the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum KeyOutcome {
     /// With this result.
     Served(Vec<u8>),
-    /// It failed, and may have had its effect.
+    /// It failed, and may have taken effect.
     Failed,
 }
 
-/// What is written of a key.
+/// What is stored of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Record {
-    /// It is about to be started: from here on it may have run.
+pub enum KeyRecord {
+    /// Its request is about to be started: from here on it may have run.
     Intent {
-        /// Binds it to its request.
+        /// The digest of its request.
         digest: u128,
     },
-    /// It ended so.
-    Finished {
-        /// Binds it to its request.
+    /// Its request has ended.
+    Completed {
+        /// The digest of its request.
         digest: u128,
-        /// How.
-        outcome: Outcome,
+        /// How it ended.
+        outcome: KeyOutcome,
     },
 }
 
-impl Record {
-    /// Its bytes.
+impl KeyRecord {
+    /// Returns the bytes to store: kind, digest and result.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let (kind, digest, body): (u8, u128, &[u8]) = match self {
-            Self::Intent { digest } => (1, *digest, &[]),
-            Self::Finished {
-                digest,
-                outcome: Outcome::Served(result),
-            } => (2, *digest, result),
-            Self::Finished {
-                digest,
-                outcome: Outcome::Failed,
-            } => (3, *digest, &[]),
+        let (kind, result): (u8, &[u8]) = match self {
+            Self::Intent { .. } => (INTENT, &[]),
+            Self::Completed { outcome, .. } => match outcome {
+                KeyOutcome::Served(result) => (SERVED, result),
+                KeyOutcome::Failed => (FAILED, &[]),
+            },
         };
-        let mut bytes = Vec::with_capacity(17 + body.len());
+        let mut bytes = Vec::with_capacity(RECORD_HEAD_LENGTH + result.len());
         bytes.push(kind);
-        bytes.extend_from_slice(&digest.to_be_bytes());
-        bytes.extend_from_slice(body);
+        bytes.extend_from_slice(&self.digest().to_be_bytes());
+        bytes.extend_from_slice(result);
         bytes
     }
 
-    /// Reads what was written; none where it is no record.
+    /// Reads stored bytes; none where they are no record.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&kind, rest) = bytes.split_first()?;
-        let (digest, body) = rest.split_first_chunk::<16>()?;
+        let (digest, result) = rest.split_first_chunk::<16>()?;
         let digest = u128::from_be_bytes(*digest);
-        Some(match (kind, body) {
-            (1, []) => Self::Intent { digest },
-            (2, result) => Self::Finished {
-                digest,
-                outcome: Outcome::Served(result.to_vec()),
-            },
-            (3, []) => Self::Finished {
-                digest,
-                outcome: Outcome::Failed,
-            },
+        let outcome = match (kind, result) {
+            (INTENT, []) => return Some(Self::Intent { digest }),
+            (SERVED, result) => KeyOutcome::Served(result.to_vec()),
+            (FAILED, []) => KeyOutcome::Failed,
             _ => return None,
-        })
+        };
+        Some(Self::Completed { digest, outcome })
     }
 
-    /// What binds it to its request.
+    /// Returns the digest of the request.
     #[must_use]
     pub fn digest(&self) -> u128 {
         match self {
-            Self::Intent { digest } | Self::Finished { digest, .. } => *digest,
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn records_and_keys_are_read_as_they_were_written() {
-        for record in [
-            Record::Intent { digest: 7 },
-            Record::Finished {
-                digest: u128::MAX,
-                outcome: Outcome::Served(vec![0, 255]),
-            },
-            Record::Finished {
-                digest: 0,
-                outcome: Outcome::Served(Vec::new()),
-            },
-            Record::Finished {
-                digest: 1,
-                outcome: Outcome::Failed,
-            },
-        ] {
-            let bytes = record.encode();
-            assert_eq!(Record::decode(&bytes), Some(record));
-            assert_eq!(Record::decode(&bytes[..16]), None);
+            Self::Intent { digest } | Self::Completed { digest, .. } => *digest,
         }
-        assert_eq!(Record::decode(&[9; 17]), None);
-        let key = ScopedKey::new(5, 2, b"k");
-        assert_eq!(ScopedKey::from_bytes(key.bytes()), Some(key.clone()));
-        assert_eq!((key.class(), key.told()), (2, &b"k"[..]));
-        assert_eq!((key.owner(), ScopedKey::from_bytes(b"short")), (5, None));
-        assert_ne!(ScopedKey::new(5, 2, b"k"), ScopedKey::new(5, 3, b"k"));
-        assert_ne!(digest(1, b"a"), digest(2, b"a"));
     }
 }
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -1,50 +1,85 @@
-//! The kept results of a range of keys as a file: exported behind a fence, imported whole or not at all.
+//! The cached results of a range of keys as a file: exported behind a fence, imported completely or
+//! not at all.
 //!
-//! A text file of JSON lines: a head with format, range and epoch; a line a key; a foot with their number and a checksum
-//! of all lines before it. An entry is what the store has of it: key, expiry and record as hex digits.
+//! A text file of JSON lines: a head with format, range and epoch; one line per key; and a foot with
+//! their number and a checksum of all lines before it. A line has what the store has of a key: the
+//! key, its expiry, and its record as hex digits.
 
-use crate::fence::{from_hex, to_hex, Fence, Range, Refused};
-use crate::journal::{self, Journal};
-use crate::record::{Record, ScopedKey};
+use crate::fence::{Fence, FenceError, KeyRange};
+use crate::hex::{from_hex, to_hex};
+use crate::journal::{encode_value, for_each_record, Journal};
+use crate::record::{KeyRecord, ScopedKey};
 use cleatpulley_log_store::files::Files;
 use cleatpulley_log_store::Batch;
 use cleatpulley_policy::interface::Micros;
 use serde::{Deserialize, Serialize};
-use std::io::{BufRead, Write};
+use std::io::{self, BufRead, Write};
 use xxhash_rust::xxh3::Xxh3;
 
-/// The form of the file.
+/// The format of the file, with its version.
 const FORMAT: &str = "cleatpulley results 1";
-/// Entries that are imported in one batch.
-const BATCH: usize = 1_000;
+/// Keys that are imported in one batch.
+const BATCH_SIZE: usize = 1_000;
 
 /// Why keys could not be moved.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
-    /// The store's fault.
+pub enum TransferError {
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] cleatpulley_log_store::Error),
-    /// The move is refused.
+    /// The fence can't be set.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Fence(#[from] FenceError),
     /// The file can't be read or written.
     #[error("the file can't be read or written: {0}")]
-    File(#[from] std::io::Error),
-    /// The file is no export, or not a whole one.
-    #[error("line {line}: {what}")]
-    Form {
+    Io(#[from] io::Error),
+    /// The file is no export, or not a complete one.
+    #[error("line {line}: {source}")]
+    Format {
         /// The line, from 1.
         line: usize,
         /// What is wrong there.
-        what: String,
+        source: FormatError,
     },
 }
 
+/// What is wrong with a line of an export.
+#[derive(Debug, thiserror::Error)]
+pub enum FormatError {
+    /// It is not UTF-8.
+    #[error("no text")]
+    NoText,
+    /// The file has fewer than two lines.
+    #[error("no head and foot")]
+    TooShort,
+    /// The first line is no head.
+    #[error("no head: {0}")]
+    Head(#[source] serde_json::Error),
+    /// The file has another format or version.
+    #[error("the format is {0:?} and not {FORMAT:?}")]
+    UnknownFormat(String),
+    /// The last line is no foot.
+    #[error("no foot, the file is cut: {0}")]
+    Foot(#[source] serde_json::Error),
+    /// The foot contradicts the lines before it.
+    #[error("number or checksum don't fit: the file is damaged")]
+    Checksum,
+    /// The line is no entry.
+    #[error(transparent)]
+    Entry(serde_json::Error),
+    /// The key can't be read, or is outside the range of the head.
+    #[error("key: none, or outside the range")]
+    Key,
+    /// The record can't be read.
+    #[error("record: it can't be read")]
+    Record,
+}
+
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Head {
     format: String,
-    range: Range,
+    range: KeyRange,
     epoch: u64,
 }
 
@@ -52,7 +87,8 @@
 #[serde(deny_unknown_fields)]
 struct Line {
     key: String,
-    expiry: Micros,
+    #[serde(rename = "expiry")]
+    expires_at: Micros,
     record: String,
 }
 
@@ -63,163 +99,203 @@
     checksum: String,
 }
 
-/// Gives a range away: from the fence on this store admits no new key of it. Returns how many keys were written.
-/// Nothing of the range may be open, which is sure where no matcher uses the store.
+/// Moves a range away and writes it to `output`: from the fence on this store admits no new key of
+/// it. Returns how many keys were written.
+///
+/// No key of the range may be pending, which is sure where no server uses the store.
 ///
 /// # Errors
-/// Where a later move is known, or something can't be written; the fence may stand then, and the same epoch can't be
-/// used again.
+/// Where a later move is known, or something can't be written; the fence may be set then, and the
+/// same epoch can't be used again.
 pub fn export<F: Files>(
     journal: &mut Journal<F>,
     now: Micros,
-    range: &Range,
+    range: &KeyRange,
     epoch: u64,
-    out: &mut impl Write,
-) -> Result<usize, Error> {
-    journal.fence(Fence {
+    output: &mut impl Write,
+) -> Result<usize, TransferError> {
+    journal.set_fence(Fence {
         range: range.clone(),
         epoch,
-        here: false,
+        is_owned: false,
     })?;
-    copy(journal, now, range, epoch, out)
+    copy(journal, now, range, epoch, output)
 }
 
-/// Writes what is kept of a range, and changes nothing.
+/// Writes the cached results of a range to `output`, and changes nothing. Returns how many keys were
+/// written.
 ///
 /// # Errors
 /// Where something can't be read or written.
 pub fn copy<F: Files>(
     journal: &mut Journal<F>,
     now: Micros,
-    range: &Range,
+    range: &KeyRange,
     epoch: u64,
-    out: &mut impl Write,
-) -> Result<usize, Error> {
-    let mut sum = Xxh3::new();
-    let put = |out: &mut dyn Write, sum: Option<&mut Xxh3>, text: String| -> std::io::Result<()> {
-        if let Some(sum) = sum {
-            sum.update(text.as_bytes());
-        }
-        writeln!(out, "{text}")
-    };
-    let json = |value: serde_json::Result<String>| value.map_err(std::io::Error::other);
+    output: &mut impl Write,
+) -> Result<usize, TransferError> {
+    let mut checksum = Xxh3::new();
     let head = Head {
         format: FORMAT.to_owned(),
         range: range.clone(),
         epoch,
     };
-    put(out, Some(&mut sum), json(serde_json::to_string(&head))?)?;
-    let (mut entries, mut failed) = (0, None);
-    journal::each(journal.store(), now, |key, record, expiry| {
-        if !range.contains(&key) || failed.is_some() {
+    write_line(output, &mut checksum, &head)?;
+    let mut entries = 0;
+    let mut result = Ok(());
+    for_each_record(journal.store_mut(), now, |key, record, expires_at| {
+        if !range.contains(&key) || result.is_err() {
             return;
         }
         let line = Line {
-            key: to_hex(key.bytes()),
-            expiry,
+            key: to_hex(key.as_bytes()),
+            expires_at,
             record: to_hex(&record.encode()),
         };
-        let written =
-            json(serde_json::to_string(&line)).and_then(|text| put(out, Some(&mut sum), text));
-        match written {
-            Ok(()) => entries += 1,
-            Err(e) => failed = Some(e),
-        }
+        result = write_line(output, &mut checksum, &line);
+        entries += 1;
     })?;
-    if let Some(e) = failed {
-        return Err(e.into());
-    }
+    result?;
     let foot = Foot {
         entries,
-        checksum: format!("{:016x}", sum.digest()),
+        checksum: checksum_text(&checksum),
     };
-    put(out, None, json(serde_json::to_string(&foot))?)?;
-    out.flush()?;
+    write_line(output, &mut checksum, &foot)?;
+    output.flush()?;
     Ok(entries)
 }
 
-/// Takes a range over: all its keys first, then the fence that lets new ones in. What has expired is left out. The file
-/// is read whole before anything is written. Returns how many keys were taken.
+fn write_line(
+    output: &mut impl Write,
+    checksum: &mut Xxh3,
+    line: &impl Serialize,
+) -> io::Result<()> {
+    let text = serde_json::to_string(line)?;
+    checksum.update(text.as_bytes());
+    writeln!(output, "{text}")
+}
+
+fn checksum_text(checksum: &Xxh3) -> String {
+    format!("{:016x}", checksum.digest())
+}
+
+/// Takes a range over: first all its keys, then the fence that admits new ones. Expired keys are
+/// left out. The file is read completely before anything is written. Returns how many keys were
+/// taken over.
 ///
 /// # Errors
-/// Where the file is not whole, a later move is known or the store refuses. A store that refuses halfway may have some
-/// of the keys, which harms nobody: the range is not admitted, and the import can be made again.
+/// Where the file is not complete, a later move is known, or the store can't be written. A store
+/// that fails halfway may have some of the keys, which harms nobody: the range is not admitted, and
+/// the import can be repeated.
 pub fn import<F: Files>(
     journal: &mut Journal<F>,
     now: Micros,
     input: &mut impl BufRead,
-) -> Result<usize, Error> {
-    let (head, entries) = read(input)?;
+) -> Result<usize, TransferError> {
+    let export = read(input)?;
     let fence = Fence {
-        range: head.range,
-        epoch: head.epoch,
-        here: true,
+        range: export.head.range,
+        epoch: export.head.epoch,
+        is_owned: true,
     };
     journal.fences().clone().set(fence.clone())?;
-    let mut taken = 0;
-    for some in entries.chunks(BATCH) {
+    let mut imported = 0;
+    for entries in export.entries.chunks(BATCH_SIZE) {
         let mut batch = Batch::default();
-        for (key, expiry, record) in some.iter().filter(|(_, expiry, _)| *expiry > now) {
-            batch.push_put(key.bytes(), &journal::value(*expiry, record), Some(*expiry));
-            taken += 1;
+        for entry in entries.iter().filter(|entry| entry.expires_at > now) {
+            let value = encode_value(entry.expires_at, &entry.record);
+            batch.push_put(entry.key.as_bytes(), &value, Some(entry.expires_at));
+            imported += 1;
         }
-        journal.store().write(batch)?;
+        journal.store_mut().write(batch)?;
     }
-    journal.store().sync()?;
-    journal.fence(fence)?;
-    Ok(taken)
+    journal.store_mut().sync()?;
+    journal.set_fence(fence)?;
+    Ok(imported)
+}
+
+/// An export that was read completely.
+struct Export {
+    head: Head,
+    entries: Vec<ExportedKey>,
 }
 
-type Entries = Vec<(ScopedKey, Micros, Record)>;
+struct ExportedKey {
+    key: ScopedKey,
+    expires_at: Micros,
+    record: KeyRecord,
+}
 
-fn read(input: &mut impl BufRead) -> Result<(Head, Entries), Error> {
-    let wrong = |line: usize, what: &str| Error::Form {
-        line,
-        what: what.to_owned(),
+fn read(input: &mut impl BufRead) -> Result<Export, TransferError> {
+    let lines = read_lines(input)?;
+    let [head, entries @ .., foot] = &lines[..] else {
+        return Err(format_error(1, FormatError::TooShort));
     };
+    let head = read_head(head).map_err(|source| format_error(1, source))?;
+    check_foot(foot, &lines[..lines.len() - 1])
+        .map_err(|source| format_error(lines.len(), source))?;
+    let entries = entries
+        .iter()
+        .enumerate()
+        .map(|(index, text)| {
+            // The head is line 1.
+            read_entry(text, &head.range).map_err(|source| format_error(index + 2, source))
+        })
+        .collect::<Result<_, _>>()?;
+    Ok(Export { head, entries })
+}
+
+fn format_error(line: usize, source: FormatError) -> TransferError {
+    TransferError::Format { line, source }
+}
+
+fn read_lines(input: &mut impl BufRead) -> Result<Vec<String>, TransferError> {
     let mut lines = Vec::new();
-    for (number, line) in input.lines().enumerate() {
-        let line = line.map_err(|e| match e.kind() {
-            std::io::ErrorKind::InvalidData => wrong(number + 1, "no text"),
-            _ => Error::File(e),
+    for line in input.lines() {
+        let number = lines.len() + 1;
+        let line = line.map_err(|error| match error.kind() {
+            io::ErrorKind::InvalidData => format_error(number, FormatError::NoText),
+            _ => TransferError::Io(error),
         })?;
         lines.push(line);
     }
-    let [first, entries @ .., last] = &lines[..] else {
-        return Err(wrong(1, "no head and foot"));
-    };
-    let head: Head = serde_json::from_str(first).map_err(|e| wrong(1, &format!("no head: {e}")))?;
+    Ok(lines)
+}
+
+fn read_head(text: &str) -> Result<Head, FormatError> {
+    let head: Head = serde_json::from_str(text).map_err(FormatError::Head)?;
     if head.format != FORMAT {
-        return Err(wrong(
-            1,
-            &format!("the format is {:?} and not {FORMAT:?}", head.format),
-        ));
+        return Err(FormatError::UnknownFormat(head.format));
     }
-    let number = lines.len();
-    let foot: Foot = serde_json::from_str(last)
-        .map_err(|e| wrong(number, &format!("no foot, the file is cut: {e}")))?;
-    let mut sum = Xxh3::new();
-    lines[..number - 1]
-        .iter()
-        .for_each(|line| sum.update(line.as_bytes()));
-    if foot.entries != entries.len() || foot.checksum != format!("{:016x}", sum.digest()) {
-        return Err(wrong(
-            number,
-            "number or checksum don't fit: the file is damaged",
-        ));
+    Ok(head)
+}
+
+/// Checks the foot against the head and entries before it.
+fn check_foot(text: &str, lines: &[String]) -> Result<(), FormatError> {
+    let foot: Foot = serde_json::from_str(text).map_err(FormatError::Foot)?;
+    let mut checksum = Xxh3::new();
+    for line in lines {
+        checksum.update(line.as_bytes());
     }
-    let mut read = Vec::with_capacity(entries.len());
-    for (place, text) in entries.iter().enumerate() {
-        let line: Line =
-            serde_json::from_str(text).map_err(|e| wrong(place + 2, &e.to_string()))?;
-        let key = from_hex(&line.key).and_then(|bytes| ScopedKey::from_bytes(&bytes));
-        let key = key.filter(|key| head.range.contains(key));
-        let record = from_hex(&line.record).and_then(|bytes| Record::decode(&bytes));
-        match (key, record) {
-            (Some(key), Some(record)) => read.push((key, line.expiry, record)),
-            (None, _) => return Err(wrong(place + 2, "key: none, or outside the range")),
-            (_, None) => return Err(wrong(place + 2, "record: it can't be read")),
-        }
+    let entries = lines.len() - 1;
+    if foot.entries != entries || foot.checksum != checksum_text(&checksum) {
+        return Err(FormatError::Checksum);
     }
-    Ok((head, read))
+    Ok(())
+}
+
+fn read_entry(text: &str, range: &KeyRange) -> Result<ExportedKey, FormatError> {
+    let line: Line = serde_json::from_str(text).map_err(FormatError::Entry)?;
+    let key = from_hex(&line.key)
+        .and_then(|bytes| ScopedKey::from_bytes(&bytes))
+        .filter(|key| range.contains(key))
+        .ok_or(FormatError::Key)?;
+    let record = from_hex(&line.record)
+        .and_then(|bytes| KeyRecord::decode(&bytes))
+        .ok_or(FormatError::Record)?;
+    Ok(ExportedKey {
+        key,
+        expires_at: line.expires_at,
+        record,
+    })
 }
--- /dev/null
+++ b/crates/policy/src/controller/admission.rs
@@ -0,0 +1,182 @@
+//! Admission: what becomes of a request when it arrives.
+
+use super::request_state::{RequestStage, RequestState, RequestTiming, RequestValue};
+use super::{must_call, Controller};
+use crate::interface::{Action, Effect, Micros, Request, RequestId};
+
+impl Controller {
+    pub(super) fn on_arrival(&mut self, request: &Request, actions: &mut Vec<Action>) {
+        self.arrivals.record_read_delay(request.read_delay);
+        let mut state = self.new_request_state(request);
+        self.arrivals.record_arrival(&state);
+        let priority = self.priority(&state);
+        self.priority_filter.record_arrival(priority);
+        if let Some(original) = request.duplicate_of {
+            if self.joins_original(&mut state, original, actions) {
+                self.add_sharing_request(state, actions);
+                return;
+            }
+        }
+        if self.is_rejected(&state) {
+            self.reject(&state, actions);
+            return;
+        }
+        let id = state.id;
+        self.requests.insert(state);
+        self.shed(actions);
+        self.on_admission(id, request, actions);
+    }
+
+    fn new_request_state(&mut self, request: &Request) -> RequestState {
+        let class = &self.settings.classes[request.class];
+        let statistics = &mut self.class_statistics[request.class];
+        let now = self.clock.now;
+        let arrived_at = now.saturating_sub(request.read_delay);
+        let respond_by = request
+            .respond_by
+            .unwrap_or(arrived_at + class.client_timeout)
+            .max(now);
+        let remaining = respond_by - arrived_at.min(respond_by);
+        let age = statistics.estimate_age(remaining, request.is_retry, class.client_timeout);
+        let relative_size = statistics.relative_size(request.expected_work);
+        let stretch = class.latency_objective_stretch * request.expected_work.unwrap_or(0) as f64;
+        let objective_at = (arrived_at + class.latency_objective + stretch as Micros)
+            .saturating_sub(age)
+            .min(respond_by);
+        let weighted_work = if self.settings.weight_by_work {
+            statistics.work(relative_size)
+        } else {
+            1.0
+        };
+        let weight = class.priority_weight * weighted_work;
+        let classes = self.settings.classes.len() as f64;
+        RequestState {
+            id: request.id,
+            class: request.class,
+            tenant: request.tenant,
+            is_retry: request.is_retry,
+            caches_result: request.caches_result,
+            memory_kb: request.memory_kb,
+            timing: RequestTiming {
+                arrived_at,
+                respond_by: self.cut_to_stop(respond_by),
+                objective_at,
+            },
+            value: RequestValue {
+                weight,
+                relative_size,
+                rank_in_class: (request.rank * classes).fract(),
+            },
+            stage: RequestStage::Queued,
+            is_settled: false,
+            sharing_requests: 0,
+            call_made_at: 0,
+        }
+    }
+
+    /// Decides whether a repeated request waits for the outcome of its original.
+    ///
+    /// It does not run a second time: whatever is not known to be queued may have run. A request
+    /// with an idempotency key that is still queued yields to its repeat, whose caller is the one
+    /// that waits; where results are cached, both wait.
+    fn joins_original(
+        &mut self,
+        request: &mut RequestState,
+        original: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let is_idempotent = self.class(request).effect == Effect::Idempotent;
+        let yields = !is_idempotent && !request.caches_result;
+        match self.requests.get_mut(original) {
+            Some(other) if other.stage == RequestStage::Sharing(request.id) => return false,
+            Some(other) if other.stage == RequestStage::Queued && yields => {
+                self.replace_original(original, actions);
+                return false;
+            }
+            Some(other) => other.sharing_requests += 1,
+            None => {}
+        }
+        request.stage = RequestStage::Sharing(original);
+        actions.push(Action::ShareResponse(request.id));
+        true
+    }
+
+    /// Rejects a queued original in favour of its repeat.
+    fn replace_original(&mut self, original: RequestId, actions: &mut Vec<Action>) {
+        self.keys.remove(original);
+        self.requests.remove(original);
+        actions.push(Action::Reject {
+            id: original,
+            retry_after: 0,
+            no_failover: true,
+        });
+    }
+
+    /// Adds a request that waits for another's outcome. Where memory is short it fails: its
+    /// original may have run, so that it can't be rejected.
+    fn add_sharing_request(&mut self, request: RequestState, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let must_fail = request.caches_result && self.exceeds_memory(request.memory_kb);
+        self.requests.insert(request);
+        if must_fail {
+            self.fail(id, actions);
+        }
+    }
+
+    fn is_rejected(&self, request: &RequestState) -> bool {
+        let class = self.class(request);
+        let needs_key = request.caches_result || class.effect == Effect::Deduplicated;
+        let key_kb = if needs_key {
+            self.settings.key_entry_kb
+        } else {
+            0.0
+        };
+        let rank = self.rank(request);
+        let lacks_key_capacity = request.caches_result && !self.keys.has_capacity;
+        let lacks_call_capacity = must_call(class)
+            && (self.dependency.is_closed(self.clock.now, rank) || self.are_calls_crowded(request));
+        self.arrived_after_grace(request)
+            || lacks_key_capacity
+            || self.exceeds_memory(request.memory_kb + key_kb)
+            || lacks_call_capacity
+            || (self.would_wait() && rank < self.priority_filter.threshold)
+    }
+
+    /// Returns whether an arrival finds queued work or no free core. Without, the rank threshold
+    /// does not apply: cores would be idle behind it.
+    fn would_wait(&self) -> bool {
+        self.cores_in_use() >= self.concurrency.limit() || self.requests.has_queued()
+    }
+
+    /// Notes the admission of a request, unless it was shed at once.
+    fn on_admission(&mut self, id: RequestId, request: &Request, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(id) else {
+            return;
+        };
+        let class = &self.settings.classes[state.class];
+        let key_lifetime = self.key_lifetime(state, request);
+        if class.calls_dependency {
+            self.dependency.on_admission(self.clock.now);
+        }
+        if key_lifetime > 0 {
+            self.insert_key(id, key_lifetime, actions);
+        }
+    }
+
+    /// Returns for how long the request is entered in the table of keys; 0 where it is not.
+    fn key_lifetime(&self, state: &RequestState, request: &Request) -> Micros {
+        let class = self.class(state);
+        let sharing_time = self.settings.shared_response_lifetime;
+        let is_shared_read = sharing_time > 0 && request.has_subject && !request.is_write;
+        match class.effect {
+            Effect::Deduplicated => {
+                let window_end = state.timing.arrived_at + class.deduplication_window;
+                (window_end + self.clock.period).saturating_sub(self.clock.now)
+            }
+            Effect::Idempotent if is_shared_read => {
+                state.timing.respond_by.saturating_sub(self.clock.now) + sharing_time
+            }
+            Effect::Idempotent | Effect::AtMostOnce => 0,
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/controller/concurrency.rs
@@ -0,0 +1,163 @@
+//! The limit on running requests, and their starts and ends.
+
+use super::request_state::RequestStage;
+use super::{must_call, Controller, MARGIN};
+use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
+
+/// Share of the concurrency that a server survives which running requests may take.
+const OVERLOAD_SHARE: f64 = 0.5;
+/// Tasks that demand each core from which the limit shrinks: one run, and one request being read or
+/// connection being opened.
+pub(super) const FULL_CORE_TASKS: f64 = 2.0;
+/// Step of the limit in one period, as a share of the cores.
+const LIMIT_STEP: f64 = 0.05;
+
+/// Limits how many requests run at a time.
+#[derive(Debug, Clone)]
+pub(super) struct RunLimiter {
+    pub(super) limit: f64,
+    /// Tasks that demand a core, as last measured.
+    pub(super) runnable: Option<f64>,
+    /// When a run last ended or began to wait, or nothing was running.
+    progressed_at: Micros,
+}
+
+impl RunLimiter {
+    pub(super) fn new(cores: u32) -> Self {
+        Self {
+            limit: f64::from(cores.max(1)),
+            runnable: None,
+            progressed_at: 0,
+        }
+    }
+
+    pub(super) fn limit(&self) -> usize {
+        self.limit as usize
+    }
+
+    pub(super) fn on_progress(&mut self, now: Micros) {
+        self.progressed_at = now;
+    }
+}
+
+impl Controller {
+    /// Starts queued requests in their order while cores, memory and the dependency have room.
+    pub(super) fn start_runs(&mut self, actions: &mut Vec<Action>) {
+        let mut running = self.cores_in_use();
+        let mut memory_kb = self.memory_kb();
+        let usable_memory_kb = MARGIN * self.settings.memory_kb;
+        if running == 0 && !self.requests.has_queued() {
+            self.concurrency.on_progress(self.clock.now);
+        }
+        for id in self.run_order() {
+            if running >= self.concurrency.limit() {
+                return;
+            }
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let more_kb = request.memory_kb * (self.running_memory_factor() - 1.0);
+            let fits = memory_kb + more_kb <= usable_memory_kb;
+            if !fits || (must_call(self.class(request)) && self.are_calls_crowded(request)) {
+                continue;
+            }
+            memory_kb += more_kb;
+            if running == 0 {
+                self.concurrency.on_progress(self.clock.now);
+            }
+            running += 1;
+            self.requests.set_stage(id, RequestStage::Running);
+            actions.push(Action::Run(id));
+        }
+    }
+
+    pub(super) fn on_run_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        elapsed: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        let now = self.clock.now;
+        match request.stage {
+            RequestStage::Sharing(original) => self.requests.leave_shared_response(original),
+            RequestStage::Calling => {
+                let released_at = now + self.settings.abandoned_call_linger;
+                self.dependency
+                    .on_call_orphaned(request.call_made_at, released_at);
+                self.concurrency.on_progress(now);
+            }
+            RequestStage::Queued | RequestStage::Running | RequestStage::AwaitingCall => {
+                self.concurrency.on_progress(now);
+            }
+        }
+        let is_idempotent = self.class(&request).effect == Effect::Idempotent;
+        if outcome != Outcome::Success {
+            if is_idempotent {
+                self.remove_key(id, actions);
+            }
+            return;
+        }
+        if matches!(request.stage, RequestStage::Sharing(_)) {
+            return;
+        }
+        self.class_statistics[request.class].on_run_completed(elapsed, request.value.relative_size);
+        if is_idempotent && self.keys.contains(id) {
+            self.insert_key(id, self.settings.shared_response_lifetime, actions);
+        }
+    }
+
+    /// Raises the limit while cores are idle and work is queued, lowers it towards the cores while
+    /// they are crowded, and keeps it below what the server survives at its present speed.
+    pub(super) fn adjust_run_limit(&mut self) {
+        let cores = f64::from(self.settings.cores.max(1));
+        let is_at_limit = self.cores_in_use() as f64 >= self.concurrency.limit.floor();
+        let holds_work_back = self.requests.has_queued() && is_at_limit;
+        let limit = &mut self.concurrency.limit;
+        match self.concurrency.runnable {
+            Some(runnable) if runnable > FULL_CORE_TASKS * cores => *limit -= LIMIT_STEP * cores,
+            Some(runnable) if runnable < cores && holds_work_back => *limit += LIMIT_STEP * cores,
+            _ => {}
+        }
+        let survivable = (self.settings.overload_concurrency_per_core - 1.0).max(0.0);
+        let survived_now = (1.0 + survivable * self.speed()) * cores;
+        let highest = (OVERLOAD_SHARE * survived_now).max(cores);
+        self.concurrency.limit = self.concurrency.limit.clamp(cores, highest);
+    }
+
+    /// Returns the share of full speed that the server surely has by now: it may still warm up.
+    pub(super) fn speed(&self) -> f64 {
+        let warm_up_time = self.settings.warm_up_time.max(1) as f64;
+        let warmth = (self.clock.now - self.clock.started_at) as f64 / warm_up_time;
+        let initial = if self.settings.cold_start {
+            self.settings.cold_start_speed
+        } else {
+            1.0
+        };
+        (initial + (1.0 - initial) * warmth).min(1.0)
+    }
+
+    /// Requests on the cores, those of a predecessor included.
+    pub(super) fn cores_in_use(&self) -> usize {
+        self.requests.running_count() + self.predecessor.running
+    }
+
+    /// Calls in flight, those of a predecessor included.
+    pub(super) fn calls_in_flight(&self) -> usize {
+        self.requests.calling_count() + self.predecessor.calls
+    }
+
+    /// Runs that go on at a time, those at calls included.
+    pub(super) fn parallel_runs(&self) -> f64 {
+        self.concurrency.limit + self.requests.at_call_count() as f64
+    }
+
+    /// Returns for how long no run has ended though some should have, in microseconds: the symptom
+    /// of cores that stand still.
+    pub(super) fn stall_time(&self) -> f64 {
+        (self.clock.now - self.concurrency.progressed_at) as f64
+    }
+}
--- /dev/null
+++ b/crates/policy/src/controller/dependency_calls.rs
@@ -0,0 +1,140 @@
+//! Calls to the dependency: which are made, in which order, and which are left out or given up.
+
+use super::queue::QUEUE_SHARE;
+use super::request_state::{RequestStage, RequestState};
+use super::Controller;
+use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
+
+/// Call latencies for which the reply to a call is waited for.
+const TIMEOUT_IN_LATENCIES: f64 = 8.0;
+/// Periods for which the reply to a call is waited for at least.
+const TIMEOUT_IN_PERIODS: f64 = 2.0;
+
+impl Controller {
+    /// Returns whether the runs at calls, those of lower priority left out, are more than the
+    /// dependency serves in half the time that is left to the request's latency objective.
+    pub(super) fn are_calls_crowded(&self, request: &RequestState) -> bool {
+        let priority = self.priority(request);
+        let remaining = request.timing.objective_at.saturating_sub(self.clock.now) as f64;
+        let rounds = (QUEUE_SHARE * remaining / self.dependency.call_latency()).max(1.0);
+        let ahead = self
+            .requests
+            .iter()
+            .filter(|other| match other.stage {
+                RequestStage::Calling => true,
+                RequestStage::AwaitingCall => self.priority(other) >= priority,
+                RequestStage::Queued | RequestStage::Running | RequestStage::Sharing(_) => false,
+            })
+            .count();
+        ahead as f64 > self.dependency.call_limit() * rounds
+    }
+
+    /// Makes waiting calls by priority while the limiter has capacity; leaves out or gives up those
+    /// that would come too late.
+    pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
+        let mut in_flight = self.calls_in_flight();
+        let mut calls_ahead = 0.0;
+        for id in self.call_order() {
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let objective_at = request.timing.objective_at;
+            let latest = self.latest_useful_time(request);
+            let can_skip = self.class(request).weight_ratio_without_call > 0.0;
+            let rounds = calls_ahead / self.dependency.call_limit() + 1.0;
+            let end = self.clock.now as f64 + rounds * self.dependency.call_latency();
+            if can_skip && end > objective_at as f64 {
+                self.requests.set_stage(id, RequestStage::Running);
+                actions.push(Action::SkipCall(id));
+            } else if self.clock.now > latest {
+                self.fail(id, actions);
+            } else if self.dependency.has_capacity(self.clock.now, in_flight) {
+                in_flight += 1;
+                self.make_call(id, actions);
+            } else {
+                calls_ahead += 1.0;
+            }
+        }
+    }
+
+    /// Returns the requests that wait for their call, the highest priority first.
+    fn call_order(&self) -> Vec<RequestId> {
+        let mut waiting: Vec<(f64, RequestId)> = self
+            .requests
+            .iter()
+            .filter(|request| request.stage == RequestStage::AwaitingCall && !request.is_settled)
+            .map(|request| (self.priority(request), request.id))
+            .collect();
+        waiting.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        waiting.into_iter().map(|(_, id)| id).collect()
+    }
+
+    fn make_call(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.stage = RequestStage::Calling;
+        request.call_made_at = self.clock.now;
+        let timing = request.timing;
+        let effect = self.settings.classes[request.class].effect;
+        let timeout = self.call_timeout(timing.objective_at, timing.respond_by, effect);
+        actions.push(Action::Call { id, timeout });
+    }
+
+    /// Returns the timeout of a call that is made now. It leaves time to respond, and stays within
+    /// the remaining call time where the quota is below one call.
+    fn call_timeout(&self, objective_at: Micros, respond_by: Micros, effect: Effect) -> Micros {
+        let now = self.clock.now;
+        let period = self.clock.period;
+        // A reply that takes longer is lost, not late.
+        let patience = (TIMEOUT_IN_LATENCIES * self.dependency.call_latency())
+            .max(TIMEOUT_IN_PERIODS * period as f64) as Micros;
+        // A call that can't be made again is given up for good, and so not before its reply would be
+        // worth nothing.
+        let useful_time = if effect == Effect::Idempotent {
+            0
+        } else {
+            objective_at.saturating_sub(now)
+        };
+        let timeout = respond_by
+            .saturating_sub(now + period)
+            .min(patience.max(useful_time))
+            .max(1);
+        let within_quota = match self.dependency.remaining_call_time(now) {
+            Some(remaining) => {
+                (remaining as Micros).saturating_sub(self.settings.abandoned_call_linger)
+            }
+            None => timeout,
+        };
+        timeout.min(within_quota).max(1)
+    }
+
+    pub(super) fn on_call_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        elapsed: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let linger = self.settings.abandoned_call_linger;
+        self.dependency
+            .on_call_ended(self.clock.now, outcome, elapsed, linger);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if outcome == Outcome::Success {
+            request.stage = RequestStage::Running;
+            return;
+        }
+        request.stage = RequestStage::AwaitingCall;
+        let never_took_effect = matches!(
+            outcome,
+            Outcome::Overloaded | Outcome::Unreachable | Outcome::NotStarted
+        );
+        let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
+        if !is_idempotent && !never_took_effect {
+            // The call may have taken effect, and must not be made again.
+            self.fail(id, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/controller/dependency_limiter.rs
@@ -0,0 +1,237 @@
+//! The limiter of calls to the dependency: which admissions are spaced out, and which calls may be
+//! made.
+//!
+//! Bassoon gapping decides the ordinary path: the smoothed backlog of requests that wait for a call
+//! sets a gap, and each admission closes the dependency for one gap (`admission_gap`). Calls in
+//! flight have a limit of their own, which follows their latency (`call_limit`), and where this
+//! server's quota is below one call, a budget of call time (`call_quota`).
+
+mod admission_gap;
+mod call_latency;
+mod call_limit;
+mod call_quota;
+
+use super::MARGIN;
+use crate::interface::{DependencyLimit, Micros, Outcome, Settings};
+use crate::learned_state::LearnedDependency;
+use admission_gap::AdmissionGap;
+use call_latency::CallLatency;
+use call_limit::CallLimit;
+use call_quota::CallQuota;
+
+/// Call latencies for which no call is made after the dependency rejected one or was unreachable: a
+/// dependency that is down gets no storm of retries.
+const PAUSE_IN_LATENCIES: f64 = 2.0;
+/// Share of the quota below which the call limit is not halved: the dependency survives that many.
+const MINIMUM_QUOTA_SHARE: f64 = 0.5;
+
+/// Limits the calls of one server to its dependency.
+#[derive(Debug, Clone)]
+pub(super) struct DependencyLimiter {
+    limit: CallLimit,
+    quota: CallQuota,
+    gap: AdmissionGap,
+    latency: CallLatency,
+    silence: SilentCalls,
+    /// No call is made before this time.
+    paused_until: Micros,
+}
+
+/// Calls that ended without a reply from the dependency.
+#[derive(Debug, Clone, Default)]
+struct SilentCalls {
+    /// How many have ended since the last one with a reply.
+    consecutive: u32,
+    /// When the latest call with a reply was made.
+    last_replied_call: Micros,
+}
+
+/// What the end of a call says about the dependency.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CallSignal {
+    /// It replied.
+    Reply,
+    /// It did not reply in time.
+    Timeout,
+    /// The call was interrupted, most likely by a lost connection.
+    Interrupted,
+    /// It rejected the call or could not be reached, or the call was withdrawn.
+    NoService,
+}
+
+impl From<Outcome> for CallSignal {
+    fn from(outcome: Outcome) -> Self {
+        match outcome {
+            Outcome::Success | Outcome::Failure => Self::Reply,
+            Outcome::TimedOut => Self::Timeout,
+            Outcome::Interrupted => Self::Interrupted,
+            Outcome::Overloaded
+            | Outcome::Unreachable
+            | Outcome::Cancelled
+            | Outcome::NotStarted => Self::NoService,
+        }
+    }
+}
+
+impl DependencyLimiter {
+    pub(super) fn new(settings: &Settings, period: Micros) -> Self {
+        let cores = f64::from(settings.cores.max(1));
+        let (quota, initial_limit, minimum_limit) = match settings.dependency {
+            DependencyLimit::Shared {
+                concurrency_quota,
+                averaging_window,
+            } => {
+                let mean = MARGIN * concurrency_quota.max(0.0);
+                let minimum = MINIMUM_QUOTA_SHARE * MARGIN * concurrency_quota;
+                (CallQuota::new(mean, averaging_window), 1.0, minimum)
+            }
+            DependencyLimit::NoDependency | DependencyLimit::NextTier => {
+                let mean = cores * settings.overload_concurrency_per_core.max(1.0);
+                (CallQuota::new(mean, settings.warm_up_time), cores, 1.0)
+            }
+        };
+        let tightest_objective = settings
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(0);
+        Self {
+            limit: CallLimit::new(initial_limit, minimum_limit, quota.highest_concurrency()),
+            quota,
+            gap: AdmissionGap::default(),
+            latency: CallLatency::new(tightest_objective, period),
+            silence: SilentCalls::default(),
+            paused_until: 0,
+        }
+    }
+
+    /// The limit on concurrent calls.
+    pub(super) fn call_limit(&self) -> f64 {
+        self.limit.limit()
+    }
+
+    /// Smoothed latency of a call, in microseconds.
+    pub(super) fn call_latency(&self) -> f64 {
+        self.latency.smoothed()
+    }
+
+    /// Returns whether a request of this rank is held off by the gap of the last admission.
+    pub(super) fn is_closed(&self, now: Micros, rank: f64) -> bool {
+        self.gap.is_closed(now, rank)
+    }
+
+    /// Notes an admission, which closes the dependency for one gap.
+    pub(super) fn on_admission(&mut self, now: Micros) {
+        self.gap.on_admission(now, self.latency.smoothed());
+    }
+
+    /// Returns whether another call may be made beside those in flight.
+    pub(super) fn has_capacity(&self, now: Micros, in_flight: usize) -> bool {
+        let concurrency = self.quota.concurrency(now, in_flight) as f64;
+        let shortest_allowance = self.latency.smoothed().min(self.quota.time_per_window());
+        now >= self.paused_until
+            && concurrency < self.limit.limit().floor().max(1.0)
+            && self.quota.is_within_budget()
+            && self
+                .quota
+                .remaining_time(now)
+                .is_none_or(|remaining| remaining >= shortest_allowance)
+    }
+
+    /// Returns the call time that the quota leaves, in microseconds, where it is below one call.
+    pub(super) fn remaining_call_time(&self, now: Micros) -> Option<f64> {
+        self.quota.remaining_time(now)
+    }
+
+    /// Adjusts limiter and gap to the last period of length `elapsed`: to the `backlog` of requests
+    /// that wait for their call, and to the calls in flight.
+    pub(super) fn adjust(
+        &mut self,
+        now: Micros,
+        elapsed: Micros,
+        backlog: usize,
+        in_flight: usize,
+    ) {
+        self.quota.adjust(now, elapsed, in_flight);
+        let growth = self
+            .gap
+            .growth_factor(backlog, self.limit.limit(), self.limit.is_faltering());
+        self.latency.fade(now, in_flight);
+        self.gap.scale(growth, self.latency.smoothed());
+    }
+
+    /// Notes that a run ended while its call was in flight; the dependency works on it until
+    /// `released_at`.
+    pub(super) fn on_call_orphaned(&mut self, made_at: Micros, released_at: Micros) {
+        self.quota.record_call(made_at, released_at);
+    }
+
+    /// Notes the end of a call. One that timed out occupies the dependency for `linger` more.
+    pub(super) fn on_call_ended(
+        &mut self,
+        now: Micros,
+        outcome: Outcome,
+        elapsed: Micros,
+        linger: Micros,
+    ) {
+        let signal = CallSignal::from(outcome);
+        let made_at = now.saturating_sub(elapsed);
+        let released_at = if signal == CallSignal::Timeout {
+            now + linger
+        } else {
+            now
+        };
+        self.quota.record_call(made_at, released_at);
+        if self.silence.is_inconclusive(signal, made_at) {
+            return;
+        }
+        match signal {
+            CallSignal::Reply => self.latency.on_reply(elapsed),
+            CallSignal::Timeout => self.latency.on_timeout(elapsed),
+            CallSignal::Interrupted | CallSignal::NoService => {
+                let pause = PAUSE_IN_LATENCIES * self.latency.smoothed();
+                self.paused_until = now + pause as Micros;
+            }
+        }
+        let is_faltering = signal != CallSignal::Reply || self.latency.is_faltering();
+        self.limit
+            .on_call_ended(now, is_faltering, self.latency.smoothed());
+    }
+
+    pub(super) fn to_learned(&self) -> LearnedDependency {
+        LearnedDependency {
+            concurrency_limit: self.limit.limit(),
+            latency: self.latency.smoothed(),
+            baseline_latency: self.latency.baseline(),
+            backlog: self.gap.backlog(),
+            gap: self.gap.gap(),
+        }
+    }
+
+    pub(super) fn restore(&mut self, learned: &LearnedDependency) {
+        self.limit.restore(learned.concurrency_limit);
+        self.latency
+            .restore(learned.latency, learned.baseline_latency);
+        self.gap.restore(learned.backlog, learned.gap);
+    }
+}
+
+impl SilentCalls {
+    /// Notes the end of a call that was made at `made_at`. Returns whether it says nothing about
+    /// the dependency.
+    ///
+    /// A connection that was lost or fell silent is not taken for a fault of the dependency: with a
+    /// fault, the next call gets no reply either, and neither do those made after it.
+    fn is_inconclusive(&mut self, signal: CallSignal, made_at: Micros) -> bool {
+        if signal == CallSignal::Reply {
+            self.last_replied_call = self.last_replied_call.max(made_at);
+        }
+        if !matches!(signal, CallSignal::Timeout | CallSignal::Interrupted) {
+            self.consecutive = 0;
+            return false;
+        }
+        self.consecutive += 1;
+        self.consecutive == 1 || self.last_replied_call > made_at
+    }
+}
--- a/crates/policy/src/controller/memory.rs
+++ b/crates/policy/src/controller/memory.rs
@@ -1,31 +1,52 @@
-//! Memory, and the table of keys in it.
+//! Memory: what requests and the table of keys take of it.
 
-use super::{Controller, Record, Stage, MARGIN};
+use super::request_state::{RequestStage, RequestState};
+use super::{Controller, MARGIN};
 use crate::interface::{Action, Micros, RequestId};
 
 impl Controller {
+    /// Returns the memory that requests, keys and a predecessor take.
     pub(super) fn memory_kb(&self) -> f64 {
-        let of = |record: &Record| match record.stage {
-            Stage::Held | Stage::Sharing(_) => record.memory_kb,
-            _ => record.memory_kb * self.settings.run_factor.max(1.0),
-        };
-        self.requests.values().map(of).sum::<f64>()
-            + self.entries.len().max(self.kept) as f64 * self.settings.entry_kb
-            + self.beside.1
+        let requests: f64 = self
+            .requests
+            .iter()
+            .map(|request| self.request_memory_kb(request))
+            .sum();
+        requests + self.keys.len() as f64 * self.settings.key_entry_kb + self.predecessor.memory_kb
     }
 
-    pub(super) fn memory_full(&self, more: f64) -> bool {
-        self.memory_kb() + more > MARGIN * self.settings.memory_kb
+    fn request_memory_kb(&self, request: &RequestState) -> f64 {
+        match request.stage {
+            RequestStage::Queued | RequestStage::Sharing(_) => request.memory_kb,
+            RequestStage::Running | RequestStage::AwaitingCall | RequestStage::Calling => {
+                request.memory_kb * self.running_memory_factor()
+            }
+        }
+    }
+
+    /// Memory of a running request, as a multiple of its memory while queued.
+    pub(super) fn running_memory_factor(&self) -> f64 {
+        self.settings.running_memory_factor.max(1.0)
+    }
+
+    /// Returns whether `more_kb` would exceed the memory, less a margin for what is not seen yet.
+    pub(super) fn exceeds_memory(&self, more_kb: f64) -> bool {
+        self.memory_kb() + more_kb > MARGIN * self.settings.memory_kb
     }
 
-    pub(super) fn remember(&mut self, id: RequestId, lifetime: Micros, actions: &mut Vec<Action>) {
-        self.entries.insert(id, self.now + lifetime);
-        actions.push(Action::Remember { id, lifetime });
+    pub(super) fn insert_key(
+        &mut self,
+        id: RequestId,
+        lifetime: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        self.keys.insert(id, self.clock.now + lifetime);
+        actions.push(Action::InsertKey { id, lifetime });
     }
 
-    pub(super) fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.entries.remove(&id).is_some() {
-            actions.push(Action::Forget(id));
+    pub(super) fn remove_key(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.keys.remove(id) {
+            actions.push(Action::RemoveKey(id));
         }
     }
 }
--- /dev/null
+++ b/crates/policy/src/controller/priority.rs
@@ -0,0 +1,128 @@
+//! The priority of a request beside the others, and the rank below which arrivals are rejected.
+
+use super::queue::QUEUE_SHARE;
+use super::request_state::RequestState;
+use super::Controller;
+use crate::interface::Micros;
+use std::collections::VecDeque;
+
+/// Arrivals that a rank is measured against: enough for steps of two in a hundred.
+const RECENT_ARRIVALS: usize = 64;
+/// Priorities that differ by less than this share are equal.
+const PRIORITY_TOLERANCE: f64 = 0.001;
+/// Share of its urgency that a request keeps at least after its latency objective.
+const LEAST_LATE_URGENCY: f64 = 0.01;
+
+/// Rejects arrivals by their rank among recent ones.
+#[derive(Debug, Clone)]
+pub(super) struct PriorityFilter {
+    /// Arrivals of a lower rank are rejected while others wait; from 0 to 1.
+    pub(super) threshold: f64,
+    /// The priorities of the latest arrivals.
+    recent: VecDeque<f64>,
+}
+
+impl PriorityFilter {
+    pub(super) fn new() -> Self {
+        Self {
+            threshold: 0.0,
+            recent: VecDeque::with_capacity(RECENT_ARRIVALS),
+        }
+    }
+
+    pub(super) fn record_arrival(&mut self, priority: f64) {
+        self.recent.push_back(priority);
+        if self.recent.len() > RECENT_ARRIVALS {
+            self.recent.pop_front();
+        }
+    }
+
+    /// Returns the share of recent arrivals of lower priority. Among equal ones, `rank_in_class`
+    /// decides.
+    fn rank(&self, priority: f64, rank_in_class: f64) -> f64 {
+        let lower = self
+            .recent
+            .iter()
+            .filter(|other| **other < priority * (1.0 - PRIORITY_TOLERANCE))
+            .count() as f64;
+        let equal = self
+            .recent
+            .iter()
+            .filter(|other| (**other / priority - 1.0).abs() <= PRIORITY_TOLERANCE)
+            .count() as f64;
+        (lower + equal * rank_in_class) / self.recent.len().max(1) as f64
+    }
+}
+
+impl Controller {
+    /// Returns the weight earned per unit of run time, the requests that share the response
+    /// included. A tenant over its quota, beyond what chance gives, counts for less.
+    pub(super) fn priority(&self, request: &RequestState) -> f64 {
+        let weight = request.value.weight
+            * f64::from(1 + request.sharing_requests)
+            * self.quota_factor(request.tenant);
+        weight / self.run_time(request).max(1.0)
+    }
+
+    /// Returns whether a run started now would end after the latency objective.
+    pub(super) fn is_late(&self, request: &RequestState) -> bool {
+        self.clock.now as f64 + self.run_time(request) > request.timing.objective_at as f64
+    }
+
+    /// Returns the priority, less what a response after the latency objective loses.
+    pub(super) fn urgency(&self, request: &RequestState) -> f64 {
+        let remaining_ratio = if self.is_late(request) {
+            self.class(request)
+                .late_weight_ratio
+                .max(LEAST_LATE_URGENCY)
+        } else {
+            1.0
+        };
+        self.priority(request) * remaining_ratio
+    }
+
+    /// Returns the mean weight ratio of a tenant's requests: 1 within its quota.
+    fn quota_factor(&self, tenant: usize) -> f64 {
+        let Some(tenant_settings) = self.settings.tenants.get(tenant) else {
+            return 1.0;
+        };
+        let quota = tenant_settings.quota_per_second;
+        let attempts = self.arrivals.first_attempts(tenant);
+        let servers = f64::from(self.settings.servers.max(1));
+        let rate = attempts * servers * 1e6 / self.statistics_window();
+        let tolerance = 1.0 / attempts.max(1.0).sqrt();
+        if quota <= 0.0 || rate <= quota * (1.0 + tolerance) {
+            return 1.0;
+        }
+        let within_quota = quota / rate;
+        within_quota + (1.0 - within_quota) * self.settings.over_quota_weight_ratio
+    }
+
+    /// Returns how far back arrivals count, in microseconds: the longest that a client waits.
+    pub(super) fn statistics_window(&self) -> f64 {
+        let longest_timeout = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.client_timeout)
+            .max()
+            .unwrap_or(0);
+        longest_timeout.max(1_000_000) as f64
+    }
+
+    /// Returns the rank of a request among recent arrivals, from 0 to 1.
+    pub(super) fn rank(&self, request: &RequestState) -> f64 {
+        self.priority_filter
+            .rank(self.priority(request), request.value.rank_in_class)
+    }
+
+    /// Raises the rank threshold while queued work takes longer than it may, and lowers it
+    /// otherwise.
+    pub(super) fn adjust_rank_threshold(&mut self, elapsed: Micros) {
+        let load = self.queue_load();
+        let excess = (QUEUE_SHARE * load.waiting_time / load.allowed_time - 1.0).clamp(-1.0, 1.0);
+        let step = elapsed as f64 / (2.0 * load.allowed_time);
+        let threshold = &mut self.priority_filter.threshold;
+        *threshold = (*threshold + excess * step).clamp(0.0, 1.0);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/controller/queue.rs
@@ -0,0 +1,145 @@
+//! The queue: the order in which requests run, and which are shed so that the others are in time.
+
+use super::request_state::RequestState;
+use super::Controller;
+use crate::interface::{Action, Micros, RequestId};
+
+/// Share of the time between a run and its latency objective that queued work may need: the rest
+/// absorbs uneven runs.
+pub(super) const QUEUE_SHARE: f64 = 0.5;
+/// Share of its latency objective that a class leaves for queueing at least, however long its runs.
+const LEAST_SLACK_SHARE: f64 = 0.1;
+
+/// The time that queued work needs, beside the time that it may need; both in microseconds.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct QueueLoad {
+    /// Until all queued work is started.
+    pub(super) waiting_time: f64,
+    /// What the class with the tightest latency objective allows.
+    pub(super) allowed_time: f64,
+}
+
+/// Position in the queue: requests in time come first, by the time at which they are wanted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    is_late: bool,
+    wanted_at: Micros,
+    id: RequestId,
+}
+
+impl Controller {
+    /// Returns the queued requests in the order in which they are to run.
+    pub(super) fn run_order(&self) -> Vec<RequestId> {
+        let mut queue: Vec<QueuePosition> = self
+            .requests
+            .queued()
+            .map(|request| self.queue_position(request))
+            .collect();
+        queue.sort_unstable();
+        queue.into_iter().map(|position| position.id).collect()
+    }
+
+    fn queue_position(&self, request: &RequestState) -> QueuePosition {
+        let is_late = self.is_late(request);
+        let wanted_at = if is_late {
+            request.timing.respond_by
+        } else {
+            request.timing.objective_at
+        };
+        QueuePosition {
+            is_late,
+            wanted_at,
+            id: request.id,
+        }
+    }
+
+    /// Sheds queued requests until all others can end in time. Early, so that their callers can
+    /// still go elsewhere.
+    pub(super) fn shed(&mut self, actions: &mut Vec<Action>) {
+        while let Some(id) = self.next_to_shed() {
+            let Some(request) = self.requests.remove(id) else {
+                return;
+            };
+            self.reject(&request, actions);
+        }
+    }
+
+    /// Returns the least urgent request among the first that can't end in time and those that run
+    /// before it.
+    fn next_to_shed(&self) -> Option<RequestId> {
+        let has_free_core = self.cores_in_use() < self.concurrency.limit();
+        let mut work_ahead = 0.0;
+        let mut least_urgency = f64::INFINITY;
+        let mut least_urgent = 0;
+        for id in self.run_order() {
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let wait = if work_ahead == 0.0 && has_free_core {
+                0.0
+            } else {
+                work_ahead / self.parallel_runs() + self.stall_time()
+            };
+            let urgency = self.urgency(request);
+            if urgency <= least_urgency {
+                least_urgency = urgency;
+                least_urgent = id;
+            }
+            if !self.can_end_in_time(request, wait) {
+                return Some(least_urgent);
+            }
+            work_ahead += self.run_time(request);
+        }
+        None
+    }
+
+    /// Returns whether a request that starts after `wait` ends in time. Where it is the only one it
+    /// may run in any case, so that a recovery is noticed.
+    fn can_end_in_time(&self, request: &RequestState, wait: f64) -> bool {
+        let end = self.clock.now as f64 + wait + self.run_time(request);
+        let latest = self.latest_useful_time(request);
+        end <= latest as f64
+            || self
+                .requests
+                .iter()
+                .all(|other| other.is_settled || other.id == request.id)
+    }
+
+    /// Returns until when a response to the request earns anything.
+    pub(super) fn latest_useful_time(&self, request: &RequestState) -> Micros {
+        if self.class(request).late_weight_ratio > 0.0 {
+            request.timing.respond_by
+        } else {
+            request.timing.objective_at
+        }
+    }
+
+    /// Returns the time that the queued work needs, and what the tightest class allows.
+    pub(super) fn queue_load(&self) -> QueueLoad {
+        let work: f64 = self
+            .requests
+            .queued()
+            .map(|request| self.run_time(request))
+            .sum();
+        let waiting_time = if work > 0.0 {
+            work / self.parallel_runs() + self.stall_time()
+        } else {
+            0.0
+        };
+        let allowed_time = self
+            .settings
+            .classes
+            .iter()
+            .zip(&self.class_statistics)
+            .map(|(class, statistics)| {
+                let objective = class.latency_objective as f64;
+                let slack = objective - statistics.run_time;
+                QUEUE_SHARE * slack.max(LEAST_SLACK_SHARE * objective)
+            })
+            .fold(f64::INFINITY, f64::min);
+        QueueLoad {
+            waiting_time,
+            allowed_time: allowed_time.max(1.0),
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/controller/smoothing.rs
@@ -0,0 +1,9 @@
+//! Exponential smoothing of measured times.
+
+/// Weight of one sample: a small server sees one or two per second, and a few of them must suffice.
+const SAMPLE_WEIGHT: f64 = 0.25;
+
+/// Returns `smoothed`, moved towards `sample`.
+pub(super) fn smooth(smoothed: f64, sample: f64) -> f64 {
+    smoothed + SAMPLE_WEIGHT * (sample - smoothed)
+}
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,151 +1,155 @@
-//! The types between the controller and whatever drives it: settings, events, actions. No decisions here.
+//! The types exchanged between the controller and its caller: settings, events and actions. No
+//! decisions are made here.
 
-/// Clock time and durations, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request's id. Further tries of the same request bear new ids.
+/// Identifies one attempt of a request. Every retry has an id of its own.
 pub type RequestId = u64;
 
-/// What running a request may do to the world.
+/// What repeating a run does to the outside world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to run any number of times.
-    Safe,
-    /// May be repeated by its caller within the window, and must not run twice on one server.
-    Keyed,
-    /// Must not be repeated once it may have run.
-    Unsafe,
+    /// It may run any number of times.
+    Idempotent,
+    /// Its caller may repeat it within the deduplication window, and it must not run twice on one
+    /// server.
+    Deduplicated,
+    /// It must not be repeated once it may have run.
+    AtMostOnce,
 }
 
 /// One class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// What repeating a run would do.
+    /// What repeating a run does.
     pub effect: Effect,
-    /// An answer within this time of the client's first try earns the full worth.
-    pub aim: Micros,
-    /// The aim is longer by this multiple of the request's own work.
-    pub aim_stretch: f64,
-    /// How long a client waits over all its tries.
-    pub deadline: Micros,
-    /// Share of the worth earned by an answer after the aim.
-    pub late_worth: f64,
-    /// Worth of one request, or of one unit of work.
-    pub worth: f64,
-    /// How long after its arrival a keyed request may come again.
-    pub window: Micros,
-    /// Its requests may call below.
-    pub calls: bool,
-    /// Share of the worth kept when a call is left out; 0 forbids leaving it out.
-    pub skip_worth: f64,
+    /// A response within this time of the client's first attempt earns the full weight.
+    pub latency_objective: Micros,
+    /// The latency objective grows by this multiple of the request's expected work.
+    pub latency_objective_stretch: f64,
+    /// How long a client waits, over all its attempts.
+    pub client_timeout: Micros,
+    /// Share of the priority weight that a response earns after the latency objective.
+    pub late_weight_ratio: f64,
+    /// Priority weight of one request, or of one unit of its work.
+    pub priority_weight: f64,
+    /// How long after its arrival a request with an idempotency key may be repeated.
+    pub deduplication_window: Micros,
+    /// Its requests may call the dependency.
+    pub calls_dependency: bool,
+    /// Share of the priority weight that remains when the call is left out; 0 forbids leaving it
+    /// out.
+    pub weight_ratio_without_call: f64,
 }
 
-/// One tenant and what it is entitled to.
+/// One tenant and its quota.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Requests a second of the whole fleet that are its share.
-    pub quota_per_s: f64,
+    /// Requests per second, over the whole fleet.
+    pub quota_per_second: f64,
 }
 
-/// What the requests of this server call.
+/// What the requests of this server call, and how much of it this server may use.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum Below {
-    /// Nothing.
+pub enum DependencyLimit {
+    /// There is no dependency.
     #[default]
-    Nothing,
-    /// One dependency of all servers.
+    NoDependency,
+    /// One dependency is shared by all servers.
     Shared {
-        /// This server's share of the calls in hand, as a mean over `span`; it may be below one.
-        share: f64,
-        /// The time the mean is taken over.
-        span: Micros,
+        /// This server's quota of concurrent calls, as a mean over `averaging_window`; it may be
+        /// below one.
+        concurrency_quota: f64,
+        /// The time over which the mean is taken.
+        averaging_window: Micros,
     },
-    /// The next tier, behind a balancer of its own.
-    Tier,
+    /// The next tier of servers, behind a load balancer of its own.
+    NextTier,
 }
 
-/// How callers read the advertised value.
+/// How callers interpret the feedback value that responses carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Advert {
-    /// They don't.
+pub enum FeedbackKind {
+    /// They ignore it.
     #[default]
     Unused,
-    /// They send nothing of lower rank.
-    Floor,
+    /// They send no requests of a lower rank.
+    MinimumRank,
     /// Each caller keeps at most this many requests outstanding here.
-    Allowance,
-    /// The chance that a caller does not pass this server by.
+    ConcurrencyAllowance,
+    /// The probability with which a caller considers this server.
     Weight,
 }
 
-/// What a deployment lets be done to running work.
+/// What a deployment allows to be done to a running request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Halt {
-    /// Nothing.
+pub enum Preemption {
+    /// It always runs to its end.
     #[default]
     Never,
-    /// It is stopped, and what was done is lost.
+    /// It is stopped, and its work is lost.
     Discard,
-    /// It is paused; that of a request which is over is gone.
-    Freeze,
+    /// It is suspended; a request that has its response is removed.
+    Suspend,
 }
 
-/// All that a controller is told at its start.
+/// The configuration of a controller, fixed at its start.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// The classes; events name them by index.
+    /// The classes; events refer to them by index.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a fraction of its class's worth.
-    pub over_share_worth: f64,
-    /// Worth is counted for each unit of work and not for each request.
-    pub worth_by_work: bool,
-    /// Further tries are marked as such.
-    pub marks_retry: bool,
-    /// Servers in the callers' list at the start.
+    /// Weight of a request beyond its tenant's quota, as a share of its class's priority weight.
+    pub over_quota_weight_ratio: f64,
+    /// The priority weight counts per unit of work instead of per request.
+    pub weight_by_work: bool,
+    /// Retries are marked as such.
+    pub marks_retries: bool,
+    /// Servers in the endpoint list at the start.
     pub servers: u32,
     /// Callers at the start.
     pub callers: u32,
-    /// This server's cores.
+    /// Cores of this server.
     pub cores: u32,
-    /// This server's memory.
+    /// Memory of this server.
     pub memory_kb: f64,
-    /// Memory of one entry in the table of keys.
-    pub entry_kb: f64,
-    /// Memory of a running request relative to a held one.
-    pub run_factor: f64,
+    /// Memory of one entry in the table of idempotency keys.
+    pub key_entry_kb: f64,
+    /// Memory of a running request, as a multiple of its memory while queued.
+    pub running_memory_factor: f64,
     /// What requests call.
-    pub below: Below,
-    /// Callers close connections that carried nothing for this time; 0 where they don't.
-    pub idle: Micros,
-    /// How long an abandoned call may stay in the hands of what lies below.
-    pub linger: Micros,
-    /// How long a read's answer may serve others; 0 for never.
-    pub fresh: Micros,
-    /// How the advertised value is read.
-    pub advert: Advert,
-    /// The longest advice to stay away that is honoured; 0 where none is.
-    pub max_avoid: Micros,
-    /// Callers tell where they no longer wait, perhaps late.
-    pub tells_gone: bool,
-    /// How running work is stopped.
-    pub halt: Halt,
-    /// The callers' list follows health.
-    pub list_follows_health: bool,
-    /// This process was started only now, and is cold.
+    pub dependency: DependencyLimit,
+    /// Callers close connections that were idle for this time; 0 where they do not.
+    pub client_idle_timeout: Micros,
+    /// How long the dependency may still work on an abandoned call.
+    pub abandoned_call_linger: Micros,
+    /// How long the response of a read may be shared with other requests; 0 for never.
+    pub shared_response_lifetime: Micros,
+    /// How callers interpret the feedback value.
+    pub feedback: FeedbackKind,
+    /// The longest Retry-After that callers honour; 0 where they honour none.
+    pub max_retry_after: Micros,
+    /// Callers notify the server of requests that they abandon, possibly late.
+    pub reports_abandonment: bool,
+    /// How a running request can be preempted.
+    pub preemption: Preemption,
+    /// The callers' endpoint list follows the health checks.
+    pub discovery_follows_health: bool,
+    /// The process has only just started and has to warm up.
     pub cold_start: bool,
     /// Share of its full speed that a cold server has at least.
-    pub cold_speed: f64,
-    /// A cold server is warm after this time.
-    pub warm_after: Micros,
-    /// An answer may be this much later than the due time.
-    pub answer_slack: Micros,
-    /// What arrives later than this after the notice to leave must not run.
+    pub cold_start_speed: f64,
+    /// A cold server has its full speed after this time.
+    pub warm_up_time: Micros,
+    /// How long after its deadline a response may still be sent.
+    pub response_slack: Micros,
+    /// Requests that arrive later than this after the start of draining must not run.
     pub drain_grace: Micros,
-    /// A warm server survives this many requests on each core.
-    pub crowd: f64,
-    /// The smallest time between two rounds of events.
+    /// Running requests per core that a warm server survives.
+    pub overload_concurrency_per_core: f64,
+    /// The shortest time between two steps of the controller.
     pub tick: Micros,
 }
 
@@ -155,31 +159,32 @@
     /// Its id.
     pub id: RequestId,
     /// When its caller stops waiting, where that is known.
-    pub due: Option<Micros>,
-    /// The kept request that it repeats, or whose answer it may share.
-    pub prior: Option<RequestId>,
+    pub respond_by: Option<Micros>,
+    /// The earlier request that it repeats, or whose response it may share.
+    pub duplicate_of: Option<RequestId>,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant; 0 where there are none.
     pub tenant: usize,
-    /// How long ago it reached the machine.
-    pub waited: Micros,
+    /// How long before it was read it reached the machine.
+    pub read_delay: Micros,
     /// Expected work on a standard core, where a hint was given.
-    pub work: Option<Micros>,
-    /// Known to be a further try or a second copy.
-    pub retry: bool,
+    pub expected_work: Option<Micros>,
+    /// Known to be a retry or a hedged request.
+    pub is_retry: bool,
     /// It writes.
-    pub write: bool,
+    pub is_write: bool,
     /// It names a subject.
     pub has_subject: bool,
     /// The caller's number.
     pub caller: u64,
-    /// Position from 0 to 1 by class and user.
+    /// Rank from 0 to 1 by class and user.
     pub rank: f64,
-    /// Memory while held.
+    /// Memory while queued.
     pub memory_kb: f64,
-    /// Its result is to be kept for its repeats, in a table that is told of by [`Event::Kept`].
-    pub keep: bool,
+    /// Its result is to be cached for its repeats, in the table that
+    /// [`Event::IdempotencyTableUsage`] reports on.
+    pub caches_result: bool,
 }
 
 /// How a run or a call ended.
@@ -189,40 +194,40 @@
     Success,
     /// It failed and may have taken effect.
     Failure,
-    /// It was rejected unseen.
+    /// It was rejected without being processed.
     Overloaded,
     /// It was abandoned and may have taken effect.
     TimedOut,
-    /// What lies below could not be reached.
+    /// The dependency could not be reached.
     Unreachable,
     /// It was interrupted and may have taken effect.
-    Broken,
-    /// It was stopped, or nobody waited any longer.
-    Withdrawn,
+    Interrupted,
+    /// It was stopped, or nobody waited for it any longer.
+    Cancelled,
     /// Nothing was started.
-    Void,
+    NotStarted,
 }
 
 /// The server's own gauges, where it has them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
-    /// Work that demands a core now.
+    /// Tasks that demand a core now.
     pub runnable: Option<f64>,
     /// Share of the memory in use.
     pub memory: Option<f64>,
 }
 
-/// What the controller hears.
+/// What the controller is notified of.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The process has started; the first event of a life.
+    /// The process has started; the first event of every controller.
     Started,
-    /// A request was read and is held.
+    /// A request was read and is queued.
     Arrived(Request),
     /// Nobody waits for this request any longer.
-    Gone(RequestId),
-    /// A running request stands at a call.
-    CallNeeded(RequestId),
+    Abandoned(RequestId),
+    /// A running request waits for its call to the dependency.
+    CallRequested(RequestId),
     /// A call ended.
     CallEnded {
         /// The request that called.
@@ -232,7 +237,7 @@
         /// Time since the call was made.
         elapsed: Micros,
     },
-    /// A run, or the sharing of an answer, ended.
+    /// A run, or the sharing of a response, ended.
     RunEnded {
         /// The request.
         id: RequestId,
@@ -241,95 +246,97 @@
         /// Time since it was started.
         elapsed: Micros,
     },
-    /// A timer fell due.
-    Timer {
-        /// The token it was set with.
+    /// A timer expired.
+    TimerExpired {
+        /// The token that it was set with.
         token: u64,
-        /// The gauges of this moment.
+        /// The gauges at this moment.
         gauges: Gauges,
     },
-    /// The server is to leave.
-    Drain {
+    /// The server has to drain and shut down.
+    DrainStarted {
         /// When the process is stopped.
         stop_at: Micros,
     },
-    /// The process is to be stopped, and another on the same machine has taken its place: callers come to no harm.
-    Succeeded {
+    /// The process will be stopped, and a successor on the same machine has taken over: callers are
+    /// not affected.
+    Replaced {
         /// When the process is stopped.
         stop_at: Micros,
     },
-    /// What another process, which this one takes the place of, still has of the machine.
-    Beside {
+    /// What the predecessor of this process, which is still draining, uses of the machine.
+    PredecessorUsage {
         /// Its requests on the cores.
         running: usize,
-        /// Memory booked for its requests.
+        /// Memory reserved for its requests.
         memory_kb: f64,
-        /// Its calls in the hands of what lies below.
+        /// Its calls in flight to the dependency.
         calls: usize,
     },
-    /// How the table of kept results stands.
-    Kept {
+    /// How full the table of cached results is.
+    IdempotencyTableUsage {
         /// Its entries, each of which takes memory.
         entries: usize,
-        /// It takes more: without room nothing that is to be kept may be admitted.
-        room: bool,
+        /// It takes more entries: without capacity no request may be admitted whose result is to be
+        /// cached.
+        has_capacity: bool,
     },
 }
 
 /// What the controller wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start a held request.
+    /// Start a queued request.
     Run(RequestId),
-    /// Turn a request away: final, and a promise that it never ran.
-    Refuse {
+    /// Reject a request: final, and a promise that it never ran.
+    Reject {
         /// The request.
         id: RequestId,
-        /// The caller should avoid this server for so long; 0 gives no advice.
-        avoid_for: Micros,
-        /// The caller should not try elsewhere.
-        last: bool,
+        /// The caller should avoid this server for so long; 0 where it need not.
+        retry_after: Micros,
+        /// The caller should not retry on another server either.
+        no_failover: bool,
     },
-    /// Fail a request: final, with no promise.
+    /// Fail a request: final, without a promise.
     Fail(RequestId),
-    /// Make the call that a request stands at.
+    /// Make the call that a request waits for.
     Call {
         /// The request.
         id: RequestId,
         /// Abandon the call after this time.
         timeout: Micros,
     },
-    /// Go on without the call.
+    /// Continue a request without its call.
     SkipCall(RequestId),
-    /// Stop the run of a request that is over.
-    Halt(RequestId),
-    /// Answer a held request with the outcome of the one it repeats.
-    Share(RequestId),
-    /// Enter a request in the table of keys.
-    Remember {
+    /// Preempt the run of a request that has its response.
+    Preempt(RequestId),
+    /// Respond to a queued request with the outcome of the one that it repeats.
+    ShareResponse(RequestId),
+    /// Insert a request into the table of keys.
+    InsertKey {
         /// The request.
         id: RequestId,
         /// For how long from now.
         lifetime: Micros,
     },
-    /// Remove a request's entry from the table of keys.
-    Forget(RequestId),
-    /// Wake the controller.
-    Timer {
-        /// When.
+    /// Remove a request from the table of keys.
+    RemoveKey(RequestId),
+    /// Set a timer.
+    SetTimer {
+        /// When it expires.
         at: Micros,
-        /// Told back with the event.
+        /// Returned with [`Event::TimerExpired`].
         token: u64,
     },
-    /// Set the value that answers carry from now on.
-    Advertise(f64),
-    /// Close connections that carried nothing for this time, from now on.
-    CloseIdle(Micros),
-    /// Set the answer to health checks from now on.
-    Health {
-        /// Whether it is good.
-        good: bool,
-        /// Checks are answered from this setting alone.
+    /// Set the feedback value that responses carry from now on.
+    SetFeedback(f64),
+    /// Close connections that were idle for this time, from now on.
+    CloseIdleConnections(Micros),
+    /// Set the response to health checks from now on.
+    SetHealth {
+        /// Whether the server is healthy.
+        healthy: bool,
+        /// Health checks are answered from this setting alone.
         from_state: bool,
     },
 }
