--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,30 +1,34 @@
-//! The settings object, as the simulator's first message and the configuration file carry it, to
-//! [`Settings`]. Translation only; no decisions here.
+//! The settings document, as the configuration file and the simulator's first message carry it, and
+//! its translation to [`Settings`]. This module alone knows the names on the wire; it decides nothing.
 
-use crate::interface::{Advert, Below, Class, Effect, Halt, Micros, Settings, Tenant};
+use crate::interface::{
+    Class, DependencyLimit, Effect, FeedbackKind, Micros, Preemption, Settings, Tenant,
+};
 use serde::Deserialize;
 
 /// No time of a class is longer than a day: sums of times then stay far from overflow.
-const LONGEST: Micros = 86_400_000_000;
+const LONGEST_CLASS_TIME: Micros = 86_400_000_000;
+/// The longest time between two steps of the controller.
+const LONGEST_TICK: Micros = 1_000_000;
 
-/// The settings as an instance is given them; keys that are not known are passed over.
+/// The settings as an instance receives them. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
-pub struct BootInfo {
-    classes: Vec<WireClass>,
+pub struct SettingsDocument {
+    classes: Vec<ClassDocument>,
     #[serde(default)]
-    tenants: Vec<WireTenant>,
+    tenants: Vec<TenantDocument>,
     #[serde(default)]
-    clients: Clients,
+    clients: ClientsDocument,
     #[serde(default)]
-    limits: Limits,
+    limits: LimitsDocument,
     #[serde(default)]
     over_share_worth: f64,
     #[serde(default)]
-    rules: Rules,
+    rules: RulesDocument,
     #[serde(default)]
     servers: u32,
     #[serde(default)]
-    specifics: Specifics,
+    specifics: SpecificsDocument,
     #[serde(default)]
     tick: Micros,
     #[serde(default)]
@@ -32,7 +36,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct WireClass {
+struct ClassDocument {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -52,27 +56,27 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct WireTenant {
+struct TenantDocument {
     #[serde(default)]
     quota_rps: f64,
 }
 
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
-struct Clients {
+struct ClientsDocument {
     marks_retry: bool,
 }
 
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
-struct Limits {
+struct LimitsDocument {
     retry_after: bool,
     max_retry_after: Micros,
 }
 
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
-struct Rules {
+struct RulesDocument {
     answer_slack: Micros,
     cold_from: f64,
     drain_grace: Micros,
@@ -82,7 +86,7 @@
 
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
-struct Specifics {
+struct SpecificsDocument {
     advert: String,
     below: String,
     callers: u32,
@@ -104,7 +108,53 @@
     tells_gone: bool,
 }
 
-impl BootInfo {
+/// A key of the settings document whose value can't be used.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum SettingsError {
+    /// There is no class.
+    #[error("classes: at least one is needed")]
+    NoClasses,
+    /// The name of a class is empty or that of another class.
+    #[error("classes[{index}].name: {name:?} is empty or taken")]
+    ClassName {
+        /// Index of the class.
+        index: usize,
+        /// Its name.
+        name: String,
+    },
+    /// The effect of a class is unknown.
+    #[error("classes[{index}].effect: unknown effect {effect:?}")]
+    UnknownEffect {
+        /// Index of the class.
+        index: usize,
+        /// What stands there.
+        effect: String,
+    },
+    /// A time of a class is out of range.
+    #[error("classes[{index}].{key}: {value} is not within 1 to {LONGEST_CLASS_TIME}")]
+    ClassTime {
+        /// Index of the class.
+        index: usize,
+        /// Key of the time.
+        key: &'static str,
+        /// Its value, in microseconds.
+        value: Micros,
+    },
+    /// The server has no core.
+    #[error("specifics.cores: at least one is needed")]
+    NoCores,
+    /// The server has no memory.
+    #[error("specifics.memory_kb: {0} is no memory")]
+    NoMemory(f64),
+    /// The way to preempt a run is unknown.
+    #[error("specifics.halt: unknown way to stop a run: {0:?}")]
+    UnknownPreemption(String),
+    /// The tick is out of range.
+    #[error("tick: {0} is not within 1 to {LONGEST_TICK}")]
+    Tick(Micros),
+}
+
+impl SettingsDocument {
     /// The names of the classes, in the order of their indexes.
     #[must_use]
     pub fn class_names(&self) -> Vec<String> {
@@ -114,155 +164,171 @@
             .collect()
     }
 
-    /// The names of the server's own gauges, in the order they are told in.
+    /// The names of the server's own gauges, in the order in which their values are reported.
     #[must_use]
     pub fn gauge_names(&self) -> Vec<String> {
         self.specifics.own_stats.clone()
     }
 
-    /// What a real matcher can't do without; the simulator never leaves these out.
+    /// Checks the keys without which a real server can't work. The simulator always sends them.
     ///
     /// # Errors
-    /// The faulty key and what is wrong with it.
-    pub fn check(&self) -> Result<(), String> {
+    /// The first key whose value can't be used.
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err("classes: at least one is needed".to_owned());
-        }
-        for (i, class) in self.classes.iter().enumerate() {
-            let twice = self.classes[..i]
-                .iter()
-                .any(|other| other.name == class.name);
-            if class.name.is_empty() || twice {
-                return Err(format!(
-                    "classes[{i}].name: {:?} is empty or taken",
-                    class.name
-                ));
-            }
-            match class.effect.as_str() {
-                "idempotent" | "at_most_once" | "deduplicated" => {}
-                other => return Err(format!("classes[{i}].effect: unknown effect {other:?}")),
-            }
-            for (key, value) in [("on_time", class.on_time), ("give_up", class.give_up)] {
-                if value == 0 || value > LONGEST {
-                    return Err(format!(
-                        "classes[{i}].{key}: {value} is not within 1 to {LONGEST}"
-                    ));
-                }
-            }
+            return Err(SettingsError::NoClasses);
         }
-        let specifics = &self.specifics;
-        if specifics.cores == 0 {
-            return Err("specifics.cores: at least one is needed".to_owned());
+        for (index, class) in self.classes.iter().enumerate() {
+            class.validate(index, &self.classes[..index])?;
         }
-        if !(specifics.memory_kb.is_finite() && specifics.memory_kb > 0.0) {
-            return Err(format!(
-                "specifics.memory_kb: {} is no memory",
-                specifics.memory_kb
-            ));
-        }
-        if !matches!(
-            specifics.halt.as_str(),
-            "" | "silent" | "discard" | "freeze"
-        ) {
-            return Err(format!(
-                "specifics.halt: unknown way to stop a run: {:?}",
-                specifics.halt
-            ));
-        }
-        if self.tick == 0 || self.tick > 1_000_000 {
-            return Err(format!("tick: {} is not within 1 to 1000000", self.tick));
+        self.specifics.validate()?;
+        if self.tick == 0 || self.tick > LONGEST_TICK {
+            return Err(SettingsError::Tick(self.tick));
         }
         Ok(())
     }
 
-    /// The settings in the controller's terms.
+    /// Translates the document to the controller's terms.
     #[must_use]
-    pub fn settings(self) -> Settings {
-        let below = match self.specifics.below.as_str() {
-            "one_for_all" => Below::Shared {
-                share: self.specifics.calls_out,
-                span: self.specifics.calls_over,
-            },
-            "tier" => Below::Tier,
-            _ => Below::Nothing,
-        };
+    pub fn into_settings(self) -> Settings {
+        let specifics = self.specifics;
         let classes = self
             .classes
             .iter()
             .enumerate()
-            .map(|(i, c)| c.class(i, &self.specifics))
+            .map(|(index, class)| class.to_class(index, &specifics))
+            .collect();
+        let tenants = self
+            .tenants
+            .iter()
+            .map(|tenant| Tenant {
+                quota_per_second: tenant.quota_rps,
+            })
             .collect();
+        let max_retry_after = if self.limits.retry_after {
+            self.limits.max_retry_after
+        } else {
+            0
+        };
         Settings {
             classes,
-            tenants: self
-                .tenants
-                .iter()
-                .map(|t| Tenant {
-                    quota_per_s: t.quota_rps,
-                })
-                .collect(),
-            over_share_worth: self.over_share_worth,
-            worth_by_work: self.worth_by == "work",
-            marks_retry: self.clients.marks_retry,
+            tenants,
+            over_quota_weight_ratio: self.over_share_worth,
+            weight_by_work: self.worth_by == "work",
+            marks_retries: self.clients.marks_retry,
             servers: self.servers,
-            callers: self.specifics.callers,
-            cores: self.specifics.cores,
-            memory_kb: self.specifics.memory_kb,
-            entry_kb: self.specifics.entry_kb,
-            run_factor: self.specifics.run_factor,
-            below,
-            idle: self.specifics.idle,
-            linger: self.specifics.linger,
-            fresh: self.specifics.fresh,
-            advert: match self.specifics.advert.as_str() {
-                "floor" => Advert::Floor,
-                "allowance" => Advert::Allowance,
-                "weight" => Advert::Weight,
-                _ => Advert::Unused,
-            },
-            max_avoid: if self.limits.retry_after {
-                self.limits.max_retry_after
-            } else {
-                0
-            },
-            tells_gone: self.specifics.tells_gone,
-            halt: match self.specifics.halt.as_str() {
-                "discard" => Halt::Discard,
-                "freeze" => Halt::Freeze,
-                _ => Halt::Never,
-            },
-            list_follows_health: self.specifics.list_follows,
-            cold_start: self.specifics.fresh_start,
-            cold_speed: self.rules.cold_from,
-            warm_after: self.rules.ramp_time,
-            answer_slack: self.rules.answer_slack,
+            callers: specifics.callers,
+            cores: specifics.cores,
+            memory_kb: specifics.memory_kb,
+            key_entry_kb: specifics.entry_kb,
+            running_memory_factor: specifics.run_factor,
+            dependency: specifics.dependency(),
+            client_idle_timeout: specifics.idle,
+            abandoned_call_linger: specifics.linger,
+            shared_response_lifetime: specifics.fresh,
+            feedback: specifics.feedback(),
+            max_retry_after,
+            reports_abandonment: specifics.tells_gone,
+            preemption: specifics.preemption(),
+            discovery_follows_health: specifics.list_follows,
+            cold_start: specifics.fresh_start,
+            cold_start_speed: self.rules.cold_from,
+            warm_up_time: self.rules.ramp_time,
+            response_slack: self.rules.answer_slack,
             drain_grace: self.rules.drain_grace,
-            crowd: self.rules.fall_multiple,
+            overload_concurrency_per_core: self.rules.fall_multiple,
             tick: self.tick,
         }
     }
 }
 
-impl WireClass {
-    fn class(&self, index: usize, specifics: &Specifics) -> Class {
+impl ClassDocument {
+    fn validate(&self, index: usize, earlier: &[Self]) -> Result<(), SettingsError> {
+        let is_taken = earlier.iter().any(|other| other.name == self.name);
+        if self.name.is_empty() || is_taken {
+            return Err(SettingsError::ClassName {
+                index,
+                name: self.name.clone(),
+            });
+        }
+        if !matches!(
+            self.effect.as_str(),
+            "idempotent" | "at_most_once" | "deduplicated"
+        ) {
+            return Err(SettingsError::UnknownEffect {
+                index,
+                effect: self.effect.clone(),
+            });
+        }
+        for (key, value) in [("on_time", self.on_time), ("give_up", self.give_up)] {
+            if value == 0 || value > LONGEST_CLASS_TIME {
+                return Err(SettingsError::ClassTime { index, key, value });
+            }
+        }
+        Ok(())
+    }
+
+    fn to_class(&self, index: usize, specifics: &SpecificsDocument) -> Class {
+        let effect = match self.effect.as_str() {
+            "deduplicated" => Effect::Deduplicated,
+            "at_most_once" => Effect::AtMostOnce,
+            _ => Effect::Idempotent,
+        };
+        let calls_dependency = specifics.class_calls.get(index).copied();
+        let weight_ratio_without_call = specifics.class_skip_worth.get(index).copied();
         Class {
-            effect: match self.effect.as_str() {
-                "deduplicated" => Effect::Keyed,
-                "at_most_once" => Effect::Unsafe,
-                _ => Effect::Safe,
+            effect,
+            latency_objective: self.on_time,
+            latency_objective_stretch: self.aim_stretch,
+            client_timeout: self.give_up,
+            late_weight_ratio: self.late_value,
+            priority_weight: self.value,
+            deduplication_window: self.repeat_window,
+            calls_dependency: calls_dependency.unwrap_or(false),
+            weight_ratio_without_call: weight_ratio_without_call.unwrap_or(0.0),
+        }
+    }
+}
+
+impl SpecificsDocument {
+    fn validate(&self) -> Result<(), SettingsError> {
+        if self.cores == 0 {
+            return Err(SettingsError::NoCores);
+        }
+        if !(self.memory_kb.is_finite() && self.memory_kb > 0.0) {
+            return Err(SettingsError::NoMemory(self.memory_kb));
+        }
+        if !matches!(self.halt.as_str(), "" | "silent" | "discard" | "freeze") {
+            return Err(SettingsError::UnknownPreemption(self.halt.clone()));
+        }
+        Ok(())
+    }
+
+    fn dependency(&self) -> DependencyLimit {
+        match self.below.as_str() {
+            "one_for_all" => DependencyLimit::Shared {
+                concurrency_quota: self.calls_out,
+                averaging_window: self.calls_over,
             },
-            aim: self.on_time,
-            aim_stretch: self.aim_stretch,
-            deadline: self.give_up,
-            late_worth: self.late_value,
-            worth: self.value,
-            window: self.repeat_window,
-            calls: specifics.class_calls.get(index).copied().unwrap_or(false),
-            skip_worth: specifics
-                .class_skip_worth
-                .get(index)
-                .copied()
-                .unwrap_or(0.0),
+            "tier" => DependencyLimit::NextTier,
+            _ => DependencyLimit::NoDependency,
+        }
+    }
+
+    fn feedback(&self) -> FeedbackKind {
+        match self.advert.as_str() {
+            "floor" => FeedbackKind::MinimumRank,
+            "allowance" => FeedbackKind::ConcurrencyAllowance,
+            "weight" => FeedbackKind::Weight,
+            _ => FeedbackKind::Unused,
+        }
+    }
+
+    fn preemption(&self) -> Preemption {
+        match self.halt.as_str() {
+            "discard" => Preemption::Discard,
+            "freeze" => Preemption::Suspend,
+            _ => Preemption::Never,
         }
     }
 }
--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -7,7 +7,7 @@
 use super::table::Found;
 use crate::frame::codec::LONGEST_KEY;
 use crate::machine::{Context, Machine, Standing, Status};
-use cleatpulley_dispatcher::{Answer, Arrival, Fault, Head, Origin};
+use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestError, RequestHead, Response};
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::rc::Rc;
 use subtle::ConstantTimeEq;
@@ -36,7 +36,7 @@
     Ready,
     /// A request's body is being read.
     Body {
-        arrival: Box<Arrival>,
+        arrival: Box<IncomingRequest>,
         /// The length that was told; none where the body ends with an empty packet.
         told: Option<usize>,
     },
@@ -110,7 +110,7 @@
         context: &Context,
         input: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) -> Option<usize> {
         let payload = match codec::packet(input, Way::ToServer, self.settings.packet_size) {
             Ok(payload) => payload?,
@@ -146,7 +146,7 @@
         began: Micros,
         payload: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) {
         match payload.first() {
             Some(&kind::FORWARD_REQUEST) => match self.begin(context, began, payload) {
@@ -195,7 +195,7 @@
         context: &Context,
         began: Micros,
         payload: &[u8],
-    ) -> Result<(Box<Arrival>, Option<usize>), Refusal> {
+    ) -> Result<(Box<IncomingRequest>, Option<usize>), Refusal> {
         let settings = &self.settings;
         let mut headers = [NO_HEADER; MOST_HEADERS];
         let request =
@@ -283,7 +283,7 @@
         class: usize,
         began: Micros,
         request: &Forward,
-    ) -> Result<Arrival, Refusal> {
+    ) -> Result<IncomingRequest, Refusal> {
         let places = &self.settings.figures;
         let Some(defaults) = self.settings.defaults.get(class) else {
             return refusal(500, "a class without defaults");
@@ -357,19 +357,19 @@
             );
         }
         let work = number("work_ms", &places.work_ms, MOST_WORK)?;
-        Ok(Arrival {
-            origin: Origin {
+        Ok(IncomingRequest {
+            client: ClientStream {
                 connection: context.number,
                 stream,
             },
             id,
             class,
             caller: whole("caller", &places.caller)?.unwrap_or(defaults.caller),
-            door: told.map_or(began, |ms| ms.saturating_mul(1_000).min(began)),
-            work: work.map_or(defaults.work, |ms| (ms * 1_000.0) as Micros),
+            received_at: told.map_or(began, |ms| ms.saturating_mul(1_000).min(began)),
+            expected_work: work.map_or(defaults.work, |ms| (ms * 1_000.0) as Micros),
             memory_kb,
             rank: number("rank", &places.rank, 1.0)?.unwrap_or(defaults.rank),
-            retry: false,
+            is_retry: false,
             has_subject: find(request, places.subject.as_ref()).is_some(),
             key: key.map(Box::from),
             body: Vec::new(),
@@ -380,11 +380,11 @@
     fn take_body(
         &mut self,
         context: &Context,
-        mut arrival: Box<Arrival>,
+        mut arrival: Box<IncomingRequest>,
         told: Option<usize>,
         data: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) {
         let have = arrival.body.len() + data.len();
         match told {
@@ -411,8 +411,8 @@
         codec::push_get_body(out, length.min(self.settings.packet_size - BODY_OVERHEAD));
     }
 
-    fn hand_over(&mut self, arrival: Arrival, arrivals: &mut Vec<Arrival>) {
-        self.streams = arrival.origin.stream;
+    fn hand_over(&mut self, arrival: IncomingRequest, arrivals: &mut Vec<IncomingRequest>) {
+        self.streams = arrival.client.stream;
         self.status.open = 1;
         self.stage = Stage::Handed(self.streams);
         arrivals.push(arrival);
@@ -498,7 +498,7 @@
 }
 
 /// How a request was asked for.
-fn head(request: &Forward) -> Head {
+fn head(request: &Forward) -> RequestHead {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let mut target = text(request.uri);
     if let Some(query) = request.query.filter(|query| !query.is_empty()) {
@@ -510,7 +510,7 @@
         .or(request.server_name)
         .map(text)
         .unwrap_or_default();
-    Head {
+    RequestHead {
         method: text(request.method),
         host,
         target,
@@ -547,7 +547,7 @@
         context: &Context,
         input: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) -> usize {
         let mut used = 0;
         while used < input.len() {
@@ -570,7 +570,7 @@
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Answer,
+        answer: &Response,
         out: &mut Vec<u8>,
     ) -> bool {
         if !matches!(self.stage, Stage::Handed(open) if open == stream) {
@@ -584,8 +584,11 @@
         let mut headers = Vec::with_capacity(5);
         headers.extend(feedback.as_deref().map(|value| (FEEDBACK, value)));
         match answer {
-            Answer::Served(body) => self.respond(out, 200, &headers, body, reuse),
-            Answer::Refused { later, last } => {
+            Response::Served(body) => self.respond(out, 200, &headers, body, reuse),
+            Response::Rejected {
+                retry_after: later,
+                no_failover: last,
+            } => {
                 let (seconds, ms) = (
                     later.div_ceil(1_000_000).to_string(),
                     later.div_ceil(1_000).to_string(),
@@ -602,17 +605,19 @@
                 }
                 self.respond(out, 503, &headers, b"turned away\n", reuse);
             }
-            Answer::Failed => self.respond(out, 500, &headers, b"failed; it may have run\n", reuse),
-            Answer::Rejected(fault) => {
+            Response::Failed => {
+                self.respond(out, 500, &headers, b"failed; it may have run\n", reuse)
+            }
+            Response::Invalid(fault) => {
                 headers.push((NOT_RUN, "1"));
                 let status = match fault {
-                    Fault::KeyTaken => 422,
-                    Fault::Forbidden => 403,
-                    Fault::KeyMissing => 400,
+                    RequestError::KeyReused => 422,
+                    RequestError::Forbidden => 403,
+                    RequestError::KeyMissing => 400,
                 };
-                self.respond(out, status, &headers, fault.text().as_bytes(), reuse);
+                self.respond(out, status, &headers, fault.message().as_bytes(), reuse);
             }
-            Answer::Returned { status, body } => {
+            Response::Direct { status, body } => {
                 headers.push((NOT_RUN, "1"));
                 let leads = String::from_utf8_lossy(body).into_owned();
                 if matches!(status, 301 | 302 | 303 | 307 | 308) {
@@ -620,7 +625,7 @@
                 }
                 self.respond(out, *status, &headers, body, reuse);
             }
-            Answer::Expired => self.respond(
+            Response::Expired => self.respond(
                 out,
                 504,
                 &headers,
--- a/crates/protocol/src/ajp/server/settings.rs
+++ b/crates/protocol/src/ajp/server/settings.rs
@@ -1,7 +1,7 @@
 //! What the connections of one AJP front share: limits, from paths to classes, and where a request's figures stand.
 
 use crate::ajp::table::Table;
-use cleatpulley_dispatcher::Head;
+use cleatpulley_dispatcher::RequestHead;
 use cleatpulley_policy::interface::Micros;
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// A status and words, where it has none.
-    fn find(&self, head: &Head) -> Result<usize, (u16, String)>;
+    fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)>;
 
     /// Requests are to be sent on, with their heads.
     fn relays(&self) -> bool;
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -1,6 +1,6 @@
 //! The codec of front end frames: bytes to frames and requests, answers to bytes. No sockets here.
 
-use cleatpulley_dispatcher::Answer;
+use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::ops::Range;
 
@@ -276,13 +276,16 @@
 }
 
 /// Appends the answer to a request. A result too large to be read is no answer: it becomes a failure.
-pub fn push_answer(out: &mut Vec<u8>, stream: u32, answer: &Answer, value: Option<f64>) {
+pub fn push_answer(out: &mut Vec<u8>, stream: u32, answer: &Response, value: Option<f64>) {
     let mut fields = feedback(value);
     match answer {
-        Answer::Served(body) if body.len() <= LARGEST_RESULT => {
+        Response::Served(body) if body.len() <= LARGEST_RESULT => {
             push(out, ANSWER, stream, Some(SERVED), &fields, body);
         }
-        Answer::Refused { later, last } => {
+        Response::Rejected {
+            retry_after: later,
+            no_failover: last,
+        } => {
             if *later > 0 {
                 fields.push(("later", later.div_ceil(1_000).to_string()));
             }
@@ -291,21 +294,21 @@
             }
             push(out, ANSWER, stream, Some(REFUSED), &fields, &[]);
         }
-        Answer::Returned { body, .. } => {
+        Response::Direct { body, .. } => {
             let body = &body[..body.len().min(LARGEST_RESULT)];
             push(out, ANSWER, stream, Some(FAILED), &fields, body);
         }
-        Answer::Rejected(fault) => {
+        Response::Invalid(fault) => {
             push(
                 out,
                 ANSWER,
                 stream,
                 Some(FAILED),
                 &fields,
-                fault.text().as_bytes(),
+                fault.message().as_bytes(),
             );
         }
-        Answer::Served(_) | Answer::Failed | Answer::Expired => {
+        Response::Served(_) | Response::Failed | Response::Expired => {
             push(out, ANSWER, stream, Some(FAILED), &fields, &[])
         }
     }
@@ -517,9 +520,9 @@
         push_answer(
             &mut out,
             3,
-            &Answer::Refused {
-                later: 1_001,
-                last: true,
+            &Response::Rejected {
+                retry_after: 1_001,
+                no_failover: true,
             },
             Some(0.25),
         );
--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -2,9 +2,9 @@
 
 use super::codec::{self, Parsed, Request};
 use crate::machine::{Context, Machine, Standing, Status};
-use cleatpulley_dispatcher::{Answer, Arrival, Head, Origin};
+use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -106,7 +106,7 @@
         payload: Option<&[u8]>,
         context: &Context,
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) {
         let began = self.began.take().unwrap_or(context.now);
         match kind {
@@ -177,7 +177,7 @@
         if stream == 0 {
             self.give_up(what, out);
         } else {
-            codec::push_answer(out, stream, &Answer::Failed, None);
+            codec::push_answer(out, stream, &Response::Failed, None);
             self.part(context, out);
         }
     }
@@ -203,7 +203,7 @@
         context: &Context,
         input: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) -> usize {
         let mut used = 0;
         let mut whole = false;
@@ -271,18 +271,19 @@
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Answer,
+        answer: &Response,
         out: &mut Vec<u8>,
     ) -> bool {
         if !self.open.remove(&stream) {
             return false;
         }
         codec::push_answer(out, stream, answer, context.feedback);
-        let refused = matches!(answer, Answer::Refused { .. });
-        if refused && planted(Bug::AnswerTwice) {
+        let refused = matches!(answer, Response::Rejected { .. });
+        if refused && is_bug_injected(InjectedBug::ResponseSentTwice) {
             codec::push_answer(out, stream, answer, context.feedback);
         }
-        self.status.open -= usize::from(!(refused && planted(Bug::PlaceLeaked)));
+        self.status.open -=
+            usize::from(!(refused && is_bug_injected(InjectedBug::ConnectionSlotLeaked)));
         self.status.used = context.now;
         true
     }
@@ -323,14 +324,14 @@
 }
 
 /// A frame names no path: its class is one.
-fn head(host: &str, fields: &[(&str, &str)], payload: &[u8]) -> Head {
+fn head(host: &str, fields: &[(&str, &str)], payload: &[u8]) -> RequestHead {
     let value = |wanted: &str| {
         fields
             .iter()
             .find(|(name, _)| *name == wanted)
             .map_or("", |(_, value)| value)
     };
-    Head {
+    RequestHead {
         method: "POST".to_owned(),
         host: host.to_owned(),
         target: format!("/{}", value("verb")),
@@ -348,22 +349,22 @@
     stream: u32,
     key_field: Option<&str>,
     context: &Context,
-) -> Result<Arrival, String> {
+) -> Result<IncomingRequest, String> {
     let request = Request::decode(payload, key_field)?;
     let class = context.classes.iter().position(|name| name == request.verb);
-    Ok(Arrival {
-        origin: Origin {
+    Ok(IncomingRequest {
+        client: ClientStream {
             connection: context.number,
             stream,
         },
         id: request.txn,
         class: class.ok_or_else(|| format!("field `verb` names no class: {:?}", request.verb))?,
         caller: request.lb,
-        door: request.door,
-        work: request.cpu,
+        received_at: request.door,
+        expected_work: request.cpu,
         memory_kb: request.ram,
         rank: request.standing,
-        retry: request.second,
+        is_retry: request.second,
         has_subject: request.has_item,
         key: request.key.map(Box::from),
         body: request.body.to_vec(),
--- a/crates/protocol/src/machine.rs
+++ b/crates/protocol/src/machine.rs
@@ -2,7 +2,7 @@
 //! requests, bytes to send and a deadline. The matcher accepts, reads, sends, closes and counts places the same
 //! way for all of them.
 
-use cleatpulley_dispatcher::{Answer, Arrival};
+use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
 
 /// How far a connection has come.
@@ -81,7 +81,7 @@
         context: &Context,
         input: &[u8],
         out: &mut Vec<u8>,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) -> usize;
 
     /// Answers a request; false where the connection owes no answer on this stream.
@@ -89,7 +89,7 @@
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Answer,
+        answer: &Response,
         out: &mut Vec<u8>,
     ) -> bool;
 
--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -1,7 +1,9 @@
 //! The AJP codec and connections, driven by bytes and time alone.
 
-use cleatpulley_dispatcher::{Answer, Arrival};
-use cleatpulley_protocol::ajp::client::{Client, Fate, Options, Request, Response, PING_AFTER};
+use cleatpulley_dispatcher::{IncomingRequest, Response};
+use cleatpulley_protocol::ajp::client::{
+    Client, Fate, Options, Request, Response as ClientResponse, PING_AFTER,
+};
 use cleatpulley_protocol::ajp::codec::{self, *};
 use cleatpulley_protocol::ajp::server::{id_of, Connection, Defaults, Figures, Settings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
@@ -54,7 +56,7 @@
     now: u64,
     input: Vec<u8>,
     out: Vec<u8>,
-    arrivals: Vec<Arrival>,
+    arrivals: Vec<IncomingRequest>,
     classes: Vec<String>,
     feedback: Option<f64>,
 }
@@ -104,17 +106,17 @@
         self.arrivals = arrivals;
     }
 
-    fn answer(&mut self, answer: &Answer) -> bool {
-        let stream = self.arrivals.last().expect("a request").origin.stream;
+    fn answer(&mut self, answer: &Response) -> bool {
+        let stream = self.arrivals.last().expect("a request").client.stream;
         self.tell(|connection, context, out| connection.answer(context, stream, answer, out))
     }
 
     /// The answers sent so far, read by the client's side.
-    fn responses(&mut self) -> Vec<Response> {
+    fn responses(&mut self) -> Vec<ClientResponse> {
         let mut responses = Vec::new();
         let out = std::mem::take(&mut self.out);
         let mut at = 0;
-        let mut current = Response::default();
+        let mut current = ClientResponse::default();
         while let Some(payload) =
             codec::packet(&out[at..], Way::ToProxy, PACKET_SIZE).expect("a packet")
         {
@@ -130,14 +132,14 @@
                         .iter()
                         .map(|(name, value)| (text(name), text(value)))
                         .collect();
-                    current = Response {
+                    current = ClientResponse {
                         status,
                         headers,
-                        ..Response::default()
+                        ..ClientResponse::default()
                     };
                 }
                 Reply::Chunk(data) => current.body.extend_from_slice(data),
-                Reply::End(reuse) => responses.push(Response {
+                Reply::End(reuse) => responses.push(ClientResponse {
                     reuse,
                     ..std::mem::take(&mut current)
                 }),
@@ -352,7 +354,7 @@
     peer.send(&body(b"ce!"));
     let arrival = peer.arrivals[0].clone();
     assert_eq!(
-        (arrival.class, arrival.id, arrival.work),
+        (arrival.class, arrival.id, arrival.expected_work),
         (1, 0x9b1f_03aa_5c7e_2d41, 12_500)
     );
     assert_eq!(
@@ -360,7 +362,7 @@
         (7, 30.0, 0.5)
     );
     assert_eq!(
-        (arrival.door, arrival.has_subject),
+        (arrival.received_at, arrival.has_subject),
         (begun, true),
         "the door is the first byte's time"
     );
@@ -369,8 +371,8 @@
         (Some(&b"k1"[..]), &b"race!"[..])
     );
     peer.feedback = Some(2.5);
-    assert!(peer.answer(&Answer::Served(b"grid".to_vec())));
-    assert!(!peer.answer(&Answer::Failed), "one answer and no more");
+    assert!(peer.answer(&Response::Served(b"grid".to_vec())));
+    assert!(!peer.answer(&Response::Failed), "one answer and no more");
     let response = peer.responses().remove(0);
     assert_eq!(
         (response.status, &response.body[..], response.reuse),
@@ -379,9 +381,9 @@
     assert_eq!(response.header("X-Feedback"), Some("2.5000"));
     // The next on the same connection: refused, with the time to come back.
     peer.send(&forward("/look", &[]));
-    assert!(peer.answer(&Answer::Refused {
-        later: 1_200_000,
-        last: true
+    assert!(peer.answer(&Response::Rejected {
+        retry_after: 1_200_000,
+        no_failover: true
     }));
     let response = peer.responses().remove(0);
     assert_eq!(
@@ -396,7 +398,7 @@
         (Some("2"), Some("1200"))
     );
     assert_eq!(response.header("X-No-Retry"), Some("1"));
-    for (answer, status) in [(Answer::Failed, 500), (Answer::Expired, 504)] {
+    for (answer, status) in [(Response::Failed, 500), (Response::Expired, 504)] {
         peer.send(&forward("/look", &[]));
         assert!(peer.answer(&answer));
         let response = peer.responses().remove(0);
@@ -554,7 +556,7 @@
     ] {
         let mut peer = Peer::with(settings(), trusted);
         peer.send(&forward("/look", &[("X-Door", &ms.to_string())]));
-        assert_eq!(peer.arrivals[0].door, expected);
+        assert_eq!(peer.arrivals[0].received_at, expected);
     }
 }
 
@@ -603,7 +605,7 @@
     leave(&mut peer);
     peer.send(&forward("/look", &[]));
     part(&mut peer);
-    assert!(peer.answer(&Answer::Served(Vec::new())));
+    assert!(peer.answer(&Response::Served(Vec::new())));
     assert!(!peer.responses()[0].reuse && peer.connection.status().standing == Standing::Lost);
     // Half a body: read on until the end is near, then told that it never ran.
     let mut peer = Peer::new();
@@ -622,7 +624,7 @@
     let mut peer = Peer::new();
     peer.send(&[forward("/look", &[]), forward("/look", &[])].concat());
     assert_eq!(peer.arrivals.len(), 1);
-    assert!(peer.answer(&Answer::Served(b"1".to_vec())));
+    assert!(peer.answer(&Response::Served(b"1".to_vec())));
     let responses = peer.responses();
     assert!(responses.len() == 1 && !responses[0].reuse);
     assert_eq!(peer.connection.status().standing, Standing::Lost);
@@ -656,7 +658,7 @@
             peer.send(std::slice::from_ref(byte));
             if peer.arrivals.len() > handed {
                 handed += 1;
-                assert!(peer.answer(&Answer::Served(b"ok".to_vec())));
+                assert!(peer.answer(&Response::Served(b"ok".to_vec())));
             }
         }
         assert_eq!(
@@ -700,7 +702,7 @@
     assert_eq!(client.fate(0), Fate::MayHaveRun);
     peer.send(&out);
     assert_eq!(peer.arrivals[0].body, request.body);
-    assert!(peer.answer(&Answer::Served(vec![7; 20_000])));
+    assert!(peer.answer(&Response::Served(vec![7; 20_000])));
     let reply = std::mem::take(&mut peer.out);
     let mut more = Vec::new();
     for cut in [1, 9_000, reply.len()] {
--- a/crates/server/src/front.rs
+++ b/crates/server/src/front.rs
@@ -13,7 +13,7 @@
 use cleatpulley_connection_admission::handshake::Handshakes;
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_connection_admission::Admission;
-use cleatpulley_dispatcher::{Answer, Arrival, Fact, Origin};
+use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::{Context, Machine, Standing};
 use peer::{Next, Peer};
@@ -55,7 +55,7 @@
     noted: Vec<u64>,
     /// Connections with more to read than one turn takes: no edge will tell of it again.
     again: Vec<u64>,
-    arrivals: Vec<Arrival>,
+    arrivals: Vec<IncomingRequest>,
     numbers: u64,
     accept_at: Micros,
     sweep_at: Micros,
@@ -233,14 +233,14 @@
     }
 
     /// Holds so many connections from now on. Those above that go where they owe nothing.
-    pub fn set_most(&mut self, now: Micros, most: usize, facts: &mut Vec<Fact>) {
+    pub fn set_most(&mut self, now: Micros, most: usize, facts: &mut Vec<Event>) {
         self.most = most.max(1);
         while self.peers.len() > self.most && self.make_room(now, facts) {}
     }
 
     /// Closes a connection that owes nothing, if there is one: the system has no descriptor left. Guards against the next
     /// that waits at the door, who would have it before whom it is meant for.
-    pub fn spare_one(&mut self, now: Micros, meant_until: Micros, facts: &mut Vec<Fact>) {
+    pub fn spare_one(&mut self, now: Micros, meant_until: Micros, facts: &mut Vec<Event>) {
         self.make_room(now, facts);
         self.accept_at = self.accept_at.max(meant_until);
     }
@@ -346,7 +346,7 @@
     }
 
     /// Answers a request. A connection that is gone needs no answer.
-    pub fn answer(&mut self, now: Micros, to: Origin, answer: &Answer) {
+    pub fn answer(&mut self, now: Micros, to: ClientStream, answer: &Response) {
         let Some(peer) = self.peers.get_mut(&to.connection) else {
             return;
         };
@@ -363,7 +363,7 @@
             .answer(&context, to.stream, answer, peer.conn.output())
         {
             self.noted.push(to.connection);
-            if let (Some(admission), Answer::Served(_)) = (&mut self.admission, answer) {
+            if let (Some(admission), Response::Served(_)) = (&mut self.admission, answer) {
                 admission.served(now, to.connection);
             }
         }
@@ -414,7 +414,7 @@
     }
 
     /// Accepts, reads, sends and closes. True when more can be read at once.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Fact>) -> bool {
+    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
         self.accept(now, facts);
         self.handshakes_turn(now, facts);
         let mut noted = std::mem::take(&mut self.noted);
@@ -432,7 +432,7 @@
     }
 
     /// Reads and sends on a connection, and closes it where it is over.
-    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Fact>) {
+    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
         let Some(peer) = self.peers.get_mut(&number) else {
             return;
         };
@@ -457,7 +457,7 @@
         if let Some(peer) = self.peers.get_mut(&number) {
             let cancelled = peer.machine.take_cancelled().into_iter();
             facts.extend(cancelled.map(|stream| {
-                Fact::Cancelled(Origin {
+                Event::RequestCancelled(ClientStream {
                     connection: number,
                     stream,
                 })
@@ -475,7 +475,7 @@
     }
 
     /// Sends what this turn has answered.
-    pub fn flush(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    pub fn flush(&mut self, now: Micros, facts: &mut Vec<Event>) {
         let mut noted = std::mem::take(&mut self.noted);
         noted.sort_unstable();
         noted.dedup();
@@ -509,11 +509,11 @@
         !self.resting && self.doors.iter().any(|door| door.acceptable)
     }
 
-    fn close(&mut self, number: u64, facts: &mut Vec<Fact>) {
+    fn close(&mut self, number: u64, facts: &mut Vec<Event>) {
         if let Some(peer) = self.peers.remove(&number) {
             self.refused -= usize::from(peer.over);
             if peer.machine.status().open > 0 {
-                facts.push(Fact::OriginLost(number));
+                facts.push(Event::ConnectionLost(number));
             }
             if let Some(admission) = &mut self.admission {
                 admission.leave(number);
@@ -533,7 +533,7 @@
     /// Gives up the place of a connection that owes nothing, if there is one: first those that only wait for
     /// their end, then those that never sent a whole message, the oldest first. Guards against clients that take
     /// all places and say nothing, while front ends wait to be accepted.
-    fn make_room(&mut self, now: Micros, facts: &mut Vec<Fact>) -> bool {
+    fn make_room(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
         let spare = |(number, peer): (&u64, &Peer<W>)| {
             peer.spare_since(now)
                 .map(|(rank, since)| (rank, since, *number))
@@ -563,7 +563,7 @@
         false
     }
 
-    fn sweep(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    fn sweep(&mut self, now: Micros, facts: &mut Vec<Event>) {
         self.keep_spare();
         // Those that could not go yet when places became fewer.
         self.set_most(now, self.most, facts);
--- a/crates/server/src/front/accept.rs
+++ b/crates/server/src/front/accept.rs
@@ -8,9 +8,9 @@
 use crate::Party;
 use cleatpulley_connection_admission::admit::Known;
 use cleatpulley_connection_admission::Decision;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::machine::Context;
 use std::io::{self, ErrorKind};
 use std::net::IpAddr;
@@ -32,7 +32,7 @@
 }
 
 impl<W: World> Front<W> {
-    pub(super) fn accept(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    pub(super) fn accept(&mut self, now: Micros, facts: &mut Vec<Event>) {
         for place in 0..self.doors.len() {
             if now < self.accept_at || self.resting {
                 return;
@@ -44,7 +44,7 @@
         }
     }
 
-    fn accept_at_door(&mut self, place: usize, now: Micros, facts: &mut Vec<Fact>) {
+    fn accept_at_door(&mut self, place: usize, now: Micros, facts: &mut Vec<Event>) {
         // Those that got no place and are still held have been read since the turn in which they came: where none can go,
         // all of them owe an answer. Strangers are closed unread then; a known caller is held beyond the others, and while
         // one is, whoever comes waits with the system.
@@ -99,7 +99,7 @@
                     self.make_room(now, facts);
                     self.keep_spare();
                     self.accept_at = now + ACCEPT_PAUSE;
-                    if planted(Bug::AcceptForgotten) {
+                    if is_bug_injected(InjectedBug::AcceptNotResumed) {
                         self.accept_at = Micros::MAX;
                     }
                     return;
@@ -132,7 +132,7 @@
         mut conn: Conn<W>,
         caller: &Caller,
         stuck: bool,
-        facts: &mut Vec<Fact>,
+        facts: &mut Vec<Event>,
     ) {
         let number = self.numbers;
         let mut machine = self.doors[place].speaks.machine(now, caller.address);
@@ -219,7 +219,7 @@
 
     /// Closes the oldest connection that got no place and owes nothing, where there is one: a flood that holds its
     /// connections would else keep them for as long as what they sent is read away, and the door shut.
-    fn forget_refused(&mut self, facts: &mut Vec<Fact>) -> bool {
+    fn forget_refused(&mut self, facts: &mut Vec<Event>) -> bool {
         // What came on it is read and answered, or thrown away once our end is closed: closing it loses nothing.
         let owes = |peer: &Peer<W>| {
             let unread = peer.lingers.is_none() && !peer.conn.is_drained();
@@ -240,7 +240,7 @@
         &mut self,
         now: Micros,
         caller: &Caller,
-        facts: &mut Vec<Fact>,
+        facts: &mut Vec<Event>,
     ) -> Result<Known, Known> {
         let places = self.most - self.held().min(self.most - 1);
         let Some(admission) = &mut self.admission else {
@@ -281,7 +281,7 @@
 /// Frees the descriptor that was kept; false where there was none.
 fn give_up<S>(spare: Option<S>) -> bool {
     let kept = spare.is_some();
-    if planted(Bug::SpareLeaked) {
+    if is_bug_injected(InjectedBug::SpareDescriptorLeaked) {
         std::mem::forget(spare);
     }
     kept
--- a/crates/server/src/front/peer.rs
+++ b/crates/server/src/front/peer.rs
@@ -4,7 +4,7 @@
 use crate::conn::Conn;
 use crate::world::World;
 use cleatpulley_connection_admission::admit::Known;
-use cleatpulley_dispatcher::Arrival;
+use cleatpulley_dispatcher::IncomingRequest;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::connection::PARTING;
 use cleatpulley_protocol::machine::{Context, Standing};
@@ -50,7 +50,7 @@
     pub(super) fn serve(
         &mut self,
         context: &Context,
-        arrivals: &mut Vec<Arrival>,
+        arrivals: &mut Vec<IncomingRequest>,
     ) -> io::Result<Next> {
         let mut more = false;
         self.conn.flush()?;
--- a/crates/server/src/front/tests.rs
+++ b/crates/server/src/front/tests.rs
@@ -167,9 +167,9 @@
     (event_loop, front, ends)
 }
 
-fn arrived(facts: &[Fact]) -> Vec<u64> {
-    let id = |fact: &Fact| match fact {
-        Fact::Arrived(arrival) => Some(arrival.id),
+fn arrived(facts: &[Event]) -> Vec<u64> {
+    let id = |fact: &Event| match fact {
+        Event::RequestRead(arrival) => Some(arrival.id),
         _ => None,
     };
     facts.iter().filter_map(id).collect()
@@ -227,11 +227,11 @@
     assert_eq!(arrived(&facts), [9]);
     front.answer(
         late + 3,
-        Origin {
+        ClientStream {
             connection: 1,
             stream: 1,
         },
-        &Answer::Failed,
+        &Response::Failed,
     );
     front.flush(late + 3, &mut facts);
     front.turn(late + 4, &mut facts);
@@ -269,11 +269,11 @@
     front.turn(2, &mut facts);
     front.answer(
         3,
-        Origin {
+        ClientStream {
             connection: 1,
             stream: 1,
         },
-        &Answer::Served(b"done".to_vec()),
+        &Response::Served(b"done".to_vec()),
     );
     front.flush(3, &mut facts);
     let peer = front.peers.get_mut(&1).expect("it stands");
@@ -310,11 +310,11 @@
     assert_eq!(arrived(&facts), [3]);
     front.answer(
         4,
-        Origin {
+        ClientStream {
             connection: 2,
             stream: 1,
         },
-        &Answer::Failed,
+        &Response::Failed,
     );
     front.flush(4, &mut facts);
     let mut goodbye = Vec::new();
--- a/crates/server/src/front/tls.rs
+++ b/crates/server/src/front/tls.rs
@@ -6,7 +6,7 @@
 use crate::world::World;
 use cleatpulley_connection_admission::admit::Known;
 use cleatpulley_connection_admission::handshake::{Offer, Turn};
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Context;
 
@@ -24,13 +24,13 @@
 impl<W: World> Front<W> {
     /// After a connection was served: its offer is decided on, the end of its handshake is noted, and what it asked for
     /// goes on, or is answered as forbidden where its names may not ask for the class.
-    pub(super) fn secure_turn(&mut self, now: Micros, number: u64, facts: &mut Vec<Fact>) {
+    pub(super) fn secure_turn(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
         let Some(peer) = self.peers.get_mut(&number) else {
-            facts.extend(self.arrivals.drain(..).map(Fact::Arrived));
+            facts.extend(self.arrivals.drain(..).map(Event::RequestRead));
             return;
         };
         let Some(layer) = peer.conn.layer_mut() else {
-            facts.extend(self.arrivals.drain(..).map(Fact::Arrived));
+            facts.extend(self.arrivals.drain(..).map(Event::RequestRead));
             return;
         };
         if let Some(offer) = layer.offer() {
@@ -97,15 +97,15 @@
                 .as_ref()
                 .is_none_or(|tls| tls.permits(arrival.class, &peer.names));
             facts.push(if permitted {
-                Fact::Arrived(arrival)
+                Event::RequestRead(arrival)
             } else {
-                Fact::Forbidden(arrival)
+                Event::RequestForbidden(arrival)
             });
         }
     }
 
     /// Handshakes that waited and may begin now, and those that are past their deadline.
-    pub(super) fn handshakes_turn(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    pub(super) fn handshakes_turn(&mut self, now: Micros, facts: &mut Vec<Event>) {
         let Some(handshakes) = &mut self.handshakes else {
             return;
         };
@@ -126,7 +126,7 @@
         }
     }
 
-    fn begin(&mut self, number: u64, facts: &mut Vec<Fact>) {
+    fn begin(&mut self, number: u64, facts: &mut Vec<Event>) {
         let (Some(tls), Some(peer)) = (&self.tls, self.peers.get_mut(&number)) else {
             return;
         };
@@ -141,7 +141,7 @@
         }
     }
 
-    fn refuse(&mut self, number: u64, facts: &mut Vec<Fact>) {
+    fn refuse(&mut self, number: u64, facts: &mut Vec<Event>) {
         if let Some(peer) = self.peers.get_mut(&number) {
             peer.conn.refuse_tls();
         }
--- a/crates/server/src/handover.rs
+++ b/crates/server/src/handover.rs
@@ -3,11 +3,11 @@
 
 use super::world::{Keeper, World};
 use super::{operators, upgrade, Node, SPARE};
-use cleatpulley_dispatcher::history::History;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::key_table::KeyTable;
+use cleatpulley_dispatcher::{Event, ResourceUsage};
 use cleatpulley_hot_restart::{snapshot, Held};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use std::io;
 
 /// What a front end sent before it read that it should not may come so long after the hand-over.
@@ -32,7 +32,7 @@
         self.stop_at = Some(stop_at);
         self.succeeded = true;
         // Its listening sockets stay, in case the successor dies: nothing is accepted from them before that.
-        self.facts.push(Fact::Succeeded { stop_at });
+        self.facts.push(Event::Replaced { stop_at });
     }
 
     /// Goes on with taking another process's place, or giving up its own.
@@ -66,7 +66,9 @@
         upgrade: &mut upgrade::Upgrade<W>,
     ) {
         match step {
-            upgrade::Step::Adopt(_) if planted(Bug::SocketDropped) => self.listen(),
+            upgrade::Step::Adopt(_) if is_bug_injected(InjectedBug::PassedListenerDropped) => {
+                self.listen()
+            }
             upgrade::Step::Adopt(passed) => {
                 let mut short = false;
                 for (address, passed) in passed {
@@ -119,7 +121,7 @@
                 }
             }
             upgrade::Step::OpenStore => self.open_store(),
-            upgrade::Step::Beside(_) if planted(Bug::ShareTwice) => {}
+            upgrade::Step::Beside(_) if is_bug_injected(InjectedBug::PredecessorUsageIgnored) => {}
             upgrade::Step::Beside(held) => {
                 let Held {
                     running,
@@ -128,17 +130,21 @@
                     ..
                 } = held;
                 self.beside = held;
-                self.facts.push(Fact::Beside {
+                self.facts.push(Event::PredecessorUsage(ResourceUsage {
                     running,
                     memory_kb,
                     calls,
-                });
+                }));
                 self.share_descriptors(now);
             }
             upgrade::Step::Learn(text) => {
                 let site = snapshot::site(&self.name, &self.class_names);
                 let learned = snapshot::decode(site, now, &text).map_err(|e| e.to_string());
-                match learned.and_then(|learned| self.exchange.learn(&learned)) {
+                match learned.and_then(|learned| {
+                    self.exchange
+                        .restore_learned_state(&learned)
+                        .map_err(|error| error.to_string())
+                }) {
                     Ok(()) => {
                         self.learned = true;
                         tracing::info!("upgrade: goes on with what the predecessor had learned");
@@ -165,7 +171,7 @@
                     .map_or_else(Vec::new, |admission| admission.export(now));
                 upgrade.yielded(
                     self.held(),
-                    snapshot::encode(site, now, &self.exchange.learned()),
+                    snapshot::encode(site, now, &self.exchange.learned_state()),
                     standing,
                 );
             }
@@ -173,7 +179,7 @@
                 if let (Some((_, true)), Some((_, bounds, _))) =
                     (self.yielded.take(), &self.kept_in)
                 {
-                    self.exchange.take_keys(History::new(*bounds));
+                    self.exchange.reclaim_keys(KeyTable::new(*bounds));
                     self.close();
                     self.open_store();
                 }
@@ -186,7 +192,7 @@
                     );
                     // From here on it is an ordinary drain: callers are sent elsewhere.
                     self.facts
-                        .extend(self.stop_at.map(|stop_at| Fact::Drain { stop_at }));
+                        .extend(self.stop_at.map(|stop_at| Event::DrainStarted { stop_at }));
                     self.front.leave(now);
                 } else {
                     tracing::warn!("upgrade: the successor is gone; takes clients again");
@@ -206,11 +212,11 @@
         let Some((folder, bounds, lasting)) = kept_in else {
             return;
         };
-        match self.world.keeper(folder, bounds.seed, lasting) {
+        match self.world.keeper(folder, bounds.hash_seed, lasting) {
             Ok(keeper) => self.keeper = Some(keeper),
             Err(e) => {
                 tracing::error!("results: nothing can be kept: {e}");
-                self.facts.push(Fact::Keeping(false));
+                self.facts.push(Event::PersistenceAvailable(false));
             }
         }
     }
@@ -285,7 +291,11 @@
     /// What it has of the machine, and what the process has whose place it has taken: its successor hears of that one
     /// only here.
     pub(super) fn held(&self) -> Held {
-        let (running, memory_kb, calls) = self.exchange.held();
+        let ResourceUsage {
+            running,
+            memory_kb,
+            calls,
+        } = self.exchange.resource_usage();
         Held {
             running: running + self.beside.running,
             memory_kb: memory_kb + self.beside.memory_kb,
--- a/crates/server/src/keeping.rs
+++ b/crates/server/src/keeping.rs
@@ -5,13 +5,12 @@
 use super::world;
 use super::Micros;
 use calloop::channel::{self, Event};
-use cleatpulley_dispatcher::history::Effect;
-use cleatpulley_dispatcher::Fact;
-use cleatpulley_idempotency::history::Recovered;
-use cleatpulley_idempotency::journal::Journal;
-use cleatpulley_idempotency::record::{Record, ScopedKey};
+use cleatpulley_dispatcher::key_table::KeyCommand;
+use cleatpulley_dispatcher::Event as DispatcherEvent;
+use cleatpulley_idempotency::journal::{Journal, OpenedJournal};
+use cleatpulley_idempotency::record::{KeyRecord, ScopedKey};
 use cleatpulley_log_store::files::{Files, Folder};
-use cleatpulley_log_store::{Error, Found, Options, Work};
+use cleatpulley_log_store::{Error, Options, Work};
 use cleatpulley_policy::interface::RequestId;
 use std::io;
 use std::path::PathBuf;
@@ -36,7 +35,7 @@
 #[derive(Debug)]
 pub enum Job {
     /// To write what a history decided.
-    Write(Effect),
+    Write(KeyCommand),
     /// To read how a key ended, for a request and under a number of the exchange's.
     Recall(Micros, RequestId, u64, ScopedKey),
 }
@@ -81,10 +80,14 @@
     /// Takes up a store that was opened, or not. What the first one holds is told.
     pub fn open(
         &mut self,
-        opened: Result<(Journal<F>, Recovered, Found), Error>,
-        facts: &mut Vec<Fact>,
+        opened: Result<OpenedJournal<F>, Error>,
+        facts: &mut Vec<DispatcherEvent>,
     ) {
-        let (mut journal, recovered, found) = match opened {
+        let OpenedJournal {
+            mut journal,
+            recovered,
+            found,
+        } = match opened {
             Ok(opened) => opened,
             // The process whose place this one takes lets go of it once its last run has ended. Until then nothing is
             // known of any key, and requests with keys wait.
@@ -107,7 +110,7 @@
                 tracing::error!("results: the store was damaged: {found}");
             }
             self.recovered = true;
-            facts.push(Fact::Recovered(Box::new(recovered)));
+            facts.push(DispatcherEvent::KeysRecovered(Box::new(recovered)));
         }
         if !self.well {
             if let Err(e) = journal.probe() {
@@ -115,24 +118,24 @@
             }
             self.well = true;
             tracing::info!("results: the store takes writes again");
-            facts.push(Fact::Keeping(true));
+            facts.push(DispatcherEvent::PersistenceAvailable(true));
         }
         self.locked = 0;
         self.journal = Some(journal);
     }
 
     /// Says that nothing can be kept for now; once.
-    fn fail(&mut self, e: &Error, facts: &mut Vec<Fact>) {
+    fn fail(&mut self, e: &Error, facts: &mut Vec<DispatcherEvent>) {
         self.journal = None;
         if std::mem::replace(&mut self.well, false) {
             tracing::error!("results: nothing can be kept for now: {e}");
-            facts.push(Fact::Keeping(false));
+            facts.push(DispatcherEvent::PersistenceAvailable(false));
         }
     }
 
     /// Does all jobs; what they wrote is durable only after a [`sync`](Self::sync), and what they read is told before
     /// it. While the store is not open nothing is written, and nothing can be read.
-    pub fn work(&mut self, jobs: &mut dyn Iterator<Item = Job>, facts: &mut Vec<Fact>) {
+    pub fn work(&mut self, jobs: &mut dyn Iterator<Item = Job>, facts: &mut Vec<DispatcherEvent>) {
         for job in jobs {
             match (job, &mut self.journal) {
                 (Job::Write(effect), Some(journal)) => {
@@ -143,18 +146,18 @@
                 }
                 (Job::Write(_), None) => {}
                 (Job::Recall(at, id, number, key), Some(journal)) => {
-                    let outcome = journal.recall(at, &key).unwrap_or_else(|e| {
+                    let outcome = journal.load_outcome(at, &key).unwrap_or_else(|e| {
                         tracing::error!("results: what was kept of {key:?} can't be read: {e}");
                         None
                     });
-                    facts.push(Fact::Recalled {
+                    facts.push(DispatcherEvent::CachedResultLoaded {
                         id,
                         number,
                         outcome,
                     });
                 }
                 (Job::Recall(_, id, number, _), None) => {
-                    facts.push(Fact::Recalled {
+                    facts.push(DispatcherEvent::CachedResultLoaded {
                         id,
                         number,
                         outcome: None,
@@ -165,18 +168,27 @@
     }
 
     /// Makes what was written durable with one sync.
-    pub fn sync(&mut self, facts: &mut Vec<Fact>) {
-        let Some(journal) = self.journal.as_mut().filter(|journal| journal.waits()) else {
+    pub fn sync(&mut self, facts: &mut Vec<DispatcherEvent>) {
+        let Some(journal) = self
+            .journal
+            .as_mut()
+            .filter(|journal| journal.has_unsynced_writes())
+        else {
             return;
         };
-        match journal.flush() {
-            Ok(ticket) => facts.push(Fact::Durable(ticket)),
+        match journal.sync() {
+            Ok(ticket) => facts.push(DispatcherEvent::KeysDurable(ticket)),
             Err(e) => self.fail(&e, facts),
         }
     }
 
     /// Does a piece of maintenance of about so many bytes; true where there is more to do.
-    pub fn maintain(&mut self, now: Micros, budget: usize, facts: &mut Vec<Fact>) -> bool {
+    pub fn maintain(
+        &mut self,
+        now: Micros,
+        budget: usize,
+        facts: &mut Vec<DispatcherEvent>,
+    ) -> bool {
         let Some(journal) = &mut self.journal else {
             return false;
         };
@@ -184,7 +196,7 @@
             Ok(work) => work == Work::More,
             Err(e) => {
                 tracing::warn!("results: maintenance of the store failed: {e}");
-                if journal.store().poisoned().is_some() {
+                if journal.store_mut().poisoned().is_some() {
                     self.fail(&e, facts);
                 }
                 false
@@ -211,11 +223,11 @@
     }
 }
 
-fn ends(effect: &Effect) -> bool {
+fn ends(effect: &KeyCommand) -> bool {
     matches!(
         effect,
-        Effect::Write {
-            record: Record::Finished { .. },
+        KeyCommand::Write {
+            record: KeyRecord::Completed { .. },
             ..
         }
     )
@@ -302,7 +314,7 @@
 }
 
 impl world::Keeper for Keeping {
-    fn write(&mut self, effect: Effect) {
+    fn write(&mut self, effect: KeyCommand) {
         self.ask(Job::Write(effect));
     }
 
@@ -340,7 +352,7 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    fn turn(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) {
         if let Self::Passing(passing) = self {
             passing.turn(now, facts);
         }
@@ -359,7 +371,7 @@
     folder: PathBuf,
     seed: u64,
     core: Core<Folder>,
-    facts: Vec<Fact>,
+    facts: Vec<DispatcherEvent>,
     /// When the store is opened, or looked after.
     next: Option<Micros>,
     released: bool,
@@ -376,7 +388,7 @@
         self.next = self.next.or(Some(0));
     }
 
-    fn turn(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    fn turn(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) {
         if self.next.is_some_and(|at| now >= at) && !self.released {
             if self.core.is_open() {
                 let more = self.core.maintain(now, PIECE, &mut self.facts);
@@ -413,12 +425,12 @@
     folder: PathBuf,
     seed: u64,
     jobs: Receiver<Job>,
-    facts: channel::Sender<Fact>,
+    facts: channel::Sender<DispatcherEvent>,
     core: Core<Folder>,
 }
 
 impl Thread {
-    fn tell(&self, facts: &mut Vec<Fact>) {
+    fn tell(&self, facts: &mut Vec<DispatcherEvent>) {
         for fact in facts.drain(..) {
             // The event loop is gone only where the program ends.
             let _ = self.facts.send(fact);
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real matcher: one event loop, and the adapters round the [`Exchange`].
+//! The real matcher: one event loop, and the adapters round the [`Dispatcher`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -25,12 +25,12 @@
 pub use real::serve;
 
 use cleatpulley_connection_admission::Admission;
-use cleatpulley_dispatcher::history::{Bounds, History};
-use cleatpulley_dispatcher::{Command, Exchange, Fact, Keys};
+use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
+use cleatpulley_dispatcher::{Command, Dispatcher, Event, IdempotencyKeys};
 use cleatpulley_hot_restart::Held;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_policy::interface::Settings;
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::frame::connection::Terms;
 use cleatpulley_protocol::mgmt;
 use std::cell::RefCell;
@@ -57,7 +57,7 @@
     world: W,
     reload: Reload,
     stop: Micros,
-    exchange: Exchange,
+    exchange: Dispatcher,
     front: front::Front<W>,
     operators: Option<operators::Operators<W>>,
     name: String,
@@ -67,7 +67,7 @@
     directory: directory::Directory<W>,
     keeper: Option<W::Keeper>,
     /// The folder and the bounds of what is kept.
-    kept_in: Option<(PathBuf, Bounds, bool)>,
+    kept_in: Option<(PathBuf, Capacity, bool)>,
     /// Earned standing, where it is kept, for how many addresses, and when it is written next.
     standings: Option<W::Standings>,
     standings_in: Option<(PathBuf, usize)>,
@@ -76,7 +76,7 @@
     listen_at: Option<Micros>,
     /// Since when a successor takes clients, and whether it has the store of results.
     yielded: Option<(Micros, bool)>,
-    facts: Vec<Fact>,
+    facts: Vec<Event>,
     commands: Vec<Command>,
     /// When the process is stopped, once the notice to leave has come.
     stop_at: Option<Micros>,
@@ -138,7 +138,7 @@
             .and_then(|results| results.frame_field.clone());
         let terms = Rc::new(Terms {
             key_field,
-            cancels: options.settings.tells_gone,
+            cancels: options.settings.reports_abandonment,
         });
         let mut doors = vec![(options.listen, front::Speaks::Frames(terms))];
         if let Some(ajp) = options.ajp {
@@ -202,13 +202,16 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.deadline)
+            .map(|class| class.client_timeout)
             .max()
             .unwrap_or(0);
-        let warming = (options.settings.cold_speed, options.settings.warm_after);
+        let warming = (
+            options.settings.cold_start_speed,
+            options.settings.warm_up_time,
+        );
         let mut kept_in = None;
         let (exchange, keeper) = match options.results {
-            None => (Exchange::new(options.settings, options.seed), None),
+            None => (Dispatcher::new(options.settings, options.seed), None),
             Some(results) => {
                 let Results {
                     classes,
@@ -222,14 +225,14 @@
                 kept_in = Some((results.folder.clone(), bounds, lasting));
                 // A process that takes another's place has the store once that one has let go of it.
                 let keeper = alone
-                    .then(|| world.keeper(results.folder, bounds.seed, lasting))
+                    .then(|| world.keeper(results.folder, bounds.hash_seed, lasting))
                     .transpose()?;
-                let keys = Keys::new(classes, required, owner, History::new(bounds));
+                let keys = IdempotencyKeys::new(classes, required, owner, KeyTable::new(bounds));
                 let settings = Settings {
-                    entry_kb,
+                    key_entry_kb: entry_kb,
                     ..options.settings
                 };
-                (Exchange::with_keys(settings, options.seed, keys), keeper)
+                (Dispatcher::with_keys(settings, options.seed, keys), keeper)
             }
         };
         let Parties {
@@ -300,9 +303,12 @@
         let links =
             usize::from(self.runtime.linked()) + self.directory.links() + self.front.spares();
         Census {
-            requests: self.exchange.requests(),
-            unanswered: self.exchange.unanswered(),
-            intents: self.exchange.history().map_or(0, |history| history.runs()),
+            requests: self.exchange.request_count(),
+            unanswered: self.exchange.pending_count(),
+            intents: self
+                .exchange
+                .key_table()
+                .map_or(0, |history| history.active_runs()),
             open,
             calls,
             descriptors: listeners + connections + pool + links + asked + passes,
@@ -348,7 +354,7 @@
     }
 
     /// The keeper of results has something to say.
-    pub fn kept(&mut self, fact: Fact) {
+    pub fn kept(&mut self, fact: Event) {
         self.facts.push(fact);
     }
 
@@ -379,10 +385,10 @@
                 "leaving within {} ms, with {} connections and {} requests that owe an answer",
                 self.stop / 1_000,
                 self.front.connections(),
-                self.exchange.unanswered()
+                self.exchange.pending_count()
             );
             self.stop_at = Some(stop_at);
-            self.facts.push(Fact::Drain { stop_at });
+            self.facts.push(Event::DrainStarted { stop_at });
             self.front.leave(now);
             if self.shares_listener {
                 self.front.leave_listener();
@@ -421,10 +427,10 @@
     pub fn is_over(&self) -> bool {
         self.stop_at.is_some_and(|at| {
             let now = self.world.now();
-            let quiet = self.exchange.unanswered() == 0 && self.front.connections() == 0;
+            let quiet = self.exchange.pending_count() == 0 && self.front.connections() == 0;
             let quiet = quiet
-                || planted(Bug::LeftEarly)
-                || (self.succeeded && planted(Bug::SucceededEarly));
+                || is_bug_injected(InjectedBug::ExitBeforeResponses)
+                || (self.succeeded && is_bug_injected(InjectedBug::PredecessorExitsEarly));
             // Where a successor accepts, nobody can come here any more. One whose own predecessor is still there waits for
             // its end, which would else take it for dead, and whose share the successor hears of only here.
             let waits =
@@ -433,8 +439,8 @@
             // What runs with an effect is told to its repeats by whoever has the place.
             let ends = self
                 .exchange
-                .history()
-                .is_none_or(|history| history.runs() == 0);
+                .key_table()
+                .is_none_or(|history| history.active_runs() == 0);
             now >= at
                 || (quiet && self.succeeded && !before && ends)
                 || (quiet && now + FAREWELL / 2 >= at)
@@ -468,12 +474,12 @@
         more |= self.runtime.turn(now, &mut self.facts);
         self.store.turn(now, &mut self.facts);
         for fact in self.facts.drain(..) {
-            if let Fact::Ready(age) = fact {
+            if let Event::RuntimeReady(age) = fact {
                 self.up_since = Some(now.saturating_sub(age));
             }
-            self.exchange.hear(now, fact, &mut self.commands);
+            self.exchange.handle_event(now, fact, &mut self.commands);
         }
-        self.exchange.advance(now, &mut self.commands);
+        self.exchange.poll(now, &mut self.commands);
         self.pass_store_on(now);
         if self.standings.is_some() && now >= self.standings_at {
             self.write_standings(now);
@@ -496,7 +502,7 @@
         let asked = self.operators.as_ref().and_then(operators::Operators::next);
         let passes = self.upgrade.as_ref().and_then(upgrade::Upgrade::next);
         let next = [
-            self.exchange.next(),
+            self.exchange.next_deadline(),
             self.runtime.next(),
             self.store.next(),
             self.stop_at,
@@ -559,48 +565,50 @@
             let age = self.now().saturating_sub(since) as f64 / warm_after.max(1) as f64;
             (cold + (1.0 - cold) * age).clamp(0.0, 1.0)
         };
-        let total = self.exchange.counts().total();
+        let total = self.exchange.counters().total();
         report::Status {
             // Without its runtime it serves nothing.
             warmth: self
                 .up_since
                 .filter(|_| self.runtime.up())
                 .map_or(0.0, warmth),
-            held: self.exchange.unanswered(),
+            held: self.exchange.pending_count(),
             drains: self.stop_at.is_some(),
             served: total.served,
-            late: total.late,
-            refused: total.refused,
-            // Where the caller itself was at fault, no server could answer otherwise.
-            failed: total.failed - total.late - total.rejected,
+            late: total.expired,
+            refused: total.rejected,
+            failed: total.server_failures(),
         }
     }
 
     fn carry_out(&mut self, now: Micros, command: Command) {
         match command {
-            Command::Answer { to, answer } => self.front.answer(now, to, &answer),
-            Command::Start { id, class, body } => self.runtime.start(id, class, &body),
-            Command::Give { id, body } => self.runtime.give(id, &body),
-            Command::Omit { id, notice } => self.runtime.omit(id, notice),
-            Command::Stop(id) => self.runtime.stop(id),
-            Command::Call(call) => self.store.call(now, call, &mut self.facts),
-            Command::Abandon(id) => self.store.abandon(id),
-            Command::AskGauges => self.runtime.ask_gauges(),
-            Command::Health(good) => {
+            Command::Respond {
+                client: to,
+                response: answer,
+            } => self.front.answer(now, to, &answer),
+            Command::StartRun { id, class, body } => self.runtime.start(id, class, &body),
+            Command::ResumeWithReply { id, body } => self.runtime.give(id, &body),
+            Command::ResumeWithoutCall { id, notice } => self.runtime.omit(id, notice),
+            Command::StopRun(id) => self.runtime.stop(id),
+            Command::MakeCall(call) => self.store.call(now, call, &mut self.facts),
+            Command::AbandonCall(id) => self.store.abandon(id),
+            Command::ReadGauges => self.runtime.ask_gauges(),
+            Command::SetHealth(good) => {
                 tracing::info!(
                     "health checks are answered {}",
                     if good { "good" } else { "bad" }
                 );
                 self.front.set_health(good);
             }
-            Command::Feedback(value) => self.front.set_feedback(value),
-            Command::CloseIdle(after) => self.front.set_idle(after),
-            Command::Keep(effect) => {
+            Command::SetFeedback(value) => self.front.set_feedback(value),
+            Command::CloseIdleConnections(after) => self.front.set_idle(after),
+            Command::PersistKey(effect) => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.write(effect);
                 }
             }
-            Command::Recall { id, number, key } => {
+            Command::LoadCachedResult { id, number, key } => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.recall(now, id, number, key);
                 }
@@ -622,8 +630,8 @@
             .map(|tls| tls_vars(&tls.borrow(), self.front.handshakes(), self.now()));
         report::vars(
             &self.class_names,
-            self.exchange.counts(),
-            self.exchange.unanswered(),
+            self.exchange.counters(),
+            self.exchange.pending_count(),
             admission,
             tls,
         )
--- a/crates/server/src/operators.rs
+++ b/crates/server/src/operators.rs
@@ -5,8 +5,8 @@
 use super::secure::{Layer, Tls};
 use super::world::{Readiness, World};
 use super::Party;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::mgmt::{Answers, Connection};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -200,7 +200,7 @@
             let done = caller.call.answered() && caller.conn.unsent() == 0;
             (done || now >= caller.call.since() + FAIR).then_some((!done, *number))
         };
-        if planted(Bug::OperatorsStarved) {
+        if is_bug_injected(InjectedBug::ManagementStarved) {
             return false;
         }
         let Some((_, number)) = self.callers.iter().filter_map(rank).min() else {
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -2,8 +2,8 @@
 
 use super::{secure, store};
 use cleatpulley_connection_admission::Settings as Admitting;
-use cleatpulley_dispatcher::history::Bounds;
-use cleatpulley_dispatcher::Owner;
+use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Micros, Settings};
 use cleatpulley_protocol::ajp;
 use std::fmt;
@@ -65,9 +65,9 @@
     /// A request of such a class without a key is not taken.
     pub required: bool,
     /// Whose keys are.
-    pub owner: Owner,
+    pub owner: KeyScope,
     /// How much is kept, and for how long.
-    pub bounds: Bounds,
+    pub bounds: Capacity,
     /// Memory that one entry is booked with, in KB.
     pub entry_kb: f64,
     /// The field of frames that carries keys.
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/peers.rs
@@ -8,7 +8,7 @@
 use super::world::{Datagrams, Readiness, Talks};
 use super::Party;
 use cleatpulley_connection_admission::book::Entry;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_membership::figures::Kind;
 use cleatpulley_membership::seal::Keys;
 use cleatpulley_membership::{Event, Identity, Membership, Settings};
@@ -241,7 +241,7 @@
         self.served.acceptable(listener);
     }
 
-    fn kept(&mut self, fact: Fact) {
+    fn kept(&mut self, fact: DispatcherEvent) {
         self.served.kept(fact);
     }
 
--- a/crates/server/src/real.rs
+++ b/crates/server/src/real.rs
@@ -11,7 +11,7 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use cleatpulley_connection_admission::book::Entry;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
     fn acceptable(&mut self, listener: usize);
 
     /// The keeper of results has something to say.
-    fn kept(&mut self, _: Fact) {}
+    fn kept(&mut self, _: Event) {}
 
     /// The book of earned standing tells what it held.
     fn remembered(&mut self, _: Vec<Entry>) {}
@@ -76,7 +76,7 @@
         Self::acceptable(self, listener);
     }
 
-    fn kept(&mut self, fact: Fact) {
+    fn kept(&mut self, fact: Event) {
         Self::kept(self, fact);
     }
 
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -2,7 +2,7 @@
 //! daemon that is away or slow costs it nothing.
 
 use cleatpulley_connection_admission::admit::Counts as Places;
-use cleatpulley_dispatcher::{Counts, Tally};
+use cleatpulley_dispatcher::{ClassCounters, Counters};
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde::Serialize;
 use serde_json::{json, Map};
@@ -36,17 +36,17 @@
 #[must_use]
 pub fn vars(
     names: &[String],
-    counts: &Counts,
+    counts: &Counters,
     open: usize,
     places: Option<Places>,
     tls: Option<serde_json::Value>,
 ) -> Vec<u8> {
-    let operation = |tally: &Tally| {
+    let operation = |tally: &ClassCounters| {
         json!({
             "fulfilled": tally.served,
-            "throttled": tally.refused,
+            "throttled": tally.rejected,
             "faulted": tally.failed,
-            "relayed": tally.relayed,
+            "relayed": tally.forwarded,
         })
     };
     let operations: Map<_, _> = names
@@ -57,7 +57,7 @@
     let mut figures = json!({
         "operations": operations,
         "open_requests": open,
-        "relayed": counts.total().relayed,
+        "relayed": counts.total().forwarded,
     });
     if let Some(places) = places {
         figures["connections"] = json!({
--- a/crates/server/src/runtime.rs
+++ b/crates/server/src/runtime.rs
@@ -3,9 +3,9 @@
 use super::conn::Conn;
 use super::world::{Readiness, World};
 use super::Party;
-use cleatpulley_dispatcher::{Fact, Order};
+use cleatpulley_dispatcher::{Event, RuntimeCommand};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome, RequestId};
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::line::{self, Notice};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Sent {
     id: RequestId,
-    order: Order,
+    order: RuntimeCommand,
 }
 
 /// One line on its way out.
@@ -146,7 +146,7 @@
             line::start(id, route, body),
             Some(Sent {
                 id,
-                order: Order::Start,
+                order: RuntimeCommand::Start,
             }),
             None,
         );
@@ -158,7 +158,7 @@
             line::give(id, body),
             Some(Sent {
                 id,
-                order: Order::Give,
+                order: RuntimeCommand::ResumeWithReply,
             }),
             None,
         );
@@ -170,7 +170,7 @@
             line::omit(id, notice),
             Some(Sent {
                 id,
-                order: Order::Omit,
+                order: RuntimeCommand::ResumeWithoutCall,
             }),
             None,
         );
@@ -182,7 +182,7 @@
             line::stop(id),
             Some(Sent {
                 id,
-                order: Order::Stop,
+                order: RuntimeCommand::Stop,
             }),
             None,
         );
@@ -209,7 +209,7 @@
     }
 
     /// Reads what has come, sends what waits, and mends the link. True when there is more to read.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Fact>) -> bool {
+    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
         if self.conn.is_none() && now >= self.retry_at {
             self.connect(now);
         }
@@ -278,14 +278,15 @@
         self.retry_at = now + RETRY;
         for (end, outgoing) in std::mem::take(&mut self.flying).into_iter().rev() {
             let begin = end - outgoing.line.len() as u64;
-            if begin >= self.written || planted(Bug::StartRepeated) {
+            if begin >= self.written || is_bug_injected(InjectedBug::StartResent) {
                 self.queue.push_front(outgoing);
             } else {
                 self.doubtful.extend(outgoing.sent);
             }
         }
-        self.queue
-            .retain(|outgoing| outgoing.mark.is_none() && !planted(Bug::QueueLost));
+        self.queue.retain(|outgoing| {
+            outgoing.mark.is_none() && !is_bug_injected(InjectedBug::CommandQueueLost)
+        });
     }
 
     /// Hands over lines one after the other, as far as the system takes them.
@@ -306,7 +307,7 @@
         Ok(())
     }
 
-    fn read_lines(&mut self, facts: &mut Vec<Fact>) {
+    fn read_lines(&mut self, facts: &mut Vec<Event>) {
         let Some(conn) = &mut self.conn else { return };
         let mut input = std::mem::take(&mut conn.input);
         let mut used = 0;
@@ -333,7 +334,7 @@
         }
     }
 
-    fn read_line(&mut self, line: &[u8], facts: &mut Vec<Fact>) -> Result<(), String> {
+    fn read_line(&mut self, line: &[u8], facts: &mut Vec<Event>) -> Result<(), String> {
         let notice = Notice::decode(line)?;
         if let Some(number) = notice.no {
             // A new link tells again what the old one may have told.
@@ -354,11 +355,11 @@
                     tracing::warn!("runtime: it was started again; what ran there has no end");
                     self.last = 0;
                     self.doubtful.clear();
-                    facts.push(Fact::RuntimeLost);
+                    facts.push(Event::RuntimeReplaced);
                 }
                 self.synced = true;
                 self.well = true;
-                facts.push(Fact::Ready(notice.time()));
+                facts.push(Event::RuntimeReady(notice.time()));
                 // Answered after all notices that the runtime had for us.
                 self.ask_gauges();
                 self.barrier = self.marks;
@@ -368,8 +369,8 @@
                 let mut outcome = match &*notice.status {
                     "fine" => Outcome::Success,
                     "fault" => Outcome::Failure,
-                    "broken_off" => Outcome::Withdrawn,
-                    "late" => Outcome::Void,
+                    "broken_off" => Outcome::Cancelled,
+                    "late" => Outcome::NotStarted,
                     other => {
                         tracing::warn!("runtime: unknown end {other:?} taken for a fault");
                         Outcome::Failure
@@ -382,7 +383,7 @@
                     Vec::new()
                 });
                 self.doubtful.retain(|sent| sent.id != id);
-                facts.push(Fact::RunEnded {
+                facts.push(Event::RunEnded {
                     id,
                     outcome,
                     elapsed: notice.time(),
@@ -393,7 +394,7 @@
                 let id = notice.request()?;
                 let number = notice.no.ok_or("a call without a number")?;
                 self.doubtful.retain(|sent| sent.id != id);
-                facts.push(Fact::CallWanted {
+                facts.push(Event::CallRequested {
                     id,
                     notice: number,
                     body: notice.body()?,
@@ -404,7 +405,7 @@
                     let place = self.gauge_names.iter().position(|n| n == name)?;
                     notice.v.get(place).copied()
                 };
-                facts.push(Fact::Gauges(Gauges {
+                facts.push(Event::Gauges(Gauges {
                     runnable: find("runnable"),
                     memory: find("mem_used"),
                 }));
@@ -415,10 +416,10 @@
             "nack" => {
                 let id = notice.request()?;
                 let order = match &*notice.status {
-                    "start" => Order::Start,
-                    "give" => Order::Give,
-                    "omit" => Order::Omit,
-                    "stop" => Order::Stop,
+                    "start" => RuntimeCommand::Start,
+                    "give" => RuntimeCommand::ResumeWithReply,
+                    "omit" => RuntimeCommand::ResumeWithoutCall,
+                    "stop" => RuntimeCommand::Stop,
                     other => return Err(format!("nack of {other:?}")),
                 };
                 tracing::warn!(
@@ -426,7 +427,7 @@
                     notice.status,
                     line::rid(id)
                 );
-                facts.push(Fact::OrderRefused { id, order });
+                facts.push(Event::CommandRejected { id, command: order });
             }
             "info" => {}
             other => return Err(format!("unknown kind {other:?}")),
@@ -435,16 +436,16 @@
     }
 
     /// The runtime has read all lines up to the one with this mark.
-    fn confirm(&mut self, mark: u64, facts: &mut Vec<Fact>) {
+    fn confirm(&mut self, mark: u64, facts: &mut Vec<Event>) {
         self.confirmed = self.confirmed.max(mark);
         if let Some(place) = self.flying.iter().position(|(_, o)| o.mark == Some(mark)) {
             self.flying.drain(..=place);
         }
         if mark >= self.barrier {
             let doubtful = std::mem::take(&mut self.doubtful);
-            let told = doubtful.into_iter().map(|s| Fact::OrderInDoubt {
+            let told = doubtful.into_iter().map(|s| Event::CommandUncertain {
                 id: s.id,
-                order: s.order,
+                command: s.order,
             });
             facts.extend(told);
         }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -3,9 +3,9 @@
 use super::conn::Conn;
 use super::world::{Readiness, World};
 use super::Party;
-use cleatpulley_dispatcher::{Call, Fact};
+use cleatpulley_dispatcher::{DependencyCall, Event};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_protocol::ajp::client::{self, Client, Fate};
 use cleatpulley_protocol::{http, line};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -94,13 +94,13 @@
     }
 
     /// Makes a call; the one that the request had before is given up.
-    pub fn call(&mut self, now: Micros, call: Call, facts: &mut Vec<Fact>) {
+    pub fn call(&mut self, now: Micros, call: DependencyCall, facts: &mut Vec<Event>) {
         self.abandon(call.id);
-        let Call {
+        let DependencyCall {
             id,
             body,
             timeout,
-            repeatable,
+            is_idempotent: repeatable,
         } = call;
         self.place(
             now,
@@ -115,7 +115,7 @@
         );
     }
 
-    fn place(&mut self, now: Micros, job: Job, facts: &mut Vec<Fact>) {
+    fn place(&mut self, now: Micros, job: Job, facts: &mut Vec<Event>) {
         // Guards against a connection that the store has dropped unseen: its reset does not tell whether the call
         // ran, so that a call which must not be made twice takes a fresh one.
         let idle = if job.repeatable {
@@ -212,7 +212,7 @@
 
     /// Gives up a request's call by closing its connection. Nothing more is told of it.
     pub fn abandon(&mut self, id: RequestId) {
-        let leaked = planted(Bug::CallLeaked)
+        let leaked = is_bug_injected(InjectedBug::CallConnectionLeaked)
             .then(|| self.busy.get(&id).copied())
             .flatten();
         if let Some(number) = leaked.or_else(|| self.busy.remove(&id)) {
@@ -223,7 +223,7 @@
 
     /// The store is at this address from now on. Calls on their way may still be answered at the old one; those
     /// that no byte was sent of are made at the new one.
-    pub fn relocate(&mut self, now: Micros, address: SocketAddr, facts: &mut Vec<Fact>) {
+    pub fn relocate(&mut self, now: Micros, address: SocketAddr, facts: &mut Vec<Event>) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
         }
@@ -261,7 +261,7 @@
     }
 
     /// Reads replies, sends calls, and gives up what takes too long.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Fact>) {
+    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) {
         for number in std::mem::take(&mut self.noted) {
             self.serve(now, number, facts);
         }
@@ -318,7 +318,7 @@
         jobs.chain(waiting).chain(idle).min()
     }
 
-    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Fact>) {
+    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
         let Some(channel) = self.channels.get_mut(&number) else {
             return;
         };
@@ -328,7 +328,7 @@
                 if channel.conn.ended
                     || (channel.job.is_none() && !channel.conn.input.is_empty()) =>
             {
-                self.fail(now, number, Outcome::Broken, facts);
+                self.fail(now, number, Outcome::Interrupted, facts);
                 return;
             }
             Ok(None) => return,
@@ -336,7 +336,7 @@
                 let outcome = match e.kind() {
                     // The store did answer: this says nothing about its load.
                     ErrorKind::InvalidData => Outcome::Failure,
-                    _ if channel.connected => Outcome::Broken,
+                    _ if channel.connected => Outcome::Interrupted,
                     _ => unconnected(&e),
                 };
                 self.fail(now, number, outcome, facts);
@@ -350,7 +350,7 @@
         let outcome = match (reply.status, reply.not_run) {
             (200, _) => Outcome::Success,
             (503, true) => Outcome::Overloaded,
-            (409, true) => Outcome::Void,
+            (409, true) => Outcome::NotStarted,
             (504, _) => Outcome::TimedOut,
             _ => Outcome::Failure,
         };
@@ -364,7 +364,7 @@
             self.idle.push(number);
         }
         let elapsed = now.saturating_sub(job.made);
-        facts.push(Fact::CallEnded {
+        facts.push(Event::CallEnded {
             id: job.id,
             outcome,
             elapsed,
@@ -373,7 +373,7 @@
     }
 
     /// Drops a channel; the call that it carried ends so, or is made again where that is due to the channel.
-    fn fail(&mut self, now: Micros, number: u64, outcome: Outcome, facts: &mut Vec<Fact>) {
+    fn fail(&mut self, now: Micros, number: u64, outcome: Outcome, facts: &mut Vec<Event>) {
         let Some(channel) = self.channels.remove(&number) else {
             return;
         };
@@ -382,14 +382,15 @@
         self.busy.remove(&job.id);
         // Guards against a connection that the store closed or forgot while it was idle: the call most likely
         // never ran, and it is no sign of a store in trouble. Once: the next connection is a fresh one.
-        let stale = channel.reused && outcome == Outcome::Broken && channel.conn.input.is_empty();
+        let stale =
+            channel.reused && outcome == Outcome::Interrupted && channel.conn.input.is_empty();
         // An AJP connection tells more: a call that can't have been read whole never ran.
         let fate = channel
             .client
             .as_ref()
             .map(|client| client.fate(channel.conn.unsent()));
         let outcome = match outcome {
-            Outcome::Broken if fate == Some(Fate::NeverRan) => Outcome::Unreachable,
+            Outcome::Interrupted if fate == Some(Fate::NeverRan) => Outcome::Unreachable,
             outcome => outcome,
         };
         if stale && job.repeatable && now < job.until {
@@ -457,8 +458,8 @@
     }))
 }
 
-fn ended(now: Micros, job: &Job, outcome: Outcome) -> Fact {
-    Fact::CallEnded {
+fn ended(now: Micros, job: &Job, outcome: Outcome) -> Event {
+    Event::CallEnded {
         id: job.id,
         outcome,
         elapsed: now.saturating_sub(job.made),
@@ -471,7 +472,7 @@
     if e.kind() == ErrorKind::ConnectionRefused {
         Outcome::Unreachable
     } else {
-        Outcome::Broken
+        Outcome::Interrupted
     }
 }
 
@@ -493,11 +494,11 @@
         );
         let mut facts = Vec::new();
         for id in 1..=4 {
-            let call = Call {
+            let call = DependencyCall {
                 id,
                 body: Vec::new(),
                 timeout: 1_000 * id,
-                repeatable: true,
+                is_idempotent: true,
             };
             store.call(0, call, &mut facts);
         }
@@ -505,9 +506,9 @@
         store.abandon(3);
         assert_eq!(store.next(), Some(1_000));
         store.turn(1_500, &mut facts);
-        let told = |facts: &[Fact]| -> Vec<_> {
-            let of = |fact: &Fact| match fact {
-                Fact::CallEnded {
+        let told = |facts: &[Event]| -> Vec<_> {
+            let of = |fact: &Event| match fact {
+                Event::CallEnded {
                     id,
                     outcome,
                     elapsed,
@@ -549,11 +550,11 @@
         let mut facts = Vec::new();
         store.call(
             0,
-            Call {
+            DependencyCall {
                 id: 1,
                 body: Vec::new(),
                 timeout: 9_000,
-                repeatable: true,
+                is_idempotent: true,
             },
             &mut facts,
         );
@@ -561,19 +562,19 @@
             .channels
             .values_mut()
             .for_each(|channel| channel.reused = true);
-        store.fail(10, 1, Outcome::Broken, &mut facts);
+        store.fail(10, 1, Outcome::Interrupted, &mut facts);
         assert!(facts.is_empty() && store.busy.len() == 1 && store.channels.keys().eq(&[2]));
         assert_eq!(store.next(), Some(9_000), "the time left is the same");
         store
             .channels
             .values_mut()
             .for_each(|channel| channel.reused = true);
-        store.fail(20, 2, Outcome::Broken, &mut facts);
+        store.fail(20, 2, Outcome::Interrupted, &mut facts);
         assert!(matches!(
             facts[..],
-            [Fact::CallEnded {
+            [Event::CallEnded {
                 id: 1,
-                outcome: Outcome::Broken,
+                outcome: Outcome::Interrupted,
                 elapsed: 20,
                 ..
             }]
--- a/crates/server/src/world.rs
+++ b/crates/server/src/world.rs
@@ -3,8 +3,8 @@
 
 use super::Party;
 use cleatpulley_connection_admission::book::Entry;
-use cleatpulley_dispatcher::history::Effect;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::key_table::KeyCommand;
+use cleatpulley_dispatcher::Event;
 use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::io;
@@ -80,7 +80,7 @@
 /// Keeps the results of keyed requests, and tells [`Node::kept`](super::Node::kept) of it.
 pub trait Keeper {
     /// Writes what a history decided.
-    fn write(&mut self, effect: Effect);
+    fn write(&mut self, effect: KeyCommand);
 
     /// Reads how a key ended.
     fn recall(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
@@ -100,7 +100,7 @@
     }
 
     /// Looks after its store and says what came of it, where it has no thread for that; the rest is told to the node.
-    fn turn(&mut self, _now: Micros, _facts: &mut Vec<Fact>) {}
+    fn turn(&mut self, _now: Micros, _facts: &mut Vec<Event>) {}
 
     /// When [`turn`](Self::turn) has something to do.
     fn next(&self) -> Option<Micros> {
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -3,14 +3,14 @@
 use crate::hall::{Hall, VirtualPassage, VirtualPassed, VirtualPost};
 use crate::net::{EndId, Net, NetEvent};
 use crate::shelf::{Shelf, VirtualStandings};
-use cleatpulley_dispatcher::history::Effect;
-use cleatpulley_dispatcher::Fact;
+use cleatpulley_dispatcher::key_table::KeyCommand;
+use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_idempotency::journal::Journal;
 use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_log_store::memory::Memory;
 use cleatpulley_log_store::{Error, Options};
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, RequestId};
-use cleatpulley_policy::plant::{planted, Bug};
 use cleatpulley_server::keeping::{Core, Job};
 use cleatpulley_server::world::{Keeper, Meeting, Readiness, Stream, World};
 use cleatpulley_server::Party;
@@ -155,7 +155,7 @@
     }
 
     /// Does what there is to do; returns when it wants to go on.
-    pub fn work(&mut self, now: Micros, facts: &mut Vec<Fact>) -> Option<Micros> {
+    pub fn work(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) -> Option<Micros> {
         self.scheduled = false;
         if self.released {
             return None;
@@ -166,7 +166,7 @@
         }
         if !self.core.is_open() {
             let taken = self.lock.get().is_some_and(|life| life != self.life);
-            if taken && !planted(Bug::LockIgnored) {
+            if taken && !is_bug_injected(InjectedBug::LockIgnored) {
                 self.core.open(Err(Error::Locked), facts);
                 self.scheduled = true;
                 return Some(now + LOCKED);
@@ -310,7 +310,7 @@
 }
 
 impl Keeper for VirtualKeeper {
-    fn write(&mut self, effect: Effect) {
+    fn write(&mut self, effect: KeyCommand) {
         self.push(Job::Write(effect));
     }
 
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -12,12 +12,12 @@
 use cleatpulley_connection_admission::rate::Rate;
 use cleatpulley_connection_admission::standing::Earned;
 use cleatpulley_connection_admission::Settings as Admitting;
-use cleatpulley_dispatcher::history::Bounds;
-use cleatpulley_dispatcher::Owner as KeyOwner;
+use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::KeyScope as KeyOwner;
 use cleatpulley_emulators::runtime::Runtime;
 use cleatpulley_log_store::memory::Memory;
 use cleatpulley_policy::interface::{Effect as ClassEffect, Micros};
-use cleatpulley_policy::settings::BootInfo;
+use cleatpulley_policy::settings::SettingsDocument;
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Settings as AjpSettings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
 use cleatpulley_server::{store::Speaks, AjpFront, Node, Options, Parties, Results};
@@ -548,15 +548,15 @@
             value["specifics"]["memory_kb"] = (f64::from(self.plan.cores) * 400.0).into();
             value["specifics"]["advert"] = "none".into();
         }
-        let boot: BootInfo =
+        let boot: SettingsDocument =
             serde_json::from_value(value).unwrap_or_else(|e| panic!("settings: {e}"));
         let (class_names, gauge_names) = (boot.class_names(), boot.gauge_names());
-        let mut settings = boot.settings();
+        let mut settings = boot.into_settings();
         settings.cold_start = machine.life > 1 && machine.procs.is_empty();
         let once: Vec<bool> = settings
             .classes
             .iter()
-            .map(|class| class.effect != ClassEffect::Safe)
+            .map(|class| class.effect != ClassEffect::Idempotent)
             .collect();
         let route = |(class, name): (usize, &String)| Entry {
             path: format!("/{name}"),
@@ -594,12 +594,12 @@
             defaults: once.iter().map(default).collect(),
             seed: self.plan.seed,
         };
-        let bounds = Bounds {
+        let bounds = Capacity {
             entries: if machine.renewed { 300 } else { 20_000 },
-            bytes: 10_000_000,
-            window: self.plan.window,
-            stall: 100 * MS,
-            seed: self.plan.seed,
+            result_bytes: 10_000_000,
+            deduplication_window: self.plan.window,
+            stall_timeout: 100 * MS,
+            hash_seed: self.plan.seed,
         };
         Options {
             name: format!("m{m}"),
@@ -625,7 +625,7 @@
                 folder: PathBuf::new(),
                 classes: once,
                 required: false,
-                owner: KeyOwner::Caller,
+                owner: KeyOwner::PerCaller,
                 bounds,
                 entry_kb: 0.2,
                 frame_field: Some(FIELD.to_owned()),
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -37,10 +37,10 @@
     Idempotency,
     /// Routes and the gateway: look-ups, imports, expectations, the consistent hash, service before troubled targets
     Routes,
-    /// Whole matchers on a virtual clock: speed, coverage, planted bugs
+    /// Whole matchers on a virtual clock: speed, coverage, injected bugs
     #[command(alias = "seeds")]
     Simulator,
-    /// Daily service: operators beside crowds, upgrades under load, both from seeds with planted bugs
+    /// Daily service: operators beside crowds, upgrades under load, both from seeds with injected bugs
     Service,
 }
 
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -4,9 +4,9 @@
 use cleatpulley_emulators::keyed::{Kills, FIELD};
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::trial::{Load, Report, Trial};
+use cleatpulley_idempotency::expiring_table::ExpiringTable;
 use cleatpulley_idempotency::journal::Journal;
-use cleatpulley_idempotency::record::{Outcome, Record, ScopedKey};
-use cleatpulley_idempotency::table::Table;
+use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
 use cleatpulley_log_store::files::Folder;
 use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::{BTreeSet, HashMap};
@@ -75,11 +75,11 @@
         .collect();
     let value = [0_u64; 4];
 
-    let mut table = Table::new(7);
+    let mut table = ExpiringTable::new(7);
     let begun = Instant::now();
     for (n, key) in keys.iter().enumerate() {
         let place = table.insert(key.clone(), n as u64, value);
-        table.age(place);
+        table.start_expiry(place);
     }
     let enter = each(begun);
     let begun = Instant::now();
@@ -87,9 +87,9 @@
         black_box(table.find(key));
     });
     let find = each(begun);
-    let bytes = table.bytes() as f64 / MILLION as f64;
+    let bytes = table.memory_bytes() as f64 / MILLION as f64;
     let begun = Instant::now();
-    while let Some(place) = table.pop_over(MILLION) {
+    while let Some(place) = table.pop_expired(MILLION) {
         table.remove(place);
     }
     show(
@@ -159,12 +159,12 @@
         for some in 0..MILLION / 1_000 {
             let mut batch = Batch::default();
             for n in some * 1_000..(some + 1) * 1_000 {
-                let record = Record::Finished {
+                let record = KeyRecord::Completed {
                     digest: u128::from(n),
-                    outcome: Outcome::Served(vec![b'.'; 25]),
+                    outcome: KeyOutcome::Served(vec![b'.'; 25]),
                 };
                 let value = [&expiry.to_be_bytes()[..], &record.encode()].concat();
-                batch.push_put(key(n).bytes(), &value, Some(expiry));
+                batch.push_put(key(n).as_bytes(), &value, Some(expiry));
             }
             store.write(batch)?;
         }
@@ -172,9 +172,11 @@
         store.close()?;
     }
     let begun = Instant::now();
-    let (journal, recovered, _) = Journal::open(open()?, Options::default(), 1)?;
+    let opened = Journal::open(open()?, Options::default(), 1)?;
+    let (journal, recovered) = (opened.journal, opened.recovered);
     let took = begun.elapsed();
-    let memory = (recovered.memory() as u64 + journal.stats().index_bytes) as f64 / MILLION as f64;
+    let memory =
+        (recovered.memory_bytes() as u64 + journal.stats().index_bytes) as f64 / MILLION as f64;
     say!(
         "recovery: {} keys in {:.2} s; {memory:.0} bytes of memory a kept key, {:.0} on disk",
         recovered.len(),
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -1,15 +1,15 @@
 //! The part of `cleatpulley check connection-admission` that is played in the emulator: floods, restarts and shortages from seeds, and
-//! planted bugs.
+//! injected bugs.
 
 use super::simulator::cores;
-use cleatpulley::policy::plant::{plant, Bug};
+use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_simulator::plan::Plan;
 use cleatpulley_simulator::seeds;
 use std::time::Instant;
 
 /// Seeds that are to break no rule.
 const SEEDS: u64 = 200;
-/// A planted bug has to be found within so many.
+/// An injected bug has to be found within so many.
 const WITHIN: u64 = 300;
 /// Each has to be met.
 const HARD: [&str; 4] = [
@@ -47,15 +47,15 @@
 }
 
 fn bugs(short: &mut Vec<String>) {
-    if !plant(Some(Bug::StrangerStays)) {
-        short.push("built without the feature `planted`: no bug can be planted".to_owned());
+    if !inject_bug(Some(InjectedBug::UnknownAddressKept)) {
+        short.push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
     let begun = Instant::now();
     let mut found = Vec::new();
-    for bug in Bug::PLACES {
+    for bug in InjectedBug::CONNECTION_ADMISSION {
         let prepare = || {
-            plant(Some(bug));
+            inject_bug(Some(bug));
         };
         let summary = seeds::run(Plan::crowded, 1, WITHIN, cores(), true, prepare, |_| ());
         match summary.failed.first() {
@@ -63,9 +63,9 @@
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
         }
     }
-    plant(None);
+    inject_bug(None);
     say!(
-        "planted bugs found in {:.1} s, with the first seed: {}",
+        "injected bugs found in {:.1} s, with the first seed: {}",
         begun.elapsed().as_secs_f64(),
         found.join(", ")
     );
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -1,6 +1,6 @@
 //! `cleatpulley check service`: operators beside crowds, upgrades under load, and the same from seeds.
 
-use cleatpulley::policy::plant::{plant, Bug};
+use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::host::look;
 use cleatpulley_emulators::site::Setup;
@@ -27,16 +27,16 @@
 const SEEDS: u64 = 600;
 /// Seeds that are played with what was learned and without.
 const PAIRED: u64 = 150;
-/// Seeds within which a planted bug is to be found.
+/// Seeds within which an injected bug is to be found.
 const WITHIN: u64 = 800;
-const BUGS: [Bug; 7] = [
-    Bug::OperatorsStarved,
-    Bug::SocketDropped,
-    Bug::ShareTwice,
-    Bug::ResultForgotten,
-    Bug::LockIgnored,
-    Bug::SucceededEarly,
-    Bug::TornBelieved,
+const BUGS: [InjectedBug; 7] = [
+    InjectedBug::ManagementStarved,
+    InjectedBug::PassedListenerDropped,
+    InjectedBug::PredecessorUsageIgnored,
+    InjectedBug::RecoveredKeysDropped,
+    InjectedBug::LockIgnored,
+    InjectedBug::PredecessorExitsEarly,
+    InjectedBug::TornSnapshotAccepted,
 ];
 
 /// Measures, prints, and says what falls short.
@@ -358,14 +358,14 @@
 }
 
 fn bugs(short: &mut Vec<String>) {
-    if !plant(Some(Bug::SocketDropped)) {
-        short.push("built without the feature `planted`: no bug can be planted".to_owned());
+    if !inject_bug(Some(InjectedBug::PassedListenerDropped)) {
+        short.push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
     let mut found = Vec::new();
     for bug in BUGS {
         let prepare = || {
-            plant(Some(bug));
+            inject_bug(Some(bug));
         };
         let summary = seeds::run(Plan::of, 1, WITHIN, jobs(), true, prepare, |_| ());
         match summary.failed.first() {
@@ -373,9 +373,9 @@
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
         }
     }
-    plant(None);
+    inject_bug(None);
     say!(
-        "planted bugs found, with the first seed: {}",
+        "injected bugs found, with the first seed: {}",
         found.join(", ")
     );
 }
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -1,7 +1,7 @@
-//! `cleatpulley check simulator`: speed, coverage, the same history twice, and planted bugs.
+//! `cleatpulley check simulator`: speed, coverage, the same history twice, and injected bugs.
 
 use super::simulator::{cores, show};
-use cleatpulley::policy::plant::{plant, Bug};
+use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_simulator::front::Habit;
 use cleatpulley_simulator::plan::Plan;
@@ -14,7 +14,7 @@
 
 /// Seeds for speed and coverage.
 const SEEDS: u64 = 400;
-/// A planted bug has to be found within so many.
+/// An injected bug has to be found within so many.
 const WITHIN: u64 = 400;
 /// What the page of hard cases asks for; each has to be met.
 const HARD: [&str; 7] = [
@@ -126,17 +126,17 @@
 }
 
 fn bugs(short: &mut Vec<String>) {
-    if !plant(None) || !plant(Some(Bug::DueLate)) {
-        short.push("built without the feature `planted`: no bug can be planted".to_owned());
+    if !inject_bug(None) || !inject_bug(Some(InjectedBug::DeadlinesLate)) {
+        short.push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
-    say!("planted bugs: seeds to the first find, faults before and after it was shrunk");
-    let any = Bug::ALL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
-    let chains = Bug::CHAINS.map(|bug| (bug, Plan::chained as fn(u64) -> Plan));
+    say!("injected bugs: seeds to the first find, faults before and after it was shrunk");
+    let any = InjectedBug::ALL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
+    let chains = InjectedBug::HOT_RESTART_CHAINS.map(|bug| (bug, Plan::chained as fn(u64) -> Plan));
     for (bug, plan) in any.into_iter().chain(chains) {
-        plant(Some(bug));
+        inject_bug(Some(bug));
         let prepare = || {
-            plant(Some(bug));
+            inject_bug(Some(bug));
         };
         let summary = seeds::run(plan, 1, WITHIN, cores().min(4), true, prepare, |_| ());
         let Some(first) = summary.failed.first() else {
@@ -167,5 +167,5 @@
             first.broken[0]
         );
     }
-    plant(None);
+    inject_bug(None);
 }
--- a/src/commands/idempotency.rs
+++ b/src/commands/idempotency.rs
@@ -1,9 +1,10 @@
 //! `cleatpulley idempotency`: looks at the kept results of keyed requests, and moves them from one store to another.
 
 use clap::{Args, Subcommand};
-use cleatpulley_idempotency::fence::{from_hex, Range};
+use cleatpulley_idempotency::fence::KeyRange;
+use cleatpulley_idempotency::hex::from_hex;
 use cleatpulley_idempotency::journal::{self, Journal};
-use cleatpulley_idempotency::record::{Outcome, Record, ScopedKey};
+use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
 use cleatpulley_idempotency::transfer;
 use cleatpulley_log_store::files::Folder;
 use cleatpulley_log_store::{Error, Options, Store};
@@ -86,20 +87,20 @@
 }
 
 impl RangeArgs {
-    fn range(&self) -> Result<Range, String> {
+    fn range(&self) -> Result<KeyRange, String> {
         if let Some(owner) = self.owner {
-            return Ok(Range::owner(owner));
+            return Ok(KeyRange::of_owner(owner));
         }
         let bound = |name: &str, text: &Option<String>| match text {
             None => Ok(Vec::new()),
             Some(text) => from_hex(text)
                 .ok_or_else(|| format!("--{name}: {text:?} is no even number of hex digits")),
         };
-        let range = Range {
-            from: bound("from", &self.from)?,
-            to: bound("to", &self.to)?,
+        let range = KeyRange {
+            start: bound("from", &self.from)?,
+            end: bound("to", &self.to)?,
         };
-        if !range.to.is_empty() && range.to <= range.from {
+        if !range.end.is_empty() && range.end <= range.start {
             return Err("--to: it is not beyond --from".to_owned());
         }
         Ok(range)
@@ -158,21 +159,21 @@
         ..Options::default()
     };
     Journal::open(folder, options, now())
-        .map(|(journal, ..)| journal)
+        .map(|opened| opened.journal)
         .map_err(|e| e.to_string())
 }
 
-fn shown(key: &ScopedKey, record: &Record, expiry: u64) -> Value {
-    let told = String::from_utf8_lossy(key.told());
+fn shown(key: &ScopedKey, record: &KeyRecord, expiry: u64) -> Value {
+    let told = String::from_utf8_lossy(key.client_key());
     let left = expiry.saturating_sub(now()) / 1_000;
     let (state, result) = match record {
-        Record::Intent { .. } => ("may have run", None),
-        Record::Finished {
-            outcome: Outcome::Failed,
+        KeyRecord::Intent { .. } => ("may have run", None),
+        KeyRecord::Completed {
+            outcome: KeyOutcome::Failed,
             ..
         } => ("failed", None),
-        Record::Finished {
-            outcome: Outcome::Served(result),
+        KeyRecord::Completed {
+            outcome: KeyOutcome::Served(result),
             ..
         } => ("served", Some(String::from_utf8_lossy(result).into_owned())),
     };
@@ -184,7 +185,7 @@
 
 fn get(dir: &Path, key: &ScopedKey) -> Result<ExitCode, String> {
     let value = reader(dir)?
-        .get(now(), key.bytes())
+        .get(now(), key.as_bytes())
         .map_err(|e| e.to_string())?;
     let Some(value) = value else {
         eprintln!("nothing is kept of {key:?}");
@@ -193,18 +194,18 @@
     let expiry = value
         .first_chunk()
         .map_or(0, |bytes| u64::from_be_bytes(*bytes));
-    let record = value.get(8..).and_then(Record::decode);
+    let record = value.get(8..).and_then(KeyRecord::decode);
     let record = record.ok_or_else(|| format!("what is kept of {key:?} can't be read"))?;
     say!("{}", shown(key, &record, expiry));
     Ok(ExitCode::SUCCESS)
 }
 
-fn list(dir: &Path, range: &Range, unknown: bool) -> Result<ExitCode, String> {
+fn list(dir: &Path, range: &KeyRange, unknown: bool) -> Result<ExitCode, String> {
     let store = reader(dir)?;
     let mut out = std::io::stdout().lock();
     let mut open = true;
-    journal::each(&store, now(), |key, record, expiry| {
-        let wanted = !unknown || matches!(record, Record::Intent { .. });
+    journal::for_each_record(&store, now(), |key, record, expiry| {
+        let wanted = !unknown || matches!(record, KeyRecord::Intent { .. });
         if open && wanted && range.contains(&key) {
             // Whoever reads may stop reading.
             open = writeln!(out, "{}", shown(&key, &record, expiry)).is_ok();
@@ -216,18 +217,18 @@
 
 fn stat(dir: &Path) -> Result<ExitCode, String> {
     let store = reader(dir)?;
-    let recovered = journal::read(&store, now(), 0).map_err(|e| e.to_string())?;
+    let recovered = journal::recover(&store, now(), 0).map_err(|e| e.to_string())?;
     let stats = store.stats();
     say!(
         "{} keys: {} with a result, {} that may have run; {} bytes on disk, {:.0} bytes of memory a key",
         recovered.len(),
-        recovered.finished,
+        recovered.completed,
         recovered.unknown,
         stats.bytes,
-        (recovered.memory() as f64 + stats.index_bytes as f64) / recovered.len().max(1) as f64
+        (recovered.memory_bytes() as f64 + stats.index_bytes as f64) / recovered.len().max(1) as f64
     );
-    for fence in recovered.fences.all() {
-        let whose = if fence.here {
+    for fence in recovered.fences.as_slice() {
+        let whose = if fence.is_owned {
             "taken over"
         } else {
             "given away"
@@ -240,7 +241,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn export(dir: &Path, range: &Range, epoch: u64, to: &Path) -> Result<ExitCode, String> {
+fn export(dir: &Path, range: &KeyRange, epoch: u64, to: &Path) -> Result<ExitCode, String> {
     let mut journal = writer(dir, false)?;
     let file = File::create_new(to).map_err(|e| format!("{}: {e}", to.display()))?;
     let mut out = BufWriter::new(file);
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,10 +2,10 @@
 //! environment, and that before the file.
 
 use crate::operator::Operator;
-use cleatpulley_dispatcher::history::Bounds;
-use cleatpulley_dispatcher::Owner;
+use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Class, Effect, Micros, Settings};
-use cleatpulley_policy::settings::BootInfo;
+use cleatpulley_policy::settings::SettingsDocument;
 use cleatpulley_server::{Options, Parties, Results};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -97,7 +97,7 @@
     stop_ms: Option<u64>,
     #[serde(default)]
     limits: Limits,
-    settings: BootInfo,
+    settings: SettingsDocument,
 }
 
 #[derive(Deserialize, Default)]
@@ -123,7 +123,7 @@
         let classes = &self.settings.classes;
         let keyed: Vec<_> = classes
             .iter()
-            .map(|class| class.effect == Effect::Keyed)
+            .map(|class| class.effect == Effect::Deduplicated)
             .collect();
         let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
         let address = self.listen.to_string().replace([':', '[', ']'], "-");
@@ -138,15 +138,16 @@
             lasting: false,
             classes: keyed,
             required: true,
-            owner: Owner::All,
-            bounds: Bounds {
+            owner: KeyScope::Global,
+            bounds: Capacity {
                 entries,
-                bytes: entries * LARGEST_RESULT,
+                result_bytes: entries * LARGEST_RESULT,
                 // From the run on, and as long again as a try may be on its way: one that was written within the window is
                 // told by it, however late it is read.
-                window: longest(|class| class.window) + longest(|class| class.deadline),
-                stall: STALL,
-                seed: self.seed,
+                deduplication_window: longest(|class| class.deduplication_window)
+                    + longest(|class| class.client_timeout),
+                stall_timeout: STALL,
+                hash_seed: self.seed,
             },
             // They are the process's own memory, and not of what requests are booked with.
             entry_kb: 0.0,
@@ -226,7 +227,7 @@
         })?;
         json.end().map_err(|e| e.to_string())?;
         file.settings
-            .check()
+            .validate()
             .map_err(|fault| format!("settings.{fault}"))?;
 
         let name = sources.name.clone().or(file.name).ok_or("name: missing")?;
@@ -273,7 +274,7 @@
             memory_mb,
             class_names: file.settings.class_names(),
             gauge_names: file.settings.gauge_names(),
-            settings: file.settings.settings(),
+            settings: file.settings.into_settings(),
         })
     }
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -10,7 +10,7 @@
 mod tls;
 
 use crate::config::Config;
-use cleatpulley_dispatcher::Head;
+use cleatpulley_dispatcher::RequestHead;
 use cleatpulley_gateway::core::asked;
 use cleatpulley_policy::interface::{Effect, Micros};
 use cleatpulley_protocol::ajp::client;
@@ -230,7 +230,7 @@
                 .results
                 .as_ref()
                 .is_none_or(|results| results.classes[i]);
-            if class.effect == Effect::Keyed && !kept {
+            if class.effect == Effect::Deduplicated && !kept {
                 return Err(format!(
                     "settings.classes[{i}].effect: further tries can't be told without kept results of {:?}",
                     config.class_names[i]
@@ -426,7 +426,7 @@
 }
 
 impl Lookup for Imported {
-    fn find(&self, head: &Head) -> Result<usize, (u16, String)> {
+    fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
         match self.table.decide(&asked).map_err(|what| (404, what))? {
             Decision::Pass {
@@ -529,7 +529,7 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.deadline)
+            .map(|class| class.client_timeout)
             .min()
             .unwrap_or(0);
         if body + MARGIN > shortest {
@@ -603,7 +603,7 @@
                 needs_id: own
                     .needs_id
                     .or(all.needs_id)
-                    .unwrap_or(class.effect != Effect::Safe),
+                    .unwrap_or(class.effect != Effect::Idempotent),
             };
             let place = |key: &str| {
                 if self.classes.contains_key(name) {
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -2,8 +2,8 @@
 
 use super::{wrong, Wrong};
 use crate::config::Config;
-use cleatpulley_dispatcher::history::Bounds;
-use cleatpulley_dispatcher::Owner;
+use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::Effect;
 use cleatpulley_server::Results;
 use serde::Deserialize;
@@ -97,24 +97,26 @@
                 );
             };
             let class = &config.settings.classes[place];
-            if class.effect == Effect::Safe {
+            if class.effect == Effect::Idempotent {
                 return wrong(
                     key,
                     format!("{name:?} is safe to repeat, and needs no result kept"),
                 );
             }
-            if class.effect == Effect::Keyed && !self.required {
+            if class.effect == Effect::Deduplicated && !self.required {
                 return wrong(
                     "results.required",
                     format!("{name:?} is deduplicated, which takes a key with each request"),
                 );
             }
             // Guards against a repeat that comes while its first is still owed an answer and finds no entry.
-            let least = class.deadline.max(if class.effect == Effect::Keyed {
-                class.window
-            } else {
-                0
-            });
+            let least = class
+                .client_timeout
+                .max(if class.effect == Effect::Deduplicated {
+                    class.deduplication_window
+                } else {
+                    0
+                });
             if window < least {
                 let what = format!(
                     "{} is less than the {} ms in which {name:?} may come again",
@@ -162,8 +164,8 @@
             );
         }
         let owner = match self.owner.as_str() {
-            "all" => Owner::All,
-            "caller" => Owner::Caller,
+            "all" => KeyScope::Global,
+            "caller" => KeyScope::PerCaller,
             other => {
                 return wrong(
                     "results.owner",
@@ -171,12 +173,12 @@
                 )
             }
         };
-        let bounds = Bounds {
+        let bounds = Capacity {
             entries: within("max_entries", self.max_entries, 50_000_000)?,
-            bytes: within("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
-            window,
-            stall: self.stall_ms * MS,
-            seed: config.seed,
+            result_bytes: within("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
+            deduplication_window: window,
+            stall_timeout: self.stall_ms * MS,
+            hash_seed: config.seed,
         };
         Ok(Results {
             folder: PathBuf::from(self.folder),
@@ -193,11 +195,11 @@
 
 /// What they come to, in one line.
 pub(crate) fn show(results: &Results, f: &mut impl fmt::Write) -> fmt::Result {
-    let Bounds {
+    let Capacity {
         entries,
-        bytes,
-        window,
-        stall,
+        result_bytes: bytes,
+        deduplication_window: window,
+        stall_timeout: stall,
         ..
     } = results.bounds;
     let kept = results.classes.iter().filter(|kept| **kept).count();
@@ -207,7 +209,7 @@
         results.folder.display(),
         window / MS,
         bytes / 1_000_000,
-        if results.owner == Owner::All { "shared by all callers" } else { "of each caller" },
+        if results.owner == KeyScope::Global { "shared by all callers" } else { "of each caller" },
         if results.required { "required" } else { "optional" },
         stall / MS,
     )
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
 //! The JSON wire: lines to [`Event`]s and [`Action`]s to lines. Translation only; no decisions here.
 
 use cleatpulley_policy::interface::{Action, Event, Gauges, Micros, Outcome, Request, RequestId};
-use cleatpulley_policy::settings::BootInfo;
+use cleatpulley_policy::settings::SettingsDocument;
 use cleatpulley_policy::Controller;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -110,7 +110,7 @@
 
     fn enlist(&mut self, verb: &str, value: Value) -> Result<(), String> {
         let line: Enlist = self.read(verb, value)?;
-        let settings = line.boot_info.settings();
+        let settings = line.boot_info.into_settings();
         if settings.classes.is_empty() {
             return Err(self.fault(verb, "no classes"));
         }
@@ -134,11 +134,11 @@
             }
             "withdrawn" => {
                 let line: OfRequest = self.read(verb, value)?;
-                (line.instance_id, Event::Gone(line.rid.0))
+                (line.instance_id, Event::Abandoned(line.rid.0))
             }
             "needs" => {
                 let line: OfRequest = self.read(verb, value)?;
-                (line.instance_id, Event::CallNeeded(line.rid.0))
+                (line.instance_id, Event::CallRequested(line.rid.0))
             }
             "call_ended" => {
                 let Ended {
@@ -176,7 +176,7 @@
                 let line: Leaving = self.read(verb, value)?;
                 (
                     line.instance_id,
-                    Event::Drain {
+                    Event::DrainStarted {
                         stop_at: line.not_after.max(clock),
                     },
                 )
@@ -189,7 +189,7 @@
                 };
                 (
                     line.instance_id,
-                    Event::Timer {
+                    Event::TimerExpired {
                         token: line.mark,
                         gauges,
                     },
@@ -272,7 +272,7 @@
     instance_id: String,
     #[serde(default)]
     random_seed: u64,
-    boot_info: BootInfo,
+    boot_info: SettingsDocument,
 }
 
 /// An id on the wire: 16 hex digits.
@@ -372,17 +372,18 @@
             .map(str::to_owned);
         Request {
             id: self.rid.0,
-            due: (self.not_after > 0).then_some(self.not_after),
-            prior: prior
+            respond_by: (self.not_after > 0).then_some(self.not_after),
+            duplicate_of: prior
                 .and_then(|text| Hex::try_from(text).ok())
                 .map(|hex| hex.0)
                 .filter(|id| *id != 0),
             class: self.category,
             tenant: self.tenant,
-            waited: self.queued_for,
-            work: (self.marks & HINT_VALID != 0 && self.size_hint > 0).then_some(self.size_hint),
-            retry: self.marks & FURTHER_TRY != 0,
-            write: self.marks & WRITE != 0,
+            read_delay: self.queued_for,
+            expected_work: (self.marks & HINT_VALID != 0 && self.size_hint > 0)
+                .then_some(self.size_hint),
+            is_retry: self.marks & FURTHER_TRY != 0,
+            is_write: self.marks & WRITE != 0,
             has_subject: self
                 .entity
                 .as_ref()
@@ -390,7 +391,7 @@
             caller: self.author,
             rank: self.rank,
             memory_kb: self.mem_kb,
-            keep: false,
+            caches_result: false,
         }
     }
 }
@@ -416,9 +417,9 @@
             Reason::Overloaded => Self::Overloaded,
             Reason::TimedOut => Self::TimedOut,
             Reason::Unreachable => Self::Unreachable,
-            Reason::Broken => Self::Broken,
-            Reason::Withdrawn => Self::Withdrawn,
-            Reason::Void => Self::Void,
+            Reason::Broken => Self::Interrupted,
+            Reason::Withdrawn => Self::Cancelled,
+            Reason::Void => Self::NotStarted,
         }
     }
 }
@@ -466,10 +467,10 @@
         };
         match *action {
             Action::Run(id) => plain("serve", Some(id)),
-            Action::Refuse {
+            Action::Reject {
                 id,
-                avoid_for,
-                last,
+                retry_after: avoid_for,
+                no_failover: last,
             } => Line {
                 cool_down: (avoid_for > 0).then_some(avoid_for),
                 dont_retry: last.then_some(true),
@@ -481,27 +482,30 @@
                 ..plain("reach_out", Some(id))
             },
             Action::SkipCall(id) => plain("do_without", Some(id)),
-            Action::Halt(id) => plain("yank", Some(id)),
-            Action::Share(id) => plain("echo", Some(id)),
-            Action::Remember { id, lifetime } => Line {
+            Action::Preempt(id) => plain("yank", Some(id)),
+            Action::ShareResponse(id) => plain("echo", Some(id)),
+            Action::InsertKey { id, lifetime } => Line {
                 lifetime: Some(lifetime),
                 ..plain("store_key", Some(id))
             },
-            Action::Forget(id) => plain("drop_key", Some(id)),
-            Action::Timer { at, token } => Line {
+            Action::RemoveKey(id) => plain("drop_key", Some(id)),
+            Action::SetTimer { at, token } => Line {
                 moment: Some(at),
                 mark: Some(token),
                 ..plain("timer", None)
             },
-            Action::CloseIdle(after) => Line {
+            Action::CloseIdleConnections(after) => Line {
                 lifetime: Some(after),
                 ..plain("idle", None)
             },
-            Action::Advertise(value) => Line {
+            Action::SetFeedback(value) => Line {
                 x: Some(value),
                 ..plain("signal", None)
             },
-            Action::Health { good, from_state } => Line {
+            Action::SetHealth {
+                healthy: good,
+                from_state,
+            } => Line {
                 active: Some(good),
                 from_state: Some(from_state),
                 ..plain("health", None)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,14 +11,14 @@
 pub fn class(effect: Effect, calls: bool) -> Class {
     Class {
         effect,
-        aim: 2 * SECOND,
-        aim_stretch: 0.0,
-        deadline: 8 * SECOND,
-        late_worth: 0.0,
-        worth: 1.0,
-        window: 20 * SECOND,
-        calls,
-        skip_worth: 0.0,
+        latency_objective: 2 * SECOND,
+        latency_objective_stretch: 0.0,
+        client_timeout: 8 * SECOND,
+        late_weight_ratio: 0.0,
+        priority_weight: 1.0,
+        deduplication_window: 20 * SECOND,
+        calls_dependency: calls,
+        weight_ratio_without_call: 0.0,
     }
 }
 
@@ -26,38 +26,38 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed, false),
-            class(Effect::Safe, true),
+            class(Effect::Idempotent, false),
+            class(Effect::Deduplicated, false),
+            class(Effect::Idempotent, true),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        marks_retry: true,
+        over_quota_weight_ratio: 0.1,
+        weight_by_work: false,
+        marks_retries: true,
         servers: 2,
         callers: 2,
         cores: 2,
         memory_kb: 10_000.0,
-        entry_kb: 10.0,
-        run_factor: 8.0,
-        below: Below::Shared {
-            share: 4.0,
-            span: 5 * SECOND,
+        key_entry_kb: 10.0,
+        running_memory_factor: 8.0,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 4.0,
+            averaging_window: 5 * SECOND,
         },
-        idle: 30 * SECOND,
-        linger: 200 * MS,
-        fresh: 0,
-        advert: Advert::Weight,
-        max_avoid: SECOND,
-        tells_gone: true,
-        halt: Halt::Never,
-        list_follows_health: true,
+        client_idle_timeout: 30 * SECOND,
+        abandoned_call_linger: 200 * MS,
+        shared_response_lifetime: 0,
+        feedback: FeedbackKind::Weight,
+        max_retry_after: SECOND,
+        reports_abandonment: true,
+        preemption: Preemption::Never,
+        discovery_follows_health: true,
         cold_start: false,
-        cold_speed: 0.2,
-        warm_after: 10 * SECOND,
-        answer_slack: 60 * MS,
+        cold_start_speed: 0.2,
+        warm_up_time: 10 * SECOND,
+        response_slack: 60 * MS,
         drain_grace: 2 * SECOND,
-        crowd: 6.0,
+        overload_concurrency_per_core: 6.0,
         tick: 4 * MS,
     }
 }
@@ -91,12 +91,12 @@
         let mut all = Vec::new();
         while self.now < until {
             self.now = (self.now + 20 * MS).min(until);
-            all.extend(self.hear(&[Event::Timer {
+            all.extend(self.hear(&[Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
             }]));
         }
-        all.retain(|action| !matches!(action, Action::Timer { .. }));
+        all.retain(|action| !matches!(action, Action::SetTimer { .. }));
         all
     }
 
@@ -104,7 +104,7 @@
         Request {
             id,
             class,
-            due: Some(self.now + 8 * SECOND),
+            respond_by: Some(self.now + 8 * SECOND),
             memory_kb: 10.0,
             ..Request::default()
         }
@@ -161,7 +161,7 @@
     actions
         .iter()
         .filter_map(|a| {
-            if let Action::Refuse { id, .. } = a {
+            if let Action::Reject { id, .. } = a {
                 Some(*id)
             } else {
                 None
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -10,7 +10,7 @@
     let mut actions = Vec::new();
     for id in ids {
         actions.extend(script.arrive(id, 2));
-        actions.extend(script.hear(&[Event::CallNeeded(id)]));
+        actions.extend(script.hear(&[Event::CallRequested(id)]));
     }
     actions
 }
@@ -32,7 +32,7 @@
 #[test]
 fn for_a_tier_the_call_bound_starts_at_the_cores() {
     let mut script = Script::new(Settings {
-        below: Below::Tier,
+        dependency: DependencyLimit::NextTier,
         ..settings()
     });
     assert_eq!(calls(&stand_at_calls(&mut script, 1..4)), [1, 2]);
@@ -41,9 +41,9 @@
 #[test]
 fn the_call_bound_halves_when_the_latency_doubles() {
     let mut script = Script::new(Settings {
-        below: Below::Tier,
+        dependency: DependencyLimit::NextTier,
         cores: 4,
-        linger: 0,
+        abandoned_call_linger: 0,
         ..settings()
     });
     assert_eq!(calls(&stand_at_calls(&mut script, 1..7)), [1, 2, 3, 4]);
@@ -65,14 +65,14 @@
 #[test]
 fn the_call_bound_of_a_shared_dependency_stays_above_half_the_told_share() {
     let mut settings = Settings {
-        below: Below::Shared {
-            share: 12.0,
-            span: 5 * SECOND,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 12.0,
+            averaging_window: 5 * SECOND,
         },
         ..settings()
     };
     settings.classes[2] = Class {
-        deadline: 900 * SECOND,
+        client_timeout: 900 * SECOND,
         ..once(900 * SECOND)
     };
     settings.memory_kb = 1e9;
@@ -102,9 +102,9 @@
 #[test]
 fn a_share_below_one_is_a_budget_of_call_time() {
     let settings = Settings {
-        below: Below::Shared {
-            share: 0.5,
-            span: 5 * SECOND,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 0.5,
+            averaging_window: 5 * SECOND,
         },
         ..settings()
     };
@@ -122,8 +122,8 @@
 /// A class that calls below and whose calls must not be made again.
 fn once(aim: Micros) -> Class {
     Class {
-        aim,
-        ..class(Effect::Unsafe, true)
+        latency_objective: aim,
+        ..class(Effect::AtMostOnce, true)
     }
 }
 
@@ -133,7 +133,7 @@
     settings.classes[2] = once(8 * SECOND);
     let mut script = Script::new(settings);
     script.arrive(1, 2);
-    let actions = script.hear(&[Event::CallNeeded(1)]);
+    let actions = script.hear(&[Event::CallRequested(1)]);
     assert_eq!(
         actions,
         [Action::Call {
@@ -152,10 +152,10 @@
         settings.classes[2] = class;
         let mut script = Script::new(settings);
         script.arrive(1, 2);
-        script.hear(&[Event::CallNeeded(1)])
+        script.hear(&[Event::CallRequested(1)])
     };
     assert_eq!(
-        wait(class(Effect::Safe, true)),
+        wait(class(Effect::Idempotent, true)),
         [Action::Call {
             id: 1,
             timeout: 1_600 * MS
@@ -173,10 +173,10 @@
 /// Guards against holding back calls because of a connection that broke or fell silent.
 #[test]
 fn one_call_without_a_reply_is_no_sign_of_trouble_below_but_two_in_a_row_are() {
-    for outcome in [Outcome::TimedOut, Outcome::Broken] {
+    for outcome in [Outcome::TimedOut, Outcome::Interrupted] {
         let mut script = Script::new(Settings {
-            below: Below::Tier,
-            linger: 0,
+            dependency: DependencyLimit::NextTier,
+            abandoned_call_linger: 0,
             ..settings()
         });
         assert_eq!(calls(&stand_at_calls(&mut script, 1..6)), [1, 2]);
@@ -194,9 +194,9 @@
     }
     // However many were silent, while one made after them has its reply.
     let mut script = Script::new(Settings {
-        below: Below::Tier,
+        dependency: DependencyLimit::NextTier,
         cores: 4,
-        linger: 0,
+        abandoned_call_linger: 0,
         ..settings()
     });
     assert_eq!(calls(&stand_at_calls(&mut script, 1..7)), [1, 2, 3, 4]);
@@ -215,9 +215,9 @@
 #[test]
 fn without_calls_the_latency_nears_the_usual_again() {
     let mut settings = settings();
-    settings.classes[2].skip_worth = 0.5;
+    settings.classes[2].weight_ratio_without_call = 0.5;
     let mut script = Script::new(Settings {
-        below: Below::Tier,
+        dependency: DependencyLimit::NextTier,
         ..settings
     });
     stand_at_calls(&mut script, 1..2);
@@ -228,11 +228,14 @@
     script.hear(&[2, 3].map(|id| called(id, Outcome::TimedOut, 8 * SECOND)));
     script.hear(&[2, 3].map(|id| ended(id, 60 * MS)));
     script.arrive(4, 2);
-    assert_eq!(script.hear(&[Event::CallNeeded(4)]), [Action::SkipCall(4)]);
+    assert_eq!(
+        script.hear(&[Event::CallRequested(4)]),
+        [Action::SkipCall(4)]
+    );
     script.hear(&[ended(4, 60 * MS)]);
     script.pass(30 * SECOND);
     script.arrive(5, 2);
-    assert_eq!(calls(&script.hear(&[Event::CallNeeded(5)])), [5]);
+    assert_eq!(calls(&script.hear(&[Event::CallRequested(5)])), [5]);
 }
 
 #[test]
@@ -250,7 +253,7 @@
         cores: 4,
         ..settings()
     };
-    settings.classes[2].aim = 6 * SECOND;
+    settings.classes[2].latency_objective = 6 * SECOND;
     let mut script = Script::new(settings);
     stand_at_calls(&mut script, 1..2);
     script.now += 50 * MS;
@@ -284,10 +287,10 @@
         settings
             .classes
             .iter_mut()
-            .for_each(|class| class.aim = 6 * SECOND);
+            .for_each(|class| class.latency_objective = 6 * SECOND);
         settings.classes[0] = Class {
-            calls: true,
-            skip_worth: reads_skip,
+            calls_dependency: true,
+            weight_ratio_without_call: reads_skip,
             ..settings.classes[0]
         };
         let mut script = Script::new(settings);
@@ -296,7 +299,7 @@
         script.hear(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
         for id in 2..12 {
             script.arrive(id, 0);
-            script.hear(&[Event::CallNeeded(id)]);
+            script.hear(&[Event::CallRequested(id)]);
         }
         script.pass(SECOND);
         script.hear(&[called(2, Outcome::Success, SECOND), ended(2, SECOND)]);
@@ -317,7 +320,7 @@
 
 #[test]
 fn room_is_left_for_a_process_whose_place_is_taken() {
-    let beside = |running, memory_kb, calls| Event::Beside {
+    let beside = |running, memory_kb, calls| Event::PredecessorUsage {
         running,
         memory_kb,
         calls,
@@ -354,18 +357,19 @@
 #[test]
 fn callers_hear_nothing_of_a_notice_to_leave_where_a_successor_is_here() {
     let mut script = Script::new(Settings {
-        advert: Advert::Weight,
+        feedback: FeedbackKind::Weight,
         ..settings()
     });
     let stop_at = script.now + 4 * SECOND;
-    let mut actions = script.hear(&[Event::Succeeded { stop_at }]);
+    let mut actions = script.hear(&[Event::Replaced { stop_at }]);
     script.arrive(1, 0);
     actions.extend(script.pass(500 * MS));
-    let told = |action: &Action| matches!(action, Action::Health { .. } | Action::Advertise(_));
+    let told =
+        |action: &Action| matches!(action, Action::SetHealth { .. } | Action::SetFeedback(_));
     assert!(!actions.iter().any(told), "{actions:?}");
     script.now += 2 * SECOND;
     let late = script.arrive(2, 0);
-    let advice = |action: &Action| matches!(action, Action::Refuse { id: 2, avoid_for, .. } if *avoid_for < SECOND);
+    let advice = |action: &Action| matches!(action, Action::Reject { id: 2, retry_after: avoid_for, .. } if *avoid_for < SECOND);
     assert!(
         late.iter().any(advice),
         "after the grace it is turned away, and may come back at once: {late:?}"
@@ -380,7 +384,7 @@
 #[test]
 fn a_call_is_left_out_where_waiting_would_miss_the_aim() {
     let mut settings = settings();
-    settings.classes[2].skip_worth = 0.5;
+    settings.classes[2].weight_ratio_without_call = 0.5;
     let mut script = Script::new(settings);
     stand_at_calls(&mut script, 1..3);
     let actions = script.pass(2 * SECOND);
@@ -390,7 +394,7 @@
 #[test]
 fn held_work_runs_by_its_aim() {
     let mut settings = settings();
-    settings.classes[1].aim = SECOND;
+    settings.classes[1].latency_objective = SECOND;
     let mut script = Script::new(settings);
     script.arrive(1, 0);
     script.arrive(2, 0);
@@ -402,7 +406,7 @@
 #[test]
 fn a_more_worthy_arrival_that_leaves_no_time_for_a_held_one_sends_it_elsewhere_at_once() {
     let mut settings = settings();
-    settings.classes[1].worth = 5.0;
+    settings.classes[1].priority_weight = 5.0;
     let mut script = Script::new(settings);
     // Runs are thought to take half a second, so that seven end in time behind two that run.
     for id in 1..=9 {
@@ -415,7 +419,7 @@
 #[test]
 fn the_cut_turns_the_lowest_away_first_while_held_work_overruns() {
     let mut settings = settings();
-    settings.classes[1].worth = 5.0;
+    settings.classes[1].priority_weight = 5.0;
     let mut script = Script::new(settings);
     let (mut low, mut high) = (0, 0);
     let mut running = Vec::new();
@@ -453,11 +457,11 @@
 fn a_try_limit_below_the_deadline_is_not_read_as_age() {
     let mut script = Script::new(settings());
     let patient = Request {
-        due: Some(script.now + 4 * SECOND),
+        respond_by: Some(script.now + 4 * SECOND),
         ..script.request(1, 0)
     };
     let hurried = Request {
-        due: Some(script.now + 3_900 * MS),
+        respond_by: Some(script.now + 3_900 * MS),
         ..script.request(2, 0)
     };
     let actions = script.hear(&[Event::Arrived(patient), Event::Arrived(hurried)]);
@@ -470,7 +474,7 @@
     for id in 1..=100 {
         let work = if id % 2 == 0 { 400 * MS } else { 10 * MS };
         let request = Request {
-            work: Some(work),
+            expected_work: Some(work),
             ..script.request(id, 0)
         };
         assert_eq!(runs(&script.hear(&[Event::Arrived(request)])), [id]);
@@ -516,7 +520,7 @@
     let mut started = Vec::new();
     for _ in 0..12 {
         script.now += 20 * MS;
-        started.extend(runs(&script.hear(&[Event::Timer {
+        started.extend(runs(&script.hear(&[Event::TimerExpired {
             token: 0,
             gauges: idle,
         }])));
@@ -531,7 +535,7 @@
     let mut said = Vec::new();
     for id in 1..=40 {
         let late = Request {
-            waited: 1_900 * MS,
+            read_delay: 1_900 * MS,
             ..script.request(id, 0)
         };
         said.extend(script.hear(&[Event::Arrived(late)]));
@@ -539,10 +543,14 @@
     }
     assert!(said
         .iter()
-        .any(|a| matches!(a, Action::Advertise(value) if *value < 0.5)));
-    assert!(said
-        .iter()
-        .any(|a| matches!(a, Action::Refuse { last: true, .. })));
+        .any(|a| matches!(a, Action::SetFeedback(value) if *value < 0.5)));
+    assert!(said.iter().any(|a| matches!(
+        a,
+        Action::Reject {
+            no_failover: true,
+            ..
+        }
+    )));
 }
 
 #[test]
@@ -554,22 +562,22 @@
     let first = script.arrive(10, 0);
     assert!(matches!(
         first[..],
-        [Action::Refuse {
+        [Action::Reject {
             id: 10,
-            last: false,
+            no_failover: false,
             ..
         }]
     ));
     let again = Request {
-        retry: true,
+        is_retry: true,
         ..script.request(11, 0)
     };
     let again = script.hear(&[Event::Arrived(again)]);
     assert!(matches!(
         again[..],
-        [Action::Refuse {
+        [Action::Reject {
             id: 11,
-            last: true,
+            no_failover: true,
             ..
         }]
     ));
@@ -578,7 +586,7 @@
 #[test]
 fn reads_of_one_subject_share_an_answer_while_it_is_fresh() {
     let mut script = Script::new(Settings {
-        fresh: SECOND,
+        shared_response_lifetime: SECOND,
         ..settings()
     });
     let read = Request {
@@ -589,7 +597,7 @@
     assert_eq!(
         actions,
         [
-            Action::Remember {
+            Action::InsertKey {
                 id: 1,
                 lifetime: 9 * SECOND
             },
@@ -598,13 +606,16 @@
     );
     let joined = Request {
         has_subject: true,
-        prior: Some(1),
+        duplicate_of: Some(1),
         ..script.request(2, 0)
     };
-    assert_eq!(script.hear(&[Event::Arrived(joined)]), [Action::Share(2)]);
+    assert_eq!(
+        script.hear(&[Event::Arrived(joined)]),
+        [Action::ShareResponse(2)]
+    );
     assert_eq!(
         script.hear(&[ended(1, 100 * MS)]),
-        [Action::Remember {
+        [Action::InsertKey {
             id: 1,
             lifetime: SECOND
         }]
@@ -621,7 +632,7 @@
         .pass(10 * SECOND)
         .iter()
         .filter_map(|a| {
-            if let Action::Advertise(value) = a {
+            if let Action::SetFeedback(value) = a {
                 Some(*value)
             } else {
                 None
@@ -639,10 +650,10 @@
 #[test]
 fn one_caller_may_use_all_that_others_leave_idle() {
     let said = |callers| -> Vec<f64> {
-        let advert = Advert::Allowance;
+        let advert = FeedbackKind::ConcurrencyAllowance;
         let mut script = Script::new(Settings {
             cold_start: true,
-            advert,
+            feedback: advert,
             callers,
             ..settings()
         });
@@ -650,7 +661,7 @@
         actions
             .iter()
             .filter_map(|a| {
-                if let Action::Advertise(v) = a {
+                if let Action::SetFeedback(v) = a {
                     Some(*v)
                 } else {
                     None
@@ -666,8 +677,8 @@
 #[test]
 fn a_crowd_at_calls_holds_off_its_like_and_not_the_more_worthy() {
     let mut settings = settings();
-    settings.classes[1].calls = true;
-    settings.classes[1].worth = 10.0;
+    settings.classes[1].calls_dependency = true;
+    settings.classes[1].priority_weight = 10.0;
     let mut script = Script::new(settings);
     // A call is thought to take a tenth of the aim of 2 s: one at a time, five are served in half of it.
     stand_at_calls(&mut script, 1..7);
@@ -681,21 +692,21 @@
         cores: 4,
         ..settings()
     };
-    settings.classes[1].calls = true;
-    settings.classes[1].worth = 10.0;
+    settings.classes[1].calls_dependency = true;
+    settings.classes[1].priority_weight = 10.0;
     for class in &mut settings.classes {
-        class.aim = 60 * SECOND;
-        class.deadline = 60 * SECOND;
+        class.latency_objective = 60 * SECOND;
+        class.client_timeout = 60 * SECOND;
     }
     let mut script = Script::new(settings);
     let patient = |script: &Script, id, class, rank| Request {
-        due: Some(script.now + 60 * SECOND),
+        respond_by: Some(script.now + 60 * SECOND),
         rank,
         ..script.request(id, class)
     };
     for id in 1..=8 {
         let request = patient(&script, id, 2, 0.67);
-        script.hear(&[Event::Arrived(request), Event::CallNeeded(id)]);
+        script.hear(&[Event::Arrived(request), Event::CallRequested(id)]);
     }
     for (id, elapsed) in [(1, 10 * MS), (2, 9 * SECOND), (3, 9 * SECOND)] {
         script.hear(&[called(id, Outcome::Success, elapsed), ended(id, elapsed)]);
@@ -725,11 +736,11 @@
     for id in 1..=1_000 {
         said.extend(script.arrive(id, 0));
         script.now += 20 * MS;
-        said.extend(script.hear(&[Event::Timer { token: 0, gauges }]));
+        said.extend(script.hear(&[Event::TimerExpired { token: 0, gauges }]));
     }
     said.iter()
         .filter_map(|a| {
-            if let Action::CloseIdle(after) = a {
+            if let Action::CloseIdleConnections(after) = a {
                 Some(*after)
             } else {
                 None
@@ -760,7 +771,7 @@
 #[test]
 fn a_cut_left_from_a_queue_refuses_nothing_that_can_run_at_once() {
     let mut settings = settings();
-    settings.classes[0].late_worth = 0.5;
+    settings.classes[0].late_weight_ratio = 0.5;
     let mut script = Script::new(settings);
     for id in 1..=30 {
         script.arrive(id, 0);
@@ -780,7 +791,7 @@
     }
     for id in 10..=15 {
         let again = Request {
-            retry: true,
+            is_retry: true,
             ..script.request(id, 0)
         };
         script.hear(&[Event::Arrived(again)]);
@@ -788,9 +799,9 @@
     let first = script.arrive(20, 0);
     assert!(matches!(
         first[..],
-        [Action::Refuse {
+        [Action::Reject {
             id: 20,
-            last: true,
+            no_failover: true,
             ..
         }]
     ));
@@ -801,25 +812,25 @@
     let mut script = Script::new(settings());
     // First tries come with 4 of the 8 seconds; a client's last try has all that is left, 7 of them.
     let first = Request {
-        due: Some(script.now + 4 * SECOND),
+        respond_by: Some(script.now + 4 * SECOND),
         ..script.request(1, 0)
     };
     let again = Request {
-        due: Some(script.now + 7 * SECOND),
-        retry: true,
+        respond_by: Some(script.now + 7 * SECOND),
+        is_retry: true,
         ..script.request(2, 0)
     };
     script.hear(&[Event::Arrived(again), Event::Arrived(first)]);
     let walked = Request {
-        due: Some(script.now + 3_500 * MS),
-        retry: true,
+        respond_by: Some(script.now + 3_500 * MS),
+        is_retry: true,
         ..script.request(3, 0)
     };
     // Aged by half a second: it has one and a half left for its run, and is held.
     assert!(refused(&script.hear(&[Event::Arrived(walked)])).is_empty());
     let stale = Request {
-        due: Some(script.now + 2_100 * MS),
-        retry: true,
+        respond_by: Some(script.now + 2_100 * MS),
+        is_retry: true,
         ..script.request(4, 0)
     };
     assert_eq!(refused(&script.hear(&[Event::Arrived(stale)])), [4]);
@@ -828,16 +839,16 @@
 #[test]
 fn where_less_than_one_call_is_ours_a_call_gets_what_the_share_leaves_of_its_span() {
     let mut settings = Settings {
-        below: Below::Shared {
-            share: 0.5,
-            span: 5 * SECOND,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 0.5,
+            averaging_window: 5 * SECOND,
         },
         ..settings()
     };
     settings.classes[2] = once(8 * SECOND);
     let mut script = Script::new(settings);
     script.arrive(1, 2);
-    let actions = script.hear(&[Event::CallNeeded(1)]);
+    let actions = script.hear(&[Event::CallRequested(1)]);
     assert_eq!(
         actions,
         [Action::Call {
@@ -849,7 +860,7 @@
     script.now += SECOND;
     script.hear(&[called(1, Outcome::Success, SECOND), ended(1, SECOND)]);
     script.arrive(2, 2);
-    let mut later = script.hear(&[Event::CallNeeded(2)]);
+    let mut later = script.hear(&[Event::CallRequested(2)]);
     later.extend(script.pass(SECOND));
     assert!(
         later.contains(&Action::Call {
@@ -864,9 +875,11 @@
 fn a_tenant_of_few_tries_is_not_over_its_share_by_chance() {
     let tenants = vec![
         Tenant {
-            quota_per_s: 1_000.0,
+            quota_per_second: 1_000.0,
+        },
+        Tenant {
+            quota_per_second: 50.0,
         },
-        Tenant { quota_per_s: 50.0 },
     ];
     let mut script = Script::new(Settings {
         tenants,
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -254,9 +254,10 @@
     for cut in 0..whole.len() {
         std::fs::write(format!("{file}.cut"), &whole[..cut]).expect("written");
         let journal = cleatpulley_log_store::memory::Memory::default();
-        let (mut journal, ..) =
+        let mut journal =
             cleatpulley_idempotency::journal::Journal::open(journal, Default::default(), 0)
-                .expect("open");
+                .expect("open")
+                .journal;
         let refused =
             cleatpulley_idempotency::transfer::import(&mut journal, 0, &mut &whole[..cut]);
         assert!(refused.is_err() || cut + 1 == whole.len(), "cut at {cut}");
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -46,7 +46,7 @@
     assert!(front.settings.defaults[3].needs_id && !front.settings.defaults[0].needs_id);
     let results = operator.results.as_ref().expect("it is on");
     assert_eq!(results.classes, [false, false, false, true]);
-    assert_eq!(results.bounds.window, 600_000_000);
+    assert_eq!(results.bounds.deduplication_window, 600_000_000);
     let empty = load("nothing", "{}").expect("good");
     assert!(empty.ajp.is_none());
     assert_eq!(empty.to_string(), "ajp: off\nstore: called over HTTP");
@@ -57,8 +57,8 @@
 #[test]
 fn a_deduplicated_class_takes_kept_results() {
     let mut config = config();
-    config.settings.classes[3].effect = cleatpulley::interface::Effect::Keyed;
-    config.settings.classes[3].window = 13_518_000;
+    config.settings.classes[3].effect = cleatpulley::interface::Effect::Deduplicated;
+    config.settings.classes[3].deduplication_window = 13_518_000;
     assert!(Operator::default().covers(&config).is_ok());
     let options = config
         .clone()
@@ -72,13 +72,13 @@
         .settings
         .classes
         .iter()
-        .map(|class| class.deadline)
+        .map(|class| class.client_timeout)
         .max()
         .expect("classes");
-    assert_eq!(kept.bounds.window, 13_518_000 + latest);
-    assert!(kept.bounds.bytes <= config.memory_mb * 250_000);
+    assert_eq!(kept.bounds.deduplication_window, 13_518_000 + latest);
+    assert!(kept.bounds.result_bytes <= config.memory_mb * 250_000);
     let mut two = config.clone();
-    two.settings.classes[2].effect = cleatpulley::interface::Effect::Unsafe;
+    two.settings.classes[2].effect = cleatpulley::interface::Effect::AtMostOnce;
     let other =
         std::env::temp_dir().join(format!("cleatpulley-{}-other.jsonnet", std::process::id()));
     std::fs::write(
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -98,12 +98,12 @@
                 assert_eq!(request.at, At::Held, "only what is held can run");
                 assert!(!request.answered, "an answered request must not run");
                 let class = &self.settings.classes[request.class];
-                if class.effect == Effect::Keyed {
+                if class.effect == Effect::Deduplicated {
                     let twice = self.seen.iter().any(|(other, seen)| {
                         *other != id
                             && seen.key == request.key
                             && seen.ran
-                            && request.arrived <= seen.arrived + class.window
+                            && request.arrived <= seen.arrived + class.deduplication_window
                     });
                     assert!(!twice, "a keyed request runs once in its window");
                 }
@@ -116,7 +116,7 @@
                 let request = self.seen.get_mut(&id).expect("seen");
                 (request.at, request.ran, request.started) = (At::Cores, true, now);
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let request = self
                     .seen
                     .get_mut(&id)
@@ -136,7 +136,7 @@
             Action::Call { id, .. } => {
                 let request = self.seen.get_mut(&id).expect("seen");
                 assert_eq!(request.at, At::Call, "only what stands at a call can call");
-                let safe = self.settings.classes[request.class].effect == Effect::Safe;
+                let safe = self.settings.classes[request.class].effect == Effect::Idempotent;
                 assert!(
                     safe || !request.unsure,
                     "a call that may have taken effect is not made again"
@@ -147,49 +147,49 @@
                 let request = self.seen.get_mut(&id).expect("seen");
                 assert_eq!(request.at, At::Call);
                 assert!(
-                    self.settings.classes[request.class].skip_worth > 0.0,
+                    self.settings.classes[request.class].weight_ratio_without_call > 0.0,
                     "this call can't be left out"
                 );
                 request.at = At::Cores;
             }
-            Action::Share(id) => {
+            Action::ShareResponse(id) => {
                 let request = self.seen.get_mut(&id).expect("seen");
                 let At::Sharing(_) = request.at else {
                     panic!("nothing to share: {request:?}")
                 };
             }
-            Action::Remember { id, lifetime } => {
+            Action::InsertKey { id, lifetime } => {
                 self.entries.insert(id, now + lifetime);
             }
-            Action::Forget(id) => {
+            Action::RemoveKey(id) => {
                 self.entries.remove(&id);
             }
-            Action::Halt(id) => {
+            Action::Preempt(id) => {
                 assert_ne!(
-                    self.settings.halt,
-                    Halt::Never,
+                    self.settings.preemption,
+                    Preemption::Never,
                     "nothing may be stopped here"
                 );
                 let request = &self.seen[&id];
                 assert_eq!(request.at, At::Cores, "only what runs is stopped");
                 assert!(request.answered, "an answer is owed");
-                let safe = self.settings.classes[request.class].effect == Effect::Safe;
+                let safe = self.settings.classes[request.class].effect == Effect::Idempotent;
                 assert!(safe, "what has an effect is not stopped");
             }
-            Action::Timer { .. }
-            | Action::Advertise(_)
-            | Action::CloseIdle(_)
-            | Action::Health { .. } => {}
+            Action::SetTimer { .. }
+            | Action::SetFeedback(_)
+            | Action::CloseIdleConnections(_)
+            | Action::SetHealth { .. } => {}
         }
     }
 
     fn hold_to_the_rules(&mut self) {
         self.entries.retain(|_, until| *until > self.now);
         let (mut memory, mut on_cores, mut calls) =
-            (self.entries.len() as f64 * self.settings.entry_kb, 0, 0);
+            (self.entries.len() as f64 * self.settings.key_entry_kb, 0, 0);
         for (id, request) in &self.seen {
             let stop = self.drain.map_or(Micros::MAX, |(_, stop_at)| stop_at);
-            let latest = (request.due + self.settings.answer_slack).min(stop);
+            let latest = (request.due + self.settings.response_slack).min(stop);
             assert!(
                 request.answered || self.now <= latest,
                 "request {id} got no answer in time"
@@ -197,19 +197,24 @@
             let factor = match request.at {
                 At::Over => 0.0,
                 At::Held | At::Sharing(_) => 1.0,
-                At::Cores | At::Call | At::Called => self.settings.run_factor,
+                At::Cores | At::Call | At::Called => self.settings.running_memory_factor,
             };
             memory += request.memory_kb * factor;
             on_cores += u32::from(request.at == At::Cores);
             calls += u32::from(request.at == At::Called);
         }
         assert!(memory <= self.settings.memory_kb, "{memory} kB");
-        let crowd = self.settings.crowd * f64::from(self.settings.cores.max(1));
+        let crowd =
+            self.settings.overload_concurrency_per_core * f64::from(self.settings.cores.max(1));
         assert!(
             f64::from(on_cores) <= crowd.max(1.0),
             "{on_cores} on the cores"
         );
-        if let Below::Shared { share, .. } = self.settings.below {
+        if let DependencyLimit::Shared {
+            concurrency_quota: share,
+            ..
+        } = self.settings.dependency
+        {
             assert!(f64::from(calls) <= share.max(1.0), "{calls} calls in hand");
         }
     }
@@ -217,7 +222,7 @@
     /// A new request, or now and then a further try of a keyed one.
     fn arrival(&mut self, id: RequestId) -> Event {
         let class = self.chance.below(self.settings.classes.len() as u64) as usize;
-        let keyed = self.settings.classes[class].effect == Effect::Keyed;
+        let keyed = self.settings.classes[class].effect == Effect::Deduplicated;
         let fresh_key = id << 8;
         let tries: Vec<u64> = self
             .seen
@@ -268,12 +273,12 @@
         let request = Request {
             id,
             class,
-            due: Some(due),
-            waited,
-            prior,
-            retry,
+            respond_by: Some(due),
+            read_delay: waited,
+            duplicate_of: prior,
+            is_retry: retry,
             rank,
-            work,
+            expected_work: work,
             ..Request::default()
         };
         Event::Arrived(Request {
@@ -291,23 +296,26 @@
             At::Held if !request.answered && self.chance.one_in(200) => {
                 let request = self.seen.get_mut(&id).expect("seen");
                 (request.answered, request.at) = (true, At::Over);
-                return Some(Event::Gone(id));
+                return Some(Event::Abandoned(id));
             }
             At::Held => return None,
-            At::Cores if self.settings.classes[request.class].calls && self.chance.one_in(6) => {
+            At::Cores
+                if self.settings.classes[request.class].calls_dependency
+                    && self.chance.one_in(6) =>
+            {
                 self.seen.get_mut(&id).expect("seen").at =
                     if request.answered { At::Over } else { At::Call };
                 if !request.answered {
-                    return Some(Event::CallNeeded(id));
+                    return Some(Event::CallRequested(id));
                 }
-                Outcome::Withdrawn
+                Outcome::Cancelled
             }
             At::Cores if self.chance.one_in(8) => {
                 [Outcome::Success, Outcome::Success, Outcome::Failure]
                     [self.chance.below(3) as usize]
             }
             At::Cores => return None,
-            At::Call | At::Called if request.answered => Outcome::Withdrawn,
+            At::Call | At::Called if request.answered => Outcome::Cancelled,
             At::Call => return None,
             At::Called if self.chance.one_in(5) => {
                 let outcome = [
@@ -317,7 +325,7 @@
                     Outcome::Overloaded,
                     Outcome::TimedOut,
                     Outcome::Unreachable,
-                    Outcome::Broken,
+                    Outcome::Interrupted,
                 ][self.chance.below(7) as usize];
                 let at = if outcome == Outcome::Success {
                     At::Cores
@@ -328,7 +336,7 @@
                 request.at = at;
                 request.unsure = matches!(
                     outcome,
-                    Outcome::Failure | Outcome::TimedOut | Outcome::Broken
+                    Outcome::Failure | Outcome::TimedOut | Outcome::Interrupted
                 );
                 return Some(called(id, outcome, self.chance.below(800) * MS));
             }
@@ -364,11 +372,11 @@
                 runnable: Some(self.chance.below(8) as f64),
                 memory: None,
             };
-            events.push(Event::Timer { token: 0, gauges });
+            events.push(Event::TimerExpired { token: 0, gauges });
             if drains && step == steps / 2 {
                 let stop_at = self.now + 4 * SECOND;
                 self.drain = Some((self.now, stop_at));
-                events.push(Event::Drain { stop_at });
+                events.push(Event::DrainStarted { stop_at });
             }
             self.step(&events);
             if self
@@ -392,7 +400,7 @@
             let ids: Vec<RequestId> = self.seen.keys().copied().collect();
             let mut events: Vec<Event> =
                 ids.into_iter().filter_map(|id| self.progress(id)).collect();
-            events.push(Event::Timer {
+            events.push(Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
             });
@@ -412,17 +420,17 @@
 
 fn varied() -> Settings {
     let classes = vec![
-        class(Effect::Safe, false),
+        class(Effect::Idempotent, false),
         Class {
-            worth: 5.0,
-            late_worth: 0.2,
-            ..class(Effect::Keyed, true)
+            priority_weight: 5.0,
+            late_weight_ratio: 0.2,
+            ..class(Effect::Deduplicated, true)
         },
-        class(Effect::Safe, true),
-        class(Effect::Unsafe, true),
+        class(Effect::Idempotent, true),
+        class(Effect::AtMostOnce, true),
         Class {
-            skip_worth: 0.5,
-            ..class(Effect::Safe, true)
+            weight_ratio_without_call: 0.5,
+            ..class(Effect::Idempotent, true)
         },
     ];
     Settings {
@@ -444,7 +452,7 @@
 fn random_events_never_break_a_rule() {
     play_all(&varied());
     play_all(&Settings {
-        halt: Halt::Discard,
+        preemption: Preemption::Discard,
         ..varied()
     });
 }
@@ -462,28 +470,35 @@
 #[test]
 fn nor_with_a_share_near_zero_or_nothing_below_or_a_tier() {
     play_all(&Settings {
-        below: Below::Shared {
-            share: 0.01,
-            span: 5 * SECOND,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 0.01,
+            averaging_window: 5 * SECOND,
         },
         ..varied()
     });
     play_all(&Settings {
-        below: Below::Tier,
+        dependency: DependencyLimit::NextTier,
         ..varied()
     });
     let mut alone = varied();
-    alone.below = Below::Nothing;
+    alone.dependency = DependencyLimit::NoDependency;
     alone
         .classes
         .iter_mut()
-        .for_each(|class| class.calls = false);
+        .for_each(|class| class.calls_dependency = false);
     play_all(&alone);
 }
 
 #[test]
 fn nor_with_tenants_and_a_thousand_callers_or_with_no_windows() {
-    let tenants = vec![Tenant { quota_per_s: 3.0 }, Tenant { quota_per_s: 0.0 }];
+    let tenants = vec![
+        Tenant {
+            quota_per_second: 3.0,
+        },
+        Tenant {
+            quota_per_second: 0.0,
+        },
+    ];
     play_all(&Settings {
         tenants,
         callers: 1_000,
@@ -491,7 +506,10 @@
         ..varied()
     });
     let mut brief = varied();
-    brief.classes.iter_mut().for_each(|class| class.window = 0);
+    brief
+        .classes
+        .iter_mut()
+        .for_each(|class| class.deduplication_window = 0);
     play_all(&brief);
 }
 
@@ -505,13 +523,13 @@
 #[test]
 fn nor_the_crowd_on_the_cores_where_it_is_small() {
     let mut crowded = Settings {
-        crowd: 2.0,
-        below: Below::Nothing,
+        overload_concurrency_per_core: 2.0,
+        dependency: DependencyLimit::NoDependency,
         ..varied()
     };
     crowded
         .classes
         .iter_mut()
-        .for_each(|class| class.calls = false);
+        .for_each(|class| class.calls_dependency = false);
     play_all(&crowded);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -20,8 +20,8 @@
 fn without_a_due_time_the_class_deadline_counts_from_arrival_at_the_machine() {
     let mut script = Script::new(settings());
     let request = Request {
-        due: None,
-        waited: 1_500 * MS,
+        respond_by: None,
+        read_delay: 1_500 * MS,
         ..script.request(1, 0)
     };
     assert_eq!(runs(&script.hear(&[Event::Arrived(request)])), [1]);
@@ -32,7 +32,7 @@
 fn a_caller_that_has_gone_gets_no_answer() {
     let mut script = Script::new(settings());
     script.arrive(1, 0);
-    assert!(script.hear(&[Event::Gone(1)]).is_empty());
+    assert!(script.hear(&[Event::Abandoned(1)]).is_empty());
     assert!(script.pass(9 * SECOND).is_empty());
 }
 
@@ -41,16 +41,19 @@
 #[test]
 fn only_a_read_that_is_over_is_stopped_and_only_where_that_may_be() {
     for (halt, class, stops) in [
-        (Halt::Never, 0, false),
-        (Halt::Discard, 0, true),
-        (Halt::Freeze, 0, true),
-        (Halt::Discard, 1, false),
+        (Preemption::Never, 0, false),
+        (Preemption::Discard, 0, true),
+        (Preemption::Suspend, 0, true),
+        (Preemption::Discard, 1, false),
     ] {
-        let mut script = Script::new(Settings { halt, ..settings() });
+        let mut script = Script::new(Settings {
+            preemption: halt,
+            ..settings()
+        });
         script.arrive(1, class);
-        let expected: Vec<_> = stops.then_some(Action::Halt(1)).into_iter().collect();
+        let expected: Vec<_> = stops.then_some(Action::Preempt(1)).into_iter().collect();
         assert_eq!(
-            script.hear(&[Event::Gone(1)]),
+            script.hear(&[Event::Abandoned(1)]),
             expected,
             "{halt:?}, class {class}"
         );
@@ -58,7 +61,7 @@
         script.arrive(2, class);
         let actions = script.pass(9 * SECOND);
         assert_eq!(failed(&actions), [2]);
-        assert_eq!(actions.contains(&Action::Halt(2)), stops);
+        assert_eq!(actions.contains(&Action::Preempt(2)), stops);
     }
 }
 
@@ -66,14 +69,14 @@
 fn a_keyed_request_is_kept_for_its_window_from_arrival() {
     let mut script = Script::new(settings());
     let request = Request {
-        waited: 300 * MS,
+        read_delay: 300 * MS,
         ..script.request(1, 1)
     };
     let actions = script.hear(&[Event::Arrived(request)]);
     let lifetime = 20 * SECOND - 300 * MS + 15 * MS;
     assert_eq!(
         actions,
-        [Action::Remember { id: 1, lifetime }, Action::Run(1)]
+        [Action::InsertKey { id: 1, lifetime }, Action::Run(1)]
     );
 }
 
@@ -82,10 +85,13 @@
     let mut script = Script::new(settings());
     script.arrive(1, 1);
     let repeat = Request {
-        prior: Some(1),
+        duplicate_of: Some(1),
         ..script.request(2, 1)
     };
-    assert_eq!(script.hear(&[Event::Arrived(repeat)]), [Action::Share(2)]);
+    assert_eq!(
+        script.hear(&[Event::Arrived(repeat)]),
+        [Action::ShareResponse(2)]
+    );
     let later = script.pass(8 * SECOND);
     assert_eq!(failed(&later), [1, 2]);
     assert!(runs(&later).is_empty() && refused(&later).is_empty());
@@ -97,10 +103,13 @@
     script.arrive(1, 1);
     script.hear(&[ended(1, 100 * MS)]);
     let repeat = Request {
-        prior: Some(1),
+        duplicate_of: Some(1),
         ..script.request(2, 1)
     };
-    assert_eq!(script.hear(&[Event::Arrived(repeat)]), [Action::Share(2)]);
+    assert_eq!(
+        script.hear(&[Event::Arrived(repeat)]),
+        [Action::ShareResponse(2)]
+    );
 }
 
 #[test]
@@ -110,12 +119,12 @@
     script.arrive(2, 0);
     assert!(runs(&script.arrive(3, 1)).is_empty(), "two cores are taken");
     let repeat = Request {
-        prior: Some(3),
+        duplicate_of: Some(3),
         ..script.request(4, 1)
     };
     let actions = script.hear(&[Event::Arrived(repeat)]);
     assert_eq!(refused(&actions), [3]);
-    assert!(!actions.contains(&Action::Share(4)));
+    assert!(!actions.contains(&Action::ShareResponse(4)));
     assert_eq!(runs(&script.hear(&[ended(1, 100 * MS)])), [4]);
 }
 
@@ -123,34 +132,34 @@
 fn two_tries_in_one_round_that_name_each_other_get_one_run() {
     let mut script = Script::new(settings());
     let first = Request {
-        prior: Some(2),
+        duplicate_of: Some(2),
         ..script.request(1, 1)
     };
     let second = Request {
-        prior: Some(1),
+        duplicate_of: Some(1),
         ..script.request(2, 1)
     };
     let actions = script.hear(&[Event::Arrived(first), Event::Arrived(second)]);
     assert_eq!(runs(&actions), [2]);
-    assert!(actions.contains(&Action::Share(1)));
+    assert!(actions.contains(&Action::ShareResponse(1)));
 }
 
 #[test]
 fn a_call_is_repeated_only_where_it_never_ran_or_repeats_are_safe() {
     for (effect, outcome, again) in [
-        (Effect::Keyed, Outcome::TimedOut, false),
-        (Effect::Keyed, Outcome::Failure, false),
-        (Effect::Keyed, Outcome::Unreachable, true),
-        (Effect::Unsafe, Outcome::Broken, false),
-        (Effect::Unsafe, Outcome::Overloaded, true),
-        (Effect::Safe, Outcome::TimedOut, true),
+        (Effect::Deduplicated, Outcome::TimedOut, false),
+        (Effect::Deduplicated, Outcome::Failure, false),
+        (Effect::Deduplicated, Outcome::Unreachable, true),
+        (Effect::AtMostOnce, Outcome::Interrupted, false),
+        (Effect::AtMostOnce, Outcome::Overloaded, true),
+        (Effect::Idempotent, Outcome::TimedOut, true),
     ] {
         let mut script = Script::new(Settings {
             classes: vec![class(effect, true)],
             ..settings()
         });
         script.arrive(1, 0);
-        assert_eq!(calls(&script.hear(&[Event::CallNeeded(1)])), [1]);
+        assert_eq!(calls(&script.hear(&[Event::CallRequested(1)])), [1]);
         script.now += 10 * MS;
         let mut actions = script.hear(&[called(1, outcome, 10 * MS)]);
         actions.extend(script.pass(SECOND));
@@ -172,9 +181,9 @@
     let mut script = Script::new(settings());
     script.arrive(1, 0);
     let stop_at = script.now + 4 * SECOND;
-    let actions = script.hear(&[Event::Drain { stop_at }]);
-    assert!(actions.contains(&Action::Health {
-        good: false,
+    let actions = script.hear(&[Event::DrainStarted { stop_at }]);
+    assert!(actions.contains(&Action::SetHealth {
+        healthy: false,
         from_state: true
     }));
     script.now += 1_990 * MS;
@@ -187,16 +196,16 @@
 #[test]
 fn what_reached_the_machine_within_the_grace_but_was_read_later_may_run() {
     let mut script = Script::new(settings());
-    script.hear(&[Event::Drain {
+    script.hear(&[Event::DrainStarted {
         stop_at: script.now + 5 * SECOND,
     }]);
     script.now += 2_100 * MS;
     let early = Request {
-        waited: 200 * MS,
+        read_delay: 200 * MS,
         ..script.request(1, 0)
     };
     let late = Request {
-        waited: 50 * MS,
+        read_delay: 50 * MS,
         ..script.request(2, 0)
     };
     let actions = script.hear(&[Event::Arrived(early), Event::Arrived(late)]);
@@ -226,7 +235,7 @@
     actions.extend(script.arrive(2, 0));
     actions.extend(script.arrive(3, 0));
     assert_eq!(runs(&actions), [1, 2]);
-    assert_eq!(runs(&script.hear(&[Event::CallNeeded(1)])), [3]);
+    assert_eq!(runs(&script.hear(&[Event::CallRequested(1)])), [3]);
 }
 
 #[test]
@@ -248,8 +257,8 @@
 fn events_for_requests_already_over_are_harmless() {
     let mut script = Script::new(settings());
     let gone = [
-        Event::Gone(9),
-        Event::CallNeeded(9),
+        Event::Abandoned(9),
+        Event::CallRequested(9),
         called(9, Outcome::Success, 1),
         ended(9, 1),
     ];
@@ -260,26 +269,26 @@
 fn odd_settings_neither_stall_nor_panic() {
     let odd = Settings {
         classes: vec![Class {
-            aim: 0,
-            deadline: 0,
-            worth: 0.0,
-            window: 0,
-            ..class(Effect::Safe, true)
+            latency_objective: 0,
+            client_timeout: 0,
+            priority_weight: 0.0,
+            deduplication_window: 0,
+            ..class(Effect::Idempotent, true)
         }],
         servers: 0,
         callers: 0,
         cores: 0,
-        run_factor: 0.0,
-        below: Below::Shared {
-            share: 0.0,
-            span: 0,
+        running_memory_factor: 0.0,
+        dependency: DependencyLimit::Shared {
+            concurrency_quota: 0.0,
+            averaging_window: 0,
         },
-        answer_slack: 0,
-        crowd: 0.0,
+        response_slack: 0,
+        overload_concurrency_per_core: 0.0,
         tick: 0,
-        warm_after: 0,
+        warm_up_time: 0,
         cold_start: true,
-        advert: Advert::Allowance,
+        feedback: FeedbackKind::ConcurrencyAllowance,
         ..settings()
     };
     let mut script = Script::new(odd);
