--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,11 +11,11 @@
 use cleatpulley_dispatcher::{Event, RequestHead};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::server;
-use cleatpulley_server::front::{Front, Speaks};
-use cleatpulley_server::real::{serve_with, Hosted, Real, Served};
-use cleatpulley_server::report::Status;
-use cleatpulley_server::world::{Readiness, World};
-use cleatpulley_server::Party;
+use cleatpulley_server::client_listener::{ClientListener, FrontProtocol};
+use cleatpulley_server::host::{Host, Readiness};
+use cleatpulley_server::os_host::{serve_with, HostOptions, OsHost, Service};
+use cleatpulley_server::status_report::Status;
+use cleatpulley_server::SocketOwner;
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -78,9 +78,9 @@
 pub type Reload = Box<dyn FnMut() -> Result<Options, String>>;
 
 /// A gateway in its world.
-pub struct Gateway<W: World> {
+pub struct Gateway<W: Host> {
     world: W,
-    front: Front<W>,
+    front: ClientListener<W>,
     core: Core,
     upstream: upstream::Upstream<W>,
     facts: Vec<Event>,
@@ -94,7 +94,7 @@
     reload: Reload,
 }
 
-impl<W: World> Gateway<W> {
+impl<W: Host> Gateway<W> {
     /// A gateway that listens.
     ///
     /// # Errors
@@ -107,14 +107,14 @@
             .map(|class| class.name.clone())
             .collect();
         let most = (options.sockets.saturating_sub(SPARE) / 2).max(1);
-        let mut front = Front::new(world.clone(), classes.clone(), most);
+        let mut front = ClientListener::new(world.clone(), classes.clone(), most);
         let mut listen = |address, speaks| {
             let listened = front.listen(address, speaks);
             listened.map_err(|e| io::Error::new(e.kind(), format!("listen: {address}: {e}")))
         };
         let host: Rc<str> = Rc::from(options.host.as_str());
         for address in options.frames {
-            let address = listen(address, Speaks::Relayed(Rc::clone(&host)))?;
+            let address = listen(address, FrontProtocol::Relayed(Rc::clone(&host)))?;
             tracing::info!("{} listens on {address}", options.name);
         }
         if let Some((addresses, settings, trusted)) = options.ajp {
@@ -122,12 +122,12 @@
             for address in addresses {
                 let address = listen(
                     address,
-                    Speaks::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
+                    FrontProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
                 )?;
                 tracing::info!("{} speaks AJP on {address}", options.name);
             }
         }
-        front.set_idle(30_000_000);
+        front.set_idle_timeout(30_000_000);
         let core = Core::new(&options.settings).map_err(io::Error::other)?;
         let Options {
             speaks,
@@ -176,7 +176,7 @@
         while !self.orders.is_empty() || !self.replies.is_empty() {
             for order in std::mem::take(&mut self.orders) {
                 match order {
-                    Order::Response(to, answer) => self.front.answer(now, to, &answer),
+                    Order::Response(to, answer) => self.front.respond(now, to, &answer),
                     Order::Abandon(number) => self.upstream.abandon(number, &mut self.replies),
                     Order::Send { number, to, uri } => {
                         let Some(arrival) = self.core.request(number) else {
@@ -194,28 +194,31 @@
     }
 }
 
-impl<W: World> Served for Gateway<W> {
-    fn ready(&mut self, party: Party, readiness: Readiness) {
+impl<W: Host> Service for Gateway<W> {
+    fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness) {
         match party {
-            Party::Front(number) => self.front.note(number, readiness),
-            Party::Target(number) => self.upstream.note(number, readiness),
-            Party::Runtime | Party::Store(_) | Party::Directory(_) | Party::Operator(_) => {}
-            Party::Predecessor | Party::Successor => {}
+            SocketOwner::ClientConnection(number) => self.front.on_readiness(number, readiness),
+            SocketOwner::GatewayTarget(number) => self.upstream.note(number, readiness),
+            SocketOwner::Runtime
+            | SocketOwner::Dependency(_)
+            | SocketOwner::Registry(_)
+            | SocketOwner::Management(_) => {}
+            SocketOwner::Predecessor | SocketOwner::Successor => {}
         }
     }
 
-    fn acceptable(&mut self, listener: usize) {
-        self.front.note_listener(listener);
+    fn on_acceptable(&mut self, listener: usize) {
+        self.front.on_acceptable(listener);
     }
 
-    fn leave(&mut self) {
+    fn begin_shutdown(&mut self) {
         if self.stop_at.is_none() {
             let now = self.world.now();
             tracing::info!("leaving within {} ms", self.stop / 1_000);
             self.stop_at = Some(now + self.stop);
             self.core.close(now + self.grace);
             self.front.set_health(false);
-            self.front.leave(now);
+            self.front.begin_shutdown(now);
         }
     }
 
@@ -231,12 +234,12 @@
         }
     }
 
-    fn turn(&mut self) -> Micros {
+    fn poll(&mut self) -> Micros {
         let now = self.world.now();
         if self.stop_at.is_some_and(|at| now + FAREWELL >= at) {
-            self.front.part(now);
+            self.front.notify_stop(now);
         }
-        let more = self.front.turn(now, &mut self.facts);
+        let more = self.front.poll(now, &mut self.facts);
         self.upstream.turn(now, &mut self.replies);
         for fact in std::mem::take(&mut self.facts) {
             match fact {
@@ -269,17 +272,17 @@
             return 0;
         }
         let next = [self.core.due(), self.stop_at].into_iter().flatten();
-        next.chain([self.front.next(), self.sweep_at])
+        next.chain([self.front.next_deadline(), self.sweep_at])
             .min()
             .unwrap_or(0)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stop_at.is_some_and(|at| {
             let now = self.world.now();
             now >= at
                 || self.core.unanswered() == 0
-                    && self.front.connections() == 0
+                    && self.front.connection_count() == 0
                     && now + FAREWELL / 2 >= at
         })
     }
@@ -321,8 +324,8 @@
 ///
 /// # Errors
 /// When the event loop or an address can't be had.
-pub fn serve(options: Options, reload: Reload, hosted: Hosted) -> io::Result<()> {
-    serve_with(hosted, |world: Real| {
+pub fn serve(options: Options, reload: Reload, hosted: HostOptions) -> io::Result<()> {
+    serve_with(hosted, |world: OsHost| {
         Ok(Box::new(Gateway::new(world, options, reload)?))
     })
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -10,10 +10,10 @@
 use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
 use cleatpulley_protocol::frame::codec::{self, Parsed};
 use cleatpulley_routes::retry::Try;
-use cleatpulley_server::conn::Conn;
-use cleatpulley_server::secure::Layer;
-use cleatpulley_server::world::{Readiness, World};
-use cleatpulley_server::Party;
+use cleatpulley_server::buffered_connection::BufferedConnection;
+use cleatpulley_server::host::{Host, Readiness};
+use cleatpulley_server::tls_layer::TlsLayer;
+use cleatpulley_server::SocketOwner;
 use cleatpulley_tls::session::Session;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -80,8 +80,8 @@
     },
 }
 
-struct Line<W: World> {
-    conn: Conn<W>,
+struct Line<W: Host> {
+    conn: BufferedConnection<W>,
     to: Arc<str>,
     kind: Kind,
     up: bool,
@@ -92,7 +92,7 @@
 }
 
 /// The connections.
-pub struct Upstream<W: World> {
+pub struct Upstream<W: Host> {
     world: W,
     speaks: Speaks,
     names: Names,
@@ -136,7 +136,7 @@
     }
 }
 
-impl<W: World> Upstream<W> {
+impl<W: Host> Upstream<W> {
     /// Without any connection yet.
     #[must_use]
     pub fn new(
@@ -184,7 +184,7 @@
     /// A connection may be read from or written to.
     pub fn note(&mut self, number: u64, readiness: Readiness) {
         if let Some(line) = self.lines.get_mut(&number) {
-            line.conn.note(readiness);
+            line.conn.on_readiness(readiness);
             self.noted.push(number);
         }
     }
@@ -284,15 +284,17 @@
                 asked: None,
             },
         };
-        let secured = |mut conn: Conn<W>| -> std::io::Result<Conn<W>> {
+        let secured = |mut conn: BufferedConnection<W>| -> std::io::Result<BufferedConnection<W>> {
             if let Some(links) = &self.tls {
                 let name = links.server_name.as_deref().unwrap_or_else(|| host(to));
                 let session = Session::connect(std::sync::Arc::clone(&links.config), name);
-                conn.secure(Layer::client(session.map_err(std::io::Error::other)?));
+                conn.set_tls(TlsLayer::client(session.map_err(std::io::Error::other)?));
             }
             Ok(conn)
         };
-        match Conn::connect(&self.world, address, Party::Target(number)).and_then(secured) {
+        match BufferedConnection::connect(&self.world, address, SocketOwner::GatewayTarget(number))
+            .and_then(secured)
+        {
             Ok(conn) => {
                 let line = Line {
                     conn,
@@ -467,12 +469,12 @@
     }
 }
 
-impl<W: World> Line<W> {
+impl<W: Host> Line<W> {
     /// Whether more can be read at once.
     fn serve(&mut self, now: Micros, replies: &mut Vec<(Number, Reply)>) -> Result<bool, String> {
         let text = |e: std::io::Error| e.to_string();
         if !self.up {
-            self.conn.check().map_err(text)?;
+            self.conn.take_error().map_err(text)?;
         }
         let sent = self.conn.flush().map_err(text)?;
         self.written += sent as u64;
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -4,7 +4,9 @@
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_policy::interface::RequestId;
-use cleatpulley_server::world::{Keeper, Meeting, Passage, Standings, Stream};
+use cleatpulley_server::host::{
+    HandoverAddress, HandoverChannel, ReputationStorage, ResultPersistence, Stream,
+};
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::IpAddr;
@@ -22,14 +24,14 @@
 
 struct NoKeeper;
 
-impl Keeper for NoKeeper {
+impl ResultPersistence for NoKeeper {
     fn write(&mut self, _: cleatpulley_dispatcher::key_table::KeyCommand) {}
-    fn recall(&mut self, _: Micros, _: RequestId, _: u64, _: ScopedKey) {}
+    fn load_result(&mut self, _: Micros, _: RequestId, _: u64, _: ScopedKey) {}
     fn release(&mut self) {}
     fn stop(self) {}
 }
 
-impl Standings for NoKeeper {
+impl ReputationStorage for NoKeeper {
     fn write(&self, _: Vec<Entry>) {}
     fn release(&mut self) {}
     fn stop(self) {}
@@ -38,9 +40,9 @@
 /// Nobody is met in these tests.
 struct Nobody;
 
-impl Passage for Nobody {
+impl HandoverChannel for Nobody {
     type Listener = ();
-    type Passed = ();
+    type ReceivedSocket = ();
 
     fn send(&self, _: &[u8], _: &[&()]) -> io::Result<()> {
         Err(ErrorKind::NotConnected.into())
@@ -77,43 +79,43 @@
         Ok(count)
     }
 
-    fn finish(&self) {}
+    fn shutdown_write(&self) {}
 
-    fn check(&self) -> io::Result<()> {
+    fn take_error(&self) -> io::Result<()> {
         Ok(())
     }
 }
 
-impl World for Fake {
+impl Host for Fake {
     type Stream = Self;
     type Listener = ();
-    type Keeper = NoKeeper;
-    type Post = ();
-    type Spare = ();
-    type Standings = NoKeeper;
-    type Passage = Nobody;
+    type ResultPersistence = NoKeeper;
+    type SuccessorListener = ();
+    type ReservedDescriptor = ();
+    type ReputationStorage = NoKeeper;
+    type HandoverChannel = Nobody;
 
-    fn spare(&self) -> io::Result<()> {
+    fn reserve_descriptor(&self) -> io::Result<()> {
         Ok(())
     }
 
-    fn is_taken(&self, _: SocketAddr) -> bool {
+    fn is_address_in_use(&self, _: SocketAddr) -> bool {
         false
     }
 
-    fn adopt(&self, (): (), _: SocketAddr, _: usize) -> io::Result<()> {
+    fn adopt_listener(&self, (): (), _: SocketAddr, _: usize) -> io::Result<()> {
         Ok(())
     }
 
-    fn post(&self, _: &Meeting, _: usize) -> io::Result<()> {
+    fn listen_for_successors(&self, _: &HandoverAddress, _: usize) -> io::Result<()> {
         Ok(())
     }
 
-    fn welcome(&self, (): &(), _: Party) -> io::Result<Nobody> {
+    fn accept_successor(&self, (): &(), _: SocketOwner) -> io::Result<Nobody> {
         Err(ErrorKind::WouldBlock.into())
     }
 
-    fn visit(&self, _: &Meeting, _: Party) -> io::Result<Nobody> {
+    fn connect_to_predecessor(&self, _: &HandoverAddress, _: SocketOwner) -> io::Result<Nobody> {
         Err(ErrorKind::NotFound.into())
     }
 
@@ -125,19 +127,19 @@
         Ok(((), address))
     }
 
-    fn accept(&self, (): &(), _: Party) -> io::Result<(Self, IpAddr)> {
+    fn accept(&self, (): &(), _: SocketOwner) -> io::Result<(Self, IpAddr)> {
         Err(ErrorKind::WouldBlock.into())
     }
 
-    fn connect(&self, _: SocketAddr, _: Party) -> io::Result<Self> {
+    fn connect(&self, _: SocketAddr, _: SocketOwner) -> io::Result<Self> {
         Ok(self.clone())
     }
 
-    fn standings(&self, _: PathBuf, _: usize) -> io::Result<NoKeeper> {
+    fn open_reputation_storage(&self, _: PathBuf, _: usize) -> io::Result<NoKeeper> {
         Err(ErrorKind::Unsupported.into())
     }
 
-    fn keeper(&self, _: PathBuf, _: u64, _: bool) -> io::Result<NoKeeper> {
+    fn open_result_persistence(&self, _: PathBuf, _: u64, _: bool) -> io::Result<NoKeeper> {
         Err(ErrorKind::Unsupported.into())
     }
 }
--- a/crates/server/src/conn.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -1,8 +1,8 @@
 //! A stream socket in the event loop, with its bytes on the way in and out.
 
-use super::secure::Layer;
-use super::world::{Readiness, Stream, World};
-use super::Party;
+use super::host::{Host, Readiness, Stream};
+use super::tls_layer::TlsLayer;
+use super::SocketOwner;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -19,8 +19,8 @@
 }
 
 /// A connection. Its readiness is told once, so that it is kept here until a read or write uses it up.
-pub struct Conn<W: World> {
-    stream: W::Stream,
+pub struct BufferedConnection<H: Host> {
+    stream: H::Stream,
     readable: bool,
     writable: bool,
     /// Bytes read and not used yet.
@@ -30,7 +30,7 @@
     /// The peer sends no more.
     pub ended: bool,
     /// TLS, where it is spoken: `input` and what [`output`](Self::output) gives are then the plain bytes.
-    layer: Option<Box<Layer>>,
+    layer: Option<Box<TlsLayer>>,
     /// Plain bytes to be sealed with the next [`flush`](Self::flush).
     plain: Vec<u8>,
     /// Over TLS: bytes sent in all, and where in them the plain bytes sealed so far end. What has been handed to the
@@ -41,10 +41,10 @@
     plain_sent: u64,
 }
 
-impl<W: World> Conn<W> {
+impl<H: Host> BufferedConnection<H> {
     /// One that stands or is being made.
     #[must_use]
-    pub fn new(stream: W::Stream) -> Self {
+    pub fn new(stream: H::Stream) -> Self {
         let (input, output) = (Vec::new(), Vec::new());
         let (layer, plain, sealed) = (None, Vec::new(), VecDeque::new());
         Self {
@@ -65,24 +65,24 @@
     }
 
     /// Speaks TLS from here on.
-    pub fn secure(&mut self, layer: Layer) {
+    pub fn set_tls(&mut self, layer: TlsLayer) {
         self.layer = Some(Box::new(layer));
     }
 
     /// Its TLS, where it speaks it.
     #[must_use]
-    pub fn layer(&self) -> Option<&Layer> {
+    pub fn layer(&self) -> Option<&TlsLayer> {
         self.layer.as_deref()
     }
 
     /// The same, to be changed.
-    pub fn layer_mut(&mut self) -> Option<&mut Layer> {
+    pub fn layer_mut(&mut self) -> Option<&mut TlsLayer> {
         self.layer.as_deref_mut()
     }
 
     /// Tells a client whose handshake does not begin so, in plain, as far as the system takes it at once.
     pub fn refuse_tls(&mut self) {
-        self.output.extend_from_slice(&super::secure::BUSY_ALERT);
+        self.output.extend_from_slice(&super::tls_layer::BUSY_ALERT);
         self.writable = true;
         let _ = self.flush();
     }
@@ -107,12 +107,12 @@
     ///
     /// # Errors
     /// Those of the system; a refusal may come at once.
-    pub fn connect(world: &W, to: SocketAddr, party: Party) -> io::Result<Self> {
+    pub fn connect(world: &H, to: SocketAddr, party: SocketOwner) -> io::Result<Self> {
         world.connect(to, party).map(Self::new)
     }
 
     /// Notes what the event loop saw.
-    pub fn note(&mut self, readiness: Readiness) {
+    pub fn on_readiness(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable;
         self.writable |= readiness.writable;
     }
@@ -121,8 +121,8 @@
     ///
     /// # Errors
     /// That error.
-    pub fn check(&self) -> io::Result<()> {
-        self.stream.check()
+    pub fn take_error(&self) -> io::Result<()> {
+        self.stream.take_error()
     }
 
     /// Reads what has come until `input` holds `most`; true when more may be there.
@@ -134,7 +134,7 @@
             if self.input.len() >= most {
                 return Ok(true);
             }
-            if self.layer.as_deref().is_some_and(Layer::holds_back) {
+            if self.layer.as_deref().is_some_and(TlsLayer::holds_back) {
                 // What comes before the handshake may begin stays with the system.
                 return Ok(false);
             }
@@ -255,12 +255,12 @@
 
     /// Sends no more; what the peer still sends can be read. Over TLS the peer is told so first, as far as the system
     /// takes it at once.
-    pub fn finish(&mut self) {
+    pub fn shutdown_write(&mut self) {
         if let Some(layer) = self.layer.as_deref_mut() {
             layer.close(&mut self.output);
             let _ = self.flush();
         }
-        self.stream.finish();
+        self.stream.shutdown_write();
     }
 }
 
@@ -275,7 +275,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::real::Real;
+    use crate::os_host::OsHost;
 
     #[test]
     fn an_empty_buffer_gives_back_what_a_burst_took() {
@@ -288,8 +288,12 @@
             listener.expect("a port"),
         );
         let address = listener.local_addr().expect("an address");
-        let mut conn = Conn::connect(&Real::new(event_loop.handle()), address, Party::Runtime)
-            .expect("it listens");
+        let mut conn = BufferedConnection::connect(
+            &OsHost::new(event_loop.handle()),
+            address,
+            SocketOwner::Runtime,
+        )
+        .expect("it listens");
         conn.input = vec![0; 65_536];
         conn.consume(65_535);
         assert_eq!(conn.input.len(), 1);
--- a/crates/server/src/front.rs
+++ b/crates/server/src/client_listener.rs
@@ -2,21 +2,21 @@
 //! are the same for every protocol and live here; what the bytes mean is a [`Machine`]'s.
 
 mod accept;
-mod peer;
-mod speaks;
+mod client_connection;
+mod front_protocol;
 mod tls;
 
-pub use speaks::Speaks;
+pub use front_protocol::FrontProtocol;
 
-use super::secure::Tls;
-use super::world::{Readiness, World};
+use super::host::{Host, Readiness};
+use super::tls_layer::TlsState;
 use cleatpulley_connection_admission::handshake::Handshakes;
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::{Context, Machine, Standing};
-use peer::{Next, Peer};
+use client_connection::{Next, Peer};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -33,25 +33,25 @@
 const WARM: Micros = 300_000;
 
 /// A listening socket.
-struct Door<W: World> {
+struct Door<H: Host> {
     /// Where it listens, or is to.
     address: SocketAddr,
     /// None before there is one, and once others alone accept there.
-    listener: Option<W::Listener>,
-    speaks: Speaks,
+    listener: Option<H::Listener>,
+    speaks: FrontProtocol,
     acceptable: bool,
     /// It speaks TLS.
     secure: bool,
 }
 
 /// The listeners and their connections.
-pub struct Front<W: World> {
-    world: W,
-    doors: Vec<Door<W>>,
+pub struct ClientListener<H: Host> {
+    world: H,
+    doors: Vec<Door<H>>,
     classes: Vec<String>,
     most: usize,
     /// In the order of their numbers: what is done to all of them is done alike in every run.
-    peers: BTreeMap<u64, Peer<W>>,
+    peers: BTreeMap<u64, Peer<H>>,
     noted: Vec<u64>,
     /// Connections with more to read than one turn takes: no edge will tell of it again.
     again: Vec<u64>,
@@ -71,19 +71,19 @@
     /// Who gets a place, where that is not first come, first served.
     admission: Option<Admission>,
     /// TLS, where some doors speak it, and which handshakes run.
-    tls: Option<Rc<RefCell<Tls>>>,
+    tls: Option<Rc<RefCell<TlsState>>>,
     handshakes: Option<Handshakes>,
     identities: Option<Identities>,
     /// Connections that are `over`.
     refused: usize,
     /// A descriptor kept for the moment at which no other is left, where it matters who comes then.
-    spare: Option<W::Spare>,
+    spare: Option<H::ReservedDescriptor>,
 }
 
-impl<W: World> Front<W> {
+impl<H: Host> ClientListener<H> {
     /// A front without listeners, for at most so many connections.
     #[must_use]
-    pub fn new(world: W, classes: Vec<String>, most: usize) -> Self {
+    pub fn new(world: H, classes: Vec<String>, most: usize) -> Self {
         Self {
             world,
             doors: Vec::new(),
@@ -113,7 +113,7 @@
     }
 
     /// Speaks TLS on the doors that it is set for, those that come later among them.
-    pub fn set_tls(&mut self, now: Micros, tls: Rc<RefCell<Tls>>) {
+    pub fn set_tls(&mut self, now: Micros, tls: Rc<RefCell<TlsState>>) {
         let settings = tls.borrow().options().handshakes;
         self.handshakes = settings.map(|settings| Handshakes::new(settings, now));
         let identities = tls.borrow().options().identities.clone();
@@ -130,7 +130,7 @@
         self.handshakes.as_ref()
     }
 
-    fn secures(&self, speaks: &Speaks) -> bool {
+    fn secures(&self, speaks: &FrontProtocol) -> bool {
         self.tls
             .as_ref()
             .is_some_and(|tls| tls.borrow().speaks(speaks))
@@ -154,7 +154,7 @@
     }
 
     /// Adds an address whose listening socket comes later.
-    pub fn expect(&mut self, address: SocketAddr, speaks: Speaks) {
+    pub fn add_expected_listener(&mut self, address: SocketAddr, speaks: FrontProtocol) {
         let secure = self.secures(&speaks);
         self.doors.push(Door {
             address,
@@ -172,9 +172,9 @@
     pub fn adopt(
         &mut self,
         address: SocketAddr,
-        listener: impl FnOnce(usize) -> io::Result<W::Listener>,
+        listener: impl FnOnce(usize) -> io::Result<H::Listener>,
     ) -> io::Result<bool> {
-        let expects = |door: &Door<W>| door.address == address && door.listener.is_none();
+        let expects = |door: &Door<H>| door.address == address && door.listener.is_none();
         let Some(place) = self.doors.iter().position(expects) else {
             return Ok(false);
         };
@@ -207,19 +207,19 @@
     }
 
     /// Where it listens, with the sockets.
-    pub fn listeners(&self) -> impl Iterator<Item = (SocketAddr, Option<&W::Listener>)> {
+    pub fn listeners(&self) -> impl Iterator<Item = (SocketAddr, Option<&H::Listener>)> {
         self.doors
             .iter()
             .map(|door| (door.address, door.listener.as_ref()))
     }
 
     /// Accepts nothing until it is told to.
-    pub fn rest(&mut self) {
+    pub fn pause_accepting(&mut self) {
         self.resting = true;
     }
 
     /// Accepts, again or at last.
-    pub fn resume(&mut self) {
+    pub fn resume_accepting(&mut self) {
         (self.resting, self.yielding) = (false, false);
         self.doors
             .iter_mut()
@@ -227,20 +227,20 @@
     }
 
     /// Another process accepts from here on: connections are told to close, each as soon as nothing is on its way on it.
-    pub fn give_way(&mut self, now: Micros) {
+    pub fn yield_to_successor(&mut self, now: Micros) {
         (self.resting, self.yielding) = (true, true);
         self.send_away(now);
     }
 
     /// Holds so many connections from now on. Those above that go where they owe nothing.
-    pub fn set_most(&mut self, now: Micros, most: usize, facts: &mut Vec<Event>) {
+    pub fn set_connection_limit(&mut self, now: Micros, most: usize, facts: &mut Vec<Event>) {
         self.most = most.max(1);
         while self.peers.len() > self.most && self.make_room(now, facts) {}
     }
 
     /// Closes a connection that owes nothing, if there is one: the system has no descriptor left. Guards against the next
     /// that waits at the door, who would have it before whom it is meant for.
-    pub fn spare_one(&mut self, now: Micros, meant_until: Micros, facts: &mut Vec<Event>) {
+    pub fn free_slot(&mut self, now: Micros, meant_until: Micros, facts: &mut Vec<Event>) {
         self.make_room(now, facts);
         self.accept_at = self.accept_at.max(meant_until);
     }
@@ -248,7 +248,7 @@
     /// All connections that were ever used have been told to close.
     #[must_use]
     pub fn is_sent_away(&self) -> bool {
-        let used = |peer: &Peer<W>| {
+        let used = |peer: &Peer<H>| {
             let status = peer.machine.status();
             status.standing == Standing::Open && status.spoken
         };
@@ -274,7 +274,7 @@
     ///
     /// # Errors
     /// When the address can't be listened on.
-    pub fn listen(&mut self, address: SocketAddr, speaks: Speaks) -> io::Result<SocketAddr> {
+    pub fn listen(&mut self, address: SocketAddr, speaks: FrontProtocol) -> io::Result<SocketAddr> {
         let (listener, address) = self.world.listen(address, self.doors.len())?;
         let secure = self.secures(&speaks);
         self.doors.push(Door {
@@ -289,7 +289,7 @@
 
     /// Listeners, connections, and the requests that are open on those.
     #[must_use]
-    pub fn census(&self) -> (usize, usize, usize) {
+    pub fn usage(&self) -> (usize, usize, usize) {
         let open = self
             .peers
             .values()
@@ -305,27 +305,27 @@
 
     /// Descriptors that are kept for later.
     #[must_use]
-    pub fn spares(&self) -> usize {
+    pub fn reserved_descriptors(&self) -> usize {
         usize::from(self.spare.is_some())
     }
 
     /// Connections that stand.
     #[must_use]
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.peers.len()
     }
 
     /// Connections may wait to be accepted on this listener.
-    pub fn note_listener(&mut self, place: usize) {
+    pub fn on_acceptable(&mut self, place: usize) {
         if let Some(door) = self.doors.get_mut(place) {
             door.acceptable = true;
         }
     }
 
     /// A connection may be read from or written to.
-    pub fn note(&mut self, number: u64, readiness: Readiness) {
+    pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(peer) = self.peers.get_mut(&number) {
-            peer.conn.note(readiness);
+            peer.conn.on_readiness(readiness);
             self.noted.push(number);
         }
     }
@@ -341,12 +341,12 @@
     }
 
     /// Connections idle for so long are closed from now on.
-    pub fn set_idle(&mut self, after: Micros) {
+    pub fn set_idle_timeout(&mut self, after: Micros) {
         self.idle = Some(after);
     }
 
     /// Answers a request. A connection that is gone needs no answer.
-    pub fn answer(&mut self, now: Micros, to: ClientStream, answer: &Response) {
+    pub fn respond(&mut self, now: Micros, to: ClientStream, answer: &Response) {
         let Some(peer) = self.peers.get_mut(&to.connection) else {
             return;
         };
@@ -370,21 +370,21 @@
     }
 
     /// The first listener is shared with other processes, which accept there from now on.
-    pub fn leave_listener(&mut self) {
+    pub fn close_listeners(&mut self) {
         if let Some(door) = self.doors.first_mut() {
             door.listener = None;
         }
     }
 
     /// The notice to leave has come.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.leaving, true) {
             self.tell_all(now, |machine, context, out| machine.leave(context, out));
         }
     }
 
     /// The stop is near: no new request is taken, and no new connection once those waiting are accepted.
-    pub fn part(&mut self, now: Micros) {
+    pub fn notify_stop(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.parting, true) {
             self.tell_all(now, |machine, context, out| machine.part(context, out));
             self.doors
@@ -414,7 +414,7 @@
     }
 
     /// Accepts, reads, sends and closes. True when more can be read at once.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
+    pub fn poll(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
         self.accept(now, facts);
         self.handshakes_turn(now, facts);
         let mut noted = std::mem::take(&mut self.noted);
@@ -493,7 +493,7 @@
 
     /// When connections have to be looked at, though nothing happened.
     #[must_use]
-    pub fn next(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let next = if self.acceptable() && self.accept_at > 0 {
             self.sweep_at.min(self.accept_at)
         } else {
@@ -534,14 +534,14 @@
     /// their end, then those that never sent a whole message, the oldest first. Guards against clients that take
     /// all places and say nothing, while front ends wait to be accepted.
     fn make_room(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
-        let spare = |(number, peer): (&u64, &Peer<W>)| {
+        let spare = |(number, peer): (&u64, &Peer<H>)| {
             peer.spare_since(now)
                 .map(|(rank, since)| (rank, since, *number))
         };
         while let Some((_, _, number)) = self.peers.iter().filter_map(spare).min() {
             // What it sent may have come since it was last read: closing over that would lose it.
             if let Some(peer) = self.peers.get_mut(&number) {
-                peer.conn.note(Readiness {
+                peer.conn.on_readiness(Readiness {
                     readable: true,
                     writable: false,
                 });
@@ -566,7 +566,7 @@
     fn sweep(&mut self, now: Micros, facts: &mut Vec<Event>) {
         self.keep_spare();
         // Those that could not go yet when places became fewer.
-        self.set_most(now, self.most, facts);
+        self.set_connection_limit(now, self.most, facts);
         if self.yielding {
             self.send_away(now);
         }
@@ -600,13 +600,13 @@
             }
         }
         let crowd = (CROWDED * self.most as f64) as usize;
-        let ends = |peer: &&Peer<W>| {
+        let ends = |peer: &&Peer<H>| {
             peer.lingers.is_some() || peer.machine.status().standing != Standing::Open
         };
         let going = self.peers.values().filter(ends).count();
         let excess = (self.peers.len() - going).saturating_sub(crowd);
         if excess > 0 {
-            let idle = |(number, peer): (&u64, &Peer<W>)| {
+            let idle = |(number, peer): (&u64, &Peer<H>)| {
                 let status = peer.machine.status();
                 let idle = peer.lingers.is_none() && status.is_idle();
                 (idle && now >= status.used + WARM).then_some((status.used, *number))
--- a/crates/server/src/front/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -1,11 +1,11 @@
 //! Accepting: who gets a place, and what becomes of those who get none. What is decided lies with
 //! `cleatpulley_connection_admission`, where it is on; otherwise those beyond the bound wait with the system.
 
-use super::{Front, Peer};
-use crate::conn::Conn;
-use crate::secure::{Layer, BUSY_ALERT};
-use crate::world::{Readiness, World};
-use crate::Party;
+use super::{ClientListener, Peer};
+use crate::buffered_connection::BufferedConnection;
+use crate::host::{Host, Readiness};
+use crate::tls_layer::{TlsLayer, BUSY_ALERT};
+use crate::SocketOwner;
 use cleatpulley_connection_admission::admit::Known;
 use cleatpulley_connection_admission::Decision;
 use cleatpulley_dispatcher::Event;
@@ -31,7 +31,7 @@
     short: bool,
 }
 
-impl<W: World> Front<W> {
+impl<H: Host> ClientListener<H> {
     pub(super) fn accept(&mut self, now: Micros, facts: &mut Vec<Event>) {
         for place in 0..self.doors.len() {
             if now < self.accept_at || self.resting {
@@ -75,12 +75,16 @@
                 return;
             };
             let mut short = false;
-            let mut accepted = self.world.accept(listener, Party::Front(number));
+            let mut accepted = self
+                .world
+                .accept(listener, SocketOwner::ClientConnection(number));
             if accepted.as_ref().is_err_and(|e| !is_passing(e)) && give_up(self.spare.take()) {
                 // The descriptor that is kept for that: who waits is known or not, and only accepting tells. The system says
                 // that it has none also where nobody waits.
                 short = true;
-                accepted = self.world.accept(listener, Party::Front(number));
+                accepted = self
+                    .world
+                    .accept(listener, SocketOwner::ClientConnection(number));
             }
             let (stream, address) = match accepted {
                 Ok(accepted) => accepted,
@@ -107,7 +111,14 @@
             };
             let caller = Caller { address, short };
             self.numbers = number;
-            self.let_in(place, now, Conn::new(stream), &caller, stuck, facts);
+            self.let_in(
+                place,
+                now,
+                BufferedConnection::new(stream),
+                &caller,
+                stuck,
+                facts,
+            );
             if caller.short {
                 self.keep_spare();
             }
@@ -120,7 +131,7 @@
     /// Has a descriptor kept for the moment at which no other is left.
     pub(super) fn keep_spare(&mut self) {
         if self.spare.is_none() && self.admission.is_some() {
-            self.spare = self.world.spare().ok();
+            self.spare = self.world.reserve_descriptor().ok();
         }
     }
 
@@ -129,7 +140,7 @@
         &mut self,
         place: usize,
         now: Micros,
-        mut conn: Conn<W>,
+        mut conn: BufferedConnection<H>,
         caller: &Caller,
         stuck: bool,
         facts: &mut Vec<Event>,
@@ -150,7 +161,7 @@
         match known {
             Ok(known) => {
                 if secure {
-                    conn.secure(Layer::new());
+                    conn.set_tls(TlsLayer::new());
                     if let Some(handshakes) = &mut self.handshakes {
                         handshakes.accepted(now, number);
                     }
@@ -191,7 +202,7 @@
                 }
                 // What came with the connection is read and answered, for closing over it would lose it, and a keyed request
                 // among it may have run before.
-                conn.note(Readiness {
+                conn.on_readiness(Readiness {
                     readable: true,
                     writable: true,
                 });
@@ -221,7 +232,7 @@
     /// connections would else keep them for as long as what they sent is read away, and the door shut.
     fn forget_refused(&mut self, facts: &mut Vec<Event>) -> bool {
         // What came on it is read and answered, or thrown away once our end is closed: closing it loses nothing.
-        let owes = |peer: &Peer<W>| {
+        let owes = |peer: &Peer<H>| {
             let unread = peer.lingers.is_none() && !peer.conn.is_drained();
             peer.machine.status().open > 0 || peer.conn.unsent() > 0 || unread
         };
@@ -296,8 +307,8 @@
 }
 
 /// Says what is to be said as far as the system takes it now; nothing is read.
-fn say_at_once<W: World>(conn: &mut Conn<W>) {
-    conn.note(Readiness {
+fn say_at_once<H: Host>(conn: &mut BufferedConnection<H>) {
+    conn.on_readiness(Readiness {
         readable: false,
         writable: true,
     });
--- a/crates/server/src/front/peer.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -1,8 +1,8 @@
 //! A connection of the client side: its bytes, its state machine, and when it is over.
 
-use super::speaks::Spoken;
-use crate::conn::Conn;
-use crate::world::World;
+use super::front_protocol::Spoken;
+use crate::buffered_connection::BufferedConnection;
+use crate::host::Host;
 use cleatpulley_connection_admission::admit::Known;
 use cleatpulley_dispatcher::IncomingRequest;
 use cleatpulley_policy::interface::Micros;
@@ -25,8 +25,8 @@
 /// sent may be on its way.
 pub(super) const FAIR: Micros = 50_000;
 
-pub(super) struct Peer<W: World> {
-    pub(super) conn: Conn<W>,
+pub(super) struct Peer<H: Host> {
+    pub(super) conn: BufferedConnection<H>,
     pub(super) machine: Spoken,
     /// Since when our end is closed; what still comes is thrown away.
     pub(super) lingers: Option<Micros>,
@@ -46,7 +46,7 @@
     Close,
 }
 
-impl<W: World> Peer<W> {
+impl<H: Host> Peer<H> {
     pub(super) fn serve(
         &mut self,
         context: &Context,
@@ -69,7 +69,7 @@
         self.conn.flush()?;
         let now = context.now;
         if self.rests(now) {
-            self.conn.finish();
+            self.conn.shutdown_write();
             self.lingers = Some(now);
         }
         if let Some(since) = self.lingers {
--- a/crates/server/src/front/speaks.rs
+++ b/crates/server/src/client_listener/front_protocol.rs
@@ -8,7 +8,7 @@
 
 /// What is spoken on a listening address.
 #[derive(Debug, Clone)]
-pub enum Speaks {
+pub enum FrontProtocol {
     /// The frames of front ends.
     Frames(Rc<frame::connection::Terms>),
     /// The same for a gateway, whose routes look for this host.
@@ -17,7 +17,7 @@
     Ajp(Rc<ajp::server::Settings>, Rc<Vec<IpAddr>>),
 }
 
-impl Speaks {
+impl FrontProtocol {
     pub(super) fn machine(&self, now: Micros, peer: IpAddr) -> Spoken {
         match self {
             Self::Frames(terms) => {
--- a/crates/server/src/front/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -1,9 +1,9 @@
 //! The front on sockets of loopback, on a clock of the test's own: nothing is read before the test says so.
 
 use super::accept::ACCEPT_PAUSE;
-use super::peer::FAIR;
+use super::client_connection::FAIR;
 use super::*;
-use crate::real::Real;
+use crate::os_host::OsHost;
 use cleatpulley_protocol::frame;
 use cleatpulley_protocol::frame::connection::PARTING;
 use std::net::TcpStream;
@@ -15,17 +15,17 @@
 fn once_it_no_longer_listens_there_is_nothing_to_accept() {
     let event_loop = calloop::EventLoop::try_new().expect("an event loop");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut front = Front::new(Real::new(event_loop.handle()), Vec::new(), 8);
+    let mut front = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), 8);
     front
-        .listen(address, Speaks::Frames(Rc::default()))
+        .listen(address, FrontProtocol::Frames(Rc::default()))
         .expect("a port");
     let mut facts = Vec::new();
-    front.part(1);
-    front.turn(1, &mut facts);
+    front.notify_stop(1);
+    front.poll(1, &mut facts);
     assert!(front.doors.is_empty());
     // A connection that closes leaves room for another.
-    front.note_listener(0);
-    assert!(!front.turn(2, &mut facts));
+    front.on_acceptable(0);
+    assert!(!front.poll(2, &mut facts));
 }
 
 /// Connections of a front that holds at most so many, and their other ends.
@@ -33,30 +33,33 @@
     most: usize,
     number: usize,
 ) -> (
-    calloop::EventLoop<'static, Box<dyn crate::real::Served>>,
-    Front<Real>,
+    calloop::EventLoop<'static, Box<dyn crate::os_host::Service>>,
+    ClientListener<OsHost>,
     Vec<TcpStream>,
 ) {
     let event_loop = calloop::EventLoop::try_new().expect("an event loop");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut front = Front::new(Real::new(event_loop.handle()), Vec::new(), most);
+    let mut front = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), most);
     let address = front
-        .listen(address, Speaks::Frames(Rc::default()))
+        .listen(address, FrontProtocol::Frames(Rc::default()))
         .expect("a port");
     let ends = (0..number)
         .map(|_| TcpStream::connect(address).expect("it listens"))
         .collect();
-    front.turn(1, &mut Vec::new());
+    front.poll(1, &mut Vec::new());
     (event_loop, front, ends)
 }
 
-fn numbers(front: &Front<Real>) -> Vec<u64> {
+fn numbers(front: &ClientListener<OsHost>) -> Vec<u64> {
     let mut numbers: Vec<_> = front.peers.keys().copied().collect();
     numbers.sort_unstable();
     numbers
 }
 
-fn status(front: &mut Front<Real>, number: u64) -> &mut cleatpulley_protocol::machine::Status {
+fn status(
+    front: &mut ClientListener<OsHost>,
+    number: u64,
+) -> &mut cleatpulley_protocol::machine::Status {
     front
         .peers
         .get_mut(&number)
@@ -65,7 +68,7 @@
         .status_mut()
 }
 
-fn open(peer: &Peer<Real>) -> bool {
+fn open(peer: &Peer<OsHost>) -> bool {
     peer.lingers.is_none() && peer.machine.status().standing == Standing::Open
 }
 
@@ -79,13 +82,13 @@
         "what was accepted just now keeps its place"
     );
     status(&mut front, 1).spoken = true;
-    front.turn(1 + ACCEPT_PAUSE, &mut Vec::new());
+    front.poll(1 + ACCEPT_PAUSE, &mut Vec::new());
     assert_eq!(numbers(&front), [1, 3]);
     // A request that is open is never given up for a place.
     status(&mut front, 3).open = 1;
     let _end = TcpStream::connect(_ends[0].peer_addr().expect("an address")).expect("it listens");
-    front.note_listener(0);
-    front.turn(SECOND, &mut Vec::new());
+    front.on_acceptable(0);
+    front.poll(SECOND, &mut Vec::new());
     assert_eq!(numbers(&front), [1, 3]);
 }
 
@@ -98,8 +101,8 @@
         (status.spoken, status.waits, status.used) = (true, None, *number);
     }
     status(&mut front, 1).open = 1;
-    front.turn(SECOND, &mut Vec::new());
-    let parting = |front: &Front<Real>| {
+    front.poll(SECOND, &mut Vec::new());
+    let parting = |front: &ClientListener<OsHost>| {
         let mut parting: Vec<_> = front
             .peers
             .iter()
@@ -110,7 +113,7 @@
         parting
     };
     assert_eq!(parting(&front), [2, 3]);
-    front.turn(SECOND + SWEEP, &mut Vec::new());
+    front.poll(SECOND + SWEEP, &mut Vec::new());
     assert_eq!(parting(&front), [2, 3], "six of nine places are no crowd");
 }
 
@@ -118,10 +121,10 @@
 #[test]
 fn a_pause_is_no_silence() {
     let (_event_loop, mut front, _ends) = crowd(8, 2);
-    front.turn(9 * SECOND, &mut Vec::new());
+    front.poll(9 * SECOND, &mut Vec::new());
     assert!(front.peers.values().all(open));
     for turn in 1..=20 {
-        front.turn(9 * SECOND + turn * SWEEP, &mut Vec::new());
+        front.poll(9 * SECOND + turn * SWEEP, &mut Vec::new());
     }
     assert!(!front.peers.values().any(open));
 }
@@ -158,8 +161,8 @@
     most: usize,
     number: usize,
 ) -> (
-    calloop::EventLoop<'static, Box<dyn crate::real::Served>>,
-    Front<Real>,
+    calloop::EventLoop<'static, Box<dyn crate::os_host::Service>>,
+    ClientListener<OsHost>,
     Vec<TcpStream>,
 ) {
     let (event_loop, mut front, ends) = crowd(most, number);
@@ -191,7 +194,7 @@
     assert_eq!(numbers(&front), [1, 2]);
     std::io::Write::write_all(&mut ends[0], &request(7)).expect("it is taken");
     let mut facts = Vec::new();
-    front.turn(1 + ACCEPT_PAUSE, &mut facts);
+    front.poll(1 + ACCEPT_PAUSE, &mut facts);
     assert_eq!(arrived(&facts), [7], "the silent longest was not silent");
     assert_eq!(numbers(&front), [1, 3], "the place was taken from the next");
 }
@@ -205,14 +208,14 @@
     let (before, after) = whole.split_at(20);
     std::io::Write::write_all(&mut ends[0], before).expect("it is taken");
     let mut facts = Vec::new();
-    front.note(1, READABLE);
-    front.note(2, READABLE);
-    front.turn(2, &mut facts);
-    front.part(3);
-    front.turn(3, &mut facts);
+    front.on_readiness(1, READABLE);
+    front.on_readiness(2, READABLE);
+    front.poll(2, &mut facts);
+    front.notify_stop(3);
+    front.poll(3, &mut facts);
     let late = 3 + PARTING + SWEEP;
-    front.turn(late, &mut facts);
-    front.turn(late + 1, &mut facts);
+    front.poll(late, &mut facts);
+    front.poll(late + 1, &mut facts);
     assert!(
         front.peers[&1].lingers.is_none(),
         "half a request is on its way"
@@ -222,10 +225,10 @@
         "nothing came on this one"
     );
     std::io::Write::write_all(&mut ends[0], after).expect("it is taken");
-    front.note(1, READABLE);
-    front.turn(late + 2, &mut facts);
+    front.on_readiness(1, READABLE);
+    front.poll(late + 2, &mut facts);
     assert_eq!(arrived(&facts), [9]);
-    front.answer(
+    front.respond(
         late + 3,
         ClientStream {
             connection: 1,
@@ -234,7 +237,7 @@
         &Response::Failed,
     );
     front.flush(late + 3, &mut facts);
-    front.turn(late + 4, &mut facts);
+    front.poll(late + 4, &mut facts);
     assert!(
         front.peers[&1].lingers.is_some(),
         "and then nothing holds it"
@@ -246,11 +249,11 @@
 fn half_a_request_does_not_hold_its_connection_for_ever() {
     let (_event_loop, mut front, mut ends) = looks(8, 1);
     std::io::Write::write_all(&mut ends[0], &request(9)[..20]).expect("it is taken");
-    front.note(1, READABLE);
-    front.turn(2, &mut Vec::new());
-    front.part(3);
+    front.on_readiness(1, READABLE);
+    front.poll(2, &mut Vec::new());
+    front.notify_stop(3);
     for turn in 1..=25 {
-        front.turn(3 + turn * SWEEP, &mut Vec::new());
+        front.poll(3 + turn * SWEEP, &mut Vec::new());
     }
     assert!(front.peers[&1].lingers.is_some());
 }
@@ -265,9 +268,9 @@
         .shutdown(std::net::Shutdown::Write)
         .expect("a half close");
     let mut facts = Vec::new();
-    front.note(1, READABLE);
-    front.turn(2, &mut facts);
-    front.answer(
+    front.on_readiness(1, READABLE);
+    front.poll(2, &mut facts);
+    front.respond(
         3,
         ClientStream {
             connection: 1,
@@ -277,10 +280,10 @@
     );
     front.flush(3, &mut facts);
     let peer = front.peers.get_mut(&1).expect("it stands");
-    peer.conn.finish();
+    peer.conn.shutdown_write();
     peer.lingers = Some(3);
-    front.part(4);
-    front.give_way(4);
+    front.notify_stop(4);
+    front.yield_to_successor(4);
     assert_eq!(front.peers[&1].conn.unsent(), 0);
     front.sweep(4 + 3 * SECOND, &mut facts);
     assert_eq!(front.peers[&1].conn.unsent(), 0);
@@ -297,18 +300,18 @@
     let address = ends[0].peer_addr().expect("an address");
     let mut end = TcpStream::connect(address).expect("it listens");
     std::io::Write::write_all(&mut end, &request(3)).expect("it is taken");
-    front.part(2);
+    front.notify_stop(2);
     let mut facts = Vec::new();
-    front.turn(2, &mut facts);
+    front.poll(2, &mut facts);
     assert!(
         TcpStream::connect(address).is_err(),
         "nobody waits there unseen"
     );
     assert_eq!(numbers(&front), [1, 2]);
-    front.note(2, READABLE);
-    front.turn(3, &mut facts);
+    front.on_readiness(2, READABLE);
+    front.poll(3, &mut facts);
     assert_eq!(arrived(&facts), [3]);
-    front.answer(
+    front.respond(
         4,
         ClientStream {
             connection: 2,
@@ -332,14 +335,14 @@
         let (_event_loop, mut front, mut ends) = looks(8, 1);
         status(&mut front, 1).spoken = true;
         status(&mut front, 1).waits = None;
-        front.set_idle(SECOND);
+        front.set_idle_timeout(SECOND);
         let mut facts = Vec::new();
         let idle = 1 + 2 * SECOND;
         if before {
             std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
-            front.note(1, READABLE);
+            front.on_readiness(1, READABLE);
         }
-        front.turn(idle, &mut facts);
+        front.poll(idle, &mut facts);
         assert_eq!(
             open(&front.peers[&1]),
             before,
@@ -347,11 +350,11 @@
         );
         if !before {
             std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
-            front.note(1, READABLE);
-            front.turn(idle + FAIR, &mut facts);
+            front.on_readiness(1, READABLE);
+            front.poll(idle + FAIR, &mut facts);
         }
         assert_eq!(arrived(&facts), [4]);
-        front.turn(idle + 2 * PARTING, &mut facts);
+        front.poll(idle + 2 * PARTING, &mut facts);
         assert!(front.peers[&1].lingers.is_none(), "an answer is owed");
     }
 }
@@ -361,8 +364,8 @@
 fn those_that_could_not_go_at_once_go_when_they_may() {
     let (_event_loop, mut front, _ends) = crowd(8, 6);
     let mut facts = Vec::new();
-    front.set_most(2, 3, &mut facts);
-    assert_eq!(front.connections(), 6);
-    front.turn(1 + SWEEP, &mut facts);
+    front.set_connection_limit(2, 3, &mut facts);
+    assert_eq!(front.connection_count(), 6);
+    front.poll(1 + SWEEP, &mut facts);
     assert_eq!(numbers(&front), [4, 5, 6], "the silent longest first");
 }
--- a/crates/server/src/front/tls.rs
+++ b/crates/server/src/client_listener/tls.rs
@@ -1,27 +1,27 @@
 //! TLS in the front: a handshake's turn, its end, and the names that may ask for a class. What runs when is decided by
 //! [`Handshakes`]; this obeys.
 
-use super::{Front, Speaks};
-use crate::secure::{Layer, Tls};
-use crate::world::World;
+use super::{ClientListener, FrontProtocol};
+use crate::host::Host;
+use crate::tls_layer::{TlsLayer, TlsState};
 use cleatpulley_connection_admission::admit::Known;
 use cleatpulley_connection_admission::handshake::{Offer, Turn};
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Context;
 
-impl Tls {
+impl TlsState {
     /// Whether a door of this kind speaks TLS.
     #[must_use]
-    pub fn speaks(&self, speaks: &Speaks) -> bool {
+    pub fn speaks(&self, speaks: &FrontProtocol) -> bool {
         match speaks {
-            Speaks::Frames(_) | Speaks::Relayed(_) => self.options().frames,
-            Speaks::Ajp(..) => self.options().ajp,
+            FrontProtocol::Frames(_) | FrontProtocol::Relayed(_) => self.options().frames,
+            FrontProtocol::Ajp(..) => self.options().ajp,
         }
     }
 }
 
-impl<W: World> Front<W> {
+impl<H: Host> ClientListener<H> {
     /// After a connection was served: its offer is decided on, the end of its handshake is noted, and what it asked for
     /// goes on, or is answered as forbidden where its names may not ask for the class.
     pub(super) fn secure_turn(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
@@ -52,14 +52,14 @@
             return;
         };
         let mut over = None;
-        if peer.conn.layer_mut().is_some_and(Layer::established) {
+        if peer.conn.layer_mut().is_some_and(TlsLayer::established) {
             if let Some(handshakes) = &mut self.handshakes {
                 handshakes.done(number);
             }
             peer.names = peer
                 .conn
                 .layer()
-                .and_then(Layer::session)
+                .and_then(TlsLayer::session)
                 .map(|s| s.peer_names())
                 .unwrap_or_default();
             match self
--- a/crates/server/src/store.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -1,8 +1,8 @@
 //! The pool of connections to the store: one call at a time on each, over HTTP or AJP.
 
-use super::conn::Conn;
-use super::world::{Readiness, World};
-use super::Party;
+use super::buffered_connection::BufferedConnection;
+use super::host::{Host, Readiness};
+use super::SocketOwner;
 use cleatpulley_dispatcher::{DependencyCall, Event};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
@@ -22,7 +22,7 @@
 
 /// How the store is called.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Speaks {
+pub enum DependencyProtocol {
     /// HTTP/1.1.
     #[default]
     Http,
@@ -30,7 +30,7 @@
     Ajp(client::Options),
 }
 
-struct Job {
+struct PersistenceJob {
     id: RequestId,
     made: Micros,
     until: Micros,
@@ -39,12 +39,12 @@
     repeatable: bool,
 }
 
-struct Channel<W: World> {
-    conn: Conn<W>,
+struct Channel<H: Host> {
+    conn: BufferedConnection<H>,
     /// The state of an AJP connection; none where HTTP is spoken.
     client: Option<Client>,
     address: SocketAddr,
-    job: Option<Job>,
+    job: Option<PersistenceJob>,
     /// When it became idle.
     idle_at: Micros,
     /// Bytes of a call may have reached the store.
@@ -54,25 +54,25 @@
 }
 
 /// The pool.
-pub struct Store<W: World> {
-    world: W,
+pub struct DependencyPool<H: Host> {
+    world: H,
     address: SocketAddr,
-    speaks: Speaks,
+    speaks: DependencyProtocol,
     most: usize,
     /// In the order of their numbers: what is done to all of them is done alike in every run.
-    channels: BTreeMap<u64, Channel<W>>,
+    channels: BTreeMap<u64, Channel<H>>,
     /// Idle channels; the last was used last.
     idle: Vec<u64>,
     busy: HashMap<RequestId, u64>,
-    waiting: VecDeque<Job>,
+    waiting: VecDeque<PersistenceJob>,
     noted: Vec<u64>,
     numbers: u64,
 }
 
-impl<W: World> Store<W> {
+impl<H: Host> DependencyPool<H> {
     /// An empty pool that holds `most` connections.
     #[must_use]
-    pub fn new(world: W, address: SocketAddr, speaks: Speaks, most: usize) -> Self {
+    pub fn new(world: H, address: SocketAddr, speaks: DependencyProtocol, most: usize) -> Self {
         Self {
             world,
             address,
@@ -89,7 +89,7 @@
 
     /// Calls, those that wait among them, and connections.
     #[must_use]
-    pub fn census(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         (self.busy.len() + self.waiting.len(), self.channels.len())
     }
 
@@ -104,7 +104,7 @@
         } = call;
         self.place(
             now,
-            Job {
+            PersistenceJob {
                 id,
                 made: now,
                 until: now + timeout,
@@ -115,7 +115,7 @@
         );
     }
 
-    fn place(&mut self, now: Micros, job: Job, facts: &mut Vec<Event>) {
+    fn place(&mut self, now: Micros, job: PersistenceJob, facts: &mut Vec<Event>) {
         // Guards against a connection that the store has dropped unseen: its reset does not tell whether the call
         // ran, so that a call which must not be made twice takes a fresh one.
         let idle = if job.repeatable {
@@ -182,10 +182,14 @@
             self.channels.remove(&self.idle.remove(0));
         }
         self.numbers += 1;
-        let conn = Conn::connect(&self.world, self.address, Party::Store(self.numbers))?;
+        let conn = BufferedConnection::connect(
+            &self.world,
+            self.address,
+            SocketOwner::Dependency(self.numbers),
+        )?;
         let client = match &self.speaks {
-            Speaks::Http => None,
-            Speaks::Ajp(options) => {
+            DependencyProtocol::Http => None,
+            DependencyProtocol::Ajp(options) => {
                 let server = (self.address.ip().to_string(), self.address.port());
                 Some(Client::new(
                     client::Options {
@@ -253,15 +257,15 @@
     }
 
     /// Takes note of what the event loop saw.
-    pub fn note(&mut self, number: u64, readiness: Readiness) {
+    pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(channel) = self.channels.get_mut(&number) {
-            channel.conn.note(readiness);
+            channel.conn.on_readiness(readiness);
             self.noted.push(number);
         }
     }
 
     /// Reads replies, sends calls, and gives up what takes too long.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) {
+    pub fn poll(&mut self, now: Micros, facts: &mut Vec<Event>) {
         for number in std::mem::take(&mut self.noted) {
             self.serve(now, number, facts);
         }
@@ -304,7 +308,7 @@
 
     /// When something is to be given up.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let jobs = self
             .channels
             .values()
@@ -396,7 +400,7 @@
         if stale && job.repeatable && now < job.until {
             self.place(
                 now,
-                Job {
+                PersistenceJob {
                     repeatable: false,
                     ..job
                 },
@@ -408,12 +412,12 @@
     }
 }
 
-impl<W: World> Channel<W> {
+impl<H: Host> Channel<H> {
     /// Sends what waits and reads the reply, which counts once it is whole, even if the connection broke after it.
     fn exchange(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
         let conn = &mut self.conn;
         if !self.connected {
-            conn.check()?;
+            conn.take_error()?;
         }
         let sent = conn.flush();
         self.connected |= sent.as_ref().is_ok_and(|sent| *sent > 0);
@@ -438,9 +442,9 @@
 }
 
 /// Reads on in an AJP reply, and sends what of the call the server asks for.
-fn ajp_reply<W: World>(
+fn ajp_reply<H: Host>(
     client: &mut Client,
-    conn: &mut Conn<W>,
+    conn: &mut BufferedConnection<H>,
     now: Micros,
 ) -> Result<Option<http::Reply>, String> {
     let input = std::mem::take(&mut conn.input);
@@ -458,7 +462,7 @@
     }))
 }
 
-fn ended(now: Micros, job: &Job, outcome: Outcome) -> Event {
+fn ended(now: Micros, job: &PersistenceJob, outcome: Outcome) -> Event {
     Event::CallEnded {
         id: job.id,
         outcome,
@@ -479,17 +483,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::real::Real;
+    use crate::os_host::OsHost;
 
     /// Guards against more connections than the pool may hold; what waits too long was not answered either.
     #[test]
     fn calls_beyond_the_pool_wait_and_run_out_of_time() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let event_loop = calloop::EventLoop::try_new().expect("an event loop");
-        let mut store = Store::new(
-            Real::new(event_loop.handle()),
+        let mut store = DependencyPool::new(
+            OsHost::new(event_loop.handle()),
             listener.local_addr().expect("an address"),
-            Speaks::Http,
+            DependencyProtocol::Http,
             2,
         );
         let mut facts = Vec::new();
@@ -504,8 +508,8 @@
         }
         assert_eq!((store.channels.len(), store.waiting.len()), (2, 2));
         store.abandon(3);
-        assert_eq!(store.next(), Some(1_000));
-        store.turn(1_500, &mut facts);
+        assert_eq!(store.next_deadline(), Some(1_000));
+        store.poll(1_500, &mut facts);
         let told = |facts: &[Event]| -> Vec<_> {
             let of = |fact: &Event| match fact {
                 Event::CallEnded {
@@ -525,7 +529,7 @@
             "the place is taken by the next"
         );
         facts.clear();
-        store.turn(4_000, &mut facts);
+        store.poll(4_000, &mut facts);
         let mut ends = told(&facts);
         ends.sort_by_key(|end| end.0);
         assert_eq!(
@@ -541,10 +545,10 @@
     fn a_call_on_a_stale_connection_is_made_again_once() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let event_loop = calloop::EventLoop::try_new().expect("an event loop");
-        let mut store = Store::new(
-            Real::new(event_loop.handle()),
+        let mut store = DependencyPool::new(
+            OsHost::new(event_loop.handle()),
             listener.local_addr().expect("an address"),
-            Speaks::Http,
+            DependencyProtocol::Http,
             2,
         );
         let mut facts = Vec::new();
@@ -564,7 +568,7 @@
             .for_each(|channel| channel.reused = true);
         store.fail(10, 1, Outcome::Interrupted, &mut facts);
         assert!(facts.is_empty() && store.busy.len() == 1 && store.channels.keys().eq(&[2]));
-        assert_eq!(store.next(), Some(9_000), "the time left is the same");
+        assert_eq!(store.next_deadline(), Some(9_000), "the time left is the same");
         store
             .channels
             .values_mut()
--- a/crates/server/src/peers.rs
+++ b/crates/server/src/gossip.rs
@@ -1,12 +1,12 @@
 //! Talk with other processes of the installation: the socket under a [`Membership`], and what others are told of this one.
 //! All of it is off without its section in the operator file.
 
-mod marks;
+mod incarnation_store;
 
-use super::real::{Real, Served};
-use super::report::Status;
-use super::world::{Datagrams, Readiness, Talks};
-use super::Party;
+use super::host::{DatagramSocket, GossipHost, Readiness};
+use super::os_host::{OsHost, Service};
+use super::status_report::Status;
+use super::SocketOwner;
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_membership::figures::Kind;
@@ -30,7 +30,7 @@
 const STEP: f64 = 0.05;
 
 /// Reads the keys again.
-pub type Rekey = Box<dyn FnMut() -> Result<Keys, String>>;
+pub type ReloadKeys = Box<dyn FnMut() -> Result<Keys, String>>;
 
 /// What is set.
 pub struct Options {
@@ -43,29 +43,29 @@
     /// How patient it is.
     pub settings: Settings,
     /// The keys, now and after SIGHUP.
-    pub keys: Rekey,
+    pub keys: ReloadKeys,
     /// What outlives the process.
     pub folder: PathBuf,
 }
 
 /// The socket and what is heard by it.
-pub struct Peers<W: Talks> {
-    world: W,
-    socket: W::Datagrams,
+pub struct Gossip<H: GossipHost> {
+    world: H,
+    socket: H::DatagramSocket,
     membership: Membership,
-    keys: Rekey,
+    keys: ReloadKeys,
     folder: PathBuf,
     readable: bool,
     told: Option<(f64, bool)>,
     tell_at: Micros,
 }
 
-impl<W: Talks> Peers<W> {
+impl<H: GossipHost> Gossip<H> {
     /// Listens, in a life that no process of this folder had before.
     ///
     /// # Errors
     /// Where the address, the keys or the folder can't be had.
-    pub fn new(world: W, options: Options) -> io::Result<Self> {
+    pub fn new(world: H, options: Options) -> io::Result<Self> {
         let Options {
             mut identity,
             listen,
@@ -74,8 +74,8 @@
             mut keys,
             folder,
         } = options;
-        let incarnations = marks::begin(&folder)?;
-        let (socket, at) = world.datagrams(listen, PLACE)?;
+        let incarnations = incarnation_store::begin(&folder)?;
+        let (socket, at) = world.bind_datagram_socket(listen, PLACE)?;
         if identity.address.port() == 0 {
             identity.address.set_port(at.port());
         }
@@ -99,7 +99,7 @@
     }
 
     /// Datagrams may have come.
-    pub fn note(&mut self) {
+    pub fn on_readiness(&mut self) {
         self.readable = true;
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Hears, does what time asks for, and says what is to be said; returns until when there is nothing to do.
-    pub fn turn(&mut self, now: Micros, status: impl Fn() -> Status) -> Micros {
+    pub fn poll(&mut self, now: Micros, status: impl Fn() -> Status) -> Micros {
         let more = self.hear(now);
         if now >= self.tell_at {
             self.tell_at = now + TELLS;
@@ -201,7 +201,7 @@
                 step(format_args!("is superseded <- {other}"));
             }
             Event::Reserve(mark) => {
-                if let Err(e) = marks::write(&self.folder, *mark) {
+                if let Err(e) = incarnation_store::write(&self.folder, *mark) {
                     tracing::error!(
                         "cluster: {}: {e}; a restart may come back under a number it had",
                         self.folder.display()
@@ -216,41 +216,41 @@
 }
 
 /// What is served, with its peers.
-pub struct Accompanied {
-    served: Box<dyn Served>,
-    peers: Peers<Real>,
+pub struct ServiceWithGossip {
+    served: Box<dyn Service>,
+    peers: Gossip<OsHost>,
 }
 
-impl Accompanied {
+impl ServiceWithGossip {
     /// Those two.
     #[must_use]
-    pub fn new(served: Box<dyn Served>, peers: Peers<Real>) -> Self {
+    pub fn new(served: Box<dyn Service>, peers: Gossip<OsHost>) -> Self {
         Self { served, peers }
     }
 }
 
-impl Served for Accompanied {
-    fn ready(&mut self, party: Party, readiness: Readiness) {
-        self.served.ready(party, readiness);
+impl Service for ServiceWithGossip {
+    fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness) {
+        self.served.on_readiness(party, readiness);
     }
 
-    fn acceptable(&mut self, listener: usize) {
+    fn on_acceptable(&mut self, listener: usize) {
         if listener == PLACE {
-            return self.peers.note();
+            return self.peers.on_readiness();
         }
-        self.served.acceptable(listener);
+        self.served.on_acceptable(listener);
     }
 
-    fn kept(&mut self, fact: DispatcherEvent) {
-        self.served.kept(fact);
+    fn on_persistence_event(&mut self, fact: DispatcherEvent) {
+        self.served.on_persistence_event(fact);
     }
 
-    fn remembered(&mut self, entries: Vec<Entry>) {
-        self.served.remembered(entries);
+    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+        self.served.on_reputation_loaded(entries);
     }
 
-    fn leave(&mut self) {
-        self.served.leave();
+    fn begin_shutdown(&mut self) {
+        self.served.begin_shutdown();
         // Others hear of the drain in this turn.
         self.peers.tell_at = 0;
     }
@@ -260,18 +260,18 @@
         self.peers.reload();
     }
 
-    fn turn(&mut self) -> Micros {
-        let next = self.served.turn();
+    fn poll(&mut self) -> Micros {
+        let next = self.served.poll();
         let served = &self.served;
-        next.min(self.peers.turn(served.now(), || served.status()))
+        next.min(self.peers.poll(served.now(), || served.status()))
     }
 
-    fn is_over(&self) -> bool {
-        self.served.is_over()
+    fn is_finished(&self) -> bool {
+        self.served.is_finished()
     }
 
-    fn fault(&mut self) -> Option<io::Error> {
-        self.served.fault()
+    fn take_fault(&mut self) -> Option<io::Error> {
+        self.served.take_fault()
     }
 
     fn close(&mut self) {
--- a/crates/server/src/passage.rs
+++ b/crates/server/src/handover_channel.rs
@@ -1,7 +1,7 @@
 //! How the two processes of an upgrade meet in the real world: a Unix socket of whole packets in a private folder, over
 //! which listening sockets pass.
 
-use super::world::{self, Meeting};
+use super::host::{self, HandoverAddress};
 use rustix::net::{
     recvmsg, sendmsg, sockopt, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags,
     SendAncillaryBuffer, SendAncillaryMessage, SendFlags,
@@ -19,15 +19,15 @@
 const BACKLOG: i32 = 4;
 
 /// The connection.
-pub struct Passage {
+pub struct HandoverChannel {
     pub(super) socket: std::rc::Rc<Socket>,
-    pub(super) _watch: super::real::Watch,
+    pub(super) _watch: super::os_host::Watch,
 }
 
 /// A listening socket as it came.
-pub struct Passed(OwnedFd);
+pub struct ReceivedSocket(OwnedFd);
 
-impl Passed {
+impl ReceivedSocket {
     /// The socket, where it is one that listens for streams at this address.
     ///
     /// # Errors
@@ -51,9 +51,9 @@
     }
 }
 
-impl world::Passage for Passage {
-    type Listener = super::real::Listener;
-    type Passed = Passed;
+impl host::HandoverChannel for HandoverChannel {
+    type Listener = super::os_host::Listener;
+    type ReceivedSocket = ReceivedSocket;
 
     fn send(&self, message: &[u8], along: &[&Self::Listener]) -> io::Result<()> {
         let passed: Vec<_> = along
@@ -74,7 +74,7 @@
         Err(io::ErrorKind::WriteZero.into())
     }
 
-    fn receive(&self) -> io::Result<(Vec<u8>, Vec<Passed>)> {
+    fn receive(&self) -> io::Result<(Vec<u8>, Vec<ReceivedSocket>)> {
         // One byte more than any message has: a longer one shows as too long, and is not cut unseen.
         let mut bytes = vec![0; cleatpulley_hot_restart::message::LONGEST + 1];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST))];
@@ -90,7 +90,7 @@
         let mut passed = Vec::new();
         for message in control.drain() {
             if let RecvAncillaryMessage::ScmRights(sockets) = message {
-                passed.extend(sockets.map(Passed));
+                passed.extend(sockets.map(ReceivedSocket));
             }
         }
         Ok((bytes, passed))
@@ -104,8 +104,8 @@
     Ok(socket)
 }
 
-fn path(meeting: &Meeting) -> PathBuf {
-    let Meeting {
+fn path(meeting: &HandoverAddress) -> PathBuf {
+    let HandoverAddress {
         folder,
         name,
         address,
@@ -115,7 +115,7 @@
 }
 
 /// Where successors come to. A process that was there before and is still alive keeps the connections it has.
-pub(super) fn post(meeting: &Meeting) -> io::Result<Socket> {
+pub(super) fn post(meeting: &HandoverAddress) -> io::Result<Socket> {
     let (path, socket) = (path(meeting), socket()?);
     // What stands there is of a process that is gone, or of the one whose place this one has taken.
     let own = path.with_extension(format!("{}", std::process::id()));
@@ -136,7 +136,7 @@
 }
 
 /// The process that serves, if there is one.
-pub(super) fn visit(meeting: &Meeting) -> io::Result<Socket> {
+pub(super) fn visit(meeting: &HandoverAddress) -> io::Result<Socket> {
     let socket = socket()?;
     socket.connect(&SockAddr::unix(path(meeting))?)?;
     check(&socket)?;
@@ -167,7 +167,7 @@
     fn only_a_socket_that_listens_at_the_address_is_taken() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
-        let passed = |fd: OwnedFd| Passed(fd);
+        let passed = |fd: OwnedFd| ReceivedSocket(fd);
         let copy = listener.try_clone().expect("a descriptor");
         assert!(passed(copy.into()).listener(at).is_ok());
         let copy = listener.try_clone().expect("a descriptor");
@@ -198,12 +198,12 @@
     fn they_meet_by_folder_name_and_address_and_a_dead_process_is_nobody() {
         let folder = std::env::temp_dir().join(format!("cleatpulley-meet-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let meeting = Meeting {
+        let meeting = HandoverAddress {
             folder: folder.clone(),
             name: "n1".to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], 5_050)),
         };
-        let nobody = |meeting: &Meeting| {
+        let nobody = |meeting: &HandoverAddress| {
             visit(meeting)
                 .map(drop)
                 .expect_err("nobody is there")
@@ -224,7 +224,7 @@
         assert!(welcome(&second).is_ok());
         drop(second);
         assert_eq!(nobody(&meeting), io::ErrorKind::ConnectionRefused);
-        let elsewhere = Meeting {
+        let elsewhere = HandoverAddress {
             name: "n2".to_owned(),
             ..meeting
         };
--- a/crates/server/src/world.rs
+++ b/crates/server/src/host.rs
@@ -1,7 +1,7 @@
 //! The seam to the world: all that a matcher asks of its host goes through these traits, and nothing of it knows which
 //! world it is in. `real` has the one of calloop and std; a simulator brings another.
 
-use super::Party;
+use super::SocketOwner;
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event;
@@ -36,22 +36,22 @@
     fn write(&self, bytes: &[u8]) -> io::Result<usize>;
 
     /// Sends no more; what the peer still sends can be read.
-    fn finish(&self);
+    fn shutdown_write(&self);
 
     /// The error that the connection holds, such as that of one that could not be made.
     ///
     /// # Errors
     /// That error.
-    fn check(&self) -> io::Result<()>;
+    fn take_error(&self) -> io::Result<()>;
 }
 
 /// A connection to the other process of an upgrade: messages go over it whole, and listening sockets along with them. It
 /// ends when this is dropped, and nothing waits.
-pub trait Passage {
+pub trait HandoverChannel {
     /// A listening socket.
     type Listener;
     /// One that came along and is not listened on yet.
-    type Passed;
+    type ReceivedSocket;
 
     /// Sends a message, with these sockets along.
     ///
@@ -63,12 +63,12 @@
     ///
     /// # Errors
     /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where none has come.
-    fn receive(&self) -> io::Result<(Vec<u8>, Vec<Self::Passed>)>;
+    fn receive(&self) -> io::Result<(Vec<u8>, Vec<Self::ReceivedSocket>)>;
 }
 
 /// Where a process of an upgrade is met: by the folder, the matcher's name and the first address that it listens on.
 #[derive(Debug, Clone)]
-pub struct Meeting {
+pub struct HandoverAddress {
     /// A folder that both processes share, and nobody else.
     pub folder: PathBuf,
     /// The matcher's name.
@@ -77,13 +77,13 @@
     pub address: SocketAddr,
 }
 
-/// Keeps the results of keyed requests, and tells [`Node::kept`](super::Node::kept) of it.
-pub trait Keeper {
+/// Keeps the results of keyed requests, and tells [`Server::kept`](super::Server::on_persistence_event) of it.
+pub trait ResultPersistence {
     /// Writes what a history decided.
     fn write(&mut self, effect: KeyCommand);
 
     /// Reads how a key ended.
-    fn recall(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
+    fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
 
     /// Lets it write what it has and close the store, in its own time; nothing more is asked of it.
     fn release(&mut self);
@@ -100,16 +100,16 @@
     }
 
     /// Looks after its store and says what came of it, where it has no thread for that; the rest is told to the node.
-    fn turn(&mut self, _now: Micros, _facts: &mut Vec<Event>) {}
+    fn poll(&mut self, _now: Micros, _facts: &mut Vec<Event>) {}
 
     /// When [`turn`](Self::turn) has something to do.
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         None
     }
 }
 
-/// Keeps earned standing, and tells [`Node::remembered`](super::Node::remembered) what it held.
-pub trait Standings {
+/// Keeps earned standing, and tells [`Server::remembered`](super::Server::on_reputation_loaded) what it held.
+pub trait ReputationStorage {
     /// Writes what was earned, in its own time.
     fn write(&self, entries: Vec<Entry>);
 
@@ -121,21 +121,21 @@
 }
 
 /// A matcher's host.
-pub trait World: Clone + 'static {
+pub trait Host: Clone + 'static {
     /// A connection.
     type Stream: Stream;
     /// A listening socket; it listens until it is dropped.
     type Listener;
     /// A keeper.
-    type Keeper: Keeper;
+    type ResultPersistence: ResultPersistence;
     /// A keeper of earned standing.
-    type Standings: Standings;
+    type ReputationStorage: ReputationStorage;
     /// Where successors come to; they may until it is dropped.
-    type Post;
+    type SuccessorListener;
     /// A descriptor that is kept for later; it is free once this is dropped.
-    type Spare;
+    type ReservedDescriptor;
     /// A connection to the other process of an upgrade.
-    type Passage: Passage<Listener = Self::Listener>;
+    type HandoverChannel: HandoverChannel<Listener = Self::Listener>;
 
     /// Microseconds of the Unix clock at the start, and monotonic from there on.
     fn now(&self) -> Micros;
@@ -148,35 +148,38 @@
         -> io::Result<(Self::Listener, SocketAddr)>;
 
     /// Somebody listens there already, where [`listen`](Self::listen) would share the address with it.
-    fn is_taken(&self, address: SocketAddr) -> bool;
+    fn is_address_in_use(&self, address: SocketAddr) -> bool;
 
     /// Accepts a connection that waits, and says whose it is.
     ///
     /// # Errors
     /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
-    fn accept(&self, listener: &Self::Listener, party: Party)
-        -> io::Result<(Self::Stream, IpAddr)>;
+    fn accept(
+        &self,
+        listener: &Self::Listener,
+        party: SocketOwner,
+    ) -> io::Result<(Self::Stream, IpAddr)>;
 
     /// Keeps a descriptor, so that a connection can be accepted where no other is left.
     ///
     /// # Errors
     /// Those of the system.
-    fn spare(&self) -> io::Result<Self::Spare>;
+    fn reserve_descriptor(&self) -> io::Result<Self::ReservedDescriptor>;
 
     /// Begins to connect; the first readiness tells how that went.
     ///
     /// # Errors
     /// Those of the system; a refusal may come at once.
-    fn connect(&self, to: SocketAddr, party: Party) -> io::Result<Self::Stream>;
+    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<Self::Stream>;
 
     /// Takes up a listening socket that another process passed, where it is one and listens at this address, whose port
     /// may be 0.
     ///
     /// # Errors
     /// Where it is not, and those of the system.
-    fn adopt(
+    fn adopt_listener(
         &self,
-        passed: <Self::Passage as Passage>::Passed,
+        passed: <Self::HandoverChannel as HandoverChannel>::ReceivedSocket,
         address: SocketAddr,
         place: usize,
     ) -> io::Result<Self::Listener>;
@@ -185,36 +188,49 @@
     ///
     /// # Errors
     /// Those of the system.
-    fn post(&self, meeting: &Meeting, place: usize) -> io::Result<Self::Post>;
+    fn listen_for_successors(&self, meeting: &HandoverAddress, place: usize) -> io::Result<Self::SuccessorListener>;
 
     /// Accepts a successor that waits, where its user is ours.
     ///
     /// # Errors
     /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
-    fn welcome(&self, post: &Self::Post, party: Party) -> io::Result<Self::Passage>;
+    fn accept_successor(
+        &self,
+        post: &Self::SuccessorListener,
+        party: SocketOwner,
+    ) -> io::Result<Self::HandoverChannel>;
 
     /// Connects to the process whose place this one is to take.
     ///
     /// # Errors
     /// Where there is none, and those of the system.
-    fn visit(&self, meeting: &Meeting, party: Party) -> io::Result<Self::Passage>;
+    fn connect_to_predecessor(
+        &self,
+        meeting: &HandoverAddress,
+        party: SocketOwner,
+    ) -> io::Result<Self::HandoverChannel>;
 
     /// Opens the book of the earned standing of so many addresses.
     ///
     /// # Errors
     /// Those of the system.
-    fn standings(&self, folder: PathBuf, most: usize) -> io::Result<Self::Standings>;
+    fn open_reputation_storage(&self, folder: PathBuf, most: usize) -> io::Result<Self::ReputationStorage>;
 
     /// Starts a keeper of results on a folder. One that is not `lasting` outlives its process, for the next one of the same
     /// matcher, and not its host.
     ///
     /// # Errors
     /// Those of the system.
-    fn keeper(&self, folder: PathBuf, seed: u64, lasting: bool) -> io::Result<Self::Keeper>;
+    fn open_result_persistence(
+        &self,
+        folder: PathBuf,
+        seed: u64,
+        lasting: bool,
+    ) -> io::Result<Self::ResultPersistence>;
 }
 
 /// A socket for datagrams, open until this is dropped. Nothing waits.
-pub trait Datagrams {
+pub trait DatagramSocket {
     /// Sends one.
     ///
     /// # Errors
@@ -229,19 +245,19 @@
 }
 
 /// A host on which processes talk among each other.
-pub trait Talks: World {
+pub trait GossipHost: Host {
     /// A socket for datagrams.
-    type Datagrams: Datagrams;
+    type DatagramSocket: DatagramSocket;
 
     /// Listens for datagrams; whoever is served is told of them by this number. Returns where that is.
     ///
     /// # Errors
     /// Those of the system.
-    fn datagrams(
+    fn bind_datagram_socket(
         &self,
         address: SocketAddr,
         place: usize,
-    ) -> io::Result<(Self::Datagrams, SocketAddr)>;
+    ) -> io::Result<(Self::DatagramSocket, SocketAddr)>;
 
     /// A random number.
     fn random(&self) -> u64;
--- a/crates/server/src/upgrade.rs
+++ b/crates/server/src/hot_restart.rs
@@ -1,16 +1,16 @@
 //! Upgrades in place: the connections to the process whose place this one takes, and to the one that takes its place. What
 //! is decided lies with `cleatpulley_hot_restart`; what it comes to is told as steps to the node.
 
-mod behind;
+mod predecessor_link;
 
-use super::world::{Meeting, Passage, World};
-use super::Party;
-use behind::Behind;
+use super::host::{HandoverAddress, HandoverChannel, Host};
+use super::SocketOwner;
 use cleatpulley_hot_restart::message::MOST_STANDING;
 use cleatpulley_hot_restart::predecessor::{self, Predecessor};
 use cleatpulley_hot_restart::successor::{self, Successor};
 use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
+use predecessor_link::PredecessorLink;
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
 
@@ -22,12 +22,12 @@
 /// Wait before successors are let find this process once more.
 const POST_AGAIN: Micros = 500_000;
 
-type Passed<W> = <<W as World>::Passage as Passage>::Passed;
+type ReceivedSocket<H> = <<H as Host>::HandoverChannel as HandoverChannel>::ReceivedSocket;
 
 /// What the node is to do.
-pub enum Step<W: World> {
+pub enum HotRestartStep<H: Host> {
     /// Take these sockets as those of these addresses.
-    Adopt(Vec<(SocketAddr, Passed<W>)>),
+    Adopt(Vec<(SocketAddr, ReceivedSocket<H>)>),
     /// Listen where no socket is yet.
     Listen,
     /// Accept from here on.
@@ -49,35 +49,35 @@
 }
 
 /// Both connections.
-pub struct Upgrade<W: World> {
-    world: W,
-    meeting: Meeting,
-    post: Option<W::Post>,
+pub struct HotRestart<H: Host> {
+    world: H,
+    meeting: HandoverAddress,
+    post: Option<H::SuccessorListener>,
     /// A descriptor that is kept for a successor, and when one is looked for again where it was needed.
-    spare: Option<W::Spare>,
+    spare: Option<H::ReservedDescriptor>,
     spare_at: Micros,
     /// A successor may wait, and is let in no earlier than then.
     knocked: bool,
     let_in_at: Micros,
-    before: Option<(Successor, Option<W::Passage>)>,
+    before: Option<(Successor, Option<H::HandoverChannel>)>,
     /// What came along with the message that is being heard.
-    passed: Vec<Passed<W>>,
+    passed: Vec<ReceivedSocket<H>>,
     /// What that one has of the machine.
     beside: Held,
     /// Others that came before it, and whose own successor died.
-    behind: Behind<W>,
-    after: (Predecessor, Option<W::Passage>),
+    behind: PredecessorLink<H>,
+    after: (Predecessor, Option<H::HandoverChannel>),
     /// Whether a process serves can't be told.
     unmet: bool,
     /// Successors could not be let find this process; that is tried again then.
     post_at: Option<Micros>,
 }
 
-impl<W: World> Upgrade<W> {
+impl<H: Host> HotRestart<H> {
     /// Looks for a process whose place is to be taken. It is to be shown the addresses that are listened on; the first is
     /// the one it is met by.
     #[must_use]
-    pub fn new(world: W, meeting: Meeting, listen: &[SocketAddr]) -> Self {
+    pub fn new(world: H, meeting: HandoverAddress, listen: &[SocketAddr]) -> Self {
         let after = (Predecessor::new(&meeting.name), None);
         let mut new = Self {
             world,
@@ -90,14 +90,14 @@
             before: None,
             passed: Vec::new(),
             beside: Held::default(),
-            behind: Behind::default(),
+            behind: PredecessorLink::default(),
             after,
             unmet: false,
             post_at: None,
         };
         // Where the system chooses the port, nobody can be there.
         if new.meeting.address.port() != 0 {
-            match new.world.visit(&new.meeting, Party::Predecessor) {
+            match new.world.connect_to_predecessor(&new.meeting, SocketOwner::Predecessor) {
                 Ok(passage) => {
                     tracing::info!(
                         "upgrade: takes the place of the process that serves {}",
@@ -179,11 +179,11 @@
     }
 
     /// Successors find this process from now on, at this address.
-    pub fn post(&mut self, address: SocketAddr) {
+    pub fn listen_for_successors(&mut self, address: SocketAddr) {
         self.meeting.address = address;
         // The one before is let go first: its name goes to the next.
         self.post = None;
-        match self.world.post(&self.meeting, PLACE) {
+        match self.world.listen_for_successors(&self.meeting, PLACE) {
             Ok(post) => (self.post, self.knocked) = (Some(post), true),
             Err(e) => {
                 tracing::warn!("upgrade: no successor can be met yet: {e}");
@@ -193,25 +193,28 @@
     }
 
     /// A successor may wait.
-    pub fn note_post(&mut self) {
+    pub fn on_acceptable(&mut self) {
         self.knocked = true;
     }
 
     /// Hears what both say and lets time pass; `up` tells that requests can be run, `listens` where this process listens.
-    pub fn turn(
+    pub fn poll(
         &mut self,
         now: Micros,
         up: bool,
-        listens: &[(SocketAddr, Option<&W::Listener>)],
+        listens: &[(SocketAddr, Option<&H::Listener>)],
         held: impl Fn() -> Held,
-        steps: &mut Vec<Step<W>>,
+        steps: &mut Vec<HotRestartStep<H>>,
     ) {
         if self.post_at.is_some_and(|at| now >= at) {
             self.post_at = None;
-            self.post(self.meeting.address);
+            self.listen_for_successors(self.meeting.address);
         }
         self.hear_before(now, steps);
-        if steps.iter().any(|step| matches!(step, Step::Adopt(_))) {
+        if steps
+            .iter()
+            .any(|step| matches!(step, HotRestartStep::Adopt(_)))
+        {
             // Whether all of it can be taken up is to be seen before anything is asked for.
             return;
         }
@@ -222,7 +225,7 @@
         self.welcome(now, steps);
         self.keep_spare(now);
         if self.behind.turn(now, steps) {
-            steps.push(Step::Beside(self.share()));
+            steps.push(HotRestartStep::Beside(self.share()));
         }
         self.hear_after(now, listens, steps);
         let effects = self.after.0.turn(now, &held);
@@ -234,21 +237,21 @@
 
     /// What all that came before this process have of the machine.
     fn share(&self) -> Held {
-        behind::sum(self.beside, self.behind.held())
+        predecessor_link::sum(self.beside, self.behind.held())
     }
 
     /// The successor died. Sees whether another process has the name by now, and tells it what is left here.
     fn look(
         &mut self,
         now: Micros,
-        listens: &[(SocketAddr, Option<&W::Listener>)],
+        listens: &[(SocketAddr, Option<&H::Listener>)],
         held: impl Fn() -> Held,
-        steps: &mut Vec<Step<W>>,
+        steps: &mut Vec<HotRestartStep<H>>,
     ) {
         // The name may still be this process's own.
         self.post = None;
         // Where nobody is met, that is tried again until its time is over.
-        let Ok(passage) = self.world.visit(&self.meeting, Party::Successor) else {
+        let Ok(passage) = self.world.connect_to_predecessor(&self.meeting, SocketOwner::Successor) else {
             return;
         };
         tracing::info!("upgrade: another process has the place of the successor that is gone");
@@ -282,7 +285,7 @@
     }
 
     /// The process ends: its successor hears what is left at last, and keeps no more free than that.
-    pub fn farewell(&mut self, held: Held) {
+    pub fn shutdown(&mut self, held: Held) {
         if self.after.1.is_some() && self.after.0.yielded() {
             let effects = vec![predecessor::Effect::Send(Message::Left(held))];
             self.after_goes(self.world.now(), effects, &[], &mut Vec::new());
@@ -297,7 +300,7 @@
 
     /// When [`turn`](Self::turn) has something to do.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let before = self.before.as_ref().and_then(|(decides, _)| decides.next());
         let let_in = (self.knocked && self.let_in_at > 0).then_some(self.let_in_at);
         let next = [
@@ -310,7 +313,7 @@
         next.into_iter().flatten().min()
     }
 
-    fn hear_before(&mut self, now: Micros, steps: &mut Vec<Step<W>>) {
+    fn hear_before(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
         while let Some((decides, Some(passage))) = &mut self.before {
             let effects = match hear(passage) {
                 Ok(None) => return,
@@ -338,12 +341,12 @@
         &mut self,
         now: Micros,
         effects: Vec<successor::Effect>,
-        steps: &mut Vec<Step<W>>,
+        steps: &mut Vec<HotRestartStep<H>>,
     ) {
         let visits = effects.contains(&successor::Effect::Visit);
         let mut done = self.before_does(effects, steps);
         if visits {
-            done = match self.world.visit(&self.meeting, Party::Predecessor) {
+            done = match self.world.connect_to_predecessor(&self.meeting, SocketOwner::Predecessor) {
                 Ok(passage) => {
                     let Some((decides, there)) = &mut self.before else {
                         return;
@@ -369,7 +372,7 @@
     fn before_does(
         &mut self,
         effects: Vec<successor::Effect>,
-        steps: &mut Vec<Step<W>>,
+        steps: &mut Vec<HotRestartStep<H>>,
     ) -> io::Result<()> {
         use successor::Effect;
         let Some((_, passage)) = &mut self.before else {
@@ -383,22 +386,30 @@
                 }
                 Effect::Adopt(listen) => {
                     let passed = std::mem::take(&mut self.passed);
-                    steps.push(Step::Adopt(listen.into_iter().zip(passed).collect()));
+                    steps.push(HotRestartStep::Adopt(
+                        listen.into_iter().zip(passed).collect(),
+                    ));
                 }
-                Effect::Listen => steps.push(Step::Listen),
-                Effect::Serve => steps.push(Step::Serve),
-                Effect::OpenStore => steps.push(Step::OpenStore),
+                Effect::Listen => steps.push(HotRestartStep::Listen),
+                Effect::Serve => steps.push(HotRestartStep::Serve),
+                Effect::OpenStore => steps.push(HotRestartStep::OpenStore),
                 Effect::Beside(held) => {
                     self.beside = held;
-                    steps.push(Step::Beside(behind::sum(held, self.behind.held())));
+                    steps.push(HotRestartStep::Beside(predecessor_link::sum(
+                        held,
+                        self.behind.held(),
+                    )));
                 }
-                Effect::Learn(learned) => steps.push(Step::Learn(learned)),
-                Effect::Standing(standing) => steps.push(Step::Standing(standing)),
+                Effect::Learn(learned) => steps.push(HotRestartStep::Learn(learned)),
+                Effect::Standing(standing) => steps.push(HotRestartStep::Standing(standing)),
                 Effect::Close => *passage = None,
                 Effect::Mourn => {
                     self.behind
                         .mourn(self.world.now(), std::mem::take(&mut self.beside));
-                    steps.push(Step::Beside(behind::sum(self.beside, self.behind.held())));
+                    steps.push(HotRestartStep::Beside(predecessor_link::sum(
+                        self.beside,
+                        self.behind.held(),
+                    )));
                 }
                 // The caller's: it takes another connection.
                 Effect::Visit => {}
@@ -411,16 +422,16 @@
     fn keep_spare(&mut self, now: Micros) {
         let wanted = self.post.is_some() && self.spare.is_none() && self.after.0.receives();
         if wanted && now >= self.spare_at {
-            self.spare = self.world.spare().ok();
+            self.spare = self.world.reserve_descriptor().ok();
             self.spare_at = now + POST_AGAIN;
         }
     }
 
     /// Lets a successor in where none is there; others hear that it is not their turn.
-    fn welcome(&mut self, now: Micros, steps: &mut Vec<Step<W>>) {
+    fn welcome(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
         while now >= self.let_in_at && std::mem::take(&mut self.knocked) {
             let Some(post) = &self.post else { return };
-            match self.world.welcome(post, Party::Successor) {
+            match self.world.accept_successor(post, SocketOwner::Successor) {
                 Ok(passage) if self.after.0.receives() => {
                     self.after.0.visited(now);
                     self.after.1 = Some(passage);
@@ -440,7 +451,7 @@
                     // Guards against a loop at full speed while descriptors are short.
                     tracing::warn!("upgrade: a successor is not let in yet: {e}");
                     self.let_in_at = now + LET_IN;
-                    steps.push(Step::MakeRoom);
+                    steps.push(HotRestartStep::MakeRoom);
                 }
             }
             self.knocked = true;
@@ -450,8 +461,8 @@
     fn hear_after(
         &mut self,
         now: Micros,
-        listens: &[(SocketAddr, Option<&W::Listener>)],
-        steps: &mut Vec<Step<W>>,
+        listens: &[(SocketAddr, Option<&H::Listener>)],
+        steps: &mut Vec<HotRestartStep<H>>,
     ) {
         let passes: Vec<_> = listens
             .iter()
@@ -475,8 +486,8 @@
         &mut self,
         now: Micros,
         effects: Vec<predecessor::Effect>,
-        listens: &[(SocketAddr, Option<&W::Listener>)],
-        steps: &mut Vec<Step<W>>,
+        listens: &[(SocketAddr, Option<&H::Listener>)],
+        steps: &mut Vec<HotRestartStep<H>>,
     ) {
         if let Err(e) = self.after_does(effects, listens, steps) {
             tracing::info!("upgrade: the successor is gone: {e}");
@@ -489,8 +500,8 @@
     fn after_does(
         &mut self,
         effects: Vec<predecessor::Effect>,
-        listens: &[(SocketAddr, Option<&W::Listener>)],
-        steps: &mut Vec<Step<W>>,
+        listens: &[(SocketAddr, Option<&H::Listener>)],
+        steps: &mut Vec<HotRestartStep<H>>,
     ) -> io::Result<()> {
         use predecessor::Effect;
         for effect in effects {
@@ -516,8 +527,8 @@
                     let along: Vec<_> = listen.iter().filter_map(of).collect();
                     passage?.send(&message.encode(), &along)?;
                 }
-                Effect::Yield => steps.push(Step::Yield),
-                Effect::Resume => steps.push(Step::Resume),
+                Effect::Yield => steps.push(HotRestartStep::Yield),
+                Effect::Resume => steps.push(HotRestartStep::Resume),
                 Effect::Close => self.after.1 = None,
                 Effect::Behind(held) => {
                     tracing::info!(
@@ -526,7 +537,7 @@
                     if let Some(passage) = self.after.1.take() {
                         self.behind.take(passage, held);
                     }
-                    steps.push(Step::Beside(self.share()));
+                    steps.push(HotRestartStep::Beside(self.share()));
                 }
                 // Done before the others, where it may be.
                 Effect::Look => {}
@@ -539,7 +550,7 @@
 /// The next message, if one has come; why nothing more will.
 type Heard<P> = Result<Option<(Message, Vec<P>)>, String>;
 
-fn hear<P: Passage>(passage: &P) -> Heard<P::Passed> {
+fn hear<P: HandoverChannel>(passage: &P) -> Heard<P::ReceivedSocket> {
     match passage.receive() {
         Ok((bytes, _)) if bytes.is_empty() => Err("it ended".to_owned()),
         Ok((bytes, passed)) => Message::decode(&bytes)
--- a/crates/server/src/upgrade/behind.rs
+++ b/crates/server/src/hot_restart/predecessor_link.rs
@@ -1,8 +1,8 @@
 //! What others of this matcher have of the machine beside the predecessor: processes that came before one that died, which
 //! are waited for, and what those left behind that are gone.
 
-use super::{hear, Step};
-use crate::world::World;
+use super::{hear, HotRestartStep};
+use crate::host::Host;
 use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
 
@@ -13,12 +13,12 @@
 const RUNS_ON: Micros = 3_000_000;
 
 /// They, each with what it said last, and what is left of others, until when.
-pub(super) struct Behind<W: World> {
-    there: Vec<(W::Passage, Held)>,
+pub(super) struct PredecessorLink<H: Host> {
+    there: Vec<(H::HandoverChannel, Held)>,
     gone: Vec<(Micros, Held)>,
 }
 
-impl<W: World> Default for Behind<W> {
+impl<H: Host> Default for PredecessorLink<H> {
     fn default() -> Self {
         Self {
             there: Vec::new(),
@@ -27,7 +27,7 @@
     }
 }
 
-impl<W: World> Behind<W> {
+impl<H: Host> PredecessorLink<H> {
     /// Processes that are there.
     pub(super) fn count(&self) -> usize {
         self.there.len()
@@ -41,7 +41,7 @@
             .fold(Held::default(), sum)
     }
 
-    pub(super) fn take(&mut self, passage: W::Passage, held: Held) {
+    pub(super) fn take(&mut self, passage: H::HandoverChannel, held: Held) {
         self.there.push((passage, held));
     }
 
@@ -79,14 +79,14 @@
     }
 
     /// Hears what they say and lets time pass; true where what they have is another now.
-    pub(super) fn turn(&mut self, now: Micros, steps: &mut Vec<Step<W>>) -> bool {
+    pub(super) fn turn(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) -> bool {
         let (before, mut changed, mut ended) = (self.gone.len(), false, Vec::new());
         self.gone.retain(|(at, _)| now < *at);
         self.there.retain_mut(|(passage, held)| loop {
             match hear(passage) {
                 Ok(None) => return true,
                 Ok(Some((Message::Left(left), _))) => (*held, changed) = (left, true),
-                Ok(Some((Message::StoreFree {}, _))) => steps.push(Step::OpenStore),
+                Ok(Some((Message::StoreFree {}, _))) => steps.push(HotRestartStep::OpenStore),
                 Ok(Some(_)) => {
                     tracing::warn!("upgrade: one that came before says what is out of turn")
                 }
--- a/crates/server/src/upgrade/tests.rs
+++ b/crates/server/src/hot_restart/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
-use crate::real::{Real, Served};
+use crate::os_host::{OsHost, Service};
 use calloop::EventLoop;
 use cleatpulley_hot_restart::message::VERSION;
 
 fn turn(
-    one: &mut Upgrade<Real>,
+    one: &mut HotRestart<OsHost>,
     now: Micros,
-    listens: &[(SocketAddr, Option<&crate::real::Listener>)],
-) -> Vec<Step<Real>> {
+    listens: &[(SocketAddr, Option<&crate::os_host::Listener>)],
+) -> Vec<HotRestartStep<OsHost>> {
     let mut steps = Vec::new();
     // Edges are seen by an event loop that does not run here.
-    one.note_post();
-    one.turn(now, true, listens, Held::default, &mut steps);
+    one.on_acceptable();
+    one.poll(now, true, listens, Held::default, &mut steps);
     steps
 }
 
@@ -19,26 +19,26 @@
 /// listening socket.
 #[test]
 fn a_visitor_that_speaks_otherwise_changes_nothing_for_the_next() {
-    let event_loop: EventLoop<'static, Box<dyn Served>> =
+    let event_loop: EventLoop<'static, Box<dyn Service>> =
         EventLoop::try_new().expect("an event loop");
-    let world = Real::new(event_loop.handle());
+    let world = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-visit-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (listener, address) = world
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a listening socket");
-    let meeting = Meeting {
+    let meeting = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
-    let fresh = Meeting {
+    let fresh = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         ..meeting.clone()
     };
-    let mut old = Upgrade::new(world.clone(), fresh, &[]);
+    let mut old = HotRestart::new(world.clone(), fresh, &[]);
     assert!(old.serves());
-    old.post(address);
+    old.listen_for_successors(address);
     let listens = [(address, Some(&listener))];
     let hello = |name: &str| Message::Hello {
         version: VERSION,
@@ -53,7 +53,7 @@
         Message::Take {}.encode(),
     ] {
         let visitor = world
-            .visit(&meeting, Party::Predecessor)
+            .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
             .expect("it is there");
         visitor.send(&odd, &[]).expect("it is taken");
         assert!(turn(&mut old, now, &listens).is_empty());
@@ -65,11 +65,11 @@
     }
     // One that says nothing is in the way for a while, and no longer.
     let silent = world
-        .visit(&meeting, Party::Predecessor)
+        .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
         .expect("it is there");
     turn(&mut old, now, &listens);
     let second = world
-        .visit(&meeting, Party::Predecessor)
+        .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
         .expect("it is there");
     turn(&mut old, now, &listens);
     let (bytes, _) = second.receive().expect("an answer");
@@ -81,18 +81,28 @@
     turn(&mut old, now, &listens);
     assert!(old.after.0.receives());
     drop(silent);
-    let mut new = Upgrade::new(world.clone(), meeting, &[address]);
+    let mut new = HotRestart::new(world.clone(), meeting, &[address]);
     assert!(!new.serves());
     turn(&mut old, now, &listens);
     let steps = turn(&mut new, now, &[]);
-    let adopts = |step: &Step<Real>| matches!(step, Step::Adopt(passed) if passed.len() == 1);
+    let adopts = |step: &HotRestartStep<OsHost>| matches!(step, HotRestartStep::Adopt(passed) if passed.len() == 1);
     assert!(steps.iter().any(adopts), "the socket came");
     turn(&mut new, now, &[]);
     let steps = turn(&mut old, now, &listens);
-    assert!(steps.iter().any(|step| matches!(step, Step::Yield)) && old.succeeded());
+    assert!(
+        steps
+            .iter()
+            .any(|step| matches!(step, HotRestartStep::Yield))
+            && old.succeeded()
+    );
     old.yielded(Held::default(), String::new(), Vec::new());
     let steps = turn(&mut new, now, &[]);
-    assert!(steps.iter().any(|step| matches!(step, Step::Serve)) && new.serves());
+    assert!(
+        steps
+            .iter()
+            .any(|step| matches!(step, HotRestartStep::Serve))
+            && new.serves()
+    );
     drop(new);
     let steps = turn(&mut old, now, &listens);
     assert!(
@@ -102,7 +112,10 @@
     now += predecessor::ORPHANED;
     let steps = turn(&mut old, now, &listens);
     assert!(
-        steps.iter().any(|step| matches!(step, Step::Resume)) && old.serves(),
+        steps
+            .iter()
+            .any(|step| matches!(step, HotRestartStep::Resume))
+            && old.serves(),
         "it takes clients again"
     );
     std::fs::remove_dir_all(&folder).expect("it was there");
@@ -112,27 +125,27 @@
 /// the third once the one between them died, and what it has counts there until it is free.
 #[test]
 fn one_whose_successor_died_goes_behind_the_next_which_leaves_it_its_share() {
-    let event_loop: EventLoop<'static, Box<dyn Served>> =
+    let event_loop: EventLoop<'static, Box<dyn Service>> =
         EventLoop::try_new().expect("an event loop");
-    let world = Real::new(event_loop.handle());
+    let world = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-chain-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (listener, address) = world
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a listening socket");
-    let meeting = Meeting {
+    let meeting = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
-    let fresh = Meeting {
+    let fresh = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         ..meeting.clone()
     };
-    let mut first = Upgrade::new(world.clone(), fresh.clone(), &[]);
-    first.post(address);
+    let mut first = HotRestart::new(world.clone(), fresh.clone(), &[]);
+    first.listen_for_successors(address);
     let listens = [(address, Some(&listener))];
-    let mut second = Upgrade::new(world.clone(), meeting, &[address]);
+    let mut second = HotRestart::new(world.clone(), meeting, &[address]);
     let mut now = world.now();
     turn(&mut first, now, &listens);
     turn(&mut second, now, &[]);
@@ -142,8 +155,8 @@
     first.yielded(Held::default(), String::new(), Vec::new());
     turn(&mut second, now, &[]);
     assert!(second.serves());
-    let mut third = Upgrade::new(world.clone(), fresh, &[]);
-    third.post(address);
+    let mut third = HotRestart::new(world.clone(), fresh, &[]);
+    third.listen_for_successors(address);
     drop(second);
     let left = Held {
         running: 3,
@@ -152,14 +165,14 @@
         descriptors: 9,
     };
     let mut steps = Vec::new();
-    first.turn(now, true, &listens, || left, &mut steps);
+    first.poll(now, true, &listens, || left, &mut steps);
     assert!(
         steps.is_empty() && first.succeeded() && !first.is_orphaned(),
         "it takes no clients again"
     );
-    let share = |steps: &[Step<Real>]| {
-        let beside = |step: &Step<Real>| match step {
-            Step::Beside(held) => Some(*held),
+    let share = |steps: &[HotRestartStep<OsHost>]| {
+        let beside = |step: &HotRestartStep<OsHost>| match step {
+            HotRestartStep::Beside(held) => Some(*held),
             _ => None,
         };
         steps.iter().filter_map(beside).next_back()
--- a/crates/server/src/handover.rs
+++ b/crates/server/src/hot_restart_steps.rs
@@ -1,8 +1,8 @@
-//! A matcher in an upgrade: what it does when its [`Upgrade`](super::upgrade::Upgrade) says so, as the process whose place is
+//! A matcher in an upgrade: what it does when its [`HotRestart`](super::hot_restart::Upgrade) says so, as the process whose place is
 //! taken and as the one that takes it.
 
-use super::world::{Keeper, World};
-use super::{operators, upgrade, Node, SPARE};
+use super::host::{Host, ResultPersistence};
+use super::{management_endpoint, hot_restart, Server, SPARE};
 use cleatpulley_dispatcher::key_table::KeyTable;
 use cleatpulley_dispatcher::{Event, ResourceUsage};
 use cleatpulley_hot_restart::{snapshot, Held};
@@ -21,7 +21,7 @@
 const AFTER_LONGEST: Micros = 700_000;
 const LONGEST_WAIT: Micros = 3_000_000;
 
-impl<W: World> Node<W> {
+impl<H: Host> Server<H> {
     /// The notice to leave, where another process has its place: nobody is sent elsewhere, and what was read is answered.
     pub(super) fn leave_to_successor(&mut self, now: Micros) {
         let stop = self
@@ -44,11 +44,11 @@
             let mut steps = Vec::new();
             let listens: Vec<_> = self.front.listeners().collect();
             // One that does not listen yet has nothing to take clients with.
-            let up = self.runtime.up() && self.listen_at.is_none();
-            upgrade.turn(now, up, &listens, || self.held(), &mut steps);
+            let up = self.runtime.is_ready() && self.listen_at.is_none();
+            upgrade.poll(now, up, &listens, || self.held(), &mut steps);
             let adopts = steps
                 .iter()
-                .any(|step| matches!(step, upgrade::Step::Adopt(_)));
+                .any(|step| matches!(step, hot_restart::HotRestartStep::Adopt(_)));
             for step in steps {
                 self.take_step(now, step, &mut upgrade);
             }
@@ -62,19 +62,21 @@
     fn take_step(
         &mut self,
         now: Micros,
-        step: upgrade::Step<W>,
-        upgrade: &mut upgrade::Upgrade<W>,
+        step: hot_restart::HotRestartStep<H>,
+        upgrade: &mut hot_restart::HotRestart<H>,
     ) {
         match step {
-            upgrade::Step::Adopt(_) if is_bug_injected(InjectedBug::PassedListenerDropped) => {
+            hot_restart::HotRestartStep::Adopt(_)
+                if is_bug_injected(InjectedBug::PassedListenerDropped) =>
+            {
                 self.listen()
             }
-            upgrade::Step::Adopt(passed) => {
+            hot_restart::HotRestartStep::Adopt(passed) => {
                 let mut short = false;
                 for (address, passed) in passed {
                     let adopted = self
                         .front
-                        .adopt(address, |place| self.world.adopt(passed, address, place));
+                        .adopt(address, |place| self.world.adopt_listener(passed, address, place));
                     match adopted {
                         Ok(true) => tracing::info!(
                             "{} listens on {address}, which was passed on",
@@ -95,34 +97,35 @@
                     self.listen();
                 }
             }
-            upgrade::Step::Listen => {
+            hot_restart::HotRestartStep::Listen => {
                 tracing::warn!(
                     "upgrade: nothing was passed on; listens beside the process that serves"
                 );
                 self.listen();
             }
-            upgrade::Step::Serve => {
+            hot_restart::HotRestartStep::Serve => {
                 tracing::info!("upgrade: takes clients");
-                self.front.resume();
+                self.front.resume_accepting();
                 self.open_standings();
                 let first = self.front.listeners().next();
                 if let Some((address, _)) = first {
-                    upgrade.post(address);
+                    upgrade.listen_for_successors(address);
                 }
             }
-            upgrade::Step::MakeRoom => {
+            hot_restart::HotRestartStep::MakeRoom => {
                 self.front
-                    .spare_one(now, now + 2 * upgrade::LET_IN, &mut self.facts)
+                    .free_slot(now, now + 2 * hot_restart::LET_IN, &mut self.facts)
             }
-            upgrade::Step::Standing(standing) => {
+            hot_restart::HotRestartStep::Standing(standing) => {
                 if let Some(admission) = self.front.admission_mut() {
                     tracing::info!("upgrade: {} callers have earned standing", standing.len());
                     admission.import(now, &standing);
                 }
             }
-            upgrade::Step::OpenStore => self.open_store(),
-            upgrade::Step::Beside(_) if is_bug_injected(InjectedBug::PredecessorUsageIgnored) => {}
-            upgrade::Step::Beside(held) => {
+            hot_restart::HotRestartStep::OpenStore => self.open_store(),
+            hot_restart::HotRestartStep::Beside(_)
+                if is_bug_injected(InjectedBug::PredecessorUsageIgnored) => {}
+            hot_restart::HotRestartStep::Beside(held) => {
                 let Held {
                     running,
                     memory_kb,
@@ -137,7 +140,7 @@
                 }));
                 self.share_descriptors(now);
             }
-            upgrade::Step::Learn(text) => {
+            hot_restart::HotRestartStep::Learn(text) => {
                 let site = snapshot::site(&self.name, &self.class_names);
                 let learned = snapshot::decode(site, now, &text).map_err(|e| e.to_string());
                 match learned.and_then(|learned| {
@@ -156,12 +159,12 @@
                     }
                 }
             }
-            upgrade::Step::Yield => {
+            hot_restart::HotRestartStep::Yield => {
                 tracing::info!("upgrade: a successor takes clients from here on");
                 self.yielded = Some((now, false));
                 // One that was leaving without a successor has one again, and ends once it has answered.
                 self.succeeded |= self.stop_at.is_some();
-                self.front.give_way(now);
+                self.front.yield_to_successor(now);
                 self.share_descriptors(now);
                 self.release_standings(now);
                 let site = snapshot::site(&self.name, &self.class_names);
@@ -175,7 +178,7 @@
                     standing,
                 );
             }
-            upgrade::Step::Resume => {
+            hot_restart::HotRestartStep::Resume => {
                 if let (Some((_, true)), Some((_, bounds, _))) =
                     (self.yielded.take(), &self.kept_in)
                 {
@@ -183,7 +186,7 @@
                     self.close();
                     self.open_store();
                 }
-                self.front.resume();
+                self.front.resume_accepting();
                 self.open_standings();
                 self.share_descriptors(now);
                 if std::mem::take(&mut self.succeeded) {
@@ -193,14 +196,14 @@
                     // From here on it is an ordinary drain: callers are sent elsewhere.
                     self.facts
                         .extend(self.stop_at.map(|stop_at| Event::DrainStarted { stop_at }));
-                    self.front.leave(now);
+                    self.front.begin_shutdown(now);
                 } else {
                     tracing::warn!("upgrade: the successor is gone; takes clients again");
                 }
                 // One that leaves is found as well: whoever comes now gets the sockets from it, with those who wait.
                 let first = self.front.listeners().next();
                 if let Some((address, _)) = first {
-                    upgrade.post(address);
+                    upgrade.listen_for_successors(address);
                 }
             }
         }
@@ -212,7 +215,7 @@
         let Some((folder, bounds, lasting)) = kept_in else {
             return;
         };
-        match self.world.keeper(folder, bounds.hash_seed, lasting) {
+        match self.world.open_result_persistence(folder, bounds.hash_seed, lasting) {
             Ok(keeper) => self.keeper = Some(keeper),
             Err(e) => {
                 tracing::error!("results: nothing can be kept: {e}");
@@ -255,16 +258,16 @@
         };
         let most = self.most.saturating_sub(taken);
         let (most, asked) = match (self.yielded, beside) {
-            (Some(_), _) => (most.min(self.most / 3), operators::PLACES / 4),
+            (Some(_), _) => (most.min(self.most / 3), management_endpoint::PLACES / 4),
             // Where hardly anything is left, operators give as well.
-            (None, true) if most < 2 * FEWEST => (most, operators::PLACES / 4),
-            (None, true) => (most, operators::PLACES / 2),
-            (None, false) => (most, operators::PLACES),
+            (None, true) if most < 2 * FEWEST => (most, management_endpoint::PLACES / 4),
+            (None, true) => (most, management_endpoint::PLACES / 2),
+            (None, false) => (most, management_endpoint::PLACES),
         };
         self.front
-            .set_most(now, most.max(FEWEST.min(self.most)), &mut self.facts);
+            .set_connection_limit(now, most.max(FEWEST.min(self.most)), &mut self.facts);
         if let Some(operators) = &mut self.operators {
-            operators.set_most(asked);
+            operators.set_connection_limit(asked);
         }
     }
 
@@ -300,7 +303,7 @@
             running: running + self.beside.running,
             memory_kb: memory_kb + self.beside.memory_kb,
             calls: calls + self.beside.calls,
-            descriptors: self.census().descriptors + self.beside.descriptors,
+            descriptors: self.usage().descriptors + self.beside.descriptors,
         }
     }
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -3,26 +3,28 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod conn;
-pub mod directory;
-pub mod front;
-mod handover;
-pub mod keeping;
-pub mod operators;
+pub mod buffered_connection;
+pub mod client_listener;
+pub mod dependency_pool;
+pub mod gossip;
+mod handover_channel;
+pub mod host;
+pub mod hot_restart;
+mod hot_restart_steps;
+pub mod management_endpoint;
 mod options;
-mod passage;
-pub mod peers;
-pub mod real;
-pub mod report;
-pub mod runtime;
-pub mod secure;
-pub mod standings;
-pub mod store;
-pub mod upgrade;
-pub mod world;
+pub mod os_host;
+pub mod persistence_thread;
+pub mod registry_client;
+pub mod reputation_store;
+pub mod runtime_link;
+pub mod status_report;
+pub mod tls_layer;
 
-pub use options::{AjpFront, Census, Options, Parties, Party, Reload, Results};
-pub use real::serve;
+pub use options::{
+    AjpOptions, IdempotencyOptions, Options, Reload, ServerUsage, ServiceAddresses, SocketOwner,
+};
+pub use os_host::serve;
 
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
@@ -33,11 +35,11 @@
 use cleatpulley_policy::interface::Settings;
 use cleatpulley_protocol::frame::connection::Terms;
 use cleatpulley_protocol::mgmt;
+use host::{HandoverAddress, Host, Readiness, ReputationStorage as _, ResultPersistence};
 use std::cell::RefCell;
 use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
-use world::{Keeper, Meeting, Readiness, Standings as _, World};
 
 /// So shortly before the stop nobody is accepted any more.
 const LAST_ACCEPT: Micros = 5_000;
@@ -53,23 +55,23 @@
 const FAREWELL: Micros = 400_000;
 
 /// A matcher in its world.
-pub struct Node<W: World> {
-    world: W,
+pub struct Server<H: Host> {
+    world: H,
     reload: Reload,
     stop: Micros,
     exchange: Dispatcher,
-    front: front::Front<W>,
-    operators: Option<operators::Operators<W>>,
+    front: client_listener::ClientListener<H>,
+    operators: Option<management_endpoint::ManagementEndpoint<H>>,
     name: String,
     class_names: Vec<String>,
-    runtime: runtime::Runtime<W>,
-    store: store::Store<W>,
-    directory: directory::Directory<W>,
-    keeper: Option<W::Keeper>,
+    runtime: runtime_link::RuntimeLink<H>,
+    store: dependency_pool::DependencyPool<H>,
+    directory: registry_client::RegistryClient<H>,
+    keeper: Option<H::ResultPersistence>,
     /// The folder and the bounds of what is kept.
     kept_in: Option<(PathBuf, Capacity, bool)>,
     /// Earned standing, where it is kept, for how many addresses, and when it is written next.
-    standings: Option<W::Standings>,
+    standings: Option<H::ReputationStorage>,
     standings_in: Option<(PathBuf, usize)>,
     standings_at: Micros,
     /// When it tries again to listen.
@@ -81,7 +83,7 @@
     /// When the process is stopped, once the notice to leave has come.
     stop_at: Option<Micros>,
     shares_listener: bool,
-    upgrade: Option<upgrade::Upgrade<W>>,
+    upgrade: Option<hot_restart::HotRestart<H>>,
     /// Connections of the client side that it may hold, where no other process holds any.
     most: usize,
     /// What the process whose place it has taken still has of the machine.
@@ -96,35 +98,36 @@
     /// When the runtime came up, as it last said.
     up_since: Option<Micros>,
     /// TLS, where it is spoken.
-    tls: Option<Rc<RefCell<secure::Tls>>>,
+    tls: Option<Rc<RefCell<tls_layer::TlsState>>>,
     /// The speed of a cold runtime, as a share, and when it is warm.
     warming: (f64, Micros),
 }
 
-impl<W: World> Node<W> {
+impl<H: Host> Server<H> {
     /// A matcher that listens.
     ///
     /// # Errors
     /// When a listening socket or a keeper can't be had.
-    pub fn new(world: W, options: Options, reload: Reload) -> io::Result<Self> {
-        let calls = (options.sockets / STORE_SHARE).clamp(*STORE.start(), *STORE.end());
-        let asked = options.mgmt.map_or(0, |_| operators::PLACES + 1);
-        let most = options.sockets.saturating_sub(SPARE + calls + asked).max(1);
-        let mut front = front::Front::new(world.clone(), options.class_names.clone(), most);
+    pub fn new(world: H, options: Options, reload: Reload) -> io::Result<Self> {
+        let calls = (options.max_descriptors / STORE_SHARE).clamp(*STORE.start(), *STORE.end());
+        let asked = options.management.map_or(0, |_| management_endpoint::PLACES + 1);
+        let most = options.max_descriptors.saturating_sub(SPARE + calls + asked).max(1);
+        let mut front =
+            client_listener::ClientListener::new(world.clone(), options.class_names.clone(), most);
         let earned = options
-            .admission
+            .connection_admission
             .as_ref()
             .and_then(|admission| admission.earned);
         let standings_in = options
-            .standings
+            .reputation_folder
             .zip(earned)
             .map(|(folder, earned)| (folder, earned.most));
-        if let Some(settings) = options.admission {
+        if let Some(settings) = options.connection_admission {
             front.set_admission(Admission::new(settings, world.now()));
         }
         let tls = options
             .tls
-            .map(|tls| secure::Tls::new(tls, world.now()))
+            .map(|tls| tls_layer::TlsState::new(tls, world.now()))
             .transpose();
         let tls = tls
             .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e))?
@@ -133,39 +136,43 @@
             front.set_tls(world.now(), Rc::clone(tls));
         }
         let key_field = options
-            .results
+            .idempotency
             .as_ref()
-            .and_then(|results| results.frame_field.clone());
+            .and_then(|results| results.key_frame_field.clone());
         let terms = Rc::new(Terms {
             key_field,
             cancels: options.settings.reports_abandonment,
         });
-        let mut doors = vec![(options.listen, front::Speaks::Frames(terms))];
+        let mut doors = vec![(
+            options.listen,
+            client_listener::FrontProtocol::Frames(terms),
+        )];
         if let Some(ajp) = options.ajp {
             let (settings, trusted) = (Rc::new(ajp.settings), Rc::new(ajp.trusted));
-            let speaks = |_| front::Speaks::Ajp(Rc::clone(&settings), Rc::clone(&trusted));
+            let speaks =
+                |_| client_listener::FrontProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted));
             doors.extend(ajp.listen.iter().map(|address| (*address, speaks(()))));
         }
-        let mut upgrade = options.meets_in.map(|folder| {
-            let meeting = Meeting {
+        let mut upgrade = options.handover_folder.map(|folder| {
+            let meeting = HandoverAddress {
                 folder,
                 name: options.name.clone(),
                 address: options.listen,
             };
             let listen: Vec<_> = doors.iter().map(|(address, _)| *address).collect();
-            upgrade::Upgrade::new(world.clone(), meeting, &listen)
+            hot_restart::HotRestart::new(world.clone(), meeting, &listen)
         });
-        let alone = upgrade.as_ref().is_none_or(upgrade::Upgrade::serves);
+        let alone = upgrade.as_ref().is_none_or(hot_restart::HotRestart::serves);
         for (n, (address, speaks)) in doors.into_iter().enumerate() {
             if !alone {
-                front.rest();
-                front.expect(address, speaks);
+                front.pause_accepting();
+                front.add_expected_listener(address, speaks);
                 continue;
             }
             // Guards against a stranger on the address, which it would else be shared with: a process whose place could be taken
             // would have been met.
             if upgrade.as_ref().is_some_and(|upgrade| !upgrade.is_unmet())
-                && world.is_taken(address)
+                && world.is_address_in_use(address)
             {
                 let what =
                     format!("listen: {address}: somebody listens there, and passes nothing on");
@@ -185,12 +192,12 @@
                 }
             );
             if let Some(upgrade) = upgrade.as_mut().filter(|_| n == 0) {
-                upgrade.post(address);
+                upgrade.listen_for_successors(address);
             }
         }
         let mut operators = options
-            .mgmt
-            .map(|address| operators::Operators::listen(world.clone(), address))
+            .management
+            .map(|address| management_endpoint::ManagementEndpoint::listen(world.clone(), address))
             .transpose()?;
         if let (Some(operators), Some(tls)) = (
             &mut operators,
@@ -210,22 +217,22 @@
             options.settings.warm_up_time,
         );
         let mut kept_in = None;
-        let (exchange, keeper) = match options.results {
+        let (exchange, keeper) = match options.idempotency {
             None => (Dispatcher::new(options.settings, options.seed), None),
             Some(results) => {
-                let Results {
+                let IdempotencyOptions {
                     classes,
                     required,
-                    owner,
-                    bounds,
-                    entry_kb,
-                    lasting,
+                    scope: owner,
+                    capacity: bounds,
+                    key_entry_kb: entry_kb,
+                    is_durable: lasting,
                     ..
                 } = results;
                 kept_in = Some((results.folder.clone(), bounds, lasting));
                 // A process that takes another's place has the store once that one has let go of it.
                 let keeper = alone
-                    .then(|| world.keeper(results.folder, bounds.hash_seed, lasting))
+                    .then(|| world.open_result_persistence(results.folder, bounds.hash_seed, lasting))
                     .transpose()?;
                 let keys = IdempotencyKeys::new(classes, required, owner, KeyTable::new(bounds));
                 let settings = Settings {
@@ -235,23 +242,28 @@
                 (Dispatcher::with_keys(settings, options.seed, keys), keeper)
             }
         };
-        let Parties {
+        let ServiceAddresses {
             runtime,
-            store,
-            lookup,
-        } = options.parties;
+            dependency: store,
+            registry: lookup,
+        } = options.services;
         let (classes, gauges) = (options.class_names, options.gauge_names);
         let mut node = Self {
             reload,
-            stop: options.stop,
+            stop: options.shutdown_time,
             exchange,
             front,
             operators,
             name: options.name.clone(),
             class_names: classes.clone(),
-            runtime: runtime::Runtime::new(world.clone(), runtime, classes, gauges),
-            store: store::Store::new(world.clone(), store, options.store_speaks, calls),
-            directory: directory::Directory::new(world.clone(), lookup, &options.name),
+            runtime: runtime_link::RuntimeLink::new(world.clone(), runtime, classes, gauges),
+            store: dependency_pool::DependencyPool::new(
+                world.clone(),
+                store,
+                options.dependency_protocol,
+                calls,
+            ),
+            directory: registry_client::RegistryClient::new(world.clone(), lookup, &options.name),
             keeper,
             kept_in,
             standings: None,
@@ -289,32 +301,32 @@
 
     /// What it holds at this moment.
     #[must_use]
-    pub fn census(&self) -> Census {
-        let (listeners, connections, open) = self.front.census();
-        let (calls, pool) = self.store.census();
+    pub fn usage(&self) -> ServerUsage {
+        let (listeners, connections, open) = self.front.usage();
+        let (calls, pool) = self.store.usage();
         let asked = self
             .operators
             .as_ref()
-            .map_or(0, |operators| operators.connections() + 1);
+            .map_or(0, |operators| operators.connection_count() + 1);
         let passes = self
             .upgrade
             .as_ref()
-            .map_or(0, upgrade::Upgrade::descriptors);
+            .map_or(0, hot_restart::HotRestart::descriptors);
         let links =
-            usize::from(self.runtime.linked()) + self.directory.links() + self.front.spares();
-        Census {
+            usize::from(self.runtime.is_connected()) + self.directory.connection_count() + self.front.reserved_descriptors();
+        ServerUsage {
             requests: self.exchange.request_count(),
-            unanswered: self.exchange.pending_count(),
-            intents: self
+            pending: self.exchange.pending_count(),
+            active_key_runs: self
                 .exchange
                 .key_table()
                 .map_or(0, |history| history.active_runs()),
-            open,
+            open_requests: open,
             calls,
             descriptors: listeners + connections + pool + links + asked + passes,
-            connections,
-            pool,
-            asked,
+            client_connections: connections,
+            dependency_connections: pool,
+            management_connections: asked,
         }
     }
 
@@ -322,7 +334,7 @@
     pub fn close(&mut self) {
         let held = self.held();
         if let Some(upgrade) = &mut self.upgrade {
-            upgrade.farewell(held);
+            upgrade.shutdown(held);
         }
         match self.keeper.take() {
             // Another process may take this one's place, or has it: its keys are the matcher's.
@@ -337,46 +349,46 @@
     }
 
     /// The event loop saw something on a connection.
-    pub fn ready(&mut self, party: Party, readiness: Readiness) {
+    pub fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness) {
         match party {
-            Party::Front(number) => self.front.note(number, readiness),
-            Party::Runtime => self.runtime.note(readiness),
-            Party::Store(number) => self.store.note(number, readiness),
-            Party::Directory(number) => self.directory.note(number, readiness),
-            Party::Operator(number) => {
+            SocketOwner::ClientConnection(number) => self.front.on_readiness(number, readiness),
+            SocketOwner::Runtime => self.runtime.on_readiness(readiness),
+            SocketOwner::Dependency(number) => self.store.on_readiness(number, readiness),
+            SocketOwner::Registry(number) => self.directory.on_readiness(number, readiness),
+            SocketOwner::Management(number) => {
                 if let Some(operators) = &mut self.operators {
-                    operators.note(number, readiness);
+                    operators.on_readiness(number, readiness);
                 }
             }
             // Whatever came from there is read in every turn.
-            Party::Predecessor | Party::Successor | Party::Target(_) => {}
+            SocketOwner::Predecessor | SocketOwner::Successor | SocketOwner::GatewayTarget(_) => {}
         }
     }
 
     /// The keeper of results has something to say.
-    pub fn kept(&mut self, fact: Event) {
+    pub fn on_persistence_event(&mut self, fact: Event) {
         self.facts.push(fact);
     }
 
     /// The event loop saw new connections.
-    pub fn acceptable(&mut self, listener: usize) {
+    pub fn on_acceptable(&mut self, listener: usize) {
         match &mut self.operators {
-            Some(operators) if listener == operators::PLACE => operators.note_listener(),
+            Some(operators) if listener == management_endpoint::PLACE => operators.on_acceptable(),
             _ => match &mut self.upgrade {
-                Some(upgrade) if listener == upgrade::PLACE => upgrade.note_post(),
-                _ => self.front.note_listener(listener),
+                Some(upgrade) if listener == hot_restart::PLACE => upgrade.on_acceptable(),
+                _ => self.front.on_acceptable(listener),
             },
         }
     }
 
     /// The notice to leave; only the first counts.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         if self.stop_at.is_none() {
             let now = self.world.now();
             if self
                 .upgrade
                 .as_ref()
-                .is_some_and(upgrade::Upgrade::succeeded)
+                .is_some_and(hot_restart::HotRestart::succeeded)
             {
                 return self.leave_to_successor(now);
             }
@@ -384,14 +396,14 @@
             tracing::info!(
                 "leaving within {} ms, with {} connections and {} requests that owe an answer",
                 self.stop / 1_000,
-                self.front.connections(),
+                self.front.connection_count(),
                 self.exchange.pending_count()
             );
             self.stop_at = Some(stop_at);
             self.facts.push(Event::DrainStarted { stop_at });
-            self.front.leave(now);
+            self.front.begin_shutdown(now);
             if self.shares_listener {
-                self.front.leave_listener();
+                self.front.close_listeners();
             }
         }
     }
@@ -399,10 +411,10 @@
     /// Reads the configuration again and goes on with the addresses of the other parties in it; the rest of it
     /// takes hold with the next start. A faulty one changes nothing.
     pub fn reload(&mut self) {
-        let Parties {
+        let ServiceAddresses {
             runtime,
-            store,
-            lookup,
+            dependency: store,
+            registry: lookup,
         } = match (self.reload)() {
             Ok(parties) => parties,
             Err(fault) => {
@@ -412,7 +424,7 @@
         };
         let now = self.world.now();
         if let Some(tls) = &self.tls {
-            tls.borrow_mut().turn(now, true);
+            tls.borrow_mut().poll(now, true);
         }
         tracing::info!(
             "configuration read again: runtime {runtime}, store {store}, directory {lookup}"
@@ -424,17 +436,18 @@
 
     /// All is answered and nobody can ask any more, or it is time.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.stop_at.is_some_and(|at| {
             let now = self.world.now();
-            let quiet = self.exchange.pending_count() == 0 && self.front.connections() == 0;
+            let quiet = self.exchange.pending_count() == 0 && self.front.connection_count() == 0;
             let quiet = quiet
                 || is_bug_injected(InjectedBug::ExitBeforeResponses)
                 || (self.succeeded && is_bug_injected(InjectedBug::PredecessorExitsEarly));
             // Where a successor accepts, nobody can come here any more. One whose own predecessor is still there waits for
             // its end, which would else take it for dead, and whose share the successor hears of only here.
-            let waits =
-                |upgrade: &upgrade::Upgrade<W>| upgrade.has_predecessor() || upgrade.is_orphaned();
+            let waits = |upgrade: &hot_restart::HotRestart<H>| {
+                upgrade.has_predecessor() || upgrade.is_orphaned()
+            };
             let before = self.upgrade.as_ref().is_some_and(waits);
             // What runs with an effect is told to its repeats by whoever has the place.
             let ends = self
@@ -449,16 +462,16 @@
 
     /// Takes up what the event loop noted, lets the exchange decide, and carries that out. Returns until when
     /// there is nothing to do but wait.
-    pub fn turn(&mut self) -> Micros {
+    pub fn poll(&mut self) -> Micros {
         let now = self.world.now();
         if self.stop_at.is_some_and(|at| now + FAREWELL >= at) {
-            self.front.part(now);
+            self.front.notify_stop(now);
             if let Some(upgrade) = &mut self.upgrade {
                 upgrade.search_no_more(now);
             }
         }
         if let Some(tls) = &self.tls {
-            tls.borrow_mut().turn(now, false);
+            tls.borrow_mut().poll(now, false);
         }
         // First: what staff see may not depend on how many clients there are.
         let mut more = self.answer_operators(now);
@@ -468,11 +481,11 @@
         }
         if self.stop_at.is_some_and(|at| now + LAST_ACCEPT >= at) {
             // Whoever is accepted now would be read and not answered.
-            self.front.rest();
+            self.front.pause_accepting();
         }
-        more |= self.front.turn(now, &mut self.facts);
-        more |= self.runtime.turn(now, &mut self.facts);
-        self.store.turn(now, &mut self.facts);
+        more |= self.front.poll(now, &mut self.facts);
+        more |= self.runtime.poll(now, &mut self.facts);
+        self.store.poll(now, &mut self.facts);
         for fact in self.facts.drain(..) {
             if let Event::RuntimeReady(age) = fact {
                 self.up_since = Some(now.saturating_sub(age));
@@ -488,39 +501,45 @@
             self.carry_out(now, command);
         }
         if let Some(keeper) = &mut self.keeper {
-            keeper.turn(now, &mut self.facts);
+            keeper.poll(now, &mut self.facts);
         }
         self.front.flush(now, &mut self.facts);
-        more |= self.runtime.turn(now, &mut self.facts);
-        self.store.turn(now, &mut self.facts);
-        let open = self.runtime.up() && self.stop_at.is_none();
+        more |= self.runtime.poll(now, &mut self.facts);
+        self.store.poll(now, &mut self.facts);
+        let open = self.runtime.is_ready() && self.stop_at.is_none();
         let reports = self.serves() && !self.succeeded;
-        self.directory.turn(now, reports.then_some(open));
+        self.directory.poll(now, reports.then_some(open));
         if more || !self.facts.is_empty() {
             return 0;
         }
-        let asked = self.operators.as_ref().and_then(operators::Operators::next);
-        let passes = self.upgrade.as_ref().and_then(upgrade::Upgrade::next);
+        let asked = self
+            .operators
+            .as_ref()
+            .and_then(management_endpoint::ManagementEndpoint::next_deadline);
+        let passes = self
+            .upgrade
+            .as_ref()
+            .and_then(hot_restart::HotRestart::next_deadline);
         let next = [
             self.exchange.next_deadline(),
-            self.runtime.next(),
-            self.store.next(),
+            self.runtime.next_deadline(),
+            self.store.next_deadline(),
             self.stop_at,
             asked,
             passes,
             self.listen_at,
-            self.keeper.as_ref().and_then(Keeper::next),
+            self.keeper.as_ref().and_then(ResultPersistence::next_deadline),
         ];
         let store = self
             .yielded
-            .filter(|(since, passed)| !passed && now < since + handover::CROSSING);
+            .filter(|(since, passed)| !passed && now < since + hot_restart_steps::CROSSING);
         let next = next
             .into_iter()
             .flatten()
-            .chain(store.map(|(since, _)| since + handover::CROSSING));
-        let watch = self.tls.as_ref().map(|_| now + secure::WATCH);
+            .chain(store.map(|(since, _)| since + hot_restart_steps::CROSSING));
+        let watch = self.tls.as_ref().map(|_| now + tls_layer::WATCH);
         let next = next
-            .chain([self.front.next(), self.directory.next()])
+            .chain([self.front.next_deadline(), self.directory.next_deadline()])
             .chain(watch)
             .min();
         next.unwrap_or(0)
@@ -530,47 +549,49 @@
         let Some(mut operators) = self.operators.take() else {
             return false;
         };
-        let more = operators.turn(now, &*self);
+        let more = operators.poll(now, &*self);
         self.operators = Some(operators);
         more
     }
 
     /// Whether it takes clients: without its runtime it serves nothing.
     #[must_use]
-    pub fn takes_clients(&self) -> bool {
-        self.runtime.up() && self.stop_at.is_none() && self.listen_at.is_none() && self.serves()
+    pub fn accepts_clients(&self) -> bool {
+        self.runtime.is_ready() && self.stop_at.is_none() && self.listen_at.is_none() && self.serves()
     }
 
     /// Clients are accepted here, and by no process whose place it takes or that takes its own.
     fn serves(&self) -> bool {
-        self.upgrade.as_ref().is_none_or(upgrade::Upgrade::serves)
+        self.upgrade
+            .as_ref()
+            .is_none_or(hot_restart::HotRestart::serves)
     }
 
     /// It goes on with what its predecessor had learned.
     #[must_use]
-    pub fn has_learned(&self) -> bool {
+    pub fn has_restored_learned_state(&self) -> bool {
         self.learned
     }
 
     /// What it can't go on with.
-    pub fn fault(&mut self) -> Option<io::Error> {
+    pub fn take_fault(&mut self) -> Option<io::Error> {
         self.fault.take()
     }
 
     /// How it is, for a fleet's daemon.
     #[must_use]
-    pub fn status(&self) -> report::Status {
+    pub fn status(&self) -> status_report::Status {
         let (cold, warm_after) = self.warming;
         let warmth = |since: Micros| {
             let age = self.now().saturating_sub(since) as f64 / warm_after.max(1) as f64;
             (cold + (1.0 - cold) * age).clamp(0.0, 1.0)
         };
         let total = self.exchange.counters().total();
-        report::Status {
+        status_report::Status {
             // Without its runtime it serves nothing.
             warmth: self
                 .up_since
-                .filter(|_| self.runtime.up())
+                .filter(|_| self.runtime.is_ready())
                 .map_or(0.0, warmth),
             held: self.exchange.pending_count(),
             drains: self.stop_at.is_some(),
@@ -586,14 +607,14 @@
             Command::Respond {
                 client: to,
                 response: answer,
-            } => self.front.answer(now, to, &answer),
+            } => self.front.respond(now, to, &answer),
             Command::StartRun { id, class, body } => self.runtime.start(id, class, &body),
-            Command::ResumeWithReply { id, body } => self.runtime.give(id, &body),
-            Command::ResumeWithoutCall { id, notice } => self.runtime.omit(id, notice),
+            Command::ResumeWithReply { id, body } => self.runtime.resume_with_reply(id, &body),
+            Command::ResumeWithoutCall { id, notice } => self.runtime.resume_without_call(id, notice),
             Command::StopRun(id) => self.runtime.stop(id),
             Command::MakeCall(call) => self.store.call(now, call, &mut self.facts),
             Command::AbandonCall(id) => self.store.abandon(id),
-            Command::ReadGauges => self.runtime.ask_gauges(),
+            Command::ReadGauges => self.runtime.read_gauges(),
             Command::SetHealth(good) => {
                 tracing::info!(
                     "health checks are answered {}",
@@ -602,7 +623,7 @@
                 self.front.set_health(good);
             }
             Command::SetFeedback(value) => self.front.set_feedback(value),
-            Command::CloseIdleConnections(after) => self.front.set_idle(after),
+            Command::CloseIdleConnections(after) => self.front.set_idle_timeout(after),
             Command::PersistKey(effect) => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.write(effect);
@@ -610,16 +631,16 @@
             }
             Command::LoadCachedResult { id, number, key } => {
                 if let Some(keeper) = &mut self.keeper {
-                    keeper.recall(now, id, number, key);
+                    keeper.load_result(now, id, number, key);
                 }
             }
         }
     }
 }
 
-impl<W: World> mgmt::Answers for Node<W> {
+impl<H: Host> mgmt::Answers for Server<H> {
     fn ready(&self) -> bool {
-        self.takes_clients()
+        self.accepts_clients()
     }
 
     fn vars(&self) -> Vec<u8> {
@@ -628,7 +649,7 @@
             .tls
             .as_ref()
             .map(|tls| tls_vars(&tls.borrow(), self.front.handshakes(), self.now()));
-        report::vars(
+        status_report::vars(
             &self.class_names,
             self.exchange.counters(),
             self.exchange.pending_count(),
@@ -640,7 +661,7 @@
 
 /// What operators see of TLS: the certificate's expiry, renewals, and handshakes.
 fn tls_vars(
-    tls: &secure::Tls,
+    tls: &tls_layer::TlsState,
     handshakes: Option<&cleatpulley_connection_admission::handshake::Handshakes>,
     now: Micros,
 ) -> serde_json::Value {
--- a/crates/server/src/operators.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -1,10 +1,10 @@
 //! The operators' address: who asks how this process is, each on a connection of its own. Served before the clients' side in each
 //! turn, in places that no client can take.
 
-use super::conn::Conn;
-use super::secure::{Layer, Tls};
-use super::world::{Readiness, World};
-use super::Party;
+use super::buffered_connection::BufferedConnection;
+use super::host::{Host, Readiness};
+use super::tls_layer::{TlsLayer, TlsState};
+use super::SocketOwner;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::mgmt::{Answers, Connection};
@@ -26,33 +26,33 @@
 /// A connection that was accepted so lately is not pushed out by the next.
 const FAIR: Micros = 500;
 
-struct Caller<W: World> {
-    conn: Conn<W>,
+struct Caller<H: Host> {
+    conn: BufferedConnection<H>,
     call: Connection,
     /// Our end is closed.
     finished: bool,
 }
 
 /// The listener and its callers.
-pub struct Operators<W: World> {
-    world: W,
-    listener: W::Listener,
+pub struct ManagementEndpoint<H: Host> {
+    world: H,
+    listener: H::Listener,
     acceptable: bool,
     accept_at: Micros,
-    callers: BTreeMap<u64, Caller<W>>,
+    callers: BTreeMap<u64, Caller<H>>,
     most: usize,
     noted: Vec<u64>,
     numbers: u64,
     /// TLS, where operators speak it: each handshake begins at once, in the places of operators.
-    tls: Option<Rc<RefCell<Tls>>>,
+    tls: Option<Rc<RefCell<TlsState>>>,
 }
 
-impl<W: World> Operators<W> {
+impl<H: Host> ManagementEndpoint<H> {
     /// Listens.
     ///
     /// # Errors
     /// Those of the system.
-    pub fn listen(world: W, address: SocketAddr) -> io::Result<Self> {
+    pub fn listen(world: H, address: SocketAddr) -> io::Result<Self> {
         let (listener, address) = world
             .listen(address, PLACE)
             .map_err(|e| io::Error::new(e.kind(), format!("mgmt: {address}: {e}")))?;
@@ -73,12 +73,12 @@
     }
 
     /// Speaks TLS from now on.
-    pub fn set_tls(&mut self, tls: Rc<RefCell<Tls>>) {
+    pub fn set_tls(&mut self, tls: Rc<RefCell<TlsState>>) {
         self.tls = Some(tls);
     }
 
     /// Has so many places from now on; who has waited longest beyond them goes.
-    pub fn set_most(&mut self, most: usize) {
+    pub fn set_connection_limit(&mut self, most: usize) {
         self.most = most.max(1);
         while self.callers.len() > self.most {
             self.callers.pop_first();
@@ -87,31 +87,31 @@
 
     /// Connections that stand.
     #[must_use]
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.callers.len()
     }
 
     /// Connections may wait to be accepted.
-    pub fn note_listener(&mut self) {
+    pub fn on_acceptable(&mut self) {
         self.acceptable = true;
     }
 
     /// A connection may be read from or written to.
-    pub fn note(&mut self, number: u64, readiness: Readiness) {
+    pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(caller) = self.callers.get_mut(&number) {
-            caller.conn.note(readiness);
+            caller.conn.on_readiness(readiness);
             self.noted.push(number);
         }
     }
 
     /// Answers what has come, accepts, and closes. True when there is more to do at once.
-    pub fn turn(&mut self, now: Micros, answers: &dyn Answers) -> bool {
+    pub fn poll(&mut self, now: Micros, answers: &dyn Answers) -> bool {
         for number in std::mem::take(&mut self.noted) {
             self.serve(now, number, answers);
         }
         // Those that stand come first: room for the next is made of what has still no whole call.
         self.accept(now, answers);
-        let due = |(number, caller): (&u64, &Caller<W>)| {
+        let due = |(number, caller): (&u64, &Caller<H>)| {
             (now >= caller.call.deadline()).then_some(*number)
         };
         let due: Vec<_> = self.callers.iter().filter_map(due).collect();
@@ -130,7 +130,7 @@
 
     /// When something is to be looked at, though nothing happened.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let deadline = self
             .callers
             .values()
@@ -150,8 +150,11 @@
                 return;
             }
             let number = self.numbers + 1;
-            let mut conn = match self.world.accept(&self.listener, Party::Operator(number)) {
-                Ok((stream, _)) => Conn::new(stream),
+            let mut conn = match self
+                .world
+                .accept(&self.listener, SocketOwner::Management(number))
+            {
+                Ok((stream, _)) => BufferedConnection::new(stream),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.acceptable = false;
                     return;
@@ -174,12 +177,12 @@
             };
             self.numbers = number;
             // A call that came with its connection is answered before the next can push it out.
-            conn.note(Readiness {
+            conn.on_readiness(Readiness {
                 readable: true,
                 writable: true,
             });
             if self.tls.is_some() {
-                conn.secure(Layer::new());
+                conn.set_tls(TlsLayer::new());
             }
             self.callers.insert(
                 number,
@@ -196,7 +199,7 @@
     /// Pushes out who has its answer or waits longest for a whole call. Guards against callers that hold all places
     /// and ask nothing.
     fn make_room(&mut self, now: Micros) -> bool {
-        let rank = |(number, caller): (&u64, &Caller<W>)| {
+        let rank = |(number, caller): (&u64, &Caller<H>)| {
             let done = caller.call.answered() && caller.conn.unsent() == 0;
             (done || now >= caller.call.since() + FAIR).then_some((!done, *number))
         };
@@ -220,14 +223,15 @@
     }
 }
 
-impl<W: World> Caller<W> {
+impl<H: Host> Caller<H> {
     /// Reads, answers and sends; false where the connection is over.
-    fn go_on(&mut self, now: Micros, answers: &dyn Answers, tls: Option<&Tls>) -> bool {
+    fn go_on(&mut self, now: Micros, answers: &dyn Answers, tls: Option<&TlsState>) -> bool {
         loop {
             let Ok(mut more) = self.conn.read(READ_AT_ONCE) else {
                 return false;
             };
-            if let (Some(tls), true) = (tls, self.conn.layer().and_then(Layer::offer).is_some()) {
+            if let (Some(tls), true) = (tls, self.conn.layer().and_then(TlsLayer::offer).is_some())
+            {
                 if self.conn.begin(tls.config()).is_err() {
                     return false;
                 }
@@ -247,7 +251,7 @@
         }
         let sent = self.conn.unsent() == 0;
         if self.call.answered() && sent && !std::mem::replace(&mut self.finished, true) {
-            self.conn.finish();
+            self.conn.shutdown_write();
         }
         // One that closed its end before a whole call came asks nothing any more.
         !self.conn.ended || self.call.answered() && !sent
--- a/crates/server/src/real.rs
+++ b/crates/server/src/os_host.rs
@@ -1,11 +1,11 @@
 //! The real world: calloop's event loop, the system's sockets and clocks, and a thread that keeps results.
 
-use super::keeping::Keeping;
-use super::passage::{self, Passage, Passed};
-use super::report::{FleetLink, Reporter, Status};
-use super::standings::Standings;
-use super::world::{Datagrams, Meeting, Readiness, Stream, Talks, World};
-use super::{Node, Options, Party, Reload};
+use super::handover_channel::{self, HandoverChannel, ReceivedSocket};
+use super::host::{DatagramSocket, GossipHost, HandoverAddress, Host, Readiness, Stream};
+use super::persistence_thread::PersistenceThread;
+use super::reputation_store::ReputationStorage;
+use super::status_report::{FleetLink, Status, StatusReporter};
+use super::{Options, Reload, Server, SocketOwner};
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
@@ -24,36 +24,36 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Access to the event loop.
-pub type Handle = LoopHandle<'static, Box<dyn Served>>;
+pub type EventLoopHandle = LoopHandle<'static, Box<dyn Service>>;
 
 /// What an event loop serves: a matcher, or a gateway.
-pub trait Served {
+pub trait Service {
     /// The event loop saw something on a connection.
-    fn ready(&mut self, party: Party, readiness: Readiness);
+    fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness);
 
     /// The event loop saw new connections on this listener.
-    fn acceptable(&mut self, listener: usize);
+    fn on_acceptable(&mut self, listener: usize);
 
     /// The keeper of results has something to say.
-    fn kept(&mut self, _: Event) {}
+    fn on_persistence_event(&mut self, _: Event) {}
 
     /// The book of earned standing tells what it held.
-    fn remembered(&mut self, _: Vec<Entry>) {}
+    fn on_reputation_loaded(&mut self, _: Vec<Entry>) {}
 
     /// The notice to leave.
-    fn leave(&mut self);
+    fn begin_shutdown(&mut self);
 
     /// The configuration is to be read again.
     fn reload(&mut self);
 
     /// Does what there is to do; returns until when there is nothing but to wait.
-    fn turn(&mut self) -> Micros;
+    fn poll(&mut self) -> Micros;
 
     /// All is answered and nobody can ask any more, or it is time.
-    fn is_over(&self) -> bool;
+    fn is_finished(&self) -> bool;
 
     /// What it can't go on with.
-    fn fault(&mut self) -> Option<io::Error> {
+    fn take_fault(&mut self) -> Option<io::Error> {
         None
     }
 
@@ -67,41 +67,41 @@
     fn now(&self) -> Micros;
 }
 
-impl Served for Node<Real> {
-    fn ready(&mut self, party: Party, readiness: Readiness) {
-        Self::ready(self, party, readiness);
+impl Service for Server<OsHost> {
+    fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness) {
+        Self::on_readiness(self, party, readiness);
     }
 
-    fn acceptable(&mut self, listener: usize) {
-        Self::acceptable(self, listener);
+    fn on_acceptable(&mut self, listener: usize) {
+        Self::on_acceptable(self, listener);
     }
 
-    fn kept(&mut self, fact: Event) {
-        Self::kept(self, fact);
+    fn on_persistence_event(&mut self, fact: Event) {
+        Self::on_persistence_event(self, fact);
     }
 
-    fn remembered(&mut self, entries: Vec<Entry>) {
-        Self::remembered(self, &entries);
+    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+        Self::on_reputation_loaded(self, &entries);
     }
 
-    fn leave(&mut self) {
-        Self::leave(self);
+    fn begin_shutdown(&mut self) {
+        Self::begin_shutdown(self);
     }
 
     fn reload(&mut self) {
         Self::reload(self);
     }
 
-    fn turn(&mut self) -> Micros {
-        Self::turn(self)
+    fn poll(&mut self) -> Micros {
+        Self::poll(self)
     }
 
-    fn is_over(&self) -> bool {
-        Self::is_over(self)
+    fn is_finished(&self) -> bool {
+        Self::is_finished(self)
     }
 
-    fn fault(&mut self) -> Option<io::Error> {
-        Self::fault(self)
+    fn take_fault(&mut self) -> Option<io::Error> {
+        Self::take_fault(self)
     }
 
     fn close(&mut self) {
@@ -145,8 +145,8 @@
 
 /// The real world.
 #[derive(Clone)]
-pub struct Real {
-    handle: Handle,
+pub struct OsHost {
+    handle: EventLoopHandle,
     clock: Clock,
     /// A listening socket that the process was started with; it takes the first listener's place.
     inherited: Rc<RefCell<Option<TcpListener>>>,
@@ -154,25 +154,25 @@
 }
 
 /// Where successors come to.
-pub struct Post {
+pub struct SuccessorListener {
     socket: Rc<Socket>,
     _watch: Watch,
 }
 
 /// A connection; it is watched for edges.
-pub struct Connection {
+pub struct OsStream {
     socket: Rc<TcpStream>,
-    handle: Handle,
+    handle: EventLoopHandle,
     token: RegistrationToken,
 }
 
-impl Drop for Connection {
+impl Drop for OsStream {
     fn drop(&mut self) {
         self.handle.remove(self.token);
     }
 }
 
-impl Stream for Connection {
+impl Stream for OsStream {
     fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         (&*self.socket).read(buffer)
     }
@@ -181,12 +181,12 @@
         (&*self.socket).write(bytes)
     }
 
-    fn finish(&self) {
+    fn shutdown_write(&self) {
         // A peer that is gone already is no failure.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn take_error(&self) -> io::Result<()> {
         self.socket.take_error()?.map_or(Ok(()), Err)
     }
 }
@@ -205,7 +205,7 @@
 
 /// What the event loop watches, until this is dropped.
 pub struct Watch {
-    handle: Handle,
+    handle: EventLoopHandle,
     token: RegistrationToken,
 }
 
@@ -215,10 +215,10 @@
     }
 }
 
-impl Real {
+impl OsHost {
     /// That of an event loop.
     #[must_use]
-    pub fn new(handle: Handle) -> Self {
+    pub fn new(handle: EventLoopHandle) -> Self {
         Self {
             handle,
             clock: Clock::new(),
@@ -241,7 +241,7 @@
         &self,
         socket: Rc<S>,
         mode: Mode,
-        seen: impl Fn(&mut Box<dyn Served>) + 'static,
+        seen: impl Fn(&mut Box<dyn Service>) + 'static,
     ) -> io::Result<Watch> {
         let source = Generic::new(socket, Interest::READ, mode);
         let watched = self.handle.insert_source(source, move |_, _, node| {
@@ -259,7 +259,7 @@
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.acceptable(place)
+            node.on_acceptable(place)
         })?;
         Ok(Listener {
             socket,
@@ -267,22 +267,22 @@
         })
     }
 
-    fn passage(&self, socket: Socket, party: Party) -> io::Result<Passage> {
+    fn passage(&self, socket: Socket, party: SocketOwner) -> io::Result<HandoverChannel> {
         let socket = Rc::new(socket);
         let seen = Readiness {
             readable: true,
             writable: false,
         };
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.ready(party, seen)
+            node.on_readiness(party, seen)
         })?;
-        Ok(Passage {
+        Ok(HandoverChannel {
             socket,
             _watch: watch,
         })
     }
 
-    fn watch(&self, socket: TcpStream, party: Party) -> io::Result<Connection> {
+    fn watch(&self, socket: TcpStream, party: SocketOwner) -> io::Result<OsStream> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
@@ -292,11 +292,11 @@
                 readable: seen.readable || seen.error,
                 writable: seen.writable || seen.error,
             };
-            node.ready(party, readiness);
+            node.on_readiness(party, readiness);
             Ok(PostAction::Continue)
         });
         let token = watched.map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Connection {
+        Ok(OsStream {
             socket,
             handle: self.handle.clone(),
             token,
@@ -304,14 +304,14 @@
     }
 }
 
-impl World for Real {
-    type Stream = Connection;
+impl Host for OsHost {
+    type Stream = OsStream;
     type Listener = Listener;
-    type Keeper = Keeping;
-    type Standings = Standings;
-    type Post = Post;
-    type Spare = std::fs::File;
-    type Passage = Passage;
+    type ResultPersistence = PersistenceThread;
+    type ReputationStorage = ReputationStorage;
+    type SuccessorListener = SuccessorListener;
+    type ReservedDescriptor = std::fs::File;
+    type HandoverChannel = HandoverChannel;
 
     fn now(&self) -> Micros {
         self.clock.now()
@@ -344,7 +344,7 @@
         Ok((self.watch_listener(socket, place)?, address))
     }
 
-    fn is_taken(&self, address: SocketAddr) -> bool {
+    fn is_address_in_use(&self, address: SocketAddr) -> bool {
         let alone = || -> io::Result<()> {
             let socket = Socket::new(
                 Domain::for_address(address),
@@ -358,30 +358,35 @@
         shares && alone().is_err_and(|e| e.kind() == ErrorKind::AddrInUse)
     }
 
-    fn adopt(&self, passed: Passed, address: SocketAddr, place: usize) -> io::Result<Listener> {
+    fn adopt_listener(
+        &self,
+        passed: ReceivedSocket,
+        address: SocketAddr,
+        place: usize,
+    ) -> io::Result<Listener> {
         self.watch_listener(passed.listener(address)?, place)
     }
 
-    fn post(&self, meeting: &Meeting, place: usize) -> io::Result<Post> {
-        let socket = Rc::new(passage::post(meeting)?);
+    fn listen_for_successors(&self, meeting: &HandoverAddress, place: usize) -> io::Result<SuccessorListener> {
+        let socket = Rc::new(handover_channel::post(meeting)?);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.acceptable(place)
+            node.on_acceptable(place)
         })?;
-        Ok(Post {
+        Ok(SuccessorListener {
             socket,
             _watch: watch,
         })
     }
 
-    fn welcome(&self, post: &Post, party: Party) -> io::Result<Passage> {
-        self.passage(passage::welcome(&post.socket)?, party)
+    fn accept_successor(&self, post: &SuccessorListener, party: SocketOwner) -> io::Result<HandoverChannel> {
+        self.passage(handover_channel::welcome(&post.socket)?, party)
     }
 
-    fn visit(&self, meeting: &Meeting, party: Party) -> io::Result<Passage> {
-        self.passage(passage::visit(meeting)?, party)
+    fn connect_to_predecessor(&self, meeting: &HandoverAddress, party: SocketOwner) -> io::Result<HandoverChannel> {
+        self.passage(handover_channel::visit(meeting)?, party)
     }
 
-    fn accept(&self, listener: &Listener, party: Party) -> io::Result<(Connection, IpAddr)> {
+    fn accept(&self, listener: &Listener, party: SocketOwner) -> io::Result<(OsStream, IpAddr)> {
         let (socket, address) = listener.socket.accept()?;
         let watched = self.watch(socket, party).map_err(|e| {
             tracing::warn!("a connection can't be watched: {e}");
@@ -390,11 +395,11 @@
         Ok((watched?, address.ip()))
     }
 
-    fn spare(&self) -> io::Result<std::fs::File> {
+    fn reserve_descriptor(&self) -> io::Result<std::fs::File> {
         std::fs::File::open("/dev/null")
     }
 
-    fn connect(&self, to: SocketAddr, party: Party) -> io::Result<Connection> {
+    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<OsStream> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
@@ -407,26 +412,26 @@
         self.watch(socket.into(), party)
     }
 
-    fn standings(&self, folder: PathBuf, most: usize) -> io::Result<Standings> {
-        Standings::start(&self.handle, folder, most)
+    fn open_reputation_storage(&self, folder: PathBuf, most: usize) -> io::Result<ReputationStorage> {
+        ReputationStorage::start(&self.handle, folder, most)
     }
 
-    fn keeper(&self, folder: PathBuf, seed: u64, lasting: bool) -> io::Result<Keeping> {
+    fn open_result_persistence(&self, folder: PathBuf, seed: u64, lasting: bool) -> io::Result<PersistenceThread> {
         if lasting {
-            Keeping::start(&self.handle, folder, seed)
+            PersistenceThread::start(&self.handle, folder, seed)
         } else {
-            Ok(Keeping::at_once(folder, seed))
+            Ok(PersistenceThread::at_once(folder, seed))
         }
     }
 }
 
 /// A socket for datagrams; it is watched for edges.
-pub struct Udp {
+pub struct OsDatagramSocket {
     socket: Rc<UdpSocket>,
     _watch: Watch,
 }
 
-impl Datagrams for Udp {
+impl DatagramSocket for OsDatagramSocket {
     fn send(&self, to: SocketAddr, datagram: &[u8]) -> io::Result<()> {
         self.socket.send_to(datagram, to).map(|_| ())
     }
@@ -436,20 +441,24 @@
     }
 }
 
-impl Talks for Real {
-    type Datagrams = Udp;
+impl GossipHost for OsHost {
+    type DatagramSocket = OsDatagramSocket;
 
-    fn datagrams(&self, address: SocketAddr, place: usize) -> io::Result<(Udp, SocketAddr)> {
+    fn bind_datagram_socket(
+        &self,
+        address: SocketAddr,
+        place: usize,
+    ) -> io::Result<(OsDatagramSocket, SocketAddr)> {
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{address}: {e}"));
         let socket = UdpSocket::bind(address).map_err(named)?;
         socket.set_nonblocking(true)?;
         let at = socket.local_addr()?;
         let socket = Rc::new(socket);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.acceptable(place)
+            node.on_acceptable(place)
         })?;
         Ok((
-            Udp {
+            OsDatagramSocket {
                 socket,
                 _watch: watch,
             },
@@ -466,9 +475,9 @@
 /// The signals that the program hears: SIGTERM, SIGINT and SIGHUP. Held back from the moment at which this is made, and
 /// heard once it serves. Guards against a notice or a new configuration in the first moments of a process, whose usual
 /// meaning is its death.
-pub struct HeldSignals(Signals);
+pub struct BlockedSignals(Signals);
 
-impl HeldSignals {
+impl BlockedSignals {
     /// Holds them back from here on; threads begun later do so too.
     ///
     /// # Errors
@@ -481,9 +490,9 @@
 
 /// What a process gets from whoever has started it, and what it has from its first moments.
 #[derive(Default)]
-pub struct Hosted {
+pub struct HostOptions {
     /// Signals held back so far; they are held from here on where there is none.
-    pub signals: Option<HeldSignals>,
+    pub signals: Option<BlockedSignals>,
     /// Where the daemon listens.
     pub link: Option<FleetLink>,
     /// A listening socket that instances share.
@@ -500,9 +509,9 @@
 ///
 /// # Errors
 /// When the event loop or a listening socket can't be had.
-pub fn serve(options: Options, reload: Reload, hosted: Hosted) -> io::Result<()> {
+pub fn serve(options: Options, reload: Reload, hosted: HostOptions) -> io::Result<()> {
     serve_with(hosted, |world| {
-        Ok(Box::new(Node::new(world, options, reload)?))
+        Ok(Box::new(Server::new(world, options, reload)?))
     })
 }
 
@@ -511,24 +520,24 @@
 /// # Errors
 /// When the event loop can't be had, or what is to be served can't be made.
 pub fn serve_with(
-    hosted: Hosted,
-    make: impl FnOnce(Real) -> io::Result<Box<dyn Served>>,
+    hosted: HostOptions,
+    make: impl FnOnce(OsHost) -> io::Result<Box<dyn Service>>,
 ) -> io::Result<()> {
-    let mut event_loop: EventLoop<'static, Box<dyn Served>> =
+    let mut event_loop: EventLoop<'static, Box<dyn Service>> =
         EventLoop::try_new().map_err(io::Error::other)?;
     let handle = event_loop.handle();
-    let HeldSignals(signals) = hosted.signals.map_or_else(HeldSignals::hold, Ok)?;
+    let BlockedSignals(signals) = hosted.signals.map_or_else(BlockedSignals::hold, Ok)?;
     let heard =
-        |event: calloop::signals::Event, (): &mut (), node: &mut Box<dyn Served>| match event
+        |event: calloop::signals::Event, (): &mut (), node: &mut Box<dyn Service>| match event
             .signal()
         {
             Signal::SIGHUP => node.reload(),
-            _ => node.leave(),
+            _ => node.begin_shutdown(),
         };
     handle
         .insert_source(signals, heard)
         .map_err(|e| io::Error::other(e.to_string()))?;
-    let world = Real::new(handle.clone()).sharing_addresses(hosted.shares_addresses);
+    let world = OsHost::new(handle.clone()).sharing_addresses(hosted.shares_addresses);
     let shared = hosted
         .listener
         .as_ref()
@@ -536,8 +545,8 @@
         .transpose()?;
     *world.inherited.borrow_mut() = hosted.listener;
     if let Some(link) = hosted.link {
-        let mut reporter = Reporter::new(link, shared);
-        let tell = move |_, (): &mut (), node: &mut Box<dyn Served>| {
+        let mut reporter = StatusReporter::new(link, shared);
+        let tell = move |_, (): &mut (), node: &mut Box<dyn Service>| {
             reporter.say(&node.status());
             TimeoutAction::ToDuration(TELLS)
         };
@@ -548,11 +557,11 @@
     }
     let mut node = make(world)?;
     loop {
-        let next = node.turn();
-        if let Some(fault) = node.fault() {
+        let next = node.poll();
+        if let Some(fault) = node.take_fault() {
             return Err(fault);
         }
-        if node.is_over() {
+        if node.is_finished() {
             node.close();
             tracing::info!("left");
             return Ok(());
--- a/crates/server/src/real/tests.rs
+++ b/crates/server/src/os_host/tests.rs
@@ -6,12 +6,16 @@
 #[test]
 fn nothing_written_is_held_back_on_connections_of_either_side() {
     let event_loop = EventLoop::try_new().expect("an event loop");
-    let real = Real::new(event_loop.handle());
+    let real = OsHost::new(event_loop.handle());
     let (listener, address) = real
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a port");
-    let made = real.connect(address, Party::Runtime).expect("it listens");
-    let (accepted, _) = real.accept(&listener, Party::Front(1)).expect("it waits");
+    let made = real
+        .connect(address, SocketOwner::Runtime)
+        .expect("it listens");
+    let (accepted, _) = real
+        .accept(&listener, SocketOwner::ClientConnection(1))
+        .expect("it waits");
     for connection in [made, accepted] {
         assert!(connection.socket.nodelay().expect("an option"));
     }
--- a/crates/server/src/keeping.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -1,8 +1,8 @@
 //! The keeper of results: a thread that owns the journal, so that no write, sync or read of the disk is waited for by
 //! the event loop. One sync covers all that came while the one before it ran.
 
-use super::real::Handle;
-use super::world;
+use super::host;
+use super::os_host::EventLoopHandle;
 use super::Micros;
 use calloop::channel::{self, Event};
 use cleatpulley_dispatcher::key_table::KeyCommand;
@@ -33,7 +33,7 @@
 
 /// What the keeper is asked for.
 #[derive(Debug)]
-pub enum Job {
+pub enum PersistenceJob {
     /// To write what a history decided.
     Write(KeyCommand),
     /// To read how a key ended, for a request and under a number of the exchange's.
@@ -42,7 +42,7 @@
 
 /// What the keeper does, on whatever files and thread: it opens the store, writes, syncs and reads, and says what came
 /// of it. After a failure it is to be opened again.
-pub struct Core<F: Files> {
+pub struct ResultStore<F: Files> {
     journal: Option<Journal<F>>,
     recovered: bool,
     well: bool,
@@ -52,7 +52,7 @@
     results: u64,
 }
 
-impl<F: Files> Default for Core<F> {
+impl<F: Files> Default for ResultStore<F> {
     fn default() -> Self {
         Self {
             journal: None,
@@ -64,7 +64,7 @@
     }
 }
 
-impl<F: Files> Core<F> {
+impl<F: Files> ResultStore<F> {
     /// Another process has the store open, as far as is known.
     #[must_use]
     pub fn is_locked(&self) -> bool {
@@ -135,17 +135,21 @@
 
     /// Does all jobs; what they wrote is durable only after a [`sync`](Self::sync), and what they read is told before
     /// it. While the store is not open nothing is written, and nothing can be read.
-    pub fn work(&mut self, jobs: &mut dyn Iterator<Item = Job>, facts: &mut Vec<DispatcherEvent>) {
+    pub fn work(
+        &mut self,
+        jobs: &mut dyn Iterator<Item = PersistenceJob>,
+        facts: &mut Vec<DispatcherEvent>,
+    ) {
         for job in jobs {
             match (job, &mut self.journal) {
-                (Job::Write(effect), Some(journal)) => {
+                (PersistenceJob::Write(effect), Some(journal)) => {
                     self.results += u64::from(ends(&effect));
                     if let Err(e) = journal.write(&effect) {
                         self.fail(&e, facts);
                     }
                 }
-                (Job::Write(_), None) => {}
-                (Job::Recall(at, id, number, key), Some(journal)) => {
+                (PersistenceJob::Write(_), None) => {}
+                (PersistenceJob::Recall(at, id, number, key), Some(journal)) => {
                     let outcome = journal.load_outcome(at, &key).unwrap_or_else(|e| {
                         tracing::error!("results: what was kept of {key:?} can't be read: {e}");
                         None
@@ -156,7 +160,7 @@
                         outcome,
                     });
                 }
-                (Job::Recall(_, id, number, _), None) => {
+                (PersistenceJob::Recall(_, id, number, _), None) => {
                     facts.push(DispatcherEvent::CachedResultLoaded {
                         id,
                         number,
@@ -234,25 +238,25 @@
 }
 
 /// Access to the keeper; it ends when this is dropped.
-pub enum Keeping {
+pub enum PersistenceThread {
     /// One with a thread of its own.
     Lasting {
         /// None once it was released.
-        jobs: Option<Sender<Job>>,
+        jobs: Option<Sender<PersistenceJob>>,
         /// It has ended.
         over: Receiver<()>,
     },
     /// One whose files need not reach the disk, so that nothing it does is waited for.
-    Passing(Box<Passing>),
+    InlinePersistence(Box<InlinePersistence>),
 }
 
-impl Keeping {
+impl PersistenceThread {
     /// One that does all it is asked for at once, on files that outlive the process and not the host. What is told of it
     /// comes with its turns.
     #[must_use]
     pub fn at_once(folder: PathBuf, seed: u64) -> Self {
-        let core = Core::default();
-        let passing = Passing {
+        let core = ResultStore::default();
+        let passing = InlinePersistence {
             folder,
             seed,
             core,
@@ -260,20 +264,20 @@
             next: Some(0),
             released: false,
         };
-        Self::Passing(Box::new(passing))
+        Self::InlinePersistence(Box::new(passing))
     }
 
-    /// Starts it. What it has to say goes to [`Node::kept`](super::Node::kept): first what the store holds, which may
+    /// Starts it. What it has to say goes to [`Server::kept`](super::Node::kept): first what the store holds, which may
     /// take a while; until then nothing is to be kept.
     ///
     /// # Errors
     /// Where the system gives no thread or channel.
-    pub fn start(handle: &Handle, folder: PathBuf, seed: u64) -> io::Result<Self> {
+    pub fn start(handle: &EventLoopHandle, folder: PathBuf, seed: u64) -> io::Result<Self> {
         let (facts, heard) = channel::channel();
         handle
             .insert_source(heard, |event, (), node| {
                 if let Event::Msg(fact) = event {
-                    node.kept(fact);
+                    node.on_persistence_event(fact);
                 }
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -284,7 +288,7 @@
             seed,
             jobs: taken,
             facts,
-            core: Core::default(),
+            core: ResultStore::default(),
         };
         std::thread::Builder::new()
             .name("keeper".to_owned())
@@ -299,7 +303,7 @@
         })
     }
 
-    fn ask(&mut self, job: Job) {
+    fn ask(&mut self, job: PersistenceJob) {
         match self {
             Self::Lasting {
                 jobs: Some(jobs), ..
@@ -308,24 +312,24 @@
                 let _ = jobs.send(job);
             }
             Self::Lasting { jobs: None, .. } => {}
-            Self::Passing(passing) => passing.ask(job),
+            Self::InlinePersistence(passing) => passing.ask(job),
         }
     }
 }
 
-impl world::Keeper for Keeping {
+impl host::ResultPersistence for PersistenceThread {
     fn write(&mut self, effect: KeyCommand) {
-        self.ask(Job::Write(effect));
+        self.ask(PersistenceJob::Write(effect));
     }
 
-    fn recall(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.ask(Job::Recall(now, id, number, key));
+    fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
+        self.ask(PersistenceJob::Recall(now, id, number, key));
     }
 
     fn release(&mut self) {
         match self {
             Self::Lasting { jobs, .. } => *jobs = None,
-            Self::Passing(passing) => passing.release(),
+            Self::InlinePersistence(passing) => passing.release(),
         }
     }
 
@@ -342,7 +346,7 @@
 
     fn discard(self) {
         let folder = match &self {
-            Self::Passing(passing) => Some(passing.folder.clone()),
+            Self::InlinePersistence(passing) => Some(passing.folder.clone()),
             Self::Lasting { .. } => None,
         };
         self.stop();
@@ -352,33 +356,33 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) {
-        if let Self::Passing(passing) = self {
+    fn poll(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) {
+        if let Self::InlinePersistence(passing) = self {
             passing.turn(now, facts);
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         match self {
             Self::Lasting { .. } => None,
-            Self::Passing(passing) => passing.next,
+            Self::InlinePersistence(passing) => passing.next,
         }
     }
 }
 
 /// A keeper without a thread.
-pub struct Passing {
+pub struct InlinePersistence {
     folder: PathBuf,
     seed: u64,
-    core: Core<Folder>,
+    core: ResultStore<Folder>,
     facts: Vec<DispatcherEvent>,
     /// When the store is opened, or looked after.
     next: Option<Micros>,
     released: bool,
 }
 
-impl Passing {
-    fn ask(&mut self, job: Job) {
+impl InlinePersistence {
+    fn ask(&mut self, job: PersistenceJob) {
         // Another process has the store.
         if self.released {
             return;
@@ -424,9 +428,9 @@
 struct Thread {
     folder: PathBuf,
     seed: u64,
-    jobs: Receiver<Job>,
+    jobs: Receiver<PersistenceJob>,
     facts: channel::Sender<DispatcherEvent>,
-    core: Core<Folder>,
+    core: ResultStore<Folder>,
 }
 
 impl Thread {
--- a/crates/server/src/directory.rs
+++ b/crates/server/src/registry_client.rs
@@ -1,8 +1,8 @@
 //! Reports to the directory, so that front ends find this matcher.
 
-use super::conn::Conn;
-use super::world::{Readiness, World};
-use super::Party;
+use super::buffered_connection::BufferedConnection;
+use super::host::{Host, Readiness};
+use super::SocketOwner;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
 use std::io;
@@ -19,9 +19,9 @@
 const READ_AT_ONCE: usize = 65_536;
 
 /// A connection to the directory.
-struct Channel<W: World> {
+struct Channel<H: Host> {
     number: u64,
-    conn: Conn<W>,
+    conn: BufferedConnection<H>,
     /// When the report on its way was made.
     asked: Option<Micros>,
     /// Its answer is late, which was seen.
@@ -30,12 +30,12 @@
 
 /// The reporter. A directory that answers late is reported to all the same: a report counts once it is answered, so that
 /// its connection is kept for the answer while the next report takes another.
-pub struct Directory<W: World> {
-    world: W,
+pub struct RegistryClient<H: Host> {
+    world: H,
     address: SocketAddr,
     path: String,
     /// The oldest first.
-    channels: Vec<Channel<W>>,
+    channels: Vec<Channel<H>>,
     numbers: u64,
     beat_at: Micros,
     /// What the last report said, and whether reports are answered in time.
@@ -44,10 +44,10 @@
     silent: bool,
 }
 
-impl<W: World> Directory<W> {
+impl<H: Host> RegistryClient<H> {
     /// A reporter for the matcher of this name.
     #[must_use]
-    pub fn new(world: W, address: SocketAddr, name: &str) -> Self {
+    pub fn new(world: H, address: SocketAddr, name: &str) -> Self {
         let path = format!("/dir/nodes/{name}");
         let channels = Vec::new();
         Self {
@@ -73,31 +73,31 @@
 
     /// Connections to it that stand or are being made.
     #[must_use]
-    pub fn links(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.channels.len()
     }
 
     /// Takes note of what the event loop saw on a connection.
-    pub fn note(&mut self, number: u64, readiness: Readiness) {
+    pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(channel) = self
             .channels
             .iter_mut()
             .find(|channel| channel.number == number)
         {
-            channel.conn.note(readiness);
+            channel.conn.on_readiness(readiness);
         }
     }
 
     /// Reads the answers to reports and makes the next when it is time; a change is told at once where none is on its way,
     /// which it could overtake. Nothing is reported where another process does that.
-    pub fn turn(&mut self, now: Micros, open: Option<bool>) {
+    pub fn poll(&mut self, now: Micros, open: Option<bool>) {
         self.silent = open.is_none();
         let open = open.unwrap_or(self.said);
         if open != self.said && self.oldest().is_none() {
             self.beat_at = now;
         }
         let in_time =
-            |channel: &Channel<W>| channel.asked.is_none_or(|asked| now < asked + PATIENCE);
+            |channel: &Channel<H>| channel.asked.is_none_or(|asked| now < asked + PATIENCE);
         if self
             .channels
             .iter_mut()
@@ -132,13 +132,13 @@
 
     /// When the next report is due, one is late or one is given up.
     #[must_use]
-    pub fn next(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let beat_at = if self.silent {
             Micros::MAX
         } else {
             self.beat_at
         };
-        let due = |channel: &Channel<W>| {
+        let due = |channel: &Channel<H>| {
             let patience = if channel.late { LAPSE } else { PATIENCE };
             channel.asked.map(|asked| asked + patience)
         };
@@ -167,8 +167,11 @@
             None if self.channels.len() >= MOST => return Ok(()),
             None => {
                 self.numbers += 1;
-                let conn =
-                    Conn::connect(&self.world, self.address, Party::Directory(self.numbers))?;
+                let conn = BufferedConnection::connect(
+                    &self.world,
+                    self.address,
+                    SocketOwner::Registry(self.numbers),
+                )?;
                 self.channels.push(Channel {
                     number: self.numbers,
                     conn,
--- a/crates/server/src/standings.rs
+++ b/crates/server/src/reputation_store.rs
@@ -1,9 +1,9 @@
 //! Earned standing across restarts: a thread that owns the book, so that no read, write or sync of the disk is waited for
 //! by the event loop, and what the matcher does with it.
 
-use super::real::Handle;
-use super::world::{self, Standings as _, World};
-use super::Node;
+use super::host::{self, Host, ReputationStorage as _};
+use super::os_host::EventLoopHandle;
+use super::Server;
 use calloop::channel::{self, Event};
 use cleatpulley_connection_admission::book::{Book, Entry};
 use cleatpulley_log_store::files::Folder;
@@ -40,7 +40,7 @@
     }
 }
 
-impl<W: World> Node<W> {
+impl<H: Host> Server<H> {
     /// Opens the book of earned standing, where one is kept and is not open.
     pub(super) fn open_standings(&mut self) {
         let Some((folder, most)) = self
@@ -50,7 +50,7 @@
         else {
             return;
         };
-        match self.world.standings(folder, most) {
+        match self.world.open_reputation_storage(folder, most) {
             Ok(standings) => self.standings = Some(standings),
             Err(e) => tracing::error!("standing: nothing can be kept: {e}"),
         }
@@ -79,7 +79,7 @@
     }
 
     /// The book of earned standing tells what it held.
-    pub fn remembered(&mut self, entries: &[Entry]) {
+    pub fn on_reputation_loaded(&mut self, entries: &[Entry]) {
         let now = self.now();
         if let Some(admission) = self.front.admission_mut() {
             admission.remember(now, entries);
@@ -88,22 +88,22 @@
 }
 
 /// Access to the thread; it ends when this is dropped.
-pub struct Standings {
+pub struct ReputationStorage {
     jobs: Option<Sender<Vec<Entry>>>,
     over: Receiver<()>,
 }
 
-impl Standings {
-    /// Starts it; what the book holds goes to [`Node::remembered`].
+impl ReputationStorage {
+    /// Starts it; what the book holds goes to [`Server::remembered`].
     ///
     /// # Errors
     /// Where the system gives no thread or channel.
-    pub fn start(handle: &Handle, folder: PathBuf, most: usize) -> io::Result<Self> {
+    pub fn start(handle: &EventLoopHandle, folder: PathBuf, most: usize) -> io::Result<Self> {
         let (entries, heard) = channel::channel();
         handle
             .insert_source(heard, |event, (), node| {
                 if let Event::Msg(entries) = event {
-                    node.remembered(entries);
+                    node.on_reputation_loaded(entries);
                 }
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -123,7 +123,7 @@
     }
 }
 
-impl world::Standings for Standings {
+impl host::ReputationStorage for ReputationStorage {
     fn write(&self, entries: Vec<Entry>) {
         if let Some(jobs) = &self.jobs {
             // A thread that is gone has told why.
--- a/crates/server/src/runtime.rs
+++ b/crates/server/src/runtime_link.rs
@@ -1,8 +1,8 @@
 //! The link to the runtime: commands out, notices in, and the way back after a break.
 
-use super::conn::Conn;
-use super::world::{Readiness, World};
-use super::Party;
+use super::buffered_connection::BufferedConnection;
+use super::host::{Host, Readiness};
+use super::SocketOwner;
 use cleatpulley_dispatcher::{Event, RuntimeCommand};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome, RequestId};
@@ -40,12 +40,12 @@
 }
 
 /// The link and what it has to remember across breaks.
-pub struct Runtime<W: World> {
-    world: W,
+pub struct RuntimeLink<H: Host> {
+    world: H,
     address: SocketAddr,
     routes: Vec<String>,
     gauge_names: Vec<String>,
-    conn: Option<Conn<W>>,
+    conn: Option<BufferedConnection<H>>,
     /// `sync` was answered on this link.
     synced: bool,
     /// How long the runtime had been up when it answered last.
@@ -72,11 +72,11 @@
     well: bool,
 }
 
-impl<W: World> Runtime<W> {
+impl<H: Host> RuntimeLink<H> {
     /// A link that is tried at once.
     #[must_use]
     pub fn new(
-        world: W,
+        world: H,
         address: SocketAddr,
         routes: Vec<String>,
         gauge_names: Vec<String>,
@@ -106,13 +106,13 @@
 
     /// A connection to it stands or is being made.
     #[must_use]
-    pub fn linked(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.conn.is_some()
     }
 
     /// Whether the runtime is up and the link stands.
     #[must_use]
-    pub fn up(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.synced
     }
 
@@ -129,7 +129,7 @@
             return;
         }
         if self.synced {
-            self.ask_gauges();
+            self.read_gauges();
             match self.send() {
                 Ok(()) => self.leaving = Some((self.marks, now + LEAVING)),
                 Err(e) => self.lose(now, &e.to_string()),
@@ -153,7 +153,7 @@
     }
 
     /// Hands over the reply to a call.
-    pub fn give(&mut self, id: RequestId, body: &[u8]) {
+    pub fn resume_with_reply(&mut self, id: RequestId, body: &[u8]) {
         self.push(
             line::give(id, body),
             Some(Sent {
@@ -165,7 +165,7 @@
     }
 
     /// Leaves out a call.
-    pub fn omit(&mut self, id: RequestId, notice: u64) {
+    pub fn resume_without_call(&mut self, id: RequestId, notice: u64) {
         self.push(
             line::omit(id, notice),
             Some(Sent {
@@ -189,7 +189,7 @@
     }
 
     /// Asks for the gauges; while no link stands there is nobody to ask.
-    pub fn ask_gauges(&mut self) {
+    pub fn read_gauges(&mut self) {
         // A runtime that does not answer is not asked without end.
         if self.synced && self.flying.len() < MOST_FLYING {
             self.marks += 1;
@@ -202,14 +202,14 @@
     }
 
     /// Takes note of what the event loop saw.
-    pub fn note(&mut self, readiness: Readiness) {
+    pub fn on_readiness(&mut self, readiness: Readiness) {
         if let Some(conn) = &mut self.conn {
-            conn.note(readiness);
+            conn.on_readiness(readiness);
         }
     }
 
     /// Reads what has come, sends what waits, and mends the link. True when there is more to read.
-    pub fn turn(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
+    pub fn poll(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
         if self.conn.is_none() && now >= self.retry_at {
             self.connect(now);
         }
@@ -245,7 +245,7 @@
 
     /// When the link is to be tried again.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         if self.conn.is_none() {
             return Some(self.retry_at);
         }
@@ -253,7 +253,7 @@
     }
 
     fn connect(&mut self, now: Micros) {
-        match Conn::connect(&self.world, self.address, Party::Runtime) {
+        match BufferedConnection::connect(&self.world, self.address, SocketOwner::Runtime) {
             Ok(mut conn) => {
                 conn.output().extend_from_slice(&line::sync(self.last));
                 self.handed = conn.unsent() as u64;
@@ -361,7 +361,7 @@
                 self.well = true;
                 facts.push(Event::RuntimeReady(notice.time()));
                 // Answered after all notices that the runtime had for us.
-                self.ask_gauges();
+                self.read_gauges();
                 self.barrier = self.marks;
             }
             "end" => {
--- a/crates/server/src/runtime/tests.rs
+++ b/crates/server/src/runtime_link/tests.rs
@@ -1,7 +1,7 @@
 //! The link on sockets of loopback, on a clock of the test's own.
 
 use super::*;
-use crate::real::Real;
+use crate::os_host::OsHost;
 
 /// A second new address while the link to the first is being left. Guards against a mark that is never sent: the link
 /// would be left only once its time is over, and no command goes out until then.
@@ -15,8 +15,8 @@
         .iter()
         .map(|l| l.local_addr().expect("an address"))
         .collect();
-    let mut runtime = Runtime::new(
-        Real::new(event_loop.handle()),
+    let mut runtime = RuntimeLink::new(
+        OsHost::new(event_loop.handle()),
         at[0],
         Vec::new(),
         Vec::new(),
@@ -31,9 +31,9 @@
     let mut facts = Vec::new();
     runtime.confirm(1, &mut facts);
     assert!(
-        runtime.turn(3_000, &mut facts) && !runtime.linked(),
+        runtime.poll(3_000, &mut facts) && !runtime.is_connected(),
         "proved, and left at once"
     );
-    runtime.turn(3_000, &mut facts);
+    runtime.poll(3_000, &mut facts);
     assert!(listeners[2].accept().is_ok(), "and the next is the newest");
 }
--- a/crates/server/src/report.rs
+++ b/crates/server/src/status_report.rs
@@ -95,14 +95,14 @@
 }
 
 /// Tells a daemon.
-pub struct Reporter {
+pub struct StatusReporter {
     link: FleetLink,
     socket: Option<Socket>,
     /// What all instances listen with: a daemon that comes after another gets it from them.
     listener: Option<TcpListener>,
 }
 
-impl Reporter {
+impl StatusReporter {
     /// One that has no link yet.
     #[must_use]
     pub fn new(link: FleetLink, listener: Option<TcpListener>) -> Self {
--- a/crates/server/src/secure.rs
+++ b/crates/server/src/tls_layer.rs
@@ -24,7 +24,7 @@
 const WARN_AGAIN: Micros = 86_400_000_000;
 
 /// Where a connection's TLS stands.
-pub enum Layer {
+pub enum TlsLayer {
     /// Bytes of the first record, as they come.
     Hello(Vec<u8>),
     /// The first record is whole; the handshake waits for its turn, with the bytes that came so far.
@@ -44,7 +44,7 @@
     io::Error::new(io::ErrorKind::InvalidData, what.to_string())
 }
 
-impl Layer {
+impl TlsLayer {
     /// That of a connection accepted now.
     #[must_use]
     pub fn new() -> Self {
@@ -193,7 +193,7 @@
     }
 }
 
-impl Default for Layer {
+impl Default for TlsLayer {
     fn default() -> Self {
         Self::new()
     }
@@ -201,7 +201,7 @@
 
 /// What a setup was made of.
 #[derive(Debug, Clone)]
-pub struct Loaded {
+pub struct LoadedCertificate {
     /// The setup.
     pub config: Arc<ServerConfig>,
     /// What the certificate says.
@@ -209,7 +209,7 @@
 }
 
 /// Where the certificate comes from: the program reads the files, the emulator has them in memory.
-pub trait Certificates {
+pub trait CertificateSource {
     /// Something that changes when a file does, such as their times and lengths.
     fn stamp(&self) -> u64;
 
@@ -217,14 +217,14 @@
     ///
     /// # Errors
     /// The file at fault and why.
-    fn load(&self) -> Result<Loaded, String>;
+    fn load(&self) -> Result<LoadedCertificate, String>;
 }
 
 /// TLS on a matcher's fronts.
 #[derive(Clone)]
-pub struct TlsFront {
+pub struct TlsOptions {
     /// Where the certificate comes from.
-    pub certificates: Arc<dyn Certificates>,
+    pub certificates: Arc<dyn CertificateSource>,
     /// Where it is spoken: frames, AJP, the operators' address.
     pub frames: bool,
     /// AJP.
@@ -243,7 +243,7 @@
     pub clock: Clock,
 }
 
-impl fmt::Debug for TlsFront {
+impl fmt::Debug for TlsOptions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("TlsFront")
             .field("frames", &self.frames)
@@ -255,9 +255,9 @@
 }
 
 /// What the connections of the fronts share, and the watch over the files.
-pub struct Tls {
-    options: TlsFront,
-    config: RefCell<Loaded>,
+pub struct TlsState {
+    options: TlsOptions,
+    config: RefCell<LoadedCertificate>,
     stamp: u64,
     look_at: Micros,
     warned_at: Option<Micros>,
@@ -265,12 +265,12 @@
     pub renewals: (u64, u64),
 }
 
-impl Tls {
+impl TlsState {
     /// Reads the certificate a first time.
     ///
     /// # Errors
     /// What is wrong with it: without it, nothing is spoken.
-    pub fn new(options: TlsFront, now: Micros) -> Result<Self, String> {
+    pub fn new(options: TlsOptions, now: Micros) -> Result<Self, String> {
         options.clock.set(now);
         let stamp = options.certificates.stamp();
         let loaded = options.certificates.load()?;
@@ -295,7 +295,7 @@
 
     /// The options it was made with.
     #[must_use]
-    pub fn options(&self) -> &TlsFront {
+    pub fn options(&self) -> &TlsOptions {
         &self.options
     }
 
@@ -322,7 +322,7 @@
 
     /// Sets the clock, and reads the files again where they changed or where `now` is asked for (SIGHUP). A faulty pair
     /// changes nothing; connections that stand go on with what they have.
-    pub fn turn(&mut self, now: Micros, asked: bool) {
+    pub fn poll(&mut self, now: Micros, asked: bool) {
         self.options.clock.set(now);
         if !asked && now < self.look_at {
             return;
--- a/crates/simulator/src/hall.rs
+++ b/crates/simulator/src/hall.rs
@@ -3,7 +3,7 @@
 
 use crate::host::{Event, Shared, Virtual, VirtualListener};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_server::world::Passage;
+use cleatpulley_server::host::HandoverChannel;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -59,7 +59,7 @@
 fn wake(net: &Shared, node: usize, life: u64) {
     let mut net = net.borrow_mut();
     let at = net.now + LATENCY;
-    net.queue.push(at, Event::Passage(node, life));
+    net.queue.push(at, Event::HandoverChannel(node, life));
 }
 
 impl VirtualPassage {
@@ -91,9 +91,9 @@
     }
 }
 
-impl Passage for VirtualPassage {
+impl HandoverChannel for VirtualPassage {
     type Listener = VirtualListener;
-    type Passed = VirtualPassed;
+    type ReceivedSocket = VirtualPassed;
 
     fn send(&self, message: &[u8], along: &[&VirtualListener]) -> io::Result<()> {
         let passed = along
