--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -11,9 +11,9 @@
 use cleatpulley_log_store::{Error, Options};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, RequestId};
-use cleatpulley_server::keeping::{Core, Job};
-use cleatpulley_server::world::{Keeper, Meeting, Readiness, Stream, World};
-use cleatpulley_server::Party;
+use cleatpulley_server::host::{HandoverAddress, Host, Readiness, ResultPersistence, Stream};
+use cleatpulley_server::persistence_thread::{PersistenceJob, ResultStore};
+use cleatpulley_server::SocketOwner;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -27,11 +27,11 @@
     /// On the network.
     Net(NetEvent),
     /// A matcher of this life is to take a turn.
-    Node(usize, u64),
+    Server(usize, u64),
     /// A service has something to do.
     Service(usize),
     /// A matcher's keeper of this life has something to do.
-    Keeper(usize, u64),
+    ResultPersistence(usize, u64),
     /// Its book of earned standing has.
     Shelf(usize, u64),
     /// A fault begins.
@@ -41,7 +41,7 @@
     /// A replaced matcher comes back.
     Revive(usize, u64),
     /// Somebody has come to a matcher's process, or something was said to it, on their way to take a place.
-    Passage(usize, u64),
+    HandoverChannel(usize, u64),
     /// A process is looked after that is to take another's place.
     Rollout(usize),
     /// Operators ask.
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Owner {
     /// The party of a matcher's process, by its slot.
-    Node(usize, Party),
+    Server(usize, SocketOwner),
     /// A link of a service.
     Service(usize, u64),
 }
@@ -69,14 +69,14 @@
     #[must_use]
     pub fn encode(self) -> u64 {
         let (kind, index, number) = match self {
-            Self::Node(node, Party::Front(number)) => (0, node, number),
-            Self::Node(node, Party::Runtime) => (1, node, 0),
-            Self::Node(node, Party::Store(number)) => (2, node, number),
-            Self::Node(node, Party::Directory(number)) => (3, node, number),
-            Self::Node(node, Party::Target(number)) => (5, node, number),
-            Self::Node(node, Party::Predecessor) => (7, node, 0),
-            Self::Node(node, Party::Successor) => (8, node, 0),
-            Self::Node(node, Party::Operator(number)) => (6, node, number),
+            Self::Server(node, SocketOwner::ClientConnection(number)) => (0, node, number),
+            Self::Server(node, SocketOwner::Runtime) => (1, node, 0),
+            Self::Server(node, SocketOwner::Dependency(number)) => (2, node, number),
+            Self::Server(node, SocketOwner::Registry(number)) => (3, node, number),
+            Self::Server(node, SocketOwner::GatewayTarget(number)) => (5, node, number),
+            Self::Server(node, SocketOwner::Predecessor) => (7, node, 0),
+            Self::Server(node, SocketOwner::Successor) => (8, node, 0),
+            Self::Server(node, SocketOwner::Management(number)) => (6, node, number),
             Self::Service(service, link) => (4, service, link),
         };
         kind << 56 | (index as u64) << 48 | number & NUMBER
@@ -87,14 +87,14 @@
     pub fn decode(code: u64) -> Self {
         let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER);
         match code >> 56 {
-            0 => Self::Node(index, Party::Front(number)),
-            1 => Self::Node(index, Party::Runtime),
-            2 => Self::Node(index, Party::Store(number)),
-            3 => Self::Node(index, Party::Directory(number)),
-            5 => Self::Node(index, Party::Target(number)),
-            6 => Self::Node(index, Party::Operator(number)),
-            7 => Self::Node(index, Party::Predecessor),
-            8 => Self::Node(index, Party::Successor),
+            0 => Self::Server(index, SocketOwner::ClientConnection(number)),
+            1 => Self::Server(index, SocketOwner::Runtime),
+            2 => Self::Server(index, SocketOwner::Dependency(number)),
+            3 => Self::Server(index, SocketOwner::Registry(number)),
+            5 => Self::Server(index, SocketOwner::GatewayTarget(number)),
+            6 => Self::Server(index, SocketOwner::Management(number)),
+            7 => Self::Server(index, SocketOwner::Predecessor),
+            8 => Self::Server(index, SocketOwner::Successor),
             _ => Self::Service(index, number),
         }
     }
@@ -110,8 +110,8 @@
     /// It has closed the store, and nothing more is asked of it.
     released: bool,
     /// What it has to do.
-    pub jobs: VecDeque<Job>,
-    core: Core<Memory>,
+    pub jobs: VecDeque<PersistenceJob>,
+    core: ResultStore<Memory>,
     /// The disk; a crash leaves another.
     pub disk: Memory,
     scheduled: bool,
@@ -123,7 +123,7 @@
     /// One of a process on this disk, which a process before may have left.
     #[must_use]
     pub fn new(disk: Memory, lock: Lock, life: u64) -> Self {
-        let (jobs, core) = (VecDeque::new(), Core::default());
+        let (jobs, core) = (VecDeque::new(), ResultStore::default());
         Self {
             lock,
             life,
@@ -233,11 +233,11 @@
         self.net.borrow_mut().write(self.end, bytes)
     }
 
-    fn finish(&self) {
+    fn shutdown_write(&self) {
         self.net.borrow_mut().finish(self.end);
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn take_error(&self) -> io::Result<()> {
         self.net.borrow_mut().check(self.end)
     }
 }
@@ -292,7 +292,7 @@
 }
 
 impl VirtualKeeper {
-    fn push(&self, job: Job) {
+    fn push(&self, job: PersistenceJob) {
         let mut desk = self.world.desk.borrow_mut();
         // Nobody takes what is asked of a keeper that was let go, also not the next one.
         if desk.released {
@@ -303,19 +303,21 @@
             let mut net = self.world.net.borrow_mut();
             // A sync takes its time, and what comes meanwhile shares the next.
             let at = net.now + 700 + (net.now / 7) % 900;
-            net.queue
-                .push(at, Event::Keeper(self.world.node, self.world.life));
+            net.queue.push(
+                at,
+                Event::ResultPersistence(self.world.node, self.world.life),
+            );
         }
     }
 }
 
-impl Keeper for VirtualKeeper {
+impl ResultPersistence for VirtualKeeper {
     fn write(&mut self, effect: KeyCommand) {
-        self.push(Job::Write(effect));
+        self.push(PersistenceJob::Write(effect));
     }
 
-    fn recall(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.push(Job::Recall(now, id, number, key));
+    fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
+        self.push(PersistenceJob::Recall(now, id, number, key));
     }
 
     fn release(&mut self) {
@@ -329,16 +331,16 @@
     }
 }
 
-impl World for Virtual {
+impl Host for Virtual {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
-    type Keeper = VirtualKeeper;
-    type Post = VirtualPost;
-    type Spare = VirtualSpare;
-    type Standings = VirtualStandings;
-    type Passage = VirtualPassage;
+    type ResultPersistence = VirtualKeeper;
+    type SuccessorListener = VirtualPost;
+    type ReservedDescriptor = VirtualSpare;
+    type ReputationStorage = VirtualStandings;
+    type HandoverChannel = VirtualPassage;
 
-    fn spare(&self) -> io::Result<VirtualSpare> {
+    fn reserve_descriptor(&self) -> io::Result<VirtualSpare> {
         self.net.borrow_mut().hold(self.process)?;
         Ok(VirtualSpare {
             net: Rc::clone(&self.net),
@@ -346,15 +348,15 @@
         })
     }
 
-    fn standings(&self, _: PathBuf, most: usize) -> io::Result<VirtualStandings> {
+    fn open_reputation_storage(&self, _: PathBuf, most: usize) -> io::Result<VirtualStandings> {
         Ok(VirtualStandings::new(self, most))
     }
 
-    fn is_taken(&self, address: SocketAddr) -> bool {
+    fn is_address_in_use(&self, address: SocketAddr) -> bool {
         self.net.borrow().listeners(address) > 0
     }
 
-    fn adopt(
+    fn adopt_listener(
         &self,
         passed: VirtualPassed,
         address: SocketAddr,
@@ -363,15 +365,15 @@
         passed.take_up(address, self.process)
     }
 
-    fn post(&self, _: &Meeting, _: usize) -> io::Result<VirtualPost> {
+    fn listen_for_successors(&self, _: &HandoverAddress, _: usize) -> io::Result<VirtualPost> {
         VirtualPost::new(self)
     }
 
-    fn welcome(&self, post: &VirtualPost, _: Party) -> io::Result<VirtualPassage> {
+    fn accept_successor(&self, post: &VirtualPost, _: SocketOwner) -> io::Result<VirtualPassage> {
         post.welcome(self)
     }
 
-    fn visit(&self, _: &Meeting, _: Party) -> io::Result<VirtualPassage> {
+    fn connect_to_predecessor(&self, _: &HandoverAddress, _: SocketOwner) -> io::Result<VirtualPassage> {
         VirtualPassage::visit(self)
     }
 
@@ -400,10 +402,10 @@
     fn accept(
         &self,
         listener: &VirtualListener,
-        party: Party,
+        party: SocketOwner,
     ) -> io::Result<(VirtualStream, IpAddr)> {
         let mut net = self.net.borrow_mut();
-        let owner = Owner::Node(self.slot, party).encode();
+        let owner = Owner::Server(self.slot, party).encode();
         let end = net.accept_at(listener.address, listener.number, self.process, owner)?;
         let address = net.address_of(end);
         Ok((
@@ -415,8 +417,8 @@
         ))
     }
 
-    fn connect(&self, to: SocketAddr, party: Party) -> io::Result<VirtualStream> {
-        let owner = Owner::Node(self.slot, party).encode();
+    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<VirtualStream> {
+        let owner = Owner::Server(self.slot, party).encode();
         let end = self.net.borrow_mut().connect(to, self.process, owner)?;
         Ok(VirtualStream {
             net: Rc::clone(&self.net),
@@ -424,13 +426,14 @@
         })
     }
 
-    fn keeper(&self, _folder: PathBuf, _seed: u64, _lasting: bool) -> io::Result<VirtualKeeper> {
+    fn open_result_persistence(&self, _folder: PathBuf, _seed: u64, _lasting: bool) -> io::Result<VirtualKeeper> {
         let mut net = self.net.borrow_mut();
         let at = net.now + 3_000;
         let mut desk = self.desk.borrow_mut();
         desk.abandon();
-        (desk.scheduled, desk.released, desk.core) = (true, false, Core::default());
-        net.queue.push(at, Event::Keeper(self.node, self.life));
+        (desk.scheduled, desk.released, desk.core) = (true, false, ResultStore::default());
+        net.queue
+            .push(at, Event::ResultPersistence(self.node, self.life));
         drop(net);
         Ok(VirtualKeeper {
             world: self.clone(),
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -20,7 +20,9 @@
 use cleatpulley_policy::settings::SettingsDocument;
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Settings as AjpSettings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
-use cleatpulley_server::{store::Speaks, AjpFront, Node, Options, Parties, Results};
+use cleatpulley_server::{
+    dependency_pool::DependencyProtocol, AjpOptions, IdempotencyOptions, Options, Server, ServiceAddresses,
+};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -48,7 +50,7 @@
 
 /// A process of a matcher.
 pub(crate) struct Proc {
-    pub node: Node<Virtual>,
+    pub node: Server<Virtual>,
     pub life: u64,
     /// Its descriptors.
     pub process: usize,
@@ -56,7 +58,7 @@
     pub seat: usize,
     pub mgmt: SocketAddr,
     which: usize,
-    pub parties: Rc<RefCell<Parties>>,
+    pub parties: Rc<RefCell<ServiceAddresses>>,
     pub desk: Rc<RefCell<Desk>>,
     pub shelf: Rc<RefCell<Shelf>>,
     /// A turn is due at once.
@@ -167,7 +169,7 @@
     }
 
     /// Tells a process something; it takes a turn then.
-    pub(crate) fn tell(&mut self, m: usize, life: u64, what: impl FnOnce(&mut Node<Virtual>)) {
+    pub(crate) fn tell(&mut self, m: usize, life: u64, what: impl FnOnce(&mut Server<Virtual>)) {
         if let Some(process) = self.machines[m].find(life) {
             what(&mut process.node);
         }
@@ -175,7 +177,7 @@
     }
 
     /// The same for all processes of a machine.
-    pub(crate) fn tell_all(&mut self, m: usize, what: impl Fn(&mut Node<Virtual>)) {
+    pub(crate) fn tell_all(&mut self, m: usize, what: impl Fn(&mut Server<Virtual>)) {
         let lives: Vec<_> = self.machines[m]
             .procs
             .iter()
@@ -194,10 +196,10 @@
         let (life, seat) = (machine.life, machine.seat);
         let runtimes = runtimes_of(m, seat);
         let mgmt = mgmt_of(m, seat);
-        let parties = Parties {
+        let parties = ServiceAddresses {
             runtime: runtimes[0],
-            store: at(1, 9_042),
-            lookup: at(1, 7_946),
+            dependency: at(1, 9_042),
+            registry: at(1, 7_946),
         };
         let world = Virtual {
             net: Rc::clone(&self.net),
@@ -229,7 +231,7 @@
         let (desk, shelf) = (Rc::clone(&world.desk), Rc::clone(&world.shelf));
         let parties = Rc::new(RefCell::new(parties));
         let read = Rc::clone(&parties);
-        match Node::new(world, options, Box::new(move || Ok(*read.borrow()))) {
+        match Server::new(world, options, Box::new(move || Ok(*read.borrow()))) {
             Ok(node) => {
                 let machine = &mut self.machines[m];
                 if !beside {
@@ -307,7 +309,7 @@
         if !std::mem::replace(&mut process.pending, true) {
             let mut net = self.net.borrow_mut();
             let now = net.now;
-            net.queue.push(now, Event::Node(m, life));
+            net.queue.push(now, Event::Server(m, life));
         }
     }
 
@@ -339,9 +341,9 @@
         };
         let told =
             tracing::info_span!("process", m, life, at = (now - BEGIN) as f64 / 1e6).entered();
-        let next = process.node.turn();
+        let next = process.node.poll();
         drop(told);
-        if let Some(fault) = process.node.fault() {
+        if let Some(fault) = process.node.take_fault() {
             // A new process that can't have its sockets ends, and the one that serves goes on.
             if self
                 .rollouts
@@ -354,7 +356,7 @@
             self.broken.push(format!("m{m} can't go on: {fault}"));
             return;
         }
-        if process.node.is_over() {
+        if process.node.is_finished() {
             process.node.close();
             self.leave(m, life);
             return;
@@ -365,7 +367,10 @@
         }
         let next = next.max(now);
         (process.wake, process.pending) = (next, false);
-        self.net.borrow_mut().queue.push(next, Event::Node(m, life));
+        self.net
+            .borrow_mut()
+            .queue
+            .push(next, Event::Server(m, life));
     }
 
     /// A process is gone, with all that it held.
@@ -437,9 +442,9 @@
         };
         let mut facts = Vec::new();
         let again = process.desk.borrow_mut().work(now, &mut facts);
-        facts.into_iter().for_each(|fact| process.node.kept(fact));
+        facts.into_iter().for_each(|fact| process.node.on_persistence_event(fact));
         if let Some(at) = again {
-            self.net.borrow_mut().queue.push(at, Event::Keeper(m, life));
+            self.net.borrow_mut().queue.push(at, Event::ResultPersistence(m, life));
         }
         self.turn_soon(m, life);
     }
@@ -452,7 +457,7 @@
         };
         let again = process.shelf.borrow_mut().work(now);
         let remembered = std::mem::take(&mut process.shelf.borrow_mut().remembered);
-        process.node.remembered(&remembered);
+        process.node.on_reputation_loaded(&remembered);
         if let Some(at) = again {
             self.net.borrow_mut().queue.push(at, Event::Shelf(m, life));
         }
@@ -467,7 +472,7 @@
         if self.machines[m]
             .procs
             .iter()
-            .any(|process| process.node.census().intents > 0)
+            .any(|process| process.node.usage().active_key_runs > 0)
         {
             self.meet("crash between intent and result");
         }
@@ -512,7 +517,7 @@
         }
         machine.left_at = Some(now);
         let life = machine.procs[0].life;
-        self.tell(m, life, Node::leave);
+        self.tell(m, life, Server::begin_shutdown);
         if slow {
             self.meet("told to leave while several times slower");
         }
@@ -536,10 +541,10 @@
         process.parties.borrow_mut().runtime = new;
         self.net.borrow_mut().unlisten(old);
         self.places[RUNTIMES + m].listen(new);
-        self.tell(m, life, Node::reload);
+        self.tell(m, life, Server::reload);
     }
 
-    fn options(&self, m: usize, seat: usize, parties: Parties) -> Options {
+    fn options(&self, m: usize, seat: usize, parties: ServiceAddresses) -> Options {
         let machine = &self.machines[m];
         // The stand-ins' settings are read by the program's own reader.
         let mut value = self.setup.settings();
@@ -604,34 +609,34 @@
         Options {
             name: format!("m{m}"),
             listen: machine.frames,
-            mgmt: Some(mgmt_of(m, seat)),
+            management: Some(mgmt_of(m, seat)),
             shares_listener: false,
-            meets_in: Some(PathBuf::new()),
-            parties,
+            handover_folder: Some(PathBuf::new()),
+            services: parties,
             seed: self.plan.seed ^ machine.life.rotate_left(32) ^ m as u64,
-            stop: STOP,
-            sockets: self.plan.sockets,
+            shutdown_time: STOP,
+            max_descriptors: self.plan.sockets,
             class_names,
             gauge_names,
             settings,
-            ajp: Some(AjpFront {
+            ajp: Some(AjpOptions {
                 listen: vec![machine.ajp],
                 trusted: vec![self.net.borrow().address()],
                 settings: ajp,
             }),
-            store_speaks: Speaks::Http,
-            results: Some(Results {
-                lasting: true,
+            dependency_protocol: DependencyProtocol::Http,
+            idempotency: Some(IdempotencyOptions {
+                is_durable: true,
                 folder: PathBuf::new(),
                 classes: once,
                 required: false,
-                owner: KeyOwner::PerCaller,
-                bounds,
-                entry_kb: 0.2,
-                frame_field: Some(FIELD.to_owned()),
+                scope: KeyOwner::PerCaller,
+                capacity: bounds,
+                key_entry_kb: 0.2,
+                key_frame_field: Some(FIELD.to_owned()),
             }),
-            admission: self.admission(),
-            standings: Some(PathBuf::new()),
+            connection_admission: self.admission(),
+            reputation_folder: Some(PathBuf::new()),
             tls: None,
         }
     }
--- a/crates/simulator/src/rollout.rs
+++ b/crates/simulator/src/rollout.rs
@@ -5,7 +5,7 @@
 use crate::plan::Killed;
 use crate::sim::{Sim, MS, SECOND, STOP};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_server::Node;
+use cleatpulley_server::Server;
 use rand::Rng;
 
 /// The new process says yes within this time.
@@ -40,7 +40,7 @@
         let serves = machine
             .procs
             .last()
-            .is_some_and(|process| process.node.takes_clients());
+            .is_some_and(|process| process.node.accepts_clients());
         // Three at a time are as many as the least descriptors are enough for.
         let busy = busy || machine.procs.len() > 2;
         if busy || !serves || machine.left_at.is_some() || machine.paused.is_some() {
@@ -127,13 +127,13 @@
                     if let Some(old) = self.machines[m].find(rollout.old) {
                         old.told_at = Some(now);
                     }
-                    self.tell(m, rollout.old, Node::leave);
+                    self.tell(m, rollout.old, Server::begin_shutdown);
                 }
                 true
             }
             (None, None) => {
                 let new = self.machines[m].find(rollout.new);
-                if new.is_some_and(|new| new.node.takes_clients()) {
+                if new.is_some_and(|new| new.node.accepts_clients()) {
                     rollout.tell_at = Some(now + self.random.random_range(0..60) * MS);
                     let torn = self.machines[m].hall.borrow().torn.contains(&rollout.new);
                     if torn {
@@ -141,7 +141,7 @@
                     }
                     let learned = self.machines[m]
                         .find(rollout.new)
-                        .is_some_and(|new| new.node.has_learned());
+                        .is_some_and(|new| new.node.has_restored_learned_state());
                     if torn && learned {
                         self.broken.push(format!("m{m} believes a torn snapshot"));
                     } else if learned {
@@ -174,7 +174,7 @@
             let links = self.fronts[n].links(m);
             let place = self.place_of_front(n);
             let dead = |link: &u64| match place.peer(*link).map(Owner::decode) {
-                Some(Owner::Node(owner, _)) => owner == slot,
+                Some(Owner::Server(owner, _)) => owner == slot,
                 _ => alone,
             };
             let links: Vec<_> = links.into_iter().filter(dead).collect();
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -146,14 +146,14 @@
             let owner = match &machine.procs[..] {
                 // Most of the time there is one process, and nothing to look at.
                 [] | [_] => None,
-                [older @ .., newest] if newest.node.takes_clients() => older
+                [older @ .., newest] if newest.node.accepts_clients() => older
                     .iter()
                     .find(|process| Some(process.life) == machine.lock.get()),
                 _ => None,
             };
             let idle = owner.filter(|owner| {
-                let census = owner.node.census();
-                census.requests == 0 && census.connections == 0
+                let census = owner.node.usage();
+                census.requests == 0 && census.client_connections == 0
             });
             let well = machine.paused.is_none() && now > machine.disk_trouble;
             match idle.filter(|_| well) {
@@ -437,7 +437,7 @@
             let held: usize = machine
                 .procs
                 .iter()
-                .map(|process| process.node.census().descriptors)
+                .map(|process| process.node.usage().descriptors)
                 .sum();
             // Where the middle one dies, the first is found by the third within this time.
             let told = machine.killed_at == 0 || sim.clock() > machine.killed_at + FOUND;
@@ -446,7 +446,7 @@
                 let each: Vec<_> = machine
                     .procs
                     .iter()
-                    .map(|process| process.node.census().to_string())
+                    .map(|process| process.node.usage().to_string())
                     .collect();
                 let each = each.join("; ");
                 self.wrong(
@@ -536,7 +536,7 @@
                 let each: Vec<_> = machine
                     .procs
                     .iter()
-                    .map(|process| process.node.census().to_string())
+                    .map(|process| process.node.usage().to_string())
                     .collect();
                 let each = each.join("; ");
                 self.wrong(
--- a/crates/simulator/src/shelf.rs
+++ b/crates/simulator/src/shelf.rs
@@ -5,7 +5,7 @@
 use cleatpulley_log_store::memory::Memory;
 use cleatpulley_log_store::{Error, Options, Store};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_server::world::Standings;
+use cleatpulley_server::host::ReputationStorage;
 
 /// A store that another process has open is tried again after this time.
 const LOCKED: Micros = 50_000;
@@ -109,7 +109,7 @@
     }
 }
 
-impl Standings for VirtualStandings {
+impl ReputationStorage for VirtualStandings {
     fn write(&self, entries: Vec<Entry>) {
         if let Some(book) = &mut self.world.shelf.borrow_mut().book {
             book.add(entries);
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -16,7 +16,7 @@
 use cleatpulley_emulators::store::Store;
 use cleatpulley_emulators::Service;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_server::upgrade;
+use cleatpulley_server::hot_restart;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::cell::RefCell;
@@ -281,11 +281,11 @@
                     Some(Told::Acceptable(address)) => {
                         match self.listeners.get(&address).copied() {
                             Some(Listens::Node(m, place)) => {
-                                self.tell_all(m, |node| node.acceptable(place))
+                                self.tell_all(m, |node| node.on_acceptable(place))
                             }
                             Some(Listens::Operators(m, life)) => {
                                 self.tell(m, life, |node| {
-                                    node.acceptable(cleatpulley_server::operators::PLACE)
+                                    node.on_acceptable(cleatpulley_server::management_endpoint::PLACE)
                                 });
                             }
                             Some(Listens::Service(place, door)) => {
@@ -300,9 +300,9 @@
                     Some(Told::Ready(end)) => {
                         let owner = self.net.borrow().owner(end);
                         match Owner::decode(owner) {
-                            Owner::Node(slot, party) => {
+                            Owner::Server(slot, party) => {
                                 if let Some((m, life)) = self.in_slot(slot) {
-                                    self.tell(m, life, |node| node.ready(party, READY));
+                                    self.tell(m, life, |node| node.on_readiness(party, READY));
                                 }
                             }
                             Owner::Service(place, link) => {
@@ -315,12 +315,12 @@
                     }
                 }
             }
-            Event::Node(m, life) => {
+            Event::Server(m, life) => {
                 self.turn(m, life);
                 2 << 32 | m as u64
             }
-            Event::Passage(m, life) => {
-                self.tell(m, life, |node| node.acceptable(upgrade::PLACE));
+            Event::HandoverChannel(m, life) => {
+                self.tell(m, life, |node| node.on_acceptable(hot_restart::PLACE));
                 8 << 32 | m as u64
             }
             Event::Rollout(m) => {
@@ -335,7 +335,7 @@
                 self.with_service(place, |place, service| place.advance(service));
                 3 << 32 | place as u64
             }
-            Event::Keeper(m, life) => {
+            Event::ResultPersistence(m, life) => {
                 self.keep(m, life);
                 4 << 32 | m as u64
             }
@@ -436,15 +436,15 @@
                     .push(format!("m{m} has {number} processes though all is quiet"));
                 continue;
             };
-            let census = process.node.census();
+            let census = process.node.usage();
             let (held, known) = (self.net.borrow().held(process.process), census.descriptors);
             let running = self.machines[m].runtime.running();
             let left = [
                 (census.requests, "requests are known"),
-                (census.unanswered, "answers are owed"),
-                (census.open, "requests count as open on connections"),
+                (census.pending, "answers are owed"),
+                (census.open_requests, "requests count as open on connections"),
                 (census.calls, "calls are out"),
-                (census.intents, "runs of keys are on"),
+                (census.active_key_runs, "runs of keys are on"),
                 (running, "runs are on"),
                 (
                     held.abs_diff(known),
--- a/src/config.rs
+++ b/src/config.rs
@@ -6,7 +6,7 @@
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Class, Effect, Micros, Settings};
 use cleatpulley_policy::settings::SettingsDocument;
-use cleatpulley_server::{Options, Parties, Results};
+use cleatpulley_server::{IdempotencyOptions, Options, ServiceAddresses};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -109,17 +109,17 @@
 impl Config {
     /// Where the other parties are.
     #[must_use]
-    pub fn parties(&self) -> Parties {
-        Parties {
+    pub fn parties(&self) -> ServiceAddresses {
+        ServiceAddresses {
             runtime: self.runtime,
-            store: self.store,
-            lookup: self.lookup,
+            dependency: self.store,
+            registry: self.lookup,
         }
     }
 
     /// What is kept of keyed requests where no operator file says more: enough to tell their repeats within the window, for
     /// as long as this matcher lives, whichever process it is. The folder is the process's own for its files.
-    fn results(&self, scratch: &Path) -> Option<Results> {
+    fn results(&self, scratch: &Path) -> Option<IdempotencyOptions> {
         let classes = &self.settings.classes;
         let keyed: Vec<_> = classes
             .iter()
@@ -133,13 +133,13 @@
             0
         };
         let entries = (self.memory_mb * 1_000_000 / RESULTS_SHARE / LARGEST_RESULT).max(1);
-        keyed.contains(&true).then(|| Results {
+        keyed.contains(&true).then(|| IdempotencyOptions {
             folder: scratch.join(format!("results-{}-{address}-{process}", self.name)),
-            lasting: false,
+            is_durable: false,
             classes: keyed,
             required: true,
-            owner: KeyScope::Global,
-            bounds: Capacity {
+            scope: KeyScope::Global,
+            capacity: Capacity {
                 entries,
                 result_bytes: entries * LARGEST_RESULT,
                 // From the run on, and as long again as a try may be on its way: one that was written within the window is
@@ -150,8 +150,8 @@
                 hash_seed: self.seed,
             },
             // They are the process's own memory, and not of what requests are booked with.
-            entry_kb: 0.0,
-            frame_field: Some(KEY_FIELD.to_owned()),
+            key_entry_kb: 0.0,
+            key_frame_field: Some(KEY_FIELD.to_owned()),
         })
     }
 
@@ -170,28 +170,28 @@
     pub fn options(self, operator: Operator, scratch: &Path) -> Options {
         let results = operator.results.or_else(|| self.results(scratch));
         Options {
-            parties: self.parties(),
+            services: self.parties(),
             name: self.name,
             listen: self.listen,
-            mgmt: self.mgmt,
+            management: self.mgmt,
             shares_listener: false,
-            meets_in: None,
+            handover_folder: None,
             seed: self.seed,
-            stop: self.stop,
-            sockets: self.sockets,
+            shutdown_time: self.stop,
+            max_descriptors: self.sockets,
             class_names: self.class_names,
             gauge_names: self.gauge_names,
             settings: self.settings,
             ajp: operator.ajp,
-            store_speaks: operator.store,
-            results,
-            admission: operator.admission.map(|settings| {
+            dependency_protocol: operator.store,
+            idempotency: results,
+            connection_admission: operator.admission.map(|settings| {
                 cleatpulley_connection_admission::Settings {
                     seed: self.seed,
                     ..settings
                 }
             }),
-            standings: operator.standings,
+            reputation_folder: operator.standings,
             tls: operator.tls,
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -17,10 +17,10 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use cleatpulley::config::{Config, Sources};
 use cleatpulley::operator::{cluster, Operator};
-use cleatpulley::server::peers;
-use cleatpulley::server::real::{serve_with, HeldSignals, Hosted, Real, Served};
-use cleatpulley::server::report::FleetLink;
-use cleatpulley::server::{Node, Options};
+use cleatpulley::server::gossip;
+use cleatpulley::server::os_host::{serve_with, BlockedSignals, HostOptions, OsHost, Service};
+use cleatpulley::server::status_report::FleetLink;
+use cleatpulley::server::{Options, Server};
 use cleatpulley_gateway::Gateway;
 use cleatpulley_membership::Role;
 use std::io::Write;
@@ -208,30 +208,30 @@
 }
 
 /// The signals that a process which serves hears, held back while it reads its configuration.
-fn hold_signals() -> Result<Option<HeldSignals>, String> {
-    HeldSignals::hold()
+fn hold_signals() -> Result<Option<BlockedSignals>, String> {
+    BlockedSignals::hold()
         .map(Some)
         .map_err(|e| format!("signals: {e}"))
 }
 
 /// A matcher's section on the other processes, where its operator file has one.
-fn cluster_of(file: Option<&Path>, name: &str) -> Result<Option<peers::Options>, String> {
+fn cluster_of(file: Option<&Path>, name: &str) -> Result<Option<gossip::Options>, String> {
     let load = |file| cluster::load(file, Role::Matcher, name).map_err(|e| e.to_string());
     file.map(load).transpose().map(Option::flatten)
 }
 
 /// Lets what is served hear of the other processes, where that is set.
 fn accompany(
-    world: Real,
-    served: Box<dyn Served>,
-    cluster: Option<peers::Options>,
-) -> std::io::Result<Box<dyn Served>> {
+    world: OsHost,
+    served: Box<dyn Service>,
+    cluster: Option<gossip::Options>,
+) -> std::io::Result<Box<dyn Service>> {
     let Some(options) = cluster else {
         return Ok(served);
     };
-    let peers = peers::Peers::new(world, options)
+    let gossip = gossip::Gossip::new(world, options)
         .map_err(|e| std::io::Error::new(e.kind(), format!("cluster: {e}")))?;
-    Ok(Box::new(peers::Accompanied::new(served, peers)))
+    Ok(Box::new(gossip::ServiceWithGossip::new(served, gossip)))
 }
 
 fn line(what: std::fmt::Arguments<'_>) {
@@ -319,9 +319,9 @@
                 move || cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string());
             let gateway = |world| Gateway::new(world, options, Box::new(reload));
             serve_with(
-                Hosted {
+                HostOptions {
                     signals,
-                    ..Hosted::default()
+                    ..HostOptions::default()
                 },
                 |world| {
                     let gateway = Box::new(gateway(world.clone())?);
@@ -349,17 +349,17 @@
             let shares_addresses = meets_in.is_some();
             let options = Options {
                 shares_listener: listener.is_some(),
-                meets_in,
+                handover_folder: meets_in,
                 ..config.options(operator, &std::env::temp_dir())
             };
-            let hosted = Hosted {
+            let hosted = HostOptions {
                 signals,
                 link,
                 listener,
                 shares_addresses,
             };
             serve_with(hosted, |world| {
-                let node = Box::new(Node::new(world.clone(), options, Box::new(reload))?);
+                let node = Box::new(Server::new(world.clone(), options, Box::new(reload))?);
                 accompany(world, node, cluster)
             })
             .map_err(|e| e.to_string())?;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -18,7 +18,7 @@
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Lookup, Settings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
 use cleatpulley_routes::table::Decision;
-use cleatpulley_server::{store, AjpFront, Results};
+use cleatpulley_server::{dependency_pool, AjpOptions, IdempotencyOptions};
 use jrsonnet_evaluator::error::Error as EvaluationError;
 use jrsonnet_evaluator::{EvaluationState, FileImportResolver};
 use serde::Deserialize;
@@ -65,17 +65,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct Operator {
     /// The AJP front.
-    pub ajp: Option<AjpFront>,
+    pub ajp: Option<AjpOptions>,
     /// How the store is called.
-    pub store: store::Speaks,
+    pub store: dependency_pool::DependencyProtocol,
     /// Kept results of keyed requests.
-    pub results: Option<Results>,
+    pub results: Option<IdempotencyOptions>,
     /// Who gets a place.
     pub admission: Option<cleatpulley_connection_admission::Settings>,
     /// The folder that earned standing is kept in.
     pub standings: Option<PathBuf>,
     /// TLS on the fronts.
-    pub tls: Option<cleatpulley_server::secure::TlsFront>,
+    pub tls: Option<cleatpulley_server::tls_layer::TlsOptions>,
     /// The names of the classes, for what is shown.
     class_names: Vec<String>,
 }
@@ -478,13 +478,13 @@
 }
 
 impl AjpSection {
-    fn check(mut self, config: &Config, folder: &Path) -> Result<AjpFront, Wrong> {
+    fn check(mut self, config: &Config, folder: &Path) -> Result<AjpOptions, Wrong> {
         self.routes_from = self.routes_from.map(|file| folder.join(file));
         self.checked(config)
             .map_err(|(key, what)| (format!("ajp.{key}"), what))
     }
 
-    fn checked(self, config: &Config) -> Result<AjpFront, Wrong> {
+    fn checked(self, config: &Config) -> Result<AjpOptions, Wrong> {
         let listen = addresses("listen", &self.listen)?;
         if listen.is_empty() {
             return wrong(
@@ -655,7 +655,7 @@
             defaults,
             seed: config.seed,
         };
-        Ok(AjpFront {
+        Ok(AjpOptions {
             listen,
             trusted,
             settings,
@@ -664,13 +664,13 @@
 }
 
 impl StoreSection {
-    fn check(self) -> Result<store::Speaks, Wrong> {
+    fn check(self) -> Result<dependency_pool::DependencyProtocol, Wrong> {
         match self.protocol.as_str() {
             "http" if self.secret.is_some() => {
                 wrong("store.secret", "HTTP to the store knows no secret")
             }
-            "http" => Ok(store::Speaks::Http),
-            "ajp" => Ok(store::Speaks::Ajp(client::Options {
+            "http" => Ok(dependency_pool::DependencyProtocol::Http),
+            "ajp" => Ok(dependency_pool::DependencyProtocol::Ajp(client::Options {
                 packet_size: packet_size("store.packet_size", self.packet_size)?,
                 secret: self.secret,
                 server: (String::new(), 0),
@@ -705,8 +705,8 @@
             }
         }
         let speaks = match &self.store {
-            store::Speaks::Http => "HTTP",
-            store::Speaks::Ajp(_) => "AJP",
+            dependency_pool::DependencyProtocol::Http => "HTTP",
+            dependency_pool::DependencyProtocol::Ajp(_) => "AJP",
         };
         write!(f, "store: called over {speaks}")?;
         if let Some(settings) = &self.admission {
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -4,7 +4,7 @@
 use super::{wrong, Fault, Wrong};
 use cleatpulley_membership::seal::Keys;
 use cleatpulley_membership::{Identity, Label, Role, Settings};
-use cleatpulley_server::peers::{Options, Rekey};
+use cleatpulley_server::gossip::{Options, ReloadKeys};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -128,7 +128,7 @@
             host: label("host", self.host)?,
         };
         let file = beside.join(&self.keys);
-        let mut keys: Rekey = Box::new(move || {
+        let mut keys: ReloadKeys = Box::new(move || {
             let text =
                 std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             Keys::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -5,7 +5,7 @@
 use cleatpulley_dispatcher::key_table::Capacity;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::Effect;
-use cleatpulley_server::Results;
+use cleatpulley_server::IdempotencyOptions;
 use serde::Deserialize;
 use std::fmt;
 use std::path::PathBuf;
@@ -64,7 +64,7 @@
 
 impl ResultsSection {
     /// Checks it; `ajp_key` says whether AJP callers may tell a key.
-    pub(super) fn check(self, config: &Config, ajp_key: bool) -> Result<Results, Wrong> {
+    pub(super) fn check(self, config: &Config, ajp_key: bool) -> Result<IdempotencyOptions, Wrong> {
         if self.folder.is_empty() {
             return wrong("results.folder", "it names no folder");
         }
@@ -180,28 +180,28 @@
             stall_timeout: self.stall_ms * MS,
             hash_seed: config.seed,
         };
-        Ok(Results {
+        Ok(IdempotencyOptions {
             folder: PathBuf::from(self.folder),
-            lasting: true,
+            is_durable: true,
             classes,
             required: self.required,
-            owner,
-            bounds,
-            entry_kb: self.entry_kb,
-            frame_field: self.frame_field,
+            scope: owner,
+            capacity: bounds,
+            key_entry_kb: self.entry_kb,
+            key_frame_field: self.frame_field,
         })
     }
 }
 
 /// What they come to, in one line.
-pub(crate) fn show(results: &Results, f: &mut impl fmt::Write) -> fmt::Result {
+pub(crate) fn show(results: &IdempotencyOptions, f: &mut impl fmt::Write) -> fmt::Result {
     let Capacity {
         entries,
         result_bytes: bytes,
         deduplication_window: window,
         stall_timeout: stall,
         ..
-    } = results.bounds;
+    } = results.capacity;
     let kept = results.classes.iter().filter(|kept| **kept).count();
     write!(
         f,
@@ -209,7 +209,7 @@
         results.folder.display(),
         window / MS,
         bytes / 1_000_000,
-        if results.owner == KeyScope::Global { "shared by all callers" } else { "of each caller" },
+        if results.scope == KeyScope::Global { "shared by all callers" } else { "of each caller" },
         if results.required { "required" } else { "optional" },
         stall / MS,
     )
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -4,7 +4,7 @@
 use super::{wrong, Wrong};
 use crate::config::Config;
 use cleatpulley_connection_admission::handshake::Settings as Handshaking;
-use cleatpulley_server::secure::{Certificates, Loaded, TlsFront};
+use cleatpulley_server::tls_layer::{CertificateSource, LoadedCertificate, TlsOptions};
 use cleatpulley_tls::pair::{self, Pair};
 use cleatpulley_tls::setup::{self, Clients, Versions};
 use cleatpulley_tls::tickets::Tickets;
@@ -191,7 +191,7 @@
     }
 }
 
-impl Certificates for Files {
+impl CertificateSource for Files {
     fn stamp(&self) -> u64 {
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
         for path in self.paths() {
@@ -205,7 +205,7 @@
         hasher.finish()
     }
 
-    fn load(&self) -> Result<Loaded, String> {
+    fn load(&self) -> Result<LoadedCertificate, String> {
         let pair = Pair::load(&self.certificate, &self.key).map_err(|e| e.to_string())?;
         let clients = match &self.roots {
             None => None,
@@ -228,7 +228,7 @@
         };
         let config = setup::server(&pair, clients.as_ref(), self.versions, tickets, &self.clock);
         let config = config.map_err(|e| format!("{}: {e}", self.certificate.display()))?;
-        Ok(Loaded {
+        Ok(LoadedCertificate {
             config,
             facts: pair.facts,
         })
@@ -294,7 +294,7 @@
 }
 
 impl TlsSection {
-    pub(super) fn check(self, config: &Config, folder: &Path) -> Result<TlsFront, Wrong> {
+    pub(super) fn check(self, config: &Config, folder: &Path) -> Result<TlsOptions, Wrong> {
         let path = |text: &str| folder.join(text);
         let versions = match self.versions.iter().map(String::as_str).collect::<Vec<_>>()[..] {
             ["1.3", "1.2"] | ["1.2", "1.3"] => Versions::Both,
@@ -385,7 +385,7 @@
                 format!("{} is not within 1 to 365", self.warn_days),
             );
         }
-        Ok(TlsFront {
+        Ok(TlsOptions {
             certificates: Arc::new(files),
             frames,
             ajp,
@@ -399,7 +399,7 @@
     }
 }
 
-pub(super) fn show(tls: &TlsFront, names: &[String], f: &mut fmt::Formatter<'_>) -> fmt::Result {
+pub(super) fn show(tls: &TlsOptions, names: &[String], f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let on: Vec<_> = [("frames", tls.frames), ("ajp", tls.ajp), ("mgmt", tls.mgmt)]
         .into_iter()
         .filter_map(|(name, on)| on.then_some(name))
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -46,7 +46,7 @@
     assert!(front.settings.defaults[3].needs_id && !front.settings.defaults[0].needs_id);
     let results = operator.results.as_ref().expect("it is on");
     assert_eq!(results.classes, [false, false, false, true]);
-    assert_eq!(results.bounds.deduplication_window, 600_000_000);
+    assert_eq!(results.capacity.deduplication_window, 600_000_000);
     let empty = load("nothing", "{}").expect("good");
     assert!(empty.ajp.is_none());
     assert_eq!(empty.to_string(), "ajp: off\nstore: called over HTTP");
@@ -63,10 +63,10 @@
     let options = config
         .clone()
         .options(Operator::default(), Path::new("scratch"));
-    let kept = options.results.expect("they are kept");
+    let kept = options.idempotency.expect("they are kept");
     assert_eq!(kept.classes, [false, false, false, true]);
-    assert!(kept.required && !kept.lasting && kept.folder.starts_with("scratch"));
-    assert_eq!(kept.frame_field.as_deref(), Some("unique"));
+    assert!(kept.required && !kept.is_durable && kept.folder.starts_with("scratch"));
+    assert_eq!(kept.key_frame_field.as_deref(), Some("unique"));
     // What is written in the last moment of the window may be read as late as its caller waits.
     let latest = config
         .settings
@@ -75,8 +75,8 @@
         .map(|class| class.client_timeout)
         .max()
         .expect("classes");
-    assert_eq!(kept.bounds.deduplication_window, 13_518_000 + latest);
-    assert!(kept.bounds.result_bytes <= config.memory_mb * 250_000);
+    assert_eq!(kept.capacity.deduplication_window, 13_518_000 + latest);
+    assert!(kept.capacity.result_bytes <= config.memory_mb * 250_000);
     let mut two = config.clone();
     two.settings.classes[2].effect = cleatpulley::interface::Effect::AtMostOnce;
     let other =
