--- a/crates/connection-admission/src/book.rs
+++ b/crates/connection-admission/src/book.rs
@@ -1,8 +1,8 @@
 //! Earned standing in an embedded store, so that who is known before a restart is known after it. What is written is worth
 //! little each time, and is lost in a crash for the last second; whoever owns this decides on which thread it runs.
 
-use cleatpulley_log_store::files::Files;
-use cleatpulley_log_store::{Batch, Error, Found, Store};
+use cleatpulley_log_store::files::FileSystem;
+use cleatpulley_log_store::{Batch, Error, RecoveryReport, Store};
 use cleatpulley_policy::interface::Micros;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr};
@@ -55,7 +55,7 @@
 }
 
 /// The store, what waits to be written, and whether it is well.
-pub struct Book<F: Files> {
+pub struct Book<F: FileSystem> {
     store: Option<Store<F>>,
     waits: BTreeMap<IpAddr, Entry>,
     /// Addresses that may wait, or are read.
@@ -64,7 +64,7 @@
     well: bool,
 }
 
-impl<F: Files> Book<F> {
+impl<F: FileSystem> Book<F> {
     /// One for so many addresses, that is to be opened.
     #[must_use]
     pub fn new(most: usize) -> Self {
@@ -87,7 +87,7 @@
     /// first.
     pub fn open(
         &mut self,
-        opened: Result<(Store<F>, Found), Error>,
+        opened: Result<(Store<F>, RecoveryReport), Error>,
         now: Micros,
     ) -> Option<Vec<Entry>> {
         let (store, found) = match opened {
@@ -99,12 +99,12 @@
                 return None;
             }
         };
-        if !found.damaged.is_empty() || !found.quarantined.is_empty() {
+        if !found.damaged_ranges.is_empty() || !found.quarantined.is_empty() {
             tracing::error!("standing: the store was damaged: {found}");
         }
         let mut entries = Vec::new();
         if !std::mem::replace(&mut self.told, true) {
-            let read = store.by_age(now, |_, key, value| {
+            let read = store.for_each_by_sequence(now, |_, key, value| {
                 entries.extend(Entry::decode(key, value));
                 true
             });
@@ -153,17 +153,17 @@
             let mut batch = Batch::default();
             for entry in entries {
                 let (key, value) = entry.encode();
-                batch.push_put(&key, &value, Some(entry.until));
+                batch.add_put(&key, &value, Some(entry.until));
             }
             written = written.and_then(|()| store.write(batch).map(|_| ()));
         }
         if !waits.is_empty() {
             written = written.and_then(|()| store.sync());
         }
-        match written.and_then(|()| store.maintain(now, PIECE)) {
+        match written.and_then(|()| store.run_maintenance_step(now, PIECE)) {
             Ok(work) => {
                 self.waits.clear();
-                work == cleatpulley_log_store::Work::More
+                work == cleatpulley_log_store::MaintenanceStatus::MoreToDo
             }
             Err(e) => {
                 self.fail(&e);
@@ -184,7 +184,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cleatpulley_log_store::memory::{Fault, Memory};
+    use cleatpulley_log_store::simulated_folder::{Fault, SimulatedFolder};
     use cleatpulley_log_store::Options;
 
     const SECOND: Micros = 1_000_000;
@@ -199,9 +199,13 @@
         }
     }
 
-    fn opened(disk: &Memory, most: usize, now: Micros) -> (Book<Memory>, Vec<Entry>) {
+    fn opened(
+        disk: &SimulatedFolder,
+        most: usize,
+        now: Micros,
+    ) -> (Book<SimulatedFolder>, Vec<Entry>) {
         let mut book = Book::new(most);
-        disk.release();
+        disk.release_lock();
         let options = Options {
             segment_bytes: 4_096,
             ..Options::default()
@@ -210,7 +214,7 @@
         (book, entries.expect("it opens"))
     }
 
-    fn read(disk: &Memory, now: Micros) -> Vec<(IpAddr, f64, Micros)> {
+    fn read(disk: &SimulatedFolder, now: Micros) -> Vec<(IpAddr, f64, Micros)> {
         opened(disk, 1_000, now)
             .1
             .into_iter()
@@ -220,7 +224,7 @@
 
     #[test]
     fn what_was_written_comes_back_after_a_crash_the_latest_of_each_and_the_greatest_first() {
-        let disk = Memory::default();
+        let disk = SimulatedFolder::default();
         let (mut book, none) = opened(&disk, 1_000, 1);
         assert!(none.is_empty());
         book.add(vec![entry(1, 5.0, 1), entry(2, 9.0, 1)]);
@@ -229,7 +233,7 @@
         book.add(vec![entry(1, 11.0, 3)]);
         book.work(3);
         book.add(vec![entry(3, 99.0, 4)]);
-        let disk = disk.crash(7);
+        let disk = disk.after_crash(7);
         let six = Entry {
             address: "2001:db8::1".parse().expect("an address"),
             ..entry(0, 10.0, 5)
@@ -252,7 +256,7 @@
 
     #[test]
     fn as_many_as_are_remembered_wait_or_are_read() {
-        let disk = Memory::default();
+        let disk = SimulatedFolder::default();
         let (mut book, _) = opened(&disk, 1_000, 1);
         book.add((0..1_000).map(|n| entry(n, f64::from(n + 1), 1)).collect());
         book.close(1);
@@ -269,9 +273,9 @@
     /// Guards against a failing disk that would be written to without end, or that takes what is known away.
     #[test]
     fn a_disk_that_fails_is_told_once_and_used_again_once_it_is_well() {
-        let disk = Memory::default();
+        let disk = SimulatedFolder::default();
         let (mut book, _) = opened(&disk, 1_000, 1);
-        let faults: Vec<_> = (0..8).map(Fault::Fail).collect();
+        let faults: Vec<_> = (0..8).map(Fault::FailOnce).collect();
         disk.set_faults(&faults);
         book.add(vec![entry(1, 5.0, 1)]);
         assert!(!book.work(1) && !book.is_open(), "it has failed");
@@ -281,7 +285,7 @@
         );
         book.add(vec![entry(2, 6.0, 2)]);
         disk.set_faults(&[]);
-        disk.release();
+        disk.release_lock();
         assert_eq!(
             book.open(Store::open(disk.clone(), Options::default()), 3),
             Some(Vec::new()),
@@ -293,7 +297,7 @@
 
     #[test]
     fn what_is_no_entry_is_passed_over() {
-        let disk = Memory::default();
+        let disk = SimulatedFolder::default();
         let (mut store, _) = Store::open(disk.clone(), Options::default()).expect("it opens");
         let good = entry(1, 5.0, 1).encode();
         let batch = Batch::default()
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,7 +1,7 @@
 //! Where the log lies: an embedded store, or memory, or memory that forgets what a faulty disk would.
 
 use crate::change::Change;
-use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::files::FileSystem;
 use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::BTreeMap;
 
@@ -31,10 +31,10 @@
 #[error("{0}")]
 pub struct Fault(pub String);
 
-impl<F: Files> Disk for Store<F> {
+impl<F: FileSystem> Disk for Store<F> {
     fn load(&mut self) -> Result<BTreeMap<Vec<u8>, Vec<u8>>, Fault> {
         let mut found = BTreeMap::new();
-        self.by_age(0, |_, key, value| {
+        self.for_each_by_sequence(0, |_, key, value| {
             found.insert(key.to_vec(), value.to_vec());
             true
         })
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// Why it can't be opened.
-pub fn open<F: Files>(files: F) -> Result<Store<F>, Fault> {
+pub fn open<F: FileSystem>(files: F) -> Result<Store<F>, Fault> {
     let (store, found) =
         Store::open(files, Options::default()).map_err(|e| Fault(e.to_string()))?;
     tracing::debug!("agreed log: {found}");
--- a/crates/dispatcher/tests/keyed_crashes.rs
+++ b/crates/dispatcher/tests/keyed_crashes.rs
@@ -9,7 +9,7 @@
     RuntimeCommand,
 };
 use cleatpulley_idempotency::journal::Journal;
-use cleatpulley_log_store::memory::{Fault, Memory};
+use cleatpulley_log_store::simulated_folder::{Fault, SimulatedFolder};
 use cleatpulley_log_store::Options;
 use cleatpulley_policy::interface::*;
 use rand::rngs::SmallRng;
@@ -73,7 +73,7 @@
 /// The process and its keeper.
 struct Life {
     exchange: Dispatcher,
-    journal: Option<Journal<Memory>>,
+    journal: Option<Journal<SimulatedFolder>>,
     jobs: VecDeque<Command>,
     well: bool,
     open: BTreeMap<u32, Try>,
@@ -98,7 +98,7 @@
     random: SmallRng,
     now: Micros,
     next: u32,
-    disk: Memory,
+    disk: SimulatedFolder,
     /// Runs of each key and the id that ran.
     runs: BTreeMap<u64, (u32, u64)>,
     /// The result that somebody was told.
@@ -233,7 +233,7 @@
     /// The keeper does what it is asked, or some of it.
     fn keep(&mut self, life: &mut Life) {
         if life.journal.is_none() {
-            self.disk.release();
+            self.disk.release_lock();
             let options = Options {
                 segment_bytes: 4_096,
                 ..Options::default()
@@ -438,7 +438,7 @@
         random: SmallRng::seed_from_u64(seed),
         now: 1_000_000 * SECOND,
         next: 0,
-        disk: Memory::default(),
+        disk: SimulatedFolder::default(),
         runs: BTreeMap::new(),
         told: BTreeMap::new(),
         running: BTreeMap::new(),
@@ -450,10 +450,10 @@
         world.disk_failed = true;
         let at = world.random.random_range(5..90);
         let fault = match world.random.random_range(0..5) {
-            0 | 1 => vec![Fault::Fail(at)],
+            0 | 1 => vec![Fault::FailOnce(at)],
             2 => vec![Fault::Full(at, 3_000)],
-            3 => vec![Fault::Short(at)],
-            _ => vec![Fault::Crash(at)],
+            3 => vec![Fault::ShortWrite(at)],
+            _ => vec![Fault::CrashAt(at)],
         };
         world.disk.set_faults(&fault);
         for _ in 0..world.random.random_range(30..200) {
@@ -466,7 +466,7 @@
             assert_eq!(life.exchange.pending_count(), 0);
         }
         world.met.crashes += 1;
-        world.disk = world.disk.crash(seed ^ life_number);
+        world.disk = world.disk.after_crash(seed ^ life_number);
         // The runtime dies along, or its runs go on unheard; the clock steps back or time passes.
         world.running.clear();
         match world.random.random_range(0..4) {
--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -8,8 +8,8 @@
 use crate::verdict::Counts;
 use crate::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 use crate::Micros;
-use cleatpulley_log_store::files::Folder;
-use cleatpulley_log_store::{Batch, Options, Store, Work};
+use cleatpulley_log_store::files::OsFolder;
+use cleatpulley_log_store::{Batch, MaintenanceStatus, Options, Store};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::net::{recvmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::process::Signal;
@@ -182,7 +182,7 @@
 /// The daemon.
 pub struct Daemon {
     folder: PathBuf,
-    store: Store<Folder>,
+    store: Store<OsFolder>,
     state: State,
     dirty: bool,
     begun: (Micros, Instant),
@@ -232,7 +232,7 @@
         };
         fs::create_dir_all(folder.join("logs")).map_err(at(&folder))?;
         fs::set_permissions(&folder, fs::Permissions::from_mode(0o700)).map_err(at(&folder))?;
-        let files = Folder::new(folder.join("store"), true)?;
+        let files = OsFolder::new(folder.join("store"), true)?;
         let options = Options {
             segment_bytes: 1 << 20,
             ..Options::default()
@@ -617,7 +617,7 @@
         let (now, mut out) = (self.now(), Vec::new());
         self.state.plan.advance(now, &mut out);
         self.obey(out)?;
-        if let Ok(Work::More) = self.store.maintain(now, MAINTENANCE) {
+        if let Ok(MaintenanceStatus::MoreToDo) = self.store.run_maintenance_step(now, MAINTENANCE) {
             tracing::debug!("the store has more to tidy");
         }
         Ok(())
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -8,8 +8,10 @@
 use crate::key_table::{KeyCommand, RecoveredKeys};
 use crate::record::{KeyOutcome, KeyRecord, ScopedKey};
 use crate::transfer::TransferError;
-use cleatpulley_log_store::files::Files;
-use cleatpulley_log_store::{Batch, Error, Found, Options, Stats, Store, Work};
+use cleatpulley_log_store::files::FileSystem;
+use cleatpulley_log_store::{
+    Batch, Error, MaintenanceStatus, Options, RecoveryReport, Stats, Store,
+};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 
@@ -21,7 +23,7 @@
 const EXPIRY_LENGTH: usize = 8;
 
 /// The records of keys in a store.
-pub struct Journal<F: Files> {
+pub struct Journal<F: FileSystem> {
     store: Store<F>,
     fences: FenceTable,
     /// The last ticket that was written.
@@ -31,16 +33,16 @@
 }
 
 /// A journal that was opened, with what its store held.
-pub struct OpenedJournal<F: Files> {
+pub struct OpenedJournal<F: FileSystem> {
     /// The journal.
     pub journal: Journal<F>,
     /// The keys that the store held.
     pub recovered: RecoveredKeys,
     /// What the store found in its files.
-    pub found: Found,
+    pub found: RecoveryReport,
 }
 
-impl<F: Files> Journal<F> {
+impl<F: FileSystem> Journal<F> {
     /// Opens the store and recovers its keys.
     ///
     /// # Errors
@@ -138,9 +140,9 @@
             match fences.as_slice().get(number) {
                 Some(fence) => {
                     let text = serde_json::to_vec(fence).map_err(std::io::Error::from)?;
-                    batch.push_put(&key, &text, None);
+                    batch.add_put(&key, &text, None);
                 }
-                None => batch.push_delete(&key),
+                None => batch.add_delete(&key),
             }
         }
         self.store.write(batch)?;
@@ -168,8 +170,8 @@
     ///
     /// # Errors
     /// Where that fails; nothing is lost.
-    pub fn maintain(&mut self, now: Micros, budget: usize) -> Result<Work, Error> {
-        self.store.maintain(now, budget)
+    pub fn maintain(&mut self, now: Micros, budget: usize) -> Result<MaintenanceStatus, Error> {
+        self.store.run_maintenance_step(now, budget)
     }
 
     /// Returns the store's statistics.
@@ -213,12 +215,12 @@
 ///
 /// # Errors
 /// Where the store can't be read.
-pub fn for_each_record<F: Files>(
+pub fn for_each_record<F: FileSystem>(
     store: &Store<F>,
     now: Micros,
     mut visit: impl FnMut(ScopedKey, KeyRecord, Micros),
 ) -> Result<(), Error> {
-    store.by_age(now, |_, key, value| {
+    store.for_each_by_sequence(now, |_, key, value| {
         if let (Some(key), Some((expires_at, record))) =
             (ScopedKey::from_bytes(key), decode_value(value))
         {
@@ -232,7 +234,7 @@
 ///
 /// # Errors
 /// Where the store can't be read.
-pub fn recover<F: Files>(
+pub fn recover<F: FileSystem>(
     store: &Store<F>,
     now: Micros,
     hash_seed: u64,
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -9,7 +9,7 @@
 use crate::hex::{from_hex, to_hex};
 use crate::journal::{encode_value, for_each_record, Journal};
 use crate::record::{KeyRecord, ScopedKey};
-use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::files::FileSystem;
 use cleatpulley_log_store::Batch;
 use cleatpulley_policy::interface::Micros;
 use serde::{Deserialize, Serialize};
@@ -107,7 +107,7 @@
 /// # Errors
 /// Where a later move is known, or something can't be written; the fence may be set then, and the
 /// same epoch can't be used again.
-pub fn export<F: Files>(
+pub fn export<F: FileSystem>(
     journal: &mut Journal<F>,
     now: Micros,
     range: &KeyRange,
@@ -127,7 +127,7 @@
 ///
 /// # Errors
 /// Where something can't be read or written.
-pub fn copy<F: Files>(
+pub fn copy<F: FileSystem>(
     journal: &mut Journal<F>,
     now: Micros,
     range: &KeyRange,
@@ -187,7 +187,7 @@
 /// Where the file is not complete, a later move is known, or the store can't be written. A store
 /// that fails halfway may have some of the keys, which harms nobody: the range is not admitted, and
 /// the import can be repeated.
-pub fn import<F: Files>(
+pub fn import<F: FileSystem>(
     journal: &mut Journal<F>,
     now: Micros,
     input: &mut impl BufRead,
@@ -204,7 +204,7 @@
         let mut batch = Batch::default();
         for entry in entries.iter().filter(|entry| entry.expires_at > now) {
             let value = encode_value(entry.expires_at, &entry.record);
-            batch.push_put(entry.key.as_bytes(), &value, Some(entry.expires_at));
+            batch.add_put(entry.key.as_bytes(), &value, Some(entry.expires_at));
             imported += 1;
         }
         journal.store_mut().write(batch)?;
--- a/crates/log-store-bench/src/main.rs
+++ b/crates/log-store-bench/src/main.rs
@@ -6,8 +6,8 @@
 
 #![forbid(unsafe_code)]
 
-use cleatpulley_log_store::files::Folder;
-use cleatpulley_log_store::{Batch, Options, Store, Work};
+use cleatpulley_log_store::files::OsFolder;
+use cleatpulley_log_store::{Batch, MaintenanceStatus, Options, Store};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -54,12 +54,12 @@
     fn read(&self, n: u64) -> Done<Option<usize>>;
 }
 
-struct Keep(Store<Folder>);
+struct Keep(Store<OsFolder>);
 
 impl Keep {
     fn open(path: &Path) -> Done<Self> {
         Ok(Self(
-            Store::open(Folder::new(path, true)?, Options::default())?.0,
+            Store::open(OsFolder::new(path, true)?, Options::default())?.0,
         ))
     }
 }
@@ -67,7 +67,7 @@
 impl Engine for Keep {
     fn write(&mut self, numbers: std::ops::Range<u64>, sync: bool) -> Done<()> {
         let mut batch = Batch::default();
-        numbers.for_each(|n| batch.push_put(&key(n), &value(n), None));
+        numbers.for_each(|n| batch.add_put(&key(n), &value(n), None));
         self.0.write(batch)?;
         if sync {
             self.0.sync()?;
@@ -287,7 +287,7 @@
 }
 
 fn opening(mut keep: Keep, plain: Plain, dir: &Path, short: &mut Vec<String>) -> Done<()> {
-    while keep.0.maintain(0, 1_048_576)? == Work::More {}
+    while keep.0.run_maintenance_step(0, 1_048_576)? == MaintenanceStatus::MoreToDo {}
     keep.0.close()?;
     drop(plain);
     let timed = |open: &dyn Fn() -> Done<()>| -> Done<f64> {
@@ -329,7 +329,7 @@
         segment_bytes: 8_388_608,
         ..Options::default()
     };
-    let (mut store, _) = Store::open(Folder::new(path, true)?, options)?;
+    let (mut store, _) = Store::open(OsFolder::new(path, true)?, options)?;
     let (mut steps, mut longest_put) = (Vec::new(), Duration::ZERO);
     for round in 0..11 {
         for n in 0..keys {
@@ -339,7 +339,7 @@
             longest_put = longest_put.max(begun.elapsed());
             if n % 8 == 0 {
                 let begun = Instant::now();
-                if store.maintain(0, 32_768)? == Work::More {
+                if store.run_maintenance_step(0, 32_768)? == MaintenanceStatus::MoreToDo {
                     steps.push(begun.elapsed());
                 }
             }
@@ -349,7 +349,8 @@
         }
     }
     let mut turns = 0;
-    while store.maintain(0, 262_144)? == Work::More && turns < 100_000 {
+    while store.run_maintenance_step(0, 262_144)? == MaintenanceStatus::MoreToDo && turns < 100_000
+    {
         turns += 1;
     }
     steps.sort_unstable();
--- a/crates/log-store/src/error.rs
+++ b/crates/log-store/src/error.rs
@@ -1,71 +1,76 @@
-//! What can go wrong, each with its place.
+//! The errors of the store.
 
+use crate::format::FORMAT_VERSION;
 use std::io;
 
-/// A fault of the store.
+/// Why an operation of the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system refused something.
+    /// An operation of the file system failed.
     #[error("{file}: {doing}: {source}")]
     Io {
-        /// The file, or the folder.
+        /// Name of the file, or `folder` for the folder itself.
         file: String,
-        /// What was being done.
+        /// The operation that failed.
         doing: &'static str,
-        /// Why not.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// No room: the write was taken back whole, and reads go on.
+    /// The disk is full. The write was undone as a whole; reads still work.
     #[error("{file}: the disk is full; the write was taken back")]
-    Full {
-        /// The file.
+    DiskFull {
+        /// Name of the file that could not be written.
         file: String,
     },
-    /// A write or sync failed so that nobody knows what the disk holds: no more writes, reads go on.
+    /// An earlier write or sync failed in such a way that the content of the disk is unknown. The
+    /// store accepts no more writes; reads still work.
     #[error("no more writes since a fault that left the log in doubt: {0}")]
-    Poisoned(String),
-    /// A record is damaged; its key's value is not known.
+    WritesDisabled(String),
+    /// A record is damaged; the value of its key is unknown.
     #[error("{file}: the record at byte {offset} is damaged")]
-    Damaged {
-        /// The file.
+    DamagedRecord {
+        /// Name of the segment's file.
         file: String,
-        /// Offset of the record.
+        /// Offset of the record in bytes.
         offset: u64,
     },
-    /// Written by a newer version.
-    #[error("{file}: format {version}, and this program reads up to {known}", known = crate::format::VERSION)]
-    Newer {
-        /// The file.
+    /// A file was written by a newer version of the program.
+    #[error(
+        "{file}: format {version}, and this program reads up to {known}",
+        known = FORMAT_VERSION
+    )]
+    UnsupportedVersion {
+        /// Name of the file.
         file: String,
-        /// Its version.
+        /// Format version of the file.
         version: u32,
     },
-    /// Something in the folder is not the store's.
+    /// The folder contains a file that does not belong to a store.
     #[error("{file}: not a file of this store; nothing was touched")]
-    Foreign {
-        /// The file.
+    ForeignFile {
+        /// Name of the file.
         file: String,
     },
-    /// Another has it open for writing.
+    /// Another process has the store open for writing.
     #[error("another process has the store open")]
     Locked,
-    /// It was opened for reading only.
+    /// The store was opened for reading only.
     #[error("the store is open for reading only")]
     ReadOnly,
-    /// Beyond a bound.
+    /// A size exceeds its limit.
     #[error("{what} of {size} where {most} are the most")]
     TooLarge {
-        /// What.
+        /// What is too large.
         what: &'static str,
-        /// How large.
+        /// Its size.
         size: usize,
-        /// How large it may be.
+        /// The largest size allowed.
         most: usize,
     },
 }
 
 impl Error {
-    /// A fault of the folder itself.
+    /// An error of the store's folder itself.
     #[must_use]
     pub fn folder(source: io::Error) -> Self {
         Self::Io {
@@ -75,10 +80,11 @@
         }
     }
 
+    /// Converts an I/O error of an operation on a file, for use in `map_err`.
     pub(crate) fn io(file: &str, doing: &'static str) -> impl FnOnce(io::Error) -> Self {
         let file = file.to_owned();
         move |source| match source.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::Full { file },
+            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::DiskFull { file },
             _ => Self::Io {
                 file,
                 doing,
--- a/crates/log-store/src/index.rs
+++ b/crates/log-store/src/index.rs
@@ -1,287 +1,280 @@
-//! The index: from a key's fingerprint to the place of its record. Made for the job: twelve bytes an entry, sorted by
-//! fingerprint within one run of slots, so that it grows in one pass and no key is kept in memory. Whether a place
-//! really holds the key is for the caller to see: two keys may share a fingerprint.
+//! The in-memory index: from a key's fingerprint to the location of its record.
+//!
+//! Entries take twelve bytes and stand sorted by fingerprint in one table with linear probing, so
+//! that the table grows in one pass. Keys are not in memory: two keys may share a fingerprint, and
+//! the caller has to compare the key on disk.
 
-/// The place of a record.
+#[cfg(test)]
+mod tests;
+
+/// Position of a segment in the table of open segments. Unlike a segment's identifier it is reused.
+pub type SegmentSlot = u16;
+
+/// Granularity in bytes of the record sizes in the index.
+const SIZE_UNIT_BYTES: usize = 8;
+
+/// The fingerprint of a key: the upper half of its 64-bit hash.
+#[must_use]
+pub fn fingerprint(key: &[u8]) -> u32 {
+    (xxhash_rust::xxh3::xxh3_64(key) >> 32) as u32
+}
+
+/// The location of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Place {
-    /// Which of the open segments.
-    pub segment: u16,
-    /// Offset in it; never 0.
+pub struct RecordLocation {
+    /// Slot of the record's segment.
+    pub segment: SegmentSlot,
+    /// Offset of the record in the segment, in bytes; never 0.
     pub offset: u32,
-    /// Bytes of the record in units of eight, rounded up; the largest stands for that and more.
-    pub units: u16,
+    /// Size of the record in units of eight bytes, rounded up. `u16::MAX` stands for that size and
+    /// any larger one.
+    pub size_units: u16,
 }
 
-impl Place {
-    /// The place of a record of this size.
+impl RecordLocation {
+    /// The location of a record of `size` bytes.
     #[must_use]
-    pub fn new(segment: u16, offset: u32, size: usize) -> Self {
+    pub fn new(segment: SegmentSlot, offset: u32, size: usize) -> Self {
         Self {
             segment,
             offset,
-            units: u16::try_from(size.div_ceil(8)).unwrap_or(u16::MAX),
+            size_units: u16::try_from(size.div_ceil(SIZE_UNIT_BYTES)).unwrap_or(u16::MAX),
         }
     }
 
+    /// Size of the record in bytes, rounded up to the granularity of the index; a lower bound for
+    /// the largest records.
+    #[must_use]
+    pub fn approximate_size(&self) -> usize {
+        usize::from(self.size_units) * SIZE_UNIT_BYTES
+    }
+
     fn pack(self) -> u64 {
-        u64::from(self.segment) << 48 | u64::from(self.offset) << 16 | u64::from(self.units)
+        u64::from(self.segment) << 48 | u64::from(self.offset) << 16 | u64::from(self.size_units)
     }
 
     fn unpack(packed: u64) -> Self {
         Self {
             segment: (packed >> 48) as u16,
             offset: (packed >> 16) as u32,
-            units: packed as u16,
+            size_units: packed as u16,
         }
     }
 }
 
-/// Slots beyond the last home, so that a run never wraps.
-const SLACK: usize = 64;
-const SMALLEST: usize = 64;
-/// The table grows beyond this share of slots taken, in percent.
-const FULL: usize = 86;
+/// Cells after the last home cell, so that a probe never wraps around.
+const OVERFLOW_CELLS: usize = 64;
+/// Home cells of the smallest table.
+const MIN_HOME_CELLS: usize = 64;
+/// The table grows beyond this load, in percent of its home cells.
+const MAX_LOAD_PERCENT: usize = 86;
+/// Load of a table that is built from a known number of entries, in percent.
+const BUILD_LOAD_PERCENT: usize = MAX_LOAD_PERCENT - 10;
+/// Content of an empty cell. No packed location equals it, as offsets are never 0.
+const EMPTY: u64 = 0;
 
-/// The table. Entries of one fingerprint stand next to each other.
+/// The index. Entries with the same fingerprint are adjacent.
 #[derive(Debug)]
 pub struct Index {
-    prints: Vec<u32>,
-    /// 0 marks an empty slot.
-    places: Vec<u64>,
-    homes: usize,
+    fingerprints: Vec<u32>,
+    /// Packed locations, [`EMPTY`] for an empty cell.
+    locations: Vec<u64>,
+    home_cells: usize,
     len: usize,
 }
 
 impl Default for Index {
     fn default() -> Self {
-        Self::with_homes(SMALLEST, SLACK)
+        Self::with_cells(MIN_HOME_CELLS, OVERFLOW_CELLS)
     }
 }
 
 impl Index {
-    fn with_homes(homes: usize, slack: usize) -> Self {
-        let slots = homes + slack;
+    fn with_cells(home_cells: usize, overflow_cells: usize) -> Self {
+        let cells = home_cells + overflow_cells;
         Self {
-            prints: vec![0; slots],
-            places: vec![0; slots],
-            homes,
+            fingerprints: vec![0; cells],
+            locations: vec![EMPTY; cells],
+            home_cells,
             len: 0,
         }
     }
 
-    /// Entries.
+    /// Builds an index from entries that are sorted by fingerprint, in one pass.
+    #[must_use]
+    pub fn build(entries: &[(u32, RecordLocation)]) -> Self {
+        let home_cells = (entries.len() * 100 / BUILD_LOAD_PERCENT).max(MIN_HOME_CELLS);
+        Self::lay_out(home_cells, || entries.iter().copied())
+    }
+
+    /// Number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// No entry.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes of memory.
+    /// Memory of the index in bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
-        self.prints.capacity() * 4 + self.places.capacity() * 8
+    pub fn memory_bytes(&self) -> usize {
+        self.fingerprints.capacity() * size_of::<u32>()
+            + self.locations.capacity() * size_of::<u64>()
     }
 
-    fn home(&self, print: u32) -> usize {
-        ((u64::from(print) * self.homes as u64) >> 32) as usize
+    /// Iterates over the locations of all entries with this fingerprint.
+    pub fn find(&self, fingerprint: u32) -> impl Iterator<Item = RecordLocation> + '_ {
+        self.matching_cells(fingerprint)
+            .map(|cell| RecordLocation::unpack(self.locations[cell]))
     }
 
-    /// The slot of the first entry with this fingerprint, or of the first that comes after it.
-    fn seek(&self, print: u32) -> usize {
-        let mut slot = self.home(print);
-        while slot < self.places.len() && self.places[slot] != 0 && self.prints[slot] < print {
-            slot += 1;
-        }
-        slot
-    }
-
-    /// The places of all entries with this fingerprint.
-    pub fn find(&self, print: u32) -> impl Iterator<Item = Place> + '_ {
-        let from = self.seek(print);
-        let slots = from..self.places.len();
-        slots
-            .take_while(move |slot| self.places[*slot] != 0 && self.prints[*slot] == print)
-            .map(|slot| Place::unpack(self.places[slot]))
-    }
-
-    /// Whether there is an entry with this fingerprint and place.
+    /// Whether there is an entry with this fingerprint and location.
     #[must_use]
-    pub fn contains(&self, print: u32, place: Place) -> bool {
-        self.find(print).any(|other| other == place)
+    pub fn contains(&self, fingerprint: u32, location: RecordLocation) -> bool {
+        self.find(fingerprint).any(|other| other == location)
     }
 
-    fn slot_of(&self, print: u32, place: Place) -> Option<usize> {
-        let from = self.seek(print);
-        let packed = place.pack();
-        (from..self.places.len())
-            .take_while(|slot| self.places[*slot] != 0 && self.prints[*slot] == print)
-            .find(|slot| self.places[*slot] == packed)
+    /// Iterates over all entries, sorted by fingerprint.
+    pub fn iter(&self) -> impl Iterator<Item = (u32, RecordLocation)> + '_ {
+        let cells = self.fingerprints.iter().zip(&self.locations);
+        let entries = cells.filter(|(_, packed)| **packed != EMPTY);
+        entries.map(|(fingerprint, packed)| (*fingerprint, RecordLocation::unpack(*packed)))
     }
 
     /// Adds an entry.
-    pub fn insert(&mut self, print: u32, place: Place) {
-        if (self.len + 1) * 100 > self.homes * FULL {
+    pub fn insert(&mut self, fingerprint: u32, location: RecordLocation) {
+        if (self.len + 1) * 100 > self.home_cells * MAX_LOAD_PERCENT {
             self.grow();
         }
-        while !self.try_insert(print, place.pack()) {
+        while !self.try_insert(fingerprint, location.pack()) {
             self.grow();
         }
         self.len += 1;
     }
 
-    /// Shifts what comes after it by one slot, up to the next empty one.
-    fn try_insert(&mut self, print: u32, packed: u64) -> bool {
-        let slot = self.seek(print);
-        let Some(empty) = (slot..self.places.len()).find(|slot| self.places[*slot] == 0) else {
+    /// Changes the location of an entry. Returns `false` if there is no such entry.
+    pub fn replace(
+        &mut self,
+        fingerprint: u32,
+        old_location: RecordLocation,
+        new_location: RecordLocation,
+    ) -> bool {
+        match self.cell_of(fingerprint, old_location) {
+            Some(cell) => {
+                self.locations[cell] = new_location.pack();
+                true
+            }
+            None => false,
+        }
+    }
+
+    /// Removes an entry. Returns `false` if there is no such entry.
+    pub fn remove(&mut self, fingerprint: u32, location: RecordLocation) -> bool {
+        let Some(cell) = self.cell_of(fingerprint, location) else {
             return false;
         };
-        self.prints.copy_within(slot..empty, slot + 1);
-        self.places.copy_within(slot..empty, slot + 1);
-        self.prints[slot] = print;
-        self.places[slot] = packed;
+        // The entries after it that were displaced from their home cells move back by one.
+        let mut end = cell + 1;
+        while end < self.locations.len() && self.is_displaced(end) {
+            end += 1;
+        }
+        self.fingerprints.copy_within(cell + 1..end, cell);
+        self.locations.copy_within(cell + 1..end, cell);
+        self.locations[end - 1] = EMPTY;
+        self.len -= 1;
         true
     }
 
-    fn grow(&mut self) {
-        let homes = (self.homes + self.homes / 2).max(SMALLEST);
-        *self = Self::laid_out(homes, || self.iter());
+    fn home_cell(&self, fingerprint: u32) -> usize {
+        ((u64::from(fingerprint) * self.home_cells as u64) >> 32) as usize
     }
 
-    /// A table of entries that come in the order of their fingerprints, in one pass.
-    #[must_use]
-    pub fn build(entries: &[(u32, Place)]) -> Self {
-        let homes = (entries.len() * 100 / (FULL - 10)).max(SMALLEST);
-        Self::laid_out(homes, || entries.iter().copied())
+    fn is_displaced(&self, cell: usize) -> bool {
+        self.locations[cell] != EMPTY && self.home_cell(self.fingerprints[cell]) < cell
     }
 
-    fn laid_out<E: Iterator<Item = (u32, Place)>>(homes: usize, entries: impl Fn() -> E) -> Self {
-        let mut slack = SLACK;
-        'again: loop {
-            let mut table = Self::with_homes(homes, slack);
-            let mut next = 0;
-            for (print, place) in entries() {
-                let slot = table.home(print).max(next);
-                // The last slot stays empty: there is room for one more entry wherever it belongs.
-                if slot + 1 >= table.places.len() {
-                    // Many fingerprints at the upper end: more room after it.
-                    slack *= 2;
-                    continue 'again;
-                }
-                table.prints[slot] = print;
-                table.places[slot] = place.pack();
-                next = slot + 1;
-                table.len += 1;
-            }
-            return table;
+    /// The cell of the first entry with this fingerprint, or the cell where such an entry belongs.
+    fn seek(&self, fingerprint: u32) -> usize {
+        let mut cell = self.home_cell(fingerprint);
+        while cell < self.locations.len()
+            && self.locations[cell] != EMPTY
+            && self.fingerprints[cell] < fingerprint
+        {
+            cell += 1;
         }
+        cell
     }
 
-    /// Lets an entry point elsewhere; false where it is not there.
-    pub fn replace(&mut self, print: u32, from: Place, to: Place) -> bool {
-        match self.slot_of(print, from) {
-            Some(slot) => {
-                self.places[slot] = to.pack();
-                true
-            }
-            None => false,
-        }
+    fn matching_cells(&self, fingerprint: u32) -> impl Iterator<Item = usize> + '_ {
+        let cells = self.seek(fingerprint)..self.locations.len();
+        cells.take_while(move |cell| {
+            self.locations[*cell] != EMPTY && self.fingerprints[*cell] == fingerprint
+        })
+    }
+
+    fn cell_of(&self, fingerprint: u32, location: RecordLocation) -> Option<usize> {
+        let packed = location.pack();
+        self.matching_cells(fingerprint)
+            .find(|cell| self.locations[*cell] == packed)
     }
 
-    /// Removes an entry; false where it is not there.
-    pub fn remove(&mut self, print: u32, place: Place) -> bool {
-        let Some(slot) = self.slot_of(print, place) else {
+    /// Inserts by shifting the entries up to the next empty cell by one. Returns `false` if there
+    /// is no empty cell.
+    fn try_insert(&mut self, fingerprint: u32, packed: u64) -> bool {
+        let cell = self.seek(fingerprint);
+        let Some(empty) = (cell..self.locations.len()).find(|cell| self.locations[*cell] == EMPTY)
+        else {
             return false;
         };
-        // What was shifted away from its home moves back.
-        let mut end = slot + 1;
-        while end < self.places.len() && self.places[end] != 0 && self.home(self.prints[end]) < end
-        {
-            end += 1;
-        }
-        self.prints.copy_within(slot + 1..end, slot);
-        self.places.copy_within(slot + 1..end, slot);
-        self.places[end - 1] = 0;
-        self.len -= 1;
+        self.fingerprints.copy_within(cell..empty, cell + 1);
+        self.locations.copy_within(cell..empty, cell + 1);
+        self.fingerprints[cell] = fingerprint;
+        self.locations[cell] = packed;
         true
     }
 
-    /// All entries, in the order of their fingerprints.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, Place)> + '_ {
-        let taken = self
-            .prints
-            .iter()
-            .zip(&self.places)
-            .filter(|(_, packed)| **packed != 0);
-        taken.map(|(print, packed)| (*print, Place::unpack(*packed)))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::rngs::SmallRng;
-    use rand::{Rng, SeedableRng};
-    use std::collections::BTreeSet;
-
-    fn place(n: u32) -> Place {
-        Place::new((n % 7) as u16, n + 1, 8 * (n as usize % 100))
+    fn grow(&mut self) {
+        let home_cells = (self.home_cells + self.home_cells / 2).max(MIN_HOME_CELLS);
+        *self = Self::lay_out(home_cells, || self.iter());
     }
 
-    /// Against a plain set, with few fingerprints (long runs, the upper end among them) and with many.
-    #[test]
-    fn it_holds_what_a_plain_set_holds() {
-        for prints in [4_u32, 300, u32::MAX] {
-            let mut random = SmallRng::seed_from_u64(u64::from(prints));
-            let (mut index, mut plain) = (Index::default(), BTreeSet::new());
-            for n in 0..6_000 {
-                let print = u32::MAX - random.random_range(0..prints);
-                if random.random_range(0..3) == 0 {
-                    let some = plain
-                        .iter()
-                        .nth(random.random_range(0..plain.len().max(1)))
-                        .copied();
-                    if let Some((print, at)) = some {
-                        plain.remove(&(print, at));
-                        assert!(index.remove(print, at) && !index.contains(print, at));
-                    }
-                } else {
-                    plain.insert((print, place(n)));
-                    index.insert(print, place(n));
-                    assert!(index.contains(print, place(n)));
-                }
-                assert_eq!(index.len(), plain.len());
+    /// Lays out a table, with as many overflow cells as the entries need.
+    fn lay_out<E: Iterator<Item = (u32, RecordLocation)>>(
+        home_cells: usize,
+        entries: impl Fn() -> E,
+    ) -> Self {
+        let mut overflow_cells = OVERFLOW_CELLS;
+        loop {
+            if let Some(table) = Self::try_lay_out(home_cells, overflow_cells, entries()) {
+                return table;
             }
-            let all: BTreeSet<_> = index.iter().collect();
-            assert_eq!(all, plain);
-            assert!(index.iter().map(|entry| entry.0).is_sorted());
-            for (print, at) in &plain {
-                assert!(index.replace(*print, *at, place(9_999_999)));
-                assert!(!index.remove(*print, *at));
-                assert!(index.replace(*print, place(9_999_999), *at));
-            }
-            assert!(!index.remove(1, place(1)));
-            let entries: Vec<_> = plain.iter().copied().collect();
-            let mut built = Index::build(&entries);
-            assert!(built.iter().eq(entries.iter().copied()) && built.len() == plain.len());
-            built.insert(u32::MAX, place(9_999_999));
-            assert!(built.contains(u32::MAX, place(9_999_999)));
+            // Many fingerprints at the upper end need more cells after the last home cell.
+            overflow_cells *= 2;
         }
     }
 
-    #[test]
-    fn it_takes_few_bytes_a_key() {
-        let mut index = Index::default();
-        let mut random = SmallRng::seed_from_u64(1);
-        for n in 0..100_000 {
-            index.insert(random.random(), place(n));
+    fn try_lay_out(
+        home_cells: usize,
+        overflow_cells: usize,
+        entries: impl Iterator<Item = (u32, RecordLocation)>,
+    ) -> Option<Self> {
+        let mut table = Self::with_cells(home_cells, overflow_cells);
+        let mut first_free_cell = 0;
+        for (fingerprint, location) in entries {
+            let cell = table.home_cell(fingerprint).max(first_free_cell);
+            // The last cell stays empty: one more entry can be inserted wherever it belongs.
+            if cell + 1 >= table.locations.len() {
+                return None;
+            }
+            table.fingerprints[cell] = fingerprint;
+            table.locations[cell] = location.pack();
+            table.len += 1;
+            first_free_cell = cell + 1;
         }
-        let each = index.bytes() as f64 / 100_000.0;
-        assert!(each < 24.0, "{each}");
+        Some(table)
     }
 }
--- a/crates/log-store/tests/damage.rs
+++ b/crates/log-store/tests/damage.rs
@@ -1,14 +1,18 @@
-//! Every byte offset of every file of a store: cut there, and separately flipped there.
+//! Damage at every byte of every file of a store: the file truncated there, and separately a bit
+//! flipped there.
 
 mod common;
 
-use cleatpulley_log_store::files::Files;
+use cleatpulley_log_store::files::FileSystem;
 use cleatpulley_log_store::format::{
-    named, segment_head, Head, Kind, Named, RECORD_HEAD, SEGMENT_HEAD,
+    decode_segment_header, DecodedSegmentHeader, FileKind, RecordKind, RECORD_HEADER_BYTES,
+    SEGMENT_HEADER_BYTES,
 };
-use cleatpulley_log_store::memory::Memory;
-use cleatpulley_log_store::scan::{self, Next};
-use cleatpulley_log_store::{Batch, Error, Options, Store, Work};
+use cleatpulley_log_store::scan::{scan_record, ScanResult};
+use cleatpulley_log_store::simulated_folder::SimulatedFolder;
+use cleatpulley_log_store::{Batch, Error, Options, Store};
+use common::maintenance::maintain_until_idle;
+use common::model::Content;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,14 +20,20 @@
 fn options() -> Options {
     Options {
         segment_bytes: 4_096,
-        compress_from: Some(100),
+        min_compressed_value_bytes: Some(100),
         ..Options::default()
     }
 }
 
-/// A store with sealed segments, some with hints, a compacted one, batches and deletes, closed well.
-fn made() -> (Memory, BTreeMap<Vec<u8>, Vec<u8>>) {
-    let disk = Memory::default();
+/// A store that was closed, and what it holds.
+struct BuiltStore {
+    disk: SimulatedFolder,
+    content: Content,
+}
+
+/// Builds a store with sealed segments, some with hint files, a compacted one, batches and deletes.
+fn build_store() -> BuiltStore {
+    let disk = SimulatedFolder::default();
     let (mut store, _) = Store::open(disk.clone(), options()).expect("it opens");
     let mut random = SmallRng::seed_from_u64(11);
     let mut content = BTreeMap::new();
@@ -32,12 +42,12 @@
         for _ in 0..[1, 1, 3][n as usize % 3] {
             let key = format!("key{:02}", random.random_range(0..40)).into_bytes();
             if random.random_range(0..6) == 0 {
-                batch.push_delete(&key);
+                batch.add_delete(&key);
                 content.remove(&key);
             } else {
                 let mut value = vec![n as u8; random.random_range(0..60)];
                 random.fill(&mut value[..]);
-                batch.push_put(&key, &value, None);
+                batch.add_put(&key, &value, None);
                 content.insert(key, value);
             }
         }
@@ -46,105 +56,105 @@
             store.sync().expect("nothing fails");
         }
         if n < 120 {
-            rest(&mut store, 700);
+            maintain_until_idle(&mut store, 0, 700);
         }
     }
-    assert!(store.stats().compacted > 0);
+    assert!(store.stats().compacted_segments > 0);
     store.close().expect("nothing fails");
-    (disk.copy(), content)
-}
-
-/// Maintains the store until it has nothing to do, which has to come.
-fn rest(store: &mut Store<Memory>, budget: usize) {
-    let turns = (0..10_000)
-        .take_while(|_| store.maintain(0, budget).expect("nothing fails") == Work::More)
-        .count();
-    assert!(
-        turns < 10_000,
-        "maintenance never ends: {:?}",
-        store.stats()
-    );
+    BuiltStore {
+        disk: disk.durable_copy(),
+        content,
+    }
 }
 
+/// The position of a record in its segment.
+#[derive(Clone)]
 struct Spot {
-    from: usize,
-    to: usize,
+    start: usize,
+    end: usize,
     /// Where its batch ends.
-    batch_to: usize,
+    batch_end: usize,
     key: Vec<u8>,
-    seq: u64,
-    delete: bool,
+    sequence: u64,
+    is_tombstone: bool,
 }
 
-/// Where each record of each segment stands.
-fn spots(disk: &Memory) -> BTreeMap<String, Vec<Spot>> {
+/// The records of each segment.
+fn find_spots(disk: &SimulatedFolder) -> BTreeMap<String, Vec<Spot>> {
     let mut all = BTreeMap::new();
     for name in disk.list().expect("names") {
-        if !matches!(named(&name), Named::Segment(_)) {
-            continue;
+        if matches!(FileKind::from_name(&name), FileKind::Segment(_)) {
+            let spots = find_spots_in_segment(&disk.file_bytes(&name));
+            all.insert(name, spots);
         }
-        let bytes = disk.bytes(&name);
-        let Head::Good(head) = segment_head(&bytes) else {
-            panic!("a good head")
-        };
-        let mut spots: Vec<Spot> = Vec::new();
-        let (mut at, mut batch) = (SEGMENT_HEAD, 0);
-        while let Next::Record(record) = scan::next(&bytes[at..], head.salt, at as u64, true) {
-            let key = bytes[at + RECORD_HEAD..at + RECORD_HEAD + record.key_len].to_vec();
-            if matches!(record.kind, Kind::Put | Kind::Delete) {
-                let delete = record.kind == Kind::Delete;
-                let to = at + record.size();
-                if record.first {
-                    batch = spots.len();
-                }
-                spots.push(Spot {
-                    from: at,
-                    to,
-                    batch_to: to,
-                    key,
-                    seq: record.seq,
-                    delete,
-                });
-                spots[batch..]
-                    .iter_mut()
-                    .for_each(|spot| spot.batch_to = to);
+    }
+    all
+}
+
+fn find_spots_in_segment(bytes: &[u8]) -> Vec<Spot> {
+    let DecodedSegmentHeader::Valid(header) = decode_segment_header(bytes) else {
+        panic!("a good head")
+    };
+    let mut spots: Vec<Spot> = Vec::new();
+    let mut at = SEGMENT_HEADER_BYTES;
+    let mut batch = 0;
+    while let ScanResult::Record(record) = scan_record(&bytes[at..], header.salt, at as u64, true) {
+        let end = at + record.size();
+        if matches!(record.kind, RecordKind::Put | RecordKind::Tombstone) {
+            if record.starts_batch {
+                batch = spots.len();
             }
-            at += record.size();
+            spots.push(Spot {
+                start: at,
+                end,
+                batch_end: end,
+                key: bytes[at + RECORD_HEADER_BYTES..][..record.key_len].to_vec(),
+                sequence: record.sequence,
+                is_tombstone: record.kind == RecordKind::Tombstone,
+            });
+            spots[batch..]
+                .iter_mut()
+                .for_each(|spot| spot.batch_end = end);
         }
-        assert_eq!(at, bytes.len());
-        all.insert(name, spots);
+        at = end;
     }
-    all
+    assert_eq!(at, bytes.len());
+    spots
 }
 
-/// A record's file, begin, end of its batch, and whether it deletes.
-type Place = (String, usize, usize, bool);
+/// The newest record of a key.
+struct NewestRecord {
+    file: String,
+    spot: Spot,
+}
 
 /// The newest record of each key.
-fn newest(spots: &BTreeMap<String, Vec<Spot>>) -> BTreeMap<Vec<u8>, Place> {
-    let mut newest: BTreeMap<Vec<u8>, (u64, Place)> = BTreeMap::new();
-    for (name, spots) in spots {
+fn newest_records(spots: &BTreeMap<String, Vec<Spot>>) -> BTreeMap<Vec<u8>, NewestRecord> {
+    let mut newest: BTreeMap<Vec<u8>, NewestRecord> = BTreeMap::new();
+    for (file, spots) in spots {
         for spot in spots {
-            let old = newest.get(&spot.key).map_or(0, |entry| entry.0);
-            if spot.seq > old {
-                newest.insert(
-                    spot.key.clone(),
-                    (
-                        spot.seq,
-                        (name.clone(), spot.from, spot.batch_to, spot.delete),
-                    ),
-                );
+            let newest_sequence = newest
+                .get(&spot.key)
+                .map_or(0, |record| record.spot.sequence);
+            if spot.sequence > newest_sequence {
+                let record = NewestRecord {
+                    file: file.clone(),
+                    spot: spot.clone(),
+                };
+                newest.insert(spot.key.clone(), record);
             }
         }
     }
     newest
-        .into_iter()
-        .map(|(key, (_, place))| (key, place))
-        .collect()
 }
 
-/// Opens a damaged store and compares all keys but those in `hit` with what was there.
-fn judge(disk: &Memory, content: &BTreeMap<Vec<u8>, Vec<u8>>, hit: &BTreeSet<Vec<u8>>, what: &str) {
+/// Opens a damaged store and checks that all keys except those in `hit` have their values.
+fn check_undamaged_keys(
+    disk: &SimulatedFolder,
+    content: &Content,
+    hit: &BTreeSet<Vec<u8>>,
+    what: &str,
+) {
     let (store, _) = Store::open(disk.clone(), options()).unwrap_or_else(|e| panic!("{what}: {e}"));
     for n in 0..40 {
         let key = format!("key{n:02}").into_bytes();
@@ -158,7 +168,7 @@
                 );
             }
             Ok(_) => {}
-            Err(Error::Damaged { .. }) => {
+            Err(Error::DamagedRecord { .. }) => {
                 assert!(hit.contains(&key), "{what}: {} is lost", key.escape_ascii())
             }
             Err(e) => panic!("{what}: {e}"),
@@ -166,30 +176,30 @@
     }
 }
 
-/// A flip costs the record that it hits, whose key then has an error, no value, or the value before; nothing else.
+/// The key of the damaged record then has an error, no value, or the value before.
 #[test]
-fn a_flip_at_any_byte_costs_the_record_it_hits_and_no_other() {
-    let (disk, content) = made();
-    let spots = spots(&disk);
+fn flipped_bit_at_any_byte_affects_only_the_record_it_is_in() {
+    let BuiltStore { disk, content } = build_store();
+    let spots = find_spots(&disk);
     let hints = disk
-        .names()
+        .file_names()
         .iter()
         .filter(|name| name.ends_with(".hint"))
         .count();
-    assert!(spots.len() >= 3 && hints >= 1, "{:?}", disk.names());
-    for name in disk.names() {
-        let bytes = disk.bytes(&name);
+    assert!(spots.len() >= 3 && hints >= 1, "{:?}", disk.file_names());
+    for name in disk.file_names() {
+        let bytes = disk.file_bytes(&name);
         for at in 0..bytes.len() {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << (at % 8);
-            let copy = disk.copy();
-            copy.set_bytes(&name, changed);
-            let within = |spot: &&Spot| spot.from <= at && at < spot.to;
+            let copy = disk.durable_copy();
+            copy.put_file(&name, changed);
+            let within = |spot: &&Spot| spot.start <= at && at < spot.end;
             let hit = spots
                 .get(&name)
                 .and_then(|spots| spots.iter().find(within))
                 .map(|spot| spot.key.clone());
-            judge(
+            check_undamaged_keys(
                 &copy,
                 &content,
                 &hit.into_iter().collect(),
@@ -199,45 +209,51 @@
     }
 }
 
-/// A cut costs what stood after it in that file, and the batch that it went through; nothing before that and nothing
-/// in other files.
+/// The batch that the end of the truncated file falls into is lost as well.
 #[test]
-fn a_cut_at_any_byte_costs_what_stood_after_it_and_nothing_before() {
-    let (disk, content) = made();
-    let spots = spots(&disk);
-    let newest = newest(&spots);
-    for name in disk.names() {
-        let bytes = disk.bytes(&name);
+fn truncation_at_any_byte_affects_only_records_after_it_in_that_file() {
+    let BuiltStore { disk, content } = build_store();
+    let spots = find_spots(&disk);
+    let newest = newest_records(&spots);
+    for name in disk.file_names() {
+        let bytes = disk.file_bytes(&name);
         for at in 0..bytes.len() {
-            let copy = disk.copy();
-            copy.set_bytes(&name, bytes[..at].to_vec());
-            // Without its head nothing of a file can be read.
-            let lost = |place: &Place| place.0 == name && (place.2 > at || at < SEGMENT_HEAD);
+            let copy = disk.durable_copy();
+            copy.put_file(&name, bytes[..at].to_vec());
+            // Without its header nothing of a file can be read.
+            let is_lost = |record: &NewestRecord| {
+                record.file == name && (record.spot.batch_end > at || at < SEGMENT_HEADER_BYTES)
+            };
             let hit = newest
                 .iter()
-                .filter(|(_, place)| lost(place))
+                .filter(|(_, record)| is_lost(record))
                 .map(|(key, _)| key.clone())
                 .collect();
-            judge(&copy, &content, &hit, &format!("{name} cut at {at}"));
+            check_undamaged_keys(&copy, &content, &hit, &format!("{name} cut at {at}"));
         }
     }
 }
 
-/// What check says of damage in the middle, and that compaction sets the damaged segment aside and loses nothing else.
+/// Compaction quarantines the damaged segment and loses no other record.
 #[test]
-fn damage_is_told_by_file_and_offset_and_survives_as_a_file() {
-    let (disk, content) = made();
-    let spots = spots(&disk);
-    let live = newest(&spots);
-    let (key, (name, from, ..)) = live.iter().find(|(_, place)| !place.3).expect("a live key");
-    let mut bytes = disk.bytes(name);
-    bytes[from + RECORD_HEAD] ^= 1;
-    disk.set_bytes(name, bytes);
+fn check_reports_damage_by_file_and_offset_and_the_damaged_file_survives() {
+    let BuiltStore { disk, content } = build_store();
+    let spots = find_spots(&disk);
+    let newest = newest_records(&spots);
+    let (key, record) = newest
+        .iter()
+        .find(|(_, record)| !record.spot.is_tombstone)
+        .expect("a live key");
+    let name = &record.file;
+    let from = &record.spot.start;
+    let mut bytes = disk.file_bytes(name);
+    bytes[from + RECORD_HEADER_BYTES] ^= 1;
+    disk.put_file(name, bytes);
     let (mut store, _) = Store::open(disk.clone(), options()).expect("it opens");
-    let checked = store.check(|_, _| ()).expect("it is read");
-    assert_eq!(checked.damaged.len(), 1);
+    let checked = store.verify(|_, _| ()).expect("it is read");
+    assert_eq!(checked.damaged_ranges.len(), 1);
     assert_eq!(
-        (&checked.damaged[0].0, checked.damaged[0].1),
+        (&checked.damaged_ranges[0].0, checked.damaged_ranges[0].1),
         (name, *from as u64)
     );
     for n in 0..400_u32 {
@@ -247,7 +263,7 @@
         store
             .write(Batch::default().delete(&n.to_le_bytes()))
             .expect("room");
-        rest(&mut store, 900);
+        maintain_until_idle(&mut store, 0, 900);
     }
     for (other, value) in content.iter().filter(|(other, _)| *other != key) {
         assert_eq!(
@@ -255,6 +271,13 @@
             Some(value)
         );
     }
-    let aside = disk.names().iter().any(|name| name.ends_with(".damaged"));
-    assert!(aside || disk.names().contains(name), "{:?}", disk.names());
+    let aside = disk
+        .file_names()
+        .iter()
+        .any(|name| name.ends_with(".damaged"));
+    assert!(
+        aside || disk.file_names().contains(name),
+        "{:?}",
+        disk.file_names()
+    );
 }
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -568,7 +568,11 @@
             .for_each(|channel| channel.reused = true);
         store.fail(10, 1, Outcome::Interrupted, &mut facts);
         assert!(facts.is_empty() && store.busy.len() == 1 && store.channels.keys().eq(&[2]));
-        assert_eq!(store.next_deadline(), Some(9_000), "the time left is the same");
+        assert_eq!(
+            store.next_deadline(),
+            Some(9_000),
+            "the time left is the same"
+        );
         store
             .channels
             .values_mut()
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -1,6 +1,6 @@
 //! The mark of used incarnations on the disk, in an embedded store that is open for that moment only.
 
-use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, Options, Store};
 use cleatpulley_membership::incarnation::{Incarnations, Mark};
 use std::io;
@@ -34,14 +34,14 @@
     put(&mut open(folder)?, mark)
 }
 
-fn open(folder: &Path) -> io::Result<Store<Folder>> {
+fn open(folder: &Path) -> io::Result<Store<OsFolder>> {
     let (store, found) =
-        Store::open(Folder::new(folder, true)?, Options::default()).map_err(io::Error::other)?;
+        Store::open(OsFolder::new(folder, true)?, Options::default()).map_err(io::Error::other)?;
     tracing::debug!("cluster: {}: {found}", folder.display());
     Ok(store)
 }
 
-fn put(store: &mut Store<Folder>, mark: Mark) -> io::Result<()> {
+fn put(store: &mut Store<OsFolder>, mark: Mark) -> io::Result<()> {
     store
         .write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None))
         .map_err(io::Error::other)?;
--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -188,7 +188,11 @@
     ///
     /// # Errors
     /// Those of the system.
-    fn listen_for_successors(&self, meeting: &HandoverAddress, place: usize) -> io::Result<Self::SuccessorListener>;
+    fn listen_for_successors(
+        &self,
+        meeting: &HandoverAddress,
+        place: usize,
+    ) -> io::Result<Self::SuccessorListener>;
 
     /// Accepts a successor that waits, where its user is ours.
     ///
@@ -214,7 +218,11 @@
     ///
     /// # Errors
     /// Those of the system.
-    fn open_reputation_storage(&self, folder: PathBuf, most: usize) -> io::Result<Self::ReputationStorage>;
+    fn open_reputation_storage(
+        &self,
+        folder: PathBuf,
+        most: usize,
+    ) -> io::Result<Self::ReputationStorage>;
 
     /// Starts a keeper of results on a folder. One that is not `lasting` outlives its process, for the next one of the same
     /// matcher, and not its host.
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -97,7 +97,10 @@
         };
         // Where the system chooses the port, nobody can be there.
         if new.meeting.address.port() != 0 {
-            match new.world.connect_to_predecessor(&new.meeting, SocketOwner::Predecessor) {
+            match new
+                .world
+                .connect_to_predecessor(&new.meeting, SocketOwner::Predecessor)
+            {
                 Ok(passage) => {
                     tracing::info!(
                         "upgrade: takes the place of the process that serves {}",
@@ -251,7 +254,10 @@
         // The name may still be this process's own.
         self.post = None;
         // Where nobody is met, that is tried again until its time is over.
-        let Ok(passage) = self.world.connect_to_predecessor(&self.meeting, SocketOwner::Successor) else {
+        let Ok(passage) = self
+            .world
+            .connect_to_predecessor(&self.meeting, SocketOwner::Successor)
+        else {
             return;
         };
         tracing::info!("upgrade: another process has the place of the successor that is gone");
@@ -346,7 +352,10 @@
         let visits = effects.contains(&successor::Effect::Visit);
         let mut done = self.before_does(effects, steps);
         if visits {
-            done = match self.world.connect_to_predecessor(&self.meeting, SocketOwner::Predecessor) {
+            done = match self
+                .world
+                .connect_to_predecessor(&self.meeting, SocketOwner::Predecessor)
+            {
                 Ok(passage) => {
                     let Some((decides, there)) = &mut self.before else {
                         return;
--- a/crates/server/src/hot_restart_steps.rs
+++ b/crates/server/src/hot_restart_steps.rs
@@ -2,7 +2,7 @@
 //! taken and as the one that takes it.
 
 use super::host::{Host, ResultPersistence};
-use super::{management_endpoint, hot_restart, Server, SPARE};
+use super::{hot_restart, management_endpoint, Server, SPARE};
 use cleatpulley_dispatcher::key_table::KeyTable;
 use cleatpulley_dispatcher::{Event, ResourceUsage};
 use cleatpulley_hot_restart::{snapshot, Held};
@@ -74,9 +74,9 @@
             hot_restart::HotRestartStep::Adopt(passed) => {
                 let mut short = false;
                 for (address, passed) in passed {
-                    let adopted = self
-                        .front
-                        .adopt(address, |place| self.world.adopt_listener(passed, address, place));
+                    let adopted = self.front.adopt(address, |place| {
+                        self.world.adopt_listener(passed, address, place)
+                    });
                     match adopted {
                         Ok(true) => tracing::info!(
                             "{} listens on {address}, which was passed on",
@@ -215,7 +215,10 @@
         let Some((folder, bounds, lasting)) = kept_in else {
             return;
         };
-        match self.world.open_result_persistence(folder, bounds.hash_seed, lasting) {
+        match self
+            .world
+            .open_result_persistence(folder, bounds.hash_seed, lasting)
+        {
             Ok(keeper) => self.keeper = Some(keeper),
             Err(e) => {
                 tracing::error!("results: nothing can be kept: {e}");
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -110,8 +110,13 @@
     /// When a listening socket or a keeper can't be had.
     pub fn new(world: H, options: Options, reload: Reload) -> io::Result<Self> {
         let calls = (options.max_descriptors / STORE_SHARE).clamp(*STORE.start(), *STORE.end());
-        let asked = options.management.map_or(0, |_| management_endpoint::PLACES + 1);
-        let most = options.max_descriptors.saturating_sub(SPARE + calls + asked).max(1);
+        let asked = options
+            .management
+            .map_or(0, |_| management_endpoint::PLACES + 1);
+        let most = options
+            .max_descriptors
+            .saturating_sub(SPARE + calls + asked)
+            .max(1);
         let mut front =
             client_listener::ClientListener::new(world.clone(), options.class_names.clone(), most);
         let earned = options
@@ -232,7 +237,9 @@
                 kept_in = Some((results.folder.clone(), bounds, lasting));
                 // A process that takes another's place has the store once that one has let go of it.
                 let keeper = alone
-                    .then(|| world.open_result_persistence(results.folder, bounds.hash_seed, lasting))
+                    .then(|| {
+                        world.open_result_persistence(results.folder, bounds.hash_seed, lasting)
+                    })
                     .transpose()?;
                 let keys = IdempotencyKeys::new(classes, required, owner, KeyTable::new(bounds));
                 let settings = Settings {
@@ -312,8 +319,9 @@
             .upgrade
             .as_ref()
             .map_or(0, hot_restart::HotRestart::descriptors);
-        let links =
-            usize::from(self.runtime.is_connected()) + self.directory.connection_count() + self.front.reserved_descriptors();
+        let links = usize::from(self.runtime.is_connected())
+            + self.directory.connection_count()
+            + self.front.reserved_descriptors();
         ServerUsage {
             requests: self.exchange.request_count(),
             pending: self.exchange.pending_count(),
@@ -528,7 +536,9 @@
             asked,
             passes,
             self.listen_at,
-            self.keeper.as_ref().and_then(ResultPersistence::next_deadline),
+            self.keeper
+                .as_ref()
+                .and_then(ResultPersistence::next_deadline),
         ];
         let store = self
             .yielded
@@ -557,7 +567,10 @@
     /// Whether it takes clients: without its runtime it serves nothing.
     #[must_use]
     pub fn accepts_clients(&self) -> bool {
-        self.runtime.is_ready() && self.stop_at.is_none() && self.listen_at.is_none() && self.serves()
+        self.runtime.is_ready()
+            && self.stop_at.is_none()
+            && self.listen_at.is_none()
+            && self.serves()
     }
 
     /// Clients are accepted here, and by no process whose place it takes or that takes its own.
@@ -610,7 +623,9 @@
             } => self.front.respond(now, to, &answer),
             Command::StartRun { id, class, body } => self.runtime.start(id, class, &body),
             Command::ResumeWithReply { id, body } => self.runtime.resume_with_reply(id, &body),
-            Command::ResumeWithoutCall { id, notice } => self.runtime.resume_without_call(id, notice),
+            Command::ResumeWithoutCall { id, notice } => {
+                self.runtime.resume_without_call(id, notice)
+            }
             Command::StopRun(id) => self.runtime.stop(id),
             Command::MakeCall(call) => self.store.call(now, call, &mut self.facts),
             Command::AbandonCall(id) => self.store.abandon(id),
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,6 +1,6 @@
 //! What a matcher is told, who it talks to, and what it holds.
 
-use super::{tls_layer, dependency_pool};
+use super::{dependency_pool, tls_layer};
 use cleatpulley_connection_admission::Settings as Admitting;
 use cleatpulley_dispatcher::key_table::Capacity;
 use cleatpulley_dispatcher::KeyScope;
--- a/crates/server/src/os_host.rs
+++ b/crates/server/src/os_host.rs
@@ -367,7 +367,11 @@
         self.watch_listener(passed.listener(address)?, place)
     }
 
-    fn listen_for_successors(&self, meeting: &HandoverAddress, place: usize) -> io::Result<SuccessorListener> {
+    fn listen_for_successors(
+        &self,
+        meeting: &HandoverAddress,
+        place: usize,
+    ) -> io::Result<SuccessorListener> {
         let socket = Rc::new(handover_channel::post(meeting)?);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
             node.on_acceptable(place)
@@ -378,11 +382,19 @@
         })
     }
 
-    fn accept_successor(&self, post: &SuccessorListener, party: SocketOwner) -> io::Result<HandoverChannel> {
+    fn accept_successor(
+        &self,
+        post: &SuccessorListener,
+        party: SocketOwner,
+    ) -> io::Result<HandoverChannel> {
         self.passage(handover_channel::welcome(&post.socket)?, party)
     }
 
-    fn connect_to_predecessor(&self, meeting: &HandoverAddress, party: SocketOwner) -> io::Result<HandoverChannel> {
+    fn connect_to_predecessor(
+        &self,
+        meeting: &HandoverAddress,
+        party: SocketOwner,
+    ) -> io::Result<HandoverChannel> {
         self.passage(handover_channel::visit(meeting)?, party)
     }
 
@@ -412,11 +424,20 @@
         self.watch(socket.into(), party)
     }
 
-    fn open_reputation_storage(&self, folder: PathBuf, most: usize) -> io::Result<ReputationStorage> {
+    fn open_reputation_storage(
+        &self,
+        folder: PathBuf,
+        most: usize,
+    ) -> io::Result<ReputationStorage> {
         ReputationStorage::start(&self.handle, folder, most)
     }
 
-    fn open_result_persistence(&self, folder: PathBuf, seed: u64, lasting: bool) -> io::Result<PersistenceThread> {
+    fn open_result_persistence(
+        &self,
+        folder: PathBuf,
+        seed: u64,
+        lasting: bool,
+    ) -> io::Result<PersistenceThread> {
         if lasting {
             PersistenceThread::start(&self.handle, folder, seed)
         } else {
--- a/crates/server/src/persistence_thread.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -9,8 +9,8 @@
 use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_idempotency::journal::{Journal, OpenedJournal};
 use cleatpulley_idempotency::record::{KeyRecord, ScopedKey};
-use cleatpulley_log_store::files::{Files, Folder};
-use cleatpulley_log_store::{Error, Options, Work};
+use cleatpulley_log_store::files::{FileSystem, OsFolder};
+use cleatpulley_log_store::{Error, MaintenanceStatus, Options};
 use cleatpulley_policy::interface::RequestId;
 use std::io;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
 
 /// What the keeper does, on whatever files and thread: it opens the store, writes, syncs and reads, and says what came
 /// of it. After a failure it is to be opened again.
-pub struct ResultStore<F: Files> {
+pub struct ResultStore<F: FileSystem> {
     journal: Option<Journal<F>>,
     recovered: bool,
     well: bool,
@@ -52,7 +52,7 @@
     results: u64,
 }
 
-impl<F: Files> Default for ResultStore<F> {
+impl<F: FileSystem> Default for ResultStore<F> {
     fn default() -> Self {
         Self {
             journal: None,
@@ -64,7 +64,7 @@
     }
 }
 
-impl<F: Files> ResultStore<F> {
+impl<F: FileSystem> ResultStore<F> {
     /// Another process has the store open, as far as is known.
     #[must_use]
     pub fn is_locked(&self) -> bool {
@@ -106,7 +106,7 @@
                 recovered.len(),
                 recovered.unknown
             );
-            if !found.damaged.is_empty() || !found.quarantined.is_empty() {
+            if !found.damaged_ranges.is_empty() || !found.quarantined.is_empty() {
                 tracing::error!("results: the store was damaged: {found}");
             }
             self.recovered = true;
@@ -197,10 +197,10 @@
             return false;
         };
         match journal.maintain(now, budget) {
-            Ok(work) => work == Work::More,
+            Ok(work) => work == MaintenanceStatus::MoreToDo,
             Err(e) => {
                 tracing::warn!("results: maintenance of the store failed: {e}");
-                if journal.store_mut().poisoned().is_some() {
+                if journal.store_mut().write_fault().is_some() {
                     self.fail(&e, facts);
                 }
                 false
@@ -374,7 +374,7 @@
 pub struct InlinePersistence {
     folder: PathBuf,
     seed: u64,
-    core: ResultStore<Folder>,
+    core: ResultStore<OsFolder>,
     facts: Vec<DispatcherEvent>,
     /// When the store is opened, or looked after.
     next: Option<Micros>,
@@ -398,8 +398,8 @@
                 let more = self.core.maintain(now, PIECE, &mut self.facts);
                 self.next = more.then_some(now + REST.as_micros() as Micros);
             } else {
-                let folder = Folder::new(&self.folder, true)
-                    .map(Folder::passing)
+                let folder = OsFolder::new(&self.folder, true)
+                    .map(OsFolder::without_sync)
                     .map_err(Error::folder);
                 let options = Options {
                     segment_bytes: PASSING,
@@ -430,7 +430,7 @@
     seed: u64,
     jobs: Receiver<PersistenceJob>,
     facts: channel::Sender<DispatcherEvent>,
-    core: ResultStore<Folder>,
+    core: ResultStore<OsFolder>,
 }
 
 impl Thread {
@@ -446,7 +446,7 @@
         let (mut more, mut open_at) = (true, Instant::now());
         loop {
             if !self.core.is_open() && Instant::now() >= open_at {
-                let folder = Folder::new(&self.folder, true).map_err(Error::folder);
+                let folder = OsFolder::new(&self.folder, true).map_err(Error::folder);
                 let options = Options {
                     seed: self.seed,
                     ..Options::default()
--- a/crates/server/src/reputation_store.rs
+++ b/crates/server/src/reputation_store.rs
@@ -6,7 +6,7 @@
 use super::Server;
 use calloop::channel::{self, Event};
 use cleatpulley_connection_admission::book::{Book, Entry};
-use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Error, Options, Store};
 use cleatpulley_policy::interface::Micros;
 use std::io;
@@ -34,8 +34,8 @@
     let max_bytes = Some(4 * SEGMENT + most as u64 * OF_ADDRESS);
     Options {
         segment_bytes: SEGMENT,
-        max_bytes,
-        compress_from: None,
+        max_total_bytes: max_bytes,
+        min_compressed_value_bytes: None,
         seed,
     }
 }
@@ -146,11 +146,11 @@
 }
 
 fn run(path: &Path, most: usize, jobs: &Receiver<Vec<Entry>>, told: &channel::Sender<Vec<Entry>>) {
-    let mut book: Book<Folder> = Book::new(most);
+    let mut book: Book<OsFolder> = Book::new(most);
     let (mut more, mut open_at) = (true, Instant::now());
     loop {
         if !book.is_open() && Instant::now() >= open_at {
-            let folder = Folder::new(path, true).map_err(Error::folder);
+            let folder = OsFolder::new(path, true).map_err(Error::folder);
             let opened = folder.and_then(|folder| Store::open(folder, options(most, now())));
             open_at = Instant::now()
                 + if matches!(opened, Err(Error::Locked)) {
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -5,7 +5,7 @@
 use crate::machine::at;
 use crate::plan::Fault;
 use crate::sim::{Sim, DIRECTORY, MS, RUDE, RUNTIMES};
-use cleatpulley_log_store::memory::Fault as DiskFault;
+use cleatpulley_log_store::simulated_folder::Fault as DiskFault;
 use cleatpulley_policy::interface::Micros;
 use rand::Rng;
 
@@ -59,7 +59,7 @@
                 self.machines[m].note_disk_trouble(ends);
                 let after = self.random.random_range(0..20);
                 let fault = if planned.fault == Fault::DiskFail {
-                    DiskFault::Fail(after)
+                    DiskFault::FailOnce(after)
                 } else {
                     DiskFault::Full(after, 30_000)
                 };
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -7,7 +7,7 @@
 use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_idempotency::journal::Journal;
 use cleatpulley_idempotency::record::ScopedKey;
-use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_log_store::{Error, Options};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, RequestId};
@@ -111,9 +111,9 @@
     released: bool,
     /// What it has to do.
     pub jobs: VecDeque<PersistenceJob>,
-    core: ResultStore<Memory>,
+    core: ResultStore<SimulatedFolder>,
     /// The disk; a crash leaves another.
-    pub disk: Memory,
+    pub disk: SimulatedFolder,
     scheduled: bool,
     /// It does nothing before this time.
     pub stalled_until: Micros,
@@ -122,7 +122,7 @@
 impl Desk {
     /// One of a process on this disk, which a process before may have left.
     #[must_use]
-    pub fn new(disk: Memory, lock: Lock, life: u64) -> Self {
+    pub fn new(disk: SimulatedFolder, lock: Lock, life: u64) -> Self {
         let (jobs, core) = (VecDeque::new(), ResultStore::default());
         Self {
             lock,
@@ -172,7 +172,7 @@
                 return Some(now + LOCKED);
             }
             self.lock.set(Some(self.life));
-            self.disk.release();
+            self.disk.release_lock();
             let options = Options {
                 segment_bytes: 16_384,
                 ..Options::default()
@@ -373,7 +373,11 @@
         post.welcome(self)
     }
 
-    fn connect_to_predecessor(&self, _: &HandoverAddress, _: SocketOwner) -> io::Result<VirtualPassage> {
+    fn connect_to_predecessor(
+        &self,
+        _: &HandoverAddress,
+        _: SocketOwner,
+    ) -> io::Result<VirtualPassage> {
         VirtualPassage::visit(self)
     }
 
@@ -426,7 +430,12 @@
         })
     }
 
-    fn open_result_persistence(&self, _folder: PathBuf, _seed: u64, _lasting: bool) -> io::Result<VirtualKeeper> {
+    fn open_result_persistence(
+        &self,
+        _folder: PathBuf,
+        _seed: u64,
+        _lasting: bool,
+    ) -> io::Result<VirtualKeeper> {
         let mut net = self.net.borrow_mut();
         let at = net.now + 3_000;
         let mut desk = self.desk.borrow_mut();
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -15,13 +15,14 @@
 use cleatpulley_dispatcher::key_table::Capacity;
 use cleatpulley_dispatcher::KeyScope as KeyOwner;
 use cleatpulley_emulators::runtime::Runtime;
-use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_policy::interface::{Effect as ClassEffect, Micros};
 use cleatpulley_policy::settings::SettingsDocument;
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Settings as AjpSettings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
 use cleatpulley_server::{
-    dependency_pool::DependencyProtocol, AjpOptions, IdempotencyOptions, Options, Server, ServiceAddresses,
+    dependency_pool::DependencyProtocol, AjpOptions, IdempotencyOptions, Options, Server,
+    ServiceAddresses,
 };
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -82,10 +83,10 @@
     pub frames: SocketAddr,
     pub ajp: SocketAddr,
     pub hall: Rc<RefCell<Hall>>,
-    pub disk: Memory,
+    pub disk: SimulatedFolder,
     pub lock: Lock,
     /// The disk of the book of earned standing, and who has it open.
-    pub book: (Memory, Lock),
+    pub book: (SimulatedFolder, Lock),
     pub paused: Option<Micros>,
     /// When the matcher was told to leave, without a successor.
     pub left_at: Option<Micros>,
@@ -120,7 +121,7 @@
             frames: at(host, 5_050),
             ajp: at(host, 8_009),
             hall: Rc::default(),
-            disk: Memory::default(),
+            disk: SimulatedFolder::default(),
             lock: Lock::default(),
             book: Default::default(),
             paused: None,
@@ -442,9 +443,14 @@
         };
         let mut facts = Vec::new();
         let again = process.desk.borrow_mut().work(now, &mut facts);
-        facts.into_iter().for_each(|fact| process.node.on_persistence_event(fact));
+        facts
+            .into_iter()
+            .for_each(|fact| process.node.on_persistence_event(fact));
         if let Some(at) = again {
-            self.net.borrow_mut().queue.push(at, Event::ResultPersistence(m, life));
+            self.net
+                .borrow_mut()
+                .queue
+                .push(at, Event::ResultPersistence(m, life));
         }
         self.turn_soon(m, life);
     }
@@ -487,8 +493,8 @@
         self.rollouts.retain(|rollout| rollout.machine != m);
         let machine = &mut self.machines[m];
         (machine.ended_at, machine.paused) = (now, None);
-        machine.disk = machine.disk.crash(seed);
-        machine.book.0 = machine.book.0.crash(seed);
+        machine.disk = machine.disk.after_crash(seed);
+        machine.book.0 = machine.book.0.after_crash(seed);
         let life = machine.life;
         if runtime {
             let fresh = self.new_runtime(m, now + down);
--- a/crates/simulator/src/shelf.rs
+++ b/crates/simulator/src/shelf.rs
@@ -2,7 +2,7 @@
 
 use crate::host::{Event, Lock, Virtual};
 use cleatpulley_connection_admission::book::{Book, Entry};
-use cleatpulley_log_store::memory::Memory;
+use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_log_store::{Error, Options, Store};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_server::host::ReputationStorage;
@@ -16,8 +16,8 @@
 pub struct Shelf {
     lock: Lock,
     life: u64,
-    disk: Memory,
-    book: Option<Book<Memory>>,
+    disk: SimulatedFolder,
+    book: Option<Book<SimulatedFolder>>,
     scheduled: bool,
     /// What it held, until the matcher is told.
     pub remembered: Vec<Entry>,
@@ -26,7 +26,7 @@
 impl Shelf {
     /// That of a process on this disk, which a process before may have left.
     #[must_use]
-    pub fn new(disk: Memory, lock: Lock, life: u64) -> Self {
+    pub fn new(disk: SimulatedFolder, lock: Lock, life: u64) -> Self {
         Self {
             lock,
             life,
@@ -53,7 +53,7 @@
                 Err(Error::Locked)
             } else {
                 self.lock.set(Some(self.life));
-                self.disk.release();
+                self.disk.release_lock();
                 Store::open(
                     self.disk.clone(),
                     Options {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -285,7 +285,9 @@
                             }
                             Some(Listens::Operators(m, life)) => {
                                 self.tell(m, life, |node| {
-                                    node.on_acceptable(cleatpulley_server::management_endpoint::PLACE)
+                                    node.on_acceptable(
+                                        cleatpulley_server::management_endpoint::PLACE,
+                                    )
                                 });
                             }
                             Some(Listens::Service(place, door)) => {
@@ -442,7 +444,10 @@
             let left = [
                 (census.requests, "requests are known"),
                 (census.pending, "answers are owed"),
-                (census.open_requests, "requests count as open on connections"),
+                (
+                    census.open_requests,
+                    "requests count as open on connections",
+                ),
                 (census.calls, "calls are out"),
                 (census.active_key_runs, "runs of keys are on"),
                 (running, "runs are on"),
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -7,7 +7,7 @@
 use cleatpulley_idempotency::expiring_table::ExpiringTable;
 use cleatpulley_idempotency::journal::Journal;
 use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
-use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
@@ -152,7 +152,7 @@
 
 fn recovery(home: &Path, short: &mut Vec<String>) -> Result<(), cleatpulley_log_store::Error> {
     let folder = home.join("million");
-    let open = || Folder::new(&folder, true).map_err(cleatpulley_log_store::Error::folder);
+    let open = || OsFolder::new(&folder, true).map_err(cleatpulley_log_store::Error::folder);
     let expiry = u64::MAX / 2;
     {
         let (mut store, _) = Store::open(open()?, Options::default())?;
@@ -164,7 +164,7 @@
                     outcome: KeyOutcome::Served(vec![b'.'; 25]),
                 };
                 let value = [&expiry.to_be_bytes()[..], &record.encode()].concat();
-                batch.push_put(key(n).as_bytes(), &value, Some(expiry));
+                batch.add_put(key(n).as_bytes(), &value, Some(expiry));
             }
             store.write(batch)?;
         }
--- a/src/commands/idempotency.rs
+++ b/src/commands/idempotency.rs
@@ -6,7 +6,7 @@
 use cleatpulley_idempotency::journal::{self, Journal};
 use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
 use cleatpulley_idempotency::transfer;
-use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Error, Options, Store};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -141,8 +141,8 @@
         .map_or(0, |since| since.as_micros() as u64)
 }
 
-fn reader(dir: &Path) -> Result<Store<Folder>, String> {
-    let folder = Folder::new(dir, false)
+fn reader(dir: &Path) -> Result<Store<OsFolder>, String> {
+    let folder = OsFolder::new(dir, false)
         .map_err(Error::folder)
         .map_err(|e| e.to_string())?;
     Store::open_read_only(folder)
@@ -150,8 +150,8 @@
         .map_err(|e| e.to_string())
 }
 
-fn writer(dir: &Path, create: bool) -> Result<Journal<Folder>, String> {
-    let folder = Folder::new(dir, create)
+fn writer(dir: &Path, create: bool) -> Result<Journal<OsFolder>, String> {
+    let folder = OsFolder::new(dir, create)
         .map_err(Error::folder)
         .map_err(|e| e.to_string())?;
     let options = Options {
--- a/src/commands/log_store.rs
+++ b/src/commands/log_store.rs
@@ -1,8 +1,8 @@
 //! `cleatpulley log-store`: looks at an embedded store, and mends one.
 
 use clap::{Args, Subcommand};
-use cleatpulley_log_store::files::Folder;
-use cleatpulley_log_store::{Batch, Error, Found, Options, Store, Work};
+use cleatpulley_log_store::files::OsFolder;
+use cleatpulley_log_store::{Batch, Error, MaintenanceStatus, Options, RecoveryReport, Store};
 use serde_json::json;
 use std::io::{IsTerminal, Write};
 use std::path::PathBuf;
@@ -52,12 +52,12 @@
 }
 
 impl Dir {
-    fn reader(&self) -> Result<(Store<Folder>, Found), Error> {
-        Store::open_read_only(Folder::new(&self.dir, false).map_err(Error::folder)?)
+    fn reader(&self) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
+        Store::open_read_only(OsFolder::new(&self.dir, false).map_err(Error::folder)?)
     }
 
-    fn writer(&self, create: bool) -> Result<(Store<Folder>, Found), Error> {
-        let folder = Folder::new(&self.dir, create).map_err(Error::folder)?;
+    fn writer(&self, create: bool) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
+        let folder = OsFolder::new(&self.dir, create).map_err(Error::folder)?;
         Store::open(
             folder,
             Options {
@@ -95,15 +95,15 @@
     .map_err(|e| e.to_string())
 }
 
-fn stat(store: &Store<Folder>, found: &Found) -> ExitCode {
+fn stat(store: &Store<OsFolder>, found: &RecoveryReport) -> ExitCode {
     let stats = store.stats();
     say!("{found}");
     say!(
         "{} bytes in {} segments, {} of them live ({:.2} times the live); index {} bytes, {:.1} a key",
         stats.bytes,
         stats.segments,
-        stats.live,
-        stats.bytes as f64 / stats.live.max(1) as f64,
+        stats.live_bytes,
+        stats.bytes as f64 / stats.live_bytes.max(1) as f64,
         stats.index_bytes,
         stats.index_bytes as f64 / stats.keys.max(1) as f64,
     );
@@ -112,18 +112,19 @@
 
 fn check(dir: &Dir) -> Result<ExitCode, Error> {
     let (store, found) = dir.reader()?;
-    let checked = store.check(|done, all| progress("reading", done, all))?;
+    let checked = store.verify(|done, all| progress("reading", done, all))?;
     say!("{found}");
     say!(
         "{} good records in {} bytes",
-        checked.records,
+        checked.records_read,
         checked.bytes
     );
-    for (file, offset, bytes) in &checked.damaged {
+    for (file, offset, bytes) in &checked.damaged_ranges {
         say!("damaged: {file}: {bytes} bytes at {offset}");
     }
-    let good =
-        checked.damaged.is_empty() && found.quarantined.is_empty() && found.damaged.is_empty();
+    let good = checked.damaged_ranges.is_empty()
+        && found.quarantined.is_empty()
+        && found.damaged_ranges.is_empty();
     Ok(if good {
         ExitCode::SUCCESS
     } else {
@@ -143,7 +144,7 @@
 fn dump(dir: &Dir) -> Result<ExitCode, Error> {
     let (store, _) = dir.reader()?;
     let mut out = std::io::stdout().lock();
-    store.by_age(now(), |seq, key, value| {
+    store.for_each_by_sequence(now(), |seq, key, value| {
         // Whoever reads may stop reading.
         writeln!(
             out,
@@ -155,9 +156,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn maintain(store: &mut Store<Folder>) -> Result<(), Error> {
+fn maintain(store: &mut Store<OsFolder>) -> Result<(), Error> {
     let mut done = 0;
-    while store.maintain(now(), PIECE)? == Work::More {
+    while store.run_maintenance_step(now(), PIECE)? == MaintenanceStatus::MoreToDo {
         done += PIECE as u64;
         let all = store.stats().bytes.max(done + 1);
         progress("compacting", done, all);
@@ -180,14 +181,14 @@
 fn repair(dir: &Dir) -> Result<ExitCode, Error> {
     let (mut store, found) = dir.writer(false)?;
     say!("{found}");
-    let checked = store.check(|done, all| progress("reading", done, all))?;
+    let checked = store.verify(|done, all| progress("reading", done, all))?;
     let mut names: Vec<_> = checked
-        .damaged
+        .damaged_ranges
         .iter()
         .map(|(file, ..)| file.clone())
         .collect();
     names.dedup();
-    let rewritten = store.rewrite(now(), &names)?;
+    let rewritten = store.rewrite_segments(now(), &names)?;
     maintain(&mut store)?;
     match rewritten {
         0 => say!("no segment had to be rewritten"),
@@ -214,7 +215,7 @@
                 break;
             }
         }
-        store.maintain(now(), 20_000)?;
+        store.run_maintenance_step(now(), 20_000)?;
     }
     store.close()?;
     Ok(ExitCode::SUCCESS)
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -253,7 +253,7 @@
     let whole = std::fs::read(&file).expect("the file");
     for cut in 0..whole.len() {
         std::fs::write(format!("{file}.cut"), &whole[..cut]).expect("written");
-        let journal = cleatpulley_log_store::memory::Memory::default();
+        let journal = cleatpulley_log_store::simulated_folder::SimulatedFolder::default();
         let mut journal =
             cleatpulley_idempotency::journal::Journal::open(journal, Default::default(), 0)
                 .expect("open")
--- a/tests/log_store.rs
+++ b/tests/log_store.rs
@@ -1,6 +1,6 @@
 //! The embedded store on a real file system: a child process killed at random points, and the command line.
 
-use cleatpulley_log_store::files::Folder;
+use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, Options, Store};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -22,15 +22,15 @@
 }
 
 fn read(dir: &Path) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    let folder = Folder::new(dir, false).expect("it is there");
+    let folder = OsFolder::new(dir, false).expect("it is there");
     let (store, found) = Store::open_read_only(folder).expect("it opens");
     assert!(
-        found.damaged.is_empty() && found.quarantined.is_empty(),
+        found.damaged_ranges.is_empty() && found.quarantined.is_empty(),
         "{found}"
     );
     let mut content = BTreeMap::new();
     store
-        .by_age(0, |_, key, value| {
+        .for_each_by_sequence(0, |_, key, value| {
             content.insert(key.to_vec(), value.to_vec()).is_none()
         })
         .expect("it is read");
@@ -81,7 +81,7 @@
 #[test]
 fn the_commands_tell_figures_damage_and_contents_and_mend() {
     let dir = tempfile::tempdir().expect("a folder");
-    let folder = || Folder::new(dir.path(), true).expect("a folder");
+    let folder = || OsFolder::new(dir.path(), true).expect("a folder");
     for round in 0..2_u8 {
         let (mut store, _) = Store::open(folder(), Options::default()).expect("it opens");
         for n in 0..100_u8 {
