--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,137 +1,137 @@
-//! Until when an epoch may be acted on.
+//! Read leases: until when a process may act on its epoch without asking the others again.
 //!
-//! A process asks all that agree how far they have accepted. Where most of them, itself among them, have accepted no more than
-//! is decided here, nothing more had been decided when it asked: whatever is decided was accepted by most, and one of those
-//! would have been among the answers. So the epoch was the latest at the time of *asking*, and for so long after that it may
-//! be acted on. An answer to an older question counts for that question's time.
+//! A process probes all members for the number of entries that they have accepted. Suppose a
+//! quorum, the process itself included, has accepted no more entries than the process knows to be
+//! decided. Every decided entry was accepted by a quorum, and any two quorums share a member, so
+//! nothing further had been decided when the probe *started*. The epoch was then the latest, and
+//! may be acted on for the duration of the lease from that time on, however late the responses
+//! arrived. A response to an older probe counts for the time of that probe.
+//!
+//! This is the read-index procedure of Raft (Ongaro's thesis, section 6.4) without a leader, with
+//! the result kept for a time.
+
+#[cfg(test)]
+mod tests;
 
-use crate::NodeId;
+use crate::change::LogIndex;
+use crate::configuration::NodeId;
 use cleatpulley_policy::interface::Micros;
+use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Questions whose answers may still come.
-const OPEN: usize = 32;
+/// The number of probes whose responses are still awaited; the oldest is abandoned beyond it.
+const MAX_OUTSTANDING_PROBES: usize = 32;
+
+/// Identifies a probe of one process; rises with each.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct ProbeId(u64);
+
+impl ProbeId {
+    /// The id of a request whose response is not awaited. No probe has it.
+    pub const UNTRACKED: Self = Self(0);
 
-/// What was asked, and who has answered.
+    fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+}
+
+/// A probe and the responses to it.
 #[derive(Debug, Clone)]
-struct Asked {
-    number: u64,
-    at: Micros,
-    /// How far each has accepted.
-    answers: BTreeMap<NodeId, u64>,
+struct Probe {
+    id: ProbeId,
+    started_at: Micros,
+    /// By member: the number of entries that it has accepted.
+    accepted_indexes: BTreeMap<NodeId, LogIndex>,
+}
+
+impl Probe {
+    /// Returns whether a quorum has accepted no more entries than are decided here.
+    fn is_confirmed(&self, quorum_size: usize, decided_index: LogIndex) -> bool {
+        let confirming = self
+            .accepted_indexes
+            .values()
+            .filter(|&&accepted_index| accepted_index <= decided_index)
+            .count();
+        confirming >= quorum_size
+    }
 }
 
 /// The lease of one process.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    lasts: Micros,
-    most: usize,
-    number: u64,
-    asked: VecDeque<Asked>,
-    /// The latest time at which the epoch surely was the latest.
-    sure: Option<Micros>,
+    duration: Micros,
+    quorum_size: usize,
+    last_probe: ProbeId,
+    /// From the oldest to the newest.
+    outstanding: VecDeque<Probe>,
+    /// The latest time at which the epoch was known to be the latest.
+    confirmed_at: Option<Micros>,
 }
 
 impl Lease {
-    /// One of so long, where answers of so many of them are most.
+    /// Returns a lease that is not held yet, with its duration in microseconds.
     #[must_use]
-    pub fn new(lasts: Micros, most: usize) -> Self {
+    pub fn new(duration: Micros, quorum_size: usize) -> Self {
         Self {
-            lasts,
-            most,
-            number: 0,
-            asked: VecDeque::new(),
-            sure: None,
+            duration,
+            quorum_size,
+            last_probe: ProbeId::UNTRACKED,
+            outstanding: VecDeque::new(),
+            confirmed_at: None,
         }
     }
 
-    /// Others are asked from here on; what was sure stays so.
-    pub fn enter(&mut self, most: usize) {
-        self.most = most;
-        self.asked.clear();
+    /// Goes over to the quorum of another configuration. Probes of the previous one are abandoned;
+    /// a lease that is held stays so until it expires.
+    pub fn change_quorum(&mut self, quorum_size: usize) {
+        self.quorum_size = quorum_size;
+        self.outstanding.clear();
     }
 
-    /// Asks now: the number of the question.
-    pub fn ask(&mut self, now: Micros) -> u64 {
-        self.number += 1;
-        if self.asked.len() == OPEN {
-            self.asked.pop_front();
+    /// Starts a probe and returns its id.
+    pub fn start_probe(&mut self, now: Micros) -> ProbeId {
+        self.last_probe = self.last_probe.next();
+        if self.outstanding.len() == MAX_OUTSTANDING_PROBES {
+            self.outstanding.pop_front();
         }
-        self.asked.push_back(Asked {
-            number: self.number,
-            at: now,
-            answers: BTreeMap::new(),
+        self.outstanding.push_back(Probe {
+            id: self.last_probe,
+            started_at: now,
+            accepted_indexes: BTreeMap::new(),
         });
-        self.number
+        self.last_probe
     }
 
-    /// One has answered a question.
-    pub fn answer(&mut self, number: u64, from: NodeId, accepted: u64) {
-        if let Some(asked) = self.asked.iter_mut().find(|asked| asked.number == number) {
-            asked.answers.insert(from, accepted);
+    /// Records the response of a member. Responses to probes that are not outstanding are ignored.
+    pub fn on_response(&mut self, probe: ProbeId, member: NodeId, accepted_index: LogIndex) {
+        let matching = self.outstanding.iter_mut().find(|other| other.id == probe);
+        if let Some(outstanding) = matching {
+            outstanding.accepted_indexes.insert(member, accepted_index);
         }
     }
 
-    /// Looks at the answers, where so much is decided here.
-    pub fn look(&mut self, decided: u64) {
-        let most = self.most;
-        let sure = |asked: &&Asked| {
-            asked
-                .answers
-                .values()
-                .filter(|&&accepted| accepted <= decided)
-                .count()
-                >= most
-        };
-        let latest = self.asked.iter().rev().find(sure).map(|asked| asked.at);
-        self.sure = self.sure.max(latest);
+    /// Extends the lease from the start of the newest probe that is confirmed, where so many
+    /// entries are decided here.
+    pub fn renew(&mut self, decided_index: LogIndex) {
+        let newest_confirmed = self
+            .outstanding
+            .iter()
+            .rev()
+            .find(|probe| probe.is_confirmed(self.quorum_size, decided_index))
+            .map(|probe| probe.started_at);
+        self.confirmed_at = self.confirmed_at.max(newest_confirmed);
     }
 
-    /// Until when the epoch may be acted on.
+    /// Returns when the lease expires or expired; `None` if it was never held.
     #[must_use]
-    pub fn until(&self) -> Option<Micros> {
-        self.sure.map(|sure| sure + self.lasts)
+    pub fn expires_at(&self) -> Option<Micros> {
+        self.confirmed_at
+            .map(|confirmed_at| confirmed_at + self.duration)
     }
 
-    /// Whether it may be now.
+    /// Returns whether the epoch may be acted on at this time.
     #[must_use]
-    pub fn holds(&self, now: Micros) -> bool {
-        self.until().is_some_and(|until| now < until)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_lease_counts_from_the_question_and_needs_most_answers() {
-        let mut lease = Lease::new(100, 2);
-        let first = lease.ask(1_000);
-        lease.answer(first, 1, 5);
-        lease.look(5);
-        assert_eq!(lease.until(), None, "one of three");
-        lease.answer(first, 2, 6);
-        lease.look(5);
-        assert_eq!(lease.until(), None, "one has more than is decided here");
-        lease.look(6);
-        assert_eq!(lease.until(), Some(1_100), "however late the answer came");
-        let second = lease.ask(1_050);
-        lease.answer(second, 2, 6);
-        lease.answer(second, 2, 6);
-        lease.look(6);
-        assert_eq!(lease.until(), Some(1_100), "one answer counts once");
-        lease.answer(second, 3, 2);
-        lease.look(6);
-        assert!(lease.holds(1_149) && !lease.holds(1_150));
-    }
-
-    #[test]
-    fn answers_to_what_was_never_asked_count_for_nothing() {
-        let mut lease = Lease::new(100, 2);
-        lease.answer(7, 1, 0);
-        lease.answer(7, 2, 0);
-        lease.look(0);
-        assert_eq!(lease.until(), None);
+    pub fn is_held(&self, now: Micros) -> bool {
+        self.expires_at().is_some_and(|expires_at| now < expires_at)
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,26 +1,36 @@
-//! The log of routing changes that three or five processes agree on.
+//! A replicated log of routing changes, kept by three, five or seven processes.
 //!
-//! Each [`Change`] that is decided is applied by all in the same order to a [`Table`]; its place in that order is its epoch. A
-//! [`Node`] is one of the processes that agree: bytes of sessions and time go in, bytes and [`Event`]s come out, and what it
-//! has promised is durable before anybody hears of it. A part that is cut off knows by its [`lease`] until when its epoch
-//! may still be acted on, and changes nothing meanwhile, since nothing is decided without most of the others.
+//! Consensus itself comes from the `omnipaxos` library (ballots, leader election, log replication).
+//! This crate adds what the library leaves out:
+//!
+//! - [`Node`], one process of the group: a state machine without sockets and without a clock. Bytes
+//!   received from peers and the current time go in; bytes to send and [`Event`]s come out.
+//! - [`Table`], the replicated state machine: every decided [`Change`] is applied to it in log
+//!   order. The number of decided changes is its epoch.
+//! - [`DurableLog`], the library's log on a [`DurableStorage`]: everything a message rests on is
+//!   durable before that message is handed out.
+//! - [`lease`]: for how long a process may act on its epoch without asking the others again. A
+//!   minority partition sees its lease expire, and decides nothing, since decisions need a quorum.
+//! - [`Configuration`], the members of the group, which the log itself can replace.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod change;
+mod codec;
+pub mod configuration;
 pub mod lease;
 mod log;
+pub mod message;
 pub mod node;
+pub mod settings;
 pub mod storage;
 pub mod table;
-pub mod wire;
 
-pub use change::{Change, ChangeId, Kind, Subject};
-pub use log::Log;
-pub use node::{Event, Node, Settings};
-pub use storage::{Disk, Fault, Forgetful};
+pub use change::{Change, ChangeId, Epoch, Incarnation, LogIndex, Subject, SubjectKind};
+pub use configuration::{Configuration, NodeId};
+pub use log::{DurableLog, LogError, RecoveredLog};
+pub use node::{Event, Node};
+pub use settings::Settings;
+pub use storage::{DurableStorage, StorageError};
 pub use table::{Outcome, Table};
-
-/// A process that agrees, by a small number that is set.
-pub type NodeId = u64;
--- a/crates/consensus/src/table.rs
+++ b/crates/consensus/src/table.rs
@@ -1,196 +1,161 @@
-//! What all changes come to, in their order.
+//! The replicated state machine: the table that decided changes are applied to, in log order.
 
-use crate::change::{BadChange, Change, ChangeId, Subject};
+#[cfg(test)]
+mod tests;
+
+use crate::change::{Change, ChangeId, Epoch, Incarnation, InvalidChange, Subject};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Subjects that are known at one time.
-pub const MOST_SUBJECTS: usize = 16_384;
-/// Processes whose last change is remembered.
-pub const MOST_ASKERS: usize = 1_024;
+/// The largest number of subjects in a table.
+pub const MAX_SUBJECTS: usize = 16_384;
+/// The number of proposers whose last change is remembered for deduplication.
+pub const MAX_PROPOSERS: usize = 1_024;
 
-/// What became of a change that was decided.
+/// The effect of a decided change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It holds.
+    /// The change was applied.
     Applied,
-    /// It had been decided before: a second try of the same.
-    Repeated,
-    /// It no longer applies: the subject changed in this epoch meanwhile.
-    Outdated(u64),
-    /// It is out of bounds.
-    Bad(BadChange),
-    /// There is no room for another subject.
-    Full,
+    /// The change had been decided before; this is a retry of the same proposal.
+    Duplicate,
+    /// The expected epoch of the change is stale: the subject was last changed in this one.
+    Conflict(Epoch),
+    /// The change exceeds the bounds of the table.
+    Invalid(InvalidChange),
+    /// The table has [`MAX_SUBJECTS`] subjects already.
+    TableFull,
+}
+
+/// The value of a subject and the epoch of its last change.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+struct SubjectState {
+    changed_in: Epoch,
+    value: Vec<u8>,
 }
 
-/// The present state.
+/// The last change of a proposer and the epoch in which it was decided.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+struct LastChange {
+    incarnation: Incarnation,
+    sequence: u64,
+    decided_in: Epoch,
+}
+
+/// The replicated table.
+///
+/// Its fields and their order are part of the stored and of the wire format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    /// Changes that were decided.
-    pub epoch: u64,
-    /// By subject: the epoch in which it changed last, and its value.
-    subjects: BTreeMap<Subject, (u64, Vec<u8>)>,
-    /// By process: its last change, and in which epoch that was.
-    askers: BTreeMap<u64, (u64, u64, u64)>,
+    /// The number of changes that were decided, applied or not.
+    pub epoch: Epoch,
+    subjects: BTreeMap<Subject, SubjectState>,
+    /// By proposer.
+    proposers: BTreeMap<u64, LastChange>,
 }
 
 impl Table {
-    /// The next change in the order.
+    /// Applies the next decided change. The epoch rises whatever the outcome.
     pub fn apply(&mut self, change: &Change) -> Outcome {
         self.epoch += 1;
-        if !self.is_new(change.id) {
-            return Outcome::Repeated;
+        if self.is_duplicate(change.id) {
+            return Outcome::Duplicate;
         }
-        if let Err(bad) = change.check() {
-            return Outcome::Bad(bad);
+        self.remember(change.id);
+        if let Err(error) = change.check() {
+            return Outcome::Invalid(error);
         }
-        let known = self
+        let changed_in = self
             .subjects
             .get(&change.subject)
-            .map_or(0, |(epoch, _)| *epoch);
-        if change.seen.is_some_and(|seen| seen != known) {
-            return Outcome::Outdated(known);
+            .map_or(0, |subject| subject.changed_in);
+        if change
+            .expected_epoch
+            .is_some_and(|expected| expected != changed_in)
+        {
+            return Outcome::Conflict(changed_in);
         }
+        let is_new_subject = changed_in == 0;
         match &change.value {
             None => {
                 self.subjects.remove(&change.subject);
             }
-            Some(_) if known == 0 && self.subjects.len() >= MOST_SUBJECTS => return Outcome::Full,
+            Some(_) if is_new_subject && self.subjects.len() >= MAX_SUBJECTS => {
+                return Outcome::TableFull;
+            }
             Some(value) => {
-                self.subjects
-                    .insert(change.subject.clone(), (self.epoch, value.clone()));
+                let state = SubjectState {
+                    changed_in: self.epoch,
+                    value: value.clone(),
+                };
+                self.subjects.insert(change.subject.clone(), state);
             }
         }
         Outcome::Applied
     }
 
-    /// Guards against a change that is decided twice because its asker heard nothing of the first.
-    fn is_new(&mut self, id: ChangeId) -> bool {
+    /// Returns whether the change was decided before. A proposer that does not learn of the
+    /// decision submits the change again, so it may be decided twice.
+    fn is_duplicate(&self, id: ChangeId) -> bool {
         let last = self
-            .askers
-            .get(&id.process)
-            .map_or((0, 0), |(life, number, _)| (*life, *number));
-        if (id.incarnation, id.number) <= last {
-            return false;
+            .proposers
+            .get(&id.proposer)
+            .map_or((Incarnation(0), 0), |last| {
+                (last.incarnation, last.sequence)
+            });
+        (id.incarnation, id.sequence) <= last
+    }
+
+    /// Remembers the change as the last one of its proposer.
+    fn remember(&mut self, id: ChangeId) {
+        let is_known = self.proposers.contains_key(&id.proposer);
+        if !is_known && self.proposers.len() >= MAX_PROPOSERS {
+            self.forget_oldest_proposer();
         }
-        if self.askers.len() >= MOST_ASKERS && !self.askers.contains_key(&id.process) {
-            // Whoever was silent for longest asks nothing twice any more.
-            let oldest = self
-                .askers
-                .iter()
-                .min_by_key(|(_, (_, _, epoch))| *epoch)
-                .map(|(process, _)| *process);
-            oldest.map(|process| self.askers.remove(&process));
+        let last = LastChange {
+            incarnation: id.incarnation,
+            sequence: id.sequence,
+            decided_in: self.epoch,
+        };
+        self.proposers.insert(id.proposer, last);
+    }
+
+    /// Drops the proposer whose last change is the oldest, as the least likely to retry it.
+    fn forget_oldest_proposer(&mut self) {
+        let oldest = self
+            .proposers
+            .iter()
+            .min_by_key(|(_, last)| last.decided_in)
+            .map(|(proposer, _)| *proposer);
+        if let Some(proposer) = oldest {
+            self.proposers.remove(&proposer);
         }
-        self.askers
-            .insert(id.process, (id.incarnation, id.number, self.epoch));
-        true
     }
 
-    /// A subject's value, and the epoch in which it changed last.
+    /// Returns the epoch in which the subject was last changed, and its value.
     #[must_use]
-    pub fn get(&self, subject: &Subject) -> Option<(u64, &[u8])> {
+    pub fn get(&self, subject: &Subject) -> Option<(Epoch, &[u8])> {
         self.subjects
             .get(subject)
-            .map(|(epoch, value)| (*epoch, value.as_slice()))
+            .map(|state| (state.changed_in, state.value.as_slice()))
     }
 
-    /// All subjects with their values.
-    pub fn iter(&self) -> impl Iterator<Item = (&Subject, u64, &[u8])> {
+    /// Iterates over all subjects, each with the epoch of its last change and its value.
+    pub fn iter(&self) -> impl Iterator<Item = (&Subject, Epoch, &[u8])> {
         self.subjects
             .iter()
-            .map(|(subject, (epoch, value))| (subject, *epoch, value.as_slice()))
+            .map(|(subject, state)| (subject, state.changed_in, state.value.as_slice()))
     }
 
-    /// Subjects that are known.
+    /// Returns the number of subjects.
     #[must_use]
     pub fn len(&self) -> usize {
         self.subjects.len()
     }
 
-    /// Whether none is.
+    /// Returns whether the table has no subjects.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.subjects.is_empty()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::change::{Kind, MOST_NAME};
-
-    fn change(process: u64, number: u64, name: &str, value: Option<&str>) -> Change {
-        Change {
-            id: ChangeId {
-                process,
-                incarnation: 1,
-                number,
-            },
-            subject: Subject {
-                kind: Kind::Weight,
-                name: name.to_owned(),
-            },
-            value: value.map(|value| value.as_bytes().to_vec()),
-            seen: None,
-        }
-    }
-
-    #[test]
-    fn a_change_counts_once_however_often_it_is_decided() {
-        let mut table = Table::default();
-        let first = change(1, 1, "a", Some("1"));
-        assert_eq!(table.apply(&first), Outcome::Applied);
-        assert_eq!(table.apply(&change(2, 1, "a", Some("2"))), Outcome::Applied);
-        assert_eq!(table.apply(&first), Outcome::Repeated);
-        assert_eq!(table.get(&first.subject), Some((2, &b"2"[..])));
-        assert_eq!(table.epoch, 3);
-        let later_life = Change {
-            id: ChangeId {
-                incarnation: 2,
-                ..first.id
-            },
-            ..first
-        };
-        assert_eq!(table.apply(&later_life), Outcome::Applied);
-    }
-
-    #[test]
-    fn a_change_that_no_longer_applies_is_dropped_with_the_epoch_that_came_between() {
-        let mut table = Table::default();
-        let new = Change {
-            seen: Some(0),
-            ..change(1, 1, "a", Some("1"))
-        };
-        assert_eq!(table.apply(&new), Outcome::Applied);
-        let late = Change {
-            seen: Some(0),
-            ..change(2, 1, "a", Some("2"))
-        };
-        assert_eq!(table.apply(&late), Outcome::Outdated(1));
-        let informed = Change {
-            seen: Some(1),
-            ..change(2, 2, "a", None)
-        };
-        assert_eq!(table.apply(&informed), Outcome::Applied);
-        assert!(table.is_empty());
-    }
-
-    #[test]
-    fn nothing_grows_without_a_bound() {
-        let mut table = Table::default();
-        for number in 0..MOST_ASKERS as u64 + 50 {
-            assert_eq!(
-                table.apply(&change(number, 1, "a", Some("1"))),
-                Outcome::Applied
-            );
-        }
-        assert_eq!(table.askers.len(), MOST_ASKERS);
-        let long = change(1, 9, &"x".repeat(MOST_NAME + 1), None);
-        assert_eq!(
-            table.apply(&long),
-            Outcome::Bad(BadChange::Name(MOST_NAME + 1))
-        );
-    }
-}
