--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -24,7 +24,7 @@
 
 /// Identifies a probe of one process; rises with each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ProbeId(u64);
+pub struct ProbeId(pub u64);
 
 impl ProbeId {
     /// The id of a request whose response is not awaited. No probe has it.
--- a/crates/consensus/tests/consensus/main.rs
+++ b/crates/consensus/tests/consensus/main.rs
@@ -12,4 +12,5 @@
 mod observations;
 mod random;
 mod storage;
+mod stored_format;
 mod validation;
--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -948,3 +948,6 @@
     io::BufRead::read_line(&mut io::BufReader::new(stream), &mut line).map_err(at(&path))?;
     serde_json::from_str(&line).map_err(|e| Error::Asked(format!("{}: {e}", path.display())))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/hot-restart/tests/wire_format.rs
@@ -0,0 +1,156 @@
+//! What two processes of a hot restart say keeps its bytes, in both directions, as does the snapshot of what a controller
+//! has learned: either process may be of release 0.2.
+//!
+//! `fixtures/messages.jsonl` has a message in each line, `fixtures/snapshot.json` a snapshot.
+
+use cleatpulley_hot_restart::{message, snapshot, Held, Message};
+use cleatpulley_policy::learned_state::{LearnedClass, LearnedDependency, LearnedState};
+use std::fs;
+use std::net::{IpAddr, SocketAddr};
+use std::path::Path;
+
+/// When the snapshot was taken.
+const TAKEN: u64 = 1_764_576_000_000_000;
+
+fn fixture(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name);
+    fs::read_to_string(path).expect("a fixture")
+}
+
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address and port")
+}
+
+fn ip(text: &str) -> IpAddr {
+    text.parse().expect("an address")
+}
+
+fn messages() -> Vec<Message> {
+    let held = Held {
+        running: 3,
+        memory_kb: 12.5,
+        calls: 1,
+        descriptors: 40,
+    };
+    let listen = vec![address("127.0.0.1:5050"), address("[2001:db8::1]:5051")];
+    vec![
+        Message::Hello {
+            version: 1,
+            name: "n1".to_owned(),
+            listen: listen.clone(),
+        },
+        Message::Hello {
+            version: 1,
+            name: "ä\"\\\n".to_owned(),
+            listen: Vec::new(),
+        },
+        Message::Offer { version: 1, listen },
+        Message::Offer {
+            version: 1,
+            listen: Vec::new(),
+        },
+        Message::Refused {
+            why: "another successor is there".to_owned(),
+        },
+        Message::Take {},
+        Message::Yours {
+            held: Held::default(),
+            learned: String::new(),
+            standing: Vec::new(),
+        },
+        Message::Yours {
+            held,
+            learned: fixture("snapshot.json"),
+            standing: vec![
+                (ip("10.0.0.1"), 2.5),
+                (ip("2001:db8::2"), 1_234.567_890_123_456),
+            ],
+        },
+        Message::StoreFree {},
+        Message::Left(held),
+        Message::Left(Held::default()),
+        Message::Behind {
+            version: 1,
+            name: "n1".to_owned(),
+            held,
+        },
+    ]
+}
+
+fn learned() -> LearnedState {
+    LearnedState {
+        classes: vec![
+            LearnedClass {
+                run_time: 61_000.5,
+                expected_work: 20_000.0,
+                longest_remaining_time: 900_000,
+            },
+            LearnedClass {
+                run_time: 1.0,
+                expected_work: 0.0,
+                longest_remaining_time: 0,
+            },
+        ],
+        dependency: LearnedDependency {
+            concurrency_limit: 6.4,
+            latency: 8_100.0,
+            baseline_latency: 7_900.0,
+            backlog: 0.25,
+            gap: 810.0,
+        },
+        run_limit: 9.5,
+        rank_threshold: 0.125,
+        advertised_capacity: 0.9,
+        read_delay: 300.0,
+        retry_ratio: 0.01,
+    }
+}
+
+fn site() -> u64 {
+    snapshot::site("n1", &["find-race".to_owned(), "claim-seat".to_owned()])
+}
+
+#[test]
+fn reads_each_message_of_release_0_2() {
+    let text = fixture("messages.jsonl");
+    let lines: Vec<&str> = text.lines().collect();
+    assert_eq!(lines.len(), messages().len());
+    for (line, expected) in lines.into_iter().zip(messages()) {
+        assert_eq!(Message::decode(line.as_bytes()).expect(line), expected);
+    }
+}
+
+#[test]
+fn sends_each_message_with_the_bytes_of_release_0_2() {
+    let text = fixture("messages.jsonl");
+    for (line, message) in text.lines().zip(messages()) {
+        assert_eq!(String::from_utf8(message.encode()).expect("text"), line);
+    }
+}
+
+#[test]
+fn versions_and_bounds_are_those_of_release_0_2() {
+    assert_eq!(
+        (message::VERSION, message::LONGEST, message::MOST_STANDING),
+        (1, 65_536, 700)
+    );
+    assert_eq!((snapshot::VERSION, snapshot::OLDEST), (1, 10_000_000));
+}
+
+#[test]
+fn believes_the_snapshot_of_release_0_2() {
+    assert_eq!(
+        snapshot::decode(site(), TAKEN + 5, &fixture("snapshot.json")).expect("whole"),
+        learned()
+    );
+}
+
+#[test]
+fn writes_the_snapshot_with_the_bytes_of_release_0_2() {
+    assert_eq!(
+        snapshot::encode(site(), TAKEN, &learned()),
+        fixture("snapshot.json")
+    );
+}
--- /dev/null
+++ b/crates/idempotency/tests/stored_format.rs
@@ -0,0 +1,328 @@
+//! What is kept of keyed requests keeps its bytes: the store and the export of release 0.2 are read in full, and the same
+//! operations still write the same.
+//!
+//! `fixtures/store` is a store with records and fences, `fixtures/entries.txt` lists what it holds under each key, as
+//! hex digits, and `fixtures/export.jsonl` is the export of all its keys.
+
+use cleatpulley_idempotency::fence::{Fence, KeyRange};
+use cleatpulley_idempotency::hex::{from_hex, to_hex};
+use cleatpulley_idempotency::journal::{for_each_record, Journal, OpenedJournal};
+use cleatpulley_idempotency::key_table::KeyCommand;
+use cleatpulley_idempotency::record::{request_digest, KeyOutcome, KeyRecord, ScopedKey};
+use cleatpulley_idempotency::transfer::{copy, export, import};
+use cleatpulley_log_store::files::OsFolder;
+use cleatpulley_log_store::{Options, Store};
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::{Path, PathBuf};
+use tempfile::TempDir;
+
+/// The time at which everything is read.
+const NOW: u64 = 1_700_000_000_000_000;
+/// When records may be forgotten.
+const EXPIRY: u64 = NOW + 600_000_000;
+/// The epoch of the export.
+const EPOCH: u64 = 9;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
+}
+
+/// The names and bytes of a store's files, its lock left out.
+fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(folder).expect("the folder is there");
+    let names = entries.map(|entry| {
+        entry
+            .expect("an entry")
+            .file_name()
+            .into_string()
+            .expect("plain text")
+    });
+    let stored = names.filter(|name| name != "lock");
+    stored
+        .map(|name| (name.clone(), fs::read(folder.join(&name)).expect("a file")))
+        .collect()
+}
+
+fn copy_of_store() -> TempDir {
+    let copy = tempfile::tempdir().expect("a folder");
+    for (name, bytes) in files_of(&fixture("store")) {
+        fs::write(copy.path().join(name), bytes).expect("it is written");
+    }
+    copy
+}
+
+fn options() -> Options {
+    Options {
+        segment_bytes: 4_096,
+        min_compressed_value_bytes: Some(64),
+        seed: 5,
+        ..Options::default()
+    }
+}
+
+fn folder(path: &Path) -> OsFolder {
+    OsFolder::new(path, true).expect("a folder")
+}
+
+fn journal(path: &Path) -> Journal<OsFolder> {
+    Journal::open(folder(path), options(), NOW)
+        .expect("it opens")
+        .journal
+}
+
+fn served(body: &[u8], result: &[u8]) -> KeyRecord {
+    KeyRecord::Completed {
+        digest: request_digest(3, body),
+        outcome: KeyOutcome::Served(result.to_vec()),
+    }
+}
+
+/// The keys that live, with what is known of each.
+fn records() -> Vec<(ScopedKey, KeyRecord, u64)> {
+    vec![
+        (
+            ScopedKey::new(1, 3, b"seat-1"),
+            served(b"body 1", b"{\"seat\":1}"),
+            EXPIRY,
+        ),
+        (
+            ScopedKey::new(1, 3, b"seat-2"),
+            served(b"body 2", &b"a long result ".repeat(20)),
+            EXPIRY + 1,
+        ),
+        (
+            ScopedKey::new(2, 3, b"seat-1"),
+            KeyRecord::Intent {
+                digest: request_digest(3, b"body 3"),
+            },
+            EXPIRY + 2,
+        ),
+        (
+            ScopedKey::new(2, 4, b"\x00\xff"),
+            KeyRecord::Completed {
+                digest: request_digest(4, b"body 4"),
+                outcome: KeyOutcome::Failed,
+            },
+            EXPIRY + 3,
+        ),
+        (
+            ScopedKey::new(u64::MAX, 0, b""),
+            served(b"", b""),
+            EXPIRY + 4,
+        ),
+    ]
+}
+
+/// The newest fence is the first to be forgotten by its range, and the ranges are those of owners.
+fn fences() -> Vec<Fence> {
+    vec![
+        Fence {
+            range: KeyRange::of_owner(7),
+            epoch: 2,
+            is_owned: true,
+        },
+        Fence {
+            range: KeyRange {
+                start: vec![0x80],
+                end: vec![0x90, 0x01],
+            },
+            epoch: 3,
+            is_owned: false,
+        },
+        Fence {
+            range: KeyRange::of_owner(u64::MAX),
+            epoch: 4,
+            is_owned: true,
+        },
+    ]
+}
+
+fn write_store(path: &Path) {
+    let mut journal = journal(path);
+    let erased = ScopedKey::new(3, 3, b"never-ran");
+    let expired = ScopedKey::new(3, 3, b"expired");
+    let first = ScopedKey::new(1, 3, b"seat-1");
+    let intent = KeyRecord::Intent {
+        digest: request_digest(3, b"body 1"),
+    };
+    let mut written = vec![
+        (first, intent.clone(), EXPIRY),
+        (erased.clone(), intent.clone(), EXPIRY),
+    ];
+    written.push((expired, intent, NOW - 1));
+    written.extend(records());
+    for (ticket, (key, record, expiry)) in written.into_iter().enumerate() {
+        let ticket = ticket as u64 + 1;
+        journal
+            .write(&KeyCommand::Write {
+                ticket,
+                key,
+                record,
+                expires_at: expiry,
+            })
+            .expect("it is written");
+    }
+    journal
+        .write(&KeyCommand::Erase { key: erased })
+        .expect("it is written");
+    journal.sync().expect("it is durable");
+    journal
+        .set_fence(Fence {
+            range: KeyRange::of_owner(7),
+            epoch: 1,
+            is_owned: false,
+        })
+        .expect("it is set");
+    for fence in fences() {
+        journal.set_fence(fence).expect("it is set");
+    }
+    journal.close().expect("it closes");
+}
+
+fn exported(journal: &mut Journal<OsFolder>) -> String {
+    let mut out = Vec::new();
+    copy(journal, NOW, &KeyRange::all(), EPOCH, &mut out).expect("it is written");
+    String::from_utf8(out).expect("text")
+}
+
+/// What a store holds under each key, in a line each.
+fn entries(store: &Store<OsFolder>) -> String {
+    let mut lines = String::new();
+    let read = store.for_each_by_sequence(NOW, |_, key, value| {
+        lines += &format!("{} {}\n", to_hex(key), to_hex(value));
+        true
+    });
+    read.expect("it is read");
+    lines
+}
+
+#[test]
+fn opens_the_store_written_by_release_0_2_with_all_records_and_fences() {
+    let copy = copy_of_store();
+    let OpenedJournal {
+        mut journal,
+        recovered,
+        found,
+    } = Journal::open(folder(copy.path()), options(), NOW).expect("it opens");
+    assert!(
+        found.damaged_ranges.is_empty()
+            && found.quarantined.is_empty()
+            && found.torn_tail_bytes == 0,
+        "{found}"
+    );
+    assert_eq!(
+        (recovered.len(), recovered.completed, recovered.unknown),
+        (5, 4, 1)
+    );
+    assert_eq!(recovered.fences.as_slice(), fences());
+    assert_eq!(journal.fences().as_slice(), fences());
+    let mut read = Vec::new();
+    for_each_record(journal.store_mut(), NOW, |key, record, expiry| {
+        read.push((key, record, expiry))
+    })
+    .expect("it is read");
+    assert_eq!(read, records());
+    for (key, record, _) in records() {
+        let outcome = match record {
+            KeyRecord::Completed { outcome, .. } => Some(outcome),
+            KeyRecord::Intent { .. } => None,
+        };
+        assert_eq!(
+            journal.load_outcome(NOW, &key).expect("it is read"),
+            outcome,
+            "{key:?}"
+        );
+    }
+    assert_eq!(
+        journal
+            .load_outcome(NOW, &ScopedKey::new(3, 3, b"never-ran"))
+            .expect("it is read"),
+        None
+    );
+}
+
+#[test]
+fn keys_and_values_in_the_store_have_the_bytes_of_release_0_2() {
+    let expected = fs::read_to_string(fixture("entries.txt")).expect("a list");
+    let copy = copy_of_store();
+    assert_eq!(entries(journal(copy.path()).store_mut()), expected);
+    let ours = tempfile::tempdir().expect("a folder");
+    write_store(ours.path());
+    assert_eq!(entries(journal(ours.path()).store_mut()), expected);
+    for (key, record, expiry) in records() {
+        let line = format!(
+            "{} {:016x}{}\n",
+            to_hex(key.as_bytes()),
+            expiry,
+            to_hex(&record.encode())
+        );
+        assert!(expected.contains(&line), "{line}");
+        let value = line
+            .trim()
+            .split(' ')
+            .nth(1)
+            .and_then(from_hex)
+            .expect("hex digits");
+        assert_eq!(KeyRecord::decode(&value[8..]), Some(record));
+    }
+}
+
+#[test]
+fn writes_the_same_files_as_release_0_2() {
+    let ours = tempfile::tempdir().expect("a folder");
+    write_store(ours.path());
+    let (ours, theirs) = (files_of(ours.path()), files_of(&fixture("store")));
+    assert!(
+        ours.keys().eq(theirs.keys()),
+        "{:?} and {:?}",
+        ours.keys(),
+        theirs.keys()
+    );
+    for (name, bytes) in ours {
+        assert_eq!(to_hex(&bytes), to_hex(&theirs[&name]), "{name}");
+    }
+}
+
+#[test]
+fn exports_the_same_text_as_release_0_2() {
+    let expected = fs::read_to_string(fixture("export.jsonl")).expect("an export");
+    let copy = copy_of_store();
+    let mut journal = journal(copy.path());
+    assert_eq!(exported(&mut journal), expected);
+    let mut out = Vec::new();
+    let number =
+        export(&mut journal, NOW, &KeyRange::all(), EPOCH, &mut out).expect("it is written");
+    assert_eq!(
+        (number, String::from_utf8(out).expect("text")),
+        (5, expected)
+    );
+}
+
+#[test]
+fn imports_the_export_of_release_0_2() {
+    let expected = fs::read_to_string(fixture("export.jsonl")).expect("an export");
+    let ours = tempfile::tempdir().expect("a folder");
+    let mut journal = journal(ours.path());
+    assert_eq!(
+        import(&mut journal, NOW, &mut expected.as_bytes()).expect("it is whole"),
+        5
+    );
+    assert_eq!(
+        journal.fences().as_slice(),
+        [Fence {
+            range: KeyRange::all(),
+            epoch: EPOCH,
+            is_owned: true
+        }]
+    );
+    let mut read = Vec::new();
+    for_each_record(journal.store_mut(), NOW, |key, record, expiry| {
+        read.push((key, record, expiry))
+    })
+    .expect("it is read");
+    assert_eq!(read, records());
+    assert_eq!(exported(&mut journal), expected);
+}
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -1,5 +1,8 @@
 //! The mark of used incarnations on the disk, in an embedded store that is open for that moment only.
 
+#[cfg(test)]
+mod stored_format;
+
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, Options, Store};
 use cleatpulley_membership::incarnation::{Incarnations, Mark};
--- /dev/null
+++ b/crates/server/src/gossip/incarnation_store/stored_format.rs
@@ -0,0 +1,48 @@
+//! The mark of used incarnations keeps its place and bytes: a start goes on after the mark that release 0.2 wrote.
+//!
+//! `tests/fixtures/incarnation` is the store of a process in its second life.
+
+use super::{begin, open, write, KEY};
+use cleatpulley_membership::incarnation::{Mark, BLOCK};
+use std::fs;
+use std::path::Path;
+use tempfile::TempDir;
+
+fn copy_of(name: &str) -> TempDir {
+    let copy = tempfile::tempdir().expect("a folder");
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name);
+    for entry in fs::read_dir(fixture).expect("the fixture is there") {
+        let entry = entry.expect("an entry");
+        fs::copy(entry.path(), copy.path().join(entry.file_name())).expect("it is copied");
+    }
+    copy
+}
+
+fn stored(folder: &Path) -> Option<Vec<u8>> {
+    open(folder)
+        .expect("it opens")
+        .get(0, b"incarnation")
+        .expect("it is read")
+}
+
+#[test]
+fn goes_on_after_the_mark_written_by_release_0_2() {
+    let copy = copy_of("incarnation");
+    assert_eq!(KEY, b"incarnation");
+    assert_eq!(stored(copy.path()), Some(vec![0, 0, 2, 0, 0, 0, 0, 0]));
+    assert_eq!(
+        begin(copy.path()).expect("a folder").current(),
+        2 * 65_536 + 1
+    );
+    assert_eq!(stored(copy.path()), Some(vec![0, 0, 3, 0, 0, 0, 0, 0]));
+}
+
+#[test]
+fn writes_the_mark_as_release_0_2_does() {
+    let folder = tempfile::tempdir().expect("a folder");
+    write(folder.path(), Mark(0x0102_0304_0506_0708)).expect("a folder");
+    assert_eq!(stored(folder.path()), Some(vec![8, 7, 6, 5, 4, 3, 2, 1]));
+    assert_eq!(BLOCK, 65_536);
+}
