--- a/crates/dispatcher/tests/keyed_crashes.rs
+++ b/crates/dispatcher/tests/keyed_crashes.rs
@@ -184,7 +184,7 @@
                 }
                 Command::StartRun { id, body, .. } => life.link.push_back((id, body)),
                 Command::PersistKey(_) | Command::LoadCachedResult { .. } => {
-                    life.jobs.push_back(command)
+                    life.jobs.push_back(command);
                 }
                 _ => {}
             }
@@ -246,7 +246,7 @@
             if life
                 .exchange
                 .key_table()
-                .is_some_and(|history| history.is_empty())
+                .is_some_and(cleatpulley_dispatcher::key_table::KeyTable::is_empty)
             {
                 self.hear(life, Event::KeysRecovered(Box::new(recovered)));
             }
--- a/crates/emulators/src/host.rs
+++ b/crates/emulators/src/host.rs
@@ -219,7 +219,7 @@
     fn tell(&mut self, place: usize, what: impl FnOnce(&mut dyn Service, &mut Vec<Effect>)) {
         let mut effects = std::mem::take(&mut self.effects);
         look(&self.ports[place].service, |service| {
-            what(service, &mut effects)
+            what(service, &mut effects);
         });
         while !effects.is_empty() {
             let mut lost = Vec::new();
@@ -229,7 +229,7 @@
             let now = self.clock.now();
             for link in lost {
                 look(&self.ports[place].service, |service| {
-                    service.closed(now, link, &mut effects)
+                    service.closed(now, link, &mut effects);
                 });
             }
         }
@@ -326,7 +326,7 @@
             let link = self.accepted;
             if self.add(place, link, stream, true).is_some() {
                 self.tell(place, |service, effects| {
-                    service.opened_at(now, link, door, effects)
+                    service.opened_at(now, link, door, effects);
                 });
             }
         }
@@ -367,7 +367,7 @@
                     break;
                 }
                 Ok(n) => self.tell(place, |service, effects| {
-                    service.received(now, link, &buffer[..n], effects)
+                    service.received(now, link, &buffer[..n], effects);
                 }),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/relay.rs
@@ -200,13 +200,13 @@
                     Act::Kill => targets[target].kill(),
                     Act::Revive => targets[target].revive()?,
                     Act::Drain(draining) => look(&targets[target].target, |target| {
-                        target.set_draining(draining)
+                        target.set_draining(draining);
                     }),
                     Act::Slow(slowness) => {
-                        look(&targets[target].target, |target| target.slowness = slowness)
+                        look(&targets[target].target, |target| target.slowness = slowness);
                     }
                     Act::Faults(faults) => {
-                        look(&targets[target].target, |target| target.faults = faults)
+                        look(&targets[target].target, |target| target.faults = faults);
                     }
                 }
             }
--- a/crates/emulators/src/trial.rs
+++ b/crates/emulators/src/trial.rs
@@ -202,7 +202,7 @@
         let since = std::time::Instant::now();
         old.terminate();
         let status = old.wait(STOP_WITHIN);
-        if !status.as_ref().is_ok_and(|status| status.success()) {
+        if !status.as_ref().is_ok_and(std::process::ExitStatus::success) {
             return Err(io::Error::other(format!(
                 "the old process: {status:?}\n{}",
                 old.log().join("\n")
--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -876,10 +876,10 @@
 fn tell(note: &Note) {
     match note {
         Note::Failed(incarnation, why) => {
-            tracing::error!("instance {incarnation} has failed: {why}")
+            tracing::error!("instance {incarnation} has failed: {why}");
         }
         Note::Overdue(incarnation) => {
-            tracing::warn!("instance {incarnation} does not leave in time")
+            tracing::warn!("instance {incarnation} does not leave in time");
         }
         Note::Halted(why) => tracing::error!("the replacement goes back: {why}"),
         Note::Replaced(generation) => tracing::info!("all run generation {generation}"),
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -438,7 +438,7 @@
                     );
                 }
                 Effect::Kill(incarnation) => {
-                    self.later(now, Event::Exited(incarnation, Exit::Signal(9)))
+                    self.later(now, Event::Exited(incarnation, Exit::Signal(9)));
                 }
                 Effect::Save | Effect::Note(_) => {}
             }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -589,7 +589,7 @@
                 orders,
             ),
             Verdict::Fail if now + SLACK >= between.due => {
-                self.finish(number, Response::Expired, orders)
+                self.finish(number, Response::Expired, orders);
             }
             Verdict::Fail => self.finish(number, Response::Failed, orders),
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -245,7 +245,7 @@
             match fact {
                 Event::RequestRead(arrival) => self.core.arrive(now, arrival, &mut self.orders),
                 Event::ConnectionLost(connection) => {
-                    self.core.lose_origin(now, connection, &mut self.orders)
+                    self.core.lose_origin(now, connection, &mut self.orders);
                 }
                 _ => {}
             }
--- a/crates/idempotency/tests/stored_format.rs
+++ b/crates/idempotency/tests/stored_format.rs
@@ -221,7 +221,7 @@
     assert_eq!(journal.fences().as_slice(), fences());
     let mut read = Vec::new();
     for_each_record(journal.store_mut(), NOW, |key, record, expiry| {
-        read.push((key, record, expiry))
+        read.push((key, record, expiry));
     })
     .expect("it is read");
     assert_eq!(read, records());
@@ -320,7 +320,7 @@
     );
     let mut read = Vec::new();
     for_each_record(journal.store_mut(), NOW, |key, record, expiry| {
-        read.push((key, record, expiry))
+        read.push((key, record, expiry));
     })
     .expect("it is read");
     assert_eq!(read, records());
--- a/crates/log-store/tests/damage.rs
+++ b/crates/log-store/tests/damage.rs
@@ -169,7 +169,7 @@
             }
             Ok(_) => {}
             Err(Error::DamagedRecord { .. }) => {
-                assert!(hit.contains(&key), "{what}: {} is lost", key.escape_ascii())
+                assert!(hit.contains(&key), "{what}: {} is lost", key.escape_ascii());
             }
             Err(e) => panic!("{what}: {e}"),
         }
--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -173,7 +173,7 @@
             },
             // A leaving server does not answer: the proxy takes its next connection elsewhere.
             Some(&kind::CPING) if payload.len() == 1 && self.leaving => {
-                self.status.standing = Standing::Lost
+                self.status.standing = Standing::Lost;
             }
             Some(&kind::CPING) if payload.len() == 1 => {
                 self.status.spoken = true;
@@ -606,7 +606,7 @@
                 self.respond(out, 503, &headers, b"turned away\n", reuse);
             }
             Response::Failed => {
-                self.respond(out, 500, &headers, b"failed; it may have run\n", reuse)
+                self.respond(out, 500, &headers, b"failed; it may have run\n", reuse);
             }
             Response::Invalid(fault) => {
                 headers.push((NOT_RUN, "1"));
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -309,7 +309,7 @@
             );
         }
         Response::Served(_) | Response::Failed | Response::Expired => {
-            push(out, ANSWER, stream, Some(FAILED), &fields, &[])
+            push(out, ANSWER, stream, Some(FAILED), &fields, &[]);
         }
     }
 }
--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -572,7 +572,7 @@
     peer.send(&[0x12]);
     assert_eq!(peer.connection.deadline(), Some(since + 2 * SECOND));
     peer.now += SECOND;
-    peer.tell(|connection, context, out| connection.expire(context, out));
+    peer.tell(cleatpulley_protocol::machine::Machine::expire);
     assert_eq!(peer.status(), 408);
     assert_eq!(
         (
@@ -585,10 +585,8 @@
 
 #[test]
 fn leaving_closes_idle_connections_answers_open_ones_and_leaves_pings_alone() {
-    let leave =
-        |peer: &mut Peer| peer.tell(|connection, context, out| connection.leave(context, out));
-    let part =
-        |peer: &mut Peer| peer.tell(|connection, context, out| connection.part(context, out));
+    let leave = |peer: &mut Peer| peer.tell(cleatpulley_protocol::machine::Machine::leave);
+    let part = |peer: &mut Peer| peer.tell(cleatpulley_protocol::machine::Machine::part);
     let ping = [0x12, 0x34, 0, 1, 10];
     // Idle: pinged before, closed now.
     let mut peer = Peer::new();
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -314,7 +314,7 @@
     let any_regex = |server: &Server| {
         let mut any = !server.steps.is_empty();
         crate::import::locations(&server.locations, &mut |location| {
-            any |= matches!(location.how, Match::Regex | Match::RegexAnyCase)
+            any |= matches!(location.how, Match::Regex | Match::RegexAnyCase);
         });
         any
     };
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -303,7 +303,7 @@
                     };
                     match word.text.parse() {
                         Ok(status @ 400..=599) if one.name.text == "limit_req_status" => {
-                            here.request_status = status
+                            here.request_status = status;
                         }
                         Ok(status @ 400..=599) => here.open_status = status,
                         _ => self.error(
@@ -314,10 +314,10 @@
                 }
                 "merge_slashes" => match self.args(one, 1, 1) {
                     Some([word]) if word.text == "on" || word.text == "off" => {
-                        here.merge_slashes = word.text == "on"
+                        here.merge_slashes = word.text == "on";
                     }
                     Some([word, ..]) => {
-                        self.error(word, format!("{:?} is neither on nor off", word.text))
+                        self.error(word, format!("{:?} is neither on nor off", word.text));
                     }
                     _ => {}
                 },
@@ -328,7 +328,7 @@
                     }
                 }
                 "proxy_next_upstream_timeout" => {
-                    here.next.timeout_ms = self.time_of(one).unwrap_or(0)
+                    here.next.timeout_ms = self.time_of(one).unwrap_or(0);
                 }
                 "proxy_connect_timeout" => here.times.connect = self.time_of(one).unwrap_or(60_000),
                 "proxy_send_timeout" => here.times.send = self.time_of(one).unwrap_or(60_000),
@@ -423,7 +423,7 @@
                     .and_then(|code| code.parse::<u16>().ok())
                 {
                     Some(code @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => {
-                        next.statuses.push(code)
+                        next.statuses.push(code);
                     }
                     _ => self.error(word, format!("{other:?} is no outcome of a try")),
                 },
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -43,7 +43,7 @@
             }
             match inner.name.text.as_str() {
                 "least_conn" if self.args(inner, 0, 0).is_some() => {
-                    pool.way = Way::LeastConnections
+                    pool.way = Way::LeastConnections;
                 }
                 "ip_hash" if self.args(inner, 0, 0).is_some() => pool.way = Way::AddressHash,
                 "hash" => {
@@ -117,13 +117,13 @@
                     Err(_) => self.error(word, format!("{key} {text:?} is not a whole number")),
                 },
                 Some(("fail_timeout", text)) => {
-                    target.fail_timeout_ms = self.time(word, text).unwrap_or(10_000)
+                    target.fail_timeout_ms = self.time(word, text).unwrap_or(10_000);
                 }
                 Some(("slow_start", text)) => {
-                    target.slow_start_ms = self.time(word, text).unwrap_or(0)
+                    target.slow_start_ms = self.time(word, text).unwrap_or(0);
                 }
                 _ if word.text == "resolve" => {
-                    self.refuse(word, "resolve: names are not looked up again")
+                    self.refuse(word, "resolve: names are not looked up again");
                 }
                 _ => self.refuse(word, format!("{:?} is not understood", word.text)),
             }
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -139,7 +139,7 @@
             };
             let mut found = collect(&server.steps);
             locations(&server.locations, &mut |location| {
-                found |= collect(&location.steps)
+                found |= collect(&location.steps);
             });
             if !found {
                 return Some(format!(
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -96,7 +96,7 @@
                 "ssl" => self.differs(word, "listen ssl: TLS is ended elsewhere"),
                 "http2" | "quic" => self.differs(word, "listen: callers speak AJP or frames here"),
                 "proxy_protocol" => {
-                    self.refuse(word, "the address of a caller is its connection's")
+                    self.refuse(word, "the address of a caller is its connection's");
                 }
                 text if text == "reuseport"
                     || text == "deferred"
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -463,7 +463,7 @@
                 match target.max_fails {
                     0 => line.push_str(" fails not counted"),
                     fails => {
-                        line.push_str(&format!(" fails {fails} in {} ms", target.fail_timeout_ms))
+                        line.push_str(&format!(" fails {fails} in {} ms", target.fail_timeout_ms));
                     }
                 }
                 if target.max_connections > 0 {
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -154,12 +154,12 @@
 pub fn server_paths(server: &Server) -> BTreeSet<String> {
     let mut found = BTreeSet::from(["/".to_owned()]);
     locations(&server.locations, &mut |location| {
-        paths(location, &mut found)
+        paths(location, &mut found);
     });
     // What a rewrite matches goes elsewhere than the locations say.
     let mut steps: Vec<_> = server.steps.iter().collect();
     locations(&server.locations, &mut |location| {
-        steps.extend(&location.steps)
+        steps.extend(&location.steps);
     });
     for step in steps {
         if let crate::model::Step::Rewrite { regex, .. } = step {
--- a/crates/routes/src/uri.rs
+++ b/crates/routes/src/uri.rs
@@ -88,7 +88,7 @@
     for byte in path {
         match byte {
             0..=0x20 | 0x7f..=0xff | b'#' | b'%' | b'?' | b'"' => {
-                out.push_str(&format!("%{byte:02X}"))
+                out.push_str(&format!("%{byte:02X}"));
             }
             byte => out.push(char::from(*byte)),
         }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -182,7 +182,7 @@
     fn break_link(&mut self, m: usize, until: Micros) {
         let machine = &mut self.machines[m];
         self.places[RUNTIMES + m].tell(&mut machine.runtime, |runtime, _, out| {
-            runtime.break_link(until, out)
+            runtime.break_link(until, out);
         });
     }
 
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -596,7 +596,7 @@
                 }
             }
             Timer::Copy(ask) if !self.asks[ask].done && now < self.asks[ask].until => {
-                self.attempt(now, ask, out)
+                self.attempt(now, ask, out);
             }
             _ => {}
         }
--- a/crates/simulator/src/parties.rs
+++ b/crates/simulator/src/parties.rs
@@ -82,7 +82,7 @@
                 },
             );
             self.tell(service, |service, now, out| {
-                service.opened_at(now, link, door, out)
+                service.opened_at(now, link, door, out);
             });
         }
     }
@@ -114,7 +114,7 @@
                     break;
                 }
                 Ok(n) => self.tell(service, |service, now, out| {
-                    service.received(now, link, &buffer[..n], out)
+                    service.received(now, link, &buffer[..n], out);
                 }),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
@@ -167,7 +167,7 @@
         }
         self.wake = Micros::MAX;
         if service.next().is_some_and(|at| at <= now) {
-            self.tell(service, |service, now, out| service.advance(now, out));
+            self.tell(service, cleatpulley_emulators::Service::advance);
         } else {
             self.schedule(service);
         }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -281,13 +281,13 @@
                     Some(Told::Acceptable(address)) => {
                         match self.listeners.get(&address).copied() {
                             Some(Listens::Node(m, place)) => {
-                                self.tell_all(m, |node| node.on_acceptable(place))
+                                self.tell_all(m, |node| node.on_acceptable(place));
                             }
                             Some(Listens::Operators(m, life)) => {
                                 self.tell(m, life, |node| {
                                     node.on_acceptable(
                                         cleatpulley_server::management_endpoint::PLACE,
-                                    )
+                                    );
                                 });
                             }
                             Some(Listens::Service(place, door)) => {
@@ -309,7 +309,7 @@
                             }
                             Owner::Service(place, link) => {
                                 self.with_service(place, |place, service| {
-                                    place.ready(service, link)
+                                    place.ready(service, link);
                                 });
                             }
                         }
@@ -480,7 +480,7 @@
     pub(crate) fn request_over(&mut self, m: usize, id: u64) {
         let machine = &mut self.machines[m];
         self.places[RUNTIMES + m].tell(&mut machine.runtime, |runtime, now, out| {
-            runtime.request_over(now, id, out)
+            runtime.request_over(now, id, out);
         });
     }
 
--- a/crates/tls/src/pair.rs
+++ b/crates/tls/src/pair.rs
@@ -209,15 +209,12 @@
     ) -> Result<Self, Fault> {
         let chain = certificates(certificate, chain)?;
         let facts = Facts::of(&chain[0]).or_else(|what| fault(certificate, what))?;
-        let key = match PrivateKeyDer::from_pem_slice(key) {
-            Ok(key) => key,
-            // What the error says is of the file's shape, never of the key's bytes.
-            Err(_) => {
-                return fault(
-                    key_file,
-                    "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)",
-                )
-            }
+        // The error would tell of the file's shape only, never of the key's bytes.
+        let Ok(key) = PrivateKeyDer::from_pem_slice(key) else {
+            return fault(
+                key_file,
+                "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)",
+            );
         };
         let provider = crate::provider();
         let signing = provider.key_provider.load_private_key(key);
