--- /dev/null
+++ b/tests/documentation.rs
@@ -0,0 +1,98 @@
+//! The documentation leads somewhere: links between pages, and the paths of files that pages name,
+//! exist.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Folders of the repository: a quoted path that begins with one of them has to exist.
+const TOP_FOLDERS: [&str; 8] = [
+    "crates/", "src/", "tests/", "docs/", "deploy/", ".ci/", "journal/", "scripts/",
+];
+
+fn root() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn pages_in(folder: &Path) -> Vec<PathBuf> {
+    let mut pages = Vec::new();
+    for entry in fs::read_dir(folder).expect("the folder exists") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            pages.extend(pages_in(&path));
+        } else if path.extension().is_some_and(|extension| extension == "md") {
+            pages.push(path);
+        }
+    }
+    pages.sort();
+    pages
+}
+
+/// All pages but the changelog, which names what stood where at its time.
+fn pages() -> Vec<PathBuf> {
+    let mut pages = pages_in(&root().join("docs"));
+    pages.push(root().join("README.md"));
+    pages.push(root().join("CONTRIBUTING.md"));
+    pages
+}
+
+/// The targets of links to other files: `[text](target)`.
+fn link_targets(text: &str) -> Vec<&str> {
+    text.split("](")
+        .skip(1)
+        .filter_map(|rest| rest.split(')').next())
+        .filter(|target| !target.contains("://") && !target.starts_with('#'))
+        .map(|target| target.split('#').next().unwrap_or(target))
+        .collect()
+}
+
+/// The quoted paths of files and folders: `crates/policy/src`. One with `...` is a pattern.
+fn quoted_paths(text: &str) -> Vec<&str> {
+    text.split('`')
+        .skip(1)
+        .step_by(2)
+        .map(|quoted| quoted.trim_end_matches('/'))
+        .filter(|quoted| TOP_FOLDERS.iter().any(|folder| quoted.starts_with(folder)))
+        .filter(|quoted| !quoted.contains("..."))
+        .filter(|quoted| {
+            quoted
+                .chars()
+                .all(|c| c.is_ascii_alphanumeric() || "/._-".contains(c))
+        })
+        .collect()
+}
+
+#[test]
+fn links_between_pages_lead_to_files() {
+    let mut dead = Vec::new();
+    for page in pages() {
+        let text = fs::read_to_string(&page).expect("a page");
+        let folder = page.parent().expect("a page has a folder");
+        for target in link_targets(&text) {
+            if !folder.join(target).exists() {
+                dead.push(format!("{}: {target}", page.display()));
+            }
+        }
+    }
+    assert!(dead.is_empty(), "dead links: {dead:#?}");
+}
+
+#[test]
+fn paths_that_pages_name_exist() {
+    let mut dead = Vec::new();
+    for page in pages() {
+        let text = fs::read_to_string(&page).expect("a page");
+        for path in quoted_paths(&text) {
+            if !root().join(path).exists() {
+                dead.push(format!("{}: {path}", page.display()));
+            }
+        }
+    }
+    assert!(dead.is_empty(), "dead paths: {dead:#?}");
+}
+
+#[test]
+fn finds_dead_links_and_paths() {
+    let text = "[a](gone.md#part), [b](https://example.org/x), `crates/gone/src/`, `cargo test`";
+    assert_eq!(link_targets(text), ["gone.md"]);
+    assert_eq!(quoted_paths(text), ["crates/gone/src"]);
+}
