--- a/tests/log_store.rs
+++ b/tests/log_store.rs
@@ -6,8 +6,20 @@
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 use std::process::{Command, Stdio};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// Held by each test of this file. A child shares the descriptors of this process, and with them
+/// the lock of a store that is open here, until it has executed its program: a store that another
+/// test closes meanwhile would seem to be open still.
+static ONE_TEST_AT_A_TIME: Mutex<()> = Mutex::new(());
+
+fn run_alone() -> MutexGuard<'static, ()> {
+    ONE_TEST_AT_A_TIME
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+}
+
 fn program() -> Command {
     Command::new(env!("CARGO_BIN_EXE_cleatpulley"))
 }
@@ -40,6 +52,7 @@
 /// Kills the writer dozens of times: what was acknowledged is there, batches are whole, and nothing else is.
 #[test]
 fn a_writer_killed_at_random_points_loses_nothing_acknowledged() {
+    let _alone = run_alone();
     let dir = tempfile::tempdir().expect("a folder");
     let (mut content, mut next) = (BTreeMap::new(), 1);
     for kill in 0..40_u64 {
@@ -80,6 +93,7 @@
 
 #[test]
 fn the_commands_tell_figures_damage_and_contents_and_mend() {
+    let _alone = run_alone();
     let dir = tempfile::tempdir().expect("a folder");
     let folder = || OsFolder::new(dir.path(), true).expect("a folder");
     for round in 0..2_u8 {
