--- a/crates/connection-admission/src/admit.rs
+++ b/crates/connection-admission/src/admit.rs
@@ -223,7 +223,7 @@
         match decision {
             Decision::Admit(_) => counts.admitted += 1,
             Decision::Instead(..) => {
-                (counts.admitted, counts.instead) = (counts.admitted + 1, counts.instead + 1)
+                (counts.admitted, counts.instead) = (counts.admitted + 1, counts.instead + 1);
             }
             Decision::Refuse(Why::AddressRate | Why::PrefixRate) => counts.rate += 1,
             Decision::Refuse(Why::AddressPlaces | Why::PrefixPlaces) => counts.places += 1,
--- a/crates/server/src/client_listener/tls.rs
+++ b/crates/server/src/client_listener/tls.rs
@@ -60,7 +60,7 @@
                 .conn
                 .layer()
                 .and_then(TlsLayer::session)
-                .map(|s| s.peer_names())
+                .map(cleatpulley_tls::session::Session::peer_names)
                 .unwrap_or_default();
             match self
                 .identities
--- a/crates/server/src/gossip.rs
+++ b/crates/server/src/gossip.rs
@@ -209,7 +209,7 @@
                 }
             }
             Event::Exhausted => {
-                tracing::error!("cluster: no incarnation is left; this process stays out")
+                tracing::error!("cluster: no incarnation is left; this process stays out");
             }
         }
     }
--- a/crates/server/src/hot_restart/predecessor_link.rs
+++ b/crates/server/src/hot_restart/predecessor_link.rs
@@ -88,7 +88,7 @@
                 Ok(Some((Message::Left(left), _))) => (*held, changed) = (left, true),
                 Ok(Some((Message::StoreFree {}, _))) => steps.push(HotRestartStep::OpenStore),
                 Ok(Some(_)) => {
-                    tracing::warn!("upgrade: one that came before says what is out of turn")
+                    tracing::warn!("upgrade: one that came before says what is out of turn");
                 }
                 Err(why) => {
                     tracing::info!("upgrade: one that came before is gone: {why}");
--- a/crates/server/src/hot_restart_steps.rs
+++ b/crates/server/src/hot_restart_steps.rs
@@ -69,7 +69,7 @@
             hot_restart::HotRestartStep::Adopt(_)
                 if is_bug_injected(InjectedBug::PassedListenerDropped) =>
             {
-                self.listen()
+                self.listen();
             }
             hot_restart::HotRestartStep::Adopt(passed) => {
                 let mut short = false;
@@ -114,7 +114,7 @@
             }
             hot_restart::HotRestartStep::MakeRoom => {
                 self.front
-                    .free_slot(now, now + 2 * hot_restart::LET_IN, &mut self.facts)
+                    .free_slot(now, now + 2 * hot_restart::LET_IN, &mut self.facts);
             }
             hot_restart::HotRestartStep::Standing(standing) => {
                 if let Some(admission) = self.front.admission_mut() {
@@ -155,7 +155,7 @@
                     Err(e) => {
                         tracing::warn!(
                             "upgrade: what the predecessor had learned is not believed: {e}"
-                        )
+                        );
                     }
                 }
             }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -328,7 +328,7 @@
             active_key_runs: self
                 .exchange
                 .key_table()
-                .map_or(0, |history| history.active_runs()),
+                .map_or(0, cleatpulley_dispatcher::key_table::KeyTable::active_runs),
             open_requests: open,
             calls,
             descriptors: listeners + connections + pool + links + asked + passes,
@@ -624,7 +624,7 @@
             Command::StartRun { id, class, body } => self.runtime.start(id, class, &body),
             Command::ResumeWithReply { id, body } => self.runtime.resume_with_reply(id, &body),
             Command::ResumeWithoutCall { id, notice } => {
-                self.runtime.resume_without_call(id, notice)
+                self.runtime.resume_without_call(id, notice);
             }
             Command::StopRun(id) => self.runtime.stop(id),
             Command::MakeCall(call) => self.store.call(now, call, &mut self.facts),
--- a/crates/server/src/os_host.rs
+++ b/crates/server/src/os_host.rs
@@ -259,7 +259,7 @@
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.on_acceptable(place)
+            node.on_acceptable(place);
         })?;
         Ok(Listener {
             socket,
@@ -274,7 +274,7 @@
             writable: false,
         };
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.on_readiness(party, seen)
+            node.on_readiness(party, seen);
         })?;
         Ok(HandoverChannel {
             socket,
@@ -374,7 +374,7 @@
     ) -> io::Result<SuccessorListener> {
         let socket = Rc::new(handover_channel::post(meeting)?);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.on_acceptable(place)
+            node.on_acceptable(place);
         })?;
         Ok(SuccessorListener {
             socket,
@@ -476,7 +476,7 @@
         let at = socket.local_addr()?;
         let socket = Rc::new(socket);
         let watch = self.watch_for(Rc::clone(&socket), Mode::Edge, move |node| {
-            node.on_acceptable(place)
+            node.on_acceptable(place);
         })?;
         Ok((
             OsDatagramSocket {
--- a/crates/server/src/persistence_thread.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -476,7 +476,7 @@
                 }
                 // A piece at a time, where there is nothing else to do.
                 Err(RecvTimeoutError::Timeout) => {
-                    more = self.core.maintain(now(), PIECE, &mut facts)
+                    more = self.core.maintain(now(), PIECE, &mut facts);
                 }
                 Err(RecvTimeoutError::Disconnected) => return self.core.close(),
             }
