--- a/crates/dispatcher/tests/keyed_crashes.rs
+++ b/crates/dispatcher/tests/crash_recovery.rs
@@ -1,7 +1,8 @@
-//! The core with kept results on a disk in memory, against a runtime that has effects: crashes and faults at any
-//! operation of the disk, breaks of the link, callers that leave, repeats without end. Judged from the outside: no key
-//! runs twice, nobody is turned away after a run, no two results differ, none that was told is forgotten, and each try
-//! is answered once and by its due time, unless its process died.
+//! The dispatcher with cached results on a simulated disk, against a runtime that has effects:
+//! crashes and faults at any operation of the disk, lost connections, callers that leave, endless
+//! repeats. Judged from the outside: no key runs twice, no attempt is rejected after a run, no two
+//! results differ, none that was reported is forgotten, and each attempt gets one response by its
+//! deadline, unless its process died.
 
 use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
 use cleatpulley_dispatcher::{
@@ -64,25 +65,25 @@
 }
 
 /// A try that has no answer yet.
-struct Try {
+struct Attempt {
     key: Option<u64>,
     due: Micros,
     other_body: bool,
 }
 
 /// The process and its keeper.
-struct Life {
-    exchange: Dispatcher,
+struct Process {
+    dispatcher: Dispatcher,
     journal: Option<Journal<SimulatedFolder>>,
     jobs: VecDeque<Command>,
     well: bool,
-    open: BTreeMap<u32, Try>,
+    open: BTreeMap<u32, Attempt>,
     /// The link to the runtime: commands on their way.
     link: VecDeque<(u64, Vec<u8>)>,
 }
 
 #[derive(Default)]
-struct Met {
+struct Encountered {
     runs: u64,
     shared: u64,
     recalled: u64,
@@ -102,16 +103,16 @@
     /// Runs of each key and the id that ran.
     runs: BTreeMap<u64, (u32, u64)>,
     /// The result that somebody was told.
-    told: BTreeMap<u64, Vec<u8>>,
+    reported_results: BTreeMap<u64, Vec<u8>>,
     /// Runs under way, by id: the key, if any.
     running: BTreeMap<u64, Option<u64>>,
     /// The disk has failed in this life, or was not read yet.
     disk_failed: bool,
-    met: Met,
+    encountered: Encountered,
 }
 
 impl World {
-    fn start(&mut self) -> Life {
+    fn start(&mut self) -> Process {
         let bounds = Capacity {
             entries: 500,
             result_bytes: 100_000,
@@ -125,39 +126,41 @@
             KeyScope::PerCaller,
             KeyTable::new(bounds),
         );
-        let exchange = Dispatcher::with_keys(settings(), 7, keys);
+        let dispatcher = Dispatcher::with_keys(settings(), 7, keys);
         let (jobs, link, open) = (VecDeque::new(), VecDeque::new(), BTreeMap::new());
-        let mut life = Life {
-            exchange,
+        let mut process = Process {
+            dispatcher,
             journal: None,
             jobs,
             well: true,
             open,
             link,
         };
-        self.hear(&mut life, Event::RuntimeReady(100 * SECOND));
-        life
+        self.handle(&mut process, Event::RuntimeReady(100 * SECOND));
+        process
     }
 
-    fn hear(&mut self, life: &mut Life, fact: Event) {
+    fn handle(&mut self, process: &mut Process, event: Event) {
         let mut commands = Vec::new();
-        life.exchange.handle_event(self.now, fact, &mut commands);
-        self.obey(life, commands);
+        process
+            .dispatcher
+            .handle_event(self.now, event, &mut commands);
+        self.carry_out(process, commands);
     }
 
-    fn advance(&mut self, life: &mut Life, by: Micros) {
+    fn advance(&mut self, process: &mut Process, by: Micros) {
         let until = self.now + by;
         loop {
-            let next = life.exchange.next_deadline().filter(|at| *at <= until);
+            let next = process.dispatcher.next_deadline().filter(|at| *at <= until);
             self.now = self.now.max(next.unwrap_or(until));
             let mut commands = Vec::new();
-            life.exchange.poll(self.now, &mut commands);
-            self.obey(life, commands);
+            process.dispatcher.poll(self.now, &mut commands);
+            self.carry_out(process, commands);
             if next.is_none() {
                 break;
             }
         }
-        let overdue = life
+        let overdue = process
             .open
             .values()
             .filter(|open| open.due + 60 * MS < self.now)
@@ -165,14 +168,14 @@
         assert_eq!(overdue, 0, "tries without an answer after their due time");
     }
 
-    fn obey(&mut self, life: &mut Life, commands: Vec<Command>) {
+    fn carry_out(&mut self, process: &mut Process, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Respond {
                     client: to,
                     response: answer,
                 } => {
-                    let asked = life
+                    let asked = process
                         .open
                         .remove(&to.stream)
                         .expect("one answer for each try");
@@ -182,31 +185,31 @@
                     );
                     self.judge(&asked, answer);
                 }
-                Command::StartRun { id, body, .. } => life.link.push_back((id, body)),
+                Command::StartRun { id, body, .. } => process.link.push_back((id, body)),
                 Command::PersistKey(_) | Command::LoadCachedResult { .. } => {
-                    life.jobs.push_back(command);
+                    process.jobs.push_back(command);
                 }
                 _ => {}
             }
         }
     }
 
-    fn judge(&mut self, asked: &Try, answer: Response) {
+    fn judge(&mut self, asked: &Attempt, answer: Response) {
         let Some(key) = asked.key else { return };
-        let told = self.told.contains_key(&key);
+        let reported_results = self.reported_results.contains_key(&key);
         match answer {
             Response::Served(result) => {
                 assert!(!asked.other_body, "another request's result");
                 assert_eq!(result, self.result(key), "the result of its own run");
-                let before = self.told.insert(key, result.clone());
+                let before = self.reported_results.insert(key, result.clone());
                 assert!(
                     before.is_none_or(|before| before == result),
                     "two results that differ"
                 );
-                self.met.recalled += u64::from(told);
+                self.encountered.recalled += u64::from(reported_results);
             }
             Response::Rejected { .. } => {
-                self.met.refused += 1;
+                self.encountered.refused += 1;
                 assert!(
                     !self.runs.contains_key(&key),
                     "key {key} turned away after its run"
@@ -215,14 +218,14 @@
             Response::Invalid(_) => assert!(asked.other_body),
             Response::Direct { .. } => panic!("no route answers here"),
             Response::Failed => {
-                self.met.unknown += 1;
+                self.encountered.unknown += 1;
                 // A disk that fails may keep a result from being read, and takes nothing back.
                 assert!(
-                    !told || self.disk_failed,
+                    !reported_results || self.disk_failed,
                     "a result that was told is forgotten"
                 );
             }
-            Response::Expired => self.met.expired += 1,
+            Response::Expired => self.encountered.expired += 1,
         }
     }
 
@@ -231,8 +234,8 @@
     }
 
     /// The keeper does what it is asked, or some of it.
-    fn keep(&mut self, life: &mut Life) {
-        if life.journal.is_none() {
+    fn run_journal(&mut self, process: &mut Process) {
+        if process.journal.is_none() {
             self.disk.release_lock();
             let options = Options {
                 segment_bytes: 4_096,
@@ -243,46 +246,47 @@
             };
             let mut journal = opened.journal;
             let recovered = opened.recovered;
-            if life
-                .exchange
+            if process
+                .dispatcher
                 .key_table()
                 .is_some_and(cleatpulley_dispatcher::key_table::KeyTable::is_empty)
             {
-                self.hear(life, Event::KeysRecovered(Box::new(recovered)));
+                self.handle(process, Event::KeysRecovered(Box::new(recovered)));
             }
-            self.disk_failed = !life.well;
-            if !life.well {
+            self.disk_failed = !process.well;
+            if !process.well {
                 if journal.probe().is_err() {
                     return;
                 }
-                self.met.reopened += 1;
-                life.well = true;
+                self.encountered.reopened += 1;
+                process.well = true;
                 // What was asked while nothing was kept is not done.
-                life.jobs
+                process
+                    .jobs
                     .retain(|job| matches!(job, Command::LoadCachedResult { .. }));
-                self.hear(life, Event::PersistenceAvailable(true));
+                self.handle(process, Event::PersistenceAvailable(true));
             }
-            life.journal = Some(journal);
+            process.journal = Some(journal);
         }
         let most = self.random.random_range(1..20);
         for _ in 0..most {
-            let Some(job) = life.jobs.pop_front() else {
+            let Some(job) = process.jobs.pop_front() else {
                 break;
             };
-            let Some(journal) = &mut life.journal else {
+            let Some(journal) = &mut process.journal else {
                 return;
             };
             match job {
                 Command::PersistKey(effect) if journal.write(&effect).is_err() => {
-                    return self.lose_journal(life)
+                    return self.lose_journal(process)
                 }
                 Command::LoadCachedResult { id, number, key } => {
                     let outcome = journal.load_outcome(self.now, &key).unwrap_or_else(|_| {
                         self.disk_failed = true;
                         None
                     });
-                    self.hear(
-                        life,
+                    self.handle(
+                        process,
                         Event::CachedResultLoaded {
                             id,
                             number,
@@ -293,34 +297,34 @@
                 _ => {}
             }
         }
-        let Some(journal) = &mut life.journal else {
+        let Some(journal) = &mut process.journal else {
             return;
         };
         if self.random.random_range(0..8) == 0 && journal.maintain(self.now, 2_000).is_err() {
-            return self.lose_journal(life);
+            return self.lose_journal(process);
         }
-        if let Some(journal) = &mut life.journal {
+        if let Some(journal) = &mut process.journal {
             if journal.has_unsynced_writes() {
                 match journal.sync() {
-                    Ok(ticket) => self.hear(life, Event::KeysDurable(ticket)),
-                    Err(_) => self.lose_journal(life),
+                    Ok(ticket) => self.handle(process, Event::KeysDurable(ticket)),
+                    Err(_) => self.lose_journal(process),
                 }
             }
         }
     }
 
-    fn lose_journal(&mut self, life: &mut Life) {
+    fn lose_journal(&mut self, process: &mut Process) {
         self.disk_failed = true;
-        life.journal = None;
-        life.jobs.clear();
-        if std::mem::replace(&mut life.well, false) {
-            self.hear(life, Event::PersistenceAvailable(false));
+        process.journal = None;
+        process.jobs.clear();
+        if std::mem::replace(&mut process.well, false) {
+            self.handle(process, Event::PersistenceAvailable(false));
         }
     }
 
     /// The runtime reads a command.
-    fn read_link(&mut self, life: &mut Life) {
-        let Some((id, body)) = life.link.pop_front() else {
+    fn read_link(&mut self, process: &mut Process) {
+        let Some((id, body)) = process.link.pop_front() else {
             return;
         };
         let key = body
@@ -328,7 +332,7 @@
             .and_then(|rest| rest.first_chunk())
             .map(|b| u64::from_be_bytes(*b));
         if let Some(key) = key {
-            self.met.runs += 1;
+            self.encountered.runs += 1;
             let run = self.runs.entry(key).or_insert((0, id));
             run.0 += 1;
             assert_eq!(run.0, 1, "key {key} ran twice");
@@ -336,7 +340,7 @@
         self.running.insert(id, key);
     }
 
-    fn ask(&mut self, life: &mut Life) {
+    fn send_request(&mut self, process: &mut Process) {
         let key = (self.random.random_range(0..4) > 0).then(|| self.random.random_range(0..10_u64));
         let other_body = key.is_some_and(|key| self.runs.contains_key(&key))
             && self.random.random_range(0..15) == 0;
@@ -354,9 +358,9 @@
             stream: self.next,
         };
         let due = self.now + 2 * SECOND;
-        life.open.insert(
+        process.open.insert(
             self.next,
-            Try {
+            Attempt {
                 key,
                 due,
                 other_body,
@@ -377,16 +381,17 @@
             body,
             head: None,
         };
-        let waits = life.exchange.pending_count();
-        self.hear(life, Event::RequestRead(arrival));
-        self.met.shared += u64::from(key.is_some() && life.exchange.pending_count() > waits);
+        let waits = process.dispatcher.pending_count();
+        self.handle(process, Event::RequestRead(arrival));
+        self.encountered.shared +=
+            u64::from(key.is_some() && process.dispatcher.pending_count() > waits);
     }
 
-    fn step(&mut self, life: &mut Life) {
+    fn step(&mut self, process: &mut Process) {
         match self.random.random_range(0..20) {
-            0..=5 => self.ask(life),
-            6..=9 => self.keep(life),
-            10..=12 => self.read_link(life),
+            0..=5 => self.send_request(process),
+            6..=9 => self.run_journal(process),
+            10..=12 => self.read_link(process),
             13..=14 => {
                 let place = self.random.random_range(0..self.running.len().max(1));
                 if let Some((&id, &key)) = self.running.iter().nth(place) {
@@ -398,20 +403,20 @@
                         elapsed: MS,
                         result,
                     };
-                    self.hear(life, ended);
+                    self.handle(process, ended);
                 }
             }
             15 => {
                 // The link breaks: what was on it is read or not, and the exchange hears that it is in doubt.
-                let flying: Vec<_> = life.link.drain(..).collect();
+                let flying: Vec<_> = process.link.drain(..).collect();
                 for (id, body) in flying {
                     if self.random.random() {
-                        life.link.push_back((id, body));
-                        self.read_link(life);
+                        process.link.push_back((id, body));
+                        self.read_link(process);
                     }
-                    self.met.doubts += 1;
-                    self.hear(
-                        life,
+                    self.encountered.doubts += 1;
+                    self.handle(
+                        process,
                         Event::CommandUncertain {
                             id,
                             command: RuntimeCommand::Start,
@@ -421,32 +426,33 @@
             }
             16 if self.random.random_range(0..3) == 0 => {
                 let connection = self.random.random_range(0..5);
-                life.open
+                process
+                    .open
                     .retain(|stream, _| u64::from(stream % 5) != connection);
-                self.hear(life, Event::ConnectionLost(connection));
+                self.handle(process, Event::ConnectionLost(connection));
             }
             _ => {
                 let by = self.random.random_range(1..30) * MS;
-                self.advance(life, by);
+                self.advance(process, by);
             }
         }
     }
 }
 
-fn history(seed: u64, met: &mut Met) {
+fn play_history(seed: u64, encountered: &mut Encountered) {
     let mut world = World {
         random: SmallRng::seed_from_u64(seed),
         now: 1_000_000 * SECOND,
         next: 0,
         disk: SimulatedFolder::default(),
         runs: BTreeMap::new(),
-        told: BTreeMap::new(),
+        reported_results: BTreeMap::new(),
         running: BTreeMap::new(),
         disk_failed: true,
-        met: std::mem::take(met),
+        encountered: std::mem::take(encountered),
     };
     for life_number in 0..5_u64 {
-        let mut life = world.start();
+        let mut process = world.start();
         world.disk_failed = true;
         let at = world.random.random_range(5..90);
         let fault = match world.random.random_range(0..5) {
@@ -457,15 +463,15 @@
         };
         world.disk.set_faults(&fault);
         for _ in 0..world.random.random_range(30..200) {
-            world.step(&mut life);
+            world.step(&mut process);
         }
         // Half of the lives are lived to their end: every try has its answer.
         if world.random.random() {
-            world.advance(&mut life, 3 * SECOND);
-            assert!(life.open.is_empty(), "tries without an answer");
-            assert_eq!(life.exchange.pending_count(), 0);
+            world.advance(&mut process, 3 * SECOND);
+            assert!(process.open.is_empty(), "tries without an answer");
+            assert_eq!(process.dispatcher.pending_count(), 0);
         }
-        world.met.crashes += 1;
+        world.encountered.crashes += 1;
         world.disk = world.disk.after_crash(seed ^ life_number);
         // The runtime dies along, or its runs go on unheard; the clock steps back or time passes.
         world.running.clear();
@@ -475,7 +481,7 @@
             _ => {}
         }
     }
-    *met = world.met;
+    *encountered = world.encountered;
 }
 
 #[test]
@@ -488,20 +494,20 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let mut met = Met::default();
+    let mut encountered = Encountered::default();
     for seed in first..first + number {
-        history(seed, &mut met);
+        play_history(seed, &mut encountered);
     }
     // Nobody should trust histories that meet nothing.
     let counts = HashMap::from([
-        ("runs", met.runs),
-        ("shared", met.shared),
-        ("recalled", met.recalled),
-        ("unknown", met.unknown),
-        ("refused", met.refused),
-        ("expired", met.expired),
-        ("doubts", met.doubts),
-        ("reopened", met.reopened),
+        ("runs", encountered.runs),
+        ("shared", encountered.shared),
+        ("recalled", encountered.recalled),
+        ("unknown", encountered.unknown),
+        ("refused", encountered.refused),
+        ("expired", encountered.expired),
+        ("doubts", encountered.doubts),
+        ("reopened", encountered.reopened),
     ]);
     for (what, count) in &counts {
         assert!(
@@ -514,7 +520,7 @@
 /// Found by the emulator (seeds 898 and others): a quarter of the memory waited for what is kept, beside the controller
 /// that fills the rest; and what waited for a slow disk to be read had no bound.
 #[test]
-fn what_waits_for_the_results_stays_within_its_share_of_the_memory() {
+fn requests_that_wait_for_recovery_stay_within_their_share_of_memory() {
     let bounds = Capacity {
         entries: 1_000,
         result_bytes: 1_000_000,
@@ -528,9 +534,9 @@
         KeyScope::PerCaller,
         KeyTable::new(bounds),
     );
-    let mut exchange = Dispatcher::with_keys(settings(), 7, keys);
+    let mut dispatcher = Dispatcher::with_keys(settings(), 7, keys);
     let mut commands = Vec::new();
-    exchange.handle_event(SECOND, Event::RuntimeReady(100 * SECOND), &mut commands);
+    dispatcher.handle_event(SECOND, Event::RuntimeReady(100 * SECOND), &mut commands);
     for n in 0..60_u32 {
         let arrival = IncomingRequest {
             client: ClientStream {
@@ -550,7 +556,7 @@
             body: Vec::new(),
             head: None,
         };
-        exchange.handle_event(SECOND, Event::RequestRead(arrival), &mut commands);
+        dispatcher.handle_event(SECOND, Event::RequestRead(arrival), &mut commands);
     }
     let failed = |command: &&Command| {
         matches!(
@@ -563,7 +569,7 @@
     };
     assert_eq!(
         (
-            exchange.pending_count(),
+            dispatcher.pending_count(),
             commands.iter().filter(failed).count()
         ),
         (40, 20)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,24 +74,24 @@
             controller: Controller::new(settings, 7),
             now: 100 * SECOND,
         };
-        script.hear(&[Event::Started]);
+        script.step(&[Event::Started]);
         script
     }
 
     /// Lets the events happen now.
-    pub fn hear(&mut self, events: &[Event]) -> Vec<Action> {
+    pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.step(self.now, events, &mut actions);
         actions
     }
 
     /// Lets time pass with a timer each 20 ms, and collects what is done but for timers.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
         while self.now < until {
             self.now = (self.now + 20 * MS).min(until);
-            all.extend(self.hear(&[Event::TimerExpired {
+            all.extend(self.step(&[Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
             }]));
@@ -111,7 +111,7 @@
     }
 
     pub fn arrive(&mut self, id: RequestId, class: usize) -> Vec<Action> {
-        self.hear(&[Event::Arrived(self.request(id, class))])
+        self.step(&[Event::Arrived(self.request(id, class))])
     }
 }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,22 +6,22 @@
 use common::*;
 
 /// Brings `ids` to their calls, which the bound may or may not let go.
-fn stand_at_calls(script: &mut Script, ids: std::ops::Range<RequestId>) -> Vec<Action> {
+fn run_up_to_their_calls(script: &mut Script, ids: std::ops::Range<RequestId>) -> Vec<Action> {
     let mut actions = Vec::new();
     for id in ids {
         actions.extend(script.arrive(id, 2));
-        actions.extend(script.hear(&[Event::CallRequested(id)]));
+        actions.extend(script.step(&[Event::CallRequested(id)]));
     }
     actions
 }
 
 #[test]
-fn the_call_bound_starts_at_one_for_a_shared_dependency_and_adds_one_after_timely_calls() {
+fn call_limit_of_shared_dependency_starts_at_one_and_grows_after_timely_calls() {
     let mut script = Script::new(settings());
-    let actions = stand_at_calls(&mut script, 1..4);
+    let actions = run_up_to_their_calls(&mut script, 1..4);
     assert_eq!(calls(&actions), [1], "one call in hand");
     script.now += 100 * MS;
-    let actions = script.hear(&[called(1, Outcome::Success, 100 * MS)]);
+    let actions = script.step(&[called(1, Outcome::Success, 100 * MS)]);
     assert_eq!(
         calls(&actions),
         [2, 3],
@@ -30,28 +30,31 @@
 }
 
 #[test]
-fn for_a_tier_the_call_bound_starts_at_the_cores() {
+fn call_limit_of_next_tier_starts_at_the_cores() {
     let mut script = Script::new(Settings {
         dependency: DependencyLimit::NextTier,
         ..settings()
     });
-    assert_eq!(calls(&stand_at_calls(&mut script, 1..4)), [1, 2]);
+    assert_eq!(calls(&run_up_to_their_calls(&mut script, 1..4)), [1, 2]);
 }
 
 #[test]
-fn the_call_bound_halves_when_the_latency_doubles() {
+fn call_limit_halves_when_latency_doubles() {
     let mut script = Script::new(Settings {
         dependency: DependencyLimit::NextTier,
         cores: 4,
         abandoned_call_linger: 0,
         ..settings()
     });
-    assert_eq!(calls(&stand_at_calls(&mut script, 1..7)), [1, 2, 3, 4]);
+    assert_eq!(
+        calls(&run_up_to_their_calls(&mut script, 1..7)),
+        [1, 2, 3, 4]
+    );
     // The first call sets the usual latency; one of 2 s brings the mean of the two past twice that.
     script.now += 50 * MS;
-    script.hear(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
+    script.step(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
     script.now += 2 * SECOND;
-    let actions = script.hear(&[
+    let actions = script.step(&[
         called(2, Outcome::Success, 2_050 * MS),
         ended(2, 2_060 * MS),
     ]);
@@ -63,7 +66,7 @@
 
 /// Guards against leaving out most calls while what lies below is slow, though it was measured to bear them.
 #[test]
-fn the_call_bound_of_a_shared_dependency_stays_above_half_the_told_share() {
+fn call_limit_of_shared_dependency_stays_above_half_its_quota() {
     let mut settings = Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 12.0,
@@ -78,19 +81,19 @@
     settings.memory_kb = 1e9;
     let mut script = Script::new(settings);
     for id in 1..=100 {
-        stand_at_calls(&mut script, id..id + 1);
-        script.hear(&[called(id, Outcome::Success, 50 * MS), ended(id, 60 * MS)]);
+        run_up_to_their_calls(&mut script, id..id + 1);
+        script.step(&[called(id, Outcome::Success, 50 * MS), ended(id, 60 * MS)]);
     }
-    let mut out = calls(&stand_at_calls(&mut script, 101..112));
+    let mut out = calls(&run_up_to_their_calls(&mut script, 101..112));
     assert_eq!(out.len(), 10, "a margin below twelve");
     for round in 0..20 {
         script.now += 5 * SECOND;
         let slow = out.remove(0);
-        out.extend(calls(&script.hear(&[
+        out.extend(calls(&script.step(&[
             called(slow, Outcome::Success, 5 * SECOND),
             ended(slow, 60 * MS),
         ])));
-        out.extend(calls(&stand_at_calls(
+        out.extend(calls(&run_up_to_their_calls(
             &mut script,
             200 + round..201 + round,
         )));
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn a_share_below_one_is_a_budget_of_call_time() {
+fn quota_below_one_call_is_a_budget_of_call_time() {
     let settings = Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 0.5,
@@ -109,14 +112,18 @@
         ..settings()
     };
     let mut script = Script::new(settings);
-    assert_eq!(calls(&stand_at_calls(&mut script, 1..2)), [1]);
-    assert!(calls(&script.pass(400 * MS)).is_empty());
-    script.hear(&[called(1, Outcome::Success, 400 * MS), ended(1, 410 * MS)]);
+    assert_eq!(calls(&run_up_to_their_calls(&mut script, 1..2)), [1]);
+    assert!(calls(&script.pass_time(400 * MS)).is_empty());
+    script.step(&[called(1, Outcome::Success, 400 * MS), ended(1, 410 * MS)]);
     assert!(
-        calls(&stand_at_calls(&mut script, 2..3)).is_empty(),
+        calls(&run_up_to_their_calls(&mut script, 2..3)).is_empty(),
         "the last call has used up the share"
     );
-    assert_eq!(calls(&script.pass(SECOND)), [2], "and time gives it back");
+    assert_eq!(
+        calls(&script.pass_time(SECOND)),
+        [2],
+        "and time gives it back"
+    );
 }
 
 /// A class that calls below and whose calls must not be made again.
@@ -128,12 +135,12 @@
 }
 
 #[test]
-fn a_call_leaves_time_to_answer() {
+fn call_timeout_leaves_time_to_respond() {
     let mut settings = settings();
     settings.classes[2] = once(8 * SECOND);
     let mut script = Script::new(settings);
     script.arrive(1, 2);
-    let actions = script.hear(&[Event::CallRequested(1)]);
+    let actions = script.step(&[Event::CallRequested(1)]);
     assert_eq!(
         actions,
         [Action::Call {
@@ -145,14 +152,14 @@
 
 /// Guards against waiting for a reply that is lost until there is no time to ask again.
 #[test]
-fn a_reply_is_waited_for_while_it_may_come_and_that_to_a_write_to_its_aim() {
+fn waits_for_replies_by_latency_and_for_those_to_writes_up_to_the_objective() {
     // A call is thought to take a tenth of the aim.
     let wait = |class: Class| {
         let mut settings = settings();
         settings.classes[2] = class;
         let mut script = Script::new(settings);
         script.arrive(1, 2);
-        script.hear(&[Event::CallRequested(1)])
+        script.step(&[Event::CallRequested(1)])
     };
     assert_eq!(
         wait(class(Effect::Idempotent, true)),
@@ -172,22 +179,22 @@
 
 /// Guards against holding back calls because of a connection that broke or fell silent.
 #[test]
-fn one_call_without_a_reply_is_no_sign_of_trouble_below_but_two_in_a_row_are() {
+fn takes_two_silent_calls_in_a_row_but_not_one_for_a_faulty_dependency() {
     for outcome in [Outcome::TimedOut, Outcome::Interrupted] {
         let mut script = Script::new(Settings {
             dependency: DependencyLimit::NextTier,
             abandoned_call_linger: 0,
             ..settings()
         });
-        assert_eq!(calls(&stand_at_calls(&mut script, 1..6)), [1, 2]);
+        assert_eq!(calls(&run_up_to_their_calls(&mut script, 1..6)), [1, 2]);
         script.now += 1_600 * MS;
         assert_eq!(
-            calls(&script.hear(&[called(1, outcome, 1_600 * MS)])).len(),
+            calls(&script.step(&[called(1, outcome, 1_600 * MS)])).len(),
             1,
             "{outcome:?}"
         );
         assert_eq!(
-            calls(&script.hear(&[called(2, outcome, 1_600 * MS)])).len(),
+            calls(&script.step(&[called(2, outcome, 1_600 * MS)])).len(),
             0,
             "{outcome:?}"
         );
@@ -199,52 +206,55 @@
         abandoned_call_linger: 0,
         ..settings()
     });
-    assert_eq!(calls(&stand_at_calls(&mut script, 1..7)), [1, 2, 3, 4]);
+    assert_eq!(
+        calls(&run_up_to_their_calls(&mut script, 1..7)),
+        [1, 2, 3, 4]
+    );
     script.now += 100 * MS;
     assert_eq!(
-        calls(&script.hear(&[called(4, Outcome::Success, 100 * MS)])),
+        calls(&script.step(&[called(4, Outcome::Success, 100 * MS)])),
         [5]
     );
     script.now += 100 * MS;
-    script.hear(&[called(5, Outcome::Success, 100 * MS)]);
+    script.step(&[called(5, Outcome::Success, 100 * MS)]);
     let silent = [1, 2, 3].map(|id| called(id, Outcome::TimedOut, 200 * MS));
-    assert_eq!(calls(&script.hear(&silent)).len(), 3);
+    assert_eq!(calls(&script.step(&silent)).len(), 3);
 }
 
 /// Guards against a belief that keeps calls from being made, and so from being put right.
 #[test]
-fn without_calls_the_latency_nears_the_usual_again() {
+fn latency_returns_to_its_baseline_without_calls() {
     let mut settings = settings();
     settings.classes[2].weight_ratio_without_call = 0.5;
     let mut script = Script::new(Settings {
         dependency: DependencyLimit::NextTier,
         ..settings
     });
-    stand_at_calls(&mut script, 1..2);
+    run_up_to_their_calls(&mut script, 1..2);
     script.now += 50 * MS;
-    script.hear(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
-    stand_at_calls(&mut script, 2..4);
-    script.pass(8 * SECOND);
-    script.hear(&[2, 3].map(|id| called(id, Outcome::TimedOut, 8 * SECOND)));
-    script.hear(&[2, 3].map(|id| ended(id, 60 * MS)));
+    script.step(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
+    run_up_to_their_calls(&mut script, 2..4);
+    script.pass_time(8 * SECOND);
+    script.step(&[2, 3].map(|id| called(id, Outcome::TimedOut, 8 * SECOND)));
+    script.step(&[2, 3].map(|id| ended(id, 60 * MS)));
     script.arrive(4, 2);
     assert_eq!(
-        script.hear(&[Event::CallRequested(4)]),
+        script.step(&[Event::CallRequested(4)]),
         [Action::SkipCall(4)]
     );
-    script.hear(&[ended(4, 60 * MS)]);
-    script.pass(30 * SECOND);
+    script.step(&[ended(4, 60 * MS)]);
+    script.pass_time(30 * SECOND);
     script.arrive(5, 2);
-    assert_eq!(calls(&script.hear(&[Event::CallRequested(5)])), [5]);
+    assert_eq!(calls(&script.step(&[Event::CallRequested(5)])), [5]);
 }
 
 #[test]
-fn after_a_call_turned_away_the_next_waits() {
+fn delays_the_next_call_after_a_rejected_one() {
     let mut script = Script::new(settings());
-    assert_eq!(calls(&stand_at_calls(&mut script, 1..2)), [1]);
+    assert_eq!(calls(&run_up_to_their_calls(&mut script, 1..2)), [1]);
     script.now += 10 * MS;
-    assert!(calls(&script.hear(&[called(1, Outcome::Unreachable, 10 * MS)])).is_empty());
-    assert_eq!(calls(&script.pass(SECOND)), [1]);
+    assert!(calls(&script.step(&[called(1, Outcome::Unreachable, 10 * MS)])).is_empty());
+    assert_eq!(calls(&script.pass_time(SECOND)), [1]);
 }
 
 #[test]
@@ -255,15 +265,15 @@
     };
     settings.classes[2].latency_objective = 6 * SECOND;
     let mut script = Script::new(settings);
-    stand_at_calls(&mut script, 1..2);
+    run_up_to_their_calls(&mut script, 1..2);
     script.now += 50 * MS;
-    script.hear(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
-    stand_at_calls(&mut script, 2..8);
-    script.pass(SECOND);
+    script.step(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
+    run_up_to_their_calls(&mut script, 2..8);
+    script.pass_time(SECOND);
     // Calls of a second against a usual of 50 ms falter, and the others wait behind them.
-    script.hear(&[called(2, Outcome::Success, SECOND), ended(2, SECOND)]);
-    script.hear(&[called(3, Outcome::Success, SECOND), ended(3, SECOND)]);
-    script.pass(400 * MS);
+    script.step(&[called(2, Outcome::Success, SECOND), ended(2, SECOND)]);
+    script.step(&[called(3, Outcome::Success, SECOND), ended(3, SECOND)]);
+    script.pass_time(400 * MS);
     let refusals = refused(&script.arrive(20, 2)).len() + refused(&script.arrive(21, 2)).len();
     assert!(
         refusals >= 1,
@@ -277,7 +287,7 @@
 
 /// Guards writes against a gap that is made by reads which wait for a call they can go without.
 #[test]
-fn a_backlog_that_needs_no_call_opens_no_gap() {
+fn backlog_that_needs_no_call_opens_no_gap() {
     let refusals = |reads_skip: f64| {
         let mut settings = Settings {
             cores: 12,
@@ -294,17 +304,17 @@
             ..settings.classes[0]
         };
         let mut script = Script::new(settings);
-        stand_at_calls(&mut script, 1..2);
+        run_up_to_their_calls(&mut script, 1..2);
         script.now += 50 * MS;
-        script.hear(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
+        script.step(&[called(1, Outcome::Success, 50 * MS), ended(1, 60 * MS)]);
         for id in 2..12 {
             script.arrive(id, 0);
-            script.hear(&[Event::CallRequested(id)]);
+            script.step(&[Event::CallRequested(id)]);
         }
-        script.pass(SECOND);
-        script.hear(&[called(2, Outcome::Success, SECOND), ended(2, SECOND)]);
-        script.hear(&[called(3, Outcome::Success, SECOND), ended(3, SECOND)]);
-        script.pass(400 * MS);
+        script.pass_time(SECOND);
+        script.step(&[called(2, Outcome::Success, SECOND), ended(2, SECOND)]);
+        script.step(&[called(3, Outcome::Success, SECOND), ended(3, SECOND)]);
+        script.pass_time(400 * MS);
         let mut refusals = 0;
         for id in 20..23 {
             refusals += refused(&script.arrive(id, 2)).len();
@@ -319,24 +329,24 @@
 }
 
 #[test]
-fn room_is_left_for_a_process_whose_place_is_taken() {
+fn leaves_capacity_for_a_draining_predecessor() {
     let beside = |running, memory_kb, calls| Event::PredecessorUsage {
         running,
         memory_kb,
         calls,
     };
     let mut script = Script::new(settings());
-    script.hear(&[beside(2, 0.0, 0)]);
+    script.step(&[beside(2, 0.0, 0)]);
     assert!(
         runs(&script.arrive(1, 0)).is_empty(),
         "its runs have both cores"
     );
-    assert_eq!(runs(&script.hear(&[beside(1, 0.0, 0)])), [1]);
+    assert_eq!(runs(&script.step(&[beside(1, 0.0, 0)])), [1]);
     let mut script = Script::new(Settings {
         memory_kb: 1_000.0,
         ..settings()
     });
-    script.hear(&[beside(0, 845.0, 0)]);
+    script.step(&[beside(0, 845.0, 0)]);
     assert_eq!(
         refused(&script.arrive(1, 0)),
         [1],
@@ -346,24 +356,24 @@
         cores: 8,
         ..settings()
     });
-    script.hear(&[beside(0, 0.0, 4)]);
+    script.step(&[beside(0, 0.0, 4)]);
     assert!(
-        calls(&stand_at_calls(&mut script, 1..2)).is_empty(),
+        calls(&run_up_to_their_calls(&mut script, 1..2)).is_empty(),
         "its calls have the share"
     );
-    assert_eq!(calls(&script.hear(&[beside(0, 0.0, 0)])), [1]);
+    assert_eq!(calls(&script.step(&[beside(0, 0.0, 0)])), [1]);
 }
 
 #[test]
-fn callers_hear_nothing_of_a_notice_to_leave_where_a_successor_is_here() {
+fn does_not_notify_callers_of_a_shutdown_after_a_successor_took_over() {
     let mut script = Script::new(Settings {
         feedback: FeedbackKind::Weight,
         ..settings()
     });
     let stop_at = script.now + 4 * SECOND;
-    let mut actions = script.hear(&[Event::Replaced { stop_at }]);
+    let mut actions = script.step(&[Event::Replaced { stop_at }]);
     script.arrive(1, 0);
-    actions.extend(script.pass(500 * MS));
+    actions.extend(script.pass_time(500 * MS));
     let told =
         |action: &Action| matches!(action, Action::SetHealth { .. } | Action::SetFeedback(_));
     assert!(!actions.iter().any(told), "{actions:?}");
@@ -375,24 +385,24 @@
         "after the grace it is turned away, and may come back at once: {late:?}"
     );
     assert_eq!(
-        failed(&script.pass(stop_at - 60 * MS - script.now)),
+        failed(&script.pass_time(stop_at - 60 * MS - script.now)),
         [1],
         "all is answered before the stop"
     );
 }
 
 #[test]
-fn a_call_is_left_out_where_waiting_would_miss_the_aim() {
+fn leaves_a_call_out_where_waiting_would_miss_the_objective() {
     let mut settings = settings();
     settings.classes[2].weight_ratio_without_call = 0.5;
     let mut script = Script::new(settings);
-    stand_at_calls(&mut script, 1..3);
-    let actions = script.pass(2 * SECOND);
+    run_up_to_their_calls(&mut script, 1..3);
+    let actions = script.pass_time(2 * SECOND);
     assert!(actions.contains(&Action::SkipCall(2)));
 }
 
 #[test]
-fn held_work_runs_by_its_aim() {
+fn queued_requests_run_in_the_order_of_their_objectives() {
     let mut settings = settings();
     settings.classes[1].latency_objective = SECOND;
     let mut script = Script::new(settings);
@@ -400,11 +410,11 @@
     script.arrive(2, 0);
     script.arrive(3, 0);
     script.arrive(4, 1);
-    assert_eq!(runs(&script.hear(&[ended(1, 100 * MS)])), [4]);
+    assert_eq!(runs(&script.step(&[ended(1, 100 * MS)])), [4]);
 }
 
 #[test]
-fn a_more_worthy_arrival_that_leaves_no_time_for_a_held_one_sends_it_elsewhere_at_once() {
+fn arrival_of_higher_weight_sheds_a_queued_request_that_would_be_late() {
     let mut settings = settings();
     settings.classes[1].priority_weight = 5.0;
     let mut script = Script::new(settings);
@@ -417,7 +427,7 @@
 }
 
 #[test]
-fn the_cut_turns_the_lowest_away_first_while_held_work_overruns() {
+fn rank_threshold_rejects_the_lowest_first_while_the_queue_is_too_long() {
     let mut settings = settings();
     settings.classes[1].priority_weight = 5.0;
     let mut script = Script::new(settings);
@@ -432,9 +442,9 @@
             high += turned.iter().filter(|id| **id % 3 == 2).count();
             low += turned.iter().filter(|id| **id % 3 != 2).count();
         }
-        script.pass(100 * MS);
+        script.pass_time(100 * MS);
         let done: Vec<Event> = running.drain(..).map(|id| ended(id, 200 * MS)).collect();
-        running.extend(runs(&script.hear(&done)));
+        running.extend(runs(&script.step(&done)));
     }
     assert!(
         low > 100 && low > 20 * high,
@@ -443,7 +453,7 @@
 }
 
 #[test]
-fn what_cannot_end_by_its_aim_is_turned_away_at_once() {
+fn rejects_at_once_what_cannot_end_by_its_objective() {
     let mut script = Script::new(settings());
     let mut actions = Vec::new();
     for id in 1..=20 {
@@ -454,7 +464,7 @@
 }
 
 #[test]
-fn a_try_limit_below_the_deadline_is_not_read_as_age() {
+fn attempt_timeout_below_the_client_timeout_is_not_taken_for_age() {
     let mut script = Script::new(settings());
     let patient = Request {
         respond_by: Some(script.now + 4 * SECOND),
@@ -464,12 +474,12 @@
         respond_by: Some(script.now + 3_900 * MS),
         ..script.request(2, 0)
     };
-    let actions = script.hear(&[Event::Arrived(patient), Event::Arrived(hurried)]);
+    let actions = script.step(&[Event::Arrived(patient), Event::Arrived(hurried)]);
     assert_eq!(runs(&actions), [1, 2]);
 }
 
 #[test]
-fn small_hints_do_not_make_every_request_look_hopeless() {
+fn small_hints_do_not_make_every_request_look_too_late() {
     let mut script = Script::new(settings());
     for id in 1..=100 {
         let work = if id % 2 == 0 { 400 * MS } else { 10 * MS };
@@ -477,38 +487,38 @@
             expected_work: Some(work),
             ..script.request(id, 0)
         };
-        assert_eq!(runs(&script.hear(&[Event::Arrived(request)])), [id]);
+        assert_eq!(runs(&script.step(&[Event::Arrived(request)])), [id]);
         script.now += 500 * MS;
-        script.hear(&[ended(id, 500 * MS)]);
+        script.step(&[ended(id, 500 * MS)]);
     }
 }
 
 #[test]
-fn a_hopelessly_slow_server_still_tries_one_run_at_a_time() {
+fn server_that_is_too_slow_still_runs_one_request_at_a_time() {
     let mut script = Script::new(settings());
     for id in 1..=20 {
         script.arrive(id, 0);
         script.now += 3 * SECOND;
-        script.hear(&[ended(id, 3 * SECOND)]);
+        script.step(&[ended(id, 3 * SECOND)]);
     }
     assert_eq!(runs(&script.arrive(30, 0)), [30]);
     assert_eq!(refused(&script.arrive(31, 0)), [31]);
 }
 
 #[test]
-fn cores_that_stand_still_turn_new_work_away_and_recover() {
+fn stalled_cores_reject_new_work_and_recover() {
     let mut script = Script::new(settings());
     for id in 1..=3 {
         script.arrive(id, 0);
     }
-    assert_eq!(refused(&script.pass(1_600 * MS)), [3]);
+    assert_eq!(refused(&script.pass_time(1_600 * MS)), [3]);
     assert_eq!(refused(&script.arrive(4, 0)), [4]);
-    script.hear(&[ended(1, 100 * MS), ended(2, 100 * MS)]);
+    script.step(&[ended(1, 100 * MS), ended(2, 100 * MS)]);
     assert_eq!(runs(&script.arrive(5, 0)), [5]);
 }
 
 #[test]
-fn the_run_limit_grows_while_cores_idle_and_work_waits() {
+fn run_limit_grows_while_cores_are_idle_and_work_is_queued() {
     let mut script = Script::new(settings());
     for id in 1..=4 {
         script.arrive(id, 0);
@@ -520,7 +530,7 @@
     let mut started = Vec::new();
     for _ in 0..12 {
         script.now += 20 * MS;
-        started.extend(runs(&script.hear(&[Event::TimerExpired {
+        started.extend(runs(&script.step(&[Event::TimerExpired {
             token: 0,
             gauges: idle,
         }])));
@@ -530,7 +540,7 @@
 }
 
 #[test]
-fn unread_waiting_lowers_the_welcome_and_makes_refusals_last() {
+fn read_delay_lowers_the_advertised_capacity_and_forbids_failover() {
     let mut script = Script::new(settings());
     let mut said = Vec::new();
     for id in 1..=40 {
@@ -538,8 +548,8 @@
             read_delay: 1_900 * MS,
             ..script.request(id, 0)
         };
-        said.extend(script.hear(&[Event::Arrived(late)]));
-        said.extend(script.pass(20 * MS));
+        said.extend(script.step(&[Event::Arrived(late)]));
+        said.extend(script.pass_time(20 * MS));
     }
     assert!(said
         .iter()
@@ -554,7 +564,7 @@
 }
 
 #[test]
-fn a_marked_further_try_that_is_refused_goes_nowhere_else() {
+fn forbids_failover_of_a_rejected_retry() {
     let mut script = Script::new(settings());
     for id in 1..=9 {
         script.arrive(id, 0);
@@ -572,7 +582,7 @@
         is_retry: true,
         ..script.request(11, 0)
     };
-    let again = script.hear(&[Event::Arrived(again)]);
+    let again = script.step(&[Event::Arrived(again)]);
     assert!(matches!(
         again[..],
         [Action::Reject {
@@ -584,7 +594,7 @@
 }
 
 #[test]
-fn reads_of_one_subject_share_an_answer_while_it_is_fresh() {
+fn reads_of_one_subject_share_a_response_during_its_lifetime() {
     let mut script = Script::new(Settings {
         shared_response_lifetime: SECOND,
         ..settings()
@@ -593,7 +603,7 @@
         has_subject: true,
         ..script.request(1, 0)
     };
-    let actions = script.hear(&[Event::Arrived(read)]);
+    let actions = script.step(&[Event::Arrived(read)]);
     assert_eq!(
         actions,
         [
@@ -610,11 +620,11 @@
         ..script.request(2, 0)
     };
     assert_eq!(
-        script.hear(&[Event::Arrived(joined)]),
+        script.step(&[Event::Arrived(joined)]),
         [Action::ShareResponse(2)]
     );
     assert_eq!(
-        script.hear(&[ended(1, 100 * MS)]),
+        script.step(&[ended(1, 100 * MS)]),
         [Action::InsertKey {
             id: 1,
             lifetime: SECOND
@@ -623,13 +633,13 @@
 }
 
 #[test]
-fn a_cold_server_is_welcome_only_as_far_as_its_sure_speed() {
+fn cold_server_advertises_no_more_than_its_certain_speed() {
     let mut script = Script::new(Settings {
         cold_start: true,
         ..settings()
     });
     let said: Vec<f64> = script
-        .pass(10 * SECOND)
+        .pass_time(10 * SECOND)
         .iter()
         .filter_map(|a| {
             if let Action::SetFeedback(value) = a {
@@ -657,7 +667,7 @@
             callers,
             ..settings()
         });
-        let actions = script.pass(10 * SECOND);
+        let actions = script.pass_time(10 * SECOND);
         actions
             .iter()
             .filter_map(|a| {
@@ -675,19 +685,19 @@
 }
 
 #[test]
-fn a_crowd_at_calls_holds_off_its_like_and_not_the_more_worthy() {
+fn crowded_calls_hold_off_equal_priorities_but_not_higher_ones() {
     let mut settings = settings();
     settings.classes[1].calls_dependency = true;
     settings.classes[1].priority_weight = 10.0;
     let mut script = Script::new(settings);
     // A call is thought to take a tenth of the aim of 2 s: one at a time, five are served in half of it.
-    stand_at_calls(&mut script, 1..7);
+    run_up_to_their_calls(&mut script, 1..7);
     assert_eq!(refused(&script.arrive(7, 2)), [7]);
     assert_eq!(runs(&script.arrive(8, 1)), [8]);
 }
 
 #[test]
-fn under_a_gap_the_most_worthy_pass() {
+fn highest_priorities_pass_a_gap() {
     let mut settings = Settings {
         cores: 4,
         ..settings()
@@ -706,18 +716,18 @@
     };
     for id in 1..=8 {
         let request = patient(&script, id, 2, 0.67);
-        script.hear(&[Event::Arrived(request), Event::CallRequested(id)]);
+        script.step(&[Event::Arrived(request), Event::CallRequested(id)]);
     }
     for (id, elapsed) in [(1, 10 * MS), (2, 9 * SECOND), (3, 9 * SECOND)] {
-        script.hear(&[called(id, Outcome::Success, elapsed), ended(id, elapsed)]);
+        script.step(&[called(id, Outcome::Success, elapsed), ended(id, elapsed)]);
     }
-    script.pass(SECOND);
+    script.pass_time(SECOND);
     let opener = patient(&script, 20, 2, 0.67);
-    script.hear(&[Event::Arrived(opener)]);
+    script.step(&[Event::Arrived(opener)]);
     // Three seconds into the gap: still closed to the low, open to the high.
     script.now += 3 * SECOND;
     let (low, high) = (patient(&script, 21, 2, 0.67), patient(&script, 22, 1, 0.66));
-    let actions = script.hear(&[Event::Arrived(low), Event::Arrived(high)]);
+    let actions = script.step(&[Event::Arrived(low), Event::Arrived(high)]);
     assert_eq!(refused(&actions), [21]);
 }
 
@@ -736,7 +746,7 @@
     for id in 1..=1_000 {
         said.extend(script.arrive(id, 0));
         script.now += 20 * MS;
-        said.extend(script.hear(&[Event::TimerExpired { token: 0, gauges }]));
+        said.extend(script.step(&[Event::TimerExpired { token: 0, gauges }]));
     }
     said.iter()
         .filter_map(|a| {
@@ -750,7 +760,7 @@
 }
 
 #[test]
-fn connections_of_many_callers_are_closed_sooner_and_those_of_few_are_kept() {
+fn closes_idle_connections_of_many_callers_sooner_than_those_of_few() {
     assert_eq!(
         idle_times(5, 2.0).last(),
         Some(&(30 * SECOND)),
@@ -769,22 +779,22 @@
 }
 
 #[test]
-fn a_cut_left_from_a_queue_refuses_nothing_that_can_run_at_once() {
+fn rank_threshold_left_from_a_queue_rejects_nothing_that_can_run_at_once() {
     let mut settings = settings();
     settings.classes[0].late_weight_ratio = 0.5;
     let mut script = Script::new(settings);
     for id in 1..=30 {
         script.arrive(id, 0);
     }
-    script.pass(800 * MS);
+    script.pass_time(800 * MS);
     assert_eq!(refused(&script.arrive(31, 0)), [31]);
     let ends: Vec<Event> = (1..=30).map(|id| ended(id, SECOND)).collect();
-    script.hear(&ends);
+    script.step(&ends);
     assert_eq!(runs(&script.arrive(32, 0)), [32]);
 }
 
 #[test]
-fn where_many_arrivals_are_further_tries_a_first_try_refused_goes_nowhere_else() {
+fn forbids_failover_of_first_attempts_where_many_arrivals_are_retries() {
     let mut script = Script::new(settings());
     for id in 1..=9 {
         script.arrive(id, 0);
@@ -794,7 +804,7 @@
             is_retry: true,
             ..script.request(id, 0)
         };
-        script.hear(&[Event::Arrived(again)]);
+        script.step(&[Event::Arrived(again)]);
     }
     let first = script.arrive(20, 0);
     assert!(matches!(
@@ -808,7 +818,7 @@
 }
 
 #[test]
-fn a_clients_own_further_try_is_no_older_than_its_whole_time_tells() {
+fn retry_is_no_older_than_its_remaining_time_shows() {
     let mut script = Script::new(settings());
     // First tries come with 4 of the 8 seconds; a client's last try has all that is left, 7 of them.
     let first = Request {
@@ -820,24 +830,24 @@
         is_retry: true,
         ..script.request(2, 0)
     };
-    script.hear(&[Event::Arrived(again), Event::Arrived(first)]);
+    script.step(&[Event::Arrived(again), Event::Arrived(first)]);
     let walked = Request {
         respond_by: Some(script.now + 3_500 * MS),
         is_retry: true,
         ..script.request(3, 0)
     };
     // Aged by half a second: it has one and a half left for its run, and is held.
-    assert!(refused(&script.hear(&[Event::Arrived(walked)])).is_empty());
+    assert!(refused(&script.step(&[Event::Arrived(walked)])).is_empty());
     let stale = Request {
         respond_by: Some(script.now + 2_100 * MS),
         is_retry: true,
         ..script.request(4, 0)
     };
-    assert_eq!(refused(&script.hear(&[Event::Arrived(stale)])), [4]);
+    assert_eq!(refused(&script.step(&[Event::Arrived(stale)])), [4]);
 }
 
 #[test]
-fn where_less_than_one_call_is_ours_a_call_gets_what_the_share_leaves_of_its_span() {
+fn call_gets_the_time_that_a_quota_below_one_leaves_of_its_window() {
     let mut settings = Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 0.5,
@@ -848,7 +858,7 @@
     settings.classes[2] = once(8 * SECOND);
     let mut script = Script::new(settings);
     script.arrive(1, 2);
-    let actions = script.hear(&[Event::CallRequested(1)]);
+    let actions = script.step(&[Event::CallRequested(1)]);
     assert_eq!(
         actions,
         [Action::Call {
@@ -858,10 +868,10 @@
         "2.5 s less the time it may linger"
     );
     script.now += SECOND;
-    script.hear(&[called(1, Outcome::Success, SECOND), ended(1, SECOND)]);
+    script.step(&[called(1, Outcome::Success, SECOND), ended(1, SECOND)]);
     script.arrive(2, 2);
-    let mut later = script.hear(&[Event::CallRequested(2)]);
-    later.extend(script.pass(SECOND));
+    let mut later = script.step(&[Event::CallRequested(2)]);
+    later.extend(script.pass_time(SECOND));
     assert!(
         later.contains(&Action::Call {
             id: 2,
@@ -872,7 +882,7 @@
 }
 
 #[test]
-fn a_tenant_of_few_tries_is_not_over_its_share_by_chance() {
+fn tenant_of_few_attempts_is_not_over_its_quota_by_chance() {
     let tenants = vec![
         Tenant {
             quota_per_second: 1_000.0,
@@ -903,13 +913,13 @@
         (8, 1),
         (9, 1),
     ] {
-        assert!(refused(&script.hear(&[of(&script, id, tenant)])).is_empty());
+        assert!(refused(&script.step(&[of(&script, id, tenant)])).is_empty());
     }
     // Two tries here stand for 75 a second of the fleet, against 50, but two may be chance.
-    assert_eq!(refused(&script.hear(&[of(&script, 10, 0)])), [10]);
+    assert_eq!(refused(&script.step(&[of(&script, 10, 0)])), [10]);
     for id in 11..=14 {
-        script.hear(&[of(&script, id, 1)]);
+        script.step(&[of(&script, id, 1)]);
     }
     // Six are not: its requests make way.
-    assert_eq!(refused(&script.hear(&[of(&script, 15, 0)])), [9]);
+    assert_eq!(refused(&script.step(&[of(&script, 15, 0)])), [9]);
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 
 /// A generator of its own (splitmix64), so that a sequence is the same on every machine.
-struct Chance(u64);
+struct RandomSource(u64);
 
-impl Chance {
-    fn below(&mut self, limit: u64) -> u64 {
+impl RandomSource {
+    fn next_below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -19,8 +19,8 @@
         (z ^ (z >> 31)) % limit
     }
 
-    fn one_in(&mut self, n: u64) -> bool {
-        self.below(n) == 0
+    fn is_one_in(&mut self, n: u64) -> bool {
+        self.next_below(n) == 0
     }
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct RequestRecord {
     class: usize,
     /// What it shares with its further tries.
     key: u64,
@@ -51,25 +51,25 @@
 }
 
 /// The server around one controller: plays random events and holds every action against the rules.
-struct World {
+struct ServerModel {
     settings: Settings,
     controller: Controller,
-    chance: Chance,
+    chance: RandomSource,
     now: Micros,
-    seen: BTreeMap<RequestId, Seen>,
+    seen: BTreeMap<RequestId, RequestRecord>,
     /// Entries in the table of keys: the key's holder and when it runs out.
     entries: BTreeMap<RequestId, Micros>,
     drain: Option<(Micros, Micros)>,
     log: Vec<Action>,
 }
 
-impl World {
+impl ServerModel {
     fn new(settings: Settings, seed: u64) -> Self {
         let controller = Controller::new(settings.clone(), seed);
         let mut world = Self {
             settings,
             controller,
-            chance: Chance(seed),
+            chance: RandomSource(seed),
             now: 50 * SECOND,
             seen: BTreeMap::new(),
             entries: BTreeMap::new(),
@@ -87,7 +87,7 @@
             self.take(action);
         }
         self.log.extend(actions);
-        self.hold_to_the_rules();
+        self.check_invariants();
     }
 
     fn take(&mut self, action: &Action) {
@@ -183,7 +183,7 @@
         }
     }
 
-    fn hold_to_the_rules(&mut self) {
+    fn check_invariants(&mut self) {
         self.entries.retain(|_, until| *until > self.now);
         let (mut memory, mut on_cores, mut calls) =
             (self.entries.len() as f64 * self.settings.key_entry_kb, 0, 0);
@@ -221,7 +221,7 @@
 
     /// A new request, or now and then a further try of a keyed one.
     fn arrival(&mut self, id: RequestId) -> Event {
-        let class = self.chance.below(self.settings.classes.len() as u64) as usize;
+        let class = self.chance.next_below(self.settings.classes.len() as u64) as usize;
         let keyed = self.settings.classes[class].effect == Effect::Deduplicated;
         let fresh_key = id << 8;
         let tries: Vec<u64> = self
@@ -230,9 +230,9 @@
             .filter(|s| s.class == class)
             .map(|s| s.key)
             .collect();
-        let again = keyed && !tries.is_empty() && self.chance.one_in(3);
+        let again = keyed && !tries.is_empty() && self.chance.is_one_in(3);
         let key = if again {
-            tries[self.chance.below(tries.len() as u64) as usize]
+            tries[self.chance.next_below(tries.len() as u64) as usize]
         } else {
             fresh_key
         };
@@ -244,15 +244,15 @@
             .find(|(_, s)| s.key == key && s.at == At::Held)
             .map(|(other, _)| *other);
         let prior = held.or(kept);
-        let waited = self.chance.below(20) * MS;
+        let waited = self.chance.next_below(20) * MS;
         let arrived = self.now - waited;
-        let due = self.now + (1 + self.chance.below(6)) * SECOND;
-        let memory_kb = 5.0 + self.chance.below(40) as f64;
+        let due = self.now + (1 + self.chance.next_below(6)) * SECOND;
+        let memory_kb = 5.0 + self.chance.next_below(40) as f64;
         // What is not held can only be repeated by sharing.
         let at = prior
             .filter(|_| held.is_none())
             .map_or(At::Held, At::Sharing);
-        let seen = Seen {
+        let seen = RequestRecord {
             class,
             key,
             arrived,
@@ -265,11 +265,11 @@
             memory_kb,
         };
         self.seen.insert(id, seen);
-        let (retry, rank) = (again, self.chance.below(100) as f64 / 100.0);
+        let (retry, rank) = (again, self.chance.next_below(100) as f64 / 100.0);
         let work = self
             .chance
-            .one_in(2)
-            .then(|| (50 + self.chance.below(500)) * MS);
+            .is_one_in(2)
+            .then(|| (50 + self.chance.next_below(500)) * MS);
         let request = Request {
             id,
             class,
@@ -293,7 +293,7 @@
         let elapsed = self.now - request.started;
         let outcome = match request.at {
             At::Over => return None,
-            At::Held if !request.answered && self.chance.one_in(200) => {
+            At::Held if !request.answered && self.chance.is_one_in(200) => {
                 let request = self.seen.get_mut(&id).expect("seen");
                 (request.answered, request.at) = (true, At::Over);
                 return Some(Event::Abandoned(id));
@@ -301,7 +301,7 @@
             At::Held => return None,
             At::Cores
                 if self.settings.classes[request.class].calls_dependency
-                    && self.chance.one_in(6) =>
+                    && self.chance.is_one_in(6) =>
             {
                 self.seen.get_mut(&id).expect("seen").at =
                     if request.answered { At::Over } else { At::Call };
@@ -310,14 +310,14 @@
                 }
                 Outcome::Cancelled
             }
-            At::Cores if self.chance.one_in(8) => {
+            At::Cores if self.chance.is_one_in(8) => {
                 [Outcome::Success, Outcome::Success, Outcome::Failure]
-                    [self.chance.below(3) as usize]
+                    [self.chance.next_below(3) as usize]
             }
             At::Cores => return None,
             At::Call | At::Called if request.answered => Outcome::Cancelled,
             At::Call => return None,
-            At::Called if self.chance.one_in(5) => {
+            At::Called if self.chance.is_one_in(5) => {
                 let outcome = [
                     Outcome::Success,
                     Outcome::Success,
@@ -326,7 +326,7 @@
                     Outcome::TimedOut,
                     Outcome::Unreachable,
                     Outcome::Interrupted,
-                ][self.chance.below(7) as usize];
+                ][self.chance.next_below(7) as usize];
                 let at = if outcome == Outcome::Success {
                     At::Cores
                 } else {
@@ -338,7 +338,7 @@
                     outcome,
                     Outcome::Failure | Outcome::TimedOut | Outcome::Interrupted
                 );
-                return Some(called(id, outcome, self.chance.below(800) * MS));
+                return Some(called(id, outcome, self.chance.next_below(800) * MS));
             }
             At::Called => return None,
             At::Sharing(prior) => {
@@ -364,12 +364,12 @@
     fn play(mut self, steps: u64, drains: bool) -> Vec<Action> {
         let mut next = 1;
         for step in 0..steps {
-            self.now += (1 + self.chance.below(40)) * MS;
+            self.now += (1 + self.chance.next_below(40)) * MS;
             let ids: Vec<RequestId> = self.seen.keys().copied().collect();
             let mut events: Vec<Event> =
                 ids.into_iter().filter_map(|id| self.progress(id)).collect();
             let gauges = Gauges {
-                runnable: Some(self.chance.below(8) as f64),
+                runnable: Some(self.chance.next_below(8) as f64),
                 memory: None,
             };
             events.push(Event::TimerExpired { token: 0, gauges });
@@ -382,19 +382,19 @@
             if self
                 .drain
                 .is_none_or(|(_, stop_at)| self.now + SECOND < stop_at)
-                && self.chance.one_in(2)
+                && self.chance.is_one_in(2)
             {
                 let event = self.arrival(next);
                 next += 1;
                 self.step(&[event]);
             }
         }
-        self.wind_down();
+        self.finish_all();
         self.log
     }
 
     /// Lets all end, and sees that nothing is left behind.
-    fn wind_down(&mut self) {
+    fn finish_all(&mut self) {
         for _ in 0..1_500 {
             self.now += 10 * MS;
             let ids: Vec<RequestId> = self.seen.keys().copied().collect();
@@ -443,7 +443,7 @@
 fn play_all(settings: &Settings) {
     for seed in 0..6 {
         for drains in [false, true] {
-            World::new(settings.clone(), seed).play(600, drains);
+            ServerModel::new(settings.clone(), seed).play(600, drains);
         }
     }
 }
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn nor_on_a_cold_server_with_one_core_and_little_memory() {
+fn random_events_never_break_a_rule_on_a_cold_server_with_one_core_and_little_memory() {
     play_all(&Settings {
         cores: 1,
         cold_start: true,
@@ -468,7 +468,7 @@
 }
 
 #[test]
-fn nor_with_a_share_near_zero_or_nothing_below_or_a_tier() {
+fn random_events_never_break_a_rule_with_any_kind_of_dependency() {
     play_all(&Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 0.01,
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn nor_with_tenants_and_a_thousand_callers_or_with_no_windows() {
+fn random_events_never_break_a_rule_with_tenants_and_many_callers_or_without_windows() {
     let tenants = vec![
         Tenant {
             quota_per_second: 3.0,
@@ -514,14 +514,14 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_actions() {
-    let log = |seed| World::new(varied(), seed).play(400, true);
+fn same_seed_gives_the_same_actions() {
+    let log = |seed| ServerModel::new(varied(), seed).play(400, true);
     assert_eq!(log(5), log(5));
     assert_ne!(log(5), log(6));
 }
 
 #[test]
-fn nor_the_crowd_on_the_cores_where_it_is_small() {
+fn random_events_never_exceed_a_small_survivable_concurrency() {
     let mut crowded = Settings {
         overload_concurrency_per_core: 2.0,
         dependency: DependencyLimit::NoDependency,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,40 +6,40 @@
 use common::*;
 
 #[test]
-fn a_running_request_is_failed_before_its_due_time() {
+fn fails_a_running_request_before_its_deadline() {
     let mut script = Script::new(settings());
     assert_eq!(runs(&script.arrive(1, 0)), [1]);
-    assert!(failed(&script.pass(7_900 * MS)).is_empty());
-    assert_eq!(failed(&script.pass(100 * MS)), [1]);
+    assert!(failed(&script.pass_time(7_900 * MS)).is_empty());
+    assert_eq!(failed(&script.pass_time(100 * MS)), [1]);
     // It was answered: nothing more is said, and its end is harmless.
-    assert!(script.hear(&[ended(1, 8 * SECOND)]).is_empty());
-    assert!(script.pass(SECOND).is_empty());
+    assert!(script.step(&[ended(1, 8 * SECOND)]).is_empty());
+    assert!(script.pass_time(SECOND).is_empty());
 }
 
 #[test]
-fn without_a_due_time_the_class_deadline_counts_from_arrival_at_the_machine() {
+fn counts_the_client_timeout_from_receipt_where_no_deadline_is_known() {
     let mut script = Script::new(settings());
     let request = Request {
         respond_by: None,
         read_delay: 1_500 * MS,
         ..script.request(1, 0)
     };
-    assert_eq!(runs(&script.hear(&[Event::Arrived(request)])), [1]);
-    assert_eq!(failed(&script.pass(6_500 * MS)), [1]);
+    assert_eq!(runs(&script.step(&[Event::Arrived(request)])), [1]);
+    assert_eq!(failed(&script.pass_time(6_500 * MS)), [1]);
 }
 
 #[test]
-fn a_caller_that_has_gone_gets_no_answer() {
+fn sends_no_response_to_an_abandoned_request() {
     let mut script = Script::new(settings());
     script.arrive(1, 0);
-    assert!(script.hear(&[Event::Abandoned(1)]).is_empty());
-    assert!(script.pass(9 * SECOND).is_empty());
+    assert!(script.step(&[Event::Abandoned(1)]).is_empty());
+    assert!(script.pass_time(9 * SECOND).is_empty());
 }
 
 /// Where the deployment lets runs be stopped, that of a read whose caller has gone, or that is failed, is; never one that has
 /// an effect, and nowhere else.
 #[test]
-fn only_a_read_that_is_over_is_stopped_and_only_where_that_may_be() {
+fn preempts_only_settled_reads_and_only_where_allowed() {
     for (halt, class, stops) in [
         (Preemption::Never, 0, false),
         (Preemption::Discard, 0, true),
@@ -53,26 +53,26 @@
         script.arrive(1, class);
         let expected: Vec<_> = stops.then_some(Action::Preempt(1)).into_iter().collect();
         assert_eq!(
-            script.hear(&[Event::Abandoned(1)]),
+            script.step(&[Event::Abandoned(1)]),
             expected,
             "{halt:?}, class {class}"
         );
-        assert_eq!(script.hear(&[ended(1, 5 * MS)]), [], "its end is no news");
+        assert_eq!(script.step(&[ended(1, 5 * MS)]), [], "its end is no news");
         script.arrive(2, class);
-        let actions = script.pass(9 * SECOND);
+        let actions = script.pass_time(9 * SECOND);
         assert_eq!(failed(&actions), [2]);
         assert_eq!(actions.contains(&Action::Preempt(2)), stops);
     }
 }
 
 #[test]
-fn a_keyed_request_is_kept_for_its_window_from_arrival() {
+fn remembers_a_key_for_its_window_from_arrival() {
     let mut script = Script::new(settings());
     let request = Request {
         read_delay: 300 * MS,
         ..script.request(1, 1)
     };
-    let actions = script.hear(&[Event::Arrived(request)]);
+    let actions = script.step(&[Event::Arrived(request)]);
     let lifetime = 20 * SECOND - 300 * MS + 15 * MS;
     assert_eq!(
         actions,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_shares_the_answer_of_a_run_and_is_never_refused_or_run() {
+fn repeat_shares_the_response_of_a_run_and_is_never_rejected_or_run() {
     let mut script = Script::new(settings());
     script.arrive(1, 1);
     let repeat = Request {
@@ -89,31 +89,31 @@
         ..script.request(2, 1)
     };
     assert_eq!(
-        script.hear(&[Event::Arrived(repeat)]),
+        script.step(&[Event::Arrived(repeat)]),
         [Action::ShareResponse(2)]
     );
-    let later = script.pass(8 * SECOND);
+    let later = script.pass_time(8 * SECOND);
     assert_eq!(failed(&later), [1, 2]);
     assert!(runs(&later).is_empty() && refused(&later).is_empty());
 }
 
 #[test]
-fn a_keyed_repeat_of_a_run_long_over_shares_its_answer() {
+fn repeat_of_a_run_long_over_shares_its_response() {
     let mut script = Script::new(settings());
     script.arrive(1, 1);
-    script.hear(&[ended(1, 100 * MS)]);
+    script.step(&[ended(1, 100 * MS)]);
     let repeat = Request {
         duplicate_of: Some(1),
         ..script.request(2, 1)
     };
     assert_eq!(
-        script.hear(&[Event::Arrived(repeat)]),
+        script.step(&[Event::Arrived(repeat)]),
         [Action::ShareResponse(2)]
     );
 }
 
 #[test]
-fn a_keyed_request_still_held_gives_way_to_its_newer_try() {
+fn queued_request_yields_to_its_newer_attempt() {
     let mut script = Script::new(settings());
     script.arrive(1, 0);
     script.arrive(2, 0);
@@ -122,14 +122,14 @@
         duplicate_of: Some(3),
         ..script.request(4, 1)
     };
-    let actions = script.hear(&[Event::Arrived(repeat)]);
+    let actions = script.step(&[Event::Arrived(repeat)]);
     assert_eq!(refused(&actions), [3]);
     assert!(!actions.contains(&Action::ShareResponse(4)));
-    assert_eq!(runs(&script.hear(&[ended(1, 100 * MS)])), [4]);
+    assert_eq!(runs(&script.step(&[ended(1, 100 * MS)])), [4]);
 }
 
 #[test]
-fn two_tries_in_one_round_that_name_each_other_get_one_run() {
+fn two_attempts_in_one_step_that_name_each_other_get_one_run() {
     let mut script = Script::new(settings());
     let first = Request {
         duplicate_of: Some(2),
@@ -139,13 +139,13 @@
         duplicate_of: Some(1),
         ..script.request(2, 1)
     };
-    let actions = script.hear(&[Event::Arrived(first), Event::Arrived(second)]);
+    let actions = script.step(&[Event::Arrived(first), Event::Arrived(second)]);
     assert_eq!(runs(&actions), [2]);
     assert!(actions.contains(&Action::ShareResponse(1)));
 }
 
 #[test]
-fn a_call_is_repeated_only_where_it_never_ran_or_repeats_are_safe() {
+fn repeats_a_call_only_where_it_never_ran_or_is_idempotent() {
     for (effect, outcome, again) in [
         (Effect::Deduplicated, Outcome::TimedOut, false),
         (Effect::Deduplicated, Outcome::Failure, false),
@@ -159,10 +159,10 @@
             ..settings()
         });
         script.arrive(1, 0);
-        assert_eq!(calls(&script.hear(&[Event::CallRequested(1)])), [1]);
+        assert_eq!(calls(&script.step(&[Event::CallRequested(1)])), [1]);
         script.now += 10 * MS;
-        let mut actions = script.hear(&[called(1, outcome, 10 * MS)]);
-        actions.extend(script.pass(SECOND));
+        let mut actions = script.step(&[called(1, outcome, 10 * MS)]);
+        actions.extend(script.pass_time(SECOND));
         assert_eq!(
             calls(&actions).len(),
             usize::from(again),
@@ -177,11 +177,11 @@
 }
 
 #[test]
-fn after_the_grace_nothing_new_runs_and_all_is_answered_before_the_stop() {
+fn runs_nothing_new_after_the_grace_and_responds_to_all_before_the_stop() {
     let mut script = Script::new(settings());
     script.arrive(1, 0);
     let stop_at = script.now + 4 * SECOND;
-    let actions = script.hear(&[Event::DrainStarted { stop_at }]);
+    let actions = script.step(&[Event::DrainStarted { stop_at }]);
     assert!(actions.contains(&Action::SetHealth {
         healthy: false,
         from_state: true
@@ -190,13 +190,16 @@
     assert_eq!(runs(&script.arrive(2, 0)), [2], "within the grace");
     script.now += 20 * MS;
     assert_eq!(refused(&script.arrive(3, 0)), [3], "after the grace");
-    assert_eq!(failed(&script.pass(stop_at - 60 * MS - script.now)), [1, 2]);
+    assert_eq!(
+        failed(&script.pass_time(stop_at - 60 * MS - script.now)),
+        [1, 2]
+    );
 }
 
 #[test]
-fn what_reached_the_machine_within_the_grace_but_was_read_later_may_run() {
+fn may_run_what_was_received_within_the_grace_and_read_later() {
     let mut script = Script::new(settings());
-    script.hear(&[Event::DrainStarted {
+    script.step(&[Event::DrainStarted {
         stop_at: script.now + 5 * SECOND,
     }]);
     script.now += 2_100 * MS;
@@ -208,12 +211,12 @@
         read_delay: 50 * MS,
         ..script.request(2, 0)
     };
-    let actions = script.hear(&[Event::Arrived(early), Event::Arrived(late)]);
+    let actions = script.step(&[Event::Arrived(early), Event::Arrived(late)]);
     assert_eq!((runs(&actions), refused(&actions)), (vec![1], vec![2]));
 }
 
 #[test]
-fn memory_is_never_taken_beyond_the_margin() {
+fn never_takes_memory_beyond_the_margin() {
     let mut script = Script::new(Settings {
         memory_kb: 200.0,
         cores: 8,
@@ -229,23 +232,23 @@
 }
 
 #[test]
-fn no_more_run_than_the_limit_and_a_call_frees_its_core() {
+fn runs_no_more_than_the_limit_and_a_call_frees_its_core() {
     let mut script = Script::new(settings());
     let mut actions = script.arrive(1, 2);
     actions.extend(script.arrive(2, 0));
     actions.extend(script.arrive(3, 0));
     assert_eq!(runs(&actions), [1, 2]);
-    assert_eq!(runs(&script.hear(&[Event::CallRequested(1)])), [3]);
+    assert_eq!(runs(&script.step(&[Event::CallRequested(1)])), [3]);
 }
 
 #[test]
-fn same_events_same_actions() {
+fn same_events_give_the_same_actions() {
     let play = || {
         let mut script = Script::new(settings());
         let mut all = Vec::new();
         for id in 1..=60 {
             all.extend(script.arrive(id, (id % 3) as usize));
-            all.extend(script.pass(40 * MS));
+            all.extend(script.pass_time(40 * MS));
         }
         all
     };
@@ -254,7 +257,7 @@
 }
 
 #[test]
-fn events_for_requests_already_over_are_harmless() {
+fn ignores_events_of_requests_that_are_over() {
     let mut script = Script::new(settings());
     let gone = [
         Event::Abandoned(9),
@@ -262,11 +265,11 @@
         called(9, Outcome::Success, 1),
         ended(9, 1),
     ];
-    assert!(script.hear(&gone).is_empty());
+    assert!(script.step(&gone).is_empty());
 }
 
 #[test]
-fn odd_settings_neither_stall_nor_panic() {
+fn unusual_settings_neither_stall_nor_panic() {
     let odd = Settings {
         classes: vec![Class {
             latency_objective: 0,
@@ -294,5 +297,5 @@
     let mut script = Script::new(odd);
     let actions = script.arrive(1, 0);
     assert_eq!(runs(&actions).len() + refused(&actions).len(), 1);
-    script.pass(200 * MS);
+    script.pass_time(200 * MS);
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_empty_round_is_answered_and_the_end_of_input_is_a_success() {
+fn answers_an_empty_round_and_succeeds_at_the_end_of_input() {
     let output = host(&[
         r#"{"verb":"tick","clock":8412250,"round":1}"#,
         r#"{"verb":"go"}"#,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_runs_calls_and_ends_on_the_wire() {
+fn request_runs_calls_and_ends_on_the_wire() {
     let output = host(&[
         r#"{"verb":"tick","clock":1000000,"round":1}"#,
         BOOT,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_retired_life_is_forgotten_and_its_number_may_come_again_at_once() {
+fn forgets_a_retired_instance_whose_name_may_come_again_at_once() {
     let output = host(&[
         r#"{"verb":"tick","clock":1000000,"round":1}"#,
         BOOT,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn instances_together_act_as_they_do_apart() {
+fn instances_act_the_same_together_and_apart() {
     let round = |names: &[&str]| {
         let mut lines = vec![r#"{"verb":"tick","clock":1000000,"round":1}"#.to_owned()];
         for name in names {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_event_of_unknown_kind_is_reported_and_skipped() {
+fn reports_and_skips_an_event_of_unknown_kind() {
     let output = host(&[
         r#"{"verb":"tick","clock":1,"round":4}"#,
         r#"{"verb":"novelty","instance_id":"instance/1"}"#,
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_status_one_and_a_line_that_names_the_fault() {
+fn malformed_input_ends_with_status_one_and_names_the_fault() {
     let accept =
         r#"{"verb":"accept","instance_id":"instance/1","rid":"00000000000000ff","category":3}"#;
     let cases: [(&[&str], &str); 7] = [
