--- /dev/null
+++ b/crates/membership/src/authentication/tests.rs
@@ -0,0 +1,55 @@
+//! Key rotation, tampering and key files.
+
+use super::*;
+
+fn line(number: u8, byte: &str) -> String {
+    format!("{number} {}\n", byte.repeat(32))
+}
+
+#[test]
+fn key_rotation_never_rejects_a_datagram_of_the_previous_stage() {
+    let keys = |text: String| KeyRing::parse(&text).expect("keys");
+    let stages = [
+        keys(line(1, "a1")),
+        keys(line(1, "a1") + &line(2, "b2")),
+        keys(line(2, "b2") + &line(1, "a1")),
+        keys(line(2, "b2")),
+    ];
+    for pair in stages.windows(2) {
+        for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
+            assert_eq!(to.open(&from.seal(b"so many")), Ok(&b"so many"[..]));
+        }
+    }
+    assert_eq!(
+        stages[3].open(&stages[0].seal(b"x")),
+        Err(AuthenticationError::UnknownKey(1))
+    );
+}
+
+#[test]
+fn rejects_a_datagram_with_any_byte_changed() {
+    let keys = KeyRing::parse(&line(7, "0f")).expect("a key");
+    let sealed = keys.seal(b"payload");
+    for at in 0..sealed.len() {
+        let mut other = sealed.clone();
+        other[at] ^= 1;
+        assert!(keys.open(&other).is_err(), "byte {at}");
+    }
+    assert_eq!(keys.open(&sealed[..32]), Err(AuthenticationError::TooShort));
+}
+
+#[test]
+fn invalid_key_file_is_reported_with_its_line() {
+    let fault = |text: &str| KeyRing::parse(text).expect_err("faulty");
+    assert_eq!(fault("# none\n\n"), InvalidKeys::NoKey);
+    assert_eq!(
+        fault(&(line(1, "aa") + "2 short")),
+        InvalidKeys::MalformedLine(2)
+    );
+    assert_eq!(
+        fault(&(line(1, "aa") + &line(1, "bb"))),
+        InvalidKeys::DuplicateNumber { line: 2, number: 1 }
+    );
+    let five: String = (0..5).map(|number| line(number, "cc")).collect();
+    assert_eq!(fault(&five), InvalidKeys::TooMany(5));
+}
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,43 +1,52 @@
-//! A process as others know it.
+//! The identity of a process, as other processes know it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Bytes of a name, a zone or a host. Guards the datagrams' size, in which several members travel.
-pub const MOST_BYTES: usize = 48;
+/// Longest label, in bytes: a datagram carries several members, each with three labels.
+pub const MAX_LABEL_BYTES: usize = 48;
 
-/// A name, a zone or a host: printable, not empty, and short.
+/// The name of a process, a zone or a host: printable ASCII without blanks, at least one byte and
+/// at most [`MAX_LABEL_BYTES`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Label(String);
 
-/// Why a text is no [`Label`].
+/// Why a text is not a [`Label`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BadLabel {
-    /// It has no byte.
+pub enum InvalidLabel {
+    /// It is empty.
     #[error("is empty")]
     Empty,
-    /// It is too long.
-    #[error("has {0} bytes, {MOST_BYTES} at most")]
-    Long(usize),
-    /// It has a byte that is not printable ASCII.
-    #[error("has the byte {0:#04x} at {1}, and takes printable ASCII without blanks")]
-    Byte(u8, usize),
+    /// It is longer than [`MAX_LABEL_BYTES`]; this many bytes.
+    #[error("has {0} bytes, {MAX_LABEL_BYTES} at most")]
+    TooLong(usize),
+    /// It contains a byte that is not printable ASCII.
+    #[error("has the byte {byte:#04x} at {offset}, and takes printable ASCII without blanks")]
+    NotPrintable {
+        /// The byte.
+        byte: u8,
+        /// Its offset in the text, in bytes.
+        offset: usize,
+    },
 }
 
 impl TryFrom<String> for Label {
-    type Error = BadLabel;
+    type Error = InvalidLabel;
 
-    fn try_from(text: String) -> Result<Self, BadLabel> {
+    fn try_from(text: String) -> Result<Self, InvalidLabel> {
         if text.is_empty() {
-            return Err(BadLabel::Empty);
+            return Err(InvalidLabel::Empty);
         }
-        if text.len() > MOST_BYTES {
-            return Err(BadLabel::Long(text.len()));
+        if text.len() > MAX_LABEL_BYTES {
+            return Err(InvalidLabel::TooLong(text.len()));
         }
         match text.bytes().position(|byte| !byte.is_ascii_graphic()) {
-            Some(at) => Err(BadLabel::Byte(text.as_bytes()[at], at)),
+            Some(offset) => Err(InvalidLabel::NotPrintable {
+                byte: text.as_bytes()[offset],
+                offset,
+            }),
             None => Ok(Self(text)),
         }
     }
@@ -50,7 +59,7 @@
 }
 
 impl Label {
-    /// The text.
+    /// The label as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -63,15 +72,15 @@
     }
 }
 
-/// What a process is for.
+/// The job of a process in the installation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Decides on requests and has them run.
+    /// A server: admits requests and has them executed by its runtime.
     Matcher,
-    /// Routes to matchers.
+    /// Routes requests to servers.
     Gateway,
-    /// Looks after the instances of a host.
+    /// Supervises the instances of a host.
     Fleet,
 }
 
@@ -85,18 +94,21 @@
     }
 }
 
-/// A process, in one of its lives.
+/// A process under one of its incarnations.
+///
+/// The order of the fields is that of their encoding in datagrams.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, one for each process of an installation.
+    /// Its name, unique in the installation.
     pub name: Label,
-    /// Which of its lives this is; see [`incarnation`](crate::incarnation).
+    /// Its incarnation; see [`incarnation`](crate::incarnation).
     pub incarnation: u64,
-    /// A random number of this life. Tells two processes apart that have one name and, by a copied disk, one incarnation.
+    /// A random number drawn at the start of the process. It distinguishes two processes that have
+    /// the same name and, by a copied disk, the same incarnation.
     pub boot: u64,
-    /// Where its datagrams go.
+    /// The address that receives its datagrams.
     pub address: SocketAddr,
-    /// What it is for.
+    /// Its role.
     pub role: Role,
     /// Its zone.
     pub zone: Label,
@@ -105,13 +117,25 @@
 }
 
 impl Identity {
-    /// What of two lives of one name, or two processes at one address, counts: the greater.
+    /// Decides between two processes of one name or at one address: the greater one wins.
     #[must_use]
-    pub fn rank(&self) -> (u64, u64) {
-        (self.incarnation, self.boot)
+    pub fn precedence(&self) -> Precedence {
+        Precedence {
+            incarnation: self.incarnation,
+            boot: self.boot,
+        }
     }
 }
 
+/// The precedence of an identity: the later incarnation, and of equal ones the greater boot number.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Precedence {
+    /// See [`Identity::incarnation`].
+    pub incarnation: u64,
+    /// See [`Identity::boot`].
+    pub boot: u64,
+}
+
 impl fmt::Display for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{} at {}", self.name, self.incarnation, self.address)
@@ -121,7 +145,8 @@
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
 
-    /// Never by itself: who has the name by then is looked at first.
+    /// Never: the state machine first checks whether another process has taken the name, and then
+    /// changes the identity itself.
     fn renew(&self) -> Option<Self> {
         None
     }
@@ -131,24 +156,9 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.rank() > adversary.rank()
+        self.precedence() > adversary.precedence()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn labels_are_short_and_printable_and_say_what_is_wrong() {
-        let label = |text: &str| Label::try_from(text.to_owned());
-        assert_eq!(label("g-1.mona").expect("fits").as_str(), "g-1.mona");
-        assert_eq!(label(""), Err(BadLabel::Empty));
-        assert_eq!(label(&"x".repeat(49)), Err(BadLabel::Long(49)));
-        assert_eq!(label("a b"), Err(BadLabel::Byte(b' ', 1)));
-        assert_eq!(
-            label("a\u{e4}").expect_err("no ASCII").to_string(),
-            "has the byte 0xc3 at 1, and takes printable ASCII without blanks"
-        );
-    }
-}
+mod tests;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,24 +1,41 @@
-//! Who is there: gossip with suspicion, after SWIM, among the processes of an installation.
+//! Cluster membership: gossip with suspicion, after SWIM, among the processes of an installation.
 //!
-//! A [`Membership`] is a state machine: datagrams and time go in, datagrams and [`Event`]s come out, and it has no sockets
-//! and no clock. What it tells is a hint and never a fact: a wrong suspicion costs capacity, so nothing that a rule rests on
-//! may follow from it alone.
+//! A [`Membership`] is a state machine without sockets and without a clock: the caller hands it
+//! datagrams and the time, and takes outgoing datagrams and [`Event`]s from it. What it reports is
+//! a hint, never a fact: a false suspicion may cost capacity, so no decision that has to be correct
+//! may rest on it alone.
 //!
-//! - [`identity`]: a process by name, address, role, zone, host and an incarnation that never comes twice.
-//! - [`incarnation`]: how that is kept across restarts and lost disks.
-//! - [`figures`]: small values of each process with a version and an age, merged in any order.
-//! - [`seal`]: the shared key that every datagram is authenticated by, and its rotation.
+//! | module | what it holds |
+//! | --- | --- |
+//! | `membership` | the state machine, over the SWIM implementation of the `foca` library |
+//! | `event`, `settings` | what it reports, and its timeouts and limits |
+//! | [`identity`] | a process: name, address, role, zone, host and incarnation |
+//! | [`incarnation`] | incarnations that are unique across restarts and lost disks |
+//! | [`shared_metrics`] | small values of each process, with a version and an age, merged in any order |
+//! | [`authentication`] | the shared keys that authenticate every datagram, and their rotation |
+//! | `shared_state`, `bounded` | the hooks into the library, which bound the memory that peers can claim |
+//! | `former_names` | names that callers in other packages still use |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bounds;
-mod core;
-pub mod figures;
+pub mod authentication;
+mod bounded;
+mod event;
+mod former_names;
 pub mod identity;
 pub mod incarnation;
-pub mod seal;
+mod membership;
+mod settings;
+pub mod shared_metrics;
+mod shared_state;
 
-pub use crate::core::{Event, Member, Membership, Settings};
-pub use figures::{Figure, Kind};
+pub use authentication::{AuthenticationError, KeyRing};
+pub use event::{Event, Member};
 pub use identity::{Identity, Label, Role};
+pub use membership::{Membership, Rejections};
+pub use settings::{InvalidSetting, Settings};
+pub use shared_metrics::{Metric, MetricKind, SharedMetrics};
+
+#[doc(hidden)]
+pub use former_names::{figures, seal};
--- /dev/null
+++ b/crates/membership/src/membership/own_metrics.rs
@@ -0,0 +1,54 @@
+//! The metrics that this process publishes about itself.
+
+use crate::identity::Identity;
+use crate::shared_metrics::{Metric, MetricKind};
+use cleatpulley_policy::interface::Micros;
+use std::collections::BTreeMap;
+
+/// The latest value of each kind.
+#[derive(Default)]
+pub(super) struct OwnMetrics {
+    values: BTreeMap<MetricKind, VersionedValue>,
+    /// When all of them are published again.
+    pub(super) next_renewal: Micros,
+}
+
+#[derive(Default)]
+struct VersionedValue {
+    /// Version that was last published under this incarnation, 0 where none was.
+    version: u64,
+    value: Vec<u8>,
+}
+
+impl OwnMetrics {
+    /// Replaces the value of a kind.
+    pub(super) fn set(&mut self, kind: MetricKind, value: Vec<u8>) {
+        self.values.entry(kind).or_default().value = value;
+    }
+
+    /// The metric of a kind as it is to be published now, under its next version.
+    pub(super) fn next_version(&mut self, owner: &Identity, kind: MetricKind) -> Option<Metric> {
+        let current = self.values.get_mut(&kind)?;
+        current.version += 1;
+        Some(Metric {
+            address: owner.address,
+            incarnation: owner.incarnation,
+            kind,
+            version: current.version,
+            value: current.value.clone(),
+        })
+    }
+
+    /// The kinds that have a value.
+    pub(super) fn kinds(&self) -> Vec<MetricKind> {
+        self.values.keys().copied().collect()
+    }
+
+    /// Starts the versions again under a new incarnation, with a renewal at once.
+    pub(super) fn restart_versions(&mut self, now: Micros) {
+        for current in self.values.values_mut() {
+            current.version = 0;
+        }
+        self.next_renewal = now;
+    }
+}
--- /dev/null
+++ b/crates/membership/src/membership/timers.rs
@@ -0,0 +1,58 @@
+//! The timers of the SWIM library.
+
+use super::effects::DelayedTimer;
+use crate::identity::Identity;
+use cleatpulley_policy::interface::Micros;
+use foca::Timer;
+use std::collections::BTreeMap;
+
+/// A poll that is late by this much was not delayed by a slow network: this process was paused.
+const OWN_PAUSE_THRESHOLD: Micros = 300_000;
+
+/// Timers by deadline; those of one deadline in the order in which they were started.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    timers: BTreeMap<(Micros, u64), Timer<Identity>>,
+    /// Number of timers that were started.
+    started: u64,
+}
+
+impl TimerQueue {
+    pub(super) fn start(&mut self, now: Micros, delayed: DelayedTimer) {
+        self.started += 1;
+        let deadline = now + delayed.delay;
+        self.timers.insert((deadline, self.started), delayed.timer);
+    }
+
+    /// Removes and returns the first timer whose deadline has passed.
+    pub(super) fn pop_expired(&mut self, now: Micros) -> Option<Timer<Identity>> {
+        let first = self.timers.first_entry()?;
+        let (deadline, _) = *first.key();
+        (deadline <= now).then(|| first.remove())
+    }
+
+    /// The earliest deadline; none without a timer.
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
+        self.timers.keys().next().map(|(deadline, _)| *deadline)
+    }
+
+    /// Postpones all timers by the time for which this process was paused, if it was. It would
+    /// otherwise take its own silence for that of the others, and declare them down.
+    pub(super) fn forgive_own_pause(&mut self, now: Micros) {
+        let Some(first_deadline) = self.next_deadline() else {
+            return;
+        };
+        let delay = now.saturating_sub(first_deadline);
+        if delay < OWN_PAUSE_THRESHOLD {
+            return;
+        }
+        self.timers = std::mem::take(&mut self.timers)
+            .into_iter()
+            .map(|((deadline, number), timer)| ((deadline + delay, number), timer))
+            .collect();
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.timers.clear();
+    }
+}
--- /dev/null
+++ b/crates/membership/src/settings.rs
@@ -0,0 +1,156 @@
+//! Timeouts and limits of the membership protocol.
+
+use crate::authentication::HEADER_BYTES;
+use crate::shared_metrics::RENEWAL_INTERVAL;
+use cleatpulley_policy::interface::Micros;
+use foca::{Config, PeriodicParams};
+use std::num::{NonZeroU8, NonZeroUsize};
+use std::ops::RangeInclusive;
+use std::time::Duration;
+
+/// Largest datagram sent, in bytes: below the MTU of any path, so that none is fragmented.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Bytes before the gossip in a datagram: the authentication header and the payload's kind.
+const HEADER_AND_KIND_BYTES: usize = HEADER_BYTES + 1;
+/// Shortest probe interval that is accepted.
+const MIN_PROBE_INTERVAL: Micros = 10_000;
+/// Fewest probe intervals that a suspicion may last.
+const MIN_SUSPICION_PROBES: Micros = 2;
+/// Fewest renewals within the lifetime of a metric.
+const MIN_RENEWALS: Micros = 2;
+/// Range of the limit on known processes.
+const MEMBER_LIMITS: RangeInclusive<usize> = 2..=4_096;
+/// Processes that are asked for an indirect probe, or gossiped to in one round.
+const FANOUT: NonZeroUsize = NonZeroUsize::MIN.saturating_add(2);
+/// Times that each update is gossiped.
+const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::MIN.saturating_add(9);
+/// Probe intervals between two announcements to a live member.
+const ANNOUNCE_PROBES: Micros = 20;
+/// Probe intervals between two announcements to members that are down, by which the two sides of
+/// a healed partition find each other.
+const ANNOUNCE_TO_DOWN_PROBES: Micros = 4;
+/// Rounds of gossip in a probe interval.
+const GOSSIP_ROUNDS_PER_PROBE: Micros = 2;
+
+/// Timeouts and limits.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Settings {
+    /// Interval at which a process probes one other.
+    pub probe: Micros,
+    /// Time to wait for the ack of a direct probe before indirect probes are sent; less than half
+    /// of `probe`.
+    pub answer: Micros,
+    /// Time that a suspected process has to refute the suspicion before it is declared down.
+    pub suspicion: Micros,
+    /// Time for which a process that is down is remembered, so that late gossip about it does not
+    /// bring it back.
+    pub remembered: Micros,
+    /// Lifetime of a shared metric that is not renewed.
+    pub figures: Micros,
+    /// Limit on the number of known processes.
+    pub most: usize,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        Self {
+            probe: 500_000,
+            answer: 200_000,
+            suspicion: 5_000_000,
+            remembered: 30_000_000,
+            figures: 10_000_000,
+            most: 512,
+        }
+    }
+}
+
+/// A setting whose value is invalid by itself or does not go with the others.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {why}")]
+pub struct InvalidSetting {
+    /// Name of the setting.
+    pub key: &'static str,
+    /// What is wrong with its value.
+    pub why: String,
+}
+
+impl Settings {
+    /// Checks each value, and that they go together.
+    ///
+    /// # Errors
+    /// The first setting that is invalid.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        ensure(
+            self.probe >= MIN_PROBE_INTERVAL,
+            "probe",
+            "is less than 10 ms",
+        )?;
+        ensure(
+            self.answer > 0 && self.answer < self.probe / 2,
+            "answer",
+            "has to be more than 0 and less than half of probe, since others try in the other half",
+        )?;
+        ensure(
+            self.suspicion >= MIN_SUSPICION_PROBES * self.probe,
+            "suspicion",
+            "is less than two probes: every lost datagram would be believed",
+        )?;
+        ensure(
+            self.remembered >= self.suspicion,
+            "remembered",
+            "is less than suspicion",
+        )?;
+        ensure(
+            self.figures >= MIN_RENEWALS * RENEWAL_INTERVAL,
+            "figures",
+            "is less than 4 s, in which each is told twice",
+        )?;
+        ensure(
+            MEMBER_LIMITS.contains(&self.most),
+            "most",
+            "has to lie between 2 and 4096",
+        )
+    }
+
+    /// The settings of the SWIM library.
+    pub(crate) fn foca_config(&self) -> Config {
+        Config {
+            probe_period: Duration::from_micros(self.probe),
+            probe_rtt: Duration::from_micros(self.answer),
+            num_indirect_probes: FANOUT,
+            max_transmissions: MAX_TRANSMISSIONS,
+            suspect_to_down_after: Duration::from_micros(self.suspicion),
+            remove_down_after: Some(Duration::from_micros(self.remembered)),
+            max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES - HEADER_AND_KIND_BYTES)
+                .unwrap_or(NonZeroUsize::MIN),
+            // The library also notifies members whose suspicion had been refuted, which makes live
+            // members rejoin for nothing. The state machine sends a notification of its own.
+            notify_down_members: false,
+            periodic_announce: periodic(ANNOUNCE_PROBES * self.probe, NonZeroUsize::MIN),
+            periodic_announce_to_down_members: periodic(
+                ANNOUNCE_TO_DOWN_PROBES * self.probe,
+                FANOUT,
+            ),
+            periodic_gossip: periodic(self.probe / GOSSIP_ROUNDS_PER_PROBE, FANOUT),
+        }
+    }
+}
+
+/// Returns the error for a setting unless its condition is met.
+fn ensure(is_met: bool, key: &'static str, why: &str) -> Result<(), InvalidSetting> {
+    if is_met {
+        return Ok(());
+    }
+    Err(InvalidSetting {
+        key,
+        why: why.to_owned(),
+    })
+}
+
+/// Parameters of a message to so many members, once in each interval.
+fn periodic(interval: Micros, num_members: NonZeroUsize) -> Option<PeriodicParams> {
+    Some(PeriodicParams {
+        frequency: Duration::from_micros(interval),
+        num_members,
+    })
+}
--- /dev/null
+++ b/crates/membership/src/shared_metrics.rs
@@ -0,0 +1,179 @@
+//! Small values that each process publishes about itself, with a version and an age.
+//!
+//! They form a state-based CRDT: the same set of metrics merges to the same state in any order and
+//! with any repetition. Of two metrics of one process and kind the one of the later incarnation
+//! wins, then the higher version, then the greater bytes, so that all processes agree even on one
+//! that publishes two values under one version.
+//!
+//! A metric expires with its process, or when it has not been renewed for its lifetime. Its age is
+//! counted by the clock of the receiver from the first reception on: a lower bound, as the time in
+//! transit is not counted. Whoever uses a metric has to bound what it can change.
+
+use crate::identity::Identity;
+use cleatpulley_policy::interface::Micros;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Longest value, in bytes.
+pub const MAX_VALUE_BYTES: usize = 96;
+/// Kinds of metrics that one process may publish.
+pub const MAX_KINDS: usize = 16;
+/// Interval at which a process publishes its metrics again, changed or not, for processes that
+/// joined meanwhile.
+pub const RENEWAL_INTERVAL: Micros = 2_000_000;
+
+/// What a metric measures.
+///
+/// The order of the variants is their encoding in datagrams; `Warmth` is the least, which
+/// [`SharedMetrics::of_process`] relies on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum MetricKind {
+    /// Share of its full speed that a process has reached in its slow start, from 0 to 1.
+    Warmth,
+    /// 1 from the start of a graceful shutdown on, else 0.
+    Drain,
+    /// Work that the process can do, in the unit of its role.
+    Capacity,
+    /// Statistics of an upstream, or others, by number.
+    Other(u16),
+}
+
+/// A value published by a process under one of its incarnations.
+///
+/// The order of the fields is that of their encoding in datagrams.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Metric {
+    /// Address of the process.
+    pub address: SocketAddr,
+    /// Incarnation of the process.
+    pub incarnation: u64,
+    /// What the metric measures.
+    pub kind: MetricKind,
+    /// Version: rises with each publication under one incarnation.
+    pub version: u64,
+    /// The value; at most [`MAX_VALUE_BYTES`].
+    pub value: Vec<u8>,
+}
+
+impl Metric {
+    /// Decodes a value that is a finite number: an `f64` in little-endian bytes.
+    #[must_use]
+    pub fn as_number(&self) -> Option<f64> {
+        let bytes = <[u8; 8]>::try_from(&self.value[..]).ok()?;
+        Some(f64::from_le_bytes(bytes)).filter(|number| number.is_finite())
+    }
+
+    /// Whether this one wins over another of the same process and kind.
+    fn supersedes(&self, other: &Self) -> bool {
+        let precedence = |metric: &Self| (metric.incarnation, metric.version);
+        precedence(self)
+            .cmp(&precedence(other))
+            .then_with(|| self.value.cmp(&other.value))
+            .is_gt()
+    }
+}
+
+/// A metric, and when it was first received.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct Received {
+    metric: Metric,
+    received_at: Micros,
+}
+
+/// The merged metrics of all members.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct SharedMetrics {
+    /// Incarnations of the members, by address.
+    alive: BTreeMap<SocketAddr, u64>,
+    metrics: BTreeMap<(SocketAddr, MetricKind), Received>,
+}
+
+impl SharedMetrics {
+    /// Notes that a process is alive under this incarnation, and drops metrics of its others.
+    pub fn set_alive(&mut self, identity: &Identity) {
+        self.alive.insert(identity.address, identity.incarnation);
+        self.metrics.retain(|(address, _), received| {
+            *address != identity.address || received.metric.incarnation == identity.incarnation
+        });
+    }
+
+    /// Notes that an incarnation of a process is down, and drops its metrics.
+    pub fn set_down(&mut self, identity: &Identity) {
+        if self.alive.get(&identity.address) == Some(&identity.incarnation) {
+            self.alive.remove(&identity.address);
+            self.metrics
+                .retain(|(address, _), _| *address != identity.address);
+        }
+    }
+
+    /// Merges a metric; returns whether it changed the state.
+    ///
+    /// Ignores values over [`MAX_VALUE_BYTES`], kinds over [`MAX_KINDS`] of one process, and
+    /// metrics of processes that are not alive under the same incarnation.
+    pub fn merge(&mut self, now: Micros, metric: Metric) -> bool {
+        let is_alive = self.alive.get(&metric.address) == Some(&metric.incarnation);
+        if !is_alive || metric.value.len() > MAX_VALUE_BYTES {
+            return false;
+        }
+        let key = (metric.address, metric.kind);
+        let is_accepted = match self.metrics.get(&key) {
+            Some(known) => metric.supersedes(&known.metric),
+            None => self.of_process(metric.address).count() < MAX_KINDS,
+        };
+        if !is_accepted {
+            return false;
+        }
+        let received = Received {
+            metric,
+            received_at: now,
+        };
+        self.metrics.insert(key, received);
+        true
+    }
+
+    /// Drops metrics that are older than `lifetime`.
+    pub fn expire(&mut self, now: Micros, lifetime: Micros) {
+        self.metrics
+            .retain(|_, received| now.saturating_sub(received.received_at) <= lifetime);
+    }
+
+    /// The metrics of one process.
+    pub fn of_process(&self, address: SocketAddr) -> impl Iterator<Item = &Metric> {
+        let least_key = (address, MetricKind::Warmth);
+        self.metrics
+            .range(least_key..)
+            .take_while(move |((owner, _), _)| *owner == address)
+            .map(|(_, received)| &received.metric)
+    }
+
+    /// The metrics of a kind, each with a lower bound of its age.
+    pub fn of_kind(
+        &self,
+        now: Micros,
+        kind: MetricKind,
+    ) -> impl Iterator<Item = (&Metric, Micros)> {
+        self.metrics
+            .iter()
+            .filter(move |((_, of), _)| *of == kind)
+            .map(move |(_, received)| {
+                let age = now.saturating_sub(received.received_at);
+                (&received.metric, age)
+            })
+    }
+
+    /// The number of metrics.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.metrics.len()
+    }
+
+    /// Whether there is no metric.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.metrics.is_empty()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/membership/tests/gossip/emulated_process.rs
@@ -0,0 +1,62 @@
+//! One process of an emulated network, its identity and its key.
+
+use cleatpulley_membership::authentication::KeyRing;
+use cleatpulley_membership::{Identity, Label, Membership, Role};
+use std::net::SocketAddr;
+
+/// A process that runs.
+pub struct Process {
+    pub membership: Membership,
+    /// Datagrams that arrived while it was paused.
+    pub buffered: Vec<Vec<u8>>,
+    pub paused_until: u64,
+    pub next_deadline: u64,
+}
+
+impl Process {
+    /// When it is next polled.
+    pub fn next_poll(&self) -> u64 {
+        self.next_deadline.max(self.paused_until)
+    }
+}
+
+pub fn label(text: &str) -> Label {
+    Label::try_from(text.to_owned()).expect("a label")
+}
+
+pub fn address(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+/// The key file that all processes start with.
+pub fn first_key_file() -> String {
+    format!("1 {}\n", "5a".repeat(32))
+}
+
+pub fn first_key() -> KeyRing {
+    KeyRing::parse(&first_key_file()).expect("a key")
+}
+
+/// The identity of a process without its incarnation and boot number: a gateway where its name
+/// begins with `g`, else a server.
+pub fn identity(name: &str, port: u16) -> Identity {
+    let role = if name.starts_with('g') {
+        Role::Gateway
+    } else {
+        Role::Matcher
+    };
+    let zone = if port.is_multiple_of(2) {
+        "mona"
+    } else {
+        "portmore"
+    };
+    Identity {
+        name: label(name),
+        incarnation: 0,
+        boot: 0,
+        address: address(port),
+        role,
+        zone: label(zone),
+        host: label(&format!("h{}", port % 3)),
+    }
+}
--- /dev/null
+++ b/crates/membership/tests/gossip/main.rs
@@ -0,0 +1,12 @@
+//! Clusters of processes over an emulated network that loses, repeats, reorders and blocks
+//! datagrams.
+
+mod emulated_network;
+mod emulated_process;
+mod failure_detection;
+mod incarnations;
+mod keys_and_limits;
+mod partitions;
+mod settings;
+mod shared_metrics;
+mod timelines;
