--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,8 +1,8 @@
 //! Authentication of datagrams by shared keys, and their rotation.
 //!
-//! A datagram consists of the number of a key (1 byte), the HMAC-SHA-256 tag over that number and the
-//! payload (32 bytes), and the payload. Replayed datagrams change nothing: older incarnations and
-//! versions lose against newer ones.
+//! A datagram consists of the number of a key (1 byte), the HMAC-SHA-256 tag over that number and
+//! the payload (32 bytes), and the payload. Replayed datagrams change nothing: older incarnations
+//! and versions lose against newer ones.
 //!
 //! Keys are rotated without rejecting a datagram: first the new key is added at all processes, then
 //! it becomes the first key, which signs, at all of them, and then the old key is removed.
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -1,11 +1,11 @@
 //! Incarnations that are never used twice.
 //!
-//! The disk holds a mark: every incarnation up to it may have been used. A process that starts takes
-//! the number after the mark, and moves the mark on by a whole block *before* it uses that number.
-//! It can then raise its incarnation within the block (after a false suspicion) without a write, and
-//! a power loss wastes numbers but never repeats one. A disk that is out of date or empty is
-//! detected by gossip: [`Incarnations::advance_past`] goes above every former incarnation of this
-//! process that others have seen.
+//! The disk holds a mark: every incarnation up to it may have been used. A process that starts
+//! takes the number after the mark, and moves the mark on by a whole block *before* it uses that
+//! number. It can then raise its incarnation within the block (after a false suspicion) without a
+//! write, and a power loss wastes numbers but never repeats one. A disk that is out of date or
+//! empty is detected by gossip: [`Incarnations::advance_past`] goes above every former incarnation
+//! of this process that others have seen.
 
 use std::fmt;
 
@@ -19,7 +19,8 @@
     reserved: u64,
 }
 
-/// The highest reserved incarnation, which has to be durable before any of the reserved ones is used.
+/// The highest reserved incarnation, which has to be durable before any of the reserved ones is
+/// used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "no incarnation above the old mark may be used before this one is durable"]
 pub struct Mark(pub u64);
@@ -75,7 +76,8 @@
     }
 
     /// Whether others have seen a former incarnation of this process that is not below the current
-    /// one. The disk was out of date then, and [`advance_past`](Self::advance_past) has to be called.
+    /// one. The disk was out of date then, and [`advance_past`](Self::advance_past) has to be
+    /// called.
     #[must_use]
     pub fn is_behind(&self, highest_seen: u64) -> bool {
         highest_seen >= self.current
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,9 +11,9 @@
 //! | `event`, `settings` | what it reports, and its timeouts and limits |
 //! | [`identity`] | a process: name, address, role, zone, host and incarnation |
 //! | [`incarnation`] | incarnations that are unique across restarts and lost disks |
-//! | [`shared_metrics`] | small values of each process, with a version and an age, merged in any order |
+//! | [`shared_metrics`] | small values of each process, versioned and merged in any order |
 //! | [`authentication`] | the shared keys that authenticate every datagram, and their rotation |
-//! | `shared_state`, `bounded` | the hooks into the library, which bound the memory that peers can claim |
+//! | `shared_state`, `bounded` | the hooks of the library, with limits on what peers can claim |
 //! | `former_names` | names that callers in other packages still use |
 
 #![forbid(unsafe_code)]
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -103,7 +103,7 @@
         ensure(
             self.figures >= MIN_RENEWALS * RENEWAL_INTERVAL,
             "figures",
-            "is less than 4 s, in which each is told twice",
+            "is less than 4 s, in which each metric is renewed twice",
         )?;
         ensure(
             MEMBER_LIMITS.contains(&self.most),
