--- /dev/null
+++ b/crates/saturation-bench/src/accuracy.rs
@@ -0,0 +1,62 @@
+//! Estimates over many upstreams, compared with the truth.
+
+use crate::experiment::{run, to_micros, Experiment};
+use crate::upstream_kind::UpstreamKind;
+
+/// Length of a run, in seconds.
+const RUN_SECONDS: f64 = 60.0;
+/// Largest error by Little's law of an upstream in a steady state.
+const MAX_LITTLES_LAW_ERROR: f64 = 0.1;
+/// Distinguishes the seed of a run from that of its upstream's kind.
+const RUN_SEED: u64 = 0xACC;
+
+/// Consecutive seeds, one for each upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SeedRange {
+    /// The first seed.
+    pub first: u64,
+    /// Number of seeds.
+    pub count: u64,
+}
+
+/// How accurate the estimates of throughput at saturation are.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Accuracy {
+    /// Median relative error.
+    pub median_error: f64,
+    /// Share of the estimates whose interval contains the truth.
+    pub coverage: f64,
+    /// Upstreams that collapsed, by Little's law, and are left out: the throughput of some falls
+    /// with concurrency, and they may never recover from an overload.
+    pub collapsed: u64,
+}
+
+/// Measures the accuracy of estimates at a load, given as a share of the throughput at saturation.
+#[must_use]
+pub fn measure_accuracy(load: f64, seeds: SeedRange) -> Accuracy {
+    let mut errors = Vec::new();
+    let mut covered = 0;
+    let mut collapsed = 0;
+    for seed in seeds.first..seeds.first + seeds.count {
+        let kind = UpstreamKind::random(seed);
+        let truth = kind.saturation_throughput();
+        let arrival_rate = |_| load * truth;
+        let experiment = Experiment::new(kind, &arrival_rate, RUN_SECONDS, seed ^ RUN_SEED);
+        let mut outcome = run(experiment, |_, _| ());
+        let prediction = outcome.model.predict(to_micros(RUN_SECONDS));
+        let is_steady = prediction.littles_law_error <= MAX_LITTLES_LAW_ERROR;
+        let Some(estimate) = prediction.estimate.filter(|_| is_steady) else {
+            collapsed += 1;
+            continue;
+        };
+        errors.push((estimate.throughput / truth - 1.0).abs());
+        covered += u64::from(estimate.low <= truth && truth <= estimate.high);
+    }
+    errors.sort_by(f64::total_cmp);
+    let median = errors.get(errors.len() / 2);
+    Accuracy {
+        median_error: median.copied().unwrap_or(f64::INFINITY),
+        coverage: covered as f64 / errors.len().max(1) as f64,
+        collapsed,
+    }
+}
--- /dev/null
+++ b/crates/saturation-bench/src/checks.rs
@@ -0,0 +1,33 @@
+//! The checks, one file each.
+
+pub mod cost;
+pub mod estimates;
+pub mod goodput;
+pub mod ramps;
+pub mod regime_changes;
+pub mod report;
+
+use cleatpulley_saturation_bench::UpstreamKind;
+
+/// Upstreams in a check of changes over time.
+const UPSTREAMS: u64 = 60;
+/// Seconds in an hour.
+const HOUR: f64 = 3_600.0;
+
+/// Draws an upstream with a queue.
+fn random_queue(seed: u64) -> UpstreamKind {
+    match UpstreamKind::random(seed) {
+        queue @ UpstreamKind::Queue { .. } => queue,
+        UpstreamKind::Shared { .. } => UpstreamKind::Queue {
+            servers: 1 + seed as usize % 16,
+            service_time: 0.02,
+            variability: 0.8,
+        },
+    }
+}
+
+/// The value below which a share of the sorted values lie.
+fn quantile(sorted: &[f64], share: f64) -> f64 {
+    let index = (sorted.len() as f64 * share) as usize;
+    sorted.get(index).copied().unwrap_or(f64::NAN)
+}
--- /dev/null
+++ b/crates/saturation-bench/src/checks/cost.rs
@@ -0,0 +1,44 @@
+//! Time of an update and of a prediction, and the size of a model.
+
+use super::report::Report;
+use cleatpulley_saturation::{Completion, ModelSettings, UpstreamModel};
+use std::hint::black_box;
+use std::time::Instant;
+
+/// Requests that are sent and completed.
+const REQUESTS: u64 = 2_000_000;
+/// Time between two of them, in microseconds.
+const INTERVAL: u64 = 100;
+/// Latency of each, in microseconds.
+const LATENCY: u64 = 90;
+/// Longest time of an update, in nanoseconds.
+const UPDATE_GOAL: f64 = 300.0;
+
+/// Checks the time of an update, and prints the others.
+pub fn check(report: &mut Report) {
+    let mut model = UpstreamModel::new(ModelSettings::default());
+    let start = Instant::now();
+    for request in 0..REQUESTS {
+        let sent = request * INTERVAL;
+        let concurrency = black_box(model.on_request_sent(sent));
+        let completion = Completion {
+            concurrency,
+            latency: LATENCY,
+        };
+        model.on_completion(sent + LATENCY, completion);
+    }
+    let updates = 2 * REQUESTS;
+    let update_nanos = start.elapsed().as_nanos() as f64 / updates as f64;
+    black_box(model.in_flight());
+    let bytes = std::mem::size_of::<UpstreamModel>();
+    report.check(
+        update_nanos < UPDATE_GOAL,
+        format!("an update takes {update_nanos:.0} ns (goal 300), a model {bytes} bytes"),
+    );
+    let start = Instant::now();
+    black_box(model.predict(REQUESTS * INTERVAL));
+    println!(
+        "a prediction takes {:.2} ms",
+        start.elapsed().as_secs_f64() * 1e3
+    );
+}
--- /dev/null
+++ b/crates/saturation-bench/src/checks/goodput.rs
@@ -0,0 +1,118 @@
+//! Goodput with each limiter, on the same seeds.
+
+use super::report::Report;
+use cleatpulley_saturation::ConcurrencyLimit;
+use cleatpulley_saturation_bench::{run, Experiment, Limiter, UpstreamKind};
+
+/// Loads, as shares of the throughput at saturation.
+const LOADS: [f64; 3] = [0.9, 1.1, 1.3];
+/// Fixed limits, of which the best one counts.
+const FIXED_LIMITS: [usize; 11] = [1, 2, 4, 6, 8, 12, 16, 24, 32, 48, 64];
+/// Deadline of a response, as a multiple of the uncontended latency.
+const DEADLINE_LATENCIES: f64 = 20.0;
+/// Length of a run, in seconds.
+const RUN_SECONDS: f64 = 40.0;
+/// Threads that share the upstreams.
+const THREADS: u64 = 4;
+/// Upstreams of each thread.
+const UPSTREAMS_PER_THREAD: u64 = 10;
+/// Goodput by which a predictive limit may fall behind the reactive one.
+const TOLERANCE: f64 = 0.01;
+
+/// Goodput of one upstream as a share of its throughput at saturation, by limiter.
+#[derive(Clone, Copy)]
+struct Goodput {
+    unlimited: f64,
+    reactive: f64,
+    best_fixed: f64,
+    predictive: f64,
+}
+
+/// A mean over upstreams, and its standard error.
+struct Mean {
+    mean: f64,
+    standard_error: f64,
+}
+
+/// Checks that estimates cost no goodput.
+pub fn check(report: &mut Report) {
+    println!(
+        "goodput as a share of the throughput at saturation, 40 upstreams, mean and standard error"
+    );
+    for load in LOADS {
+        let goodputs = measure_all(load);
+        let mean_of = |limiter: fn(&Goodput) -> f64| Mean::of(goodputs.iter().map(limiter));
+        let unlimited = mean_of(|goodput| goodput.unlimited);
+        let reactive = mean_of(|goodput| goodput.reactive);
+        let best_fixed = mean_of(|goodput| goodput.best_fixed);
+        let predictive = mean_of(|goodput| goodput.predictive);
+        let figure = format!(
+            "  at {:.0}%: without a limit {unlimited}, reactive {reactive}, best fixed limit {best_fixed}, with predictions {predictive}",
+            load * 100.0
+        );
+        report.check(predictive.mean >= reactive.mean - TOLERANCE, figure);
+    }
+}
+
+/// Measures all upstreams on several threads. Each has its own seed, so that the order of the
+/// threads makes no difference.
+fn measure_all(load: f64) -> Vec<Goodput> {
+    let measure_share = |thread: u64| -> Vec<Goodput> {
+        (0..UPSTREAMS_PER_THREAD)
+            .map(|index| measure(THREADS * index + thread, load))
+            .collect()
+    };
+    std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread| scope.spawn(move || measure_share(thread)))
+            .collect();
+        threads
+            .into_iter()
+            .flat_map(|thread| thread.join().unwrap_or_default())
+            .collect()
+    })
+}
+
+fn measure(seed: u64, load: f64) -> Goodput {
+    let kind = UpstreamKind::random(seed);
+    let truth = kind.saturation_throughput();
+    let arrival_rate = |_| load * truth;
+    let goodput = |limiter: Limiter| {
+        let experiment = Experiment {
+            limiter,
+            deadline: DEADLINE_LATENCIES * kind.uncontended_latency(),
+            ..Experiment::new(kind, &arrival_rate, RUN_SECONDS, seed)
+        };
+        run(experiment, |_, _| ()).goodput() / truth
+    };
+    let best_fixed = FIXED_LIMITS
+        .into_iter()
+        .map(|limit| goodput(Limiter::Fixed(limit)))
+        .fold(0.0, f64::max);
+    Goodput {
+        unlimited: goodput(Limiter::Unlimited),
+        reactive: goodput(Limiter::Reactive(ConcurrencyLimit::default())),
+        best_fixed,
+        predictive: goodput(Limiter::Predictive(ConcurrencyLimit::default())),
+    }
+}
+
+impl Mean {
+    fn of(values: impl Iterator<Item = f64>) -> Self {
+        let values: Vec<f64> = values.collect();
+        let count = values.len() as f64;
+        let mean = values.iter().sum::<f64>() / count;
+        let squares = values.iter().map(|value| (value - mean).powi(2));
+        let variance = squares.sum::<f64>() / (count - 1.0);
+        Self {
+            mean,
+            standard_error: (variance / count).sqrt(),
+        }
+    }
+}
+
+impl std::fmt::Display for Mean {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{:.3} ({:.3})", self.mean, self.standard_error)
+    }
+}
--- /dev/null
+++ b/crates/saturation-bench/src/checks/ramps.rs
@@ -0,0 +1,85 @@
+//! Warnings ahead of saturation on a ramp, and false ones under a steady load.
+
+use super::report::Report;
+use super::{quantile, random_queue, HOUR, UPSTREAMS};
+use cleatpulley_saturation::UpstreamModel;
+use cleatpulley_saturation_bench::{run, to_micros, Experiment};
+
+/// Load at the start of a ramp, as a share of the throughput at saturation.
+const RAMP_START: f64 = 0.3;
+/// Rise of the load a second, as the same share.
+const RAMP_SLOPE: f64 = 0.01;
+/// When a ramp reaches saturation, in seconds.
+const SATURATION_TIME: f64 = 70.0;
+/// Length of a run of a ramp, in seconds.
+const RAMP_SECONDS: f64 = 69.0;
+/// Predicted time to saturation of which a warning is given, in seconds.
+const WARNING_HORIZON: f64 = 30.0;
+/// Time at the start of a run in which warnings do not count, in seconds.
+const WARM_UP: f64 = 20.0;
+/// Least time from the warning to saturation in the median, in seconds.
+const AHEAD_GOAL: f64 = 20.0;
+/// Load of a steady upstream.
+const STEADY_LOAD: f64 = 0.6;
+/// Length of a run of a steady upstream, in seconds.
+const STEADY_SECONDS: f64 = 120.0;
+
+/// Checks the time of warning, and prints the rate of false warnings.
+pub fn check(report: &mut Report) {
+    let mut ahead: Vec<f64> = (0..UPSTREAMS).map(seconds_warned_ahead).collect();
+    ahead.sort_by(f64::total_cmp);
+    let median = quantile(&ahead, 0.5);
+    let first_decile = quantile(&ahead, 0.1);
+    let figure = format!(
+        "a ramp of 1% a second: warned {median:.0} s ahead in the median, {first_decile:.0} s in nine of ten (goal 20 s)"
+    );
+    report.check(median >= AHEAD_GOAL, figure);
+
+    let false_warnings: u32 = (0..UPSTREAMS).map(count_false_warnings).sum();
+    let hours = UPSTREAMS as f64 * (STEADY_SECONDS - WARM_UP) / HOUR;
+    println!(
+        "  warnings at a steady 60%: {:.1} an hour of an upstream",
+        f64::from(false_warnings) / hours
+    );
+}
+
+/// Seconds from the first warning to saturation, 0 without a warning.
+fn seconds_warned_ahead(seed: u64) -> f64 {
+    let kind = random_queue(seed);
+    let truth = kind.saturation_throughput();
+    let arrival_rate = |now| truth * (RAMP_START + RAMP_SLOPE * now);
+    let mut warning = None;
+    run(
+        Experiment::new(kind, &arrival_rate, RAMP_SECONDS, seed),
+        |now, model| {
+            if warns(now, model) && warning.is_none() {
+                warning = Some(now);
+            }
+        },
+    );
+    SATURATION_TIME - warning.unwrap_or(SATURATION_TIME)
+}
+
+/// Warnings under a steady load; one that goes on counts once.
+fn count_false_warnings(seed: u64) -> u32 {
+    let kind = random_queue(seed);
+    let truth = kind.saturation_throughput();
+    let arrival_rate = |_| STEADY_LOAD * truth;
+    let mut warnings = 0;
+    let mut was_warning = false;
+    run(
+        Experiment::new(kind, &arrival_rate, STEADY_SECONDS, seed),
+        |now, model| {
+            let is_warning = warns(now, model);
+            warnings += u32::from(is_warning && !was_warning);
+            was_warning = is_warning;
+        },
+    );
+    warnings
+}
+
+/// Whether saturation is predicted within the horizon.
+fn warns(now: f64, model: &mut UpstreamModel) -> bool {
+    let seconds_to_saturation = model.predict(to_micros(now)).seconds_to_saturation;
+    now > WARM_UP && seconds_to_saturation.is_some_and(|seconds| seconds < WARNING_HORIZON)
+}
--- /dev/null
+++ b/crates/saturation-bench/src/checks/regime_changes.rs
@@ -0,0 +1,77 @@
+//! Detection of an upstream that is slowed down, and false alarms of a steady one.
+
+use super::report::Report;
+use super::{quantile, random_queue, HOUR, UPSTREAMS};
+use cleatpulley_saturation_bench::{run, to_micros, Experiment, Slowdown};
+
+/// The fault: service times grow threefold after half a minute.
+const SLOWDOWN: Slowdown = Slowdown {
+    start: 30.0,
+    factor: 3.0,
+};
+/// Load of an upstream that is slowed down, as a share of its throughput at saturation.
+const SLOWED_LOAD: f64 = 0.25;
+/// Longest time to detection in nine of ten, in seconds.
+const DETECTION_GOAL: f64 = 5.0;
+/// Load of a steady upstream.
+const STEADY_LOAD: f64 = 0.7;
+/// Length of a run of a steady upstream, in seconds.
+const STEADY_SECONDS: f64 = 120.0;
+/// Most false alarms in an hour of an upstream.
+const FALSE_ALARM_GOAL: f64 = 1.0;
+
+/// Checks both.
+pub fn check(report: &mut Report) {
+    check_detection(report);
+    check_false_alarms(report);
+}
+
+fn check_detection(report: &mut Report) {
+    let mut delays: Vec<f64> = (0..UPSTREAMS).map(detection_delay).collect();
+    delays.sort_by(f64::total_cmp);
+    let median = quantile(&delays, 0.5);
+    let ninth_decile = quantile(&delays, 0.9);
+    let figure = format!(
+        "slowed to a third: detected after {median:.1} s in the median, {ninth_decile:.1} s in nine of ten (goal 5 s)"
+    );
+    report.check(ninth_decile <= DETECTION_GOAL, figure);
+}
+
+/// Seconds from the slowdown to its detection, infinite where it was not detected.
+fn detection_delay(seed: u64) -> f64 {
+    let kind = random_queue(seed);
+    let rate = SLOWED_LOAD * kind.saturation_throughput();
+    let arrival_rate = |_| rate;
+    let experiment = Experiment {
+        slowdown: Some(SLOWDOWN),
+        ..Experiment::new(kind, &arrival_rate, 60.0, seed)
+    };
+    let mut detection = None;
+    run(experiment, |now, model| {
+        let regime_changes = model.predict(to_micros(now)).regime_changes;
+        if now >= SLOWDOWN.start && detection.is_none() && regime_changes > 0 {
+            detection = Some(now - SLOWDOWN.start);
+        }
+    });
+    detection.unwrap_or(f64::INFINITY)
+}
+
+fn check_false_alarms(report: &mut Report) {
+    let mut alarms = 0;
+    let mut hours = 0.0;
+    for seed in 0..UPSTREAMS {
+        let kind = random_queue(seed);
+        let rate = STEADY_LOAD * kind.saturation_throughput();
+        let arrival_rate = |_| rate;
+        let experiment = Experiment::new(kind, &arrival_rate, STEADY_SECONDS, seed);
+        let mut outcome = run(experiment, |_, _| ());
+        let prediction = outcome.model.predict(to_micros(STEADY_SECONDS));
+        alarms += prediction.regime_changes;
+        hours += STEADY_SECONDS / HOUR;
+    }
+    let rate = f64::from(alarms) / hours;
+    report.check(
+        rate <= FALSE_ALARM_GOAL,
+        format!("false alarms of a regime change: {rate:.2} an hour of an upstream (goal 1)"),
+    );
+}
--- /dev/null
+++ b/crates/saturation-bench/src/experiment.rs
@@ -0,0 +1,258 @@
+//! One run of an emulated upstream under a load.
+
+use crate::limiter::Limiter;
+use crate::upstream_kind::{draw_exponential, UpstreamKind};
+use cleatpulley_saturation::{Completion, ModelSettings, UpstreamModel};
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+use std::collections::VecDeque;
+
+/// Time of the model's clock at the start of a run, in microseconds.
+const START: u64 = 1_000_000;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Part of a run before goodput is measured.
+const WARM_UP: f64 = 0.25;
+/// Seconds between two observations of the model.
+const OBSERVATION_INTERVAL: f64 = 1.0;
+/// Least rate of arrivals, in requests a second.
+const MIN_ARRIVAL_RATE: f64 = 0.1;
+/// Remaining work that counts as none.
+const NEGLIGIBLE_WORK: f64 = 1e-12;
+
+/// What is run. Times are in seconds since the start of the run.
+pub struct Experiment<'a> {
+    /// The upstream.
+    pub kind: UpstreamKind,
+    /// Rate of arrivals by time, in requests a second.
+    pub arrival_rate: &'a dyn Fn(f64) -> f64,
+    /// Length of the run.
+    pub seconds: f64,
+    /// A fault that makes the upstream slow.
+    pub slowdown: Option<Slowdown>,
+    /// What limits the requests in flight; others are rejected.
+    pub limiter: Limiter,
+    /// Latency beyond which a response does not count as goodput, in seconds.
+    pub deadline: f64,
+    /// Seed of all random numbers.
+    pub seed: u64,
+}
+
+/// A fault that makes an upstream slow.
+#[derive(Debug, Clone, Copy)]
+pub struct Slowdown {
+    /// When it begins, in seconds.
+    pub start: f64,
+    /// Factor by which service times grow.
+    pub factor: f64,
+}
+
+impl<'a> Experiment<'a> {
+    /// A run without limit, deadline or fault.
+    #[must_use]
+    pub fn new(
+        kind: UpstreamKind,
+        arrival_rate: &'a dyn Fn(f64) -> f64,
+        seconds: f64,
+        seed: u64,
+    ) -> Self {
+        Self {
+            kind,
+            arrival_rate,
+            seconds,
+            slowdown: None,
+            limiter: Limiter::Unlimited,
+            deadline: f64::INFINITY,
+            seed,
+        }
+    }
+
+    /// Factor by which service times are longer at a time.
+    fn slowdown_factor(&self, now: f64) -> f64 {
+        match self.slowdown {
+            Some(slowdown) if now >= slowdown.start => slowdown.factor,
+            _ => 1.0,
+        }
+    }
+
+    fn arrival_rate(&self, now: f64) -> f64 {
+        (self.arrival_rate)(now).max(MIN_ARRIVAL_RATE)
+    }
+
+    /// When goodput is measured from.
+    fn measured_from(&self) -> f64 {
+        self.seconds * WARM_UP
+    }
+}
+
+/// The result of a run.
+pub struct Outcome {
+    /// The model at the end.
+    pub model: UpstreamModel,
+    /// Responses by their deadline, after the warm-up.
+    pub timely_responses: u64,
+    /// Length of the run after the warm-up, in seconds.
+    pub measured_seconds: f64,
+}
+
+impl Outcome {
+    /// Goodput: responses by their deadline a second.
+    #[must_use]
+    pub fn goodput(&self) -> f64 {
+        self.timely_responses as f64 / self.measured_seconds
+    }
+}
+
+/// The time of the model's clock at a second of a run, in microseconds.
+#[must_use]
+pub fn to_micros(seconds: f64) -> u64 {
+    START + (seconds * MICROS_PER_SECOND) as u64
+}
+
+/// Runs an experiment, and calls `observe` with the time and the model about once a second.
+pub fn run(
+    experiment: Experiment<'_>,
+    mut observe: impl FnMut(f64, &mut UpstreamModel),
+) -> Outcome {
+    let mut run = Run::new(experiment);
+    while run.now < run.experiment.seconds {
+        run.advance();
+        run.start_service();
+        if run.now >= run.last_observation + OBSERVATION_INTERVAL {
+            run.last_observation = run.now;
+            run.update_limiter();
+            observe(run.now, &mut run.model);
+        }
+    }
+    let measured_seconds = run.experiment.seconds - run.experiment.measured_from();
+    Outcome {
+        model: run.model,
+        timely_responses: run.timely_responses,
+        measured_seconds,
+    }
+}
+
+/// A request in flight.
+#[derive(Debug, Clone, Copy)]
+struct Request {
+    arrival: f64,
+    /// Requests in flight once it had arrived, itself included.
+    concurrency: usize,
+}
+
+/// A request that is being served.
+struct InService {
+    request: Request,
+    remaining_work: f64,
+}
+
+/// The state of a run.
+struct Run<'a> {
+    experiment: Experiment<'a>,
+    random: SmallRng,
+    model: UpstreamModel,
+    now: f64,
+    next_arrival: f64,
+    in_service: Vec<InService>,
+    queue: VecDeque<Request>,
+    last_observation: f64,
+    timely_responses: u64,
+}
+
+impl<'a> Run<'a> {
+    fn new(experiment: Experiment<'a>) -> Self {
+        let mut random = SmallRng::seed_from_u64(experiment.seed);
+        let next_arrival = draw_exponential(&mut random) / experiment.arrival_rate(0.0);
+        Self {
+            experiment,
+            random,
+            model: UpstreamModel::new(ModelSettings::default()),
+            now: 0.0,
+            next_arrival,
+            in_service: Vec::new(),
+            queue: VecDeque::new(),
+            last_observation: 0.0,
+            timely_responses: 0,
+        }
+    }
+
+    /// Advances to the next completion or arrival.
+    fn advance(&mut self) {
+        let service_rate = self.experiment.kind.service_rate(self.in_service.len())
+            / self.experiment.slowdown_factor(self.now);
+        let until_completion = self
+            .in_service
+            .iter()
+            .map(|served| served.remaining_work / service_rate)
+            .fold(f64::INFINITY, f64::min);
+        let step = until_completion.min(self.next_arrival - self.now).max(0.0);
+        self.now += step;
+        for served in &mut self.in_service {
+            served.remaining_work -= step * service_rate;
+        }
+        if until_completion <= step {
+            self.complete();
+        } else {
+            self.arrive();
+        }
+    }
+
+    fn complete(&mut self) {
+        let completed = self
+            .in_service
+            .iter()
+            .position(|served| served.remaining_work <= NEGLIGIBLE_WORK)
+            .unwrap_or(0);
+        let request = self.in_service.swap_remove(completed).request;
+        let latency = self.now - request.arrival;
+        let completion = Completion {
+            concurrency: request.concurrency,
+            latency: (latency * MICROS_PER_SECOND) as u64,
+        };
+        let now = to_micros(self.now);
+        self.experiment
+            .limiter
+            .on_completion(now, completion, self.model.in_flight());
+        self.model.on_completion(now, completion);
+        let is_measured = self.now >= self.experiment.measured_from();
+        if is_measured && latency <= self.experiment.deadline {
+            self.timely_responses += 1;
+        }
+    }
+
+    fn arrive(&mut self) {
+        let interval = draw_exponential(&mut self.random) / self.experiment.arrival_rate(self.now);
+        self.next_arrival = self.now + interval;
+        if self.model.in_flight() < self.experiment.limiter.limit() {
+            let concurrency = self.model.on_request_sent(to_micros(self.now));
+            self.queue.push_back(Request {
+                arrival: self.now,
+                concurrency,
+            });
+        }
+    }
+
+    /// Starts the service of queued requests while a server is free.
+    fn start_service(&mut self) {
+        let servers = self.experiment.kind.servers();
+        while self.in_service.len() < servers {
+            let Some(request) = self.queue.pop_front() else {
+                return;
+            };
+            let remaining_work = self.experiment.kind.draw_work(&mut self.random);
+            self.in_service.push(InService {
+                request,
+                remaining_work,
+            });
+        }
+    }
+
+    fn update_limiter(&mut self) {
+        if self.experiment.limiter.uses_estimates() {
+            let prediction = self.model.predict(to_micros(self.now));
+            self.experiment
+                .limiter
+                .set_estimate(prediction.estimate.as_ref());
+        }
+    }
+}
--- a/crates/saturation-bench/tests/accuracy.rs
+++ b/crates/saturation-bench/tests/accuracy.rs
@@ -1,43 +1,56 @@
-//! How far the told rate is off when load has only reached a part of it, how often the interval holds the truth, how soon a slow
-//! machine is noticed, and what a bound by predictions serves beside one that reacts alone.
+//! Accuracy of the estimates while the load is only a part of the throughput at saturation, the
+//! time until a slow upstream is detected, and the goodput with a predictive limit compared with
+//! that of a reactive one.
 
-use cleatpulley_saturation::bound::Bound;
-use cleatpulley_saturation_bench::{accuracy, micros, play, Kind, Limit, Play};
+use cleatpulley_saturation::ConcurrencyLimit;
+use cleatpulley_saturation_bench::{
+    measure_accuracy, run, to_micros, Experiment, Limiter, SeedRange, Slowdown, UpstreamKind,
+};
 
-const LINE: Kind = Kind::Line {
+const QUEUE: UpstreamKind = UpstreamKind::Queue {
     servers: 8,
-    work: 0.02,
-    varies: 0.8,
+    service_time: 0.02,
+    variability: 0.8,
 };
 
 #[test]
-fn the_rate_at_saturation_is_told_from_a_part_of_it() {
+fn estimates_throughput_at_saturation_from_a_partial_load() {
     for (load, goal) in [(0.6, 0.15), (0.8, 0.07)] {
-        let told = accuracy(load, 0, 40);
+        let accuracy = measure_accuracy(
+            load,
+            SeedRange {
+                first: 0,
+                count: 40,
+            },
+        );
         assert!(
-            told.error <= goal && told.held >= 0.8 && told.fell <= 8,
-            "{told:?} at {load}"
+            accuracy.median_error <= goal && accuracy.coverage >= 0.8 && accuracy.collapsed <= 8,
+            "{accuracy:?} at {load}"
         );
     }
 }
 
 #[test]
-fn a_machine_that_turns_slow_is_noticed_within_seconds_and_chance_is_not() {
-    let (mut noticed, mut false_alarms) = (Vec::new(), 0);
+fn slow_upstream_is_detected_within_seconds_without_false_alarms() {
+    let mut noticed = Vec::new();
+    let mut false_alarms = 0;
     for seed in 0..20 {
-        let mut at = None;
-        let steady = |_| 200.0;
-        let slow = Play {
-            slower: Some((40.0, 3.0)),
-            ..Play::plain(LINE, &steady, 60.0, seed)
+        let mut detection = None;
+        let arrival_rate = |_| 200.0;
+        let experiment = Experiment {
+            slowdown: Some(Slowdown {
+                start: 40.0,
+                factor: 3.0,
+            }),
+            ..Experiment::new(QUEUE, &arrival_rate, 60.0, seed)
         };
-        play(slow, |now, upstream| {
-            if upstream.predict(micros(now)).regimes > 0 && at.is_none() {
-                at = Some(now);
+        run(experiment, |now, model| {
+            if model.predict(to_micros(now)).regime_changes > 0 && detection.is_none() {
+                detection = Some(now);
             }
         });
-        match at {
-            Some(at) if at >= 40.0 => noticed.push(at - 40.0),
+        match detection {
+            Some(time) if time >= 40.0 => noticed.push(time - 40.0),
             Some(_) => false_alarms += 1,
             None => {}
         }
@@ -48,15 +61,19 @@
 }
 
 #[test]
-fn a_ramp_is_warned_of_ahead() {
-    let truth = LINE.capacity();
-    // One in a hundred of the rate at saturation more each second.
+fn warns_of_saturation_ahead_of_a_ramp() {
+    let truth = QUEUE.saturation_throughput();
+    // It rises by a hundredth of the throughput at saturation each second, and reaches it after 70.
+    let arrival_rate = |now| truth * (0.3 + 0.01 * now);
     let mut warned = None;
-    play(
-        Play::plain(LINE, &|now| truth * (0.3 + 0.01 * now), 69.0, 4),
-        |now, upstream| {
-            let told = upstream.predict(micros(now));
-            if warned.is_none() && now > 20.0 && told.until.is_some_and(|until| until < 30.0) {
+    run(
+        Experiment::new(QUEUE, &arrival_rate, 69.0, 4),
+        |now, model| {
+            let prediction = model.predict(to_micros(now));
+            let is_near = prediction
+                .seconds_to_saturation
+                .is_some_and(|seconds| seconds < 30.0);
+            if warned.is_none() && now > 20.0 && is_near {
                 warned = Some(now);
             }
         },
@@ -65,29 +82,27 @@
     assert!((15.0..45.0).contains(&ahead), "{ahead} s ahead");
 }
 
-/// An upstream that does less the more is in hand, asked for a third more than it can do.
+/// An upstream whose throughput falls with concurrency, at 130% of its throughput at saturation.
 #[test]
-fn a_bound_by_predictions_serves_no_less_than_one_that_reacts() {
-    let kind = Kind::Shared {
-        single: 20.0,
+fn predictive_limit_has_no_less_goodput_than_the_reactive_one() {
+    let kind = UpstreamKind::Shared {
+        single_throughput: 20.0,
         contention: 0.05,
         coherence: 0.004,
     };
-    let rate = 1.3 * kind.capacity();
-    let good = |limit: Limit| {
-        let patience = 20.0 * kind.alone();
-        let played = play(
-            Play {
-                limit,
-                patience,
-                ..Play::plain(kind, &|_| rate, 60.0, 9)
-            },
-            |_, _| (),
-        );
-        played.good as f64 / played.over / kind.capacity()
+    let truth = kind.saturation_throughput();
+    let arrival_rate = |_| 1.3 * truth;
+    let relative_goodput = |limiter: Limiter| {
+        let experiment = Experiment {
+            limiter,
+            deadline: 20.0 * kind.uncontended_latency(),
+            ..Experiment::new(kind, &arrival_rate, 60.0, 9)
+        };
+        run(experiment, |_, _| ()).goodput() / truth
     };
-    let (none, reactive) = (good(Limit::None), good(Limit::Reactive(Bound::default())));
-    let predicted = good(Limit::Predicted(Bound::default()));
+    let none = relative_goodput(Limiter::Unlimited);
+    let reactive = relative_goodput(Limiter::Reactive(ConcurrencyLimit::default()));
+    let predicted = relative_goodput(Limiter::Predictive(ConcurrencyLimit::default()));
     assert!(none < 0.2, "without a limit it falls over: {none}");
     assert!(
         predicted >= reactive - 0.02 && predicted > 0.85,
--- a/crates/saturation/src/concurrency_limit.rs
+++ b/crates/saturation/src/concurrency_limit.rs
@@ -1,140 +1,111 @@
-//! A bound on the work in hand at one upstream.
+//! A limit on the requests in flight at one upstream.
 //!
-//! What it reacts to is always there: additive growth while work ends in time, and a cut where it takes too long. A prediction may
-//! only move that within stated bounds, and only where its interval is narrow: where there is none, or it is wrong, the reactive
-//! limit holds.
+//! It is reactive: additive increase while requests complete in time, multiplicative decrease where
+//! they take too long. A prediction may only move the limit within stated bounds, and only where
+//! its interval is narrow: without one, or where it is wrong, the reactive limit holds.
 
-use crate::curve::Fit;
+use crate::completion::Completion;
+use crate::saturation_fit::SaturationEstimate;
 use cleatpulley_policy::interface::Micros;
 
-/// A prediction counts where nine in ten of its weight lie within this.
-const NARROW: f64 = 1.6;
-/// More than the number at which it saturates: a little of a line keeps the servers busy.
-const LINE: f64 = 1.25;
-/// A prediction moves the reactive bound to no less and no more than this share of it.
-const LEAST: f64 = 0.5;
-/// The other end.
-const MOST: f64 = 2.0;
-/// Work that takes so many times the usual is too long.
-const LONG: f64 = 2.5;
-/// Of the bound, what is kept after too long.
-const CUT: f64 = 0.7;
-/// One that came as the how-manieth at most was hardly in anybody's way: its time is the usual.
-const ALONE: usize = 2;
-/// Weight of one end in the usual time.
-const USUAL: f64 = 0.02;
-/// And in the present one.
-const PRESENT: f64 = 0.05;
+/// Largest ratio of the ends of an estimate's interval with which it is used.
+const MAX_INTERVAL_RATIO: f64 = 1.6;
+/// Predicted limit as a multiple of the concurrency at saturation: a short queue keeps the servers
+/// busy.
+const QUEUE_FACTOR: f64 = 1.25;
+/// Least predicted limit, as a multiple of the reactive one.
+const MIN_PREDICTED_FACTOR: f64 = 0.5;
+/// Largest predicted limit, as a multiple of the reactive one.
+const MAX_PREDICTED_FACTOR: f64 = 2.0;
+/// Latency that is too long, as a multiple of the uncontended one.
+const OVERLOAD_LATENCY_FACTOR: f64 = 2.5;
+/// Factor of a decrease.
+const DECREASE_FACTOR: f64 = 0.7;
+/// Mean latencies between two decreases, at least: requests that were sent before a decrease still
+/// complete late.
+const DECREASE_INTERVAL_LATENCIES: Micros = 2;
+/// Requests in flight up to which a request is taken to be uncontended.
+const UNCONTENDED_CONCURRENCY: usize = 2;
+/// Smoothing weight of one request in the uncontended latency.
+const UNCONTENDED_WEIGHT: f64 = 0.02;
+/// Smoothing weight of one request in the recent latency.
+const RECENT_WEIGHT: f64 = 0.05;
+/// Reactive limit at the start.
+const INITIAL_LIMIT: f64 = 4.0;
 
-/// The bound.
+/// The limit.
 #[derive(Debug, Clone)]
-pub struct Bound {
+pub struct ConcurrencyLimit {
     reactive: f64,
-    usual: f64,
-    smooth: f64,
-    cut_at: Micros,
+    /// Smoothed latency of uncontended requests, in microseconds; 0 before the first completion.
+    uncontended_latency: f64,
+    /// Smoothed latency of all requests, in microseconds.
+    recent_latency: f64,
+    last_decrease: Micros,
     predicted: Option<f64>,
 }
 
-impl Default for Bound {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            reactive: 4.0,
-            usual: 0.0,
-            smooth: 0.0,
-            cut_at: 0,
+            reactive: INITIAL_LIMIT,
+            uncontended_latency: 0.0,
+            recent_latency: 0.0,
+            last_decrease: 0,
             predicted: None,
         }
     }
 }
 
-impl Bound {
-    /// Work ended that had come as the how-manieth, with so much in hand before its end.
-    pub fn ended(&mut self, now: Micros, sent_as: usize, took: Micros, in_hand: usize) {
-        let took = took as f64;
-        if self.usual == 0.0 {
-            (self.usual, self.smooth) = (took, took);
-        }
-        if sent_as <= ALONE {
-            self.usual += USUAL * (took - self.usual);
-        }
-        self.smooth += PRESENT * (took - self.smooth);
-        if self.smooth > LONG * self.usual {
-            // Once for each time that work takes: what was sent before the cut still comes back late.
-            if now >= self.cut_at + 2 * self.smooth as Micros {
-                self.reactive = (self.reactive * CUT).max(1.0);
-                self.cut_at = now;
-            }
-        } else if in_hand as f64 + 1.0 >= self.reactive {
+impl ConcurrencyLimit {
+    /// Adjusts the reactive limit to a completion, before which `in_flight` requests were in
+    /// flight.
+    pub fn on_completion(&mut self, now: Micros, completion: Completion, in_flight: usize) {
+        self.smooth_latencies(completion);
+        if self.recent_latency > OVERLOAD_LATENCY_FACTOR * self.uncontended_latency {
+            self.decrease(now);
+        } else if in_flight as f64 + 1.0 >= self.reactive {
             self.reactive += 1.0 / self.reactive;
         }
     }
 
-    /// What is predicted now; nothing, or too wide an interval, leaves the reactive bound alone.
-    pub fn predict(&mut self, fit: Option<&Fit>) {
-        let narrow = fit.filter(|fit| fit.high <= NARROW * fit.low);
-        self.predicted = narrow.map(|fit| (LINE * fit.concurrency).ceil() + 1.0);
+    fn smooth_latencies(&mut self, completion: Completion) {
+        let latency = completion.latency as f64;
+        if self.uncontended_latency == 0.0 {
+            self.uncontended_latency = latency;
+            self.recent_latency = latency;
+        }
+        if completion.concurrency <= UNCONTENDED_CONCURRENCY {
+            self.uncontended_latency += UNCONTENDED_WEIGHT * (latency - self.uncontended_latency);
+        }
+        self.recent_latency += RECENT_WEIGHT * (latency - self.recent_latency);
     }
 
-    /// How many may be in hand.
-    #[must_use]
-    pub fn most(&self) -> usize {
-        let bound = match self.predicted {
-            Some(predicted) => predicted.clamp(LEAST * self.reactive, MOST * self.reactive),
-            None => self.reactive,
-        };
-        bound.max(1.0) as usize
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::curve::Curve;
-
-    fn fit(concurrency: f64, low: f64, high: f64) -> Fit {
-        let best = Curve {
-            single: 1.0,
-            servers: concurrency,
-            contention: 0.0,
-            coherence: 0.0,
-        };
-        Fit {
-            best,
-            rate: 1.0,
-            low,
-            high,
-            concurrency,
+    fn decrease(&mut self, now: Micros) {
+        let interval = DECREASE_INTERVAL_LATENCIES * self.recent_latency as Micros;
+        if now >= self.last_decrease + interval {
+            self.reactive = (self.reactive * DECREASE_FACTOR).max(1.0);
+            self.last_decrease = now;
         }
     }
 
-    #[test]
-    fn a_prediction_moves_the_bound_within_limits_and_only_where_it_is_sure() {
-        let mut bound = Bound::default();
-        assert_eq!(bound.most(), 4);
-        bound.predict(Some(&fit(100.0, 0.9, 1.1)));
-        assert_eq!(bound.most(), 8, "twice the reactive at most");
-        bound.predict(Some(&fit(0.1, 0.9, 1.1)));
-        assert_eq!(bound.most(), 2, "half of it at least");
-        bound.predict(Some(&fit(100.0, 0.5, 2.0)));
-        assert_eq!(bound.most(), 4, "a wide one says nothing");
+    /// Sets the current estimate. None, or one with a wide interval, leaves the limit reactive.
+    pub fn set_estimate(&mut self, estimate: Option<&SaturationEstimate>) {
+        self.predicted = estimate
+            .filter(|estimate| estimate.high <= MAX_INTERVAL_RATIO * estimate.low)
+            .map(|estimate| (QUEUE_FACTOR * estimate.concurrency).ceil() + 1.0);
     }
 
-    #[test]
-    fn it_grows_while_work_ends_in_time_and_is_cut_once_for_each_time_that_work_takes() {
-        let mut bound = Bound::default();
-        for turn in 0..200 {
-            bound.ended(turn * 10_000, 1, 10_000, bound.most());
-        }
-        let grown = bound.most();
-        assert!(grown > 15, "{grown}");
-        for turn in 0..40 {
-            bound.ended(2_000_000 + turn * 1_000, 9, 100_000, bound.most());
-        }
-        assert!(
-            bound.most() < grown && bound.most() >= grown / 3,
-            "{} after {grown}",
-            bound.most()
-        );
+    /// The number of requests that may be in flight, at least 1.
+    #[must_use]
+    pub fn limit(&self) -> usize {
+        let limit = match self.predicted {
+            Some(predicted) => predicted.clamp(
+                MIN_PREDICTED_FACTOR * self.reactive,
+                MAX_PREDICTED_FACTOR * self.reactive,
+            ),
+            None => self.reactive,
+        };
+        limit.max(1.0) as usize
     }
 }
--- a/crates/saturation/src/concurrency_statistics.rs
+++ b/crates/saturation/src/concurrency_statistics.rs
@@ -1,175 +1,202 @@
-//! How long each number in hand stood, and how many ended meanwhile.
-
-/// Numbers up to here have a cell each.
-const EXACT: usize = 32;
-/// Cells for each doubling beyond.
-const FINE: usize = 8;
-/// The largest number that is told apart.
-const MOST: usize = 4_096;
-/// Cells.
-pub const CELLS: usize = EXACT + FINE * 7 + 1;
-
-/// Sufficient statistics of one upstream, of constant size. Two of them add up.
+//! Sufficient statistics by the number of requests in flight.
+
+/// Numbers of requests below this have a level each.
+const EXACT_LEVELS: usize = 32;
+/// Levels for each doubling beyond them.
+const LEVELS_PER_DOUBLING: usize = 8;
+/// Doublings from the exact levels to [`MAX_CONCURRENCY`].
+const DOUBLINGS: usize = 7;
+/// Largest number of requests in flight that is distinguished.
+const MAX_CONCURRENCY: usize = 4_096;
+/// Number of levels.
+const LEVELS: usize = EXACT_LEVELS + LEVELS_PER_DOUBLING * DOUBLINGS + 1;
+
+/// Observations of one upstream, of constant size, by levels of concurrency. Those of several
+/// observers add up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
-    /// By cell: time in seconds, time by number, and ends.
-    cells: [Cell; CELLS],
+pub struct ConcurrencyStatistics {
+    levels: [LevelStatistics; LEVELS],
 }
 
-/// One cell.
+/// Observations at one level of concurrency.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Cell {
-    /// Seconds.
-    pub time: f64,
-    /// Seconds by number in hand.
-    pub area: f64,
-    /// Ends.
-    pub ends: f64,
-    /// Work that came to so many in hand, itself among them, and has ended.
-    pub came: f64,
-    /// The seconds that it took, and their squares.
-    pub took: f64,
-    /// The squares.
-    pub squares: f64,
+pub struct LevelStatistics {
+    /// Time at this level, in seconds.
+    pub seconds: f64,
+    /// Integral of the number in flight over that time, in request seconds.
+    pub request_seconds: f64,
+    /// Requests that completed at this level.
+    pub completions: f64,
+    /// Completed requests that were sent at this level, themselves included in its number.
+    pub sent: f64,
+    /// Sum of the latencies of those requests, in seconds.
+    pub latency_sum: f64,
+    /// Sum of the squares of those latencies, in seconds squared.
+    pub latency_square_sum: f64,
 }
 
-impl Cell {
-    /// The number in hand that it stands for.
+/// Sums over all levels.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Totals {
+    /// Requests that completed.
+    pub completions: f64,
+    /// Time observed, in seconds.
+    pub seconds: f64,
+}
+
+impl Totals {
+    /// Completions a second, 0 where no time was observed.
+    #[must_use]
+    pub fn throughput(&self) -> f64 {
+        if self.seconds > 0.0 {
+            self.completions / self.seconds
+        } else {
+            0.0
+        }
+    }
+}
+
+impl LevelStatistics {
+    /// Mean number of requests in flight at this level.
     #[must_use]
-    pub fn number(&self) -> f64 {
-        if self.time > 0.0 {
-            self.area / self.time
+    pub fn concurrency(&self) -> f64 {
+        if self.seconds > 0.0 {
+            self.request_seconds / self.seconds
         } else {
             0.0
         }
     }
+
+    /// Mean latency of the requests that were sent at this level, in seconds.
+    #[must_use]
+    pub fn mean_latency(&self) -> f64 {
+        self.latency_sum / self.sent.max(1.0)
+    }
+
+    fn scale(&mut self, factor: f64) {
+        self.seconds *= factor;
+        self.request_seconds *= factor;
+        self.completions *= factor;
+        self.sent *= factor;
+        self.latency_sum *= factor;
+        self.latency_square_sum *= factor;
+    }
+
+    fn merge(&mut self, other: &Self) {
+        self.seconds += other.seconds;
+        self.request_seconds += other.request_seconds;
+        self.completions += other.completions;
+        self.sent += other.sent;
+        self.latency_sum += other.latency_sum;
+        self.latency_square_sum += other.latency_square_sum;
+    }
 }
 
-impl Default for Seen {
+impl Default for ConcurrencyStatistics {
     fn default() -> Self {
         Self {
-            cells: [Cell::default(); CELLS],
+            levels: [LevelStatistics::default(); LEVELS],
         }
     }
 }
 
-fn cell(number: usize) -> usize {
-    if number < EXACT {
-        return number;
+/// The level that a number of requests in flight belongs to.
+fn level_index(in_flight: usize) -> usize {
+    if in_flight < EXACT_LEVELS {
+        return in_flight;
     }
-    let beyond = (number.min(MOST) as f64 / EXACT as f64).log2() * FINE as f64;
-    (EXACT + beyond as usize).min(CELLS - 1)
+    let doublings = (in_flight.min(MAX_CONCURRENCY) as f64 / EXACT_LEVELS as f64).log2();
+    let beyond = doublings * LEVELS_PER_DOUBLING as f64;
+    (EXACT_LEVELS + beyond as usize).min(LEVELS - 1)
 }
 
-impl Seen {
-    /// So many were in hand for so long.
-    pub fn stood(&mut self, number: usize, seconds: f64) {
-        let cell = &mut self.cells[cell(number)];
-        cell.time += seconds;
-        cell.area += seconds * number as f64;
+impl ConcurrencyStatistics {
+    /// Adds time during which so many requests were in flight.
+    pub fn add_time(&mut self, in_flight: usize, seconds: f64) {
+        let level = &mut self.levels[level_index(in_flight)];
+        level.seconds += seconds;
+        level.request_seconds += seconds * in_flight as f64;
     }
 
-    /// One ended while so many were in hand.
-    pub fn ended(&mut self, number: usize) {
-        self.cells[cell(number)].ends += 1.0;
+    /// Adds a completion while so many requests were in flight, the completed one included.
+    pub fn add_completion(&mut self, in_flight: usize) {
+        self.levels[level_index(in_flight)].completions += 1.0;
     }
 
-    /// One that had come as one of so many took so long.
-    pub fn took(&mut self, number: usize, seconds: f64) {
-        let cell = &mut self.cells[cell(number)];
-        cell.came += 1.0;
-        cell.took += seconds;
-        cell.squares += seconds * seconds;
+    /// Adds the latency, in seconds, of a request after whose sending so many were in flight.
+    pub fn add_latency(&mut self, in_flight: usize, seconds: f64) {
+        let level = &mut self.levels[level_index(in_flight)];
+        level.sent += 1.0;
+        level.latency_sum += seconds;
+        level.latency_square_sum += seconds * seconds;
     }
 
-    /// Lets what was seen count for less.
-    pub fn fade(&mut self, share: f64) {
-        for cell in &mut self.cells {
-            cell.time *= share;
-            cell.area *= share;
-            cell.ends *= share;
-            cell.came *= share;
-            cell.took *= share;
-            cell.squares *= share;
+    /// Scales the weight of all observations so far by a factor.
+    pub fn scale(&mut self, factor: f64) {
+        for level in &mut self.levels {
+            level.scale(factor);
         }
     }
 
-    /// Adds what another saw.
-    pub fn add(&mut self, other: &Self) {
-        for (cell, more) in self.cells.iter_mut().zip(&other.cells) {
-            cell.time += more.time;
-            cell.area += more.area;
-            cell.ends += more.ends;
-            cell.came += more.came;
-            cell.took += more.took;
-            cell.squares += more.squares;
+    /// Adds the observations of others.
+    pub fn merge(&mut self, other: &Self) {
+        for (level, added) in self.levels.iter_mut().zip(&other.levels) {
+            level.merge(added);
         }
     }
 
-    /// Seconds that ended work took, and how many.
-    #[must_use]
-    pub fn times(&self) -> (f64, f64) {
-        self.cells.iter().fold((0.0, 0.0), |(took, came), cell| {
-            (took + cell.took, came + cell.came)
-        })
+    /// The levels at which at least one request was in flight.
+    pub fn busy_levels(&self) -> impl Iterator<Item = &LevelStatistics> {
+        self.levels[1..].iter().filter(|level| level.seconds > 0.0)
     }
 
-    /// Cells in which something was in hand.
-    pub fn busy(&self) -> impl Iterator<Item = &Cell> {
-        self.cells[1..].iter().filter(|cell| cell.time > 0.0)
+    /// Sums of completions and time over all levels.
+    #[must_use]
+    pub fn totals(&self) -> Totals {
+        let mut totals = Totals::default();
+        for level in &self.levels {
+            totals.completions += level.completions;
+            totals.seconds += level.seconds;
+        }
+        totals
     }
 
-    /// All ends, and all time.
+    /// Mean latency of the completed requests, in seconds.
     #[must_use]
-    pub fn total(&self) -> (f64, f64) {
-        self.cells.iter().fold((0.0, 0.0), |(ends, time), cell| {
-            (ends + cell.ends, time + cell.time)
-        })
+    pub fn mean_latency(&self) -> f64 {
+        let mut latency_sum = 0.0;
+        let mut sent: f64 = 0.0;
+        for level in &self.levels {
+            latency_sum += level.latency_sum;
+            sent += level.sent;
+        }
+        latency_sum / sent.max(1.0)
     }
 
-    /// The mean number in hand.
+    /// Mean number of requests in flight over time.
     #[must_use]
-    pub fn mean(&self) -> f64 {
-        let (area, time) = self.cells.iter().fold((0.0, 0.0), |(area, time), cell| {
-            (area + cell.area, time + cell.time)
-        });
-        if time > 0.0 {
-            area / time
+    pub fn mean_concurrency(&self) -> f64 {
+        let mut request_seconds = 0.0;
+        let mut seconds = 0.0;
+        for level in &self.levels {
+            request_seconds += level.request_seconds;
+            seconds += level.seconds;
+        }
+        if seconds > 0.0 {
+            request_seconds / seconds
         } else {
             0.0
         }
     }
 
-    /// The largest number that stood for a while.
+    /// Highest number of requests in flight that was observed for a time.
     #[must_use]
-    pub fn largest(&self) -> f64 {
-        self.busy().map(Cell::number).fold(0.0, f64::max)
+    pub fn highest_concurrency(&self) -> f64 {
+        self.busy_levels()
+            .map(LevelStatistics::concurrency)
+            .fold(0.0, f64::max)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn numbers_have_their_cells_in_order_up_to_any() {
-        let cells: Vec<usize> = (0..10_000).map(cell).collect();
-        assert!(cells.windows(2).all(|pair| pair[0] <= pair[1]) && cells[9_999] < CELLS);
-        assert_eq!((cell(31), cell(32)), (31, 32));
-    }
-
-    #[test]
-    fn what_two_saw_adds_up_in_any_order() {
-        let seen = |number: usize| {
-            let mut seen = Seen::default();
-            seen.stood(number, 0.5);
-            seen.ended(number);
-            seen
-        };
-        let (mut one, mut other) = (seen(3), seen(40));
-        one.add(&seen(40));
-        other.add(&seen(3));
-        assert_eq!(one, other);
-        assert_eq!((one.total(), one.largest()), ((2.0, 1.0), 40.0));
-    }
-}
+mod tests;
--- a/crates/saturation/src/saturation_fit.rs
+++ b/crates/saturation/src/saturation_fit.rs
@@ -1,257 +1,228 @@
-//! The curve of throughput over concurrency, and how well each of a family goes with what was seen.
+//! The fit of a curve to observations, and the estimate of the saturation point.
 //!
-//! Given the number in hand, ends come at a rate, so that the count in a cell is about Poisson's with mean rate by time. For each
-//! shape the best scale is known in closed form; the shapes lie on a grid, and weigh by their likelihood. The rate at saturation is
-//! told as the quantiles of these weights.
+//! With a given number of requests in flight, completions come at a constant rate, so that their
+//! count at a level is about Poisson distributed with the mean throughput times time. For each
+//! shape of a curve the most likely scale is known in closed form. The shapes lie on a grid and are
+//! weighted by their likelihood; the throughput at saturation is given by quantiles of these
+//! weights. Unlike a search along gradients, this needs no starting value and no stopping rule.
 
-use crate::seen::{Cell, Seen};
+use crate::concurrency_statistics::{ConcurrencyStatistics, LevelStatistics};
+use crate::throughput_curve::{CurveShape, ThroughputCurve};
 
-/// What a curve is.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Curve {
-    /// Ends a second of one in hand alone.
-    pub single: f64,
-    /// Servers, beyond which more in hand wait.
-    pub servers: f64,
-    /// Contention: the share of the work that only one can do at a time.
-    pub contention: f64,
-    /// Coherence: what each pays for each other.
-    pub coherence: f64,
-}
+/// Contentions on the grid.
+const CONTENTIONS: [f64; 7] = [0.0, 0.01, 0.03, 0.07, 0.15, 0.3, 0.5];
+/// Coherences on the grid.
+const COHERENCES: [f64; 8] = [0.0, 3e-5, 1e-4, 3e-4, 1e-3, 3e-3, 1e-2, 3e-2];
+/// Numbers of servers up to this one are all on the grid.
+const EXACT_SERVERS: usize = 12;
+/// Ratio of neighbouring numbers of servers beyond.
+const SERVERS_RATIO: f64 = 1.12;
+/// Numbers of servers beyond, at most: the ratio is raised for them, so that the time of a fit is
+/// bounded.
+const MAX_RATIO_STEPS: f64 = 24.0;
+/// Largest number of servers on the grid, as a multiple of the highest concurrency observed; more
+/// servers make no difference to the observations.
+const SERVERS_PER_OBSERVED: f64 = 3.0;
+/// Least value of that largest number.
+const MIN_LARGEST_SERVERS: f64 = 4.0;
+/// Weight of the log-likelihood in the interval. Requests that are in flight together complete
+/// together, so that counts carry less information than independent ones; at full weight the
+/// interval would be too narrow.
+const INTERVAL_WEIGHT: f64 = 0.1;
+/// Weight of the log-likelihood in the median. A lower one leans towards many servers where the
+/// observations say little.
+const MEDIAN_WEIGHT: f64 = 1.0;
+/// Quantiles of the ends of the interval.
+const INTERVAL_QUANTILES: [f64; 2] = [0.05, 0.95];
+/// Half of the relative distance of neighbours on the grid, by which the interval is widened.
+const GRID_MARGIN: f64 = 0.02;
+/// Completions below which there is no estimate.
+const MIN_COMPLETIONS: f64 = 50.0;
+/// Least relative variance of latencies that is assumed.
+const MIN_RELATIVE_VARIANCE: f64 = 1e-4;
+/// Least square of a mean latency that is divided by, in seconds squared.
+const MIN_LATENCY_SQUARE: f64 = 1e-18;
 
-/// A rate at saturation with its interval, and where it lies.
+/// An estimate of the saturation point.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fit {
-    /// The curve that goes best with what was seen.
-    pub best: Curve,
-    /// The middle of the rate at saturation, in ends a second.
-    pub rate: f64,
-    /// Nine in ten of the weight lie between these.
+pub struct SaturationEstimate {
+    /// The most likely curve.
+    pub curve: ThroughputCurve,
+    /// Median of the throughput at saturation, in completions a second.
+    pub throughput: f64,
+    /// Lower end of the 90% interval of that throughput.
     pub low: f64,
-    /// The upper one.
+    /// Upper end of the interval.
     pub high: f64,
-    /// The number in hand at which it saturates.
+    /// Requests in flight at the saturation point of the most likely curve.
     pub concurrency: f64,
 }
 
-const CONTENTION: [f64; 7] = [0.0, 0.01, 0.03, 0.07, 0.15, 0.3, 0.5];
-const COHERENCE: [f64; 8] = [0.0, 3e-5, 1e-4, 3e-4, 1e-3, 3e-3, 1e-2, 3e-2];
-/// Steps of the servers beyond those that are counted one by one.
-const STEP: f64 = 1.12;
-const COUNTED: usize = 12;
-const MOST_STEPS: f64 = 24.0;
-/// Servers that may be there for each that was seen at work: more can't be told from what was seen.
-const BEYOND: f64 = 3.0;
-/// Work that is in hand together ends together, and one number in hand follows from the one before: so much of the counts is
-/// news for the interval, which would be too sure else.
-const NEWS: f64 = 0.1;
-/// And for the middle, which leans towards many servers where the data say little.
-const SHARP: f64 = 1.0;
-/// Half of what lies between neighbours on the grid: the truth may be between two of them.
-const GRID: f64 = 0.02;
-/// Ends below which nothing is told.
-const FEWEST: f64 = 50.0;
-
-impl Curve {
-    /// Ends a second with so many in hand.
-    #[must_use]
-    pub fn rate(&self, number: f64) -> f64 {
-        self.single * shape(number, self.servers, self.contention, self.coherence)
-    }
-
-    /// The number in hand at which most ends, and how many a second.
-    #[must_use]
-    pub fn peak(&self) -> (f64, f64) {
-        let at = if self.coherence > 0.0 {
-            self.servers
-                .min(((1.0 - self.contention) / self.coherence).sqrt().max(1.0))
-        } else {
-            self.servers
-        };
-        (at, self.rate(at))
-    }
+/// A curve on the grid.
+#[derive(Debug, Clone, Copy)]
+struct Candidate {
+    curve: ThroughputCurve,
+    /// Throughput at its saturation point.
+    peak_throughput: f64,
+    log_likelihood: f64,
 }
 
-fn shape(number: f64, servers: f64, contention: f64, coherence: f64) -> f64 {
-    let at_work = number.min(servers);
-    at_work
-        / (1.0
-            + contention * (at_work - 1.0).max(0.0)
-            + coherence * number * (number - 1.0).max(0.0))
-}
-
-/// How well the times go with it: one that comes as the n-th takes n by the rate with n in hand, whether it waits for a server or
-/// shares one. Times say more than counts where work varies little.
-fn times_fit(cells: &[Cell], shapes: &[f64], single: f64) -> f64 {
-    let (came, spread) = cells.iter().fold((0.0, 0.0), |(came, spread), cell| {
-        let mean = cell.took / cell.came.max(1.0);
-        let squares = if cell.came >= 2.0 {
-            cell.squares - cell.took * mean
-        } else {
-            0.0
-        };
-        // As a share of the mean, pooled: a cell alone may have seen too few.
-        (
-            came + cell.came,
-            spread + squares.max(0.0) / (mean * mean).max(1e-18),
-        )
-    });
-    let variance = (spread / came.max(1.0)).max(1e-4);
-    let off = |(cell, shaped): (&Cell, &f64)| {
-        let expected = cell.number() / (single * shaped);
-        cell.came * (cell.took / cell.came.max(1.0) / expected - 1.0).powi(2)
-    };
-    -cells
+/// Estimates the saturation point; none where fewer than 50 requests completed.
+#[must_use]
+pub fn fit(statistics: &ConcurrencyStatistics) -> Option<SaturationEstimate> {
+    let observations = Observations::of(statistics);
+    if observations.completions < MIN_COMPLETIONS {
+        return None;
+    }
+    let mut candidates = evaluate_grid(&observations, statistics.highest_concurrency());
+    candidates.sort_by(|one, other| one.peak_throughput.total_cmp(&other.peak_throughput));
+    let best = candidates
         .iter()
-        .zip(shapes)
-        .filter(|(cell, _)| cell.came > 0.0)
-        .map(off)
-        .sum::<f64>()
-        / (2.0 * variance)
+        .max_by(|one, other| one.log_likelihood.total_cmp(&other.log_likelihood))?;
+    let quantile = |weight, share| quantile(&candidates, best.log_likelihood, weight, share);
+    let [low, high] = INTERVAL_QUANTILES.map(|share| quantile(INTERVAL_WEIGHT, share));
+    Some(SaturationEstimate {
+        curve: best.curve,
+        throughput: quantile(MEDIAN_WEIGHT, 0.5),
+        low: low * (1.0 - GRID_MARGIN),
+        high: high * (1.0 + GRID_MARGIN),
+        concurrency: best.curve.peak().concurrency,
+    })
 }
 
-/// The servers that are tried.
-fn servers(largest: f64) -> Vec<f64> {
-    let most = (BEYOND * largest).max(4.0);
-    let counted = (1..=COUNTED).map(|servers| servers as f64);
-    let mut more = Vec::new();
-    // A crowd makes the steps longer, and not more: the time of a fit is bounded.
-    let step = STEP.max((most / COUNTED as f64).powf(1.0 / MOST_STEPS));
-    let mut next = COUNTED as f64 * step;
-    while next <= most {
-        more.push(next);
-        next *= step;
-    }
-    counted
-        .chain(more)
-        .filter(|servers| *servers <= most)
-        .collect()
+/// The peak throughput below which the candidates have this share of all weight. Their weights are
+/// the likelihoods relative to the best one, raised to a power.
+fn quantile(candidates: &[Candidate], best_log_likelihood: f64, power: f64, share: f64) -> f64 {
+    let weight = |candidate: &Candidate| {
+        let relative = candidate.log_likelihood - best_log_likelihood;
+        (power * relative).exp()
+    };
+    let total: f64 = candidates.iter().map(weight).sum();
+    let mut sum = 0.0;
+    let found = candidates.iter().find(|candidate| {
+        sum += weight(candidate);
+        sum >= share * total
+    });
+    found
+        .or(candidates.last())
+        .map_or(0.0, |candidate| candidate.peak_throughput)
 }
 
-/// Fits; none where too little was seen.
-#[must_use]
-pub fn fit(seen: &Seen) -> Option<Fit> {
-    let cells: Vec<Cell> = seen.busy().copied().collect();
-    let ends: f64 = cells.iter().map(|cell| cell.ends).sum();
-    if ends < FEWEST {
-        return None;
-    }
-    let mut tried: Vec<(f64, f64, Curve)> = Vec::new();
-    let mut shapes = vec![0.0; cells.len()];
-    let mut best = f64::NEG_INFINITY;
-    for servers in servers(seen.largest()) {
-        for contention in CONTENTION {
-            for coherence in COHERENCE {
-                let mut sum = 0.0;
-                for (cell, shaped) in cells.iter().zip(&mut shapes) {
-                    *shaped = shape(cell.number(), servers, contention, coherence);
-                    sum += cell.time * *shaped;
-                }
-                let single = ends / sum;
-                let fits = cells
-                    .iter()
-                    .zip(&shapes)
-                    .map(|(cell, shaped)| cell.ends * (single * shaped).ln());
-                let fits = fits.sum::<f64>() + times_fit(&cells, &shapes, single);
-                best = best.max(fits);
-                let curve = Curve {
-                    single,
+/// Evaluates all curves on the grid.
+fn evaluate_grid(observations: &Observations, highest_concurrency: f64) -> Vec<Candidate> {
+    let mut candidates = Vec::new();
+    let mut speedups = vec![0.0; observations.levels.len()];
+    for servers in servers_on_grid(highest_concurrency) {
+        for contention in CONTENTIONS {
+            for coherence in COHERENCES {
+                let shape = CurveShape {
                     servers,
                     contention,
                     coherence,
                 };
-                tried.push((curve.peak().1, fits, curve));
+                candidates.push(observations.evaluate(shape, &mut speedups));
             }
         }
     }
-    tried.sort_by(|one, other| one.0.total_cmp(&other.0));
-    let quantile = |news: f64, share: f64| {
-        let weight = |fits: f64| (news * (fits - best)).exp();
-        let all: f64 = tried.iter().map(|(_, fits, _)| weight(*fits)).sum();
-        let mut sum = 0.0;
-        let found = tried.iter().find(|(_, fits, _)| {
-            sum += weight(*fits);
-            sum >= share * all
-        });
-        found.or(tried.last()).map_or(0.0, |(rate, ..)| *rate)
-    };
-    let rate = quantile(SHARP, 0.5);
-    let (low, high) = (
-        quantile(NEWS, 0.05) * (1.0 - GRID),
-        quantile(NEWS, 0.95) * (1.0 + GRID),
-    );
-    let (.., curve) = tried
-        .iter()
-        .max_by(|one, other| one.1.total_cmp(&other.1))?;
-    Some(Fit {
-        best: *curve,
-        rate,
-        low,
-        high,
-        concurrency: curve.peak().0,
-    })
+    candidates
+}
+
+/// The numbers of servers on the grid: all small ones, then a geometric series.
+fn servers_on_grid(highest_concurrency: f64) -> Vec<f64> {
+    let largest = (SERVERS_PER_OBSERVED * highest_concurrency).max(MIN_LARGEST_SERVERS);
+    let bounded_ratio = (largest / EXACT_SERVERS as f64).powf(1.0 / MAX_RATIO_STEPS);
+    let ratio = SERVERS_RATIO.max(bounded_ratio);
+    let mut grid: Vec<f64> = (1..=EXACT_SERVERS)
+        .map(|servers| servers as f64)
+        .filter(|servers| *servers <= largest)
+        .collect();
+    let mut servers = EXACT_SERVERS as f64 * ratio;
+    while servers <= largest {
+        grid.push(servers);
+        servers *= ratio;
+    }
+    grid
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// What is fitted to.
+struct Observations {
+    /// The levels at which at least one request was in flight.
+    levels: Vec<LevelStatistics>,
+    completions: f64,
+    /// Variance of latencies relative to their mean, pooled over the levels.
+    relative_latency_variance: f64,
+}
 
-    /// What a curve itself would show, at each number in hand for a while.
-    fn shown(curve: Curve, largest: usize, seconds: f64) -> Seen {
-        let mut seen = Seen::default();
-        for number in 1..=largest {
-            seen.stood(number, seconds);
-            (0..(curve.rate(number as f64) * seconds) as usize).for_each(|_| seen.ended(number));
+impl Observations {
+    fn of(statistics: &ConcurrencyStatistics) -> Self {
+        let levels: Vec<LevelStatistics> = statistics.busy_levels().copied().collect();
+        Self {
+            completions: levels.iter().map(|level| level.completions).sum(),
+            relative_latency_variance: relative_latency_variance(&levels),
+            levels,
         }
-        seen
     }
 
-    #[test]
-    fn a_curve_is_found_from_what_it_shows() {
-        for curve in [
-            Curve {
-                single: 20.0,
-                servers: 8.0,
-                contention: 0.0,
-                coherence: 0.0,
-            },
-            Curve {
-                single: 50.0,
-                servers: 1.0,
-                contention: 0.0,
-                coherence: 0.0,
-            },
-            Curve {
-                single: 10.0,
-                servers: 1_000.0,
-                contention: 0.03,
-                coherence: 1e-3,
-            },
-        ] {
-            let (at, rate) = curve.peak();
-            let fit = fit(&shown(curve, (1.3 * at) as usize + 2, 20.0)).expect("much was seen");
-            assert!((fit.rate / rate - 1.0).abs() < 0.03, "{fit:?} of {rate}");
-            assert!(
-                fit.low <= rate * 1.001 && rate <= fit.high * 1.001,
-                "{fit:?} of {rate}"
-            );
+    /// Scales a shape to the observations, and computes its likelihood. `speedups` is a buffer with
+    /// a place for each level.
+    fn evaluate(&self, shape: CurveShape, speedups: &mut [f64]) -> Candidate {
+        let mut expected_per_scale = 0.0;
+        for (level, speedup) in self.levels.iter().zip(speedups.iter_mut()) {
+            *speedup = shape.speedup(level.concurrency());
+            expected_per_scale += level.seconds * *speedup;
+        }
+        let curve = ThroughputCurve {
+            single_throughput: self.completions / expected_per_scale,
+            shape,
+        };
+        let log_likelihood = self.completion_log_likelihood(curve.single_throughput, speedups)
+            + self.latency_log_likelihood(curve.single_throughput, speedups);
+        Candidate {
+            curve,
+            peak_throughput: curve.peak().throughput,
+            log_likelihood,
         }
     }
 
-    #[test]
-    fn far_from_saturation_the_interval_is_wide_and_with_little_nothing_is_told() {
-        let curve = Curve {
-            single: 20.0,
-            servers: 40.0,
-            contention: 0.0,
-            coherence: 0.0,
+    /// Log-likelihood of the Poisson counts of completions, up to what is the same for all curves.
+    fn completion_log_likelihood(&self, single_throughput: f64, speedups: &[f64]) -> f64 {
+        self.levels
+            .iter()
+            .zip(speedups)
+            .map(|(level, speedup)| level.completions * (single_throughput * speedup).ln())
+            .sum::<f64>()
+    }
+
+    /// Log-likelihood of the mean latencies, up to what is the same for all curves. By Little's law
+    /// a request that is sent as the n-th in flight takes n divided by the throughput at n, whether
+    /// it waits for a server or shares one. Latencies say more than counts where they vary little.
+    fn latency_log_likelihood(&self, single_throughput: f64, speedups: &[f64]) -> f64 {
+        let squared_errors = self
+            .levels
+            .iter()
+            .zip(speedups)
+            .filter(|(level, _)| level.sent > 0.0)
+            .map(|(level, speedup)| {
+                let expected = level.concurrency() / (single_throughput * speedup);
+                level.sent * (level.mean_latency() / expected - 1.0).powi(2)
+            });
+        -squared_errors.sum::<f64>() / (2.0 * self.relative_latency_variance)
+    }
+}
+
+/// Variance of latencies relative to their mean, pooled: one level may have seen too few requests.
+fn relative_latency_variance(levels: &[LevelStatistics]) -> f64 {
+    let mut sent: f64 = 0.0;
+    let mut squared_deviations = 0.0;
+    for level in levels {
+        let mean = level.mean_latency();
+        let deviations = if level.sent >= 2.0 {
+            level.latency_square_sum - level.latency_sum * mean
+        } else {
+            0.0
         };
-        let far = fit(&shown(curve, 4, 20.0)).expect("much was seen");
-        let near = fit(&shown(curve, 50, 20.0)).expect("much was seen");
-        assert!(
-            far.high / far.low > 2.0 && near.high / near.low < 1.2,
-            "{far:?} {near:?}"
-        );
-        assert_eq!(fit(&shown(curve, 1, 2.0)), None);
+        sent += level.sent;
+        squared_deviations += deviations.max(0.0) / (mean * mean).max(MIN_LATENCY_SQUARE);
     }
+    (squared_deviations / sent.max(1.0)).max(MIN_RELATIVE_VARIANCE)
 }
--- /dev/null
+++ b/crates/saturation/src/throughput_history.rs
@@ -0,0 +1,71 @@
+//! Recent throughput, and its trend.
+
+/// Windows that are remembered.
+const WINDOWS: usize = 16;
+/// Fewest windows that a trend is computed from.
+const MIN_WINDOWS: usize = 4;
+/// Standard deviations that a rise has to exceed: a smaller one may be chance.
+const SIGNIFICANT_SIGMAS: f64 = 2.0;
+
+/// Throughput of the last windows, in completions a second, the latest last.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct ThroughputHistory {
+    throughputs: [f64; WINDOWS],
+}
+
+/// A linear trend of the throughput.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Trend {
+    /// Rise a second, in completions a second; 0 where it is not significant.
+    pub(crate) slope: f64,
+    /// Level at the latest window, in completions a second.
+    pub(crate) level: f64,
+}
+
+impl ThroughputHistory {
+    /// Adds the throughput of a window that has ended.
+    pub(crate) fn push(&mut self, throughput: f64) {
+        self.throughputs.rotate_left(1);
+        self.throughputs[WINDOWS - 1] = throughput;
+    }
+
+    /// The throughput of the latest window.
+    pub(crate) fn latest(&self) -> f64 {
+        self.throughputs[WINDOWS - 1]
+    }
+
+    /// The trend by least squares over the windows since the first with a completion.
+    pub(crate) fn trend(&self, window_seconds: f64) -> Trend {
+        let known: Vec<f64> = self
+            .throughputs
+            .iter()
+            .copied()
+            .skip_while(|throughput| *throughput == 0.0)
+            .collect();
+        if known.len() < MIN_WINDOWS {
+            return Trend {
+                slope: 0.0,
+                level: known.last().copied().unwrap_or(0.0),
+            };
+        }
+        let count = known.len() as f64;
+        let mean_index = (count - 1.0) / 2.0;
+        let mean = known.iter().sum::<f64>() / count;
+        let mut covariance = 0.0;
+        let mut variance = 0.0;
+        for (index, throughput) in known.iter().enumerate() {
+            let offset = index as f64 - mean_index;
+            covariance += offset * (throughput - mean);
+            variance += offset.powi(2);
+        }
+        // The variance of a Poisson count is its mean.
+        let deviation = (mean / window_seconds / variance).sqrt();
+        let slope = covariance / variance;
+        let is_significant = slope > SIGNIFICANT_SIGMAS * deviation;
+        let slope = if is_significant { slope } else { 0.0 };
+        Trend {
+            slope: slope / window_seconds,
+            level: mean + slope * (count - 1.0 - mean_index),
+        }
+    }
+}
--- a/crates/saturation/src/upstream_model.rs
+++ b/crates/saturation/src/upstream_model.rs
@@ -1,213 +1,215 @@
-//! One upstream: what comes and ends, what is forgotten, and what is told.
+//! The model of one upstream: its observations, what is forgotten of them, and the prediction.
 
-use crate::curve::{self, Fit};
-use crate::seen::Seen;
+use crate::completion::{Completion, MICROS_PER_SECOND};
+use crate::concurrency_statistics::ConcurrencyStatistics;
+use crate::saturation_fit::{fit, SaturationEstimate};
+use crate::throughput_history::ThroughputHistory;
 use cleatpulley_policy::interface::Micros;
 
-/// How it forgets and notices.
+/// Variance of the completions in a window, as a multiple of a Poisson count's: completions that
+/// come together vary more.
+const OVERDISPERSION: f64 = 2.0;
+/// Fewest expected completions that the variance is computed from.
+const MIN_EXPECTED: f64 = 4.0;
+/// Least relative difference from the expected completions that is a regime change.
+const MIN_REGIME_DIFFERENCE: f64 = 0.2;
+
+/// How fast the model forgets, and when it detects a regime change.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
-    /// What was seen counts half after so long.
+pub struct ModelSettings {
+    /// Time after which the weight of an observation has halved.
     pub half_life: Micros,
-    /// What was seen lately is looked at by itself over so long: another regime shows there first.
-    pub lately: Micros,
-    /// How many standard deviations off what was to be expected is another regime.
-    pub sigmas: f64,
+    /// Length of a window. Each window is compared with the observations before it.
+    pub window: Micros,
+    /// Standard deviations from the expected completions in a window beyond which it is the start
+    /// of another regime.
+    pub regime_change_sigmas: f64,
 }
 
-impl Default for Limits {
+impl Default for ModelSettings {
     fn default() -> Self {
         Self {
             half_life: 60_000_000,
-            lately: 2_000_000,
-            sigmas: 6.0,
+            window: 2_000_000,
+            regime_change_sigmas: 6.0,
         }
     }
 }
 
-/// What is told.
+/// What the model predicts of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prediction {
-    /// The fit, where enough was seen.
-    pub fit: Option<Fit>,
-    /// Ends a second, lately.
-    pub rate: f64,
-    /// How far the mean in hand is off what rate and time give by Little's law, as a share: the check of the input.
-    pub little: f64,
-    /// The share of the rate at saturation that is left.
+    /// The estimate of the saturation point, where enough was observed.
+    pub estimate: Option<SaturationEstimate>,
+    /// Throughput of the latest window, in completions a second.
+    pub throughput: f64,
+    /// Relative difference between the mean number in flight and throughput times mean latency,
+    /// which are equal in a steady state by Little's law. Where it is large, requests pile up, and
+    /// the estimate is not that of a steady upstream.
+    pub littles_law_error: f64,
+    /// Share of the throughput at saturation that is unused.
     pub headroom: Option<f64>,
-    /// Seconds until saturation where the rate goes on as it does, where it rises.
-    pub until: Option<f64>,
-    /// Regimes that began.
-    pub regimes: u32,
+    /// Seconds until saturation if the throughput goes on to rise as it does, where it rises.
+    pub seconds_to_saturation: Option<f64>,
+    /// Regime changes since the start.
+    pub regime_changes: u32,
 }
 
-/// One upstream.
+/// The model of one upstream.
 #[derive(Debug, Clone)]
-pub struct Upstream {
-    limits: Limits,
-    seen: Seen,
-    /// Of the present and the last stretch of `lately`.
-    now: Seen,
-    before: Seen,
-    since: Micros,
-    in_hand: usize,
-    at: Micros,
-    /// Ends a second by stretch, the newest last.
-    rates: [f64; 16],
-    regimes: u32,
+pub struct UpstreamModel {
+    settings: ModelSettings,
+    /// Observations of the current regime before the current window.
+    history: ConcurrencyStatistics,
+    /// Observations of the current window.
+    window: ConcurrencyStatistics,
+    window_start: Micros,
+    in_flight: usize,
+    /// Time of the latest call; 0 before the first one.
+    last_update: Micros,
+    throughputs: ThroughputHistory,
+    regime_changes: u32,
 }
 
-impl Upstream {
-    /// Of which nothing is known.
+impl UpstreamModel {
+    /// A model without observations.
     #[must_use]
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(settings: ModelSettings) -> Self {
         Self {
-            limits,
-            seen: Seen::default(),
-            now: Seen::default(),
-            before: Seen::default(),
-            since: 0,
-            in_hand: 0,
-            at: 0,
-            rates: [0.0; 16],
-            regimes: 0,
+            settings,
+            history: ConcurrencyStatistics::default(),
+            window: ConcurrencyStatistics::default(),
+            window_start: 0,
+            in_flight: 0,
+            last_update: 0,
+            throughputs: ThroughputHistory::default(),
+            regime_changes: 0,
         }
     }
 
-    /// One was sent: as the how-manieth in hand.
-    pub fn sent(&mut self, now: Micros) -> usize {
-        self.pass(now);
-        self.in_hand += 1;
-        self.in_hand
+    /// Notes that a request was sent; returns how many are in flight now, for its
+    /// [`Completion`].
+    pub fn on_request_sent(&mut self, now: Micros) -> usize {
+        self.advance_time(now);
+        self.in_flight += 1;
+        self.in_flight
     }
 
-    /// One ended that had been sent as the how-manieth, after so long.
-    pub fn ended(&mut self, now: Micros, sent_as: usize, took: Micros) {
-        self.pass(now);
-        self.now.ended(self.in_hand);
-        self.now.took(sent_as, took as f64 / 1e6);
-        self.in_hand = self.in_hand.saturating_sub(1);
+    /// Notes that a request completed.
+    pub fn on_completion(&mut self, now: Micros, completion: Completion) {
+        self.advance_time(now);
+        let latency_seconds = completion.latency as f64 / MICROS_PER_SECOND;
+        self.window.add_completion(self.in_flight);
+        self.window
+            .add_latency(completion.concurrency, latency_seconds);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// In hand now.
+    /// Requests in flight.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    /// Statistics that others may add to theirs.
+    /// All observations of the current regime, which may be merged with those of other processes.
     #[must_use]
-    pub fn seen(&self) -> Seen {
-        let mut seen = self.seen.clone();
-        seen.add(&self.now);
-        seen
+    pub fn statistics(&self) -> ConcurrencyStatistics {
+        let mut statistics = self.history.clone();
+        statistics.merge(&self.window);
+        statistics
     }
 
-    /// What is to be told now.
+    /// Predicts the saturation point.
     pub fn predict(&mut self, now: Micros) -> Prediction {
-        self.pass(now);
-        let seen = self.seen();
-        let fit = curve::fit(&seen);
-        let (ends, time) = seen.total();
-        let rate = if time > 0.0 { ends / time } else { 0.0 };
-        let (took, count) = seen.times();
-        let mean_time = took / count.max(1.0);
-        let little = if rate * mean_time > 0.0 {
-            (seen.mean() / (rate * mean_time) - 1.0).abs()
-        } else {
-            0.0
-        };
-        let lately = self.rates[self.rates.len() - 1].max(0.0);
-        let (slope, level) = self.trend();
-        let headroom = fit.map(|fit| (1.0 - level.max(lately) / fit.rate).max(0.0));
-        let until = fit
-            .filter(|_| slope > 0.0)
-            .map(|fit| ((fit.rate - level) / slope).max(0.0));
+        self.advance_time(now);
+        let statistics = self.statistics();
+        let estimate = fit(&statistics);
+        let throughput = self.throughputs.latest().max(0.0);
+        let window_seconds = self.settings.window as f64 / MICROS_PER_SECOND;
+        let trend = self.throughputs.trend(window_seconds);
+        let headroom = estimate
+            .map(|estimate| (1.0 - trend.level.max(throughput) / estimate.throughput).max(0.0));
+        let seconds_to_saturation = estimate
+            .filter(|_| trend.slope > 0.0)
+            .map(|estimate| ((estimate.throughput - trend.level) / trend.slope).max(0.0));
         Prediction {
-            fit,
-            rate: lately,
-            little,
+            estimate,
+            throughput,
+            littles_law_error: littles_law_error(&statistics),
             headroom,
-            until,
-            regimes: self.regimes,
+            seconds_to_saturation,
+            regime_changes: self.regime_changes,
         }
     }
 
-    fn pass(&mut self, now: Micros) {
-        if self.at == 0 {
-            (self.at, self.since) = (now, now);
+    /// Adds the time since the latest call to the window, and ends the window when it is over.
+    fn advance_time(&mut self, now: Micros) {
+        if self.last_update == 0 {
+            self.last_update = now;
+            self.window_start = now;
         }
-        let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        self.now.stood(self.in_hand, passed);
-        self.at = self.at.max(now);
-        if self.at >= self.since + self.limits.lately {
-            self.turn_over();
+        let elapsed = now.saturating_sub(self.last_update) as f64 / MICROS_PER_SECOND;
+        self.window.add_time(self.in_flight, elapsed);
+        self.last_update = self.last_update.max(now);
+        if self.last_update >= self.window_start + self.settings.window {
+            self.end_window();
         }
     }
 
-    /// A stretch is over: it is judged, and joins what was seen before.
-    fn turn_over(&mut self) {
-        let stretch = self.at.saturating_sub(self.since) as f64;
-        let (ends, time) = self.now.total();
-        self.rates.rotate_left(1);
-        self.rates[15] = if time > 0.0 { ends / time } else { 0.0 };
-        if self.is_another_regime() {
-            // What was seen before says nothing of it.
-            self.seen = Seen::default();
-            self.regimes += 1;
+    /// Compares the window with the history, and adds it to the history.
+    fn end_window(&mut self) {
+        let length = self.last_update.saturating_sub(self.window_start) as f64;
+        self.throughputs.push(self.window.totals().throughput());
+        if self.is_regime_change() {
+            // Observations of the former regime say nothing about this one.
+            self.history = ConcurrencyStatistics::default();
+            self.regime_changes += 1;
         } else {
-            let keep = 0.5f64.powf(stretch / self.limits.half_life as f64);
-            self.seen.fade(keep);
+            let remaining_weight = 0.5f64.powf(length / self.settings.half_life as f64);
+            self.history.scale(remaining_weight);
         }
-        self.before = std::mem::take(&mut self.now);
-        self.seen.add(&self.before);
-        self.since = self.at;
+        let window = std::mem::take(&mut self.window);
+        self.history.merge(&window);
+        self.window_start = self.last_update;
     }
 
-    /// Whether what ended in this stretch is far off what was seen before gives for the numbers that were in hand. More in hand than
-    /// ever before should end no less than the most did: how a curve goes on is not known, and no reason for an alarm.
-    fn is_another_regime(&self) -> bool {
-        let Some(fit) = curve::fit(&self.seen) else {
+    /// Whether the completions in the window differ significantly from what the history predicts
+    /// for the numbers in flight.
+    ///
+    /// Concurrency above the highest one in the history is expected to have the throughput of that
+    /// one: how the curve goes on is not known, and must not raise an alarm.
+    fn is_regime_change(&self) -> bool {
+        let Some(estimate) = fit(&self.history) else {
             return false;
         };
-        let largest = self.seen.largest();
-        let rate = |number: f64| fit.best.rate(number.min(largest));
+        let highest = self.history.highest_concurrency();
         let expected: f64 = self
-            .now
-            .busy()
-            .map(|cell| cell.time * rate(cell.number()))
+            .window
+            .busy_levels()
+            .map(|level| {
+                let concurrency = level.concurrency().min(highest);
+                level.seconds * estimate.curve.throughput(concurrency)
+            })
+            .sum();
+        let completions: f64 = self
+            .window
+            .busy_levels()
+            .map(|level| level.completions)
             .sum();
-        let ends: f64 = self.now.busy().map(|cell| cell.ends).sum();
-        // Of ends that come together there is more chance than a Poisson count has.
-        let sigma = (2.0 * expected.max(4.0)).sqrt();
-        (ends - expected).abs() > self.limits.sigmas * sigma
-            && (ends / expected.max(1.0) - 1.0).abs() > 0.2
+        let deviation = (OVERDISPERSION * expected.max(MIN_EXPECTED)).sqrt();
+        let is_significant =
+            (completions - expected).abs() > self.settings.regime_change_sigmas * deviation;
+        let relative_difference = (completions / expected.max(1.0) - 1.0).abs();
+        is_significant && relative_difference > MIN_REGIME_DIFFERENCE
     }
+}
 
-    /// The rise of the rate a second, and its level now, by least squares over the stretches.
-    fn trend(&self) -> (f64, f64) {
-        let known: Vec<f64> = self
-            .rates
-            .iter()
-            .copied()
-            .skip_while(|rate| *rate == 0.0)
-            .collect();
-        let count = known.len() as f64;
-        if known.len() < 4 {
-            return (0.0, known.last().copied().unwrap_or(0.0));
-        }
-        let step = self.limits.lately as f64 / 1e6;
-        let (mid_x, mid_y) = ((count - 1.0) / 2.0, known.iter().sum::<f64>() / count);
-        let (mut xy, mut xx) = (0.0, 0.0);
-        for (x, y) in known.iter().enumerate() {
-            xy += (x as f64 - mid_x) * (y - mid_y);
-            xx += (x as f64 - mid_x).powi(2);
-        }
-        let slope = xy / xx;
-        // A rise that chance gives is none.
-        let chance = (mid_y / step / xx).sqrt();
-        let slope = if slope > 2.0 * chance { slope } else { 0.0 };
-        (slope / step, mid_y + slope * (count - 1.0 - mid_x))
+/// Relative difference between the mean number in flight and throughput times mean latency.
+fn littles_law_error(statistics: &ConcurrencyStatistics) -> f64 {
+    let expected = statistics.totals().throughput() * statistics.mean_latency();
+    if expected > 0.0 {
+        (statistics.mean_concurrency() / expected - 1.0).abs()
+    } else {
+        0.0
     }
 }
