--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,10 +1,20 @@
-//! One process takes the place of another that serves. Both sides are state machines, fed with messages, ends and time,
-//! which return what to do; an adapter carries messages and listening sockets between the processes.
+//! Hot restart: a new process of a server, the successor, takes the listening sockets and the
+//! learned state over from the process that serves, its predecessor. No I/O and no clock.
 //!
-//! At every moment somebody owns the queue of new connections: the [`predecessor`] until it has said [`Yours`], the
-//! [`successor`] from then on, and the predecessor again where its successor dies before it was told to leave itself.
+//! Both sides are state machines. They are fed with messages, lost connections and the time, and
+//! return the [`Effect`](predecessor::Effect)s that an adapter is to carry out: it transfers
+//! messages and listening sockets between the two processes.
 //!
-//! [`Yours`]: message::Message::Yours
+//! At every moment exactly one process owns the queue of new connections: the [`predecessor`] until
+//! it has sent [`Message::Yours`], the [`successor`] from then on, and the predecessor again if its
+//! successor dies while the predecessor is still draining.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`message`] | the messages between the two processes, and their codec |
+//! | [`predecessor`] | the side that passes its listening sockets and drains |
+//! | [`successor`] | the side that adopts the sockets and starts to serve |
+//! | [`snapshot`] | the learned state of the overload controller, as it is handed over |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,4 +24,6 @@
 pub mod snapshot;
 pub mod successor;
 
-pub use message::{Held, Message};
+pub use message::{Message, ProcessUsage};
+// The name by which the server still refers to it.
+pub use message::ProcessUsage as Held;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,200 +1,142 @@
-//! What the two processes say: one message a packet, as JSON.
+//! The messages between predecessor and successor: one a packet, encoded as JSON.
+//!
+//! The two processes may be of different releases, so the JSON keeps its bytes: where an item here
+//! has another name than on the wire, a `serde` attribute names the latter.
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// The version of this protocol. Another is told, and no socket is passed.
-pub const VERSION: u32 = 1;
-/// No message is longer, in bytes.
-pub const LONGEST: usize = 65_536;
+/// The version of this protocol. A peer of another version is rejected, and no socket is passed.
+pub const PROTOCOL_VERSION: u32 = 1;
+/// The longest message, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 65_536;
+/// So many clients with reputation fit into one message, together with everything else in it.
+pub const MAX_REPUTATION_ENTRIES: usize = 700;
 
-/// So many callers with earned standing fit into a message beside all else.
-pub const MOST_STANDING: usize = 700;
+// The names by which the server still refers to them.
+pub use self::{
+    MAX_MESSAGE_BYTES as LONGEST, MAX_REPUTATION_ENTRIES as MOST_STANDING,
+    PROTOCOL_VERSION as VERSION,
+};
 
-/// What a process still has of the machine that both share.
+/// What a process still uses of the resources that predecessor and successor share.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
-    /// Requests on the cores.
+pub struct ProcessUsage {
+    /// Requests that run on the cores.
     pub running: usize,
-    /// Memory booked for requests, in KB.
+    /// Memory reserved for requests, in KB.
     pub memory_kb: f64,
-    /// Calls in the hands of the store.
+    /// Dependency calls in flight.
     pub calls: usize,
-    /// Descriptors.
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-/// One message.
+/// One message, with the side that sends it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Message {
-    /// Successor: who it is, and what it would listen on.
+    /// Successor: introduces itself and asks for listening sockets.
     Hello {
-        /// [`VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
-        /// The matcher's name.
+        /// The name of the server; both processes must have the same.
         name: String,
-        /// Its addresses, in the order it wants their sockets.
+        /// The addresses whose listening sockets it wants, in the order in which it wants them.
         listen: Vec<SocketAddr>,
     },
     /// Predecessor: the listening sockets of these addresses come with this message, in this order.
     Offer {
-        /// [`VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
-        /// Those of the addresses asked for on which it listens.
+        /// Those of the requested addresses on which the predecessor listens.
         listen: Vec<SocketAddr>,
     },
-    /// Predecessor: it does not pass its sockets.
+    /// Predecessor: it does not pass its listening sockets.
     Refused {
-        /// Why.
+        /// The reason, for the successor's log.
         why: String,
     },
-    /// Successor: it can serve, and wants to.
+    /// Successor: it is ready to serve; the predecessor is to stop accepting.
     Take {},
-    /// Predecessor: it accepts no more, and has so much left.
+    /// Predecessor: it accepts no more connections; the successor serves from here on.
     Yours {
-        /// What it has left.
-        held: Held,
-        /// What its controller has learned, as the text of its snapshot; empty: nothing.
+        /// What the predecessor still uses.
+        held: ProcessUsage,
+        /// The learned state of its controller, encoded as a [`snapshot`](crate::snapshot); empty
+        /// if there is none.
         learned: String,
-        /// Callers that have earned standing, with their points; [`MOST_STANDING`] at most.
+        /// Clients with reputation and their points; [`MAX_REPUTATION_ENTRIES`] at most.
         standing: Vec<(IpAddr, f64)>,
     },
-    /// Predecessor: it has let go of the store of results.
+    /// Predecessor: it has closed the store of idempotency keys, which the successor may open.
     StoreFree {},
-    /// Predecessor: what it has left by now.
-    Left(Held),
-    /// A process whose successor died, to the one that serves now: it came before it, and has so much left.
-    Behind {
-        /// [`VERSION`].
+    /// Predecessor: what it still uses by now.
+    Left(ProcessUsage),
+    /// An orphaned predecessor, one whose successor died, to the process that serves by now: it is
+    /// an earlier predecessor of that process, and is still draining.
+    #[serde(rename = "behind")]
+    EarlierPredecessor {
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
-        /// The matcher's name.
+        /// The name of the server; both processes must have the same.
         name: String,
-        /// What it has left.
-        held: Held,
+        /// What the earlier predecessor still uses.
+        held: ProcessUsage,
     },
 }
 
-/// Why a packet is no message.
+/// Why a packet can't be decoded as a message.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
-    /// It is longer than any.
-    #[error("a message of {0} bytes, {LONGEST} at most")]
-    Long(usize),
-    /// It can't be read.
-    #[error("no message: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    /// A figure that can't be.
+pub enum DecodeError {
+    /// It is longer than any message.
+    #[error("message of {0} bytes is longer than {MAX_MESSAGE_BYTES} bytes")]
+    TooLong(usize),
+    /// It is no JSON, or no message of this protocol.
+    #[error("malformed message: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// The amount of memory, in KB, is negative or no number.
     #[error("held.memory_kb: {0} is no amount of memory")]
-    Amount(f64),
+    InvalidMemory(f64),
 }
 
 impl Message {
-    /// As it is sent.
+    /// Returns the packet that carries this message.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        // None of its parts can fail to be written.
+        // Strings, numbers and lists of them can always be written as JSON.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a packet.
+    /// Decodes a packet.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn decode(bytes: &[u8]) -> Result<Self, Fault> {
-        if bytes.len() > LONGEST {
-            return Err(Fault::Long(bytes.len()));
+    /// [`DecodeError`] if the packet is too long, is no message of this protocol, or has an amount
+    /// of memory that can't be.
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::TooLong(bytes.len()));
         }
         let message: Self = serde_json::from_slice(bytes)?;
-        if let Self::Yours { held, .. } | Self::Left(held) | Self::Behind { held, .. } = &message {
-            // Guards the controller against figures that no sum survives.
-            if !(held.memory_kb.is_finite() && held.memory_kb >= 0.0) {
-                return Err(Fault::Amount(held.memory_kb));
+        if let Some(usage) = message.usage() {
+            // Sums in the controller would not recover from infinite or negative memory.
+            if !(usage.memory_kb.is_finite() && usage.memory_kb >= 0.0) {
+                return Err(DecodeError::InvalidMemory(usage.memory_kb));
             }
         }
         Ok(message)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn the_longest_message_fits() {
-        let address = "2001:db8:ffff:ffff:ffff:ffff:ffff:ffff"
-            .parse()
-            .expect("an address");
-        let standing = vec![(address, 1_234.567_890_123_456); MOST_STANDING];
-        let learned = "x".repeat(8_192);
-        let yours = Message::Yours {
-            held: Held::default(),
-            learned,
-            standing,
-        };
-        assert!(yours.encode().len() <= LONGEST, "{}", yours.encode().len());
-    }
-
-    #[test]
-    fn messages_come_back_as_they_were_sent_and_nothing_else_is_read() {
-        let held = Held {
-            running: 3,
-            memory_kb: 12.5,
-            calls: 1,
-            descriptors: 40,
-        };
-        let messages = [
-            Message::Hello {
-                version: 1,
-                name: "n1".into(),
-                listen: vec!["127.0.0.1:5".parse().expect("one")],
-            },
-            Message::Offer {
-                version: 1,
-                listen: Vec::new(),
-            },
-            Message::Refused { why: "busy".into() },
-            Message::Take {},
-            Message::Yours {
-                held,
-                learned: String::new(),
-                standing: vec![([10, 0, 0, 1].into(), 2.5)],
-            },
-            Message::StoreFree {},
-            Message::Left(held),
-            Message::Behind {
-                version: 1,
-                name: "n1".into(),
-                held,
-            },
-        ];
-        for message in messages {
-            let bytes = message.encode();
-            assert_eq!(Message::decode(&bytes).expect("whole"), message);
-            for cut in 0..bytes.len() {
-                assert!(
-                    Message::decode(&bytes[..cut]).is_err(),
-                    "{cut} of {message:?}"
-                );
+    fn usage(&self) -> Option<&ProcessUsage> {
+        match self {
+            Self::Yours { held, .. } | Self::Left(held) | Self::EarlierPredecessor { held, .. } => {
+                Some(held)
             }
+            Self::Hello { .. }
+            | Self::Offer { .. }
+            | Self::Refused { .. }
+            | Self::Take {}
+            | Self::StoreFree {} => None,
         }
-        for odd in [
-            &b"{}"[..],
-            b"{\"say\":\"take\",\"now\":1}",
-            b"\xff",
-            b"{\"say\":\"left\",\"running\":-1}",
-        ] {
-            assert!(Message::decode(odd).is_err(), "{}", odd.escape_ascii());
-        }
-        let negative = Message::Left(Held {
-            memory_kb: -1.0,
-            ..held
-        })
-        .encode();
-        assert!(matches!(Message::decode(&negative), Err(Fault::Amount(_))));
-        assert!(matches!(
-            Message::decode(&vec![b' '; LONGEST + 1]),
-            Err(Fault::Long(_))
-        ));
     }
 }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,391 +1,299 @@
-//! The process that serves, and what it does for the one that is to take its place.
+//! The process that serves, and what it does for the process that is to succeed it.
 
-use crate::message::{Held, Message, VERSION};
+use crate::message::{Message, ProcessUsage, PROTOCOL_VERSION};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
-/// A successor that has the sockets asks to take over within this time, or is forgotten: its runtime may come up late.
-pub const PATIENCE: Micros = 10_000_000;
-/// How often a successor hears what is left.
-pub const TELLS: Micros = 50_000;
-/// One whose successor died looks for so long for a process that has the place by now, and so often. Whoever was about to
-/// take over from the dead one is there within milliseconds; nobody accepts meanwhile, so that it is no longer than a caller
-/// takes for an instant.
-pub const ORPHANED: Micros = 50_000;
-const LOOKS: Micros = 5_000;
+/// A successor that has connected says hello, and one that has the listening sockets asks to take
+/// over, within this time, or its connection is closed: its runtime may come up late.
+pub const HANDOVER_TIMEOUT: Micros = 10_000_000;
+/// A draining predecessor reports what it still uses at this interval.
+pub const USAGE_REPORT_INTERVAL: Micros = 50_000;
+/// An orphaned predecessor, one whose successor died, searches for so long for a process that
+/// serves by now. A process that was about to succeed the dead one is there within milliseconds.
+/// Nobody accepts meanwhile, so it is no longer than a client takes for an instant.
+pub const ORPHAN_SEARCH_TIME: Micros = 50_000;
+/// The interval of that search.
+const ORPHAN_SEARCH_INTERVAL: Micros = 5_000;
 
-/// What is to be done.
+// The names by which the server's tests still refer to them.
+pub use self::{HANDOVER_TIMEOUT as PATIENCE, ORPHAN_SEARCH_TIME as ORPHANED};
+
+/// What the adapter is to do, in the order returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Say this.
+    /// Send this message on the connection.
     Send(Message),
-    /// Say this, and pass the listening sockets of its addresses along.
+    /// Send this [`Message::Offer`] together with the listening sockets of its addresses.
     Pass(Message),
-    /// Accept no more, send connections away, and then say [`Message::Yours`].
+    /// Stop accepting, ask clients to reconnect, then send [`Message::Yours`].
     Yield,
     /// Accept again: there is no successor any more.
     Resume,
-    /// Close the connection to the successor.
+    /// Close the connection.
     Close,
-    /// See whether some other process has the place by now, and say [`found`](Predecessor::found) where one has.
+    /// Try to connect to a process that serves by now; call [`found`](Predecessor::found) where
+    /// there is one.
     Look,
-    /// The visitor came before this process, and its own successor died: it has so much left.
-    Behind(Held),
+    /// The peer is an earlier predecessor that still uses so much; keep its connection.
+    Behind(ProcessUsage),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Nobody is there.
-    Alone,
-    /// Somebody came and has said nothing yet.
-    Visited { until: Micros },
-    /// It has the sockets.
-    Passed { until: Micros },
-    /// It takes the clients.
-    Yielded { tell_at: Micros },
-    /// It took them and died. Another may have taken its place by then.
-    Orphaned { until: Micros, look_at: Micros },
+    /// No peer is connected.
+    Idle,
+    /// A peer has connected and has sent nothing yet.
+    Connected { expires_at: Micros },
+    /// The successor has the listening sockets, and does not accept yet.
+    ListenersPassed { expires_at: Micros },
+    /// The successor accepts; this process drains.
+    HandedOver { report_at: Micros },
+    /// The successor accepted and died. Another process may serve by now.
+    Orphaned {
+        resume_at: Micros,
+        search_at: Micros,
+    },
 }
 
-/// The decisions.
+/// The predecessor's side of a hot restart.
 #[derive(Debug)]
 pub struct Predecessor {
+    /// The name of the server.
     name: String,
     state: State,
-    /// When the successor that took the clients was first seen to be gone: the search for the next has an end.
+    /// When the current search for another process began, so that a search ends in time although
+    /// processes are found that turn out to be none.
     orphaned_at: Option<Micros>,
 }
 
 impl Predecessor {
-    /// Of a matcher of this name.
+    /// Creates the predecessor's side for a server of this name, with no successor yet.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
-            state: State::Alone,
+            state: State::Idle,
             orphaned_at: None,
         }
     }
 
-    /// A successor takes the clients, or whoever took its place.
+    /// Returns whether this process has handed over: it accepts no connections, even if its
+    /// successor died since and another process is searched for.
     #[must_use]
     pub fn yielded(&self) -> bool {
-        matches!(self.state, State::Yielded { .. } | State::Orphaned { .. })
+        matches!(
+            self.state,
+            State::HandedOver { .. } | State::Orphaned { .. }
+        )
     }
 
-    /// The successor died, and who has the place by now is not known yet.
+    /// Returns whether the successor died, and it is not known yet which process serves now.
     #[must_use]
     pub fn is_orphaned(&self) -> bool {
         matches!(self.state, State::Orphaned { .. })
     }
 
-    /// There is no time left to look: whoever waits is this process's to answer.
+    /// Ends the search for another process, so that this one accepts again at the next
+    /// [`turn`](Self::turn).
     pub fn search_no_more(&mut self, now: Micros) {
-        if let State::Orphaned { until, .. } = &mut self.state {
-            *until = now;
+        if let State::Orphaned { resume_at, .. } = &mut self.state {
+            *resume_at = now;
         }
     }
 
-    /// Whether one more may come; the first that is there is the only one.
+    /// Returns whether a peer may connect; there is at most one.
     #[must_use]
     pub fn receives(&self) -> bool {
-        self.state == State::Alone
+        self.state == State::Idle
     }
 
-    /// Somebody connected, whose user is ours.
+    /// Notifies of a new connection, from a process of the same user.
     pub fn visited(&mut self, now: Micros) {
-        self.state = State::Visited {
-            until: now + PATIENCE,
+        self.state = State::Connected {
+            expires_at: now + HANDOVER_TIMEOUT,
         };
     }
 
-    /// Hears what the visitor says; `listens` are the addresses that this process listens on.
-    pub fn hear(&mut self, now: Micros, message: &Message, listens: &[SocketAddr]) -> Vec<Effect> {
+    /// Handles a message of the peer; `listeners` are the addresses that this process listens on.
+    pub fn hear(
+        &mut self,
+        now: Micros,
+        message: &Message,
+        listeners: &[SocketAddr],
+    ) -> Vec<Effect> {
         match (self.state, message) {
             (
-                State::Visited { .. },
+                State::Connected { .. },
                 Message::Hello {
                     version,
                     name,
                     listen,
                 },
-            ) => {
-                if let Some(refusal) = self.refusal(*version, name) {
-                    return refusal;
-                }
-                self.state = State::Passed {
-                    until: now + PATIENCE,
-                };
-                let listen = listen
-                    .iter()
-                    .filter(|address| listens.contains(address))
-                    .copied()
-                    .collect();
-                vec![Effect::Pass(Message::Offer {
-                    version: VERSION,
-                    listen,
-                })]
-            }
+            ) => match self.reject_foreign(*version, name) {
+                Some(rejection) => rejection,
+                None => self.pass_listeners(now, listen, listeners),
+            },
             (
-                State::Visited { .. },
-                Message::Behind {
+                State::Connected { .. },
+                Message::EarlierPredecessor {
                     version,
                     name,
                     held,
                 },
-            ) => self.refusal(*version, name).unwrap_or_else(|| {
-                self.state = State::Alone;
-                vec![Effect::Behind(*held)]
-            }),
-            (State::Passed { .. }, Message::Take {}) => {
-                self.state = State::Yielded {
-                    tell_at: now + TELLS,
-                };
+            ) => match self.reject_foreign(*version, name) {
+                Some(rejection) => rejection,
+                None => {
+                    self.state = State::Idle;
+                    vec![Effect::Behind(*held)]
+                }
+            },
+            (State::ListenersPassed { .. }, Message::Take {}) => {
+                self.enter_handed_over(now);
                 self.orphaned_at = None;
                 vec![Effect::Yield]
             }
-            // Nothing else is said by a successor that goes by this protocol.
+            // A successor that follows the protocol sends nothing else.
             _ => self.ended(now),
         }
     }
 
-    /// What a visitor hears that is none of ours.
-    fn refusal(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
-        let why = match (version, name) {
-            (VERSION, name) if name == self.name => return None,
-            (VERSION, _) => format!("this is {}, not {name}", self.name),
-            _ => format!("version {version} is not spoken here, {VERSION} is"),
+    /// Returns how to reject a peer of another version or server, `None` if it is of this server.
+    fn reject_foreign(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
+        let why = if version != PROTOCOL_VERSION {
+            format!("version {version} is not spoken here, {PROTOCOL_VERSION} is")
+        } else if name != self.name {
+            format!("this is {}, not {name}", self.name)
+        } else {
+            return None;
         };
-        self.state = State::Alone;
+        self.state = State::Idle;
         Some(vec![Effect::Send(Message::Refused { why }), Effect::Close])
     }
 
-    /// Another process has the place by now: it hears of this one, and no client is taken again.
-    pub fn found(&mut self, now: Micros, held: Held) -> Vec<Effect> {
-        if !matches!(self.state, State::Orphaned { .. }) {
+    fn pass_listeners(
+        &mut self,
+        now: Micros,
+        requested: &[SocketAddr],
+        listeners: &[SocketAddr],
+    ) -> Vec<Effect> {
+        self.state = State::ListenersPassed {
+            expires_at: now + HANDOVER_TIMEOUT,
+        };
+        let listen = requested
+            .iter()
+            .filter(|address| listeners.contains(address))
+            .copied()
+            .collect();
+        vec![Effect::Pass(Message::Offer {
+            version: PROTOCOL_VERSION,
+            listen,
+        })]
+    }
+
+    fn enter_handed_over(&mut self, now: Micros) {
+        self.state = State::HandedOver {
+            report_at: now + USAGE_REPORT_INTERVAL,
+        };
+    }
+
+    /// Notifies of a connection to another process that serves by now. That process learns what
+    /// this one still uses, and this one accepts no more.
+    pub fn found(&mut self, now: Micros, usage: ProcessUsage) -> Vec<Effect> {
+        if !self.is_orphaned() {
             return Vec::new();
         }
-        self.state = State::Yielded {
-            tell_at: now + TELLS,
-        };
-        let name = self.name.clone();
-        vec![Effect::Send(Message::Behind {
-            version: VERSION,
-            name,
-            held,
+        self.enter_handed_over(now);
+        vec![Effect::Send(Message::EarlierPredecessor {
+            version: PROTOCOL_VERSION,
+            name: self.name.clone(),
+            held: usage,
         })]
     }
 
-    /// It has let go of the store of results.
+    /// Notifies that this process has closed the store of idempotency keys.
     #[must_use]
     pub fn store_free(&self) -> Vec<Effect> {
-        if matches!(self.state, State::Yielded { .. }) {
+        if matches!(self.state, State::HandedOver { .. }) {
             vec![Effect::Send(Message::StoreFree {})]
         } else {
             Vec::new()
         }
     }
 
-    /// The connection ended, or what came on it can't be read.
+    /// Notifies that the connection is lost, or that a packet on it could not be decoded.
     pub fn ended(&mut self, now: Micros) -> Vec<Effect> {
-        self.state = match self.state {
-            State::Yielded { .. } if is_bug_injected(InjectedBug::StoreReopened) => {
-                self.state = State::Alone;
+        match self.state {
+            State::HandedOver { .. } if is_bug_injected(InjectedBug::StoreReopened) => {
+                self.state = State::Idle;
                 return vec![Effect::Close, Effect::Resume];
             }
-            State::Yielded { .. } | State::Orphaned { .. } => {
-                // Of one that was found and does not speak so, the search goes on where it was; a later loss is another.
-                let since = self
-                    .orphaned_at
-                    .filter(|at| now < at + ORPHANED)
-                    .unwrap_or(now);
-                self.orphaned_at = Some(since);
-                State::Orphaned {
-                    until: since + ORPHANED,
-                    look_at: now,
-                }
+            State::HandedOver { .. } | State::Orphaned { .. } => self.begin_orphan_search(now),
+            State::Idle | State::Connected { .. } | State::ListenersPassed { .. } => {
+                self.state = State::Idle;
             }
-            _ => State::Alone,
-        };
+        }
         vec![Effect::Close]
     }
 
-    /// Lets time pass.
-    pub fn turn(&mut self, now: Micros, held: impl FnOnce() -> Held) -> Vec<Effect> {
+    /// Searches for another process from now on. If the process just lost was found by a search
+    /// whose time is not over, that search continues; a later loss begins a new one.
+    fn begin_orphan_search(&mut self, now: Micros) {
+        let orphaned_at = self
+            .orphaned_at
+            .filter(|began_at| now < began_at + ORPHAN_SEARCH_TIME)
+            .unwrap_or(now);
+        self.orphaned_at = Some(orphaned_at);
+        self.state = State::Orphaned {
+            resume_at: orphaned_at + ORPHAN_SEARCH_TIME,
+            search_at: now,
+        };
+    }
+
+    /// Does what is due by now; `usage` returns what this process still uses.
+    pub fn turn(&mut self, now: Micros, usage: impl FnOnce() -> ProcessUsage) -> Vec<Effect> {
         match self.state {
-            State::Visited { until } | State::Passed { until } if now >= until => self.ended(now),
-            State::Orphaned { until, .. } if now >= until => {
-                self.state = State::Alone;
+            State::Connected { expires_at } | State::ListenersPassed { expires_at }
+                if now >= expires_at =>
+            {
+                self.ended(now)
+            }
+            State::Orphaned { resume_at, .. } if now >= resume_at => {
+                self.state = State::Idle;
                 vec![Effect::Resume]
             }
-            State::Orphaned { until, look_at } if now >= look_at => {
+            State::Orphaned {
+                resume_at,
+                search_at,
+            } if now >= search_at => {
                 self.state = State::Orphaned {
-                    until,
-                    look_at: now + LOOKS,
+                    resume_at,
+                    search_at: now + ORPHAN_SEARCH_INTERVAL,
                 };
                 vec![Effect::Look]
             }
-            State::Yielded { tell_at } if now >= tell_at => {
-                self.state = State::Yielded {
-                    tell_at: now + TELLS,
-                };
-                vec![Effect::Send(Message::Left(held()))]
+            State::HandedOver { report_at } if now >= report_at => {
+                self.enter_handed_over(now);
+                vec![Effect::Send(Message::Left(usage()))]
             }
             _ => Vec::new(),
         }
     }
 
-    /// When [`turn`](Self::turn) has something to do.
+    /// Returns the time at which [`turn`](Self::turn) has something to do next.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
         match self.state {
-            State::Alone => None,
-            State::Visited { until } | State::Passed { until } => Some(until),
-            State::Yielded { tell_at } => Some(tell_at),
-            State::Orphaned { until, look_at } => Some(until.min(look_at)),
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn hello(version: u32, name: &str) -> Message {
-        let listen = vec![at(5), at(6)];
-        Message::Hello {
-            version,
-            name: name.into(),
-            listen,
-        }
-    }
-
-    fn at(port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 0, 0, 1], port))
-    }
-
-    fn visited() -> Predecessor {
-        let mut one = Predecessor::new("n1");
-        one.visited(0);
-        assert!(!one.receives());
-        one
-    }
-
-    #[test]
-    fn it_passes_what_it_has_and_yields_when_asked() {
-        let mut one = visited();
-        let offer = Message::Offer {
-            version: VERSION,
-            listen: vec![at(6)],
-        };
-        assert_eq!(
-            one.hear(1, &hello(VERSION, "n1"), &[at(6), at(7)]),
-            [Effect::Pass(offer)]
-        );
-        assert!(!one.yielded());
-        assert_eq!(one.hear(2, &Message::Take {}, &[]), [Effect::Yield]);
-        assert!(one.yielded());
-        assert_eq!(one.turn(2 + TELLS - 1, Held::default), []);
-        let left = Effect::Send(Message::Left(Held::default()));
-        assert_eq!(one.turn(2 + TELLS, Held::default), [left]);
-        assert_eq!(one.store_free(), [Effect::Send(Message::StoreFree {})]);
-        assert_eq!(one.ended(100), [Effect::Close], "its successor died");
-        assert!(
-            one.yielded() && !one.receives(),
-            "another may have its place by now"
-        );
-        assert_eq!(one.store_free(), [], "nobody is there to take it");
-        assert_eq!(one.turn(100, Held::default), [Effect::Look]);
-        assert_eq!(one.turn(101, Held::default), []);
-        assert_eq!(one.turn(100 + ORPHANED, Held::default), [Effect::Resume]);
-        assert!(one.receives(), "and the next may come");
-    }
-
-    #[test]
-    fn an_orphan_goes_behind_whoever_has_the_place_and_does_not_search_for_ever() {
-        let mut one = visited();
-        one.hear(1, &hello(VERSION, "n1"), &[at(5)]);
-        one.hear(2, &Message::Take {}, &[]);
-        one.ended(100);
-        let held = Held {
-            running: 2,
-            ..Held::default()
-        };
-        let behind = Message::Behind {
-            version: VERSION,
-            name: "n1".into(),
-            held,
-        };
-        assert_eq!(one.found(110, held), [Effect::Send(behind.clone())]);
-        assert_eq!(one.store_free(), [Effect::Send(Message::StoreFree {})]);
-        assert_eq!(one.found(111, held), [], "it has one already");
-        // One that does not speak so closes each time: the time is over once.
-        one.ended(120);
-        assert_eq!(one.turn(100 + ORPHANED, Held::default), [Effect::Resume]);
-        let mut twice = visited();
-        twice.hear(1, &hello(VERSION, "n1"), &[at(5)]);
-        twice.hear(2, &Message::Take {}, &[]);
-        twice.ended(100);
-        twice.found(110, held);
-        twice.ended(200_000);
-        assert_eq!(
-            twice.turn(200_001, Held::default),
-            [Effect::Look],
-            "another one died, much later"
-        );
-        let mut hurried = visited();
-        hurried.hear(1, &hello(VERSION, "n1"), &[at(5)]);
-        hurried.hear(2, &Message::Take {}, &[]);
-        hurried.ended(100);
-        hurried.search_no_more(101);
-        assert_eq!(hurried.turn(101, Held::default), [Effect::Resume]);
-        let mut youngest = visited();
-        assert_eq!(youngest.hear(1, &behind, &[]), [Effect::Behind(held)]);
-        assert!(
-            youngest.receives(),
-            "its own successor may come all the same"
-        );
-        let stranger = Message::Behind {
-            version: VERSION,
-            name: "n2".into(),
-            held,
-        };
-        let effects = visited().hear(1, &stranger, &[]);
-        assert!(matches!(
-            &effects[..],
-            [Effect::Send(Message::Refused { .. }), Effect::Close]
-        ));
-    }
-
-    #[test]
-    fn a_stranger_gets_nothing() {
-        for (version, name) in [(VERSION + 1, "n1"), (VERSION, "n2")] {
-            let effects = visited().hear(1, &hello(version, name), &[at(5)]);
-            assert!(matches!(
-                &effects[..],
-                [Effect::Send(Message::Refused { .. }), Effect::Close]
-            ));
+            State::Idle => None,
+            State::Connected { expires_at } | State::ListenersPassed { expires_at } => {
+                Some(expires_at)
+            }
+            State::HandedOver { report_at } => Some(report_at),
+            State::Orphaned {
+                resume_at,
+                search_at,
+            } => Some(resume_at.min(search_at)),
         }
-        assert_eq!(
-            visited().hear(1, &Message::Take {}, &[at(5)]),
-            [Effect::Close],
-            "out of turn"
-        );
-        let mut silent = visited();
-        assert_eq!(silent.next(), Some(PATIENCE));
-        assert_eq!(silent.turn(PATIENCE, Held::default), [Effect::Close]);
-        assert!(silent.receives());
-    }
-
-    #[test]
-    fn one_that_died_before_it_took_over_changes_nothing() {
-        let mut one = visited();
-        one.hear(1, &hello(VERSION, "n1"), &[at(5)]);
-        assert_eq!(one.ended(2), [Effect::Close]);
-        assert!(one.receives());
-        let mut late = visited();
-        late.hear(1, &hello(VERSION, "n1"), &[at(5)]);
-        assert_eq!(late.turn(1 + PATIENCE, Held::default), [Effect::Close]);
     }
 }
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,219 +1,250 @@
-//! The process that is to take the place of one that serves.
+//! The process that is to succeed one that serves.
 
-use crate::message::{Held, Message, VERSION};
+use crate::message::{Message, ProcessUsage, PROTOCOL_VERSION};
 use cleatpulley_policy::interface::Micros;
 use std::net::{IpAddr, SocketAddr};
 
-/// A predecessor answers within this time, or is left to itself.
-pub const PATIENCE: Micros = 2_000_000;
-/// Wait before one that is busy with another successor is asked again.
-const AGAIN: Micros = 100_000;
-/// So long it is asked again.
-const PERSISTENCE: Micros = 3_000_000;
-/// One that died while it was met may have had a predecessor itself, which takes the clients again within this time: whoever
-/// listened anew at once would leave that one's queue behind.
-const WIDOWED: Micros = 400_000;
-const LOOKS: Micros = 25_000;
+/// The predecessor answers within this time, or the successor continues without it.
+pub const ANSWER_TIMEOUT: Micros = 2_000_000;
+/// Delay before a predecessor that rejected this process is asked again: it may have been busy with
+/// another successor.
+const RETRY_DELAY: Micros = 100_000;
+/// After this time since its start the successor asks no predecessor again.
+const RETRY_TIME: Micros = 3_000_000;
+/// A predecessor that is lost before it has passed anything may have had a predecessor itself, which
+/// accepts again within this time. Listening anew at once would abandon that process's queue.
+const PREDECESSOR_SEARCH_TIME: Micros = 400_000;
+/// The interval of that search.
+const PREDECESSOR_SEARCH_INTERVAL: Micros = 25_000;
 
-/// What is to be done.
+/// What the adapter is to do, in the order returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Say this.
+    /// Send this message on the connection.
     Send(Message),
-    /// Take the sockets that came along as those of these addresses; listen on the others.
+    /// Use the sockets that came with the message as the listeners of these addresses; listen on
+    /// the other addresses.
     Adopt(Vec<SocketAddr>),
-    /// Nothing was passed: listen, beside the predecessor if need be.
+    /// No socket was passed: listen on all addresses, beside the predecessor if it still does.
     Listen,
-    /// Accept clients from here on.
+    /// Accept connections from here on.
     Serve,
-    /// Open the store of results: the predecessor has let go of it, or is gone.
+    /// Open the store of idempotency keys: the predecessor has closed it, or is gone.
     OpenStore,
-    /// The predecessor has so much of the machine.
-    Beside(Held),
-    /// What the predecessor had learned.
+    /// The predecessor still uses so much.
+    Beside(ProcessUsage),
+    /// Restore this learned state, encoded as a [`snapshot`](crate::snapshot).
     Learn(String),
-    /// Callers that have earned standing there, with their points.
+    /// Import the reputation of these clients, with their points.
     Standing(Vec<(IpAddr, f64)>),
-    /// Connect to the predecessor once more.
+    /// Connect to the predecessor again; call [`visited`](Successor::visited) or
+    /// [`ended`](Successor::ended) with the outcome.
     Visit,
     /// Close the connection to the predecessor.
     Close,
-    /// The predecessor is gone, and what it had of the machine may not be free yet.
+    /// The predecessor is gone, but what it used may not be free yet.
     Mourn,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// The predecessor was told who this is.
-    Meeting {
-        until: Micros,
-    },
-    /// It is asked again then.
-    Waiting {
-        at: Micros,
-    },
-    /// The sockets are here; the runtime is not up yet.
-    Adopted,
+    /// Hello was sent.
+    AwaitingOffer { expires_at: Micros },
+    /// The connection is closed, and is opened again at this time.
+    AwaitingRetry { retry_at: Micros },
+    /// The listening sockets are here; the runtime is not up yet.
+    ListenersAdopted,
     /// The predecessor was asked to stop accepting.
-    Asking {
-        until: Micros,
-    },
+    AwaitingHandover { expires_at: Micros },
+    /// This process accepts connections.
     Serving,
 }
 
-/// The decisions.
+/// The successor's side of a hot restart.
 #[derive(Debug)]
 pub struct Successor {
+    /// Sent on each new connection to the predecessor.
     hello: Message,
     state: State,
-    began: Micros,
-    /// When the predecessor was first seen to be gone before it passed anything.
-    widowed_at: Option<Micros>,
+    started_at: Micros,
+    /// When the predecessor was first lost before it had passed anything.
+    predecessor_lost_at: Option<Micros>,
 }
 
 impl Successor {
-    /// One that has just connected.
+    /// Creates the successor's side, just connected to its predecessor, for a server of this name
+    /// that wants to listen on these addresses. Returns it with what it does first.
     #[must_use]
     pub fn new(now: Micros, name: &str, listen: Vec<SocketAddr>) -> (Self, Vec<Effect>) {
         let hello = Message::Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             name: name.to_owned(),
             listen,
         };
-        let mut new = Self {
+        let mut successor = Self {
             hello,
             state: State::Serving,
-            began: now,
-            widowed_at: None,
+            started_at: now,
+            predecessor_lost_at: None,
         };
-        let effects = new.visited(now);
-        (new, effects)
+        let effects = successor.visited(now);
+        (successor, effects)
     }
 
-    /// It accepts clients.
+    /// Returns whether this process accepts connections.
     #[must_use]
     pub fn serves(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// It is connected once more.
+    /// Notifies of a new connection to the predecessor.
     pub fn visited(&mut self, now: Micros) -> Vec<Effect> {
-        self.state = State::Meeting {
-            until: now + PATIENCE,
+        self.state = State::AwaitingOffer {
+            expires_at: now + ANSWER_TIMEOUT,
         };
         vec![Effect::Send(self.hello.clone())]
     }
 
-    /// Hears what the predecessor says, with how many sockets came along.
-    pub fn hear(&mut self, now: Micros, message: Message, passed: usize) -> Vec<Effect> {
+    /// Handles a message of the predecessor that came with so many sockets.
+    pub fn hear(&mut self, now: Micros, message: Message, socket_count: usize) -> Vec<Effect> {
         match (self.state, message) {
             (
-                State::Meeting { .. },
+                State::AwaitingOffer { .. },
                 Message::Offer {
-                    version: VERSION,
+                    version: PROTOCOL_VERSION,
                     listen,
                 },
-            ) if passed == listen.len() && passed > 0 && self.wants(&listen) => {
-                self.state = State::Adopted;
+            ) if self.is_offer_acceptable(&listen, socket_count) => {
+                self.state = State::ListenersAdopted;
                 vec![Effect::Adopt(listen)]
             }
-            (State::Meeting { .. }, Message::Refused { .. }) if now < self.began + PERSISTENCE => {
-                self.state = State::Waiting { at: now + AGAIN };
-                vec![Effect::Close]
+            (State::AwaitingOffer { .. }, Message::Refused { .. }) if self.may_retry(now) => {
+                self.schedule_retry(now + RETRY_DELAY)
             }
             (
-                State::Asking { .. },
+                State::AwaitingHandover { .. },
                 Message::Yours {
                     held,
                     learned,
                     standing,
                 },
-            ) => {
-                self.state = State::Serving;
-                let mut effects = vec![Effect::Beside(held), Effect::Serve];
-                if !standing.is_empty() {
-                    effects.insert(0, Effect::Standing(standing));
-                }
-                if !learned.is_empty() {
-                    effects.insert(0, Effect::Learn(learned));
-                }
-                effects
-            }
-            (State::Serving | State::Asking { .. }, Message::StoreFree {}) => {
+            ) => self.take_over(held, learned, standing),
+            (State::Serving | State::AwaitingHandover { .. }, Message::StoreFree {}) => {
                 vec![Effect::OpenStore]
             }
-            // It had not said so in time; what it has left counts all the same.
+            // A handover that came after its timeout still says what the predecessor uses.
             (State::Serving, Message::Yours { held, .. } | Message::Left(held)) => {
                 vec![Effect::Beside(held)]
             }
-            // Nothing else is said by a predecessor that goes by this protocol; one that passes nothing has nothing.
-            _ => self.go_alone(),
+            // A predecessor that follows the protocol sends nothing else, and one that offers no
+            // socket has nothing to hand over.
+            _ => self.continue_without_predecessor(),
         }
     }
 
-    /// Guards against sockets that were not asked for.
-    fn wants(&self, listen: &[SocketAddr]) -> bool {
-        matches!(&self.hello, Message::Hello { listen: wanted, .. }
-            if listen.iter().all(|address| wanted.contains(address)))
+    /// Returns whether as many sockets came as addresses were offered, at least one, and each
+    /// offered address was asked for.
+    fn is_offer_acceptable(&self, offered: &[SocketAddr], socket_count: usize) -> bool {
+        let Message::Hello { listen, .. } = &self.hello else {
+            return false;
+        };
+        socket_count > 0
+            && socket_count == offered.len()
+            && offered.iter().all(|address| listen.contains(address))
+    }
+
+    fn may_retry(&self, now: Micros) -> bool {
+        now < self.started_at + RETRY_TIME
+    }
+
+    fn schedule_retry(&mut self, retry_at: Micros) -> Vec<Effect> {
+        self.state = State::AwaitingRetry { retry_at };
+        vec![Effect::Close]
     }
 
-    /// The connection ended, could not be made once more, or what came on it can't be read.
+    /// The predecessor has stopped accepting: takes its learned state and reputation up, and
+    /// serves.
+    fn take_over(
+        &mut self,
+        usage: ProcessUsage,
+        learned_state: String,
+        reputation: Vec<(IpAddr, f64)>,
+    ) -> Vec<Effect> {
+        self.state = State::Serving;
+        let mut effects = Vec::new();
+        if !learned_state.is_empty() {
+            effects.push(Effect::Learn(learned_state));
+        }
+        if !reputation.is_empty() {
+            effects.push(Effect::Standing(reputation));
+        }
+        effects.push(Effect::Beside(usage));
+        effects.push(Effect::Serve);
+        effects
+    }
+
+    /// Notifies that the connection is lost, could not be made again, or that a packet on it could
+    /// not be decoded.
     pub fn ended(&mut self, now: Micros) -> Vec<Effect> {
-        match std::mem::replace(&mut self.state, State::Serving) {
-            State::Meeting { .. } | State::Waiting { .. }
-                if now < *self.widowed_at.get_or_insert(now) + WIDOWED =>
-            {
-                self.state = State::Waiting { at: now + LOOKS };
-                vec![Effect::Close]
+        match self.state {
+            State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => {
+                let lost_at = *self.predecessor_lost_at.get_or_insert(now);
+                if now < lost_at + PREDECESSOR_SEARCH_TIME {
+                    self.schedule_retry(now + PREDECESSOR_SEARCH_INTERVAL)
+                } else {
+                    self.continue_without_predecessor()
+                }
             }
-            state => {
-                self.state = state;
-                self.go_alone()
+            State::ListenersAdopted | State::AwaitingHandover { .. } | State::Serving => {
+                self.continue_without_predecessor()
             }
         }
     }
 
-    /// What was passed could not be taken up for want of descriptors: the predecessor goes on, and is asked again.
+    /// Notifies that the sockets passed could not be adopted for want of file descriptors: the
+    /// predecessor continues to serve, and is asked again. Returns nothing if this process keeps
+    /// what it could adopt instead.
     pub fn retreat(&mut self, now: Micros) -> Vec<Effect> {
-        if now >= self.began + PERSISTENCE || self.state != State::Adopted {
+        if !self.may_retry(now) || self.state != State::ListenersAdopted {
             return Vec::new();
         }
-        self.state = State::Waiting { at: now + AGAIN };
-        vec![Effect::Close]
+        self.schedule_retry(now + RETRY_DELAY)
     }
 
-    /// No predecessor is waited for any more.
-    fn go_alone(&mut self) -> Vec<Effect> {
-        match std::mem::replace(&mut self.state, State::Serving) {
-            State::Meeting { .. } | State::Waiting { .. } => {
-                vec![
-                    Effect::Close,
-                    Effect::Listen,
-                    Effect::OpenStore,
-                    Effect::Serve,
-                ]
-            }
-            // The queue is here, and nobody else takes from it.
-            State::Adopted | State::Asking { .. } => {
+    /// Serves, whatever becomes of the predecessor.
+    fn continue_without_predecessor(&mut self) -> Vec<Effect> {
+        let effects = match self.state {
+            State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => vec![
+                Effect::Close,
+                Effect::Listen,
+                Effect::OpenStore,
+                Effect::Serve,
+            ],
+            // The listening sockets are here, and nobody else accepts from them.
+            State::ListenersAdopted | State::AwaitingHandover { .. } => {
                 vec![Effect::Close, Effect::OpenStore, Effect::Serve]
             }
             State::Serving => vec![Effect::Close, Effect::OpenStore, Effect::Mourn],
-        }
+        };
+        self.state = State::Serving;
+        effects
     }
 
-    /// Lets time pass; `up` tells that requests can be run.
-    pub fn turn(&mut self, now: Micros, up: bool) -> Vec<Effect> {
+    /// Does what is due by now; `is_ready` tells whether requests can run.
+    pub fn turn(&mut self, now: Micros, is_ready: bool) -> Vec<Effect> {
         match self.state {
-            State::Adopted if up => {
-                self.state = State::Asking {
-                    until: now + PATIENCE,
+            State::ListenersAdopted if is_ready => {
+                self.state = State::AwaitingHandover {
+                    expires_at: now + ANSWER_TIMEOUT,
                 };
                 vec![Effect::Send(Message::Take {})]
             }
-            State::Waiting { at } if now >= at => vec![Effect::Visit],
-            State::Meeting { until } if now >= until => self.go_alone(),
-            // It hangs: clients are taken beside it, from the same queue.
-            State::Asking { until } if now >= until => {
+            State::AwaitingRetry { retry_at } if now >= retry_at => vec![Effect::Visit],
+            State::AwaitingOffer { expires_at } if now >= expires_at => {
+                self.continue_without_predecessor()
+            }
+            // The predecessor hangs: both accept from the same queue.
+            State::AwaitingHandover { expires_at } if now >= expires_at => {
                 self.state = State::Serving;
                 vec![Effect::Serve]
             }
@@ -221,171 +252,19 @@
         }
     }
 
-    /// When [`turn`](Self::turn) has something to do, if nothing is heard before.
+    /// Returns the time at which [`turn`](Self::turn) has something to do next, unless a message
+    /// comes before.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
         match self.state {
-            State::Meeting { until } | State::Asking { until } => Some(until),
-            State::Waiting { at } => Some(at),
-            State::Adopted | State::Serving => None,
+            State::AwaitingOffer { expires_at } | State::AwaitingHandover { expires_at } => {
+                Some(expires_at)
+            }
+            State::AwaitingRetry { retry_at } => Some(retry_at),
+            State::ListenersAdopted | State::Serving => None,
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn at(port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 0, 0, 1], port))
-    }
-
-    fn offer(port: u16) -> Message {
-        Message::Offer {
-            version: VERSION,
-            listen: vec![at(port)],
-        }
-    }
-
-    fn new() -> Successor {
-        let (new, effects) = Successor::new(0, "n1", vec![at(5), at(6)]);
-        assert!(matches!(
-            &effects[..],
-            [Effect::Send(Message::Hello { .. })]
-        ));
-        new
-    }
-
-    #[test]
-    fn it_asks_once_its_runtime_is_up_and_serves_once_it_may() {
-        let mut new = new();
-        assert_eq!(new.hear(1, offer(5), 1), [Effect::Adopt(vec![at(5)])]);
-        assert_eq!(
-            new.turn(PATIENCE * 9, false),
-            [],
-            "a runtime may come up late"
-        );
-        assert_eq!(new.turn(2, true), [Effect::Send(Message::Take {})]);
-        assert!(!new.serves());
-        let held = Held {
-            running: 4,
-            ..Held::default()
-        };
-        let yours = Message::Yours {
-            held,
-            learned: "x".into(),
-            standing: Vec::new(),
-        };
-        assert_eq!(
-            new.hear(3, yours, 0),
-            [
-                Effect::Learn("x".into()),
-                Effect::Beside(held),
-                Effect::Serve
-            ]
-        );
-        assert!(new.serves());
-        assert_eq!(new.hear(4, Message::StoreFree {}, 0), [Effect::OpenStore]);
-        assert_eq!(
-            new.ended(5),
-            [Effect::Close, Effect::OpenStore, Effect::Mourn]
-        );
-        assert_eq!(new.next(), None);
-    }
-
-    #[test]
-    fn where_nothing_is_passed_it_listens_by_itself() {
-        let listens = [
-            Effect::Close,
-            Effect::Listen,
-            Effect::OpenStore,
-            Effect::Serve,
-        ];
-        let mut widowed = new();
-        widowed.ended(7);
-        assert_eq!(widowed.ended(7 + WIDOWED), listens);
-        assert_eq!(
-            new().turn(PATIENCE, true),
-            listens,
-            "a predecessor that says nothing"
-        );
-        assert_eq!(new().hear(1, offer(5), 0), listens, "no socket came along");
-        assert_eq!(
-            new().hear(1, offer(7), 1),
-            listens,
-            "one that was not asked for"
-        );
-        let other = Message::Offer {
-            version: VERSION + 1,
-            listen: vec![at(5)],
-        };
-        assert_eq!(new().hear(1, other, 1), listens);
-        assert_eq!(new().hear(1, Message::Take {}, 0), listens);
-    }
-
-    #[test]
-    fn one_whose_predecessor_dies_at_once_looks_for_the_one_before_it() {
-        let mut new = new();
-        assert_eq!(new.ended(10), [Effect::Close]);
-        assert!(!new.serves());
-        assert_eq!(new.turn(10 + LOOKS, true), [Effect::Visit]);
-        assert_eq!(
-            new.ended(10 + LOOKS),
-            [Effect::Close],
-            "nobody is there yet"
-        );
-        assert_eq!(new.turn(10 + 2 * LOOKS, true), [Effect::Visit]);
-        new.visited(10 + 2 * LOOKS);
-        assert_eq!(
-            new.hear(60 + 2 * LOOKS, offer(5), 1),
-            [Effect::Adopt(vec![at(5)])]
-        );
-    }
-
-    #[test]
-    fn one_without_descriptors_leaves_the_place_and_asks_again() {
-        let mut new = new();
-        new.hear(1, offer(5), 1);
-        assert_eq!(new.retreat(2), [Effect::Close]);
-        assert!(!new.serves());
-        assert_eq!(new.turn(2 + AGAIN, true), [Effect::Visit]);
-        new.visited(PERSISTENCE);
-        new.hear(PERSISTENCE, offer(5), 1);
-        assert_eq!(new.retreat(PERSISTENCE), [], "it goes on with what it has");
-    }
-
-    #[test]
-    fn one_that_is_busy_is_asked_again_for_a_while() {
-        let mut new = new();
-        let busy = || Message::Refused { why: "busy".into() };
-        assert_eq!(new.hear(1, busy(), 0), [Effect::Close]);
-        assert_eq!(new.turn(AGAIN, true), []);
-        assert_eq!(new.turn(1 + AGAIN, true), [Effect::Visit]);
-        assert!(matches!(
-            &new.visited(1 + AGAIN)[..],
-            [Effect::Send(Message::Hello { .. })]
-        ));
-        let listens = [
-            Effect::Close,
-            Effect::Listen,
-            Effect::OpenStore,
-            Effect::Serve,
-        ];
-        assert_eq!(new.hear(PERSISTENCE, busy(), 0), listens);
-    }
-
-    #[test]
-    fn a_predecessor_that_dies_or_hangs_leaves_the_queue_to_it() {
-        let mut dies = new();
-        dies.hear(1, offer(5), 1);
-        assert_eq!(
-            dies.ended(2),
-            [Effect::Close, Effect::OpenStore, Effect::Serve]
-        );
-        let mut hangs = new();
-        hangs.hear(1, offer(5), 1);
-        hangs.turn(2, true);
-        assert_eq!(hangs.next(), Some(2 + PATIENCE));
-        assert_eq!(hangs.turn(2 + PATIENCE, true), [Effect::Serve]);
-    }
-}
+mod tests;
--- a/crates/hot-restart/tests/wire_format.rs
+++ b/crates/hot-restart/tests/wire_format.rs
@@ -1,16 +1,16 @@
-//! What two processes of a hot restart say keeps its bytes, in both directions, as does the snapshot of what a controller
-//! has learned: either process may be of release 0.2.
+//! The messages of a hot restart and the snapshot of a controller's learned state keep their
+//! bytes in both directions: either process may be of release 0.2.
 //!
 //! `fixtures/messages.jsonl` has a message in each line, `fixtures/snapshot.json` a snapshot.
 
-use cleatpulley_hot_restart::{message, snapshot, Held, Message};
+use cleatpulley_hot_restart::{message, snapshot, Message, ProcessUsage};
 use cleatpulley_policy::learned_state::{LearnedClass, LearnedDependency, LearnedState};
 use std::fs;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 
 /// When the snapshot was taken.
-const TAKEN: u64 = 1_764_576_000_000_000;
+const TAKEN_AT: u64 = 1_764_576_000_000_000;
 
 fn fixture(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -28,7 +28,7 @@
 }
 
 fn messages() -> Vec<Message> {
-    let held = Held {
+    let usage = ProcessUsage {
         running: 3,
         memory_kb: 12.5,
         calls: 1,
@@ -56,12 +56,12 @@
         },
         Message::Take {},
         Message::Yours {
-            held: Held::default(),
+            held: ProcessUsage::default(),
             learned: String::new(),
             standing: Vec::new(),
         },
         Message::Yours {
-            held,
+            held: usage,
             learned: fixture("snapshot.json"),
             standing: vec![
                 (ip("10.0.0.1"), 2.5),
@@ -69,17 +69,17 @@
             ],
         },
         Message::StoreFree {},
-        Message::Left(held),
-        Message::Left(Held::default()),
-        Message::Behind {
+        Message::Left(usage),
+        Message::Left(ProcessUsage::default()),
+        Message::EarlierPredecessor {
             version: 1,
             name: "n1".to_owned(),
-            held,
+            held: usage,
         },
     ]
 }
 
-fn learned() -> LearnedState {
+fn learned_state() -> LearnedState {
     LearnedState {
         classes: vec![
             LearnedClass {
@@ -108,8 +108,8 @@
     }
 }
 
-fn site() -> u64 {
-    snapshot::site("n1", &["find-race".to_owned(), "claim-seat".to_owned()])
+fn site_digest() -> u64 {
+    snapshot::site_digest("n1", &["find-race".to_owned(), "claim-seat".to_owned()])
 }
 
 #[test]
@@ -131,26 +131,33 @@
 }
 
 #[test]
-fn versions_and_bounds_are_those_of_release_0_2() {
+fn versions_and_limits_are_those_of_release_0_2() {
     assert_eq!(
-        (message::VERSION, message::LONGEST, message::MOST_STANDING),
+        (
+            message::PROTOCOL_VERSION,
+            message::MAX_MESSAGE_BYTES,
+            message::MAX_REPUTATION_ENTRIES
+        ),
         (1, 65_536, 700)
     );
-    assert_eq!((snapshot::VERSION, snapshot::OLDEST), (1, 10_000_000));
+    assert_eq!(
+        (snapshot::SNAPSHOT_VERSION, snapshot::MAX_AGE),
+        (1, 10_000_000)
+    );
 }
 
 #[test]
-fn believes_the_snapshot_of_release_0_2() {
+fn decodes_the_snapshot_of_release_0_2() {
     assert_eq!(
-        snapshot::decode(site(), TAKEN + 5, &fixture("snapshot.json")).expect("whole"),
-        learned()
+        snapshot::decode(site_digest(), TAKEN_AT + 5, &fixture("snapshot.json")).expect("whole"),
+        learned_state()
     );
 }
 
 #[test]
 fn writes_the_snapshot_with_the_bytes_of_release_0_2() {
     assert_eq!(
-        snapshot::encode(site(), TAKEN, &learned()),
+        snapshot::encode(site_digest(), TAKEN_AT, &learned_state()),
         fixture("snapshot.json")
     );
 }
