--- /dev/null
+++ b/crates/connection-admission/src/admission.rs
@@ -0,0 +1,241 @@
+//! The decision on a new connection.
+
+use crate::address_prefix::AddressPrefix;
+use crate::connection_rates::ConnectionRates;
+use crate::connection_table::ConnectionTable;
+use crate::decision::{ConnectionId, Counters, Decision, KnownBy, RejectReason};
+use crate::eviction::NewConnection;
+use crate::reputation::ReputationTable;
+use crate::reputation_database::StoredReputation;
+use crate::settings::Settings;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
+use cleatpulley_policy::interface::Micros;
+use std::net::IpAddr;
+
+pub use crate::eviction::SILENCE_TOLERANCE;
+
+/// Decides which connections of a process get a slot. Owns the table of them, the rates of new
+/// connections and the reputation of clients.
+#[derive(Debug)]
+pub struct Admission {
+    settings: Settings,
+    rates: ConnectionRates,
+    reputation: Option<ReputationTable>,
+    connections: ConnectionTable,
+    /// Counters of the decisions.
+    pub counts: Counters,
+}
+
+impl Admission {
+    /// Creates the state of a process without connections, in which no client has reputation.
+    #[must_use]
+    pub fn new(settings: Settings, now: Micros) -> Self {
+        Self {
+            rates: ConnectionRates::new(&settings, now),
+            reputation: settings
+                .earned
+                .map(|reputation| ReputationTable::new(reputation, settings.seed)),
+            connections: ConnectionTable::default(),
+            counts: Counters::default(),
+            settings,
+        }
+    }
+
+    /// Returns the prefix that an address counts with.
+    #[must_use]
+    pub fn prefix_of(&self, address: IpAddr) -> AddressPrefix {
+        let lengths = self.settings.prefix_lengths();
+        lengths.prefix_of(address.to_canonical())
+    }
+
+    /// Returns how the client at an address is known now.
+    #[must_use]
+    pub fn known(&self, now: Micros, address: IpAddr) -> KnownBy {
+        let named = &self.settings.named;
+        if named.iter().any(|prefix| prefix.contains(address)) {
+            return KnownBy::Named;
+        }
+        match &self.reputation {
+            Some(reputation) if reputation.is_known(now, address.to_canonical()) => KnownBy::Earned,
+            _ => KnownBy::Unknown,
+        }
+    }
+
+    /// Returns the clients that have reputation, where clients can get it.
+    #[must_use]
+    pub fn reputation(&self) -> Option<&ReputationTable> {
+        self.reputation.as_ref()
+    }
+
+    /// Returns the number of connections that have a slot.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// Returns whether no connection has a slot.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+
+    /// Returns the memory of the counts of new connections, in bytes.
+    #[must_use]
+    pub fn memory(&self) -> usize {
+        self.rates.memory_bytes()
+    }
+
+    /// Decides on a new connection from an address while there are `max_slots` slots; `is_idle`
+    /// tells whether a connection owes no response. An admitted connection has its slot once
+    /// [`enter`](Self::enter) was called.
+    pub fn decide(
+        &mut self,
+        now: Micros,
+        address: IpAddr,
+        max_slots: usize,
+        is_idle: impl Fn(ConnectionId) -> bool,
+    ) -> Decision {
+        let address = address.to_canonical();
+        let new = NewConnection {
+            arrived_at: now,
+            address,
+            prefix: self.prefix_of(address),
+            known: self.known(now, address),
+        };
+        let decision = self.decide_on(&new, max_slots, is_idle);
+        self.counts.record(decision);
+        decision
+    }
+
+    fn decide_on(
+        &mut self,
+        new: &NewConnection,
+        max_slots: usize,
+        is_idle: impl Fn(ConnectionId) -> bool,
+    ) -> Decision {
+        if new.known != KnownBy::Named {
+            if let Err(reason) = self.check_limits(new) {
+                return Decision::Refuse(reason);
+            }
+        }
+        if self.has_free_slot(new.known, max_slots) {
+            return Decision::Admit(new.known);
+        }
+        match self.connections.select_victim(new, is_idle) {
+            Some(victim) => Decision::Instead(victim, new.known),
+            None => Decision::Refuse(RejectReason::Full),
+        }
+    }
+
+    /// Checks the operator's limits, which hold also while slots are free.
+    fn check_limits(&mut self, new: &NewConnection) -> Result<(), RejectReason> {
+        self.check_slot_limits(new)?;
+        self.rates
+            .try_acquire(new.arrived_at, new.address, new.prefix)
+    }
+
+    fn check_slot_limits(&self, new: &NewConnection) -> Result<(), RejectReason> {
+        let max_address_slots = self.settings.address.places;
+        let max_prefix_slots = self.settings.prefix.places;
+        // Spares the look-up in the usual case.
+        if max_address_slots.is_none() && max_prefix_slots.is_none() {
+            return Ok(());
+        }
+        let usage = self.connections.slot_usage(new.address, new.prefix);
+        if max_address_slots.is_some_and(|max| usage.address_slots >= max) {
+            return Err(RejectReason::AddressSlots);
+        }
+        if max_prefix_slots.is_some_and(|max| usage.prefix_slots >= max) {
+            return Err(RejectReason::PrefixSlots);
+        }
+        Ok(())
+    }
+
+    /// Returns whether a slot is free that is not reserved for clients known better.
+    fn has_free_slot(&self, known: KnownBy, max_slots: usize) -> bool {
+        let reserve_share = self.settings.reserve.clamp(0.0, 1.0);
+        let reserve = (reserve_share * max_slots as f64) as usize;
+        let earned_reserve = reserve / 2;
+        let named_reserve = reserve - earned_reserve;
+        let free_for_named = named_reserve.saturating_sub(self.connections.named_count());
+        let free_for_earned = earned_reserve.saturating_sub(self.connections.earned_count());
+        let reserved_for_others = match known {
+            KnownBy::Named => 0,
+            KnownBy::Earned => free_for_named,
+            KnownBy::Unknown => free_for_named + free_for_earned,
+        };
+        self.connections.len() + reserved_for_others < max_slots
+    }
+
+    /// Notifies that an admitted connection has its slot.
+    pub fn enter(&mut self, now: Micros, id: ConnectionId, address: IpAddr, known: KnownBy) {
+        let address = address.to_canonical();
+        let prefix = self.prefix_of(address);
+        self.connections.insert(now, id, address, prefix, known);
+    }
+
+    /// Notifies that the first complete message of a connection has come.
+    pub fn spoke(&mut self, id: ConnectionId) {
+        self.connections.set_spoken(id);
+    }
+
+    /// Notifies that a complete request of a connection was served, which counts for the
+    /// reputation of its client.
+    pub fn served(&mut self, now: Micros, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else {
+            return;
+        };
+        let Some(reputation) = &mut self.reputation else {
+            return;
+        };
+        if connection.known != KnownBy::Named {
+            reputation.credit(now, connection.address, connection.prefix);
+        }
+    }
+
+    /// Notifies that the client of a connection has proved to be a named one; its slot counts as
+    /// theirs from now on.
+    pub fn promote(&mut self, id: ConnectionId) {
+        self.connections.set_named(id);
+    }
+
+    /// Notifies that a connection is closed, and its slot free.
+    pub fn leave(&mut self, id: ConnectionId) {
+        self.connections.remove(id);
+    }
+
+    /// Returns the addresses with reputation that are worth handing over to a successor process,
+    /// with their points.
+    #[must_use]
+    pub fn export(&self, now: Micros) -> Vec<(IpAddr, f64)> {
+        self.reputation
+            .as_ref()
+            .map_or_else(Vec::new, |reputation| reputation.export(now))
+    }
+
+    /// Takes the reputation that has to be stored since the last call.
+    pub fn moved(&mut self, now: Micros) -> Vec<StoredReputation> {
+        self.reputation
+            .as_mut()
+            .map_or_else(Vec::new, |reputation| reputation.take_unsaved(now))
+    }
+
+    /// Restores the reputation that was stored.
+    pub fn remember(&mut self, now: Micros, entries: &[StoredReputation]) {
+        if is_bug_injected(InjectedBug::ReputationLost) {
+            return;
+        }
+        let lengths = self.settings.prefix_lengths();
+        if let Some(reputation) = &mut self.reputation {
+            reputation.restore(now, entries, |address| lengths.prefix_of(address));
+        }
+    }
+
+    /// Imports the reputation that a predecessor process handed over.
+    pub fn import(&mut self, now: Micros, points: &[(IpAddr, f64)]) {
+        let lengths = self.settings.prefix_lengths();
+        if let Some(reputation) = &mut self.reputation {
+            reputation.import(now, points, |address| lengths.prefix_of(address));
+        }
+    }
+}
--- /dev/null
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -0,0 +1,104 @@
+//! The limits on new connections a second, of addresses and of prefixes.
+
+use crate::address_prefix::AddressPrefix;
+use crate::decision::RejectReason;
+use crate::rate_sketch::{BucketReading, RateSketch};
+use crate::settings::Settings;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
+use cleatpulley_policy::interface::Micros;
+use std::net::IpAddr;
+
+/// The sketch of prefixes is narrower than that of addresses by this factor: fewer prefixes than
+/// addresses are busy at a time.
+const ADDRESSES_PER_PREFIX: usize = 8;
+
+/// A rate limit with the buckets that it is enforced by.
+#[derive(Debug)]
+struct Limiter {
+    sketch: Option<RateSketch>,
+}
+
+impl Limiter {
+    fn read(&self, now: Micros, key: u64) -> Option<BucketReading> {
+        self.sketch.as_ref().map(|sketch| sketch.read(now, key))
+    }
+
+    fn has_capacity(&self, reading: Option<&BucketReading>) -> bool {
+        match (&self.sketch, reading) {
+            (Some(sketch), Some(reading)) => sketch.has_capacity(reading),
+            _ => true,
+        }
+    }
+
+    fn record(&mut self, reading: Option<&BucketReading>) {
+        if let (Some(sketch), Some(reading)) = (&mut self.sketch, reading) {
+            sketch.record(reading);
+        }
+    }
+
+    fn memory_bytes(&self) -> usize {
+        self.sketch.as_ref().map_or(0, RateSketch::memory_bytes)
+    }
+}
+
+/// The rates of new connections by address and by prefix, as far as they are limited.
+#[derive(Debug)]
+pub(crate) struct ConnectionRates {
+    by_address: Limiter,
+    by_prefix: Limiter,
+    hash_seed: u64,
+}
+
+impl ConnectionRates {
+    pub(crate) fn new(settings: &Settings, now: Micros) -> Self {
+        let address_sketch = settings
+            .address
+            .rate
+            .map(|limit| RateSketch::new(limit, settings.width, now));
+        let prefix_width = settings.width / ADDRESSES_PER_PREFIX;
+        let prefix_sketch = settings
+            .prefix
+            .rate
+            .map(|limit| RateSketch::new(limit, prefix_width, now));
+        Self {
+            by_address: Limiter {
+                sketch: address_sketch,
+            },
+            by_prefix: Limiter {
+                sketch: prefix_sketch,
+            },
+            hash_seed: settings.seed,
+        }
+    }
+
+    /// Counts a new connection if both limits permit it. A connection that one of them rejects
+    /// counts for neither.
+    pub(crate) fn try_acquire(
+        &mut self,
+        now: Micros,
+        address: IpAddr,
+        prefix: AddressPrefix,
+    ) -> Result<(), RejectReason> {
+        let address_key = AddressPrefix::of_one_address(address).keyed_hash(self.hash_seed);
+        let prefix_key = prefix.keyed_hash(self.hash_seed);
+        // Both are read before either is decided on: their cells lie far apart in memory, and are
+        // fetched at once.
+        let address_reading = self.by_address.read(now, address_key);
+        let prefix_reading = self.by_prefix.read(now, prefix_key);
+        if !is_bug_injected(InjectedBug::ConnectionRateUncounted) {
+            if !self.by_address.has_capacity(address_reading.as_ref()) {
+                return Err(RejectReason::AddressRate);
+            }
+            if !self.by_prefix.has_capacity(prefix_reading.as_ref()) {
+                return Err(RejectReason::PrefixRate);
+            }
+        }
+        self.by_address.record(address_reading.as_ref());
+        self.by_prefix.record(prefix_reading.as_ref());
+        Ok(())
+    }
+
+    pub(crate) fn memory_bytes(&self) -> usize {
+        self.by_address.memory_bytes() + self.by_prefix.memory_bytes()
+    }
+}
--- /dev/null
+++ b/crates/connection-admission/src/connection_table.rs
@@ -0,0 +1,263 @@
+//! The connections that have a slot, and how many of them each prefix and address of unknown
+//! clients holds.
+
+use crate::address_prefix::AddressPrefix;
+use crate::decision::{ConnectionId, KnownBy};
+use cleatpulley_policy::interface::Micros;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::IpAddr;
+
+/// A connection that has a slot.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Connection {
+    pub(crate) address: IpAddr,
+    pub(crate) prefix: AddressPrefix,
+    pub(crate) known: KnownBy,
+    admitted_at: Micros,
+    /// Whether its first complete message has come.
+    has_spoken: bool,
+}
+
+/// The connections of the unknown clients of a prefix.
+#[derive(Debug, Default)]
+struct PrefixGroup {
+    /// Slots that they hold.
+    slots: usize,
+    connections: BTreeMap<IpAddr, BTreeSet<ConnectionId>>,
+}
+
+/// A prefix in the order of the slots that its unknown clients hold.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PrefixBySlots {
+    slots: usize,
+    prefix: AddressPrefix,
+}
+
+/// A connection without a complete message yet, in the order of how it is known and its age.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SilentConnection {
+    known: KnownBy,
+    admitted_at: Micros,
+    id: ConnectionId,
+}
+
+/// The slots that the unknown clients of an address and of its prefix hold.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct SlotUsage {
+    pub(crate) address_slots: usize,
+    pub(crate) prefix_slots: usize,
+}
+
+/// All connections that have a slot.
+#[derive(Debug, Default)]
+pub(crate) struct ConnectionTable {
+    connections: HashMap<ConnectionId, Connection>,
+    groups: HashMap<AddressPrefix, PrefixGroup>,
+    prefixes_by_slots: BTreeSet<PrefixBySlots>,
+    silent: BTreeSet<SilentConnection>,
+    named_count: usize,
+    earned_count: usize,
+}
+
+impl ConnectionTable {
+    pub(crate) fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
+        self.connections.get(&id)
+    }
+
+    /// Returns the number of connections whose clients are named.
+    pub(crate) fn named_count(&self) -> usize {
+        self.named_count
+    }
+
+    /// Returns the number of connections whose clients have reputation.
+    pub(crate) fn earned_count(&self) -> usize {
+        self.earned_count
+    }
+
+    pub(crate) fn slot_usage(&self, address: IpAddr, prefix: AddressPrefix) -> SlotUsage {
+        let Some(group) = self.groups.get(&prefix) else {
+            return SlotUsage::default();
+        };
+        let ids = group.connections.get(&address);
+        SlotUsage {
+            address_slots: ids.map_or(0, BTreeSet::len),
+            prefix_slots: group.slots,
+        }
+    }
+
+    /// Returns the prefixes whose unknown clients hold more slots than this, the greatest first.
+    pub(crate) fn prefixes_with_more_slots(
+        &self,
+        slots: usize,
+    ) -> impl Iterator<Item = AddressPrefix> + '_ {
+        self.prefixes_by_slots
+            .iter()
+            .rev()
+            .take_while(move |entry| entry.slots > slots)
+            .map(|entry| entry.prefix)
+    }
+
+    /// Returns the connections of each unknown address of a prefix, those of the address with the
+    /// most first.
+    pub(crate) fn addresses_by_slots(&self, prefix: AddressPrefix) -> Vec<&BTreeSet<ConnectionId>> {
+        let Some(group) = self.groups.get(&prefix) else {
+            return Vec::new();
+        };
+        let mut addresses: Vec<_> = group.connections.values().collect();
+        addresses.sort_by_key(|ids| std::cmp::Reverse(ids.len()));
+        addresses
+    }
+
+    /// Returns whether a connection has a slot and no complete message of it has come.
+    pub(crate) fn is_silent(&self, id: ConnectionId) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| !connection.has_spoken)
+    }
+
+    /// Returns the connection that has been silent for longest among those known in this way, if it
+    /// was admitted by `admitted_by`.
+    pub(crate) fn longest_silent(
+        &self,
+        known: KnownBy,
+        admitted_by: impl FnOnce(Micros) -> bool,
+    ) -> Option<ConnectionId> {
+        let least = SilentConnection {
+            known,
+            admitted_at: 0,
+            id: 0,
+        };
+        let oldest = self.silent.range(least..).next()?;
+        let is_due = oldest.known == known && admitted_by(oldest.admitted_at);
+        is_due.then_some(oldest.id)
+    }
+
+    pub(crate) fn insert(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        address: IpAddr,
+        prefix: AddressPrefix,
+        known: KnownBy,
+    ) {
+        let connection = Connection {
+            address,
+            prefix,
+            known,
+            admitted_at: now,
+            has_spoken: false,
+        };
+        if self.connections.insert(id, connection).is_some() {
+            return;
+        }
+        self.silent.insert(SilentConnection {
+            known,
+            admitted_at: now,
+            id,
+        });
+        match known {
+            KnownBy::Named => self.named_count += 1,
+            KnownBy::Earned => self.earned_count += 1,
+            KnownBy::Unknown => self.insert_into_group(id, address, prefix),
+        }
+    }
+
+    fn insert_into_group(&mut self, id: ConnectionId, address: IpAddr, prefix: AddressPrefix) {
+        let group = self.groups.entry(prefix).or_default();
+        self.prefixes_by_slots.remove(&PrefixBySlots {
+            slots: group.slots,
+            prefix,
+        });
+        group.slots += 1;
+        group.connections.entry(address).or_default().insert(id);
+        self.prefixes_by_slots.insert(PrefixBySlots {
+            slots: group.slots,
+            prefix,
+        });
+    }
+
+    /// Notes that the first complete message of a connection has come.
+    pub(crate) fn set_spoken(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if connection.has_spoken {
+            return;
+        }
+        connection.has_spoken = true;
+        self.silent.remove(&SilentConnection {
+            known: connection.known,
+            admitted_at: connection.admitted_at,
+            id,
+        });
+    }
+
+    /// Counts a connection as that of a named client from now on.
+    pub(crate) fn set_named(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id).copied() else {
+            return;
+        };
+        if connection.known == KnownBy::Named {
+            return;
+        }
+        self.remove(id);
+        self.insert(
+            connection.admitted_at,
+            id,
+            connection.address,
+            connection.prefix,
+            KnownBy::Named,
+        );
+        if connection.has_spoken {
+            self.set_spoken(id);
+        }
+    }
+
+    /// Frees the slot of a connection.
+    pub(crate) fn remove(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.remove(&id) else {
+            return;
+        };
+        self.silent.remove(&SilentConnection {
+            known: connection.known,
+            admitted_at: connection.admitted_at,
+            id,
+        });
+        match connection.known {
+            KnownBy::Named => self.named_count -= 1,
+            KnownBy::Earned => self.earned_count -= 1,
+            KnownBy::Unknown => {
+                self.remove_from_group(id, connection.address, connection.prefix);
+            }
+        }
+    }
+
+    fn remove_from_group(&mut self, id: ConnectionId, address: IpAddr, prefix: AddressPrefix) {
+        let Some(group) = self.groups.get_mut(&prefix) else {
+            return;
+        };
+        self.prefixes_by_slots.remove(&PrefixBySlots {
+            slots: group.slots,
+            prefix,
+        });
+        group.slots -= 1;
+        if let Some(ids) = group.connections.get_mut(&address) {
+            ids.remove(&id);
+            if ids.is_empty() {
+                group.connections.remove(&address);
+            }
+        }
+        if group.slots == 0 {
+            self.groups.remove(&prefix);
+        } else {
+            self.prefixes_by_slots.insert(PrefixBySlots {
+                slots: group.slots,
+                prefix,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/connection-admission/src/handshake/offer.rs
@@ -0,0 +1,43 @@
+//! What a client offers in its first record, and the priority that this gives its handshake.
+
+use crate::decision::KnownBy;
+
+/// What the first record of a client offers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Offer {
+    /// Whether it offers to resume a session.
+    pub resumes: bool,
+    /// How its address is known.
+    pub known: KnownBy,
+}
+
+/// The priority of a handshake; a lower one goes first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Priority {
+    /// A resumption of a known client.
+    KnownResumption,
+    /// A full handshake of a known client.
+    KnownFull,
+    /// A resumption of an unknown client.
+    UnknownResumption,
+    /// A full handshake of an unknown client, the only one that may not use the reserve.
+    UnknownFull,
+}
+
+impl Priority {
+    pub(super) fn may_use_reserve(self) -> bool {
+        self != Self::UnknownFull
+    }
+}
+
+impl Offer {
+    pub(super) fn priority(self) -> Priority {
+        let is_known = self.known > KnownBy::Unknown;
+        match (is_known, self.resumes) {
+            (true, true) => Priority::KnownResumption,
+            (true, false) => Priority::KnownFull,
+            (false, true) => Priority::UnknownResumption,
+            (false, false) => Priority::UnknownFull,
+        }
+    }
+}
--- /dev/null
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -0,0 +1,251 @@
+//! The decisions on handshakes.
+
+use super::offer::Offer;
+use super::settings::Settings;
+use super::token_buckets::TokenBuckets;
+use super::wait_queue::{WaitQueue, WaitingHandshake};
+use crate::decision::ConnectionId;
+use cleatpulley_policy::interface::Micros;
+use std::collections::BTreeMap;
+
+/// What is to be done with a handshake that was offered.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Turn {
+    /// It begins now.
+    Begin,
+    /// It waits until [`HandshakeScheduler::next`] returns it.
+    Wait,
+    /// Its connection is to be closed: the queue is full of handshakes that go before it.
+    Refuse,
+}
+
+/// Counters of the decisions since the process started.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Full handshakes begun.
+    pub full: u64,
+    /// Resumptions begun.
+    pub resumed: u64,
+    /// Handshakes, of both kinds, begun after a wait.
+    pub waited: u64,
+    /// Handshakes rejected because the queue was full.
+    pub refused: u64,
+    /// Handshakes ended at their deadline.
+    pub overdue: u64,
+}
+
+/// A handshake that runs.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RunningHandshake {
+    /// When its connection was accepted.
+    accepted_at: Micros,
+    may_use_reserve: bool,
+}
+
+/// Decides which handshakes of a process run.
+///
+/// It is notified of connections that were accepted, of offers and of handshakes that ended. From
+/// [`wake_at`](Self::wake_at) on, [`next`](Self::next) and [`overdue`](Self::overdue) return what
+/// is to begin and what to be closed.
+#[derive(Debug)]
+pub struct HandshakeScheduler {
+    settings: Settings,
+    buckets: TokenBuckets,
+    /// Connections without an offer yet, with the time of their accept.
+    pending: BTreeMap<ConnectionId, Micros>,
+    pub(super) running: BTreeMap<ConnectionId, RunningHandshake>,
+    /// Running handshakes that may not use the reserve.
+    pub(super) running_unreserved: usize,
+    pub(super) queue: WaitQueue,
+    /// Connections that others have displaced from the queue, and that are to be closed.
+    displaced: Vec<ConnectionId>,
+    /// Counters of the decisions.
+    pub counts: Counters,
+}
+
+impl HandshakeScheduler {
+    /// Creates the state of a process in which no handshake runs, with full token buckets.
+    #[must_use]
+    pub fn new(settings: Settings, now: Micros) -> Self {
+        Self {
+            settings,
+            buckets: TokenBuckets::new(settings, now),
+            pending: BTreeMap::new(),
+            running: BTreeMap::new(),
+            running_unreserved: 0,
+            queue: WaitQueue::default(),
+            displaced: Vec::new(),
+            counts: Counters::default(),
+        }
+    }
+
+    /// Returns its settings.
+    #[must_use]
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    /// Returns whether a handshake may begin now.
+    fn may_begin(&self, offer: Offer) -> bool {
+        let is_within_reserve = offer.priority().may_use_reserve()
+            || self.running_unreserved < self.settings.max_running_unreserved();
+        self.running.len() < self.settings.max_running()
+            && is_within_reserve
+            && self.buckets.has_tokens(offer)
+    }
+
+    fn begin(&mut self, id: ConnectionId, offer: Offer, accepted_at: Micros) {
+        self.buckets.take(offer);
+        let may_use_reserve = offer.priority().may_use_reserve();
+        self.running_unreserved += usize::from(!may_use_reserve);
+        self.running.insert(
+            id,
+            RunningHandshake {
+                accepted_at,
+                may_use_reserve,
+            },
+        );
+        if offer.resumes {
+            self.counts.resumed += 1;
+        } else {
+            self.counts.full += 1;
+        }
+    }
+
+    /// Notifies of an accepted connection. The deadline of its handshake runs from now.
+    pub fn accepted(&mut self, now: Micros, id: ConnectionId) {
+        self.pending.insert(id, now);
+    }
+
+    /// Notifies of the offer in the first record of a connection. A handshake that waits may be
+    /// overtaken, and displaced from a full queue, by a later one of a better priority.
+    pub fn offer(&mut self, now: Micros, id: ConnectionId, offer: Offer) -> Turn {
+        if self.running.contains_key(&id) {
+            return Turn::Begin;
+        }
+        if self.queue.contains(id) {
+            return Turn::Wait;
+        }
+        self.buckets.refill(now);
+        let accepted_at = self.pending.remove(&id).unwrap_or(now);
+        let is_next = self
+            .queue
+            .first()
+            .is_none_or(|first| offer.priority() < first.offer.priority());
+        if is_next && self.may_begin(offer) {
+            self.begin(id, offer, accepted_at);
+            return Turn::Begin;
+        }
+        if !self.make_room_in_queue(offer) {
+            return Turn::Refuse;
+        }
+        self.queue.insert(WaitingHandshake {
+            id,
+            offer,
+            accepted_at,
+        });
+        Turn::Wait
+    }
+
+    /// Displaces the last handshake from a full queue if its priority is worse than that of this
+    /// one; otherwise this one is rejected. Returns whether there is room.
+    fn make_room_in_queue(&mut self, offer: Offer) -> bool {
+        if self.queue.len() < self.settings.waiting {
+            return true;
+        }
+        self.counts.refused += 1;
+        let is_last_worse = self
+            .queue
+            .last_priority()
+            .is_some_and(|last| last > offer.priority());
+        if is_last_worse {
+            self.displaced.extend(self.queue.pop_last());
+        }
+        is_last_worse
+    }
+
+    /// Notifies that the handshake of a connection has ended, or that the connection is closed.
+    pub fn done(&mut self, id: ConnectionId) {
+        self.pending.remove(&id);
+        if let Some(handshake) = self.running.remove(&id) {
+            self.running_unreserved -= usize::from(!handshake.may_use_reserve);
+        }
+        self.queue.remove(id);
+    }
+
+    /// Begins handshakes that waited, and returns their connections, the first of the queue first.
+    pub fn next(&mut self, now: Micros) -> Vec<ConnectionId> {
+        self.buckets.refill(now);
+        let mut begun = Vec::new();
+        // The first blocks those behind it, also where one of them might begin.
+        while let Some(first) = self
+            .queue
+            .first()
+            .filter(|first| self.may_begin(first.offer))
+        {
+            self.queue.remove(first.id);
+            self.begin(first.id, first.offer, first.accepted_at);
+            self.counts.waited += 1;
+            begun.push(first.id);
+        }
+        begun
+    }
+
+    /// Returns the connections that are to be closed: those displaced from the queue, and those
+    /// whose handshake is past its deadline, whether it runs, waits or was not offered yet.
+    pub fn overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
+        let mut closed = std::mem::take(&mut self.displaced);
+        let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.deadline;
+        let pending = self.pending.iter();
+        closed.extend(pending.filter(|(_, at)| is_late(**at)).map(|(id, _)| *id));
+        let running = self.running.iter();
+        closed.extend(
+            running
+                .filter(|(_, handshake)| is_late(handshake.accepted_at))
+                .map(|(id, _)| *id),
+        );
+        let waiting = self.queue.iter();
+        closed.extend(
+            waiting
+                .filter(|handshake| is_late(handshake.accepted_at))
+                .map(|handshake| handshake.id),
+        );
+        for id in &closed {
+            self.counts.overdue += u64::from(self.contains(*id));
+            self.done(*id);
+        }
+        closed
+    }
+
+    fn contains(&self, id: ConnectionId) -> bool {
+        self.pending.contains_key(&id) || self.running.contains_key(&id) || self.queue.contains(id)
+    }
+
+    /// Returns when the next deadline is, or when the first of the queue may begin, whichever comes
+    /// first. A handshake that waits for another to end is not awaited: that end is notified of.
+    #[must_use]
+    pub fn wake_at(&self) -> Option<Micros> {
+        let oldest_accepts = [
+            self.pending.values().min().copied(),
+            self.running
+                .values()
+                .map(|handshake| handshake.accepted_at)
+                .min(),
+            self.queue
+                .iter()
+                .map(|handshake| handshake.accepted_at)
+                .min(),
+        ];
+        let oldest_accept = oldest_accepts.into_iter().flatten().min();
+        let deadline = oldest_accept.map(|accepted_at| accepted_at + self.settings.deadline);
+        let first = self.queue.first();
+        let tokens_at = first.and_then(|first| self.buckets.available_at(first.offer));
+        [deadline, tokens_at].into_iter().flatten().min()
+    }
+
+    /// Returns the number of handshakes that run, and of those that wait.
+    #[must_use]
+    pub fn census(&self) -> (usize, usize) {
+        (self.running.len(), self.queue.len())
+    }
+}
--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::decision::KnownBy;
+use cleatpulley_policy::interface::Micros;
 use proptest::prelude::*;
 
 const MS: Micros = 1_000;
@@ -15,71 +17,73 @@
     }
 }
 
-const STRANGER: Offer = Offer {
+const UNKNOWN_FULL: Offer = Offer {
     resumes: false,
-    known: Known::Unknown,
+    known: KnownBy::Unknown,
 };
-const RESUMES: Offer = Offer {
+const UNKNOWN_RESUMPTION: Offer = Offer {
     resumes: true,
-    known: Known::Unknown,
+    known: KnownBy::Unknown,
 };
-const NAMED: Offer = Offer {
+const NAMED_FULL: Offer = Offer {
     resumes: false,
-    known: Known::Named,
+    known: KnownBy::Named,
 };
 
-/// Guards against a flood of strangers' full handshakes that takes the CPU which the bound leaves to requests.
+/// A flood of full handshakes of unknown clients does not take the CPU time left to requests.
 #[test]
-fn a_flood_of_full_handshakes_begins_at_the_rate_and_known_ones_still_begin_at_once() {
-    let mut handshakes = Handshakes::new(settings(), 0);
-    let mut number = 0;
+fn flood_of_full_handshakes_is_limited_and_named_clients_begin_at_once() {
+    let mut scheduler = HandshakeScheduler::new(settings(), 0);
+    let mut id = 0;
     let mut named_waited = 0;
-    // 2,000 strangers a second for 10 s, each done 5 ms after it begins; a named caller every 100 ms.
+    // 2,000 unknown clients a second for 10 s, each done 5 ms after it begins; a named client every
+    // 100 ms.
     let mut ends: Vec<(Micros, u64)> = Vec::new();
     for ms in 0..10_000 {
         let now = ms * MS;
         ends.retain(|&(at, n)| {
             if at <= now {
-                handshakes.done(n);
+                scheduler.done(n);
             }
             at > now
         });
-        for begun in handshakes.next(now) {
+        for begun in scheduler.next(now) {
             ends.push((now + 5 * MS, begun));
         }
-        for _ in handshakes.overdue(now) {}
+        for _ in scheduler.overdue(now) {}
         for _ in 0..2 {
-            number += 1;
-            handshakes.accepted(now, number);
-            if handshakes.offer(now, number, STRANGER) == Turn::Begin {
-                ends.push((now + 5 * MS, number));
+            id += 1;
+            scheduler.accepted(now, id);
+            if scheduler.offer(now, id, UNKNOWN_FULL) == Turn::Begin {
+                ends.push((now + 5 * MS, id));
             }
         }
         if ms % 100 == 0 {
-            number += 1;
-            handshakes.accepted(now, number);
-            match handshakes.offer(now, number, NAMED) {
-                Turn::Begin => ends.push((now + 5 * MS, number)),
+            id += 1;
+            scheduler.accepted(now, id);
+            match scheduler.offer(now, id, NAMED_FULL) {
+                Turn::Begin => ends.push((now + 5 * MS, id)),
                 _ => named_waited += 1,
             }
         }
     }
-    let full = handshakes.counts.full;
-    // 100 named; strangers within three quarters of 100 a second, with the bucket at the start.
+    let full = scheduler.counts.full;
+    // 100 named; unknown clients within three quarters of 100 a second, with the bucket at the
+    // start.
     assert_eq!(
         named_waited, 0,
-        "a named caller never waits behind strangers"
+        "a named client never waits behind unknown clients"
     );
     assert!(
         (750..=100 + 760).contains(&full),
         "{full} full handshakes in 10 s"
     );
-    assert!(handshakes.counts.refused > 15_000);
+    assert!(scheduler.counts.refused > 15_000);
 }
 
 #[test]
-fn no_more_run_at_once_than_set_and_resumptions_go_first() {
-    let mut handshakes = Handshakes::new(
+fn running_handshakes_are_limited_and_resumptions_go_first() {
+    let mut scheduler = HandshakeScheduler::new(
         Settings {
             per_second: 1e6,
             burst: 1e6,
@@ -87,51 +91,51 @@
         },
         0,
     );
-    for number in 0..20 {
-        handshakes.accepted(0, number);
-        handshakes.offer(0, number, STRANGER);
+    for id in 0..20 {
+        scheduler.accepted(0, id);
+        scheduler.offer(0, id, UNKNOWN_FULL);
     }
-    // Strangers get three quarters of the eight places.
-    assert_eq!(handshakes.census(), (6, 14));
-    handshakes.accepted(0, 100);
+    // Unknown clients get three quarters of the eight running handshakes.
+    assert_eq!(scheduler.census(), (6, 14));
+    scheduler.accepted(0, 100);
     assert_eq!(
-        handshakes.offer(0, 100, RESUMES),
+        scheduler.offer(0, 100, UNKNOWN_RESUMPTION),
         Turn::Begin,
-        "the reserve is for it"
+        "the reserve is for resumptions too"
     );
-    handshakes.accepted(0, 101);
-    assert_eq!(handshakes.offer(0, 101, RESUMES), Turn::Begin);
-    handshakes.accepted(0, 102);
+    scheduler.accepted(0, 101);
+    assert_eq!(scheduler.offer(0, 101, UNKNOWN_RESUMPTION), Turn::Begin);
+    scheduler.accepted(0, 102);
     assert_eq!(
-        handshakes.offer(0, 102, RESUMES),
+        scheduler.offer(0, 102, UNKNOWN_RESUMPTION),
         Turn::Wait,
         "all eight run"
     );
-    handshakes.done(0);
+    scheduler.done(0);
     assert_eq!(
-        handshakes.next(1),
+        scheduler.next(1),
         vec![102],
-        "the resumption before the strangers that waited longer"
+        "the resumption before the unknown clients that waited longer"
     );
-    assert_eq!(handshakes.next(1), Vec::<u64>::new(), "all eight run");
-    handshakes.done(100);
+    assert_eq!(scheduler.next(1), Vec::<u64>::new(), "all eight run");
+    scheduler.done(100);
     assert_eq!(
-        handshakes.next(1),
+        scheduler.next(1),
         vec![6],
-        "a stranger takes the sixth of theirs again"
+        "an unknown client takes the sixth of theirs again"
     );
-    handshakes.done(101);
+    scheduler.done(101);
     assert_eq!(
-        handshakes.next(1),
+        scheduler.next(1),
         Vec::<u64>::new(),
-        "strangers have their six"
+        "unknown clients have their six"
     );
-    assert_eq!(handshakes.census(), (7, 13));
+    assert_eq!(scheduler.census(), (7, 13));
 }
 
 #[test]
-fn the_queue_is_bounded_and_the_last_stranger_makes_room_for_a_known_caller() {
-    let mut handshakes = Handshakes::new(
+fn queue_is_bounded_and_a_known_client_displaces_the_last_unknown_one() {
+    let mut scheduler = HandshakeScheduler::new(
         Settings {
             at_once: 1,
             reserve: 0.0,
@@ -139,53 +143,53 @@
         },
         0,
     );
-    for number in 0..17 {
-        handshakes.accepted(0, number);
-        handshakes.offer(0, number, STRANGER);
+    for id in 0..17 {
+        scheduler.accepted(0, id);
+        scheduler.offer(0, id, UNKNOWN_FULL);
     }
-    assert_eq!(handshakes.census(), (1, 16));
-    handshakes.accepted(0, 17);
-    assert_eq!(handshakes.offer(0, 17, STRANGER), Turn::Refuse);
-    handshakes.accepted(0, 18);
-    assert_eq!(handshakes.offer(0, 18, NAMED), Turn::Wait);
+    assert_eq!(scheduler.census(), (1, 16));
+    scheduler.accepted(0, 17);
+    assert_eq!(scheduler.offer(0, 17, UNKNOWN_FULL), Turn::Refuse);
+    scheduler.accepted(0, 18);
+    assert_eq!(scheduler.offer(0, 18, NAMED_FULL), Turn::Wait);
     assert_eq!(
-        handshakes.overdue(1),
+        scheduler.overdue(1),
         vec![16],
-        "the stranger who came last goes"
+        "the unknown client who came last goes"
     );
-    handshakes.done(0);
-    assert_eq!(handshakes.next(2), vec![18]);
+    scheduler.done(0);
+    assert_eq!(scheduler.next(2), vec![18]);
 }
 
-/// Guards against handshakes begun and left, and those that come a byte at a time: each is closed at its deadline,
-/// wherever it stands.
+/// Handshakes that are begun and left, or come a byte at a time, are closed at their deadline,
+/// whatever their state.
 #[test]
-fn every_handshake_ends_by_its_deadline_from_the_accept() {
-    let mut handshakes = Handshakes::new(
+fn each_handshake_ends_by_its_deadline_from_the_accept() {
+    let mut scheduler = HandshakeScheduler::new(
         Settings {
             at_once: 1,
             ..settings()
         },
         0,
     );
-    handshakes.accepted(0, 1);
-    handshakes.accepted(10 * MS, 2);
-    handshakes.offer(20 * MS, 2, NAMED);
-    handshakes.accepted(30 * MS, 3);
-    handshakes.offer(30 * MS, 3, NAMED);
-    assert_eq!(handshakes.census(), (1, 1));
-    assert_eq!(handshakes.wake_at(), Some(1_000 * MS));
-    assert!(handshakes.overdue(999 * MS).is_empty());
-    assert_eq!(handshakes.overdue(1_000 * MS), vec![1]);
-    assert_eq!(handshakes.overdue(1_010 * MS), vec![2]);
-    assert_eq!(handshakes.overdue(1_030 * MS), vec![3]);
-    assert_eq!(handshakes.counts.overdue, 3);
-    assert_eq!(handshakes.census(), (0, 0));
+    scheduler.accepted(0, 1);
+    scheduler.accepted(10 * MS, 2);
+    scheduler.offer(20 * MS, 2, NAMED_FULL);
+    scheduler.accepted(30 * MS, 3);
+    scheduler.offer(30 * MS, 3, NAMED_FULL);
+    assert_eq!(scheduler.census(), (1, 1));
+    assert_eq!(scheduler.wake_at(), Some(1_000 * MS));
+    assert!(scheduler.overdue(999 * MS).is_empty());
+    assert_eq!(scheduler.overdue(1_000 * MS), vec![1]);
+    assert_eq!(scheduler.overdue(1_010 * MS), vec![2]);
+    assert_eq!(scheduler.overdue(1_030 * MS), vec![3]);
+    assert_eq!(scheduler.counts.overdue, 3);
+    assert_eq!(scheduler.census(), (0, 0));
 }
 
 #[test]
-fn one_that_waits_for_the_rate_is_woken_when_the_bucket_has_enough() {
-    let mut handshakes = Handshakes::new(
+fn handshake_that_waits_for_tokens_is_woken_when_there_are_enough() {
+    let mut scheduler = HandshakeScheduler::new(
         Settings {
             burst: 1.0,
             reserve: 0.0,
@@ -193,39 +197,45 @@
         },
         0,
     );
-    assert_eq!(handshakes.wake_at(), None);
-    handshakes.accepted(0, 1);
-    assert_eq!(handshakes.offer(0, 1, STRANGER), Turn::Begin);
-    handshakes.accepted(0, 2);
-    assert_eq!(handshakes.offer(0, 2, STRANGER), Turn::Wait);
-    let at = handshakes.wake_at().expect("a time");
+    assert_eq!(scheduler.wake_at(), None);
+    scheduler.accepted(0, 1);
+    assert_eq!(scheduler.offer(0, 1, UNKNOWN_FULL), Turn::Begin);
+    scheduler.accepted(0, 2);
+    assert_eq!(scheduler.offer(0, 2, UNKNOWN_FULL), Turn::Wait);
+    let at = scheduler.wake_at().expect("a time");
     assert_eq!(at, 10 * MS);
-    assert!(handshakes.next(at - 1).is_empty());
-    assert_eq!(handshakes.next(at), vec![2]);
+    assert!(scheduler.next(at - 1).is_empty());
+    assert_eq!(scheduler.next(at), vec![2]);
 }
 
 proptest! {
-    /// Whatever comes in whatever order: no more run than set, strangers no more than theirs, each number once.
+    /// Whatever the order of events, no more handshakes run than set, unknown clients have no more
+    /// than their share, and no id both runs and waits.
     #[test]
-    fn the_bounds_hold_in_any_order(steps in proptest::collection::vec((0u8..5, 0u64..40, 0u64..50), 1..400)) {
-        let set = settings();
-        let mut handshakes = Handshakes::new(set, 0);
+    fn limits_hold_in_any_order_of_events(
+        steps in proptest::collection::vec((0u8..5, 0u64..40, 0u64..50), 1..400)
+    ) {
+        let settings = settings();
+        let mut scheduler = HandshakeScheduler::new(settings, 0);
         let mut now = 0;
-        for (what, number, wait) in steps {
+        for (event, id, wait) in steps {
             now += wait * MS;
-            match what {
-                0 => handshakes.accepted(now, number),
-                1 => { handshakes.offer(now, number, STRANGER); }
-                2 => { handshakes.offer(now, number, Offer { resumes: number % 2 == 0, known: Known::Earned }); }
-                3 => handshakes.done(number),
-                _ => { handshakes.next(now); handshakes.overdue(now); }
+            match event {
+                0 => scheduler.accepted(now, id),
+                1 => { scheduler.offer(now, id, UNKNOWN_FULL); }
+                2 => {
+                    let offer = Offer { resumes: id % 2 == 0, known: KnownBy::Earned };
+                    scheduler.offer(now, id, offer);
+                }
+                3 => scheduler.done(id),
+                _ => { scheduler.next(now); scheduler.overdue(now); }
             }
-            prop_assert!(handshakes.running.len() <= set.at_once);
-            prop_assert!(handshakes.strangers <= 6);
-            prop_assert!(handshakes.waiting.len() <= set.waiting);
-            prop_assert_eq!(handshakes.queue.len(), handshakes.waiting.len());
-            for number in handshakes.running.keys() {
-                prop_assert!(!handshakes.waiting.contains_key(number));
+            prop_assert!(scheduler.running.len() <= settings.at_once);
+            prop_assert!(scheduler.running_unreserved <= 6);
+            prop_assert!(scheduler.queue.waiting.len() <= settings.waiting);
+            prop_assert_eq!(scheduler.queue.order.len(), scheduler.queue.waiting.len());
+            for id in scheduler.running.keys() {
+                prop_assert!(!scheduler.queue.waiting.contains_key(id));
             }
         }
     }
--- /dev/null
+++ b/crates/connection-admission/src/handshake/token_buckets.rs
@@ -0,0 +1,99 @@
+//! The rate limit of handshakes: a token bucket for all of them, and one for those that may not use
+//! the reserve.
+
+use super::offer::Offer;
+use super::settings::Settings;
+use cleatpulley_policy::interface::Micros;
+
+/// Tokens of a full handshake.
+const FULL_COST: f64 = 1.0;
+/// A shortage of fewer tokens is a rounding error.
+const TOLERANCE: f64 = 1e-9;
+/// The slowest refill, in tokens a second, so that a wait has an end.
+const MIN_REFILL_PER_SECOND: f64 = 1e-9;
+
+/// Both buckets, filled up to `refilled_at`.
+#[derive(Debug)]
+pub(super) struct TokenBuckets {
+    /// For all handshakes.
+    tokens: f64,
+    /// For full handshakes of unknown clients, which need tokens of both buckets.
+    unreserved_tokens: f64,
+    refilled_at: Micros,
+    settings: Settings,
+}
+
+impl TokenBuckets {
+    /// Creates buckets that are full.
+    pub(super) fn new(settings: Settings, now: Micros) -> Self {
+        Self {
+            tokens: settings.burst,
+            unreserved_tokens: settings.burst * settings.unreserved_share(),
+            refilled_at: now,
+            settings,
+        }
+    }
+
+    /// Adds the tokens of the time since the last refill.
+    pub(super) fn refill(&mut self, now: Micros) {
+        let Settings {
+            per_second, burst, ..
+        } = self.settings;
+        let share = self.settings.unreserved_share();
+        let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        let tokens = self.tokens + elapsed_seconds * per_second;
+        let unreserved_tokens = self.unreserved_tokens + elapsed_seconds * per_second * share;
+        self.tokens = tokens.min(burst);
+        // A bucket that can't hold a whole token would never let a handshake begin.
+        self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST));
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    fn cost(&self, offer: Offer) -> f64 {
+        if offer.resumes {
+            self.settings.resumed_cost
+        } else {
+            FULL_COST
+        }
+    }
+
+    /// Returns the tokens that a handshake lacks; none are lacking if that is negative.
+    fn shortage(&self, offer: Offer) -> f64 {
+        let cost = self.cost(offer);
+        let shortage = cost - self.tokens;
+        if offer.priority().may_use_reserve() {
+            shortage
+        } else {
+            shortage.max(cost - self.unreserved_tokens)
+        }
+    }
+
+    /// Returns whether there are enough tokens for a handshake.
+    pub(super) fn has_tokens(&self, offer: Offer) -> bool {
+        self.shortage(offer) <= TOLERANCE
+    }
+
+    /// Takes the tokens of a handshake, also where there are not enough.
+    pub(super) fn take(&mut self, offer: Offer) {
+        let cost = self.cost(offer);
+        self.tokens -= cost;
+        if !offer.priority().may_use_reserve() {
+            self.unreserved_tokens -= cost;
+        }
+    }
+
+    /// Returns when there will be enough tokens for a handshake, `None` if there are by now.
+    pub(super) fn available_at(&self, offer: Offer) -> Option<Micros> {
+        if self.has_tokens(offer) {
+            return None;
+        }
+        let share = if offer.priority().may_use_reserve() {
+            1.0
+        } else {
+            self.settings.unreserved_share()
+        };
+        let per_second = (self.settings.per_second * share).max(MIN_REFILL_PER_SECOND);
+        let wait = self.shortage(offer) / per_second * 1e6;
+        Some(self.refilled_at + wait.ceil() as Micros)
+    }
+}
--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -1,23 +1,49 @@
-//! Which connections have a place, whatever they speak. No I/O and no clock: the front tells what happened to connections, and
-//! asks what is to be done with the next one.
+//! Connection admission: which connections get a connection slot, whatever protocol they speak. No
+//! I/O and no clock: the listener notifies of what happened to connections, and asks what to do
+//! with the next one.
 //!
-//! - [`rate`]: how many connections a second an address and its prefix open, in memory of a fixed size.
-//! - [`standing`]: who has earned to be known, by whole requests answered over time.
-//! - [`book`]: that standing in an embedded store, across restarts.
-//! - [`admit`]: who gets a place, and whose it was.
-//! - [`handshake`]: which TLS handshakes run, and when.
-//! - [`identity`]: callers known by a certificate's names, and their caps.
-//! - [`net`]: addresses, prefixes and what an operator names.
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`admission`] | [`Admission`], which decides on new connections |
+//! | [`settings`] | per-address and per-prefix limits, the reserve for known clients |
+//! | [`decision`] | what is decided, why a connection is rejected, and counters of both |
+//! | `connection_table` | the connections that have a slot, by prefix and address |
+//! | `connection_rates` | the limits on new connections a second |
+//! | `eviction` | which connection gives its slot to a new one |
+//! | [`rate_sketch`] | rate limits for any number of keys in memory of a fixed size |
+//! | [`reputation`] | clients that are known because their requests were answered over time |
+//! | [`reputation_database`] | that reputation in an embedded store, across restarts |
+//! | [`handshake`] | which TLS handshakes run, and when |
+//! | [`identity`] | clients known by the names of their certificate, and their limits |
+//! | [`address_prefix`] | addresses and their prefixes |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admit;
-pub mod book;
+pub mod address_prefix;
+pub mod admission;
+mod connection_rates;
+mod connection_table;
+pub mod decision;
+mod eviction;
 pub mod handshake;
 pub mod identity;
-pub mod net;
-pub mod rate;
-pub mod standing;
+pub mod rate_sketch;
+pub mod reputation;
+pub mod reputation_database;
+pub mod settings;
 
-pub use admit::{Admission, Decision, Settings, Why};
+pub use admission::Admission;
+pub use decision::{Decision, RejectReason};
+pub use settings::Settings;
+
+// The paths by which the server, the simulator and the command line still refer to these modules.
+pub use address_prefix as net;
+pub use rate_sketch as rate;
+pub use reputation as standing;
+pub use reputation_database as book;
+#[doc(hidden)]
+pub mod admit {
+    pub use crate::decision::{Counters as Counts, KnownBy as Known};
+    pub use crate::settings::ConnectionLimits as Cap;
+}
--- /dev/null
+++ b/crates/connection-admission/src/reputation.rs
@@ -0,0 +1,314 @@
+//! Reputation: which addresses are known because their requests were served over time.
+//!
+//! An address gets a point for a request served, and half of its points decay in each half-life. It
+//! gets no more than one point in each [`MIN_CREDIT_INTERVAL`], so that reputation takes time
+//! whatever load is spent on it, and only a few addresses of a prefix have any.
+
+use crate::address_prefix::AddressPrefix;
+use crate::reputation_database::StoredReputation;
+use cleatpulley_policy::interface::Micros;
+use std::collections::HashMap;
+use std::net::IpAddr;
+
+/// An address gets at most one point in this time.
+pub const MIN_CREDIT_INTERVAL: Micros = 100_000;
+/// Addresses sampled for the one that is evicted.
+const EVICTION_SAMPLES: usize = 8;
+/// Share of the points needed to be known from which on reputation is stored and handed over.
+const SAVED_SHARE: f64 = 0.5;
+/// Reputation is stored again when it has grown by the points needed to be known, divided by this,
+/// and by a point at least.
+const SAVED_STEPS: f64 = 10.0;
+/// Multiplier and increment of the linear congruential generator that draws samples (Knuth, MMIX).
+const RANDOM_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+const RANDOM_INCREMENT: u64 = 1_442_695_040_888_963_407;
+
+/// How addresses get reputation, and how many may have it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ReputationSettings {
+    /// Points from which on an address is known.
+    pub points: f64,
+    /// The time in which half of the points decay.
+    pub half_life: Micros,
+    /// Addresses in the table at most.
+    pub most: usize,
+    /// Addresses of one prefix in the table at most.
+    pub of_prefix: usize,
+}
+
+// The name by which the simulator and the command line still refer to it.
+pub use self::ReputationSettings as Earned;
+
+impl ReputationSettings {
+    /// Returns what is left of points after a time.
+    fn decayed(&self, points: f64, elapsed: Micros) -> f64 {
+        let half_lives = elapsed as f64 / self.half_life.max(1) as f64;
+        points * 0.5_f64.powf(half_lives)
+    }
+
+    fn min_saved_points(&self) -> f64 {
+        self.points * SAVED_SHARE
+    }
+
+    /// Returns until when points are worth storing: as long as they are enough to be saved.
+    fn expiry(&self, now: Micros, points: f64) -> Micros {
+        let half_lives = (points / self.min_saved_points()).log2().max(0.0);
+        now + (half_lives * self.half_life as f64) as Micros + 1
+    }
+}
+
+/// What is stored of an address.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum SaveState {
+    /// Its reputation was stored with so many points, or not yet, with none.
+    Saved(f64),
+    /// Its reputation is to be stored.
+    Unsaved,
+}
+
+/// An address in the table.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct Entry {
+    address: IpAddr,
+    prefix: AddressPrefix,
+    /// Its points at `updated_at`.
+    points: f64,
+    updated_at: Micros,
+    save_state: SaveState,
+}
+
+/// The addresses with points.
+#[derive(Debug, Clone)]
+pub struct ReputationTable {
+    settings: ReputationSettings,
+    entries: Vec<Entry>,
+    /// The position of each address in `entries`.
+    positions: HashMap<IpAddr, usize>,
+    addresses_per_prefix: HashMap<AddressPrefix, usize>,
+    random_state: u64,
+    /// Addresses that are to be stored, in the order in which they became so.
+    unsaved: Vec<IpAddr>,
+}
+
+impl ReputationTable {
+    /// Creates a table in which no address has points.
+    #[must_use]
+    pub fn new(settings: ReputationSettings, seed: u64) -> Self {
+        Self {
+            settings,
+            entries: Vec::new(),
+            positions: HashMap::new(),
+            addresses_per_prefix: HashMap::new(),
+            random_state: seed,
+            unsaved: Vec::new(),
+        }
+    }
+
+    fn current_points(&self, now: Micros, entry: &Entry) -> f64 {
+        let elapsed = now.saturating_sub(entry.updated_at);
+        self.settings.decayed(entry.points, elapsed)
+    }
+
+    /// Returns whether an address has enough points to be known.
+    #[must_use]
+    pub fn is_known(&self, now: Micros, address: IpAddr) -> bool {
+        let Some(position) = self.positions.get(&address) else {
+            return false;
+        };
+        self.current_points(now, &self.entries[*position]) >= self.settings.points
+    }
+
+    /// Returns the number of addresses with points.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Returns whether no address has points.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Credits an address for a complete request that was served.
+    pub fn credit(&mut self, now: Micros, address: IpAddr, prefix: AddressPrefix) {
+        if let Some(&position) = self.positions.get(&address) {
+            self.credit_entry(now, position);
+            return;
+        }
+        if self.has_capacity_for_prefix(prefix) && self.make_room(now) {
+            self.insert(Entry {
+                address,
+                prefix,
+                points: 1.0,
+                updated_at: now,
+                save_state: SaveState::Saved(0.0),
+            });
+        }
+    }
+
+    fn credit_entry(&mut self, now: Micros, position: usize) {
+        let entry = self.entries[position];
+        if now < entry.updated_at + MIN_CREDIT_INTERVAL {
+            return;
+        }
+        let points = self.current_points(now, &entry) + 1.0;
+        self.entries[position] = Entry {
+            points,
+            updated_at: now,
+            ..entry
+        };
+        self.mark_unsaved(position);
+    }
+
+    /// Marks an entry to be stored if it has enough points, and enough more than are stored. Decay
+    /// needs no storing: it is computed from the time that is stored with the points.
+    fn mark_unsaved(&mut self, position: usize) {
+        let step = (self.settings.points / SAVED_STEPS).max(1.0);
+        let min_points = self.settings.min_saved_points();
+        let entry = &mut self.entries[position];
+        let SaveState::Saved(saved_points) = entry.save_state else {
+            return;
+        };
+        if entry.points >= min_points && entry.points >= saved_points + step {
+            entry.save_state = SaveState::Unsaved;
+            self.unsaved.push(entry.address);
+        }
+    }
+
+    /// Takes the reputation that has to be stored since the last call.
+    pub fn take_unsaved(&mut self, now: Micros) -> Vec<StoredReputation> {
+        let unsaved = std::mem::take(&mut self.unsaved);
+        let mut stored = Vec::with_capacity(unsaved.len());
+        for address in unsaved {
+            let Some(&position) = self.positions.get(&address) else {
+                continue;
+            };
+            let points = self.current_points(now, &self.entries[position]);
+            self.entries[position].save_state = SaveState::Saved(points);
+            stored.push(StoredReputation {
+                address,
+                points,
+                updated_at: now,
+                expires_at: self.settings.expiry(now, points),
+            });
+        }
+        stored
+    }
+
+    /// Restores what was stored: what is left of it by now.
+    pub fn restore(
+        &mut self,
+        now: Micros,
+        stored: &[StoredReputation],
+        prefix_of: impl Fn(IpAddr) -> AddressPrefix,
+    ) {
+        let current = |entry: &StoredReputation| {
+            let elapsed = now.saturating_sub(entry.updated_at);
+            (entry.address, self.settings.decayed(entry.points, elapsed))
+        };
+        let points: Vec<_> = stored.iter().map(current).collect();
+        self.import(now, &points, prefix_of);
+    }
+
+    fn has_capacity_for_prefix(&self, prefix: AddressPrefix) -> bool {
+        let count = self.addresses_per_prefix.get(&prefix).copied();
+        count.unwrap_or(0) < self.settings.of_prefix
+    }
+
+    /// Evicts an entry if the table is full: of some sampled ones that with the fewest points. An
+    /// address that is known is never evicted. Returns whether there is room.
+    fn make_room(&mut self, now: Micros) -> bool {
+        if self.entries.len() < self.settings.most {
+            return true;
+        }
+        let mut fewest_points = self.settings.points;
+        let mut victim = None;
+        for _ in 0..EVICTION_SAMPLES {
+            let position = self.random_position();
+            let Some(entry) = self.entries.get(position) else {
+                return false;
+            };
+            let points = self.current_points(now, entry);
+            if points < fewest_points {
+                fewest_points = points;
+                victim = Some(position);
+            }
+        }
+        let Some(victim) = victim else { return false };
+        self.remove(victim);
+        true
+    }
+
+    /// Draws a position in `entries`.
+    fn random_position(&mut self) -> usize {
+        self.random_state = self
+            .random_state
+            .wrapping_mul(RANDOM_MULTIPLIER)
+            .wrapping_add(RANDOM_INCREMENT);
+        // The lower bits of such a generator have short periods.
+        (self.random_state >> 33) as usize % self.entries.len().max(1)
+    }
+
+    fn insert(&mut self, entry: Entry) {
+        self.positions.insert(entry.address, self.entries.len());
+        *self.addresses_per_prefix.entry(entry.prefix).or_default() += 1;
+        self.entries.push(entry);
+    }
+
+    fn remove(&mut self, position: usize) {
+        let removed = self.entries.swap_remove(position);
+        self.positions.remove(&removed.address);
+        if let Some(moved) = self.entries.get(position) {
+            self.positions.insert(moved.address, position);
+        }
+        if let Some(count) = self.addresses_per_prefix.get_mut(&removed.prefix) {
+            *count -= 1;
+            if *count == 0 {
+                self.addresses_per_prefix.remove(&removed.prefix);
+            }
+        }
+    }
+
+    /// Returns the addresses that are worth handing over, those at least half way to being known,
+    /// with their points by now, in the order of the addresses.
+    #[must_use]
+    pub fn export(&self, now: Micros) -> Vec<(IpAddr, f64)> {
+        let mut exported: Vec<_> = self
+            .entries
+            .iter()
+            .map(|entry| (entry.address, self.current_points(now, entry)))
+            .filter(|(_, points)| *points >= self.settings.min_saved_points())
+            .collect();
+        exported.sort_by_key(|(address, _)| *address);
+        exported
+    }
+
+    /// Imports addresses with their points by now. Skips those with points that can't be, those
+    /// already in the table, and those for which it has no room.
+    pub fn import(
+        &mut self,
+        now: Micros,
+        imported: &[(IpAddr, f64)],
+        prefix_of: impl Fn(IpAddr) -> AddressPrefix,
+    ) {
+        for &(address, points) in imported {
+            let prefix = prefix_of(address);
+            let has_room =
+                self.entries.len() < self.settings.most && self.has_capacity_for_prefix(prefix);
+            let is_valid = points.is_finite() && points > 0.0;
+            if has_room && is_valid && !self.positions.contains_key(&address) {
+                self.insert(Entry {
+                    address,
+                    prefix,
+                    points,
+                    updated_at: now,
+                    save_state: SaveState::Saved(points),
+                });
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/connection-admission/src/reputation/tests.rs
@@ -0,0 +1,136 @@
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+const SETTINGS: ReputationSettings = ReputationSettings {
+    points: 20.0,
+    half_life: 600 * SECOND,
+    most: 64,
+    of_prefix: 4,
+};
+
+fn ip(n: u32) -> IpAddr {
+    IpAddr::V4(std::net::Ipv4Addr::from(0x0A00_0000 + n))
+}
+
+fn prefix_of(address: IpAddr) -> AddressPrefix {
+    AddressPrefix::of(address, 24)
+}
+
+fn credit(table: &mut ReputationTable, now: Micros, n: u32) {
+    table.credit(now, ip(n), prefix_of(ip(n)));
+}
+
+#[test]
+fn reputation_takes_time_and_decays() {
+    let mut table = ReputationTable::new(SETTINGS, 1);
+    (0..10_000).for_each(|_| credit(&mut table, SECOND, 1));
+    assert!(!table.is_known(SECOND, ip(1)), "many at once count as one");
+    for n in 1..=20 {
+        credit(&mut table, SECOND + n * MIN_CREDIT_INTERVAL, 1);
+    }
+    let now = SECOND + 20 * MIN_CREDIT_INTERVAL;
+    assert!(table.is_known(now, ip(1)) && !table.is_known(now, ip(2)));
+    assert!(!table.is_known(now + 600 * SECOND, ip(1)), "half is gone");
+}
+
+#[test]
+fn unknown_addresses_evict_no_known_one_and_a_prefix_has_few() {
+    let mut table = ReputationTable::new(SETTINGS, 1);
+    // Sixteen prefixes with four known addresses each fill the table.
+    for round in 0..25 {
+        for n in 0..64 {
+            credit(
+                &mut table,
+                SECOND + round * MIN_CREDIT_INTERVAL,
+                n / 4 * 256 + n % 4,
+            );
+        }
+    }
+    let now = SECOND + 25 * MIN_CREDIT_INTERVAL;
+    (0..64).for_each(|n| assert!(table.is_known(now, ip(n / 4 * 256 + n % 4)), "{n}"));
+    for n in 0..100_000 {
+        credit(&mut table, now, 1_000_000 + n * 256);
+        credit(&mut table, now, 5 + n % 200);
+    }
+    assert_eq!(table.len(), 64);
+    (0..64).for_each(|n| assert!(table.is_known(now, ip(n / 4 * 256 + n % 4)), "{n}"));
+}
+
+#[test]
+fn addresses_with_few_points_are_evicted() {
+    let mut table = ReputationTable::new(SETTINGS, 1);
+    (0..64).for_each(|n| credit(&mut table, SECOND, n * 256));
+    (0..25).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 99 * 256));
+    assert!(table.is_known(SECOND + 25 * MIN_CREDIT_INTERVAL, ip(99 * 256)));
+    assert_eq!(
+        (
+            table.len(),
+            table.positions.len(),
+            table.addresses_per_prefix.len()
+        ),
+        (64, 64, 64)
+    );
+}
+
+#[test]
+fn takes_grown_reputation_for_storing_and_restores_what_has_not_decayed() {
+    let mut table = ReputationTable::new(SETTINGS, 1);
+    (0..9).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
+    assert_eq!(table.take_unsaved(2 * SECOND), [], "not half way");
+    (9..14).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
+    let unsaved = table.take_unsaved(3 * SECOND);
+    assert_eq!(unsaved.len(), 1, "once, however often it was gained");
+    assert!(
+        unsaved[0].address == ip(7) && (unsaved[0].points - 14.0).abs() < 0.1,
+        "{unsaved:?}"
+    );
+    credit(&mut table, 4 * SECOND, 7);
+    assert_eq!(
+        table.take_unsaved(4 * SECOND),
+        [],
+        "a point is no tenth of what it takes"
+    );
+    (0..30).for_each(|round| credit(&mut table, 5 * SECOND + round * MIN_CREDIT_INTERVAL, 7));
+    let unsaved = table.take_unsaved(9 * SECOND);
+    let kept_for_s = (unsaved[0].expires_at - 9 * SECOND) / SECOND;
+    assert!(
+        (1_200..1_400).contains(&kept_for_s),
+        "44 points are 10 after two half-lives and a bit: {kept_for_s} s"
+    );
+    let mut next = ReputationTable::new(SETTINGS, 2);
+    next.restore(9 * SECOND + SETTINGS.half_life, &unsaved, prefix_of);
+    assert!(
+        next.is_known(9 * SECOND + SETTINGS.half_life, ip(7)),
+        "22 of 44 are left"
+    );
+    assert!(!next.is_known(9 * SECOND + 2 * SETTINGS.half_life, ip(7)));
+    assert_eq!(next.take_unsaved(9 * SECOND), [], "that is stored already");
+    let mut earlier = ReputationTable::new(SETTINGS, 2);
+    earlier.restore(0, &unsaved, prefix_of);
+    assert!(
+        earlier.is_known(0, ip(7)),
+        "a clock that stepped back takes nothing away"
+    );
+}
+
+#[test]
+fn imports_what_was_exported_and_nothing_invalid() {
+    let mut table = ReputationTable::new(SETTINGS, 1);
+    (0..25).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
+    credit(&mut table, SECOND, 300);
+    let now = SECOND + 25 * MIN_CREDIT_INTERVAL;
+    let exported = table.export(now);
+    assert_eq!(exported.len(), 1, "one that came once is not worth keeping");
+    let mut next = ReputationTable::new(SETTINGS, 2);
+    next.import(
+        now,
+        &[
+            exported.clone(),
+            vec![(ip(9), f64::NAN), (ip(10), -1.0)],
+            exported,
+        ]
+        .concat(),
+        prefix_of,
+    );
+    assert!(next.is_known(now, ip(7)) && next.len() == 1);
+}
--- /dev/null
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -0,0 +1,229 @@
+//! Reputation in an embedded store, so that clients known before a restart are known after it.
+//!
+//! A crash may lose what was added since the last [`work`](ReputationDatabase::work): each entry is
+//! worth little. The owner decides on which thread this runs.
+
+use cleatpulley_log_store::files::FileSystem;
+use cleatpulley_log_store::{Batch, Error, MaintenanceStatus, RecoveryReport, Store};
+use cleatpulley_policy::interface::Micros;
+use std::collections::BTreeMap;
+use std::net::{IpAddr, Ipv6Addr};
+
+/// Bytes of the store that one step of maintenance works on.
+const MAINTENANCE_STEP_BYTES: usize = 65_536;
+/// Entries written in one batch.
+const MAX_BATCH_ENTRIES: usize = 1_000;
+/// Bytes of a key: an address as one of IPv6.
+const KEY_BYTES: usize = 16;
+/// Bytes of a value: the points and their time, eight each, in network order.
+const VALUE_BYTES: usize = 16;
+
+/// The reputation of an address, as it is stored.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StoredReputation {
+    /// The address.
+    pub address: IpAddr,
+    /// Its points at `updated_at`.
+    pub points: f64,
+    /// The time of the points.
+    pub updated_at: Micros,
+    /// When the entry expires in the store; 0 in an entry that was read from it.
+    pub expires_at: Micros,
+}
+
+/// The key and value of an entry in the store.
+struct Record {
+    key: [u8; KEY_BYTES],
+    value: [u8; VALUE_BYTES],
+}
+
+impl StoredReputation {
+    fn encode(&self) -> Record {
+        let key = match self.address {
+            IpAddr::V4(ipv4) => ipv4.to_ipv6_mapped().octets(),
+            IpAddr::V6(ipv6) => ipv6.octets(),
+        };
+        let mut value = [0; VALUE_BYTES];
+        value[..8].copy_from_slice(&self.points.to_be_bytes());
+        value[8..].copy_from_slice(&self.updated_at.to_be_bytes());
+        Record { key, value }
+    }
+
+    /// Decodes an entry, `None` if it is none: the store may hold what another release wrote.
+    fn decode(key: &[u8], value: &[u8]) -> Option<Self> {
+        let octets = <[u8; KEY_BYTES]>::try_from(key).ok()?;
+        let address = IpAddr::V6(Ipv6Addr::from(octets)).to_canonical();
+        let (points, updated_at) = value.split_first_chunk()?;
+        let points = f64::from_be_bytes(*points);
+        let updated_at = Micros::from_be_bytes(updated_at.try_into().ok()?);
+        (points.is_finite() && points > 0.0).then_some(Self {
+            address,
+            points,
+            updated_at,
+            expires_at: 0,
+        })
+    }
+}
+
+/// Whether the store can be written to; a failure is logged when it begins and when it ends.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Health {
+    Healthy,
+    Failed,
+}
+
+/// The store, and the entries that wait to be written to it.
+pub struct ReputationDatabase<F: FileSystem> {
+    /// `None` until it is opened, and after a failure.
+    store: Option<Store<F>>,
+    unwritten: BTreeMap<IpAddr, StoredReputation>,
+    /// Bounds the entries that wait, and those that are read.
+    max_addresses: usize,
+    /// Whether the entries have been read since this process started.
+    has_loaded: bool,
+    health: Health,
+}
+
+// The names by which the server and the simulator still refer to them.
+pub use self::{ReputationDatabase as Book, StoredReputation as Entry};
+
+impl<F: FileSystem> ReputationDatabase<F> {
+    /// Creates a database of so many addresses at most, whose store is to be
+    /// [opened](Self::open).
+    #[must_use]
+    pub fn new(max_addresses: usize) -> Self {
+        Self {
+            store: None,
+            unwritten: BTreeMap::new(),
+            max_addresses,
+            has_loaded: false,
+            health: Health::Healthy,
+        }
+    }
+
+    /// Returns whether the store is open.
+    #[must_use]
+    pub fn is_open(&self) -> bool {
+        self.store.is_some()
+    }
+
+    /// Takes the outcome of opening the store; a failure is logged once. Returns the entries, those
+    /// with the most points first, when the store opens for the first time, no entries later, and
+    /// `None` if it is not open.
+    pub fn open(
+        &mut self,
+        opened: Result<(Store<F>, RecoveryReport), Error>,
+        now: Micros,
+    ) -> Option<Vec<StoredReputation>> {
+        let (store, report) = match opened {
+            Ok(opened) => opened,
+            // The predecessor in a hot restart still has it open.
+            Err(Error::Locked) => return None,
+            Err(error) => {
+                self.on_failure(&error);
+                return None;
+            }
+        };
+        if !report.damaged_ranges.is_empty() || !report.quarantined.is_empty() {
+            tracing::error!("reputation: the store was damaged: {report}");
+        }
+        let entries = if self.has_loaded {
+            Vec::new()
+        } else {
+            self.load(&store, now)
+        };
+        self.on_success();
+        self.store = Some(store);
+        Some(entries)
+    }
+
+    fn load(&mut self, store: &Store<F>, now: Micros) -> Vec<StoredReputation> {
+        self.has_loaded = true;
+        let mut entries = Vec::new();
+        let outcome = store.for_each_by_sequence(now, |_, key, value| {
+            entries.extend(StoredReputation::decode(key, value));
+            true
+        });
+        if let Err(error) = outcome {
+            tracing::error!("reputation: not all stored entries can be read: {error}");
+        }
+        entries.sort_by(|a, b| {
+            let by_points = b.points.total_cmp(&a.points);
+            by_points.then(a.address.cmp(&b.address))
+        });
+        entries.truncate(self.max_addresses);
+        tracing::info!("reputation: {} addresses loaded", entries.len());
+        entries
+    }
+
+    fn on_success(&mut self) {
+        if self.health == Health::Failed {
+            tracing::info!("reputation: the store can be written to again");
+        }
+        self.health = Health::Healthy;
+    }
+
+    fn on_failure(&mut self, error: &Error) {
+        self.store = None;
+        if self.health == Health::Healthy {
+            tracing::error!("reputation: the store has failed, nothing is stored: {error}");
+        }
+        self.health = Health::Failed;
+    }
+
+    /// Adds entries that are to be written, each in place of an earlier one of its address. Drops
+    /// those of further addresses while as many wait as there may be.
+    pub fn add(&mut self, entries: Vec<StoredReputation>) {
+        for entry in entries {
+            let has_room = self.unwritten.len() < self.max_addresses;
+            if has_room || self.unwritten.contains_key(&entry.address) {
+                self.unwritten.insert(entry.address, entry);
+            }
+        }
+    }
+
+    /// Writes the entries that wait, with one sync, and does a step of maintenance. Returns whether
+    /// there is more maintenance to do; on a failure, which is logged once, the store is closed.
+    pub fn work(&mut self, now: Micros) -> bool {
+        match self.try_work(now) {
+            Ok(MaintenanceStatus::MoreToDo) => true,
+            Ok(MaintenanceStatus::Idle) => false,
+            Err(error) => {
+                self.on_failure(&error);
+                false
+            }
+        }
+    }
+
+    fn try_work(&mut self, now: Micros) -> Result<MaintenanceStatus, Error> {
+        let Some(store) = &mut self.store else {
+            return Ok(MaintenanceStatus::Idle);
+        };
+        let entries: Vec<_> = self.unwritten.values().collect();
+        for chunk in entries.chunks(MAX_BATCH_ENTRIES) {
+            let mut batch = Batch::default();
+            for entry in chunk {
+                let Record { key, value } = entry.encode();
+                batch.add_put(&key, &value, Some(entry.expires_at));
+            }
+            store.write(batch)?;
+        }
+        if !entries.is_empty() {
+            store.sync()?;
+        }
+        let status = store.run_maintenance_step(now, MAINTENANCE_STEP_BYTES)?;
+        self.unwritten.clear();
+        Ok(status)
+    }
+
+    /// Writes the entries that wait, and closes the store.
+    pub fn close(&mut self, now: Micros) {
+        self.work(now);
+        if let Some(Err(error)) = self.store.take().map(Store::close) {
+            tracing::error!("reputation: the store could not be closed: {error}");
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/connection-admission/src/reputation_database/tests.rs
@@ -0,0 +1,125 @@
+use super::*;
+use cleatpulley_log_store::simulated_folder::{Fault, SimulatedFolder};
+use cleatpulley_log_store::Options;
+
+const SECOND: Micros = 1_000_000;
+
+fn entry(n: u32, points: f64, updated_at: Micros) -> StoredReputation {
+    let address = IpAddr::V4(std::net::Ipv4Addr::from(0x0A00_0000 + n));
+    StoredReputation {
+        address,
+        points,
+        updated_at,
+        expires_at: updated_at + 100 * SECOND,
+    }
+}
+
+fn opened(
+    disk: &SimulatedFolder,
+    max_addresses: usize,
+    now: Micros,
+) -> (ReputationDatabase<SimulatedFolder>, Vec<StoredReputation>) {
+    let mut database = ReputationDatabase::new(max_addresses);
+    disk.release_lock();
+    let options = Options {
+        segment_bytes: 4_096,
+        ..Options::default()
+    };
+    let entries = database.open(Store::open(disk.clone(), options), now);
+    (database, entries.expect("it opens"))
+}
+
+fn read(disk: &SimulatedFolder, now: Micros) -> Vec<(IpAddr, f64, Micros)> {
+    opened(disk, 1_000, now)
+        .1
+        .into_iter()
+        .map(|e| (e.address, e.points, e.updated_at))
+        .collect()
+}
+
+#[test]
+fn loads_after_a_crash_the_latest_entry_of_each_address_by_points() {
+    let disk = SimulatedFolder::default();
+    let (mut database, none) = opened(&disk, 1_000, 1);
+    assert!(none.is_empty());
+    database.add(vec![entry(1, 5.0, 1), entry(2, 9.0, 1)]);
+    database.work(1);
+    database.add(vec![entry(1, 12.0, 2)]);
+    database.add(vec![entry(1, 11.0, 3)]);
+    database.work(3);
+    database.add(vec![entry(3, 99.0, 4)]);
+    let disk = disk.after_crash(7);
+    let ipv6 = StoredReputation {
+        address: "2001:db8::1".parse().expect("an address"),
+        ..entry(0, 10.0, 5)
+    };
+    let expected = [
+        (entry(1, 0.0, 0).address, 11.0, 3),
+        (entry(2, 0.0, 0).address, 9.0, 1),
+    ];
+    assert_eq!(read(&disk, 5), expected, "what waited is lost");
+    let (mut database, _) = opened(&disk, 1_000, 5);
+    database.add(vec![ipv6]);
+    database.close(5);
+    assert_eq!(read(&disk, 6)[1], (ipv6.address, 10.0, 5));
+    assert_eq!(read(&disk, 200 * SECOND), [], "and each expires");
+}
+
+#[test]
+fn entries_that_wait_or_are_loaded_are_bounded() {
+    let disk = SimulatedFolder::default();
+    let (mut database, _) = opened(&disk, 1_000, 1);
+    database.add((0..1_000).map(|n| entry(n, f64::from(n + 1), 1)).collect());
+    database.close(1);
+    let (mut database, entries) = opened(&disk, 10, 1);
+    assert_eq!(entries.len(), 10);
+    assert!(
+        entries.iter().all(|entry| entry.points > 990.0),
+        "those with the most points"
+    );
+    database.add((0..1_000).map(|n| entry(n, 1.0, 1)).collect());
+    assert_eq!(database.unwritten.len(), 10);
+}
+
+/// A failing disk is not written to without end, and what is known is not lost with it.
+#[test]
+fn failed_disk_is_used_again_once_it_works() {
+    let disk = SimulatedFolder::default();
+    let (mut database, _) = opened(&disk, 1_000, 1);
+    let faults: Vec<_> = (0..8).map(Fault::FailOnce).collect();
+    disk.set_faults(&faults);
+    database.add(vec![entry(1, 5.0, 1)]);
+    assert!(!database.work(1) && !database.is_open(), "it has failed");
+    assert!(
+        !database.work(2),
+        "and nothing is done until it is opened again"
+    );
+    database.add(vec![entry(2, 6.0, 2)]);
+    disk.set_faults(&[]);
+    disk.release_lock();
+    assert_eq!(
+        database.open(Store::open(disk.clone(), Options::default()), 3),
+        Some(Vec::new()),
+        "it is opened again, and loads nothing twice"
+    );
+    database.close(3);
+    assert_eq!(read(&disk, 4).len(), 2, "what waited was written");
+}
+
+#[test]
+fn skips_records_that_are_no_entries() {
+    let disk = SimulatedFolder::default();
+    let (mut store, _) = Store::open(disk.clone(), Options::default()).expect("it opens");
+    let good = entry(1, 5.0, 1).encode();
+    let batch = Batch::default()
+        .put(&good.key, &good.value, None)
+        .put(b"another key", &good.value, None)
+        .put(&[7; 16], &good.value[..15], None)
+        .put(&[8; 16], &f64::NAN.to_be_bytes().repeat(2), None);
+    store
+        .write(batch)
+        .and_then(|_| store.sync())
+        .expect("it is written");
+    store.close().expect("it closes");
+    assert_eq!(read(&disk, 2), [(entry(1, 0.0, 0).address, 5.0, 1)]);
+}
--- /dev/null
+++ b/crates/connection-admission/tests/admission.rs
@@ -0,0 +1,481 @@
+//! The decisions on new connections, by examples and by random histories.
+
+use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::admission::SILENCE_TOLERANCE;
+use cleatpulley_connection_admission::decision::KnownBy;
+use cleatpulley_connection_admission::rate_sketch::RateLimit;
+use cleatpulley_connection_admission::reputation::{ReputationSettings, MIN_CREDIT_INTERVAL};
+use cleatpulley_connection_admission::settings::ConnectionLimits;
+use cleatpulley_connection_admission::{Admission, Decision, RejectReason, Settings};
+use cleatpulley_policy::interface::Micros;
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+use std::net::IpAddr;
+
+const SECOND: Micros = 1_000_000;
+const STARTED_AT: Micros = 1_764_576_000 * SECOND;
+
+fn settings() -> Settings {
+    Settings {
+        named: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
+        reserve: 0.2,
+        address: ConnectionLimits::default(),
+        prefix: ConnectionLimits::default(),
+        bits: (24, 64),
+        earned: Some(ReputationSettings {
+            points: 5.0,
+            half_life: 600 * SECOND,
+            most: 1_000,
+            of_prefix: 4,
+        }),
+        width: 1_024,
+        seed: 3,
+    }
+}
+
+fn ip(text: &str) -> IpAddr {
+    text.parse().expect("an address")
+}
+
+/// A connection that has a slot.
+struct HeldConnection {
+    address: IpAddr,
+    owes_response: bool,
+}
+
+/// A listener with its connections by their ids.
+struct Listener {
+    admission: Admission,
+    max_slots: usize,
+    now: Micros,
+    connections: BTreeMap<u64, HeldConnection>,
+    last_id: u64,
+}
+
+impl Listener {
+    fn new(settings: Settings, max_slots: usize) -> Self {
+        let admission = Admission::new(settings, STARTED_AT);
+        Self {
+            admission,
+            max_slots,
+            now: STARTED_AT,
+            connections: BTreeMap::new(),
+            last_id: 0,
+        }
+    }
+
+    fn connect(&mut self, address: &str) -> Result<u64, RejectReason> {
+        let address = ip(address);
+        let connections = &self.connections;
+        let is_idle = |id: u64| !connections[&id].owes_response;
+        let known = match self
+            .admission
+            .decide(self.now, address, self.max_slots, is_idle)
+        {
+            Decision::Refuse(reason) => return Err(reason),
+            Decision::Admit(known) => known,
+            Decision::Instead(id, known) => {
+                assert!(
+                    !self.connections[&id].owes_response,
+                    "a connection that owes a response is never closed"
+                );
+                self.close(id);
+                known
+            }
+        };
+        self.last_id += 1;
+        self.admission.enter(self.now, self.last_id, address, known);
+        self.connections.insert(
+            self.last_id,
+            HeldConnection {
+                address,
+                owes_response: false,
+            },
+        );
+        Ok(self.last_id)
+    }
+
+    fn close(&mut self, id: u64) {
+        self.admission.leave(id);
+        self.connections.remove(&id);
+    }
+
+    fn request(&mut self, id: u64) {
+        self.admission.spoke(id);
+        self.connections
+            .get_mut(&id)
+            .expect("it is there")
+            .owes_response = true;
+    }
+
+    fn respond(&mut self, id: u64) {
+        self.connections
+            .get_mut(&id)
+            .expect("it is there")
+            .owes_response = false;
+        self.admission.served(self.now, id);
+    }
+
+    fn count_in(&self, prefix: &str) -> usize {
+        let net: AddressPrefix = prefix.parse().expect("a net");
+        self.connections
+            .values()
+            .filter(|connection| net.contains(connection.address))
+            .count()
+    }
+}
+
+/// One address may hold all slots but the reserved ones while nobody else wants them, and gives
+/// them up to others.
+#[test]
+fn one_address_holds_free_slots_until_others_want_them() {
+    let mut listener = Listener::new(settings(), 100);
+    let admitted = (0..500)
+        .filter(|_| listener.connect("10.1.1.1").is_ok())
+        .count();
+    assert_eq!(
+        (admitted, listener.count_in("10.1.1.0/24")),
+        (80, 80),
+        "twenty slots are reserved for known clients"
+    );
+    listener.now += SECOND;
+    for n in 0..79 {
+        assert!(listener.connect(&format!("10.2.{n}.1")).is_ok(), "{n}");
+    }
+    assert_eq!(listener.count_in("10.1.1.0/24"), 1, "each has one");
+    for n in 0..20 {
+        assert!(listener.connect(&format!("10.9.0.{n}")).is_ok(), "{n}");
+    }
+    assert_eq!(listener.count_in("10.9.0.0/16"), 20);
+}
+
+#[test]
+fn within_a_prefix_the_address_with_most_slots_is_evicted() {
+    let mut listener = Listener::new(
+        Settings {
+            reserve: 0.0,
+            ..settings()
+        },
+        10,
+    );
+    for _ in 0..10 {
+        listener.connect("10.1.1.1").expect("room");
+    }
+    assert_eq!(
+        listener
+            .connect("10.1.1.2")
+            .map(|_| listener.count_in("10.1.1.1")),
+        Ok(9)
+    );
+    for _ in 0..10 {
+        let _ = listener.connect("10.1.1.2");
+    }
+    assert_eq!(
+        (listener.count_in("10.1.1.1"), listener.count_in("10.1.1.2")),
+        (5, 5),
+        "no more than the other"
+    );
+}
+
+/// A connection with an open request is never evicted, whoever wants its slot.
+#[test]
+fn connection_that_owes_a_response_is_not_evicted() {
+    let mut listener = Listener::new(
+        Settings {
+            reserve: 0.0,
+            ..settings()
+        },
+        3,
+    );
+    let ids: Vec<_> = (0..3)
+        .map(|_| listener.connect("10.1.1.1").expect("room"))
+        .collect();
+    ids.iter().for_each(|id| listener.request(*id));
+    listener.now += 10 * SECOND;
+    assert_eq!(listener.connect("10.9.0.1"), Err(RejectReason::Full));
+    assert_eq!(listener.connect("10.2.0.1"), Err(RejectReason::Full));
+    listener.respond(ids[1]);
+    assert!(listener.connect("10.9.0.1").is_ok());
+    assert!(!listener.connections.contains_key(&ids[1]));
+    // A named client is not evicted while it may be about to speak, or has spoken.
+    assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
+    listener.request(listener.last_id);
+    listener.respond(listener.last_id);
+    listener.now += 10 * SECOND;
+    assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
+}
+
+/// Known clients that hold silent connections do not keep others out that are known as well.
+#[test]
+fn silent_known_clients_keep_no_known_client_out() {
+    let mut listener = Listener::new(settings(), 4);
+    let silent: Vec<_> = (0..4)
+        .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("room"))
+        .collect();
+    assert_eq!(
+        listener.connect("10.9.1.1"),
+        Err(RejectReason::Full),
+        "their first messages may be on their way"
+    );
+    listener.now += SILENCE_TOLERANCE;
+    assert!(listener.connect("10.9.1.1").is_ok());
+    assert!(
+        !listener.connections.contains_key(&silent[0]),
+        "silent for longest"
+    );
+    assert_eq!(
+        listener.connect("10.1.0.1"),
+        Err(RejectReason::Full),
+        "and not for an unknown one"
+    );
+    listener
+        .admission
+        .import(listener.now, &[(ip("10.5.0.1"), 9.0)]);
+    assert_eq!(
+        listener.connect("10.5.0.1"),
+        Err(RejectReason::Full),
+        "nor for one with reputation"
+    );
+}
+
+/// A prefix whose connections all owe responses does not shield those with fewer slots.
+#[test]
+fn next_prefix_gives_slots_where_the_greatest_owes_responses() {
+    let mut listener = Listener::new(
+        Settings {
+            reserve: 0.0,
+            ..settings()
+        },
+        9,
+    );
+    for _ in 0..5 {
+        let id = listener.connect("10.1.1.1").expect("room");
+        listener.request(id);
+    }
+    for _ in 0..4 {
+        let id = listener.connect("10.2.2.2").expect("room");
+        listener.request(id);
+        listener.respond(id);
+    }
+    assert!(listener.connect("10.3.3.3").is_ok());
+    assert_eq!(
+        (
+            listener.count_in("10.1.1.0/24"),
+            listener.count_in("10.2.2.0/24")
+        ),
+        (5, 3)
+    );
+}
+
+#[test]
+fn prefixes_with_equal_slots_evict_only_silent_connections() {
+    let mut listener = Listener::new(
+        Settings {
+            reserve: 0.0,
+            ..settings()
+        },
+        2,
+    );
+    let first = listener.connect("10.1.0.1").expect("room");
+    listener.connect("10.2.0.1").expect("room");
+    assert_eq!(
+        listener.connect("10.3.0.1"),
+        Err(RejectReason::Full),
+        "both came just now"
+    );
+    listener.now += SILENCE_TOLERANCE;
+    assert!(listener.connect("10.3.0.1").is_ok());
+    assert!(
+        !listener.connections.contains_key(&first),
+        "silent for longest"
+    );
+    let third = listener.last_id;
+    listener.now += SILENCE_TOLERANCE;
+    listener.request(third);
+    assert!(listener.connect("10.4.0.1").is_ok(), "the second is silent");
+    listener.now += SILENCE_TOLERANCE;
+    listener.request(listener.last_id);
+    assert_eq!(
+        listener.connect("10.5.0.1"),
+        Err(RejectReason::Full),
+        "both have sent a request"
+    );
+}
+
+#[test]
+fn limits_hold_while_slots_are_free_and_not_for_named_clients() {
+    let rate = |per_second, burst| Some(RateLimit { per_second, burst });
+    let address = ConnectionLimits {
+        places: Some(3),
+        rate: rate(1.0, 4.0),
+    };
+    let prefix = ConnectionLimits {
+        places: Some(5),
+        rate: rate(2.0, 50.0),
+    };
+    let mut listener = Listener::new(
+        Settings {
+            address,
+            prefix,
+            ..settings()
+        },
+        1_000,
+    );
+    assert!((0..3).all(|_| listener.connect("10.1.1.1").is_ok()));
+    assert_eq!(
+        listener.connect("10.1.1.1"),
+        Err(RejectReason::AddressSlots)
+    );
+    assert!((0..2).all(|_| listener.connect("10.1.1.2").is_ok()));
+    assert_eq!(listener.connect("10.1.1.3"), Err(RejectReason::PrefixSlots));
+    listener.close(1);
+    assert!(listener.connect("10.1.1.1").is_ok());
+    listener.close(listener.last_id);
+    assert_eq!(
+        listener.connect("10.1.1.1"),
+        Err(RejectReason::AddressRate),
+        "four have come"
+    );
+    listener.now += SECOND;
+    assert!(listener.connect("10.1.1.1").is_ok());
+    assert!((0..500).all(|_| listener.connect("10.9.1.1").is_ok()));
+    let counts = listener.admission.counts;
+    assert_eq!((counts.admitted, counts.rate, counts.places), (507, 1, 2));
+}
+
+/// What the limit of its prefix rejects takes nothing from the limit of an address.
+#[test]
+fn rejected_connections_count_for_no_limit() {
+    let rate = |per_second, burst| Some(RateLimit { per_second, burst });
+    let address = ConnectionLimits {
+        places: None,
+        rate: rate(0.1, 3.0),
+    };
+    let prefix = ConnectionLimits {
+        places: None,
+        rate: rate(1.0, 2.0),
+    };
+    let mut listener = Listener::new(
+        Settings {
+            address,
+            prefix,
+            ..settings()
+        },
+        1_000,
+    );
+    assert!((0..2).all(|_| listener.connect("10.1.1.2").is_ok()));
+    assert!((0..20).all(|_| listener.connect("10.1.1.1") == Err(RejectReason::PrefixRate)));
+    listener.now += 3 * SECOND;
+    assert!(
+        (0..2).all(|_| listener.connect("10.1.1.1").is_ok()),
+        "its own limit is untouched"
+    );
+}
+
+/// An address with reputation gets a reserved slot in a flood, also after a hot restart, and none
+/// reserved for named clients.
+#[test]
+fn address_with_reputation_gets_a_reserved_slot_in_a_flood() {
+    let mut listener = Listener::new(settings(), 20);
+    let regular = listener.connect("10.5.0.1").expect("room");
+    for _ in 0..8 {
+        listener.now += MIN_CREDIT_INTERVAL;
+        listener.request(regular);
+        listener.respond(regular);
+    }
+    assert_eq!(
+        listener.admission.known(listener.now, ip("10.5.0.1")),
+        KnownBy::Earned
+    );
+    let exported = listener.admission.export(listener.now);
+    let mut next = Listener::new(settings(), 20);
+    next.admission.import(STARTED_AT, &exported);
+    for n in 0..60_u32 {
+        // All of them owe responses, so that none can be evicted.
+        if let Ok(id) = next.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
+            next.request(id);
+        }
+    }
+    assert_eq!(next.connections.len(), 16, "four slots are reserved");
+    assert!(next.connect("10.5.0.1").is_ok() && next.connect("10.5.0.1").is_ok());
+    assert_eq!(
+        next.connect("10.5.0.1"),
+        Err(RejectReason::Full),
+        "half of the reserve is for named clients"
+    );
+    assert!(next.connect("10.9.0.1").is_ok() && next.connect("10.9.0.1").is_ok());
+}
+
+#[derive(Debug, Clone)]
+enum Step {
+    Connect(u8, u8),
+    Request(usize),
+    Respond(usize),
+    Close(usize),
+    Pass(Micros),
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        4 => (0..6_u8, 0..3_u8).prop_map(|(net, host)| Step::Connect(net, host)),
+        2 => (0..40_usize).prop_map(Step::Request),
+        2 => (0..40_usize).prop_map(Step::Respond),
+        1 => (0..40_usize).prop_map(Step::Close),
+        1 => (0..200_000_u64).prop_map(Step::Pass),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
+
+    /// Whatever the order of events: no more connections than slots, the table agrees with the
+    /// listener, named clients are admitted while an unknown one can be evicted, and no connection
+    /// that owes a response is evicted.
+    #[test]
+    fn table_agrees_with_the_listener_whatever_happens(
+        steps in proptest::collection::vec(step(), 1..300),
+        max_slots in 1..24_usize,
+    ) {
+        let mut listener = Listener::new(settings(), max_slots);
+        for step in steps {
+            let nth = |listener: &Listener, n: usize| {
+                let all: Vec<u64> = listener.connections.keys().copied().collect();
+                all.get(n % all.len().max(1)).copied()
+            };
+            match step {
+                Step::Connect(net, host) => {
+                    let is_named = net == 0;
+                    let has_idle_unknown = listener.connections.values().any(|connection| {
+                        let known = listener.admission.known(listener.now, connection.address);
+                        !connection.owes_response && known == KnownBy::Unknown
+                    });
+                    let has_free_slot = listener.connections.len() < max_slots;
+                    let address = if is_named {
+                        format!("10.9.0.{host}")
+                    } else {
+                        format!("10.{net}.0.{host}")
+                    };
+                    let outcome = listener.connect(&address);
+                    prop_assert!(
+                        outcome.is_ok() || !is_named || !(has_free_slot || has_idle_unknown),
+                        "{outcome:?}"
+                    );
+                }
+                Step::Request(n) => if let Some(id) = nth(&listener, n) { listener.request(id) },
+                Step::Respond(n) => if let Some(id) = nth(&listener, n) { listener.respond(id) },
+                Step::Close(n) => if let Some(id) = nth(&listener, n) { listener.close(id) },
+                Step::Pass(time) => listener.now += time,
+            }
+            prop_assert!(listener.connections.len() <= max_slots);
+            prop_assert_eq!(listener.admission.len(), listener.connections.len());
+        }
+        let all: Vec<u64> = listener.connections.keys().copied().collect();
+        all.into_iter().for_each(|id| listener.close(id));
+        prop_assert!(listener.admission.is_empty());
+    }
+}
--- a/crates/connection-admission/tests/stored_format.rs
+++ b/crates/connection-admission/tests/stored_format.rs
@@ -1,9 +1,9 @@
-//! Earned standing keeps its bytes in its store: the book of release 0.2 is read in full, and the same entries are still
-//! written the same.
+//! Reputation keeps its bytes in its store: the store of release 0.2 is read in full, and the same
+//! entries are still written the same.
 //!
-//! `fixtures/standings` is the store of a book.
+//! `fixtures/standings` is such a store.
 
-use cleatpulley_connection_admission::book::{Book, Entry};
+use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Options, Store};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use tempfile::TempDir;
 
 const NOW: u64 = 1_700_000_000_000_000;
-const UNTIL: u64 = NOW + 3_600_000_000;
+const EXPIRES_AT: u64 = NOW + 3_600_000_000;
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -44,69 +44,70 @@
     copy
 }
 
-fn store(path: &Path) -> Store<OsFolder> {
-    let options = Options {
+fn options() -> Options {
+    Options {
         segment_bytes: 4_096,
         seed: 11,
         ..Options::default()
-    };
-    Store::open(OsFolder::new(path, true).expect("a folder"), options)
+    }
+}
+
+fn store(path: &Path) -> Store<OsFolder> {
+    Store::open(OsFolder::new(path, true).expect("a folder"), options())
         .expect("it opens")
         .0
 }
 
-/// Opens a book; with the store comes what it held, the greatest first.
-fn opened(path: &Path) -> (Book<OsFolder>, Vec<Entry>) {
-    let options = Options {
-        segment_bytes: 4_096,
-        seed: 11,
-        ..Options::default()
-    };
-    let mut book = Book::new(100);
+/// Opens a database and returns it with the entries that it loaded.
+fn opened(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
+    let mut database = ReputationDatabase::new(100);
     let files = OsFolder::new(path, true).expect("a folder");
-    let entries = book
-        .open(Store::open(files, options), NOW)
+    let entries = database
+        .open(Store::open(files, options()), NOW)
         .expect("it opens");
-    (book, entries)
+    (database, entries)
 }
 
-fn entry(address: &str, points: f64, at: u64, until: u64) -> Entry {
-    Entry {
+fn entry(address: &str, points: f64, updated_at: u64, expires_at: u64) -> StoredReputation {
+    StoredReputation {
         address: address.parse().expect("an address"),
         points,
-        at,
-        until,
+        updated_at,
+        expires_at,
     }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<StoredReputation> {
     vec![
-        entry("10.0.0.1", 250.5, NOW - 1, UNTIL),
-        entry("2001:db8::1", 100.0, NOW - 2, UNTIL + 1),
-        entry("192.0.2.7", 0.125, NOW - 3, UNTIL + 2),
+        entry("10.0.0.1", 250.5, NOW - 1, EXPIRES_AT),
+        entry("2001:db8::1", 100.0, NOW - 2, EXPIRES_AT + 1),
+        entry("192.0.2.7", 0.125, NOW - 3, EXPIRES_AT + 2),
     ]
 }
 
-fn write_book(path: &Path) {
-    let (mut book, none) = opened(path);
+fn write_database(path: &Path) {
+    let (mut database, none) = opened(path);
     assert!(none.is_empty());
-    book.add(vec![
-        entry("10.0.0.1", 3.0, 1, UNTIL),
+    database.add(vec![
+        entry("10.0.0.1", 3.0, 1, EXPIRES_AT),
         entry("10.0.0.2", 9.0, 1, NOW - 1),
     ]);
-    book.work(1);
-    book.add(entries());
-    book.close(1);
+    database.work(1);
+    database.add(entries());
+    database.close(1);
 }
 
 #[test]
-fn opens_the_book_of_earned_standing_written_by_release_0_2() {
+fn opens_the_reputation_written_by_release_0_2() {
     let copy = copy_of("standings");
     let (_, found) = opened(copy.path());
-    // The time until which an entry is kept is the store's alone.
-    let expected: Vec<Entry> = entries()
+    // The expiry of an entry is not read back.
+    let expected: Vec<StoredReputation> = entries()
         .into_iter()
-        .map(|entry| Entry { until: 0, ..entry })
+        .map(|entry| StoredReputation {
+            expires_at: 0,
+            ..entry
+        })
         .collect();
     assert_eq!(found, expected);
 }
@@ -115,22 +116,22 @@
 fn entries_expire_when_release_0_2_meant_them_to() {
     let copy = copy_of("standings");
     let store = store(copy.path());
-    let living = |now| {
-        let mut number = 0;
-        let count = |_, _: &[u8], _: &[u8]| {
-            number += 1;
+    let unexpired = |now| {
+        let mut count = 0;
+        let visit = |_, _: &[u8], _: &[u8]| {
+            count += 1;
             true
         };
-        store.for_each_by_sequence(now, count).expect("it is read");
-        number
+        store.for_each_by_sequence(now, visit).expect("it is read");
+        count
     };
     assert_eq!(
         [
-            living(0),
-            living(NOW),
-            living(UNTIL),
-            living(UNTIL + 1),
-            living(UNTIL + 2)
+            unexpired(0),
+            unexpired(NOW),
+            unexpired(EXPIRES_AT),
+            unexpired(EXPIRES_AT + 1),
+            unexpired(EXPIRES_AT + 2)
         ],
         [4, 3, 2, 1, 0]
     );
@@ -139,6 +140,6 @@
 #[test]
 fn writes_the_same_files_as_release_0_2() {
     let ours = tempfile::tempdir().expect("a folder");
-    write_book(ours.path());
+    write_database(ours.path());
     assert_eq!(files_of(ours.path()), files_of(&fixture("standings")));
 }
