--- a/crates/connection-admission/src/admission.rs
+++ b/crates/connection-admission/src/admission.rs
@@ -155,14 +155,15 @@
     fn has_free_slot(&self, known: KnownBy, max_slots: usize) -> bool {
         let reserve_share = self.settings.reserve.clamp(0.0, 1.0);
         let reserve = (reserve_share * max_slots as f64) as usize;
-        let earned_reserve = reserve / 2;
-        let named_reserve = reserve - earned_reserve;
+        let reputation_reserve = reserve / 2;
+        let named_reserve = reserve - reputation_reserve;
         let free_for_named = named_reserve.saturating_sub(self.connections.named_count());
-        let free_for_earned = earned_reserve.saturating_sub(self.connections.earned_count());
+        let free_for_reputation =
+            reputation_reserve.saturating_sub(self.connections.reputation_count());
         let reserved_for_others = match known {
             KnownBy::Named => 0,
             KnownBy::Earned => free_for_named,
-            KnownBy::Unknown => free_for_named + free_for_earned,
+            KnownBy::Unknown => free_for_named + free_for_reputation,
         };
         self.connections.len() + reserved_for_others < max_slots
     }
--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -12,7 +12,7 @@
 /// addresses are busy at a time.
 const ADDRESSES_PER_PREFIX: usize = 8;
 
-/// A rate limit with the buckets that it is enforced by.
+/// The buckets of one limit; none where the operator has set no limit.
 #[derive(Debug)]
 struct Limiter {
     sketch: Option<RateSketch>,
--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -56,7 +56,7 @@
     prefixes_by_slots: BTreeSet<PrefixBySlots>,
     silent: BTreeSet<SilentConnection>,
     named_count: usize,
-    earned_count: usize,
+    reputation_count: usize,
 }
 
 impl ConnectionTable {
@@ -74,8 +74,8 @@
     }
 
     /// Returns the number of connections whose clients have reputation.
-    pub(crate) fn earned_count(&self) -> usize {
-        self.earned_count
+    pub(crate) fn reputation_count(&self) -> usize {
+        self.reputation_count
     }
 
     pub(crate) fn slot_usage(&self, address: IpAddr, prefix: AddressPrefix) -> SlotUsage {
@@ -161,7 +161,7 @@
         });
         match known {
             KnownBy::Named => self.named_count += 1,
-            KnownBy::Earned => self.earned_count += 1,
+            KnownBy::Earned => self.reputation_count += 1,
             KnownBy::Unknown => self.insert_into_group(id, address, prefix),
         }
     }
@@ -229,7 +229,7 @@
         });
         match connection.known {
             KnownBy::Named => self.named_count -= 1,
-            KnownBy::Earned => self.earned_count -= 1,
+            KnownBy::Earned => self.reputation_count -= 1,
             KnownBy::Unknown => {
                 self.remove_from_group(id, connection.address, connection.prefix);
             }
--- a/crates/connection-admission/src/reputation_database.rs
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -171,7 +171,7 @@
         self.health = Health::Failed;
     }
 
-    /// Adds entries that are to be written, each in place of an earlier one of its address. Drops
+    /// Adds entries that are to be written, each replacing an earlier one of its address. Drops
     /// those of further addresses while as many wait as there may be.
     pub fn add(&mut self, entries: Vec<StoredReputation>) {
         for entry in entries {
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -5,7 +5,7 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
-/// A successor that has connected says hello, and one that has the listening sockets asks to take
+/// A successor that has connected sends hello, and one that has the listening sockets asks to take
 /// over, within this time, or its connection is closed: its runtime may come up late.
 pub const HANDOVER_TIMEOUT: Micros = 10_000_000;
 /// A draining predecessor reports what it still uses at this interval.
@@ -131,10 +131,9 @@
                     name,
                     listen,
                 },
-            ) => match self.reject_foreign(*version, name) {
-                Some(rejection) => rejection,
-                None => self.pass_listeners(now, listen, listeners),
-            },
+            ) => self
+                .reject_foreign(*version, name)
+                .unwrap_or_else(|| self.pass_listeners(now, listen, listeners)),
             (
                 State::Connected { .. },
                 Message::EarlierPredecessor {
@@ -142,13 +141,9 @@
                     name,
                     held,
                 },
-            ) => match self.reject_foreign(*version, name) {
-                Some(rejection) => rejection,
-                None => {
-                    self.state = State::Idle;
-                    vec![Effect::Behind(*held)]
-                }
-            },
+            ) => self
+                .reject_foreign(*version, name)
+                .unwrap_or_else(|| self.attach_earlier_predecessor(*held)),
             (State::ListenersPassed { .. }, Message::Take {}) => {
                 self.enter_handed_over(now);
                 self.orphaned_at = None;
@@ -159,7 +154,7 @@
         }
     }
 
-    /// Returns how to reject a peer of another version or server, `None` if it is of this server.
+    /// Rejects a peer of another version or server. Returns `None` if the peer is of this server.
     fn reject_foreign(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
         let why = if version != PROTOCOL_VERSION {
             format!("version {version} is not spoken here, {PROTOCOL_VERSION} is")
@@ -192,6 +187,12 @@
         })]
     }
 
+    /// The connection goes over to the earlier predecessor, so that a successor may still come.
+    fn attach_earlier_predecessor(&mut self, usage: ProcessUsage) -> Vec<Effect> {
+        self.state = State::Idle;
+        vec![Effect::Behind(usage)]
+    }
+
     fn enter_handed_over(&mut self, now: Micros) {
         self.state = State::HandedOver {
             report_at: now + USAGE_REPORT_INTERVAL,
--- a/crates/hot-restart/src/snapshot.rs
+++ b/crates/hot-restart/src/snapshot.rs
@@ -11,7 +11,7 @@
 
 /// The version of the snapshot's format. Others are rejected.
 pub const SNAPSHOT_VERSION: u32 = 1;
-/// The greatest age of a snapshot: an older one says nothing about the present load.
+/// The greatest age of a snapshot: an older one does not describe the present load.
 pub const MAX_AGE: Micros = 10_000_000;
 
 /// The learned state in its seal. Its JSON is the snapshot.
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -25,7 +25,7 @@
     /// Use the sockets that came with the message as the listeners of these addresses; listen on
     /// the other addresses.
     Adopt(Vec<SocketAddr>),
-    /// No socket was passed: listen on all addresses, beside the predecessor if it still does.
+    /// No socket was passed: listen on all addresses, also while the predecessor does.
     Listen,
     /// Accept connections from here on.
     Serve,
@@ -132,7 +132,7 @@
             (State::Serving | State::AwaitingHandover { .. }, Message::StoreFree {}) => {
                 vec![Effect::OpenStore]
             }
-            // A handover that came after its timeout still says what the predecessor uses.
+            // A handover that came after its timeout still reports what the predecessor uses.
             (State::Serving, Message::Yours { held, .. } | Message::Left(held)) => {
                 vec![Effect::Beside(held)]
             }
--- a/crates/hot-restart/src/successor/tests.rs
+++ b/crates/hot-restart/src/successor/tests.rs
@@ -77,7 +77,7 @@
     assert_eq!(
         connected_successor().turn(ANSWER_TIMEOUT, true),
         listen_alone,
-        "a predecessor that says nothing"
+        "a silent predecessor"
     );
     assert_eq!(
         connected_successor().hear(1, offer(5), 0),
--- a/crates/hot-restart/tests/predecessor.rs
+++ b/crates/hot-restart/tests/predecessor.rs
@@ -60,7 +60,7 @@
     );
     assert!(
         predecessor.yielded() && !predecessor.receives(),
-        "another may have its place by now"
+        "another process may serve by now"
     );
     assert_eq!(predecessor.store_free(), [], "nobody is there to take it");
     assert_eq!(predecessor.turn(100, ProcessUsage::default), [Effect::Look]);
