--- /dev/null
+++ b/crates/server/src/background_thread.rs
@@ -0,0 +1,68 @@
+//! A thread that works off jobs, so that the event loop never waits for the disk.
+
+use cleatpulley_policy::interface::Micros;
+use std::io;
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// A thread and the channel of its jobs. The thread ends once this is released or dropped, after
+/// the jobs that it has.
+pub(crate) struct BackgroundThread<J> {
+    /// None once it was released.
+    jobs: Option<Sender<J>>,
+    /// Receives a message when the thread has ended.
+    finished: Receiver<()>,
+}
+
+impl<J: Send + 'static> BackgroundThread<J> {
+    /// Starts a thread that runs `work` on the receiver of its jobs.
+    ///
+    /// # Errors
+    /// Where the system gives no thread.
+    pub(crate) fn spawn(
+        name: &str,
+        work: impl FnOnce(&Receiver<J>) + Send + 'static,
+    ) -> io::Result<Self> {
+        let (jobs, job_receiver) = mpsc::channel();
+        let (finished_sender, finished) = mpsc::channel();
+        std::thread::Builder::new()
+            .name(name.to_owned())
+            .spawn(move || {
+                work(&job_receiver);
+                // Nobody may wait for it any more.
+                let _ = finished_sender.send(());
+            })?;
+        Ok(Self {
+            jobs: Some(jobs),
+            finished,
+        })
+    }
+
+    /// Gives the thread a job; without effect once the thread was released or has ended.
+    pub(crate) fn send(&self, job: J) {
+        if let Some(jobs) = &self.jobs {
+            // A thread that has ended has reported why.
+            let _ = jobs.send(job);
+        }
+    }
+
+    /// Lets the thread end once it has done its jobs.
+    pub(crate) fn release(&mut self) {
+        self.jobs = None;
+    }
+
+    /// Waits until the thread has ended.
+    ///
+    /// # Errors
+    /// Where it has not within `timeout`.
+    pub(crate) fn wait(&self, timeout: Duration) -> Result<(), RecvTimeoutError> {
+        self.finished.recv_timeout(timeout)
+    }
+}
+
+/// Returns the time in microseconds of the Unix clock.
+pub(crate) fn unix_time() -> Micros {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as Micros)
+}
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -44,6 +44,26 @@
     secure: bool,
 }
 
+/// What a [`ClientListener`] holds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ClientListenerUsage {
+    /// Listening sockets.
+    pub listeners: usize,
+    /// Connections.
+    pub connections: usize,
+    /// Requests that are open on the connections.
+    pub open_requests: usize,
+}
+
+/// Why an address can't be listened on.
+#[derive(Debug)]
+pub struct ListenFailure {
+    /// The address.
+    pub address: SocketAddr,
+    /// What the system reported.
+    pub error: io::Error,
+}
+
 /// The listeners and their connections.
 pub struct ClientListener<H: Host> {
     world: H,
@@ -188,7 +208,7 @@
     ///
     /// # Errors
     /// The first that can't be had.
-    pub fn listen_expected(&mut self) -> Result<Vec<SocketAddr>, (SocketAddr, io::Error)> {
+    pub fn listen_expected(&mut self) -> Result<Vec<SocketAddr>, ListenFailure> {
         let mut addresses = Vec::new();
         for place in 0..self.doors.len() {
             if self.doors[place].listener.is_some() {
@@ -198,7 +218,7 @@
             let (listener, address) = self
                 .world
                 .listen(address, place)
-                .map_err(|e| (address, e))?;
+                .map_err(|error| ListenFailure { address, error })?;
             let door = &mut self.doors[place];
             (door.address, door.listener, door.acceptable) = (address, Some(listener), true);
             addresses.push(address);
@@ -289,7 +309,7 @@
 
     /// Listeners, connections, and the requests that are open on those.
     #[must_use]
-    pub fn usage(&self) -> (usize, usize, usize) {
+    pub fn usage(&self) -> ClientListenerUsage {
         let open = self
             .peers
             .values()
@@ -300,7 +320,11 @@
             .iter()
             .filter(|door| door.listener.is_some())
             .count();
-        (listeners, self.peers.len(), open)
+        ClientListenerUsage {
+            listeners,
+            connections: self.peers.len(),
+            open_requests: open,
+        }
     }
 
     /// Descriptors that are kept for later.
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -53,6 +53,15 @@
     reused: bool,
 }
 
+/// What a [`DependencyPool`] holds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct DependencyPoolUsage {
+    /// Calls, those that wait for a connection among them.
+    pub calls: usize,
+    /// Connections.
+    pub connections: usize,
+}
+
 /// The pool.
 pub struct DependencyPool<H: Host> {
     world: H,
@@ -89,8 +98,11 @@
 
     /// Calls, those that wait among them, and connections.
     #[must_use]
-    pub fn usage(&self) -> (usize, usize) {
-        (self.busy.len() + self.waiting.len(), self.channels.len())
+    pub fn usage(&self) -> DependencyPoolUsage {
+        DependencyPoolUsage {
+            calls: self.busy.len() + self.waiting.len(),
+            connections: self.channels.len(),
+        }
     }
 
     /// Makes a call; the one that the request had before is given up.
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -1,572 +1,296 @@
-//! Upgrades in place: the connections to the process whose place this one takes, and to the one that takes its place. What
-//! is decided lies with `cleatpulley_hot_restart`; what it comes to is told as steps to the node.
-
-mod predecessor_link;
-
-use super::host::{HandoverAddress, HandoverChannel, Host};
-use super::SocketOwner;
+//! Hot restart: the connections to the process that this one takes over from (its predecessor) and
+//! to the process that takes over from this one (its successor).
+//!
+//! What each side decides lies in `cleatpulley_hot_restart`; this module does the I/O for it and
+//! returns [`HotRestartStep`]s that the server is to take.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | `step` | the steps that the server is asked to take |
+//! | `connections` | the connections, and the socket on which successors find this process |
+//! | `channel_message` | reading the messages of a channel |
+//! | `predecessor_messages` | messages of the predecessor, and the effects of the successor's side |
+//! | `successor_messages` | messages of the successor, and the effects of the predecessor's side |
+//! | `earlier_predecessors` | processes that came before the predecessor |
+
+mod channel_message;
+mod connections;
+mod earlier_predecessors;
+mod predecessor_messages;
+mod step;
+mod successor_messages;
+
+pub(crate) use connections::ACCEPT_RETRY_INTERVAL;
+pub use connections::PLACE;
+pub use step::{HotRestartStep, InheritedListener};
+
+use crate::host::{HandoverAddress, Host};
+use crate::options::SocketOwner;
 use cleatpulley_hot_restart::message::MOST_STANDING;
 use cleatpulley_hot_restart::predecessor::{self, Predecessor};
-use cleatpulley_hot_restart::successor::{self, Successor};
+use cleatpulley_hot_restart::successor::Successor;
 use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
-use predecessor_link::PredecessorLink;
-use std::io::{self, ErrorKind};
+use connections::{PredecessorConnection, SuccessorConnection, SuccessorListener};
+use earlier_predecessors::EarlierPredecessors;
+use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
 
-/// The number that successors are told of by.
-pub const PLACE: usize = (1 << 16) + 1;
-
-/// Wait after the system had no descriptor for a successor.
-pub(crate) const LET_IN: Micros = 20_000;
-/// Wait before successors are let find this process once more.
-const POST_AGAIN: Micros = 500_000;
-
-type ReceivedSocket<H> = <<H as Host>::HandoverChannel as HandoverChannel>::ReceivedSocket;
-
-/// What the node is to do.
-pub enum HotRestartStep<H: Host> {
-    /// Take these sockets as those of these addresses.
-    Adopt(Vec<(SocketAddr, ReceivedSocket<H>)>),
-    /// Listen where no socket is yet.
-    Listen,
-    /// Accept from here on.
-    Serve,
-    /// Open the store of results.
-    OpenStore,
-    /// The other process has so much of the machine.
-    Beside(Held),
-    /// What the other process has learned.
-    Learn(String),
-    /// Callers that have earned standing there.
-    Standing(Vec<(IpAddr, f64)>),
-    /// Accept no more, send connections away, and then [`yielded`](Upgrade::yielded) is to be told of it.
-    Yield,
-    /// The successor is gone.
-    Resume,
-    /// No descriptor is left for a successor: a connection that owes nothing is to be closed.
-    MakeRoom,
-}
+/// A listening address of this process, with its socket where it has one.
+pub type ListenerEntry<'a, H> = (SocketAddr, Option<&'a <H as Host>::Listener>);
 
-/// Both connections.
+/// The hot restart of a process, as successor and as predecessor.
 pub struct HotRestart<H: Host> {
-    world: H,
-    meeting: HandoverAddress,
-    post: Option<H::SuccessorListener>,
-    /// A descriptor that is kept for a successor, and when one is looked for again where it was needed.
-    spare: Option<H::ReservedDescriptor>,
-    spare_at: Micros,
-    /// A successor may wait, and is let in no earlier than then.
-    knocked: bool,
-    let_in_at: Micros,
-    before: Option<(Successor, Option<H::HandoverChannel>)>,
-    /// What came along with the message that is being heard.
-    passed: Vec<ReceivedSocket<H>>,
-    /// What that one has of the machine.
-    beside: Held,
-    /// Others that came before it, and whose own successor died.
-    behind: PredecessorLink<H>,
-    after: (Predecessor, Option<H::HandoverChannel>),
-    /// Whether a process serves can't be told.
-    unmet: bool,
-    /// Successors could not be let find this process; that is tried again then.
-    post_at: Option<Micros>,
+    host: H,
+    handover_address: HandoverAddress,
+    /// None where there was no process to take over from.
+    predecessor: Option<PredecessorConnection<H>>,
+    /// What the predecessor uses of the machine.
+    predecessor_usage: Held,
+    earlier_predecessors: EarlierPredecessors<H>,
+    successor: SuccessorConnection<H>,
+    successor_listener: SuccessorListener<H>,
+    /// Whether there is a process to take over from could not be found out.
+    is_predecessor_unknown: bool,
 }
 
 impl<H: Host> HotRestart<H> {
-    /// Looks for a process whose place is to be taken. It is to be shown the addresses that are listened on; the first is
-    /// the one it is met by.
+    /// Looks for a process to take over from, and offers to take these listeners over. The first of
+    /// the addresses is the one that the processes meet by.
     #[must_use]
-    pub fn new(world: H, meeting: HandoverAddress, listen: &[SocketAddr]) -> Self {
-        let after = (Predecessor::new(&meeting.name), None);
-        let mut new = Self {
-            world,
-            meeting,
-            post: None,
-            spare: None,
-            spare_at: 0,
-            knocked: false,
-            let_in_at: 0,
-            before: None,
-            passed: Vec::new(),
-            beside: Held::default(),
-            behind: PredecessorLink::default(),
-            after,
-            unmet: false,
-            post_at: None,
+    pub fn new(
+        host: H,
+        handover_address: HandoverAddress,
+        listen_addresses: &[SocketAddr],
+    ) -> Self {
+        let mut hot_restart = Self {
+            host,
+            successor: SuccessorConnection {
+                protocol: Predecessor::new(&handover_address.name),
+                channel: None,
+            },
+            handover_address,
+            predecessor: None,
+            predecessor_usage: Held::default(),
+            earlier_predecessors: EarlierPredecessors::default(),
+            successor_listener: SuccessorListener::default(),
+            is_predecessor_unknown: false,
         };
-        // Where the system chooses the port, nobody can be there.
-        if new.meeting.address.port() != 0 {
-            match new
-                .world
-                .connect_to_predecessor(&new.meeting, SocketOwner::Predecessor)
-            {
-                Ok(passage) => {
-                    tracing::info!(
-                        "upgrade: takes the place of the process that serves {}",
-                        new.meeting.address
-                    );
-                    let (decides, effects) =
-                        Successor::new(new.world.now(), &new.meeting.name, listen.to_vec());
-                    new.before = Some((decides, Some(passage)));
-                    // Nothing but a word goes out before the first turn; where that fails, the turn sees it.
-                    let _ = new.before_does(effects, &mut Vec::new());
-                }
-                Err(e)
-                    if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {}
-                Err(e) => {
-                    tracing::warn!("upgrade: the process that serves can't be met: {e}");
-                    new.unmet = true;
-                }
+        // Where the system chooses the port, no process can have it already.
+        if hot_restart.handover_address.address.port() != 0 {
+            hot_restart.find_predecessor(listen_addresses);
+        }
+        hot_restart
+    }
+
+    fn find_predecessor(&mut self, listen_addresses: &[SocketAddr]) {
+        let connected = self
+            .host
+            .connect_to_predecessor(&self.handover_address, SocketOwner::Predecessor);
+        match connected {
+            Ok(channel) => self.greet_predecessor(channel, listen_addresses),
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::NotFound | ErrorKind::ConnectionRefused
+                ) => {}
+            Err(error) => {
+                tracing::warn!(%error, "upgrade: the process that serves can't be met");
+                self.is_predecessor_unknown = true;
             }
         }
-        new
     }
 
-    /// It accepts clients: nobody else has the queue.
+    fn greet_predecessor(&mut self, channel: H::HandoverChannel, listen_addresses: &[SocketAddr]) {
+        tracing::info!(
+            "upgrade: takes the place of the process that serves {}",
+            self.handover_address.address
+        );
+        let now = self.host.now();
+        let name = &self.handover_address.name;
+        let (protocol, effects) = Successor::new(now, name, listen_addresses.to_vec());
+        self.predecessor = Some(PredecessorConnection {
+            protocol,
+            channel: Some(channel),
+            received_sockets: Vec::new(),
+        });
+        // This only sends a greeting; where that fails, the first poll finds the channel closed.
+        let _ = self.execute_successor_effects(effects, &mut Vec::new());
+    }
+
+    /// Returns true where this process accepts clients, and no other process has its listeners.
     #[must_use]
-    pub fn serves(&self) -> bool {
-        self.before
-            .as_ref()
-            .is_none_or(|(decides, _)| decides.serves())
-            && !self.after.0.yielded()
+    pub fn is_serving(&self) -> bool {
+        let predecessor = self.predecessor.as_ref();
+        predecessor.is_none_or(|predecessor| predecessor.protocol.serves()) && !self.has_yielded()
     }
 
-    /// Whether a process serves could not be told: it may be listened beside one.
+    /// Returns true where it could not be found out whether there is a predecessor: this process
+    /// may listen in parallel to one.
     #[must_use]
-    pub fn is_unmet(&self) -> bool {
-        self.unmet
+    pub fn is_predecessor_unknown(&self) -> bool {
+        self.is_predecessor_unknown
     }
 
-    /// A successor takes the clients.
+    /// Returns true where a successor serves the clients.
     #[must_use]
-    pub fn succeeded(&self) -> bool {
-        self.after.0.yielded()
+    pub fn has_yielded(&self) -> bool {
+        self.successor.protocol.yielded()
     }
 
-    /// The successor died, and whether another process has the place is not known yet: whoever waits in the queue may be this
-    /// process's to take.
+    /// Returns true where the successor died and it is not known yet whether another process has
+    /// taken over from it: the connections that wait may be this process's to accept.
     #[must_use]
     pub fn is_orphaned(&self) -> bool {
-        self.after.0.is_orphaned()
+        self.successor.protocol.is_orphaned()
     }
 
-    /// The stop is near, and there is no time to look.
-    pub fn search_no_more(&mut self, now: Micros) {
-        self.after.0.search_no_more(now);
+    /// Ends the search for a process that took over from the successor: the stop is near.
+    pub fn stop_successor_search(&mut self, now: Micros) {
+        self.successor.protocol.search_no_more(now);
     }
 
-    /// The process whose place it has taken is still there.
+    /// Returns true while a process that this one has taken over from is still there.
     #[must_use]
     pub fn has_predecessor(&self) -> bool {
-        self.before
-            .as_ref()
-            .is_some_and(|(_, passage)| passage.is_some())
-            || self.behind.count() > 0
+        self.has_predecessor_channel() || self.earlier_predecessors.connected_count() > 0
+    }
+
+    fn has_predecessor_channel(&self) -> bool {
+        let predecessor = self.predecessor.as_ref();
+        predecessor.is_some_and(|predecessor| predecessor.channel.is_some())
     }
 
-    /// Connections that stand, and where successors come to.
+    /// Returns the number of descriptors in use: channels, the socket for successors, and the
+    /// descriptor reserved for one.
     #[must_use]
-    pub fn descriptors(&self) -> usize {
-        let before = self
-            .before
-            .as_ref()
-            .is_some_and(|(_, passage)| passage.is_some());
-        let own = [
-            self.post.is_some(),
-            before,
-            self.after.1.is_some(),
-            self.spare.is_some(),
-        ];
-        own.into_iter().filter(|there| *there).count() + self.behind.count()
+    pub fn descriptor_count(&self) -> usize {
+        usize::from(self.has_predecessor_channel())
+            + usize::from(self.successor.channel.is_some())
+            + self.successor_listener.descriptor_count()
+            + self.earlier_predecessors.connected_count()
     }
 
-    /// Successors find this process from now on, at this address.
+    /// Lets successors find this process from now on, by this address.
     pub fn listen_for_successors(&mut self, address: SocketAddr) {
-        self.meeting.address = address;
-        // The one before is let go first: its name goes to the next.
-        self.post = None;
-        match self.world.listen_for_successors(&self.meeting, PLACE) {
-            Ok(post) => (self.post, self.knocked) = (Some(post), true),
-            Err(e) => {
-                tracing::warn!("upgrade: no successor can be met yet: {e}");
-                self.post_at = Some(self.world.now() + POST_AGAIN);
-            }
-        }
+        self.handover_address.address = address;
+        self.successor_listener
+            .listen(&self.host, &self.handover_address);
     }
 
-    /// A successor may wait.
+    /// Notes that a successor may wait to be accepted.
     pub fn on_acceptable(&mut self) {
-        self.knocked = true;
+        self.successor_listener.is_acceptable = true;
     }
 
-    /// Hears what both say and lets time pass; `up` tells that requests can be run, `listens` where this process listens.
+    /// Reads the messages of all other processes and lets time pass; appends the steps that the
+    /// server is to take. `is_up` says that this process can serve requests, `usage` what it uses
+    /// of the machine.
     pub fn poll(
         &mut self,
         now: Micros,
-        up: bool,
-        listens: &[(SocketAddr, Option<&H::Listener>)],
-        held: impl Fn() -> Held,
+        is_up: bool,
+        listeners: &[ListenerEntry<'_, H>],
+        usage: impl Fn() -> Held,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
-        if self.post_at.is_some_and(|at| now >= at) {
-            self.post_at = None;
-            self.listen_for_successors(self.meeting.address);
-        }
-        self.hear_before(now, steps);
+        self.retry_listen_for_successors(now);
+        self.read_predecessor(now, steps);
         if steps
             .iter()
-            .any(|step| matches!(step, HotRestartStep::Adopt(_)))
+            .any(|step| matches!(step, HotRestartStep::AdoptListeners(_)))
         {
-            // Whether all of it can be taken up is to be seen before anything is asked for.
+            // The predecessor is asked for the clients only once all listeners could be adopted.
             return;
         }
-        if let Some((decides, _)) = &mut self.before {
-            let effects = decides.turn(now, up);
-            self.before_goes(now, effects, steps);
+        self.poll_predecessor(now, is_up, steps);
+        self.accept_successors(now, steps);
+        if self.successor.protocol.receives() {
+            self.successor_listener.reserve_descriptor(&self.host, now);
         }
-        self.welcome(now, steps);
-        self.keep_spare(now);
-        if self.behind.turn(now, steps) {
-            steps.push(HotRestartStep::Beside(self.share()));
+        if self.earlier_predecessors.poll(now, steps) {
+            steps.push(HotRestartStep::SetPredecessorUsage(
+                self.total_predecessor_usage(),
+            ));
         }
-        self.hear_after(now, listens, steps);
-        let effects = self.after.0.turn(now, &held);
+        self.read_successor(now, listeners, steps);
+        let effects = self.successor.protocol.turn(now, &usage);
         if effects.contains(&predecessor::Effect::Look) {
-            return self.look(now, listens, held, steps);
+            return self.find_next_successor(now, listeners, usage, steps);
         }
-        self.after_goes(now, effects, listens, steps);
+        self.apply_predecessor_effects(now, effects, listeners, steps);
     }
 
-    /// What all that came before this process have of the machine.
-    fn share(&self) -> Held {
-        predecessor_link::sum(self.beside, self.behind.held())
+    fn retry_listen_for_successors(&mut self, now: Micros) {
+        let retry_listen_at = self.successor_listener.retry_listen_at;
+        if retry_listen_at.is_some_and(|at| now >= at) {
+            self.successor_listener.retry_listen_at = None;
+            self.listen_for_successors(self.handover_address.address);
+        }
     }
 
-    /// The successor died. Sees whether another process has the name by now, and tells it what is left here.
-    fn look(
-        &mut self,
-        now: Micros,
-        listens: &[(SocketAddr, Option<&H::Listener>)],
-        held: impl Fn() -> Held,
-        steps: &mut Vec<HotRestartStep<H>>,
-    ) {
-        // The name may still be this process's own.
-        self.post = None;
-        // Where nobody is met, that is tried again until its time is over.
-        let Ok(passage) = self
-            .world
-            .connect_to_predecessor(&self.meeting, SocketOwner::Successor)
-        else {
-            return;
-        };
-        tracing::info!("upgrade: another process has the place of the successor that is gone");
-        self.after.1 = Some(passage);
-        let effects = self.after.0.found(now, held());
-        self.after_goes(now, effects, listens, steps);
+    /// Returns what all processes use of the machine that came before this one.
+    fn total_predecessor_usage(&self) -> Held {
+        earlier_predecessors::sum(self.predecessor_usage, self.earlier_predecessors.usage())
     }
 
-    /// What was passed could not all be taken up for want of descriptors. True where the predecessor is asked again: nothing
-    /// of it is taken then.
+    /// Gives the listeners back that could not all be adopted for want of descriptors. Returns true
+    /// where the predecessor is asked for them again later, and nothing is to be done until then.
     pub fn retreat(&mut self, now: Micros) -> bool {
-        let Some((decides, _)) = &mut self.before else {
+        let Some(predecessor) = &mut self.predecessor else {
             return false;
         };
-        let effects = decides.retreat(now);
-        let again = !effects.is_empty();
-        // All that is done is to close.
-        let _ = self.before_does(effects, &mut Vec::new());
-        again
-    }
-
-    /// The node has yielded.
-    pub fn yielded(&mut self, held: Held, learned: String, mut standing: Vec<(IpAddr, f64)>) {
-        standing.truncate(MOST_STANDING);
-        let effects = vec![predecessor::Effect::Send(Message::Yours {
-            held,
-            learned,
-            standing,
-        })];
-        self.after_goes(self.world.now(), effects, &[], &mut Vec::new());
-    }
-
-    /// The process ends: its successor hears what is left at last, and keeps no more free than that.
-    pub fn shutdown(&mut self, held: Held) {
-        if self.after.1.is_some() && self.after.0.yielded() {
-            let effects = vec![predecessor::Effect::Send(Message::Left(held))];
-            self.after_goes(self.world.now(), effects, &[], &mut Vec::new());
-        }
-    }
-
-    /// The node has let go of the store of results.
-    pub fn store_free(&mut self) {
-        let effects = self.after.0.store_free();
-        self.after_goes(self.world.now(), effects, &[], &mut Vec::new());
-    }
-
-    /// When [`turn`](Self::turn) has something to do.
-    #[must_use]
-    pub fn next_deadline(&self) -> Option<Micros> {
-        let before = self.before.as_ref().and_then(|(decides, _)| decides.next());
-        let let_in = (self.knocked && self.let_in_at > 0).then_some(self.let_in_at);
-        let next = [
-            before,
-            self.after.0.next(),
-            let_in,
-            self.post_at,
-            self.behind.next(),
-        ];
-        next.into_iter().flatten().min()
-    }
-
-    fn hear_before(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
-        while let Some((decides, Some(passage))) = &mut self.before {
-            let effects = match hear(passage) {
-                Ok(None) => return,
-                Ok(Some((message, passed))) => {
-                    if let Message::Refused { why } = &message {
-                        tracing::warn!(
-                            "upgrade: the process that serves passes nothing yet: {why}"
-                        );
-                    }
-                    self.passed = passed;
-                    decides.hear(now, message, self.passed.len())
-                }
-                Err(why) => {
-                    tracing::info!("upgrade: the predecessor is gone: {why}");
-                    decides.ended(now)
-                }
-            };
-            self.before_goes(now, effects, steps);
-            self.passed.clear();
-        }
+        let effects = predecessor.protocol.retreat(now);
+        let asks_again = !effects.is_empty();
+        // The only effect is that the channel is closed, which can't fail.
+        let _ = self.execute_successor_effects(effects, &mut Vec::new());
+        asks_again
     }
 
-    /// Does what was decided; where that fails, what is decided then.
-    fn before_goes(
+    /// Tells the successor that the connections are its own now, with what was learned of them.
+    pub fn on_connections_yielded(
         &mut self,
-        now: Micros,
-        effects: Vec<successor::Effect>,
-        steps: &mut Vec<HotRestartStep<H>>,
+        usage: Held,
+        learned_state: String,
+        mut reputation: Vec<(IpAddr, f64)>,
     ) {
-        let visits = effects.contains(&successor::Effect::Visit);
-        let mut done = self.before_does(effects, steps);
-        if visits {
-            done = match self
-                .world
-                .connect_to_predecessor(&self.meeting, SocketOwner::Predecessor)
-            {
-                Ok(passage) => {
-                    let Some((decides, there)) = &mut self.before else {
-                        return;
-                    };
-                    *there = Some(passage);
-                    let effects = decides.visited(now);
-                    self.before_does(effects, steps)
-                }
-                Err(e) => Err(e),
-            };
-        }
-        if let Err(e) = done {
-            tracing::info!("upgrade: the predecessor is gone: {e}");
-            let Some((decides, _)) = &mut self.before else {
-                return;
-            };
-            let effects = decides.ended(now);
-            // Nothing is said to one that is gone.
-            let _ = self.before_does(effects, steps);
-        }
-    }
-
-    fn before_does(
-        &mut self,
-        effects: Vec<successor::Effect>,
-        steps: &mut Vec<HotRestartStep<H>>,
-    ) -> io::Result<()> {
-        use successor::Effect;
-        let Some((_, passage)) = &mut self.before else {
-            return Ok(());
-        };
-        for effect in effects {
-            match effect {
-                Effect::Send(message) => {
-                    let passage = passage.as_ref().ok_or(ErrorKind::NotConnected)?;
-                    passage.send(&message.encode(), &[])?;
-                }
-                Effect::Adopt(listen) => {
-                    let passed = std::mem::take(&mut self.passed);
-                    steps.push(HotRestartStep::Adopt(
-                        listen.into_iter().zip(passed).collect(),
-                    ));
-                }
-                Effect::Listen => steps.push(HotRestartStep::Listen),
-                Effect::Serve => steps.push(HotRestartStep::Serve),
-                Effect::OpenStore => steps.push(HotRestartStep::OpenStore),
-                Effect::Beside(held) => {
-                    self.beside = held;
-                    steps.push(HotRestartStep::Beside(predecessor_link::sum(
-                        held,
-                        self.behind.held(),
-                    )));
-                }
-                Effect::Learn(learned) => steps.push(HotRestartStep::Learn(learned)),
-                Effect::Standing(standing) => steps.push(HotRestartStep::Standing(standing)),
-                Effect::Close => *passage = None,
-                Effect::Mourn => {
-                    self.behind
-                        .mourn(self.world.now(), std::mem::take(&mut self.beside));
-                    steps.push(HotRestartStep::Beside(predecessor_link::sum(
-                        self.beside,
-                        self.behind.held(),
-                    )));
-                }
-                // The caller's: it takes another connection.
-                Effect::Visit => {}
-            }
-        }
-        Ok(())
-    }
-
-    /// Guards against connections that hold all descriptors when a successor comes, which would listen beside this process.
-    fn keep_spare(&mut self, now: Micros) {
-        let wanted = self.post.is_some() && self.spare.is_none() && self.after.0.receives();
-        if wanted && now >= self.spare_at {
-            self.spare = self.world.reserve_descriptor().ok();
-            self.spare_at = now + POST_AGAIN;
-        }
-    }
-
-    /// Lets a successor in where none is there; others hear that it is not their turn.
-    fn welcome(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
-        while now >= self.let_in_at && std::mem::take(&mut self.knocked) {
-            let Some(post) = &self.post else { return };
-            match self.world.accept_successor(post, SocketOwner::Successor) {
-                Ok(passage) if self.after.0.receives() => {
-                    self.after.0.visited(now);
-                    self.after.1 = Some(passage);
-                }
-                Ok(passage) => {
-                    let why = "another successor is here".to_owned();
-                    // It may be gone already.
-                    let _ = passage.send(&Message::Refused { why }.encode(), &[]);
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // One of another user is gone with this; the next may wait behind it.
-                Err(e) if e.kind() == ErrorKind::PermissionDenied => {
-                    tracing::warn!("upgrade: somebody was not let in: {e}");
-                }
-                Err(_) if self.spare.take().is_some() => {}
-                Err(e) => {
-                    // Guards against a loop at full speed while descriptors are short.
-                    tracing::warn!("upgrade: a successor is not let in yet: {e}");
-                    self.let_in_at = now + LET_IN;
-                    steps.push(HotRestartStep::MakeRoom);
-                }
-            }
-            self.knocked = true;
-        }
+        reputation.truncate(MOST_STANDING);
+        self.send_to_successor(Message::Yours {
+            held: usage,
+            learned: learned_state,
+            standing: reputation,
+        });
     }
 
-    fn hear_after(
-        &mut self,
-        now: Micros,
-        listens: &[(SocketAddr, Option<&H::Listener>)],
-        steps: &mut Vec<HotRestartStep<H>>,
-    ) {
-        let passes: Vec<_> = listens
-            .iter()
-            .filter(|(_, listener)| listener.is_some())
-            .map(|l| l.0)
-            .collect();
-        while let (decides, Some(passage)) = &mut self.after {
-            let effects = match hear(passage) {
-                Ok(None) => return,
-                Ok(Some((message, _))) => decides.hear(now, &message, &passes),
-                Err(why) => {
-                    tracing::info!("upgrade: the successor is gone: {why}");
-                    decides.ended(now)
-                }
-            };
-            self.after_goes(now, effects, listens, steps);
+    /// Tells the successor that this process ends, and what it leaves in use.
+    pub fn shutdown(&mut self, usage: Held) {
+        if self.successor.channel.is_some() && self.has_yielded() {
+            self.send_to_successor(Message::Left(usage));
         }
     }
 
-    fn after_goes(
-        &mut self,
-        now: Micros,
-        effects: Vec<predecessor::Effect>,
-        listens: &[(SocketAddr, Option<&H::Listener>)],
-        steps: &mut Vec<HotRestartStep<H>>,
-    ) {
-        if let Err(e) = self.after_does(effects, listens, steps) {
-            tracing::info!("upgrade: the successor is gone: {e}");
-            let effects = self.after.0.ended(now);
-            // Nothing is said to one that is gone.
-            let _ = self.after_does(effects, listens, steps);
-        }
+    fn send_to_successor(&mut self, message: Message) {
+        let effects = vec![predecessor::Effect::Send(message)];
+        self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
 
-    fn after_does(
-        &mut self,
-        effects: Vec<predecessor::Effect>,
-        listens: &[(SocketAddr, Option<&H::Listener>)],
-        steps: &mut Vec<HotRestartStep<H>>,
-    ) -> io::Result<()> {
-        use predecessor::Effect;
-        for effect in effects {
-            let passage = self.after.1.as_ref().ok_or(ErrorKind::NotConnected);
-            match effect {
-                Effect::Send(message) => match passage?.send(&message.encode(), &[]) {
-                    // What is left is told again soon.
-                    Err(e)
-                        if e.kind() == ErrorKind::WouldBlock
-                            && matches!(message, Message::Left(_)) => {}
-                    sent => sent?,
-                },
-                Effect::Pass(message) => {
-                    let Message::Offer { listen, .. } = &message else {
-                        continue;
-                    };
-                    let of = |address: &SocketAddr| {
-                        listens
-                            .iter()
-                            .find(|(at, _)| at == address)
-                            .and_then(|(_, listener)| *listener)
-                    };
-                    let along: Vec<_> = listen.iter().filter_map(of).collect();
-                    passage?.send(&message.encode(), &along)?;
-                }
-                Effect::Yield => steps.push(HotRestartStep::Yield),
-                Effect::Resume => steps.push(HotRestartStep::Resume),
-                Effect::Close => self.after.1 = None,
-                Effect::Behind(held) => {
-                    tracing::info!(
-                        "upgrade: a process whose successor is gone comes before this one"
-                    );
-                    if let Some(passage) = self.after.1.take() {
-                        self.behind.take(passage, held);
-                    }
-                    steps.push(HotRestartStep::Beside(self.share()));
-                }
-                // Done before the others, where it may be.
-                Effect::Look => {}
-            }
-        }
-        Ok(())
+    /// Tells the successor that the persistence of idempotency keys is released.
+    pub fn on_key_persistence_released(&mut self) {
+        let effects = self.successor.protocol.store_free();
+        self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
-}
 
-/// The next message, if one has come; why nothing more will.
-type Heard<P> = Result<Option<(Message, Vec<P>)>, String>;
-
-fn hear<P: HandoverChannel>(passage: &P) -> Heard<P::ReceivedSocket> {
-    match passage.receive() {
-        Ok((bytes, _)) if bytes.is_empty() => Err("it ended".to_owned()),
-        Ok((bytes, passed)) => Message::decode(&bytes)
-            .map(|m| Some((m, passed)))
-            .map_err(|e| e.to_string()),
-        Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(None),
-        Err(e) => Err(e.to_string()),
+    /// Returns when [`poll`](Self::poll) has something to do though no message arrives.
+    #[must_use]
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let predecessor = self.predecessor.as_ref();
+        let deadlines = [
+            predecessor.and_then(|predecessor| predecessor.protocol.next()),
+            self.successor.protocol.next(),
+            self.successor_listener.next_deadline(),
+            self.earlier_predecessors.next_deadline(),
+        ];
+        deadlines.into_iter().flatten().min()
     }
 }
 
--- /dev/null
+++ b/crates/server/src/hot_restart/connections.rs
@@ -0,0 +1,131 @@
+//! The connections to the predecessor and to the successor, and where successors connect.
+
+use super::step::ReceivedSocket;
+use crate::host::{HandoverAddress, HandoverChannel as _, Host};
+use cleatpulley_hot_restart::predecessor::Predecessor;
+use cleatpulley_hot_restart::successor::Successor;
+use cleatpulley_hot_restart::Message;
+use cleatpulley_policy::interface::Micros;
+use std::io::{self, ErrorKind};
+
+/// The number by which the event loop reports that a successor may wait. Listeners for clients have
+/// smaller ones.
+pub const PLACE: usize = (1 << 16) + 1;
+
+/// Wait before a successor is accepted, after no descriptor was left for it.
+pub(crate) const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
+/// Wait before listening for successors, or reserving a descriptor for one, is tried again.
+const LISTEN_RETRY_INTERVAL: Micros = 500_000;
+
+/// The connection to the process that this one takes over from, as its successor.
+pub(super) struct PredecessorConnection<H: Host> {
+    /// What a successor decides.
+    pub(super) protocol: Successor,
+    /// None once the predecessor is gone.
+    pub(super) channel: Option<H::HandoverChannel>,
+    /// The sockets that came along with the message that is being handled.
+    pub(super) received_sockets: Vec<ReceivedSocket<H>>,
+}
+
+impl<H: Host> PredecessorConnection<H> {
+    pub(super) fn send(&self, message: &Message) -> io::Result<()> {
+        let channel = self.channel.as_ref().ok_or(ErrorKind::NotConnected)?;
+        channel.send(&message.encode(), &[])
+    }
+}
+
+/// The connection to the process that takes over from this one, its predecessor.
+pub(super) struct SuccessorConnection<H: Host> {
+    /// What a predecessor decides.
+    pub(super) protocol: Predecessor,
+    /// None while there is no successor.
+    pub(super) channel: Option<H::HandoverChannel>,
+}
+
+impl<H: Host> SuccessorConnection<H> {
+    pub(super) fn channel(&self) -> io::Result<&H::HandoverChannel> {
+        let channel = self.channel.as_ref();
+        channel.ok_or_else(|| ErrorKind::NotConnected.into())
+    }
+
+    /// Sends a message. A usage report that the successor has no room for is left out, since the
+    /// next follows soon.
+    pub(super) fn send(&self, message: &Message) -> io::Result<()> {
+        match self.channel()?.send(&message.encode(), &[]) {
+            Err(error)
+                if error.kind() == ErrorKind::WouldBlock && matches!(message, Message::Left(_)) =>
+            {
+                Ok(())
+            }
+            sent => sent,
+        }
+    }
+}
+
+/// The socket on which successors find this process.
+pub(super) struct SuccessorListener<H: Host> {
+    pub(super) socket: Option<H::SuccessorListener>,
+    /// When listening is tried again, after it failed.
+    pub(super) retry_listen_at: Option<Micros>,
+    /// A successor may wait to be accepted.
+    pub(super) is_acceptable: bool,
+    /// No successor is accepted before this.
+    pub(super) accept_at: Micros,
+    /// A descriptor for a successor that comes when no other is left.
+    pub(super) reserved_descriptor: Option<H::ReservedDescriptor>,
+    /// A descriptor is reserved no earlier than this, after the last was used.
+    reserve_at: Micros,
+}
+
+impl<H: Host> Default for SuccessorListener<H> {
+    fn default() -> Self {
+        Self {
+            socket: None,
+            retry_listen_at: None,
+            is_acceptable: false,
+            accept_at: 0,
+            reserved_descriptor: None,
+            reserve_at: 0,
+        }
+    }
+}
+
+impl<H: Host> SuccessorListener<H> {
+    pub(super) fn listen(&mut self, host: &H, address: &HandoverAddress) {
+        // The previous socket is closed first, since the new one takes its name.
+        self.socket = None;
+        match host.listen_for_successors(address, PLACE) {
+            Ok(socket) => {
+                self.socket = Some(socket);
+                self.is_acceptable = true;
+            }
+            Err(error) => {
+                tracing::warn!(%error, "upgrade: no successor can be met yet");
+                self.retry_listen_at = Some(host.now() + LISTEN_RETRY_INTERVAL);
+            }
+        }
+    }
+
+    /// Reserves a descriptor. Guards against client connections that hold all descriptors when a
+    /// successor comes, which would then listen in parallel to this process.
+    pub(super) fn reserve_descriptor(&mut self, host: &H, now: Micros) {
+        let is_wanted = self.socket.is_some() && self.reserved_descriptor.is_none();
+        if is_wanted && now >= self.reserve_at {
+            self.reserved_descriptor = host.reserve_descriptor().ok();
+            self.reserve_at = now + LISTEN_RETRY_INTERVAL;
+        }
+    }
+
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
+        let is_delayed = self.is_acceptable && self.accept_at > 0;
+        let accept_at = is_delayed.then_some(self.accept_at);
+        [accept_at, self.retry_listen_at]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    pub(super) fn descriptor_count(&self) -> usize {
+        usize::from(self.socket.is_some()) + usize::from(self.reserved_descriptor.is_some())
+    }
+}
--- /dev/null
+++ b/crates/server/src/hot_restart/earlier_predecessors.rs
@@ -0,0 +1,151 @@
+//! The processes of this server that came before its predecessor: those that are still there
+//! because their own successor died, and what the ones that are gone have left in use.
+
+use super::channel_message::{receive_message, ReceivedMessage};
+use super::step::HotRestartStep;
+use crate::host::Host;
+use cleatpulley_hot_restart::{Held, Message};
+use cleatpulley_policy::interface::Micros;
+
+/// What a process that died had in use may have belonged to one before it, which is found within
+/// this time.
+const PREDECESSOR_SEARCH_TIME: Micros = 200_000;
+/// Running work can't be stopped: it goes on for this long after the process that started it is
+/// gone. Guards the cores and the memory against as much again on top of it.
+const ORPHANED_RUN_TIME: Micros = 3_000_000;
+
+/// The processes, and what is left of those that are gone.
+pub(super) struct EarlierPredecessors<H: Host> {
+    connected: Vec<ConnectedProcess<H>>,
+    remainders: Vec<Remainder>,
+}
+
+/// A process that is still there.
+struct ConnectedProcess<H: Host> {
+    channel: H::HandoverChannel,
+    /// What it reported last.
+    usage: Held,
+}
+
+/// What a process that is gone has left in use.
+struct Remainder {
+    free_at: Micros,
+    usage: Held,
+}
+
+impl<H: Host> Default for EarlierPredecessors<H> {
+    fn default() -> Self {
+        Self {
+            connected: Vec::new(),
+            remainders: Vec::new(),
+        }
+    }
+}
+
+impl<H: Host> EarlierPredecessors<H> {
+    /// Returns the number of processes that are still there.
+    pub(super) fn connected_count(&self) -> usize {
+        self.connected.len()
+    }
+
+    /// Returns what all of them use of the machine.
+    pub(super) fn usage(&self) -> Held {
+        let connected = self.connected.iter().map(|process| process.usage);
+        let remainders = self.remainders.iter().map(|remainder| remainder.usage);
+        connected.chain(remainders).fold(Held::default(), sum)
+    }
+
+    pub(super) fn add(&mut self, channel: H::HandoverChannel, usage: Held) {
+        self.connected.push(ConnectedProcess { channel, usage });
+    }
+
+    /// A process is gone that used this much.
+    pub(super) fn on_process_lost(&mut self, now: Micros, usage: Held) {
+        self.remainders.push(Remainder {
+            free_at: now + PREDECESSOR_SEARCH_TIME,
+            usage: Held {
+                calls: usage.calls,
+                descriptors: usage.descriptors,
+                ..Held::default()
+            },
+        });
+        if usage.running > 0 {
+            self.remainders.push(Remainder {
+                free_at: now + ORPHANED_RUN_TIME,
+                usage: Held {
+                    running: usage.running,
+                    memory_kb: usage.memory_kb,
+                    ..Held::default()
+                },
+            });
+        }
+    }
+
+    /// Returns when something that a process has left in use becomes free.
+    pub(super) fn next_deadline(&self) -> Option<Micros> {
+        let deadlines = self.remainders.iter().map(|remainder| remainder.free_at);
+        deadlines.min()
+    }
+
+    /// Reads the messages of all of them and drops what is free by now. Returns true where the
+    /// usage has changed.
+    pub(super) fn poll(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) -> bool {
+        let remainder_count = self.remainders.len();
+        self.remainders.retain(|remainder| now < remainder.free_at);
+        let mut has_changed = self.remainders.len() != remainder_count;
+        let mut lost_usages = Vec::new();
+        self.connected.retain_mut(|process| {
+            let result = process.read_messages(steps);
+            has_changed |= !matches!(result, ReadResult::Unchanged);
+            let is_lost = matches!(result, ReadResult::Lost);
+            if is_lost {
+                lost_usages.push(process.usage);
+            }
+            !is_lost
+        });
+        for usage in lost_usages {
+            self.on_process_lost(now, usage);
+        }
+        has_changed
+    }
+}
+
+/// What the messages of a process have changed.
+enum ReadResult {
+    Unchanged,
+    UsageChanged,
+    Lost,
+}
+
+impl<H: Host> ConnectedProcess<H> {
+    fn read_messages(&mut self, steps: &mut Vec<HotRestartStep<H>>) -> ReadResult {
+        let mut result = ReadResult::Unchanged;
+        loop {
+            match receive_message(&self.channel) {
+                Ok(None) => return result,
+                Ok(Some(ReceivedMessage { message, .. })) => match message {
+                    Message::Left(usage) => {
+                        self.usage = usage;
+                        result = ReadResult::UsageChanged;
+                    }
+                    Message::StoreFree {} => steps.push(HotRestartStep::OpenKeyPersistence),
+                    _ => tracing::warn!("upgrade: unexpected message of an earlier predecessor"),
+                },
+                Err(error) => {
+                    tracing::info!(%error, "upgrade: an earlier predecessor is gone");
+                    return ReadResult::Lost;
+                }
+            }
+        }
+    }
+}
+
+/// Returns what two processes use together.
+pub(super) fn sum(first: Held, second: Held) -> Held {
+    Held {
+        running: first.running + second.running,
+        memory_kb: first.memory_kb + second.memory_kb,
+        calls: first.calls + second.calls,
+        descriptors: first.descriptors + second.descriptors,
+    }
+}
--- /dev/null
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -0,0 +1,154 @@
+//! Messages of the predecessor, and the effects of what this process decides as its successor.
+
+use super::channel_message::{receive_message, ReceivedMessage};
+use super::step::{HotRestartStep, InheritedListener};
+use super::HotRestart;
+use crate::host::Host;
+use crate::options::SocketOwner;
+use cleatpulley_hot_restart::successor::Effect;
+use cleatpulley_hot_restart::Message;
+use cleatpulley_policy::interface::Micros;
+use std::io;
+
+impl<H: Host> HotRestart<H> {
+    /// Reads all messages that have arrived from the predecessor.
+    pub(super) fn read_predecessor(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
+        while let Some(predecessor) = &mut self.predecessor {
+            let Some(channel) = &predecessor.channel else {
+                return;
+            };
+            let effects = match receive_message(channel) {
+                Ok(None) => return,
+                Ok(Some(ReceivedMessage { message, sockets })) => {
+                    if let Message::Refused { why } = &message {
+                        tracing::warn!(
+                            reason = %why,
+                            "upgrade: the process that serves hands nothing over yet"
+                        );
+                    }
+                    let socket_count = sockets.len();
+                    predecessor.received_sockets = sockets;
+                    predecessor.protocol.hear(now, message, socket_count)
+                }
+                Err(error) => {
+                    tracing::info!(%error, "upgrade: the predecessor is gone");
+                    predecessor.protocol.ended(now)
+                }
+            };
+            self.apply_successor_effects(now, effects, steps);
+            self.drop_received_sockets();
+        }
+    }
+
+    fn drop_received_sockets(&mut self) {
+        if let Some(predecessor) = &mut self.predecessor {
+            predecessor.received_sockets.clear();
+        }
+    }
+
+    /// Lets time pass for the successor's side.
+    pub(super) fn poll_predecessor(
+        &mut self,
+        now: Micros,
+        is_up: bool,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) {
+        if let Some(predecessor) = &mut self.predecessor {
+            let effects = predecessor.protocol.turn(now, is_up);
+            self.apply_successor_effects(now, effects, steps);
+        }
+    }
+
+    /// Executes what was decided; where that fails, what is decided then.
+    fn apply_successor_effects(
+        &mut self,
+        now: Micros,
+        effects: Vec<Effect>,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) {
+        let reconnects = effects.contains(&Effect::Visit);
+        let mut result = self.execute_successor_effects(effects, steps);
+        if reconnects {
+            result = self.reconnect_to_predecessor(now, steps);
+        }
+        let Err(error) = result else { return };
+        tracing::info!(%error, "upgrade: the predecessor is gone");
+        if let Some(predecessor) = &mut self.predecessor {
+            let effects = predecessor.protocol.ended(now);
+            // Nothing is sent to a process that is gone, so that this can't fail.
+            let _ = self.execute_successor_effects(effects, steps);
+        }
+    }
+
+    fn reconnect_to_predecessor(
+        &mut self,
+        now: Micros,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) -> io::Result<()> {
+        let channel = self
+            .host
+            .connect_to_predecessor(&self.handover_address, SocketOwner::Predecessor)?;
+        let Some(predecessor) = &mut self.predecessor else {
+            return Ok(());
+        };
+        predecessor.channel = Some(channel);
+        let effects = predecessor.protocol.visited(now);
+        self.execute_successor_effects(effects, steps)
+    }
+
+    pub(super) fn execute_successor_effects(
+        &mut self,
+        effects: Vec<Effect>,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) -> io::Result<()> {
+        for effect in effects {
+            self.execute_successor_effect(effect, steps)?;
+        }
+        Ok(())
+    }
+
+    fn execute_successor_effect(
+        &mut self,
+        effect: Effect,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) -> io::Result<()> {
+        let Some(predecessor) = &mut self.predecessor else {
+            return Ok(());
+        };
+        match effect {
+            Effect::Send(message) => predecessor.send(&message)?,
+            Effect::Adopt(addresses) => {
+                let sockets = std::mem::take(&mut predecessor.received_sockets);
+                let listeners = addresses.into_iter().zip(sockets);
+                let listeners =
+                    listeners.map(|(address, socket)| InheritedListener { address, socket });
+                steps.push(HotRestartStep::AdoptListeners(listeners.collect()));
+            }
+            Effect::Listen => steps.push(HotRestartStep::Listen),
+            Effect::Serve => steps.push(HotRestartStep::Serve),
+            Effect::OpenStore => steps.push(HotRestartStep::OpenKeyPersistence),
+            Effect::Beside(usage) => {
+                self.predecessor_usage = usage;
+                steps.push(HotRestartStep::SetPredecessorUsage(
+                    self.total_predecessor_usage(),
+                ));
+            }
+            Effect::Learn(snapshot) => steps.push(HotRestartStep::RestoreLearnedState(snapshot)),
+            Effect::Standing(reputation) => {
+                steps.push(HotRestartStep::ImportReputation(reputation));
+            }
+            Effect::Close => predecessor.channel = None,
+            Effect::Mourn => {
+                let lost_usage = std::mem::take(&mut self.predecessor_usage);
+                self.earlier_predecessors
+                    .on_process_lost(self.host.now(), lost_usage);
+                steps.push(HotRestartStep::SetPredecessorUsage(
+                    self.total_predecessor_usage(),
+                ));
+            }
+            // The caller connects once all effects are executed.
+            Effect::Visit => {}
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -0,0 +1,177 @@
+//! Accepting successors, their messages, and the effects of what this process decides as a
+//! predecessor.
+
+use super::channel_message::{receive_message, ReceivedMessage};
+use super::connections::ACCEPT_RETRY_INTERVAL;
+use super::step::HotRestartStep;
+use super::{HotRestart, ListenerEntry};
+use crate::host::{HandoverChannel as _, Host};
+use crate::options::SocketOwner;
+use cleatpulley_hot_restart::predecessor::Effect;
+use cleatpulley_hot_restart::{Held, Message};
+use cleatpulley_policy::interface::Micros;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+
+impl<H: Host> HotRestart<H> {
+    /// Accepts the successors that wait: the first where there is none, while the others are
+    /// refused.
+    pub(super) fn accept_successors(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
+        while now >= self.successor_listener.accept_at
+            && std::mem::take(&mut self.successor_listener.is_acceptable)
+        {
+            let Some(socket) = &self.successor_listener.socket else {
+                return;
+            };
+            let accepted = self.host.accept_successor(socket, SocketOwner::Successor);
+            match accepted {
+                Ok(channel) => self.on_successor_accepted(now, channel),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                // That process belongs to another user; the next may wait after it.
+                Err(error) if error.kind() == ErrorKind::PermissionDenied => {
+                    tracing::warn!(%error, "upgrade: a process was not let in");
+                }
+                // The descriptor that was reserved is free for the successor now.
+                Err(_) if self.successor_listener.reserved_descriptor.take().is_some() => {}
+                Err(error) => {
+                    // Guards against a loop at full speed while descriptors are short.
+                    tracing::warn!(%error, "upgrade: a successor is not let in yet");
+                    self.successor_listener.accept_at = now + ACCEPT_RETRY_INTERVAL;
+                    steps.push(HotRestartStep::FreeDescriptor);
+                }
+            }
+            self.successor_listener.is_acceptable = true;
+        }
+    }
+
+    fn on_successor_accepted(&mut self, now: Micros, channel: H::HandoverChannel) {
+        if self.successor.protocol.receives() {
+            self.successor.protocol.visited(now);
+            self.successor.channel = Some(channel);
+            return;
+        }
+        let why = "another successor is here".to_owned();
+        // The process may be gone already.
+        let _ = channel.send(&Message::Refused { why }.encode(), &[]);
+    }
+
+    /// Reads all messages that have arrived from the successor.
+    pub(super) fn read_successor(
+        &mut self,
+        now: Micros,
+        listeners: &[ListenerEntry<'_, H>],
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) {
+        let listening = listeners.iter().filter(|(_, listener)| listener.is_some());
+        let addresses: Vec<_> = listening.map(|(address, _)| *address).collect();
+        while let Some(channel) = &self.successor.channel {
+            let effects = match receive_message(channel) {
+                Ok(None) => return,
+                Ok(Some(ReceivedMessage { message, .. })) => {
+                    self.successor.protocol.hear(now, &message, &addresses)
+                }
+                Err(error) => {
+                    tracing::info!(%error, "upgrade: the successor is gone");
+                    self.successor.protocol.ended(now)
+                }
+            };
+            self.apply_predecessor_effects(now, effects, listeners, steps);
+        }
+    }
+
+    /// The successor died: looks for another process that has taken over from it, and tells that
+    /// one what this process still uses.
+    pub(super) fn find_next_successor(
+        &mut self,
+        now: Micros,
+        listeners: &[ListenerEntry<'_, H>],
+        usage: impl Fn() -> Held,
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) {
+        // The name may still lead to this process itself.
+        self.successor_listener.socket = None;
+        let connected = self
+            .host
+            .connect_to_predecessor(&self.handover_address, SocketOwner::Successor);
+        // Where there is none, it is tried again until the time for that is over.
+        let Ok(channel) = connected else { return };
+        tracing::info!("upgrade: another process has the place of the successor that is gone");
+        self.successor.channel = Some(channel);
+        let effects = self.successor.protocol.found(now, usage());
+        self.apply_predecessor_effects(now, effects, listeners, steps);
+    }
+
+    /// Executes what was decided; where that fails, what is decided then.
+    pub(super) fn apply_predecessor_effects(
+        &mut self,
+        now: Micros,
+        effects: Vec<Effect>,
+        listeners: &[ListenerEntry<'_, H>],
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) {
+        if let Err(error) = self.execute_predecessor_effects(effects, listeners, steps) {
+            tracing::info!(%error, "upgrade: the successor is gone");
+            let effects = self.successor.protocol.ended(now);
+            // Nothing is sent to a process that is gone, so that this can't fail.
+            let _ = self.execute_predecessor_effects(effects, listeners, steps);
+        }
+    }
+
+    fn execute_predecessor_effects(
+        &mut self,
+        effects: Vec<Effect>,
+        listeners: &[ListenerEntry<'_, H>],
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) -> io::Result<()> {
+        for effect in effects {
+            self.execute_predecessor_effect(effect, listeners, steps)?;
+        }
+        Ok(())
+    }
+
+    fn execute_predecessor_effect(
+        &mut self,
+        effect: Effect,
+        listeners: &[ListenerEntry<'_, H>],
+        steps: &mut Vec<HotRestartStep<H>>,
+    ) -> io::Result<()> {
+        match effect {
+            Effect::Send(message) => self.successor.send(&message)?,
+            Effect::Pass(message) => self.hand_over_listeners(&message, listeners)?,
+            Effect::Yield => steps.push(HotRestartStep::YieldConnections),
+            Effect::Resume => steps.push(HotRestartStep::ResumeServing),
+            Effect::Close => self.successor.channel = None,
+            Effect::Behind(usage) => {
+                tracing::info!("upgrade: a process whose successor is gone comes before this one");
+                if let Some(channel) = self.successor.channel.take() {
+                    self.earlier_predecessors.add(channel, usage);
+                }
+                steps.push(HotRestartStep::SetPredecessorUsage(
+                    self.total_predecessor_usage(),
+                ));
+            }
+            // The caller looks before it executes the other effects.
+            Effect::Look => {}
+        }
+        Ok(())
+    }
+
+    /// Sends an offer, with the listeners of its addresses along.
+    fn hand_over_listeners(
+        &self,
+        message: &Message,
+        listeners: &[ListenerEntry<'_, H>],
+    ) -> io::Result<()> {
+        let Message::Offer { listen, .. } = message else {
+            return Ok(());
+        };
+        let find_listener = |offered: &SocketAddr| {
+            let entry = listeners.iter().find(|(address, _)| address == offered);
+            entry.and_then(|(_, listener)| *listener)
+        };
+        let offered_listeners: Vec<_> = listen.iter().filter_map(find_listener).collect();
+        self.successor
+            .channel()?
+            .send(&message.encode(), &offered_listeners)
+    }
+}
--- a/crates/server/src/hot_restart/tests.rs
+++ b/crates/server/src/hot_restart/tests.rs
@@ -1,161 +1,165 @@
+//! Hot restart between two and three processes over real sockets.
+
 use super::*;
+use crate::host::HandoverChannel as _;
 use crate::os_host::{OsHost, Service};
 use calloop::EventLoop;
 use cleatpulley_hot_restart::message::VERSION;
 
-fn turn(
-    one: &mut HotRestart<OsHost>,
+fn poll(
+    hot_restart: &mut HotRestart<OsHost>,
     now: Micros,
-    listens: &[(SocketAddr, Option<&crate::os_host::Listener>)],
+    listeners: &[(SocketAddr, Option<&crate::os_host::Listener>)],
 ) -> Vec<HotRestartStep<OsHost>> {
     let mut steps = Vec::new();
     // Edges are seen by an event loop that does not run here.
-    one.on_acceptable();
-    one.poll(now, true, listens, Held::default, &mut steps);
+    hot_restart.on_acceptable();
+    hot_restart.poll(now, true, listeners, Held::default, &mut steps);
     steps
 }
 
-/// Guards the process that serves against whoever else comes to its socket: it goes on, and the next successor gets the
-/// listening socket.
+/// Guards the process that serves against whoever else connects to its socket: it goes on, and the
+/// next successor gets the listener.
 #[test]
-fn a_visitor_that_speaks_otherwise_changes_nothing_for_the_next() {
+fn malformed_peers_change_nothing_for_the_next_successor() {
     let event_loop: EventLoop<'static, Box<dyn Service>> =
         EventLoop::try_new().expect("an event loop");
-    let world = OsHost::new(event_loop.handle());
+    let host = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-visit-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let (listener, address) = world
+    let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a listening socket");
-    let meeting = HandoverAddress {
+    let handover_address = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
     let fresh = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
-        ..meeting.clone()
+        ..handover_address.clone()
     };
-    let mut old = HotRestart::new(world.clone(), fresh, &[]);
-    assert!(old.serves());
+    let mut old = HotRestart::new(host.clone(), fresh, &[]);
+    assert!(old.is_serving());
     old.listen_for_successors(address);
-    let listens = [(address, Some(&listener))];
+    let listeners = [(address, Some(&listener))];
     let hello = |name: &str| Message::Hello {
         version: VERSION,
         name: name.into(),
         listen: vec![address],
     };
-    let mut now = world.now();
-    for odd in [
+    let mut now = host.now();
+    for malformed in [
         b"GET / HTTP/1.1".to_vec(),
         vec![0xFF; 70_000],
         hello("n2").encode(),
         Message::Take {}.encode(),
     ] {
-        let visitor = world
-            .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
+        let peer = host
+            .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
             .expect("it is there");
-        visitor.send(&odd, &[]).expect("it is taken");
-        assert!(turn(&mut old, now, &listens).is_empty());
+        peer.send(&malformed, &[]).expect("it is taken");
+        assert!(poll(&mut old, now, &listeners).is_empty());
         assert!(
-            old.serves() && old.after.0.receives(),
+            old.is_serving() && old.successor.protocol.receives(),
             "{}",
-            odd.escape_ascii()
+            malformed.escape_ascii()
         );
     }
-    // One that says nothing is in the way for a while, and no longer.
-    let silent = world
-        .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
+    // A peer that sends nothing keeps others out for a limited time.
+    let silent = host
+        .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
         .expect("it is there");
-    turn(&mut old, now, &listens);
-    let second = world
-        .connect_to_predecessor(&meeting, SocketOwner::Predecessor)
+    poll(&mut old, now, &listeners);
+    let second = host
+        .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
         .expect("it is there");
-    turn(&mut old, now, &listens);
+    poll(&mut old, now, &listeners);
     let (bytes, _) = second.receive().expect("an answer");
     assert!(matches!(
         Message::decode(&bytes),
         Ok(Message::Refused { .. })
     ));
     now += predecessor::PATIENCE;
-    turn(&mut old, now, &listens);
-    assert!(old.after.0.receives());
+    poll(&mut old, now, &listeners);
+    assert!(old.successor.protocol.receives());
     drop(silent);
-    let mut new = HotRestart::new(world.clone(), meeting, &[address]);
-    assert!(!new.serves());
-    turn(&mut old, now, &listens);
-    let steps = turn(&mut new, now, &[]);
-    let adopts = |step: &HotRestartStep<OsHost>| matches!(step, HotRestartStep::Adopt(passed) if passed.len() == 1);
+    let mut new = HotRestart::new(host.clone(), handover_address, &[address]);
+    assert!(!new.is_serving());
+    poll(&mut old, now, &listeners);
+    let steps = poll(&mut new, now, &[]);
+    let adopts = |step: &HotRestartStep<OsHost>| matches!(step, HotRestartStep::AdoptListeners(listeners) if listeners.len() == 1);
     assert!(steps.iter().any(adopts), "the socket came");
-    turn(&mut new, now, &[]);
-    let steps = turn(&mut old, now, &listens);
+    poll(&mut new, now, &[]);
+    let steps = poll(&mut old, now, &listeners);
     assert!(
         steps
             .iter()
-            .any(|step| matches!(step, HotRestartStep::Yield))
-            && old.succeeded()
+            .any(|step| matches!(step, HotRestartStep::YieldConnections))
+            && old.has_yielded()
     );
-    old.yielded(Held::default(), String::new(), Vec::new());
-    let steps = turn(&mut new, now, &[]);
+    old.on_connections_yielded(Held::default(), String::new(), Vec::new());
+    let steps = poll(&mut new, now, &[]);
     assert!(
         steps
             .iter()
             .any(|step| matches!(step, HotRestartStep::Serve))
-            && new.serves()
+            && new.is_serving()
     );
     drop(new);
-    let steps = turn(&mut old, now, &listens);
+    let steps = poll(&mut old, now, &listeners);
     assert!(
         steps.is_empty() && old.is_orphaned(),
         "another may have the place"
     );
     now += predecessor::ORPHANED;
-    let steps = turn(&mut old, now, &listens);
+    let steps = poll(&mut old, now, &listeners);
     assert!(
         steps
             .iter()
-            .any(|step| matches!(step, HotRestartStep::Resume))
-            && old.serves(),
+            .any(|step| matches!(step, HotRestartStep::ResumeServing))
+            && old.is_serving(),
         "it takes clients again"
     );
     std::fs::remove_dir_all(&folder).expect("it was there");
 }
 
-/// Guards the cores and the descriptors against two processes that take each other's share: the first of three is found by
-/// the third once the one between them died, and what it has counts there until it is free.
+/// Guards the cores and the descriptors against two processes that use the same share: the first of
+/// three processes connects to the third once the one between them died, and what the first uses
+/// counts there until it is free.
 #[test]
-fn one_whose_successor_died_goes_behind_the_next_which_leaves_it_its_share() {
+fn process_whose_successor_died_counts_in_the_next_successors_usage() {
     let event_loop: EventLoop<'static, Box<dyn Service>> =
         EventLoop::try_new().expect("an event loop");
-    let world = OsHost::new(event_loop.handle());
+    let host = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-chain-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let (listener, address) = world
+    let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a listening socket");
-    let meeting = HandoverAddress {
+    let handover_address = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
     let fresh = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
-        ..meeting.clone()
+        ..handover_address.clone()
     };
-    let mut first = HotRestart::new(world.clone(), fresh.clone(), &[]);
+    let mut first = HotRestart::new(host.clone(), fresh.clone(), &[]);
     first.listen_for_successors(address);
-    let listens = [(address, Some(&listener))];
-    let mut second = HotRestart::new(world.clone(), meeting, &[address]);
-    let mut now = world.now();
-    turn(&mut first, now, &listens);
-    turn(&mut second, now, &[]);
-    turn(&mut second, now, &[]);
-    turn(&mut first, now, &listens);
-    assert!(first.succeeded());
-    first.yielded(Held::default(), String::new(), Vec::new());
-    turn(&mut second, now, &[]);
-    assert!(second.serves());
-    let mut third = HotRestart::new(world.clone(), fresh, &[]);
+    let listeners = [(address, Some(&listener))];
+    let mut second = HotRestart::new(host.clone(), handover_address, &[address]);
+    let mut now = host.now();
+    poll(&mut first, now, &listeners);
+    poll(&mut second, now, &[]);
+    poll(&mut second, now, &[]);
+    poll(&mut first, now, &listeners);
+    assert!(first.has_yielded());
+    first.on_connections_yielded(Held::default(), String::new(), Vec::new());
+    poll(&mut second, now, &[]);
+    assert!(second.is_serving());
+    let mut third = HotRestart::new(host.clone(), fresh, &[]);
     third.listen_for_successors(address);
     drop(second);
     let left = Held {
@@ -165,23 +169,23 @@
         descriptors: 9,
     };
     let mut steps = Vec::new();
-    first.poll(now, true, &listens, || left, &mut steps);
+    first.poll(now, true, &listeners, || left, &mut steps);
     assert!(
-        steps.is_empty() && first.succeeded() && !first.is_orphaned(),
+        steps.is_empty() && first.has_yielded() && !first.is_orphaned(),
         "it takes no clients again"
     );
-    let share = |steps: &[HotRestartStep<OsHost>]| {
-        let beside = |step: &HotRestartStep<OsHost>| match step {
-            HotRestartStep::Beside(held) => Some(*held),
+    let last_usage = |steps: &[HotRestartStep<OsHost>]| {
+        let usage = |step: &HotRestartStep<OsHost>| match step {
+            HotRestartStep::SetPredecessorUsage(usage) => Some(*usage),
             _ => None,
         };
-        steps.iter().filter_map(beside).next_back()
+        steps.iter().filter_map(usage).next_back()
     };
-    assert_eq!(share(&turn(&mut third, now, &listens)), Some(left));
+    assert_eq!(last_usage(&poll(&mut third, now, &listeners)), Some(left));
     assert!(third.has_predecessor(), "and is waited for");
     drop(first);
-    let steps = turn(&mut third, now, &listens);
-    assert_eq!(share(&steps), Some(left), "what runs can't be stopped");
+    let steps = poll(&mut third, now, &listeners);
+    assert_eq!(last_usage(&steps), Some(left), "what runs can't be stopped");
     now += 1_000_000;
     let runs = Held {
         running: 3,
@@ -189,13 +193,13 @@
         ..Held::default()
     };
     assert_eq!(
-        share(&turn(&mut third, now, &listens)),
+        last_usage(&poll(&mut third, now, &listeners)),
         Some(runs),
         "its connections are gone"
     );
     now += 3_000_000;
     assert_eq!(
-        share(&turn(&mut third, now, &listens)),
+        last_usage(&poll(&mut third, now, &listeners)),
         Some(Held::default())
     );
     assert!(!third.has_predecessor());
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -2,6 +2,7 @@
 //! turn, in places that no client can take.
 
 use super::buffered_connection::BufferedConnection;
+use super::error::StartError;
 use super::host::{Host, Readiness};
 use super::tls_layer::{TlsLayer, TlsState};
 use super::SocketOwner;
@@ -10,7 +11,7 @@
 use cleatpulley_protocol::mgmt::{Answers, Connection};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::io::{self, ErrorKind};
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -52,10 +53,10 @@
     ///
     /// # Errors
     /// Those of the system.
-    pub fn listen(world: H, address: SocketAddr) -> io::Result<Self> {
+    pub fn listen(world: H, address: SocketAddr) -> Result<Self, StartError> {
         let (listener, address) = world
             .listen(address, PLACE)
-            .map_err(|e| io::Error::new(e.kind(), format!("mgmt: {address}: {e}")))?;
+            .map_err(|source| StartError::ManagementListen { address, source })?;
         tracing::info!("operators are answered on {address}");
         let (callers, noted) = (BTreeMap::new(), Vec::new());
         let tls = None;
--- /dev/null
+++ b/crates/server/src/os_host/event_loop.rs
@@ -0,0 +1,113 @@
+//! What an event loop serves, and how it watches a socket.
+
+use crate::host::Readiness;
+use crate::options::SocketOwner;
+use crate::status_report::Status;
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::interface::Micros;
+use std::io;
+use std::os::fd::AsFd;
+use std::rc::Rc;
+
+/// Access to the event loop.
+pub type EventLoopHandle = LoopHandle<'static, Box<dyn Service>>;
+
+/// What an event loop serves: a server, or a gateway.
+pub trait Service {
+    /// Notes that a socket has become readable or writable.
+    fn on_readiness(&mut self, owner: SocketOwner, readiness: Readiness);
+
+    /// Notes that connections may wait to be accepted on a listener.
+    fn on_acceptable(&mut self, listener: usize);
+
+    /// Takes an event of the persistence of idempotency keys.
+    fn on_persistence_event(&mut self, _event: Event) {}
+
+    /// Takes the persisted reputation of client addresses, once it is loaded.
+    fn on_reputation_loaded(&mut self, _entries: Vec<Entry>) {}
+
+    /// Begins the graceful shutdown.
+    fn begin_shutdown(&mut self);
+
+    /// Reads the configuration again.
+    fn reload(&mut self);
+
+    /// Does all there is to do; returns the time until which there is nothing but to wait.
+    fn poll(&mut self) -> Micros;
+
+    /// Returns true once the process may end.
+    fn is_finished(&self) -> bool;
+
+    /// Returns the failure that it can't go on after, once.
+    fn take_fault(&mut self) -> Option<io::Error> {
+        None
+    }
+
+    /// Closes what is persisted.
+    fn close(&mut self) {}
+
+    /// Returns the status, for the supervisor and for peers.
+    fn status(&self) -> Status;
+
+    /// Returns the time of its host, in microseconds of the Unix clock.
+    fn now(&self) -> Micros;
+}
+
+/// A registration with the event loop, which ends when this is dropped.
+pub struct Watch {
+    handle: EventLoopHandle,
+    token: RegistrationToken,
+}
+
+impl Watch {
+    /// Watches a socket that is only read from or accepted on.
+    pub(crate) fn readable<S: AsFd + 'static>(
+        handle: &EventLoopHandle,
+        socket: Rc<S>,
+        notify: impl Fn(&mut Box<dyn Service>) + 'static,
+    ) -> io::Result<Self> {
+        let source = Generic::new(socket, Interest::READ, Mode::Edge);
+        let registered = handle.insert_source(source, move |_, _, service| {
+            notify(service);
+            Ok(PostAction::Continue)
+        });
+        Self::new(handle, registered.map_err(|error| error.to_string()))
+    }
+
+    /// Watches a socket that is read from and written to.
+    pub(crate) fn readable_and_writable<S: AsFd + 'static>(
+        handle: &EventLoopHandle,
+        socket: Rc<S>,
+        owner: SocketOwner,
+    ) -> io::Result<Self> {
+        let source = Generic::new(socket, Interest::BOTH, Mode::Edge);
+        let registered = handle.insert_source(source, move |seen, _, service| {
+            let readiness = Readiness {
+                readable: seen.readable || seen.error,
+                writable: seen.writable || seen.error,
+            };
+            service.on_readiness(owner, readiness);
+            Ok(PostAction::Continue)
+        });
+        Self::new(handle, registered.map_err(|error| error.to_string()))
+    }
+
+    fn new(
+        handle: &EventLoopHandle,
+        registered: Result<RegistrationToken, String>,
+    ) -> io::Result<Self> {
+        Ok(Self {
+            handle: handle.clone(),
+            token: registered.map_err(io::Error::other)?,
+        })
+    }
+}
+
+impl Drop for Watch {
+    fn drop(&mut self) {
+        self.handle.remove(self.token);
+    }
+}
--- /dev/null
+++ b/crates/server/src/os_host/serve.rs
@@ -0,0 +1,189 @@
+//! A process that serves: its signals, its event loop, and its reports to the supervisor.
+
+use super::event_loop::{EventLoopHandle, Service};
+use super::host::OsHost;
+use crate::host::Readiness;
+use crate::options::{Options, Reload, SocketOwner};
+use crate::server::Server;
+use crate::status_report::{FleetLink, Status, StatusReporter};
+use calloop::signals::{Signal, Signals};
+use calloop::timer::{TimeoutAction, Timer};
+use calloop::EventLoop;
+use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::interface::Micros;
+use std::io::{self, ErrorKind};
+use std::net::TcpListener;
+use std::time::Duration;
+
+/// Interval of the status reports to the supervisor.
+const STATUS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+
+impl Service for Server<OsHost> {
+    fn on_readiness(&mut self, owner: SocketOwner, readiness: Readiness) {
+        Self::on_readiness(self, owner, readiness);
+    }
+
+    fn on_acceptable(&mut self, listener: usize) {
+        Self::on_acceptable(self, listener);
+    }
+
+    fn on_persistence_event(&mut self, event: Event) {
+        Self::on_persistence_event(self, event);
+    }
+
+    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+        Self::on_reputation_loaded(self, &entries);
+    }
+
+    fn begin_shutdown(&mut self) {
+        Self::begin_shutdown(self);
+    }
+
+    fn reload(&mut self) {
+        Self::reload(self);
+    }
+
+    fn poll(&mut self) -> Micros {
+        Self::poll(self)
+    }
+
+    fn is_finished(&self) -> bool {
+        Self::is_finished(self)
+    }
+
+    fn take_fault(&mut self) -> Option<io::Error> {
+        Self::take_fault(self)
+    }
+
+    fn close(&mut self) {
+        Self::close(self);
+    }
+
+    fn status(&self) -> Status {
+        Self::status(self)
+    }
+
+    fn now(&self) -> Micros {
+        Self::now(self)
+    }
+}
+
+/// The signals that a process handles: SIGTERM, SIGINT and SIGHUP. They are blocked from the moment
+/// this is created, and handled once the process serves. Guards against a request to shut down or
+/// reload in the first moments of a process, where the default action would kill it.
+pub struct BlockedSignals(Signals);
+
+impl BlockedSignals {
+    /// Blocks the signals for this thread and those that it starts later.
+    ///
+    /// # Errors
+    /// Those of the system.
+    pub fn hold() -> io::Result<Self> {
+        let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
+        signals.map(Self).map_err(io::Error::other)
+    }
+}
+
+/// What a process was started with, and what it holds from its first moments.
+#[derive(Default)]
+pub struct HostOptions {
+    /// Signals that are blocked already; where there are none, they are blocked by
+    /// [`serve_with`].
+    pub signals: Option<BlockedSignals>,
+    /// The supervisor's socket for status reports.
+    pub link: Option<FleetLink>,
+    /// A listening socket that all instances share.
+    pub listener: Option<TcpListener>,
+    /// Other processes of this program may listen on the same addresses.
+    pub shares_addresses: bool,
+}
+
+/// Runs a server until it has shut down: SIGTERM and SIGINT begin that, SIGHUP reads the
+/// configuration again. Its status is reported to the supervisor, where there is one.
+///
+/// # Errors
+/// Where the event loop can't be created, the server can't be started, or it can't go on.
+pub fn serve(options: Options, reload: Reload, host_options: HostOptions) -> io::Result<()> {
+    serve_with(host_options, |host| {
+        Ok(Box::new(Server::new(host, options, reload)?))
+    })
+}
+
+/// Runs a service that is created on the real host, as [`serve`] does.
+///
+/// # Errors
+/// Where the event loop or the service can't be created, or the service can't go on.
+pub fn serve_with(
+    host_options: HostOptions,
+    create: impl FnOnce(OsHost) -> io::Result<Box<dyn Service>>,
+) -> io::Result<()> {
+    let mut event_loop: EventLoop<'static, Box<dyn Service>> =
+        EventLoop::try_new().map_err(io::Error::other)?;
+    let handle = event_loop.handle();
+    let signals = match host_options.signals {
+        Some(signals) => signals,
+        None => BlockedSignals::hold()?,
+    };
+    handle_signals(&handle, signals)?;
+    let host = OsHost::new(handle.clone()).sharing_addresses(host_options.shares_addresses);
+    let shared_listener = host_options
+        .listener
+        .as_ref()
+        .map(TcpListener::try_clone)
+        .transpose()?;
+    host.set_inherited_listener(host_options.listener);
+    if let Some(link) = host_options.link {
+        report_status(&handle, StatusReporter::new(link, shared_listener))?;
+    }
+    run(&mut event_loop, create(host)?)
+}
+
+fn handle_signals(handle: &EventLoopHandle, signals: BlockedSignals) -> io::Result<()> {
+    let BlockedSignals(signals) = signals;
+    handle
+        .insert_source(signals, |event, (), service| match event.signal() {
+            Signal::SIGHUP => service.reload(),
+            _ => service.begin_shutdown(),
+        })
+        .map_err(|error| io::Error::other(error.to_string()))?;
+    Ok(())
+}
+
+fn report_status(handle: &EventLoopHandle, mut reporter: StatusReporter) -> io::Result<()> {
+    handle
+        .insert_source(Timer::immediate(), move |_, (), service| {
+            reporter.report(&service.status());
+            TimeoutAction::ToDuration(STATUS_REPORT_INTERVAL)
+        })
+        .map_err(|error| io::Error::other(error.to_string()))?;
+    Ok(())
+}
+
+/// Runs the event loop until the service has finished.
+fn run(
+    event_loop: &mut EventLoop<'static, Box<dyn Service>>,
+    mut service: Box<dyn Service>,
+) -> io::Result<()> {
+    loop {
+        let deadline = service.poll();
+        if let Some(error) = service.take_fault() {
+            return Err(error);
+        }
+        if service.is_finished() {
+            service.close();
+            tracing::info!("left");
+            return Ok(());
+        }
+        let wait = deadline.saturating_sub(service.now());
+        match event_loop.dispatch(Duration::from_micros(wait), &mut service) {
+            Err(calloop::Error::IoError(error)) if error.kind() != ErrorKind::Interrupted => {
+                return Err(error);
+            }
+            Err(calloop::Error::OtherError(error)) => {
+                return Err(io::Error::other(error.to_string()));
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/server/src/os_host/tests.rs
+++ b/crates/server/src/os_host/tests.rs
@@ -1,22 +1,27 @@
-//! The system's sockets as they are set up.
+//! Options of the sockets that the host creates.
 
 use super::*;
+use crate::host::Host as _;
+use crate::options::SocketOwner;
+use calloop::EventLoop;
+use std::net::SocketAddr;
 
-/// Guards against small writes that the system holds back: a close over unread bytes would take them back.
+/// Guards against small writes that the system holds back: a close over unread bytes would take
+/// them back.
 #[test]
-fn nothing_written_is_held_back_on_connections_of_either_side() {
+fn streams_of_both_sides_send_small_writes_at_once() {
     let event_loop = EventLoop::try_new().expect("an event loop");
-    let real = OsHost::new(event_loop.handle());
-    let (listener, address) = real
+    let host = OsHost::new(event_loop.handle());
+    let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
         .expect("a port");
-    let made = real
+    let connected = host
         .connect(address, SocketOwner::Runtime)
         .expect("it listens");
-    let (accepted, _) = real
+    let (accepted, _) = host
         .accept(&listener, SocketOwner::ClientConnection(1))
         .expect("it waits");
-    for connection in [made, accepted] {
-        assert!(connection.socket.nodelay().expect("an option"));
+    for stream in [connected, accepted] {
+        assert!(stream.socket.nodelay().expect("an option"));
     }
 }
--- /dev/null
+++ b/crates/server/src/server/management_view.rs
@@ -0,0 +1,116 @@
+//! What a server shows of itself: usage, status and metrics.
+
+use super::Server;
+use crate::host::Host;
+use crate::hot_restart::HotRestart;
+use crate::options::ServerUsage;
+use crate::status_report::{self, Status};
+use crate::tls_layer::TlsState;
+use cleatpulley_connection_admission::handshake::Handshakes;
+use cleatpulley_policy::interface::Micros;
+use cleatpulley_protocol::mgmt;
+
+impl<H: Host> Server<H> {
+    /// Returns what it holds at this moment.
+    #[must_use]
+    pub fn usage(&self) -> ServerUsage {
+        let clients = self.adapters.client_listener.usage();
+        let dependency = self.adapters.dependency_pool.usage();
+        let management = self.adapters.management.as_ref();
+        let management_connections =
+            management.map_or(0, |management| management.connection_count() + 1);
+        let hot_restart = self.handover.hot_restart.as_ref();
+        let descriptors = clients.listeners
+            + clients.connections
+            + dependency.connections
+            + usize::from(self.adapters.runtime.is_connected())
+            + self.adapters.registry.connection_count()
+            + self.adapters.client_listener.reserved_descriptors()
+            + management_connections
+            + hot_restart.map_or(0, HotRestart::descriptor_count);
+        let key_table = self.dispatcher.key_table();
+        ServerUsage {
+            requests: self.dispatcher.request_count(),
+            pending: self.dispatcher.pending_count(),
+            active_key_runs: key_table.map_or(0, |key_table| key_table.active_runs()),
+            open_requests: clients.open_requests,
+            calls: dependency.calls,
+            descriptors,
+            client_connections: clients.connections,
+            dependency_connections: dependency.connections,
+            management_connections,
+        }
+    }
+
+    /// Returns its status, for the supervisor and for its peers.
+    #[must_use]
+    pub fn status(&self) -> Status {
+        let total = self.dispatcher.counters().total();
+        let warmth = if self.adapters.runtime.is_ready() {
+            self.warm_up.warmth(self.now())
+        } else {
+            // Without its runtime it serves nothing.
+            0.0
+        };
+        Status {
+            warmth,
+            held: self.dispatcher.pending_count(),
+            drains: self.shutdown.has_begun(),
+            served: total.served,
+            late: total.expired,
+            refused: total.rejected,
+            failed: total.server_failures(),
+        }
+    }
+}
+
+impl<H: Host> mgmt::Answers for Server<H> {
+    fn ready(&self) -> bool {
+        self.accepts_clients()
+    }
+
+    fn vars(&self) -> Vec<u8> {
+        let client_listener = &self.adapters.client_listener;
+        let admission = client_listener.admission();
+        let tls_metrics = self
+            .adapters
+            .tls
+            .as_ref()
+            .map(|tls| tls_metrics(&tls.borrow(), client_listener.handshakes(), self.now()));
+        status_report::vars(
+            &self.identity.class_names,
+            self.dispatcher.counters(),
+            self.dispatcher.pending_count(),
+            admission.map(|admission| admission.counts),
+            tls_metrics,
+        )
+    }
+}
+
+/// Returns the metrics of TLS: the certificate's expiry, its renewals, and handshakes.
+fn tls_metrics(tls: &TlsState, handshakes: Option<&Handshakes>, now: Micros) -> serde_json::Value {
+    let certificate = tls.facts();
+    let mut metrics = serde_json::json!({
+        "certificate": {
+            "names": certificate.names,
+            "serial": certificate.serial,
+            "expires_in_s": tls.left(now),
+        },
+        "renewed": tls.renewals.0,
+        "renewals_refused": tls.renewals.1,
+    });
+    if let Some(handshakes) = handshakes {
+        let counts = handshakes.counts;
+        let (running, waiting) = handshakes.census();
+        metrics["handshakes"] = serde_json::json!({
+            "full": counts.full,
+            "resumed": counts.resumed,
+            "waited": counts.waited,
+            "refused": counts.refused,
+            "overdue": counts.overdue,
+            "running": running,
+            "waiting": waiting,
+        });
+    }
+    metrics
+}
--- /dev/null
+++ b/crates/server/src/server/shutdown.rs
@@ -0,0 +1,140 @@
+//! The shutdown of a server: draining, the end, and releasing what is persisted.
+
+use super::Server;
+use crate::host::{Host, ResultPersistence as _};
+use crate::hot_restart::HotRestart;
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
+use cleatpulley_policy::interface::Micros;
+
+/// Within this time before the stop no connection is accepted any more: its requests would be read
+/// and not responded to.
+const LAST_ACCEPT_BEFORE_STOP: Micros = 5_000;
+/// This long before the stop, clients are asked to send no more, while there is time to respond to
+/// what is on its way.
+const STOP_NOTICE: Micros = 400_000;
+/// A process whose successor serves stops this long after the longest client timeout.
+const STOP_AFTER_LAST_CLIENT: Micros = 700_000;
+/// Of the longest client timeout no more than this counts there.
+const MAX_CLIENT_TIMEOUT: Micros = 3_000_000;
+
+impl<H: Host> Server<H> {
+    /// Begins the graceful shutdown. Only the first call has an effect.
+    pub fn begin_shutdown(&mut self) {
+        if self.shutdown.has_begun() {
+            return;
+        }
+        let now = self.host.now();
+        let hot_restart = self.handover.hot_restart.as_ref();
+        if hot_restart.is_some_and(HotRestart::has_yielded) {
+            return self.begin_shutdown_replaced(now);
+        }
+        self.begin_draining(now);
+    }
+
+    fn begin_draining(&mut self, now: Micros) {
+        let stop_at = now + self.shutdown.duration;
+        tracing::info!(
+            connections = self.adapters.client_listener.connection_count(),
+            pending_requests = self.dispatcher.pending_count(),
+            "leaving within {} ms",
+            self.shutdown.duration / 1_000,
+        );
+        self.shutdown.begin(stop_at);
+        self.events.push(Event::DrainStarted { stop_at });
+        self.adapters.client_listener.begin_shutdown(now);
+        if self.shutdown.shares_listener {
+            self.adapters.client_listener.close_listeners();
+        }
+    }
+
+    /// Begins the shutdown of a process whose successor serves: clients are not sent to other
+    /// servers, and each request that was read gets its response.
+    fn begin_shutdown_replaced(&mut self, now: Micros) {
+        let client_timeout = self.shutdown.max_client_timeout.min(MAX_CLIENT_TIMEOUT);
+        let duration = self
+            .shutdown
+            .duration
+            .min(client_timeout + STOP_AFTER_LAST_CLIENT);
+        tracing::info!("leaving within {} ms, to its successor", duration / 1_000);
+        let stop_at = now + duration;
+        self.shutdown.begin_replaced(stop_at);
+        // The listeners stay, in case the successor dies: nothing is accepted from them before
+        // that.
+        self.events.push(Event::Replaced { stop_at });
+    }
+
+    /// Asks clients to send no more, once the stop is near.
+    pub(super) fn notify_stop(&mut self, now: Micros) {
+        if !self.shutdown.is_within(now, STOP_NOTICE) {
+            return;
+        }
+        self.adapters.client_listener.notify_stop(now);
+        if let Some(hot_restart) = &mut self.handover.hot_restart {
+            hot_restart.stop_successor_search(now);
+        }
+    }
+
+    /// Accepts no connection any more, once it would get no response.
+    pub(super) fn stop_accepting_late(&mut self, now: Micros) {
+        if self.shutdown.is_within(now, LAST_ACCEPT_BEFORE_STOP) {
+            self.adapters.client_listener.pause_accepting();
+        }
+    }
+
+    /// Returns true once the process may end: no request is pending and none can arrive, or the
+    /// time of the stop has come.
+    #[must_use]
+    pub fn is_finished(&self) -> bool {
+        let Some(stop_at) = self.shutdown.stop_at() else {
+            return false;
+        };
+        let now = self.host.now();
+        now >= stop_at
+            || (self.is_quiet()
+                && ((self.shutdown.is_replaced() && !self.is_needed_for_handover())
+                    || now + STOP_NOTICE / 2 >= stop_at))
+    }
+
+    /// Returns true where no request is pending and no client is connected.
+    fn is_quiet(&self) -> bool {
+        let has_requests = self.dispatcher.pending_count() > 0;
+        let has_connections = self.adapters.client_listener.connection_count() > 0;
+        (!has_requests && !has_connections)
+            || is_bug_injected(InjectedBug::ExitBeforeResponses)
+            || (self.shutdown.is_replaced() && is_bug_injected(InjectedBug::PredecessorExitsEarly))
+    }
+
+    /// Returns true where the other processes of a handover still need this one.
+    fn is_needed_for_handover(&self) -> bool {
+        // A predecessor that is still there would take the end of this process for a crash, and its
+        // successor learns of the predecessor's usage only here.
+        let waits_for_process = self
+            .handover
+            .hot_restart
+            .as_ref()
+            .is_some_and(|hot_restart| hot_restart.has_predecessor() || hot_restart.is_orphaned());
+        // Repeated requests with the key of an active run get their response from this process.
+        let has_active_keys = self
+            .dispatcher
+            .key_table()
+            .is_some_and(|key_table| key_table.active_runs() > 0);
+        waits_for_process || has_active_keys
+    }
+
+    /// Closes what is persisted. Nothing may be served after this.
+    pub fn close(&mut self) {
+        let usage = self.combined_usage();
+        if let Some(hot_restart) = &mut self.handover.hot_restart {
+            hot_restart.shutdown(usage);
+        }
+        match self.key_persistence.storage.take() {
+            // Another process of this server may use its keys.
+            Some(storage) if self.handover.hot_restart.is_some() => storage.stop(),
+            Some(storage) => storage.discard(),
+            None => {}
+        }
+        self.write_reputation(self.host.now());
+        self.reputation.stop();
+    }
+}
--- /dev/null
+++ b/crates/server/src/server/state.rs
@@ -0,0 +1,362 @@
+//! The parts of a [`Server`](super::Server) that have a state of their own.
+
+use crate::client_listener::ClientListener;
+use crate::dependency_pool::DependencyPool;
+use crate::host::{Host, ReputationStorage as _};
+use crate::hot_restart::HotRestart;
+use crate::management_endpoint::ManagementEndpoint;
+use crate::options::{IdempotencyOptions, Options};
+use crate::registry_client::RegistryClient;
+use crate::runtime_link::RuntimeLink;
+use crate::tls_layer::TlsState;
+use cleatpulley_connection_admission::Admission;
+use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_hot_restart::{snapshot, Held};
+use cleatpulley_policy::interface::{Micros, Settings};
+use std::cell::RefCell;
+use std::io;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// Requests that clients sent before they learned of the handover may arrive for this long after
+/// it.
+const HANDOVER_CROSSING_TIME: Micros = 60_000;
+/// Interval between writes of the reputation that was earned; a crash loses no more than that.
+const REPUTATION_WRITE_INTERVAL: Micros = 1_000_000;
+
+/// The name of the server and of its request classes.
+pub(super) struct ServerIdentity {
+    pub(super) name: String,
+    /// Names of the request classes, by index.
+    pub(super) class_names: Vec<String>,
+}
+
+impl ServerIdentity {
+    /// Returns the number that learned state is bound to: only a process of the same name and
+    /// classes may restore it.
+    pub(super) fn snapshot_site(&self) -> u64 {
+        snapshot::site(&self.name, &self.class_names)
+    }
+}
+
+/// The adapters, one for each kind of peer.
+pub(super) struct Adapters<H: Host> {
+    pub(super) client_listener: ClientListener<H>,
+    pub(super) management: Option<ManagementEndpoint<H>>,
+    pub(super) runtime: RuntimeLink<H>,
+    pub(super) dependency_pool: DependencyPool<H>,
+    pub(super) registry: RegistryClient<H>,
+    /// Shared by the listeners; none without TLS.
+    pub(super) tls: Option<Rc<RefCell<TlsState>>>,
+}
+
+/// How far the shutdown of the process has come.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum ShutdownPhase {
+    /// No shutdown was requested.
+    Running,
+    /// Clients are sent to other servers; the process stops at `stop_at`.
+    Draining { stop_at: Micros },
+    /// A successor serves the clients; the process stops at `stop_at`.
+    Replaced { stop_at: Micros },
+}
+
+/// The shutdown of the process.
+pub(super) struct Shutdown {
+    phase: ShutdownPhase,
+    /// Time between the request to shut down and the stop.
+    pub(super) duration: Micros,
+    /// The longest that a client of any class waits for a response.
+    pub(super) max_client_timeout: Micros,
+    /// Other processes accept connections on the first listener too.
+    pub(super) shares_listener: bool,
+}
+
+impl Shutdown {
+    pub(super) fn new(options: &Options) -> Self {
+        let classes = &options.settings.classes;
+        let client_timeouts = classes.iter().map(|class| class.client_timeout);
+        Self {
+            phase: ShutdownPhase::Running,
+            duration: options.shutdown_time,
+            max_client_timeout: client_timeouts.max().unwrap_or(0),
+            shares_listener: options.shares_listener,
+        }
+    }
+
+    /// Returns when the process stops, once a shutdown was requested.
+    pub(super) fn stop_at(&self) -> Option<Micros> {
+        match self.phase {
+            ShutdownPhase::Running => None,
+            ShutdownPhase::Draining { stop_at } | ShutdownPhase::Replaced { stop_at } => {
+                Some(stop_at)
+            }
+        }
+    }
+
+    pub(super) fn has_begun(&self) -> bool {
+        self.stop_at().is_some()
+    }
+
+    /// Returns true where the process stops within `duration`.
+    pub(super) fn is_within(&self, now: Micros, duration: Micros) -> bool {
+        self.stop_at()
+            .is_some_and(|stop_at| now + duration >= stop_at)
+    }
+
+    /// Returns true where a successor serves the clients of a process that shuts down.
+    pub(super) fn is_replaced(&self) -> bool {
+        matches!(self.phase, ShutdownPhase::Replaced { .. })
+    }
+
+    pub(super) fn begin(&mut self, stop_at: Micros) {
+        self.phase = ShutdownPhase::Draining { stop_at };
+    }
+
+    pub(super) fn begin_replaced(&mut self, stop_at: Micros) {
+        self.phase = ShutdownPhase::Replaced { stop_at };
+    }
+
+    /// A successor has taken the clients over: a process that was draining has one again, and ends
+    /// once it has responded.
+    pub(super) fn on_yield(&mut self) {
+        if let ShutdownPhase::Draining { stop_at } = self.phase {
+            self.begin_replaced(stop_at);
+        }
+    }
+
+    /// The successor is gone: a process that it replaced drains on its own from here on. Returns
+    /// when that one stops.
+    pub(super) fn on_successor_lost(&mut self) -> Option<Micros> {
+        let ShutdownPhase::Replaced { stop_at } = self.phase else {
+            return None;
+        };
+        self.begin(stop_at);
+        Some(stop_at)
+    }
+}
+
+/// What of this process a successor has taken over.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum YieldState {
+    /// This process serves the clients.
+    Serving,
+    /// A successor accepts connections; the keys stay here until the requests that crossed the
+    /// handover have arrived and no run of a key is active.
+    ConnectionsYielded {
+        /// Since when all connections have been asked to close.
+        since: Micros,
+    },
+    /// The successor has the idempotency keys as well.
+    KeysReleased,
+}
+
+impl YieldState {
+    pub(super) fn has_yielded(self) -> bool {
+        !matches!(self, Self::Serving)
+    }
+
+    /// Returns when the last request that crossed the handover may have arrived, where that time
+    /// is still to come.
+    pub(super) fn next_deadline(self, now: Micros) -> Option<Micros> {
+        match self {
+            Self::ConnectionsYielded { since } => {
+                Some(since + HANDOVER_CROSSING_TIME).filter(|deadline| now < *deadline)
+            }
+            Self::Serving | Self::KeysReleased => None,
+        }
+    }
+}
+
+/// The handover from a predecessor, and to a successor.
+pub(super) struct Handover<H: Host> {
+    /// None without a handover folder.
+    pub(super) hot_restart: Option<HotRestart<H>>,
+    /// When listening is tried again, after no descriptor was left for it.
+    pub(super) retry_listen_at: Option<Micros>,
+    /// Why the process can't listen and has to end.
+    pub(super) listen_error: Option<io::Error>,
+    pub(super) yield_state: YieldState,
+    /// What the predecessors still use of the machine.
+    pub(super) predecessor_usage: Held,
+    pub(super) has_restored_learned_state: bool,
+    /// Limit of client connections while no other process of this server holds any.
+    pub(super) max_client_connections: usize,
+}
+
+impl<H: Host> Handover<H> {
+    pub(super) fn new(hot_restart: Option<HotRestart<H>>, max_client_connections: usize) -> Self {
+        Self {
+            hot_restart,
+            retry_listen_at: None,
+            listen_error: None,
+            yield_state: YieldState::Serving,
+            predecessor_usage: Held::default(),
+            has_restored_learned_state: false,
+            max_client_connections,
+        }
+    }
+
+    /// Returns true where clients are accepted by this process, and neither by a predecessor nor
+    /// by a successor.
+    pub(super) fn is_serving(&self) -> bool {
+        self.hot_restart.as_ref().is_none_or(HotRestart::is_serving)
+    }
+}
+
+/// Where idempotency keys are persisted, and how many.
+#[derive(Clone)]
+pub(super) struct KeyPersistenceSettings {
+    pub(super) folder: PathBuf,
+    pub(super) capacity: Capacity,
+    /// The keys outlive the machine, and not only the process.
+    pub(super) is_durable: bool,
+}
+
+impl KeyPersistenceSettings {
+    pub(super) fn new(options: &IdempotencyOptions) -> Self {
+        Self {
+            folder: options.folder.clone(),
+            capacity: options.capacity,
+            is_durable: options.is_durable,
+        }
+    }
+}
+
+/// The persistence of idempotency keys and cached results, which one process has open at a time.
+pub(super) struct KeyPersistence<H: Host> {
+    /// None where no keys are persisted.
+    pub(super) settings: Option<KeyPersistenceSettings>,
+    /// None while it is not open.
+    pub(super) storage: Option<H::ResultPersistence>,
+}
+
+impl<H: Host> KeyPersistence<H> {
+    pub(super) fn new(settings: Option<KeyPersistenceSettings>) -> Self {
+        Self {
+            settings,
+            storage: None,
+        }
+    }
+
+    /// Opens the storage, where there is one and it is not open.
+    pub(super) fn open(&mut self, host: &H) -> io::Result<()> {
+        let Some(settings) = self.settings.clone().filter(|_| self.storage.is_none()) else {
+            return Ok(());
+        };
+        let storage = host.open_result_persistence(
+            settings.folder,
+            settings.capacity.hash_seed,
+            settings.is_durable,
+        )?;
+        self.storage = Some(storage);
+        Ok(())
+    }
+}
+
+/// The persistence of the reputation of client addresses, which one process has open at a time.
+pub(super) struct ReputationPersistence<H: Host> {
+    /// None where no reputation is persisted.
+    settings: Option<ReputationSettings>,
+    /// None while it is not open.
+    storage: Option<H::ReputationStorage>,
+    next_write_at: Micros,
+}
+
+#[derive(Clone)]
+struct ReputationSettings {
+    folder: PathBuf,
+    max_addresses: usize,
+}
+
+impl<H: Host> ReputationPersistence<H> {
+    pub(super) fn new(options: &Options) -> Self {
+        let admission = options.connection_admission.as_ref();
+        let earned = admission.and_then(|admission| admission.earned);
+        let settings = options.reputation_folder.clone().zip(earned);
+        Self {
+            settings: settings.map(|(folder, earned)| ReputationSettings {
+                folder,
+                max_addresses: earned.most,
+            }),
+            storage: None,
+            next_write_at: 0,
+        }
+    }
+
+    /// Opens the storage, where there is one and it is not open.
+    pub(super) fn open(&mut self, host: &H) {
+        let Some(settings) = self.settings.clone().filter(|_| self.storage.is_none()) else {
+            return;
+        };
+        match host.open_reputation_storage(settings.folder, settings.max_addresses) {
+            Ok(storage) => self.storage = Some(storage),
+            Err(error) => tracing::error!(%error, "reputation: nothing can be persisted"),
+        }
+    }
+
+    pub(super) fn is_write_due(&self, now: Micros) -> bool {
+        self.storage.is_some() && now >= self.next_write_at
+    }
+
+    /// Writes the reputation that was earned since the last write.
+    pub(super) fn write(&mut self, now: Micros, admission: Option<&mut Admission>) {
+        self.next_write_at = now + REPUTATION_WRITE_INTERVAL;
+        let (Some(admission), Some(storage)) = (admission, &self.storage) else {
+            return;
+        };
+        let changed_entries = admission.moved(now);
+        if !changed_entries.is_empty() {
+            storage.write(changed_entries);
+        }
+    }
+
+    /// Lets the storage close in its own time, for the successor to open it.
+    pub(super) fn release(&mut self) {
+        if let Some(mut storage) = self.storage.take() {
+            storage.release();
+        }
+    }
+
+    /// Waits until the storage is closed, for a limited time.
+    pub(super) fn stop(&mut self) {
+        if let Some(storage) = self.storage.take() {
+            storage.stop();
+        }
+    }
+}
+
+/// The warm-up of the runtime, as far as the server knows of it.
+pub(super) struct WarmUp {
+    /// Speed of a cold runtime, as a share of the speed of a warm one.
+    cold_start_speed: f64,
+    /// Time after which a runtime is warm.
+    duration: Micros,
+    /// When the runtime came up, as it reported last.
+    runtime_up_since: Option<Micros>,
+}
+
+impl WarmUp {
+    pub(super) fn new(settings: &Settings) -> Self {
+        Self {
+            cold_start_speed: settings.cold_start_speed,
+            duration: settings.warm_up_time,
+            runtime_up_since: None,
+        }
+    }
+
+    /// The runtime has reported that it has been up for `uptime`.
+    pub(super) fn on_runtime_ready(&mut self, now: Micros, uptime: Micros) {
+        self.runtime_up_since = Some(now.saturating_sub(uptime));
+    }
+
+    /// Returns the present speed of the runtime, as a share of the speed of a warm one; 0 before
+    /// the runtime has reported.
+    pub(super) fn warmth(&self, now: Micros) -> f64 {
+        let Some(up_since) = self.runtime_up_since else {
+            return 0.0;
+        };
+        let progress = now.saturating_sub(up_since) as f64 / self.duration.max(1) as f64;
+        (self.cold_start_speed + (1.0 - self.cold_start_speed) * progress).clamp(0.0, 1.0)
+    }
+}
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -114,7 +114,7 @@
     }
 
     /// Says how the matcher is; where nobody listens or nobody reads, nothing is said, and the next time will do.
-    pub fn say(&mut self, status: &Status) {
+    pub fn report(&mut self, status: &Status) {
         if self.socket.is_none() {
             self.socket = self.connect().ok();
         }
--- a/crates/server/src/tls_layer.rs
+++ b/crates/server/src/tls_layer.rs
@@ -2,6 +2,7 @@
 //! and what all connections of a front share (the setup, which is renewed in place, and the names that may ask for each
 //! class). Which handshakes run is decided by `cleatpulley_connection_admission::handshake`; the session is `cleatpulley_tls`'s.
 
+use crate::error::CertificateError;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_tls::hello::{self, Offer, HEAD, LONGEST_RECORD};
 use cleatpulley_tls::pair::Facts;
@@ -270,10 +271,13 @@
     ///
     /// # Errors
     /// What is wrong with it: without it, nothing is spoken.
-    pub fn new(options: TlsOptions, now: Micros) -> Result<Self, String> {
+    pub fn new(options: TlsOptions, now: Micros) -> Result<Self, CertificateError> {
         options.clock.set(now);
         let stamp = options.certificates.stamp();
-        let loaded = options.certificates.load()?;
+        let loaded = options
+            .certificates
+            .load()
+            .map_err(|reason| CertificateError { reason })?;
         let facts = &loaded.facts;
         tracing::info!(
             "tls: certificate {} of {} in use, valid until {} (Unix seconds)",
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -312,7 +312,7 @@
         .expect("it ends")
         .success());
     assert!(
-        stranger.wait_for("somebody listens there").is_ok(),
+        stranger.wait_for("another process listens there").is_ok(),
         "{}",
         stranger.log().join("\n")
     );
