--- a/crates/server/src/buffered_connection.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -1,114 +1,106 @@
-//! A stream socket in the event loop, with its bytes on the way in and out.
+//! A stream socket with its bytes on the way in and out, optionally over TLS.
 
-use super::host::{Host, Readiness, Stream};
-use super::tls_layer::TlsLayer;
-use super::SocketOwner;
+mod tls_stream;
+
+use crate::host::{Host, Readiness, Stream};
+use crate::options::SocketOwner;
+use crate::tls_layer::{TlsLayer, BUSY_ALERT};
+use cleatpulley_tls::rustls::ServerConfig;
 use std::cell::RefCell;
-use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
+use std::sync::Arc;
+use tls_stream::TlsStream;
 
-const CHUNK: usize = 16_384;
-/// An empty buffer keeps this capacity.
-const KEPT: usize = 4_096;
+/// Bytes that are read from a socket at once. So many sent bytes may stay in the output.
+const CHUNK_BYTES: usize = 16_384;
+/// The capacity that an empty buffer keeps.
+const KEPT_CAPACITY: usize = 4_096;
 
 thread_local! {
-    /// Bytes on their way from a socket to a connection's input. One for all: clearing one for each read took longer than
-    /// the rest of it.
-    static READING: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK]);
+    /// Bytes on their way from a socket to the input of a connection. There is one for all
+    /// connections, since clearing one for each read took longer than the rest of it.
+    static READ_CHUNK: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK_BYTES]);
 }
 
-/// A connection. Its readiness is told once, so that it is kept here until a read or write uses it up.
+/// A connection with its buffers. The event loop reports its readiness once, which is therefore
+/// remembered here until a read or write uses it up.
 pub struct BufferedConnection<H: Host> {
     stream: H::Stream,
     readable: bool,
     writable: bool,
-    /// Bytes read and not used yet.
+    /// Bytes that were read and not consumed yet; over TLS, plain bytes.
     pub input: Vec<u8>,
+    /// Bytes for the socket; over TLS, records.
     output: Vec<u8>,
+    /// Bytes at the front of `output` that were sent already.
     sent: usize,
+    /// Bytes sent in all.
+    sent_total: u64,
     /// The peer sends no more.
     pub ended: bool,
-    /// TLS, where it is spoken: `input` and what [`output`](Self::output) gives are then the plain bytes.
-    layer: Option<Box<TlsLayer>>,
-    /// Plain bytes to be sealed with the next [`flush`](Self::flush).
-    plain: Vec<u8>,
-    /// Over TLS: bytes sent in all, and where in them the plain bytes sealed so far end. What has been handed to the
-    /// system counts in plain bytes: a caller that asks whether a request may have arrived means those.
-    sent_in_all: u64,
-    sealed: VecDeque<(u64, u64)>,
-    plain_in_all: u64,
-    plain_sent: u64,
+    /// None where no TLS is spoken.
+    tls: Option<Box<TlsStream>>,
 }
 
 impl<H: Host> BufferedConnection<H> {
-    /// One that stands or is being made.
+    /// Wraps a stream that is connected or being connected.
     #[must_use]
     pub fn new(stream: H::Stream) -> Self {
-        let (input, output) = (Vec::new(), Vec::new());
-        let (layer, plain, sealed) = (None, Vec::new(), VecDeque::new());
         Self {
             stream,
             readable: false,
             writable: false,
-            input,
-            output,
+            input: Vec::new(),
+            output: Vec::new(),
             sent: 0,
+            sent_total: 0,
             ended: false,
-            layer,
-            plain,
-            sent_in_all: 0,
-            sealed,
-            plain_in_all: 0,
-            plain_sent: 0,
+            tls: None,
         }
     }
 
+    /// Begins to connect; the first readiness reports how that went.
+    ///
+    /// # Errors
+    /// Those of the system; a refusal may come at once.
+    pub fn connect(host: &H, address: SocketAddr, owner: SocketOwner) -> io::Result<Self> {
+        host.connect(address, owner).map(Self::new)
+    }
+
     /// Speaks TLS from here on.
     pub fn set_tls(&mut self, layer: TlsLayer) {
-        self.layer = Some(Box::new(layer));
+        self.tls = Some(Box::new(TlsStream::new(layer)));
     }
 
-    /// Its TLS, where it speaks it.
+    /// Returns its TLS layer, where it speaks TLS.
     #[must_use]
     pub fn layer(&self) -> Option<&TlsLayer> {
-        self.layer.as_deref()
+        self.tls.as_ref().map(|tls| &tls.layer)
     }
 
-    /// The same, to be changed.
+    /// Returns its TLS layer to change it, where it speaks TLS.
     pub fn layer_mut(&mut self) -> Option<&mut TlsLayer> {
-        self.layer.as_deref_mut()
-    }
-
-    /// Tells a client whose handshake does not begin so, in plain, as far as the system takes it at once.
-    pub fn refuse_tls(&mut self) {
-        self.output.extend_from_slice(&super::tls_layer::BUSY_ALERT);
-        self.writable = true;
-        let _ = self.flush();
+        self.tls.as_mut().map(|tls| &mut tls.layer)
     }
 
-    /// The handshake begins with this setup, where it waited for its turn.
+    /// Begins the handshake that waited for its turn, with this configuration.
     ///
     /// # Errors
-    /// Where what came breaks the protocol.
-    pub fn begin(
-        &mut self,
-        config: std::sync::Arc<cleatpulley_tls::rustls::ServerConfig>,
-    ) -> io::Result<()> {
-        let Some(layer) = self.layer.as_deref_mut() else {
-            return Ok(());
-        };
-        let closed = layer.begin(config, &mut self.input, &mut self.output);
-        self.ended |= closed?;
+    /// Where what was received breaks the protocol.
+    pub fn begin_handshake(&mut self, config: Arc<ServerConfig>) -> io::Result<()> {
+        if let Some(tls) = &mut self.tls {
+            self.ended |= tls.layer.begin(config, &mut self.input, &mut self.output)?;
+        }
         Ok(())
     }
 
-    /// Begins to connect; the first readiness tells how that went.
-    ///
-    /// # Errors
-    /// Those of the system; a refusal may come at once.
-    pub fn connect(world: &H, to: SocketAddr, party: SocketOwner) -> io::Result<Self> {
-        world.connect(to, party).map(Self::new)
+    /// Sends a client whose handshake does not begin an alert in plain, as far as the system takes
+    /// it at once.
+    pub fn reject_handshake(&mut self) {
+        self.output.extend_from_slice(&BUSY_ALERT);
+        self.writable = true;
+        let _ = self.flush();
     }
 
     /// Notes what the event loop saw.
@@ -117,7 +109,7 @@
         self.writable |= readiness.writable;
     }
 
-    /// The error that the socket holds, such as that of a connection that failed.
+    /// Returns the error that the socket holds, such as that of a failed attempt to connect.
     ///
     /// # Errors
     /// That error.
@@ -125,55 +117,58 @@
         self.stream.take_error()
     }
 
-    /// Reads what has come until `input` holds `most`; true when more may be there.
+    /// Reads until `input` holds `limit` bytes or nothing more has arrived. Returns true where more
+    /// may be there.
     ///
     /// # Errors
-    /// When the connection broke.
-    pub fn read(&mut self, most: usize) -> io::Result<bool> {
+    /// Why the connection broke.
+    pub fn read(&mut self, limit: usize) -> io::Result<bool> {
         while self.readable && !self.ended {
-            if self.input.len() >= most {
+            if self.input.len() >= limit {
                 return Ok(true);
             }
-            if self.layer.as_deref().is_some_and(TlsLayer::holds_back) {
-                // What comes before the handshake may begin stays with the system.
+            if self.layer().is_some_and(TlsLayer::holds_back) {
+                // What arrives before the handshake may begin stays with the system.
                 return Ok(false);
             }
-            let (stream, input, layer, output) = (
-                &self.stream,
-                &mut self.input,
-                &mut self.layer,
-                &mut self.output,
-            );
-            let mut closed = Ok(false);
-            let read = READING.with_borrow_mut(|chunk| {
-                let read = stream.read(chunk);
-                if let Ok(n) = read {
-                    match layer {
-                        None => input.extend_from_slice(&chunk[..n]),
-                        Some(layer) if n > 0 => closed = layer.take(&chunk[..n], input, output),
-                        Some(_) => {}
+            self.read_chunk()?;
+        }
+        Ok(false)
+    }
+
+    fn read_chunk(&mut self) -> io::Result<()> {
+        let mut received = Ok(false);
+        let read = READ_CHUNK.with_borrow_mut(|chunk| {
+            let read = self.stream.read(chunk);
+            if let Ok(length) = read {
+                let bytes = &chunk[..length];
+                match &mut self.tls {
+                    None => self.input.extend_from_slice(bytes),
+                    Some(tls) if length > 0 => {
+                        received = tls.layer.receive(bytes, &mut self.input, &mut self.output);
                     }
+                    Some(_) => {}
                 }
-                read
-            });
-            if let Err(e) = closed {
-                // An alert goes out where it can.
-                self.writable = true;
-                let _ = self.flush();
-                return Err(e);
-            }
-            match read {
-                Ok(0) => self.ended = true,
-                Ok(_) => self.ended |= closed.unwrap_or(false),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
             }
+            read
+        });
+        if let Err(error) = received {
+            // An alert is sent where that is possible.
+            self.writable = true;
+            let _ = self.flush();
+            return Err(error);
         }
-        Ok(false)
+        match read {
+            Ok(0) => self.ended = true,
+            Ok(_) => self.ended |= received.unwrap_or(false),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => self.readable = false,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error),
+        }
+        Ok(())
     }
 
-    /// Nothing is known to wait unread, and no part of a message is held.
+    /// Returns true where nothing is known to wait unread and no partial message is held.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         !self.readable && self.input.is_empty()
@@ -185,123 +180,84 @@
         trim(&mut self.input);
     }
 
-    /// Bytes to be sent with the next [`flush`](Self::flush).
+    /// Returns the buffer of bytes to be sent with the next [`flush`](Self::flush).
     pub fn output(&mut self) -> &mut Vec<u8> {
-        match self.layer {
+        match &mut self.tls {
             None => &mut self.output,
-            Some(_) => &mut self.plain,
+            Some(tls) => &mut tls.plain_output,
         }
     }
 
-    /// Bytes not sent yet.
+    /// Returns the number of bytes that were not sent yet.
     #[must_use]
     pub fn unsent(&self) -> usize {
-        self.output.len() - self.sent + self.plain.len()
+        let plain = self.tls.as_ref().map_or(0, |tls| tls.plain_output.len());
+        self.output.len() - self.sent + plain
     }
 
-    /// Sends what the system takes; returns how many bytes that were, over TLS how many plain bytes were sent whole.
+    /// Sends what the system takes. Returns how many bytes that were; over TLS, how many plain
+    /// bytes were sent completely.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// Why the connection broke.
     pub fn flush(&mut self) -> io::Result<usize> {
-        let Some(layer) = self.layer.as_deref_mut() else {
+        let unsent_start = self.sent_total - self.sent as u64;
+        let Some(tls) = &mut self.tls else {
             return self.send();
         };
-        let sealing = self.plain.len() as u64;
-        layer.seal(&mut self.plain, &mut self.output);
-        trim(&mut self.plain);
-        if sealing > 0 && self.plain.is_empty() {
-            self.plain_in_all += sealing;
-            let end = self.sent_in_all + (self.output.len() - self.sent) as u64;
-            self.sealed.push_back((end, self.plain_in_all));
-        }
-        let written = self.send();
-        let before = self.plain_sent;
-        while let Some(&(_, upto)) = self
-            .sealed
-            .front()
-            .filter(|(end, _)| *end <= self.sent_in_all)
-        {
-            self.plain_sent = upto;
-            self.sealed.pop_front();
-        }
-        written?;
-        Ok(usize::try_from(self.plain_sent - before).unwrap_or(usize::MAX))
+        tls.seal(&mut self.output, unsent_start);
+        trim(&mut tls.plain_output);
+        let sent = self.send();
+        let plain_sent = match &mut self.tls {
+            Some(tls) => tls.on_sent(self.sent_total),
+            None => 0,
+        };
+        sent?;
+        Ok(plain_sent)
     }
 
     fn send(&mut self) -> io::Result<usize> {
-        let before = self.sent;
-        // Plain bytes that wait for a session are not among these.
+        let sent_before = self.sent;
+        // Plain bytes that wait for a TLS session are not among these.
         while self.writable && self.output.len() > self.sent {
             match self.stream.write(&self.output[self.sent..]) {
-                Ok(n) => self.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.writable = false,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Ok(length) => self.sent += length,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.writable = false,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
-        let written = self.sent - before;
-        self.sent_in_all += written as u64;
+        let sent = self.sent - sent_before;
+        self.sent_total += sent as u64;
         if self.output.len() == self.sent {
             self.output.clear();
             trim(&mut self.output);
             self.sent = 0;
-        } else if self.sent > CHUNK {
+        } else if self.sent > CHUNK_BYTES {
             self.output.drain(..self.sent);
             self.sent = 0;
         }
-        Ok(written)
+        Ok(sent)
     }
 
-    /// Sends no more; what the peer still sends can be read. Over TLS the peer is told so first, as far as the system
-    /// takes it at once.
+    /// Closes the write side; what the peer still sends can be read. Over TLS the peer is notified
+    /// first, as far as the system takes that at once.
     pub fn shutdown_write(&mut self) {
-        if let Some(layer) = self.layer.as_deref_mut() {
-            layer.close(&mut self.output);
+        if let Some(tls) = &mut self.tls {
+            tls.layer.close(&mut self.output);
             let _ = self.flush();
         }
         self.stream.shutdown_write();
     }
 }
 
-/// Gives back what an empty buffer has grown to. Guards against connections that each hold, for as long as they
-/// stand, what their largest burst took.
+/// Gives back the capacity that an empty buffer has grown to. Guards against connections that each
+/// hold, for as long as they last, what their largest burst took.
 fn trim(buffer: &mut Vec<u8>) {
-    if buffer.is_empty() && buffer.capacity() > KEPT {
-        buffer.shrink_to(KEPT);
+    if buffer.is_empty() && buffer.capacity() > KEPT_CAPACITY {
+        buffer.shrink_to(KEPT_CAPACITY);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::os_host::OsHost;
-
-    #[test]
-    fn an_empty_buffer_gives_back_what_a_burst_took() {
-        let (event_loop, listener) = (
-            calloop::EventLoop::try_new(),
-            std::net::TcpListener::bind("127.0.0.1:0"),
-        );
-        let (event_loop, listener) = (
-            event_loop.expect("an event loop"),
-            listener.expect("a port"),
-        );
-        let address = listener.local_addr().expect("an address");
-        let mut conn = BufferedConnection::connect(
-            &OsHost::new(event_loop.handle()),
-            address,
-            SocketOwner::Runtime,
-        )
-        .expect("it listens");
-        conn.input = vec![0; 65_536];
-        conn.consume(65_535);
-        assert_eq!(conn.input.len(), 1);
-        conn.consume(1);
-        assert!(conn.input.capacity() <= KEPT);
-        conn.output().extend_from_slice(&[0; 65_536]);
-        conn.sent = 65_536;
-        conn.flush().expect("nothing to send");
-        assert!(conn.output.capacity() <= KEPT);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/server/src/buffered_connection/tests.rs
@@ -0,0 +1,27 @@
+//! A connection on a loopback socket that nobody accepts from.
+
+use super::*;
+use crate::os_host::OsHost;
+
+#[test]
+fn empty_buffers_give_back_the_capacity_of_a_burst() {
+    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let mut connection = BufferedConnection::connect(
+        &OsHost::new(event_loop.handle()),
+        address,
+        SocketOwner::Runtime,
+    )
+    .expect("it listens");
+    connection.input = vec![0; 65_536];
+    connection.consume(65_535);
+    assert_eq!(connection.input.len(), 1);
+    connection.consume(1);
+    assert!(connection.input.capacity() <= KEPT_CAPACITY);
+    connection.output().extend_from_slice(&[0; 65_536]);
+    connection.sent = 65_536;
+    connection.sent_total = 65_536;
+    connection.flush().expect("nothing to send");
+    assert!(connection.output.capacity() <= KEPT_CAPACITY);
+}
--- /dev/null
+++ b/crates/server/src/buffered_connection/tls_stream.rs
@@ -0,0 +1,64 @@
+//! The TLS of a connection, and how far its plain bytes were sent.
+
+use crate::tls_layer::TlsLayer;
+use std::collections::VecDeque;
+
+/// Plain bytes that were sealed together.
+struct SealedRange {
+    /// Where their records end, in the bytes sent by the connection.
+    record_end: u64,
+    /// Where they end, in the plain bytes of the connection.
+    plain_end: u64,
+}
+
+/// The TLS of a connection. A caller that asks whether a request may have arrived means its plain
+/// bytes, so that those are what counts as sent.
+pub(super) struct TlsStream {
+    pub(super) layer: TlsLayer,
+    /// Plain bytes that are not sealed yet.
+    pub(super) plain_output: Vec<u8>,
+    /// Ranges whose records were not sent completely.
+    sealed: VecDeque<SealedRange>,
+    plain_sealed: u64,
+    plain_sent: u64,
+}
+
+impl TlsStream {
+    pub(super) fn new(layer: TlsLayer) -> Self {
+        Self {
+            layer,
+            plain_output: Vec::new(),
+            sealed: VecDeque::new(),
+            plain_sealed: 0,
+            plain_sent: 0,
+        }
+    }
+
+    /// Seals the plain bytes into `output`, which begins at `output_start` of the bytes sent by the
+    /// connection.
+    pub(super) fn seal(&mut self, output: &mut Vec<u8>, output_start: u64) {
+        let sealing = self.plain_output.len() as u64;
+        self.layer.seal(&mut self.plain_output, output);
+        if sealing > 0 && self.plain_output.is_empty() {
+            self.plain_sealed += sealing;
+            self.sealed.push_back(SealedRange {
+                record_end: output_start + output.len() as u64,
+                plain_end: self.plain_sealed,
+            });
+        }
+    }
+
+    /// The connection has sent so many bytes in all. Returns how many more plain bytes are thereby
+    /// sent completely.
+    pub(super) fn on_sent(&mut self, sent_total: u64) -> usize {
+        let plain_sent_before = self.plain_sent;
+        while let Some(range) = self.sealed.front() {
+            if range.record_end > sent_total {
+                break;
+            }
+            self.plain_sent = range.plain_end;
+            self.sealed.pop_front();
+        }
+        usize::try_from(self.plain_sent - plain_sent_before).unwrap_or(usize::MAX)
+    }
+}
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -1,48 +1,43 @@
-//! The connections of the client side: accepting, places, silent and idle connections, crowding, drain and the end
-//! are the same for every protocol and live here; what the bytes mean is a [`Machine`]'s.
+//! The connections of clients and proxies. Accepting, connection slots, idle timeouts, overload,
+//! draining and lingering are the same for every protocol and live here; what the bytes mean is
+//! known to the [`Machine`] of each connection.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | `front_protocol` | the protocol spoken on an address |
+//! | `listening_address` | an address, with its listening socket |
+//! | `client_connection` | a connection: its bytes, its machine, and when it is over |
+//! | `accept` | who gets a connection slot, and what becomes of those who get none |
+//! | `eviction` | giving up connection slots, idle timeouts |
+//! | `tls_handshakes` | handshakes, and what the names of certificates permit |
 
 mod accept;
 mod client_connection;
+mod eviction;
 mod front_protocol;
-mod tls;
+mod listening_address;
+mod tls_handshakes;
 
 pub use front_protocol::FrontProtocol;
 
-use super::host::{Host, Readiness};
-use super::tls_layer::TlsState;
+use crate::host::{Host, Readiness};
+use crate::tls_layer::TlsState;
+use accept::Acceptor;
 use cleatpulley_connection_admission::handshake::Handshakes;
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::{Context, Machine, Standing};
-use client_connection::{Next, Peer};
+use cleatpulley_protocol::machine::{Context, Machine};
+use client_connection::{ClientConnection, NextAction};
+use eviction::Sweeper;
+use listening_address::ListeningAddress;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-
-/// How often idle and parting connections are looked for.
-const SWEEP: Micros = 100_000;
-/// A sweep that comes so late tells of a pause of the machine, which is no silence of the peers.
-const PAUSE: Micros = 1_000_000;
-/// Beyond this share of the places, idle connections are told to close, the longest idle first.
-const CROWDED: f64 = 0.75;
-/// An idle connection that carried something so lately is not told so: its front end may be about to use it.
-const WARM: Micros = 300_000;
-
-/// A listening socket.
-struct Door<H: Host> {
-    /// Where it listens, or is to.
-    address: SocketAddr,
-    /// None before there is one, and once others alone accept there.
-    listener: Option<H::Listener>,
-    speaks: FrontProtocol,
-    acceptable: bool,
-    /// It speaks TLS.
-    secure: bool,
-}
+use tls_handshakes::TlsHandshakes;
 
 /// What a [`ClientListener`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,593 +59,416 @@
     pub error: io::Error,
 }
 
+/// What the machines of all connections are told.
+struct MachineContext {
+    /// Names of the request classes, by index.
+    class_names: Vec<String>,
+    /// How health checks are answered.
+    is_healthy: bool,
+    /// The value that all responses carry.
+    feedback: Option<f64>,
+}
+
+impl MachineContext {
+    fn at(&self, now: Micros, number: u64) -> Context<'_> {
+        Context {
+            now,
+            number,
+            classes: &self.class_names,
+            good: self.is_healthy,
+            feedback: self.feedback,
+        }
+    }
+}
+
+/// What clients were told of the shutdown. The stop may come without a drain before it, and a drain
+/// may follow after its notice.
+#[derive(Default)]
+struct ShutdownNotices {
+    /// They are to use other servers.
+    has_begun: bool,
+    /// The stop is near: no new request is accepted.
+    is_stop_near: bool,
+}
+
 /// The listeners and their connections.
 pub struct ClientListener<H: Host> {
-    world: H,
-    doors: Vec<Door<H>>,
-    classes: Vec<String>,
-    most: usize,
-    /// In the order of their numbers: what is done to all of them is done alike in every run.
-    peers: BTreeMap<u64, Peer<H>>,
-    noted: Vec<u64>,
-    /// Connections with more to read than one turn takes: no edge will tell of it again.
-    again: Vec<u64>,
+    host: H,
+    addresses: Vec<ListeningAddress<H>>,
+    /// Ordered by number, so that what is done to all of them is done alike in every run.
+    connections: BTreeMap<u64, ClientConnection<H>>,
+    last_number: u64,
+    context: MachineContext,
+    acceptor: Acceptor<H>,
+    sweeper: Sweeper,
+    tls: TlsHandshakes,
+    shutdown: ShutdownNotices,
+    /// Numbers of connections that may have something to read or to send.
+    ready: Vec<u64>,
+    /// Numbers of connections with more to read than one iteration reads: no edge will report that
+    /// again.
+    has_more: Vec<u64>,
+    /// Requests of the connection that is being read.
     arrivals: Vec<IncomingRequest>,
-    numbers: u64,
-    accept_at: Micros,
-    sweep_at: Micros,
-    feedback: Option<f64>,
-    good: bool,
-    idle: Option<Micros>,
-    leaving: bool,
-    parting: bool,
-    /// Another process accepts.
-    resting: bool,
-    /// Connections are sent away as soon as nothing is on its way on them.
-    yielding: bool,
-    /// Who gets a place, where that is not first come, first served.
-    admission: Option<Admission>,
-    /// TLS, where some doors speak it, and which handshakes run.
-    tls: Option<Rc<RefCell<TlsState>>>,
-    handshakes: Option<Handshakes>,
-    identities: Option<Identities>,
-    /// Connections that are `over`.
-    refused: usize,
-    /// A descriptor kept for the moment at which no other is left, where it matters who comes then.
-    spare: Option<H::ReservedDescriptor>,
 }
 
 impl<H: Host> ClientListener<H> {
-    /// A front without listeners, for at most so many connections.
+    /// Creates a listener without addresses, for at most so many connections.
     #[must_use]
-    pub fn new(world: H, classes: Vec<String>, most: usize) -> Self {
+    pub fn new(host: H, class_names: Vec<String>, max_connections: usize) -> Self {
         Self {
-            world,
-            doors: Vec::new(),
-            classes,
-            most,
-            peers: BTreeMap::new(),
-            noted: Vec::new(),
-            again: Vec::new(),
+            host,
+            addresses: Vec::new(),
+            connections: BTreeMap::new(),
+            last_number: 0,
+            context: MachineContext {
+                class_names,
+                is_healthy: true,
+                feedback: None,
+            },
+            acceptor: Acceptor::new(max_connections),
+            sweeper: Sweeper::default(),
+            tls: TlsHandshakes::default(),
+            shutdown: ShutdownNotices::default(),
+            ready: Vec::new(),
+            has_more: Vec::new(),
             arrivals: Vec::new(),
-            numbers: 0,
-            accept_at: 0,
-            sweep_at: 0,
-            feedback: None,
-            good: true,
-            idle: None,
-            leaving: false,
-            parting: false,
-            resting: false,
-            yielding: false,
-            admission: None,
-            tls: None,
-            handshakes: None,
-            identities: None,
-            refused: 0,
-            spare: None,
         }
     }
 
-    /// Speaks TLS on the doors that it is set for, those that come later among them.
+    /// Speaks TLS on the addresses that it is configured for, later ones among them.
     pub fn set_tls(&mut self, now: Micros, tls: Rc<RefCell<TlsState>>) {
-        let settings = tls.borrow().options().handshakes;
-        self.handshakes = settings.map(|settings| Handshakes::new(settings, now));
+        let handshakes = tls.borrow().options().handshakes;
         let identities = tls.borrow().options().identities.clone();
-        self.identities = identities.map(|settings| Identities::new(settings, now));
-        for door in &mut self.doors {
-            door.secure = tls.borrow().speaks(&door.speaks);
+        for address in &mut self.addresses {
+            address.is_secure = tls.borrow().is_enabled_for(&address.protocol);
         }
-        self.tls = Some(tls);
+        self.tls = TlsHandshakes {
+            state: Some(tls),
+            handshakes: handshakes.map(|settings| Handshakes::new(settings, now)),
+            identities: identities.map(|settings| Identities::new(settings, now)),
+        };
     }
 
-    /// The decisions on handshakes, where there are any.
+    /// Returns the admission of handshakes, where there is one.
     #[must_use]
     pub fn handshakes(&self) -> Option<&Handshakes> {
-        self.handshakes.as_ref()
-    }
-
-    fn secures(&self, speaks: &FrontProtocol) -> bool {
-        self.tls
-            .as_ref()
-            .is_some_and(|tls| tls.borrow().speaks(speaks))
+        self.tls.handshakes.as_ref()
     }
 
-    /// Lets these decisions say who gets a place.
+    /// Lets this admission decide who gets a connection slot. Without one, connections beyond the
+    /// limit wait with the system.
     pub fn set_admission(&mut self, admission: Admission) {
-        self.admission = Some(admission);
-        self.keep_spare();
+        self.acceptor.admission = Some(admission);
+        self.acceptor.reserve_descriptor(&self.host);
     }
 
-    /// The decisions on places, where there are any.
+    /// Returns the admission of connections, where there is one.
     #[must_use]
     pub fn admission(&self) -> Option<&Admission> {
-        self.admission.as_ref()
+        self.acceptor.admission.as_ref()
     }
 
-    /// The same, for what another process hands on.
+    /// Returns the admission of connections, to import what another process has learned.
     pub fn admission_mut(&mut self) -> Option<&mut Admission> {
-        self.admission.as_mut()
-    }
-
-    /// Adds an address whose listening socket comes later.
-    pub fn add_expected_listener(&mut self, address: SocketAddr, speaks: FrontProtocol) {
-        let secure = self.secures(&speaks);
-        self.doors.push(Door {
-            address,
-            listener: None,
-            speaks,
-            acceptable: false,
-            secure,
-        });
+        self.acceptor.admission.as_mut()
     }
 
-    /// Takes up the listening socket of an address that one is expected for; tells whether there is one.
-    ///
-    /// # Errors
-    /// What the maker of the listener says.
-    pub fn adopt(
+    /// Holds so many connections from now on. Those above the limit are closed where they have no
+    /// open request.
+    pub fn set_connection_limit(
         &mut self,
-        address: SocketAddr,
-        listener: impl FnOnce(usize) -> io::Result<H::Listener>,
-    ) -> io::Result<bool> {
-        let expects = |door: &Door<H>| door.address == address && door.listener.is_none();
-        let Some(place) = self.doors.iter().position(expects) else {
-            return Ok(false);
-        };
-        self.doors[place].listener = Some(listener(place)?);
-        // Connections may wait there already.
-        self.doors[place].acceptable = true;
-        Ok(true)
-    }
-
-    /// Listens on all addresses that still have no listening socket.
-    ///
-    /// # Errors
-    /// The first that can't be had.
-    pub fn listen_expected(&mut self) -> Result<Vec<SocketAddr>, ListenFailure> {
-        let mut addresses = Vec::new();
-        for place in 0..self.doors.len() {
-            if self.doors[place].listener.is_some() {
-                continue;
-            }
-            let address = self.doors[place].address;
-            let (listener, address) = self
-                .world
-                .listen(address, place)
-                .map_err(|error| ListenFailure { address, error })?;
-            let door = &mut self.doors[place];
-            (door.address, door.listener, door.acceptable) = (address, Some(listener), true);
-            addresses.push(address);
-        }
-        Ok(addresses)
+        now: Micros,
+        max_connections: usize,
+        events: &mut Vec<Event>,
+    ) {
+        self.acceptor.max_connections = max_connections.max(1);
+        while self.connections.len() > self.acceptor.max_connections
+            && self.free_connection_slot(now, events)
+        {}
     }
 
-    /// Where it listens, with the sockets.
-    pub fn listeners(&self) -> impl Iterator<Item = (SocketAddr, Option<&H::Listener>)> {
-        self.doors
-            .iter()
-            .map(|door| (door.address, door.listener.as_ref()))
+    /// Closes a connection without open requests, if there is one, because no descriptor is left.
+    /// Nothing is accepted until `reserved_until`. Guards against the next connection that waits,
+    /// which would get the descriptor before the process that it is meant for.
+    pub fn free_slot(&mut self, now: Micros, reserved_until: Micros, events: &mut Vec<Event>) {
+        self.free_connection_slot(now, events);
+        self.acceptor.accept_at = self.acceptor.accept_at.max(reserved_until);
     }
 
-    /// Accepts nothing until it is told to.
+    /// Accepts nothing until [`resume_accepting`](Self::resume_accepting) is called.
     pub fn pause_accepting(&mut self) {
-        self.resting = true;
+        self.acceptor.pause();
     }
 
-    /// Accepts, again or at last.
+    /// Accepts connections, again or for the first time.
     pub fn resume_accepting(&mut self) {
-        (self.resting, self.yielding) = (false, false);
-        self.doors
-            .iter_mut()
-            .for_each(|door| door.acceptable = door.listener.is_some());
+        self.acceptor.resume();
+        for address in &mut self.addresses {
+            address.is_acceptable = address.listener.is_some();
+        }
     }
 
-    /// Another process accepts from here on: connections are told to close, each as soon as nothing is on its way on it.
+    /// Lets another process accept from here on: clients are asked to close their connections, each
+    /// as soon as no request is on its way.
     pub fn yield_to_successor(&mut self, now: Micros) {
-        (self.resting, self.yielding) = (true, true);
+        self.acceptor.begin_yield();
         self.send_away(now);
     }
 
-    /// Holds so many connections from now on. Those above that go where they owe nothing.
-    pub fn set_connection_limit(&mut self, now: Micros, most: usize, facts: &mut Vec<Event>) {
-        self.most = most.max(1);
-        while self.peers.len() > self.most && self.make_room(now, facts) {}
-    }
-
-    /// Closes a connection that owes nothing, if there is one: the system has no descriptor left. Guards against the next
-    /// that waits at the door, who would have it before whom it is meant for.
-    pub fn free_slot(&mut self, now: Micros, meant_until: Micros, facts: &mut Vec<Event>) {
-        self.make_room(now, facts);
-        self.accept_at = self.accept_at.max(meant_until);
-    }
-
-    /// All connections that were ever used have been told to close.
+    /// Returns true once all connections that were ever used have been asked to close.
     #[must_use]
     pub fn is_sent_away(&self) -> bool {
-        let used = |peer: &Peer<H>| {
-            let status = peer.machine.status();
-            status.standing == Standing::Open && status.spoken
-        };
-        !self.peers.values().any(used)
+        !self
+            .connections
+            .values()
+            .any(ClientConnection::is_open_and_used)
     }
 
     fn send_away(&mut self, now: Micros) {
-        let (good, feedback) = (self.good, self.feedback);
-        for (&number, peer) in &mut self.peers {
-            let context = Context {
-                now,
-                number,
-                classes: &self.classes,
-                good,
-                feedback,
-            };
-            peer.send_away(&context);
-            self.noted.push(number);
+        for (&number, connection) in &mut self.connections {
+            connection.send_away(&self.context.at(now, number));
+            self.ready.push(number);
         }
     }
 
-    /// Listens on one more address; returns where that is.
-    ///
-    /// # Errors
-    /// When the address can't be listened on.
-    pub fn listen(&mut self, address: SocketAddr, speaks: FrontProtocol) -> io::Result<SocketAddr> {
-        let (listener, address) = self.world.listen(address, self.doors.len())?;
-        let secure = self.secures(&speaks);
-        self.doors.push(Door {
-            address,
-            listener: Some(listener),
-            speaks,
-            acceptable: true,
-            secure,
-        });
-        Ok(address)
-    }
-
-    /// Listeners, connections, and the requests that are open on those.
+    /// Returns the numbers of listeners, connections and open requests.
     #[must_use]
     pub fn usage(&self) -> ClientListenerUsage {
-        let open = self
-            .peers
-            .values()
-            .map(|peer| peer.machine.status().open)
-            .sum();
-        let listeners = self
-            .doors
-            .iter()
-            .filter(|door| door.listener.is_some())
-            .count();
+        let listeners = self.addresses.iter();
+        let connections = self.connections.values();
         ClientListenerUsage {
-            listeners,
-            connections: self.peers.len(),
-            open_requests: open,
+            listeners: listeners
+                .filter(|address| address.listener.is_some())
+                .count(),
+            connections: self.connections.len(),
+            open_requests: connections
+                .map(|connection| connection.machine.status().open)
+                .sum(),
         }
     }
 
-    /// Descriptors that are kept for later.
+    /// Returns the number of descriptors that are reserved.
     #[must_use]
     pub fn reserved_descriptors(&self) -> usize {
-        usize::from(self.spare.is_some())
+        usize::from(self.acceptor.reserved_descriptor.is_some())
     }
 
-    /// Connections that stand.
+    /// Returns the number of connections.
     #[must_use]
     pub fn connection_count(&self) -> usize {
-        self.peers.len()
+        self.connections.len()
     }
 
-    /// Connections may wait to be accepted on this listener.
-    pub fn on_acceptable(&mut self, place: usize) {
-        if let Some(door) = self.doors.get_mut(place) {
-            door.acceptable = true;
+    /// Notes that connections may wait to be accepted on a listener.
+    pub fn on_acceptable(&mut self, index: usize) {
+        if let Some(address) = self.addresses.get_mut(index) {
+            address.is_acceptable = true;
         }
     }
 
-    /// A connection may be read from or written to.
+    /// Notes that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
-        if let Some(peer) = self.peers.get_mut(&number) {
-            peer.conn.on_readiness(readiness);
-            self.noted.push(number);
+        if let Some(connection) = self.connections.get_mut(&number) {
+            connection.stream.on_readiness(readiness);
+            self.ready.push(number);
         }
     }
 
-    /// All answers carry this value from now on.
+    /// Sets the value that all responses carry from now on.
     pub fn set_feedback(&mut self, value: f64) {
-        self.feedback = Some(value);
+        self.context.feedback = Some(value);
     }
 
-    /// Health checks are answered so from now on.
-    pub fn set_health(&mut self, good: bool) {
-        self.good = good;
+    /// Sets how health checks are answered from now on.
+    pub fn set_health(&mut self, is_healthy: bool) {
+        self.context.is_healthy = is_healthy;
     }
 
-    /// Connections idle for so long are closed from now on.
-    pub fn set_idle_timeout(&mut self, after: Micros) {
-        self.idle = Some(after);
+    /// Closes connections that are idle for this time, in microseconds, from now on.
+    pub fn set_idle_timeout(&mut self, idle_timeout: Micros) {
+        self.sweeper.idle_timeout = Some(idle_timeout);
     }
 
-    /// Answers a request. A connection that is gone needs no answer.
-    pub fn respond(&mut self, now: Micros, to: ClientStream, answer: &Response) {
-        let Some(peer) = self.peers.get_mut(&to.connection) else {
+    /// Responds to a request. A connection that is gone needs no response.
+    pub fn respond(&mut self, now: Micros, client: ClientStream, response: &Response) {
+        let number = client.connection;
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let (good, feedback) = (self.good, self.feedback);
-        let context = Context {
-            now,
-            number: to.connection,
-            classes: &self.classes,
-            good,
-            feedback,
-        };
-        if peer
+        let context = self.context.at(now, number);
+        let output = connection.stream.output();
+        let is_responded = connection
             .machine
-            .answer(&context, to.stream, answer, peer.conn.output())
-        {
-            self.noted.push(to.connection);
-            if let (Some(admission), Response::Served(_)) = (&mut self.admission, answer) {
-                admission.served(now, to.connection);
-            }
+            .answer(&context, client.stream, response, output);
+        if !is_responded {
+            return;
+        }
+        self.ready.push(number);
+        if let (Some(admission), Response::Served(_)) = (&mut self.acceptor.admission, response) {
+            admission.served(now, number);
         }
     }
 
-    /// The first listener is shared with other processes, which accept there from now on.
+    /// Closes the first listener: other processes share its address and accept there from now on.
     pub fn close_listeners(&mut self) {
-        if let Some(door) = self.doors.first_mut() {
-            door.listener = None;
+        if let Some(address) = self.addresses.first_mut() {
+            address.listener = None;
         }
     }
 
-    /// The notice to leave has come.
+    /// Asks clients to use other servers. Only the first call has an effect.
     pub fn begin_shutdown(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.leaving, true) {
-            self.tell_all(now, |machine, context, out| machine.leave(context, out));
+        if std::mem::replace(&mut self.shutdown.has_begun, true) {
+            return;
         }
+        self.notify_all(now, |machine, context, output| {
+            machine.leave(context, output);
+        });
     }
 
-    /// The stop is near: no new request is taken, and no new connection once those waiting are accepted.
+    /// Tells clients that the stop is near: no new request is accepted, and no new connection after
+    /// those that wait. Only the first call has an effect.
     pub fn notify_stop(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.parting, true) {
-            self.tell_all(now, |machine, context, out| machine.part(context, out));
-            self.doors
-                .iter_mut()
-                .for_each(|door| door.acceptable = true);
+        if std::mem::replace(&mut self.shutdown.is_stop_near, true) {
+            return;
+        }
+        self.notify_all(now, |machine, context, output| {
+            machine.part(context, output);
+        });
+        self.set_all_acceptable();
+    }
+
+    fn set_all_acceptable(&mut self) {
+        for address in &mut self.addresses {
+            address.is_acceptable = true;
         }
     }
 
-    fn tell_all(&mut self, now: Micros, tell: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>)) {
-        let (good, feedback) = (self.good, self.feedback);
-        // Guards what was answered last on a connection whose end is closed: a word more would break it.
-        for (&number, peer) in self
-            .peers
-            .iter_mut()
-            .filter(|(_, peer)| peer.lingers.is_none())
-        {
-            let context = Context {
-                now,
-                number,
-                classes: &self.classes,
-                good,
-                feedback,
-            };
-            tell(&mut *peer.machine, &context, peer.conn.output());
-            self.noted.push(number);
+    fn notify_all(
+        &mut self,
+        now: Micros,
+        notify: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>),
+    ) {
+        for (&number, connection) in &mut self.connections {
+            // Guards the last response on a connection whose write side is closed: one more message
+            // would break it.
+            if connection.is_lingering() {
+                continue;
+            }
+            let context = self.context.at(now, number);
+            let output = connection.stream.output();
+            notify(&mut *connection.machine, &context, output);
+            self.ready.push(number);
         }
     }
 
-    /// Accepts, reads, sends and closes. True when more can be read at once.
-    pub fn poll(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
-        self.accept(now, facts);
-        self.handshakes_turn(now, facts);
-        let mut noted = std::mem::take(&mut self.noted);
-        noted.append(&mut self.again);
-        noted.sort_unstable();
-        noted.dedup();
-        noted
-            .into_iter()
-            .for_each(|number| self.serve(now, number, facts));
-        // After what has come was read: a pause of the machine is no silence.
-        if now >= self.sweep_at {
-            self.sweep(now, facts);
+    /// Accepts, reads, sends and closes. Returns true where more can be read at once.
+    pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
+        self.accept(now, events);
+        self.poll_handshakes(now, events);
+        let mut ready = std::mem::take(&mut self.ready);
+        ready.append(&mut self.has_more);
+        ready.sort_unstable();
+        ready.dedup();
+        for number in ready {
+            self.serve(now, number, events);
+        }
+        // After reading: a pause of the machine is no silence of the clients.
+        if self.sweeper.is_due(now) {
+            self.sweep(now, events);
         }
-        !self.again.is_empty() || (self.acceptable() && now >= self.accept_at)
+        !self.has_more.is_empty() || (self.is_acceptable() && now >= self.acceptor.accept_at)
     }
 
     /// Reads and sends on a connection, and closes it where it is over.
-    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
-        let Some(peer) = self.peers.get_mut(&number) else {
+    fn serve(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let (good, feedback) = (self.good, self.feedback);
-        let context = Context {
-            now,
-            number,
-            classes: &self.classes,
-            good,
-            feedback,
-        };
-        let next = peer.serve(&context, &mut self.arrivals);
-        if let (Some(admission), true) = (&mut self.admission, peer.machine.status().spoken) {
-            admission.spoke(number);
-        }
-        if self.yielding {
-            peer.send_away(&context);
-            self.noted.push(number);
+        let context = self.context.at(now, number);
+        let next_action = connection.serve(&context, &mut self.arrivals);
+        if connection.machine.status().spoken {
+            if let Some(admission) = &mut self.acceptor.admission {
+                admission.spoke(number);
+            }
         }
-        self.secure_turn(now, number, facts);
-        // Behind the requests that came with them.
-        if let Some(peer) = self.peers.get_mut(&number) {
-            let cancelled = peer.machine.take_cancelled().into_iter();
-            facts.extend(cancelled.map(|stream| {
-                Event::RequestCancelled(ClientStream {
-                    connection: number,
-                    stream,
-                })
-            }));
+        if self.acceptor.is_yielding() {
+            connection.send_away(&context);
+            self.ready.push(number);
         }
-        match next {
-            Ok(Next::Wait) => {}
-            Ok(Next::Again) => self.again.push(number),
-            Ok(Next::Close) => self.close(number, facts),
-            Err(e) => {
-                tracing::debug!("front end connection {number}: {e}");
-                self.close(number, facts);
+        self.poll_handshake(now, number, events);
+        self.forward_arrivals(number, events);
+        self.report_cancelled(number, events);
+        match next_action {
+            Ok(NextAction::Wait) => {}
+            Ok(NextAction::ReadAgain) => self.has_more.push(number),
+            Ok(NextAction::Close) => self.close(number, events),
+            Err(error) => {
+                tracing::debug!(%error, "front end connection {number}: closed");
+                self.close(number, events);
             }
         }
     }
 
-    /// Sends what this turn has answered.
-    pub fn flush(&mut self, now: Micros, facts: &mut Vec<Event>) {
-        let mut noted = std::mem::take(&mut self.noted);
-        noted.sort_unstable();
-        noted.dedup();
-        for number in noted {
-            let Some(peer) = self.peers.get_mut(&number) else {
+    /// Reports the requests that the client has cancelled, after those that came with them.
+    fn report_cancelled(&mut self, number: u64, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
+        };
+        let cancelled = connection.machine.take_cancelled().into_iter();
+        events.extend(cancelled.map(|stream| {
+            Event::RequestCancelled(ClientStream {
+                connection: number,
+                stream,
+            })
+        }));
+    }
+
+    /// Sends the responses of this iteration.
+    pub fn flush(&mut self, now: Micros, events: &mut Vec<Event>) {
+        let mut ready = std::mem::take(&mut self.ready);
+        ready.sort_unstable();
+        ready.dedup();
+        for number in ready {
+            let Some(connection) = self.connections.get_mut(&number) else {
                 continue;
             };
-            if peer.conn.flush().is_err() {
-                self.close(number, facts);
-            } else if peer.rests(now) {
-                self.noted.push(number);
+            if connection.stream.flush().is_err() {
+                self.close(number, events);
+            } else if connection.is_finished(now) {
+                self.ready.push(number);
             }
         }
     }
 
-    /// When connections have to be looked at, though nothing happened.
+    /// Returns when something is to be done though no socket becomes ready.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
-        let next = if self.acceptable() && self.accept_at > 0 {
-            self.sweep_at.min(self.accept_at)
-        } else {
-            self.sweep_at
-        };
-        self.handshakes
-            .as_ref()
-            .and_then(Handshakes::wake_at)
-            .map_or(next, |at| next.min(at))
-    }
-
-    fn acceptable(&self) -> bool {
-        !self.resting && self.doors.iter().any(|door| door.acceptable)
-    }
-
-    fn close(&mut self, number: u64, facts: &mut Vec<Event>) {
-        if let Some(peer) = self.peers.remove(&number) {
-            self.refused -= usize::from(peer.over);
-            if peer.machine.status().open > 0 {
-                facts.push(Event::ConnectionLost(number));
-            }
-            if let Some(admission) = &mut self.admission {
-                admission.leave(number);
-            }
-            if let Some(handshakes) = &mut self.handshakes {
-                handshakes.done(number);
-            }
-            if let Some(identities) = &mut self.identities {
-                identities.leave(number);
-            }
-            self.doors
-                .iter_mut()
-                .for_each(|door| door.acceptable = true);
-        }
+        let accept_at = self.acceptor.accept_at;
+        let accept_at = (self.is_acceptable() && accept_at > 0).then_some(accept_at);
+        let handshake_at = self.handshakes().and_then(Handshakes::wake_at);
+        [accept_at, handshake_at]
+            .into_iter()
+            .flatten()
+            .fold(self.sweeper.sweep_at, Micros::min)
     }
 
-    /// Gives up the place of a connection that owes nothing, if there is one: first those that only wait for
-    /// their end, then those that never sent a whole message, the oldest first. Guards against clients that take
-    /// all places and say nothing, while front ends wait to be accepted.
-    fn make_room(&mut self, now: Micros, facts: &mut Vec<Event>) -> bool {
-        let spare = |(number, peer): (&u64, &Peer<H>)| {
-            peer.spare_since(now)
-                .map(|(rank, since)| (rank, since, *number))
-        };
-        while let Some((_, _, number)) = self.peers.iter().filter_map(spare).min() {
-            // What it sent may have come since it was last read: closing over that would lose it.
-            if let Some(peer) = self.peers.get_mut(&number) {
-                peer.conn.on_readiness(Readiness {
-                    readable: true,
-                    writable: false,
-                });
-            }
-            self.serve(now, number, facts);
-            match self
-                .peers
-                .get(&number)
-                .map(|peer| peer.spare_since(now).is_some())
-            {
-                Some(false) => {}
-                Some(true) => {
-                    self.close(number, facts);
-                    return true;
-                }
-                None => return true,
-            }
-        }
-        false
+    fn is_acceptable(&self) -> bool {
+        let mut addresses = self.addresses.iter();
+        self.acceptor.is_accepting() && addresses.any(|address| address.is_acceptable)
     }
 
-    fn sweep(&mut self, now: Micros, facts: &mut Vec<Event>) {
-        self.keep_spare();
-        // Those that could not go yet when places became fewer.
-        self.set_connection_limit(now, self.most, facts);
-        if self.yielding {
-            self.send_away(now);
-        }
-        let paused = now >= self.sweep_at + PAUSE;
-        self.sweep_at = now + SWEEP;
-        let (good, feedback) = (self.good, self.feedback);
-        for (&number, peer) in &mut self.peers {
-            if peer.lingers.is_some() {
-                self.noted.push(number);
-                continue;
-            }
-            let context = Context {
-                now,
-                number,
-                classes: &self.classes,
-                good,
-                feedback,
-            };
-            if paused && peer.machine.status().waits.is_some() {
-                peer.machine.status_mut().waits = Some(now);
-            }
-            if peer.machine.deadline().is_some_and(|at| now >= at) {
-                peer.machine.expire(&context, peer.conn.output());
-            }
-            let status = peer.machine.status();
-            if status.is_idle() && self.idle.is_some_and(|after| now >= status.used + after) {
-                peer.machine.part(&context, peer.conn.output());
-            }
-            if peer.machine.status().standing != Standing::Open {
-                self.noted.push(number);
-            }
-        }
-        let crowd = (CROWDED * self.most as f64) as usize;
-        let ends = |peer: &&Peer<H>| {
-            peer.lingers.is_some() || peer.machine.status().standing != Standing::Open
+    fn close(&mut self, number: u64, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.remove(&number) else {
+            return;
         };
-        let going = self.peers.values().filter(ends).count();
-        let excess = (self.peers.len() - going).saturating_sub(crowd);
-        if excess > 0 {
-            let idle = |(number, peer): (&u64, &Peer<H>)| {
-                let status = peer.machine.status();
-                let idle = peer.lingers.is_none() && status.is_idle();
-                (idle && now >= status.used + WARM).then_some((status.used, *number))
-            };
-            let mut idle: Vec<_> = self.peers.iter().filter_map(idle).collect();
-            idle.sort_unstable();
-            for (_, number) in idle.into_iter().take(excess) {
-                let context = Context {
-                    now,
-                    number,
-                    classes: &self.classes,
-                    good,
-                    feedback,
-                };
-                if let Some(peer) = self.peers.get_mut(&number) {
-                    peer.machine.part(&context, peer.conn.output());
-                }
-                self.noted.push(number);
-            }
+        self.acceptor.on_closed(number, connection.is_rejected);
+        if connection.machine.status().open > 0 {
+            events.push(Event::ConnectionLost(number));
         }
+        self.tls.on_closed(number);
+        self.set_all_acceptable();
     }
 }
 
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -1,316 +1,441 @@
-//! Accepting: who gets a place, and what becomes of those who get none. What is decided lies with
-//! `cleatpulley_connection_admission`, where it is on; otherwise those beyond the bound wait with the system.
+//! Accepting: who gets a connection slot, and what becomes of those who get none. With an
+//! admission, `cleatpulley_connection_admission` decides; without one, connections beyond the limit
+//! wait with the system.
 
-use super::{ClientListener, Peer};
+use super::client_connection::ClientConnection;
+use super::front_protocol::ProtocolMachine;
+use super::ClientListener;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
+use crate::options::SocketOwner;
 use crate::tls_layer::{TlsLayer, BUSY_ALERT};
-use crate::SocketOwner;
 use cleatpulley_connection_admission::admit::Known;
-use cleatpulley_connection_admission::Decision;
+use cleatpulley_connection_admission::{Admission, Decision};
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::Context;
 use std::io::{self, ErrorKind};
 use std::net::IpAddr;
+use std::ops::ControlFlow;
 
-/// Connections accepted in one turn on each listener.
-const ACCEPTS: usize = 128;
-/// Connections turned away that are held at once until what came on them is answered, an eighth of all at most.
-const REFUSED_HELD: usize = 16;
+/// Connections accepted in one iteration on each listener.
+const MAX_ACCEPTS: usize = 128;
+/// Rejected connections that are held at once until what came on them has its response.
+const MAX_REJECTED: usize = 16;
+/// Of all connections, one in so many may be a rejected one.
+const CONNECTIONS_PER_REJECTED: usize = 8;
 /// Wait after the system had no descriptor for a new connection.
 pub(super) const ACCEPT_PAUSE: Micros = 50_000;
-/// Wait where known callers that were turned away fill what is held of such.
-const REFUSED_PAUSE: Micros = 2_000;
+/// Wait while rejected clients that are known take up all the room for rejected connections.
+const REJECTED_PAUSE: Micros = 2_000;
 
-/// Who came, and how.
-struct Caller {
+/// Whether connections are accepted.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AcceptState {
+    Accepting,
+    /// Nothing is accepted; the connections stay.
+    Paused,
+    /// Another process accepts, and the connections are sent to it.
+    Yielding,
+}
+
+/// What is decided on with every new connection.
+pub(super) struct Acceptor<H: Host> {
+    pub(super) max_connections: usize,
+    state: AcceptState,
+    /// Nothing is accepted before this time.
+    pub(super) accept_at: Micros,
+    /// None where slots go to whoever comes first.
+    pub(super) admission: Option<Admission>,
+    /// Connections that are rejected and not closed yet.
+    pub(super) rejected_count: usize,
+    /// A descriptor for the moment at which no other is left, where it matters who comes then.
+    pub(super) reserved_descriptor: Option<H::ReservedDescriptor>,
+}
+
+impl<H: Host> Acceptor<H> {
+    pub(super) fn new(max_connections: usize) -> Self {
+        Self {
+            max_connections,
+            state: AcceptState::Accepting,
+            accept_at: 0,
+            admission: None,
+            rejected_count: 0,
+            reserved_descriptor: None,
+        }
+    }
+
+    pub(super) fn pause(&mut self) {
+        if self.state == AcceptState::Accepting {
+            self.state = AcceptState::Paused;
+        }
+    }
+
+    pub(super) fn resume(&mut self) {
+        self.state = AcceptState::Accepting;
+    }
+
+    pub(super) fn begin_yield(&mut self) {
+        self.state = AcceptState::Yielding;
+    }
+
+    pub(super) fn is_accepting(&self) -> bool {
+        self.state == AcceptState::Accepting
+    }
+
+    pub(super) fn is_yielding(&self) -> bool {
+        self.state == AcceptState::Yielding
+    }
+
+    pub(super) fn on_closed(&mut self, number: u64, is_rejected: bool) {
+        self.rejected_count -= usize::from(is_rejected);
+        if let Some(admission) = &mut self.admission {
+            admission.leave(number);
+        }
+    }
+
+    /// Reserves a descriptor for the moment at which no other is left.
+    pub(super) fn reserve_descriptor(&mut self, host: &H) {
+        if self.reserved_descriptor.is_none() && self.admission.is_some() {
+            self.reserved_descriptor = host.reserve_descriptor().ok();
+        }
+    }
+
+    /// Frees the reserved descriptor; returns false where there was none.
+    fn free_reserved_descriptor(&mut self) -> bool {
+        let reserved = self.reserved_descriptor.take();
+        let was_reserved = reserved.is_some();
+        if is_bug_injected(InjectedBug::SpareDescriptorLeaked) {
+            std::mem::forget(reserved);
+        }
+        was_reserved
+    }
+
+    /// Returns how many rejected connections are held at once: a part of the limit, so that they
+    /// take no descriptor beyond it.
+    fn max_rejected(&self) -> usize {
+        MAX_REJECTED
+            .min(self.max_connections / CONNECTIONS_PER_REJECTED)
+            .max(1)
+    }
+
+    fn is_rejected_full(&self) -> bool {
+        self.rejected_count >= self.max_rejected()
+    }
+
+    /// Returns how many connections may have a slot.
+    fn slot_count(&self, is_short_of_descriptors: bool) -> usize {
+        let reserved = self.max_rejected().min(self.max_connections - 1);
+        let slot_count = self.max_connections - reserved;
+        match &self.admission {
+            // Where no descriptor is left, all slots there are are taken.
+            Some(admission) if is_short_of_descriptors => admission.len().min(slot_count),
+            _ => slot_count,
+        }
+    }
+}
+
+/// A connection as it was accepted.
+struct AcceptedConnection<H: Host> {
+    number: u64,
+    stream: BufferedConnection<H>,
     address: IpAddr,
-    /// The spare descriptor was given up for it: no other is left.
-    short: bool,
+    /// The reserved descriptor was freed for it: no other is left.
+    is_short_of_descriptors: bool,
+}
+
+/// Whether a client gets a connection slot, and how its address is known.
+enum Admitted {
+    Yes(Known),
+    No(Known),
 }
 
 impl<H: Host> ClientListener<H> {
-    pub(super) fn accept(&mut self, now: Micros, facts: &mut Vec<Event>) {
-        for place in 0..self.doors.len() {
-            if now < self.accept_at || self.resting {
+    /// Accepts the connections that wait on all listeners.
+    pub(super) fn accept(&mut self, now: Micros, events: &mut Vec<Event>) {
+        for index in 0..self.addresses.len() {
+            if now < self.acceptor.accept_at || !self.acceptor.is_accepting() {
                 return;
             }
-            self.accept_at_door(place, now, facts);
+            self.accept_on(index, now, events);
         }
-        if self.parting && !self.doors.is_empty() && !self.acceptable() {
-            self.doors.clear();
+        if self.shutdown.is_stop_near && !self.addresses.is_empty() && !self.is_acceptable() {
+            self.addresses.clear();
         }
     }
 
-    fn accept_at_door(&mut self, place: usize, now: Micros, facts: &mut Vec<Event>) {
-        // Those that got no place and are still held have been read since the turn in which they came: where none can go,
-        // all of them owe an answer. Strangers are closed unread then; a known caller is held beyond the others, and while
-        // one is, whoever comes waits with the system.
-        let stuck = self.refused >= self.held() && !self.forget_refused(facts);
-        if stuck && self.refused > self.held() {
-            self.accept_at = now + REFUSED_PAUSE;
+    fn accept_on(&mut self, index: usize, now: Micros, events: &mut Vec<Event>) {
+        // Rejected connections have been read since the iteration that accepted them: where none of
+        // them can be closed, all have pending responses. Unknown clients are then closed unread; a
+        // known one is held beyond the limit, and while one is, new connections wait with the
+        // system.
+        let is_stuck = self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events);
+        if is_stuck && self.acceptor.rejected_count > self.acceptor.max_rejected() {
+            self.acceptor.accept_at = now + REJECTED_PAUSE;
             return;
         }
-        for _ in 0..ACCEPTS {
-            if !self.doors[place].acceptable {
-                return;
-            }
-            // Those beyond the bound wait with the system, where they cost us nothing; but where it matters who comes, a known
-            // caller may stand behind them, and only accepting tells.
-            let full = self.peers.len() >= self.most && self.admission.is_none();
-            if full && !self.make_room(now, facts) {
-                self.accept_at = now + ACCEPT_PAUSE;
+        for _ in 0..MAX_ACCEPTS {
+            if self.accept_next(index, now, is_stuck, events).is_break() {
                 return;
             }
-            // Those that came in this turn are read first.
-            if !stuck && self.refused >= self.held() && !self.forget_refused(facts) {
-                return;
+        }
+    }
+
+    fn accept_next(
+        &mut self,
+        index: usize,
+        now: Micros,
+        is_stuck: bool,
+        events: &mut Vec<Event>,
+    ) -> ControlFlow<()> {
+        if !self.addresses[index].is_acceptable {
+            return ControlFlow::Break(());
+        }
+        // Connections beyond the limit wait with the system, where they cost nothing; but where it
+        // matters who comes, a known client may wait behind them, and only accepting shows that.
+        let is_full = self.connections.len() >= self.acceptor.max_connections;
+        if is_full && self.acceptor.admission.is_none() && !self.free_connection_slot(now, events) {
+            self.acceptor.accept_at = now + ACCEPT_PAUSE;
+            return ControlFlow::Break(());
+        }
+        // Rejected connections of this iteration are read first.
+        if !is_stuck && self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events) {
+            return ControlFlow::Break(());
+        }
+        let Some(accepted) = self.accept_connection(index, now, events)? else {
+            return ControlFlow::Continue(());
+        };
+        let is_short_of_descriptors = accepted.is_short_of_descriptors;
+        self.assign_slot(index, now, accepted, is_stuck, events);
+        if is_short_of_descriptors {
+            self.acceptor.reserve_descriptor(&self.host);
+        }
+        if self.acceptor.rejected_count > self.acceptor.max_rejected() {
+            return ControlFlow::Break(());
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Accepts one connection; none where its client is gone already.
+    fn accept_connection(
+        &mut self,
+        index: usize,
+        now: Micros,
+        events: &mut Vec<Event>,
+    ) -> ControlFlow<(), Option<AcceptedConnection<H>>> {
+        let number = self.last_number + 1;
+        let owner = SocketOwner::ClientConnection(number);
+        let entry = &mut self.addresses[index];
+        let Some(listener) = &entry.listener else {
+            entry.is_acceptable = false;
+            return ControlFlow::Break(());
+        };
+        let mut is_short_of_descriptors = false;
+        let mut accepted = self.host.accept(listener, owner);
+        if accepted.as_ref().is_err_and(|error| !is_transient(error))
+            && self.acceptor.free_reserved_descriptor()
+        {
+            // The client may be known or not, and only accepting shows that. The system reports that
+            // it has no descriptor also where nobody waits.
+            is_short_of_descriptors = true;
+            accepted = self.host.accept(listener, owner);
+        }
+        match accepted {
+            Ok((stream, address)) => {
+                self.last_number = number;
+                ControlFlow::Continue(Some(AcceptedConnection {
+                    number,
+                    stream: BufferedConnection::new(stream),
+                    address,
+                    is_short_of_descriptors,
+                }))
             }
-            let number = self.numbers + 1;
-            let door = &mut self.doors[place];
-            let Some(listener) = &door.listener else {
-                door.acceptable = false;
-                return;
-            };
-            let mut short = false;
-            let mut accepted = self
-                .world
-                .accept(listener, SocketOwner::ClientConnection(number));
-            if accepted.as_ref().is_err_and(|e| !is_passing(e)) && give_up(self.spare.take()) {
-                // The descriptor that is kept for that: who waits is known or not, and only accepting tells. The system says
-                // that it has none also where nobody waits.
-                short = true;
-                accepted = self
-                    .world
-                    .accept(listener, SocketOwner::ClientConnection(number));
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                entry.is_acceptable = false;
+                self.acceptor.reserve_descriptor(&self.host);
+                ControlFlow::Break(())
             }
-            let (stream, address) = match accepted {
-                Ok(accepted) => accepted,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    door.acceptable = false;
-                    self.keep_spare();
-                    return;
-                }
-                Err(e) if is_passing(&e) => {
-                    self.keep_spare();
-                    continue;
-                }
-                Err(e) => {
-                    // Guards against a loop at full speed while descriptors are short.
-                    tracing::warn!("no connection accepted for a while: {e}");
-                    self.make_room(now, facts);
-                    self.keep_spare();
-                    self.accept_at = now + ACCEPT_PAUSE;
-                    if is_bug_injected(InjectedBug::AcceptNotResumed) {
-                        self.accept_at = Micros::MAX;
-                    }
-                    return;
-                }
-            };
-            let caller = Caller { address, short };
-            self.numbers = number;
-            self.let_in(
-                place,
-                now,
-                BufferedConnection::new(stream),
-                &caller,
-                stuck,
-                facts,
-            );
-            if caller.short {
-                self.keep_spare();
+            Err(error) if is_transient(&error) => {
+                self.acceptor.reserve_descriptor(&self.host);
+                ControlFlow::Continue(None)
             }
-            if self.refused > self.held() {
-                return;
+            Err(error) => {
+                self.pause_after_failure(now, &error, events);
+                ControlFlow::Break(())
             }
         }
     }
 
-    /// Has a descriptor kept for the moment at which no other is left.
-    pub(super) fn keep_spare(&mut self) {
-        if self.spare.is_none() && self.admission.is_some() {
-            self.spare = self.world.reserve_descriptor().ok();
+    /// Guards against a loop at full speed while descriptors are short.
+    fn pause_after_failure(&mut self, now: Micros, error: &io::Error, events: &mut Vec<Event>) {
+        tracing::warn!(%error, "no connection accepted for a while");
+        self.free_connection_slot(now, events);
+        self.acceptor.reserve_descriptor(&self.host);
+        self.acceptor.accept_at = now + ACCEPT_PAUSE;
+        if is_bug_injected(InjectedBug::AcceptNotResumed) {
+            self.acceptor.accept_at = Micros::MAX;
         }
     }
 
-    /// Gives a connection its place, or turns it away. `stuck` tells that those turned away before all owe an answer.
-    fn let_in(
+    /// Gives a connection its slot, or rejects it.
+    fn assign_slot(
         &mut self,
-        place: usize,
+        index: usize,
         now: Micros,
-        mut conn: BufferedConnection<H>,
-        caller: &Caller,
-        stuck: bool,
-        facts: &mut Vec<Event>,
+        accepted: AcceptedConnection<H>,
+        is_stuck: bool,
+        events: &mut Vec<Event>,
     ) {
-        let number = self.numbers;
-        let mut machine = self.doors[place].speaks.machine(now, caller.address);
-        let secure = self.doors[place].secure;
-        let known = self.admit(now, caller, facts);
-        let (good, feedback) = (self.good, self.feedback);
-        let context = Context {
-            now,
-            number,
-            classes: &self.classes,
-            good,
-            feedback,
-        };
-        let names = Vec::new();
-        match known {
-            Ok(known) => {
-                if secure {
-                    conn.set_tls(TlsLayer::new());
-                    if let Some(handshakes) = &mut self.handshakes {
-                        handshakes.accepted(now, number);
-                    }
-                }
-                if let Some(admission) = &mut self.admission {
-                    admission.enter(now, number, caller.address, known);
-                }
-                if self.leaving {
-                    machine.leave(&context, conn.output());
-                }
-                if self.parting {
-                    machine.part(&context, conn.output());
-                }
-                self.peers.insert(
-                    number,
-                    Peer {
-                        conn,
-                        machine,
-                        lingers: None,
-                        known,
-                        names,
-                        over: false,
-                    },
-                );
-            }
-            // Nothing can be asked before a handshake: the alert is all.
-            Err(_) if secure => {
-                conn.output().extend_from_slice(&BUSY_ALERT);
-                say_at_once(&mut conn);
-            }
-            Err(known) => {
-                // A word where the protocol has one.
-                machine.part(&context, conn.output());
-                if (caller.short || stuck) && known == Known::Unknown {
-                    // Nothing of it was read: what it asks has failed, and is not turned away. For a known caller the spare
-                    // descriptor is worth having.
-                    return say_at_once(&mut conn);
-                }
-                // What came with the connection is read and answered, for closing over it would lose it, and a keyed request
-                // among it may have run before.
-                conn.on_readiness(Readiness {
-                    readable: true,
-                    writable: true,
-                });
-                self.peers.insert(
-                    number,
-                    Peer {
-                        conn,
-                        machine,
-                        lingers: None,
-                        known,
-                        names,
-                        over: true,
-                    },
-                );
-                self.refused += 1;
-                self.noted.push(number);
+        let entry = &self.addresses[index];
+        let machine = entry.protocol.create_machine(now, accepted.address);
+        let is_secure = entry.is_secure;
+        match self.admit(now, &accepted, events) {
+            Admitted::Yes(known) => self.add_connection(now, accepted, machine, known, is_secure),
+            // Before a handshake there are no requests: the alert is all that can be sent.
+            Admitted::No(_) if is_secure => {
+                let mut stream = accepted.stream;
+                stream.output().extend_from_slice(&BUSY_ALERT);
+                flush_unread(&mut stream);
             }
+            Admitted::No(known) => self.reject(now, accepted, machine, known, is_stuck),
         }
     }
 
-    /// Connections that got no place and are held at once: part of the bound, so that they take no descriptor beyond it.
-    fn held(&self) -> usize {
-        REFUSED_HELD.min(self.most / 8).max(1)
+    fn add_connection(
+        &mut self,
+        now: Micros,
+        accepted: AcceptedConnection<H>,
+        mut machine: ProtocolMachine,
+        known: Known,
+        is_secure: bool,
+    ) {
+        let AcceptedConnection {
+            number,
+            mut stream,
+            address,
+            ..
+        } = accepted;
+        if is_secure {
+            stream.set_tls(TlsLayer::new());
+            self.tls.on_accepted(now, number);
+        }
+        if let Some(admission) = &mut self.acceptor.admission {
+            admission.enter(now, number, address, known);
+        }
+        let context = self.context.at(now, number);
+        if self.shutdown.has_begun {
+            machine.leave(&context, stream.output());
+        }
+        if self.shutdown.is_stop_near {
+            machine.part(&context, stream.output());
+        }
+        let connection = ClientConnection::new(stream, machine, known, false);
+        self.connections.insert(number, connection);
     }
 
-    /// Closes the oldest connection that got no place and owes nothing, where there is one: a flood that holds its
-    /// connections would else keep them for as long as what they sent is read away, and the door shut.
-    fn forget_refused(&mut self, facts: &mut Vec<Event>) -> bool {
-        // What came on it is read and answered, or thrown away once our end is closed: closing it loses nothing.
-        let owes = |peer: &Peer<H>| {
-            let unread = peer.lingers.is_none() && !peer.conn.is_drained();
-            peer.machine.status().open > 0 || peer.conn.unsent() > 0 || unread
+    /// Asks a connection without a slot to close, where its protocol can, and holds it until what
+    /// came on it has its response.
+    fn reject(
+        &mut self,
+        now: Micros,
+        accepted: AcceptedConnection<H>,
+        mut machine: ProtocolMachine,
+        known: Known,
+        is_stuck: bool,
+    ) {
+        let AcceptedConnection {
+            number, mut stream, ..
+        } = accepted;
+        machine.part(&self.context.at(now, number), stream.output());
+        if (accepted.is_short_of_descriptors || is_stuck) && known == Known::Unknown {
+            // Nothing is read of it: its requests have failed, and are not rejected. For a known
+            // client the reserved descriptor is worth having.
+            return flush_unread(&mut stream);
+        }
+        // What came with the connection is read and gets its response: closing would lose it, and a
+        // request with an idempotency key among it may have run before.
+        stream.on_readiness(Readiness {
+            readable: true,
+            writable: true,
+        });
+        let connection = ClientConnection::new(stream, machine, known, true);
+        self.connections.insert(number, connection);
+        self.acceptor.rejected_count += 1;
+        self.ready.push(number);
+    }
+
+    /// Closes the oldest rejected connection without a pending response; returns false where there
+    /// is none. Guards against a flood that holds its connections, which would keep them for as long
+    /// as what they sent is read away, while nothing is accepted.
+    fn close_oldest_rejected(&mut self, events: &mut Vec<Event>) -> bool {
+        // What came on it has its response, or is discarded once the write side is closed: closing
+        // loses nothing.
+        let has_pending = |connection: &ClientConnection<H>| {
+            let is_unread = !connection.is_lingering() && !connection.stream.is_drained();
+            connection.machine.status().open > 0 || connection.stream.unsent() > 0 || is_unread
         };
         let oldest = self
-            .peers
+            .connections
             .iter()
-            .find(|(_, peer)| peer.over && !owes(peer))
+            .find(|(_, connection)| connection.is_rejected && !has_pending(connection))
             .map(|(number, _)| *number);
-        oldest
-            .inspect(|&number| self.close(number, facts))
-            .is_some()
+        let Some(number) = oldest else {
+            return false;
+        };
+        self.close(number, events);
+        true
     }
 
-    /// Whether a caller gets a place, and how it is known; another may lose its own for it.
+    /// Decides whether a client gets a connection slot; another may lose its own to it.
     fn admit(
         &mut self,
         now: Micros,
-        caller: &Caller,
-        facts: &mut Vec<Event>,
-    ) -> Result<Known, Known> {
-        let places = self.most - self.held().min(self.most - 1);
-        let Some(admission) = &mut self.admission else {
-            return Ok(Known::Unknown);
-        };
-        // Where no descriptor is left, all places there are are taken.
-        let places = if caller.short {
-            admission.len().min(places)
-        } else {
-            places
+        accepted: &AcceptedConnection<H>,
+        events: &mut Vec<Event>,
+    ) -> Admitted {
+        let address = accepted.address;
+        let slot_count = self.acceptor.slot_count(accepted.is_short_of_descriptors);
+        let Some(admission) = &mut self.acceptor.admission else {
+            return Admitted::Yes(Known::Unknown);
         };
-        let peers = &self.peers;
-        let spare = |number: u64| {
-            peers.get(&number).is_some_and(|peer| {
-                let status = peer.machine.status();
-                status.open == 0
-                    && (peer.lingers.is_some() || !status.spoken || status.waits.is_none())
+        let connections = &self.connections;
+        let may_lose_slot = |number: u64| {
+            let connection = connections.get(&number);
+            connection.is_some_and(|connection| {
+                let status = connection.machine.status();
+                let is_unused =
+                    connection.is_lingering() || !status.spoken || status.waits.is_none();
+                status.open == 0 && is_unused
             })
         };
-        match admission.decide(now, caller.address, places, spare) {
-            Decision::Admit(known) => Ok(known),
+        match admission.decide(now, address, slot_count, may_lose_slot) {
+            Decision::Admit(known) => Admitted::Yes(known),
             Decision::Instead(number, known) => {
-                self.close(number, facts);
-                Ok(known)
+                self.close(number, events);
+                Admitted::Yes(known)
             }
-            Decision::Refuse(why) => {
-                let known = admission.known(now, caller.address);
-                tracing::debug!(
-                    "a connection from {} gets no place: {why:?}",
-                    caller.address
-                );
-                Err(known)
+            Decision::Refuse(reason) => {
+                let known = admission.known(now, address);
+                tracing::debug!(%address, ?reason, "a connection gets no slot");
+                Admitted::No(known)
             }
         }
     }
 }
 
-/// Frees the descriptor that was kept; false where there was none.
-fn give_up<S>(spare: Option<S>) -> bool {
-    let kept = spare.is_some();
-    if is_bug_injected(InjectedBug::SpareDescriptorLeaked) {
-        std::mem::forget(spare);
-    }
-    kept
-}
-
-/// Nothing is short: nobody waits, or whoever waited is gone.
-fn is_passing(e: &io::Error) -> bool {
+/// Returns true where no descriptor is short: nobody waits, or the client that waited is gone.
+fn is_transient(error: &io::Error) -> bool {
     matches!(
-        e.kind(),
+        error.kind(),
         ErrorKind::WouldBlock | ErrorKind::Interrupted | ErrorKind::ConnectionAborted
     )
 }
 
-/// Says what is to be said as far as the system takes it now; nothing is read.
-fn say_at_once<H: Host>(conn: &mut BufferedConnection<H>) {
-    conn.on_readiness(Readiness {
+/// Sends the output as far as the system takes it at once; nothing is read.
+fn flush_unread<H: Host>(stream: &mut BufferedConnection<H>) {
+    stream.on_readiness(Readiness {
         readable: false,
         writable: true,
     });
-    let _ = conn.flush();
+    let _ = stream.flush();
 }
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -1,6 +1,6 @@
-//! A connection of the client side: its bytes, its state machine, and when it is over.
+//! A connection of a client: its bytes, its state machine, and when it is over.
 
-use super::front_protocol::Spoken;
+use super::front_protocol::ProtocolMachine;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::Host;
 use cleatpulley_connection_admission::admit::Known;
@@ -10,120 +10,187 @@
 use cleatpulley_protocol::machine::{Context, Standing};
 use std::io;
 
-/// Bytes read from a connection in one turn, so that a loud peer blocks nobody.
-const READ_AT_ONCE: usize = 65_536;
-/// A peer that leaves so much unread is not read from: its answers would pile up here. What its open requests
-/// still get comes on top.
-const UNREAD: usize = 32_768;
-/// After our end is closed, what the peer sent before is read away for so long: closing over unread bytes
-/// would take back answers on their way.
-const LINGER: Micros = 2_000_000;
-/// A connection turned away is closed after this, once what came on it is answered: twice the time within which a front
-/// end sends once more what crossed the word to part.
-const REFUSED_LINGER: Micros = 100_000;
-/// Where no place is left, a connection that was accepted or told to close so lately keeps its place: what it
-/// sent may be on its way.
-pub(super) const FAIR: Micros = 50_000;
-
-pub(super) struct Peer<H: Host> {
-    pub(super) conn: BufferedConnection<H>,
-    pub(super) machine: Spoken,
-    /// Since when our end is closed; what still comes is thrown away.
-    pub(super) lingers: Option<Micros>,
+/// Bytes read from a connection in one iteration, so that a busy client blocks nobody.
+const READ_LIMIT: usize = 65_536;
+/// A client that leaves so many bytes unread is not read from: its responses would pile up here.
+/// The responses to its open requests come on top.
+const MAX_UNSENT_BYTES: usize = 32_768;
+/// After the write side is closed, what the client sent before is read away for this time: closing
+/// over unread bytes would take back responses on their way.
+const LINGER_TIME: Micros = 2_000_000;
+/// A rejected connection is closed after this time, once what came on it has its response: twice
+/// the time within which a client repeats what crossed the notice to close.
+const REJECTED_LINGER_TIME: Micros = 100_000;
+/// Where no connection slot is left, a connection that was accepted or asked to close within this
+/// time keeps its slot: what it sent may be on its way.
+pub(super) const MIN_SLOT_TIME: Micros = 50_000;
+
+/// A connection of a client.
+pub(super) struct ClientConnection<H: Host> {
+    pub(super) stream: BufferedConnection<H>,
+    pub(super) machine: ProtocolMachine,
+    /// Since when the write side is closed; what still arrives is discarded.
+    pub(super) lingering_since: Option<Micros>,
     /// How its address is known.
     pub(super) known: Known,
-    /// The names of the certificate it showed, where it spoke TLS.
-    pub(super) names: Vec<String>,
-    /// It got no place, or its name is over its cap: it is told to part, and closed soon after what came on it is
-    /// answered.
-    pub(super) over: bool,
+    /// The names of its certificate, where it spoke TLS.
+    pub(super) certificate_names: Vec<String>,
+    /// It got no connection slot, or its name has too many: it is asked to close, and closed soon
+    /// after what came on it has its response.
+    pub(super) is_rejected: bool,
 }
 
+/// What is to be done with a connection that was served.
 #[derive(PartialEq)]
-pub(super) enum Next {
+pub(super) enum NextAction {
     Wait,
-    Again,
+    ReadAgain,
     Close,
 }
 
-impl<H: Host> Peer<H> {
+/// In which order connections give up their slots.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum EvictionRank {
+    /// Its write side is closed.
+    Lingering,
+    /// It was asked to close, or is lost.
+    Closing,
+    /// It never sent a complete message.
+    Silent,
+}
+
+/// When a connection may give up its slot for another.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct EvictionOrder {
+    rank: EvictionRank,
+    since: Micros,
+}
+
+impl<H: Host> ClientConnection<H> {
+    pub(super) fn new(
+        stream: BufferedConnection<H>,
+        machine: ProtocolMachine,
+        known: Known,
+        is_rejected: bool,
+    ) -> Self {
+        Self {
+            stream,
+            machine,
+            lingering_since: None,
+            known,
+            certificate_names: Vec::new(),
+            is_rejected,
+        }
+    }
+
+    pub(super) fn is_lingering(&self) -> bool {
+        self.lingering_since.is_some()
+    }
+
+    /// Sends and reads. Requests that are complete are appended to `arrivals`.
+    ///
+    /// # Errors
+    /// Why the connection broke.
     pub(super) fn serve(
         &mut self,
         context: &Context,
         arrivals: &mut Vec<IncomingRequest>,
-    ) -> io::Result<Next> {
-        let mut more = false;
-        self.conn.flush()?;
-        if self.conn.unsent() < UNREAD {
-            more = self.conn.read(READ_AT_ONCE)?;
-            let input = std::mem::take(&mut self.conn.input);
-            let used = match self.lingers {
-                Some(_) => input.len(),
-                None => self
-                    .machine
-                    .receive(context, &input, self.conn.output(), arrivals),
-            };
-            self.conn.input = input;
-            self.conn.consume(used);
+    ) -> io::Result<NextAction> {
+        let mut has_more = false;
+        self.stream.flush()?;
+        if self.stream.unsent() < MAX_UNSENT_BYTES {
+            has_more = self.stream.read(READ_LIMIT)?;
+            self.receive(context, arrivals);
         }
-        self.conn.flush()?;
+        self.stream.flush()?;
         let now = context.now;
-        if self.rests(now) {
-            self.conn.shutdown_write();
-            self.lingers = Some(now);
+        if self.is_finished(now) {
+            self.stream.shutdown_write();
+            self.lingering_since = Some(now);
         }
-        if let Some(since) = self.lingers {
-            if self.conn.ended || now >= since + LINGER {
-                return Ok(Next::Close);
+        if let Some(since) = self.lingering_since {
+            if self.stream.ended || now >= since + LINGER_TIME {
+                return Ok(NextAction::Close);
             }
         }
-        Ok(if more { Next::Again } else { Next::Wait })
+        Ok(if has_more {
+            NextAction::ReadAgain
+        } else {
+            NextAction::Wait
+        })
     }
 
-    /// Tells the peer to close where nothing is on its way. Guards what is being written on it: its front end could only
-    /// send it once more.
+    fn receive(&mut self, context: &Context, arrivals: &mut Vec<IncomingRequest>) {
+        let input = std::mem::take(&mut self.stream.input);
+        let used = if self.is_lingering() {
+            input.len()
+        } else {
+            let output = self.stream.output();
+            self.machine.receive(context, &input, output, arrivals)
+        };
+        self.stream.input = input;
+        self.stream.consume(used);
+    }
+
+    /// Asks the client to close where no request is on its way. Guards a request that is being
+    /// written: the client could only send it again.
     pub(super) fn send_away(&mut self, context: &Context) {
-        let status = self.machine.status();
-        let rests = status.spoken && status.waits.is_none() && self.lingers.is_none();
-        if status.standing == Standing::Open && rests {
-            self.machine.part(context, self.conn.output());
+        let has_request_on_its_way = self.machine.status().waits.is_some();
+        if self.is_open_and_used() && !has_request_on_its_way && !self.is_lingering() {
+            self.machine.part(context, self.stream.output());
         }
     }
 
-    /// A part of a message has come.
-    fn is_halfway(&self) -> bool {
+    /// Returns true where the connection was used and not asked to close yet.
+    pub(super) fn is_open_and_used(&self) -> bool {
+        let status = self.machine.status();
+        status.standing == Standing::Open && status.spoken
+    }
+
+    /// Returns true where the connection stays: it was not asked to close, nor is it lost.
+    pub(super) fn is_open(&self) -> bool {
+        !self.is_lingering() && self.machine.status().standing == Standing::Open
+    }
+
+    /// Returns true where a part of a message has arrived.
+    fn has_partial_message(&self) -> bool {
         let status = self.machine.status();
-        status.waits.is_some() && (status.spoken || !self.conn.input.is_empty())
+        status.waits.is_some() && (status.spoken || !self.stream.input.is_empty())
     }
 
-    /// Where its place may be given up: in which order, and since when.
-    pub(super) fn spare_since(&self, now: Micros) -> Option<(u8, Micros)> {
+    /// Returns when the connection may give up its slot; none where it may not.
+    pub(super) fn eviction_order(&self, now: Micros) -> Option<EvictionOrder> {
         let status = self.machine.status();
-        let (rank, since) = match (self.lingers, status.standing) {
-            _ if status.open > 0 => return None,
-            (Some(since), _) => (0, since),
-            (None, Standing::Parting(since)) => (1, since),
-            (None, Standing::Lost) => (1, status.used),
-            (None, Standing::Open) if !status.spoken => (2, status.waits.unwrap_or(now)),
+        if status.open > 0 {
+            return None;
+        }
+        let (rank, since) = match (self.lingering_since, status.standing) {
+            (Some(since), _) => (EvictionRank::Lingering, since),
+            (None, Standing::Parting(since)) => (EvictionRank::Closing, since),
+            (None, Standing::Lost) => (EvictionRank::Closing, status.used),
+            (None, Standing::Open) if !status.spoken => {
+                (EvictionRank::Silent, status.waits.unwrap_or(now))
+            }
             (None, Standing::Open) => return None,
         };
-        (now >= since + FAIR).then_some((rank, since))
+        (now >= since + MIN_SLOT_TIME).then_some(EvictionOrder { rank, since })
     }
 
-    /// Nothing is owed, and no more may come.
-    pub(super) fn rests(&self, now: Micros) -> bool {
+    /// Returns true where no response is pending and no request may arrive any more, so that the
+    /// write side is to be closed.
+    pub(super) fn is_finished(&self, now: Micros) -> bool {
         let status = self.machine.status();
-        let over = match status.standing {
-            Standing::Open => self.conn.ended,
-            Standing::Parting(since) if self.over => {
-                self.conn.ended || now >= since + REFUSED_LINGER
+        let may_receive = match status.standing {
+            Standing::Open => !self.stream.ended,
+            Standing::Parting(since) if self.is_rejected => {
+                !self.stream.ended && now < since + REJECTED_LINGER_TIME
             }
-            // What had begun to come by then has the machine's time to come whole.
+            // A message of which a part had arrived by then has the machine's time to be complete.
             Standing::Parting(since) => {
-                self.conn.ended || (now >= since + PARTING && !self.is_halfway())
+                !self.stream.ended && (now < since + PARTING || self.has_partial_message())
             }
-            Standing::Lost => true,
+            Standing::Lost => false,
         };
-        self.lingers.is_none() && over && status.open == 0 && self.conn.unsent() == 0
+        !self.is_lingering() && !may_receive && status.open == 0 && self.stream.unsent() == 0
     }
 }
--- /dev/null
+++ b/crates/server/src/client_listener/eviction.rs
@@ -0,0 +1,149 @@
+//! Giving up connection slots: for new connections, by idle timeouts, and while slots run short.
+
+use super::client_connection::ClientConnection;
+use super::ClientListener;
+use crate::host::{Host, Readiness};
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::interface::Micros;
+
+/// Interval at which idle and closing connections are looked for.
+pub(super) const SWEEP_INTERVAL: Micros = 100_000;
+/// A sweep that is late by this time follows a pause of the machine, which is no silence of the
+/// clients.
+const PAUSE_THRESHOLD: Micros = 1_000_000;
+/// Beyond this share of the slots, idle connections are asked to close, the longest idle first.
+const SHORTAGE_SHARE: f64 = 0.75;
+/// An idle connection that was used within this time is not asked to: its client may be about to
+/// use it.
+const RECENT_USE: Micros = 300_000;
+
+/// When connections are swept, and which of them count as idle.
+#[derive(Default)]
+pub(super) struct Sweeper {
+    pub(super) sweep_at: Micros,
+    /// None while idle connections are kept.
+    pub(super) idle_timeout: Option<Micros>,
+}
+
+impl Sweeper {
+    pub(super) fn is_due(&self, now: Micros) -> bool {
+        now >= self.sweep_at
+    }
+}
+
+impl<H: Host> ClientListener<H> {
+    /// Closes a connection without open requests, if there is one: first those that only wait for
+    /// their end, then those that never sent a complete message, the oldest first. Guards against
+    /// clients that take all slots and send nothing, while others wait to be accepted.
+    pub(super) fn free_connection_slot(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
+        while let Some(number) = self.next_evictable(now) {
+            // What it sent may have arrived since it was last read: closing would lose that.
+            if let Some(connection) = self.connections.get_mut(&number) {
+                connection.stream.on_readiness(Readiness {
+                    readable: true,
+                    writable: false,
+                });
+            }
+            self.serve(now, number, events);
+            let Some(connection) = self.connections.get(&number) else {
+                return true;
+            };
+            if connection.eviction_order(now).is_some() {
+                self.close(number, events);
+                return true;
+            }
+        }
+        false
+    }
+
+    fn next_evictable(&self, now: Micros) -> Option<u64> {
+        let evictable = self.connections.iter().filter_map(|(number, connection)| {
+            let order = connection.eviction_order(now)?;
+            Some((order, *number))
+        });
+        evictable.min().map(|(_, number)| number)
+    }
+
+    /// Looks after all connections: deadlines, idle timeouts, and the limit of connections.
+    pub(super) fn sweep(&mut self, now: Micros, events: &mut Vec<Event>) {
+        self.acceptor.reserve_descriptor(&self.host);
+        // Connections that could not be closed yet when the limit was lowered.
+        self.set_connection_limit(now, self.acceptor.max_connections, events);
+        if self.acceptor.is_yielding() {
+            self.send_away(now);
+        }
+        let was_paused = now >= self.sweeper.sweep_at + PAUSE_THRESHOLD;
+        self.sweeper.sweep_at = now + SWEEP_INTERVAL;
+        self.expire_connections(now, was_paused);
+        self.close_idle_in_shortage(now);
+    }
+
+    fn expire_connections(&mut self, now: Micros, was_paused: bool) {
+        for (&number, connection) in &mut self.connections {
+            if connection.is_lingering() {
+                self.ready.push(number);
+                continue;
+            }
+            let context = self.context.at(now, number);
+            let machine = &mut *connection.machine;
+            let output = connection.stream.output();
+            if was_paused && machine.status().waits.is_some() {
+                machine.status_mut().waits = Some(now);
+            }
+            if machine.deadline().is_some_and(|deadline| now >= deadline) {
+                machine.expire(&context, output);
+            }
+            let status = machine.status();
+            let idle_timeout = self.sweeper.idle_timeout;
+            let is_timed_out = idle_timeout.is_some_and(|timeout| now >= status.used + timeout);
+            if status.is_idle() && is_timed_out {
+                machine.part(&context, output);
+            }
+            if !connection.is_open() {
+                self.ready.push(number);
+            }
+        }
+    }
+
+    /// Asks idle connections to close while slots run short.
+    fn close_idle_in_shortage(&mut self, now: Micros) {
+        let max_open = (SHORTAGE_SHARE * self.acceptor.max_connections as f64) as usize;
+        let open_count = self
+            .connections
+            .values()
+            .filter(|connection| connection.is_open())
+            .count();
+        let excess = open_count.saturating_sub(max_open);
+        if excess == 0 {
+            return;
+        }
+        for number in self.longest_idle(now, excess) {
+            if let Some(connection) = self.connections.get_mut(&number) {
+                let context = self.context.at(now, number);
+                connection
+                    .machine
+                    .part(&context, connection.stream.output());
+            }
+            self.ready.push(number);
+        }
+    }
+
+    /// Returns the numbers of the connections that are idle longest, without those used recently.
+    fn longest_idle(&self, now: Micros, count: usize) -> Vec<u64> {
+        let last_use_of_idle = |(number, connection): (&u64, &ClientConnection<H>)| {
+            let status = connection.machine.status();
+            let is_idle = !connection.is_lingering() && status.is_idle();
+            (is_idle && now >= status.used + RECENT_USE).then_some((status.used, *number))
+        };
+        let mut idle: Vec<_> = self
+            .connections
+            .iter()
+            .filter_map(last_use_of_idle)
+            .collect();
+        idle.sort_unstable();
+        idle.into_iter()
+            .take(count)
+            .map(|(_, number)| number)
+            .collect()
+    }
+}
--- a/crates/server/src/client_listener/front_protocol.rs
+++ b/crates/server/src/client_listener/front_protocol.rs
@@ -1,48 +1,50 @@
-//! What is spoken on a listening address, and the state machine of a connection there.
+//! The protocol spoken on a listening address, and the state machine of a connection there.
 
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Machine;
 use cleatpulley_protocol::{ajp, frame};
 use std::net::IpAddr;
+use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// What is spoken on a listening address.
+/// The protocol spoken on a listening address.
 #[derive(Debug, Clone)]
 pub enum FrontProtocol {
-    /// The frames of front ends.
+    /// The frames of clients.
     Frames(Rc<frame::connection::Terms>),
-    /// The same for a gateway, whose routes look for this host.
+    /// The frames of clients of a gateway, whose routes look for this host.
     Relayed(Rc<str>),
-    /// AJP/1.3, and the addresses of the proxies whose word on when a request came is believed.
+    /// AJP/1.3, and the addresses of the proxies whose time of receipt of a request is trusted.
     Ajp(Rc<ajp::server::Settings>, Rc<Vec<IpAddr>>),
 }
 
 impl FrontProtocol {
-    pub(super) fn machine(&self, now: Micros, peer: IpAddr) -> Spoken {
+    /// Creates the state machine of a connection that was accepted from this address.
+    pub(super) fn create_machine(&self, now: Micros, address: IpAddr) -> ProtocolMachine {
         match self {
             Self::Frames(terms) => {
-                Spoken::Frames(frame::connection::Connection::new(now, Rc::clone(terms)))
+                ProtocolMachine::Frames(frame::connection::Connection::new(now, Rc::clone(terms)))
             }
             Self::Relayed(host) => {
                 let connection = frame::connection::Connection::new(now, Rc::default());
-                Spoken::Frames(connection.relaying(Rc::clone(host)))
+                ProtocolMachine::Frames(connection.relaying(Rc::clone(host)))
             }
-            Self::Ajp(settings, trusted) => Spoken::Ajp(ajp::server::Connection::new(
+            Self::Ajp(settings, trusted) => ProtocolMachine::Ajp(ajp::server::Connection::new(
                 Rc::clone(settings),
                 now,
-                trusted.contains(&peer),
+                trusted.contains(&address),
             )),
         }
     }
 }
 
-/// A connection's state machine, by what it speaks.
-pub(super) enum Spoken {
+/// The state machine of a connection, by its protocol.
+pub(super) enum ProtocolMachine {
     Frames(frame::connection::Connection),
     Ajp(ajp::server::Connection),
 }
 
-impl std::ops::Deref for Spoken {
+impl Deref for ProtocolMachine {
     type Target = dyn Machine;
 
     fn deref(&self) -> &Self::Target {
@@ -53,7 +55,7 @@
     }
 }
 
-impl std::ops::DerefMut for Spoken {
+impl DerefMut for ProtocolMachine {
     fn deref_mut(&mut self) -> &mut Self::Target {
         match self {
             Self::Frames(machine) => machine,
--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -1,37 +1,40 @@
-//! The front on sockets of loopback, on a clock of the test's own: nothing is read before the test says so.
+//! The listener on loopback sockets, on a clock of the test: nothing is read before the test says
+//! so.
 
 use super::accept::ACCEPT_PAUSE;
-use super::client_connection::FAIR;
+use super::client_connection::MIN_SLOT_TIME;
+use super::eviction::SWEEP_INTERVAL;
 use super::*;
 use crate::os_host::OsHost;
 use cleatpulley_protocol::frame;
 use cleatpulley_protocol::frame::connection::PARTING;
+use cleatpulley_protocol::machine::Standing;
 use std::net::TcpStream;
 
 const SECOND: Micros = 1_000_000;
 
-/// Guards against a loop at full speed between the last goodbye and the stop.
+/// Guards against a loop at full speed between the notice of the stop and the stop.
 #[test]
-fn once_it_no_longer_listens_there_is_nothing_to_accept() {
+fn accepts_nothing_once_it_no_longer_listens() {
     let event_loop = calloop::EventLoop::try_new().expect("an event loop");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut front = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), 8);
-    front
+    let mut listener = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), 8);
+    listener
         .listen(address, FrontProtocol::Frames(Rc::default()))
         .expect("a port");
-    let mut facts = Vec::new();
-    front.notify_stop(1);
-    front.poll(1, &mut facts);
-    assert!(front.doors.is_empty());
+    let mut events = Vec::new();
+    listener.notify_stop(1);
+    listener.poll(1, &mut events);
+    assert!(listener.addresses.is_empty());
     // A connection that closes leaves room for another.
-    front.on_acceptable(0);
-    assert!(!front.poll(2, &mut facts));
+    listener.on_acceptable(0);
+    assert!(!listener.poll(2, &mut events));
 }
 
-/// Connections of a front that holds at most so many, and their other ends.
-fn crowd(
-    most: usize,
-    number: usize,
+/// A listener with a limit of connections, that many accepted connections, and their other ends.
+fn connect_clients(
+    max_connections: usize,
+    count: usize,
 ) -> (
     calloop::EventLoop<'static, Box<dyn crate::os_host::Service>>,
     ClientListener<OsHost>,
@@ -39,97 +42,106 @@
 ) {
     let event_loop = calloop::EventLoop::try_new().expect("an event loop");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut front = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), most);
-    let address = front
+    let mut listener = ClientListener::new(
+        OsHost::new(event_loop.handle()),
+        Vec::new(),
+        max_connections,
+    );
+    let address = listener
         .listen(address, FrontProtocol::Frames(Rc::default()))
         .expect("a port");
-    let ends = (0..number)
+    let ends = (0..count)
         .map(|_| TcpStream::connect(address).expect("it listens"))
         .collect();
-    front.poll(1, &mut Vec::new());
-    (event_loop, front, ends)
+    listener.poll(1, &mut Vec::new());
+    (event_loop, listener, ends)
 }
 
-fn numbers(front: &ClientListener<OsHost>) -> Vec<u64> {
-    let mut numbers: Vec<_> = front.peers.keys().copied().collect();
+fn numbers(listener: &ClientListener<OsHost>) -> Vec<u64> {
+    let mut numbers: Vec<_> = listener.connections.keys().copied().collect();
     numbers.sort_unstable();
     numbers
 }
 
 fn status(
-    front: &mut ClientListener<OsHost>,
+    listener: &mut ClientListener<OsHost>,
     number: u64,
 ) -> &mut cleatpulley_protocol::machine::Status {
-    front
-        .peers
+    listener
+        .connections
         .get_mut(&number)
         .expect("it stands")
         .machine
         .status_mut()
 }
 
-fn open(peer: &Peer<OsHost>) -> bool {
-    peer.lingers.is_none() && peer.machine.status().standing == Standing::Open
+fn is_open(connection: &ClientConnection<OsHost>) -> bool {
+    connection.lingering_since.is_none() && connection.machine.status().standing == Standing::Open
 }
 
-/// Guards against clients that take all places and say nothing.
+/// Guards against clients that take all slots and send nothing.
 #[test]
-fn the_silent_longest_makes_room_where_no_place_is_left() {
-    let (_event_loop, mut front, _ends) = crowd(2, 3);
+fn longest_silent_connection_gives_up_its_slot() {
+    let (_event_loop, mut listener, _ends) = connect_clients(2, 3);
     assert_eq!(
-        numbers(&front),
+        numbers(&listener),
         [1, 2],
         "what was accepted just now keeps its place"
     );
-    status(&mut front, 1).spoken = true;
-    front.poll(1 + ACCEPT_PAUSE, &mut Vec::new());
-    assert_eq!(numbers(&front), [1, 3]);
+    status(&mut listener, 1).spoken = true;
+    listener.poll(1 + ACCEPT_PAUSE, &mut Vec::new());
+    assert_eq!(numbers(&listener), [1, 3]);
     // A request that is open is never given up for a place.
-    status(&mut front, 3).open = 1;
+    status(&mut listener, 3).open = 1;
     let _end = TcpStream::connect(_ends[0].peer_addr().expect("an address")).expect("it listens");
-    front.on_acceptable(0);
-    front.poll(SECOND, &mut Vec::new());
-    assert_eq!(numbers(&front), [1, 3]);
+    listener.on_acceptable(0);
+    listener.poll(SECOND, &mut Vec::new());
+    assert_eq!(numbers(&listener), [1, 3]);
 }
 
-/// Guards against clients that ask once and hold their connection for good; those in use pay nothing.
+/// Guards against clients that send one request and keep their connection for good; connections in
+/// use are not affected.
 #[test]
-fn the_idle_longest_are_told_to_close_while_places_run_short() {
-    let (_event_loop, mut front, _ends) = crowd(9, 8);
-    for (number, peer) in &mut front.peers {
-        let status = peer.machine.status_mut();
+fn longest_idle_connections_are_asked_to_close_while_slots_run_short() {
+    let (_event_loop, mut listener, _ends) = connect_clients(9, 8);
+    for (number, connection) in &mut listener.connections {
+        let status = connection.machine.status_mut();
         (status.spoken, status.waits, status.used) = (true, None, *number);
     }
-    status(&mut front, 1).open = 1;
-    front.poll(SECOND, &mut Vec::new());
-    let parting = |front: &ClientListener<OsHost>| {
-        let mut parting: Vec<_> = front
-            .peers
+    status(&mut listener, 1).open = 1;
+    listener.poll(SECOND, &mut Vec::new());
+    let parting = |listener: &ClientListener<OsHost>| {
+        let mut parting: Vec<_> = listener
+            .connections
             .iter()
-            .filter(|(_, peer)| !open(peer))
+            .filter(|(_, connection)| !is_open(connection))
             .map(|(n, _)| *n)
             .collect();
         parting.sort_unstable();
         parting
     };
-    assert_eq!(parting(&front), [2, 3]);
-    front.poll(SECOND + SWEEP, &mut Vec::new());
-    assert_eq!(parting(&front), [2, 3], "six of nine places are no crowd");
+    assert_eq!(parting(&listener), [2, 3]);
+    listener.poll(SECOND + SWEEP_INTERVAL, &mut Vec::new());
+    assert_eq!(
+        parting(&listener),
+        [2, 3],
+        "six of nine places are no crowd"
+    );
 }
 
 /// Guards against taking a pause of the machine for silence.
 #[test]
-fn a_pause_is_no_silence() {
-    let (_event_loop, mut front, _ends) = crowd(8, 2);
-    front.poll(9 * SECOND, &mut Vec::new());
-    assert!(front.peers.values().all(open));
+fn pause_of_the_machine_is_no_silence_of_the_clients() {
+    let (_event_loop, mut listener, _ends) = connect_clients(8, 2);
+    listener.poll(9 * SECOND, &mut Vec::new());
+    assert!(listener.connections.values().all(is_open));
     for turn in 1..=20 {
-        front.poll(9 * SECOND + turn * SWEEP, &mut Vec::new());
+        listener.poll(9 * SECOND + turn * SWEEP_INTERVAL, &mut Vec::new());
     }
-    assert!(!front.peers.values().any(open));
+    assert!(!listener.connections.values().any(is_open));
 }
 
-/// What the event loop would tell of a connection on which something has come.
+/// What the event loop reports of a connection on which bytes have arrived.
 const READABLE: Readiness = Readiness {
     readable: true,
     writable: true,
@@ -156,26 +168,26 @@
     frame
 }
 
-/// A front with one class, and connections to it that are accepted at this time.
-fn looks(
-    most: usize,
-    number: usize,
+/// The same with one request class.
+fn connect_clients_of_class(
+    max_connections: usize,
+    count: usize,
 ) -> (
     calloop::EventLoop<'static, Box<dyn crate::os_host::Service>>,
     ClientListener<OsHost>,
     Vec<TcpStream>,
 ) {
-    let (event_loop, mut front, ends) = crowd(most, number);
-    front.classes = vec!["look".to_owned()];
-    (event_loop, front, ends)
+    let (event_loop, mut listener, ends) = connect_clients(max_connections, count);
+    listener.context.class_names = vec!["look".to_owned()];
+    (event_loop, listener, ends)
 }
 
-fn arrived(facts: &[Event]) -> Vec<u64> {
-    let id = |fact: &Event| match fact {
+fn arrived(events: &[Event]) -> Vec<u64> {
+    let id = |event: &Event| match event {
         Event::RequestRead(arrival) => Some(arrival.id),
         _ => None,
     };
-    facts.iter().filter_map(id).collect()
+    events.iter().filter_map(id).collect()
 }
 
 /// The bytes that the peer finds up to the end of the connection; a reset is an error.
@@ -186,49 +198,53 @@
     std::io::Read::read_to_end(end, &mut bytes).map(|_| bytes)
 }
 
-/// The request was written before its connection's place is wanted, and nothing was told of it yet. The other order: the
-/// place is wanted first, and there is no request: that one goes.
+/// A request was written before its connection's slot is wanted, and was not reported yet. The other
+/// order, where the slot is wanted first and there is no request: that connection is closed.
 #[test]
-fn a_place_is_not_taken_from_whoever_has_just_asked() {
-    let (_event_loop, mut front, mut ends) = looks(2, 3);
-    assert_eq!(numbers(&front), [1, 2]);
+fn slot_is_not_taken_from_a_connection_with_an_unread_request() {
+    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(2, 3);
+    assert_eq!(numbers(&listener), [1, 2]);
     std::io::Write::write_all(&mut ends[0], &request(7)).expect("it is taken");
-    let mut facts = Vec::new();
-    front.poll(1 + ACCEPT_PAUSE, &mut facts);
-    assert_eq!(arrived(&facts), [7], "the silent longest was not silent");
-    assert_eq!(numbers(&front), [1, 3], "the place was taken from the next");
+    let mut events = Vec::new();
+    listener.poll(1 + ACCEPT_PAUSE, &mut events);
+    assert_eq!(arrived(&events), [7], "the silent longest was not silent");
+    assert_eq!(
+        numbers(&listener),
+        [1, 3],
+        "the place was taken from the next"
+    );
 }
 
-/// What comes on a connection that rests until the matcher ends it: half a request before its end is told, the other half
-/// after the time for that. It is taken whole; the other order, nothing before, is no request.
+/// Half a request arrives before the notice of the stop, the other half after the time for it: the
+/// request is accepted. A connection with nothing before the notice is closed.
 #[test]
-fn half_a_request_holds_its_connection_until_it_is_whole() {
-    let (_event_loop, mut front, mut ends) = looks(8, 2);
+fn partial_request_keeps_its_connection_until_it_is_complete() {
+    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 2);
     let whole = request(9);
     let (before, after) = whole.split_at(20);
     std::io::Write::write_all(&mut ends[0], before).expect("it is taken");
-    let mut facts = Vec::new();
-    front.on_readiness(1, READABLE);
-    front.on_readiness(2, READABLE);
-    front.poll(2, &mut facts);
-    front.notify_stop(3);
-    front.poll(3, &mut facts);
-    let late = 3 + PARTING + SWEEP;
-    front.poll(late, &mut facts);
-    front.poll(late + 1, &mut facts);
+    let mut events = Vec::new();
+    listener.on_readiness(1, READABLE);
+    listener.on_readiness(2, READABLE);
+    listener.poll(2, &mut events);
+    listener.notify_stop(3);
+    listener.poll(3, &mut events);
+    let late = 3 + PARTING + SWEEP_INTERVAL;
+    listener.poll(late, &mut events);
+    listener.poll(late + 1, &mut events);
     assert!(
-        front.peers[&1].lingers.is_none(),
+        listener.connections[&1].lingering_since.is_none(),
         "half a request is on its way"
     );
     assert!(
-        front.peers[&2].lingers.is_some(),
+        listener.connections[&2].lingering_since.is_some(),
         "nothing came on this one"
     );
     std::io::Write::write_all(&mut ends[0], after).expect("it is taken");
-    front.on_readiness(1, READABLE);
-    front.poll(late + 2, &mut facts);
-    assert_eq!(arrived(&facts), [9]);
-    front.respond(
+    listener.on_readiness(1, READABLE);
+    listener.poll(late + 2, &mut events);
+    assert_eq!(arrived(&events), [9]);
+    listener.respond(
         late + 3,
         ClientStream {
             connection: 1,
@@ -236,41 +252,42 @@
         },
         &Response::Failed,
     );
-    front.flush(late + 3, &mut facts);
-    front.poll(late + 4, &mut facts);
+    listener.flush(late + 3, &mut events);
+    listener.poll(late + 4, &mut events);
     assert!(
-        front.peers[&1].lingers.is_some(),
+        listener.connections[&1].lingering_since.is_some(),
         "and then nothing holds it"
     );
 }
 
-/// The other half never comes.
+/// The other half never arrives.
 #[test]
-fn half_a_request_does_not_hold_its_connection_for_ever() {
-    let (_event_loop, mut front, mut ends) = looks(8, 1);
+fn partial_request_does_not_keep_its_connection_for_ever() {
+    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
     std::io::Write::write_all(&mut ends[0], &request(9)[..20]).expect("it is taken");
-    front.on_readiness(1, READABLE);
-    front.poll(2, &mut Vec::new());
-    front.notify_stop(3);
+    listener.on_readiness(1, READABLE);
+    listener.poll(2, &mut Vec::new());
+    listener.notify_stop(3);
     for turn in 1..=25 {
-        front.poll(3 + turn * SWEEP, &mut Vec::new());
+        listener.poll(3 + turn * SWEEP_INTERVAL, &mut Vec::new());
     }
-    assert!(front.peers[&1].lingers.is_some());
+    assert!(listener.connections[&1].lingering_since.is_some());
 }
 
-/// An answer was sent and our end closed; the peer has not read it yet when a word for all connections goes out. Any byte
-/// more would be answered by a reset, which takes the answer back.
+/// A response was sent and the write side closed; the client has not read it yet when a notice for
+/// all connections follows. Any further byte would be answered by a reset, which takes the response
+/// back.
 #[test]
-fn nothing_is_said_any_more_where_our_end_is_closed() {
-    let (_event_loop, mut front, mut ends) = looks(8, 1);
+fn sends_nothing_more_once_the_write_side_is_closed() {
+    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
     std::io::Write::write_all(&mut ends[0], &request(5)).expect("it is taken");
     ends[0]
         .shutdown(std::net::Shutdown::Write)
         .expect("a half close");
-    let mut facts = Vec::new();
-    front.on_readiness(1, READABLE);
-    front.poll(2, &mut facts);
-    front.respond(
+    let mut events = Vec::new();
+    listener.on_readiness(1, READABLE);
+    listener.poll(2, &mut events);
+    listener.respond(
         3,
         ClientStream {
             connection: 1,
@@ -278,40 +295,41 @@
         },
         &Response::Served(b"done".to_vec()),
     );
-    front.flush(3, &mut facts);
-    let peer = front.peers.get_mut(&1).expect("it stands");
-    peer.conn.shutdown_write();
-    peer.lingers = Some(3);
-    front.notify_stop(4);
-    front.yield_to_successor(4);
-    assert_eq!(front.peers[&1].conn.unsent(), 0);
-    front.sweep(4 + 3 * SECOND, &mut facts);
-    assert_eq!(front.peers[&1].conn.unsent(), 0);
-    drop(front);
+    listener.flush(3, &mut events);
+    let connection = listener.connections.get_mut(&1).expect("it stands");
+    connection.stream.shutdown_write();
+    connection.lingering_since = Some(3);
+    listener.notify_stop(4);
+    listener.yield_to_successor(4);
+    assert_eq!(listener.connections[&1].stream.unsent(), 0);
+    listener.sweep(4 + 3 * SECOND, &mut events);
+    assert_eq!(listener.connections[&1].stream.unsent(), 0);
+    drop(listener);
     let bytes = rest(&mut ends[0]).expect("no reset");
     assert!(bytes.ends_with(b"done"), "{bytes:?}");
 }
 
-/// A connection waits in the queue, with its request, when the last goodbye is said: it is accepted, told so, and its
-/// request taken. The other order: whoever comes once the queue is closed is refused, which proves that nothing ran.
+/// A connection waits in the queue, with its request, when the stop is announced: it is accepted,
+/// given the notice, and its request accepted. The other order: a connection after the queue is
+/// closed is refused, which proves that nothing ran.
 #[test]
-fn whoever_waits_in_the_queue_at_the_goodbye_is_answered() {
-    let (_event_loop, mut front, ends) = looks(8, 1);
+fn connection_that_waits_when_the_stop_is_near_gets_its_response() {
+    let (_event_loop, mut listener, ends) = connect_clients_of_class(8, 1);
     let address = ends[0].peer_addr().expect("an address");
     let mut end = TcpStream::connect(address).expect("it listens");
     std::io::Write::write_all(&mut end, &request(3)).expect("it is taken");
-    front.notify_stop(2);
-    let mut facts = Vec::new();
-    front.poll(2, &mut facts);
+    listener.notify_stop(2);
+    let mut events = Vec::new();
+    listener.poll(2, &mut events);
     assert!(
         TcpStream::connect(address).is_err(),
         "nobody waits there unseen"
     );
-    assert_eq!(numbers(&front), [1, 2]);
-    front.on_readiness(2, READABLE);
-    front.poll(3, &mut facts);
-    assert_eq!(arrived(&facts), [3]);
-    front.respond(
+    assert_eq!(numbers(&listener), [1, 2]);
+    listener.on_readiness(2, READABLE);
+    listener.poll(3, &mut events);
+    assert_eq!(arrived(&events), [3]);
+    listener.respond(
         4,
         ClientStream {
             connection: 2,
@@ -319,7 +337,7 @@
         },
         &Response::Failed,
     );
-    front.flush(4, &mut facts);
+    listener.flush(4, &mut events);
     let mut goodbye = Vec::new();
     frame::codec::push_goodbye(&mut goodbye);
     let mut got = vec![0; goodbye.len()];
@@ -327,45 +345,49 @@
     assert_eq!(got, goodbye);
 }
 
-/// A request comes on an idle connection in the moment in which it is told to close: both orders end with the request taken,
-/// and our end is closed no sooner than it is answered.
+/// A request arrives on an idle connection when that one is asked to close: both orders end with the
+/// request accepted, and the write side closed no sooner than it has its response.
 #[test]
-fn a_request_that_crosses_the_word_to_close_is_taken() {
+fn request_that_crosses_the_notice_to_close_is_accepted() {
     for before in [true, false] {
-        let (_event_loop, mut front, mut ends) = looks(8, 1);
-        status(&mut front, 1).spoken = true;
-        status(&mut front, 1).waits = None;
-        front.set_idle_timeout(SECOND);
-        let mut facts = Vec::new();
+        let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
+        status(&mut listener, 1).spoken = true;
+        status(&mut listener, 1).waits = None;
+        listener.set_idle_timeout(SECOND);
+        let mut events = Vec::new();
         let idle = 1 + 2 * SECOND;
         if before {
             std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
-            front.on_readiness(1, READABLE);
+            listener.on_readiness(1, READABLE);
         }
-        front.poll(idle, &mut facts);
+        listener.poll(idle, &mut events);
         assert_eq!(
-            open(&front.peers[&1]),
+            is_open(&listener.connections[&1]),
             before,
             "what has come is read before silence is judged"
         );
         if !before {
             std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
-            front.on_readiness(1, READABLE);
-            front.poll(idle + FAIR, &mut facts);
+            listener.on_readiness(1, READABLE);
+            listener.poll(idle + MIN_SLOT_TIME, &mut events);
         }
-        assert_eq!(arrived(&facts), [4]);
-        front.poll(idle + 2 * PARTING, &mut facts);
-        assert!(front.peers[&1].lingers.is_none(), "an answer is owed");
+        assert_eq!(arrived(&events), [4]);
+        listener.poll(idle + 2 * PARTING, &mut events);
+        assert!(
+            listener.connections[&1].lingering_since.is_none(),
+            "an answer is owed"
+        );
     }
 }
 
-/// Places became fewer while connections had just come, which keep theirs for a moment: they go after it, and not before.
+/// The limit was lowered when connections had just been accepted, which keep their slots for a
+/// moment: they are closed after it, and not before.
 #[test]
-fn those_that_could_not_go_at_once_go_when_they_may() {
-    let (_event_loop, mut front, _ends) = crowd(8, 6);
-    let mut facts = Vec::new();
-    front.set_connection_limit(2, 3, &mut facts);
-    assert_eq!(front.connection_count(), 6);
-    front.poll(1 + SWEEP, &mut facts);
-    assert_eq!(numbers(&front), [4, 5, 6], "the silent longest first");
+fn connections_above_a_lowered_limit_are_closed_once_they_may() {
+    let (_event_loop, mut listener, _ends) = connect_clients(8, 6);
+    let mut events = Vec::new();
+    listener.set_connection_limit(2, 3, &mut events);
+    assert_eq!(listener.connection_count(), 6);
+    listener.poll(1 + SWEEP_INTERVAL, &mut events);
+    assert_eq!(numbers(&listener), [4, 5, 6], "the silent longest first");
 }
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -1,26 +1,32 @@
-//! The pool of connections to the store: one call at a time on each, over HTTP or AJP.
+//! The pool of connections to the dependency: one call at a time on each, over HTTP or AJP.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | `pending_call` | a call without a reply yet |
+//! | `dependency_connection` | a connection, and what differs between the two protocols |
 
-use super::buffered_connection::BufferedConnection;
-use super::host::{Host, Readiness};
-use super::SocketOwner;
+mod dependency_connection;
+mod pending_call;
+
+use crate::host::{Host, Readiness};
 use cleatpulley_dispatcher::{DependencyCall, Event};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
-use cleatpulley_protocol::ajp::client::{self, Client, Fate};
-use cleatpulley_protocol::{http, line};
+use cleatpulley_protocol::ajp::client;
+use cleatpulley_protocol::http;
+use dependency_connection::DependencyConnection;
+use pending_call::PendingCall;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// An idle connection is dropped well before the store closes it: a call on one that is being closed proves
-/// nothing when it breaks.
-const IDLE: Micros = 5_000_000;
-/// So many idle connections are kept: calls of writes leave more behind than those of reads take up.
-const KEPT: usize = 8;
-/// Bytes of a reply read at once.
-const READ_AT_ONCE: usize = 2_097_152;
+/// An idle connection is closed well before the dependency closes it: when a call breaks on one
+/// that is being closed, that proves nothing.
+const IDLE_TIMEOUT: Micros = 5_000_000;
+/// Limit of idle connections: calls of writes leave more of them behind than those of reads use.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// How the store is called.
+/// The protocol spoken with the dependency.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum DependencyProtocol {
     /// HTTP/1.1.
@@ -30,29 +36,6 @@
     Ajp(client::Options),
 }
 
-struct PersistenceJob {
-    id: RequestId,
-    made: Micros,
-    until: Micros,
-    body: Vec<u8>,
-    /// Making it twice does no harm, and it was made once at the most.
-    repeatable: bool,
-}
-
-struct Channel<H: Host> {
-    conn: BufferedConnection<H>,
-    /// The state of an AJP connection; none where HTTP is spoken.
-    client: Option<Client>,
-    address: SocketAddr,
-    job: Option<PersistenceJob>,
-    /// When it became idle.
-    idle_at: Micros,
-    /// Bytes of a call may have reached the store.
-    connected: bool,
-    /// It carried a call before this one, or leads to where the store was: its end says nothing about a call.
-    reused: bool,
-}
-
 /// What a [`DependencyPool`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DependencyPoolUsage {
@@ -62,307 +45,260 @@
     pub connections: usize,
 }
 
-/// The pool.
+/// The connections to the dependency, and the calls on them.
 pub struct DependencyPool<H: Host> {
-    world: H,
+    host: H,
     address: SocketAddr,
-    speaks: DependencyProtocol,
-    most: usize,
-    /// In the order of their numbers: what is done to all of them is done alike in every run.
-    channels: BTreeMap<u64, Channel<H>>,
-    /// Idle channels; the last was used last.
+    protocol: DependencyProtocol,
+    max_connections: usize,
+    /// Ordered by number, so that what is done to all of them is done alike in every run.
+    connections: BTreeMap<u64, DependencyConnection<H>>,
+    /// Numbers of idle connections; the one used last is the last.
     idle: Vec<u64>,
+    /// The connection that carries the call of a request.
     busy: HashMap<RequestId, u64>,
-    waiting: VecDeque<PersistenceJob>,
-    noted: Vec<u64>,
-    numbers: u64,
+    /// Calls that wait for a connection.
+    waiting: VecDeque<PendingCall>,
+    /// Numbers of connections that may have something to read or to send.
+    ready: Vec<u64>,
+    last_number: u64,
 }
 
 impl<H: Host> DependencyPool<H> {
-    /// An empty pool that holds `most` connections.
+    /// Creates a pool without connections.
     #[must_use]
-    pub fn new(world: H, address: SocketAddr, speaks: DependencyProtocol, most: usize) -> Self {
+    pub fn new(
+        host: H,
+        address: SocketAddr,
+        protocol: DependencyProtocol,
+        max_connections: usize,
+    ) -> Self {
         Self {
-            world,
+            host,
             address,
-            speaks,
-            most: most.max(1),
-            channels: BTreeMap::new(),
+            protocol,
+            max_connections: max_connections.max(1),
+            connections: BTreeMap::new(),
             idle: Vec::new(),
             busy: HashMap::new(),
             waiting: VecDeque::new(),
-            noted: Vec::new(),
-            numbers: 0,
+            ready: Vec::new(),
+            last_number: 0,
         }
     }
 
-    /// Calls, those that wait among them, and connections.
+    /// Returns the numbers of calls and connections.
     #[must_use]
     pub fn usage(&self) -> DependencyPoolUsage {
         DependencyPoolUsage {
             calls: self.busy.len() + self.waiting.len(),
-            connections: self.channels.len(),
+            connections: self.connections.len(),
         }
     }
 
-    /// Makes a call; the one that the request had before is given up.
-    pub fn call(&mut self, now: Micros, call: DependencyCall, facts: &mut Vec<Event>) {
+    /// Makes a call. The call that the request had before is abandoned.
+    pub fn call(&mut self, now: Micros, call: DependencyCall, events: &mut Vec<Event>) {
         self.abandon(call.id);
-        let DependencyCall {
-            id,
-            body,
-            timeout,
-            is_idempotent: repeatable,
-        } = call;
-        self.place(
-            now,
-            PersistenceJob {
-                id,
-                made: now,
-                until: now + timeout,
-                body,
-                repeatable,
-            },
-            facts,
-        );
+        self.assign(now, PendingCall::new(now, call), events);
     }
 
-    fn place(&mut self, now: Micros, job: PersistenceJob, facts: &mut Vec<Event>) {
-        // Guards against a connection that the store has dropped unseen: its reset does not tell whether the call
-        // ran, so that a call which must not be made twice takes a fresh one.
-        let idle = if job.repeatable {
-            self.idle.pop()
-        } else {
-            None
-        };
-        let number = match idle {
-            Some(number) => number,
-            None => match self.connect(now) {
-                Ok(Some(number)) => number,
-                Ok(None) => {
-                    self.waiting.push_back(job);
-                    return;
-                }
-                Err(e) => {
-                    facts.push(ended(now, &job, unconnected(&e)));
-                    return;
-                }
-            },
+    /// Gives the call a connection, or lets it wait for one.
+    fn assign(&mut self, now: Micros, call: PendingCall, events: &mut Vec<Event>) {
+        let number = match self.find_connection(now, &call) {
+            Ok(Some(number)) => number,
+            Ok(None) => {
+                self.waiting.push_back(call);
+                return;
+            }
+            Err(error) => {
+                events.push(call.into_failure(now, connect_outcome(&error)));
+                return;
+            }
         };
-        let Some(channel) = self.channels.get_mut(&number) else {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let wait = job.until.saturating_sub(now).div_ceil(1_000).max(1);
-        let headers = [
-            ("X-For-Request", line::rid(job.id)),
-            ("X-Wait-Ms", wait.to_string()),
-        ];
-        if let Some(client) = &mut channel.client {
-            let headers = headers
-                .each_ref()
-                .map(|(name, value)| (*name, value.as_str()));
-            let request = client::Request {
-                method: "POST",
-                uri: "/query",
-                headers: &headers,
-                body: &job.body,
-            };
-            // These few headers fit into the smallest packet.
-            let _ = client.request(now, &request, channel.conn.output());
-        } else {
-            let host = self.address.to_string();
-            http::push_request(
-                channel.conn.output(),
-                "POST",
-                "/query",
-                &host,
-                &headers,
-                &job.body,
-            );
+        self.busy.insert(call.id, number);
+        connection.start_call(now, call);
+        self.ready.push(number);
+    }
+
+    /// Returns a connection for a call; none where all of them carry calls.
+    fn find_connection(&mut self, now: Micros, call: &PendingCall) -> io::Result<Option<u64>> {
+        // Guards against a connection that the dependency has closed unnoticed: its reset does not
+        // tell whether the call ran, so that a call which must not be repeated takes a fresh one.
+        if call.is_repeatable {
+            if let Some(number) = self.idle.pop() {
+                return Ok(Some(number));
+            }
         }
-        self.busy.insert(job.id, number);
-        channel.job = Some(job);
-        self.noted.push(number);
+        self.connect(now)
     }
 
-    /// A fresh connection, in the place of an idle one if need be; none where all places are taken by calls.
+    /// Returns a fresh connection, in place of an idle one if need be; none where all of them carry
+    /// calls.
     fn connect(&mut self, now: Micros) -> io::Result<Option<u64>> {
-        if self.channels.len() >= self.most {
+        if self.connections.len() >= self.max_connections {
             if self.idle.is_empty() {
                 return Ok(None);
             }
-            self.channels.remove(&self.idle.remove(0));
+            let longest_idle = self.idle.remove(0);
+            self.connections.remove(&longest_idle);
         }
-        self.numbers += 1;
-        let conn = BufferedConnection::connect(
-            &self.world,
-            self.address,
-            SocketOwner::Dependency(self.numbers),
-        )?;
-        let client = match &self.speaks {
-            DependencyProtocol::Http => None,
-            DependencyProtocol::Ajp(options) => {
-                let server = (self.address.ip().to_string(), self.address.port());
-                Some(Client::new(
-                    client::Options {
-                        server,
-                        ..options.clone()
-                    },
-                    now,
-                ))
-            }
-        };
-        let (address, job) = (self.address, None);
-        let channel = Channel {
-            conn,
-            client,
-            address,
-            job,
-            idle_at: now,
-            connected: false,
-            reused: false,
-        };
-        self.channels.insert(self.numbers, channel);
-        Ok(Some(self.numbers))
+        self.last_number += 1;
+        let number = self.last_number;
+        let connection =
+            DependencyConnection::connect(&self.host, now, number, self.address, &self.protocol)?;
+        self.connections.insert(number, connection);
+        Ok(Some(number))
     }
 
-    /// Gives up a request's call by closing its connection. Nothing more is told of it.
+    /// Abandons the call of a request by closing its connection. No event follows.
     pub fn abandon(&mut self, id: RequestId) {
         let leaked = is_bug_injected(InjectedBug::CallConnectionLeaked)
             .then(|| self.busy.get(&id).copied())
             .flatten();
         if let Some(number) = leaked.or_else(|| self.busy.remove(&id)) {
-            self.channels.remove(&number);
+            self.connections.remove(&number);
         }
-        self.waiting.retain(|job| job.id != id);
+        self.waiting.retain(|call| call.id != id);
     }
 
-    /// The store is at this address from now on. Calls on their way may still be answered at the old one; those
-    /// that no byte was sent of are made at the new one.
-    pub fn relocate(&mut self, now: Micros, address: SocketAddr, facts: &mut Vec<Event>) {
+    /// Changes the address of the dependency. Calls in flight may still get their reply from the
+    /// old one; those that no byte was sent of are made at the new one.
+    pub fn relocate(&mut self, now: Micros, address: SocketAddr, events: &mut Vec<Event>) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
         }
         for number in std::mem::take(&mut self.idle) {
-            self.channels.remove(&number);
+            self.connections.remove(&number);
         }
-        let unsent: Vec<_> = self
-            .channels
-            .iter()
-            .filter(|(_, c)| !c.connected)
-            .map(|(n, _)| *n)
-            .collect();
-        self.channels
-            .values_mut()
-            .for_each(|channel| channel.reused = true);
-        for number in unsent {
-            let Some(job) = self
-                .channels
-                .remove(&number)
-                .and_then(|channel| channel.job)
-            else {
+        for connection in self.connections.values_mut() {
+            connection.is_reused = true;
+        }
+        for number in self.numbers_where(|connection| !connection.has_sent) {
+            let connection = self.connections.remove(&number);
+            let Some(call) = connection.and_then(|connection| connection.call) else {
                 continue;
             };
-            self.busy.remove(&job.id);
-            self.place(now, job, facts);
+            self.busy.remove(&call.id);
+            self.assign(now, call, events);
         }
     }
 
-    /// Takes note of what the event loop saw.
+    fn numbers_where(&self, predicate: impl Fn(&DependencyConnection<H>) -> bool) -> Vec<u64> {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| predicate(connection))
+            .map(|(number, _)| *number)
+            .collect()
+    }
+
+    /// Notes that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
-        if let Some(channel) = self.channels.get_mut(&number) {
-            channel.conn.on_readiness(readiness);
-            self.noted.push(number);
+        if let Some(connection) = self.connections.get_mut(&number) {
+            connection.stream.on_readiness(readiness);
+            self.ready.push(number);
         }
     }
 
-    /// Reads replies, sends calls, and gives up what takes too long.
-    pub fn poll(&mut self, now: Micros, facts: &mut Vec<Event>) {
-        for number in std::mem::take(&mut self.noted) {
-            self.serve(now, number, facts);
+    /// Reads replies, sends calls, and fails those that are past their deadline.
+    pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) {
+        self.serve_ready(now, events);
+        self.fail_late_calls(now, events);
+        self.assign_waiting(now, events);
+        self.close_idle(now);
+        // Calls that were assigned just now are sent at once.
+        self.serve_ready(now, events);
+    }
+
+    fn serve_ready(&mut self, now: Micros, events: &mut Vec<Event>) {
+        for number in std::mem::take(&mut self.ready) {
+            self.serve(now, number, events);
         }
-        let late: Vec<_> = self
-            .channels
-            .iter()
-            .filter(|(_, c)| c.job.as_ref().is_some_and(|job| now >= job.until))
-            .map(|(number, _)| *number)
-            .collect();
-        for number in late {
-            self.fail(now, number, Outcome::TimedOut, facts);
+    }
+
+    fn fail_late_calls(&mut self, now: Micros, events: &mut Vec<Event>) {
+        let is_late = |call: &PendingCall| now >= call.deadline;
+        for number in self.numbers_where(|connection| connection.call.as_ref().is_some_and(is_late))
+        {
+            self.fail(now, number, Outcome::TimedOut, events);
         }
-        while self.waiting.front().is_some_and(|job| now >= job.until) {
-            if let Some(job) = self.waiting.pop_front() {
-                facts.push(ended(now, &job, Outcome::TimedOut));
+        while let Some(call) = self.waiting.pop_front() {
+            if !is_late(&call) {
+                self.waiting.push_front(call);
+                break;
             }
+            events.push(call.into_failure(now, Outcome::TimedOut));
         }
-        while !self.waiting.is_empty() && (!self.idle.is_empty() || self.channels.len() < self.most)
-        {
-            if let Some(job) = self.waiting.pop_front() {
-                self.place(now, job, facts);
-            }
+    }
+
+    fn assign_waiting(&mut self, now: Micros, events: &mut Vec<Event>) {
+        while !self.idle.is_empty() || self.connections.len() < self.max_connections {
+            let Some(call) = self.waiting.pop_front() else {
+                return;
+            };
+            self.assign(now, call, events);
         }
+    }
+
+    fn close_idle(&mut self, now: Micros) {
         while let Some(&number) = self.idle.first() {
-            if self
-                .channels
-                .get(&number)
-                .is_some_and(|c| now < c.idle_at + IDLE)
-            {
+            let connection = self.connections.get(&number);
+            if connection.is_some_and(|connection| now < connection.idle_since + IDLE_TIMEOUT) {
                 break;
             }
             self.idle.remove(0);
-            self.channels.remove(&number);
-        }
-        // What was placed just now is sent in this turn.
-        for number in std::mem::take(&mut self.noted) {
-            self.serve(now, number, facts);
+            self.connections.remove(&number);
         }
     }
 
-    /// When something is to be given up.
+    /// Returns when a call is late or an idle connection is to be closed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
-        let jobs = self
-            .channels
-            .values()
-            .filter_map(|c| c.job.as_ref().map(|job| job.until));
-        let waiting = self.waiting.front().map(|job| job.until);
-        let idle = self
-            .idle
-            .first()
-            .and_then(|n| self.channels.get(n))
-            .map(|c| c.idle_at + IDLE);
-        jobs.chain(waiting).chain(idle).min()
+        let calls = self.connections.values();
+        let calls = calls.filter_map(|connection| connection.call.as_ref());
+        let waiting = self.waiting.front();
+        let longest_idle = self.idle.first();
+        let idle = longest_idle.and_then(|number| self.connections.get(number));
+        calls
+            .chain(waiting)
+            .map(|call| call.deadline)
+            .chain(idle.map(|connection| connection.idle_since + IDLE_TIMEOUT))
+            .min()
     }
 
-    fn serve(&mut self, now: Micros, number: u64, facts: &mut Vec<Event>) {
-        let Some(channel) = self.channels.get_mut(&number) else {
+    /// Sends and reads on a connection.
+    fn serve(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let reply = match channel.exchange(now) {
-            Ok(Some(reply)) => reply,
-            Ok(None)
-                if channel.conn.ended
-                    || (channel.job.is_none() && !channel.conn.input.is_empty()) =>
-            {
-                self.fail(now, number, Outcome::Interrupted, facts);
-                return;
+        match connection.send_and_receive(now) {
+            Ok(Some(reply)) => self.on_reply(now, number, reply, events),
+            Ok(None) if connection.is_unusable() => {
+                self.fail(now, number, Outcome::Interrupted, events);
             }
-            Ok(None) => return,
-            Err(e) => {
-                let outcome = match e.kind() {
-                    // The store did answer: this says nothing about its load.
+            Ok(None) => {}
+            Err(error) => {
+                let outcome = match error.kind() {
+                    // The dependency did reply: this says nothing about its load.
                     ErrorKind::InvalidData => Outcome::Failure,
-                    _ if channel.connected => Outcome::Interrupted,
-                    _ => unconnected(&e),
+                    _ if connection.has_sent => Outcome::Interrupted,
+                    _ => connect_outcome(&error),
                 };
-                self.fail(now, number, outcome, facts);
-                return;
+                self.fail(now, number, outcome, events);
             }
+        }
+    }
+
+    fn on_reply(&mut self, now: Micros, number: u64, reply: http::Reply, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
         };
-        let Some(job) = channel.job.take() else {
+        let Some(call) = connection.call.take() else {
             return;
         };
-        self.busy.remove(&job.id);
+        self.busy.remove(&call.id);
         let outcome = match (reply.status, reply.not_run) {
             (200, _) => Outcome::Success,
             (503, true) => Outcome::Overloaded,
@@ -370,122 +306,56 @@
             (504, _) => Outcome::TimedOut,
             _ => Outcome::Failure,
         };
-        // Bytes beyond the reply belong to no call: nobody knows what would come before the next reply.
-        let spent = reply.closes || channel.conn.ended || !channel.conn.input.is_empty();
-        if spent || channel.address != self.address || self.idle.len() >= KEPT {
-            self.channels.remove(&number);
-        } else {
-            channel.idle_at = now;
-            channel.reused = true;
+        let is_reusable = !reply.closes
+            && connection.is_reusable()
+            && connection.address == self.address
+            && self.idle.len() < MAX_IDLE_CONNECTIONS;
+        if is_reusable {
+            connection.idle_since = now;
+            connection.is_reused = true;
             self.idle.push(number);
+        } else {
+            self.connections.remove(&number);
         }
-        let elapsed = now.saturating_sub(job.made);
-        facts.push(Event::CallEnded {
-            id: job.id,
+        events.push(Event::CallEnded {
+            id: call.id,
             outcome,
-            elapsed,
+            elapsed: now.saturating_sub(call.started_at),
             reply: reply.body,
         });
     }
 
-    /// Drops a channel; the call that it carried ends so, or is made again where that is due to the channel.
-    fn fail(&mut self, now: Micros, number: u64, outcome: Outcome, facts: &mut Vec<Event>) {
-        let Some(channel) = self.channels.remove(&number) else {
+    /// Closes a connection. The call on it ends with this outcome, or is made again where the
+    /// failure is due to the connection.
+    fn fail(&mut self, now: Micros, number: u64, outcome: Outcome, events: &mut Vec<Event>) {
+        let Some(connection) = self.connections.remove(&number) else {
             return;
         };
-        self.idle.retain(|n| *n != number);
-        let Some(job) = channel.job else { return };
-        self.busy.remove(&job.id);
-        // Guards against a connection that the store closed or forgot while it was idle: the call most likely
-        // never ran, and it is no sign of a store in trouble. Once: the next connection is a fresh one.
-        let stale =
-            channel.reused && outcome == Outcome::Interrupted && channel.conn.input.is_empty();
-        // An AJP connection tells more: a call that can't have been read whole never ran.
-        let fate = channel
-            .client
-            .as_ref()
-            .map(|client| client.fate(channel.conn.unsent()));
+        self.idle.retain(|idle| *idle != number);
+        let is_stale = outcome == Outcome::Interrupted && connection.may_be_stale();
+        let never_ran = connection.has_call_never_run();
+        let Some(call) = connection.call else { return };
+        self.busy.remove(&call.id);
+        if is_stale && call.is_repeatable && now < call.deadline {
+            // Only once: the next connection is a fresh one.
+            let call = PendingCall {
+                is_repeatable: false,
+                ..call
+            };
+            return self.assign(now, call, events);
+        }
         let outcome = match outcome {
-            Outcome::Interrupted if fate == Some(Fate::NeverRan) => Outcome::Unreachable,
+            Outcome::Interrupted if never_ran => Outcome::Unreachable,
             outcome => outcome,
         };
-        if stale && job.repeatable && now < job.until {
-            self.place(
-                now,
-                PersistenceJob {
-                    repeatable: false,
-                    ..job
-                },
-                facts,
-            );
-        } else {
-            facts.push(ended(now, &job, outcome));
-        }
-    }
-}
-
-impl<H: Host> Channel<H> {
-    /// Sends what waits and reads the reply, which counts once it is whole, even if the connection broke after it.
-    fn exchange(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
-        let conn = &mut self.conn;
-        if !self.connected {
-            conn.take_error()?;
-        }
-        let sent = conn.flush();
-        self.connected |= sent.as_ref().is_ok_and(|sent| *sent > 0);
-        let read = conn.read(READ_AT_ONCE);
-        if self.job.is_some() {
-            let reply = match &mut self.client {
-                None => http::parse(&conn.input, conn.ended).inspect(|reply| {
-                    if let Some(reply) = reply {
-                        conn.input.drain(..reply.size);
-                    }
-                }),
-                Some(client) => ajp_reply(client, conn, now),
-            };
-            if let Some(reply) = reply.map_err(|e| io::Error::new(ErrorKind::InvalidData, e))? {
-                // Whatever broke shows again with the next use.
-                conn.ended |= sent.is_err() || read.is_err();
-                return Ok(Some(reply));
-            }
-        }
-        sent.and(read).map(|_| None)
-    }
-}
-
-/// Reads on in an AJP reply, and sends what of the call the server asks for.
-fn ajp_reply<H: Host>(
-    client: &mut Client,
-    conn: &mut BufferedConnection<H>,
-    now: Micros,
-) -> Result<Option<http::Reply>, String> {
-    let input = std::mem::take(&mut conn.input);
-    let taken = client.receive(now, &input, conn.output());
-    conn.input = input;
-    conn.consume(taken.map_err(|e| e.to_string())?);
-    // A connection that broke shows with the next use.
-    let _ = conn.flush();
-    Ok(client.take().map(|reply| http::Reply {
-        status: reply.status,
-        not_run: reply.not_run(),
-        closes: !reply.reuse,
-        body: reply.body,
-        size: 0,
-    }))
-}
-
-fn ended(now: Micros, job: &PersistenceJob, outcome: Outcome) -> Event {
-    Event::CallEnded {
-        id: job.id,
-        outcome,
-        elapsed: now.saturating_sub(job.made),
-        reply: Vec::new(),
+        events.push(call.into_failure(now, outcome));
     }
 }
 
-/// Only a refused connection proves that no call ran.
-fn unconnected(e: &io::Error) -> Outcome {
-    if e.kind() == ErrorKind::ConnectionRefused {
+/// Returns the outcome of a call that had no connection. Only a refused connection proves that the
+/// call did not run.
+fn connect_outcome(error: &io::Error) -> Outcome {
+    if error.kind() == ErrorKind::ConnectionRefused {
         Outcome::Unreachable
     } else {
         Outcome::Interrupted
@@ -493,112 +363,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::os_host::OsHost;
-
-    /// Guards against more connections than the pool may hold; what waits too long was not answered either.
-    #[test]
-    fn calls_beyond_the_pool_wait_and_run_out_of_time() {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let event_loop = calloop::EventLoop::try_new().expect("an event loop");
-        let mut store = DependencyPool::new(
-            OsHost::new(event_loop.handle()),
-            listener.local_addr().expect("an address"),
-            DependencyProtocol::Http,
-            2,
-        );
-        let mut facts = Vec::new();
-        for id in 1..=4 {
-            let call = DependencyCall {
-                id,
-                body: Vec::new(),
-                timeout: 1_000 * id,
-                is_idempotent: true,
-            };
-            store.call(0, call, &mut facts);
-        }
-        assert_eq!((store.channels.len(), store.waiting.len()), (2, 2));
-        store.abandon(3);
-        assert_eq!(store.next_deadline(), Some(1_000));
-        store.poll(1_500, &mut facts);
-        let told = |facts: &[Event]| -> Vec<_> {
-            let of = |fact: &Event| match fact {
-                Event::CallEnded {
-                    id,
-                    outcome,
-                    elapsed,
-                    ..
-                } => (*id, *outcome, *elapsed),
-                other => panic!("{other:?}"),
-            };
-            facts.iter().map(of).collect()
-        };
-        assert_eq!(told(&facts), [(1, Outcome::TimedOut, 1_500)]);
-        assert_eq!(
-            (store.channels.len(), store.waiting.len()),
-            (2, 0),
-            "the place is taken by the next"
-        );
-        facts.clear();
-        store.poll(4_000, &mut facts);
-        let mut ends = told(&facts);
-        ends.sort_by_key(|end| end.0);
-        assert_eq!(
-            ends,
-            [(2, Outcome::TimedOut, 4_000), (4, Outcome::TimedOut, 4_000)]
-        );
-        assert_eq!((store.channels.len(), store.busy.len()), (0, 0));
-    }
-
-    /// Guards against connections that the store forgot while they were idle: a read's call is made once more on
-    /// a fresh one, and neither the run nor the controller hears of it.
-    #[test]
-    fn a_call_on_a_stale_connection_is_made_again_once() {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let event_loop = calloop::EventLoop::try_new().expect("an event loop");
-        let mut store = DependencyPool::new(
-            OsHost::new(event_loop.handle()),
-            listener.local_addr().expect("an address"),
-            DependencyProtocol::Http,
-            2,
-        );
-        let mut facts = Vec::new();
-        store.call(
-            0,
-            DependencyCall {
-                id: 1,
-                body: Vec::new(),
-                timeout: 9_000,
-                is_idempotent: true,
-            },
-            &mut facts,
-        );
-        store
-            .channels
-            .values_mut()
-            .for_each(|channel| channel.reused = true);
-        store.fail(10, 1, Outcome::Interrupted, &mut facts);
-        assert!(facts.is_empty() && store.busy.len() == 1 && store.channels.keys().eq(&[2]));
-        assert_eq!(
-            store.next_deadline(),
-            Some(9_000),
-            "the time left is the same"
-        );
-        store
-            .channels
-            .values_mut()
-            .for_each(|channel| channel.reused = true);
-        store.fail(20, 2, Outcome::Interrupted, &mut facts);
-        assert!(matches!(
-            facts[..],
-            [Event::CallEnded {
-                id: 1,
-                outcome: Outcome::Interrupted,
-                elapsed: 20,
-                ..
-            }]
-        ));
-        assert!(store.channels.is_empty() && store.busy.is_empty());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -0,0 +1,200 @@
+//! A connection to the dependency, and what differs between the two protocols.
+
+use super::pending_call::PendingCall;
+use super::DependencyProtocol;
+use crate::buffered_connection::BufferedConnection;
+use crate::host::Host;
+use crate::options::SocketOwner;
+use cleatpulley_policy::interface::Micros;
+use cleatpulley_protocol::ajp::client::{self, Client, Fate};
+use cleatpulley_protocol::{http, line};
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+
+/// Bytes of a reply that are read at once.
+const READ_LIMIT: usize = 2_097_152;
+/// Method and path of each call.
+const METHOD: &str = "POST";
+const PATH: &str = "/query";
+
+/// The state of the protocol spoken on a connection.
+enum ProtocolState {
+    Http,
+    Ajp(Box<Client>),
+}
+
+impl ProtocolState {
+    fn new(protocol: &DependencyProtocol, address: SocketAddr, now: Micros) -> Self {
+        match protocol {
+            DependencyProtocol::Http => Self::Http,
+            DependencyProtocol::Ajp(options) => {
+                let options = client::Options {
+                    server: (address.ip().to_string(), address.port()),
+                    ..options.clone()
+                };
+                Self::Ajp(Box::new(Client::new(options, now)))
+            }
+        }
+    }
+}
+
+/// A connection that carries one call at a time.
+pub(super) struct DependencyConnection<H: Host> {
+    pub(super) stream: BufferedConnection<H>,
+    protocol: ProtocolState,
+    pub(super) address: SocketAddr,
+    /// None while it is idle.
+    pub(super) call: Option<PendingCall>,
+    pub(super) idle_since: Micros,
+    /// Bytes of a call may have reached the dependency.
+    pub(super) has_sent: bool,
+    /// It carried an earlier call, or leads to an address that the dependency has left: its end
+    /// says nothing about the call.
+    pub(super) is_reused: bool,
+}
+
+impl<H: Host> DependencyConnection<H> {
+    /// Begins to connect.
+    ///
+    /// # Errors
+    /// Those of the system; a refusal may come at once.
+    pub(super) fn connect(
+        host: &H,
+        now: Micros,
+        number: u64,
+        address: SocketAddr,
+        protocol: &DependencyProtocol,
+    ) -> io::Result<Self> {
+        let owner = SocketOwner::Dependency(number);
+        Ok(Self {
+            stream: BufferedConnection::connect(host, address, owner)?,
+            protocol: ProtocolState::new(protocol, address, now),
+            address,
+            call: None,
+            idle_since: now,
+            has_sent: false,
+            is_reused: false,
+        })
+    }
+
+    /// Writes the request of a call, which is sent with the next
+    /// [`send_and_receive`](Self::send_and_receive).
+    pub(super) fn start_call(&mut self, now: Micros, call: PendingCall) {
+        let headers = [
+            ("X-For-Request", line::rid(call.id)),
+            ("X-Wait-Ms", call.remaining_millis(now).to_string()),
+        ];
+        let output = self.stream.output();
+        match &mut self.protocol {
+            ProtocolState::Http => {
+                let host = self.address.to_string();
+                http::push_request(output, METHOD, PATH, &host, &headers, &call.body);
+            }
+            ProtocolState::Ajp(client) => {
+                let headers = headers
+                    .each_ref()
+                    .map(|(name, value)| (*name, value.as_str()));
+                let request = client::Request {
+                    method: METHOD,
+                    uri: PATH,
+                    headers: &headers,
+                    body: &call.body,
+                };
+                // These few headers fit into the smallest packet.
+                let _ = client.request(now, &request, output);
+            }
+        }
+        self.call = Some(call);
+    }
+
+    /// Sends what waits and reads the reply, which counts once it is complete, even if the
+    /// connection broke after it.
+    ///
+    /// # Errors
+    /// Why the connection broke; [`InvalidData`](ErrorKind::InvalidData) where the reply is
+    /// malformed.
+    pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+        if !self.has_sent {
+            self.stream.take_error()?;
+        }
+        let sent = self.stream.flush();
+        self.has_sent |= sent.as_ref().is_ok_and(|sent| *sent > 0);
+        let read = self.stream.read(READ_LIMIT);
+        if self.call.is_some() {
+            if let Some(reply) = self.take_reply(now)? {
+                // A failure shows again with the next use.
+                self.stream.ended |= sent.is_err() || read.is_err();
+                return Ok(Some(reply));
+            }
+        }
+        sent?;
+        read?;
+        Ok(None)
+    }
+
+    /// Takes the reply from what was read, once it is complete.
+    fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+        let reply = match &mut self.protocol {
+            ProtocolState::Http => take_http_reply(&mut self.stream),
+            ProtocolState::Ajp(client) => take_ajp_reply(client, &mut self.stream, now),
+        };
+        reply.map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
+    }
+
+    /// Returns true where no reply can follow: it was closed, or has sent what belongs to no call.
+    pub(super) fn is_unusable(&self) -> bool {
+        self.stream.ended || (self.call.is_none() && !self.stream.input.is_empty())
+    }
+
+    /// Returns true where another call may follow. Bytes after a reply belong to no call: what came
+    /// before the next reply would be unknown.
+    pub(super) fn is_reusable(&self) -> bool {
+        !self.stream.ended && self.stream.input.is_empty()
+    }
+
+    /// Returns true where the dependency may have closed it while it was idle: then the call most
+    /// likely never ran, and its failure is no sign of a dependency at fault.
+    pub(super) fn may_be_stale(&self) -> bool {
+        self.is_reused && self.stream.input.is_empty()
+    }
+
+    /// Returns true where the protocol proves that the call did not run: AJP shows that the
+    /// dependency can't have read all of it.
+    pub(super) fn has_call_never_run(&self) -> bool {
+        match &self.protocol {
+            ProtocolState::Http => false,
+            ProtocolState::Ajp(client) => client.fate(self.stream.unsent()) == Fate::NeverRan,
+        }
+    }
+}
+
+fn take_http_reply<H: Host>(
+    stream: &mut BufferedConnection<H>,
+) -> Result<Option<http::Reply>, String> {
+    let reply = http::parse(&stream.input, stream.ended)?;
+    if let Some(reply) = &reply {
+        stream.input.drain(..reply.size);
+    }
+    Ok(reply)
+}
+
+/// Reads on in an AJP reply, and sends the part of the call that the dependency asks for.
+fn take_ajp_reply<H: Host>(
+    client: &mut Client,
+    stream: &mut BufferedConnection<H>,
+    now: Micros,
+) -> Result<Option<http::Reply>, String> {
+    let input = std::mem::take(&mut stream.input);
+    let used = client.receive(now, &input, stream.output());
+    stream.input = input;
+    stream.consume(used.map_err(|error| error.to_string())?);
+    // A connection that broke shows with the next use.
+    let _ = stream.flush();
+    Ok(client.take().map(|reply| http::Reply {
+        status: reply.status,
+        not_run: reply.not_run(),
+        closes: !reply.reuse,
+        body: reply.body,
+        size: 0,
+    }))
+}
--- a/crates/server/src/gossip.rs
+++ b/crates/server/src/gossip.rs
@@ -1,71 +1,94 @@
-//! Talk with other processes of the installation: the socket under a [`Membership`], and what others are told of this one.
-//! All of it is off without its section in the operator file.
+//! Gossip with the other processes of an installation: the socket under a [`Membership`], and the
+//! status that is shared with them. All of it is off without its section in the operator file.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | `incarnation_store` | the incarnations that the process has used, on the disk |
+//! | `service` | a service that gossips |
 
 mod incarnation_store;
+mod service;
 
-use super::host::{DatagramSocket, GossipHost, Readiness};
-use super::os_host::{OsHost, Service};
-use super::status_report::Status;
-use super::SocketOwner;
-use cleatpulley_connection_admission::book::Entry;
-use cleatpulley_dispatcher::Event as DispatcherEvent;
+pub use service::ServiceWithGossip;
+
+use crate::host::{DatagramSocket, GossipHost};
+use crate::status_report::Status;
 use cleatpulley_membership::figures::Kind;
 use cleatpulley_membership::seal::Keys;
 use cleatpulley_membership::{Event, Identity, Membership, Settings};
 use cleatpulley_policy::interface::Micros;
+use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The number that the event loop knows the socket by; listeners have smaller ones.
+/// The number that the event loop knows the socket by. Listeners for clients have smaller ones.
 pub const PLACE: usize = (1 << 16) + 2;
 
-/// Datagrams heard in one turn. Guards the requests: whoever has the key could fill a turn.
-const TURN: usize = 64;
-/// The largest datagram: larger ones are none of ours.
-const LARGEST: usize = 2_048;
-/// How often the others are told how this process is, where it changed.
-const TELLS: Micros = 200_000;
-/// Warmth is told anew where it moved by this much.
-const STEP: f64 = 0.05;
+/// Datagrams read in one iteration. Guards the requests: whoever has the key could fill one.
+const MAX_DATAGRAMS: usize = 64;
+/// Larger datagrams are none of ours.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Interval at which the status is shared, where it has changed.
+const STATUS_INTERVAL: Micros = 200_000;
+/// The warmth is shared again where it has changed by this much.
+const WARMTH_STEP: f64 = 0.05;
 
 /// Reads the keys again.
 pub type ReloadKeys = Box<dyn FnMut() -> Result<Keys, String>>;
 
-/// What is set.
+/// What gossip is created from.
 pub struct Options {
-    /// Who this process is; its life is told by the folder.
+    /// The identity of this process; its incarnation follows from the folder.
     pub identity: Identity,
-    /// Where it listens, which others may reach by the identity's address.
+    /// Where it listens. Others may reach that by the identity's address.
     pub listen: SocketAddr,
     /// Processes that are asked for the others.
     pub contacts: Vec<SocketAddr>,
-    /// How patient it is.
+    /// Intervals and timeouts.
     pub settings: Settings,
-    /// The keys, now and after SIGHUP.
+    /// Reads the keys, now and after SIGHUP.
     pub keys: ReloadKeys,
     /// What outlives the process.
     pub folder: PathBuf,
 }
 
-/// The socket and what is heard by it.
+/// The status that was shared last.
+#[derive(Clone, Copy)]
+struct SharedStatus {
+    warmth: f64,
+    is_draining: bool,
+}
+
+impl SharedStatus {
+    /// Returns true where the change is large enough to be shared.
+    fn differs_from(self, earlier: Self) -> bool {
+        (self.warmth - earlier.warmth).abs() >= WARMTH_STEP
+            || self.is_draining != earlier.is_draining
+            || (self.warmth == 1.0 && earlier.warmth < 1.0)
+    }
+}
+
+/// The socket and the membership over it.
 pub struct Gossip<H: GossipHost> {
-    world: H,
+    host: H,
     socket: H::DatagramSocket,
     membership: Membership,
     keys: ReloadKeys,
     folder: PathBuf,
-    readable: bool,
-    told: Option<(f64, bool)>,
-    tell_at: Micros,
+    /// Datagrams may have arrived.
+    is_readable: bool,
+    /// None before the status was shared.
+    shared_status: Option<SharedStatus>,
+    next_status_at: Micros,
 }
 
 impl<H: GossipHost> Gossip<H> {
-    /// Listens, in a life that no process of this folder had before.
+    /// Listens, with an incarnation that no process of this folder had before.
     ///
     /// # Errors
-    /// Where the address, the keys or the folder can't be had.
-    pub fn new(world: H, options: Options) -> io::Result<Self> {
+    /// Where the address, the keys or the folder can't be used.
+    pub fn new(host: H, options: Options) -> io::Result<Self> {
         let Options {
             mut identity,
             listen,
@@ -75,35 +98,35 @@
             folder,
         } = options;
         let incarnations = incarnation_store::begin(&folder)?;
-        let (socket, at) = world.bind_datagram_socket(listen, PLACE)?;
+        let (socket, address) = host.bind_datagram_socket(listen, PLACE)?;
         if identity.address.port() == 0 {
-            identity.address.set_port(at.port());
+            identity.address.set_port(address.port());
         }
-        identity.boot = world.random();
-        let seed = world.random();
+        identity.boot = host.random();
+        let seed = host.random();
         let key = keys().map_err(io::Error::other)?;
         let mut membership = Membership::new(identity, incarnations, settings, key, seed)
-            .map_err(|fault| io::Error::new(ErrorKind::InvalidInput, fault.to_string()))?;
+            .map_err(|error| io::Error::new(ErrorKind::InvalidInput, error.to_string()))?;
         membership.join(contacts);
-        tracing::info!("cluster: {} hears on {at}", membership.identity());
+        tracing::info!("cluster: {} hears on {address}", membership.identity());
         Ok(Self {
-            world,
+            host,
             socket,
             membership,
             keys,
             folder,
-            readable: true,
-            told: None,
-            tell_at: 0,
+            is_readable: true,
+            shared_status: None,
+            next_status_at: 0,
         })
     }
 
-    /// Datagrams may have come.
+    /// Notes that datagrams may have arrived.
     pub fn on_readiness(&mut self) {
-        self.readable = true;
+        self.is_readable = true;
     }
 
-    /// Who is there.
+    /// Returns the membership: which other processes there are.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
@@ -113,98 +136,116 @@
     pub fn reload(&mut self) {
         match (self.keys)() {
             Ok(keys) => {
-                tracing::info!("cluster: keys read again: {keys:?}");
+                tracing::info!(?keys, "cluster: keys read again");
                 self.membership.rekey(keys);
             }
-            Err(what) => tracing::error!("cluster: the keys stay as they were: {what}"),
+            Err(error) => tracing::error!(%error, "cluster: the keys stay as they were"),
         }
     }
 
-    /// Hears, does what time asks for, and says what is to be said; returns until when there is nothing to do.
+    /// Shares the status with the next [`poll`](Self::poll).
+    pub fn share_status_now(&mut self) {
+        self.next_status_at = 0;
+    }
+
+    /// Reads datagrams, lets time pass, and sends; returns the time until which there is nothing to
+    /// do.
     pub fn poll(&mut self, now: Micros, status: impl Fn() -> Status) -> Micros {
-        let more = self.hear(now);
-        if now >= self.tell_at {
-            self.tell_at = now + TELLS;
-            self.tell(now, &status());
+        let has_more = self.read(now);
+        if now >= self.next_status_at {
+            self.next_status_at = now + STATUS_INTERVAL;
+            self.share_status(now, &status());
         }
         self.membership.turn(now);
-        self.say(now);
+        self.send(now);
         while let Some(event) = self.membership.event() {
-            self.note_event(now, &event);
+            self.handle_event(now, &event);
         }
-        if more {
+        if has_more {
             return now;
         }
-        self.membership.next().min(self.tell_at)
+        self.membership.next().min(self.next_status_at)
     }
 
-    /// Says goodbye.
+    /// Tells the others that this process leaves.
     pub fn leave(&mut self) {
-        let now = self.world.now();
+        let now = self.host.now();
         self.membership.leave(now);
-        self.say(now);
+        self.send(now);
     }
 
-    fn hear(&mut self, now: Micros) -> bool {
-        let mut buffer = [0; LARGEST];
-        for _ in 0..TURN {
-            if !self.readable {
+    /// Reads what has arrived; returns true where there may be more.
+    fn read(&mut self, now: Micros) -> bool {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_DATAGRAMS {
+            if !self.is_readable {
                 return false;
             }
             match self.socket.receive(&mut buffer) {
-                Ok((length, from)) => {
-                    if let Err(why) = self.membership.hear(now, &buffer[..length]) {
-                        tracing::debug!("cluster: a datagram of {from} is not heard: {why}");
+                Ok((length, sender)) => {
+                    if let Err(error) = self.membership.hear(now, &buffer[..length]) {
+                        tracing::debug!(%sender, %error, "cluster: a datagram is dropped");
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.readable = false,
-                // What was sent to one that is gone comes back so; it says nothing that gossip does not.
-                Err(e) => tracing::trace!("cluster: {e}"),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.is_readable = false,
+                // This follows a datagram to a process that is gone, of which gossip tells more.
+                Err(error) => tracing::trace!(%error, "cluster: receiving failed"),
             }
         }
-        self.readable
+        self.is_readable
     }
 
-    fn tell(&mut self, now: Micros, status: &Status) {
-        let (warmth, drains) = (status.warmth, status.drains);
-        let moved = self.told.is_none_or(|(told, told_drains)| {
-            (warmth - told).abs() >= STEP || drains != told_drains || (warmth == 1.0 && told < 1.0)
-        });
-        if moved {
-            self.told = Some((warmth, drains));
-            self.membership
-                .tell(now, Kind::Warmth, warmth.to_le_bytes().to_vec());
-            let drains = f64::from(u8::from(drains));
-            self.membership
-                .tell(now, Kind::Drain, drains.to_le_bytes().to_vec());
+    fn share_status(&mut self, now: Micros, status: &Status) {
+        let status = SharedStatus {
+            warmth: status.warmth,
+            is_draining: status.drains,
+        };
+        let earlier = self.shared_status;
+        if earlier.is_some_and(|earlier| !status.differs_from(earlier)) {
+            return;
         }
+        self.shared_status = Some(status);
+        let warmth = status.warmth.to_le_bytes().to_vec();
+        self.membership.tell(now, Kind::Warmth, warmth);
+        let is_draining = f64::from(u8::from(status.is_draining));
+        let is_draining = is_draining.to_le_bytes().to_vec();
+        self.membership.tell(now, Kind::Drain, is_draining);
     }
 
-    fn say(&mut self, now: Micros) {
-        for (to, datagram) in self.membership.take_out() {
-            // A datagram that can't be sent is one that got lost.
-            if let Err(e) = self.socket.send(to, &datagram) {
-                tracing::trace!(now, "cluster: to {to}: {e}");
+    fn send(&mut self, now: Micros) {
+        for (address, datagram) in self.membership.take_out() {
+            // A datagram that can't be sent counts as one that got lost.
+            if let Err(error) = self.socket.send(address, &datagram) {
+                tracing::trace!(now, %address, %error, "cluster: sending failed");
             }
         }
     }
 
-    fn note_event(&mut self, now: Micros, event: &Event) {
-        let own = &self.membership.identity().name;
-        let step = |what: std::fmt::Arguments<'_>| tracing::info!(target: "timeline", "@ {now} {own} {what}");
+    fn handle_event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Up(other) => step(format_args!("sees {} come <- {other}", other.name)),
-            Event::Down(other) => step(format_args!("sees {} go <- {other}", other.name)),
-            Event::Rejoined(number) => step(format_args!("comes back <- as {number}")),
-            Event::Superseded(other) => {
-                tracing::error!("cluster: another process has the name {own} by a later life: {other}; this one stays out");
-                step(format_args!("is superseded <- {other}"));
+            Event::Up(peer) => {
+                self.log_step(now, format_args!("sees {} come <- {peer}", peer.name));
+            }
+            Event::Down(peer) => {
+                self.log_step(now, format_args!("sees {} go <- {peer}", peer.name));
+            }
+            Event::Rejoined(incarnation) => {
+                self.log_step(now, format_args!("comes back <- as {incarnation}"));
+            }
+            Event::Superseded(peer) => {
+                let name = &self.membership.identity().name;
+                tracing::error!(
+                    "cluster: another process has the name {name} by a later incarnation: {peer}; \
+                     this one stays out"
+                );
+                self.log_step(now, format_args!("is superseded <- {peer}"));
             }
             Event::Reserve(mark) => {
-                if let Err(e) = incarnation_store::write(&self.folder, *mark) {
+                if let Err(error) = incarnation_store::write(&self.folder, *mark) {
                     tracing::error!(
-                        "cluster: {}: {e}; a restart may come back under a number it had",
-                        self.folder.display()
+                        folder = %self.folder.display(),
+                        %error,
+                        "cluster: a restart may come back under a number it had"
                     );
                 }
             }
@@ -213,77 +254,10 @@
             }
         }
     }
-}
-
-/// What is served, with its peers.
-pub struct ServiceWithGossip {
-    served: Box<dyn Service>,
-    peers: Gossip<OsHost>,
-}
-
-impl ServiceWithGossip {
-    /// Those two.
-    #[must_use]
-    pub fn new(served: Box<dyn Service>, peers: Gossip<OsHost>) -> Self {
-        Self { served, peers }
-    }
-}
-
-impl Service for ServiceWithGossip {
-    fn on_readiness(&mut self, party: SocketOwner, readiness: Readiness) {
-        self.served.on_readiness(party, readiness);
-    }
-
-    fn on_acceptable(&mut self, listener: usize) {
-        if listener == PLACE {
-            return self.peers.on_readiness();
-        }
-        self.served.on_acceptable(listener);
-    }
-
-    fn on_persistence_event(&mut self, fact: DispatcherEvent) {
-        self.served.on_persistence_event(fact);
-    }
-
-    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
-        self.served.on_reputation_loaded(entries);
-    }
-
-    fn begin_shutdown(&mut self) {
-        self.served.begin_shutdown();
-        // Others hear of the drain in this turn.
-        self.peers.tell_at = 0;
-    }
-
-    fn reload(&mut self) {
-        self.served.reload();
-        self.peers.reload();
-    }
-
-    fn poll(&mut self) -> Micros {
-        let next = self.served.poll();
-        let served = &self.served;
-        next.min(self.peers.poll(served.now(), || served.status()))
-    }
-
-    fn is_finished(&self) -> bool {
-        self.served.is_finished()
-    }
-
-    fn take_fault(&mut self) -> Option<io::Error> {
-        self.served.take_fault()
-    }
-
-    fn close(&mut self) {
-        self.peers.leave();
-        self.served.close();
-    }
-
-    fn status(&self) -> Status {
-        self.served.status()
-    }
 
-    fn now(&self) -> Micros {
-        self.served.now()
+    /// Logs a step of the timeline, in the one format that drawings, tests and checks read.
+    fn log_step(&self, now: Micros, step: fmt::Arguments<'_>) {
+        let name = &self.membership.identity().name;
+        tracing::info!(target: "timeline", "@ {now} {name} {step}");
     }
 }
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -1,4 +1,5 @@
-//! The mark of used incarnations on the disk, in an embedded store that is open for that moment only.
+//! The mark of used incarnations on the disk, in an embedded store that is open only while it is
+//! read or written.
 
 #[cfg(test)]
 mod stored_format;
@@ -7,26 +8,23 @@
 use cleatpulley_log_store::{Batch, Options, Store};
 use cleatpulley_membership::incarnation::{Incarnations, Mark};
 use std::io;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
+/// The key of the mark.
 const KEY: &[u8] = b"incarnation";
 
-/// The numbers of a new life; its mark is durable once this returns.
+/// The folder holds something else than a mark.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: the mark has {length} bytes, and no number of 8", folder.display())]
+struct MalformedMark {
+    folder: PathBuf,
+    length: usize,
+}
+
+/// Returns the incarnations of a process that starts. Their mark is durable by then.
 pub(super) fn begin(folder: &Path) -> io::Result<Incarnations> {
     let mut store = open(folder)?;
-    let mark = store.get(0, KEY).map_err(io::Error::other)?;
-    let mark = match mark.map(<[u8; 8]>::try_from) {
-        Some(Ok(bytes)) => u64::from_le_bytes(bytes),
-        Some(Err(bytes)) => {
-            let what = format!(
-                "{}: the mark has {} bytes, and no number of 8",
-                folder.display(),
-                bytes.len()
-            );
-            return Err(io::Error::other(what));
-        }
-        None => 0,
-    };
+    let mark = read(&store, folder)?;
     let (incarnations, mark) = Incarnations::begin(mark).map_err(io::Error::other)?;
     put(&mut store, mark)?;
     Ok(incarnations)
@@ -38,12 +36,26 @@
 }
 
 fn open(folder: &Path) -> io::Result<Store<OsFolder>> {
-    let (store, found) =
+    let (store, report) =
         Store::open(OsFolder::new(folder, true)?, Options::default()).map_err(io::Error::other)?;
-    tracing::debug!("cluster: {}: {found}", folder.display());
+    tracing::debug!(folder = %folder.display(), %report, "cluster: the store is open");
     Ok(store)
 }
 
+/// Returns the mark, 0 where there is none yet.
+fn read(store: &Store<OsFolder>, folder: &Path) -> io::Result<u64> {
+    let Some(bytes) = store.get(0, KEY).map_err(io::Error::other)? else {
+        return Ok(0);
+    };
+    let bytes = <[u8; 8]>::try_from(bytes).map_err(|bytes| {
+        io::Error::other(MalformedMark {
+            folder: folder.to_owned(),
+            length: bytes.len(),
+        })
+    })?;
+    Ok(u64::from_le_bytes(bytes))
+}
+
 fn put(store: &mut Store<OsFolder>, mark: Mark) -> io::Result<()> {
     store
         .write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None))
@@ -52,18 +64,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use cleatpulley_membership::incarnation::BLOCK;
-
-    #[test]
-    fn each_start_has_numbers_of_its_own() {
-        let folder = std::env::temp_dir().join(format!("cleatpulley-marks-{}", std::process::id()));
-        let first = begin(&folder).expect("a folder");
-        let second = begin(&folder).expect("a folder");
-        assert_eq!((first.current(), second.current()), (1, BLOCK + 1));
-        write(&folder, Mark(9 * BLOCK)).expect("a folder");
-        assert_eq!(begin(&folder).expect("a folder").current(), 9 * BLOCK + 1);
-        std::fs::remove_dir_all(&folder).expect("it was there");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/server/src/gossip/service.rs
@@ -0,0 +1,84 @@
+//! A service that gossips.
+
+use super::{Gossip, PLACE};
+use crate::host::Readiness;
+use crate::options::SocketOwner;
+use crate::os_host::{OsHost, Service};
+use crate::status_report::Status;
+use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_dispatcher::Event;
+use cleatpulley_policy::interface::Micros;
+use std::io;
+
+/// A service, and its gossip with the other processes.
+pub struct ServiceWithGossip {
+    service: Box<dyn Service>,
+    gossip: Gossip<OsHost>,
+}
+
+impl ServiceWithGossip {
+    /// Combines the two.
+    #[must_use]
+    pub fn new(service: Box<dyn Service>, gossip: Gossip<OsHost>) -> Self {
+        Self { service, gossip }
+    }
+}
+
+impl Service for ServiceWithGossip {
+    fn on_readiness(&mut self, owner: SocketOwner, readiness: Readiness) {
+        self.service.on_readiness(owner, readiness);
+    }
+
+    fn on_acceptable(&mut self, listener: usize) {
+        if listener == PLACE {
+            return self.gossip.on_readiness();
+        }
+        self.service.on_acceptable(listener);
+    }
+
+    fn on_persistence_event(&mut self, event: Event) {
+        self.service.on_persistence_event(event);
+    }
+
+    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+        self.service.on_reputation_loaded(entries);
+    }
+
+    fn begin_shutdown(&mut self) {
+        self.service.begin_shutdown();
+        // Others learn of the drain in this iteration.
+        self.gossip.share_status_now();
+    }
+
+    fn reload(&mut self) {
+        self.service.reload();
+        self.gossip.reload();
+    }
+
+    fn poll(&mut self) -> Micros {
+        let next_deadline = self.service.poll();
+        let service = &self.service;
+        next_deadline.min(self.gossip.poll(service.now(), || service.status()))
+    }
+
+    fn is_finished(&self) -> bool {
+        self.service.is_finished()
+    }
+
+    fn take_fault(&mut self) -> Option<io::Error> {
+        self.service.take_fault()
+    }
+
+    fn close(&mut self) {
+        self.gossip.leave();
+        self.service.close();
+    }
+
+    fn status(&self) -> Status {
+        self.service.status()
+    }
+
+    fn now(&self) -> Micros {
+        self.service.now()
+    }
+}
