--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -1,7 +1,8 @@
-//! The seam to the world: all that a matcher asks of its host goes through these traits, and nothing of it knows which
-//! world it is in. `real` has the one of calloop and std; a simulator brings another.
+//! The interface to the operating system. All that a server asks of its host goes through these
+//! traits, and nothing of it knows which host that is: [`os_host`](crate::os_host) has the one of
+//! calloop and std, a simulator brings another.
 
-use super::SocketOwner;
+use crate::options::SocketOwner;
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event;
@@ -11,87 +12,89 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// What was seen on a connection.
+/// What the event loop saw on a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Readiness {
-    /// It may be read from, also where it is over or broke.
+    /// It may be read from, also where it was closed or broke.
     pub readable: bool,
     /// It may be written to, also where it broke.
     pub writable: bool,
 }
 
-/// A connection, which ends when this is dropped. Nothing waits: what can't be done now is
-/// [`WouldBlock`](io::ErrorKind::WouldBlock), and the owner is told of its party's readiness later.
+/// A stream socket, open until it is dropped. No call blocks: what can't be done now is
+/// [`WouldBlock`](io::ErrorKind::WouldBlock), and the readiness is reported to the owner later.
 pub trait Stream {
-    /// Reads some of what has come; 0 where the peer sends no more.
+    /// Reads some of the bytes that have arrived; returns 0 where the peer sends no more.
     ///
     /// # Errors
     /// Those of the system.
     fn read(&self, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes some of it.
+    /// Writes some of the bytes; returns how many.
     ///
     /// # Errors
     /// Those of the system.
     fn write(&self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Sends no more; what the peer still sends can be read.
+    /// Closes the write side; what the peer still sends can be read.
     fn shutdown_write(&self);
 
-    /// The error that the connection holds, such as that of one that could not be made.
+    /// Returns the error that the socket holds, such as that of a failed attempt to connect.
     ///
     /// # Errors
     /// That error.
     fn take_error(&self) -> io::Result<()>;
 }
 
-/// A connection to the other process of an upgrade: messages go over it whole, and listening sockets along with them. It
-/// ends when this is dropped, and nothing waits.
+/// A connection to the other process of a hot restart, open until it is dropped. Messages arrive
+/// complete, and listening sockets come along with them. No call blocks.
 pub trait HandoverChannel {
     /// A listening socket.
     type Listener;
-    /// One that came along and is not listened on yet.
+    /// A socket that was handed over and is not watched by the event loop yet.
     type ReceivedSocket;
 
     /// Sends a message, with these sockets along.
     ///
     /// # Errors
-    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where the other side does not read.
-    fn send(&self, message: &[u8], along: &[&Self::Listener]) -> io::Result<()>;
+    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where the peer does not read.
+    fn send(&self, message: &[u8], listeners: &[&Self::Listener]) -> io::Result<()>;
 
-    /// The next message and what came along with it; an empty one is the end.
+    /// Returns the next message and the sockets that came along; an empty message is the end.
     ///
     /// # Errors
-    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where none has come.
+    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where none has arrived.
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<Self::ReceivedSocket>)>;
 }
 
-/// Where a process of an upgrade is met: by the folder, the matcher's name and the first address that it listens on.
+/// Where the processes of a hot restart meet: by the folder, the name of the server, and the first
+/// address that it listens on.
 #[derive(Debug, Clone)]
 pub struct HandoverAddress {
-    /// A folder that both processes share, and nobody else.
+    /// A folder that both processes share, and no other user.
     pub folder: PathBuf,
-    /// The matcher's name.
+    /// The name of the server.
     pub name: String,
     /// The address.
     pub address: SocketAddr,
 }
 
-/// Keeps the results of keyed requests, and tells [`Server::kept`](super::Server::on_persistence_event) of it.
+/// Persists idempotency keys and cached results. Its events go to
+/// [`Server::on_persistence_event`](crate::Server::on_persistence_event).
 pub trait ResultPersistence {
-    /// Writes what a history decided.
-    fn write(&mut self, effect: KeyCommand);
+    /// Writes a change of the key table.
+    fn write(&mut self, command: KeyCommand);
 
-    /// Reads how a key ended.
+    /// Loads the cached result of a key, as of `now`.
     fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
 
-    /// Lets it write what it has and close the store, in its own time; nothing more is asked of it.
+    /// Lets it write what it has and close in its own time. It is given nothing more.
     fn release(&mut self);
 
-    /// Waits until it has closed the store, for a while.
+    /// Waits until it is closed, for a limited time.
     fn stop(self);
 
-    /// The same where no process comes after this one: what is not lasting goes.
+    /// Does the same where no process follows this one: what is not durable is removed.
     fn discard(self)
     where
         Self: Sized,
@@ -99,133 +102,140 @@
         self.stop();
     }
 
-    /// Looks after its store and says what came of it, where it has no thread for that; the rest is told to the node.
-    fn poll(&mut self, _now: Micros, _facts: &mut Vec<Event>) {}
+    /// Maintains its files and returns its events, where it has no thread for that.
+    fn poll(&mut self, _now: Micros, _events: &mut Vec<Event>) {}
 
-    /// When [`turn`](Self::turn) has something to do.
+    /// Returns when [`poll`](Self::poll) has something to do.
     fn next_deadline(&self) -> Option<Micros> {
         None
     }
 }
 
-/// Keeps earned standing, and tells [`Server::remembered`](super::Server::on_reputation_loaded) what it held.
+/// Persists the reputation of client addresses. What it loads goes to
+/// [`Server::on_reputation_loaded`](crate::Server::on_reputation_loaded).
 pub trait ReputationStorage {
-    /// Writes what was earned, in its own time.
+    /// Writes changed entries, in its own time.
     fn write(&self, entries: Vec<Entry>);
 
-    /// Lets it write what it has and close the book, in its own time; nothing more is asked of it.
+    /// Lets it write what it has and close in its own time. It is given nothing more.
     fn release(&mut self);
 
-    /// Waits until it has closed the book, for a while.
+    /// Waits until it is closed, for a limited time.
     fn stop(self);
 }
 
-/// A matcher's host.
+/// The host of a server.
 pub trait Host: Clone + 'static {
-    /// A connection.
+    /// A stream socket.
     type Stream: Stream;
     /// A listening socket; it listens until it is dropped.
     type Listener;
-    /// A keeper.
+    /// The persistence of idempotency keys.
     type ResultPersistence: ResultPersistence;
-    /// A keeper of earned standing.
+    /// The persistence of the reputation of client addresses.
     type ReputationStorage: ReputationStorage;
-    /// Where successors come to; they may until it is dropped.
+    /// The socket on which successors connect; they may until it is dropped.
     type SuccessorListener;
-    /// A descriptor that is kept for later; it is free once this is dropped.
+    /// A descriptor in reserve, free once this is dropped.
     type ReservedDescriptor;
-    /// A connection to the other process of an upgrade.
+    /// A connection to the other process of a hot restart.
     type HandoverChannel: HandoverChannel<Listener = Self::Listener>;
 
-    /// Microseconds of the Unix clock at the start, and monotonic from there on.
+    /// Returns the time: microseconds of the Unix clock at the start, and monotonic from there on.
     fn now(&self) -> Micros;
 
-    /// Listens; the node is told of new connections by this number. Returns where that is.
+    /// Listens on an address. New connections are reported with this number. Returns the listener,
+    /// and the address with the port that the system chose.
     ///
     /// # Errors
     /// Those of the system.
-    fn listen(&self, address: SocketAddr, place: usize)
-        -> io::Result<(Self::Listener, SocketAddr)>;
+    fn listen(
+        &self,
+        address: SocketAddr,
+        number: usize,
+    ) -> io::Result<(Self::Listener, SocketAddr)>;
 
-    /// Somebody listens there already, where [`listen`](Self::listen) would share the address with it.
+    /// Returns true where another process listens on an address that [`listen`](Self::listen) would
+    /// share with it.
     fn is_address_in_use(&self, address: SocketAddr) -> bool;
 
-    /// Accepts a connection that waits, and says whose it is.
+    /// Accepts a connection that waits; returns it with the address of its client.
     ///
     /// # Errors
     /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
     fn accept(
         &self,
         listener: &Self::Listener,
-        party: SocketOwner,
+        owner: SocketOwner,
     ) -> io::Result<(Self::Stream, IpAddr)>;
 
-    /// Keeps a descriptor, so that a connection can be accepted where no other is left.
+    /// Reserves a descriptor, so that a connection can be accepted when no other is left.
     ///
     /// # Errors
     /// Those of the system.
     fn reserve_descriptor(&self) -> io::Result<Self::ReservedDescriptor>;
 
-    /// Begins to connect; the first readiness tells how that went.
+    /// Begins to connect; the first readiness reports how that went.
     ///
     /// # Errors
     /// Those of the system; a refusal may come at once.
-    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<Self::Stream>;
+    fn connect(&self, address: SocketAddr, owner: SocketOwner) -> io::Result<Self::Stream>;
 
-    /// Takes up a listening socket that another process passed, where it is one and listens at this address, whose port
-    /// may be 0.
+    /// Adopts a socket that another process has handed over, where it listens on this address,
+    /// whose port may be 0.
     ///
     /// # Errors
-    /// Where it is not, and those of the system.
+    /// Where it does not, and those of the system.
     fn adopt_listener(
         &self,
-        passed: <Self::HandoverChannel as HandoverChannel>::ReceivedSocket,
+        received: <Self::HandoverChannel as HandoverChannel>::ReceivedSocket,
         address: SocketAddr,
-        place: usize,
+        number: usize,
     ) -> io::Result<Self::Listener>;
 
-    /// Lets successors find this process from now on; the node is told of them as of new connections, by this number.
+    /// Lets successors find this process from now on. They are reported with this number, as new
+    /// connections are.
     ///
     /// # Errors
     /// Those of the system.
     fn listen_for_successors(
         &self,
-        meeting: &HandoverAddress,
-        place: usize,
+        address: &HandoverAddress,
+        number: usize,
     ) -> io::Result<Self::SuccessorListener>;
 
-    /// Accepts a successor that waits, where its user is ours.
+    /// Accepts a successor that waits, where it belongs to the same user.
     ///
     /// # Errors
     /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
     fn accept_successor(
         &self,
-        post: &Self::SuccessorListener,
-        party: SocketOwner,
+        listener: &Self::SuccessorListener,
+        owner: SocketOwner,
     ) -> io::Result<Self::HandoverChannel>;
 
-    /// Connects to the process whose place this one is to take.
+    /// Connects to the process to take over from.
     ///
     /// # Errors
     /// Where there is none, and those of the system.
     fn connect_to_predecessor(
         &self,
-        meeting: &HandoverAddress,
-        party: SocketOwner,
+        address: &HandoverAddress,
+        owner: SocketOwner,
     ) -> io::Result<Self::HandoverChannel>;
 
-    /// Opens the book of the earned standing of so many addresses.
+    /// Opens the persistence of the reputation of at most `max_addresses` addresses.
     ///
     /// # Errors
     /// Those of the system.
     fn open_reputation_storage(
         &self,
         folder: PathBuf,
-        most: usize,
+        max_addresses: usize,
     ) -> io::Result<Self::ReputationStorage>;
 
-    /// Starts a keeper of results on a folder. One that is not `lasting` outlives its process, for the next one of the same
-    /// matcher, and not its host.
+    /// Opens the persistence of idempotency keys in a folder. One that is not durable outlives its
+    /// process, for the next one of the same server, and not the machine.
     ///
     /// # Errors
     /// Those of the system.
@@ -233,40 +243,41 @@
         &self,
         folder: PathBuf,
         seed: u64,
-        lasting: bool,
+        is_durable: bool,
     ) -> io::Result<Self::ResultPersistence>;
 }
 
-/// A socket for datagrams, open until this is dropped. Nothing waits.
+/// A datagram socket, open until it is dropped. No call blocks.
 pub trait DatagramSocket {
-    /// Sends one.
+    /// Sends a datagram.
     ///
     /// # Errors
     /// Those of the system.
-    fn send(&self, to: SocketAddr, datagram: &[u8]) -> io::Result<()>;
+    fn send(&self, address: SocketAddr, datagram: &[u8]) -> io::Result<()>;
 
-    /// The next that has come, how long it is, and where from.
+    /// Receives the next datagram; returns its length and its sender.
     ///
     /// # Errors
-    /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none has, and those of the system.
+    /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none has arrived, and those of the system.
     fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 }
 
-/// A host on which processes talk among each other.
+/// A host on which processes gossip.
 pub trait GossipHost: Host {
-    /// A socket for datagrams.
+    /// A datagram socket.
     type DatagramSocket: DatagramSocket;
 
-    /// Listens for datagrams; whoever is served is told of them by this number. Returns where that is.
+    /// Binds a datagram socket, whose readiness is reported with this number, as new connections
+    /// are. Returns it with the address that the system chose.
     ///
     /// # Errors
     /// Those of the system.
     fn bind_datagram_socket(
         &self,
         address: SocketAddr,
-        place: usize,
+        number: usize,
     ) -> io::Result<(Self::DatagramSocket, SocketAddr)>;
 
-    /// A random number.
+    /// Returns a random number.
     fn random(&self) -> u64;
 }
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -1,260 +1,301 @@
-//! The operators' address: who asks how this process is, each on a connection of its own. Served before the clients' side in each
-//! turn, in places that no client can take.
+//! The management endpoint: operators ask for readiness and metrics, each on a connection of its
+//! own. It is served before clients in each iteration, with connection slots that no client can
+//! take.
 
-use super::buffered_connection::BufferedConnection;
-use super::error::StartError;
-use super::host::{Host, Readiness};
-use super::tls_layer::{TlsLayer, TlsState};
-use super::SocketOwner;
+use crate::buffered_connection::BufferedConnection;
+use crate::error::StartError;
+use crate::host::{Host, Readiness};
+use crate::options::SocketOwner;
+use crate::tls_layer::{TlsLayer, TlsState};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::mgmt::{Answers, Connection};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::rc::Rc;
 
-/// The number of this listener: the front counts its own from 0.
+/// The number of this listener. Listeners for clients have smaller ones.
 pub const PLACE: usize = 1 << 16;
-/// Callers at a time. What is beyond that pushes out who has waited longest without a whole call.
+/// Limit of connections. One more closes the connection that has waited longest without a complete
+/// request.
 pub const PLACES: usize = 16;
-/// Connections accepted in one turn: a crowd here may not keep the clients waiting.
-const ACCEPTS: usize = 128;
+/// Connections accepted in one iteration: a flood here may not keep the clients waiting.
+const MAX_ACCEPTS: usize = 128;
 /// Wait after the system had no descriptor for a new connection.
 const ACCEPT_PAUSE: Micros = 50_000;
-const READ_AT_ONCE: usize = 16_384;
-/// A connection that was accepted so lately is not pushed out by the next.
-const FAIR: Micros = 500;
+/// Bytes read from a connection at once.
+const READ_LIMIT: usize = 16_384;
+/// A connection that was accepted within this time is not closed for the next.
+const MIN_SLOT_TIME: Micros = 500;
 
-struct Caller<H: Host> {
-    conn: BufferedConnection<H>,
-    call: Connection,
-    /// Our end is closed.
-    finished: bool,
+/// A connection of an operator.
+struct OperatorConnection<H: Host> {
+    stream: BufferedConnection<H>,
+    protocol: Connection,
+    /// The write side is closed.
+    is_finished: bool,
 }
 
-/// The listener and its callers.
+/// The listener and its connections.
 pub struct ManagementEndpoint<H: Host> {
-    world: H,
+    host: H,
     listener: H::Listener,
-    acceptable: bool,
+    is_acceptable: bool,
+    /// Nothing is accepted before this time.
     accept_at: Micros,
-    callers: BTreeMap<u64, Caller<H>>,
-    most: usize,
-    noted: Vec<u64>,
-    numbers: u64,
-    /// TLS, where operators speak it: each handshake begins at once, in the places of operators.
+    /// By number, so that the oldest is the first.
+    connections: BTreeMap<u64, OperatorConnection<H>>,
+    max_connections: usize,
+    last_number: u64,
+    /// Numbers of connections that may have something to read or to send.
+    ready: Vec<u64>,
+    /// None without TLS. Each handshake begins at once.
     tls: Option<Rc<RefCell<TlsState>>>,
 }
 
 impl<H: Host> ManagementEndpoint<H> {
-    /// Listens.
+    /// Listens for operators.
     ///
     /// # Errors
-    /// Those of the system.
-    pub fn listen(world: H, address: SocketAddr) -> Result<Self, StartError> {
-        let (listener, address) = world
+    /// Where the address can't be listened on.
+    pub fn listen(host: H, address: SocketAddr) -> Result<Self, StartError> {
+        let (listener, address) = host
             .listen(address, PLACE)
             .map_err(|source| StartError::ManagementListen { address, source })?;
         tracing::info!("operators are answered on {address}");
-        let (callers, noted) = (BTreeMap::new(), Vec::new());
-        let tls = None;
         Ok(Self {
-            world,
+            host,
             listener,
-            acceptable: true,
+            is_acceptable: true,
             accept_at: 0,
-            callers,
-            most: PLACES,
-            noted,
-            numbers: 0,
-            tls,
+            connections: BTreeMap::new(),
+            max_connections: PLACES,
+            last_number: 0,
+            ready: Vec::new(),
+            tls: None,
         })
     }
 
-    /// Speaks TLS from now on.
+    /// Speaks TLS on connections that are accepted from now on.
     pub fn set_tls(&mut self, tls: Rc<RefCell<TlsState>>) {
         self.tls = Some(tls);
     }
 
-    /// Has so many places from now on; who has waited longest beyond them goes.
-    pub fn set_connection_limit(&mut self, most: usize) {
-        self.most = most.max(1);
-        while self.callers.len() > self.most {
-            self.callers.pop_first();
+    /// Holds so many connections from now on; the oldest above the limit are closed.
+    pub fn set_connection_limit(&mut self, max_connections: usize) {
+        self.max_connections = max_connections.max(1);
+        while self.connections.len() > self.max_connections {
+            self.connections.pop_first();
         }
     }
 
-    /// Connections that stand.
+    /// Returns the number of connections.
     #[must_use]
     pub fn connection_count(&self) -> usize {
-        self.callers.len()
+        self.connections.len()
     }
 
-    /// Connections may wait to be accepted.
+    /// Notes that connections may wait to be accepted.
     pub fn on_acceptable(&mut self) {
-        self.acceptable = true;
+        self.is_acceptable = true;
     }
 
-    /// A connection may be read from or written to.
+    /// Notes that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
-        if let Some(caller) = self.callers.get_mut(&number) {
-            caller.conn.on_readiness(readiness);
-            self.noted.push(number);
+        if let Some(connection) = self.connections.get_mut(&number) {
+            connection.stream.on_readiness(readiness);
+            self.ready.push(number);
         }
     }
 
-    /// Answers what has come, accepts, and closes. True when there is more to do at once.
+    /// Responds to requests, accepts, and closes. Returns true where there is more to do at once.
     pub fn poll(&mut self, now: Micros, answers: &dyn Answers) -> bool {
-        for number in std::mem::take(&mut self.noted) {
+        for number in std::mem::take(&mut self.ready) {
             self.serve(now, number, answers);
         }
-        // Those that stand come first: room for the next is made of what has still no whole call.
+        // Connections that are served already come first: the next may close one without a complete
+        // request.
         self.accept(now, answers);
-        let due = |(number, caller): (&u64, &Caller<H>)| {
-            (now >= caller.call.deadline()).then_some(*number)
-        };
-        let due: Vec<_> = self.callers.iter().filter_map(due).collect();
-        for number in due {
-            let Some(caller) = self.callers.get_mut(&number) else {
+        self.expire(now, answers);
+        self.is_acceptable && now >= self.accept_at
+    }
+
+    fn expire(&mut self, now: Micros, answers: &dyn Answers) {
+        let expired: Vec<_> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| now >= connection.protocol.deadline())
+            .map(|(number, _)| *number)
+            .collect();
+        for number in expired {
+            let Some(connection) = self.connections.get_mut(&number) else {
                 continue;
             };
-            if caller.call.expire(now, caller.conn.output()) {
-                self.callers.remove(&number);
+            let output = connection.stream.output();
+            if connection.protocol.expire(now, output) {
+                self.connections.remove(&number);
             } else {
                 self.serve(now, number, answers);
             }
         }
-        self.acceptable && now >= self.accept_at
     }
 
-    /// When something is to be looked at, though nothing happened.
+    /// Returns when something is to be done though no socket becomes ready.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
-        let deadline = self
-            .callers
-            .values()
-            .map(|caller| caller.call.deadline())
-            .min();
-        let accept = (self.acceptable && self.accept_at > 0).then_some(self.accept_at);
-        [deadline, accept].into_iter().flatten().min()
+        let connections = self.connections.values();
+        let deadlines = connections.map(|connection| connection.protocol.deadline());
+        let is_delayed = self.is_acceptable && self.accept_at > 0;
+        deadlines.chain(is_delayed.then_some(self.accept_at)).min()
     }
 
     fn accept(&mut self, now: Micros, answers: &dyn Answers) {
-        for _ in 0..ACCEPTS {
-            if !self.acceptable || now < self.accept_at {
+        for _ in 0..MAX_ACCEPTS {
+            if self.accept_next(now, answers).is_break() {
                 return;
             }
-            if self.callers.len() >= self.most && !self.make_room(now) {
-                self.accept_at = now + FAIR;
-                return;
+        }
+    }
+
+    fn accept_next(&mut self, now: Micros, answers: &dyn Answers) -> ControlFlow<()> {
+        if !self.is_acceptable || now < self.accept_at {
+            return ControlFlow::Break(());
+        }
+        if self.connections.len() >= self.max_connections && !self.free_connection_slot(now) {
+            self.accept_at = now + MIN_SLOT_TIME;
+            return ControlFlow::Break(());
+        }
+        let number = self.last_number + 1;
+        let owner = SocketOwner::Management(number);
+        match self.host.accept(&self.listener, owner) {
+            Ok((stream, _)) => {
+                self.last_number = number;
+                self.add_connection(now, number, BufferedConnection::new(stream));
+                self.serve(now, number, answers);
+                ControlFlow::Continue(())
             }
-            let number = self.numbers + 1;
-            let mut conn = match self
-                .world
-                .accept(&self.listener, SocketOwner::Management(number))
-            {
-                Ok((stream, _)) => BufferedConnection::new(stream),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.acceptable = false;
-                    return;
-                }
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
-                    ) =>
-                {
-                    continue
-                }
-                Err(e) => {
-                    // Guards against a loop at full speed while descriptors are short.
-                    tracing::warn!("no operator's connection accepted for a while: {e}");
-                    self.make_room(now);
-                    self.accept_at = now + ACCEPT_PAUSE;
-                    return;
-                }
-            };
-            self.numbers = number;
-            // A call that came with its connection is answered before the next can push it out.
-            conn.on_readiness(Readiness {
-                readable: true,
-                writable: true,
-            });
-            if self.tls.is_some() {
-                conn.set_tls(TlsLayer::new());
+            Err(error) => self.on_accept_failed(now, &error),
+        }
+    }
+
+    fn on_accept_failed(&mut self, now: Micros, error: &io::Error) -> ControlFlow<()> {
+        match error.kind() {
+            ErrorKind::WouldBlock => {
+                self.is_acceptable = false;
+                ControlFlow::Break(())
+            }
+            ErrorKind::Interrupted | ErrorKind::ConnectionAborted => ControlFlow::Continue(()),
+            _ => {
+                // Guards against a loop at full speed while descriptors are short.
+                tracing::warn!(%error, "no operator's connection accepted for a while");
+                self.free_connection_slot(now);
+                self.accept_at = now + ACCEPT_PAUSE;
+                ControlFlow::Break(())
             }
-            self.callers.insert(
-                number,
-                Caller {
-                    conn,
-                    call: Connection::new(now),
-                    finished: false,
-                },
-            );
-            self.serve(now, number, answers);
         }
     }
 
-    /// Pushes out who has its answer or waits longest for a whole call. Guards against callers that hold all places
-    /// and ask nothing.
-    fn make_room(&mut self, now: Micros) -> bool {
-        let rank = |(number, caller): (&u64, &Caller<H>)| {
-            let done = caller.call.answered() && caller.conn.unsent() == 0;
-            (done || now >= caller.call.since() + FAIR).then_some((!done, *number))
+    fn add_connection(&mut self, now: Micros, number: u64, mut stream: BufferedConnection<H>) {
+        // A request that came with its connection gets its response before the next connection can
+        // close this one.
+        stream.on_readiness(Readiness {
+            readable: true,
+            writable: true,
+        });
+        if self.tls.is_some() {
+            stream.set_tls(TlsLayer::new());
+        }
+        let connection = OperatorConnection {
+            stream,
+            protocol: Connection::new(now),
+            is_finished: false,
         };
+        self.connections.insert(number, connection);
+    }
+
+    /// Closes a connection that has its response, or the one that waits longest without a complete
+    /// request. Returns false where there is none. Guards against operators that take all slots and
+    /// ask for nothing.
+    fn free_connection_slot(&mut self, now: Micros) -> bool {
         if is_bug_injected(InjectedBug::ManagementStarved) {
             return false;
         }
-        let Some((_, number)) = self.callers.iter().filter_map(rank).min() else {
+        let eviction_order = |(number, connection): (&u64, &OperatorConnection<H>)| {
+            let is_done = connection.protocol.answered() && connection.stream.unsent() == 0;
+            let is_evictable = is_done || now >= connection.protocol.since() + MIN_SLOT_TIME;
+            is_evictable.then_some((!is_done, *number))
+        };
+        let evictable = self.connections.iter().filter_map(eviction_order);
+        let Some((_, number)) = evictable.min() else {
             return false;
         };
-        self.callers.remove(&number).is_some()
+        self.connections.remove(&number).is_some()
     }
 
     fn serve(&mut self, now: Micros, number: u64, answers: &dyn Answers) {
-        let Some(caller) = self.callers.get_mut(&number) else {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
         let tls = self.tls.as_ref().map(|tls| tls.borrow());
-        if !caller.go_on(now, answers, tls.as_deref()) {
-            self.callers.remove(&number);
+        if connection.serve(now, answers, tls.as_deref()).is_break() {
+            self.connections.remove(&number);
         }
     }
 }
 
-impl<H: Host> Caller<H> {
-    /// Reads, answers and sends; false where the connection is over.
-    fn go_on(&mut self, now: Micros, answers: &dyn Answers, tls: Option<&TlsState>) -> bool {
+impl<H: Host> OperatorConnection<H> {
+    /// Reads, responds and sends; breaks where the connection is over.
+    fn serve(
+        &mut self,
+        now: Micros,
+        answers: &dyn Answers,
+        tls: Option<&TlsState>,
+    ) -> ControlFlow<()> {
+        self.read(now, answers, tls)?;
+        if self.stream.flush().is_err() {
+            return ControlFlow::Break(());
+        }
+        let is_sent = self.stream.unsent() == 0;
+        let is_answered = self.protocol.answered();
+        if is_answered && is_sent && !std::mem::replace(&mut self.is_finished, true) {
+            self.stream.shutdown_write();
+        }
+        // A client that closed its side before its request was complete asks for nothing any more.
+        if self.stream.ended && (!is_answered || is_sent) {
+            return ControlFlow::Break(());
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Reads all there is; what follows a request is discarded, since an edge reports it once.
+    fn read(
+        &mut self,
+        now: Micros,
+        answers: &dyn Answers,
+        tls: Option<&TlsState>,
+    ) -> ControlFlow<()> {
         loop {
-            let Ok(mut more) = self.conn.read(READ_AT_ONCE) else {
-                return false;
+            let Ok(mut has_more) = self.stream.read(READ_LIMIT) else {
+                return ControlFlow::Break(());
             };
-            if let (Some(tls), true) = (tls, self.conn.layer().and_then(TlsLayer::offer).is_some())
-            {
-                if self.conn.begin(tls.config()).is_err() {
-                    return false;
+            let has_offer = self.stream.layer().and_then(TlsLayer::offer).is_some();
+            if let Some(tls) = tls.filter(|_| has_offer) {
+                if self.stream.begin_handshake(tls.config()).is_err() {
+                    return ControlFlow::Break(());
                 }
-                more = true;
+                has_more = true;
             }
-            let input = std::mem::take(&mut self.conn.input);
-            let used = self.call.receive(now, &input, self.conn.output(), answers);
-            self.conn.input = input;
-            self.conn.consume(used);
-            // What is read beyond a call's answer is thrown away, as long as it comes; an edge tells of it once.
-            if !more {
-                break;
+            let input = std::mem::take(&mut self.stream.input);
+            let output = self.stream.output();
+            let used = self.protocol.receive(now, &input, output, answers);
+            self.stream.input = input;
+            self.stream.consume(used);
+            if !has_more {
+                return ControlFlow::Continue(());
             }
         }
-        if self.conn.flush().is_err() {
-            return false;
-        }
-        let sent = self.conn.unsent() == 0;
-        if self.call.answered() && sent && !std::mem::replace(&mut self.finished, true) {
-            self.conn.shutdown_write();
-        }
-        // One that closed its end before a whole call came asks nothing any more.
-        !self.conn.ended || self.call.answered() && !sent
     }
 }
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,7 +1,8 @@
-//! What a matcher is told, who it talks to, and what it holds.
+//! What a server is constructed from, which services it connects to, and what it holds.
 
-use super::{dependency_pool, tls_layer};
-use cleatpulley_connection_admission::Settings as Admitting;
+use crate::dependency_pool::DependencyProtocol;
+use crate::tls_layer::TlsOptions;
+use cleatpulley_connection_admission::Settings as ConnectionAdmission;
 use cleatpulley_dispatcher::key_table::Capacity;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Micros, Settings};
@@ -13,7 +14,7 @@
 /// The part of the server that a socket belongs to.
 #[derive(Debug, Clone, Copy)]
 pub enum SocketOwner {
-    /// A connection of the client side, by its number.
+    /// A connection of a client or proxy, by its number.
     ClientConnection(u64),
     /// The connection to the runtime.
     Runtime,
@@ -42,118 +43,116 @@
     pub registry: SocketAddr,
 }
 
-/// The AJP front.
+/// The addresses on which AJP is spoken.
 #[derive(Debug, Clone)]
 pub struct AjpOptions {
-    /// Where proxies connect.
+    /// The addresses that proxies connect to.
     pub listen: Vec<SocketAddr>,
-    /// Proxies whose word on when a request came is believed.
+    /// Proxies whose time of receipt of a request is trusted.
     pub trusted: Vec<IpAddr>,
-    /// What its connections share.
+    /// Settings of all its connections.
     pub settings: ajp::server::Settings,
 }
 
-/// Kept results of keyed requests.
+/// Idempotency keys and cached results.
 #[derive(Debug, Clone)]
 pub struct IdempotencyOptions {
-    /// The folder of their store.
+    /// The folder that they are persisted in.
     pub folder: PathBuf,
-    /// What is kept outlives the host, and not only the process.
+    /// They outlive the machine, and not only the process.
     pub is_durable: bool,
-    /// By class: whether results are kept.
+    /// By request class: whether its requests may have a key.
     pub classes: Vec<bool>,
-    /// A request of such a class without a key is not taken.
+    /// Requests of these classes without a key are rejected.
     pub required: bool,
-    /// Whose keys are.
+    /// Among which requests a key is unique.
     pub scope: KeyScope,
-    /// How much is kept, and for how long.
+    /// How many keys and results are kept, and for how long.
     pub capacity: Capacity,
-    /// Memory that one entry is booked with, in KB.
+    /// Memory that one key counts for, in KB.
     pub key_entry_kb: f64,
-    /// The field of frames that carries keys.
+    /// The field of frames that carries the key, where frames may carry one.
     pub key_frame_field: Option<String>,
 }
 
-/// All that a matcher is told at its start; where it comes from is the program's affair.
+/// The options of a server. The program reads them from its configuration.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The matcher's name.
+    /// The name of the server.
     pub name: String,
-    /// Where front ends connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Other processes accept there too, and go on when this one leaves.
+    /// Other processes accept connections there too, and go on when this one shuts down.
     pub shares_listener: bool,
-    /// The folder in which it meets the process whose place it takes, and the one that takes its own; without one it
-    /// meets none.
+    /// The folder in which the processes of a hot restart meet; without one there is no hot restart.
     pub handover_folder: Option<PathBuf>,
-    /// Where operators ask how the process is, if anywhere.
+    /// The address of the management endpoint, if there is one.
     pub management: Option<SocketAddr>,
-    /// Where the other parties are.
+    /// The services that it connects to.
     pub services: ServiceAddresses,
-    /// For random numbers.
+    /// The seed of its random numbers.
     pub seed: u64,
-    /// Time between the notice to leave and the stop.
+    /// Time between the request to shut down and the stop, in microseconds.
     pub shutdown_time: Micros,
-    /// Descriptors that the process may hold.
+    /// Limit of descriptors of the process.
     pub max_descriptors: usize,
-    /// Names of the classes, by index.
+    /// Names of the request classes, by index.
     pub class_names: Vec<String>,
-    /// Names of the gauges, in the order that the runtime tells them in.
+    /// Names of the gauges, in the order in which the runtime sends them.
     pub gauge_names: Vec<String>,
-    /// What the controller is told.
+    /// Settings of the overload controller.
     pub settings: Settings,
-    /// The AJP front, where there is one.
+    /// Where AJP is spoken, if anywhere.
     pub ajp: Option<AjpOptions>,
-    /// How the store is called.
-    pub dependency_protocol: dependency_pool::DependencyProtocol,
-    /// Kept results, where they are kept.
+    /// The protocol spoken with the dependency.
+    pub dependency_protocol: DependencyProtocol,
+    /// Idempotency keys, where requests may have them.
     pub idempotency: Option<IdempotencyOptions>,
-    /// Who gets a place, where that is not first come, first served.
-    pub connection_admission: Option<Admitting>,
-    /// The folder that earned standing is kept in, where it is.
+    /// Who gets a connection slot; without it they go to whoever comes first.
+    pub connection_admission: Option<ConnectionAdmission>,
+    /// The folder that the reputation of client addresses is persisted in, if it is.
     pub reputation_folder: Option<PathBuf>,
     /// TLS, where it is spoken.
-    pub tls: Option<tls_layer::TlsOptions>,
+    pub tls: Option<TlsOptions>,
 }
 
-/// Reads the configuration again: the addresses that hold from now on, or what is wrong with it.
+/// Reads the configuration again: returns the addresses of the services from now on, or what is wrong
+/// with it.
 pub type Reload = Box<dyn FnMut() -> Result<ServiceAddresses, String>>;
 
-/// What a matcher holds.
+/// What a server holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerUsage {
-    /// Requests that it knows, answered ones whose run is still on among them.
+    /// Requests, those among them that have their response while their run goes on.
     pub requests: usize,
-    /// Requests that owe an answer.
+    /// Requests whose response is pending.
     pub pending: usize,
-    /// Runs of keyed requests whose end is not kept.
+    /// Runs of requests with an idempotency key whose result is not persisted.
     pub active_key_runs: usize,
-    /// Requests that connections count as open.
+    /// Requests that the connections count as open.
     pub open_requests: usize,
-    /// Calls to the store, those that wait for a connection among them.
+    /// Calls of the dependency, those that wait for a connection among them.
     pub calls: usize,
-    /// Listeners, connections, the pool, the links, and what is kept for later.
+    /// Descriptors in use: listeners, connections, and those reserved.
     pub descriptors: usize,
-    /// Of them, connections of the client side.
+    /// Connections of clients among them.
     pub client_connections: usize,
-    /// And to the store.
+    /// Connections to the dependency among them.
     pub dependency_connections: usize,
-    /// And of operators, with their listening socket.
+    /// Connections of operators among them, with their listener.
     pub management_connections: usize,
 }
 
 impl fmt::Display for ServerUsage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self {
-            requests,
-            pending: unanswered,
-            descriptors,
-            client_connections: connections,
-            dependency_connections: pool,
-            management_connections: asked,
-            ..
-        } = self;
-        write!(f, "{descriptors} descriptors: {connections} connections, {pool} to the store, {asked} of operators; ")?;
-        write!(f, "{requests} requests, {unanswered} unanswered")
+        write!(
+            f,
+            "{} descriptors: {} connections, {} to the dependency, {} of operators; ",
+            self.descriptors,
+            self.client_connections,
+            self.dependency_connections,
+            self.management_connections
+        )?;
+        write!(f, "{} requests, {} pending", self.requests, self.pending)
     }
 }
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -1,246 +1,297 @@
-//! Reports to the directory, so that front ends find this matcher.
+//! Reports to the service registry, so that clients find this server.
 
-use super::buffered_connection::BufferedConnection;
-use super::host::{Host, Readiness};
-use super::SocketOwner;
+use crate::buffered_connection::BufferedConnection;
+use crate::host::{Host, Readiness};
+use crate::options::SocketOwner;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
 use std::io;
 use std::net::SocketAddr;
 
-/// Time between reports: three may fail before the entry lapses.
-const BEAT: Micros = 700_000;
-/// A report that was not answered by then holds up no other: the next goes over a connection of its own.
-const PATIENCE: Micros = 600_000;
-/// The protocol's time after which an entry lapses: an answer that comes later is of no use.
-const LAPSE: Micros = 3_000_000;
-/// Connections at most: as many reports as fall due before the first is given up.
-const MOST: usize = (LAPSE / BEAT + 1) as usize;
-const READ_AT_ONCE: usize = 65_536;
-
-/// A connection to the directory.
-struct Channel<H: Host> {
+/// Interval between reports: three may fail before the entry lapses.
+const REPORT_INTERVAL: Micros = 700_000;
+/// A report without a response for this time holds up no other: the next uses another connection.
+const RESPONSE_TIMEOUT: Micros = 600_000;
+/// The protocol's time after which an entry lapses: a later response is of no use.
+const ENTRY_LIFETIME: Micros = 3_000_000;
+/// Limit of connections: as many as reports are due before the first is abandoned.
+const MAX_CONNECTIONS: usize = (ENTRY_LIFETIME / REPORT_INTERVAL + 1) as usize;
+/// Bytes read from a connection at once.
+const READ_LIMIT: usize = 65_536;
+/// The status of a response to a report that was accepted.
+const NO_CONTENT: u16 = 204;
+
+/// Why a report counts as failed.
+#[derive(Debug, thiserror::Error)]
+enum ReportError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The response can't be decoded; the codec says why.
+    #[error("{0}")]
+    Malformed(String),
+    #[error("status {0}")]
+    Status(u16),
+    #[error("closed by the registry")]
+    Closed,
+    #[error("no answer in time, which is waited for")]
+    Late,
+}
+
+/// The report on a connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ReportState {
+    Idle,
+    /// The response is waited for.
+    Pending {
+        since: Micros,
+    },
+    /// The same after [`RESPONSE_TIMEOUT`].
+    Late {
+        since: Micros,
+    },
+}
+
+impl ReportState {
+    /// Returns since when the response is waited for.
+    fn since(self) -> Option<Micros> {
+        match self {
+            Self::Idle => None,
+            Self::Pending { since } | Self::Late { since } => Some(since),
+        }
+    }
+
+    /// Returns when the response is late, or of no use any more.
+    fn deadline(self) -> Option<Micros> {
+        match self {
+            Self::Idle => None,
+            Self::Pending { since } => Some(since + RESPONSE_TIMEOUT),
+            Self::Late { since } => Some(since + ENTRY_LIFETIME),
+        }
+    }
+}
+
+/// A connection to the registry.
+struct RegistryConnection<H: Host> {
     number: u64,
-    conn: BufferedConnection<H>,
-    /// When the report on its way was made.
-    asked: Option<Micros>,
-    /// Its answer is late, which was seen.
-    late: bool,
+    stream: BufferedConnection<H>,
+    report: ReportState,
 }
 
-/// The reporter. A directory that answers late is reported to all the same: a report counts once it is answered, so that
-/// its connection is kept for the answer while the next report takes another.
+/// The client of the registry. A registry that responds late is reported to all the same: a report
+/// counts once it has its response, so that its connection is kept for that while the next report
+/// uses another one.
 pub struct RegistryClient<H: Host> {
-    world: H,
+    host: H,
     address: SocketAddr,
+    /// The path of this server's entry.
     path: String,
     /// The oldest first.
-    channels: Vec<Channel<H>>,
-    numbers: u64,
-    beat_at: Micros,
-    /// What the last report said, and whether reports are answered in time.
-    said: bool,
-    well: bool,
-    silent: bool,
+    connections: Vec<RegistryConnection<H>>,
+    last_number: u64,
+    next_report_at: Micros,
+    /// What the last report said.
+    reported_open: bool,
+    /// No failure was logged since a report last had its response in time.
+    is_healthy: bool,
+    /// Another process reports.
+    is_silent: bool,
 }
 
 impl<H: Host> RegistryClient<H> {
-    /// A reporter for the matcher of this name.
+    /// Creates the client of the server of this name.
     #[must_use]
-    pub fn new(world: H, address: SocketAddr, name: &str) -> Self {
-        let path = format!("/dir/nodes/{name}");
-        let channels = Vec::new();
+    pub fn new(host: H, address: SocketAddr, name: &str) -> Self {
         Self {
-            world,
+            host,
             address,
-            path,
-            channels,
-            numbers: 0,
-            beat_at: 0,
-            said: false,
-            well: true,
-            silent: false,
+            path: format!("/dir/nodes/{name}"),
+            connections: Vec::new(),
+            last_number: 0,
+            next_report_at: 0,
+            reported_open: false,
+            is_healthy: true,
+            is_silent: false,
         }
     }
 
-    /// The directory is at this address from now on, and is told at once.
+    /// Changes the address of the registry, and reports there at once.
     pub fn relocate(&mut self, now: Micros, address: SocketAddr) {
         if std::mem::replace(&mut self.address, address) != address {
-            self.channels.clear();
-            self.beat_at = now;
+            self.connections.clear();
+            self.next_report_at = now;
         }
     }
 
-    /// Connections to it that stand or are being made.
+    /// Returns the number of connections, those that are being made among them.
     #[must_use]
     pub fn connection_count(&self) -> usize {
-        self.channels.len()
+        self.connections.len()
     }
 
-    /// Takes note of what the event loop saw on a connection.
+    /// Notes that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
-        if let Some(channel) = self
-            .channels
-            .iter_mut()
-            .find(|channel| channel.number == number)
-        {
-            channel.conn.on_readiness(readiness);
-        }
-    }
-
-    /// Reads the answers to reports and makes the next when it is time; a change is told at once where none is on its way,
-    /// which it could overtake. Nothing is reported where another process does that.
-    pub fn poll(&mut self, now: Micros, open: Option<bool>) {
-        self.silent = open.is_none();
-        let open = open.unwrap_or(self.said);
-        if open != self.said && self.oldest().is_none() {
-            self.beat_at = now;
-        }
-        let in_time =
-            |channel: &Channel<H>| channel.asked.is_none_or(|asked| now < asked + PATIENCE);
-        if self
-            .channels
-            .iter_mut()
-            .filter(|channel| !in_time(channel))
-            .fold(false, |seen, channel| {
-                seen | !std::mem::replace(&mut channel.late, true)
-            })
-        {
-            self.fail("no answer in time, which is waited for");
-        }
-        self.channels
-            .retain(|channel| channel.asked.is_none_or(|asked| now < asked + LAPSE));
-        if now >= self.beat_at && !self.silent {
-            self.beat_at = now + BEAT;
-            self.said = open;
-            if let Err(e) = self.report(now) {
-                self.fail(&e.to_string());
+        let mut connections = self.connections.iter_mut();
+        if let Some(connection) = connections.find(|connection| connection.number == number) {
+            connection.stream.on_readiness(readiness);
+        }
+    }
+
+    /// Reads responses, and reports when that is due: `is_open` says whether this server accepts
+    /// clients; with none, another process reports. A change is reported at once where no report is
+    /// pending, which it could overtake.
+    pub fn poll(&mut self, now: Micros, is_open: Option<bool>) {
+        self.is_silent = is_open.is_none();
+        let is_open = is_open.unwrap_or(self.reported_open);
+        if is_open != self.reported_open && !self.has_pending_report() {
+            self.next_report_at = now;
+        }
+        self.mark_late(now);
+        self.connections.retain(|connection| {
+            let since = connection.report.since();
+            since.is_none_or(|since| now < since + ENTRY_LIFETIME)
+        });
+        if now >= self.next_report_at && !self.is_silent {
+            self.next_report_at = now + REPORT_INTERVAL;
+            self.reported_open = is_open;
+            if let Err(error) = self.report(now) {
+                self.on_failure(&error.into());
+            }
+        }
+        self.serve_all();
+    }
+
+    fn has_pending_report(&self) -> bool {
+        let mut connections = self.connections.iter();
+        connections.any(|connection| connection.report != ReportState::Idle)
+    }
+
+    fn mark_late(&mut self, now: Micros) {
+        let mut is_any_late = false;
+        for connection in &mut self.connections {
+            if let ReportState::Pending { since } = connection.report {
+                if now >= since + RESPONSE_TIMEOUT {
+                    connection.report = ReportState::Late { since };
+                    is_any_late = true;
+                }
             }
         }
-        let mut place = 0;
-        while place < self.channels.len() {
-            match self.exchange(place) {
-                Ok(true) => place += 1,
-                Ok(false) => drop(self.channels.remove(place)),
-                Err(e) => {
-                    self.channels.remove(place);
-                    self.fail(&e.to_string());
+        if is_any_late {
+            self.on_failure(&ReportError::Late);
+        }
+    }
+
+    fn serve_all(&mut self) {
+        let mut index = 0;
+        while index < self.connections.len() {
+            match self.serve(index) {
+                Ok(true) => index += 1,
+                Ok(false) => {
+                    self.connections.remove(index);
+                }
+                Err(error) => {
+                    self.connections.remove(index);
+                    self.on_failure(&error);
                 }
             }
         }
     }
 
-    /// When the next report is due, one is late or one is given up.
+    /// Returns when the next report is due, or one is late or abandoned.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
-        let beat_at = if self.silent {
+        let next_report_at = if self.is_silent {
             Micros::MAX
         } else {
-            self.beat_at
-        };
-        let due = |channel: &Channel<H>| {
-            let patience = if channel.late { LAPSE } else { PATIENCE };
-            channel.asked.map(|asked| asked + patience)
+            self.next_report_at
         };
-        self.channels
+        self.connections
             .iter()
-            .filter_map(due)
-            .fold(beat_at, Micros::min)
-    }
-
-    /// When the oldest report on its way was made.
-    fn oldest(&self) -> Option<Micros> {
-        self.channels
-            .iter()
-            .filter_map(|channel| channel.asked)
-            .min()
+            .filter_map(|connection| connection.report.deadline())
+            .fold(next_report_at, Micros::min)
     }
 
     fn report(&mut self, now: Micros) -> io::Result<()> {
-        let place = match self
-            .channels
-            .iter()
-            .position(|channel| channel.asked.is_none())
-        {
-            Some(place) => place,
-            // Guards the descriptors against a directory that answers nothing.
-            None if self.channels.len() >= MOST => return Ok(()),
-            None => {
-                self.numbers += 1;
-                let conn = BufferedConnection::connect(
-                    &self.world,
-                    self.address,
-                    SocketOwner::Registry(self.numbers),
-                )?;
-                self.channels.push(Channel {
-                    number: self.numbers,
-                    conn,
-                    asked: None,
-                    late: false,
-                });
-                self.channels.len() - 1
-            }
+        let Some(index) = self.find_connection()? else {
+            return Ok(());
         };
-        let body = if self.said {
+        let body = if self.reported_open {
             &br#"{"mode":"open"}"#[..]
         } else {
             br#"{"mode":"closed"}"#
         };
         let host = self.address.to_string();
         let headers = [("Content-Type", "application/json".to_owned())];
-        let channel = &mut self.channels[place];
-        http::push_request(
-            channel.conn.output(),
-            "PUT",
-            &self.path,
-            &host,
-            &headers,
-            body,
-        );
-        (channel.asked, channel.late) = (Some(now), false);
+        let connection = &mut self.connections[index];
+        let output = connection.stream.output();
+        http::push_request(output, "PUT", &self.path, &host, &headers, body);
+        connection.report = ReportState::Pending { since: now };
         Ok(())
     }
 
-    /// Sends and reads on one connection; false where it is of no more use.
-    fn exchange(&mut self, place: usize) -> io::Result<bool> {
-        let channel = &mut self.channels[place];
-        let conn = &mut channel.conn;
-        conn.flush()?;
-        conn.read(READ_AT_ONCE)?;
-        if channel.asked.is_some() {
-            if let Some(reply) = http::parse(&conn.input, conn.ended).map_err(io::Error::other)? {
-                conn.input.drain(..reply.size);
-                channel.asked = None;
-                if reply.status != 204 {
-                    return Err(io::Error::other(format!("status {}", reply.status)));
-                }
-                // What follows an answer belongs to no report.
-                let spent = reply.closes || !conn.input.is_empty();
-                if !self.well && !channel.late {
-                    tracing::info!("directory: reports count again");
-                    self.well = true;
-                }
-                // Those that slow answers were waited for on are more than one report needs.
-                let idle = self
-                    .channels
-                    .iter()
-                    .filter(|channel| channel.asked.is_none())
-                    .count();
-                return Ok(!spent && idle == 1);
-            }
+    /// Returns the index of an idle connection, or of a new one. None where all connections there
+    /// may be wait for a response: guards the descriptors against a registry that never responds.
+    fn find_connection(&mut self) -> io::Result<Option<usize>> {
+        let mut connections = self.connections.iter();
+        let idle = connections.position(|connection| connection.report == ReportState::Idle);
+        if idle.is_some() {
+            return Ok(idle);
+        }
+        if self.connections.len() >= MAX_CONNECTIONS {
+            return Ok(None);
+        }
+        self.last_number += 1;
+        let owner = SocketOwner::Registry(self.last_number);
+        let stream = BufferedConnection::connect(&self.host, self.address, owner)?;
+        self.connections.push(RegistryConnection {
+            number: self.last_number,
+            stream,
+            report: ReportState::Idle,
+        });
+        Ok(Some(self.connections.len() - 1))
+    }
+
+    /// Sends and reads on a connection; returns false where it is of no more use.
+    fn serve(&mut self, index: usize) -> Result<bool, ReportError> {
+        let connection = &mut self.connections[index];
+        let stream = &mut connection.stream;
+        stream.flush()?;
+        stream.read(READ_LIMIT)?;
+        if connection.report == ReportState::Idle {
+            return Ok(!stream.ended && stream.input.is_empty());
+        }
+        let response = http::parse(&stream.input, stream.ended).map_err(ReportError::Malformed)?;
+        match response {
+            Some(response) => self.on_response(index, &response),
+            None if stream.ended => Err(ReportError::Closed),
+            None => Ok(true),
+        }
+    }
+
+    fn on_response(&mut self, index: usize, response: &http::Reply) -> Result<bool, ReportError> {
+        let connection = &mut self.connections[index];
+        connection.stream.input.drain(..response.size);
+        let was_late = matches!(connection.report, ReportState::Late { .. });
+        connection.report = ReportState::Idle;
+        if response.status != NO_CONTENT {
+            return Err(ReportError::Status(response.status));
         }
-        match (conn.ended, channel.asked) {
-            (true, Some(_)) => Err(io::Error::other("closed by the directory")),
-            (ended, None) => Ok(!ended && conn.input.is_empty()),
-            (false, Some(_)) => Ok(true),
+        // Bytes after a response belong to no report.
+        let is_spent = response.closes || !connection.stream.input.is_empty();
+        if !self.is_healthy && !was_late {
+            tracing::info!("registry: reports count again");
+            self.is_healthy = true;
         }
+        // Connections that slow responses were waited for on are more than one report needs.
+        let connections = self.connections.iter();
+        let idle = connections.filter(|connection| connection.report == ReportState::Idle);
+        Ok(!is_spent && idle.count() == 1)
     }
 
-    /// Says once that reports fail; the next beat tries again.
-    fn fail(&mut self, why: &str) {
-        if self.well {
-            tracing::warn!("directory: report failed: {why}");
+    /// Logs the first failure since reports last counted; the next report tries again.
+    fn on_failure(&mut self, error: &ReportError) {
+        if self.is_healthy {
+            tracing::warn!(%error, "registry: report failed");
         }
-        self.well = false;
+        self.is_healthy = false;
     }
 }
--- /dev/null
+++ b/crates/server/src/runtime_link/notices.rs
@@ -0,0 +1,200 @@
+//! The notices of the runtime, as events.
+
+use super::{LinkState, RuntimeLink, MAX_LINE_BYTES};
+use crate::host::Host;
+use cleatpulley_dispatcher::{Event, RuntimeCommand};
+use cleatpulley_policy::interface::{Gauges, Micros, Outcome};
+use cleatpulley_protocol::line::{self, Notice};
+
+/// A runtime whose uptime is smaller than before by more than this was restarted; a smaller
+/// difference is one of the clock.
+const RESTART_MARGIN: Micros = 1_000_000;
+
+/// Why a line of the runtime is skipped.
+#[derive(Debug, thiserror::Error)]
+enum NoticeError {
+    /// It can't be decoded; the codec says why.
+    #[error("{0}")]
+    Malformed(String),
+    #[error("a call without a number")]
+    CallWithoutNumber,
+    #[error("nack of {0:?}")]
+    UnknownCommand(String),
+    #[error("unknown kind {0:?}")]
+    UnknownKind(String),
+}
+
+impl From<String> for NoticeError {
+    fn from(reason: String) -> Self {
+        Self::Malformed(reason)
+    }
+}
+
+impl<H: Host> RuntimeLink<H> {
+    /// Takes all complete lines from what was read.
+    pub(super) fn read_lines(&mut self, events: &mut Vec<Event>) {
+        let Some(link) = &mut self.link else { return };
+        let mut input = std::mem::take(&mut link.stream.input);
+        let mut used = 0;
+        while let Some(length) = input[used..].iter().position(|byte| *byte == b'\n') {
+            let line = &input[used..used + length];
+            used += length + 1;
+            if line.is_empty() {
+                continue;
+            }
+            if let Err(error) = self.read_line(line, events) {
+                tracing::warn!(%error, "runtime: malformed line skipped");
+            }
+        }
+        input.drain(..used);
+        if input.len() > MAX_LINE_BYTES {
+            tracing::warn!(
+                bytes = input.len(),
+                "runtime: a line without an end skipped"
+            );
+            input.clear();
+        }
+        if let Some(link) = &mut self.link {
+            link.stream.input = input;
+        }
+    }
+
+    fn read_line(&mut self, line: &[u8], events: &mut Vec<Event>) -> Result<(), NoticeError> {
+        let notice = Notice::decode(line)?;
+        if let Some(number) = notice.no {
+            // A new link repeats notices that the old one may have carried.
+            if number <= self.last_notice {
+                return Ok(());
+            }
+            self.last_notice = number;
+        }
+        match &*notice.t {
+            "ready" => self.on_ready(&notice, events),
+            "end" => self.on_run_ended(&notice, events)?,
+            "wants" => self.on_call_requested(&notice, events)?,
+            "load" => self.on_gauges(&notice, events),
+            "nack" => on_command_rejected(&notice, events)?,
+            "info" => {}
+            other => return Err(NoticeError::UnknownKind(other.to_owned())),
+        }
+        Ok(())
+    }
+
+    /// The runtime is up and has answered `sync`.
+    fn on_ready(&mut self, notice: &Notice, events: &mut Vec<Event>) {
+        let uptime = notice.time();
+        tracing::info!("runtime: {}, up for {} ms", notice.status, uptime / 1_000);
+        let previous_uptime = std::mem::replace(&mut self.uptime, uptime);
+        if previous_uptime > uptime + RESTART_MARGIN {
+            // Another process: what ran there is gone, with the notices of it.
+            tracing::warn!("runtime: it was started again; what ran there has no end");
+            self.last_notice = 0;
+            self.uncertain_commands.clear();
+            events.push(Event::RuntimeReplaced);
+        }
+        if let Some(link) = &mut self.link {
+            if link.state == LinkState::Syncing {
+                link.state = LinkState::Ready;
+            }
+        }
+        self.is_healthy = true;
+        events.push(Event::RuntimeReady(uptime));
+        // The gauges follow all notices that the runtime had for this process.
+        self.read_gauges();
+        self.marks.barrier = self.marks.last_sent;
+    }
+
+    fn on_run_ended(
+        &mut self,
+        notice: &Notice,
+        events: &mut Vec<Event>,
+    ) -> Result<(), NoticeError> {
+        let id = notice.request()?;
+        let mut outcome = match &*notice.status {
+            "fine" => Outcome::Success,
+            "fault" => Outcome::Failure,
+            "broken_off" => Outcome::Cancelled,
+            "late" => Outcome::NotStarted,
+            other => {
+                tracing::warn!(status = other, "runtime: unknown end taken for a failure");
+                Outcome::Failure
+            }
+        };
+        // A result that can't be read must reach no client, but the run is over all the same.
+        let result = notice.body().unwrap_or_else(|error| {
+            tracing::warn!(request = %line::rid(id), %error, "runtime: a result is lost");
+            outcome = Outcome::Failure;
+            Vec::new()
+        });
+        self.uncertain_commands.retain(|command| command.id != id);
+        events.push(Event::RunEnded {
+            id,
+            outcome,
+            elapsed: notice.time(),
+            result,
+        });
+        Ok(())
+    }
+
+    fn on_call_requested(
+        &mut self,
+        notice: &Notice,
+        events: &mut Vec<Event>,
+    ) -> Result<(), NoticeError> {
+        let id = notice.request()?;
+        let number = notice.no.ok_or(NoticeError::CallWithoutNumber)?;
+        self.uncertain_commands.retain(|command| command.id != id);
+        events.push(Event::CallRequested {
+            id,
+            notice: number,
+            body: notice.body()?,
+        });
+        Ok(())
+    }
+
+    fn on_gauges(&mut self, notice: &Notice, events: &mut Vec<Event>) {
+        let find_gauge = |name: &str| {
+            let index = self.gauge_names.iter().position(|gauge| gauge == name)?;
+            notice.v.get(index).copied()
+        };
+        events.push(Event::Gauges(Gauges {
+            runnable: find_gauge("runnable"),
+            memory: find_gauge("mem_used"),
+        }));
+        if let Some(mark) = notice.mark() {
+            self.confirm(mark, events);
+        }
+    }
+
+    /// The runtime has read all lines up to the request for gauges with this mark.
+    pub(super) fn confirm(&mut self, mark: u64, events: &mut Vec<Event>) {
+        self.marks.last_confirmed = self.marks.last_confirmed.max(mark);
+        self.outgoing.confirm(mark);
+        if mark >= self.marks.barrier {
+            let uncertain_commands = std::mem::take(&mut self.uncertain_commands);
+            events.extend(
+                uncertain_commands
+                    .into_iter()
+                    .map(|sent| Event::CommandUncertain {
+                        id: sent.id,
+                        command: sent.command,
+                    }),
+            );
+        }
+    }
+}
+
+fn on_command_rejected(notice: &Notice, events: &mut Vec<Event>) -> Result<(), NoticeError> {
+    let id = notice.request()?;
+    let command = match &*notice.status {
+        "start" => RuntimeCommand::Start,
+        "give" => RuntimeCommand::ResumeWithReply,
+        "omit" => RuntimeCommand::ResumeWithoutCall,
+        "stop" => RuntimeCommand::Stop,
+        other => return Err(NoticeError::UnknownCommand(other.to_owned())),
+    };
+    let name = &*notice.status;
+    tracing::warn!(command = name, request = %line::rid(id), "runtime: a command is rejected");
+    events.push(Event::CommandRejected { id, command });
+    Ok(())
+}
--- a/crates/server/src/runtime_link/tests.rs
+++ b/crates/server/src/runtime_link/tests.rs
@@ -1,39 +1,48 @@
-//! The link on sockets of loopback, on a clock of the test's own.
+//! The link on loopback sockets, on a clock of the test.
 
 use super::*;
 use crate::os_host::OsHost;
 
-/// A second new address while the link to the first is being left. Guards against a mark that is never sent: the link
-/// would be left only once its time is over, and no command goes out until then.
+/// A second change of address while the link departs from the first. Guards against a mark that is
+/// never sent: the link would be closed only at its deadline, and no command go out until then.
 #[test]
-fn a_link_that_is_being_left_is_left_by_its_first_mark_wherever_it_goes() {
+fn departing_link_is_closed_by_its_first_mark_after_a_second_move() {
     let event_loop = calloop::EventLoop::try_new().expect("an event loop");
     let listeners: Vec<_> = (0..3)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"))
         .collect();
-    let at: Vec<_> = listeners
+    let addresses: Vec<_> = listeners
         .iter()
-        .map(|l| l.local_addr().expect("an address"))
+        .map(|listener| listener.local_addr().expect("an address"))
         .collect();
     let mut runtime = RuntimeLink::new(
         OsHost::new(event_loop.handle()),
-        at[0],
+        addresses[0],
         Vec::new(),
         Vec::new(),
     );
     runtime.connect(0);
-    runtime.synced = true;
-    runtime.relocate(1_000, at[1]);
-    let left = runtime.leaving;
-    assert_eq!(left, Some((1, 1_000 + LEAVING)));
-    runtime.relocate(2_000, at[2]);
-    assert_eq!((runtime.leaving, runtime.address), (left, at[2]));
-    let mut facts = Vec::new();
-    runtime.confirm(1, &mut facts);
+    runtime.link.as_mut().expect("it connects").state = LinkState::Ready;
+    runtime.relocate(1_000, addresses[1]);
+    let departing = runtime.state();
+    assert_eq!(
+        departing,
+        Some(LinkState::Departing {
+            mark: 1,
+            deadline: 1_000 + DEPARTURE_TIMEOUT
+        })
+    );
+    runtime.relocate(2_000, addresses[2]);
+    assert_eq!(
+        (runtime.state(), runtime.address),
+        (departing, addresses[2])
+    );
+    let mut events = Vec::new();
+    runtime.confirm(1, &mut events);
     assert!(
-        runtime.poll(3_000, &mut facts) && !runtime.is_connected(),
-        "proved, and left at once"
+        runtime.poll(3_000, &mut events) && !runtime.is_connected(),
+        "proved, and closed at once"
     );
-    runtime.poll(3_000, &mut facts);
+    runtime.poll(3_000, &mut events);
     assert!(listeners[2].accept().is_ok(), "and the next is the newest");
 }
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -89,15 +89,16 @@
 
 /// Returns the metrics of TLS: the certificate's expiry, its renewals, and handshakes.
 fn tls_metrics(tls: &TlsState, handshakes: Option<&Handshakes>, now: Micros) -> serde_json::Value {
-    let certificate = tls.facts();
+    let certificate = tls.certificate_facts();
+    let renewals = tls.renewals();
     let mut metrics = serde_json::json!({
         "certificate": {
             "names": certificate.names,
             "serial": certificate.serial,
-            "expires_in_s": tls.left(now),
+            "expires_in_s": tls.seconds_left(now),
         },
-        "renewed": tls.renewals.0,
-        "renewals_refused": tls.renewals.1,
+        "renewed": renewals.accepted,
+        "renewals_refused": renewals.rejected,
     });
     if let Some(handshakes) = handshakes {
         let counts = handshakes.counts;
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -1,11 +1,12 @@
-//! The link to a fleet's daemon on the same host: how the matcher is, a line at a time. It decides nothing by it, and a
-//! daemon that is away or slow costs it nothing.
+//! The status of a server, for operators as metrics in JSON and for the supervisor on the same host
+//! as one line a report. The server decides nothing by the supervisor, and one that is away or slow
+//! costs it nothing.
 
-use cleatpulley_connection_admission::admit::Counts as Places;
+use cleatpulley_connection_admission::admit::Counts as AdmissionCounts;
 use cleatpulley_dispatcher::{ClassCounters, Counters};
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde::Serialize;
-use serde_json::{json, Map};
+use serde_json::{json, Map, Value};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{self, IoSlice, Write};
 use std::mem::MaybeUninit;
@@ -13,80 +14,82 @@
 use std::os::fd::AsFd;
 use std::path::PathBuf;
 
-/// How a matcher is.
+/// The status of a server, as it is reported to the supervisor.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Status {
-    /// Its speed, as a share of a warm one's.
+    /// Its speed, as a share of the speed of a warm one.
     pub warmth: f64,
     /// Requests served since the start.
     pub served: u64,
-    /// Those whose time was over before they could be answered otherwise.
+    /// Requests that expired before they could get another response.
     pub late: u64,
-    /// Those turned away.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests that owe an answer.
+    /// Requests whose response is pending.
     pub held: usize,
-    /// It leaves.
+    /// It shuts down.
     pub drains: bool,
 }
 
-/// The figures that operators are told, as JSON.
+/// Returns the metrics for operators, as a line of JSON.
 #[must_use]
 pub fn vars(
-    names: &[String],
-    counts: &Counters,
-    open: usize,
-    places: Option<Places>,
-    tls: Option<serde_json::Value>,
+    class_names: &[String],
+    counters: &Counters,
+    pending_requests: usize,
+    admission: Option<AdmissionCounts>,
+    tls: Option<Value>,
 ) -> Vec<u8> {
-    let operation = |tally: &ClassCounters| {
-        json!({
-            "fulfilled": tally.served,
-            "throttled": tally.rejected,
-            "faulted": tally.failed,
-            "relayed": tally.forwarded,
-        })
-    };
-    let operations: Map<_, _> = names
+    let operations: Map<_, _> = class_names
         .iter()
-        .zip(counts.classes())
-        .map(|(name, tally)| (name.clone(), operation(tally)))
+        .zip(counters.classes())
+        .map(|(name, counters)| (name.clone(), class_metrics(counters)))
         .collect();
-    let mut figures = json!({
+    let mut metrics = json!({
         "operations": operations,
-        "open_requests": open,
-        "relayed": counts.total().forwarded,
+        "open_requests": pending_requests,
+        "relayed": counters.total().forwarded,
     });
-    if let Some(places) = places {
-        figures["connections"] = json!({
-            "admitted": places.admitted,
-            "in_place_of_another": places.instead,
-            "refused_by_rate": places.rate,
-            "refused_by_places": places.places,
-            "refused_as_full": places.full,
+    if let Some(counts) = admission {
+        metrics["connections"] = json!({
+            "admitted": counts.admitted,
+            "in_place_of_another": counts.instead,
+            "refused_by_rate": counts.rate,
+            "refused_by_places": counts.places,
+            "refused_as_full": counts.full,
         });
     }
     if let Some(tls) = tls {
-        figures["tls"] = tls;
+        metrics["tls"] = tls;
     }
-    let mut bytes = figures.to_string().into_bytes();
+    let mut bytes = metrics.to_string().into_bytes();
     bytes.push(b'\n');
     bytes
 }
 
-/// Where a fleet's daemon listens, and who tells it.
+fn class_metrics(counters: &ClassCounters) -> Value {
+    json!({
+        "fulfilled": counters.served,
+        "throttled": counters.rejected,
+        "faulted": counters.failed,
+        "relayed": counters.forwarded,
+    })
+}
+
+/// The supervisor's socket, and what identifies this instance there.
 #[derive(Debug, Clone)]
 pub struct FleetLink {
-    /// Its socket.
+    /// The path of the socket.
     pub socket: PathBuf,
-    /// The instance's number.
+    /// The number of the instance.
     pub incarnation: u64,
-    /// What proves it.
+    /// The token that proves the number.
     pub token: String,
 }
 
+/// The first line of a connection to the supervisor.
 #[derive(Serialize)]
 struct Hello<'a> {
     incarnation: u64,
@@ -94,16 +97,17 @@
     pid: u32,
 }
 
-/// Tells a daemon.
+/// Reports the status to the supervisor.
 pub struct StatusReporter {
     link: FleetLink,
+    /// None while there is no connection.
     socket: Option<Socket>,
-    /// What all instances listen with: a daemon that comes after another gets it from them.
+    /// The listener that all instances share: a supervisor that follows another gets it from them.
     listener: Option<TcpListener>,
 }
 
 impl StatusReporter {
-    /// One that has no link yet.
+    /// Creates a reporter that connects with its first report.
     #[must_use]
     pub fn new(link: FleetLink, listener: Option<TcpListener>) -> Self {
         Self {
@@ -113,55 +117,49 @@
         }
     }
 
-    /// Says how the matcher is; where nobody listens or nobody reads, nothing is said, and the next time will do.
+    /// Reports the status. Where nobody listens or reads, the report is dropped, and the next one
+    /// connects again.
     pub fn report(&mut self, status: &Status) {
         if self.socket.is_none() {
             self.socket = self.connect().ok();
         }
-        let said = self.socket.as_ref().map(|socket| send(socket, status));
-        if !matches!(said, Some(Ok(()))) {
+        let sent = self.socket.as_ref().map(|socket| send(socket, status));
+        if !matches!(sent, Some(Ok(()))) {
             self.socket = None;
         }
     }
 
     fn connect(&self) -> io::Result<Socket> {
         let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
-        // Guards the event loop against a daemon that does not accept.
+        // Guards the event loop against a supervisor that does not accept.
         socket.set_nonblocking(true)?;
         socket.connect(&SockAddr::unix(&self.link.socket)?)?;
-        let (incarnation, token) = (self.link.incarnation, self.link.token.as_str());
-        let bytes = line(&Hello {
-            incarnation,
-            token,
+        let bytes = to_line(&Hello {
+            incarnation: self.link.incarnation,
+            token: &self.link.token,
             pid: std::process::id(),
         })?;
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut along = SendAncillaryBuffer::new(&mut space);
-        let passed: Vec<_> = self.listener.iter().map(AsFd::as_fd).collect();
-        if !passed.is_empty() {
-            along.push(SendAncillaryMessage::ScmRights(&passed));
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        let listeners: Vec<_> = self.listener.iter().map(AsFd::as_fd).collect();
+        if !listeners.is_empty() {
+            control.push(SendAncillaryMessage::ScmRights(&listeners));
         }
-        whole(
-            sendmsg(
-                &socket,
-                &[IoSlice::new(&bytes)],
-                &mut along,
-                SendFlags::NOSIGNAL,
-            )?,
-            &bytes,
-        )?;
+        let flags = SendFlags::NOSIGNAL;
+        let sent = sendmsg(&socket, &[IoSlice::new(&bytes)], &mut control, flags)?;
+        check_complete(sent, &bytes)?;
         Ok(socket)
     }
 }
 
-fn line(what: &impl Serialize) -> io::Result<Vec<u8>> {
-    let mut bytes = serde_json::to_vec(what)?;
+fn to_line(value: &impl Serialize) -> io::Result<Vec<u8>> {
+    let mut bytes = serde_json::to_vec(value)?;
     bytes.push(b'\n');
     Ok(bytes)
 }
 
-/// A line is sent whole or not at all: after half of one the link is of no use.
-fn whole(sent: usize, bytes: &[u8]) -> io::Result<()> {
+/// A line is sent completely or not at all: after a part of one the connection is of no use.
+fn check_complete(sent: usize, bytes: &[u8]) -> io::Result<()> {
     if sent == bytes.len() {
         return Ok(());
     }
@@ -169,6 +167,6 @@
 }
 
 fn send(mut socket: &Socket, status: &Status) -> io::Result<()> {
-    let bytes = line(status)?;
-    whole(socket.write(&bytes)?, &bytes)
+    let bytes = to_line(status)?;
+    check_complete(socket.write(&bytes)?, &bytes)
 }
