--- a/crates/server/src/buffered_connection.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -3,7 +3,7 @@
 mod tls_stream;
 
 use crate::host::{Host, Readiness, Stream};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use crate::tls_layer::{TlsLayer, BUSY_ALERT};
 use cleatpulley_tls::rustls::ServerConfig;
 use std::cell::RefCell;
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -1,42 +1,52 @@
 //! The connections of clients and proxies. Accepting, connection slots, idle timeouts, overload,
 //! draining and lingering are the same for every protocol and live here; what the bytes mean is
-//! known to the [`Machine`] of each connection.
+//! known to the
+//! [`Machine`](cleatpulley_protocol::machine::Machine) of each connection.
 //!
 //! | module | what it holds |
 //! | --- | --- |
 //! | `front_protocol` | the protocol spoken on an address |
 //! | `listening_address` | an address, with its listening socket |
 //! | `client_connection` | a connection: its bytes, its machine, and when it is over |
-//! | `accept` | who gets a connection slot, and what becomes of those who get none |
-//! | `eviction` | giving up connection slots, idle timeouts |
-//! | `tls_handshakes` | handshakes, and what the names of certificates permit |
+//! | `machine_context` | what is passed to all machines |
+//! | `listen` | listening on addresses |
+//! | `acceptor`, `accept` | who gets a connection slot, and what becomes of those who get none |
+//! | `sweeper`, `eviction` | giving up connection slots, idle timeouts |
+//! | `tls_handshakes`, `handshakes` | handshakes, and what the names of certificates permit |
+//! | `draining` | what clients are told of a successor or a shutdown |
 
 mod accept;
+mod acceptor;
 mod client_connection;
+mod draining;
 mod eviction;
 mod front_protocol;
+mod handshakes;
+mod listen;
 mod listening_address;
+mod machine_context;
+mod sweeper;
 mod tls_handshakes;
 
 pub use front_protocol::FrontProtocol;
 
 use crate::host::{Host, Readiness};
 use crate::tls_layer::TlsState;
-use accept::Acceptor;
+use acceptor::Acceptor;
 use cleatpulley_connection_admission::handshake::Handshakes;
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::{Context, Machine};
 use client_connection::{ClientConnection, NextAction};
-use eviction::Sweeper;
 use listening_address::ListeningAddress;
+use machine_context::MachineContext;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use sweeper::Sweeper;
 use tls_handshakes::TlsHandshakes;
 
 /// What a [`ClientListener`] holds.
@@ -59,28 +69,6 @@
     pub error: io::Error,
 }
 
-/// What the machines of all connections are told.
-struct MachineContext {
-    /// Names of the request classes, by index.
-    class_names: Vec<String>,
-    /// How health checks are answered.
-    is_healthy: bool,
-    /// The value that all responses carry.
-    feedback: Option<f64>,
-}
-
-impl MachineContext {
-    fn at(&self, now: Micros, number: u64) -> Context<'_> {
-        Context {
-            now,
-            number,
-            classes: &self.class_names,
-            good: self.is_healthy,
-            feedback: self.feedback,
-        }
-    }
-}
-
 /// What clients were told of the shutdown. The stop may come without a drain before it, and a drain
 /// may follow after its notice.
 #[derive(Default)]
@@ -209,29 +197,6 @@
         }
     }
 
-    /// Lets another process accept from here on: clients are asked to close their connections, each
-    /// as soon as no request is on its way.
-    pub fn yield_to_successor(&mut self, now: Micros) {
-        self.acceptor.begin_yield();
-        self.send_away(now);
-    }
-
-    /// Returns true once all connections that were ever used have been asked to close.
-    #[must_use]
-    pub fn is_sent_away(&self) -> bool {
-        !self
-            .connections
-            .values()
-            .any(ClientConnection::is_open_and_used)
-    }
-
-    fn send_away(&mut self, now: Micros) {
-        for (&number, connection) in &mut self.connections {
-            connection.send_away(&self.context.at(now, number));
-            self.ready.push(number);
-        }
-    }
-
     /// Returns the numbers of listeners, connections and open requests.
     #[must_use]
     pub fn usage(&self) -> ClientListenerUsage {
@@ -310,59 +275,12 @@
         }
     }
 
-    /// Closes the first listener: other processes share its address and accept there from now on.
-    pub fn close_listeners(&mut self) {
-        if let Some(address) = self.addresses.first_mut() {
-            address.listener = None;
-        }
-    }
-
-    /// Asks clients to use other servers. Only the first call has an effect.
-    pub fn begin_shutdown(&mut self, now: Micros) {
-        if std::mem::replace(&mut self.shutdown.has_begun, true) {
-            return;
-        }
-        self.notify_all(now, |machine, context, output| {
-            machine.leave(context, output);
-        });
-    }
-
-    /// Tells clients that the stop is near: no new request is accepted, and no new connection after
-    /// those that wait. Only the first call has an effect.
-    pub fn notify_stop(&mut self, now: Micros) {
-        if std::mem::replace(&mut self.shutdown.is_stop_near, true) {
-            return;
-        }
-        self.notify_all(now, |machine, context, output| {
-            machine.part(context, output);
-        });
-        self.set_all_acceptable();
-    }
-
     fn set_all_acceptable(&mut self) {
         for address in &mut self.addresses {
             address.is_acceptable = true;
         }
     }
 
-    fn notify_all(
-        &mut self,
-        now: Micros,
-        notify: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>),
-    ) {
-        for (&number, connection) in &mut self.connections {
-            // Guards the last response on a connection whose write side is closed: one more message
-            // would break it.
-            if connection.is_lingering() {
-                continue;
-            }
-            let context = self.context.at(now, number);
-            let output = connection.stream.output();
-            notify(&mut *connection.machine, &context, output);
-            self.ready.push(number);
-        }
-    }
-
     /// Accepts, reads, sends and closes. Returns true where more can be read at once.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
         self.accept(now, events);
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -7,10 +7,10 @@
 use super::ClientListener;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use crate::tls_layer::{TlsLayer, BUSY_ALERT};
 use cleatpulley_connection_admission::admit::Known;
-use cleatpulley_connection_admission::{Admission, Decision};
+use cleatpulley_connection_admission::Decision;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
@@ -20,121 +20,11 @@
 
 /// Connections accepted in one iteration on each listener.
 const MAX_ACCEPTS: usize = 128;
-/// Rejected connections that are held at once until what came on them has its response.
-const MAX_REJECTED: usize = 16;
-/// Of all connections, one in so many may be a rejected one.
-const CONNECTIONS_PER_REJECTED: usize = 8;
 /// Wait after the system had no descriptor for a new connection.
 pub(super) const ACCEPT_PAUSE: Micros = 50_000;
 /// Wait while rejected clients that are known take up all the room for rejected connections.
 const REJECTED_PAUSE: Micros = 2_000;
 
-/// Whether connections are accepted.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum AcceptState {
-    Accepting,
-    /// Nothing is accepted; the connections stay.
-    Paused,
-    /// Another process accepts, and the connections are sent to it.
-    Yielding,
-}
-
-/// What is decided on with every new connection.
-pub(super) struct Acceptor<H: Host> {
-    pub(super) max_connections: usize,
-    state: AcceptState,
-    /// Nothing is accepted before this time.
-    pub(super) accept_at: Micros,
-    /// None where slots go to whoever comes first.
-    pub(super) admission: Option<Admission>,
-    /// Connections that are rejected and not closed yet.
-    pub(super) rejected_count: usize,
-    /// A descriptor for the moment at which no other is left, where it matters who comes then.
-    pub(super) reserved_descriptor: Option<H::ReservedDescriptor>,
-}
-
-impl<H: Host> Acceptor<H> {
-    pub(super) fn new(max_connections: usize) -> Self {
-        Self {
-            max_connections,
-            state: AcceptState::Accepting,
-            accept_at: 0,
-            admission: None,
-            rejected_count: 0,
-            reserved_descriptor: None,
-        }
-    }
-
-    pub(super) fn pause(&mut self) {
-        if self.state == AcceptState::Accepting {
-            self.state = AcceptState::Paused;
-        }
-    }
-
-    pub(super) fn resume(&mut self) {
-        self.state = AcceptState::Accepting;
-    }
-
-    pub(super) fn begin_yield(&mut self) {
-        self.state = AcceptState::Yielding;
-    }
-
-    pub(super) fn is_accepting(&self) -> bool {
-        self.state == AcceptState::Accepting
-    }
-
-    pub(super) fn is_yielding(&self) -> bool {
-        self.state == AcceptState::Yielding
-    }
-
-    pub(super) fn on_closed(&mut self, number: u64, is_rejected: bool) {
-        self.rejected_count -= usize::from(is_rejected);
-        if let Some(admission) = &mut self.admission {
-            admission.leave(number);
-        }
-    }
-
-    /// Reserves a descriptor for the moment at which no other is left.
-    pub(super) fn reserve_descriptor(&mut self, host: &H) {
-        if self.reserved_descriptor.is_none() && self.admission.is_some() {
-            self.reserved_descriptor = host.reserve_descriptor().ok();
-        }
-    }
-
-    /// Frees the reserved descriptor; returns false where there was none.
-    fn free_reserved_descriptor(&mut self) -> bool {
-        let reserved = self.reserved_descriptor.take();
-        let was_reserved = reserved.is_some();
-        if is_bug_injected(InjectedBug::SpareDescriptorLeaked) {
-            std::mem::forget(reserved);
-        }
-        was_reserved
-    }
-
-    /// Returns how many rejected connections are held at once: a part of the limit, so that they
-    /// take no descriptor beyond it.
-    fn max_rejected(&self) -> usize {
-        MAX_REJECTED
-            .min(self.max_connections / CONNECTIONS_PER_REJECTED)
-            .max(1)
-    }
-
-    fn is_rejected_full(&self) -> bool {
-        self.rejected_count >= self.max_rejected()
-    }
-
-    /// Returns how many connections may have a slot.
-    fn slot_count(&self, is_short_of_descriptors: bool) -> usize {
-        let reserved = self.max_rejected().min(self.max_connections - 1);
-        let slot_count = self.max_connections - reserved;
-        match &self.admission {
-            // Where no descriptor is left, all slots there are are taken.
-            Some(admission) if is_short_of_descriptors => admission.len().min(slot_count),
-            _ => slot_count,
-        }
-    }
-}
-
 /// A connection as it was accepted.
 struct AcceptedConnection<H: Host> {
     number: u64,
@@ -230,14 +120,12 @@
             entry.is_acceptable = false;
             return ControlFlow::Break(());
         };
-        let mut is_short_of_descriptors = false;
         let mut accepted = self.host.accept(listener, owner);
-        if accepted.as_ref().is_err_and(|error| !is_transient(error))
-            && self.acceptor.free_reserved_descriptor()
-        {
+        let is_failed = accepted.as_ref().is_err_and(|error| !is_transient(error));
+        let is_short_of_descriptors = is_failed && self.acceptor.free_reserved_descriptor();
+        if is_short_of_descriptors {
             // The client may be known or not, and only accepting shows that. The system reports that
             // it has no descriptor also where nobody waits.
-            is_short_of_descriptors = true;
             accepted = self.host.accept(listener, owner);
         }
         match accepted {
@@ -250,22 +138,33 @@
                     is_short_of_descriptors,
                 }))
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                entry.is_acceptable = false;
-                self.acceptor.reserve_descriptor(&self.host);
-                ControlFlow::Break(())
-            }
-            Err(error) if is_transient(&error) => {
-                self.acceptor.reserve_descriptor(&self.host);
-                ControlFlow::Continue(None)
-            }
             Err(error) => {
-                self.pause_after_failure(now, &error, events);
-                ControlFlow::Break(())
+                self.on_accept_failed(index, now, &error, events)?;
+                ControlFlow::Continue(None)
             }
         }
     }
 
+    /// Breaks where nothing more is to be accepted on the listener.
+    fn on_accept_failed(
+        &mut self,
+        index: usize,
+        now: Micros,
+        error: &io::Error,
+        events: &mut Vec<Event>,
+    ) -> ControlFlow<()> {
+        if !is_transient(error) {
+            self.pause_after_failure(now, error, events);
+            return ControlFlow::Break(());
+        }
+        self.acceptor.reserve_descriptor(&self.host);
+        if error.kind() == ErrorKind::WouldBlock {
+            self.addresses[index].is_acceptable = false;
+            return ControlFlow::Break(());
+        }
+        ControlFlow::Continue(())
+    }
+
     /// Guards against a loop at full speed while descriptors are short.
     fn pause_after_failure(&mut self, now: Micros, error: &io::Error, events: &mut Vec<Event>) {
         tracing::warn!(%error, "no connection accepted for a while");
--- a/crates/server/src/client_listener/eviction.rs
+++ b/crates/server/src/client_listener/eviction.rs
@@ -17,20 +17,6 @@
 /// use it.
 const RECENT_USE: Micros = 300_000;
 
-/// When connections are swept, and which of them count as idle.
-#[derive(Default)]
-pub(super) struct Sweeper {
-    pub(super) sweep_at: Micros,
-    /// None while idle connections are kept.
-    pub(super) idle_timeout: Option<Micros>,
-}
-
-impl Sweeper {
-    pub(super) fn is_due(&self, now: Micros) -> bool {
-        now >= self.sweep_at
-    }
-}
-
 impl<H: Host> ClientListener<H> {
     /// Closes a connection without open requests, if there is one: first those that only wait for
     /// their end, then those that never sent a complete message, the oldest first. Guards against
--- /dev/null
+++ b/crates/server/src/client_listener/machine_context.rs
@@ -0,0 +1,26 @@
+//! What is passed to the machines of all connections.
+
+use cleatpulley_policy::interface::Micros;
+use cleatpulley_protocol::machine::Context;
+
+/// What is passed to the machines of all connections.
+pub(super) struct MachineContext {
+    /// Names of the request classes, by index.
+    pub(super) class_names: Vec<String>,
+    /// How health checks are answered.
+    pub(super) is_healthy: bool,
+    /// The value that all responses carry.
+    pub(super) feedback: Option<f64>,
+}
+
+impl MachineContext {
+    pub(super) fn at(&self, now: Micros, number: u64) -> Context<'_> {
+        Context {
+            now,
+            number,
+            classes: &self.class_names,
+            good: self.is_healthy,
+            feedback: self.feedback,
+        }
+    }
+}
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -1,13 +1,10 @@
-//! TLS on the connections of clients: beginning and ending a handshake, and the names that may use
-//! a request class. Which handshake runs when is decided by [`Handshakes`]; this obeys.
+//! What the connections need for TLS: which handshake runs when, and what the names of a certificate
+//! permit.
 
-use super::{ClientListener, FrontProtocol};
-use crate::host::Host;
-use crate::tls_layer::{TlsLayer, TlsState};
-use cleatpulley_connection_admission::admit::Known;
+use super::front_protocol::FrontProtocol;
+use crate::tls_layer::TlsState;
 use cleatpulley_connection_admission::handshake::{Handshakes, Offer, Turn};
-use cleatpulley_connection_admission::identity::{Identities, Over};
-use cleatpulley_dispatcher::Event;
+use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_policy::interface::Micros;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -44,7 +41,7 @@
         }
     }
 
-    fn decide(&mut self, now: Micros, number: u64, offer: Offer) -> Turn {
+    pub(super) fn decide(&mut self, now: Micros, number: u64, offer: Offer) -> Turn {
         match &mut self.handshakes {
             Some(handshakes) => handshakes.offer(now, number, offer),
             None => Turn::Begin,
@@ -52,7 +49,7 @@
     }
 
     /// Returns true where a client with these certificate names may use this request class.
-    fn is_permitted(&self, class: usize, certificate_names: &[String]) -> bool {
+    pub(super) fn is_permitted(&self, class: usize, certificate_names: &[String]) -> bool {
         let state = self.state.as_ref();
         state.is_none_or(|state| state.borrow().permits(class, certificate_names))
     }
@@ -68,147 +65,3 @@
         }
     }
 }
-
-impl<H: Host> ClientListener<H> {
-    /// Goes on with the handshake of a connection that was served: its offer is decided on, and its
-    /// end noted.
-    pub(super) fn poll_handshake(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
-        self.decide_offer(now, number, events);
-        let Some(connection) = self.connections.get_mut(&number) else {
-            return;
-        };
-        let layer = connection.stream.layer_mut();
-        if layer.is_some_and(TlsLayer::take_established) {
-            self.on_handshake_finished(now, number);
-        }
-    }
-
-    fn decide_offer(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
-        let Some(connection) = self.connections.get_mut(&number) else {
-            return;
-        };
-        let Some(layer) = connection.stream.layer_mut() else {
-            return;
-        };
-        let Some(offer) = layer.offer() else {
-            return;
-        };
-        layer.mark_decided();
-        let offer = Offer {
-            resumes: offer.resumes,
-            known: connection.known,
-        };
-        match self.tls.decide(now, number, offer) {
-            Turn::Begin => self.begin_handshake(number, events),
-            Turn::Wait => {}
-            Turn::Refuse => self.reject_handshake(number, events),
-        }
-    }
-
-    fn on_handshake_finished(&mut self, now: Micros, number: u64) {
-        let Some(connection) = self.connections.get_mut(&number) else {
-            return;
-        };
-        if let Some(handshakes) = &mut self.tls.handshakes {
-            handshakes.done(number);
-        }
-        let session = connection.stream.layer().and_then(TlsLayer::session);
-        connection.certificate_names = session
-            .map(|session| session.peer_names())
-            .unwrap_or_default();
-        let Some(identities) = &mut self.tls.identities else {
-            return;
-        };
-        match identities.identify(now, number, &connection.certificate_names) {
-            Ok(true) => {
-                connection.known = Known::Named;
-                if let Some(admission) = &mut self.acceptor.admission {
-                    admission.promote(number);
-                }
-            }
-            Ok(false) => {}
-            Err(reason) => self.reject_name(now, number, &reason),
-        }
-    }
-
-    /// Asks a client to close whose name has too many connections. Requests that it sent already
-    /// are served, since one with an idempotency key may have run before.
-    fn reject_name(&mut self, now: Micros, number: u64, reason: &Over) {
-        let Some(connection) = self.connections.get_mut(&number) else {
-            return;
-        };
-        tracing::debug!(
-            ?reason,
-            "front end connection {number}: its name is over its limit"
-        );
-        connection.is_rejected = true;
-        self.acceptor.rejected_count += 1;
-        let context = self.context.at(now, number);
-        connection
-            .machine
-            .part(&context, connection.stream.output());
-    }
-
-    /// Forwards the requests that were read from a connection; those that the names of its
-    /// certificate do not permit are forwarded as forbidden.
-    pub(super) fn forward_arrivals(&mut self, number: u64, events: &mut Vec<Event>) {
-        let secure_connection = self
-            .connections
-            .get(&number)
-            .filter(|connection| connection.stream.layer().is_some());
-        for arrival in self.arrivals.drain(..) {
-            let is_permitted = secure_connection.is_none_or(|connection| {
-                self.tls
-                    .is_permitted(arrival.class, &connection.certificate_names)
-            });
-            events.push(if is_permitted {
-                Event::RequestRead(arrival)
-            } else {
-                Event::RequestForbidden(arrival)
-            });
-        }
-    }
-
-    /// Begins handshakes that waited and may begin now, and closes those past their deadline.
-    pub(super) fn poll_handshakes(&mut self, now: Micros, events: &mut Vec<Event>) {
-        let Some(handshakes) = &mut self.tls.handshakes else {
-            return;
-        };
-        let begun = handshakes.next(now);
-        let overdue = handshakes.overdue(now);
-        for number in begun {
-            self.begin_handshake(number, events);
-        }
-        for number in overdue {
-            // Before its handshake has ended no request can be open on a connection.
-            let connection = self.connections.get(&number);
-            if connection.is_some_and(|connection| connection.machine.status().open == 0) {
-                tracing::debug!("front end connection {number}: the handshake did not end in time");
-                self.close(number, events);
-            }
-        }
-    }
-
-    fn begin_handshake(&mut self, number: u64, events: &mut Vec<Event>) {
-        let (Some(tls), Some(connection)) = (&self.tls.state, self.connections.get_mut(&number))
-        else {
-            return;
-        };
-        let config = tls.borrow().config();
-        match connection.stream.begin_handshake(config) {
-            // What came with the first record is read now, and the reply is sent.
-            Ok(()) => self.ready.push(number),
-            Err(error) => {
-                tracing::debug!(%error, "front end connection {number}: no handshake");
-                self.close(number, events);
-            }
-        }
-    }
-
-    fn reject_handshake(&mut self, number: u64, events: &mut Vec<Event>) {
-        if let Some(connection) = self.connections.get_mut(&number) {
-            connection.stream.reject_handshake();
-        }
-        self.close(number, events);
-    }
-}
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -2,17 +2,20 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
+//! | `protocol` | the protocols spoken with the dependency |
 //! | `pending_call` | a call without a reply yet |
 //! | `dependency_connection` | a connection, and what differs between the two protocols |
 
 mod dependency_connection;
 mod pending_call;
+mod protocol;
+
+pub use protocol::DependencyProtocol;
 
 use crate::host::{Host, Readiness};
 use cleatpulley_dispatcher::{DependencyCall, Event};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
-use cleatpulley_protocol::ajp::client;
 use cleatpulley_protocol::http;
 use dependency_connection::DependencyConnection;
 use pending_call::PendingCall;
@@ -26,16 +29,6 @@
 /// Limit of idle connections: calls of writes leave more of them behind than those of reads use.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// The protocol spoken with the dependency.
-#[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum DependencyProtocol {
-    /// HTTP/1.1.
-    #[default]
-    Http,
-    /// AJP/1.3.
-    Ajp(client::Options),
-}
-
 /// What a [`DependencyPool`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DependencyPoolUsage {
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -1,10 +1,10 @@
 //! A connection to the dependency, and what differs between the two protocols.
 
 use super::pending_call::PendingCall;
-use super::DependencyProtocol;
+use super::protocol::DependencyProtocol;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::Host;
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{self, Client, Fate};
 use cleatpulley_protocol::{http, line};
--- a/crates/server/src/gossip/service.rs
+++ b/crates/server/src/gossip/service.rs
@@ -1,9 +1,9 @@
 //! A service that gossips.
 
-use super::{Gossip, PLACE};
+use super::endpoint::{Gossip, PLACE};
 use crate::host::Readiness;
-use crate::options::SocketOwner;
 use crate::os_host::{OsHost, Service};
+use crate::socket_owner::SocketOwner;
 use crate::status_report::Status;
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_dispatcher::Event;
--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -2,7 +2,7 @@
 //! traits, and nothing of it knows which host that is: [`os_host`](crate::os_host) has the one of
 //! calloop and std, a simulator brings another.
 
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_connection_admission::book::Entry;
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event;
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -25,7 +25,7 @@
 pub use step::{HotRestartStep, InheritedListener};
 
 use crate::host::{HandoverAddress, Host};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_hot_restart::message::MOST_STANDING;
 use cleatpulley_hot_restart::predecessor::{self, Predecessor};
 use cleatpulley_hot_restart::successor::Successor;
--- a/crates/server/src/hot_restart/connections.rs
+++ b/crates/server/src/hot_restart/connections.rs
@@ -1,12 +1,13 @@
 //! The connections to the predecessor and to the successor, and where successors connect.
 
-use super::step::ReceivedSocket;
+use super::step::{InheritedListener, ReceivedSocket};
 use crate::host::{HandoverAddress, HandoverChannel as _, Host};
 use cleatpulley_hot_restart::predecessor::Predecessor;
 use cleatpulley_hot_restart::successor::Successor;
 use cleatpulley_hot_restart::Message;
 use cleatpulley_policy::interface::Micros;
 use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
 
 /// The number by which the event loop reports that a successor may wait. Listeners for clients have
 /// smaller ones.
@@ -32,6 +33,19 @@
         let channel = self.channel.as_ref().ok_or(ErrorKind::NotConnected)?;
         channel.send(&message.encode(), &[])
     }
+
+    /// Takes the sockets that came along with a message, as those of these addresses.
+    pub(super) fn take_listeners(
+        &mut self,
+        addresses: Vec<SocketAddr>,
+    ) -> Vec<InheritedListener<H>> {
+        let sockets = std::mem::take(&mut self.received_sockets);
+        addresses
+            .into_iter()
+            .zip(sockets)
+            .map(|(address, socket)| InheritedListener { address, socket })
+            .collect()
+    }
 }
 
 /// The connection to the process that takes over from this one, its predecessor.
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -1,10 +1,10 @@
 //! Messages of the predecessor, and the effects of what this process decides as its successor.
 
 use super::channel_message::{receive_message, ReceivedMessage};
-use super::step::{HotRestartStep, InheritedListener};
+use super::step::HotRestartStep;
 use super::HotRestart;
 use crate::host::Host;
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_hot_restart::successor::Effect;
 use cleatpulley_hot_restart::Message;
 use cleatpulley_policy::interface::Micros;
@@ -118,11 +118,8 @@
         match effect {
             Effect::Send(message) => predecessor.send(&message)?,
             Effect::Adopt(addresses) => {
-                let sockets = std::mem::take(&mut predecessor.received_sockets);
-                let listeners = addresses.into_iter().zip(sockets);
-                let listeners =
-                    listeners.map(|(address, socket)| InheritedListener { address, socket });
-                steps.push(HotRestartStep::AdoptListeners(listeners.collect()));
+                let listeners = predecessor.take_listeners(addresses);
+                steps.push(HotRestartStep::AdoptListeners(listeners));
             }
             Effect::Listen => steps.push(HotRestartStep::Listen),
             Effect::Serve => steps.push(HotRestartStep::Serve),
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -6,7 +6,7 @@
 use super::step::HotRestartStep;
 use super::{HotRestart, ListenerEntry};
 use crate::host::{HandoverChannel as _, Host};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_hot_restart::predecessor::Effect;
 use cleatpulley_hot_restart::{Held, Message};
 use cleatpulley_policy::interface::Micros;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -8,6 +8,7 @@
 //! | --- | --- |
 //! | [`server`] | the [`Server`]: its parts, and one iteration of its event loop |
 //! | [`options`], [`error`] | what a server is constructed from, and why that may fail |
+//! | [`socket_owner`] | which adapter a socket belongs to |
 //! | [`host`], [`os_host`] | the interface to the operating system, and its real implementation |
 //! | [`buffered_connection`], [`tls_layer`] | a stream with its buffers, optionally over TLS |
 //! | [`client_listener`] | connections of clients and proxies |
@@ -42,11 +43,11 @@
 pub mod reputation_store;
 pub mod runtime_link;
 pub mod server;
+pub mod socket_owner;
 pub mod status_report;
 pub mod tls_layer;
 
-pub use options::{
-    AjpOptions, IdempotencyOptions, Options, Reload, ServerUsage, ServiceAddresses, SocketOwner,
-};
+pub use options::{AjpOptions, IdempotencyOptions, Options, Reload, ServerUsage, ServiceAddresses};
 pub use os_host::serve;
 pub use server::Server;
+pub use socket_owner::SocketOwner;
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -5,7 +5,7 @@
 use crate::buffered_connection::BufferedConnection;
 use crate::error::StartError;
 use crate::host::{Host, Readiness};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use crate::tls_layer::{TlsLayer, TlsState};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -11,27 +11,6 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// The part of the server that a socket belongs to.
-#[derive(Debug, Clone, Copy)]
-pub enum SocketOwner {
-    /// A connection of a client or proxy, by its number.
-    ClientConnection(u64),
-    /// The connection to the runtime.
-    Runtime,
-    /// A connection to the dependency, by its number.
-    Dependency(u64),
-    /// A connection to the service registry, by its number.
-    Registry(u64),
-    /// A connection to the management endpoint, by its number.
-    Management(u64),
-    /// The handover channel to the predecessor.
-    Predecessor,
-    /// The handover channel to the successor.
-    Successor,
-    /// A connection of a gateway to a target, by its number.
-    GatewayTarget(u64),
-}
-
 /// Addresses of the services that the server connects to. They may change while it serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceAddresses {
--- a/crates/server/src/os_host/event_loop.rs
+++ b/crates/server/src/os_host/event_loop.rs
@@ -1,7 +1,7 @@
 //! What an event loop serves, and how it watches a socket.
 
 use crate::host::Readiness;
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use crate::status_report::Status;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
--- a/crates/server/src/os_host/serve.rs
+++ b/crates/server/src/os_host/serve.rs
@@ -3,8 +3,9 @@
 use super::event_loop::{EventLoopHandle, Service};
 use super::host::OsHost;
 use crate::host::Readiness;
-use crate::options::{Options, Reload, SocketOwner};
+use crate::options::{Options, Reload};
 use crate::server::Server;
+use crate::socket_owner::SocketOwner;
 use crate::status_report::{FleetLink, Status, StatusReporter};
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
--- a/crates/server/src/os_host/tests.rs
+++ b/crates/server/src/os_host/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::host::Host as _;
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use calloop::EventLoop;
 use std::net::SocketAddr;
 
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -2,7 +2,7 @@
 
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
 use std::io;
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -10,7 +10,7 @@
 
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
-use crate::options::SocketOwner;
+use crate::socket_owner::SocketOwner;
 use cleatpulley_dispatcher::{Event, RuntimeCommand};
 use cleatpulley_policy::interface::{Micros, RequestId};
 use cleatpulley_protocol::line;
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -73,65 +73,46 @@
     /// be started.
     pub fn new(host: H, mut options: Options, reload: Reload) -> io::Result<Self> {
         let limits = ConnectionLimits::new(&options);
+        // Before the settings of the admission move to the client listener.
         let reputation = ReputationPersistence::new(&options);
-        let shutdown = Shutdown::new(&options);
-        let warm_up = WarmUp::new(&options.settings);
         let mut client_listener = create_client_listener(&host, &mut options, &limits);
         let tls = load_tls(&host, options.tls.take(), &mut client_listener)?;
         let addresses = client_addresses(&mut options);
         let mut hot_restart = find_predecessor(&host, &options, &addresses);
-        let name = &options.name;
         listen(
             &host,
-            name,
+            &options.name,
             &mut client_listener,
             addresses,
             &mut hot_restart,
         )?;
         let management = listen_for_operators(&host, options.management, tls.as_ref())?;
         let handover = Handover::new(hot_restart, limits.client_connections);
-        let idempotency = options.idempotency.as_ref();
-        let mut key_persistence = KeyPersistence::new(idempotency.map(KeyPersistenceSettings::new));
-        // A successor opens it once the predecessor has released it.
-        if handover.is_serving() {
-            key_persistence.open(&host)?;
-        }
-        let runtime = RuntimeLink::new(
-            host.clone(),
-            options.services.runtime,
-            options.class_names.clone(),
-            options.gauge_names,
-        );
-        let dependency_pool = DependencyPool::new(
-            host.clone(),
-            options.services.dependency,
-            options.dependency_protocol,
-            limits.dependency_connections,
-        );
-        let registry = RegistryClient::new(host.clone(), options.services.registry, &options.name);
+        let key_persistence = create_key_persistence(&host, &options, &handover)?;
+        let adapters = Adapters {
+            client_listener,
+            management,
+            runtime: create_runtime_link(&host, &options),
+            dependency_pool: create_dependency_pool(&host, &options, &limits),
+            registry: RegistryClient::new(host.clone(), options.services.registry, &options.name),
+            tls,
+        };
         let mut server = Self {
-            host,
             identity: ServerIdentity {
-                name: options.name,
-                class_names: options.class_names,
+                name: options.name.clone(),
+                class_names: options.class_names.clone(),
             },
             reload,
-            dispatcher: create_dispatcher(options.settings, options.seed, options.idempotency),
-            adapters: Adapters {
-                client_listener,
-                management,
-                runtime,
-                dependency_pool,
-                registry,
-                tls,
-            },
+            adapters,
             events: Vec::new(),
             commands: Vec::new(),
-            shutdown,
+            shutdown: Shutdown::new(&options),
             handover,
             key_persistence,
             reputation,
-            warm_up,
+            warm_up: WarmUp::new(&options.settings),
+            dispatcher: create_dispatcher(options.settings, options.seed, options.idempotency),
+            host,
         };
         if server.handover.is_serving() {
             server.reputation.open(&server.host);
@@ -140,6 +121,43 @@
     }
 }
 
+/// Opens the persistence of idempotency keys, unless a predecessor has to release it first.
+fn create_key_persistence<H: Host>(
+    host: &H,
+    options: &Options,
+    handover: &Handover<H>,
+) -> io::Result<KeyPersistence<H>> {
+    let idempotency = options.idempotency.as_ref();
+    let settings = idempotency.map(KeyPersistenceSettings::new);
+    let mut key_persistence = KeyPersistence::new(settings);
+    if handover.is_serving() {
+        key_persistence.open(host)?;
+    }
+    Ok(key_persistence)
+}
+
+fn create_runtime_link<H: Host>(host: &H, options: &Options) -> RuntimeLink<H> {
+    RuntimeLink::new(
+        host.clone(),
+        options.services.runtime,
+        options.class_names.clone(),
+        options.gauge_names.clone(),
+    )
+}
+
+fn create_dependency_pool<H: Host>(
+    host: &H,
+    options: &Options,
+    limits: &ConnectionLimits,
+) -> DependencyPool<H> {
+    DependencyPool::new(
+        host.clone(),
+        options.services.dependency,
+        options.dependency_protocol.clone(),
+        limits.dependency_connections,
+    )
+}
+
 fn create_client_listener<H: Host>(
     host: &H,
     options: &mut Options,
