--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -124,8 +124,8 @@
         let is_failed = accepted.as_ref().is_err_and(|error| !is_transient(error));
         let is_short_of_descriptors = is_failed && self.acceptor.free_reserved_descriptor();
         if is_short_of_descriptors {
-            // The client may be known or not, and only accepting shows that. The system reports that
-            // it has no descriptor also where nobody waits.
+            // The client may be known or not, and only accepting shows that. The system reports
+            // that it has no descriptor also where nobody waits.
             accepted = self.host.accept(listener, owner);
         }
         match accepted {
@@ -264,8 +264,8 @@
     }
 
     /// Closes the oldest rejected connection without a pending response; returns false where there
-    /// is none. Guards against a flood that holds its connections, which would keep them for as long
-    /// as what they sent is read away, while nothing is accepted.
+    /// is none. Guards against a flood that holds its connections, which would keep them for as
+    /// long as what they sent is read away, while nothing is accepted.
     fn close_oldest_rejected(&mut self, events: &mut Vec<Event>) -> bool {
         // What came on it has its response, or is discarded once the write side is closed: closing
         // loses nothing.
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -1,5 +1,6 @@
-//! The handshakes of connections: each begins when [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides so, and its end tells
-//! the names of the client.
+//! The handshakes of connections: each begins when
+//! [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides so, and its end shows the names
+//! of the client.
 
 use super::ClientListener;
 use crate::host::Host;
--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -198,8 +198,8 @@
     std::io::Read::read_to_end(end, &mut bytes).map(|_| bytes)
 }
 
-/// A request was written before its connection's slot is wanted, and was not reported yet. The other
-/// order, where the slot is wanted first and there is no request: that connection is closed.
+/// A request was written before its connection's slot is wanted, and was not reported yet. The
+/// other order, where the slot is wanted first and there is no request: that connection is closed.
 #[test]
 fn slot_is_not_taken_from_a_connection_with_an_unread_request() {
     let (_event_loop, mut listener, mut ends) = connect_clients_of_class(2, 3);
@@ -345,8 +345,8 @@
     assert_eq!(got, goodbye);
 }
 
-/// A request arrives on an idle connection when that one is asked to close: both orders end with the
-/// request accepted, and the write side closed no sooner than it has its response.
+/// A request arrives on an idle connection when that one is asked to close: both orders end with
+/// the request accepted, and the write side closed no sooner than it has its response.
 #[test]
 fn request_that_crosses_the_notice_to_close_is_accepted() {
     for before in [true, false] {
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -1,5 +1,5 @@
-//! What the connections need for TLS: which handshake runs when, and what the names of a certificate
-//! permit.
+//! What the connections need for TLS: which handshake runs when, and what the names of a
+//! certificate permit.
 
 use super::front_protocol::FrontProtocol;
 use crate::tls_layer::TlsState;
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -38,6 +38,11 @@
     }
 }
 
+/// A reply that can't be decoded; the codec says why.
+#[derive(Debug, thiserror::Error)]
+#[error("{0}")]
+struct MalformedReply(String);
+
 /// A connection that carries one call at a time.
 pub(super) struct DependencyConnection<H: Host> {
     pub(super) stream: BufferedConnection<H>,
@@ -170,8 +175,8 @@
 
 fn take_http_reply<H: Host>(
     stream: &mut BufferedConnection<H>,
-) -> Result<Option<http::Reply>, String> {
-    let reply = http::parse(&stream.input, stream.ended)?;
+) -> Result<Option<http::Reply>, MalformedReply> {
+    let reply = http::parse(&stream.input, stream.ended).map_err(MalformedReply)?;
     if let Some(reply) = &reply {
         stream.input.drain(..reply.size);
     }
@@ -183,11 +188,11 @@
     client: &mut Client,
     stream: &mut BufferedConnection<H>,
     now: Micros,
-) -> Result<Option<http::Reply>, String> {
+) -> Result<Option<http::Reply>, MalformedReply> {
     let input = std::mem::take(&mut stream.input);
     let used = client.receive(now, &input, stream.output());
     stream.input = input;
-    stream.consume(used.map_err(|error| error.to_string())?);
+    stream.consume(used.map_err(|error| MalformedReply(error.to_string()))?);
     // A connection that broke shows with the next use.
     let _ = stream.flush();
     Ok(client.take().map(|reply| http::Reply {
--- a/crates/server/src/gossip.rs
+++ b/crates/server/src/gossip.rs
@@ -1,5 +1,6 @@
 //! Gossip with the other processes of an installation: the socket under a
-//! [`Membership`](cleatpulley_membership::Membership), and the status that is shared with them. All of it is off without its section in the operator file.
+//! [`Membership`](cleatpulley_membership::Membership), and the status that is shared with them. All
+//! of it is off without its section in the operator file.
 //!
 //! | module | what it holds |
 //! | --- | --- |
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -9,8 +9,8 @@
 //! | `step` | the steps that the server is asked to take |
 //! | `connections` | the connections, and the socket on which successors find this process |
 //! | `channel_message` | reading the messages of a channel |
-//! | `predecessor_messages` | messages of the predecessor, and the effects of the successor's side |
-//! | `successor_messages` | messages of the successor, and the effects of the predecessor's side |
+//! | `predecessor_messages` | messages of the predecessor, and a successor's effects |
+//! | `successor_messages` | messages of the successor, and a predecessor's effects |
 //! | `earlier_predecessors` | processes that came before the predecessor |
 
 mod channel_message;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -15,8 +15,8 @@
 //! | [`runtime_link`] | the connection to the runtime that runs requests |
 //! | [`dependency_pool`] | the connections to the dependency that runs call |
 //! | [`registry_client`] | periodic reports to the service registry |
-//! | [`management_endpoint`], [`status_report`] | readiness, metrics, and reports to the supervisor |
-//! | [`hot_restart`], `handover_channel` | taking over from a predecessor, handing over to a successor |
+//! | [`management_endpoint`], [`status_report`] | readiness, metrics, supervisor reports |
+//! | [`hot_restart`], `handover_channel` | taking over, and handing over to a successor |
 //! | [`persistence_thread`] | durable idempotency keys and cached results |
 //! | [`reputation_store`] | durable reputation of client addresses |
 //! | [`gossip`] | membership among the processes of an installation |
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -21,7 +21,7 @@
 pub const PLACE: usize = 1 << 16;
 /// Limit of connections. One more closes the connection that has waited longest without a complete
 /// request.
-pub const PLACES: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Connections accepted in one iteration: a flood here may not keep the clients waiting.
 const MAX_ACCEPTS: usize = 128;
 /// Wait after the system had no descriptor for a new connection.
@@ -72,7 +72,7 @@
             is_acceptable: true,
             accept_at: 0,
             connections: BTreeMap::new(),
-            max_connections: PLACES,
+            max_connections: MAX_CONNECTIONS,
             last_number: 0,
             ready: Vec::new(),
             tls: None,
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -63,7 +63,8 @@
     pub listen: SocketAddr,
     /// Other processes accept connections there too, and go on when this one shuts down.
     pub shares_listener: bool,
-    /// The folder in which the processes of a hot restart meet; without one there is no hot restart.
+    /// The folder in which the processes of a hot restart meet; without one there is no hot
+    /// restart.
     pub handover_folder: Option<PathBuf>,
     /// The address of the management endpoint, if there is one.
     pub management: Option<SocketAddr>,
@@ -95,8 +96,8 @@
     pub tls: Option<TlsOptions>,
 }
 
-/// Reads the configuration again: returns the addresses of the services from now on, or what is wrong
-/// with it.
+/// Reads the configuration again: returns the addresses of the services from now on, or what is
+/// wrong with it.
 pub type Reload = Box<dyn FnMut() -> Result<ServiceAddresses, String>>;
 
 /// What a server holds.
--- a/crates/server/src/os_host/event_loop.rs
+++ b/crates/server/src/os_host/event_loop.rs
@@ -74,7 +74,7 @@
             notify(service);
             Ok(PostAction::Continue)
         });
-        Self::new(handle, registered.map_err(|error| error.to_string()))
+        Self::new(handle, registered.map_err(|failure| failure.error))
     }
 
     /// Watches a socket that is read from and written to.
@@ -92,16 +92,16 @@
             service.on_readiness(owner, readiness);
             Ok(PostAction::Continue)
         });
-        Self::new(handle, registered.map_err(|error| error.to_string()))
+        Self::new(handle, registered.map_err(|failure| failure.error))
     }
 
     fn new(
         handle: &EventLoopHandle,
-        registered: Result<RegistrationToken, String>,
+        registered: Result<RegistrationToken, calloop::Error>,
     ) -> io::Result<Self> {
         Ok(Self {
             handle: handle.clone(),
-            token: registered.map_err(io::Error::other)?,
+            token: registered.map_err(|error| io::Error::other(error.to_string()))?,
         })
     }
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -242,7 +242,10 @@
             adapters.runtime.next_deadline(),
             adapters.dependency_pool.next_deadline(),
             management.and_then(ManagementEndpoint::next_deadline),
-            adapters.tls.as_ref().map(|_| now + tls_layer::WATCH),
+            adapters
+                .tls
+                .as_ref()
+                .map(|_| now + tls_layer::CERTIFICATE_CHECK_INTERVAL),
             self.shutdown.stop_at(),
             self.handover.retry_listen_at,
             self.handover.yield_state.next_deadline(now),
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -18,7 +18,6 @@
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::key_table::KeyTable;
 use cleatpulley_dispatcher::{Dispatcher, IdempotencyKeys};
-
 use cleatpulley_policy::interface::Settings;
 use cleatpulley_protocol::frame::connection::Terms;
 use std::cell::RefCell;
@@ -47,7 +46,7 @@
                 *DEPENDENCY_CONNECTIONS.end(),
             );
         let management_connections = match options.management {
-            Some(_) => management_endpoint::PLACES + 1,
+            Some(_) => management_endpoint::MAX_CONNECTIONS + 1,
             None => 0,
         };
         let others = RESERVED_DESCRIPTORS + dependency_connections + management_connections;
@@ -98,10 +97,7 @@
             tls,
         };
         let mut server = Self {
-            identity: ServerIdentity {
-                name: options.name.clone(),
-                class_names: options.class_names.clone(),
-            },
+            identity: ServerIdentity::new(&options),
             reload,
             adapters,
             events: Vec::new(),
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -293,11 +293,11 @@
         // Where hardly anything is left, operators give up connections as well.
         let is_scarce = available < 2 * MIN_CLIENT_CONNECTIONS;
         let management_connections = if has_yielded || (has_predecessor && is_scarce) {
-            management_endpoint::PLACES / 4
+            management_endpoint::MAX_CONNECTIONS / 4
         } else if has_predecessor {
-            management_endpoint::PLACES / 2
+            management_endpoint::MAX_CONNECTIONS / 2
         } else {
-            management_endpoint::PLACES
+            management_endpoint::MAX_CONNECTIONS
         };
         SharedLimits {
             client_connections: client_connections
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -32,6 +32,13 @@
 }
 
 impl ServerIdentity {
+    pub(super) fn new(options: &Options) -> Self {
+        Self {
+            name: options.name.clone(),
+            class_names: options.class_names.clone(),
+        }
+    }
+
     /// Returns the number that learned state is bound to: only a process of the same name and
     /// classes may restore it.
     pub(super) fn snapshot_site(&self) -> u64 {
--- a/crates/server/src/tls_layer.rs
+++ b/crates/server/src/tls_layer.rs
@@ -15,4 +15,4 @@
 
 pub use layer::{TlsLayer, BUSY_ALERT};
 pub use options::{CertificateSource, LoadedCertificate, TlsOptions};
-pub use state::{RenewalCounts, TlsState, WATCH};
+pub use state::{RenewalCounts, TlsState, CERTIFICATE_CHECK_INTERVAL};
--- a/crates/server/src/tls_layer/state.rs
+++ b/crates/server/src/tls_layer/state.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// Interval at which the files of the certificate are checked for changes.
-pub const WATCH: Micros = 1_000_000;
+pub const CERTIFICATE_CHECK_INTERVAL: Micros = 1_000_000;
 /// Interval at which an expiry that comes near is logged again: a day.
 const EXPIRY_WARNING_INTERVAL: Micros = 86_400_000_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
@@ -53,7 +53,7 @@
             options,
             certificate: RefCell::new(certificate),
             stamp,
-            next_check_at: now + WATCH,
+            next_check_at: now + CERTIFICATE_CHECK_INTERVAL,
             warned_at: None,
             renewals: RenewalCounts::default(),
         };
@@ -102,7 +102,7 @@
         if !is_reload && now < self.next_check_at {
             return;
         }
-        self.next_check_at = now + WATCH;
+        self.next_check_at = now + CERTIFICATE_CHECK_INTERVAL;
         let stamp = self.options.certificates.stamp();
         if is_reload || stamp != self.stamp {
             self.stamp = stamp;
