--- a/crates/connection-admission/src/address_prefix.rs
+++ b/crates/connection-admission/src/address_prefix.rs
@@ -18,9 +18,6 @@
     bits: u8,
 }
 
-// The name by which the simulator and the command line still refer to it.
-pub use self::AddressPrefix as Net;
-
 impl AddressPrefix {
     /// Returns the prefix of so many bits that contains an address; of more bits than the address
     /// has, all count.
--- a/crates/connection-admission/src/handshake.rs
+++ b/crates/connection-admission/src/handshake.rs
@@ -23,8 +23,6 @@
 pub use offer::Offer;
 pub use scheduler::{Counters, HandshakeScheduler, Turn};
 pub use settings::Settings;
-// The names by which the server still refers to it.
-pub use scheduler::{Counters as Counts, HandshakeScheduler as Handshakes};
 
 #[cfg(test)]
 mod tests;
--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -36,14 +36,3 @@
 pub use admission::Admission;
 pub use decision::{Decision, RejectReason};
 pub use settings::Settings;
-
-// The paths by which the server, the simulator and the command line still refer to these modules.
-pub use address_prefix as net;
-pub use rate_sketch as rate;
-pub use reputation as standing;
-pub use reputation_database as book;
-#[doc(hidden)]
-pub mod admit {
-    pub use crate::decision::{Counters as Counts, KnownBy as Known};
-    pub use crate::settings::ConnectionLimits as Cap;
-}
--- a/crates/connection-admission/src/rate_sketch.rs
+++ b/crates/connection-admission/src/rate_sketch.rs
@@ -26,9 +26,6 @@
     pub burst: f64,
 }
 
-// The name by which the simulator and the command line still refer to it.
-pub use self::RateLimit as Rate;
-
 /// A leaky bucket.
 #[derive(Debug, Clone, Copy, Default)]
 struct Cell {
--- a/crates/connection-admission/src/reputation.rs
+++ b/crates/connection-admission/src/reputation.rs
@@ -36,9 +36,6 @@
     pub of_prefix: usize,
 }
 
-// The name by which the simulator and the command line still refer to it.
-pub use self::ReputationSettings as Earned;
-
 impl ReputationSettings {
     /// Returns what is left of points after a time.
     fn decayed(&self, points: f64, elapsed: Micros) -> f64 {
--- a/crates/connection-admission/src/reputation_database.rs
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -84,9 +84,6 @@
     health: Health,
 }
 
-// The names by which the server and the simulator still refer to them.
-pub use self::{ReputationDatabase as Book, StoredReputation as Entry};
-
 impl<F: FileSystem> ReputationDatabase<F> {
     /// Creates a database of so many addresses at most, whose store is to be
     /// [opened](Self::open).
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,7 +11,7 @@
 use cleatpulley_dispatcher::{Event, RequestHead};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::server;
-use cleatpulley_server::client_listener::{ClientListener, FrontProtocol};
+use cleatpulley_server::client_listener::{ClientListener, ClientProtocol};
 use cleatpulley_server::host::{Host, Readiness};
 use cleatpulley_server::os_host::{serve_with, HostOptions, OsHost, Service};
 use cleatpulley_server::status_report::Status;
@@ -114,7 +114,7 @@
         };
         let host: Rc<str> = Rc::from(options.host.as_str());
         for address in options.frames {
-            let address = listen(address, FrontProtocol::Relayed(Rc::clone(&host)))?;
+            let address = listen(address, ClientProtocol::Relayed(Rc::clone(&host)))?;
             tracing::info!("{} listens on {address}", options.name);
         }
         if let Some((addresses, settings, trusted)) = options.ajp {
@@ -122,7 +122,7 @@
             for address in addresses {
                 let address = listen(
                     address,
-                    FrontProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
+                    ClientProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
                 )?;
                 tracing::info!("{} speaks AJP on {address}", options.name);
             }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,7 +1,7 @@
 //! Connections to targets whose system takes what the test says.
 
 use super::*;
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_idempotency::record::ScopedKey;
 use cleatpulley_policy::interface::RequestId;
 use cleatpulley_server::host::{
@@ -32,7 +32,7 @@
 }
 
 impl ReputationStorage for NoKeeper {
-    fn write(&self, _: Vec<Entry>) {}
+    fn write(&self, _: Vec<StoredReputation>) {}
     fn release(&mut self) {}
     fn stop(self) {}
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -25,5 +25,3 @@
 pub mod successor;
 
 pub use message::{Message, ProcessUsage};
-// The name by which the server still refers to it.
-pub use message::ProcessUsage as Held;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -13,12 +13,6 @@
 /// So many clients with reputation fit into one message, together with everything else in it.
 pub const MAX_REPUTATION_ENTRIES: usize = 700;
 
-// The names by which the server still refers to them.
-pub use self::{
-    MAX_MESSAGE_BYTES as LONGEST, MAX_REPUTATION_ENTRIES as MOST_STANDING,
-    PROTOCOL_VERSION as VERSION,
-};
-
 /// What a process still uses of the resources that predecessor and successor share.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessUsage {
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -17,9 +17,6 @@
 /// The interval of that search.
 const ORPHAN_SEARCH_INTERVAL: Micros = 5_000;
 
-// The names by which the server's tests still refer to them.
-pub use self::{HANDOVER_TIMEOUT as PATIENCE, ORPHAN_SEARCH_TIME as ORPHANED};
-
 /// What the adapter is to do, in the order returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
--- a/crates/hot-restart/src/snapshot.rs
+++ b/crates/hot-restart/src/snapshot.rs
@@ -72,9 +72,6 @@
     xxh3_64(format!("{name}\n{class_lines}").as_bytes())
 }
 
-// The name by which the server still refers to it.
-pub use self::site_digest as site;
-
 /// Encodes the learned state of a site as a snapshot taken now.
 #[must_use]
 pub fn encode(site_digest: u64, now: Micros, learned_state: &LearnedState) -> String {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,7 +14,6 @@
 //! | [`shared_metrics`] | small values of each process, versioned and merged in any order |
 //! | [`authentication`] | the shared keys that authenticate every datagram, and their rotation |
 //! | `shared_state`, `bounded` | the hooks of the library, with limits on what peers can claim |
-//! | `former_names` | names that callers in other packages still use |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,7 +21,6 @@
 pub mod authentication;
 mod bounded;
 mod event;
-mod former_names;
 pub mod identity;
 pub mod incarnation;
 mod membership;
@@ -36,6 +34,3 @@
 pub use membership::{Membership, Rejections};
 pub use settings::{InvalidSetting, Settings};
 pub use shared_metrics::{Metric, MetricKind, SharedMetrics};
-
-#[doc(hidden)]
-pub use former_names::{figures, seal};
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | `front_protocol` | the protocol spoken on an address |
+//! | `client_protocol` | the protocol spoken on an address |
 //! | `listening_address` | an address, with its listening socket |
 //! | `client_connection` | a connection: its bytes, its machine, and when it is over |
 //! | `machine_context` | what is passed to all machines |
@@ -18,9 +18,9 @@
 mod accept;
 mod acceptor;
 mod client_connection;
+mod client_protocol;
 mod draining;
 mod eviction;
-mod front_protocol;
 mod handshakes;
 mod listen;
 mod listening_address;
@@ -28,12 +28,12 @@
 mod sweeper;
 mod tls_handshakes;
 
-pub use front_protocol::FrontProtocol;
+pub use client_protocol::ClientProtocol;
 
 use crate::host::{Host, Readiness};
 use crate::tls_layer::TlsState;
 use acceptor::Acceptor;
-use cleatpulley_connection_admission::handshake::Handshakes;
+use cleatpulley_connection_admission::handshake::HandshakeScheduler;
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
@@ -133,14 +133,14 @@
         }
         self.tls = TlsHandshakes {
             state: Some(tls),
-            handshakes: handshakes.map(|settings| Handshakes::new(settings, now)),
+            handshakes: handshakes.map(|settings| HandshakeScheduler::new(settings, now)),
             identities: identities.map(|settings| Identities::new(settings, now)),
         };
     }
 
     /// Returns the admission of handshakes, where there is one.
     #[must_use]
-    pub fn handshakes(&self) -> Option<&Handshakes> {
+    pub fn handshakes(&self) -> Option<&HandshakeScheduler> {
         self.tls.handshakes.as_ref()
     }
 
@@ -365,7 +365,7 @@
     pub fn next_deadline(&self) -> Micros {
         let accept_at = self.acceptor.accept_at;
         let accept_at = (self.is_acceptable() && accept_at > 0).then_some(accept_at);
-        let handshake_at = self.handshakes().and_then(Handshakes::wake_at);
+        let handshake_at = self.handshakes().and_then(HandshakeScheduler::wake_at);
         [accept_at, handshake_at]
             .into_iter()
             .flatten()
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -3,13 +3,13 @@
 //! wait with the system.
 
 use super::client_connection::ClientConnection;
-use super::front_protocol::ProtocolMachine;
+use super::client_protocol::ProtocolMachine;
 use super::ClientListener;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
 use crate::socket_owner::SocketOwner;
 use crate::tls_layer::{TlsLayer, BUSY_ALERT};
-use cleatpulley_connection_admission::admit::Known;
+use cleatpulley_connection_admission::decision::KnownBy;
 use cleatpulley_connection_admission::Decision;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
@@ -36,8 +36,8 @@
 
 /// Whether a client gets a connection slot, and how its address is known.
 enum Admitted {
-    Yes(Known),
-    No(Known),
+    Yes(KnownBy),
+    No(KnownBy),
 }
 
 impl<H: Host> ClientListener<H> {
@@ -205,7 +205,7 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: Known,
+        known: KnownBy,
         is_secure: bool,
     ) {
         let AcceptedConnection {
@@ -239,14 +239,14 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: Known,
+        known: KnownBy,
         is_stuck: bool,
     ) {
         let AcceptedConnection {
             number, mut stream, ..
         } = accepted;
         machine.part(&self.context.at(now, number), stream.output());
-        if (accepted.is_short_of_descriptors || is_stuck) && known == Known::Unknown {
+        if (accepted.is_short_of_descriptors || is_stuck) && known == KnownBy::Unknown {
             // Nothing is read of it: its requests have failed, and are not rejected. For a known
             // client the reserved descriptor is worth having.
             return flush_unread(&mut stream);
@@ -295,7 +295,7 @@
         let address = accepted.address;
         let slot_count = self.acceptor.slot_count(accepted.is_short_of_descriptors);
         let Some(admission) = &mut self.acceptor.admission else {
-            return Admitted::Yes(Known::Unknown);
+            return Admitted::Yes(KnownBy::Unknown);
         };
         let connections = &self.connections;
         let may_lose_slot = |number: u64| {
--- a/crates/server/src/client_listener/front_protocol.rs
+++ b/crates/server/src/client_listener/client_protocol.rs
@@ -9,7 +9,7 @@
 
 /// The protocol spoken on a listening address.
 #[derive(Debug, Clone)]
-pub enum FrontProtocol {
+pub enum ClientProtocol {
     /// The frames of clients.
     Frames(Rc<frame::connection::Terms>),
     /// The frames of clients of a gateway, whose routes look for this host.
@@ -18,7 +18,7 @@
     Ajp(Rc<ajp::server::Settings>, Rc<Vec<IpAddr>>),
 }
 
-impl FrontProtocol {
+impl ClientProtocol {
     /// Creates the state machine of a connection that was accepted from this address.
     pub(super) fn create_machine(&self, now: Micros, address: IpAddr) -> ProtocolMachine {
         match self {
--- a/crates/server/src/client_listener/draining.rs
+++ b/crates/server/src/client_listener/draining.rs
@@ -16,7 +16,7 @@
 
     /// Returns true once all connections that were ever used have been asked to close.
     #[must_use]
-    pub fn is_sent_away(&self) -> bool {
+    pub fn are_connections_sent_away(&self) -> bool {
         !self
             .connections
             .values()
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -5,9 +5,9 @@
 use super::ClientListener;
 use crate::host::Host;
 use crate::tls_layer::TlsLayer;
-use cleatpulley_connection_admission::admit::Known;
+use cleatpulley_connection_admission::decision::KnownBy;
 use cleatpulley_connection_admission::handshake::{Offer, Turn};
-use cleatpulley_connection_admission::identity::Over;
+use cleatpulley_connection_admission::identity::IdentityRejection;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 
@@ -56,14 +56,14 @@
         }
         let session = connection.stream.layer().and_then(TlsLayer::session);
         connection.certificate_names = session
-            .map(|session| session.peer_names())
+            .map(cleatpulley_tls::session::Session::peer_names)
             .unwrap_or_default();
         let Some(identities) = &mut self.tls.identities else {
             return;
         };
         match identities.identify(now, number, &connection.certificate_names) {
             Ok(true) => {
-                connection.known = Known::Named;
+                connection.known = KnownBy::Named;
                 if let Some(admission) = &mut self.acceptor.admission {
                     admission.promote(number);
                 }
@@ -75,7 +75,7 @@
 
     /// Asks a client to close whose name has too many connections. Requests that it sent already
     /// are served, since one with an idempotency key may have run before.
-    fn reject_name(&mut self, now: Micros, number: u64, reason: &Over) {
+    fn reject_name(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
--- a/crates/server/src/client_listener/listen.rs
+++ b/crates/server/src/client_listener/listen.rs
@@ -1,7 +1,7 @@
 //! Listening on addresses, at once or with sockets that follow later.
 
 use super::listening_address::ListeningAddress;
-use super::{ClientListener, FrontProtocol, ListenFailure};
+use super::{ClientListener, ClientProtocol, ListenFailure};
 use crate::host::Host;
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
     fn add_address(
         &mut self,
         address: SocketAddr,
-        protocol: FrontProtocol,
+        protocol: ClientProtocol,
         listener: Option<H::Listener>,
     ) {
         self.addresses.push(ListeningAddress {
@@ -23,7 +23,7 @@
     }
 
     /// Adds an address whose listening socket follows later.
-    pub fn add_expected_listener(&mut self, address: SocketAddr, protocol: FrontProtocol) {
+    pub fn add_expected_listener(&mut self, address: SocketAddr, protocol: ClientProtocol) {
         self.add_address(address, protocol, None);
     }
 
@@ -34,7 +34,7 @@
     pub fn listen(
         &mut self,
         address: SocketAddr,
-        protocol: FrontProtocol,
+        protocol: ClientProtocol,
     ) -> io::Result<SocketAddr> {
         let (listener, address) = self.host.listen(address, self.addresses.len())?;
         self.add_address(address, protocol, Some(listener));
--- a/crates/server/src/client_listener/listening_address.rs
+++ b/crates/server/src/client_listener/listening_address.rs
@@ -1,6 +1,6 @@
 //! The addresses that clients connect to.
 
-use super::front_protocol::FrontProtocol;
+use super::client_protocol::ClientProtocol;
 use crate::host::Host;
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
     pub(super) address: SocketAddr,
     /// None before there is one, and once only other processes accept there.
     pub(super) listener: Option<H::Listener>,
-    pub(super) protocol: FrontProtocol,
+    pub(super) protocol: ClientProtocol,
     /// Connections may wait to be accepted.
     pub(super) is_acceptable: bool,
     /// TLS is spoken.
--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -20,7 +20,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut listener = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), 8);
     listener
-        .listen(address, FrontProtocol::Frames(Rc::default()))
+        .listen(address, ClientProtocol::Frames(Rc::default()))
         .expect("a port");
     let mut events = Vec::new();
     listener.notify_stop(1);
@@ -48,7 +48,7 @@
         max_connections,
     );
     let address = listener
-        .listen(address, FrontProtocol::Frames(Rc::default()))
+        .listen(address, ClientProtocol::Frames(Rc::default()))
         .expect("a port");
     let ends = (0..count)
         .map(|_| TcpStream::connect(address).expect("it listens"))
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -1,9 +1,9 @@
 //! What the connections need for TLS: which handshake runs when, and what the names of a
 //! certificate permit.
 
-use super::front_protocol::FrontProtocol;
+use super::client_protocol::ClientProtocol;
 use crate::tls_layer::TlsState;
-use cleatpulley_connection_admission::handshake::{Handshakes, Offer, Turn};
+use cleatpulley_connection_admission::handshake::{HandshakeScheduler, Offer, Turn};
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_policy::interface::Micros;
 use std::cell::RefCell;
@@ -14,14 +14,14 @@
 pub(super) struct TlsHandshakes {
     pub(super) state: Option<Rc<RefCell<TlsState>>>,
     /// Decides which handshakes run; without it each begins at once.
-    pub(super) handshakes: Option<Handshakes>,
+    pub(super) handshakes: Option<HandshakeScheduler>,
     /// Knows clients by the names of their certificates.
     pub(super) identities: Option<Identities>,
 }
 
 impl TlsHandshakes {
     /// Returns true where TLS is spoken on addresses of this protocol.
-    pub(super) fn is_spoken(&self, protocol: &FrontProtocol) -> bool {
+    pub(super) fn is_spoken(&self, protocol: &ClientProtocol) -> bool {
         let state = self.state.as_ref();
         state.is_some_and(|state| state.borrow().is_enabled_for(protocol))
     }
@@ -58,10 +58,10 @@
 impl TlsState {
     /// Returns true where TLS is spoken on addresses of this protocol.
     #[must_use]
-    pub fn is_enabled_for(&self, protocol: &FrontProtocol) -> bool {
+    pub fn is_enabled_for(&self, protocol: &ClientProtocol) -> bool {
         match protocol {
-            FrontProtocol::Frames(_) | FrontProtocol::Relayed(_) => self.options().frames,
-            FrontProtocol::Ajp(..) => self.options().ajp,
+            ClientProtocol::Frames(_) | ClientProtocol::Relayed(_) => self.options().frames,
+            ClientProtocol::Ajp(..) => self.options().ajp,
         }
     }
 }
--- a/crates/server/src/gossip.rs
+++ b/crates/server/src/gossip.rs
@@ -12,5 +12,5 @@
 mod incarnation_store;
 mod service;
 
-pub use endpoint::{Gossip, Options, ReloadKeys, PLACE};
+pub use endpoint::{Gossip, Options, ReloadKeys, LISTENER_NUMBER};
 pub use service::ServiceWithGossip;
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -3,8 +3,8 @@
 use super::incarnation_store;
 use crate::host::{DatagramSocket, GossipHost};
 use crate::status_report::Status;
-use cleatpulley_membership::figures::Kind;
-use cleatpulley_membership::seal::Keys;
+use cleatpulley_membership::authentication::KeyRing;
+use cleatpulley_membership::shared_metrics::MetricKind;
 use cleatpulley_membership::{Event, Identity, Membership, Settings};
 use cleatpulley_policy::interface::Micros;
 use std::fmt;
@@ -22,10 +22,10 @@
 const WARMTH_STEP: f64 = 0.05;
 
 /// The number that the event loop knows the socket by. Listeners for clients have smaller ones.
-pub const PLACE: usize = (1 << 16) + 2;
+pub const LISTENER_NUMBER: usize = (1 << 16) + 2;
 
 /// Reads the keys again.
-pub type ReloadKeys = Box<dyn FnMut() -> Result<Keys, String>>;
+pub type ReloadKeys = Box<dyn FnMut() -> Result<KeyRing, String>>;
 
 /// What gossip is created from.
 pub struct Options {
@@ -88,7 +88,7 @@
             folder,
         } = options;
         let incarnations = incarnation_store::begin(&folder)?;
-        let (socket, address) = host.bind_datagram_socket(listen, PLACE)?;
+        let (socket, address) = host.bind_datagram_socket(listen, LISTENER_NUMBER)?;
         if identity.address.port() == 0 {
             identity.address.set_port(address.port());
         }
@@ -127,7 +127,7 @@
         match (self.keys)() {
             Ok(keys) => {
                 tracing::info!(?keys, "cluster: keys read again");
-                self.membership.rekey(keys);
+                self.membership.set_keys(keys);
             }
             Err(error) => tracing::error!(%error, "cluster: the keys stay as they were"),
         }
@@ -146,15 +146,15 @@
             self.next_status_at = now + STATUS_INTERVAL;
             self.share_status(now, &status());
         }
-        self.membership.turn(now);
+        self.membership.poll(now);
         self.send(now);
-        while let Some(event) = self.membership.event() {
+        while let Some(event) = self.membership.next_event() {
             self.handle_event(now, &event);
         }
         if has_more {
             return now;
         }
-        self.membership.next().min(self.next_status_at)
+        self.membership.next_deadline().min(self.next_status_at)
     }
 
     /// Tells the others that this process leaves.
@@ -173,7 +173,7 @@
             }
             match self.socket.receive(&mut buffer) {
                 Ok((length, sender)) => {
-                    if let Err(error) = self.membership.hear(now, &buffer[..length]) {
+                    if let Err(error) = self.membership.handle_datagram(now, &buffer[..length]) {
                         tracing::debug!(%sender, %error, "cluster: a datagram is dropped");
                     }
                 }
@@ -196,14 +196,14 @@
         }
         self.shared_status = Some(status);
         let warmth = status.warmth.to_le_bytes().to_vec();
-        self.membership.tell(now, Kind::Warmth, warmth);
+        self.membership.publish(now, MetricKind::Warmth, warmth);
         let is_draining = f64::from(u8::from(status.is_draining));
         let is_draining = is_draining.to_le_bytes().to_vec();
-        self.membership.tell(now, Kind::Drain, is_draining);
+        self.membership.publish(now, MetricKind::Drain, is_draining);
     }
 
     fn send(&mut self, now: Micros) {
-        for (address, datagram) in self.membership.take_out() {
+        for (address, datagram) in self.membership.take_outgoing() {
             // A datagram that can't be sent counts as one that got lost.
             if let Err(error) = self.socket.send(address, &datagram) {
                 tracing::trace!(now, %address, %error, "cluster: sending failed");
--- a/crates/server/src/gossip/service.rs
+++ b/crates/server/src/gossip/service.rs
@@ -1,11 +1,11 @@
 //! A service that gossips.
 
-use super::endpoint::{Gossip, PLACE};
+use super::endpoint::{Gossip, LISTENER_NUMBER};
 use crate::host::Readiness;
 use crate::os_host::{OsHost, Service};
 use crate::socket_owner::SocketOwner;
 use crate::status_report::Status;
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use std::io;
@@ -30,7 +30,7 @@
     }
 
     fn on_acceptable(&mut self, listener: usize) {
-        if listener == PLACE {
+        if listener == LISTENER_NUMBER {
             return self.gossip.on_readiness();
         }
         self.service.on_acceptable(listener);
@@ -40,7 +40,7 @@
         self.service.on_persistence_event(event);
     }
 
-    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+    fn on_reputation_loaded(&mut self, entries: Vec<StoredReputation>) {
         self.service.on_reputation_loaded(entries);
     }
 
@@ -65,8 +65,8 @@
         self.service.is_finished()
     }
 
-    fn take_fault(&mut self) -> Option<io::Error> {
-        self.service.take_fault()
+    fn take_error(&mut self) -> Option<io::Error> {
+        self.service.take_error()
     }
 
     fn close(&mut self) {
--- a/crates/server/src/handover_channel.rs
+++ b/crates/server/src/handover_channel.rs
@@ -4,7 +4,7 @@
 use crate::host::{self, HandoverAddress};
 use crate::os_host::event_loop::Watch;
 use crate::os_host::sockets::Listener;
-use cleatpulley_hot_restart::message::LONGEST;
+use cleatpulley_hot_restart::message::MAX_MESSAGE_BYTES;
 use rustix::net::{
     recvmsg, sendmsg, sockopt, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags,
     SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketType,
@@ -118,7 +118,7 @@
 
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<ReceivedSocket>)> {
         // One byte more than any message has: a longer one is noticed, and not cut silently.
-        let mut bytes = vec![0; LONGEST + 1];
+        let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -3,7 +3,7 @@
 //! calloop and std, a simulator brings another.
 
 use crate::socket_owner::SocketOwner;
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_idempotency::record::ScopedKey;
@@ -115,7 +115,7 @@
 /// [`Server::on_reputation_loaded`](crate::Server::on_reputation_loaded).
 pub trait ReputationStorage {
     /// Writes changed entries, in its own time.
-    fn write(&self, entries: Vec<Entry>);
+    fn write(&self, entries: Vec<StoredReputation>);
 
     /// Lets it write what it has and close in its own time. It is given nothing more.
     fn release(&mut self);
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -21,15 +21,15 @@
 mod successor_messages;
 
 pub(crate) use connections::ACCEPT_RETRY_INTERVAL;
-pub use connections::PLACE;
+pub use connections::LISTENER_NUMBER;
 pub use step::{HotRestartStep, InheritedListener};
 
 use crate::host::{HandoverAddress, Host};
 use crate::socket_owner::SocketOwner;
-use cleatpulley_hot_restart::message::MOST_STANDING;
+use cleatpulley_hot_restart::message::MAX_REPUTATION_ENTRIES;
 use cleatpulley_hot_restart::predecessor::{self, Predecessor};
 use cleatpulley_hot_restart::successor::Successor;
-use cleatpulley_hot_restart::{Held, Message};
+use cleatpulley_hot_restart::{Message, ProcessUsage};
 use cleatpulley_policy::interface::Micros;
 use connections::{PredecessorConnection, SuccessorConnection, SuccessorListener};
 use earlier_predecessors::EarlierPredecessors;
@@ -46,7 +46,7 @@
     /// None where there was no process to take over from.
     predecessor: Option<PredecessorConnection<H>>,
     /// What the predecessor uses of the machine.
-    predecessor_usage: Held,
+    predecessor_usage: ProcessUsage,
     earlier_predecessors: EarlierPredecessors<H>,
     successor: SuccessorConnection<H>,
     successor_listener: SuccessorListener<H>,
@@ -71,7 +71,7 @@
             },
             handover_address,
             predecessor: None,
-            predecessor_usage: Held::default(),
+            predecessor_usage: ProcessUsage::default(),
             earlier_predecessors: EarlierPredecessors::default(),
             successor_listener: SuccessorListener::default(),
             is_predecessor_unknown: false,
@@ -191,7 +191,7 @@
         now: Micros,
         is_up: bool,
         listeners: &[ListenerEntry<'_, H>],
-        usage: impl Fn() -> Held,
+        usage: impl Fn() -> ProcessUsage,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
         self.retry_listen_for_successors(now);
@@ -230,7 +230,7 @@
     }
 
     /// Returns what all processes use of the machine that came before this one.
-    fn total_predecessor_usage(&self) -> Held {
+    fn total_predecessor_usage(&self) -> ProcessUsage {
         earlier_predecessors::sum(self.predecessor_usage, self.earlier_predecessors.usage())
     }
 
@@ -250,11 +250,11 @@
     /// Tells the successor that the connections are its own now, with what was learned of them.
     pub fn on_connections_yielded(
         &mut self,
-        usage: Held,
+        usage: ProcessUsage,
         learned_state: String,
         mut reputation: Vec<(IpAddr, f64)>,
     ) {
-        reputation.truncate(MOST_STANDING);
+        reputation.truncate(MAX_REPUTATION_ENTRIES);
         self.send_to_successor(Message::Yours {
             held: usage,
             learned: learned_state,
@@ -263,7 +263,7 @@
     }
 
     /// Tells the successor that this process ends, and what it leaves in use.
-    pub fn shutdown(&mut self, usage: Held) {
+    pub fn shutdown(&mut self, usage: ProcessUsage) {
         if self.successor.channel.is_some() && self.has_yielded() {
             self.send_to_successor(Message::Left(usage));
         }
--- a/crates/server/src/hot_restart/channel_message.rs
+++ b/crates/server/src/hot_restart/channel_message.rs
@@ -1,7 +1,7 @@
 //! Reading the messages of a handover channel.
 
 use crate::host::HandoverChannel;
-use cleatpulley_hot_restart::message::Fault;
+use cleatpulley_hot_restart::message::DecodeError;
 use cleatpulley_hot_restart::Message;
 use std::io::{self, ErrorKind};
 
@@ -17,7 +17,7 @@
     #[error("it ended")]
     Closed,
     #[error(transparent)]
-    Malformed(#[from] Fault),
+    Malformed(#[from] DecodeError),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/server/src/hot_restart/connections.rs
+++ b/crates/server/src/hot_restart/connections.rs
@@ -11,7 +11,7 @@
 
 /// The number by which the event loop reports that a successor may wait. Listeners for clients have
 /// smaller ones.
-pub const PLACE: usize = (1 << 16) + 1;
+pub const LISTENER_NUMBER: usize = (1 << 16) + 1;
 
 /// Wait before a successor is accepted, after no descriptor was left for it.
 pub(crate) const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
@@ -108,7 +108,7 @@
     pub(super) fn listen(&mut self, host: &H, address: &HandoverAddress) {
         // The previous socket is closed first, since the new one takes its name.
         self.socket = None;
-        match host.listen_for_successors(address, PLACE) {
+        match host.listen_for_successors(address, LISTENER_NUMBER) {
             Ok(socket) => {
                 self.socket = Some(socket);
                 self.is_acceptable = true;
--- a/crates/server/src/hot_restart/earlier_predecessors.rs
+++ b/crates/server/src/hot_restart/earlier_predecessors.rs
@@ -4,7 +4,7 @@
 use super::channel_message::{receive_message, ReceivedMessage};
 use super::step::HotRestartStep;
 use crate::host::Host;
-use cleatpulley_hot_restart::{Held, Message};
+use cleatpulley_hot_restart::{Message, ProcessUsage};
 use cleatpulley_policy::interface::Micros;
 
 /// What a process that died had in use may have belonged to one before it, which is found within
@@ -24,13 +24,13 @@
 struct ConnectedProcess<H: Host> {
     channel: H::HandoverChannel,
     /// What it reported last.
-    usage: Held,
+    usage: ProcessUsage,
 }
 
 /// What a process that is gone has left in use.
 struct Remainder {
     free_at: Micros,
-    usage: Held,
+    usage: ProcessUsage,
 }
 
 impl<H: Host> Default for EarlierPredecessors<H> {
@@ -49,33 +49,35 @@
     }
 
     /// Returns what all of them use of the machine.
-    pub(super) fn usage(&self) -> Held {
+    pub(super) fn usage(&self) -> ProcessUsage {
         let connected = self.connected.iter().map(|process| process.usage);
         let remainders = self.remainders.iter().map(|remainder| remainder.usage);
-        connected.chain(remainders).fold(Held::default(), sum)
+        connected
+            .chain(remainders)
+            .fold(ProcessUsage::default(), sum)
     }
 
-    pub(super) fn add(&mut self, channel: H::HandoverChannel, usage: Held) {
+    pub(super) fn add(&mut self, channel: H::HandoverChannel, usage: ProcessUsage) {
         self.connected.push(ConnectedProcess { channel, usage });
     }
 
     /// A process is gone that used this much.
-    pub(super) fn on_process_lost(&mut self, now: Micros, usage: Held) {
+    pub(super) fn on_process_lost(&mut self, now: Micros, usage: ProcessUsage) {
         self.remainders.push(Remainder {
             free_at: now + PREDECESSOR_SEARCH_TIME,
-            usage: Held {
+            usage: ProcessUsage {
                 calls: usage.calls,
                 descriptors: usage.descriptors,
-                ..Held::default()
+                ..ProcessUsage::default()
             },
         });
         if usage.running > 0 {
             self.remainders.push(Remainder {
                 free_at: now + ORPHANED_RUN_TIME,
-                usage: Held {
+                usage: ProcessUsage {
                     running: usage.running,
                     memory_kb: usage.memory_kb,
-                    ..Held::default()
+                    ..ProcessUsage::default()
                 },
             });
         }
@@ -141,8 +143,8 @@
 }
 
 /// Returns what two processes use together.
-pub(super) fn sum(first: Held, second: Held) -> Held {
-    Held {
+pub(super) fn sum(first: ProcessUsage, second: ProcessUsage) -> ProcessUsage {
+    ProcessUsage {
         running: first.running + second.running,
         memory_kb: first.memory_kb + second.memory_kb,
         calls: first.calls + second.calls,
--- a/crates/server/src/hot_restart/step.rs
+++ b/crates/server/src/hot_restart/step.rs
@@ -1,7 +1,7 @@
 //! What a hot restart asks the server to do.
 
 use crate::host::{HandoverChannel, Host};
-use cleatpulley_hot_restart::Held;
+use cleatpulley_hot_restart::ProcessUsage;
 use std::net::{IpAddr, SocketAddr};
 
 /// A listening socket as it came over the handover channel.
@@ -27,7 +27,7 @@
     /// Open the persistence of idempotency keys: the predecessor has released it, or is gone.
     OpenKeyPersistence,
     /// All predecessors together use this much of the machine.
-    SetPredecessorUsage(Held),
+    SetPredecessorUsage(ProcessUsage),
     /// Restore the state that the predecessor had learned, as the text of its snapshot.
     RestoreLearnedState(String),
     /// Import the reputation that addresses earned with the predecessor, in its points.
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -8,7 +8,7 @@
 use crate::host::{HandoverChannel as _, Host};
 use crate::socket_owner::SocketOwner;
 use cleatpulley_hot_restart::predecessor::Effect;
-use cleatpulley_hot_restart::{Held, Message};
+use cleatpulley_hot_restart::{Message, ProcessUsage};
 use cleatpulley_policy::interface::Micros;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
         &mut self,
         now: Micros,
         listeners: &[ListenerEntry<'_, H>],
-        usage: impl Fn() -> Held,
+        usage: impl Fn() -> ProcessUsage,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
         // The name may still lead to this process itself.
--- a/crates/server/src/hot_restart/tests.rs
+++ b/crates/server/src/hot_restart/tests.rs
@@ -4,7 +4,7 @@
 use crate::host::HandoverChannel as _;
 use crate::os_host::{OsHost, Service};
 use calloop::EventLoop;
-use cleatpulley_hot_restart::message::VERSION;
+use cleatpulley_hot_restart::message::PROTOCOL_VERSION;
 
 fn poll(
     hot_restart: &mut HotRestart<OsHost>,
@@ -14,7 +14,7 @@
     let mut steps = Vec::new();
     // Edges are seen by an event loop that does not run here.
     hot_restart.on_acceptable();
-    hot_restart.poll(now, true, listeners, Held::default, &mut steps);
+    hot_restart.poll(now, true, listeners, ProcessUsage::default, &mut steps);
     steps
 }
 
@@ -44,7 +44,7 @@
     old.listen_for_successors(address);
     let listeners = [(address, Some(&listener))];
     let hello = |name: &str| Message::Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         name: name.into(),
         listen: vec![address],
     };
@@ -80,7 +80,7 @@
         Message::decode(&bytes),
         Ok(Message::Refused { .. })
     ));
-    now += predecessor::PATIENCE;
+    now += predecessor::HANDOVER_TIMEOUT;
     poll(&mut old, now, &listeners);
     assert!(old.successor.protocol.receives());
     drop(silent);
@@ -98,7 +98,7 @@
             .any(|step| matches!(step, HotRestartStep::YieldConnections))
             && old.has_yielded()
     );
-    old.on_connections_yielded(Held::default(), String::new(), Vec::new());
+    old.on_connections_yielded(ProcessUsage::default(), String::new(), Vec::new());
     let steps = poll(&mut new, now, &[]);
     assert!(
         steps
@@ -112,7 +112,7 @@
         steps.is_empty() && old.is_orphaned(),
         "another may have the place"
     );
-    now += predecessor::ORPHANED;
+    now += predecessor::ORPHAN_SEARCH_TIME;
     let steps = poll(&mut old, now, &listeners);
     assert!(
         steps
@@ -156,13 +156,13 @@
     poll(&mut second, now, &[]);
     poll(&mut first, now, &listeners);
     assert!(first.has_yielded());
-    first.on_connections_yielded(Held::default(), String::new(), Vec::new());
+    first.on_connections_yielded(ProcessUsage::default(), String::new(), Vec::new());
     poll(&mut second, now, &[]);
     assert!(second.is_serving());
     let mut third = HotRestart::new(host.clone(), fresh, &[]);
     third.listen_for_successors(address);
     drop(second);
-    let left = Held {
+    let left = ProcessUsage {
         running: 3,
         memory_kb: 40.0,
         calls: 2,
@@ -187,10 +187,10 @@
     let steps = poll(&mut third, now, &listeners);
     assert_eq!(last_usage(&steps), Some(left), "what runs can't be stopped");
     now += 1_000_000;
-    let runs = Held {
+    let runs = ProcessUsage {
         running: 3,
         memory_kb: 40.0,
-        ..Held::default()
+        ..ProcessUsage::default()
     };
     assert_eq!(
         last_usage(&poll(&mut third, now, &listeners)),
@@ -200,7 +200,7 @@
     now += 3_000_000;
     assert_eq!(
         last_usage(&poll(&mut third, now, &listeners)),
-        Some(Held::default())
+        Some(ProcessUsage::default())
     );
     assert!(!third.has_predecessor());
     std::fs::remove_dir_all(&folder).expect("it was there");
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 
 /// The number of this listener. Listeners for clients have smaller ones.
-pub const PLACE: usize = 1 << 16;
+pub const LISTENER_NUMBER: usize = 1 << 16;
 /// Limit of connections. One more closes the connection that has waited longest without a complete
 /// request.
 pub const MAX_CONNECTIONS: usize = 16;
@@ -63,7 +63,7 @@
     /// Where the address can't be listened on.
     pub fn listen(host: H, address: SocketAddr) -> Result<Self, StartError> {
         let (listener, address) = host
-            .listen(address, PLACE)
+            .listen(address, LISTENER_NUMBER)
             .map_err(|source| StartError::ManagementListen { address, source })?;
         tracing::info!("operators are answered on {address}");
         Ok(Self {
--- a/crates/server/src/os_host/event_loop.rs
+++ b/crates/server/src/os_host/event_loop.rs
@@ -5,7 +5,7 @@
 use crate::status_report::Status;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use std::io;
@@ -27,7 +27,7 @@
     fn on_persistence_event(&mut self, _event: Event) {}
 
     /// Takes the persisted reputation of client addresses, once it is loaded.
-    fn on_reputation_loaded(&mut self, _entries: Vec<Entry>) {}
+    fn on_reputation_loaded(&mut self, _entries: Vec<StoredReputation>) {}
 
     /// Begins the graceful shutdown.
     fn begin_shutdown(&mut self);
@@ -42,7 +42,7 @@
     fn is_finished(&self) -> bool;
 
     /// Returns the failure that it can't go on after, once.
-    fn take_fault(&mut self) -> Option<io::Error> {
+    fn take_error(&mut self) -> Option<io::Error> {
         None
     }
 
--- a/crates/server/src/os_host/serve.rs
+++ b/crates/server/src/os_host/serve.rs
@@ -10,7 +10,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::EventLoop;
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 use std::io::{self, ErrorKind};
@@ -33,7 +33,7 @@
         Self::on_persistence_event(self, event);
     }
 
-    fn on_reputation_loaded(&mut self, entries: Vec<Entry>) {
+    fn on_reputation_loaded(&mut self, entries: Vec<StoredReputation>) {
         Self::on_reputation_loaded(self, &entries);
     }
 
@@ -53,8 +53,8 @@
         Self::is_finished(self)
     }
 
-    fn take_fault(&mut self) -> Option<io::Error> {
-        Self::take_fault(self)
+    fn take_error(&mut self) -> Option<io::Error> {
+        Self::take_error(self)
     }
 
     fn close(&mut self) {
@@ -168,7 +168,7 @@
 ) -> io::Result<()> {
     loop {
         let deadline = service.poll();
-        if let Some(error) = service.take_fault() {
+        if let Some(error) = service.take_error() {
             return Err(error);
         }
         if service.is_finished() {
--- a/crates/server/src/reputation_store.rs
+++ b/crates/server/src/reputation_store.rs
@@ -5,7 +5,7 @@
 use crate::host;
 use crate::os_host::event_loop::EventLoopHandle;
 use calloop::channel::{self, Event};
-use cleatpulley_connection_admission::book::{Book, Entry};
+use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Error, Options, Store};
 use std::io;
@@ -42,7 +42,7 @@
 }
 
 /// Access to the thread, which ends when this is dropped.
-pub struct ReputationStorage(BackgroundThread<Vec<Entry>>);
+pub struct ReputationStorage(BackgroundThread<Vec<StoredReputation>>);
 
 impl ReputationStorage {
     /// Starts the thread. The entries that it loads go to
@@ -71,7 +71,7 @@
 }
 
 impl host::ReputationStorage for ReputationStorage {
-    fn write(&self, entries: Vec<Entry>) {
+    fn write(&self, entries: Vec<StoredReputation>) {
         self.0.send(entries);
     }
 
@@ -93,10 +93,10 @@
 fn run(
     folder: &Path,
     max_addresses: usize,
-    jobs: &Receiver<Vec<Entry>>,
-    entry_sender: &channel::Sender<Vec<Entry>>,
+    jobs: &Receiver<Vec<StoredReputation>>,
+    entry_sender: &channel::Sender<Vec<StoredReputation>>,
 ) {
-    let mut book: Book<OsFolder> = Book::new(max_addresses);
+    let mut book: ReputationDatabase<OsFolder> = ReputationDatabase::new(max_addresses);
     let mut has_more_work = true;
     let mut open_at = Instant::now();
     loop {
@@ -122,10 +122,10 @@
 /// Opens the store and sends the entries that it holds. Returns when to open it again, should that
 /// be needed.
 fn open(
-    book: &mut Book<OsFolder>,
+    book: &mut ReputationDatabase<OsFolder>,
     folder: &Path,
     max_addresses: usize,
-    entry_sender: &channel::Sender<Vec<Entry>>,
+    entry_sender: &channel::Sender<Vec<StoredReputation>>,
 ) -> Instant {
     let opened = OsFolder::new(folder, true)
         .map_err(Error::folder)
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -22,7 +22,7 @@
 use crate::options::{Reload, ServiceAddresses};
 use crate::socket_owner::SocketOwner;
 use crate::tls_layer;
-use cleatpulley_connection_admission::book::Entry;
+use cleatpulley_connection_admission::reputation_database::StoredReputation;
 use cleatpulley_dispatcher::{Command, Dispatcher, Event};
 use cleatpulley_policy::interface::Micros;
 use state::{
@@ -87,7 +87,7 @@
     }
 
     /// Takes the persisted reputation of client addresses, once it is loaded.
-    pub fn on_reputation_loaded(&mut self, entries: &[Entry]) {
+    pub fn on_reputation_loaded(&mut self, entries: &[StoredReputation]) {
         let now = self.now();
         if let Some(admission) = self.adapters.client_listener.admission_mut() {
             admission.remember(now, entries);
@@ -100,10 +100,10 @@
             &mut self.adapters.management,
             &mut self.handover.hot_restart,
         ) {
-            (Some(management), _) if listener == management_endpoint::PLACE => {
+            (Some(management), _) if listener == management_endpoint::LISTENER_NUMBER => {
                 management.on_acceptable();
             }
-            (_, Some(hot_restart)) if listener == hot_restart::PLACE => {
+            (_, Some(hot_restart)) if listener == hot_restart::LISTENER_NUMBER => {
                 hot_restart.on_acceptable();
             }
             _ => self.adapters.client_listener.on_acceptable(listener),
@@ -279,7 +279,7 @@
     }
 
     /// Returns the failure that it can't go on after, once.
-    pub fn take_fault(&mut self) -> Option<io::Error> {
+    pub fn take_error(&mut self) -> Option<io::Error> {
         self.handover.listen_error.take()
     }
 }
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -5,7 +5,7 @@
     ServerIdentity, Shutdown, WarmUp,
 };
 use super::{Server, RESERVED_DESCRIPTORS};
-use crate::client_listener::{ClientListener, FrontProtocol};
+use crate::client_listener::{ClientListener, ClientProtocol};
 use crate::dependency_pool::DependencyPool;
 use crate::error::StartError;
 use crate::host::{HandoverAddress, Host};
@@ -60,7 +60,7 @@
 /// An address that clients or proxies connect to, and the protocol spoken there.
 struct ClientAddress {
     address: SocketAddr,
-    protocol: FrontProtocol,
+    protocol: ClientProtocol,
 }
 
 impl<H: Host> Server<H> {
@@ -191,14 +191,14 @@
     };
     let mut addresses = vec![ClientAddress {
         address: options.listen,
-        protocol: FrontProtocol::Frames(Rc::new(terms)),
+        protocol: ClientProtocol::Frames(Rc::new(terms)),
     }];
     if let Some(ajp) = options.ajp.take() {
         let settings = Rc::new(ajp.settings);
         let trusted = Rc::new(ajp.trusted);
         addresses.extend(ajp.listen.into_iter().map(|address| ClientAddress {
             address,
-            protocol: FrontProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
+            protocol: ClientProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
         }));
     }
     addresses
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -10,7 +10,7 @@
 use crate::management_endpoint;
 use cleatpulley_dispatcher::key_table::KeyTable;
 use cleatpulley_dispatcher::{Event, ResourceUsage};
-use cleatpulley_hot_restart::{snapshot, Held};
+use cleatpulley_hot_restart::{snapshot, ProcessUsage};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use std::io;
@@ -148,7 +148,7 @@
         }
     }
 
-    fn set_predecessor_usage(&mut self, now: Micros, usage: Held) {
+    fn set_predecessor_usage(&mut self, now: Micros, usage: ProcessUsage) {
         if is_bug_injected(InjectedBug::PredecessorUsageIgnored) {
             return;
         }
@@ -243,7 +243,7 @@
         ) {
             return;
         }
-        if !self.adapters.client_listener.is_sent_away() {
+        if !self.adapters.client_listener.are_connections_sent_away() {
             self.handover.yield_state = YieldState::ConnectionsYielded { since: now };
             return;
         }
@@ -334,10 +334,10 @@
 
     /// Returns what this process and its predecessors use of the machine: a successor learns of
     /// those only through this process.
-    pub(super) fn combined_usage(&self) -> Held {
+    pub(super) fn combined_usage(&self) -> ProcessUsage {
         let own_usage = self.dispatcher.resource_usage();
         let predecessor_usage = self.handover.predecessor_usage;
-        Held {
+        ProcessUsage {
             running: own_usage.running + predecessor_usage.running,
             memory_kb: own_usage.memory_kb + predecessor_usage.memory_kb,
             calls: own_usage.calls + predecessor_usage.calls,
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -6,7 +6,7 @@
 use crate::options::ServerUsage;
 use crate::status_report::{self, Status};
 use crate::tls_layer::TlsState;
-use cleatpulley_connection_admission::handshake::Handshakes;
+use cleatpulley_connection_admission::handshake::HandshakeScheduler;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::mgmt;
 
@@ -32,7 +32,8 @@
         ServerUsage {
             requests: self.dispatcher.request_count(),
             pending: self.dispatcher.pending_count(),
-            active_key_runs: key_table.map_or(0, |key_table| key_table.active_runs()),
+            active_key_runs: key_table
+                .map_or(0, cleatpulley_dispatcher::key_table::KeyTable::active_runs),
             open_requests: clients.open_requests,
             calls: dependency.calls,
             descriptors,
@@ -77,7 +78,7 @@
             .tls
             .as_ref()
             .map(|tls| tls_metrics(&tls.borrow(), client_listener.handshakes(), self.now()));
-        status_report::vars(
+        status_report::metrics_json(
             &self.identity.class_names,
             self.dispatcher.counters(),
             self.dispatcher.pending_count(),
@@ -88,7 +89,11 @@
 }
 
 /// Returns the metrics of TLS: the certificate's expiry, its renewals, and handshakes.
-fn tls_metrics(tls: &TlsState, handshakes: Option<&Handshakes>, now: Micros) -> serde_json::Value {
+fn tls_metrics(
+    tls: &TlsState,
+    handshakes: Option<&HandshakeScheduler>,
+    now: Micros,
+) -> serde_json::Value {
     let certificate = tls.certificate_facts();
     let renewals = tls.renewals();
     let mut metrics = serde_json::json!({
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -11,7 +11,7 @@
 use crate::tls_layer::TlsState;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::key_table::Capacity;
-use cleatpulley_hot_restart::{snapshot, Held};
+use cleatpulley_hot_restart::{snapshot, ProcessUsage};
 use cleatpulley_policy::interface::{Micros, Settings};
 use std::cell::RefCell;
 use std::io;
@@ -42,7 +42,7 @@
     /// Returns the number that learned state is bound to: only a process of the same name and
     /// classes may restore it.
     pub(super) fn snapshot_site(&self) -> u64 {
-        snapshot::site(&self.name, &self.class_names)
+        snapshot::site_digest(&self.name, &self.class_names)
     }
 }
 
@@ -185,7 +185,7 @@
     pub(super) listen_error: Option<io::Error>,
     pub(super) yield_state: YieldState,
     /// What the predecessors still use of the machine.
-    pub(super) predecessor_usage: Held,
+    pub(super) predecessor_usage: ProcessUsage,
     pub(super) has_restored_learned_state: bool,
     /// Limit of client connections while no other process of this server holds any.
     pub(super) max_client_connections: usize,
@@ -198,7 +198,7 @@
             retry_listen_at: None,
             listen_error: None,
             yield_state: YieldState::Serving,
-            predecessor_usage: Held::default(),
+            predecessor_usage: ProcessUsage::default(),
             has_restored_learned_state: false,
             max_client_connections,
         }
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -2,7 +2,7 @@
 //! as one line a report. The server decides nothing by the supervisor, and one that is away or slow
 //! costs it nothing.
 
-use cleatpulley_connection_admission::admit::Counts as AdmissionCounts;
+use cleatpulley_connection_admission::decision::Counters as AdmissionCounts;
 use cleatpulley_dispatcher::{ClassCounters, Counters};
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde::Serialize;
@@ -35,7 +35,7 @@
 
 /// Returns the metrics for operators, as a line of JSON.
 #[must_use]
-pub fn vars(
+pub fn metrics_json(
     class_names: &[String],
     counters: &Counters,
     pending_requests: usize,
--- a/crates/server/tests/wire_format.rs
+++ b/crates/server/tests/wire_format.rs
@@ -29,8 +29,8 @@
         held: 5,
         drains: false,
     };
-    reporter.say(&status);
-    reporter.say(&Status {
+    reporter.report(&status);
+    reporter.report(&Status {
         warmth: 1.0,
         held: 0,
         drains: true,
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -7,10 +7,10 @@
 use crate::plan::Places;
 use crate::shelf::Shelf;
 use crate::sim::{Listens, Sim, BEGIN, MS, RUNTIMES, SECOND, STOP};
-use cleatpulley_connection_admission::admit::Cap;
-use cleatpulley_connection_admission::net::Net;
-use cleatpulley_connection_admission::rate::Rate;
-use cleatpulley_connection_admission::standing::Earned;
+use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::rate_sketch::RateLimit;
+use cleatpulley_connection_admission::reputation::ReputationSettings;
+use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::Settings as Admitting;
 use cleatpulley_dispatcher::key_table::Capacity;
 use cleatpulley_dispatcher::KeyScope as KeyOwner;
@@ -272,24 +272,28 @@
         let (named, address, earned) = match self.plan.places {
             Places::FirstCome => return None,
             Places::Named => {
-                let cap = Cap {
+                let cap = ConnectionLimits {
                     places: None,
-                    rate: Some(Rate { per_second, burst }),
+                    rate: Some(RateLimit { per_second, burst }),
                 };
-                (vec![Net::of(self.net.borrow().address(), 32)], cap, None)
+                (
+                    vec![AddressPrefix::of(self.net.borrow().address(), 32)],
+                    cap,
+                    None,
+                )
             }
             Places::Earned => {
                 let points = crowd::POINTS as f64;
-                let earned = Earned {
+                let earned = ReputationSettings {
                     points,
                     half_life: 600 * SECOND,
                     most: 100,
                     of_prefix: 4,
                 };
-                (Vec::new(), Cap::default(), Some(earned))
+                (Vec::new(), ConnectionLimits::default(), Some(earned))
             }
         };
-        let (prefix, bits) = (Cap::default(), (24, 64));
+        let (prefix, bits) = (ConnectionLimits::default(), (24, 64));
         let seed = self.plan.seed;
         Some(Admitting {
             named,
@@ -344,7 +348,7 @@
             tracing::info_span!("process", m, life, at = (now - BEGIN) as f64 / 1e6).entered();
         let next = process.node.poll();
         drop(told);
-        if let Some(fault) = process.node.take_fault() {
+        if let Some(fault) = process.node.take_error() {
             // A new process that can't have its sockets ends, and the one that serves goes on.
             if self
                 .rollouts
--- a/crates/simulator/src/shelf.rs
+++ b/crates/simulator/src/shelf.rs
@@ -1,7 +1,7 @@
 //! A matcher's book of earned standing in the virtual world, on a disk that outlives its processes.
 
 use crate::host::{Event, Lock, Virtual};
-use cleatpulley_connection_admission::book::{Book, Entry};
+use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
 use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_log_store::{Error, Options, Store};
 use cleatpulley_policy::interface::Micros;
@@ -17,10 +17,10 @@
     lock: Lock,
     life: u64,
     disk: SimulatedFolder,
-    book: Option<Book<SimulatedFolder>>,
+    book: Option<ReputationDatabase<SimulatedFolder>>,
     scheduled: bool,
     /// What it held, until the matcher is told.
-    pub remembered: Vec<Entry>,
+    pub remembered: Vec<StoredReputation>,
 }
 
 impl Shelf {
@@ -91,7 +91,7 @@
     /// Opens it soon.
     #[must_use]
     pub fn new(world: &Virtual, most: usize) -> Self {
-        world.shelf.borrow_mut().book = Some(Book::new(most));
+        world.shelf.borrow_mut().book = Some(ReputationDatabase::new(most));
         let new = Self {
             world: world.clone(),
         };
@@ -110,7 +110,7 @@
 }
 
 impl ReputationStorage for VirtualStandings {
-    fn write(&self, entries: Vec<Entry>) {
+    fn write(&self, entries: Vec<StoredReputation>) {
         if let Some(book) = &mut self.world.shelf.borrow_mut().book {
             book.add(entries);
         }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -286,7 +286,7 @@
                             Some(Listens::Operators(m, life)) => {
                                 self.tell(m, life, |node| {
                                     node.on_acceptable(
-                                        cleatpulley_server::management_endpoint::PLACE,
+                                        cleatpulley_server::management_endpoint::LISTENER_NUMBER,
                                     );
                                 });
                             }
@@ -322,7 +322,9 @@
                 2 << 32 | m as u64
             }
             Event::HandoverChannel(m, life) => {
-                self.tell(m, life, |node| node.on_acceptable(hot_restart::PLACE));
+                self.tell(m, life, |node| {
+                    node.on_acceptable(hot_restart::LISTENER_NUMBER);
+                });
                 8 << 32 | m as u64
             }
             Event::Rollout(m) => {
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -1,9 +1,9 @@
 //! `cleatpulley check connection-admission`: what a decision costs at a million addresses, and who is served while connections come
 //! without end.
 
-use cleatpulley_connection_admission::admit::Cap;
-use cleatpulley_connection_admission::net::Net;
-use cleatpulley_connection_admission::rate::Rate;
+use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::rate_sketch::RateLimit;
+use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::{Admission, Decision, Settings};
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::flood::{knock, Flood};
@@ -47,22 +47,22 @@
 
 /// Connections of a million addresses in turn: what they get here, and from a bucket each.
 fn decisions(short: &mut Vec<String>) {
-    let rate = Rate {
+    let rate = RateLimit {
         per_second: 2.0,
         burst: 4.0,
     };
     let settings = Settings {
         named: vec!["192.168.0.0/16"
-            .parse::<Net>()
-            .unwrap_or_else(|_| Net::of(address(0), 16))],
+            .parse::<AddressPrefix>()
+            .unwrap_or_else(|_| AddressPrefix::of(address(0), 16))],
         reserve: 0.2,
-        address: Cap {
+        address: ConnectionLimits {
             places: None,
             rate: Some(rate),
         },
-        prefix: Cap {
+        prefix: ConnectionLimits {
             places: None,
-            rate: Some(Rate {
+            rate: Some(RateLimit {
                 per_second: 500.0,
                 burst: 1_000.0,
             }),
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -1,10 +1,10 @@
 //! The section on who gets a place.
 
 use super::{wrong, Wrong};
-use cleatpulley_connection_admission::admit::Cap;
-use cleatpulley_connection_admission::net::Net;
-use cleatpulley_connection_admission::rate::Rate;
-use cleatpulley_connection_admission::standing::Earned;
+use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::rate_sketch::RateLimit;
+use cleatpulley_connection_admission::reputation::ReputationSettings;
+use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::Settings;
 use serde::Deserialize;
 use std::fmt;
@@ -80,7 +80,7 @@
 }
 
 impl CapSection {
-    fn check(self, name: &str) -> Result<Cap, Wrong> {
+    fn check(self, name: &str) -> Result<ConnectionLimits, Wrong> {
         if self.places == Some(0) {
             return wrong(
                 format!("admission.{name}.places"),
@@ -102,10 +102,10 @@
                     let what = format!("{burst} is not within 1 to 1000000");
                     return wrong(format!("admission.{name}.burst"), what);
                 }
-                Some(Rate { per_second, burst })
+                Some(RateLimit { per_second, burst })
             }
         };
-        Ok(Cap {
+        Ok(ConnectionLimits {
             places: self.places,
             rate,
         })
@@ -121,7 +121,7 @@
     ) -> Result<(Settings, Option<PathBuf>), Wrong> {
         let mut named = Vec::new();
         for (i, text) in self.named.iter().enumerate() {
-            match text.parse::<Net>() {
+            match text.parse::<AddressPrefix>() {
                 Ok(net) => named.push(net),
                 Err(what) => return wrong(format!("admission.named[{i}]"), what),
             }
@@ -157,7 +157,7 @@
                     ),
                 };
                 let half_life = within("half_life_s", earned.half_life_s as usize, 31_536_000)?;
-                Some(Earned {
+                Some(ReputationSettings {
                     points: earned.points,
                     half_life: half_life as u64 * SECOND,
                     most: within("most", earned.most, 1_000_000)?,
@@ -199,7 +199,7 @@
     folder: Option<&Path>,
     f: &mut fmt::Formatter<'_>,
 ) -> fmt::Result {
-    let cap = |cap: &Cap| {
+    let cap = |cap: &ConnectionLimits| {
         let places = cap
             .places
             .map_or("any number of places".to_owned(), |places| {
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::section::read_section;
 use super::{wrong, Fault, Wrong};
-use cleatpulley_membership::seal::Keys;
+use cleatpulley_membership::authentication::KeyRing;
 use cleatpulley_membership::{Identity, Label, Role, Settings};
 use cleatpulley_server::gossip::{Options, ReloadKeys};
 use serde::Deserialize;
@@ -131,7 +131,7 @@
         let mut keys: ReloadKeys = Box::new(move || {
             let text =
                 std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Keys::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
+            KeyRing::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
         });
         keys().map_err(|what| ("keys".to_owned(), what))?;
         if self.folder.as_os_str().is_empty() {
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -113,7 +113,7 @@
                         format!("{burst} is not within 1 to 1000000"),
                     );
                 }
-                Some(cleatpulley_connection_admission::rate::Rate { per_second, burst })
+                Some(cleatpulley_connection_admission::rate_sketch::RateLimit { per_second, burst })
             }
         };
         let named = self
