--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -5,12 +5,13 @@
 use crate::dispatcher::{Dispatcher, ReportedKeys};
 use crate::event::{ClientStream, Event};
 use crate::idempotency_keys::{EarlyAttempt, KeyDecision};
+use crate::key_commands::response_of;
 use crate::request_state::RequestStage;
 use crate::response::Response;
 use cleatpulley_idempotency::key_table::{KeyCommand, KeyTable, RecoveredKeys};
 use cleatpulley_idempotency::record::{request_digest, KeyOutcome};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
-use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, Outcome, RequestId};
+use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, RequestId};
 
 impl Dispatcher {
     /// Returns the table of keys, where results are cached.
@@ -284,133 +285,4 @@
             self.carry_out_key_commands(now, commands);
         }
     }
-
-    /// Carries out what the table of keys decides, until it decides nothing more.
-    fn carry_out_key_commands(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        while !self.key_commands.is_empty() {
-            for command in std::mem::take(&mut self.key_commands) {
-                self.carry_out_key_command(now, command, commands);
-            }
-        }
-    }
-
-    fn carry_out_key_command(
-        &mut self,
-        now: Micros,
-        command: KeyCommand,
-        commands: &mut Vec<Command>,
-    ) {
-        match command {
-            KeyCommand::Write { .. } | KeyCommand::Erase { .. } => {
-                commands.push(Command::PersistKey(command));
-            }
-            KeyCommand::Start(id) => self.start_with_key(id, commands),
-            KeyCommand::CancelRun(id) => self.cancel_run(id),
-            KeyCommand::Respond(id, outcome) => {
-                self.respond_with_outcome(now, id, outcome, commands);
-            }
-            KeyCommand::Reject(id) => {
-                let rejection = Response::Rejected {
-                    retry_after: self.settings.max_retry_after,
-                    no_failover: false,
-                };
-                self.reject_waiting(now, id, &rejection, commands);
-            }
-            KeyCommand::Promote(id) => self.promote(id),
-        }
-    }
-
-    fn start_with_key(&mut self, id: RequestId, commands: &mut Vec<Command>) {
-        let Some(request) = self.requests.get_mut(id) else {
-            return;
-        };
-        request.stage = RequestStage::Running;
-        self.counters.on_forwarded(request.class);
-        commands.push(Command::StartRun {
-            id,
-            class: request.class,
-            body: std::mem::take(&mut request.body),
-        });
-    }
-
-    /// Cancels a run whose intent did not become durable.
-    fn cancel_run(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else {
-            return;
-        };
-        request.stage = RequestStage::AwaitingKey;
-        if request.is_answered {
-            self.requests.remove(id);
-        }
-        self.driver.notify(ControllerEvent::RunEnded {
-            id,
-            outcome: Outcome::NotStarted,
-            elapsed: 0,
-        });
-    }
-
-    /// Responds to an attempt with the outcome of its key.
-    fn respond_with_outcome(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        key_outcome: KeyOutcome,
-        commands: &mut Vec<Command>,
-    ) {
-        // The controller was notified of the first attempt's run when it ended. Those that wait for
-        // it end now.
-        let is_waiting = self
-            .requests
-            .get(id)
-            .is_some_and(|request| request.stage != RequestStage::PersistingResult);
-        if is_waiting {
-            let outcome = match key_outcome {
-                KeyOutcome::Served(_) => Outcome::Success,
-                KeyOutcome::Failed => Outcome::Failure,
-            };
-            self.driver.notify(ControllerEvent::RunEnded {
-                id,
-                outcome,
-                elapsed: 0,
-            });
-        }
-        if self.respond(now, id, response_of(key_outcome), commands) && is_waiting {
-            // The arrival of the request may still wait for the controller's next step.
-            self.driver.notify(ControllerEvent::Abandoned(id));
-        }
-        self.requests.remove(id);
-    }
-
-    fn reject_waiting(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        rejection: &Response,
-        commands: &mut Vec<Command>,
-    ) {
-        if self.respond(now, id, rejection.clone(), commands) {
-            self.driver.notify(ControllerEvent::Abandoned(id));
-        }
-        self.requests.remove(id);
-    }
-
-    /// Makes an attempt the first one of its key, whose first attempt is over. The controller
-    /// decides on it as if it came now.
-    fn promote(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else {
-            return;
-        };
-        request.stage = RequestStage::Queued;
-        request.request.duplicate_of = None;
-        let arrival = ControllerEvent::Arrived(request.request.clone());
-        self.driver.notify(ControllerEvent::Abandoned(id));
-        self.driver.notify(arrival);
-    }
-}
-
-fn response_of(outcome: KeyOutcome) -> Response {
-    match outcome {
-        KeyOutcome::Served(result) => Response::Served(result),
-        KeyOutcome::Failed => Response::Failed,
-    }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -15,7 +15,7 @@
 //! | `controller_actions` | what the controller decides, carried out |
 //! | `runs` | runs and calls at the runtime |
 //! | `responses`, `deadlines` | one response for each request, by its deadline |
-//! | `idempotency_keys`, `keyed_requests` | requests with an idempotency key |
+//! | `idempotency_keys`, `keyed_requests`, `key_commands` | requests with an idempotency key |
 //! | `controller_timers` | the controller's timers and gauges |
 //! | `request_state` | a request, and the table of all of them |
 //! | `counters`, `request_trace` | what became of requests |
@@ -29,6 +29,7 @@
 mod dispatcher;
 mod event;
 mod idempotency_keys;
+mod key_commands;
 mod keyed_requests;
 mod request_state;
 mod request_trace;
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -7,7 +7,7 @@
 use crate::fence::{Fence, FenceTable};
 use crate::key_table::{KeyCommand, RecoveredKeys};
 use crate::record::{KeyOutcome, KeyRecord, ScopedKey};
-use crate::transfer::TransferError;
+use crate::transfer_error::TransferError;
 use cleatpulley_log_store::files::FileSystem;
 use cleatpulley_log_store::{
     Batch, Error, MaintenanceStatus, Options, RecoveryReport, Stats, Store,
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -18,3 +18,4 @@
 pub mod key_table;
 pub mod record;
 pub mod transfer;
+mod transfer_error;
--- a/crates/log-store/src/report.rs
+++ b/crates/log-store/src/report.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Result of [`Store::check`](crate::Store::check).
+/// Result of [`Store::verify`](crate::Store::verify).
 #[derive(Debug, Clone, Default)]
 pub struct CheckReport {
     /// Number of intact records.
@@ -122,6 +122,6 @@
 pub enum MaintenanceStatus {
     /// There is nothing to do at the moment.
     Idle,
-    /// There may be more to do: call [`Store::maintain`](crate::Store::maintain) again.
+    /// There may be more to do: call [`Store::run_maintenance_step`](crate::Store::run_maintenance_step) again.
     MoreToDo,
 }
--- a/crates/log-store/src/store.rs
+++ b/crates/log-store/src/store.rs
@@ -152,7 +152,7 @@
     /// were rewritten.
     ///
     /// # Errors
-    /// As [`maintain`](Self::maintain).
+    /// As [`run_maintenance_step`](Self::run_maintenance_step).
     pub fn rewrite_segments(&mut self, now: u64, names: &[String]) -> Result<usize, Error> {
         self.engine.writable_slot()?;
         self.abort_job();
