--- a/crates/connection-admission/src/address_prefix.rs
+++ b/crates/connection-admission/src/address_prefix.rs
@@ -84,14 +84,17 @@
 
 /// How many bits of an address form its prefix, for both kinds of addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct PrefixLengths {
-    pub(crate) ipv4: u8,
-    pub(crate) ipv6: u8,
+pub struct PrefixLengths {
+    /// Bits of an IPv4 address.
+    pub ipv4: u8,
+    /// Bits of an IPv6 address.
+    pub ipv6: u8,
 }
 
 impl PrefixLengths {
     /// Returns the prefix that an address, in its canonical form, counts with.
-    pub(crate) fn prefix_of(self, address: IpAddr) -> AddressPrefix {
+    #[must_use]
+    pub fn prefix_of(self, address: IpAddr) -> AddressPrefix {
         let bits = if address.is_ipv4() {
             self.ipv4
         } else {
--- a/crates/connection-admission/src/admission.rs
+++ b/crates/connection-admission/src/admission.rs
@@ -23,7 +23,7 @@
     reputation: Option<ReputationTable>,
     connections: ConnectionTable,
     /// Counters of the decisions.
-    pub counts: Counters,
+    pub counters: Counters,
 }
 
 impl Admission {
@@ -33,10 +33,10 @@
         Self {
             rates: ConnectionRates::new(&settings, now),
             reputation: settings
-                .earned
+                .reputation
                 .map(|reputation| ReputationTable::new(reputation, settings.seed)),
             connections: ConnectionTable::default(),
-            counts: Counters::default(),
+            counters: Counters::default(),
             settings,
         }
     }
@@ -44,19 +44,21 @@
     /// Returns the prefix that an address counts with.
     #[must_use]
     pub fn prefix_of(&self, address: IpAddr) -> AddressPrefix {
-        let lengths = self.settings.prefix_lengths();
+        let lengths = self.settings.prefix_lengths;
         lengths.prefix_of(address.to_canonical())
     }
 
     /// Returns how the client at an address is known now.
     #[must_use]
-    pub fn known(&self, now: Micros, address: IpAddr) -> KnownBy {
-        let named = &self.settings.named;
+    pub fn known_by(&self, now: Micros, address: IpAddr) -> KnownBy {
+        let named = &self.settings.named_clients;
         if named.iter().any(|prefix| prefix.contains(address)) {
             return KnownBy::Named;
         }
         match &self.reputation {
-            Some(reputation) if reputation.is_known(now, address.to_canonical()) => KnownBy::Earned,
+            Some(reputation) if reputation.is_known(now, address.to_canonical()) => {
+                KnownBy::Reputation
+            }
             _ => KnownBy::Unknown,
         }
     }
@@ -81,13 +83,13 @@
 
     /// Returns the memory of the counts of new connections, in bytes.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.rates.memory_bytes()
     }
 
     /// Decides on a new connection from an address while there are `max_slots` slots; `is_idle`
     /// tells whether a connection owes no response. An admitted connection has its slot once
-    /// [`enter`](Self::enter) was called.
+    /// [`on_admitted`](Self::on_admitted) was called.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -100,10 +102,10 @@
             arrived_at: now,
             address,
             prefix: self.prefix_of(address),
-            known: self.known(now, address),
+            known: self.known_by(now, address),
         };
         let decision = self.decide_on(&new, max_slots, is_idle);
-        self.counts.record(decision);
+        self.counters.record(decision);
         decision
     }
 
@@ -115,15 +117,18 @@
     ) -> Decision {
         if new.known != KnownBy::Named {
             if let Err(reason) = self.check_limits(new) {
-                return Decision::Refuse(reason);
+                return Decision::Reject(reason);
             }
         }
         if self.has_free_slot(new.known, max_slots) {
             return Decision::Admit(new.known);
         }
         match self.connections.select_victim(new, is_idle) {
-            Some(victim) => Decision::Instead(victim, new.known),
-            None => Decision::Refuse(RejectReason::Full),
+            Some(victim) => Decision::AdmitInstead {
+                victim,
+                known: new.known,
+            },
+            None => Decision::Reject(RejectReason::Full),
         }
     }
 
@@ -135,8 +140,8 @@
     }
 
     fn check_slot_limits(&self, new: &NewConnection) -> Result<(), RejectReason> {
-        let max_address_slots = self.settings.address.places;
-        let max_prefix_slots = self.settings.prefix.places;
+        let max_address_slots = self.settings.address_limits.slots;
+        let max_prefix_slots = self.settings.prefix_limits.slots;
         // Spares the look-up in the usual case.
         if max_address_slots.is_none() && max_prefix_slots.is_none() {
             return Ok(());
@@ -153,7 +158,7 @@
 
     /// Returns whether a slot is free that is not reserved for clients known better.
     fn has_free_slot(&self, known: KnownBy, max_slots: usize) -> bool {
-        let reserve_share = self.settings.reserve.clamp(0.0, 1.0);
+        let reserve_share = self.settings.reserved_share.clamp(0.0, 1.0);
         let reserve = (reserve_share * max_slots as f64) as usize;
         let reputation_reserve = reserve / 2;
         let named_reserve = reserve - reputation_reserve;
@@ -162,27 +167,27 @@
             reputation_reserve.saturating_sub(self.connections.reputation_count());
         let reserved_for_others = match known {
             KnownBy::Named => 0,
-            KnownBy::Earned => free_for_named,
+            KnownBy::Reputation => free_for_named,
             KnownBy::Unknown => free_for_named + free_for_reputation,
         };
         self.connections.len() + reserved_for_others < max_slots
     }
 
     /// Notifies that an admitted connection has its slot.
-    pub fn enter(&mut self, now: Micros, id: ConnectionId, address: IpAddr, known: KnownBy) {
+    pub fn on_admitted(&mut self, now: Micros, id: ConnectionId, address: IpAddr, known: KnownBy) {
         let address = address.to_canonical();
         let prefix = self.prefix_of(address);
         self.connections.insert(now, id, address, prefix, known);
     }
 
     /// Notifies that the first complete message of a connection has come.
-    pub fn spoke(&mut self, id: ConnectionId) {
+    pub fn on_first_message(&mut self, id: ConnectionId) {
         self.connections.set_spoken(id);
     }
 
     /// Notifies that a complete request of a connection was served, which counts for the
     /// reputation of its client.
-    pub fn served(&mut self, now: Micros, id: ConnectionId) {
+    pub fn on_request_served(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else {
             return;
         };
@@ -196,45 +201,45 @@
 
     /// Notifies that the client of a connection has proved to be a named one; its slot counts as
     /// theirs from now on.
-    pub fn promote(&mut self, id: ConnectionId) {
+    pub fn on_named(&mut self, id: ConnectionId) {
         self.connections.set_named(id);
     }
 
     /// Notifies that a connection is closed, and its slot free.
-    pub fn leave(&mut self, id: ConnectionId) {
+    pub fn on_closed(&mut self, id: ConnectionId) {
         self.connections.remove(id);
     }
 
     /// Returns the addresses with reputation that are worth handing over to a successor process,
     /// with their points.
     #[must_use]
-    pub fn export(&self, now: Micros) -> Vec<(IpAddr, f64)> {
+    pub fn export_reputation(&self, now: Micros) -> Vec<(IpAddr, f64)> {
         self.reputation
             .as_ref()
             .map_or_else(Vec::new, |reputation| reputation.export(now))
     }
 
     /// Takes the reputation that has to be stored since the last call.
-    pub fn moved(&mut self, now: Micros) -> Vec<StoredReputation> {
+    pub fn take_unsaved_reputation(&mut self, now: Micros) -> Vec<StoredReputation> {
         self.reputation
             .as_mut()
             .map_or_else(Vec::new, |reputation| reputation.take_unsaved(now))
     }
 
     /// Restores the reputation that was stored.
-    pub fn remember(&mut self, now: Micros, entries: &[StoredReputation]) {
+    pub fn restore_reputation(&mut self, now: Micros, entries: &[StoredReputation]) {
         if is_bug_injected(InjectedBug::ReputationLost) {
             return;
         }
-        let lengths = self.settings.prefix_lengths();
+        let lengths = self.settings.prefix_lengths;
         if let Some(reputation) = &mut self.reputation {
             reputation.restore(now, entries, |address| lengths.prefix_of(address));
         }
     }
 
     /// Imports the reputation that a predecessor process handed over.
-    pub fn import(&mut self, now: Micros, points: &[(IpAddr, f64)]) {
-        let lengths = self.settings.prefix_lengths();
+    pub fn import_reputation(&mut self, now: Micros, points: &[(IpAddr, f64)]) {
+        let lengths = self.settings.prefix_lengths;
         if let Some(reputation) = &mut self.reputation {
             reputation.import(now, points, |address| lengths.prefix_of(address));
         }
--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -52,12 +52,12 @@
 impl ConnectionRates {
     pub(crate) fn new(settings: &Settings, now: Micros) -> Self {
         let address_sketch = settings
-            .address
+            .address_limits
             .rate
-            .map(|limit| RateSketch::new(limit, settings.width, now));
-        let prefix_width = settings.width / ADDRESSES_PER_PREFIX;
+            .map(|limit| RateSketch::new(limit, settings.sketch_width, now));
+        let prefix_width = settings.sketch_width / ADDRESSES_PER_PREFIX;
         let prefix_sketch = settings
-            .prefix
+            .prefix_limits
             .rate
             .map(|limit| RateSketch::new(limit, prefix_width, now));
         Self {
--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -161,7 +161,7 @@
         });
         match known {
             KnownBy::Named => self.named_count += 1,
-            KnownBy::Earned => self.reputation_count += 1,
+            KnownBy::Reputation => self.reputation_count += 1,
             KnownBy::Unknown => self.insert_into_group(id, address, prefix),
         }
     }
@@ -229,7 +229,7 @@
         });
         match connection.known {
             KnownBy::Named => self.named_count -= 1,
-            KnownBy::Earned => self.reputation_count -= 1,
+            KnownBy::Reputation => self.reputation_count -= 1,
             KnownBy::Unknown => {
                 self.remove_from_group(id, connection.address, connection.prefix);
             }
--- a/crates/connection-admission/src/decision.rs
+++ b/crates/connection-admission/src/decision.rs
@@ -9,7 +9,7 @@
     /// It is not known.
     Unknown,
     /// Its address has reputation.
-    Earned,
+    Reputation,
     /// An operator has named its address, or a name of its certificate.
     Named,
 }
@@ -34,11 +34,15 @@
 pub enum Decision {
     /// It gets a free slot.
     Admit(KnownBy),
-    /// It gets the slot of the connection of this number, which owes no response and is to be
-    /// closed.
-    Instead(ConnectionId, KnownBy),
+    /// It gets the slot of another connection, which owes no response.
+    AdmitInstead {
+        /// The connection that is to be closed.
+        victim: ConnectionId,
+        /// How the client of the new one is known.
+        known: KnownBy,
+    },
     /// It is to be closed.
-    Refuse(RejectReason),
+    Reject(RejectReason),
 }
 
 /// Counters of the decisions since the process started.
@@ -47,30 +51,30 @@
     /// Connections that got a slot.
     pub admitted: u64,
     /// Of those, connections that got the slot of another.
-    pub instead: u64,
+    pub evicted: u64,
     /// Connections rejected for the rate of their address or prefix.
-    pub rate: u64,
+    pub rejected_by_rate: u64,
     /// Connections rejected for the slots of their address or prefix.
-    pub places: u64,
+    pub rejected_by_slots: u64,
     /// Connections rejected because all slots were held.
-    pub full: u64,
+    pub rejected_as_full: u64,
 }
 
 impl Counters {
     pub(crate) fn record(&mut self, decision: Decision) {
         match decision {
             Decision::Admit(_) => self.admitted += 1,
-            Decision::Instead(..) => {
+            Decision::AdmitInstead { .. } => {
                 self.admitted += 1;
-                self.instead += 1;
+                self.evicted += 1;
             }
-            Decision::Refuse(RejectReason::AddressRate | RejectReason::PrefixRate) => {
-                self.rate += 1;
+            Decision::Reject(RejectReason::AddressRate | RejectReason::PrefixRate) => {
+                self.rejected_by_rate += 1;
             }
-            Decision::Refuse(RejectReason::AddressSlots | RejectReason::PrefixSlots) => {
-                self.places += 1;
+            Decision::Reject(RejectReason::AddressSlots | RejectReason::PrefixSlots) => {
+                self.rejected_by_slots += 1;
             }
-            Decision::Refuse(RejectReason::Full) => self.full += 1,
+            Decision::Reject(RejectReason::Full) => self.rejected_as_full += 1,
         }
     }
 }
--- a/crates/connection-admission/src/eviction.rs
+++ b/crates/connection-admission/src/eviction.rs
@@ -54,7 +54,7 @@
                 self.prefixes_with_more_slots(0)
                     .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
             })
-            .or_else(|| self.silent_too_long(new.arrived_at, KnownBy::Earned))
+            .or_else(|| self.silent_too_long(new.arrived_at, KnownBy::Reputation))
             .or_else(|| {
                 self.silent_too_long(new.arrived_at, KnownBy::Named)
                     .filter(|_| new.known == KnownBy::Named)
--- a/crates/connection-admission/src/handshake.rs
+++ b/crates/connection-admission/src/handshake.rs
@@ -21,7 +21,7 @@
 mod wait_queue;
 
 pub use offer::Offer;
-pub use scheduler::{Counters, HandshakeScheduler, Turn};
+pub use scheduler::{Counters, HandshakeDecision, HandshakeLoad, HandshakeScheduler};
 pub use settings::Settings;
 
 #[cfg(test)]
--- a/crates/connection-admission/src/handshake/scheduler.rs
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -10,13 +10,13 @@
 
 /// What is to be done with a handshake that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum HandshakeDecision {
     /// It begins now.
     Begin,
-    /// It waits until [`HandshakeScheduler::next`] returns it.
+    /// It waits until [`HandshakeScheduler::begin_waiting`] returns it.
     Wait,
     /// Its connection is to be closed: the queue is full of handshakes that go before it.
-    Refuse,
+    Reject,
 }
 
 /// Counters of the decisions since the process started.
@@ -29,11 +29,20 @@
     /// Handshakes, of both kinds, begun after a wait.
     pub waited: u64,
     /// Handshakes rejected because the queue was full.
-    pub refused: u64,
+    pub rejected: u64,
     /// Handshakes ended at their deadline.
     pub overdue: u64,
 }
 
+/// The handshakes of a process at one time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct HandshakeLoad {
+    /// Handshakes that run.
+    pub running: usize,
+    /// Handshakes that wait in the queue.
+    pub waiting: usize,
+}
+
 /// A handshake that runs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunningHandshake {
@@ -45,8 +54,8 @@
 /// Decides which handshakes of a process run.
 ///
 /// It is notified of connections that were accepted, of offers and of handshakes that ended. From
-/// [`wake_at`](Self::wake_at) on, [`next`](Self::next) and [`overdue`](Self::overdue) return what
-/// is to begin and what to be closed.
+/// [`next_deadline`](Self::next_deadline) on, [`begin_waiting`](Self::begin_waiting) and
+/// [`take_overdue`](Self::take_overdue) return what is to begin and what to be closed.
 #[derive(Debug)]
 pub struct HandshakeScheduler {
     settings: Settings,
@@ -60,7 +69,7 @@
     /// Connections that others have displaced from the queue, and that are to be closed.
     displaced: Vec<ConnectionId>,
     /// Counters of the decisions.
-    pub counts: Counters,
+    pub counters: Counters,
 }
 
 impl HandshakeScheduler {
@@ -75,7 +84,7 @@
             running_unreserved: 0,
             queue: WaitQueue::default(),
             displaced: Vec::new(),
-            counts: Counters::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -88,8 +97,8 @@
     /// Returns whether a handshake may begin now.
     fn may_begin(&self, offer: Offer) -> bool {
         let is_within_reserve = offer.priority().may_use_reserve()
-            || self.running_unreserved < self.settings.max_running_unreserved();
-        self.running.len() < self.settings.max_running()
+            || self.running_unreserved < self.settings.unreserved_running_limit();
+        self.running.len() < self.settings.running_limit()
             && is_within_reserve
             && self.buckets.has_tokens(offer)
     }
@@ -106,25 +115,25 @@
             },
         );
         if offer.resumes {
-            self.counts.resumed += 1;
+            self.counters.resumed += 1;
         } else {
-            self.counts.full += 1;
+            self.counters.full += 1;
         }
     }
 
     /// Notifies of an accepted connection. The deadline of its handshake runs from now.
-    pub fn accepted(&mut self, now: Micros, id: ConnectionId) {
+    pub fn on_accepted(&mut self, now: Micros, id: ConnectionId) {
         self.pending.insert(id, now);
     }
 
     /// Notifies of the offer in the first record of a connection. A handshake that waits may be
     /// overtaken, and displaced from a full queue, by a later one of a better priority.
-    pub fn offer(&mut self, now: Micros, id: ConnectionId, offer: Offer) -> Turn {
+    pub fn on_offer(&mut self, now: Micros, id: ConnectionId, offer: Offer) -> HandshakeDecision {
         if self.running.contains_key(&id) {
-            return Turn::Begin;
+            return HandshakeDecision::Begin;
         }
         if self.queue.contains(id) {
-            return Turn::Wait;
+            return HandshakeDecision::Wait;
         }
         self.buckets.refill(now);
         let accepted_at = self.pending.remove(&id).unwrap_or(now);
@@ -134,26 +143,26 @@
             .is_none_or(|first| offer.priority() < first.offer.priority());
         if is_next && self.may_begin(offer) {
             self.begin(id, offer, accepted_at);
-            return Turn::Begin;
+            return HandshakeDecision::Begin;
         }
         if !self.make_room_in_queue(offer) {
-            return Turn::Refuse;
+            return HandshakeDecision::Reject;
         }
         self.queue.insert(WaitingHandshake {
             id,
             offer,
             accepted_at,
         });
-        Turn::Wait
+        HandshakeDecision::Wait
     }
 
     /// Displaces the last handshake from a full queue if its priority is worse than that of this
     /// one; otherwise this one is rejected. Returns whether there is room.
     fn make_room_in_queue(&mut self, offer: Offer) -> bool {
-        if self.queue.len() < self.settings.waiting {
+        if self.queue.len() < self.settings.max_waiting {
             return true;
         }
-        self.counts.refused += 1;
+        self.counters.rejected += 1;
         let is_last_worse = self
             .queue
             .last_priority()
@@ -165,7 +174,7 @@
     }
 
     /// Notifies that the handshake of a connection has ended, or that the connection is closed.
-    pub fn done(&mut self, id: ConnectionId) {
+    pub fn on_ended(&mut self, id: ConnectionId) {
         self.pending.remove(&id);
         if let Some(handshake) = self.running.remove(&id) {
             self.running_unreserved -= usize::from(!handshake.may_use_reserve);
@@ -174,7 +183,7 @@
     }
 
     /// Begins handshakes that waited, and returns their connections, the first of the queue first.
-    pub fn next(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn begin_waiting(&mut self, now: Micros) -> Vec<ConnectionId> {
         self.buckets.refill(now);
         let mut begun = Vec::new();
         // The first blocks those behind it, also where one of them might begin.
@@ -185,7 +194,7 @@
         {
             self.queue.remove(first.id);
             self.begin(first.id, first.offer, first.accepted_at);
-            self.counts.waited += 1;
+            self.counters.waited += 1;
             begun.push(first.id);
         }
         begun
@@ -193,9 +202,9 @@
 
     /// Returns the connections that are to be closed: those displaced from the queue, and those
     /// whose handshake is past its deadline, whether it runs, waits or was not offered yet.
-    pub fn overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn take_overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
         let mut closed = std::mem::take(&mut self.displaced);
-        let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.deadline;
+        let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
         let pending = self.pending.iter();
         closed.extend(pending.filter(|(_, at)| is_late(**at)).map(|(id, _)| *id));
         let running = self.running.iter();
@@ -211,8 +220,8 @@
                 .map(|handshake| handshake.id),
         );
         for id in &closed {
-            self.counts.overdue += u64::from(self.contains(*id));
-            self.done(*id);
+            self.counters.overdue += u64::from(self.contains(*id));
+            self.on_ended(*id);
         }
         closed
     }
@@ -224,7 +233,7 @@
     /// Returns when the next deadline is, or when the first of the queue may begin, whichever comes
     /// first. A handshake that waits for another to end is not awaited: that end is notified of.
     #[must_use]
-    pub fn wake_at(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let oldest_accepts = [
             self.pending.values().min().copied(),
             self.running
@@ -237,7 +246,7 @@
                 .min(),
         ];
         let oldest_accept = oldest_accepts.into_iter().flatten().min();
-        let deadline = oldest_accept.map(|accepted_at| accepted_at + self.settings.deadline);
+        let deadline = oldest_accept.map(|accepted_at| accepted_at + self.settings.timeout);
         let first = self.queue.first();
         let tokens_at = first.and_then(|first| self.buckets.available_at(first.offer));
         [deadline, tokens_at].into_iter().flatten().min()
@@ -245,7 +254,10 @@
 
     /// Returns the number of handshakes that run, and of those that wait.
     #[must_use]
-    pub fn census(&self) -> (usize, usize) {
-        (self.running.len(), self.queue.len())
+    pub fn load(&self) -> HandshakeLoad {
+        HandshakeLoad {
+            running: self.running.len(),
+            waiting: self.queue.len(),
+        }
     }
 }
--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -9,11 +9,11 @@
     Settings {
         per_second: 100.0,
         burst: 10.0,
-        at_once: 8,
+        max_running: 8,
         resumed_cost: 0.25,
-        reserve: 0.25,
-        deadline: 1_000 * MS,
-        waiting: 16,
+        reserved_share: 0.25,
+        timeout: 1_000 * MS,
+        max_waiting: 16,
     }
 }
 
@@ -43,31 +43,31 @@
         let now = ms * MS;
         ends.retain(|&(at, n)| {
             if at <= now {
-                scheduler.done(n);
+                scheduler.on_ended(n);
             }
             at > now
         });
-        for begun in scheduler.next(now) {
+        for begun in scheduler.begin_waiting(now) {
             ends.push((now + 5 * MS, begun));
         }
-        for _ in scheduler.overdue(now) {}
+        for _ in scheduler.take_overdue(now) {}
         for _ in 0..2 {
             id += 1;
-            scheduler.accepted(now, id);
-            if scheduler.offer(now, id, UNKNOWN_FULL) == Turn::Begin {
+            scheduler.on_accepted(now, id);
+            if scheduler.on_offer(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
                 ends.push((now + 5 * MS, id));
             }
         }
         if ms % 100 == 0 {
             id += 1;
-            scheduler.accepted(now, id);
-            match scheduler.offer(now, id, NAMED_FULL) {
-                Turn::Begin => ends.push((now + 5 * MS, id)),
+            scheduler.on_accepted(now, id);
+            match scheduler.on_offer(now, id, NAMED_FULL) {
+                HandshakeDecision::Begin => ends.push((now + 5 * MS, id)),
                 _ => named_waited += 1,
             }
         }
     }
-    let full = scheduler.counts.full;
+    let full = scheduler.counters.full;
     // 100 named; unknown clients within three quarters of 100 a second, with the bucket at the
     // start.
     assert_eq!(
@@ -78,7 +78,7 @@
         (750..=100 + 760).contains(&full),
         "{full} full handshakes in 10 s"
     );
-    assert!(scheduler.counts.refused > 15_000);
+    assert!(scheduler.counters.rejected > 15_000);
 }
 
 #[test]
@@ -92,73 +92,104 @@
         0,
     );
     for id in 0..20 {
-        scheduler.accepted(0, id);
-        scheduler.offer(0, id, UNKNOWN_FULL);
+        scheduler.on_accepted(0, id);
+        scheduler.on_offer(0, id, UNKNOWN_FULL);
     }
     // Unknown clients get three quarters of the eight running handshakes.
-    assert_eq!(scheduler.census(), (6, 14));
-    scheduler.accepted(0, 100);
     assert_eq!(
-        scheduler.offer(0, 100, UNKNOWN_RESUMPTION),
-        Turn::Begin,
+        scheduler.load(),
+        HandshakeLoad {
+            running: 6,
+            waiting: 14
+        }
+    );
+    scheduler.on_accepted(0, 100);
+    assert_eq!(
+        scheduler.on_offer(0, 100, UNKNOWN_RESUMPTION),
+        HandshakeDecision::Begin,
         "the reserve is for resumptions too"
     );
-    scheduler.accepted(0, 101);
-    assert_eq!(scheduler.offer(0, 101, UNKNOWN_RESUMPTION), Turn::Begin);
-    scheduler.accepted(0, 102);
+    scheduler.on_accepted(0, 101);
+    assert_eq!(
+        scheduler.on_offer(0, 101, UNKNOWN_RESUMPTION),
+        HandshakeDecision::Begin
+    );
+    scheduler.on_accepted(0, 102);
     assert_eq!(
-        scheduler.offer(0, 102, UNKNOWN_RESUMPTION),
-        Turn::Wait,
+        scheduler.on_offer(0, 102, UNKNOWN_RESUMPTION),
+        HandshakeDecision::Wait,
         "all eight run"
     );
-    scheduler.done(0);
+    scheduler.on_ended(0);
     assert_eq!(
-        scheduler.next(1),
+        scheduler.begin_waiting(1),
         vec![102],
         "the resumption before the unknown clients that waited longer"
     );
-    assert_eq!(scheduler.next(1), Vec::<u64>::new(), "all eight run");
-    scheduler.done(100);
     assert_eq!(
-        scheduler.next(1),
+        scheduler.begin_waiting(1),
+        Vec::<u64>::new(),
+        "all eight run"
+    );
+    scheduler.on_ended(100);
+    assert_eq!(
+        scheduler.begin_waiting(1),
         vec![6],
         "an unknown client takes the sixth of theirs again"
     );
-    scheduler.done(101);
+    scheduler.on_ended(101);
     assert_eq!(
-        scheduler.next(1),
+        scheduler.begin_waiting(1),
         Vec::<u64>::new(),
         "unknown clients have their six"
     );
-    assert_eq!(scheduler.census(), (7, 13));
+    assert_eq!(
+        scheduler.load(),
+        HandshakeLoad {
+            running: 7,
+            waiting: 13
+        }
+    );
 }
 
 #[test]
 fn queue_is_bounded_and_a_known_client_displaces_the_last_unknown_one() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
-            at_once: 1,
-            reserve: 0.0,
+            max_running: 1,
+            reserved_share: 0.0,
             ..settings()
         },
         0,
     );
     for id in 0..17 {
-        scheduler.accepted(0, id);
-        scheduler.offer(0, id, UNKNOWN_FULL);
+        scheduler.on_accepted(0, id);
+        scheduler.on_offer(0, id, UNKNOWN_FULL);
     }
-    assert_eq!(scheduler.census(), (1, 16));
-    scheduler.accepted(0, 17);
-    assert_eq!(scheduler.offer(0, 17, UNKNOWN_FULL), Turn::Refuse);
-    scheduler.accepted(0, 18);
-    assert_eq!(scheduler.offer(0, 18, NAMED_FULL), Turn::Wait);
     assert_eq!(
-        scheduler.overdue(1),
+        scheduler.load(),
+        HandshakeLoad {
+            running: 1,
+            waiting: 16
+        }
+    );
+    scheduler.on_accepted(0, 17);
+    assert_eq!(
+        scheduler.on_offer(0, 17, UNKNOWN_FULL),
+        HandshakeDecision::Reject
+    );
+    scheduler.on_accepted(0, 18);
+    assert_eq!(
+        scheduler.on_offer(0, 18, NAMED_FULL),
+        HandshakeDecision::Wait
+    );
+    assert_eq!(
+        scheduler.take_overdue(1),
         vec![16],
         "the unknown client who came last goes"
     );
-    scheduler.done(0);
-    assert_eq!(scheduler.next(2), vec![18]);
+    scheduler.on_ended(0);
+    assert_eq!(scheduler.begin_waiting(2), vec![18]);
 }
 
 /// Handshakes that are begun and left, or come a byte at a time, are closed at their deadline,
@@ -167,24 +198,36 @@
 fn each_handshake_ends_by_its_deadline_from_the_accept() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
-            at_once: 1,
+            max_running: 1,
             ..settings()
         },
         0,
     );
-    scheduler.accepted(0, 1);
-    scheduler.accepted(10 * MS, 2);
-    scheduler.offer(20 * MS, 2, NAMED_FULL);
-    scheduler.accepted(30 * MS, 3);
-    scheduler.offer(30 * MS, 3, NAMED_FULL);
-    assert_eq!(scheduler.census(), (1, 1));
-    assert_eq!(scheduler.wake_at(), Some(1_000 * MS));
-    assert!(scheduler.overdue(999 * MS).is_empty());
-    assert_eq!(scheduler.overdue(1_000 * MS), vec![1]);
-    assert_eq!(scheduler.overdue(1_010 * MS), vec![2]);
-    assert_eq!(scheduler.overdue(1_030 * MS), vec![3]);
-    assert_eq!(scheduler.counts.overdue, 3);
-    assert_eq!(scheduler.census(), (0, 0));
+    scheduler.on_accepted(0, 1);
+    scheduler.on_accepted(10 * MS, 2);
+    scheduler.on_offer(20 * MS, 2, NAMED_FULL);
+    scheduler.on_accepted(30 * MS, 3);
+    scheduler.on_offer(30 * MS, 3, NAMED_FULL);
+    assert_eq!(
+        scheduler.load(),
+        HandshakeLoad {
+            running: 1,
+            waiting: 1
+        }
+    );
+    assert_eq!(scheduler.next_deadline(), Some(1_000 * MS));
+    assert!(scheduler.take_overdue(999 * MS).is_empty());
+    assert_eq!(scheduler.take_overdue(1_000 * MS), vec![1]);
+    assert_eq!(scheduler.take_overdue(1_010 * MS), vec![2]);
+    assert_eq!(scheduler.take_overdue(1_030 * MS), vec![3]);
+    assert_eq!(scheduler.counters.overdue, 3);
+    assert_eq!(
+        scheduler.load(),
+        HandshakeLoad {
+            running: 0,
+            waiting: 0
+        }
+    );
 }
 
 #[test]
@@ -192,20 +235,26 @@
     let mut scheduler = HandshakeScheduler::new(
         Settings {
             burst: 1.0,
-            reserve: 0.0,
+            reserved_share: 0.0,
             ..settings()
         },
         0,
     );
-    assert_eq!(scheduler.wake_at(), None);
-    scheduler.accepted(0, 1);
-    assert_eq!(scheduler.offer(0, 1, UNKNOWN_FULL), Turn::Begin);
-    scheduler.accepted(0, 2);
-    assert_eq!(scheduler.offer(0, 2, UNKNOWN_FULL), Turn::Wait);
-    let at = scheduler.wake_at().expect("a time");
+    assert_eq!(scheduler.next_deadline(), None);
+    scheduler.on_accepted(0, 1);
+    assert_eq!(
+        scheduler.on_offer(0, 1, UNKNOWN_FULL),
+        HandshakeDecision::Begin
+    );
+    scheduler.on_accepted(0, 2);
+    assert_eq!(
+        scheduler.on_offer(0, 2, UNKNOWN_FULL),
+        HandshakeDecision::Wait
+    );
+    let at = scheduler.next_deadline().expect("a time");
     assert_eq!(at, 10 * MS);
-    assert!(scheduler.next(at - 1).is_empty());
-    assert_eq!(scheduler.next(at), vec![2]);
+    assert!(scheduler.begin_waiting(at - 1).is_empty());
+    assert_eq!(scheduler.begin_waiting(at), vec![2]);
 }
 
 proptest! {
@@ -221,18 +270,18 @@
         for (event, id, wait) in steps {
             now += wait * MS;
             match event {
-                0 => scheduler.accepted(now, id),
-                1 => { scheduler.offer(now, id, UNKNOWN_FULL); }
+                0 => scheduler.on_accepted(now, id),
+                1 => { scheduler.on_offer(now, id, UNKNOWN_FULL); }
                 2 => {
-                    let offer = Offer { resumes: id % 2 == 0, known: KnownBy::Earned };
-                    scheduler.offer(now, id, offer);
+                    let offer = Offer { resumes: id % 2 == 0, known: KnownBy::Reputation };
+                    scheduler.on_offer(now, id, offer);
                 }
-                3 => scheduler.done(id),
-                _ => { scheduler.next(now); scheduler.overdue(now); }
+                3 => scheduler.on_ended(id),
+                _ => { scheduler.begin_waiting(now); scheduler.take_overdue(now); }
             }
-            prop_assert!(scheduler.running.len() <= settings.at_once);
+            prop_assert!(scheduler.running.len() <= settings.max_running);
             prop_assert!(scheduler.running_unreserved <= 6);
-            prop_assert!(scheduler.queue.waiting.len() <= settings.waiting);
+            prop_assert!(scheduler.queue.waiting.len() <= settings.max_waiting);
             prop_assert_eq!(scheduler.queue.order.len(), scheduler.queue.waiting.len());
             for id in scheduler.running.keys() {
                 prop_assert!(!scheduler.queue.waiting.contains_key(id));
--- a/crates/connection-admission/src/identity.rs
+++ b/crates/connection-admission/src/identity.rs
@@ -18,7 +18,7 @@
     /// Names whose clients are known as if their address was named; they have no limits.
     pub named: Vec<String>,
     /// Connection slots that a name may hold.
-    pub places: Option<usize>,
+    pub slots: Option<usize>,
     /// New connections of a name.
     pub rate: Option<RateLimit>,
 }
@@ -77,8 +77,8 @@
         }
         if self
             .settings
-            .places
-            .is_some_and(|max| self.held(first) >= max)
+            .slots
+            .is_some_and(|max| self.slots_held(first) >= max)
         {
             return Err(IdentityRejection::Slots);
         }
@@ -97,7 +97,7 @@
     }
 
     /// Notifies that a connection is closed.
-    pub fn leave(&mut self, id: ConnectionId) {
+    pub fn on_closed(&mut self, id: ConnectionId) {
         let Some(name) = self.names.remove(&id) else {
             return;
         };
@@ -111,7 +111,7 @@
 
     /// Returns the slots that a name holds.
     #[must_use]
-    pub fn held(&self, name: &str) -> usize {
+    pub fn slots_held(&self, name: &str) -> usize {
         self.connections_by_name.get(name).map_or(0, BTreeSet::len)
     }
 }
--- a/crates/connection-admission/src/reputation.rs
+++ b/crates/connection-admission/src/reputation.rs
@@ -27,13 +27,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReputationSettings {
     /// Points from which on an address is known.
-    pub points: f64,
+    pub known_points: f64,
     /// The time in which half of the points decay.
     pub half_life: Micros,
     /// Addresses in the table at most.
-    pub most: usize,
+    pub max_addresses: usize,
     /// Addresses of one prefix in the table at most.
-    pub of_prefix: usize,
+    pub max_addresses_per_prefix: usize,
 }
 
 impl ReputationSettings {
@@ -44,7 +44,7 @@
     }
 
     fn min_saved_points(&self) -> f64 {
-        self.points * SAVED_SHARE
+        self.known_points * SAVED_SHARE
     }
 
     /// Returns until when points are worth storing: as long as they are enough to be saved.
@@ -112,7 +112,7 @@
         let Some(position) = self.positions.get(&address) else {
             return false;
         };
-        self.current_points(now, &self.entries[*position]) >= self.settings.points
+        self.current_points(now, &self.entries[*position]) >= self.settings.known_points
     }
 
     /// Returns the number of addresses with points.
@@ -161,7 +161,7 @@
     /// Marks an entry to be stored if it has enough points, and enough more than are stored. Decay
     /// needs no storing: it is computed from the time that is stored with the points.
     fn mark_unsaved(&mut self, position: usize) {
-        let step = (self.settings.points / SAVED_STEPS).max(1.0);
+        let step = (self.settings.known_points / SAVED_STEPS).max(1.0);
         let min_points = self.settings.min_saved_points();
         let entry = &mut self.entries[position];
         let SaveState::Saved(saved_points) = entry.save_state else {
@@ -210,16 +210,16 @@
 
     fn has_capacity_for_prefix(&self, prefix: AddressPrefix) -> bool {
         let count = self.addresses_per_prefix.get(&prefix).copied();
-        count.unwrap_or(0) < self.settings.of_prefix
+        count.unwrap_or(0) < self.settings.max_addresses_per_prefix
     }
 
     /// Evicts an entry if the table is full: of some sampled ones that with the fewest points. An
     /// address that is known is never evicted. Returns whether there is room.
     fn make_room(&mut self, now: Micros) -> bool {
-        if self.entries.len() < self.settings.most {
+        if self.entries.len() < self.settings.max_addresses {
             return true;
         }
-        let mut fewest_points = self.settings.points;
+        let mut fewest_points = self.settings.known_points;
         let mut victim = None;
         for _ in 0..EVICTION_SAMPLES {
             let position = self.random_position();
@@ -291,8 +291,8 @@
     ) {
         for &(address, points) in imported {
             let prefix = prefix_of(address);
-            let has_room =
-                self.entries.len() < self.settings.most && self.has_capacity_for_prefix(prefix);
+            let has_room = self.entries.len() < self.settings.max_addresses
+                && self.has_capacity_for_prefix(prefix);
             let is_valid = points.is_finite() && points > 0.0;
             if has_room && is_valid && !self.positions.contains_key(&address) {
                 self.insert(Entry {
--- a/crates/connection-admission/src/reputation/tests.rs
+++ b/crates/connection-admission/src/reputation/tests.rs
@@ -2,10 +2,10 @@
 
 const SECOND: Micros = 1_000_000;
 const SETTINGS: ReputationSettings = ReputationSettings {
-    points: 20.0,
+    known_points: 20.0,
     half_life: 600 * SECOND,
-    most: 64,
-    of_prefix: 4,
+    max_addresses: 64,
+    max_addresses_per_prefix: 4,
 };
 
 fn ip(n: u32) -> IpAddr {
--- a/crates/connection-admission/src/settings.rs
+++ b/crates/connection-admission/src/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ConnectionLimits {
     /// Connection slots held at a time.
-    pub places: Option<usize>,
+    pub slots: Option<usize>,
     /// New connections.
     pub rate: Option<RateLimit>,
 }
@@ -17,27 +17,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Clients that the operator has named. The limits below don't apply to them.
-    pub named: Vec<AddressPrefix>,
+    pub named_clients: Vec<AddressPrefix>,
     /// Share of the connection slots reserved for known clients: half of it for the named ones,
     /// half for those with reputation.
-    pub reserve: f64,
+    pub reserved_share: f64,
     /// Limits of each address.
-    pub address: ConnectionLimits,
+    pub address_limits: ConnectionLimits,
     /// Limits of each prefix.
-    pub prefix: ConnectionLimits,
-    /// Bits of a prefix, of IPv4 and of IPv6 addresses.
-    pub bits: (u8, u8),
+    pub prefix_limits: ConnectionLimits,
+    /// Bits of a prefix.
+    pub prefix_lengths: PrefixLengths,
     /// How clients get reputation, where they can.
-    pub earned: Option<ReputationSettings>,
+    pub reputation: Option<ReputationSettings>,
     /// Cells of each row of the sketch that counts new connections by address.
-    pub width: usize,
+    pub sketch_width: usize,
     /// Seeds random numbers, and hashes that no client can foresee.
     pub seed: u64,
 }
-
-impl Settings {
-    pub(crate) fn prefix_lengths(&self) -> PrefixLengths {
-        let (ipv4, ipv6) = self.bits;
-        PrefixLengths { ipv4, ipv6 }
-    }
-}
--- a/crates/connection-admission/tests/admission.rs
+++ b/crates/connection-admission/tests/admission.rs
@@ -1,6 +1,6 @@
 //! The decisions on new connections, by examples and by random histories.
 
-use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::admission::SILENCE_TOLERANCE;
 use cleatpulley_connection_admission::decision::KnownBy;
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
@@ -17,18 +17,18 @@
 
 fn settings() -> Settings {
     Settings {
-        named: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
-        reserve: 0.2,
-        address: ConnectionLimits::default(),
-        prefix: ConnectionLimits::default(),
-        bits: (24, 64),
-        earned: Some(ReputationSettings {
-            points: 5.0,
+        named_clients: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
+        reserved_share: 0.2,
+        address_limits: ConnectionLimits::default(),
+        prefix_limits: ConnectionLimits::default(),
+        prefix_lengths: PrefixLengths { ipv4: 24, ipv6: 64 },
+        reputation: Some(ReputationSettings {
+            known_points: 5.0,
             half_life: 600 * SECOND,
-            most: 1_000,
-            of_prefix: 4,
+            max_addresses: 1_000,
+            max_addresses_per_prefix: 4,
         }),
-        width: 1_024,
+        sketch_width: 1_024,
         seed: 3,
     }
 }
@@ -72,9 +72,9 @@
             .admission
             .decide(self.now, address, self.max_slots, is_idle)
         {
-            Decision::Refuse(reason) => return Err(reason),
+            Decision::Reject(reason) => return Err(reason),
             Decision::Admit(known) => known,
-            Decision::Instead(id, known) => {
+            Decision::AdmitInstead { victim: id, known } => {
                 assert!(
                     !self.connections[&id].owes_response,
                     "a connection that owes a response is never closed"
@@ -84,7 +84,8 @@
             }
         };
         self.last_id += 1;
-        self.admission.enter(self.now, self.last_id, address, known);
+        self.admission
+            .on_admitted(self.now, self.last_id, address, known);
         self.connections.insert(
             self.last_id,
             HeldConnection {
@@ -96,12 +97,12 @@
     }
 
     fn close(&mut self, id: u64) {
-        self.admission.leave(id);
+        self.admission.on_closed(id);
         self.connections.remove(&id);
     }
 
     fn request(&mut self, id: u64) {
-        self.admission.spoke(id);
+        self.admission.on_first_message(id);
         self.connections
             .get_mut(&id)
             .expect("it is there")
@@ -113,7 +114,7 @@
             .get_mut(&id)
             .expect("it is there")
             .owes_response = false;
-        self.admission.served(self.now, id);
+        self.admission.on_request_served(self.now, id);
     }
 
     fn count_in(&self, prefix: &str) -> usize {
@@ -153,7 +154,7 @@
 fn within_a_prefix_the_address_with_most_slots_is_evicted() {
     let mut listener = Listener::new(
         Settings {
-            reserve: 0.0,
+            reserved_share: 0.0,
             ..settings()
         },
         10,
@@ -182,7 +183,7 @@
 fn connection_that_owes_a_response_is_not_evicted() {
     let mut listener = Listener::new(
         Settings {
-            reserve: 0.0,
+            reserved_share: 0.0,
             ..settings()
         },
         3,
@@ -230,7 +231,7 @@
     );
     listener
         .admission
-        .import(listener.now, &[(ip("10.5.0.1"), 9.0)]);
+        .import_reputation(listener.now, &[(ip("10.5.0.1"), 9.0)]);
     assert_eq!(
         listener.connect("10.5.0.1"),
         Err(RejectReason::Full),
@@ -243,7 +244,7 @@
 fn next_prefix_gives_slots_where_the_greatest_owes_responses() {
     let mut listener = Listener::new(
         Settings {
-            reserve: 0.0,
+            reserved_share: 0.0,
             ..settings()
         },
         9,
@@ -271,7 +272,7 @@
 fn prefixes_with_equal_slots_evict_only_silent_connections() {
     let mut listener = Listener::new(
         Settings {
-            reserve: 0.0,
+            reserved_share: 0.0,
             ..settings()
         },
         2,
@@ -306,17 +307,17 @@
 fn limits_hold_while_slots_are_free_and_not_for_named_clients() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
-        places: Some(3),
+        slots: Some(3),
         rate: rate(1.0, 4.0),
     };
     let prefix = ConnectionLimits {
-        places: Some(5),
+        slots: Some(5),
         rate: rate(2.0, 50.0),
     };
     let mut listener = Listener::new(
         Settings {
-            address,
-            prefix,
+            address_limits: address,
+            prefix_limits: prefix,
             ..settings()
         },
         1_000,
@@ -339,8 +340,15 @@
     listener.now += SECOND;
     assert!(listener.connect("10.1.1.1").is_ok());
     assert!((0..500).all(|_| listener.connect("10.9.1.1").is_ok()));
-    let counts = listener.admission.counts;
-    assert_eq!((counts.admitted, counts.rate, counts.places), (507, 1, 2));
+    let counts = listener.admission.counters;
+    assert_eq!(
+        (
+            counts.admitted,
+            counts.rejected_by_rate,
+            counts.rejected_by_slots
+        ),
+        (507, 1, 2)
+    );
 }
 
 /// What the limit of its prefix rejects takes nothing from the limit of an address.
@@ -348,17 +356,17 @@
 fn rejected_connections_count_for_no_limit() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
-        places: None,
+        slots: None,
         rate: rate(0.1, 3.0),
     };
     let prefix = ConnectionLimits {
-        places: None,
+        slots: None,
         rate: rate(1.0, 2.0),
     };
     let mut listener = Listener::new(
         Settings {
-            address,
-            prefix,
+            address_limits: address,
+            prefix_limits: prefix,
             ..settings()
         },
         1_000,
@@ -384,12 +392,12 @@
         listener.respond(regular);
     }
     assert_eq!(
-        listener.admission.known(listener.now, ip("10.5.0.1")),
-        KnownBy::Earned
+        listener.admission.known_by(listener.now, ip("10.5.0.1")),
+        KnownBy::Reputation
     );
-    let exported = listener.admission.export(listener.now);
+    let exported = listener.admission.export_reputation(listener.now);
     let mut next = Listener::new(settings(), 20);
-    next.admission.import(STARTED_AT, &exported);
+    next.admission.import_reputation(STARTED_AT, &exported);
     for n in 0..60_u32 {
         // All of them owe responses, so that none can be evicted.
         if let Ok(id) = next.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
@@ -451,7 +459,7 @@
                 Step::Connect(net, host) => {
                     let is_named = net == 0;
                     let has_idle_unknown = listener.connections.values().any(|connection| {
-                        let known = listener.admission.known(listener.now, connection.address);
+                        let known = listener.admission.known_by(listener.now, connection.address);
                         !connection.owes_response && known == KnownBy::Unknown
                     });
                     let has_free_slot = listener.connections.len() < max_slots;
--- a/crates/connection-admission/tests/identity.rs
+++ b/crates/connection-admission/tests/identity.rs
@@ -11,7 +11,7 @@
 fn limits_slots_and_rate_of_a_name_unless_the_operator_named_it() {
     let settings = Settings {
         named: vec!["fe-1".to_owned()],
-        places: Some(2),
+        slots: Some(2),
         rate: Some(RateLimit {
             per_second: 10.0,
             burst: 3.0,
@@ -24,10 +24,10 @@
         identities.identify(0, 3, &names("fe-2")),
         Err(IdentityRejection::Slots)
     );
-    identities.leave(1);
+    identities.on_closed(1);
     assert_eq!(identities.identify(0, 4, &names("fe-2")), Ok(false));
-    identities.leave(2);
-    identities.leave(4);
+    identities.on_closed(2);
+    identities.on_closed(4);
     assert_eq!(
         identities.identify(0, 5, &names("fe-2")),
         Err(IdentityRejection::Rate),
@@ -37,7 +37,7 @@
     for id in 10..100 {
         assert_eq!(identities.identify(0, id, &names("fe-1")), Ok(true));
     }
-    assert_eq!(identities.held("fe-1"), 0);
+    assert_eq!(identities.slots_held("fe-1"), 0);
     assert_eq!(
         identities.identify(0, 200, &[]),
         Ok(false),
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -6,8 +6,8 @@
 //! messages and listening sockets between the two processes.
 //!
 //! At every moment exactly one process owns the queue of new connections: the [`predecessor`] until
-//! it has sent [`Message::Yours`], the [`successor`] from then on, and the predecessor again if its
-//! successor dies while the predecessor is still draining.
+//! it has sent [`Message::HandoverComplete`], the [`successor`] from then on, and the predecessor
+//! again if its successor dies while the predecessor is still draining.
 //!
 //! | module | what it holds |
 //! | --- | --- |
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -17,11 +17,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessUsage {
     /// Requests that run on the cores.
-    pub running: usize,
+    #[serde(rename = "running")]
+    pub running_requests: usize,
     /// Memory reserved for requests, in KB.
     pub memory_kb: f64,
     /// Dependency calls in flight.
-    pub calls: usize,
+    #[serde(rename = "calls")]
+    pub dependency_calls: usize,
     /// Open file descriptors.
     pub descriptors: usize,
 }
@@ -37,36 +39,48 @@
         /// The name of the server; both processes must have the same.
         name: String,
         /// The addresses whose listening sockets it wants, in the order in which it wants them.
-        listen: Vec<SocketAddr>,
+        #[serde(rename = "listen")]
+        addresses: Vec<SocketAddr>,
     },
     /// Predecessor: the listening sockets of these addresses come with this message, in this order.
-    Offer {
+    #[serde(rename = "offer")]
+    ListenerOffer {
         /// [`PROTOCOL_VERSION`] of the sender.
         version: u32,
         /// Those of the requested addresses on which the predecessor listens.
-        listen: Vec<SocketAddr>,
+        #[serde(rename = "listen")]
+        addresses: Vec<SocketAddr>,
     },
     /// Predecessor: it does not pass its listening sockets.
-    Refused {
+    #[serde(rename = "refused")]
+    Rejected {
         /// The reason, for the successor's log.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Successor: it is ready to serve; the predecessor is to stop accepting.
-    Take {},
+    #[serde(rename = "take")]
+    HandoverRequest {},
     /// Predecessor: it accepts no more connections; the successor serves from here on.
-    Yours {
+    #[serde(rename = "yours")]
+    HandoverComplete {
         /// What the predecessor still uses.
-        held: ProcessUsage,
+        #[serde(rename = "held")]
+        usage: ProcessUsage,
         /// The learned state of its controller, encoded as a [`snapshot`](crate::snapshot); empty
         /// if there is none.
-        learned: String,
+        #[serde(rename = "learned")]
+        learned_state: String,
         /// Clients with reputation and their points; [`MAX_REPUTATION_ENTRIES`] at most.
-        standing: Vec<(IpAddr, f64)>,
+        #[serde(rename = "standing")]
+        reputation: Vec<(IpAddr, f64)>,
     },
     /// Predecessor: it has closed the store of idempotency keys, which the successor may open.
-    StoreFree {},
+    #[serde(rename = "store_free")]
+    StoreReleased {},
     /// Predecessor: what it still uses by now.
-    Left(ProcessUsage),
+    #[serde(rename = "left")]
+    UsageReport(ProcessUsage),
     /// An orphaned predecessor, one whose successor died, to the process that serves by now: it is
     /// an earlier predecessor of that process, and is still draining.
     #[serde(rename = "behind")]
@@ -76,7 +90,8 @@
         /// The name of the server; both processes must have the same.
         name: String,
         /// What the earlier predecessor still uses.
-        held: ProcessUsage,
+        #[serde(rename = "held")]
+        usage: ProcessUsage,
     },
 }
 
@@ -123,14 +138,14 @@
 
     fn usage(&self) -> Option<&ProcessUsage> {
         match self {
-            Self::Yours { held, .. } | Self::Left(held) | Self::EarlierPredecessor { held, .. } => {
-                Some(held)
-            }
+            Self::HandoverComplete { usage, .. }
+            | Self::UsageReport(usage)
+            | Self::EarlierPredecessor { usage, .. } => Some(usage),
             Self::Hello { .. }
-            | Self::Offer { .. }
-            | Self::Refused { .. }
-            | Self::Take {}
-            | Self::StoreFree {} => None,
+            | Self::ListenerOffer { .. }
+            | Self::Rejected { .. }
+            | Self::HandoverRequest {}
+            | Self::StoreReleased {} => None,
         }
     }
 }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -22,19 +22,19 @@
 pub enum Effect {
     /// Send this message on the connection.
     Send(Message),
-    /// Send this [`Message::Offer`] together with the listening sockets of its addresses.
-    Pass(Message),
-    /// Stop accepting, ask clients to reconnect, then send [`Message::Yours`].
-    Yield,
+    /// Send this [`Message::ListenerOffer`] together with the listening sockets of its addresses.
+    SendWithListeners(Message),
+    /// Stop accepting, ask clients to reconnect, then send [`Message::HandoverComplete`].
+    StopAccepting,
     /// Accept again: there is no successor any more.
-    Resume,
+    ResumeAccepting,
     /// Close the connection.
     Close,
-    /// Try to connect to a process that serves by now; call [`found`](Predecessor::found) where
-    /// there is one.
-    Look,
+    /// Try to connect to a process that serves by now; report it by
+    /// [`on_serving_process_found`](Predecessor::on_serving_process_found).
+    FindServingProcess,
     /// The peer is an earlier predecessor that still uses so much; keep its connection.
-    Behind(ProcessUsage),
+    AttachEarlierPredecessor(ProcessUsage),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     /// Returns whether this process has handed over: it accepts no connections, even if its
     /// successor died since and another process is searched for.
     #[must_use]
-    pub fn yielded(&self) -> bool {
+    pub fn has_handed_over(&self) -> bool {
         matches!(
             self.state,
             State::HandedOver { .. } | State::Orphaned { .. }
@@ -93,8 +93,8 @@
     }
 
     /// Ends the search for another process, so that this one accepts again at the next
-    /// [`turn`](Self::turn).
-    pub fn search_no_more(&mut self, now: Micros) {
+    /// [`poll`](Self::poll).
+    pub fn end_search(&mut self, now: Micros) {
         if let State::Orphaned { resume_at, .. } = &mut self.state {
             *resume_at = now;
         }
@@ -102,19 +102,19 @@
 
     /// Returns whether a peer may connect; there is at most one.
     #[must_use]
-    pub fn receives(&self) -> bool {
+    pub fn can_accept_peer(&self) -> bool {
         self.state == State::Idle
     }
 
     /// Notifies of a new connection, from a process of the same user.
-    pub fn visited(&mut self, now: Micros) {
+    pub fn on_connected(&mut self, now: Micros) {
         self.state = State::Connected {
             expires_at: now + HANDOVER_TIMEOUT,
         };
     }
 
     /// Handles a message of the peer; `listeners` are the addresses that this process listens on.
-    pub fn hear(
+    pub fn on_message(
         &mut self,
         now: Micros,
         message: &Message,
@@ -126,34 +126,34 @@
                 Message::Hello {
                     version,
                     name,
-                    listen,
+                    addresses,
                 },
             ) => self
                 .reject_foreign(*version, name)
-                .unwrap_or_else(|| self.pass_listeners(now, listen, listeners)),
+                .unwrap_or_else(|| self.pass_listeners(now, addresses, listeners)),
             (
                 State::Connected { .. },
                 Message::EarlierPredecessor {
                     version,
                     name,
-                    held,
+                    usage,
                 },
             ) => self
                 .reject_foreign(*version, name)
-                .unwrap_or_else(|| self.attach_earlier_predecessor(*held)),
-            (State::ListenersPassed { .. }, Message::Take {}) => {
+                .unwrap_or_else(|| self.attach_earlier_predecessor(*usage)),
+            (State::ListenersPassed { .. }, Message::HandoverRequest {}) => {
                 self.enter_handed_over(now);
                 self.orphaned_at = None;
-                vec![Effect::Yield]
+                vec![Effect::StopAccepting]
             }
             // A successor that follows the protocol sends nothing else.
-            _ => self.ended(now),
+            _ => self.on_disconnected(now),
         }
     }
 
     /// Rejects a peer of another version or server. Returns `None` if the peer is of this server.
     fn reject_foreign(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
-        let why = if version != PROTOCOL_VERSION {
+        let reason = if version != PROTOCOL_VERSION {
             format!("version {version} is not spoken here, {PROTOCOL_VERSION} is")
         } else if name != self.name {
             format!("this is {}, not {name}", self.name)
@@ -161,7 +161,10 @@
             return None;
         };
         self.state = State::Idle;
-        Some(vec![Effect::Send(Message::Refused { why }), Effect::Close])
+        Some(vec![
+            Effect::Send(Message::Rejected { reason }),
+            Effect::Close,
+        ])
     }
 
     fn pass_listeners(
@@ -173,21 +176,21 @@
         self.state = State::ListenersPassed {
             expires_at: now + HANDOVER_TIMEOUT,
         };
-        let listen = requested
+        let addresses = requested
             .iter()
             .filter(|address| listeners.contains(address))
             .copied()
             .collect();
-        vec![Effect::Pass(Message::Offer {
+        vec![Effect::SendWithListeners(Message::ListenerOffer {
             version: PROTOCOL_VERSION,
-            listen,
+            addresses,
         })]
     }
 
     /// The connection goes over to the earlier predecessor, so that a successor may still come.
     fn attach_earlier_predecessor(&mut self, usage: ProcessUsage) -> Vec<Effect> {
         self.state = State::Idle;
-        vec![Effect::Behind(usage)]
+        vec![Effect::AttachEarlierPredecessor(usage)]
     }
 
     fn enter_handed_over(&mut self, now: Micros) {
@@ -198,7 +201,7 @@
 
     /// Notifies of a connection to another process that serves by now. That process learns what
     /// this one still uses, and this one accepts no more.
-    pub fn found(&mut self, now: Micros, usage: ProcessUsage) -> Vec<Effect> {
+    pub fn on_serving_process_found(&mut self, now: Micros, usage: ProcessUsage) -> Vec<Effect> {
         if !self.is_orphaned() {
             return Vec::new();
         }
@@ -206,26 +209,26 @@
         vec![Effect::Send(Message::EarlierPredecessor {
             version: PROTOCOL_VERSION,
             name: self.name.clone(),
-            held: usage,
+            usage,
         })]
     }
 
     /// Notifies that this process has closed the store of idempotency keys.
     #[must_use]
-    pub fn store_free(&self) -> Vec<Effect> {
+    pub fn on_store_released(&self) -> Vec<Effect> {
         if matches!(self.state, State::HandedOver { .. }) {
-            vec![Effect::Send(Message::StoreFree {})]
+            vec![Effect::Send(Message::StoreReleased {})]
         } else {
             Vec::new()
         }
     }
 
     /// Notifies that the connection is lost, or that a packet on it could not be decoded.
-    pub fn ended(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn on_disconnected(&mut self, now: Micros) -> Vec<Effect> {
         match self.state {
             State::HandedOver { .. } if is_bug_injected(InjectedBug::StoreReopened) => {
                 self.state = State::Idle;
-                return vec![Effect::Close, Effect::Resume];
+                return vec![Effect::Close, Effect::ResumeAccepting];
             }
             State::HandedOver { .. } | State::Orphaned { .. } => self.begin_orphan_search(now),
             State::Idle | State::Connected { .. } | State::ListenersPassed { .. } => {
@@ -250,16 +253,16 @@
     }
 
     /// Does what is due by now; `usage` returns what this process still uses.
-    pub fn turn(&mut self, now: Micros, usage: impl FnOnce() -> ProcessUsage) -> Vec<Effect> {
+    pub fn poll(&mut self, now: Micros, usage: impl FnOnce() -> ProcessUsage) -> Vec<Effect> {
         match self.state {
             State::Connected { expires_at } | State::ListenersPassed { expires_at }
                 if now >= expires_at =>
             {
-                self.ended(now)
+                self.on_disconnected(now)
             }
             State::Orphaned { resume_at, .. } if now >= resume_at => {
                 self.state = State::Idle;
-                vec![Effect::Resume]
+                vec![Effect::ResumeAccepting]
             }
             State::Orphaned {
                 resume_at,
@@ -269,19 +272,19 @@
                     resume_at,
                     search_at: now + ORPHAN_SEARCH_INTERVAL,
                 };
-                vec![Effect::Look]
+                vec![Effect::FindServingProcess]
             }
             State::HandedOver { report_at } if now >= report_at => {
                 self.enter_handed_over(now);
-                vec![Effect::Send(Message::Left(usage()))]
+                vec![Effect::Send(Message::UsageReport(usage()))]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Returns the time at which [`turn`](Self::turn) has something to do next.
+    /// Returns the time at which [`poll`](Self::poll) has something to do next.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         match self.state {
             State::Idle => None,
             State::Connected { expires_at } | State::ListenersPassed { expires_at } => {
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -24,26 +24,26 @@
     Send(Message),
     /// Use the sockets that came with the message as the listeners of these addresses; listen on
     /// the other addresses.
-    Adopt(Vec<SocketAddr>),
+    AdoptListeners(Vec<SocketAddr>),
     /// No socket was passed: listen on all addresses, also while the predecessor does.
-    Listen,
+    ListenAnew,
     /// Accept connections from here on.
-    Serve,
+    StartAccepting,
     /// Open the store of idempotency keys: the predecessor has closed it, or is gone.
     OpenStore,
     /// The predecessor still uses so much.
-    Beside(ProcessUsage),
+    SetPredecessorUsage(ProcessUsage),
     /// Restore this learned state, encoded as a [`snapshot`](crate::snapshot).
-    Learn(String),
+    RestoreLearnedState(String),
     /// Import the reputation of these clients, with their points.
-    Standing(Vec<(IpAddr, f64)>),
-    /// Connect to the predecessor again; call [`visited`](Successor::visited) or
-    /// [`ended`](Successor::ended) with the outcome.
-    Visit,
+    ImportReputation(Vec<(IpAddr, f64)>),
+    /// Connect to the predecessor again; call [`on_connected`](Successor::on_connected) or
+    /// [`on_disconnected`](Successor::on_disconnected) with the outcome.
+    Reconnect,
     /// Close the connection to the predecessor.
     Close,
     /// The predecessor is gone, but what it used may not be free yet.
-    Mourn,
+    PredecessorLost,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,11 +75,11 @@
     /// Creates the successor's side, just connected to its predecessor, for a server of this name
     /// that wants to listen on these addresses. Returns it with what it does first.
     #[must_use]
-    pub fn new(now: Micros, name: &str, listen: Vec<SocketAddr>) -> (Self, Vec<Effect>) {
+    pub fn new(now: Micros, name: &str, addresses: Vec<SocketAddr>) -> (Self, Vec<Effect>) {
         let hello = Message::Hello {
             version: PROTOCOL_VERSION,
             name: name.to_owned(),
-            listen,
+            addresses,
         };
         let mut successor = Self {
             hello,
@@ -87,18 +87,18 @@
             started_at: now,
             predecessor_lost_at: None,
         };
-        let effects = successor.visited(now);
+        let effects = successor.on_connected(now);
         (successor, effects)
     }
 
     /// Returns whether this process accepts connections.
     #[must_use]
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.state == State::Serving
     }
 
     /// Notifies of a new connection to the predecessor.
-    pub fn visited(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn on_connected(&mut self, now: Micros) -> Vec<Effect> {
         self.state = State::AwaitingOffer {
             expires_at: now + ANSWER_TIMEOUT,
         };
@@ -106,35 +106,43 @@
     }
 
     /// Handles a message of the predecessor that came with so many sockets.
-    pub fn hear(&mut self, now: Micros, message: Message, socket_count: usize) -> Vec<Effect> {
+    pub fn on_message(
+        &mut self,
+        now: Micros,
+        message: Message,
+        socket_count: usize,
+    ) -> Vec<Effect> {
         match (self.state, message) {
             (
                 State::AwaitingOffer { .. },
-                Message::Offer {
+                Message::ListenerOffer {
                     version: PROTOCOL_VERSION,
-                    listen,
+                    addresses,
                 },
-            ) if self.is_offer_acceptable(&listen, socket_count) => {
+            ) if self.is_offer_acceptable(&addresses, socket_count) => {
                 self.state = State::ListenersAdopted;
-                vec![Effect::Adopt(listen)]
+                vec![Effect::AdoptListeners(addresses)]
             }
-            (State::AwaitingOffer { .. }, Message::Refused { .. }) if self.may_retry(now) => {
+            (State::AwaitingOffer { .. }, Message::Rejected { .. }) if self.may_retry(now) => {
                 self.schedule_retry(now + RETRY_DELAY)
             }
             (
                 State::AwaitingHandover { .. },
-                Message::Yours {
-                    held,
-                    learned,
-                    standing,
+                Message::HandoverComplete {
+                    usage,
+                    learned_state,
+                    reputation,
                 },
-            ) => self.take_over(held, learned, standing),
-            (State::Serving | State::AwaitingHandover { .. }, Message::StoreFree {}) => {
+            ) => self.take_over(usage, learned_state, reputation),
+            (State::Serving | State::AwaitingHandover { .. }, Message::StoreReleased {}) => {
                 vec![Effect::OpenStore]
             }
             // A handover that came after its timeout still reports what the predecessor uses.
-            (State::Serving, Message::Yours { held, .. } | Message::Left(held)) => {
-                vec![Effect::Beside(held)]
+            (
+                State::Serving,
+                Message::HandoverComplete { usage, .. } | Message::UsageReport(usage),
+            ) => {
+                vec![Effect::SetPredecessorUsage(usage)]
             }
             // A predecessor that follows the protocol sends nothing else, and one that offers no
             // socket has nothing to hand over.
@@ -145,12 +153,12 @@
     /// Returns whether as many sockets came as addresses were offered, at least one, and each
     /// offered address was asked for.
     fn is_offer_acceptable(&self, offered: &[SocketAddr], socket_count: usize) -> bool {
-        let Message::Hello { listen, .. } = &self.hello else {
+        let Message::Hello { addresses, .. } = &self.hello else {
             return false;
         };
         socket_count > 0
             && socket_count == offered.len()
-            && offered.iter().all(|address| listen.contains(address))
+            && offered.iter().all(|address| addresses.contains(address))
     }
 
     fn may_retry(&self, now: Micros) -> bool {
@@ -173,19 +181,19 @@
         self.state = State::Serving;
         let mut effects = Vec::new();
         if !learned_state.is_empty() {
-            effects.push(Effect::Learn(learned_state));
+            effects.push(Effect::RestoreLearnedState(learned_state));
         }
         if !reputation.is_empty() {
-            effects.push(Effect::Standing(reputation));
+            effects.push(Effect::ImportReputation(reputation));
         }
-        effects.push(Effect::Beside(usage));
-        effects.push(Effect::Serve);
+        effects.push(Effect::SetPredecessorUsage(usage));
+        effects.push(Effect::StartAccepting);
         effects
     }
 
     /// Notifies that the connection is lost, could not be made again, or that a packet on it could
     /// not be decoded.
-    pub fn ended(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn on_disconnected(&mut self, now: Micros) -> Vec<Effect> {
         match self.state {
             State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => {
                 let lost_at = *self.predecessor_lost_at.get_or_insert(now);
@@ -204,7 +212,7 @@
     /// Notifies that the sockets passed could not be adopted for want of file descriptors: the
     /// predecessor continues to serve, and is asked again. Returns nothing if this process keeps
     /// what it could adopt instead.
-    pub fn retreat(&mut self, now: Micros) -> Vec<Effect> {
+    pub fn on_adoption_failed(&mut self, now: Micros) -> Vec<Effect> {
         if !self.may_retry(now) || self.state != State::ListenersAdopted {
             return Vec::new();
         }
@@ -216,46 +224,46 @@
         let effects = match self.state {
             State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => vec![
                 Effect::Close,
-                Effect::Listen,
+                Effect::ListenAnew,
                 Effect::OpenStore,
-                Effect::Serve,
+                Effect::StartAccepting,
             ],
             // The listening sockets are here, and nobody else accepts from them.
             State::ListenersAdopted | State::AwaitingHandover { .. } => {
-                vec![Effect::Close, Effect::OpenStore, Effect::Serve]
+                vec![Effect::Close, Effect::OpenStore, Effect::StartAccepting]
             }
-            State::Serving => vec![Effect::Close, Effect::OpenStore, Effect::Mourn],
+            State::Serving => vec![Effect::Close, Effect::OpenStore, Effect::PredecessorLost],
         };
         self.state = State::Serving;
         effects
     }
 
     /// Does what is due by now; `is_ready` tells whether requests can run.
-    pub fn turn(&mut self, now: Micros, is_ready: bool) -> Vec<Effect> {
+    pub fn poll(&mut self, now: Micros, is_ready: bool) -> Vec<Effect> {
         match self.state {
             State::ListenersAdopted if is_ready => {
                 self.state = State::AwaitingHandover {
                     expires_at: now + ANSWER_TIMEOUT,
                 };
-                vec![Effect::Send(Message::Take {})]
+                vec![Effect::Send(Message::HandoverRequest {})]
             }
-            State::AwaitingRetry { retry_at } if now >= retry_at => vec![Effect::Visit],
+            State::AwaitingRetry { retry_at } if now >= retry_at => vec![Effect::Reconnect],
             State::AwaitingOffer { expires_at } if now >= expires_at => {
                 self.continue_without_predecessor()
             }
             // The predecessor hangs: both accept from the same queue.
             State::AwaitingHandover { expires_at } if now >= expires_at => {
                 self.state = State::Serving;
-                vec![Effect::Serve]
+                vec![Effect::StartAccepting]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Returns the time at which [`turn`](Self::turn) has something to do next, unless a message
+    /// Returns the time at which [`poll`](Self::poll) has something to do next, unless a message
     /// comes before.
     #[must_use]
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         match self.state {
             State::AwaitingOffer { expires_at } | State::AwaitingHandover { expires_at } => {
                 Some(expires_at)
--- a/crates/hot-restart/tests/message.rs
+++ b/crates/hot-restart/tests/message.rs
@@ -10,10 +10,10 @@
         .expect("an address");
     let reputation = vec![(address, 1_234.567_890_123_456); MAX_REPUTATION_ENTRIES];
     let learned_state = "x".repeat(8_192);
-    let handover = Message::Yours {
-        held: ProcessUsage::default(),
-        learned: learned_state,
-        standing: reputation,
+    let handover = Message::HandoverComplete {
+        usage: ProcessUsage::default(),
+        learned_state,
+        reputation,
     };
     assert!(
         handover.encode().len() <= MAX_MESSAGE_BYTES,
@@ -25,34 +25,36 @@
 #[test]
 fn decodes_each_encoded_message_and_rejects_malformed_packets() {
     let usage = ProcessUsage {
-        running: 3,
+        running_requests: 3,
         memory_kb: 12.5,
-        calls: 1,
+        dependency_calls: 1,
         descriptors: 40,
     };
     let messages = [
         Message::Hello {
             version: 1,
             name: "n1".into(),
-            listen: vec!["127.0.0.1:5".parse().expect("one")],
+            addresses: vec!["127.0.0.1:5".parse().expect("one")],
         },
-        Message::Offer {
+        Message::ListenerOffer {
             version: 1,
-            listen: Vec::new(),
+            addresses: Vec::new(),
         },
-        Message::Refused { why: "busy".into() },
-        Message::Take {},
-        Message::Yours {
-            held: usage,
-            learned: String::new(),
-            standing: vec![([10, 0, 0, 1].into(), 2.5)],
+        Message::Rejected {
+            reason: "busy".into(),
         },
-        Message::StoreFree {},
-        Message::Left(usage),
+        Message::HandoverRequest {},
+        Message::HandoverComplete {
+            usage,
+            learned_state: String::new(),
+            reputation: vec![([10, 0, 0, 1].into(), 2.5)],
+        },
+        Message::StoreReleased {},
+        Message::UsageReport(usage),
         Message::EarlierPredecessor {
             version: 1,
             name: "n1".into(),
-            held: usage,
+            usage,
         },
     ];
     for message in messages {
@@ -77,7 +79,7 @@
             malformed.escape_ascii()
         );
     }
-    let negative = Message::Left(ProcessUsage {
+    let negative = Message::UsageReport(ProcessUsage {
         memory_kb: -1.0,
         ..usage
     })
--- a/crates/hot-restart/tests/wire_format.rs
+++ b/crates/hot-restart/tests/wire_format.rs
@@ -29,52 +29,55 @@
 
 fn messages() -> Vec<Message> {
     let usage = ProcessUsage {
-        running: 3,
+        running_requests: 3,
         memory_kb: 12.5,
-        calls: 1,
+        dependency_calls: 1,
         descriptors: 40,
     };
-    let listen = vec![address("127.0.0.1:5050"), address("[2001:db8::1]:5051")];
+    let addresses = vec![address("127.0.0.1:5050"), address("[2001:db8::1]:5051")];
     vec![
         Message::Hello {
             version: 1,
             name: "n1".to_owned(),
-            listen: listen.clone(),
+            addresses: addresses.clone(),
         },
         Message::Hello {
             version: 1,
             name: "ä\"\\\n".to_owned(),
-            listen: Vec::new(),
+            addresses: Vec::new(),
         },
-        Message::Offer { version: 1, listen },
-        Message::Offer {
+        Message::ListenerOffer {
             version: 1,
-            listen: Vec::new(),
+            addresses,
         },
-        Message::Refused {
-            why: "another successor is there".to_owned(),
+        Message::ListenerOffer {
+            version: 1,
+            addresses: Vec::new(),
+        },
+        Message::Rejected {
+            reason: "another successor is there".to_owned(),
         },
-        Message::Take {},
-        Message::Yours {
-            held: ProcessUsage::default(),
-            learned: String::new(),
-            standing: Vec::new(),
+        Message::HandoverRequest {},
+        Message::HandoverComplete {
+            usage: ProcessUsage::default(),
+            learned_state: String::new(),
+            reputation: Vec::new(),
         },
-        Message::Yours {
-            held: usage,
-            learned: fixture("snapshot.json"),
-            standing: vec![
+        Message::HandoverComplete {
+            usage,
+            learned_state: fixture("snapshot.json"),
+            reputation: vec![
                 (ip("10.0.0.1"), 2.5),
                 (ip("2001:db8::2"), 1_234.567_890_123_456),
             ],
         },
-        Message::StoreFree {},
-        Message::Left(usage),
-        Message::Left(ProcessUsage::default()),
+        Message::StoreReleased {},
+        Message::UsageReport(usage),
+        Message::UsageReport(ProcessUsage::default()),
         Message::EarlierPredecessor {
             version: 1,
             name: "n1".to_owned(),
-            held: usage,
+            usage,
         },
     ]
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,7 +1,7 @@
 //! What a [`Membership`](crate::Membership) reports to its caller.
 
 use crate::identity::Identity;
-use crate::incarnation::Mark;
+use crate::incarnation::IncarnationMark;
 
 /// A change that the caller has to know of.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,9 +17,9 @@
     Superseded(Identity),
     /// This mark has to be durable before the process may be restarted: see
     /// [`Incarnations`](crate::incarnation::Incarnations).
-    Reserve(Mark),
+    PersistMark(IncarnationMark),
     /// All incarnations have been used; this process takes no further part.
-    Exhausted,
+    IncarnationsExhausted,
 }
 
 /// Another process, as seen from this one.
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -77,7 +77,8 @@
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// A server: admits requests and has them executed by its runtime.
-    Matcher,
+    #[serde(rename = "matcher")]
+    Server,
     /// Routes requests to servers.
     Gateway,
     /// Supervises the instances of a host.
@@ -87,7 +88,7 @@
 impl fmt::Display for Role {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Matcher => "matcher",
+            Self::Server => "matcher",
             Self::Gateway => "gateway",
             Self::Fleet => "fleet",
         })
@@ -105,7 +106,7 @@
     pub incarnation: u64,
     /// A random number drawn at the start of the process. It distinguishes two processes that have
     /// the same name and, by a copied disk, the same incarnation.
-    pub boot: u64,
+    pub boot_id: u64,
     /// The address that receives its datagrams.
     pub address: SocketAddr,
     /// Its role.
@@ -122,7 +123,7 @@
     pub fn precedence(&self) -> Precedence {
         Precedence {
             incarnation: self.incarnation,
-            boot: self.boot,
+            boot_id: self.boot_id,
         }
     }
 }
@@ -132,8 +133,8 @@
 pub struct Precedence {
     /// See [`Identity::incarnation`].
     pub incarnation: u64,
-    /// See [`Identity::boot`].
-    pub boot: u64,
+    /// See [`Identity::boot_id`].
+    pub boot_id: u64,
 }
 
 impl fmt::Display for Identity {
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// Incarnations that one write to the disk reserves.
-pub const BLOCK: u64 = 1 << 16;
+pub const BLOCK_SIZE: u64 = 1 << 16;
 
 /// The current incarnation of this process, and those reserved for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 /// used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "no incarnation above the old mark may be used before this one is durable"]
-pub struct Mark(pub u64);
+pub struct IncarnationMark(pub u64);
 
 /// All incarnations have been used; the mark or incarnation after which none is left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -36,14 +36,16 @@
     ///
     /// # Errors
     /// When fewer incarnations than a block are left.
-    pub fn begin(mark: u64) -> Result<(Self, Mark), IncarnationsExhausted> {
-        let reserved = mark.checked_add(BLOCK).ok_or(IncarnationsExhausted(mark))?;
+    pub fn start_after(mark: u64) -> Result<(Self, IncarnationMark), IncarnationsExhausted> {
+        let reserved = mark
+            .checked_add(BLOCK_SIZE)
+            .ok_or(IncarnationsExhausted(mark))?;
         Ok((
             Self {
                 current: mark + 1,
                 reserved,
             },
-            Mark(reserved),
+            IncarnationMark(reserved),
         ))
     }
 
@@ -61,7 +63,7 @@
     pub fn advance_past(
         &mut self,
         highest_seen: u64,
-    ) -> Result<Option<Mark>, IncarnationsExhausted> {
+    ) -> Result<Option<IncarnationMark>, IncarnationsExhausted> {
         let next = self
             .current
             .max(highest_seen)
@@ -71,8 +73,10 @@
         if next <= self.reserved {
             return Ok(None);
         }
-        self.reserved = next.checked_add(BLOCK).ok_or(IncarnationsExhausted(next))?;
-        Ok(Some(Mark(self.reserved)))
+        self.reserved = next
+            .checked_add(BLOCK_SIZE)
+            .ok_or(IncarnationsExhausted(next))?;
+        Ok(Some(IncarnationMark(self.reserved)))
     }
 
     /// Whether others have seen a former incarnation of this process that is not below the current
@@ -84,7 +88,7 @@
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for IncarnationMark {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/crates/membership/src/incarnation/tests.rs
+++ b/crates/membership/src/incarnation/tests.rs
@@ -9,7 +9,7 @@
     let mut used = std::collections::BTreeSet::new();
     let mut disk = 0;
     for start in 0..200u64 {
-        let (mut incarnations, mark) = Incarnations::begin(disk).expect("some are left");
+        let (mut incarnations, mark) = Incarnations::start_after(disk).expect("some are left");
         if start % 3 == 0 {
             continue; // Killed before the mark was durable: nothing was used.
         }
@@ -17,7 +17,7 @@
         assert!(used.insert(incarnations.current()), "twice");
         for bump in 0..start % 7 {
             let seen = if bump == 3 {
-                incarnations.current() + 2 * BLOCK
+                incarnations.current() + 2 * BLOCK_SIZE
             } else {
                 0
             };
@@ -32,10 +32,10 @@
 #[test]
 fn reports_that_incarnations_are_exhausted() {
     assert_eq!(
-        Incarnations::begin(u64::MAX - 1),
+        Incarnations::start_after(u64::MAX - 1),
         Err(IncarnationsExhausted(u64::MAX - 1))
     );
-    let (mut incarnations, _) = Incarnations::begin(0).expect("all are left");
+    let (mut incarnations, _) = Incarnations::start_after(0).expect("all are left");
     assert!(incarnations.is_behind(1) && !incarnations.is_behind(0));
     assert!(incarnations.advance_past(u64::MAX).is_err());
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -164,7 +164,7 @@
         self.run_timers(now);
         self.update_standing(now);
         if now >= self.contacts.next_attempt && !self.has_left {
-            self.contacts.next_attempt = now + CONTACT_PROBES * self.swim.settings.probe;
+            self.contacts.next_attempt = now + CONTACT_PROBES * self.swim.settings.probe_interval;
             self.announce_to_contacts(now);
         }
         if now >= self.own_metrics.next_renewal {
@@ -284,7 +284,7 @@
 
     /// Drops metrics that have expired, and publishes the own ones again.
     fn renew_metrics(&mut self, now: Micros) {
-        let lifetime = self.swim.settings.figures;
+        let lifetime = self.swim.settings.metric_lifetime;
         self.swim.shared.borrow_mut().metrics.expire(now, lifetime);
         for kind in self.own_metrics.kinds() {
             self.broadcast_metric(now, kind);
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -102,10 +102,10 @@
     /// Joins again under the lowest unused incarnation above `highest_seen`.
     fn advance_incarnation(&mut self, now: Micros, highest_seen: u64) {
         match self.incarnations.advance_past(highest_seen) {
-            Ok(mark) => self.events.extend(mark.map(Event::Reserve)),
+            Ok(mark) => self.events.extend(mark.map(Event::PersistMark)),
             Err(_) => {
                 self.has_left = true;
-                self.events.push_back(Event::Exhausted);
+                self.events.push_back(Event::IncarnationsExhausted);
                 return;
             }
         }
--- a/crates/membership/src/membership/swim.rs
+++ b/crates/membership/src/membership/swim.rs
@@ -27,7 +27,7 @@
 
 impl Swim {
     pub(super) fn new(identity: Identity, settings: Settings, seed: u64) -> Self {
-        let shared = SharedState::new(identity.clone(), settings.most);
+        let shared = SharedState::new(identity.clone(), settings.max_members);
         let shared = Rc::new(RefCell::new(shared));
         Self {
             foca: new_library(identity, &settings, &shared, seed),
@@ -86,7 +86,7 @@
         Identity {
             name,
             incarnation: 0,
-            boot: 0,
+            boot_id: 0,
             address,
             ..own.clone()
         }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -36,42 +36,42 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Interval at which a process probes one other.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// Time to wait for the ack of a direct probe before indirect probes are sent; less than half
-    /// of `probe`.
-    pub answer: Micros,
+    /// of `probe_interval`.
+    pub ack_timeout: Micros,
     /// Time that a suspected process has to refute the suspicion before it is declared down.
-    pub suspicion: Micros,
+    pub suspicion_timeout: Micros,
     /// Time for which a process that is down is remembered, so that late gossip about it does not
     /// bring it back.
-    pub remembered: Micros,
+    pub down_retention: Micros,
     /// Lifetime of a shared metric that is not renewed.
-    pub figures: Micros,
+    pub metric_lifetime: Micros,
     /// Limit on the number of known processes.
-    pub most: usize,
+    pub max_members: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            probe: 500_000,
-            answer: 200_000,
-            suspicion: 5_000_000,
-            remembered: 30_000_000,
-            figures: 10_000_000,
-            most: 512,
+            probe_interval: 500_000,
+            ack_timeout: 200_000,
+            suspicion_timeout: 5_000_000,
+            down_retention: 30_000_000,
+            metric_lifetime: 10_000_000,
+            max_members: 512,
         }
     }
 }
 
 /// A setting whose value is invalid by itself or does not go with the others.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{key}: {why}")]
+#[error("{key}: {reason}")]
 pub struct InvalidSetting {
     /// Name of the setting.
     pub key: &'static str,
     /// What is wrong with its value.
-    pub why: String,
+    pub reason: String,
 }
 
 impl Settings {
@@ -81,32 +81,32 @@
     /// The first setting that is invalid.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         ensure(
-            self.probe >= MIN_PROBE_INTERVAL,
+            self.probe_interval >= MIN_PROBE_INTERVAL,
             "probe",
             "is less than 10 ms",
         )?;
         ensure(
-            self.answer > 0 && self.answer < self.probe / 2,
+            self.ack_timeout > 0 && self.ack_timeout < self.probe_interval / 2,
             "answer",
             "has to be more than 0 and less than half of probe, since others try in the other half",
         )?;
         ensure(
-            self.suspicion >= MIN_SUSPICION_PROBES * self.probe,
+            self.suspicion_timeout >= MIN_SUSPICION_PROBES * self.probe_interval,
             "suspicion",
             "is less than two probes: every lost datagram would be believed",
         )?;
         ensure(
-            self.remembered >= self.suspicion,
+            self.down_retention >= self.suspicion_timeout,
             "remembered",
             "is less than suspicion",
         )?;
         ensure(
-            self.figures >= MIN_RENEWALS * RENEWAL_INTERVAL,
+            self.metric_lifetime >= MIN_RENEWALS * RENEWAL_INTERVAL,
             "figures",
             "is less than 4 s, in which each metric is renewed twice",
         )?;
         ensure(
-            MEMBER_LIMITS.contains(&self.most),
+            MEMBER_LIMITS.contains(&self.max_members),
             "most",
             "has to lie between 2 and 4096",
         )
@@ -115,35 +115,35 @@
     /// The settings of the SWIM library.
     pub(crate) fn foca_config(&self) -> Config {
         Config {
-            probe_period: Duration::from_micros(self.probe),
-            probe_rtt: Duration::from_micros(self.answer),
+            probe_period: Duration::from_micros(self.probe_interval),
+            probe_rtt: Duration::from_micros(self.ack_timeout),
             num_indirect_probes: FANOUT,
             max_transmissions: MAX_TRANSMISSIONS,
-            suspect_to_down_after: Duration::from_micros(self.suspicion),
-            remove_down_after: Some(Duration::from_micros(self.remembered)),
+            suspect_to_down_after: Duration::from_micros(self.suspicion_timeout),
+            remove_down_after: Some(Duration::from_micros(self.down_retention)),
             max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES - HEADER_AND_KIND_BYTES)
                 .unwrap_or(NonZeroUsize::MIN),
             // The library also notifies members whose suspicion had been refuted, which makes live
             // members rejoin for nothing. The state machine sends a notification of its own.
             notify_down_members: false,
-            periodic_announce: periodic(ANNOUNCE_PROBES * self.probe, NonZeroUsize::MIN),
+            periodic_announce: periodic(ANNOUNCE_PROBES * self.probe_interval, NonZeroUsize::MIN),
             periodic_announce_to_down_members: periodic(
-                ANNOUNCE_TO_DOWN_PROBES * self.probe,
+                ANNOUNCE_TO_DOWN_PROBES * self.probe_interval,
                 FANOUT,
             ),
-            periodic_gossip: periodic(self.probe / GOSSIP_ROUNDS_PER_PROBE, FANOUT),
+            periodic_gossip: periodic(self.probe_interval / GOSSIP_ROUNDS_PER_PROBE, FANOUT),
         }
     }
 }
 
 /// Returns the error for a setting unless its condition is met.
-fn ensure(is_met: bool, key: &'static str, why: &str) -> Result<(), InvalidSetting> {
+fn ensure(is_met: bool, key: &'static str, reason: &str) -> Result<(), InvalidSetting> {
     if is_met {
         return Ok(());
     }
     Err(InvalidSetting {
         key,
-        why: why.to_owned(),
+        reason: reason.to_owned(),
     })
 }
 
--- a/crates/membership/src/shared_metrics.rs
+++ b/crates/membership/src/shared_metrics.rs
@@ -25,14 +25,14 @@
 
 /// What a metric measures.
 ///
-/// The order of the variants is their encoding in datagrams; `Warmth` is the least, which
+/// The order of the variants is their encoding in datagrams; `WarmUp` is the least, which
 /// [`SharedMetrics::of_process`] relies on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MetricKind {
     /// Share of its full speed that a process has reached in its slow start, from 0 to 1.
-    Warmth,
+    WarmUp,
     /// 1 from the start of a graceful shutdown on, else 0.
-    Drain,
+    Draining,
     /// Work that the process can do, in the unit of its role.
     Capacity,
     /// Statistics of an upstream, or others, by number.
@@ -140,7 +140,7 @@
 
     /// The metrics of one process.
     pub fn of_process(&self, address: SocketAddr) -> impl Iterator<Item = &Metric> {
-        let least_key = (address, MetricKind::Warmth);
+        let least_key = (address, MetricKind::WarmUp);
         self.metrics
             .range(least_key..)
             .take_while(move |((owner, _), _)| *owner == address)
--- a/crates/membership/src/shared_metrics/tests.rs
+++ b/crates/membership/src/shared_metrics/tests.rs
@@ -9,9 +9,9 @@
     Identity {
         name: label(&format!("p{port}")),
         incarnation,
-        boot: 0,
+        boot_id: 0,
         address: ([127, 0, 0, 1], port).into(),
-        role: Role::Matcher,
+        role: Role::Server,
         zone: label("mona"),
         host: label("h1"),
     }
@@ -55,7 +55,7 @@
     let metric_of = |identity: &Identity, version| Metric {
         address: identity.address,
         incarnation: identity.incarnation,
-        kind: MetricKind::Warmth,
+        kind: MetricKind::WarmUp,
         version,
         value: 0.5f64.to_le_bytes().to_vec(),
     };
@@ -65,7 +65,7 @@
     assert!(metrics.merge(0, metric_of(&old, 9)) && !metrics.merge(0, metric_of(&old, 9)));
     assert_eq!(
         metrics
-            .of_kind(7, MetricKind::Warmth)
+            .of_kind(7, MetricKind::WarmUp)
             .next()
             .map(|(f, age)| (f.as_number(), age)),
         Some((Some(0.5), 7))
--- a/crates/membership/tests/gossip/emulated_network.rs
+++ b/crates/membership/tests/gossip/emulated_network.rs
@@ -2,7 +2,7 @@
 //! all from one seed.
 
 use crate::emulated_process::{address, first_key, identity, Process};
-use cleatpulley_membership::incarnation::{Incarnations, Mark};
+use cleatpulley_membership::incarnation::{IncarnationMark, Incarnations};
 use cleatpulley_membership::{Event, Identity, Label, Membership, Settings};
 use cleatpulley_timeline::{Step, Timeline};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +50,7 @@
 struct UsedIncarnation {
     name: Label,
     incarnation: u64,
-    boot: u64,
+    boot_id: u64,
 }
 
 struct DatagramInTransit {
@@ -131,11 +131,12 @@
     /// Starts a process from the mark on its disk. The new mark is durable before it sends.
     pub fn start_with(&mut self, name: &str, port: u16, contacts: &[u16], settings: Settings) {
         let mark = self.durable_marks.get(&port).copied().unwrap_or(0);
-        let (incarnations, Mark(mark)) = Incarnations::begin(mark).expect("some are left");
+        let (incarnations, IncarnationMark(mark)) =
+            Incarnations::start_after(mark).expect("some are left");
         self.durable_marks.insert(port, mark);
         self.last_boot += 1;
         let identity = Identity {
-            boot: self.last_boot,
+            boot_id: self.last_boot,
             ..identity(name, port)
         };
         let seed = self.random(u64::MAX);
@@ -159,7 +160,7 @@
         let used = UsedIncarnation {
             name: identity.name,
             incarnation: identity.incarnation,
-            boot: identity.boot,
+            boot_id: identity.boot_id,
         };
         assert!(
             self.used_incarnations.insert(used.clone()),
@@ -304,11 +305,11 @@
             Event::Down(other) => format!("sees {} go", other.name),
             Event::Rejoined(_) => "comes back".to_owned(),
             Event::Superseded(_) => "is superseded".to_owned(),
-            Event::Reserve(mark) => {
+            Event::PersistMark(mark) => {
                 self.durable_marks.insert(port, mark.0);
                 return;
             }
-            Event::Exhausted => "has no incarnation left".to_owned(),
+            Event::IncarnationsExhausted => "has no incarnation left".to_owned(),
         };
         if let Event::Rejoined(_) = event {
             let identity = self.processes[&port].membership.identity().clone();
--- a/crates/membership/tests/gossip/emulated_process.rs
+++ b/crates/membership/tests/gossip/emulated_process.rs
@@ -43,7 +43,7 @@
     let role = if name.starts_with('g') {
         Role::Gateway
     } else {
-        Role::Matcher
+        Role::Server
     };
     let zone = if port.is_multiple_of(2) {
         "mona"
@@ -53,7 +53,7 @@
     Identity {
         name: label(name),
         incarnation: 0,
-        boot: 0,
+        boot_id: 0,
         address: address(port),
         role,
         zone: label(zone),
--- a/crates/membership/tests/gossip/keys_and_limits.rs
+++ b/crates/membership/tests/gossip/keys_and_limits.rs
@@ -46,7 +46,7 @@
 fn members_beyond_the_limit_are_rejected() {
     let mut network = EmulatedNetwork::new(3);
     let settings = Settings {
-        most: 4,
+        max_members: 4,
         ..Settings::default()
     };
     network.start_with("g1", 1, &[], settings);
--- a/crates/membership/tests/gossip/settings.rs
+++ b/crates/membership/tests/gossip/settings.rs
@@ -7,42 +7,42 @@
     let rejected_key = |settings: Settings| settings.check().expect_err("can't be").key;
     assert_eq!(
         rejected_key(Settings {
-            probe: 0,
+            probe_interval: 0,
             ..Settings::default()
         }),
         "probe"
     );
     assert_eq!(
         rejected_key(Settings {
-            answer: 250_000,
+            ack_timeout: 250_000,
             ..Settings::default()
         }),
         "answer"
     );
     assert_eq!(
         rejected_key(Settings {
-            suspicion: 600_000,
+            suspicion_timeout: 600_000,
             ..Settings::default()
         }),
         "suspicion"
     );
     assert_eq!(
         rejected_key(Settings {
-            remembered: 1,
+            down_retention: 1,
             ..Settings::default()
         }),
         "remembered"
     );
     assert_eq!(
         rejected_key(Settings {
-            figures: 1,
+            metric_lifetime: 1,
             ..Settings::default()
         }),
         "figures"
     );
     assert_eq!(
         rejected_key(Settings {
-            most: 1,
+            max_members: 1,
             ..Settings::default()
         }),
         "most"
--- a/crates/membership/tests/gossip/shared_metrics.rs
+++ b/crates/membership/tests/gossip/shared_metrics.rs
@@ -16,7 +16,7 @@
             let value = f64::from(*port) / 100.0;
             network.process_mut(*port).membership.publish(
                 now,
-                MetricKind::Warmth,
+                MetricKind::WarmUp,
                 value.to_le_bytes().to_vec(),
             );
         }
@@ -25,7 +25,7 @@
         for port in &ports {
             let metrics = network.processes[port].membership.shared_metrics();
             let numbers: Vec<f64> = metrics
-                .of_kind(network.now, MetricKind::Warmth)
+                .of_kind(network.now, MetricKind::WarmUp)
                 .filter_map(|(metric, _)| metric.as_number())
                 .collect();
             assert_eq!(
@@ -34,7 +34,7 @@
                 "seed {seed}: {port} knows {numbers:?}"
             );
             let oldest = metrics
-                .of_kind(network.now, MetricKind::Warmth)
+                .of_kind(network.now, MetricKind::WarmUp)
                 .map(|(_, age)| age)
                 .max();
             assert!(oldest < Some(8 * SECOND), "seed {seed}: {oldest:?}");
@@ -46,7 +46,7 @@
         for port in ports.iter().filter(|port| **port != 4) {
             let metrics = network.processes[port].membership.shared_metrics();
             assert_eq!(
-                metrics.of_kind(network.now, MetricKind::Warmth).count(),
+                metrics.of_kind(network.now, MetricKind::WarmUp).count(),
                 ports.len() - 1,
                 "seed {seed}: {port}"
             );
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -271,7 +271,7 @@
         }
         self.ready.push(number);
         if let (Some(admission), Response::Served(_)) = (&mut self.acceptor.admission, response) {
-            admission.served(now, number);
+            admission.on_request_served(now, number);
         }
     }
 
@@ -308,7 +308,7 @@
         let next_action = connection.serve(&context, &mut self.arrivals);
         if connection.machine.status().spoken {
             if let Some(admission) = &mut self.acceptor.admission {
-                admission.spoke(number);
+                admission.on_first_message(number);
             }
         }
         if self.acceptor.is_yielding() {
@@ -365,7 +365,9 @@
     pub fn next_deadline(&self) -> Micros {
         let accept_at = self.acceptor.accept_at;
         let accept_at = (self.is_acceptable() && accept_at > 0).then_some(accept_at);
-        let handshake_at = self.handshakes().and_then(HandshakeScheduler::wake_at);
+        let handshake_at = self
+            .handshakes()
+            .and_then(HandshakeScheduler::next_deadline);
         [accept_at, handshake_at]
             .into_iter()
             .flatten()
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -219,7 +219,7 @@
             self.tls.on_accepted(now, number);
         }
         if let Some(admission) = &mut self.acceptor.admission {
-            admission.enter(now, number, address, known);
+            admission.on_admitted(now, number, address, known);
         }
         let context = self.context.at(now, number);
         if self.shutdown.has_begun {
@@ -309,12 +309,15 @@
         };
         match admission.decide(now, address, slot_count, may_lose_slot) {
             Decision::Admit(known) => Admitted::Yes(known),
-            Decision::Instead(number, known) => {
+            Decision::AdmitInstead {
+                victim: number,
+                known,
+            } => {
                 self.close(number, events);
                 Admitted::Yes(known)
             }
-            Decision::Refuse(reason) => {
-                let known = admission.known(now, address);
+            Decision::Reject(reason) => {
+                let known = admission.known_by(now, address);
                 tracing::debug!(%address, ?reason, "a connection gets no slot");
                 Admitted::No(known)
             }
--- a/crates/server/src/client_listener/acceptor.rs
+++ b/crates/server/src/client_listener/acceptor.rs
@@ -71,7 +71,7 @@
     pub(super) fn on_closed(&mut self, number: u64, is_rejected: bool) {
         self.rejected_count -= usize::from(is_rejected);
         if let Some(admission) = &mut self.admission {
-            admission.leave(number);
+            admission.on_closed(number);
         }
     }
 
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -6,7 +6,7 @@
 use crate::host::Host;
 use crate::tls_layer::TlsLayer;
 use cleatpulley_connection_admission::decision::KnownBy;
-use cleatpulley_connection_admission::handshake::{Offer, Turn};
+use cleatpulley_connection_admission::handshake::{HandshakeDecision, Offer};
 use cleatpulley_connection_admission::identity::IdentityRejection;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
@@ -41,9 +41,9 @@
             known: connection.known,
         };
         match self.tls.decide(now, number, offer) {
-            Turn::Begin => self.begin_handshake(number, events),
-            Turn::Wait => {}
-            Turn::Refuse => self.reject_handshake(number, events),
+            HandshakeDecision::Begin => self.begin_handshake(number, events),
+            HandshakeDecision::Wait => {}
+            HandshakeDecision::Reject => self.reject_handshake(number, events),
         }
     }
 
@@ -52,7 +52,7 @@
             return;
         };
         if let Some(handshakes) = &mut self.tls.handshakes {
-            handshakes.done(number);
+            handshakes.on_ended(number);
         }
         let session = connection.stream.layer().and_then(TlsLayer::session);
         connection.certificate_names = session
@@ -65,7 +65,7 @@
             Ok(true) => {
                 connection.known = KnownBy::Named;
                 if let Some(admission) = &mut self.acceptor.admission {
-                    admission.promote(number);
+                    admission.on_named(number);
                 }
             }
             Ok(false) => {}
@@ -116,8 +116,8 @@
         let Some(handshakes) = &mut self.tls.handshakes else {
             return;
         };
-        let begun = handshakes.next(now);
-        let overdue = handshakes.overdue(now);
+        let begun = handshakes.begin_waiting(now);
+        let overdue = handshakes.take_overdue(now);
         for number in begun {
             self.begin_handshake(number, events);
         }
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -3,7 +3,7 @@
 
 use super::client_protocol::ClientProtocol;
 use crate::tls_layer::TlsState;
-use cleatpulley_connection_admission::handshake::{HandshakeScheduler, Offer, Turn};
+use cleatpulley_connection_admission::handshake::{HandshakeDecision, HandshakeScheduler, Offer};
 use cleatpulley_connection_admission::identity::Identities;
 use cleatpulley_policy::interface::Micros;
 use std::cell::RefCell;
@@ -28,23 +28,23 @@
 
     pub(super) fn on_accepted(&mut self, now: Micros, number: u64) {
         if let Some(handshakes) = &mut self.handshakes {
-            handshakes.accepted(now, number);
+            handshakes.on_accepted(now, number);
         }
     }
 
     pub(super) fn on_closed(&mut self, number: u64) {
         if let Some(handshakes) = &mut self.handshakes {
-            handshakes.done(number);
+            handshakes.on_ended(number);
         }
         if let Some(identities) = &mut self.identities {
-            identities.leave(number);
+            identities.on_closed(number);
         }
     }
 
-    pub(super) fn decide(&mut self, now: Micros, number: u64, offer: Offer) -> Turn {
+    pub(super) fn decide(&mut self, now: Micros, number: u64, offer: Offer) -> HandshakeDecision {
         match &mut self.handshakes {
-            Some(handshakes) => handshakes.offer(now, number, offer),
-            None => Turn::Begin,
+            Some(handshakes) => handshakes.on_offer(now, number, offer),
+            None => HandshakeDecision::Begin,
         }
     }
 
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -4,8 +4,7 @@
 use crate::host::{DatagramSocket, GossipHost};
 use crate::status_report::Status;
 use cleatpulley_membership::authentication::KeyRing;
-use cleatpulley_membership::shared_metrics::MetricKind;
-use cleatpulley_membership::{Event, Identity, Membership, Settings};
+use cleatpulley_membership::{Event, Identity, Membership, MetricKind, Settings};
 use cleatpulley_policy::interface::Micros;
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -92,7 +91,7 @@
         if identity.address.port() == 0 {
             identity.address.set_port(address.port());
         }
-        identity.boot = host.random();
+        identity.boot_id = host.random();
         let seed = host.random();
         let key = keys().map_err(io::Error::other)?;
         let mut membership = Membership::new(identity, incarnations, settings, key, seed)
@@ -196,10 +195,11 @@
         }
         self.shared_status = Some(status);
         let warmth = status.warmth.to_le_bytes().to_vec();
-        self.membership.publish(now, MetricKind::Warmth, warmth);
+        self.membership.publish(now, MetricKind::WarmUp, warmth);
         let is_draining = f64::from(u8::from(status.is_draining));
         let is_draining = is_draining.to_le_bytes().to_vec();
-        self.membership.publish(now, MetricKind::Drain, is_draining);
+        self.membership
+            .publish(now, MetricKind::Draining, is_draining);
     }
 
     fn send(&mut self, now: Micros) {
@@ -230,7 +230,7 @@
                 );
                 self.log_step(now, format_args!("is superseded <- {peer}"));
             }
-            Event::Reserve(mark) => {
+            Event::PersistMark(mark) => {
                 if let Err(error) = incarnation_store::write(&self.folder, *mark) {
                     tracing::error!(
                         folder = %self.folder.display(),
@@ -239,7 +239,7 @@
                     );
                 }
             }
-            Event::Exhausted => {
+            Event::IncarnationsExhausted => {
                 tracing::error!("cluster: no incarnation is left; this process stays out");
             }
         }
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -6,7 +6,7 @@
 
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, Options, Store};
-use cleatpulley_membership::incarnation::{Incarnations, Mark};
+use cleatpulley_membership::incarnation::{IncarnationMark, Incarnations};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -25,13 +25,13 @@
 pub(super) fn begin(folder: &Path) -> io::Result<Incarnations> {
     let mut store = open(folder)?;
     let mark = read(&store, folder)?;
-    let (incarnations, mark) = Incarnations::begin(mark).map_err(io::Error::other)?;
+    let (incarnations, mark) = Incarnations::start_after(mark).map_err(io::Error::other)?;
     put(&mut store, mark)?;
     Ok(incarnations)
 }
 
 /// Makes a mark durable.
-pub(super) fn write(folder: &Path, mark: Mark) -> io::Result<()> {
+pub(super) fn write(folder: &Path, mark: IncarnationMark) -> io::Result<()> {
     put(&mut open(folder)?, mark)
 }
 
@@ -56,7 +56,7 @@
     Ok(u64::from_le_bytes(bytes))
 }
 
-fn put(store: &mut Store<OsFolder>, mark: Mark) -> io::Result<()> {
+fn put(store: &mut Store<OsFolder>, mark: IncarnationMark) -> io::Result<()> {
     store
         .write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None))
         .map_err(io::Error::other)?;
--- a/crates/server/src/gossip/incarnation_store/stored_format.rs
+++ b/crates/server/src/gossip/incarnation_store/stored_format.rs
@@ -3,7 +3,7 @@
 //! `tests/fixtures/incarnation` is the store of a process in its second life.
 
 use super::{begin, open, write, KEY};
-use cleatpulley_membership::incarnation::{Mark, BLOCK};
+use cleatpulley_membership::incarnation::{IncarnationMark, BLOCK_SIZE};
 use std::fs;
 use std::path::Path;
 use tempfile::TempDir;
@@ -42,7 +42,7 @@
 #[test]
 fn writes_the_mark_as_release_0_2_does() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), Mark(0x0102_0304_0506_0708)).expect("a folder");
+    write(folder.path(), IncarnationMark(0x0102_0304_0506_0708)).expect("a folder");
     assert_eq!(stored(folder.path()), Some(vec![8, 7, 6, 5, 4, 3, 2, 1]));
-    assert_eq!(BLOCK, 65_536);
+    assert_eq!(BLOCK_SIZE, 65_536);
 }
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -122,7 +122,8 @@
     #[must_use]
     pub fn is_serving(&self) -> bool {
         let predecessor = self.predecessor.as_ref();
-        predecessor.is_none_or(|predecessor| predecessor.protocol.serves()) && !self.has_yielded()
+        predecessor.is_none_or(|predecessor| predecessor.protocol.is_serving())
+            && !self.has_yielded()
     }
 
     /// Returns true where it could not be found out whether there is a predecessor: this process
@@ -135,7 +136,7 @@
     /// Returns true where a successor serves the clients.
     #[must_use]
     pub fn has_yielded(&self) -> bool {
-        self.successor.protocol.yielded()
+        self.successor.protocol.has_handed_over()
     }
 
     /// Returns true where the successor died and it is not known yet whether another process has
@@ -147,7 +148,7 @@
 
     /// Ends the search for a process that took over from the successor: the stop is near.
     pub fn stop_successor_search(&mut self, now: Micros) {
-        self.successor.protocol.search_no_more(now);
+        self.successor.protocol.end_search(now);
     }
 
     /// Returns true while a process that this one has taken over from is still there.
@@ -205,7 +206,7 @@
         }
         self.poll_predecessor(now, is_up, steps);
         self.accept_successors(now, steps);
-        if self.successor.protocol.receives() {
+        if self.successor.protocol.can_accept_peer() {
             self.successor_listener.reserve_descriptor(&self.host, now);
         }
         if self.earlier_predecessors.poll(now, steps) {
@@ -214,8 +215,8 @@
             ));
         }
         self.read_successor(now, listeners, steps);
-        let effects = self.successor.protocol.turn(now, &usage);
-        if effects.contains(&predecessor::Effect::Look) {
+        let effects = self.successor.protocol.poll(now, &usage);
+        if effects.contains(&predecessor::Effect::FindServingProcess) {
             return self.find_next_successor(now, listeners, usage, steps);
         }
         self.apply_predecessor_effects(now, effects, listeners, steps);
@@ -240,7 +241,7 @@
         let Some(predecessor) = &mut self.predecessor else {
             return false;
         };
-        let effects = predecessor.protocol.retreat(now);
+        let effects = predecessor.protocol.on_adoption_failed(now);
         let asks_again = !effects.is_empty();
         // The only effect is that the channel is closed, which can't fail.
         let _ = self.execute_successor_effects(effects, &mut Vec::new());
@@ -255,17 +256,17 @@
         mut reputation: Vec<(IpAddr, f64)>,
     ) {
         reputation.truncate(MAX_REPUTATION_ENTRIES);
-        self.send_to_successor(Message::Yours {
-            held: usage,
-            learned: learned_state,
-            standing: reputation,
+        self.send_to_successor(Message::HandoverComplete {
+            usage,
+            learned_state,
+            reputation,
         });
     }
 
     /// Tells the successor that this process ends, and what it leaves in use.
     pub fn shutdown(&mut self, usage: ProcessUsage) {
         if self.successor.channel.is_some() && self.has_yielded() {
-            self.send_to_successor(Message::Left(usage));
+            self.send_to_successor(Message::UsageReport(usage));
         }
     }
 
@@ -276,7 +277,7 @@
 
     /// Tells the successor that the persistence of idempotency keys is released.
     pub fn on_key_persistence_released(&mut self) {
-        let effects = self.successor.protocol.store_free();
+        let effects = self.successor.protocol.on_store_released();
         self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
 
@@ -285,8 +286,8 @@
     pub fn next_deadline(&self) -> Option<Micros> {
         let predecessor = self.predecessor.as_ref();
         let deadlines = [
-            predecessor.and_then(|predecessor| predecessor.protocol.next()),
-            self.successor.protocol.next(),
+            predecessor.and_then(|predecessor| predecessor.protocol.next_deadline()),
+            self.successor.protocol.next_deadline(),
             self.successor_listener.next_deadline(),
             self.earlier_predecessors.next_deadline(),
         ];
--- a/crates/server/src/hot_restart/connections.rs
+++ b/crates/server/src/hot_restart/connections.rs
@@ -67,7 +67,8 @@
     pub(super) fn send(&self, message: &Message) -> io::Result<()> {
         match self.channel()?.send(&message.encode(), &[]) {
             Err(error)
-                if error.kind() == ErrorKind::WouldBlock && matches!(message, Message::Left(_)) =>
+                if error.kind() == ErrorKind::WouldBlock
+                    && matches!(message, Message::UsageReport(_)) =>
             {
                 Ok(())
             }
--- a/crates/server/src/hot_restart/earlier_predecessors.rs
+++ b/crates/server/src/hot_restart/earlier_predecessors.rs
@@ -66,16 +66,16 @@
         self.remainders.push(Remainder {
             free_at: now + PREDECESSOR_SEARCH_TIME,
             usage: ProcessUsage {
-                calls: usage.calls,
+                dependency_calls: usage.dependency_calls,
                 descriptors: usage.descriptors,
                 ..ProcessUsage::default()
             },
         });
-        if usage.running > 0 {
+        if usage.running_requests > 0 {
             self.remainders.push(Remainder {
                 free_at: now + ORPHANED_RUN_TIME,
                 usage: ProcessUsage {
-                    running: usage.running,
+                    running_requests: usage.running_requests,
                     memory_kb: usage.memory_kb,
                     ..ProcessUsage::default()
                 },
@@ -126,11 +126,11 @@
             match receive_message(&self.channel) {
                 Ok(None) => return result,
                 Ok(Some(ReceivedMessage { message, .. })) => match message {
-                    Message::Left(usage) => {
+                    Message::UsageReport(usage) => {
                         self.usage = usage;
                         result = ReadResult::UsageChanged;
                     }
-                    Message::StoreFree {} => steps.push(HotRestartStep::OpenKeyPersistence),
+                    Message::StoreReleased {} => steps.push(HotRestartStep::OpenKeyPersistence),
                     _ => tracing::warn!("upgrade: unexpected message of an earlier predecessor"),
                 },
                 Err(error) => {
@@ -145,9 +145,9 @@
 /// Returns what two processes use together.
 pub(super) fn sum(first: ProcessUsage, second: ProcessUsage) -> ProcessUsage {
     ProcessUsage {
-        running: first.running + second.running,
+        running_requests: first.running_requests + second.running_requests,
         memory_kb: first.memory_kb + second.memory_kb,
-        calls: first.calls + second.calls,
+        dependency_calls: first.dependency_calls + second.dependency_calls,
         descriptors: first.descriptors + second.descriptors,
     }
 }
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -20,7 +20,7 @@
             let effects = match receive_message(channel) {
                 Ok(None) => return,
                 Ok(Some(ReceivedMessage { message, sockets })) => {
-                    if let Message::Refused { why } = &message {
+                    if let Message::Rejected { reason: why } = &message {
                         tracing::warn!(
                             reason = %why,
                             "upgrade: the process that serves hands nothing over yet"
@@ -28,11 +28,11 @@
                     }
                     let socket_count = sockets.len();
                     predecessor.received_sockets = sockets;
-                    predecessor.protocol.hear(now, message, socket_count)
+                    predecessor.protocol.on_message(now, message, socket_count)
                 }
                 Err(error) => {
                     tracing::info!(%error, "upgrade: the predecessor is gone");
-                    predecessor.protocol.ended(now)
+                    predecessor.protocol.on_disconnected(now)
                 }
             };
             self.apply_successor_effects(now, effects, steps);
@@ -54,7 +54,7 @@
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
         if let Some(predecessor) = &mut self.predecessor {
-            let effects = predecessor.protocol.turn(now, is_up);
+            let effects = predecessor.protocol.poll(now, is_up);
             self.apply_successor_effects(now, effects, steps);
         }
     }
@@ -66,7 +66,7 @@
         effects: Vec<Effect>,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
-        let reconnects = effects.contains(&Effect::Visit);
+        let reconnects = effects.contains(&Effect::Reconnect);
         let mut result = self.execute_successor_effects(effects, steps);
         if reconnects {
             result = self.reconnect_to_predecessor(now, steps);
@@ -74,7 +74,7 @@
         let Err(error) = result else { return };
         tracing::info!(%error, "upgrade: the predecessor is gone");
         if let Some(predecessor) = &mut self.predecessor {
-            let effects = predecessor.protocol.ended(now);
+            let effects = predecessor.protocol.on_disconnected(now);
             // Nothing is sent to a process that is gone, so that this can't fail.
             let _ = self.execute_successor_effects(effects, steps);
         }
@@ -92,7 +92,7 @@
             return Ok(());
         };
         predecessor.channel = Some(channel);
-        let effects = predecessor.protocol.visited(now);
+        let effects = predecessor.protocol.on_connected(now);
         self.execute_successor_effects(effects, steps)
     }
 
@@ -117,25 +117,27 @@
         };
         match effect {
             Effect::Send(message) => predecessor.send(&message)?,
-            Effect::Adopt(addresses) => {
+            Effect::AdoptListeners(addresses) => {
                 let listeners = predecessor.take_listeners(addresses);
                 steps.push(HotRestartStep::AdoptListeners(listeners));
             }
-            Effect::Listen => steps.push(HotRestartStep::Listen),
-            Effect::Serve => steps.push(HotRestartStep::Serve),
+            Effect::ListenAnew => steps.push(HotRestartStep::Listen),
+            Effect::StartAccepting => steps.push(HotRestartStep::Serve),
             Effect::OpenStore => steps.push(HotRestartStep::OpenKeyPersistence),
-            Effect::Beside(usage) => {
+            Effect::SetPredecessorUsage(usage) => {
                 self.predecessor_usage = usage;
                 steps.push(HotRestartStep::SetPredecessorUsage(
                     self.total_predecessor_usage(),
                 ));
             }
-            Effect::Learn(snapshot) => steps.push(HotRestartStep::RestoreLearnedState(snapshot)),
-            Effect::Standing(reputation) => {
+            Effect::RestoreLearnedState(snapshot) => {
+                steps.push(HotRestartStep::RestoreLearnedState(snapshot));
+            }
+            Effect::ImportReputation(reputation) => {
                 steps.push(HotRestartStep::ImportReputation(reputation));
             }
             Effect::Close => predecessor.channel = None,
-            Effect::Mourn => {
+            Effect::PredecessorLost => {
                 let lost_usage = std::mem::take(&mut self.predecessor_usage);
                 self.earlier_predecessors
                     .on_process_lost(self.host.now(), lost_usage);
@@ -144,7 +146,7 @@
                 ));
             }
             // The caller connects once all effects are executed.
-            Effect::Visit => {}
+            Effect::Reconnect => {}
         }
         Ok(())
     }
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -45,14 +45,14 @@
     }
 
     fn on_successor_accepted(&mut self, now: Micros, channel: H::HandoverChannel) {
-        if self.successor.protocol.receives() {
-            self.successor.protocol.visited(now);
+        if self.successor.protocol.can_accept_peer() {
+            self.successor.protocol.on_connected(now);
             self.successor.channel = Some(channel);
             return;
         }
         let why = "another successor is here".to_owned();
         // The process may be gone already.
-        let _ = channel.send(&Message::Refused { why }.encode(), &[]);
+        let _ = channel.send(&Message::Rejected { reason: why }.encode(), &[]);
     }
 
     /// Reads all messages that have arrived from the successor.
@@ -67,12 +67,13 @@
         while let Some(channel) = &self.successor.channel {
             let effects = match receive_message(channel) {
                 Ok(None) => return,
-                Ok(Some(ReceivedMessage { message, .. })) => {
-                    self.successor.protocol.hear(now, &message, &addresses)
-                }
+                Ok(Some(ReceivedMessage { message, .. })) => self
+                    .successor
+                    .protocol
+                    .on_message(now, &message, &addresses),
                 Err(error) => {
                     tracing::info!(%error, "upgrade: the successor is gone");
-                    self.successor.protocol.ended(now)
+                    self.successor.protocol.on_disconnected(now)
                 }
             };
             self.apply_predecessor_effects(now, effects, listeners, steps);
@@ -97,7 +98,10 @@
         let Ok(channel) = connected else { return };
         tracing::info!("upgrade: another process has the place of the successor that is gone");
         self.successor.channel = Some(channel);
-        let effects = self.successor.protocol.found(now, usage());
+        let effects = self
+            .successor
+            .protocol
+            .on_serving_process_found(now, usage());
         self.apply_predecessor_effects(now, effects, listeners, steps);
     }
 
@@ -111,7 +115,7 @@
     ) {
         if let Err(error) = self.execute_predecessor_effects(effects, listeners, steps) {
             tracing::info!(%error, "upgrade: the successor is gone");
-            let effects = self.successor.protocol.ended(now);
+            let effects = self.successor.protocol.on_disconnected(now);
             // Nothing is sent to a process that is gone, so that this can't fail.
             let _ = self.execute_predecessor_effects(effects, listeners, steps);
         }
@@ -137,11 +141,11 @@
     ) -> io::Result<()> {
         match effect {
             Effect::Send(message) => self.successor.send(&message)?,
-            Effect::Pass(message) => self.hand_over_listeners(&message, listeners)?,
-            Effect::Yield => steps.push(HotRestartStep::YieldConnections),
-            Effect::Resume => steps.push(HotRestartStep::ResumeServing),
+            Effect::SendWithListeners(message) => self.hand_over_listeners(&message, listeners)?,
+            Effect::StopAccepting => steps.push(HotRestartStep::YieldConnections),
+            Effect::ResumeAccepting => steps.push(HotRestartStep::ResumeServing),
             Effect::Close => self.successor.channel = None,
-            Effect::Behind(usage) => {
+            Effect::AttachEarlierPredecessor(usage) => {
                 tracing::info!("upgrade: a process whose successor is gone comes before this one");
                 if let Some(channel) = self.successor.channel.take() {
                     self.earlier_predecessors.add(channel, usage);
@@ -151,7 +155,7 @@
                 ));
             }
             // The caller looks before it executes the other effects.
-            Effect::Look => {}
+            Effect::FindServingProcess => {}
         }
         Ok(())
     }
@@ -162,7 +166,10 @@
         message: &Message,
         listeners: &[ListenerEntry<'_, H>],
     ) -> io::Result<()> {
-        let Message::Offer { listen, .. } = message else {
+        let Message::ListenerOffer {
+            addresses: listen, ..
+        } = message
+        else {
             return Ok(());
         };
         let find_listener = |offered: &SocketAddr| {
--- a/crates/server/src/hot_restart/tests.rs
+++ b/crates/server/src/hot_restart/tests.rs
@@ -46,14 +46,14 @@
     let hello = |name: &str| Message::Hello {
         version: PROTOCOL_VERSION,
         name: name.into(),
-        listen: vec![address],
+        addresses: vec![address],
     };
     let mut now = host.now();
     for malformed in [
         b"GET / HTTP/1.1".to_vec(),
         vec![0xFF; 70_000],
         hello("n2").encode(),
-        Message::Take {}.encode(),
+        Message::HandoverRequest {}.encode(),
     ] {
         let peer = host
             .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
@@ -61,7 +61,7 @@
         peer.send(&malformed, &[]).expect("it is taken");
         assert!(poll(&mut old, now, &listeners).is_empty());
         assert!(
-            old.is_serving() && old.successor.protocol.receives(),
+            old.is_serving() && old.successor.protocol.can_accept_peer(),
             "{}",
             malformed.escape_ascii()
         );
@@ -78,11 +78,11 @@
     let (bytes, _) = second.receive().expect("an answer");
     assert!(matches!(
         Message::decode(&bytes),
-        Ok(Message::Refused { .. })
+        Ok(Message::Rejected { .. })
     ));
     now += predecessor::HANDOVER_TIMEOUT;
     poll(&mut old, now, &listeners);
-    assert!(old.successor.protocol.receives());
+    assert!(old.successor.protocol.can_accept_peer());
     drop(silent);
     let mut new = HotRestart::new(host.clone(), handover_address, &[address]);
     assert!(!new.is_serving());
@@ -163,9 +163,9 @@
     third.listen_for_successors(address);
     drop(second);
     let left = ProcessUsage {
-        running: 3,
+        running_requests: 3,
         memory_kb: 40.0,
-        calls: 2,
+        dependency_calls: 2,
         descriptors: 9,
     };
     let mut steps = Vec::new();
@@ -188,7 +188,7 @@
     assert_eq!(last_usage(&steps), Some(left), "what runs can't be stopped");
     now += 1_000_000;
     let runs = ProcessUsage {
-        running: 3,
+        running_requests: 3,
         memory_kb: 40.0,
         ..ProcessUsage::default()
     };
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -90,7 +90,7 @@
     pub fn on_reputation_loaded(&mut self, entries: &[StoredReputation]) {
         let now = self.now();
         if let Some(admission) = self.adapters.client_listener.admission_mut() {
-            admission.remember(now, entries);
+            admission.restore_reputation(now, entries);
         }
     }
 
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -144,7 +144,7 @@
                 addresses = reputation.len(),
                 "upgrade: reputation is taken over"
             );
-            admission.import(now, reputation);
+            admission.import_reputation(now, reputation);
         }
     }
 
@@ -154,9 +154,9 @@
         }
         self.handover.predecessor_usage = usage;
         self.events.push(Event::PredecessorUsage(ResourceUsage {
-            running: usage.running,
+            running: usage.running_requests,
             memory_kb: usage.memory_kb,
-            calls: usage.calls,
+            calls: usage.dependency_calls,
         }));
         self.share_descriptors(now);
     }
@@ -186,7 +186,8 @@
         self.write_reputation(now);
         self.reputation.release();
         let admission = self.adapters.client_listener.admission();
-        let reputation = admission.map_or_else(Vec::new, |admission| admission.export(now));
+        let reputation =
+            admission.map_or_else(Vec::new, |admission| admission.export_reputation(now));
         let learned_state = self.dispatcher.learned_state();
         let snapshot = snapshot::encode(self.identity.snapshot_site(), now, &learned_state);
         hot_restart.on_connections_yielded(self.combined_usage(), snapshot, reputation);
@@ -338,9 +339,9 @@
         let own_usage = self.dispatcher.resource_usage();
         let predecessor_usage = self.handover.predecessor_usage;
         ProcessUsage {
-            running: own_usage.running + predecessor_usage.running,
+            running_requests: own_usage.running + predecessor_usage.running_requests,
             memory_kb: own_usage.memory_kb + predecessor_usage.memory_kb,
-            calls: own_usage.calls + predecessor_usage.calls,
+            dependency_calls: own_usage.calls + predecessor_usage.dependency_calls,
             descriptors: self.usage().descriptors + predecessor_usage.descriptors,
         }
     }
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -82,7 +82,7 @@
             &self.identity.class_names,
             self.dispatcher.counters(),
             self.dispatcher.pending_count(),
-            admission.map(|admission| admission.counts),
+            admission.map(|admission| admission.counters),
             tls_metrics,
         )
     }
@@ -106,16 +106,16 @@
         "renewals_refused": renewals.rejected,
     });
     if let Some(handshakes) = handshakes {
-        let counts = handshakes.counts;
-        let (running, waiting) = handshakes.census();
+        let counts = handshakes.counters;
+        let load = handshakes.load();
         metrics["handshakes"] = serde_json::json!({
             "full": counts.full,
             "resumed": counts.resumed,
             "waited": counts.waited,
-            "refused": counts.refused,
+            "refused": counts.rejected,
             "overdue": counts.overdue,
-            "running": running,
-            "waiting": waiting,
+            "running": load.running,
+            "waiting": load.waiting,
         });
     }
     metrics
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -279,12 +279,12 @@
 impl<H: Host> ReputationPersistence<H> {
     pub(super) fn new(options: &Options) -> Self {
         let admission = options.connection_admission.as_ref();
-        let earned = admission.and_then(|admission| admission.earned);
+        let earned = admission.and_then(|admission| admission.reputation);
         let settings = options.reputation_folder.clone().zip(earned);
         Self {
             settings: settings.map(|(folder, earned)| ReputationSettings {
                 folder,
-                max_addresses: earned.most,
+                max_addresses: earned.max_addresses,
             }),
             storage: None,
             next_write_at: 0,
@@ -312,7 +312,7 @@
         let (Some(admission), Some(storage)) = (admission, &self.storage) else {
             return;
         };
-        let changed_entries = admission.moved(now);
+        let changed_entries = admission.take_unsaved_reputation(now);
         if !changed_entries.is_empty() {
             storage.write(changed_entries);
         }
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -55,10 +55,10 @@
     if let Some(counts) = admission {
         metrics["connections"] = json!({
             "admitted": counts.admitted,
-            "in_place_of_another": counts.instead,
-            "refused_by_rate": counts.rate,
-            "refused_by_places": counts.places,
-            "refused_as_full": counts.full,
+            "in_place_of_another": counts.evicted,
+            "refused_by_rate": counts.rejected_by_rate,
+            "refused_by_places": counts.rejected_by_slots,
+            "refused_as_full": counts.rejected_as_full,
         });
     }
     if let Some(tls) = tls {
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -7,7 +7,7 @@
 use crate::plan::Places;
 use crate::shelf::Shelf;
 use crate::sim::{Listens, Sim, BEGIN, MS, RUNTIMES, SECOND, STOP};
-use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::reputation::ReputationSettings;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
@@ -273,7 +273,7 @@
             Places::FirstCome => return None,
             Places::Named => {
                 let cap = ConnectionLimits {
-                    places: None,
+                    slots: None,
                     rate: Some(RateLimit { per_second, burst }),
                 };
                 (
@@ -285,24 +285,24 @@
             Places::Earned => {
                 let points = crowd::POINTS as f64;
                 let earned = ReputationSettings {
-                    points,
+                    known_points: points,
                     half_life: 600 * SECOND,
-                    most: 100,
-                    of_prefix: 4,
+                    max_addresses: 100,
+                    max_addresses_per_prefix: 4,
                 };
                 (Vec::new(), ConnectionLimits::default(), Some(earned))
             }
         };
-        let (prefix, bits) = (ConnectionLimits::default(), (24, 64));
+        let prefix_lengths = PrefixLengths { ipv4: 24, ipv6: 64 };
         let seed = self.plan.seed;
         Some(Admitting {
-            named,
-            reserve: 0.3,
-            address,
-            prefix,
-            bits,
-            earned,
-            width: 4_096,
+            named_clients: named,
+            reserved_share: 0.3,
+            address_limits: address,
+            prefix_limits: ConnectionLimits::default(),
+            prefix_lengths,
+            reputation: earned,
+            sketch_width: 4_096,
             seed,
         })
     }
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley check connection-admission`: what a decision costs at a million addresses, and who is served while connections come
 //! without end.
 
-use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::{Admission, Decision, Settings};
@@ -52,24 +52,24 @@
         burst: 4.0,
     };
     let settings = Settings {
-        named: vec!["192.168.0.0/16"
+        named_clients: vec!["192.168.0.0/16"
             .parse::<AddressPrefix>()
             .unwrap_or_else(|_| AddressPrefix::of(address(0), 16))],
-        reserve: 0.2,
-        address: ConnectionLimits {
-            places: None,
+        reserved_share: 0.2,
+        address_limits: ConnectionLimits {
+            slots: None,
             rate: Some(rate),
         },
-        prefix: ConnectionLimits {
-            places: None,
+        prefix_limits: ConnectionLimits {
+            slots: None,
             rate: Some(RateLimit {
                 per_second: 500.0,
                 burst: 1_000.0,
             }),
         },
-        bits: (24, 64),
-        earned: None,
-        width: cleatpulley::operator::admission::WIDTH,
+        prefix_lengths: PrefixLengths { ipv4: 24, ipv6: 64 },
+        reputation: None,
+        sketch_width: cleatpulley::operator::admission::WIDTH,
         seed: 11,
     };
     let mut admission = Admission::new(settings, 0);
@@ -86,7 +86,7 @@
     let begun = Instant::now();
     for n in 0..calls {
         let decision = admission.decide(u64::from(n) * 20, black_box(who(n)), 400, |_| false);
-        let_in += u32::from(!matches!(decision, Decision::Refuse(_)));
+        let_in += u32::from(!matches!(decision, Decision::Reject(_)));
     }
     let ours = begun.elapsed().as_nanos() as f64 / f64::from(calls);
     let mut buckets: HashMap<IpAddr, (f64, u64)> = HashMap::new();
@@ -108,7 +108,7 @@
     say!(
         "a decision at a million addresses, 16,000 of them busy: {ours:.0} ns, a HashMap of buckets {plain:.0} ns; {:.1} and {:.1} \
          bytes an address; {:.3}% of what should have come in was kept out",
-        admission.memory() as f64 / f64::from(MILLION),
+        admission.memory_bytes() as f64 / f64::from(MILLION),
         map as f64 / f64::from(MILLION),
         wrong * 100.0
     );
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -443,8 +443,8 @@
     );
     let (one, share, done) = flood(program, &files)?;
     // Strangers have what the reserve leaves of the rate.
-    let strangers =
-        BOUND * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserve);
+    let strangers = BOUND
+        * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserved_share);
     let allowed = strangers * one / 1e6;
     say!(
         "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
--- a/src/main.rs
+++ b/src/main.rs
@@ -216,7 +216,7 @@
 
 /// A matcher's section on the other processes, where its operator file has one.
 fn cluster_of(file: Option<&Path>, name: &str) -> Result<Option<gossip::Options>, String> {
-    let load = |file| cluster::load(file, Role::Matcher, name).map_err(|e| e.to_string());
+    let load = |file| cluster::load(file, Role::Server, name).map_err(|e| e.to_string());
     file.map(load).transpose().map(Option::flatten)
 }
 
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -1,7 +1,7 @@
 //! The section on who gets a place.
 
 use super::{wrong, Wrong};
-use cleatpulley_connection_admission::address_prefix::AddressPrefix;
+use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::reputation::ReputationSettings;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
@@ -106,7 +106,7 @@
             }
         };
         Ok(ConnectionLimits {
-            places: self.places,
+            slots: self.places,
             rate,
         })
     }
@@ -158,21 +158,24 @@
                 };
                 let half_life = within("half_life_s", earned.half_life_s as usize, 31_536_000)?;
                 Some(ReputationSettings {
-                    points: earned.points,
+                    known_points: earned.points,
                     half_life: half_life as u64 * SECOND,
-                    most: within("most", earned.most, 1_000_000)?,
-                    of_prefix: within("of_prefix", earned.of_prefix, 1_000_000)?,
+                    max_addresses: within("most", earned.most, 1_000_000)?,
+                    max_addresses_per_prefix: within("of_prefix", earned.of_prefix, 1_000_000)?,
                 })
             }
         };
         let settings = Settings {
-            named,
-            reserve: self.reserve,
-            address: self.address.check("address")?,
-            prefix: self.prefix.check("prefix")?,
-            bits: self.prefix_bits,
-            earned,
-            width: WIDTH,
+            named_clients: named,
+            reserved_share: self.reserve,
+            address_limits: self.address.check("address")?,
+            prefix_limits: self.prefix.check("prefix")?,
+            prefix_lengths: PrefixLengths {
+                ipv4: self.prefix_bits.0,
+                ipv6: self.prefix_bits.1,
+            },
+            reputation: earned,
+            sketch_width: WIDTH,
             seed: 0,
         };
         Ok((settings, folder))
@@ -201,7 +204,7 @@
 ) -> fmt::Result {
     let cap = |cap: &ConnectionLimits| {
         let places = cap
-            .places
+            .slots
             .map_or("any number of places".to_owned(), |places| {
                 format!("{places} places")
             });
@@ -213,23 +216,26 @@
         });
         format!("{places}, {rate}")
     };
-    let (four, six) = settings.bits;
+    let PrefixLengths {
+        ipv4: four,
+        ipv6: six,
+    } = settings.prefix_lengths;
     write!(
         f,
         "admission: {} nets named, {:.0}% of the places kept for known callers; an address: {}; a prefix (/{four}, /{six}): {}; {}",
-        settings.named.len(),
-        settings.reserve * 100.0,
-        cap(&settings.address),
-        cap(&settings.prefix),
-        settings.earned.map_or("standing is not earned".to_owned(), |earned| format!(
+        settings.named_clients.len(),
+        settings.reserved_share * 100.0,
+        cap(&settings.address_limits),
+        cap(&settings.prefix_limits),
+        settings.reputation.map_or("standing is not earned".to_owned(), |earned| format!(
             "known from {} points on, half of which fades in {} s, {} addresses at most, {} of a prefix",
-            earned.points,
+            earned.known_points,
             earned.half_life / SECOND,
-            earned.most,
-            earned.of_prefix
+            earned.max_addresses,
+            earned.max_addresses_per_prefix
         )),
     )?;
-    match (settings.earned, folder) {
+    match (settings.reputation, folder) {
         (Some(_), Some(folder)) => write!(f, ", kept in {}", folder.display()),
         (Some(_), None) => write!(f, ", forgotten at a restart"),
         (None, _) => Ok(()),
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -73,9 +73,9 @@
         identity.zone,
         options.listen,
         options.contacts.len(),
-        settings.probe / MS,
-        settings.answer / MS,
-        settings.suspicion / MS,
+        settings.probe_interval / MS,
+        settings.ack_timeout / MS,
+        settings.suspicion_timeout / MS,
     )
 }
 
@@ -107,21 +107,21 @@
         let usual = Settings::default();
         let time = |set: Option<u64>, usual| set.map_or(usual, |ms| ms.saturating_mul(MS));
         let settings = Settings {
-            probe: time(self.probe_ms, usual.probe),
-            answer: time(self.answer_ms, usual.answer),
-            suspicion: time(self.suspicion_ms, usual.suspicion),
-            remembered: time(self.remembered_ms, usual.remembered),
-            figures: time(self.figures_ms, usual.figures),
-            most: self.most.unwrap_or(usual.most),
+            probe_interval: time(self.probe_ms, usual.probe_interval),
+            ack_timeout: time(self.answer_ms, usual.ack_timeout),
+            suspicion_timeout: time(self.suspicion_ms, usual.suspicion_timeout),
+            down_retention: time(self.remembered_ms, usual.down_retention),
+            metric_lifetime: time(self.figures_ms, usual.metric_lifetime),
+            max_members: self.most.unwrap_or(usual.max_members),
         };
         settings.check().map_err(|fault| {
             let unit = if fault.key == "most" { "" } else { "_ms" };
-            (format!("{}{unit}", fault.key), fault.why)
+            (format!("{}{unit}", fault.key), fault.reason)
         })?;
         let identity = Identity {
             name: label("name", self.name.unwrap_or_else(|| name.to_owned()))?,
             incarnation: 0,
-            boot: 0,
+            boot_id: 0,
             address: reached,
             role,
             zone: label("zone", self.zone)?,
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -123,7 +123,7 @@
             .collect();
         Ok(cleatpulley_connection_admission::identity::Settings {
             named,
-            places: self.places,
+            slots: self.places,
             rate,
         })
     }
@@ -262,7 +262,7 @@
         )?;
         let at_once = within(
             "at_once",
-            self.at_once.unwrap_or(plain.at_once) as f64,
+            self.at_once.unwrap_or(plain.max_running) as f64,
             1.0,
             65_536.0,
         )? as usize;
@@ -272,23 +272,28 @@
             0.01,
             1.0,
         )?;
-        let reserve = within("reserve", self.reserve.unwrap_or(plain.reserve), 0.0, 0.9)?;
-        let deadline_ms = self.deadline_ms.unwrap_or(plain.deadline / 1_000);
+        let reserve = within(
+            "reserve",
+            self.reserve.unwrap_or(plain.reserved_share),
+            0.0,
+            0.9,
+        )?;
+        let deadline_ms = self.deadline_ms.unwrap_or(plain.timeout / 1_000);
         let deadline = within("deadline_ms", deadline_ms as f64, 50.0, 60_000.0)? as u64 * 1_000;
         let waiting = within(
             "waiting",
-            self.waiting.unwrap_or(plain.waiting) as f64,
+            self.waiting.unwrap_or(plain.max_waiting) as f64,
             0.0,
             65_536.0,
         )? as usize;
         Ok(Handshaking {
             per_second,
             burst,
-            at_once,
+            max_running: at_once,
             resumed_cost,
-            reserve,
-            deadline,
-            waiting,
+            reserved_share: reserve,
+            timeout: deadline,
+            max_waiting: waiting,
         })
     }
 }
@@ -423,7 +428,7 @@
     }
     if let Some(identities) = &tls.identities {
         let places = identities
-            .places
+            .slots
             .map_or("any number of places".to_owned(), |most| {
                 format!("{most} places")
             });
@@ -441,7 +446,7 @@
         Some(h) => write!(
             f,
             "; handshakes: {} a second ({} at once), {} at a time, a resumption costs {}, {:.0}% kept for known callers and resumptions, {} ms to end, {} may wait",
-            h.per_second, h.burst, h.at_once, h.resumed_cost, h.reserve * 100.0, h.deadline / 1_000, h.waiting
+            h.per_second, h.burst, h.max_running, h.resumed_cost, h.reserved_share * 100.0, h.timeout / 1_000, h.max_waiting
         ),
     }
 }
