--- a/crates/connection-admission/src/decision.rs
+++ b/crates/connection-admission/src/decision.rs
@@ -34,7 +34,7 @@
 pub enum Decision {
     /// It gets a free slot.
     Admit(KnownBy),
-    /// It gets the slot of another connection, which owes no response.
+    /// It gets the slot of another connection, which has no pending request.
     AdmitInstead {
         /// The connection that is to be closed.
         victim: ConnectionId,
--- a/crates/connection-admission/src/eviction.rs
+++ b/crates/connection-admission/src/eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction: which connection gives its slot to a new one when all slots are held.
 //!
-//! A connection that owes a response is never evicted. Unknown clients share the slots fairly: the
+//! A connection with a pending request is never evicted. Unknown clients share the slots fairly: the
 //! prefix that holds the most gives to one that holds less, and within a prefix the address.
 
 use crate::address_prefix::AddressPrefix;
@@ -25,7 +25,7 @@
 
 impl ConnectionTable {
     /// Returns the connection whose slot goes to a new one, if any; `is_idle` tells whether a
-    /// connection owes no response.
+    /// connection has no pending request.
     pub(crate) fn select_victim(
         &self,
         new: &NewConnection,
--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -60,20 +60,7 @@
     ) {
         let id = request.id;
         let decision = self.decide_by_key(now, &incoming, &mut request);
-        let mut state = RequestState {
-            client: incoming.client,
-            class: incoming.class,
-            received_at,
-            respond_by,
-            is_answered: false,
-            is_start_uncertain: false,
-            stage: RequestStage::Queued,
-            has_key: request.caches_result,
-            request,
-            body: Vec::new(),
-            call: RequestedCall::default(),
-            wait_number: 0,
-        };
+        let mut state = queued_state(&incoming, request, received_at, respond_by);
         match decision {
             KeyDecision::Admit => {
                 let arrival = ControllerEvent::Arrived(state.request.clone());
@@ -168,6 +155,29 @@
     }
 }
 
+/// Returns the state of a request that waits for the controller, without its body.
+fn queued_state(
+    incoming: &IncomingRequest,
+    request: Request,
+    received_at: Micros,
+    respond_by: Micros,
+) -> RequestState {
+    RequestState {
+        client: incoming.client,
+        class: incoming.class,
+        received_at,
+        respond_by,
+        is_answered: false,
+        is_start_uncertain: false,
+        stage: RequestStage::Queued,
+        has_key: request.caches_result,
+        request,
+        body: Vec::new(),
+        call: RequestedCall::default(),
+        wait_number: 0,
+    }
+}
+
 /// Returns when the request was received, within what is possible: clocks differ, but nothing comes
 /// from the future, or from longer ago than anyone waits.
 fn plausible_receipt(now: Micros, received_at: Micros, class: &Class) -> Micros {
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Returns the memory of all requests, and of those queued ones that may still start beside
-    /// `running` others. In whole bytes, so that the sum is the same in any order.
+    /// Returns the memory of all requests, and of those queued ones that may still start in
+    /// addition to `running` others. In whole bytes, so that the sum is the same in any order.
     fn reserved_memory_bytes(&self, running: usize) -> u64 {
         let factor = self.settings.running_memory_factor.max(1.0);
         let present: u64 = self
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -22,7 +22,7 @@
 
     /// Returns an id for a request with a key: its own, or an unused one where another attempt with
     /// the same id is open or still runs. A proxy that retries a request does not give it a new id;
-    /// its key tells what it is.
+    /// its key identifies it.
     pub(crate) fn unused_id(&self, id: RequestId, client: ClientStream, class: usize) -> RequestId {
         let Some(keys) = &self.keys else { return id };
         if !keys.caches_results(class) {
--- a/crates/dispatcher/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -79,23 +79,8 @@
         if request.stage == RequestStage::Calling {
             commands.push(Command::AbandonCall(id));
         }
-        let ended = ControllerEvent::RunEnded {
-            id,
-            outcome,
-            elapsed,
-        };
         if self.keys.as_ref().is_some_and(|keys| keys.table.is_run(id)) {
-            // The response follows once the result is durable; the core is free now.
-            request.stage = RequestStage::PersistingResult;
-            if request.is_answered {
-                self.requests.remove(id);
-            }
-            self.driver.notify(ended);
-            if outcome == Outcome::NotStarted {
-                self.release_unstarted_key(now, id, commands);
-            } else {
-                self.end_key(now, id, key_outcome(is_success, result), commands);
-            }
+            self.end_run_with_key(now, id, outcome, elapsed, result, commands);
             return;
         }
         let response = if is_success {
@@ -105,7 +90,41 @@
         };
         self.respond(now, id, response, commands);
         self.requests.remove(id);
-        self.driver.notify(ended);
+        self.driver.notify(ControllerEvent::RunEnded {
+            id,
+            outcome,
+            elapsed,
+        });
+    }
+
+    /// Ends the run of a first attempt with a key. The response follows once the result is durable;
+    /// the core is free now.
+    fn end_run_with_key(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        outcome: Outcome,
+        elapsed: Micros,
+        result: Vec<u8>,
+        commands: &mut Vec<Command>,
+    ) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.stage = RequestStage::PersistingResult;
+            if request.is_answered {
+                self.requests.remove(id);
+            }
+        }
+        self.driver.notify(ControllerEvent::RunEnded {
+            id,
+            outcome,
+            elapsed,
+        });
+        if outcome == Outcome::NotStarted {
+            self.release_unstarted_key(now, id, commands);
+        } else {
+            let is_success = outcome == Outcome::Success;
+            self.end_key(now, id, key_outcome(is_success, result), commands);
+        }
     }
 
     /// Ends everything that was started: its end will never be reported.
--- a/crates/policy/src/controller/admission.rs
+++ b/crates/policy/src/controller/admission.rs
@@ -2,7 +2,7 @@
 
 use super::request_state::{RequestStage, RequestState, RequestTiming, RequestValue};
 use super::{must_call, Controller};
-use crate::interface::{Action, Effect, Micros, Request, RequestId};
+use crate::interface::{Action, Effect, Micros, Request, RequestId, Settings};
 
 impl Controller {
     pub(super) fn on_arrival(&mut self, request: &Request, actions: &mut Vec<Action>) {
@@ -43,13 +43,12 @@
         let objective_at = (arrived_at + class.latency_objective + stretch as Micros)
             .saturating_sub(age)
             .min(respond_by);
-        let weighted_work = if self.settings.weight_by_work {
-            statistics.work(relative_size)
-        } else {
-            1.0
+        let work = statistics.work(relative_size);
+        let value = RequestValue {
+            weight: class.priority_weight * self.settings.weighted_work(work),
+            relative_size,
+            rank_in_class: self.settings.rank_in_class(request.rank),
         };
-        let weight = class.priority_weight * weighted_work;
-        let classes = self.settings.classes.len() as f64;
         RequestState {
             id: request.id,
             class: request.class,
@@ -62,11 +61,7 @@
                 respond_by: self.cut_to_stop(respond_by),
                 objective_at,
             },
-            value: RequestValue {
-                weight,
-                relative_size,
-                rank_in_class: (request.rank * classes).fract(),
-            },
+            value,
             stage: RequestStage::Queued,
             is_settled: false,
             sharing_requests: 0,
@@ -180,3 +175,20 @@
         }
     }
 }
+
+impl Settings {
+    /// Returns by how much the priority weight of a request counts that needs this much work.
+    fn weighted_work(&self, work: f64) -> f64 {
+        if self.weight_by_work {
+            work
+        } else {
+            1.0
+        }
+    }
+
+    /// Returns the rank of a request among those of its class, given its rank among all: classes
+    /// divide the ranks into bands of equal size.
+    fn rank_in_class(&self, rank: f64) -> f64 {
+        (rank * self.classes.len() as f64).fract()
+    }
+}
--- a/crates/policy/src/controller/control_loop.rs
+++ b/crates/policy/src/controller/control_loop.rs
@@ -16,7 +16,7 @@
 
 /// Periods in the response slack: a deadline is met with three of four still in hand.
 const PERIODS_IN_SLACK: u64 = 4;
-/// The controller has one timer, and needs no token to tell it from others.
+/// The controller has one timer, and needs no token to distinguish it.
 const TIMER_TOKEN: u64 = 0;
 
 /// The overload controller of one server.
--- a/crates/policy/src/controller/dependency_limiter.rs
+++ b/crates/policy/src/controller/dependency_limiter.rs
@@ -126,7 +126,7 @@
         self.gap.on_admission(now, self.latency.smoothed());
     }
 
-    /// Returns whether another call may be made beside those in flight.
+    /// Returns whether another call may be made in addition to those in flight.
     pub(super) fn has_capacity(&self, now: Micros, in_flight: usize) -> bool {
         let concurrency = self.quota.concurrency(now, in_flight) as f64;
         let shortest_allowance = self.latency.smoothed().min(self.quota.time_per_window());
--- a/crates/policy/src/controller/dependency_limiter/call_latency.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_latency.rs
@@ -1,4 +1,4 @@
-//! The latency of calls, beside its baseline.
+//! The latency of calls, and its baseline.
 
 use super::super::smoothing::smooth;
 use crate::interface::Micros;
--- a/crates/policy/src/controller/dependency_limiter/call_quota.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_quota.rs
@@ -3,8 +3,8 @@
 use super::MARGIN;
 use crate::interface::Micros;
 
-/// Share of the window by which the mean may run ahead of the quota: little beside what the mean
-/// forgives.
+/// Share of the window by which the mean may run ahead of the quota: little in comparison with what
+/// the mean forgives.
 const BURST_SHARE: f64 = 0.1;
 
 /// When a call occupied the dependency.
--- a/crates/policy/src/controller/mod.rs
+++ b/crates/policy/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! Every admission decision of a server, without I/O or clock.
 //!
 //! Bassoon gapping decides the ordinary path: the smoothed backlog of requests that wait to call
-//! the dependency sets a gap, and each admission closes the dependency for one gap. Beside it there
-//! are a limit on calls in flight, a limit on running requests, and a rank threshold for arrivals.
+//! the dependency sets a gap, and each admission closes the dependency for one gap. Apart from it
+//! there are a limit on calls in flight, a limit on running requests, and a rank threshold for arrivals.
 //! The rest keeps the rules: one final response by the deadline, no second run, a graceful
 //! shutdown, and no failure by overload.
 //!
--- a/crates/policy/src/controller/priority.rs
+++ b/crates/policy/src/controller/priority.rs
@@ -1,4 +1,4 @@
-//! The priority of a request beside the others, and the rank below which arrivals are rejected.
+//! The priority of a request among others, and the rank below which arrivals are rejected.
 
 use super::queue::QUEUE_SHARE;
 use super::request_state::RequestState;
--- a/crates/policy/src/controller/queue.rs
+++ b/crates/policy/src/controller/queue.rs
@@ -10,7 +10,7 @@
 /// Share of its latency objective that a class leaves for queueing at least, however long its runs.
 const LEAST_SLACK_SHARE: f64 = 0.1;
 
-/// The time that queued work needs, beside the time that it may need; both in microseconds.
+/// The time that queued work needs, and the time that it may need; both in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueueLoad {
     /// Until all queued work is started.
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -13,7 +13,7 @@
 //! | `acceptor`, `accept` | who gets a connection slot, and what becomes of those who get none |
 //! | `sweeper`, `eviction` | giving up connection slots, idle timeouts |
 //! | `tls_handshakes`, `handshakes` | handshakes, and what the names of certificates permit |
-//! | `draining` | what clients are told of a successor or a shutdown |
+//! | `draining` | what clients are notified of: a successor or a shutdown |
 
 mod accept;
 mod acceptor;
@@ -69,7 +69,7 @@
     pub error: io::Error,
 }
 
-/// What clients were told of the shutdown. The stop may come without a drain before it, and a drain
+/// What clients were notified of the shutdown. The stop may come without a drain before it, and a drain
 /// may follow after its notice.
 #[derive(Default)]
 struct ShutdownNotices {
--- a/crates/server/src/client_listener/draining.rs
+++ b/crates/server/src/client_listener/draining.rs
@@ -1,4 +1,4 @@
-//! Draining: what clients are told when another process accepts, or this one shuts down.
+//! Draining: what clients are notified of when another process accepts, or this one shuts down.
 
 use super::client_connection::ClientConnection;
 use super::ClientListener;
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Tells clients that the stop is near: no new request is accepted, and no new connection after
+    /// Notifies clients that the stop is near: no new request is accepted, and no new connection after
     /// those that wait. Only the first call has an effect.
     pub fn notify_stop(&mut self, now: Micros) {
         if std::mem::replace(&mut self.shutdown.is_stop_near, true) {
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a server can't be started.
+//! Why a server can't be started, or what it reads again can't be used.
 
 use std::io;
 use std::net::SocketAddr;
@@ -43,6 +43,23 @@
     pub reason: String,
 }
 
+/// Why a configuration or keys could not be read again. The cause names file and key.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct ReloadError(#[from] Box<dyn std::error::Error + Send + Sync>);
+
+impl From<String> for ReloadError {
+    fn from(cause: String) -> Self {
+        Self(cause.into())
+    }
+}
+
+impl From<String> for CertificateError {
+    fn from(reason: String) -> Self {
+        Self { reason }
+    }
+}
+
 impl From<StartError> for io::Error {
     fn from(error: StartError) -> Self {
         let kind = match &error {
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -1,6 +1,7 @@
 //! The socket, and the membership over it.
 
 use super::incarnation_store;
+use crate::error::ReloadError;
 use crate::host::{DatagramSocket, GossipHost};
 use crate::status_report::Status;
 use cleatpulley_membership::authentication::KeyRing;
@@ -24,7 +25,7 @@
 pub const LISTENER_NUMBER: usize = (1 << 16) + 2;
 
 /// Reads the keys again.
-pub type ReloadKeys = Box<dyn FnMut() -> Result<KeyRing, String>>;
+pub type ReloadKeys = Box<dyn FnMut() -> Result<KeyRing, ReloadError>>;
 
 /// What gossip is created from.
 pub struct Options {
@@ -156,7 +157,7 @@
         self.membership.next_deadline().min(self.next_status_at)
     }
 
-    /// Tells the others that this process leaves.
+    /// Notifies the others that this process leaves.
     pub fn leave(&mut self) {
         let now = self.host.now();
         self.membership.leave(now);
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -248,7 +248,7 @@
         asks_again
     }
 
-    /// Tells the successor that the connections are its own now, with what was learned of them.
+    /// Notifies the successor that the connections are its own now, with what was learned of them.
     pub fn on_connections_yielded(
         &mut self,
         usage: ProcessUsage,
@@ -263,7 +263,7 @@
         });
     }
 
-    /// Tells the successor that this process ends, and what it leaves in use.
+    /// Notifies the successor that this process ends, and what it leaves in use.
     pub fn shutdown(&mut self, usage: ProcessUsage) {
         if self.successor.channel.is_some() && self.has_yielded() {
             self.send_to_successor(Message::UsageReport(usage));
@@ -275,7 +275,7 @@
         self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
 
-    /// Tells the successor that the persistence of idempotency keys is released.
+    /// Notifies the successor that the persistence of idempotency keys is released.
     pub fn on_key_persistence_released(&mut self) {
         let effects = self.successor.protocol.on_store_released();
         self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,6 +1,7 @@
 //! What a server is constructed from, which services it connects to, and what it holds.
 
 use crate::dependency_pool::DependencyProtocol;
+use crate::error::ReloadError;
 use crate::tls_layer::TlsOptions;
 use cleatpulley_connection_admission::Settings as ConnectionAdmission;
 use cleatpulley_dispatcher::key_table::Capacity;
@@ -98,7 +99,7 @@
 
 /// Reads the configuration again: returns the addresses of the services from now on, or what is
 /// wrong with it.
-pub type Reload = Box<dyn FnMut() -> Result<ServiceAddresses, String>>;
+pub type Reload = Box<dyn FnMut() -> Result<ServiceAddresses, ReloadError>>;
 
 /// What a server holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/server/src/tls_layer/options.rs
+++ b/crates/server/src/tls_layer/options.rs
@@ -1,5 +1,6 @@
 //! Where TLS is spoken, and with which certificate.
 
+use crate::error::CertificateError;
 use cleatpulley_connection_admission::{handshake, identity};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_tls::pair::Facts;
@@ -26,7 +27,7 @@
     ///
     /// # Errors
     /// The file at fault and why.
-    fn load(&self) -> Result<LoadedCertificate, String>;
+    fn load(&self) -> Result<LoadedCertificate, CertificateError>;
 }
 
 /// TLS on the listeners of a server.
--- a/crates/server/src/tls_layer/state.rs
+++ b/crates/server/src/tls_layer/state.rs
@@ -44,10 +44,7 @@
     pub fn new(options: TlsOptions, now: Micros) -> Result<Self, CertificateError> {
         options.clock.set(now);
         let stamp = options.certificates.stamp();
-        let certificate = options
-            .certificates
-            .load()
-            .map_err(|reason| CertificateError { reason })?;
+        let certificate = options.certificates.load()?;
         log_certificate(&certificate.facts);
         let mut state = Self {
             options,
--- a/src/main.rs
+++ b/src/main.rs
@@ -341,7 +341,10 @@
                 incarnation,
                 token,
             });
-            let reload = move || Config::load(&sources).map(|config| config.parties());
+            let reload = move || {
+                let config = Config::load(&sources)?;
+                Ok(config.parties())
+            };
             let listener = serve.inherit_listener.then(inherited).transpose()?;
             let hosted = link.is_some() || listener.is_some();
             // A fleet's daemon hands its instances over by itself.
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -131,9 +131,10 @@
         let mut keys: ReloadKeys = Box::new(move || {
             let text =
                 std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-            KeyRing::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
+            let keys = KeyRing::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+            Ok(keys)
         });
-        keys().map_err(|what| ("keys".to_owned(), what))?;
+        keys().map_err(|error| ("keys".to_owned(), error.to_string()))?;
         if self.folder.as_os_str().is_empty() {
             return wrong("folder", "it names no folder");
         }
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -4,6 +4,7 @@
 use super::{wrong, Wrong};
 use crate::config::Config;
 use cleatpulley_connection_admission::handshake::Settings as Handshaking;
+use cleatpulley_server::error::CertificateError;
 use cleatpulley_server::tls_layer::{CertificateSource, LoadedCertificate, TlsOptions};
 use cleatpulley_tls::pair::{self, Pair};
 use cleatpulley_tls::setup::{self, Clients, Versions};
@@ -205,7 +206,7 @@
         hasher.finish()
     }
 
-    fn load(&self) -> Result<LoadedCertificate, String> {
+    fn load(&self) -> Result<LoadedCertificate, CertificateError> {
         let pair = Pair::load(&self.certificate, &self.key).map_err(|e| e.to_string())?;
         let clients = match &self.roots {
             None => None,
@@ -375,7 +376,7 @@
         // A pair that is faulty at the start is told at once, with its key and file.
         files
             .load()
-            .map_err(|what| (files.key_of(&what).to_owned(), what))?;
+            .map_err(|error| (files.key_of(&error.reason).to_owned(), error.reason))?;
         let handshakes = self.handshakes.map(HandshakesSection::check).transpose()?;
         if self.identities.is_some() && files.roots.is_none() {
             return wrong(
