--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -130,7 +130,10 @@
 
     /// Returns whether a request with this id is open or still runs.
     pub(crate) fn is_known(&self, id: RequestId) -> bool {
-        let runs = self.keys.as_ref().is_some_and(|keys| keys.table.is_run(id));
+        let runs = self
+            .keys
+            .as_ref()
+            .is_some_and(|keys| keys.table.is_started(id));
         runs || self.requests.contains(id)
     }
 
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -152,7 +152,7 @@
     PredecessorUsage(ResourceUsage),
     /// The keys that were recovered at the start.
     KeysRecovered(Box<RecoveredKeys>),
-    /// Everything written under this ticket and earlier ones is durable.
+    /// Everything written with this sequence number or an earlier one is durable.
     KeysDurable(u64),
     /// Whether keys can be persisted at present. While they can't, only what is durable counts as
     /// written.
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -84,7 +84,7 @@
                 keys.table.load(recovered);
                 self.decide_on_early_attempts(now, commands);
             }
-            Event::KeysDurable(ticket) => keys.table.on_durable(ticket, &mut self.key_commands),
+            Event::KeysDurable(sequence) => keys.table.on_durable(sequence, &mut self.key_commands),
             Event::PersistenceAvailable(is_available) => {
                 keys.table
                     .set_persistence_available(is_available, &mut self.key_commands);
--- a/crates/dispatcher/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -79,7 +79,11 @@
         if request.stage == RequestStage::Calling {
             commands.push(Command::AbandonCall(id));
         }
-        if self.keys.as_ref().is_some_and(|keys| keys.table.is_run(id)) {
+        if self
+            .keys
+            .as_ref()
+            .is_some_and(|keys| keys.table.is_started(id))
+        {
             self.end_run_with_key(now, id, outcome, elapsed, result, commands);
             return;
         }
--- a/crates/dispatcher/tests/crash_recovery.rs
+++ b/crates/dispatcher/tests/crash_recovery.rs
@@ -4,7 +4,7 @@
 //! results differ, none that was reported is forgotten, and each attempt gets one response by its
 //! deadline, unless its process died.
 
-use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
+use cleatpulley_dispatcher::key_table::{KeyTable, KeyTableOptions};
 use cleatpulley_dispatcher::{
     ClientStream, Command, Dispatcher, Event, IdempotencyKeys, IncomingRequest, KeyScope, Response,
     RuntimeCommand,
@@ -113,9 +113,9 @@
 
 impl World {
     fn start(&mut self) -> Process {
-        let bounds = Capacity {
-            entries: 500,
-            result_bytes: 100_000,
+        let bounds = KeyTableOptions {
+            max_entries: 500,
+            max_result_bytes: 100_000,
             deduplication_window: WINDOW,
             stall_timeout: 40 * MS,
             hash_seed: 5,
@@ -306,7 +306,7 @@
         if let Some(journal) = &mut process.journal {
             if journal.has_unsynced_writes() {
                 match journal.sync() {
-                    Ok(ticket) => self.handle(process, Event::KeysDurable(ticket)),
+                    Ok(sequence) => self.handle(process, Event::KeysDurable(sequence)),
                     Err(_) => self.lose_journal(process),
                 }
             }
@@ -521,9 +521,9 @@
 /// that fills the rest; and what waited for a slow disk to be read had no bound.
 #[test]
 fn requests_that_wait_for_recovery_stay_within_their_share_of_memory() {
-    let bounds = Capacity {
-        entries: 1_000,
-        result_bytes: 1_000_000,
+    let bounds = KeyTableOptions {
+        max_entries: 1_000,
+        max_result_bytes: 1_000_000,
         deduplication_window: WINDOW,
         stall_timeout: SECOND,
         hash_seed: 1,
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -26,7 +26,7 @@
     /// the other addresses.
     AdoptListeners(Vec<SocketAddr>),
     /// No socket was passed: listen on all addresses, also while the predecessor does.
-    ListenAnew,
+    BindAllListeners,
     /// Accept connections from here on.
     StartAccepting,
     /// Open the store of idempotency keys: the predecessor has closed it, or is gone.
@@ -224,7 +224,7 @@
         let effects = match self.state {
             State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => vec![
                 Effect::Close,
-                Effect::ListenAnew,
+                Effect::BindAllListeners,
                 Effect::OpenStore,
                 Effect::StartAccepting,
             ],
--- a/crates/hot-restart/src/successor/tests.rs
+++ b/crates/hot-restart/src/successor/tests.rs
@@ -70,7 +70,7 @@
 fn listens_itself_where_no_acceptable_offer_comes() {
     let listen_alone = [
         Effect::Close,
-        Effect::ListenAnew,
+        Effect::BindAllListeners,
         Effect::OpenStore,
         Effect::StartAccepting,
     ];
@@ -165,7 +165,7 @@
     ));
     let listen_alone = [
         Effect::Close,
-        Effect::ListenAnew,
+        Effect::BindAllListeners,
         Effect::OpenStore,
         Effect::StartAccepting,
     ];
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -26,10 +26,10 @@
 pub struct Journal<F: FileSystem> {
     store: Store<F>,
     fences: FenceTable,
-    /// The last ticket that was written.
-    written_ticket: u64,
-    /// The last ticket that is durable.
-    durable_ticket: u64,
+    /// Sequence number of the last write.
+    written_sequence: u64,
+    /// Sequence number of the last durable write.
+    durable_sequence: u64,
 }
 
 /// A journal that was opened, with what its store held.
@@ -39,7 +39,7 @@
     /// The keys that the store held.
     pub recovered: RecoveredKeys,
     /// What the store found in its files.
-    pub found: RecoveryReport,
+    pub recovery_report: RecoveryReport,
 }
 
 impl<F: FileSystem> Journal<F> {
@@ -49,18 +49,18 @@
     /// Where the store can't be opened or read.
     pub fn open(files: F, options: Options, now: Micros) -> Result<OpenedJournal<F>, Error> {
         let hash_seed = options.seed;
-        let (store, found) = Store::open(files, options)?;
+        let (store, recovery_report) = Store::open(files, options)?;
         let recovered = recover(&store, now, hash_seed)?;
         let journal = Self {
             store,
             fences: recovered.fences.clone(),
-            written_ticket: 0,
-            durable_ticket: 0,
+            written_sequence: 0,
+            durable_sequence: 0,
         };
         Ok(OpenedJournal {
             journal,
             recovered,
-            found,
+            recovery_report,
         })
     }
 
@@ -71,7 +71,7 @@
     pub fn write(&mut self, command: &KeyCommand) -> Result<(), Error> {
         match command {
             KeyCommand::Write {
-                ticket,
+                sequence,
                 key,
                 record,
                 expires_at,
@@ -79,7 +79,7 @@
                 let value = encode_value(*expires_at, record);
                 let batch = Batch::default().put(key.as_bytes(), &value, Some(*expires_at));
                 self.store.write(batch)?;
-                self.written_ticket = *ticket;
+                self.written_sequence = *sequence;
             }
             // Need not be durable: what a crash brings back is an intent, and that never runs.
             KeyCommand::Erase { key } => {
@@ -93,10 +93,10 @@
     /// Returns whether a write is not durable yet.
     #[must_use]
     pub fn has_unsynced_writes(&self) -> bool {
-        self.written_ticket > self.durable_ticket
+        self.written_sequence > self.durable_sequence
     }
 
-    /// Makes all writes durable. Returns the last ticket that is.
+    /// Makes all writes durable. Returns the sequence number of the last durable write.
     ///
     /// # Errors
     /// Where the store can't be synced: then it takes no more writes, and what was not durable yet
@@ -106,9 +106,9 @@
             if !is_bug_injected(InjectedBug::SyncSkipped) {
                 self.store.sync()?;
             }
-            self.durable_ticket = self.written_ticket;
+            self.durable_sequence = self.written_sequence;
         }
-        Ok(self.written_ticket)
+        Ok(self.written_sequence)
     }
 
     /// Returns how a key ended, where the store has that.
--- a/crates/idempotency/src/key_command.rs
+++ b/crates/idempotency/src/key_command.rs
@@ -5,11 +5,11 @@
 
 /// The capacity of a table, and its times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Capacity {
+pub struct KeyTableOptions {
     /// The most keys.
-    pub entries: usize,
+    pub max_entries: usize,
     /// The most bytes of results.
-    pub result_bytes: usize,
+    pub max_result_bytes: usize,
     /// For how long a key is remembered, from its run on, or from its first attempt where nothing
     /// ran.
     pub deduplication_window: Micros,
@@ -48,8 +48,8 @@
     ///
     /// [`on_durable`]: crate::key_table::KeyTable::on_durable
     Write {
-        /// Tickets rise. One that is durable stands for all before it.
-        ticket: u64,
+        /// Sequence numbers rise. One that is durable stands for all before it.
+        sequence: u64,
         /// The key.
         key: ScopedKey,
         /// Its record.
--- a/crates/idempotency/src/key_table.rs
+++ b/crates/idempotency/src/key_table.rs
@@ -17,7 +17,7 @@
 mod recovered_keys;
 mod runs;
 
-pub use crate::key_command::{Capacity, KeyCommand, KeyStatus};
+pub use crate::key_command::{KeyCommand, KeyStatus, KeyTableOptions};
 pub use recovered_keys::RecoveredKeys;
 
 use crate::expiring_table::{ExpiringTable, Location, TableEntry};
@@ -30,7 +30,7 @@
 /// The keys that are remembered, and how far each has come.
 #[derive(Debug)]
 pub struct KeyTable {
-    capacity: Capacity,
+    options: KeyTableOptions,
     keys: ExpiringTable<KeyEntry>,
     fences: FenceTable,
     /// Attempts without a response, and their keys.
@@ -39,7 +39,7 @@
     runs: HashMap<RequestId, Location>,
     /// Writes that are not durable yet, in their order.
     pending_writes: VecDeque<PendingWrite>,
-    next_ticket: u64,
+    next_sequence: u64,
     /// Bytes of the cached results.
     result_bytes: usize,
     persistence: Persistence,
@@ -48,7 +48,7 @@
 /// A write that is not durable yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingWrite {
-    ticket: u64,
+    sequence: u64,
     location: Location,
     written_at: Micros,
 }
@@ -56,15 +56,15 @@
 impl KeyTable {
     /// Creates a table that admits nothing before [`load`](Self::load).
     #[must_use]
-    pub fn new(capacity: Capacity) -> Self {
+    pub fn new(options: KeyTableOptions) -> Self {
         Self {
-            capacity,
-            keys: ExpiringTable::new(capacity.hash_seed),
+            options,
+            keys: ExpiringTable::new(options.hash_seed),
             fences: FenceTable::default(),
             attempts: HashMap::new(),
             runs: HashMap::new(),
             pending_writes: VecDeque::new(),
-            next_ticket: 1,
+            next_sequence: 1,
             result_bytes: 0,
             persistence: Persistence::new(),
         }
@@ -122,8 +122,8 @@
     /// Returns whether a further key would be admitted.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
-        let has_room = self.keys.len() < self.capacity.entries
-            && self.result_bytes < self.capacity.result_bytes;
+        let has_room = self.keys.len() < self.options.max_entries
+            && self.result_bytes < self.options.max_result_bytes;
         has_room && self.persistence.admits_keys()
     }
 
--- a/crates/idempotency/src/key_table/attempts.rs
+++ b/crates/idempotency/src/key_table/attempts.rs
@@ -40,7 +40,7 @@
             digest: digest.into(),
             state: KeyState::Pending(Box::new(PendingKey::new(id))),
         };
-        let expires_at = now + self.capacity.deduplication_window;
+        let expires_at = now + self.options.deduplication_window;
         let location = self.keys.insert(key.clone(), expires_at, entry);
         self.attempts.insert(id, location);
         KeyStatus::First
--- a/crates/idempotency/src/key_table/key_state.rs
+++ b/crates/idempotency/src/key_table/key_state.rs
@@ -49,15 +49,15 @@
     Accepted,
     /// The intent to run is being written.
     WritingIntent {
-        /// The ticket of the write.
-        ticket: u64,
+        /// Sequence number of the write.
+        sequence: u64,
     },
     /// The run was started.
     Started,
     /// The run has ended, and its result is being written.
     WritingResult {
-        /// The ticket of the write.
-        ticket: u64,
+        /// Sequence number of the write.
+        sequence: u64,
         /// How it ended.
         outcome: KeyOutcome,
     },
--- a/crates/idempotency/src/key_table/persistence.rs
+++ b/crates/idempotency/src/key_table/persistence.rs
@@ -75,7 +75,7 @@
         let is_late = self
             .pending_writes
             .front()
-            .is_some_and(|write| now >= write.written_at + self.capacity.stall_timeout);
+            .is_some_and(|write| now >= write.written_at + self.options.stall_timeout);
         if self.persistence.is_stalled || !is_late {
             return;
         }
@@ -103,6 +103,6 @@
             return None;
         }
         let write = self.pending_writes.front()?;
-        Some(write.written_at + self.capacity.stall_timeout)
+        Some(write.written_at + self.options.stall_timeout)
     }
 }
--- a/crates/idempotency/src/key_table/runs.rs
+++ b/crates/idempotency/src/key_table/runs.rs
@@ -25,18 +25,18 @@
             return;
         }
         // The window is that of the attempt that runs: one that replaced the first came later.
-        let expires_at = now + self.capacity.deduplication_window;
+        let expires_at = now + self.options.deduplication_window;
         self.keys.extend_expiry(location, expires_at);
-        let ticket = self.add_pending_write(now, location);
+        let sequence = self.add_pending_write(now, location);
         if let Some(pending) = self.pending_mut(location) {
-            pending.stage = RunStage::WritingIntent { ticket };
+            pending.stage = RunStage::WritingIntent { sequence };
             pending.has_record = true;
         }
         let Some(entry) = self.keys.get(location) else {
             return;
         };
         commands.push(KeyCommand::Write {
-            ticket,
+            sequence,
             key: entry.key.clone(),
             record: KeyRecord::Intent {
                 digest: entry.value.digest.into(),
@@ -44,26 +44,26 @@
             expires_at: entry.expires_at,
         });
         if is_bug_injected(InjectedBug::IntentSkipped) {
-            self.on_durable(ticket, commands);
+            self.on_durable(sequence, commands);
         }
     }
 
     fn add_pending_write(&mut self, now: Micros, location: Location) -> u64 {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
         self.pending_writes.push_back(PendingWrite {
-            ticket,
+            sequence,
             location,
             written_at: now,
         });
-        ticket
+        sequence
     }
 
-    /// Notes that all writes up to this ticket are durable.
-    pub fn on_durable(&mut self, ticket: u64, commands: &mut Vec<KeyCommand>) {
+    /// Notes that all writes up to this sequence number are durable.
+    pub fn on_durable(&mut self, sequence: u64, commands: &mut Vec<KeyCommand>) {
         self.persistence.is_stalled = false;
         while let Some(write) = self.pending_writes.front().copied() {
-            if write.ticket > ticket {
+            if write.sequence > sequence {
                 return;
             }
             self.pending_writes.pop_front();
@@ -77,10 +77,10 @@
         };
         let stage = std::mem::replace(&mut pending.stage, RunStage::Started);
         match stage {
-            RunStage::WritingIntent { ticket } if ticket == write.ticket => {
+            RunStage::WritingIntent { sequence } if sequence == write.sequence => {
                 self.on_intent_durable(write.location, commands);
             }
-            RunStage::WritingResult { ticket, outcome } if ticket == write.ticket => {
+            RunStage::WritingResult { sequence, outcome } if sequence == write.sequence => {
                 self.on_result_durable(write.location, &outcome, commands);
             }
             stage => pending.stage = stage,
@@ -119,7 +119,7 @@
 
     /// Returns whether this request is a first attempt that was started.
     #[must_use]
-    pub fn is_run(&self, id: RequestId) -> bool {
+    pub fn is_started(&self, id: RequestId) -> bool {
         self.runs.contains_key(&id)
     }
 
@@ -141,13 +141,13 @@
             self.mark_unknown(location, commands);
             return;
         }
-        let ticket = self.add_pending_write(now, location);
+        let sequence = self.add_pending_write(now, location);
         let bytes = result_bytes(&outcome) as usize;
         let Some(pending) = self.pending_mut(location) else {
             return;
         };
         pending.stage = RunStage::WritingResult {
-            ticket,
+            sequence,
             outcome: outcome.clone(),
         };
         self.result_bytes += bytes;
@@ -155,7 +155,7 @@
             return;
         };
         commands.push(KeyCommand::Write {
-            ticket,
+            sequence,
             key: entry.key.clone(),
             record: KeyRecord::Completed {
                 digest: entry.value.digest.into(),
@@ -164,7 +164,7 @@
             expires_at: entry.expires_at,
         });
         if is_bug_injected(InjectedBug::ResponseBeforeDurable) {
-            self.on_durable(ticket, commands);
+            self.on_durable(sequence, commands);
         }
     }
 
--- a/crates/idempotency/tests/key_table.rs
+++ b/crates/idempotency/tests/key_table.rs
@@ -2,13 +2,13 @@
 
 use cleatpulley_idempotency::fence::{Fence, KeyRange};
 use cleatpulley_idempotency::key_table::{
-    Capacity, KeyCommand, KeyStatus, KeyTable, RecoveredKeys,
+    KeyCommand, KeyStatus, KeyTable, KeyTableOptions, RecoveredKeys,
 };
 use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
 
-const BOUNDS: Capacity = Capacity {
-    entries: 2,
-    result_bytes: 1_000,
+const BOUNDS: KeyTableOptions = KeyTableOptions {
+    max_entries: 2,
+    max_result_bytes: 1_000,
     deduplication_window: 100,
     stall_timeout: 10,
     hash_seed: 1,
@@ -77,7 +77,7 @@
     assert!(matches!(
         &harness.request_run(0, 1)[..],
         [KeyCommand::Write {
-            ticket: 1,
+            sequence: 1,
             record: KeyRecord::Intent { .. },
             ..
         }]
@@ -89,7 +89,7 @@
     harness.table.on_attempt_left(4);
     assert!(matches!(
         &harness.end_run(1, 1, served("7"))[..],
-        [KeyCommand::Write { ticket: 2, .. }]
+        [KeyCommand::Write { sequence: 2, .. }]
     ));
     let told: Vec<_> = [2, 3, 5, 6, 7, 8, 9, 10]
         .map(|id| KeyCommand::Respond(id, served("7")))
@@ -249,7 +249,7 @@
     harness.table.mark_start_uncertain(4);
     harness.table.on_attempt_left(4);
     harness.table.remove_expired(103);
-    assert!(harness.table.is_empty() && !harness.table.is_run(4));
+    assert!(harness.table.is_empty() && !harness.table.is_started(4));
 }
 
 #[test]
--- a/crates/idempotency/tests/stored_format.rs
+++ b/crates/idempotency/tests/stored_format.rs
@@ -154,11 +154,11 @@
     ];
     written.push((expired, intent, NOW - 1));
     written.extend(records());
-    for (ticket, (key, record, expiry)) in written.into_iter().enumerate() {
-        let ticket = ticket as u64 + 1;
+    for (sequence, (key, record, expiry)) in written.into_iter().enumerate() {
+        let sequence = sequence as u64 + 1;
         journal
             .write(&KeyCommand::Write {
-                ticket,
+                sequence,
                 key,
                 record,
                 expires_at: expiry,
@@ -205,13 +205,13 @@
     let OpenedJournal {
         mut journal,
         recovered,
-        found,
+        recovery_report,
     } = Journal::open(folder(copy.path()), options(), NOW).expect("it opens");
     assert!(
-        found.damaged_ranges.is_empty()
-            && found.quarantined.is_empty()
-            && found.torn_tail_bytes == 0,
-        "{found}"
+        recovery_report.damaged_ranges.is_empty()
+            && recovery_report.quarantined.is_empty()
+            && recovery_report.torn_tail_bytes == 0,
+        "{recovery_report}"
     );
     assert_eq!(
         (recovered.len(), recovered.completed, recovered.unknown),
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -121,7 +121,7 @@
                 let listeners = predecessor.take_listeners(addresses);
                 steps.push(HotRestartStep::AdoptListeners(listeners));
             }
-            Effect::ListenAnew => steps.push(HotRestartStep::Listen),
+            Effect::BindAllListeners => steps.push(HotRestartStep::Listen),
             Effect::StartAccepting => steps.push(HotRestartStep::Serve),
             Effect::OpenStore => steps.push(HotRestartStep::OpenKeyPersistence),
             Effect::SetPredecessorUsage(usage) => {
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -4,7 +4,7 @@
 use crate::error::ReloadError;
 use crate::tls_layer::TlsOptions;
 use cleatpulley_connection_admission::Settings as ConnectionAdmission;
-use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Micros, Settings};
 use cleatpulley_protocol::ajp;
@@ -48,7 +48,7 @@
     /// Among which requests a key is unique.
     pub scope: KeyScope,
     /// How many keys and results are kept, and for how long.
-    pub capacity: Capacity,
+    pub capacity: KeyTableOptions,
     /// Memory that one key counts for, in KB.
     pub key_entry_kb: f64,
     /// The field of frames that carries the key, where frames may carry one.
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -92,7 +92,7 @@
         let OpenedJournal {
             mut journal,
             recovered,
-            found,
+            recovery_report: found,
         } = opened;
         if !self.is_recovered {
             tracing::info!(
@@ -176,7 +176,7 @@
             return;
         }
         match journal.sync() {
-            Ok(ticket) => events.push(Event::KeysDurable(ticket)),
+            Ok(sequence) => events.push(Event::KeysDurable(sequence)),
             Err(error) => self.fail(&error, events),
         }
     }
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -10,7 +10,7 @@
 use crate::runtime_link::RuntimeLink;
 use crate::tls_layer::TlsState;
 use cleatpulley_connection_admission::Admission;
-use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_hot_restart::{snapshot, ProcessUsage};
 use cleatpulley_policy::interface::{Micros, Settings};
 use std::cell::RefCell;
@@ -215,7 +215,7 @@
 #[derive(Clone)]
 pub(super) struct KeyPersistenceSettings {
     pub(super) folder: PathBuf,
-    pub(super) capacity: Capacity,
+    pub(super) capacity: KeyTableOptions,
     /// The keys outlive the machine, and not only the process.
     pub(super) is_durable: bool,
 }
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -12,7 +12,7 @@
 use cleatpulley_connection_admission::reputation::ReputationSettings;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::Settings as Admitting;
-use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope as KeyOwner;
 use cleatpulley_emulators::runtime::Runtime;
 use cleatpulley_log_store::simulated_folder::SimulatedFolder;
@@ -609,9 +609,9 @@
             defaults: once.iter().map(default).collect(),
             seed: self.plan.seed,
         };
-        let bounds = Capacity {
-            entries: if machine.renewed { 300 } else { 20_000 },
-            result_bytes: 10_000_000,
+        let bounds = KeyTableOptions {
+            max_entries: if machine.renewed { 300 } else { 20_000 },
+            max_result_bytes: 10_000_000,
             deduplication_window: self.plan.window,
             stall_timeout: 100 * MS,
             hash_seed: self.plan.seed,
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,7 +2,7 @@
 //! environment, and that before the file.
 
 use crate::operator::Operator;
-use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Class, Effect, Micros, Settings};
 use cleatpulley_policy::settings::SettingsDocument;
@@ -139,9 +139,9 @@
             classes: keyed,
             required: true,
             scope: KeyScope::Global,
-            capacity: Capacity {
-                entries,
-                result_bytes: entries * LARGEST_RESULT,
+            capacity: KeyTableOptions {
+                max_entries: entries,
+                max_result_bytes: entries * LARGEST_RESULT,
                 // From the run on, and as long again as a try may be on its way: one that was written within the window is
                 // told by it, however late it is read.
                 deduplication_window: longest(|class| class.deduplication_window)
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -2,7 +2,7 @@
 
 use super::{wrong, Wrong};
 use crate::config::Config;
-use cleatpulley_dispatcher::key_table::Capacity;
+use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::Effect;
 use cleatpulley_server::IdempotencyOptions;
@@ -173,9 +173,9 @@
                 )
             }
         };
-        let bounds = Capacity {
-            entries: within("max_entries", self.max_entries, 50_000_000)?,
-            result_bytes: within("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
+        let bounds = KeyTableOptions {
+            max_entries: within("max_entries", self.max_entries, 50_000_000)?,
+            max_result_bytes: within("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
             deduplication_window: window,
             stall_timeout: self.stall_ms * MS,
             hash_seed: config.seed,
@@ -195,9 +195,9 @@
 
 /// What they come to, in one line.
 pub(crate) fn show(results: &IdempotencyOptions, f: &mut impl fmt::Write) -> fmt::Result {
-    let Capacity {
-        entries,
-        result_bytes: bytes,
+    let KeyTableOptions {
+        max_entries: entries,
+        max_result_bytes: bytes,
         deduplication_window: window,
         stall_timeout: stall,
         ..
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cleatpulley::dispatcher::key_table::{
-    Capacity, KeyCommand as KeyEffect, KeyTable, RecoveredKeys,
+    KeyCommand as KeyEffect, KeyTable, KeyTableOptions, RecoveredKeys,
 };
 use cleatpulley::dispatcher::{
     ClientStream, Command, DependencyCall, Dispatcher, Event, IdempotencyKeys, IncomingRequest,
@@ -474,9 +474,9 @@
 fn attempts_that_share_a_run_leave_memory_for_loads_of_cached_results() {
     let mut harness = Harness::new(|_| {});
     let kept = settings().memory_kb;
-    let bounds = Capacity {
-        entries: 500,
-        result_bytes: 100_000,
+    let bounds = KeyTableOptions {
+        max_entries: 500,
+        max_result_bytes: 100_000,
         deduplication_window: 3_600 * SECOND,
         stall_timeout: SECOND,
         hash_seed: 5,
@@ -508,22 +508,22 @@
             ..incoming_request
         }))
     };
-    let ticket = |commands: &[Command]| {
+    let sequence = |commands: &[Command]| {
         let written = commands.iter().find_map(|command| match command {
-            Command::PersistKey(KeyEffect::Write { ticket, .. }) => Some(*ticket),
+            Command::PersistKey(KeyEffect::Write { sequence, .. }) => Some(*sequence),
             _ => None,
         });
         written.expect("a write")
     };
     // Key a has its result; key b runs, and more tries wait for it than a tenth of the memory holds.
-    let intent = ticket(&ask(&mut harness, 1, b"a"));
+    let intent = sequence(&ask(&mut harness, 1, b"a"));
     harness.handle(Event::KeysDurable(intent));
-    let result = ticket(&harness.end(1, Outcome::Success));
+    let result = sequence(&harness.end(1, Outcome::Success));
     assert_eq!(
         harness.handle(Event::KeysDurable(result)),
         [response_to(1, Response::Served(vec![7]))]
     );
-    let intent = ticket(&ask(&mut harness, 2, b"b"));
+    let intent = sequence(&ask(&mut harness, 2, b"b"));
     harness.handle(Event::KeysDurable(intent));
     for id in 3..33 {
         assert_eq!(ask(&mut harness, id, b"b"), []);
