--- a/crates/idempotency/src/transfer_error.rs
+++ b/crates/idempotency/src/transfer_error.rs
@@ -1,12 +1,12 @@
-//! Why the keys of a range could not be moved.
+//! Errors of the export and import of key ranges.
 
 use crate::fence::FenceError;
 use std::io;
 
-/// The format of the file, with its version.
-pub(crate) const FORMAT: &str = "cleatpulley results 1";
+/// Name and version of the export format, in the header of each file.
+pub(crate) const EXPORT_FORMAT: &str = "cleatpulley results 1";
 
-/// Why keys could not be moved.
+/// The reason why an export or import failed.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferError {
     /// The store failed.
@@ -18,44 +18,44 @@
     /// The file can't be read or written.
     #[error("the file can't be read or written: {0}")]
     Io(#[from] io::Error),
-    /// The file is no export, or not a complete one.
+    /// The file is not a valid or complete export.
     #[error("line {line}: {source}")]
     Format {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What is wrong there.
+        /// The error in that line.
         source: FormatError,
     },
 }
 
-/// What is wrong with a line of an export.
+/// The error in a line of an export.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
-    /// It is not UTF-8.
-    #[error("no text")]
-    NoText,
+    /// The line is not UTF-8.
+    #[error("not valid UTF-8")]
+    NotUtf8,
     /// The file has fewer than two lines.
-    #[error("no head and foot")]
+    #[error("header or footer is missing")]
     TooShort,
-    /// The first line is no head.
-    #[error("no head: {0}")]
-    Head(#[source] serde_json::Error),
+    /// The first line is not a header.
+    #[error("invalid header: {0}")]
+    InvalidHeader(#[source] serde_json::Error),
     /// The file has another format or version.
-    #[error("the format is {0:?} and not {FORMAT:?}")]
+    #[error("format is {0:?}, expected {EXPORT_FORMAT:?}")]
     UnknownFormat(String),
-    /// The last line is no foot.
-    #[error("no foot, the file is cut: {0}")]
-    Foot(#[source] serde_json::Error),
-    /// The foot contradicts the lines before it.
-    #[error("number or checksum don't fit: the file is damaged")]
-    Checksum,
-    /// The line is no entry.
+    /// The last line is not a footer.
+    #[error("invalid footer, the file is truncated: {0}")]
+    InvalidFooter(#[source] serde_json::Error),
+    /// The footer does not match the lines before it.
+    #[error("number of entries or checksum does not match: the file is damaged")]
+    ChecksumMismatch,
+    /// The line is not an entry.
     #[error(transparent)]
-    Entry(serde_json::Error),
-    /// The key can't be read, or is outside the range of the head.
-    #[error("key: none, or outside the range")]
-    Key,
-    /// The record can't be read.
-    #[error("record: it can't be read")]
-    Record,
+    InvalidEntry(serde_json::Error),
+    /// The key can't be decoded, or is outside the range of the header.
+    #[error("key: malformed, or outside the range")]
+    InvalidKey,
+    /// The record can't be decoded.
+    #[error("record: malformed")]
+    InvalidRecord,
 }
--- a/crates/idempotency/tests/stored_format.rs
+++ b/crates/idempotency/tests/stored_format.rs
@@ -1,15 +1,15 @@
-//! What is kept of keyed requests keeps its bytes: the store and the export of release 0.2 are read in full, and the same
-//! operations still write the same.
+//! Compatibility of the stored format: a store and an export of release 0.2 are read completely, and the same operations
+//! still write the same bytes.
 //!
-//! `fixtures/store` is a store with records and fences, `fixtures/entries.txt` lists what it holds under each key, as
-//! hex digits, and `fixtures/export.jsonl` is the export of all its keys.
+//! `fixtures/store` is a store with records and fences, `fixtures/entries.txt` lists the key and value of each of its
+//! entries as hexadecimal digits, and `fixtures/export.jsonl` is the export of all its keys.
 
 use cleatpulley_idempotency::fence::{Fence, KeyRange};
 use cleatpulley_idempotency::hex::{from_hex, to_hex};
 use cleatpulley_idempotency::journal::{for_each_record, Journal, OpenedJournal};
 use cleatpulley_idempotency::key_table::KeyCommand;
 use cleatpulley_idempotency::record::{request_digest, KeyOutcome, KeyRecord, ScopedKey};
-use cleatpulley_idempotency::transfer::{copy, export, import};
+use cleatpulley_idempotency::transfer::{export, export_unfenced, import};
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Options, Store};
 use std::collections::BTreeMap;
@@ -17,9 +17,9 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// The time at which everything is read.
+/// The current time in all tests, in microseconds.
 const NOW: u64 = 1_700_000_000_000_000;
-/// When records may be forgotten.
+/// Expiry time of the first record.
 const EXPIRY: u64 = NOW + 600_000_000;
 /// The epoch of the export.
 const EPOCH: u64 = 9;
@@ -30,7 +30,7 @@
         .join(name)
 }
 
-/// The names and bytes of a store's files, its lock left out.
+/// Returns the names and bytes of a store's files, except for its lock.
 fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).expect("the folder is there");
     let names = entries.map(|entry| {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The keys that live, with what is known of each.
+/// Returns the keys that have not expired, each with its record and expiry time.
 fn records() -> Vec<(ScopedKey, KeyRecord, u64)> {
     vec![
         (
@@ -116,7 +116,7 @@
     ]
 }
 
-/// The newest fence is the first to be forgotten by its range, and the ranges are those of owners.
+/// Returns the fences, in the order in which they are set.
 fn fences() -> Vec<Fence> {
     vec![
         Fence {
@@ -184,11 +184,11 @@
 
 fn exported(journal: &mut Journal<OsFolder>) -> String {
     let mut out = Vec::new();
-    copy(journal, NOW, &KeyRange::all(), EPOCH, &mut out).expect("it is written");
+    export_unfenced(journal, NOW, &KeyRange::all(), EPOCH, &mut out).expect("it is written");
     String::from_utf8(out).expect("text")
 }
 
-/// What a store holds under each key, in a line each.
+/// Returns the entries of a store, one line each.
 fn entries(store: &Store<OsFolder>) -> String {
     let mut lines = String::new();
     let read = store.for_each_by_sequence(NOW, |_, key, value| {
@@ -249,9 +249,9 @@
     let expected = fs::read_to_string(fixture("entries.txt")).expect("a list");
     let copy = copy_of_store();
     assert_eq!(entries(journal(copy.path()).store_mut()), expected);
-    let ours = tempfile::tempdir().expect("a folder");
-    write_store(ours.path());
-    assert_eq!(entries(journal(ours.path()).store_mut()), expected);
+    let directory = tempfile::tempdir().expect("a folder");
+    write_store(directory.path());
+    assert_eq!(entries(journal(directory.path()).store_mut()), expected);
     for (key, record, expiry) in records() {
         let line = format!(
             "{} {:016x}{}\n",
@@ -272,17 +272,17 @@
 
 #[test]
 fn writes_the_same_files_as_release_0_2() {
-    let ours = tempfile::tempdir().expect("a folder");
-    write_store(ours.path());
-    let (ours, theirs) = (files_of(ours.path()), files_of(&fixture("store")));
+    let directory = tempfile::tempdir().expect("a folder");
+    write_store(directory.path());
+    let (written, recorded) = (files_of(directory.path()), files_of(&fixture("store")));
     assert!(
-        ours.keys().eq(theirs.keys()),
+        written.keys().eq(recorded.keys()),
         "{:?} and {:?}",
-        ours.keys(),
-        theirs.keys()
+        written.keys(),
+        recorded.keys()
     );
-    for (name, bytes) in ours {
-        assert_eq!(to_hex(&bytes), to_hex(&theirs[&name]), "{name}");
+    for (name, bytes) in written {
+        assert_eq!(to_hex(&bytes), to_hex(&recorded[&name]), "{name}");
     }
 }
 
@@ -304,10 +304,10 @@
 #[test]
 fn imports_the_export_of_release_0_2() {
     let expected = fs::read_to_string(fixture("export.jsonl")).expect("an export");
-    let ours = tempfile::tempdir().expect("a folder");
-    let mut journal = journal(ours.path());
+    let directory = tempfile::tempdir().expect("a folder");
+    let mut journal = journal(directory.path());
     assert_eq!(
-        import(&mut journal, NOW, &mut expected.as_bytes()).expect("it is whole"),
+        import(&mut journal, NOW, &mut expected.as_bytes()).expect("a complete export"),
         5
     );
     assert_eq!(
