--- a/crates/idempotency/src/expiring_table/tests.rs
+++ b/crates/idempotency/src/expiring_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the table's insides: slots and the order of expiry.
+//! Tests of the table's slots and of the order of expiry.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn location_of_removed_entry_never_names_another() {
+fn handle_of_removed_entry_never_refers_to_another() {
     let mut table = ExpiringTable::new(1);
     let first = table.insert(key(1), 10, 'a');
     assert_eq!(table.find(&key(1)), Some(first));
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn expires_entries_in_their_order_and_never_too_early() {
+fn expires_entries_in_log_order_and_never_too_early() {
     let mut table = ExpiringTable::new(1);
-    // The clock stepped back between the second and the third.
+    // The clock stepped back between the second and the third insertion.
     for (n, expires_at) in [(1, 10), (2, 20), (3, 5), (4, 30)] {
-        let location = table.insert(key(n), expires_at, n);
-        table.start_expiry(location);
+        let handle = table.insert(key(n), expires_at, n);
+        table.start_expiry(handle);
     }
     let mut expired = |now| {
         let mut values = Vec::new();
-        while let Some(location) = table.pop_expired(now) {
-            values.extend(table.remove(location).map(|entry| entry.value));
+        while let Some(handle) = table.pop_expired(now) {
+            values.extend(table.remove(handle).map(|entry| entry.value));
         }
         values
     };
--- a/crates/idempotency/src/key_table.rs
+++ b/crates/idempotency/src/key_table.rs
@@ -1,14 +1,16 @@
-//! What the idempotency key of a request permits. Decisions alone, without I/O or clock.
+//! State machine of idempotency keys: decides what the key of a request permits, without I/O or a
+//! clock.
 //!
 //! A key goes through these states: accepted (its first attempt is queued), intent (being written,
-//! then durable), started, completed (the result being written, then durable), or unknown (started
-//! by a process that did not live to see the end). The controller decides whether a request runs,
-//! waits or is rejected; the table decides only what must not happen for the sake of its key:
+//! then durable), started, completed (the result being written, then durable), or unknown (started,
+//! for example by a process that ended before the run did). The controller decides whether a
+//! request runs, waits or is rejected; the table only enforces what its key requires:
 //!
-//! - a start is sent only after its intent is durable, and a response only after its result is;
-//! - a key that may have run is not run again before its deduplication window has passed, and never
+//! - a run is started only after its intent is durable, and a response is sent only after its
+//!   result is durable;
+//! - a key that may have run is not run again within its deduplication window, and is never
 //!   rejected;
-//! - all attempts of a key get the same outcome, and one with the body of another request an error.
+//! - all attempts with a key get the same outcome, and an attempt with another body gets an error.
 
 mod attempts;
 mod expiry;
@@ -20,41 +22,42 @@
 pub use crate::key_command::{KeyCommand, KeyStatus, KeyTableOptions};
 pub use recovered_keys::RecoveredKeys;
 
-use crate::expiring_table::{ExpiringTable, Location, TableEntry};
+use crate::expiring_table::{EntryHandle, ExpiringTable, TableEntry};
 use crate::fence::{Fence, FenceError, FenceTable, KeyRange};
 use cleatpulley_policy::interface::{Micros, RequestId};
 use key_state::{KeyEntry, KeyState, PendingKey};
 use persistence::Persistence;
 use std::collections::{HashMap, VecDeque};
 
-/// The keys that are remembered, and how far each has come.
+/// The remembered keys with the state of each.
 #[derive(Debug)]
 pub struct KeyTable {
     options: KeyTableOptions,
     keys: ExpiringTable<KeyEntry>,
     fences: FenceTable,
-    /// Attempts without a response, and their keys.
-    attempts: HashMap<RequestId, Location>,
-    /// First attempts that were started, and their keys, also where nobody waits for them any more.
-    runs: HashMap<RequestId, Location>,
-    /// Writes that are not durable yet, in their order.
+    /// Attempts without a response, with the entries of their keys.
+    attempts: HashMap<RequestId, EntryHandle>,
+    /// First attempts whose run was started, with the entries of their keys. A run stays here when
+    /// no attempt waits for it any more.
+    runs: HashMap<RequestId, EntryHandle>,
+    /// Writes that are not durable yet, in the order in which they were issued.
     pending_writes: VecDeque<PendingWrite>,
     next_sequence: u64,
-    /// Bytes of the cached results.
+    /// Size of all cached results, in bytes.
     result_bytes: usize,
     persistence: Persistence,
 }
 
-/// A write that is not durable yet.
+/// A write of a record that is not durable yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingWrite {
     sequence: u64,
-    location: Location,
+    handle: EntryHandle,
     written_at: Micros,
 }
 
 impl KeyTable {
-    /// Creates a table that admits nothing before [`load`](Self::load).
+    /// Creates a table that admits no key before [`load`](Self::load) is called.
     #[must_use]
     pub fn new(options: KeyTableOptions) -> Self {
         Self {
@@ -70,8 +73,8 @@
         }
     }
 
-    /// Loads the keys recovered from the store. Only the first call has an effect: the table admits
-    /// nothing before it.
+    /// Loads the keys recovered from the store, after which the table admits keys. Only the first
+    /// call has an effect.
     pub fn load(&mut self, recovered: RecoveredKeys) {
         if self.persistence.is_recovered {
             return;
@@ -82,20 +85,20 @@
         self.fences = recovered.fences;
     }
 
-    /// Gives the store up to another process: from now on nothing is known of any key, and none may
-    /// run.
+    /// Releases the store to another process: from now on the status of every key is unknown, and no
+    /// key may run.
     pub fn release(&mut self) {
         self.persistence.is_recovered = false;
         self.persistence.is_available = false;
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of remembered keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no keys are remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
@@ -107,36 +110,38 @@
         self.attempts.len()
     }
 
-    /// Returns the number of active runs, those of uncertain start left out, which may never end.
+    /// Returns the number of active runs. Runs whose start is uncertain are not counted, as their
+    /// end may never be reported.
     #[must_use]
     pub fn active_runs(&self) -> usize {
         self.runs
             .values()
-            .filter(|location| {
-                self.pending(**location)
+            .filter(|handle| {
+                self.pending(**handle)
                     .is_some_and(|pending| !pending.is_start_uncertain)
             })
             .count()
     }
 
-    /// Returns whether a further key would be admitted.
+    /// Returns whether another key would be admitted.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
-        let has_room = self.keys.len() < self.options.max_entries
+        let is_below_limits = self.keys.len() < self.options.max_entries
             && self.result_bytes < self.options.max_result_bytes;
-        has_room && self.persistence.admits_keys()
+        is_below_limits && self.persistence.admits_keys()
     }
 
-    /// Sets a fence around a range of keys. It has to be persisted as well before anything else is
+    /// Sets a fence for a range of keys. The caller also has to persist it before any other key is
     /// admitted.
     ///
     /// # Errors
-    /// Where a later move of these keys is known.
+    /// If [`FenceTable::set`] rejects the fence, for example because a later move of these keys is
+    /// known.
     pub fn set_fence(&mut self, fence: Fence) -> Result<(), FenceError> {
         self.fences.set(fence)
     }
 
-    /// Returns the number of pending keys of a range. It can be exported once there are none.
+    /// Returns the number of pending keys in a range. The range can be exported once there are none.
     #[must_use]
     pub fn pending_keys_in(&self, range: &KeyRange) -> usize {
         let is_pending = |entry: &TableEntry<KeyEntry>| {
@@ -148,15 +153,15 @@
             .count()
     }
 
-    fn pending(&self, location: Location) -> Option<&PendingKey> {
-        match &self.keys.get(location)?.value.state {
+    fn pending(&self, handle: EntryHandle) -> Option<&PendingKey> {
+        match &self.keys.get(handle)?.value.state {
             KeyState::Pending(pending) => Some(pending),
             KeyState::Completed { .. } | KeyState::Unknown => None,
         }
     }
 
-    fn pending_mut(&mut self, location: Location) -> Option<&mut PendingKey> {
-        match &mut self.keys.get_mut(location)?.state {
+    fn pending_mut(&mut self, handle: EntryHandle) -> Option<&mut PendingKey> {
+        match &mut self.keys.get_mut(handle)?.state {
             KeyState::Pending(pending) => Some(pending),
             KeyState::Completed { .. } | KeyState::Unknown => None,
         }
--- a/crates/idempotency/src/key_table/attempts.rs
+++ b/crates/idempotency/src/key_table/attempts.rs
@@ -1,14 +1,15 @@
-//! Attempts with a key: how they arrive, wait, and leave.
+//! Attempts with a key: their arrival, their waiting for the outcome, and their end.
 
 use super::key_state::{KeyEntry, KeyState, PendingKey};
 use super::{KeyCommand, KeyStatus, KeyTable};
-use crate::expiring_table::Location;
+use crate::expiring_table::EntryHandle;
 use crate::record::{KeyOutcome, ScopedKey};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, RequestId};
 
 impl KeyTable {
-    /// Handles an attempt with a key. `digest` binds the key to the request.
+    /// Handles the arrival of an attempt with a key. `digest` is that of its request, to which the
+    /// key is bound.
     pub fn on_attempt(
         &mut self,
         now: Micros,
@@ -18,21 +19,21 @@
     ) -> KeyStatus {
         self.remove_expired(now);
         if !self.persistence.is_recovered {
-            // A key that can't be read may have run: after a rejection its caller would go to
-            // another server.
+            // The key may have run, and must not be rejected: its caller would send a rejected
+            // request to another server.
             return if self.persistence.is_available {
                 KeyStatus::NotRecovered
             } else {
                 KeyStatus::Unknown
             };
         }
-        if let Some(location) = self.find_current(now, key) {
-            return self.on_known_key(id, location, digest);
+        if let Some(handle) = self.find_current(now, key) {
+            return self.on_known_key(id, handle, digest);
         }
         if !self.fences.owns(key) {
             return KeyStatus::OwnedElsewhere;
         }
-        // An entry inside its window is never evicted for a new one.
+        // An entry is never evicted for a new one before its deduplication window has passed.
         if !self.has_capacity() {
             return KeyStatus::NoCapacity;
         }
@@ -41,13 +42,13 @@
             state: KeyState::Pending(Box::new(PendingKey::new(id))),
         };
         let expires_at = now + self.options.deduplication_window;
-        let location = self.keys.insert(key.clone(), expires_at, entry);
-        self.attempts.insert(id, location);
+        let handle = self.keys.insert(key.clone(), expires_at, entry);
+        self.attempts.insert(id, handle);
         KeyStatus::First
     }
 
-    fn on_known_key(&mut self, id: RequestId, location: Location, digest: u128) -> KeyStatus {
-        let Some(entry) = self.keys.get_mut(location) else {
+    fn on_known_key(&mut self, id: RequestId, handle: EntryHandle, digest: u128) -> KeyStatus {
+        let Some(entry) = self.keys.get_mut(handle) else {
             return KeyStatus::NoCapacity;
         };
         if entry.digest != digest.into() && !is_bug_injected(InjectedBug::BodyIgnored) {
@@ -56,7 +57,7 @@
         match &mut entry.state {
             KeyState::Completed { .. } => KeyStatus::Completed,
             KeyState::Unknown => KeyStatus::Unknown,
-            // Its end may still be reported, but no further attempt should wait for that.
+            // The end of the run may still be reported, but a further attempt must not wait for it.
             KeyState::Pending(pending)
                 if pending.is_start_uncertain && !pending.is_first_waiting =>
             {
@@ -65,44 +66,44 @@
             KeyState::Pending(pending) => {
                 pending.waiting_attempts.push(id);
                 let first_attempt = pending.first_attempt;
-                self.attempts.insert(id, location);
+                self.attempts.insert(id, handle);
                 KeyStatus::Pending(first_attempt)
             }
         }
     }
 
-    /// Notes that the controller rejected a first attempt: its key never ran, and nobody who waits
-    /// for it is served.
+    /// Handles the rejection of a first attempt by the controller: its key never ran, so all
+    /// attempts that wait for it are rejected as well.
     pub fn on_rejected(&mut self, id: RequestId, commands: &mut Vec<KeyCommand>) {
-        let Some(&location) = self.attempts.get(&id) else {
+        let Some(&handle) = self.attempts.get(&id) else {
             return;
         };
         self.on_attempt_left(id);
-        // Where it may have run, the controller's rejection comes too late, and is no response for
-        // the others.
+        // If the key may have run already, the rejection comes too late and must not be the response
+        // to the other attempts.
         let is_queued = self
-            .pending(location)
+            .pending(handle)
             .is_some_and(|pending| pending.is_queued_first(id));
         if is_queued {
-            self.discard(location, commands);
+            self.discard(handle, commands);
         }
     }
 
-    /// Notes that a queued first attempt is over, its deadline passed or its caller gone: the next
-    /// attempt that waits takes its place.
+    /// Ends a queued first attempt whose deadline has passed or whose caller is gone: the next
+    /// waiting attempt becomes the first one. Discards the key if no attempt waits.
     pub fn yield_to_next(&mut self, id: RequestId, commands: &mut Vec<KeyCommand>) {
-        let Some(&location) = self.attempts.get(&id) else {
+        let Some(&handle) = self.attempts.get(&id) else {
             return;
         };
         self.on_attempt_left(id);
-        let Some(pending) = self.pending_mut(location) else {
+        let Some(pending) = self.pending_mut(handle) else {
             return;
         };
         if !pending.is_queued_first(id) {
             return;
         }
         if pending.waiting_attempts.is_empty() {
-            self.discard(location, commands);
+            self.discard(handle, commands);
             return;
         }
         pending.first_attempt = pending.waiting_attempts.remove(0);
@@ -110,23 +111,23 @@
         commands.push(KeyCommand::Promote(pending.first_attempt));
     }
 
-    /// Returns whether other attempts wait for the outcome of this first one.
+    /// Returns whether other attempts wait for the outcome of this first attempt.
     #[must_use]
     pub fn has_waiting_attempts(&self, id: RequestId) -> bool {
         self.attempts
             .get(&id)
-            .and_then(|location| self.pending(*location))
+            .and_then(|handle| self.pending(*handle))
             .is_some_and(|pending| {
                 pending.first_attempt == id && !pending.waiting_attempts.is_empty()
             })
     }
 
-    /// Notes that an attempt got its response elsewhere or its caller is gone; its key stays.
+    /// Notes that an attempt got its response elsewhere or that its caller is gone; its key stays.
     pub fn on_attempt_left(&mut self, id: RequestId) {
-        let Some(location) = self.attempts.remove(&id) else {
+        let Some(handle) = self.attempts.remove(&id) else {
             return;
         };
-        if let Some(pending) = self.pending_mut(location) {
+        if let Some(pending) = self.pending_mut(handle) {
             pending.waiting_attempts.retain(|other| *other != id);
             if pending.first_attempt == id {
                 pending.is_first_waiting = false;
@@ -134,10 +135,10 @@
         }
     }
 
-    /// Discards a key that was never started: all who wait are rejected, and it is as if it had
-    /// never come.
-    pub(super) fn discard(&mut self, location: Location, commands: &mut Vec<KeyCommand>) {
-        let Some(entry) = self.keys.remove(location) else {
+    /// Removes a key whose run was never started, with its record, and rejects all attempts that
+    /// wait for it.
+    pub(super) fn discard(&mut self, handle: EntryHandle, commands: &mut Vec<KeyCommand>) {
+        let Some(entry) = self.keys.remove(handle) else {
             return;
         };
         let KeyState::Pending(mut pending) = entry.value.state else {
@@ -152,21 +153,21 @@
         }
     }
 
-    /// Notes that nobody will know how a key ended: those who wait get a failure.
-    pub(super) fn mark_unknown(&mut self, location: Location, commands: &mut Vec<KeyCommand>) {
-        self.respond_to_waiting(location, &KeyOutcome::Failed, commands);
-        if let Some(entry) = self.keys.get_mut(location) {
+    /// Marks the outcome of a key as unknown: the attempts that wait for it get a failure.
+    pub(super) fn mark_unknown(&mut self, handle: EntryHandle, commands: &mut Vec<KeyCommand>) {
+        self.respond_to_waiting(handle, &KeyOutcome::Failed, commands);
+        if let Some(entry) = self.keys.get_mut(handle) {
             entry.state = KeyState::Unknown;
         }
     }
 
     pub(super) fn respond_to_waiting(
         &mut self,
-        location: Location,
+        handle: EntryHandle,
         outcome: &KeyOutcome,
         commands: &mut Vec<KeyCommand>,
     ) {
-        let Some(pending) = self.pending_mut(location) else {
+        let Some(pending) = self.pending_mut(handle) else {
             return;
         };
         for id in pending.take_waiting() {
--- a/crates/idempotency/src/key_table/key_state.rs
+++ b/crates/idempotency/src/key_table/key_state.rs
@@ -1,17 +1,17 @@
-//! How far a key has come.
+//! The state of a key in the table.
 
 use crate::record::KeyOutcome;
 use cleatpulley_policy::interface::RequestId;
 
-/// An entry of the table.
+/// The value of a key in the table.
 #[derive(Debug)]
 pub(super) struct KeyEntry {
     pub(super) digest: RequestDigest,
     pub(super) state: KeyState,
 }
 
-/// The digest that binds a key to its request. Two halves, so that an entry needs no wider
-/// alignment.
+/// The digest of the request that a key is bound to. Stored as two halves, so that entries don't
+/// need the alignment of a `u128`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RequestDigest([u64; 2]);
 
@@ -31,18 +31,18 @@
 /// The state of a key.
 #[derive(Debug)]
 pub(super) enum KeyState {
-    /// Its first attempt is queued or runs.
+    /// Its first attempt is queued or running.
     Pending(Box<PendingKey>),
-    /// Its run has ended, and its outcome is in the store.
+    /// The run has ended, and its outcome is in the store.
     Completed {
-        /// Size of the cached result.
+        /// Size of the cached result, in bytes.
         result_bytes: u32,
     },
-    /// It may have run, and nobody knows how that ended.
+    /// The key may have run, but its outcome is not known.
     Unknown,
 }
 
-/// How far the run of a pending key has come.
+/// The stage of a pending key's run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RunStage {
     /// The first attempt is queued.
@@ -58,23 +58,24 @@
     WritingResult {
         /// Sequence number of the write.
         sequence: u64,
-        /// How it ended.
+        /// The outcome of the run.
         outcome: KeyOutcome,
     },
 }
 
-/// A key whose first attempt is queued or runs.
+/// A key whose first attempt is queued or running.
 #[derive(Debug)]
 pub(super) struct PendingKey {
     pub(super) stage: RunStage,
     pub(super) first_attempt: RequestId,
-    /// The caller of the first attempt still waits.
+    /// Whether the caller of the first attempt still waits for the outcome.
     pub(super) is_first_waiting: bool,
     /// Further attempts that wait for the outcome.
     pub(super) waiting_attempts: Vec<RequestId>,
-    /// Something was written of the key.
+    /// Whether a record of the key was written.
     pub(super) has_record: bool,
-    /// The start may never have been received, and then no end will be reported.
+    /// Whether the start of the run may not have been received, so that its end may never be
+    /// reported.
     pub(super) is_start_uncertain: bool,
 }
 
@@ -90,17 +91,17 @@
         }
     }
 
-    /// Returns whether this attempt is the first one, and still queued.
+    /// Returns whether this is the first attempt and its run has not been requested yet.
     pub(super) fn is_queued_first(&self, id: RequestId) -> bool {
         self.first_attempt == id && self.stage == RunStage::Accepted
     }
 
-    /// Returns whether anybody waits for the outcome.
+    /// Returns whether any attempt waits for the outcome.
     pub(super) fn is_awaited(&self) -> bool {
         self.is_first_waiting || !self.waiting_attempts.is_empty()
     }
 
-    /// Removes and returns all attempts that wait for the outcome, the first one first.
+    /// Removes and returns all attempts that wait for the outcome, starting with the first attempt.
     pub(super) fn take_waiting(&mut self) -> Vec<RequestId> {
         let mut waiting = Vec::new();
         if std::mem::take(&mut self.is_first_waiting) {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Returns the size of the result of an outcome, in bytes.
+/// Returns the size of an outcome's result, in bytes.
 pub(super) fn result_bytes(outcome: &KeyOutcome) -> u32 {
     match outcome {
         KeyOutcome::Served(result) => u32::try_from(result.len()).unwrap_or(u32::MAX),
--- a/crates/idempotency/src/key_table/persistence.rs
+++ b/crates/idempotency/src/key_table/persistence.rs
@@ -1,17 +1,17 @@
-//! Whether keys can be persisted, and what follows where they can't.
+//! Availability of the store, and what happens to pending writes when it fails or stalls.
 
 use super::key_state::{result_bytes, RunStage};
 use super::{KeyCommand, KeyTable};
 use cleatpulley_policy::interface::Micros;
 
-/// The state of the store, as far as it is known here.
+/// The state of the store, as it was last reported to the table.
 #[derive(Debug)]
 pub(super) struct Persistence {
-    /// The keys of the store were loaded.
+    /// Whether the keys of the store have been loaded.
     pub(super) is_recovered: bool,
-    /// The store takes writes.
+    /// Whether the store accepts writes.
     pub(super) is_available: bool,
-    /// A write was not durable within the stall timeout.
+    /// Whether a write did not become durable within the stall timeout.
     pub(super) is_stalled: bool,
 }
 
@@ -34,10 +34,10 @@
 }
 
 impl KeyTable {
-    /// Notes that the store takes no more writes, or takes them again.
+    /// Notes that the store does not accept writes any more, or accepts them again.
     ///
-    /// What is not durable then counts as not written. Intents are discarded, as nothing was
-    /// started; results become failures.
+    /// When it stops, pending writes count as not written: keys with a pending intent are
+    /// discarded, as their runs were not started, and keys with a pending result become unknown.
     pub fn set_persistence_available(
         &mut self,
         is_available: bool,
@@ -49,54 +49,55 @@
             return;
         }
         for write in std::mem::take(&mut self.pending_writes) {
-            let Some(pending) = self.pending(write.location) else {
+            let Some(pending) = self.pending(write.handle) else {
                 continue;
             };
             match &pending.stage {
                 RunStage::WritingIntent { .. } => {
                     commands.push(KeyCommand::CancelRun(pending.first_attempt));
-                    self.discard(write.location, commands);
+                    self.discard(write.handle, commands);
                 }
                 RunStage::WritingResult { outcome, .. } => {
                     let bytes = result_bytes(outcome) as usize;
                     self.result_bytes = self.result_bytes.saturating_sub(bytes);
-                    self.mark_unknown(write.location, commands);
+                    self.mark_unknown(write.handle, commands);
                 }
                 RunStage::Accepted | RunStage::Started => {}
             }
         }
     }
 
-    /// Removes expired keys, and discards intents that wait too long to become durable, so that they
-    /// occupy no core: nothing of them was started. Results go on waiting for as long as those who
-    /// wait for them.
+    /// Removes expired keys, and discards keys whose intent does not become durable within the stall
+    /// timeout, so that they don't occupy cores: their runs were not started. Pending results are
+    /// kept, and the attempts that wait for them continue to wait.
     pub fn poll(&mut self, now: Micros, commands: &mut Vec<KeyCommand>) {
         self.remove_expired(now);
-        let is_late = self
+        let is_overdue = self
             .pending_writes
             .front()
             .is_some_and(|write| now >= write.written_at + self.options.stall_timeout);
-        if self.persistence.is_stalled || !is_late {
+        if self.persistence.is_stalled || !is_overdue {
             return;
         }
         self.persistence.is_stalled = true;
-        let locations: Vec<_> = self
+        let handles: Vec<_> = self
             .pending_writes
             .iter()
-            .map(|write| write.location)
+            .map(|write| write.handle)
             .collect();
-        for location in locations {
-            let Some(pending) = self.pending(location) else {
+        for handle in handles {
+            let Some(pending) = self.pending(handle) else {
                 continue;
             };
             if matches!(pending.stage, RunStage::WritingIntent { .. }) {
                 commands.push(KeyCommand::CancelRun(pending.first_attempt));
-                self.discard(location, commands);
+                self.discard(handle, commands);
             }
         }
     }
 
-    /// Returns when [`poll`](Self::poll) has something to do.
+    /// Returns the time at which a pending write exceeds the stall timeout, when
+    /// [`poll`](Self::poll) has to be called.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         if self.persistence.is_stalled {
--- a/crates/idempotency/src/key_table/recovered_keys.rs
+++ b/crates/idempotency/src/key_table/recovered_keys.rs
@@ -1,4 +1,4 @@
-//! The keys that a store held at its start.
+//! The keys that were recovered from a store when it was opened.
 
 use super::key_state::{result_bytes, KeyEntry, KeyState};
 use crate::expiring_table::ExpiringTable;
@@ -6,21 +6,21 @@
 use crate::record::{KeyRecord, ScopedKey};
 use cleatpulley_policy::interface::Micros;
 
-/// Keys recovered from a store.
+/// Keys and fences recovered from a store.
 #[derive(Debug)]
 pub struct RecoveredKeys {
     pub(super) keys: ExpiringTable<KeyEntry>,
     pub(super) result_bytes: usize,
-    /// The fences that were set.
+    /// The fences in the store.
     pub fences: FenceTable,
-    /// Keys with an outcome.
+    /// Number of keys with an outcome.
     pub completed: usize,
-    /// Keys that may have run, with no known outcome.
+    /// Number of keys that may have run and whose outcome is not known.
     pub unknown: usize,
 }
 
 impl RecoveredKeys {
-    /// Creates an empty set; `hash_seed` is mixed into the hashes of keys.
+    /// Creates an empty set. `hash_seed` is the seed of the key hashes.
     #[must_use]
     pub fn new(hash_seed: u64) -> Self {
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds the record of a key. An intent without a result may have run.
+    /// Adds a key with its record. A key with an intent and no result may have run.
     pub fn add(&mut self, key: ScopedKey, record: &KeyRecord, expires_at: Micros) {
         let state = match record {
             KeyRecord::Intent { .. } => {
@@ -50,8 +50,8 @@
             digest: record.digest().into(),
             state,
         };
-        let location = self.keys.insert(key, expires_at, entry);
-        self.keys.start_expiry(location);
+        let handle = self.keys.insert(key, expires_at, entry);
+        self.keys.start_expiry(handle);
     }
 
     /// Returns the number of keys.
@@ -66,7 +66,7 @@
         self.keys.is_empty()
     }
 
-    /// Returns the memory of the table, in bytes.
+    /// Returns the memory used by the table, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         self.keys.memory_bytes()
--- a/crates/idempotency/src/key_table/runs.rs
+++ b/crates/idempotency/src/key_table/runs.rs
@@ -1,38 +1,39 @@
-//! The run of a first attempt: its intent, its start, its end, and its result.
+//! The run of a first attempt: intent, start, end and result.
 
 use super::key_state::{result_bytes, KeyState, RunStage};
 use super::{KeyCommand, KeyTable, PendingWrite};
-use crate::expiring_table::Location;
+use crate::expiring_table::EntryHandle;
 use crate::record::{KeyOutcome, KeyRecord};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::{Micros, RequestId};
 
 impl KeyTable {
-    /// Requests the run of a first attempt. Its intent has to be durable before it is started.
+    /// Requests the run of a first attempt. It is started once its intent is durable.
     pub fn request_run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<KeyCommand>) {
-        let Some(&location) = self.attempts.get(&id) else {
+        let Some(&handle) = self.attempts.get(&id) else {
             return;
         };
         let is_queued = self
-            .pending(location)
+            .pending(handle)
             .is_some_and(|pending| pending.is_queued_first(id));
         if !is_queued {
             return;
         }
         if !self.persistence.accepts_writes() {
             commands.push(KeyCommand::CancelRun(id));
-            self.discard(location, commands);
+            self.discard(handle, commands);
             return;
         }
-        // The window is that of the attempt that runs: one that replaced the first came later.
+        // The deduplication window starts with the attempt that runs, which may be a later one that
+        // replaced the original first attempt.
         let expires_at = now + self.options.deduplication_window;
-        self.keys.extend_expiry(location, expires_at);
-        let sequence = self.add_pending_write(now, location);
-        if let Some(pending) = self.pending_mut(location) {
+        self.keys.extend_expiry(handle, expires_at);
+        let sequence = self.add_pending_write(now, handle);
+        if let Some(pending) = self.pending_mut(handle) {
             pending.stage = RunStage::WritingIntent { sequence };
             pending.has_record = true;
         }
-        let Some(entry) = self.keys.get(location) else {
+        let Some(entry) = self.keys.get(handle) else {
             return;
         };
         commands.push(KeyCommand::Write {
@@ -48,12 +49,12 @@
         }
     }
 
-    fn add_pending_write(&mut self, now: Micros, location: Location) -> u64 {
+    fn add_pending_write(&mut self, now: Micros, handle: EntryHandle) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.pending_writes.push_back(PendingWrite {
             sequence,
-            location,
+            handle,
             written_at: now,
         });
         sequence
@@ -72,59 +73,59 @@
     }
 
     fn on_write_durable(&mut self, write: PendingWrite, commands: &mut Vec<KeyCommand>) {
-        let Some(pending) = self.pending_mut(write.location) else {
+        let Some(pending) = self.pending_mut(write.handle) else {
             return;
         };
         let stage = std::mem::replace(&mut pending.stage, RunStage::Started);
         match stage {
             RunStage::WritingIntent { sequence } if sequence == write.sequence => {
-                self.on_intent_durable(write.location, commands);
+                self.on_intent_durable(write.handle, commands);
             }
             RunStage::WritingResult { sequence, outcome } if sequence == write.sequence => {
-                self.on_result_durable(write.location, &outcome, commands);
+                self.on_result_durable(write.handle, &outcome, commands);
             }
             stage => pending.stage = stage,
         }
     }
 
-    fn on_intent_durable(&mut self, location: Location, commands: &mut Vec<KeyCommand>) {
-        let Some(pending) = self.pending_mut(location) else {
+    fn on_intent_durable(&mut self, handle: EntryHandle, commands: &mut Vec<KeyCommand>) {
+        let Some(pending) = self.pending_mut(handle) else {
             return;
         };
         let first_attempt = pending.first_attempt;
         if pending.is_awaited() {
-            self.runs.insert(first_attempt, location);
-            self.keys.start_expiry(location);
+            self.runs.insert(first_attempt, handle);
+            self.keys.start_expiry(handle);
             commands.push(KeyCommand::Start(first_attempt));
         } else {
-            // An effect that nobody learns of helps nobody.
+            // No attempt waits any more, so the run's effect would not be reported to any caller.
             commands.push(KeyCommand::CancelRun(first_attempt));
-            self.discard(location, commands);
+            self.discard(handle, commands);
         }
     }
 
     fn on_result_durable(
         &mut self,
-        location: Location,
+        handle: EntryHandle,
         outcome: &KeyOutcome,
         commands: &mut Vec<KeyCommand>,
     ) {
-        self.respond_to_waiting(location, outcome, commands);
-        if let Some(entry) = self.keys.get_mut(location) {
+        self.respond_to_waiting(handle, outcome, commands);
+        if let Some(entry) = self.keys.get_mut(handle) {
             entry.state = KeyState::Completed {
                 result_bytes: result_bytes(outcome),
             };
         }
     }
 
-    /// Returns whether this request is a first attempt that was started.
+    /// Returns whether this is a first attempt whose run was started and has not ended.
     #[must_use]
     pub fn is_started(&self, id: RequestId) -> bool {
         self.runs.contains_key(&id)
     }
 
-    /// Notes the end of a first attempt's run. The attempts that wait get a response once the result
-    /// is durable.
+    /// Handles the end of a first attempt's run. The waiting attempts get their response once the
+    /// result is durable.
     pub fn on_run_ended(
         &mut self,
         now: Micros,
@@ -132,18 +133,18 @@
         outcome: KeyOutcome,
         commands: &mut Vec<KeyCommand>,
     ) {
-        let Some(location) = self.runs.remove(&id) else {
+        let Some(handle) = self.runs.remove(&id) else {
             return;
         };
         if !self.persistence.is_available {
-            // No response may be sent that a crash could take back. What is durable is that the key
-            // may have run.
-            self.mark_unknown(location, commands);
+            // No response may be sent that a crash could revert. Only the intent is durable, so after
+            // a crash the key may have run.
+            self.mark_unknown(handle, commands);
             return;
         }
-        let sequence = self.add_pending_write(now, location);
+        let sequence = self.add_pending_write(now, handle);
         let bytes = result_bytes(&outcome) as usize;
-        let Some(pending) = self.pending_mut(location) else {
+        let Some(pending) = self.pending_mut(handle) else {
             return;
         };
         pending.stage = RunStage::WritingResult {
@@ -151,7 +152,7 @@
             outcome: outcome.clone(),
         };
         self.result_bytes += bytes;
-        let Some(entry) = self.keys.get(location) else {
+        let Some(entry) = self.keys.get(handle) else {
             return;
         };
         commands.push(KeyCommand::Write {
@@ -168,21 +169,21 @@
         }
     }
 
-    /// Notes that the start of a run may not have reached the runtime: an end may be reported or
-    /// not.
+    /// Notes that the start of a run may not have reached the runtime, so that its end may never be
+    /// reported.
     pub fn mark_start_uncertain(&mut self, id: RequestId) {
-        let Some(&location) = self.runs.get(&id) else {
+        let Some(&handle) = self.runs.get(&id) else {
             return;
         };
-        if let Some(pending) = self.pending_mut(location) {
+        if let Some(pending) = self.pending_mut(handle) {
             pending.is_start_uncertain = true;
         }
     }
 
-    /// Notes that a first attempt was not started after all: its key never ran.
+    /// Handles the report that a first attempt was not started after all: its key never ran.
     pub fn on_never_ran(&mut self, id: RequestId, commands: &mut Vec<KeyCommand>) {
-        if let Some(location) = self.runs.remove(&id) {
-            self.discard(location, commands);
+        if let Some(handle) = self.runs.remove(&id) {
+            self.discard(handle, commands);
         }
     }
 }
--- a/crates/idempotency/tests/key_table.rs
+++ b/crates/idempotency/tests/key_table.rs
@@ -1,4 +1,4 @@
-//! What the key of a request permits, case by case.
+//! Behaviour of the key table: attempts, runs, expiry, failures of the store, and fences.
 
 use cleatpulley_idempotency::fence::{Fence, KeyRange};
 use cleatpulley_idempotency::key_table::{
@@ -6,7 +6,7 @@
 };
 use cleatpulley_idempotency::record::{KeyOutcome, KeyRecord, ScopedKey};
 
-const BOUNDS: KeyTableOptions = KeyTableOptions {
+const OPTIONS: KeyTableOptions = KeyTableOptions {
     max_entries: 2,
     max_result_bytes: 1_000,
     deduplication_window: 100,
@@ -20,7 +20,7 @@
 }
 
 fn harness() -> Harness {
-    let mut table = KeyTable::new(BOUNDS);
+    let mut table = KeyTable::new(OPTIONS);
     table.load(RecoveredKeys::new(1));
     Harness {
         table,
@@ -46,8 +46,8 @@
         std::mem::take(&mut self.commands)
     }
 
-    fn durable(&mut self, upto: u64) -> Vec<KeyCommand> {
-        self.table.on_durable(upto, &mut self.commands);
+    fn durable(&mut self, sequence: u64) -> Vec<KeyCommand> {
+        self.table.on_durable(sequence, &mut self.commands);
         std::mem::take(&mut self.commands)
     }
 
@@ -62,15 +62,15 @@
         std::mem::take(&mut self.commands)
     }
 
-    fn set_available(&mut self, set_available: bool) -> Vec<KeyCommand> {
+    fn set_available(&mut self, is_available: bool) -> Vec<KeyCommand> {
         self.table
-            .set_persistence_available(set_available, &mut self.commands);
+            .set_persistence_available(is_available, &mut self.commands);
         std::mem::take(&mut self.commands)
     }
 }
 
 #[test]
-fn ten_attempts_share_one_run_and_get_no_response_before_it_is_durable() {
+fn ten_attempts_share_one_run_and_get_no_response_before_its_result_is_durable() {
     let mut harness = harness();
     assert_eq!(harness.attempt(0, 1, 4), KeyStatus::First);
     (2..=5).for_each(|id| assert_eq!(harness.attempt(0, id, 4), KeyStatus::Pending(1)));
@@ -84,17 +84,17 @@
     ));
     assert_eq!(harness.durable(1), [KeyCommand::Start(1)]);
     (6..=10).for_each(|id| assert_eq!(harness.attempt(0, id, 4), KeyStatus::Pending(1)));
-    // The first's caller leaves, and one of the others; the run goes on for the rest.
+    // The callers of the first attempt and of another one leave; the run continues for the rest.
     harness.table.on_attempt_left(1);
     harness.table.on_attempt_left(4);
     assert!(matches!(
         &harness.end_run(1, 1, served("7"))[..],
         [KeyCommand::Write { sequence: 2, .. }]
     ));
-    let told: Vec<_> = [2, 3, 5, 6, 7, 8, 9, 10]
+    let responses: Vec<_> = [2, 3, 5, 6, 7, 8, 9, 10]
         .map(|id| KeyCommand::Respond(id, served("7")))
         .to_vec();
-    assert_eq!(harness.durable(2), told);
+    assert_eq!(harness.durable(2), responses);
     assert_eq!(
         (harness.table.pending_attempts(), harness.attempt(2, 11, 4)),
         (0, KeyStatus::Completed)
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn evicts_no_key_inside_its_window_and_takes_it_for_new_after_it() {
+fn evicts_no_key_within_its_window_and_treats_it_as_new_after_it() {
     let mut harness = harness();
     for n in 0..2 {
         assert_eq!(harness.attempt(n, n, n), KeyStatus::First);
@@ -121,8 +121,8 @@
     assert_eq!(harness.attempt(100, 12, 1), KeyStatus::Completed);
 }
 
-/// A disk that does not answer holds up no place on the cores: what waits to start is given up, and no more is taken
-/// until it answers; a result goes on waiting.
+/// A stalled disk must not occupy cores: runs that wait for their intent are cancelled, and no key is admitted until the
+/// disk syncs again. A pending result is kept.
 #[test]
 fn stalled_disk_discards_intents_and_keeps_results() {
     let mut harness = harness();
@@ -136,22 +136,26 @@
         (harness.poll(14), harness.table.next_deadline()),
         (Vec::new(), Some(15))
     );
-    let given_up = harness.poll(15);
+    let commands = harness.poll(15);
     assert_eq!(
-        given_up[..2],
+        commands[..2],
         [KeyCommand::CancelRun(2), KeyCommand::Reject(2)]
     );
-    assert!(matches!(given_up[2], KeyCommand::Erase { .. }) && !harness.table.has_capacity());
+    assert!(matches!(commands[2], KeyCommand::Erase { .. }) && !harness.table.has_capacity());
     assert_eq!(
         (harness.table.next_deadline(), harness.attempt(16, 3, 3)),
         (None, KeyStatus::NoCapacity)
     );
     assert_eq!(harness.durable(3), [KeyCommand::Respond(1, served("x"))]);
-    assert_eq!(harness.attempt(17, 4, 2), KeyStatus::First, "it never ran");
+    assert_eq!(
+        harness.attempt(17, 4, 2),
+        KeyStatus::First,
+        "the key never ran"
+    );
 }
 
 #[test]
-fn failed_disk_rejects_what_did_not_start_and_takes_back_nothing() {
+fn failed_disk_rejects_keys_that_were_not_started_and_reverts_no_others() {
     let mut harness = harness();
     harness.attempt(0, 1, 1);
     harness.request_run(0, 1);
@@ -159,11 +163,11 @@
     harness.end_run(1, 1, served("x"));
     harness.attempt(1, 2, 2);
     harness.request_run(1, 2);
-    let told = harness.set_available(false);
+    let commands = harness.set_available(false);
     assert!(
-        told.contains(&KeyCommand::Respond(1, KeyOutcome::Failed))
-            && told.contains(&KeyCommand::Reject(2)),
-        "{told:?}"
+        commands.contains(&KeyCommand::Respond(1, KeyOutcome::Failed))
+            && commands.contains(&KeyCommand::Reject(2)),
+        "{commands:?}"
     );
     assert_eq!(
         (harness.attempt(2, 3, 1), harness.attempt(2, 4, 3)),
@@ -176,7 +180,7 @@
     );
 }
 
-/// The next of those who wait takes a first's place where it never started.
+/// A waiting attempt becomes the first one if the former first attempt left before its run was started.
 #[test]
 fn first_attempt_that_left_yields_to_the_next() {
     let mut harness = harness();
@@ -196,8 +200,8 @@
     assert!(harness.table.is_empty());
 }
 
-/// The window counts from the try that ran. Guards against a second run where the first try was given up late in its time and
-/// another, which came later, took its place.
+/// The deduplication window counts from the attempt that ran. Guards against a second run of a key whose first attempt
+/// left late and was replaced by a later one: a window from the first attempt would end too early.
 #[test]
 fn window_counts_from_the_attempt_that_ran() {
     let mut harness = harness();
@@ -221,7 +225,7 @@
     assert_eq!(
         harness.attempt(120, 3, 1),
         KeyStatus::Completed,
-        "a window from the first try would be over"
+        "a window that counts from the first attempt would be over"
     );
     assert_eq!(
         (harness.attempt(169, 4, 1), harness.attempt(170, 5, 1)),
@@ -229,7 +233,8 @@
     );
 }
 
-/// A start that may be lost: who waits waits on, nobody new does, and a late end is told after all.
+/// The start of a run may have been lost: attempts that wait keep waiting, new ones don't wait, and if the end of the run
+/// is reported after all, the waiting attempts get a response.
 #[test]
 fn run_of_uncertain_start_may_still_end() {
     let mut harness = harness();
@@ -242,7 +247,7 @@
     assert_eq!(harness.attempt(1, 3, 1), KeyStatus::Unknown);
     harness.end_run(2, 1, served("late"));
     assert_eq!(harness.durable(2), [KeyCommand::Respond(2, served("late"))]);
-    // One that never ends is forgotten with its window.
+    // A key whose run never ends is removed when its window has passed.
     harness.attempt(3, 4, 2);
     harness.request_run(3, 4);
     harness.durable(3);
@@ -264,7 +269,7 @@
             epoch: 1,
             is_owned: false,
         })
-        .expect("the first move");
+        .expect("first move of the range");
     assert_eq!(
         (
             harness.attempt(0, 2, 5),
@@ -288,14 +293,14 @@
 }
 
 #[test]
-fn promises_nothing_before_the_keys_are_recovered() {
-    let mut table = KeyTable::new(BOUNDS);
+fn admits_no_key_before_the_keys_are_recovered() {
+    let mut table = KeyTable::new(OPTIONS);
     assert_eq!(table.on_attempt(0, 1, &key(1), 7), KeyStatus::NotRecovered);
     table.set_persistence_available(false, &mut Vec::new());
     assert_eq!(table.on_attempt(0, 2, &key(1), 7), KeyStatus::Unknown);
-    let mut found = RecoveredKeys::new(1);
-    found.add(key(1), &KeyRecord::Intent { digest: 7 }, 50);
-    table.load(found);
+    let mut recovered = RecoveredKeys::new(1);
+    recovered.add(key(1), &KeyRecord::Intent { digest: 7 }, 50);
+    table.load(recovered);
     table.set_persistence_available(true, &mut Vec::new());
     assert_eq!(
         table.on_attempt(0, 3, &key(1), 7),
