--- a/crates/idempotency/src/fence.rs
+++ b/crates/idempotency/src/fence.rs
@@ -1,6 +1,6 @@
-//! Who owns a key. A range of keys moves from one owner to the next by a fence: from its epoch on
-//! the old owner admits no new key of the range, and the new one does only after it has imported
-//! the cached results. No I/O, no clock.
+//! Ownership of key ranges. A fence moves a range of keys from one store to another: from its epoch
+//! on, the old owner admits no new key of the range, and the new owner admits them only after it
+//! has imported the cached results. No I/O and no clock.
 
 use crate::record::ScopedKey;
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 /// A range of scoped keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// The first key; hex digits in JSON.
+    /// First key of the range; hexadecimal digits in JSON.
     #[serde(rename = "from", with = "crate::hex")]
     pub start: Vec<u8>,
-    /// The first key beyond the range; empty where it has no end.
+    /// First key after the range, which excludes it; empty if the range has no end.
     #[serde(rename = "to", with = "crate::hex")]
     pub end: Vec<u8>,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the range of all keys of one owner.
+    /// Returns the range of all keys of one owner (a caller or tenant).
     #[must_use]
     pub fn of_owner(owner: u64) -> Self {
         let end = owner.checked_add(1).map(|next| next.to_be_bytes().to_vec());
@@ -43,7 +43,7 @@
         bytes >= &self.start[..] && (self.end.is_empty() || bytes < &self.end[..])
     }
 
-    /// Returns whether a key may be in both ranges.
+    /// Returns whether the ranges overlap, so that a key may be in both.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
         self.ends_after(&other.start) && other.ends_after(&self.start)
@@ -60,14 +60,14 @@
     }
 }
 
-/// Who owns a range since an epoch.
+/// Ownership of a range from an epoch on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// The range.
+    /// The range of keys that moves.
     pub range: KeyRange,
-    /// Rises with every move.
+    /// Epoch of the move; it increases with every move of the same keys.
     pub epoch: u64,
-    /// This store owns the range; otherwise the range has moved away.
+    /// Whether this store owns the range; if not, the range has moved to another store.
     #[serde(rename = "here")]
     pub is_owned: bool,
 }
@@ -76,27 +76,28 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FenceTable(Vec<Fence>);
 
-/// Why a fence can't be set.
+/// The reason why a fence can't be set.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError {
-    /// A move of the same keys with this epoch or a later one is known.
-    #[error("epoch {epoch} is not above {known}, that of a move that is known")]
+    /// A move of the same keys is known whose epoch is the same or later.
+    #[error("epoch {epoch} is not above {known}, the epoch of a known move of these keys")]
     StaleEpoch {
-        /// The epoch of the fence.
+        /// Epoch of the fence to be set.
         epoch: u64,
-        /// The epoch of the known move.
+        /// Epoch of the known move.
         known: u64,
     },
-    /// The range overlaps another in part.
-    #[error("the range cuts through that of the move of epoch {known}")]
+    /// The range overlaps the range of another fence only in part.
+    #[error("the range partially overlaps the range moved at epoch {known}")]
     PartialOverlap {
-        /// The epoch of the other range's move.
+        /// Epoch of the other fence.
         known: u64,
     },
 }
 
 impl FenceTable {
-    /// Returns whether a new key may be admitted here.
+    /// Returns whether this store may admit a new key. The fence with the highest epoch decides; a
+    /// key in no fenced range is owned here.
     #[must_use]
     pub fn owns(&self, key: &ScopedKey) -> bool {
         self.0
@@ -106,11 +107,11 @@
             .is_none_or(|newest| newest.is_owned)
     }
 
-    /// Sets a fence. One of the same range with a lower epoch is replaced.
+    /// Sets a fence. It replaces a fence of the same range with a lower epoch.
     ///
     /// # Errors
-    /// Where a later move is known, as when an old file is imported again after its keys have moved
-    /// on, or where the range overlaps another in part.
+    /// If a move with the same or a later epoch is known (for example, when an old export is
+    /// imported again after its keys have moved on), or if the range overlaps another in part.
     pub fn set(&mut self, fence: Fence) -> Result<(), FenceError> {
         for known in &self.0 {
             if known.range.overlaps(&fence.range) {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Checks a fence against a known one of an overlapping range.
+/// Checks a new fence against a known fence of an overlapping range.
 fn check_move(known: &Fence, fence: &Fence) -> Result<(), FenceError> {
     if known.epoch >= fence.epoch {
         return Err(FenceError::StaleEpoch {
--- a/crates/idempotency/src/hex.rs
+++ b/crates/idempotency/src/hex.rs
@@ -1,14 +1,14 @@
-//! Bytes as hex digits, in JSON and on the command line.
+//! Encoding of bytes as hexadecimal digits, for JSON and the command line.
 
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// Writes bytes as hex digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 #[must_use]
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Reads bytes from hex digits; none where the text is something else.
+/// Decodes pairs of hexadecimal digits; `None` if the text is anything else.
 #[must_use]
 pub fn from_hex(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes();
@@ -27,5 +27,5 @@
 
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
     let text = String::deserialize(deserializer)?;
-    from_hex(&text).ok_or_else(|| serde::de::Error::custom("no hex digits"))
+    from_hex(&text).ok_or_else(|| serde::de::Error::custom("expected pairs of hexadecimal digits"))
 }
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -1,8 +1,8 @@
-//! The records of keys in an embedded store: writes what a [`KeyTable`](crate::key_table::KeyTable)
-//! decides, and reads it back.
+//! Persistence of the records of keys in an embedded store: executes the write commands of a
+//! [`KeyTable`](crate::key_table::KeyTable), and recovers its keys.
 //!
-//! One sync covers all that was written before it. The owner of the journal decides on which thread
-//! it runs.
+//! One sync makes all earlier writes durable. The caller decides on which thread the
+//! journal runs.
 
 use crate::fence::{Fence, FenceTable};
 use crate::key_table::{KeyCommand, RecoveredKeys};
@@ -15,14 +15,15 @@
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 
-/// Prefix of the store's keys for fences; a number follows. Keys of requests are longer.
+/// Prefix of the store's keys for fences, followed by the fence's index. Keys of requests are
+/// longer.
 const FENCE_PREFIX: &[u8] = b"fence";
-/// Written and synced to find out whether the store takes writes again.
+/// Key of the write by which [`Journal::probe`] checks whether the store accepts writes.
 const PROBE_KEY: &[u8] = b"probe";
-/// Bytes of the expiry before each record.
-const EXPIRY_LENGTH: usize = 8;
+/// Length of the expiry time before each record, in bytes.
+const EXPIRY_BYTES: usize = 8;
 
-/// The records of keys in a store.
+/// A store with the records of keys and the fences.
 pub struct Journal<F: FileSystem> {
     store: Store<F>,
     fences: FenceTable,
@@ -32,13 +33,13 @@
     durable_sequence: u64,
 }
 
-/// A journal that was opened, with what its store held.
+/// A journal that was opened, with the content of its store.
 pub struct OpenedJournal<F: FileSystem> {
-    /// The journal.
+    /// The opened journal.
     pub journal: Journal<F>,
-    /// The keys that the store held.
+    /// The keys and fences recovered from the store.
     pub recovered: RecoveredKeys,
-    /// What the store found in its files.
+    /// The store's report on the recovery of its files.
     pub recovery_report: RecoveryReport,
 }
 
@@ -46,7 +47,7 @@
     /// Opens the store and recovers its keys.
     ///
     /// # Errors
-    /// Where the store can't be opened or read.
+    /// If the store can't be opened or read.
     pub fn open(files: F, options: Options, now: Micros) -> Result<OpenedJournal<F>, Error> {
         let hash_seed = options.seed;
         let (store, recovery_report) = Store::open(files, options)?;
@@ -64,10 +65,11 @@
         })
     }
 
-    /// Writes or erases a record; all other commands are the caller's.
+    /// Executes a command that writes or erases a record. Ignores all other commands, which the
+    /// caller has to execute.
     ///
     /// # Errors
-    /// Where the store can't be written: then nothing of it counts as written.
+    /// If the store can't be written; the command then counts as not executed.
     pub fn write(&mut self, command: &KeyCommand) -> Result<(), Error> {
         match command {
             KeyCommand::Write {
@@ -81,7 +83,8 @@
                 self.store.write(batch)?;
                 self.written_sequence = *sequence;
             }
-            // Need not be durable: what a crash brings back is an intent, and that never runs.
+            // Need not be durable: at most an intent reappears after a crash, and a recovered intent
+            // is never run.
             KeyCommand::Erase { key } => {
                 self.store.write(Batch::default().delete(key.as_bytes()))?;
             }
@@ -90,7 +93,7 @@
         Ok(())
     }
 
-    /// Returns whether a write is not durable yet.
+    /// Returns whether there are writes that are not durable yet.
     #[must_use]
     pub fn has_unsynced_writes(&self) -> bool {
         self.written_sequence > self.durable_sequence
@@ -99,8 +102,8 @@
     /// Makes all writes durable. Returns the sequence number of the last durable write.
     ///
     /// # Errors
-    /// Where the store can't be synced: then it takes no more writes, and what was not durable yet
-    /// may never be.
+    /// If the store can't be synced. It then accepts no more writes, and the writes that were not
+    /// durable yet may be lost.
     pub fn sync(&mut self) -> Result<u64, Error> {
         if self.has_unsynced_writes() {
             if !is_bug_injected(InjectedBug::SyncSkipped) {
@@ -111,10 +114,10 @@
         Ok(self.written_sequence)
     }
 
-    /// Returns how a key ended, where the store has that.
+    /// Returns the outcome of a key, if the store has it.
     ///
     /// # Errors
-    /// Where the store is damaged or can't be read.
+    /// If the store is damaged or can't be read.
     pub fn load_outcome(&self, now: Micros, key: &ScopedKey) -> Result<Option<KeyOutcome>, Error> {
         let Some(value) = self.store.get(now, key.as_bytes())? else {
             return Ok(None);
@@ -126,18 +129,18 @@
         Ok(outcome)
     }
 
-    /// Sets a fence, durably.
+    /// Sets a fence and makes it durable.
     ///
     /// # Errors
-    /// Where a later move is known, or the store can't be written.
+    /// If a later move of its keys is known, or the store can't be written.
     pub fn set_fence(&mut self, fence: Fence) -> Result<(), TransferError> {
         let mut fences = self.fences.clone();
         fences.set(fence)?;
         let old_count = self.fences.as_slice().len();
         let mut batch = Batch::default();
-        for number in 0..old_count.max(fences.as_slice().len()) {
-            let key = fence_key(number as u32);
-            match fences.as_slice().get(number) {
+        for index in 0..old_count.max(fences.as_slice().len()) {
+            let key = fence_key(index as u32);
+            match fences.as_slice().get(index) {
                 Some(fence) => {
                     let text = serde_json::to_vec(fence).map_err(std::io::Error::from)?;
                     batch.add_put(&key, &text, None);
@@ -151,25 +154,25 @@
         Ok(())
     }
 
-    /// Returns the fences that are set.
+    /// Returns the fences in the store.
     #[must_use]
     pub fn fences(&self) -> &FenceTable {
         &self.fences
     }
 
-    /// Checks whether the store takes writes and syncs.
+    /// Checks whether the store accepts writes and syncs.
     ///
     /// # Errors
-    /// Where it does not.
+    /// If it does not.
     pub fn probe(&mut self) -> Result<(), Error> {
         self.store.write(Batch::default().delete(PROBE_KEY))?;
         self.store.sync()
     }
 
-    /// Does a part of the store's maintenance, of about `budget` bytes.
+    /// Runs a step of the store's maintenance, which processes about `budget` bytes.
     ///
     /// # Errors
-    /// Where that fails; nothing is lost.
+    /// If the step fails; no data is lost.
     pub fn maintain(&mut self, now: Micros, budget: usize) -> Result<MaintenanceStatus, Error> {
         self.store.run_maintenance_step(now, budget)
     }
@@ -180,7 +183,7 @@
         self.store.stats()
     }
 
-    /// Returns the store.
+    /// Returns the underlying store.
     pub fn store_mut(&mut self) -> &mut Store<F> {
         &mut self.store
     }
@@ -188,33 +191,33 @@
     /// Closes the store.
     ///
     /// # Errors
-    /// Where its last writes can't be made durable.
+    /// If its last writes can't be made durable.
     pub fn close(self) -> Result<(), Error> {
         self.store.close()
     }
 }
 
-fn fence_key(number: u32) -> Vec<u8> {
-    [FENCE_PREFIX, &number.to_be_bytes()].concat()
+fn fence_key(index: u32) -> Vec<u8> {
+    [FENCE_PREFIX, &index.to_be_bytes()].concat()
 }
 
-/// Returns the value that the store has for a key: its expiry and its record.
+/// Encodes the value that is stored for a key: its expiry time and its record.
 pub(crate) fn encode_value(expires_at: Micros, record: &KeyRecord) -> Vec<u8> {
     [&expires_at.to_be_bytes()[..], &record.encode()].concat()
 }
 
 fn decode_value(value: &[u8]) -> Option<(Micros, KeyRecord)> {
-    let (expires_at, record) = value.split_first_chunk::<EXPIRY_LENGTH>()?;
+    let (expires_at, record) = value.split_first_chunk::<EXPIRY_BYTES>()?;
     Some((
         Micros::from_be_bytes(*expires_at),
         KeyRecord::decode(record)?,
     ))
 }
 
-/// Passes each key of a request that has not expired to `visit`, the oldest first.
+/// Calls `visit` for each key of a request that has not expired, the oldest write first.
 ///
 /// # Errors
-/// Where the store can't be read.
+/// If the store can't be read.
 pub fn for_each_record<F: FileSystem>(
     store: &Store<F>,
     now: Micros,
@@ -233,7 +236,7 @@
 /// Recovers the keys and fences of a store.
 ///
 /// # Errors
-/// Where the store can't be read.
+/// If the store can't be read.
 pub fn recover<F: FileSystem>(
     store: &Store<F>,
     now: Micros,
@@ -243,12 +246,12 @@
     for_each_record(store, now, |key, record, expires_at| {
         recovered.add(key, &record, expires_at);
     })?;
-    for number in 0..u32::MAX {
-        let Some(text) = store.get(now, &fence_key(number))? else {
+    for index in 0..u32::MAX {
+        let Some(text) = store.get(now, &fence_key(index))? else {
             break;
         };
         if let Ok(fence) = serde_json::from_slice(&text) {
-            // They were set together, so that none contradicts another.
+            // The fences were persisted in one batch, so none of them conflicts with another.
             let _ = recovered.fences.set(fence);
         }
     }
--- a/crates/idempotency/src/key_command.rs
+++ b/crates/idempotency/src/key_command.rs
@@ -1,77 +1,81 @@
-//! The types that a [`KeyTable`](crate::key_table::KeyTable) is asked in and answers with.
+//! Options of a [`KeyTable`](crate::key_table::KeyTable), the status that it returns for an attempt,
+//! and the commands that it issues.
 
 use crate::record::{KeyOutcome, KeyRecord, ScopedKey};
 use cleatpulley_policy::interface::{Micros, RequestId};
 
-/// The capacity of a table, and its times.
+/// Limits and timeouts of a [`KeyTable`](crate::key_table::KeyTable).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyTableOptions {
-    /// The most keys.
+    /// Maximum number of keys.
     pub max_entries: usize,
-    /// The most bytes of results.
+    /// Maximum size of all cached results, in bytes.
     pub max_result_bytes: usize,
-    /// For how long a key is remembered, from its run on, or from its first attempt where nothing
-    /// ran.
+    /// Time for which a key is remembered, counted from the request of its run, or from its first
+    /// attempt if it never ran.
     pub deduplication_window: Micros,
-    /// Where a write is not durable after this time, the store counts as stalled.
+    /// The store counts as stalled if a write is not durable after this time.
     pub stall_timeout: Micros,
-    /// Mixed into the hashes of keys, so that callers can't choose keys that collide.
+    /// Seed of the key hashes, so that callers can't choose keys that collide.
     pub hash_seed: u64,
 }
 
-/// What is known of a key when an attempt arrives with it.
+/// Status of a key at the arrival of an attempt with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyStatus {
-    /// This attempt is the first: the controller decides on it as on any other request.
+    /// This is the first attempt of the key: the controller decides on it like on any other
+    /// request.
     First,
-    /// The named first attempt is queued or runs: this one waits, and gets the same response.
+    /// The first attempt, which has this id, is queued or running: the new attempt waits for its
+    /// outcome and gets the same response.
     Pending(RequestId),
-    /// The run has ended, and the store has its outcome.
+    /// The run has ended, and its outcome is in the store.
     Completed,
-    /// The first attempt may have run, and nobody knows how that ended.
+    /// The key may have run, but its outcome is not known.
     Unknown,
-    /// The key belongs to a request of another class or body.
+    /// The key belongs to a request with another class or body.
     Mismatch,
-    /// The keys of the store are not recovered yet: the attempt can neither run nor be rejected.
+    /// The keys of the store have not been recovered yet: the attempt can neither run nor be
+    /// rejected.
     NotRecovered,
-    /// Another owner admits the keys of this range.
+    /// The key is in a range that has moved to another store.
     OwnedElsewhere,
-    /// There is no capacity for a further key, or it can't be persisted: the attempt has to be
-    /// rejected, as it never ran.
+    /// The table is full, or the key can't be persisted: the attempt has to be rejected, as the
+    /// key never ran.
     NoCapacity,
 }
 
-/// What a [`KeyTable`](crate::key_table::KeyTable) wants done.
+/// A command of a [`KeyTable`](crate::key_table::KeyTable) to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyCommand {
-    /// Write the record of a key. Once it is durable, [`on_durable`] has to be called.
+    /// Write the record of a key. The caller has to call [`on_durable`] once it is durable.
     ///
     /// [`on_durable`]: crate::key_table::KeyTable::on_durable
     Write {
-        /// Sequence numbers rise. One that is durable stands for all before it.
+        /// Sequence number of the write. Once it is durable, all writes with lower numbers are too.
         sequence: u64,
         /// The key.
         key: ScopedKey,
-        /// Its record.
+        /// Its record to be written.
         record: KeyRecord,
-        /// When it may be forgotten.
+        /// Time from which on the record may be removed.
         expires_at: Micros,
     },
-    /// Erase the record of a key: its intent was not followed by a start.
+    /// Erase the record of a key: an intent was written, but the run was not started.
     Erase {
         /// The key.
         key: ScopedKey,
     },
-    /// Start the request: its intent is durable.
+    /// Start the run of this request: its intent is durable.
     Start(RequestId),
-    /// Do not start the requested run: nobody waits for it any more, or its intent can't be
+    /// Do not start the requested run: no attempt waits for it any more, or its intent can't be
     /// persisted.
     CancelRun(RequestId),
-    /// Respond to an attempt with the outcome of its key.
+    /// Respond to this attempt with the outcome of its key.
     Respond(RequestId, KeyOutcome),
-    /// Reject an attempt: its key never ran.
+    /// Reject this attempt: its key never ran.
     Reject(RequestId),
-    /// The first attempt left before it ran: this one takes its place, and the controller has to
-    /// decide on it again.
+    /// Treat this attempt as the first one of its key, because the former first attempt left before
+    /// it ran. The controller has to decide on it.
     Promote(RequestId),
 }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,14 +1,14 @@
 //! Idempotency keys: what the key of a request permits, and where its result is cached, so that a
 //! repeated request gets the first response and never runs again.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`key_table`] | what a key permits: decisions, without I/O or clock |
-//! | [`journal`] | the records of keys in an embedded store |
-//! | [`record`] | keys and records as they are stored |
-//! | [`expiring_table`] | a table that finds entries by key and by age |
-//! | [`fence`], [`transfer`] | moving a range of keys from one store to another |
-//! | [`hex`] | bytes as hex digits |
+//! | [`key_table`] | the state machine of the keys: decides what a key permits, without I/O or a clock |
+//! | [`journal`] | persists the records of keys in an embedded store |
+//! | [`record`] | the stored encoding of keys and records |
+//! | [`expiring_table`] | a hash table whose entries expire after a time |
+//! | [`fence`], [`transfer`] | move a range of keys from one store to another |
+//! | [`hex`] | encodes bytes as hexadecimal digits |
 
 pub mod expiring_table;
 pub mod fence;
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -1,47 +1,47 @@
-//! The record of a key as it is stored, and how keys are scoped.
+//! Stored encoding of keys and their records. Keys are scoped by owner and request class.
 
 use std::fmt;
 
-/// Bytes of the owner in a scoped key.
-const OWNER_LENGTH: usize = 8;
-/// Bytes of owner and class in a scoped key.
-const SCOPE_LENGTH: usize = OWNER_LENGTH + 2;
-/// Bytes of a record before the result: kind and digest.
-const RECORD_HEAD_LENGTH: usize = 17;
+/// Length of the owner in a scoped key, in bytes.
+const OWNER_BYTES: usize = 8;
+/// Length of owner and class in a scoped key, in bytes.
+const SCOPE_BYTES: usize = OWNER_BYTES + 2;
+/// Length of a record before its result, in bytes: kind and digest.
+const RECORD_HEADER_BYTES: usize = 17;
 
-/// Kinds of stored records.
+// The first byte of a stored record is its kind.
 const INTENT: u8 = 1;
 const SERVED: u8 = 2;
 const FAILED: u8 = 3;
 
-/// A key within its scope: those of two callers or two classes never collide.
+/// A key with its scope, so that keys of different owners or classes never collide.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ScopedKey(Box<[u8]>);
 
 impl ScopedKey {
-    /// Scopes a key by its owner (a caller or tenant, 0 where all share their keys) and class.
+    /// Scopes a key by owner (a caller or tenant, or 0 if all callers share their keys) and class.
     #[must_use]
     pub fn new(owner: u64, class: u16, client_key: &[u8]) -> Self {
-        let mut bytes = Vec::with_capacity(SCOPE_LENGTH + client_key.len());
+        let mut bytes = Vec::with_capacity(SCOPE_BYTES + client_key.len());
         bytes.extend_from_slice(&owner.to_be_bytes());
         bytes.extend_from_slice(&class.to_be_bytes());
         bytes.extend_from_slice(client_key);
         Self(bytes.into_boxed_slice())
     }
 
-    /// Returns its bytes, as they are stored.
+    /// Returns the key's stored bytes.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads stored bytes; none where they are too short for the key of a request.
+    /// Decodes stored bytes; `None` if they are too short for the key of a request.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        (bytes.len() >= SCOPE_LENGTH).then(|| Self(Box::from(bytes)))
+        (bytes.len() >= SCOPE_BYTES).then(|| Self(Box::from(bytes)))
     }
 
-    /// Returns its owner.
+    /// Returns the key's owner.
     #[must_use]
     pub fn owner(&self) -> u64 {
         self.0
@@ -49,19 +49,19 @@
             .map_or(0, |bytes| u64::from_be_bytes(*bytes))
     }
 
-    /// Returns its class.
+    /// Returns the request class of the key.
     #[must_use]
     pub fn class(&self) -> u16 {
         self.0
-            .get(OWNER_LENGTH..)
+            .get(OWNER_BYTES..)
             .and_then(|rest| rest.first_chunk())
             .map_or(0, |bytes| u16::from_be_bytes(*bytes))
     }
 
-    /// Returns the key as its caller sent it.
+    /// Returns the key without its scope, as the caller sent it.
     #[must_use]
     pub fn client_key(&self) -> &[u8] {
-        self.0.get(SCOPE_LENGTH..).unwrap_or_default()
+        self.0.get(SCOPE_BYTES..).unwrap_or_default()
     }
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the digest that binds a key to its request: of class and body.
+/// Returns the digest of a request's class and body, which a key is bound to.
 #[must_use]
 pub fn request_digest(class: u16, body: &[u8]) -> u128 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
@@ -86,34 +86,34 @@
     hasher.digest128()
 }
 
-/// How a request with a key ended; every attempt gets the same.
+/// Outcome of a request with a key. All its attempts get the same outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// With this result.
+    /// The request was served with this result.
     Served(Vec<u8>),
-    /// It failed, and may have taken effect.
+    /// The request failed, and may have taken effect.
     Failed,
 }
 
-/// What is stored of a key.
+/// The stored record of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyRecord {
-    /// Its request is about to be started: from here on it may have run.
+    /// The request is about to be started: from here on it may have run.
     Intent {
         /// The digest of its request.
         digest: u128,
     },
-    /// Its request has ended.
+    /// The request has ended.
     Completed {
         /// The digest of its request.
         digest: u128,
-        /// How it ended.
+        /// The outcome of its request.
         outcome: KeyOutcome,
     },
 }
 
 impl KeyRecord {
-    /// Returns the bytes to store: kind, digest and result.
+    /// Encodes the record as its stored bytes: kind, digest and result.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let (kind, result): (u8, &[u8]) = match self {
@@ -123,14 +123,14 @@
                 KeyOutcome::Failed => (FAILED, &[]),
             },
         };
-        let mut bytes = Vec::with_capacity(RECORD_HEAD_LENGTH + result.len());
+        let mut bytes = Vec::with_capacity(RECORD_HEADER_BYTES + result.len());
         bytes.push(kind);
         bytes.extend_from_slice(&self.digest().to_be_bytes());
         bytes.extend_from_slice(result);
         bytes
     }
 
-    /// Reads stored bytes; none where they are no record.
+    /// Decodes stored bytes; `None` if they are not a valid record.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&kind, rest) = bytes.split_first()?;
--- a/crates/idempotency/tests/fence.rs
+++ b/crates/idempotency/tests/fence.rs
@@ -1,4 +1,4 @@
-//! Fences: who owns a key after its range has moved.
+//! Fences: the ownership of keys after moves of their ranges.
 
 use cleatpulley_idempotency::fence::{Fence, FenceError, FenceTable, KeyRange};
 use cleatpulley_idempotency::record::ScopedKey;
@@ -18,18 +18,18 @@
     assert!(fences.owns(&key(7)));
     fences
         .set(fence(KeyRange::of_owner(7), 1, false))
-        .expect("the first");
+        .expect("first move of the range");
     assert!(!fences.owns(&key(7)) && fences.owns(&key(8)) && fences.owns(&key(6)));
     fences
         .set(fence(KeyRange::of_owner(7), 2, true))
-        .expect("it comes back");
+        .expect("later move back");
     assert!(fences.owns(&key(7)));
     assert_eq!(fences.as_slice().len(), 1);
-    let old = fences.set(fence(KeyRange::of_owner(7), 2, false));
-    assert_eq!(old, Err(FenceError::StaleEpoch { epoch: 2, known: 2 }));
+    let stale = fences.set(fence(KeyRange::of_owner(7), 2, false));
+    assert_eq!(stale, Err(FenceError::StaleEpoch { epoch: 2, known: 2 }));
     fences
         .set(fence(KeyRange::all(), 3, false))
-        .expect("all go");
+        .expect("move of all keys");
     assert!(!fences.owns(&key(7)) && !fences.owns(&key(u64::MAX)));
 }
 
@@ -40,13 +40,19 @@
         start: vec![start],
         end: vec![end],
     };
-    fences.set(fence(range(3, 6), 1, false)).expect("the first");
+    fences
+        .set(fence(range(3, 6), 1, false))
+        .expect("first range");
     assert_eq!(
         fences.set(fence(range(5, 9), 2, false)),
         Err(FenceError::PartialOverlap { known: 1 })
     );
-    fences.set(fence(range(6, 9), 2, false)).expect("beside it");
-    fences.set(fence(range(4, 5), 3, true)).expect("within it");
+    fences
+        .set(fence(range(6, 9), 2, false))
+        .expect("adjacent range");
+    fences
+        .set(fence(range(4, 5), 3, true))
+        .expect("range within the first");
     assert!(
         KeyRange::of_owner(u64::MAX).overlaps(&KeyRange::all())
             && !range(3, 6).overlaps(&range(6, 9))
--- a/crates/idempotency/tests/record.rs
+++ b/crates/idempotency/tests/record.rs
@@ -1,9 +1,9 @@
-//! Records and scoped keys, as they are stored.
+//! Stored encoding of records and scoped keys.
 
 use cleatpulley_idempotency::record::{request_digest, KeyOutcome, KeyRecord, ScopedKey};
 
 #[test]
-fn reads_records_and_keys_as_they_were_written() {
+fn decodes_records_and_keys_that_were_encoded() {
     for record in [
         KeyRecord::Intent { digest: 7 },
         KeyRecord::Completed {
