--- a/crates/idempotency/src/expiring_table.rs
+++ b/crates/idempotency/src/expiring_table.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Appends an entry to the expiry log, so that it can expire. Must be called once for each entry,
-    /// or again after [`pop_expired`](Self::pop_expired) has returned it.
+    /// Appends an entry to the expiry log, so that it can expire. Must be called once for each
+    /// entry, or again after [`pop_expired`](Self::pop_expired) has returned it.
     pub fn start_expiry(&mut self, handle: EntryHandle) {
         self.expiry_log.push_back(handle);
     }
@@ -170,8 +170,8 @@
         Some(entry)
     }
 
-    /// Removes the oldest entry from the expiry log if it has expired or was removed from the table,
-    /// and returns its handle.
+    /// Removes the oldest entry from the expiry log if it has expired or was removed from the
+    /// table, and returns its handle.
     pub fn pop_expired(&mut self, now: Micros) -> Option<EntryHandle> {
         let &handle = self.expiry_log.front()?;
         if self.get(handle).is_some_and(|entry| entry.expires_at > now) {
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -83,8 +83,8 @@
                 self.store.write(batch)?;
                 self.written_sequence = *sequence;
             }
-            // Need not be durable: at most an intent reappears after a crash, and a recovered intent
-            // is never run.
+            // Need not be durable: at most an intent reappears after a crash, and a recovered
+            // intent is never run.
             KeyCommand::Erase { key } => {
                 self.store.write(Batch::default().delete(key.as_bytes()))?;
             }
--- a/crates/idempotency/src/key_command.rs
+++ b/crates/idempotency/src/key_command.rs
@@ -1,5 +1,5 @@
-//! Options of a [`KeyTable`](crate::key_table::KeyTable), the status that it returns for an attempt,
-//! and the commands that it issues.
+//! Options of a [`KeyTable`](crate::key_table::KeyTable), the status that it returns for an
+//! attempt, and the commands that it issues.
 
 use crate::record::{KeyOutcome, KeyRecord, ScopedKey};
 use cleatpulley_policy::interface::{Micros, RequestId};
--- a/crates/idempotency/src/key_table.rs
+++ b/crates/idempotency/src/key_table.rs
@@ -85,8 +85,8 @@
         self.fences = recovered.fences;
     }
 
-    /// Releases the store to another process: from now on the status of every key is unknown, and no
-    /// key may run.
+    /// Releases the store to another process: from now on the status of every key is unknown, and
+    /// no key may run.
     pub fn release(&mut self) {
         self.persistence.is_recovered = false;
         self.persistence.is_available = false;
@@ -141,7 +141,8 @@
         self.fences.set(fence)
     }
 
-    /// Returns the number of pending keys in a range. The range can be exported once there are none.
+    /// Returns the number of pending keys in a range. The range can be exported once there are
+    /// none.
     #[must_use]
     pub fn pending_keys_in(&self, range: &KeyRange) -> usize {
         let is_pending = |entry: &TableEntry<KeyEntry>| {
--- a/crates/idempotency/src/key_table/attempts.rs
+++ b/crates/idempotency/src/key_table/attempts.rs
@@ -79,8 +79,8 @@
             return;
         };
         self.on_attempt_left(id);
-        // If the key may have run already, the rejection comes too late and must not be the response
-        // to the other attempts.
+        // If the key may have run already, the rejection comes too late and must not be the
+        // response to the other attempts.
         let is_queued = self
             .pending(handle)
             .is_some_and(|pending| pending.is_queued_first(id));
--- a/crates/idempotency/src/key_table/runs.rs
+++ b/crates/idempotency/src/key_table/runs.rs
@@ -137,8 +137,8 @@
             return;
         };
         if !self.persistence.is_available {
-            // No response may be sent that a crash could revert. Only the intent is durable, so after
-            // a crash the key may have run.
+            // No response may be sent that a crash could revert. Only the intent is durable, so
+            // after a crash the key may have run.
             self.mark_unknown(handle, commands);
             return;
         }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`key_table`] | the state machine of the keys: decides what a key permits, without I/O or a clock |
+//! | [`key_table`] | decides what a key permits; a state machine without I/O or a clock |
 //! | [`journal`] | persists the records of keys in an embedded store |
 //! | [`record`] | the stored encoding of keys and records |
 //! | [`expiring_table`] | a hash table whose entries expire after a time |
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -1,9 +1,9 @@
-//! Export of a range of keys to a file, with a fence, and import of such a file, completely or not at
-//! all.
+//! Export of a range of keys to a file, with a fence, and import of such a file, completely or not
+//! at all.
 //!
 //! An export is a text file of JSON lines: a header with format, range and epoch; one line per key;
-//! and a footer with the number of keys and a checksum of all lines before it. The line of a key has
-//! the key, its expiry time, and its record; key and record are hexadecimal digits.
+//! and a footer with the number of keys and a checksum of all lines before it. The line of a key
+//! has the key, its expiry time, and its record; key and record are hexadecimal digits.
 
 use crate::fence::{Fence, KeyRange};
 use crate::hex::{from_hex, to_hex};
@@ -46,8 +46,8 @@
     checksum: String,
 }
 
-/// Moves a range away and writes its keys to `output`: sets a fence, so that this store admits no new
-/// key of the range. Returns the number of keys written.
+/// Moves a range away and writes its keys to `output`: sets a fence, so that this store admits no
+/// new key of the range. Returns the number of keys written.
 ///
 /// No key of the range may be pending, which holds when no server uses the store.
 ///
