--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,20 +1,20 @@
-//! Hot restart: a new process of a server, the successor, takes the listening sockets and the
-//! learned state over from the process that serves, its predecessor. No I/O and no clock.
+//! Hot restart: a new process of a server, the successor, takes over the listening sockets and the
+//! learned state of the serving process, its predecessor. No I/O and no clock.
 //!
-//! Both sides are state machines. They are fed with messages, lost connections and the time, and
-//! return the [`Effect`](predecessor::Effect)s that an adapter is to carry out: it transfers
-//! messages and listening sockets between the two processes.
+//! Both sides are state machines. Their input is messages, lost connections and the time; their
+//! output is [`Effect`](predecessor::Effect)s, which an adapter executes: it transfers messages and
+//! listening sockets between the two processes.
 //!
 //! At every moment exactly one process owns the queue of new connections: the [`predecessor`] until
 //! it has sent [`Message::HandoverComplete`], the [`successor`] from then on, and the predecessor
-//! again if its successor dies while the predecessor is still draining.
+//! again if the successor dies while its predecessor is still draining.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
 //! | [`message`] | the messages between the two processes, and their codec |
-//! | [`predecessor`] | the side that passes its listening sockets and drains |
-//! | [`successor`] | the side that adopts the sockets and starts to serve |
-//! | [`snapshot`] | the learned state of the overload controller, as it is handed over |
+//! | [`predecessor`] | state machine of the process that passes its listening sockets and drains |
+//! | [`successor`] | state machine of the process that adopts the sockets and starts to serve |
+//! | [`snapshot`] | encoding of the overload controller's learned state for the handover |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,23 +1,25 @@
-//! The process that serves, and what it does for the process that is to succeed it.
+//! State machine of the serving process, which hands over to its successor.
 
 use crate::message::{Message, ProcessUsage, PROTOCOL_VERSION};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
-/// A successor that has connected sends hello, and one that has the listening sockets asks to take
-/// over, within this time, or its connection is closed: its runtime may come up late.
+/// Time within which a connected successor has to send [`Message::Hello`], and one that has the
+/// listening sockets has to send [`Message::HandoverRequest`], as its runtime may become ready
+/// late. Its connection is closed otherwise.
 pub const HANDOVER_TIMEOUT: Micros = 10_000_000;
-/// A draining predecessor reports what it still uses at this interval.
+/// Interval at which a draining predecessor reports the resources that it still uses.
 pub const USAGE_REPORT_INTERVAL: Micros = 50_000;
-/// An orphaned predecessor, one whose successor died, searches for so long for a process that
-/// serves by now. A process that was about to succeed the dead one is there within milliseconds.
-/// Nobody accepts meanwhile, so it is no longer than a client takes for an instant.
+/// Duration of the search of an orphaned predecessor (one whose successor died) for a process that
+/// serves now. A process that was about to succeed the dead one starts to serve within
+/// milliseconds. No process accepts during the search, so it has to be too short for clients to
+/// notice.
 pub const ORPHAN_SEARCH_TIME: Micros = 50_000;
-/// The interval of that search.
+/// Interval between attempts during that search.
 const ORPHAN_SEARCH_INTERVAL: Micros = 5_000;
 
-/// What the adapter is to do, in the order returned.
+/// An action for the adapter. Effects are executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send this message on the connection.
@@ -26,14 +28,15 @@
     SendWithListeners(Message),
     /// Stop accepting, ask clients to reconnect, then send [`Message::HandoverComplete`].
     StopAccepting,
-    /// Accept again: there is no successor any more.
+    /// Accept connections again: there is no successor any more.
     ResumeAccepting,
     /// Close the connection.
     Close,
-    /// Try to connect to a process that serves by now; report it by
+    /// Try to connect to the process that serves now; if that succeeds, call
     /// [`on_serving_process_found`](Predecessor::on_serving_process_found).
     FindServingProcess,
-    /// The peer is an earlier predecessor that still uses so much; keep its connection.
+    /// Keep the connection of the peer, which is an earlier predecessor, and set the resources that
+    /// it still uses.
     AttachEarlierPredecessor(ProcessUsage),
 }
 
@@ -41,13 +44,13 @@
 enum State {
     /// No peer is connected.
     Idle,
-    /// A peer has connected and has sent nothing yet.
+    /// A peer has connected and has sent no message yet.
     Connected { expires_at: Micros },
-    /// The successor has the listening sockets, and does not accept yet.
+    /// The successor has the listening sockets, but does not accept yet.
     ListenersPassed { expires_at: Micros },
     /// The successor accepts; this process drains.
     HandedOver { report_at: Micros },
-    /// The successor accepted and died. Another process may serve by now.
+    /// The successor died after the handover. Another process may be serving now.
     Orphaned {
         resume_at: Micros,
         search_at: Micros,
@@ -60,8 +63,8 @@
     /// The name of the server.
     name: String,
     state: State,
-    /// When the current search for another process began, so that a search ends in time although
-    /// processes are found that turn out to be none.
+    /// When the current search for a serving process began. It bounds the search even if processes
+    /// are found that then turn out not to be serving.
     orphaned_at: Option<Micros>,
 }
 
@@ -76,8 +79,8 @@
         }
     }
 
-    /// Returns whether this process has handed over: it accepts no connections, even if its
-    /// successor died since and another process is searched for.
+    /// Returns whether this process has handed over and accepts no connections. Also true while it
+    /// is orphaned and searches for another process.
     #[must_use]
     pub fn has_handed_over(&self) -> bool {
         matches!(
@@ -86,7 +89,7 @@
         )
     }
 
-    /// Returns whether the successor died, and it is not known yet which process serves now.
+    /// Returns whether the successor died and the process that serves now is not known yet.
     #[must_use]
     pub fn is_orphaned(&self) -> bool {
         matches!(self.state, State::Orphaned { .. })
@@ -100,20 +103,20 @@
         }
     }
 
-    /// Returns whether a peer may connect; there is at most one.
+    /// Returns whether a peer may connect. There is at most one at a time.
     #[must_use]
     pub fn can_accept_peer(&self) -> bool {
         self.state == State::Idle
     }
 
-    /// Notifies of a new connection, from a process of the same user.
+    /// Handles a new connection from a process of the same user.
     pub fn on_connected(&mut self, now: Micros) {
         self.state = State::Connected {
             expires_at: now + HANDOVER_TIMEOUT,
         };
     }
 
-    /// Handles a message of the peer; `listeners` are the addresses that this process listens on.
+    /// Handles a message of the peer. `listeners` are the addresses that this process listens on.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -129,7 +132,7 @@
                     addresses,
                 },
             ) => self
-                .reject_foreign(*version, name)
+                .reject_incompatible_peer(*version, name)
                 .unwrap_or_else(|| self.pass_listeners(now, addresses, listeners)),
             (
                 State::Connected { .. },
@@ -139,20 +142,21 @@
                     usage,
                 },
             ) => self
-                .reject_foreign(*version, name)
+                .reject_incompatible_peer(*version, name)
                 .unwrap_or_else(|| self.attach_earlier_predecessor(*usage)),
             (State::ListenersPassed { .. }, Message::HandoverRequest {}) => {
                 self.enter_handed_over(now);
                 self.orphaned_at = None;
                 vec![Effect::StopAccepting]
             }
-            // A successor that follows the protocol sends nothing else.
+            // A protocol violation.
             _ => self.on_disconnected(now),
         }
     }
 
-    /// Rejects a peer of another version or server. Returns `None` if the peer is of this server.
-    fn reject_foreign(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
+    /// Rejects a peer with another protocol version or of another server. Returns `None` if the
+    /// peer is compatible.
+    fn reject_incompatible_peer(&mut self, version: u32, name: &str) -> Option<Vec<Effect>> {
         let reason = if version != PROTOCOL_VERSION {
             format!("version {version} is not spoken here, {PROTOCOL_VERSION} is")
         } else if name != self.name {
@@ -187,7 +191,7 @@
         })]
     }
 
-    /// The connection goes over to the earlier predecessor, so that a successor may still come.
+    /// Leaves the connection to the earlier predecessor, so that a successor can still connect.
     fn attach_earlier_predecessor(&mut self, usage: ProcessUsage) -> Vec<Effect> {
         self.state = State::Idle;
         vec![Effect::AttachEarlierPredecessor(usage)]
@@ -199,8 +203,8 @@
         };
     }
 
-    /// Notifies of a connection to another process that serves by now. That process learns what
-    /// this one still uses, and this one accepts no more.
+    /// Handles a new connection to the process that serves now. Ends the search, and reports the
+    /// resources that this process still uses; this process does not accept again.
     pub fn on_serving_process_found(&mut self, now: Micros, usage: ProcessUsage) -> Vec<Effect> {
         if !self.is_orphaned() {
             return Vec::new();
@@ -213,7 +217,7 @@
         })]
     }
 
-    /// Notifies that this process has closed the store of idempotency keys.
+    /// Notifies the successor that this process has closed the store of idempotency keys.
     #[must_use]
     pub fn on_store_released(&self) -> Vec<Effect> {
         if matches!(self.state, State::HandedOver { .. }) {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Notifies that the connection is lost, or that a packet on it could not be decoded.
+    /// Handles a lost connection, or a packet on it that could not be decoded.
     pub fn on_disconnected(&mut self, now: Micros) -> Vec<Effect> {
         match self.state {
             State::HandedOver { .. } if is_bug_injected(InjectedBug::StoreReopened) => {
@@ -238,8 +242,8 @@
         vec![Effect::Close]
     }
 
-    /// Searches for another process from now on. If the process just lost was found by a search
-    /// whose time is not over, that search continues; a later loss begins a new one.
+    /// Begins a search for the process that serves now. If the process just lost was found by a
+    /// search whose time has not passed, that search is continued instead.
     fn begin_orphan_search(&mut self, now: Micros) {
         let orphaned_at = self
             .orphaned_at
@@ -252,7 +256,7 @@
         };
     }
 
-    /// Does what is due by now; `usage` returns what this process still uses.
+    /// Handles expired deadlines. `usage` returns the resources that this process still uses.
     pub fn poll(&mut self, now: Micros, usage: impl FnOnce() -> ProcessUsage) -> Vec<Effect> {
         match self.state {
             State::Connected { expires_at } | State::ListenersPassed { expires_at }
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Returns the time at which [`poll`](Self::poll) has something to do next.
+    /// Returns the next deadline, at which [`poll`](Self::poll) has to be called.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         match self.state {
--- a/crates/hot-restart/src/snapshot.rs
+++ b/crates/hot-restart/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! The learned state of the overload controller, as it is handed over to the successor.
+//! Encoding of the overload controller's learned state for the handover to the successor.
 //!
-//! It is sealed with a version, the site that it was learned at, the time and a checksum, so that a
-//! snapshot that is damaged, too old or of another site is rejected instead of being restored.
+//! A snapshot has a version, the site where the state was learned, its time and a checksum, so that
+//! a snapshot that is damaged, too old or of another site is rejected instead of restored.
 
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
@@ -9,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version of the snapshot's format. Others are rejected.
+/// Version of the snapshot format. Snapshots of other versions are rejected.
 pub const SNAPSHOT_VERSION: u32 = 1;
-/// The greatest age of a snapshot: an older one does not describe the present load.
+/// Maximum age of a snapshot: an older one does not reflect the current load.
 pub const MAX_AGE: Micros = 10_000_000;
 
-/// The learned state in its seal. Its JSON is the snapshot.
+/// The learned state with its metadata and checksum. A snapshot is its JSON.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct SealedSnapshot {
+struct SnapshotEnvelope {
     version: u32,
     /// See [`site_digest`].
     #[serde(rename = "site")]
@@ -30,7 +30,7 @@
     checksum: u64,
 }
 
-impl SealedSnapshot {
+impl SnapshotEnvelope {
     /// Computes the checksum over all other fields.
     fn compute_checksum(&self) -> u64 {
         let Self {
@@ -45,27 +45,27 @@
     }
 }
 
-/// Why a snapshot is rejected.
+/// The reason why a snapshot is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no JSON, or not that of a snapshot.
+    /// The text is not the JSON of a snapshot.
     #[error("malformed snapshot: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It is of another version.
+    /// The snapshot has another version.
     #[error("snapshot version {0} is not supported, {SNAPSHOT_VERSION} is")]
     UnsupportedVersion(u32),
-    /// Its checksum is wrong.
-    #[error("snapshot is damaged: its checksum is wrong")]
+    /// The checksum does not match.
+    #[error("snapshot is damaged: checksum mismatch")]
     Damaged,
-    /// It was taken at another site.
-    #[error("snapshot is of another site")]
+    /// The snapshot was taken at another site.
+    #[error("snapshot was taken at another site")]
     OtherSite,
-    /// It was taken too long ago, or too far in the future; its age in milliseconds.
-    #[error("snapshot is {0} ms old, outside the permitted age")]
+    /// The snapshot was taken too long ago, or too far in the future; its age in milliseconds.
+    #[error("snapshot is {0} ms old, which is outside the permitted age")]
     OutsidePermittedAge(i64),
 }
 
-/// Returns the digest of a site: a server's name and the names of its classes, in their order.
+/// Returns the digest of a site: of a server's name and the names of its classes, in order.
 #[must_use]
 pub fn site_digest(name: &str, classes: &[String]) -> u64 {
     let class_lines = classes.join("\n");
@@ -75,9 +75,9 @@
 /// Encodes the learned state of a site as a snapshot taken now.
 #[must_use]
 pub fn encode(site_digest: u64, now: Micros, learned_state: &LearnedState) -> String {
-    // Structs of numbers and strings can always be written as JSON.
+    // Can't fail: the state consists of numbers and strings.
     let learned_state = serde_json::to_string(learned_state).unwrap_or_default();
-    let mut snapshot = SealedSnapshot {
+    let mut snapshot = SnapshotEnvelope {
         version: SNAPSHOT_VERSION,
         site_digest,
         taken_at: now,
@@ -91,10 +91,10 @@
 /// Decodes a snapshot and returns the learned state in it.
 ///
 /// # Errors
-/// [`SnapshotError`] if it is malformed or damaged, of another version or site, or taken more than
-/// [`MAX_AGE`] before or after now.
+/// [`SnapshotError`] if the snapshot is malformed or damaged, has another version or site, or was
+/// taken more than [`MAX_AGE`] before or after now.
 pub fn decode(site_digest: u64, now: Micros, text: &str) -> Result<LearnedState, SnapshotError> {
-    let snapshot: SealedSnapshot = serde_json::from_str(text)?;
+    let snapshot: SnapshotEnvelope = serde_json::from_str(text)?;
     if snapshot.version != SNAPSHOT_VERSION {
         return Err(SnapshotError::UnsupportedVersion(snapshot.version));
     }
@@ -105,7 +105,8 @@
     if snapshot.site_digest != site_digest {
         return Err(SnapshotError::OtherSite);
     }
-    // The clocks of two processes differ by little: each was read once from the system's.
+    // The clocks of the two processes differ only a little: each process reads the system clock
+    // once.
     if now.abs_diff(snapshot.taken_at) > MAX_AGE {
         let age_ms = (now as i64 - snapshot.taken_at as i64) / 1_000;
         return Err(SnapshotError::OutsidePermittedAge(age_ms));
--- a/crates/hot-restart/src/snapshot/tests.rs
+++ b/crates/hot-restart/src/snapshot/tests.rs
@@ -30,17 +30,20 @@
     let digest = site_digest("n1", &["a".to_owned()]);
     let text = encode(digest, NOW, &learned_state());
     assert_eq!(
-        decode(digest, NOW + 5, &text).expect("whole"),
+        decode(digest, NOW + 5, &text).expect("a valid snapshot"),
         learned_state()
     );
 }
 
 #[test]
 fn rejects_damaged_and_old_snapshots_and_those_of_another_site_or_version() {
-    let here = site_digest("n1", &["a".to_owned()]);
-    let text = encode(here, NOW, &learned_state());
+    let own_site = site_digest("n1", &["a".to_owned()]);
+    let text = encode(own_site, NOW, &learned_state());
     for position in 0..text.len() {
-        assert!(decode(here, NOW, &text[..position]).is_err(), "{position}");
+        assert!(
+            decode(own_site, NOW, &text[..position]).is_err(),
+            "{position}"
+        );
         for bit in [1, 4] {
             let mut bytes = text.clone().into_bytes();
             bytes[position] ^= bit;
@@ -48,34 +51,34 @@
                 continue;
             };
             assert!(
-                decode(here, NOW, &damaged).is_err(),
+                decode(own_site, NOW, &damaged).is_err(),
                 "byte {position} of {damaged}"
             );
         }
     }
-    let elsewhere = site_digest("n1", &["b".to_owned()]);
+    let other_site = site_digest("n1", &["b".to_owned()]);
     assert!(matches!(
-        decode(elsewhere, NOW, &text),
+        decode(other_site, NOW, &text),
         Err(SnapshotError::OtherSite)
     ));
     assert!(matches!(
-        decode(here, NOW + MAX_AGE + 1, &text),
+        decode(own_site, NOW + MAX_AGE + 1, &text),
         Err(SnapshotError::OutsidePermittedAge(_))
     ));
     assert!(matches!(
-        decode(here, NOW - MAX_AGE - 1, &text),
+        decode(own_site, NOW - MAX_AGE - 1, &text),
         Err(SnapshotError::OutsidePermittedAge(_))
     ));
-    let snapshot = SealedSnapshot {
+    let snapshot = SnapshotEnvelope {
         version: 2,
-        site_digest: here,
+        site_digest: own_site,
         taken_at: NOW,
         learned_state: "{}".into(),
         checksum: 0,
     };
     let text = serde_json::to_string(&snapshot).expect("JSON");
     assert!(matches!(
-        decode(here, NOW, &text),
+        decode(own_site, NOW, &text),
         Err(SnapshotError::UnsupportedVersion(2))
     ));
 }
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,60 +1,63 @@
-//! The process that is to succeed one that serves.
+//! State machine of the process that succeeds the serving one.
 
 use crate::message::{Message, ProcessUsage, PROTOCOL_VERSION};
 use cleatpulley_policy::interface::Micros;
 use std::net::{IpAddr, SocketAddr};
 
-/// The predecessor answers within this time, or the successor continues without it.
-pub const ANSWER_TIMEOUT: Micros = 2_000_000;
-/// Delay before a predecessor that rejected this process is asked again: it may have been busy with
+/// Time within which the predecessor has to respond; the successor continues without it otherwise.
+pub const RESPONSE_TIMEOUT: Micros = 2_000_000;
+/// Delay before a retry with a predecessor that rejected this process: it may have been busy with
 /// another successor.
 const RETRY_DELAY: Micros = 100_000;
-/// After this time since its start the successor asks no predecessor again.
-const RETRY_TIME: Micros = 3_000_000;
-/// A predecessor that is lost before it has passed anything may have had a predecessor itself, which
-/// accepts again within this time. Listening anew at once would abandon that process's queue.
+/// Time since the start of the successor during which it retries with a predecessor that rejected
+/// it or whose sockets it could not adopt.
+const RETRY_PERIOD: Micros = 3_000_000;
+/// Duration of the search for an earlier predecessor: if the predecessor is lost before it has
+/// passed its sockets, it may have had a predecessor itself, which accepts again within this time.
+/// Binding new listeners at once would abandon the connections in that process's queue.
 const PREDECESSOR_SEARCH_TIME: Micros = 400_000;
-/// The interval of that search.
+/// Interval between attempts to connect during that search.
 const PREDECESSOR_SEARCH_INTERVAL: Micros = 25_000;
 
-/// What the adapter is to do, in the order returned.
+/// An action for the adapter. Effects are executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send this message on the connection.
     Send(Message),
-    /// Use the sockets that came with the message as the listeners of these addresses; listen on
-    /// the other addresses.
+    /// Use the sockets that were passed with the message as listeners of these addresses, and bind
+    /// new listeners for the other addresses.
     AdoptListeners(Vec<SocketAddr>),
-    /// No socket was passed: listen on all addresses, also while the predecessor does.
+    /// Bind new listeners for all addresses, even if the predecessor still listens on them: no
+    /// socket was passed.
     BindAllListeners,
     /// Accept connections from here on.
     StartAccepting,
     /// Open the store of idempotency keys: the predecessor has closed it, or is gone.
     OpenStore,
-    /// The predecessor still uses so much.
+    /// Set the resources that the predecessor still uses.
     SetPredecessorUsage(ProcessUsage),
     /// Restore this learned state, encoded as a [`snapshot`](crate::snapshot).
     RestoreLearnedState(String),
     /// Import the reputation of these clients, with their points.
     ImportReputation(Vec<(IpAddr, f64)>),
-    /// Connect to the predecessor again; call [`on_connected`](Successor::on_connected) or
-    /// [`on_disconnected`](Successor::on_disconnected) with the outcome.
+    /// Connect to the predecessor again, then call [`on_connected`](Successor::on_connected) or
+    /// [`on_disconnected`](Successor::on_disconnected).
     Reconnect,
     /// Close the connection to the predecessor.
     Close,
-    /// The predecessor is gone, but what it used may not be free yet.
+    /// Note that the predecessor is lost; the resources that it used may not be free yet.
     PredecessorLost,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Hello was sent.
+    /// [`Message::Hello`] was sent.
     AwaitingOffer { expires_at: Micros },
-    /// The connection is closed, and is opened again at this time.
+    /// The connection is closed; a new one is made at this time.
     AwaitingRetry { retry_at: Micros },
-    /// The listening sockets are here; the runtime is not up yet.
+    /// The listening sockets were adopted; the runtime is not ready yet.
     ListenersAdopted,
-    /// The predecessor was asked to stop accepting.
+    /// [`Message::HandoverRequest`] was sent.
     AwaitingHandover { expires_at: Micros },
     /// This process accepts connections.
     Serving,
@@ -67,13 +70,13 @@
     hello: Message,
     state: State,
     started_at: Micros,
-    /// When the predecessor was first lost before it had passed anything.
+    /// When the predecessor was first lost before it had passed its sockets.
     predecessor_lost_at: Option<Micros>,
 }
 
 impl Successor {
-    /// Creates the successor's side, just connected to its predecessor, for a server of this name
-    /// that wants to listen on these addresses. Returns it with what it does first.
+    /// Creates the successor's side, just connected to its predecessor, for a server with this name
+    /// that listens on these addresses. Returns it with its first effects.
     #[must_use]
     pub fn new(now: Micros, name: &str, addresses: Vec<SocketAddr>) -> (Self, Vec<Effect>) {
         let hello = Message::Hello {
@@ -97,15 +100,15 @@
         self.state == State::Serving
     }
 
-    /// Notifies of a new connection to the predecessor.
+    /// Handles a new connection to the predecessor.
     pub fn on_connected(&mut self, now: Micros) -> Vec<Effect> {
         self.state = State::AwaitingOffer {
-            expires_at: now + ANSWER_TIMEOUT,
+            expires_at: now + RESPONSE_TIMEOUT,
         };
         vec![Effect::Send(self.hello.clone())]
     }
 
-    /// Handles a message of the predecessor that came with so many sockets.
+    /// Handles a message of the predecessor that was received with this number of sockets.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -137,21 +140,21 @@
             (State::Serving | State::AwaitingHandover { .. }, Message::StoreReleased {}) => {
                 vec![Effect::OpenStore]
             }
-            // A handover that came after its timeout still reports what the predecessor uses.
+            // A handover received after its timeout still reports the usage of the predecessor.
             (
                 State::Serving,
                 Message::HandoverComplete { usage, .. } | Message::UsageReport(usage),
             ) => {
                 vec![Effect::SetPredecessorUsage(usage)]
             }
-            // A predecessor that follows the protocol sends nothing else, and one that offers no
-            // socket has nothing to hand over.
+            // A protocol violation, a rejection that is not retried, or an unacceptable offer: a
+            // predecessor that offers no socket has nothing to hand over.
             _ => self.continue_without_predecessor(),
         }
     }
 
-    /// Returns whether as many sockets came as addresses were offered, at least one, and each
-    /// offered address was asked for.
+    /// Returns whether the number of sockets is that of the offered addresses and not zero, and
+    /// each offered address was requested.
     fn is_offer_acceptable(&self, offered: &[SocketAddr], socket_count: usize) -> bool {
         let Message::Hello { addresses, .. } = &self.hello else {
             return false;
@@ -162,7 +165,7 @@
     }
 
     fn may_retry(&self, now: Micros) -> bool {
-        now < self.started_at + RETRY_TIME
+        now < self.started_at + RETRY_PERIOD
     }
 
     fn schedule_retry(&mut self, retry_at: Micros) -> Vec<Effect> {
@@ -170,8 +173,8 @@
         vec![Effect::Close]
     }
 
-    /// The predecessor has stopped accepting: takes its learned state and reputation up, and
-    /// serves.
+    /// Starts to serve with the learned state and reputation of the predecessor, which has stopped
+    /// accepting.
     fn take_over(
         &mut self,
         usage: ProcessUsage,
@@ -191,8 +194,8 @@
         effects
     }
 
-    /// Notifies that the connection is lost, could not be made again, or that a packet on it could
-    /// not be decoded.
+    /// Handles a lost connection, a failed attempt to reconnect, or a packet that could not be
+    /// decoded.
     pub fn on_disconnected(&mut self, now: Micros) -> Vec<Effect> {
         match self.state {
             State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => {
@@ -209,9 +212,9 @@
         }
     }
 
-    /// Notifies that the sockets passed could not be adopted for want of file descriptors: the
-    /// predecessor continues to serve, and is asked again. Returns nothing if this process keeps
-    /// what it could adopt instead.
+    /// Handles a shortage of file descriptors, because of which the passed sockets could not be
+    /// adopted: the predecessor continues to serve, and the request is retried later. Returns no
+    /// effects if this process is to continue with the sockets that it could adopt instead.
     pub fn on_adoption_failed(&mut self, now: Micros) -> Vec<Effect> {
         if !self.may_retry(now) || self.state != State::ListenersAdopted {
             return Vec::new();
@@ -219,7 +222,7 @@
         self.schedule_retry(now + RETRY_DELAY)
     }
 
-    /// Serves, whatever becomes of the predecessor.
+    /// Starts to serve, or continues to, independently of the predecessor.
     fn continue_without_predecessor(&mut self) -> Vec<Effect> {
         let effects = match self.state {
             State::AwaitingOffer { .. } | State::AwaitingRetry { .. } => vec![
@@ -228,7 +231,7 @@
                 Effect::OpenStore,
                 Effect::StartAccepting,
             ],
-            // The listening sockets are here, and nobody else accepts from them.
+            // The listening sockets were adopted, and no other process accepts from them.
             State::ListenersAdopted | State::AwaitingHandover { .. } => {
                 vec![Effect::Close, Effect::OpenStore, Effect::StartAccepting]
             }
@@ -238,12 +241,13 @@
         effects
     }
 
-    /// Does what is due by now; `is_ready` tells whether requests can run.
+    /// Handles expired deadlines, and requests the handover once `is_ready`: whether the runtime
+    /// can run requests.
     pub fn poll(&mut self, now: Micros, is_ready: bool) -> Vec<Effect> {
         match self.state {
             State::ListenersAdopted if is_ready => {
                 self.state = State::AwaitingHandover {
-                    expires_at: now + ANSWER_TIMEOUT,
+                    expires_at: now + RESPONSE_TIMEOUT,
                 };
                 vec![Effect::Send(Message::HandoverRequest {})]
             }
@@ -251,7 +255,7 @@
             State::AwaitingOffer { expires_at } if now >= expires_at => {
                 self.continue_without_predecessor()
             }
-            // The predecessor hangs: both accept from the same queue.
+            // The predecessor hangs: both processes accept from the same queue.
             State::AwaitingHandover { expires_at } if now >= expires_at => {
                 self.state = State::Serving;
                 vec![Effect::StartAccepting]
@@ -260,8 +264,7 @@
         }
     }
 
-    /// Returns the time at which [`poll`](Self::poll) has something to do next, unless a message
-    /// comes before.
+    /// Returns the next deadline, at which [`poll`](Self::poll) has to be called.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         match self.state {
--- a/crates/hot-restart/src/successor/tests.rs
+++ b/crates/hot-restart/src/successor/tests.rs
@@ -28,9 +28,9 @@
         [Effect::AdoptListeners(vec![address(5)])]
     );
     assert_eq!(
-        successor.poll(ANSWER_TIMEOUT * 9, false),
+        successor.poll(RESPONSE_TIMEOUT * 9, false),
         [],
-        "a runtime may come up late"
+        "the runtime may become ready late"
     );
     assert_eq!(
         successor.poll(2, true),
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn listens_itself_where_no_acceptable_offer_comes() {
-    let listen_alone = [
+fn binds_new_listeners_without_an_acceptable_offer() {
+    let serve_alone = [
         Effect::Close,
         Effect::BindAllListeners,
         Effect::OpenStore,
@@ -78,22 +78,22 @@
     search_over.on_disconnected(7);
     assert_eq!(
         search_over.on_disconnected(7 + PREDECESSOR_SEARCH_TIME),
-        listen_alone
+        serve_alone
     );
     assert_eq!(
-        connected_successor().poll(ANSWER_TIMEOUT, true),
-        listen_alone,
+        connected_successor().poll(RESPONSE_TIMEOUT, true),
+        serve_alone,
         "a silent predecessor"
     );
     assert_eq!(
         connected_successor().on_message(1, offer(5), 0),
-        listen_alone,
-        "no socket came along"
+        serve_alone,
+        "no socket was passed"
     );
     assert_eq!(
         connected_successor().on_message(1, offer(7), 1),
-        listen_alone,
-        "one that was not asked for"
+        serve_alone,
+        "the address was not requested"
     );
     let other_version = Message::ListenerOffer {
         version: PROTOCOL_VERSION + 1,
@@ -101,11 +101,11 @@
     };
     assert_eq!(
         connected_successor().on_message(1, other_version, 1),
-        listen_alone
+        serve_alone
     );
     assert_eq!(
         connected_successor().on_message(1, Message::HandoverRequest {}, 0),
-        listen_alone
+        serve_alone
     );
 }
 
@@ -121,7 +121,7 @@
     assert_eq!(
         successor.on_disconnected(10 + PREDECESSOR_SEARCH_INTERVAL),
         [Effect::Close],
-        "nobody is there yet"
+        "no process accepts the connection yet"
     );
     assert_eq!(
         successor.poll(10 + 2 * PREDECESSOR_SEARCH_INTERVAL, true),
@@ -135,18 +135,18 @@
 }
 
 #[test]
-fn retreats_and_retries_when_descriptors_are_short() {
+fn retries_when_file_descriptors_run_short() {
     let mut successor = connected_successor();
     successor.on_message(1, offer(5), 1);
     assert_eq!(successor.on_adoption_failed(2), [Effect::Close]);
     assert!(!successor.is_serving());
     assert_eq!(successor.poll(2 + RETRY_DELAY, true), [Effect::Reconnect]);
-    successor.on_connected(RETRY_TIME);
-    successor.on_message(RETRY_TIME, offer(5), 1);
+    successor.on_connected(RETRY_PERIOD);
+    successor.on_message(RETRY_PERIOD, offer(5), 1);
     assert_eq!(
-        successor.on_adoption_failed(RETRY_TIME),
+        successor.on_adoption_failed(RETRY_PERIOD),
         [],
-        "it goes on with what it has"
+        "it continues with the sockets that it adopted"
     );
 }
 
@@ -163,13 +163,13 @@
         &successor.on_connected(1 + RETRY_DELAY)[..],
         [Effect::Send(Message::Hello { .. })]
     ));
-    let listen_alone = [
+    let serve_alone = [
         Effect::Close,
         Effect::BindAllListeners,
         Effect::OpenStore,
         Effect::StartAccepting,
     ];
-    assert_eq!(successor.on_message(RETRY_TIME, busy(), 0), listen_alone);
+    assert_eq!(successor.on_message(RETRY_PERIOD, busy(), 0), serve_alone);
 }
 
 #[test]
@@ -183,9 +183,12 @@
     let mut predecessor_hangs = connected_successor();
     predecessor_hangs.on_message(1, offer(5), 1);
     predecessor_hangs.poll(2, true);
-    assert_eq!(predecessor_hangs.next_deadline(), Some(2 + ANSWER_TIMEOUT));
     assert_eq!(
-        predecessor_hangs.poll(2 + ANSWER_TIMEOUT, true),
+        predecessor_hangs.next_deadline(),
+        Some(2 + RESPONSE_TIMEOUT)
+    );
+    assert_eq!(
+        predecessor_hangs.poll(2 + RESPONSE_TIMEOUT, true),
         [Effect::StartAccepting]
     );
 }
--- a/crates/hot-restart/tests/message.rs
+++ b/crates/hot-restart/tests/message.rs
@@ -1,10 +1,10 @@
-//! The codec of the messages between predecessor and successor.
+//! Encoding and decoding of the messages between predecessor and successor.
 
 use cleatpulley_hot_restart::message::{DecodeError, MAX_MESSAGE_BYTES, MAX_REPUTATION_ENTRIES};
 use cleatpulley_hot_restart::{Message, ProcessUsage};
 
 #[test]
-fn longest_handover_fits_into_one_message() {
+fn largest_handover_fits_into_one_message() {
     let address = "2001:db8:ffff:ffff:ffff:ffff:ffff:ffff"
         .parse()
         .expect("an address");
@@ -34,7 +34,7 @@
         Message::Hello {
             version: 1,
             name: "n1".into(),
-            addresses: vec!["127.0.0.1:5".parse().expect("one")],
+            addresses: vec!["127.0.0.1:5".parse().expect("an address and port")],
         },
         Message::ListenerOffer {
             version: 1,
@@ -59,7 +59,7 @@
     ];
     for message in messages {
         let bytes = message.encode();
-        assert_eq!(Message::decode(&bytes).expect("whole"), message);
+        assert_eq!(Message::decode(&bytes).expect("a valid message"), message);
         for length in 0..bytes.len() {
             assert!(
                 Message::decode(&bytes[..length]).is_err(),
--- a/crates/hot-restart/tests/predecessor.rs
+++ b/crates/hot-restart/tests/predecessor.rs
@@ -1,4 +1,4 @@
-//! What the serving process does for its successor.
+//! The predecessor's side of a hot restart: handover, loss of the successor, and rejected peers.
 
 use cleatpulley_hot_restart::message::{Message, ProcessUsage, PROTOCOL_VERSION};
 use cleatpulley_hot_restart::predecessor::{
@@ -59,16 +59,16 @@
     assert_eq!(
         predecessor.on_disconnected(100),
         [Effect::Close],
-        "its successor died"
+        "the successor died"
     );
     assert!(
         predecessor.has_handed_over() && !predecessor.can_accept_peer(),
-        "another process may serve by now"
+        "another process may be serving now"
     );
     assert_eq!(
         predecessor.on_store_released(),
         [],
-        "nobody is there to take it"
+        "no process is connected that could open the store"
     );
     assert_eq!(
         predecessor.poll(100, ProcessUsage::default),
@@ -79,11 +79,14 @@
         predecessor.poll(100 + ORPHAN_SEARCH_TIME, ProcessUsage::default),
         [Effect::ResumeAccepting]
     );
-    assert!(predecessor.can_accept_peer(), "and the next may come");
+    assert!(
+        predecessor.can_accept_peer(),
+        "another successor may connect"
+    );
 }
 
 #[test]
-fn orphan_attaches_to_the_process_that_serves_and_its_search_ends() {
+fn orphan_reports_to_the_process_that_serves_and_its_search_ends() {
     let mut predecessor = connected_predecessor();
     predecessor.on_message(1, &hello(PROTOCOL_VERSION, "n1"), &[address(5)]);
     predecessor.on_message(2, &Message::HandoverRequest {}, &[]);
@@ -108,9 +111,10 @@
     assert_eq!(
         predecessor.on_serving_process_found(111, usage),
         [],
-        "it has one already"
+        "it has found a serving process already"
     );
-    // A process that does not know this message closes each time; the search still ends.
+    // A process that does not know this message closes the connection each time; the search still
+    // ends.
     predecessor.on_disconnected(120);
     assert_eq!(
         predecessor.poll(100 + ORPHAN_SEARCH_TIME, ProcessUsage::default),
@@ -125,7 +129,7 @@
     assert_eq!(
         orphaned_twice.poll(200_001, ProcessUsage::default),
         [Effect::FindServingProcess],
-        "another one died, much later"
+        "a later loss begins a new search"
     );
     let mut stopping = connected_predecessor();
     stopping.on_message(1, &hello(PROTOCOL_VERSION, "n1"), &[address(5)]);
@@ -143,7 +147,7 @@
     );
     assert!(
         latest.can_accept_peer(),
-        "its own successor may come all the same"
+        "its own successor can still connect"
     );
     let of_other_server = Message::EarlierPredecessor {
         version: PROTOCOL_VERSION,
@@ -158,7 +162,7 @@
 }
 
 #[test]
-fn rejects_peers_of_another_version_or_server_and_silent_ones() {
+fn rejects_peers_of_another_version_or_server_and_disconnects_silent_ones() {
     for (version, name) in [(PROTOCOL_VERSION + 1, "n1"), (PROTOCOL_VERSION, "n2")] {
         let effects = connected_predecessor().on_message(1, &hello(version, name), &[address(5)]);
         assert!(matches!(
@@ -169,7 +173,7 @@
     assert_eq!(
         connected_predecessor().on_message(1, &Message::HandoverRequest {}, &[address(5)]),
         [Effect::Close],
-        "out of turn"
+        "protocol violation"
     );
     let mut silent = connected_predecessor();
     assert_eq!(silent.next_deadline(), Some(HANDOVER_TIMEOUT));
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn successor_lost_before_the_handover_changes_nothing() {
+fn predecessor_keeps_serving_if_its_successor_is_lost_before_the_handover() {
     let mut predecessor = connected_predecessor();
     predecessor.on_message(1, &hello(PROTOCOL_VERSION, "n1"), &[address(5)]);
     assert_eq!(predecessor.on_disconnected(2), [Effect::Close]);
--- a/crates/hot-restart/tests/wire_format.rs
+++ b/crates/hot-restart/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The messages of a hot restart and the snapshot of a controller's learned state keep their
-//! bytes in both directions: either process may be of release 0.2.
+//! Compatibility of the wire format: the messages of a hot restart and the snapshot of a
+//! controller's learned state are encoded to the same bytes as by release 0.2, and are decoded from
+//! them, as either process may be of that release.
 //!
 //! `fixtures/messages.jsonl` has a message in each line, `fixtures/snapshot.json` a snapshot.
 
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn reads_each_message_of_release_0_2() {
+fn decodes_each_message_of_release_0_2() {
     let text = fixture("messages.jsonl");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), messages().len());
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn sends_each_message_with_the_bytes_of_release_0_2() {
+fn encodes_each_message_to_the_bytes_of_release_0_2() {
     let text = fixture("messages.jsonl");
     for (line, message) in text.lines().zip(messages()) {
         assert_eq!(String::from_utf8(message.encode()).expect("text"), line);
@@ -152,13 +153,14 @@
 #[test]
 fn decodes_the_snapshot_of_release_0_2() {
     assert_eq!(
-        snapshot::decode(site_digest(), TAKEN_AT + 5, &fixture("snapshot.json")).expect("whole"),
+        snapshot::decode(site_digest(), TAKEN_AT + 5, &fixture("snapshot.json"))
+            .expect("a valid snapshot"),
         learned_state()
     );
 }
 
 #[test]
-fn writes_the_snapshot_with_the_bytes_of_release_0_2() {
+fn encodes_the_snapshot_to_the_bytes_of_release_0_2() {
     assert_eq!(
         snapshot::encode(site_digest(), TAKEN_AT, &learned_state()),
         fixture("snapshot.json")
