--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -76,7 +76,7 @@
         .max()
         .expect("classes");
     assert_eq!(kept.capacity.deduplication_window, 13_518_000 + latest);
-    assert!(kept.capacity.result_bytes <= config.memory_mb * 250_000);
+    assert!(kept.capacity.max_result_bytes <= config.memory_mb * 250_000);
     let mut two = config.clone();
     two.settings.classes[2].effect = cleatpulley::interface::Effect::AtMostOnce;
     let other =
