--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -106,7 +106,7 @@
 
     /// Returns the datagram of a payload, signed with the first key.
     #[must_use]
-    pub fn seal(&self, payload: &[u8]) -> Vec<u8> {
+    pub fn sign(&self, payload: &[u8]) -> Vec<u8> {
         let number = self.signing.number;
         let tag = hmac::sign(&self.signing.secret, &signed_bytes(number, payload));
         let mut datagram = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// When the datagram is too short, its key is unknown, or its tag is wrong.
-    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], AuthenticationError> {
+    pub fn verify<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], AuthenticationError> {
         let (header, payload) = datagram
             .split_at_checked(HEADER_BYTES)
             .ok_or(AuthenticationError::TooShort)?;
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -17,11 +17,11 @@
     ];
     for pair in stages.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-            assert_eq!(to.open(&from.seal(b"so many")), Ok(&b"so many"[..]));
+            assert_eq!(to.verify(&from.sign(b"so many")), Ok(&b"so many"[..]));
         }
     }
     assert_eq!(
-        stages[3].open(&stages[0].seal(b"x")),
+        stages[3].verify(&stages[0].sign(b"x")),
         Err(AuthenticationError::UnknownKey(1))
     );
 }
@@ -29,13 +29,16 @@
 #[test]
 fn rejects_a_datagram_with_any_byte_changed() {
     let keys = KeyRing::parse(&line(7, "0f")).expect("a key");
-    let sealed = keys.seal(b"payload");
-    for at in 0..sealed.len() {
-        let mut other = sealed.clone();
+    let signed = keys.sign(b"payload");
+    for at in 0..signed.len() {
+        let mut other = signed.clone();
         other[at] ^= 1;
-        assert!(keys.open(&other).is_err(), "byte {at}");
+        assert!(keys.verify(&other).is_err(), "byte {at}");
     }
-    assert_eq!(keys.open(&sealed[..32]), Err(AuthenticationError::TooShort));
+    assert_eq!(
+        keys.verify(&signed[..32]),
+        Err(AuthenticationError::TooShort)
+    );
 }
 
 #[test]
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,33 +1,34 @@
-//! What a [`Membership`](crate::Membership) reports to its caller.
+//! Events and members that a [`Membership`](crate::Membership) reports to its caller.
 
 use crate::identity::Identity;
 use crate::incarnation::IncarnationMark;
 
-/// A change that the caller has to know of.
+/// A change of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A process became a member, or a member came back under another incarnation.
+    /// A process became a member, or a member rejoined under another incarnation.
     Up(Identity),
     /// A member was declared down, left, or was replaced by another incarnation.
     Down(Identity),
-    /// Other processes had declared this one down; it joined again under this incarnation.
+    /// This process had been declared down by other processes, and rejoined under this
+    /// incarnation.
     Rejoined(u64),
-    /// Another process has the name of this one at another address, and takes precedence. This
-    /// process is not a member until that one is down.
+    /// Another process has the same name as this one at another address, and takes precedence. This
+    /// process is not a member until that process is down.
     Superseded(Identity),
-    /// This mark has to be durable before the process may be restarted: see
+    /// The caller has to make this mark durable before the process is restarted: see
     /// [`Incarnations`](crate::incarnation::Incarnations).
     PersistMark(IncarnationMark),
-    /// All incarnations have been used; this process takes no further part.
+    /// All incarnations have been used; this process has left the cluster for good.
     IncarnationsExhausted,
 }
 
-/// Another process, as seen from this one.
+/// Another member of the cluster, as seen by this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its identity.
+    /// Identity of the member.
     pub identity: Identity,
-    /// Whether it is suspected: it acknowledged neither a probe nor an indirect probe, and is
-    /// declared down unless it refutes the suspicion in time.
-    pub suspected: bool,
+    /// Whether the member is suspected: it acknowledged neither a direct nor an indirect probe, and
+    /// is declared down unless it refutes the suspicion in time.
+    pub is_suspected: bool,
 }
--- a/crates/membership/src/bounded.rs
+++ b/crates/membership/src/foca_hooks.rs
@@ -1,5 +1,5 @@
-//! The hooks of the SWIM library: a codec that rejects members beyond the limit, and the handler of
-//! shared metrics. They bound the memory that a peer with a valid key can claim.
+//! The hooks that the SWIM library calls: a codec that rejects members beyond the limit, and the
+//! handler of broadcast metrics. They limit the memory that a peer with a valid key can use.
 
 use crate::identity::Identity;
 use crate::shared_metrics::Metric;
@@ -9,20 +9,20 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The library's postcard codec, which rejects members beyond the limit.
+/// The library's postcard codec, extended to reject members beyond the limit.
 pub(crate) struct BoundedCodec {
     pub(crate) shared: Rc<RefCell<SharedState>>,
 }
 
-/// The library exports the error of its codec by this path only.
+/// The error type of the library's codec, which has no exported name.
 type PostcardError = <PostcardCodec as Codec<Identity>>::Error;
 
-/// Why a datagram is not encoded or decoded.
+/// The reason why a datagram can't be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CodecError {
     #[error(transparent)]
     Postcard(#[from] PostcardError),
-    #[error("it names a member beyond the limit on members")]
+    #[error("datagram contains a member beyond the member limit")]
     MemberLimit,
 }
 
@@ -40,7 +40,8 @@
     fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<Identity>, CodecError> {
         let header: Header<Identity> = PostcardCodec.decode_header(buffer)?;
         let mut shared = self.shared.borrow_mut();
-        // A datagram to a former incarnation of this process shows that others have seen it.
+        // A datagram to a former incarnation of this process shows that other processes have seen
+        // that incarnation.
         shared.note_former_identity(&header.dst);
         shared.sender = Some(header.src.clone());
         let is_admitted = shared.admit(&header.src);
@@ -62,24 +63,25 @@
     }
 }
 
-/// Merges the shared metrics that the library receives, and has it disseminate those that are new.
-pub(crate) struct MetricBroadcasts {
+/// Merges the metrics that the library receives, and has the library disseminate the new ones.
+pub(crate) struct MetricBroadcastHandler {
     pub(crate) shared: Rc<RefCell<SharedState>>,
 }
 
-/// A metric that is being disseminated.
+/// A metric that the library disseminates.
 pub(crate) struct MetricBroadcast(Metric);
 
 impl Invalidates for MetricBroadcast {
-    /// The latest metric of a process and kind replaces earlier ones.
+    /// Returns whether this metric replaces the other one: it is of the same process and kind, and
+    /// at least as recent.
     fn invalidates(&self, other: &Self) -> bool {
-        let subject = |broadcast: &Self| (broadcast.0.address, broadcast.0.kind);
+        let process_and_kind = |broadcast: &Self| (broadcast.0.address, broadcast.0.kind);
         let version = |broadcast: &Self| (broadcast.0.incarnation, broadcast.0.version);
-        subject(self) == subject(other) && version(self) >= version(other)
+        process_and_kind(self) == process_and_kind(other) && version(self) >= version(other)
     }
 }
 
-impl BroadcastHandler<Identity> for MetricBroadcasts {
+impl BroadcastHandler<Identity> for MetricBroadcastHandler {
     type Key = MetricBroadcast;
     type Error = postcard::Error;
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,10 +1,11 @@
-//! The identity of a process, as other processes know it.
+//! The identity of a process in the cluster.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Longest label, in bytes: a datagram carries several members, each with three labels.
+/// Maximum length of a label, in bytes. It is short because a datagram contains several members with
+/// three labels each.
 pub const MAX_LABEL_BYTES: usize = 48;
 
 /// The name of a process, a zone or a host: printable ASCII without blanks, at least one byte and
@@ -13,21 +14,23 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Label(String);
 
-/// Why a text is not a [`Label`].
+/// The reason why a text is not a valid [`Label`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidLabel {
-    /// It is empty.
+    /// The text is empty.
     #[error("is empty")]
     Empty,
-    /// It is longer than [`MAX_LABEL_BYTES`]; this many bytes.
-    #[error("has {0} bytes, {MAX_LABEL_BYTES} at most")]
+    /// The text is longer than [`MAX_LABEL_BYTES`]; its length in bytes.
+    #[error("has {0} bytes, at most {MAX_LABEL_BYTES} are allowed")]
     TooLong(usize),
-    /// It contains a byte that is not printable ASCII.
-    #[error("has the byte {byte:#04x} at {offset}, and takes printable ASCII without blanks")]
+    /// The text contains a byte that is not printable ASCII, or is a blank.
+    #[error(
+        "has the byte {byte:#04x} at {offset}, only printable ASCII without blanks is allowed"
+    )]
     NotPrintable {
         /// The byte.
         byte: u8,
-        /// Its offset in the text, in bytes.
+        /// Offset of the byte in the text.
         offset: usize,
     },
 }
@@ -59,7 +62,7 @@
 }
 
 impl Label {
-    /// The label as text.
+    /// Returns the label as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -72,11 +75,11 @@
     }
 }
 
-/// The job of a process in the installation.
+/// The role of a process in the installation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A server: admits requests and has them executed by its runtime.
+    /// Admits requests and has its runtime execute them.
     #[serde(rename = "matcher")]
     Server,
     /// Routes requests to servers.
@@ -95,30 +98,30 @@
     }
 }
 
-/// A process under one of its incarnations.
+/// The identity of a process in one of its incarnations.
 ///
-/// The order of the fields is that of their encoding in datagrams.
+/// Fields are encoded in datagrams in this order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its name, unique in the installation.
+    /// Name of the process, unique in the installation.
     pub name: Label,
-    /// Its incarnation; see [`incarnation`](crate::incarnation).
+    /// Incarnation of the process; see [`incarnation`](crate::incarnation).
     pub incarnation: u64,
-    /// A random number drawn at the start of the process. It distinguishes two processes that have
-    /// the same name and, by a copied disk, the same incarnation.
+    /// Random number drawn at the start of the process. It distinguishes two processes with the same
+    /// name and, due to a copied disk, the same incarnation.
     pub boot_id: u64,
-    /// The address that receives its datagrams.
+    /// Address at which the process receives datagrams.
     pub address: SocketAddr,
-    /// Its role.
+    /// Role of the process.
     pub role: Role,
-    /// Its zone.
+    /// Zone of the process.
     pub zone: Label,
-    /// Its host.
+    /// Host of the process.
     pub host: Label,
 }
 
 impl Identity {
-    /// Decides between two processes of one name or at one address: the greater one wins.
+    /// Returns the precedence that decides between two processes with the same name or address.
     #[must_use]
     pub fn precedence(&self) -> Precedence {
         Precedence {
@@ -128,7 +131,7 @@
     }
 }
 
-/// The precedence of an identity: the later incarnation, and of equal ones the greater boot number.
+/// The precedence of an identity: the later incarnation wins, then the greater boot id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     /// See [`Identity::incarnation`].
@@ -146,8 +149,8 @@
 impl foca::Identity for Identity {
     type Addr = SocketAddr;
 
-    /// Never: the state machine first checks whether another process has taken the name, and then
-    /// changes the identity itself.
+    /// Always returns `None`: the state machine first checks whether another process has taken the
+    /// name, and then changes the identity itself.
     fn renew(&self) -> Option<Self> {
         None
     }
--- a/crates/membership/src/identity/tests.rs
+++ b/crates/membership/src/identity/tests.rs
@@ -1,11 +1,14 @@
-//! Labels are checked when they are made.
+//! Validation of labels.
 
 use super::*;
 
 #[test]
-fn label_rejects_empty_long_and_unprintable_text_with_the_cause() {
+fn label_rejects_empty_long_and_unprintable_text_with_the_reason() {
     let label = |text: &str| Label::try_from(text.to_owned());
-    assert_eq!(label("g-1.mona").expect("fits").as_str(), "g-1.mona");
+    assert_eq!(
+        label("g-1.mona").expect("a valid label").as_str(),
+        "g-1.mona"
+    );
     assert_eq!(label(""), Err(InvalidLabel::Empty));
     assert_eq!(label(&"x".repeat(49)), Err(InvalidLabel::TooLong(49)));
     assert_eq!(
@@ -16,7 +19,7 @@
         })
     );
     assert_eq!(
-        label("a\u{e4}").expect_err("no ASCII").to_string(),
-        "has the byte 0xc3 at 1, and takes printable ASCII without blanks"
+        label("a\u{e4}").expect_err("not ASCII").to_string(),
+        "has the byte 0xc3 at 1, only printable ASCII without blanks is allowed"
     );
 }
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -1,41 +1,42 @@
-//! Incarnations that are never used twice.
+//! Allocation of incarnations that are never used twice.
 //!
-//! The disk holds a mark: every incarnation up to it may have been used. A process that starts
-//! takes the number after the mark, and moves the mark on by a whole block *before* it uses that
-//! number. It can then raise its incarnation within the block (after a false suspicion) without a
-//! write, and a power loss wastes numbers but never repeats one. A disk that is out of date or
-//! empty is detected by gossip: [`Incarnations::advance_past`] goes above every former incarnation
-//! of this process that others have seen.
+//! A high-water mark on the disk limits the incarnations that may have been used. A process that
+//! starts takes the number after the mark, and raises the mark by a whole block *before* it uses
+//! that number. It can then raise its incarnation within the block (after a false suspicion) without
+//! another write, and a power loss wastes numbers but never repeats one. A disk that is out of date
+//! or empty is detected by gossip: [`Incarnations::advance_past`] moves above every former
+//! incarnation of this process that other processes have seen.
 
 use std::fmt;
 
-/// Incarnations that one write to the disk reserves.
+/// Number of incarnations reserved by one write to the disk.
 pub const BLOCK_SIZE: u64 = 1 << 16;
 
-/// The current incarnation of this process, and those reserved for it.
+/// The current incarnation of this process, and the reserved ones that it can use next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Incarnations {
     current: u64,
     reserved: u64,
 }
 
-/// The highest reserved incarnation, which has to be durable before any of the reserved ones is
-/// used.
+/// High-water mark: the highest reserved incarnation. It has to be durable before any of the
+/// reserved incarnations is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "no incarnation above the old mark may be used before this one is durable"]
 pub struct IncarnationMark(pub u64);
 
-/// All incarnations have been used; the mark or incarnation after which none is left.
+/// Error: all incarnations have been used. Contains the mark or incarnation after which none is
+/// left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no incarnation is left: the mark is {0}")]
 pub struct IncarnationsExhausted(u64);
 
 impl Incarnations {
-    /// Reserves a block after the mark that the disk holds, or after 0 where it holds none, and
-    /// returns it with the mark to make durable.
+    /// Reserves a block after the mark on the disk, or after 0 if there is none. Returns it with the
+    /// new mark, which the caller has to make durable.
     ///
     /// # Errors
-    /// When fewer incarnations than a block are left.
+    /// If less than a block of incarnations is left.
     pub fn start_after(mark: u64) -> Result<(Self, IncarnationMark), IncarnationsExhausted> {
         let reserved = mark
             .checked_add(BLOCK_SIZE)
@@ -49,17 +50,17 @@
         ))
     }
 
-    /// The current incarnation.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// Moves to the lowest incarnation above both the current one and `highest_seen`. Returns a
-    /// mark where that took a new block; it has to be durable before the process may be restarted.
+    /// Moves to the lowest incarnation above both the current one and `highest_seen`. Returns a new
+    /// mark if another block was reserved; it has to be durable before the process is restarted.
     ///
     /// # Errors
-    /// When no incarnation or no block is left.
+    /// If no incarnation or no whole block is left.
     pub fn advance_past(
         &mut self,
         highest_seen: u64,
@@ -79,9 +80,9 @@
         Ok(Some(IncarnationMark(self.reserved)))
     }
 
-    /// Whether others have seen a former incarnation of this process that is not below the current
-    /// one. The disk was out of date then, and [`advance_past`](Self::advance_past) has to be
-    /// called.
+    /// Returns whether `highest_seen`, the highest former incarnation that other processes have
+    /// seen, is not below the current one. The disk was out of date then, and
+    /// [`advance_past`](Self::advance_past) has to be called.
     #[must_use]
     pub fn is_behind(&self, highest_seen: u64) -> bool {
         highest_seen >= self.current
--- a/crates/membership/src/incarnation/tests.rs
+++ b/crates/membership/src/incarnation/tests.rs
@@ -1,8 +1,8 @@
-//! Incarnations over restarts, and their end.
+//! Allocation of incarnations over restarts, and their exhaustion.
 
 use super::*;
 
-/// A process that is killed at any step, and starts from what was durable then, never uses an
+/// A process that is killed at any step and starts again from the last durable mark never uses an
 /// incarnation twice.
 #[test]
 fn no_incarnation_is_used_twice_whenever_the_power_fails() {
@@ -11,17 +11,20 @@
     for start in 0..200u64 {
         let (mut incarnations, mark) = Incarnations::start_after(disk).expect("some are left");
         if start % 3 == 0 {
-            continue; // Killed before the mark was durable: nothing was used.
+            continue; // Killed before the mark was durable: no incarnation was used.
         }
         disk = mark.0;
         assert!(used.insert(incarnations.current()), "twice");
-        for bump in 0..start % 7 {
-            let seen = if bump == 3 {
+        for advance in 0..start % 7 {
+            let highest_seen = if advance == 3 {
                 incarnations.current() + 2 * BLOCK_SIZE
             } else {
                 0
             };
-            if let Some(mark) = incarnations.advance_past(seen).expect("some are left") {
+            if let Some(mark) = incarnations
+                .advance_past(highest_seen)
+                .expect("some are left")
+            {
                 disk = mark.0;
             }
             assert!(used.insert(incarnations.current()), "twice");
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,26 +1,26 @@
-//! Cluster membership: gossip with suspicion, after SWIM, among the processes of an installation.
+//! Cluster membership of the processes of an installation: a SWIM gossip protocol with suspicion.
 //!
-//! A [`Membership`] is a state machine without sockets and without a clock: the caller hands it
-//! datagrams and the time, and takes outgoing datagrams and [`Event`]s from it. What it reports is
-//! a hint, never a fact: a false suspicion may cost capacity, so no decision that has to be correct
-//! may rest on it alone.
+//! A [`Membership`] is a state machine without sockets or a clock: the caller passes received
+//! datagrams and the time to it, and takes outgoing datagrams and [`Event`]s from it. Its reports are
+//! hints, as a live member may be suspected and declared down: this may cost capacity, but nothing
+//! that has to be correct may depend on membership alone.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `membership` | the state machine, over the SWIM implementation of the `foca` library |
-//! | `event`, `settings` | what it reports, and its timeouts and limits |
-//! | [`identity`] | a process: name, address, role, zone, host and incarnation |
+//! | `membership` | the state machine, based on the SWIM implementation of the `foca` library |
+//! | `event`, `settings` | the events that it reports; its timeouts and limits |
+//! | [`identity`] | the identity of a process: name, address, role, zone, host and incarnation |
 //! | [`incarnation`] | incarnations that are unique across restarts and lost disks |
-//! | [`shared_metrics`] | small values of each process, versioned and merged in any order |
+//! | [`shared_metrics`] | small versioned values of each process, merged in any order |
 //! | [`authentication`] | the shared keys that authenticate every datagram, and their rotation |
-//! | `shared_state`, `bounded` | the hooks of the library, with limits on what peers can claim |
+//! | `shared_state`, `foca_hooks` | the hooks that the library calls, which limit the memory that peers can use |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod authentication;
-mod bounded;
 mod event;
+mod foca_hooks;
 pub mod identity;
 pub mod incarnation;
 mod membership;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,7 +19,7 @@
 use foca::State;
 use own_metrics::OwnMetrics;
 use payload::Payload;
-use rejoin::Standing;
+use rejoin::MembershipStatus;
 use std::cell::Ref;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     /// The members that events have reported, by address.
     reported_members: BTreeMap<SocketAddr, Identity>,
     own_metrics: OwnMetrics,
-    standing: Standing,
+    status: MembershipStatus,
     /// Whether this process has left for good.
     has_left: bool,
     rejected_datagrams: u64,
@@ -96,7 +96,7 @@
             events: VecDeque::new(),
             reported_members: BTreeMap::new(),
             own_metrics: OwnMetrics::default(),
-            standing: Standing::Member,
+            status: MembershipStatus::Member,
             has_left: false,
             rejected_datagrams: 0,
         })
@@ -133,13 +133,13 @@
         self.swim.shared.borrow_mut().now = now;
         let payload = self
             .keys
-            .open(datagram)
+            .verify(datagram)
             .inspect_err(|_| self.rejected_datagrams += 1)?;
         match Payload::decode(payload) {
             Some(Payload::Gossip(message)) => self.handle_gossip(now, message),
             Some(Payload::DownNotice(identity)) => {
                 if identity.as_ref() == Some(self.identity()) {
-                    self.standing.declare_down();
+                    self.status.declare_down();
                 }
             }
             None => self.rejected_datagrams += 1,
@@ -154,15 +154,15 @@
         // changes nothing.
         let _ = self.swim.foca.handle_data(message, &mut effects);
         self.apply(now, effects);
-        self.answer_sender_that_is_down(now);
+        self.notify_sender_if_down(now);
     }
 
     /// Does all that is due: probes, suspicions that time out, gossip, contacts and renewals.
     pub fn poll(&mut self, now: Micros) {
         self.swim.shared.borrow_mut().now = now;
-        self.timers.forgive_own_pause(now);
+        self.timers.postpone_after_pause(now);
         self.run_timers(now);
-        self.update_standing(now);
+        self.update_status(now);
         if now >= self.contacts.next_attempt && !self.has_left {
             self.contacts.next_attempt = now + CONTACT_PROBES * self.swim.settings.probe_interval;
             self.announce_to_contacts(now);
@@ -224,7 +224,7 @@
             if takes_precedence {
                 let member = Member {
                     identity: identity.clone(),
-                    suspected: member.state() == State::Suspect,
+                    is_suspected: member.state() == State::Suspect,
                 };
                 members.insert(identity.name.clone(), member);
             }
@@ -241,7 +241,7 @@
     /// Whether this process is a member, as far as it knows.
     #[must_use]
     pub fn is_member(&self) -> bool {
-        self.standing == Standing::Member && !self.has_left
+        self.status == MembershipStatus::Member && !self.has_left
     }
 
     /// What was rejected since the start.
--- a/crates/membership/src/membership/changes.rs
+++ b/crates/membership/src/membership/changes.rs
@@ -19,7 +19,7 @@
             self.send(destination, &encode_gossip(&message));
         }
         if effects.is_declared_down {
-            self.standing.declare_down();
+            self.status.declare_down();
         }
         if effects.members_changed {
             self.report_changes();
@@ -29,7 +29,7 @@
 
     /// Queues a datagram with this payload.
     pub(super) fn send(&mut self, destination: SocketAddr, payload: &[u8]) {
-        self.outgoing.push((destination, self.keys.seal(payload)));
+        self.outgoing.push((destination, self.keys.sign(payload)));
     }
 
     /// Reports the differences between the members now and those at the last call.
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -9,7 +9,7 @@
 
 /// Whether this process is a member, as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum MembershipStatus {
     /// It is.
     Member,
     /// Others have declared it down; it joins again under a new incarnation.
@@ -18,7 +18,7 @@
     Superseded,
 }
 
-impl Standing {
+impl MembershipStatus {
     /// Notes that others have declared this process down. One that is superseded will rejoin in
     /// any case once it no longer is.
     pub(super) fn declare_down(&mut self) {
@@ -33,7 +33,7 @@
     ///
     /// Where more processes are down than are members, this process rather was cut off itself: it
     /// starts over, so that the smaller side of a partition rejoins, and not the larger one.
-    pub(super) fn answer_sender_that_is_down(&mut self, now: Micros) {
+    pub(super) fn notify_sender_if_down(&mut self, now: Micros) {
         let Some(sender) = self.swim.shared.borrow_mut().sender.take() else {
             return;
         };
@@ -41,14 +41,14 @@
             return;
         }
         if self.swim.has_lost_majority() {
-            self.start_over(now);
+            self.reset_and_rejoin(now);
         } else if let Ok(notice) = encode_down_notice(&sender) {
             self.send(sender.address, &notice);
         }
     }
 
     /// Forgets all other processes, and joins again under a new incarnation.
-    fn start_over(&mut self, now: Micros) {
+    fn reset_and_rejoin(&mut self, now: Micros) {
         self.swim.reset();
         self.timers.clear();
         self.report_changes();
@@ -58,19 +58,19 @@
 
     /// Checks who has the name of this process, and joins again if others declared it down or have
     /// seen an incarnation that the disk did not know of.
-    pub(super) fn update_standing(&mut self, now: Micros) {
+    pub(super) fn update_status(&mut self, now: Micros) {
         if let Some(holder) = self.find_name_holder() {
-            self.yield_name(holder);
+            self.mark_superseded(holder);
             return;
         }
-        if self.standing == Standing::Superseded {
-            self.standing = Standing::DeclaredDown;
+        if self.status == MembershipStatus::Superseded {
+            self.status = MembershipStatus::DeclaredDown;
         }
         let highest_seen = self.swim.shared.borrow().highest_seen;
-        let has_to_rejoin =
-            self.standing == Standing::DeclaredDown || self.incarnations.is_behind(highest_seen);
+        let has_to_rejoin = self.status == MembershipStatus::DeclaredDown
+            || self.incarnations.is_behind(highest_seen);
         if has_to_rejoin && !self.has_left {
-            self.standing = Standing::Member;
+            self.status = MembershipStatus::Member;
             self.advance_incarnation(now, highest_seen);
         }
     }
@@ -87,11 +87,11 @@
     }
 
     /// Stays out while another process has the name.
-    fn yield_name(&mut self, holder: Identity) {
-        if self.standing == Standing::Superseded {
+    fn mark_superseded(&mut self, holder: Identity) {
+        if self.status == MembershipStatus::Superseded {
             return;
         }
-        self.standing = Standing::Superseded;
+        self.status = MembershipStatus::Superseded;
         // Once the holder is down, this process joins again with precedence over it.
         let mut shared = self.swim.shared.borrow_mut();
         shared.highest_seen = shared.highest_seen.max(holder.incarnation);
--- a/crates/membership/src/membership/swim.rs
+++ b/crates/membership/src/membership/swim.rs
@@ -1,6 +1,6 @@
 //! The instance of the SWIM library, with its hooks and its shared state.
 
-use crate::bounded::{BoundedCodec, MetricBroadcasts};
+use crate::foca_hooks::{BoundedCodec, MetricBroadcastHandler};
 use crate::identity::{Identity, Label};
 use crate::settings::Settings;
 use crate::shared_state::SharedState;
@@ -15,11 +15,11 @@
 /// Name in the identity of a contact of which only the address is known.
 const UNKNOWN_NAME: &str = "?";
 
-type Library = Foca<Identity, BoundedCodec, SmallRng, MetricBroadcasts>;
+type FocaInstance = Foca<Identity, BoundedCodec, SmallRng, MetricBroadcastHandler>;
 
 /// The library's instance.
 pub(super) struct Swim {
-    pub(super) foca: Library,
+    pub(super) foca: FocaInstance,
     pub(super) shared: Rc<RefCell<SharedState>>,
     pub(super) settings: Settings,
     seed: u64,
@@ -30,7 +30,7 @@
         let shared = SharedState::new(identity.clone(), settings.max_members);
         let shared = Rc::new(RefCell::new(shared));
         Self {
-            foca: new_library(identity, &settings, &shared, seed),
+            foca: new_foca(identity, &settings, &shared, seed),
             shared,
             settings,
             seed,
@@ -40,7 +40,7 @@
     /// Replaces the instance by one that knows no other process.
     pub(super) fn reset(&mut self) {
         let identity = self.foca.identity().clone();
-        self.foca = new_library(identity, &self.settings, &self.shared, self.seed);
+        self.foca = new_foca(identity, &self.settings, &self.shared, self.seed);
     }
 
     /// Identities of the members, suspected ones included.
@@ -93,16 +93,16 @@
     }
 }
 
-fn new_library(
+fn new_foca(
     identity: Identity,
     settings: &Settings,
     shared: &Rc<RefCell<SharedState>>,
     seed: u64,
-) -> Library {
+) -> FocaInstance {
     let codec = BoundedCodec {
         shared: shared.clone(),
     };
-    let broadcasts = MetricBroadcasts {
+    let broadcasts = MetricBroadcastHandler {
         shared: shared.clone(),
     };
     // Each incarnation probes in another random order.
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// A poll that is late by this much was not delayed by a slow network: this process was paused.
-const OWN_PAUSE_THRESHOLD: Micros = 300_000;
+const PAUSE_THRESHOLD: Micros = 300_000;
 
 /// Timers by deadline; those of one deadline in the order in which they were started.
 #[derive(Default)]
@@ -38,12 +38,12 @@
 
     /// Postpones all timers by the time for which this process was paused, if it was. It would
     /// otherwise take its own silence for that of the others, and declare them down.
-    pub(super) fn forgive_own_pause(&mut self, now: Micros) {
+    pub(super) fn postpone_after_pause(&mut self, now: Micros) {
         let Some(first_deadline) = self.next_deadline() else {
             return;
         };
         let delay = now.saturating_sub(first_deadline);
-        if delay < OWN_PAUSE_THRESHOLD {
+        if delay < PAUSE_THRESHOLD {
             return;
         }
         self.timers = std::mem::take(&mut self.timers)
--- a/crates/membership/src/shared_state.rs
+++ b/crates/membership/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! State shared by the state machine and the hooks that the SWIM library calls while it decodes a
+//! State shared by the state machine and the hooks that the SWIM library calls while it handles a
 //! datagram.
 
 use crate::identity::Identity;
@@ -7,16 +7,16 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What the hooks read and note.
+/// State that the hooks read and update.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     /// The time of the current call.
     pub(crate) now: Micros,
     /// The identity of this process.
     pub(crate) own_identity: Identity,
-    /// The highest former incarnation of this process that others have seen.
+    /// The highest former incarnation of this process that other processes have seen.
     pub(crate) highest_seen: u64,
-    /// Sender of the datagram that is being handled.
+    /// Sender of the current datagram.
     pub(crate) sender: Option<Identity>,
     pub(crate) metrics: SharedMetrics,
     pub(crate) capacity: MemberCapacity,
@@ -26,14 +26,14 @@
 #[derive(Debug)]
 pub(crate) struct MemberCapacity {
     limit: usize,
-    /// Addresses of processes that are members or were until lately.
+    /// Addresses of members, and of former members that are still remembered.
     addresses: BTreeSet<SocketAddr>,
-    /// Members that were rejected.
+    /// Number of times that a member was rejected.
     rejected: u64,
 }
 
 impl SharedState {
-    /// The state of a process that knows no other.
+    /// Creates the state of a process that knows no other processes.
     pub(crate) fn new(own_identity: Identity, member_limit: usize) -> Self {
         Self {
             now: 0,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Notes the incarnation where this is a former identity of this process: the same name at the
-    /// same address. The same name at another address may be another process.
+    /// Notes the incarnation of an identity if it is a former one of this process: the same name at
+    /// the same address. The same name at another address may be another process.
     pub(crate) fn note_former_identity(&mut self, identity: &Identity) {
         let own = &self.own_identity;
         if identity != own && identity.name == own.name && identity.address == own.address {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether a member that a datagram names is known or may be added; counts it as rejected if
+    /// Returns whether a member in a datagram is known or may be added. Counts it as rejected if
     /// not.
     pub(crate) fn admit(&mut self, member: &Identity) -> bool {
         self.note_former_identity(member);
@@ -75,22 +75,22 @@
         false
     }
 
-    /// Notes a process that became a member.
+    /// Adds the address of a process that became a member.
     pub(crate) fn add(&mut self, address: SocketAddr) {
         self.addresses.insert(address);
     }
 
-    /// Whether no further process may be added.
+    /// Returns whether no further process may be added.
     pub(crate) fn is_exhausted(&self) -> bool {
         self.addresses.len() >= self.limit
     }
 
-    /// Keeps only these addresses.
+    /// Replaces the known addresses.
     pub(crate) fn reset(&mut self, addresses: BTreeSet<SocketAddr>) {
         self.addresses = addresses;
     }
 
-    /// Members that were rejected.
+    /// Returns the number of times that a member was rejected.
     pub(crate) fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/crates/membership/tests/gossip/emulated_network.rs
+++ b/crates/membership/tests/gossip/emulated_network.rs
@@ -12,7 +12,7 @@
 /// A second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
 /// Port of a process that has the name of another.
-pub const NAMESAKE: u16 = 99;
+pub const DUPLICATE_NAME_PORT: u16 = 99;
 /// Shortest time in transit, in microseconds.
 const MIN_DELAY: u64 = 100;
 /// Datagrams that the socket buffer of a paused process holds.
@@ -190,7 +190,7 @@
     /// The name of a process in the timeline.
     fn name(&self, port: u16) -> String {
         let name = &self.processes[&port].membership.identity().name;
-        if port == NAMESAKE {
+        if port == DUPLICATE_NAME_PORT {
             return format!("{name}-copy");
         }
         name.to_string()
--- a/crates/membership/tests/gossip/timelines.rs
+++ b/crates/membership/tests/gossip/timelines.rs
@@ -3,7 +3,7 @@
 //!
 //! With the environment variable `SKETCH` set, the drawings are written anew first.
 
-use crate::emulated_network::{EmulatedNetwork, MS, NAMESAKE, SECOND};
+use crate::emulated_network::{EmulatedNetwork, DUPLICATE_NAME_PORT, MS, SECOND};
 use cleatpulley_timeline::{Drawing, Timeline};
 
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../tests/timelines");
@@ -53,10 +53,10 @@
         drawing: "membership-two-of-one-name",
         play: |network| {
             let mark = network.durable_marks[&4];
-            network.durable_marks.insert(NAMESAKE, mark);
-            network.start("m4", NAMESAKE, &[1, 2, 3]);
+            network.durable_marks.insert(DUPLICATE_NAME_PORT, mark);
+            network.start("m4", DUPLICATE_NAME_PORT, &[1, 2, 3]);
             network.run(15 * SECOND);
-            network.kill(NAMESAKE);
+            network.kill(DUPLICATE_NAME_PORT);
             network.run(30 * SECOND);
         },
     },
