--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The state machine: what the caller calls, and the order of what a poll does.
+//! The state machine of a process's membership in the cluster.
 
 mod changes;
 mod effects;
@@ -26,21 +26,21 @@
 use swim::Swim;
 use timers::TimerQueue;
 
-/// Probe intervals between two attempts to reach contacts that are not members.
+/// Probe intervals between two announcements to contacts that are not members.
 const CONTACT_PROBES: Micros = 2;
 
-/// The members of the cluster, as far as this process knows.
+/// The state machine of a process's membership, and the other members as seen by this process.
 pub struct Membership {
     swim: Swim,
     keys: KeyRing,
     incarnations: Incarnations,
     contacts: Contacts,
     timers: TimerQueue,
-    /// Datagrams that the caller has not taken yet, by destination.
+    /// Datagrams that the caller has not taken yet, each with its destination.
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
     /// Events that the caller has not taken yet.
     events: VecDeque<Event>,
-    /// The members that events have reported, by address.
+    /// Members that were last reported by events, by address.
     reported_members: BTreeMap<SocketAddr, Identity>,
     own_metrics: OwnMetrics,
     status: MembershipStatus,
@@ -49,31 +49,31 @@
     rejected_datagrams: u64,
 }
 
-/// The processes that this one joins by.
+/// The processes through which this one joins the cluster.
 #[derive(Default)]
 struct Contacts {
     addresses: Vec<SocketAddr>,
-    /// When those that are not members are contacted again.
+    /// When this process is announced again to contacts that are not members.
     next_attempt: Micros,
 }
 
-/// What was rejected since the start.
+/// Numbers of rejected datagrams and members since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rejections {
-    /// Datagrams that were not authentic, or of an unknown kind.
+    /// Datagrams that were not authentic or had an unknown kind.
     pub datagrams: u64,
-    /// Members beyond the limit of the settings.
+    /// Members beyond [`Settings::max_members`].
     pub members: u64,
 }
 
 impl Membership {
-    /// A process that has just started. Its incarnation is the current one of `incarnations`, and
-    /// that of `identity` is ignored.
+    /// Creates the membership of a process that has just started. Its incarnation is the current
+    /// one of `incarnations`; the incarnation in `identity` is ignored.
     ///
     /// `seed` seeds the random order of probes and gossip.
     ///
     /// # Errors
-    /// The first setting that is invalid.
+    /// The first invalid setting.
     pub fn new(
         identity: Identity,
         incarnations: Incarnations,
@@ -102,7 +102,8 @@
         })
     }
 
-    /// Sets the processes to join by. Each is contacted again and again until it is a member.
+    /// Sets the processes through which this one joins the cluster. This process is announced to
+    /// each of them repeatedly until it is a member.
     pub fn join(&mut self, contacts: Vec<SocketAddr>) {
         self.contacts = Contacts {
             addresses: contacts,
@@ -110,21 +111,21 @@
         };
     }
 
-    /// Replaces the keys.
+    /// Replaces the keys that authenticate datagrams.
     pub fn set_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// The current identity of this process.
+    /// Returns the current identity of this process.
     #[must_use]
     pub fn identity(&self) -> &Identity {
         self.swim.foca.identity()
     }
 
-    /// Handles a datagram that was received.
+    /// Handles a received datagram.
     ///
     /// # Errors
-    /// When the datagram is not authentic; it has changed nothing then.
+    /// If the datagram is not authentic; it is ignored then.
     pub fn handle_datagram(
         &mut self,
         now: Micros,
@@ -150,14 +151,15 @@
     fn handle_gossip(&mut self, now: Micros, message: &[u8]) {
         self.swim.shared.borrow_mut().sender = None;
         let mut effects = Effects::default();
-        // A message that can't be decoded or has no use, such as an own one that was sent back,
-        // changes nothing.
+        // The library ignores a message that it rejects, for example because it can't be decoded or
+        // was sent by this process itself.
         let _ = self.swim.foca.handle_data(message, &mut effects);
         self.apply(now, effects);
         self.notify_sender_if_down(now);
     }
 
-    /// Does all that is due: probes, suspicions that time out, gossip, contacts and renewals.
+    /// Does everything that is due: probes, suspicion timeouts, gossip, announcements to contacts
+    /// and renewals of metrics.
     pub fn poll(&mut self, now: Micros) {
         self.swim.shared.borrow_mut().now = now;
         self.timers.postpone_after_pause(now);
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The time at which [`poll`](Self::poll) next has something to do.
+    /// Returns the next deadline, at which [`poll`](Self::poll) has to be called.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
         self.timers
@@ -189,27 +191,28 @@
         self.broadcast_metric(now, kind);
     }
 
-    /// Leaves the cluster: tells other members that this process is down, and joins no more.
+    /// Leaves the cluster for good, and announces that to other members.
     pub fn leave(&mut self, now: Micros) {
         let mut effects = Effects::default();
-        // It fails only where the identity does not fit a datagram, and other members then find
-        // out by their probes.
+        // Fails only if the identity does not fit into a datagram; other members then detect the
+        // departure by their probes.
         let _ = self.swim.foca.leave_cluster(&mut effects);
         self.has_left = true;
         self.apply(now, effects);
     }
 
-    /// Takes the datagrams to send, each with its destination.
+    /// Removes and returns the datagrams to send, each with its destination.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// The other members by name; of two with one name the one that takes precedence.
+    /// Returns the other members by name. Of two members with the same name, only the one that
+    /// takes precedence is included.
     #[must_use]
     pub fn members(&self) -> BTreeMap<Label, Member> {
         let mut members: BTreeMap<Label, Member> = BTreeMap::new();
@@ -232,19 +235,19 @@
         members
     }
 
-    /// The metrics that members have published, this process included.
+    /// Returns the metrics published by all members, including this process.
     #[must_use]
     pub fn shared_metrics(&self) -> Ref<'_, SharedMetrics> {
         Ref::map(self.swim.shared.borrow(), |shared| &shared.metrics)
     }
 
-    /// Whether this process is a member, as far as it knows.
+    /// Returns whether this process is a member, as far as it knows.
     #[must_use]
     pub fn is_member(&self) -> bool {
         self.status == MembershipStatus::Member && !self.has_left
     }
 
-    /// What was rejected since the start.
+    /// Returns the numbers of rejected datagrams and members since the start.
     #[must_use]
     pub fn rejections(&self) -> Rejections {
         Rejections {
@@ -256,7 +259,7 @@
     fn run_timers(&mut self, now: Micros) {
         while let Some(timer) = self.timers.pop_expired(now) {
             let mut effects = Effects::default();
-            // It fails for a timer of a state that has passed, which needs nothing more.
+            // Fails only for a timer of an outdated state, which can be ignored.
             let _ = self.swim.foca.handle_timer(timer, &mut effects);
             self.apply(now, effects);
         }
@@ -276,13 +279,13 @@
             }
             let contact = self.swim.identity_of_contact(address);
             let mut effects = Effects::default();
-            // One that fails is tried again at the next attempt.
+            // A failed announcement is retried at the next attempt.
             let _ = self.swim.foca.announce(contact, &mut effects);
             self.apply(now, effects);
         }
     }
 
-    /// Drops metrics that have expired, and publishes the own ones again.
+    /// Drops expired metrics, and publishes the metrics of this process again.
     fn renew_metrics(&mut self, now: Micros) {
         let lifetime = self.swim.settings.metric_lifetime;
         self.swim.shared.borrow_mut().metrics.expire(now, lifetime);
@@ -291,7 +294,7 @@
         }
     }
 
-    /// Hands the metric of a kind to the library under its next version.
+    /// Passes the metric of a kind to the library under its next version.
     fn broadcast_metric(&mut self, now: Micros, kind: MetricKind) {
         let owner = self.swim.foca.identity();
         let Some(metric) = self.own_metrics.next_version(owner, kind) else {
@@ -303,8 +306,8 @@
             shared.metrics.set_alive(owner);
         }
         if let Ok(bytes) = postcard::to_allocvec(&metric) {
-            // The handler of broadcasts merges the metric here too, and drops it, as other
-            // processes would, where its value is too long.
+            // The broadcast handler also merges the metric here, or drops it if its value is too
+            // long, as other processes would.
             let _ = self.swim.foca.add_broadcast(&bytes);
         }
     }
--- a/crates/membership/src/membership/changes.rs
+++ b/crates/membership/src/membership/changes.rs
@@ -1,4 +1,4 @@
-//! Effects of the SWIM library, applied, and changes of the set of members.
+//! Application of the SWIM library's effects, and reports of changes in the set of members.
 
 use super::effects::Effects;
 use super::payload::encode_gossip;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Applies the effects of a call into the library.
+    /// Applies the effects of a call to the library.
     pub(super) fn apply(&mut self, now: Micros, effects: Effects) {
         for delayed in effects.timers {
             self.timers.start(now, delayed);
@@ -27,15 +27,15 @@
         self.release_capacity();
     }
 
-    /// Queues a datagram with this payload.
+    /// Signs a payload and queues it as a datagram.
     pub(super) fn send(&mut self, destination: SocketAddr, payload: &[u8]) {
         self.outgoing.push((destination, self.keys.sign(payload)));
     }
 
-    /// Reports the differences between the members now and those at the last call.
+    /// Reports the differences between the current members and those at the last call.
     ///
-    /// The library's own notifications are not used for this: it notifies twice where one identity
-    /// replaces another.
+    /// The library's own notifications are not used for this, because it notifies twice when one
+    /// identity replaces another.
     pub(super) fn report_changes(&mut self) {
         let current: BTreeMap<SocketAddr, Identity> = self
             .swim
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Frees the capacity of processes that are no longer remembered, once it is exhausted.
+    /// Frees the capacity used by processes that are no longer remembered, if it is exhausted.
     fn release_capacity(&self) {
         let mut shared = self.swim.shared.borrow_mut();
         if shared.capacity.is_exhausted() {
--- a/crates/membership/src/membership/effects.rs
+++ b/crates/membership/src/membership/effects.rs
@@ -1,4 +1,4 @@
-//! What a call into the SWIM library asks the state machine to do.
+//! Effects of calls to the SWIM library, which the state machine applies.
 
 use crate::identity::Identity;
 use cleatpulley_policy::interface::Micros;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Effects of one call, collected while it runs and applied after it.
+/// Effects of one call, collected during the call and applied afterwards.
 #[derive(Default)]
 pub(super) struct Effects {
-    /// Gossip to send, by destination.
+    /// Gossip to send, each message with its destination.
     pub(super) gossip: Vec<(SocketAddr, Vec<u8>)>,
     /// Timers to start.
     pub(super) timers: Vec<DelayedTimer>,
@@ -19,7 +19,7 @@
     pub(super) is_declared_down: bool,
 }
 
-/// A timer of the library, to be started.
+/// A timer of the library that is to be started.
 pub(super) struct DelayedTimer {
     pub(super) delay: Micros,
     pub(super) timer: Timer<Identity>,
--- a/crates/membership/src/membership/own_metrics.rs
+++ b/crates/membership/src/membership/own_metrics.rs
@@ -5,17 +5,17 @@
 use cleatpulley_policy::interface::Micros;
 use std::collections::BTreeMap;
 
-/// The latest value of each kind.
+/// The latest value of each kind of metric.
 #[derive(Default)]
 pub(super) struct OwnMetrics {
     values: BTreeMap<MetricKind, VersionedValue>,
-    /// When all of them are published again.
+    /// When all metrics are published again.
     pub(super) next_renewal: Micros,
 }
 
 #[derive(Default)]
 struct VersionedValue {
-    /// Version that was last published under this incarnation, 0 where none was.
+    /// Version that was last published under this incarnation, or 0 if none was.
     version: u64,
     value: Vec<u8>,
 }
@@ -26,7 +26,7 @@
         self.values.entry(kind).or_default().value = value;
     }
 
-    /// The metric of a kind as it is to be published now, under its next version.
+    /// Returns the metric of a kind with its next version, for publication.
     pub(super) fn next_version(&mut self, owner: &Identity, kind: MetricKind) -> Option<Metric> {
         let current = self.values.get_mut(&kind)?;
         current.version += 1;
@@ -39,12 +39,12 @@
         })
     }
 
-    /// The kinds that have a value.
+    /// Returns the kinds that have a value.
     pub(super) fn kinds(&self) -> Vec<MetricKind> {
         self.values.keys().copied().collect()
     }
 
-    /// Starts the versions again under a new incarnation, with a renewal at once.
+    /// Restarts the versions under a new incarnation, and schedules an immediate renewal.
     pub(super) fn restart_versions(&mut self, now: Micros) {
         for current in self.values.values_mut() {
             current.version = 0;
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -1,4 +1,5 @@
-//! How a process that was declared down joins again, and which of two with one name stays out.
+//! Rejoining of a process that was declared down, and conflicts between processes with the same
+//! name.
 
 use super::effects::Effects;
 use super::payload::encode_down_notice;
@@ -7,20 +8,21 @@
 use crate::identity::Identity;
 use cleatpulley_policy::interface::Micros;
 
-/// Whether this process is a member, as far as it knows.
+/// Membership status of this process, as far as it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MembershipStatus {
-    /// It is.
+    /// This process is a member.
     Member,
-    /// Others have declared it down; it joins again under a new incarnation.
+    /// Others have declared this process down; it will rejoin under a new incarnation.
     DeclaredDown,
-    /// Another process has its name and takes precedence; it stays out until that one is down.
+    /// Another process has the same name and takes precedence; this process stays out of the
+    /// cluster until that process is down.
     Superseded,
 }
 
 impl MembershipStatus {
-    /// Notes that others have declared this process down. One that is superseded will rejoin in
-    /// any case once it no longer is.
+    /// Notes that others have declared this process down. A superseded process needs no change, as
+    /// it rejoins anyway once it is not superseded any more.
     pub(super) fn declare_down(&mut self) {
         if *self == Self::Member {
             *self = Self::DeclaredDown;
@@ -29,10 +31,10 @@
 }
 
 impl Membership {
-    /// Notifies the sender of the last datagram if it is down as far as this process knows.
+    /// Notifies the sender of the last datagram if this process considers it down.
     ///
-    /// Where more processes are down than are members, this process rather was cut off itself: it
-    /// starts over, so that the smaller side of a partition rejoins, and not the larger one.
+    /// If more processes are down than are members, probably this process itself was isolated. It
+    /// rejoins then instead, so that the smaller side of a partition rejoins, not the larger one.
     pub(super) fn notify_sender_if_down(&mut self, now: Micros) {
         let Some(sender) = self.swim.shared.borrow_mut().sender.take() else {
             return;
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Forgets all other processes, and joins again under a new incarnation.
+    /// Forgets all other processes, and rejoins under a new incarnation.
     fn reset_and_rejoin(&mut self, now: Micros) {
         self.swim.reset();
         self.timers.clear();
@@ -56,8 +58,8 @@
         self.advance_incarnation(now, highest_seen);
     }
 
-    /// Checks who has the name of this process, and joins again if others declared it down or have
-    /// seen an incarnation that the disk did not know of.
+    /// Checks whether another process has the name of this one. If not, rejoins if others have
+    /// declared this process down, or have seen an incarnation that is missing on its disk.
     pub(super) fn update_status(&mut self, now: Micros) {
         if let Some(holder) = self.find_name_holder() {
             self.mark_superseded(holder);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The member that has the name of this process and takes precedence over it.
+    /// Returns the member that has the name of this process and takes precedence over it.
     fn find_name_holder(&self) -> Option<Identity> {
         let own = self.identity();
         self.swim
@@ -86,20 +88,20 @@
             .cloned()
     }
 
-    /// Stays out while another process has the name.
+    /// Stays out of the cluster while `holder` has the name of this process.
     fn mark_superseded(&mut self, holder: Identity) {
         if self.status == MembershipStatus::Superseded {
             return;
         }
         self.status = MembershipStatus::Superseded;
-        // Once the holder is down, this process joins again with precedence over it.
+        // Once the holder is down, this process rejoins with precedence over it.
         let mut shared = self.swim.shared.borrow_mut();
         shared.highest_seen = shared.highest_seen.max(holder.incarnation);
         drop(shared);
         self.events.push_back(Event::Superseded(holder));
     }
 
-    /// Joins again under the lowest unused incarnation above `highest_seen`.
+    /// Rejoins under the lowest unused incarnation above `highest_seen`.
     fn advance_incarnation(&mut self, now: Micros, highest_seen: u64) {
         match self.incarnations.advance_past(highest_seen) {
             Ok(mark) => self.events.extend(mark.map(Event::PersistMark)),
--- a/crates/membership/src/membership/swim.rs
+++ b/crates/membership/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! The instance of the SWIM library, with its hooks and its shared state.
+//! The instance of the SWIM library, with its hooks and the state shared with them.
 
 use crate::foca_hooks::{BoundedCodec, MetricBroadcastHandler};
 use crate::identity::{Identity, Label};
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Name in the identity of a contact of which only the address is known.
+/// Name in the identity of a contact whose address only is known.
 const UNKNOWN_NAME: &str = "?";
 
 type FocaInstance = Foca<Identity, BoundedCodec, SmallRng, MetricBroadcastHandler>;
 
-/// The library's instance.
+/// The library's instance with its settings.
 pub(super) struct Swim {
     pub(super) foca: FocaInstance,
     pub(super) shared: Rc<RefCell<SharedState>>,
@@ -37,18 +37,18 @@
         }
     }
 
-    /// Replaces the instance by one that knows no other process.
+    /// Replaces the instance by one that knows no other processes.
     pub(super) fn reset(&mut self) {
         let identity = self.foca.identity().clone();
         self.foca = new_foca(identity, &self.settings, &self.shared, self.seed);
     }
 
-    /// Identities of the members, suspected ones included.
+    /// Returns the identities of the members, including suspected ones.
     pub(super) fn members(&self) -> impl Iterator<Item = &Identity> {
         self.foca.iter_members().map(foca::Member::id)
     }
 
-    /// Addresses of the members, and of processes that are down and still remembered.
+    /// Returns the addresses of the members, and of processes that are down and still remembered.
     pub(super) fn known_addresses(&self) -> BTreeSet<SocketAddr> {
         self.foca
             .iter_membership_state()
@@ -56,7 +56,8 @@
             .collect()
     }
 
-    /// Whether this process takes an identity for down, or for replaced by another at its address.
+    /// Returns whether an identity is known to be down, or to be replaced by another one at its
+    /// address.
     pub(super) fn is_down(&self, identity: &Identity) -> bool {
         let known = self
             .foca
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Whether more processes are remembered as down than are members.
+    /// Returns whether more processes are remembered as down than there are members.
     pub(super) fn has_lost_majority(&self) -> bool {
         let down = self
             .foca
@@ -78,8 +79,8 @@
         down > self.foca.num_members()
     }
 
-    /// An identity for a contact of which only the address is known; the library sends to the
-    /// address, and learns the identity from the reply.
+    /// Returns a placeholder identity for a contact whose address only is known. The library sends
+    /// to the address, and learns the identity from the reply.
     pub(super) fn identity_of_contact(&self, address: SocketAddr) -> Identity {
         let own = self.foca.identity();
         let name = Label::try_from(UNKNOWN_NAME.to_owned()).unwrap_or_else(|_| own.name.clone());
@@ -105,7 +106,7 @@
     let broadcasts = MetricBroadcastHandler {
         shared: shared.clone(),
     };
-    // Each incarnation probes in another random order.
+    // Each incarnation probes in a different random order.
     let random = SmallRng::seed_from_u64(seed ^ identity.incarnation.rotate_left(32));
     Foca::with_custom_broadcast(identity, settings.foca_config(), random, codec, broadcasts)
 }
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -6,10 +6,11 @@
 use foca::Timer;
 use std::collections::BTreeMap;
 
-/// A poll that is late by this much was not delayed by a slow network: this process was paused.
+/// Delay of a poll from which on this process counts as paused: the delay of a poll does not depend
+/// on the network.
 const PAUSE_THRESHOLD: Micros = 300_000;
 
-/// Timers by deadline; those of one deadline in the order in which they were started.
+/// Timers by deadline. Timers with the same deadline are ordered by their start.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BTreeMap<(Micros, u64), Timer<Identity>>,
@@ -31,13 +32,13 @@
         (deadline <= now).then(|| first.remove())
     }
 
-    /// The earliest deadline; none without a timer.
+    /// Returns the earliest deadline, or `None` if there are no timers.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         self.timers.keys().next().map(|(deadline, _)| *deadline)
     }
 
-    /// Postpones all timers by the time for which this process was paused, if it was. It would
-    /// otherwise take its own silence for that of the others, and declare them down.
+    /// If this process was paused, postpones all timers by the duration of the pause. It would
+    /// otherwise declare other processes down because it did not receive their acks in time.
     pub(super) fn postpone_after_pause(&mut self, now: Micros) {
         let Some(first_deadline) = self.next_deadline() else {
             return;
