--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,11 +1,11 @@
-//! Authentication of datagrams by shared keys, and their rotation.
+//! Authentication of datagrams by shared keys, and rotation of these keys.
 //!
 //! A datagram consists of the number of a key (1 byte), the HMAC-SHA-256 tag over that number and
-//! the payload (32 bytes), and the payload. Replayed datagrams change nothing: older incarnations
-//! and versions lose against newer ones.
+//! the payload (32 bytes), and the payload. Replayed datagrams have no effect, as older
+//! incarnations and versions lose against newer ones.
 //!
-//! Keys are rotated without rejecting a datagram: first the new key is added at all processes, then
-//! it becomes the first key, which signs, at all of them, and then the old key is removed.
+//! Keys can be rotated without rejecting a datagram: first the new key is added at all processes,
+//! then it is made the first key, which signs, at all of them, and then the old key is removed.
 
 use ring::hmac;
 use std::fmt;
@@ -14,70 +14,70 @@
 const KEY_NUMBER_BYTES: usize = 1;
 /// Length of an HMAC-SHA-256 tag, in bytes.
 const TAG_BYTES: usize = 32;
-/// Bytes before the payload.
+/// Length of the header before the payload, in bytes.
 pub const HEADER_BYTES: usize = KEY_NUMBER_BYTES + TAG_BYTES;
-/// Keys that are accepted at one time: the old, the current, the next, and one to spare.
+/// Maximum number of keys in a ring: the old, the current, the next, and a spare one.
 pub const MAX_KEYS: usize = 4;
-/// Shortest secret, in bytes: one shorter than the tag would be its weakest part.
+/// Minimum length of a secret, in bytes: a secret shorter than the tag would weaken it.
 pub const MIN_SECRET_BYTES: usize = 32;
 
-/// The shared keys: one that signs, and all that are accepted.
+/// The shared keys: one signs datagrams, and all of them are accepted.
 pub struct KeyRing {
     signing: Key,
-    /// Keys that are accepted besides.
+    /// Further keys that are accepted.
     others: Vec<Key>,
 }
 
-/// A key, and the number that datagrams name it by.
+/// A key with the number by which datagrams refer to it.
 struct Key {
     number: u8,
     secret: hmac::Key,
 }
 
-/// Why a key file is invalid.
+/// The reason why a key file is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidKeys {
-    /// It has no key.
-    #[error("no key")]
+    /// The file contains no key.
+    #[error("no key found")]
     NoKey,
-    /// It has more than [`MAX_KEYS`]; the line of the first one too many.
-    #[error("line {0}: {MAX_KEYS} keys at most")]
+    /// The file contains more than [`MAX_KEYS`] keys; the line of the first excess key.
+    #[error("line {0}: more than {MAX_KEYS} keys")]
     TooMany(usize),
-    /// This line is not a key.
+    /// This line is not a valid key.
     #[error(
         "line {0}: a key is a number from 0 to 255, a blank and at least {MIN_SECRET_BYTES} bytes in hexadecimal"
     )]
     MalformedLine(usize),
     /// Two keys have the same number.
-    #[error("line {line}: key {number} stands twice")]
+    #[error("line {line}: duplicate key number {number}")]
     DuplicateNumber {
-        /// Line of the second one.
+        /// Line of the second key.
         line: usize,
-        /// Their number.
+        /// Number of the keys.
         number: u8,
     },
 }
 
-/// Why a datagram is not authentic.
+/// The reason why a datagram is not authentic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
-    /// It has fewer bytes than the header.
-    #[error("it is shorter than the authentication header")]
+    /// The datagram is shorter than the header.
+    #[error("datagram is shorter than the authentication header")]
     TooShort,
-    /// It is signed with a key of this number, which is not in the ring.
-    #[error("it is signed with key {0}, which is not known")]
+    /// The datagram is signed with the key of this number, which is not in the ring.
+    #[error("datagram is signed with unknown key {0}")]
     UnknownKey(u8),
-    /// The tag does not match number and payload.
-    #[error("its authentication tag is wrong")]
+    /// The tag does not match the key number and the payload.
+    #[error("authentication tag of the datagram is wrong")]
     WrongTag,
 }
 
 impl KeyRing {
-    /// Reads a key file: one key a line, its number and its secret in hexadecimal; the first one
-    /// signs. Empty lines and lines that start with `#` are ignored.
+    /// Parses a key file. Each line is a key: its number, a blank, and its secret in hexadecimal.
+    /// The first key signs. Empty lines and lines that start with `#` are ignored.
     ///
     /// # Errors
-    /// The first line that is invalid, or that there is no key.
+    /// [`InvalidKeys`] for the first invalid line, or if there is no key.
     pub fn parse(text: &str) -> Result<Self, InvalidKeys> {
         let mut keys: Vec<Key> = Vec::new();
         for (index, content) in text.lines().enumerate() {
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Returns the datagram of a payload, signed with the first key.
+    /// Returns a datagram with this payload, signed with the first key.
     #[must_use]
     pub fn sign(&self, payload: &[u8]) -> Vec<u8> {
         let number = self.signing.number;
@@ -116,10 +116,10 @@
         datagram
     }
 
-    /// Returns the payload of an authentic datagram.
+    /// Verifies a datagram and returns its payload.
     ///
     /// # Errors
-    /// When the datagram is too short, its key is unknown, or its tag is wrong.
+    /// If the datagram is too short, its key is unknown, or its tag is wrong.
     pub fn verify<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], AuthenticationError> {
         let (header, payload) = datagram
             .split_at_checked(HEADER_BYTES)
@@ -134,13 +134,13 @@
         Ok(payload)
     }
 
-    /// All keys, the signing one first.
+    /// Returns all keys, starting with the signing key.
     fn accepted(&self) -> impl Iterator<Item = &Key> {
         std::iter::once(&self.signing).chain(&self.others)
     }
 }
 
-/// Lists the numbers of the keys, and no secret.
+/// Prints the numbers of the keys, but no secrets.
 impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_list()
@@ -149,7 +149,7 @@
     }
 }
 
-/// The bytes that a tag is computed over.
+/// Returns the bytes over which a tag is computed.
 fn signed_bytes(key_number: u8, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(KEY_NUMBER_BYTES + payload.len());
     bytes.push(key_number);
@@ -157,7 +157,7 @@
     bytes
 }
 
-/// Reads a line of a key file; none where it is malformed.
+/// Parses a line of a key file; `None` if it is malformed.
 fn parse_key(line: &str) -> Option<Key> {
     let (number, secret) = line.split_once(' ')?;
     let number = number.parse().ok()?;
@@ -169,7 +169,7 @@
     Some(Key { number, secret })
 }
 
-/// Decodes pairs of hexadecimal digits; none where there are other characters, or an odd number.
+/// Decodes pairs of hexadecimal digits; `None` if the text is anything else.
 fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return None;
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -1,4 +1,4 @@
-//! Key rotation, tampering and key files.
+//! Key rotation, detection of changed datagrams, and parsing of key files.
 
 use super::*;
 
@@ -17,7 +17,7 @@
     ];
     for pair in stages.windows(2) {
         for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-            assert_eq!(to.verify(&from.sign(b"so many")), Ok(&b"so many"[..]));
+            assert_eq!(to.verify(&from.sign(b"payload")), Ok(&b"payload"[..]));
         }
     }
     assert_eq!(
@@ -30,10 +30,10 @@
 fn rejects_a_datagram_with_any_byte_changed() {
     let keys = KeyRing::parse(&line(7, "0f")).expect("a key");
     let signed = keys.sign(b"payload");
-    for at in 0..signed.len() {
-        let mut other = signed.clone();
-        other[at] ^= 1;
-        assert!(keys.verify(&other).is_err(), "byte {at}");
+    for offset in 0..signed.len() {
+        let mut changed = signed.clone();
+        changed[offset] ^= 1;
+        assert!(keys.verify(&changed).is_err(), "byte {offset}");
     }
     assert_eq!(
         keys.verify(&signed[..32]),
@@ -42,17 +42,17 @@
 }
 
 #[test]
-fn invalid_key_file_is_reported_with_its_line() {
-    let fault = |text: &str| KeyRing::parse(text).expect_err("faulty");
-    assert_eq!(fault("# none\n\n"), InvalidKeys::NoKey);
+fn invalid_key_file_is_reported_with_the_line() {
+    let error = |text: &str| KeyRing::parse(text).expect_err("an invalid key file");
+    assert_eq!(error("# none\n\n"), InvalidKeys::NoKey);
     assert_eq!(
-        fault(&(line(1, "aa") + "2 short")),
+        error(&(line(1, "aa") + "2 short")),
         InvalidKeys::MalformedLine(2)
     );
     assert_eq!(
-        fault(&(line(1, "aa") + &line(1, "bb"))),
+        error(&(line(1, "aa") + &line(1, "bb"))),
         InvalidKeys::DuplicateNumber { line: 2, number: 1 }
     );
-    let five: String = (0..5).map(|number| line(number, "cc")).collect();
-    assert_eq!(fault(&five), InvalidKeys::TooMany(5));
+    let five_keys: String = (0..5).map(|number| line(number, "cc")).collect();
+    assert_eq!(error(&five_keys), InvalidKeys::TooMany(5));
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Maximum length of a label, in bytes. It is short because a datagram contains several members with
-/// three labels each.
+/// Maximum length of a label, in bytes. It is short because a datagram contains several members
+/// with three labels each.
 pub const MAX_LABEL_BYTES: usize = 48;
 
 /// The name of a process, a zone or a host: printable ASCII without blanks, at least one byte and
@@ -107,8 +107,8 @@
     pub name: Label,
     /// Incarnation of the process; see [`incarnation`](crate::incarnation).
     pub incarnation: u64,
-    /// Random number drawn at the start of the process. It distinguishes two processes with the same
-    /// name and, due to a copied disk, the same incarnation.
+    /// Random number drawn at the start of the process. It distinguishes two processes with the
+    /// same name and, due to a copied disk, the same incarnation.
     pub boot_id: u64,
     /// Address at which the process receives datagrams.
     pub address: SocketAddr,
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -2,9 +2,9 @@
 //!
 //! A high-water mark on the disk limits the incarnations that may have been used. A process that
 //! starts takes the number after the mark, and raises the mark by a whole block *before* it uses
-//! that number. It can then raise its incarnation within the block (after a false suspicion) without
-//! another write, and a power loss wastes numbers but never repeats one. A disk that is out of date
-//! or empty is detected by gossip: [`Incarnations::advance_past`] moves above every former
+//! that number. It can then raise its incarnation within the block (after a false suspicion)
+//! without another write, and a power loss wastes numbers but never repeats one. A disk that is out
+//! of date or empty is detected by gossip: [`Incarnations::advance_past`] moves above every former
 //! incarnation of this process that other processes have seen.
 
 use std::fmt;
@@ -32,8 +32,8 @@
 pub struct IncarnationsExhausted(u64);
 
 impl Incarnations {
-    /// Reserves a block after the mark on the disk, or after 0 if there is none. Returns it with the
-    /// new mark, which the caller has to make durable.
+    /// Reserves a block after the mark on the disk, or after 0 if there is none. Returns it with
+    /// the new mark, which the caller has to make durable.
     ///
     /// # Errors
     /// If less than a block of incarnations is left.
--- a/crates/membership/src/incarnation/tests.rs
+++ b/crates/membership/src/incarnation/tests.rs
@@ -15,8 +15,8 @@
         }
         disk = mark.0;
         assert!(used.insert(incarnations.current()), "twice");
-        for advance in 0..start % 7 {
-            let highest_seen = if advance == 3 {
+        for bump in 0..start % 7 {
+            let highest_seen = if bump == 3 {
                 incarnations.current() + 2 * BLOCK_SIZE
             } else {
                 0
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
 //! Cluster membership of the processes of an installation: a SWIM gossip protocol with suspicion.
 //!
 //! A [`Membership`] is a state machine without sockets or a clock: the caller passes received
-//! datagrams and the time to it, and takes outgoing datagrams and [`Event`]s from it. Its reports are
-//! hints, as a live member may be suspected and declared down: this may cost capacity, but nothing
-//! that has to be correct may depend on membership alone.
+//! datagrams and the time to it, and takes outgoing datagrams and [`Event`]s from it. Its reports
+//! are hints, as a live member may be suspected and declared down: this may cost capacity, but
+//! nothing that has to be correct may depend on membership alone.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -13,7 +13,7 @@
 //! | [`incarnation`] | incarnations that are unique across restarts and lost disks |
 //! | [`shared_metrics`] | small versioned values of each process, merged in any order |
 //! | [`authentication`] | the shared keys that authenticate every datagram, and their rotation |
-//! | `shared_state`, `foca_hooks` | the hooks that the library calls, which limit the memory that peers can use |
+//! | `shared_state`, `foca_hooks` | hooks for the library, with limits on the memory used by peers |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,39 +8,40 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Largest datagram sent, in bytes: below the MTU of any path, so that none is fragmented.
+/// Maximum length of a sent datagram, in bytes: below the MTU of any path, so that none is
+/// fragmented.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Bytes before the gossip in a datagram: the authentication header and the payload's kind.
+/// Length of a datagram before the gossip, in bytes: authentication header and payload kind.
 const HEADER_AND_KIND_BYTES: usize = HEADER_BYTES + 1;
-/// Shortest probe interval that is accepted.
+/// Minimum probe interval.
 const MIN_PROBE_INTERVAL: Micros = 10_000;
-/// Fewest probe intervals that a suspicion may last.
+/// Minimum suspicion timeout, in probe intervals.
 const MIN_SUSPICION_PROBES: Micros = 2;
-/// Fewest renewals within the lifetime of a metric.
+/// Minimum number of renewals within the lifetime of a metric.
 const MIN_RENEWALS: Micros = 2;
-/// Range of the limit on known processes.
+/// Valid range of the limit on known processes.
 const MEMBER_LIMITS: RangeInclusive<usize> = 2..=4_096;
-/// Processes that are asked for an indirect probe, or gossiped to in one round.
+/// Number of processes that are requested to send an indirect probe, or gossiped to in one round.
 const FANOUT: NonZeroUsize = NonZeroUsize::MIN.saturating_add(2);
-/// Times that each update is gossiped.
+/// Number of times that each update is gossiped.
 const MAX_TRANSMISSIONS: NonZeroU8 = NonZeroU8::MIN.saturating_add(9);
-/// Probe intervals between two announcements to a live member.
+/// Probe intervals between two announcements to a member that is up.
 const ANNOUNCE_PROBES: Micros = 20;
-/// Probe intervals between two announcements to members that are down, by which the two sides of
-/// a healed partition find each other.
+/// Probe intervals between two announcements to members that are down. They let the two sides of a
+/// healed partition find each other.
 const ANNOUNCE_TO_DOWN_PROBES: Micros = 4;
-/// Rounds of gossip in a probe interval.
+/// Number of gossip rounds in a probe interval.
 const GOSSIP_ROUNDS_PER_PROBE: Micros = 2;
 
-/// Timeouts and limits.
+/// Timeouts and limits of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Interval at which a process probes one other.
+    /// Interval at which a process probes another one.
     pub probe_interval: Micros,
-    /// Time to wait for the ack of a direct probe before indirect probes are sent; less than half
-    /// of `probe_interval`.
+    /// Time after which indirect probes are sent if a direct probe has not been acknowledged; less
+    /// than half of `probe_interval`.
     pub ack_timeout: Micros,
-    /// Time that a suspected process has to refute the suspicion before it is declared down.
+    /// Time within which a suspected process has to refute the suspicion, or is declared down.
     pub suspicion_timeout: Micros,
     /// Time for which a process that is down is remembered, so that late gossip about it does not
     /// bring it back.
@@ -64,21 +65,21 @@
     }
 }
 
-/// A setting whose value is invalid by itself or does not go with the others.
+/// A setting whose value is invalid, by itself or together with the other settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct InvalidSetting {
     /// Name of the setting.
     pub key: &'static str,
-    /// What is wrong with its value.
+    /// The reason why its value is invalid.
     pub reason: String,
 }
 
 impl Settings {
-    /// Checks each value, and that they go together.
+    /// Checks each value by itself and together with the others.
     ///
     /// # Errors
-    /// The first setting that is invalid.
+    /// The first invalid setting.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         ensure(
             self.probe_interval >= MIN_PROBE_INTERVAL,
@@ -88,12 +89,12 @@
         ensure(
             self.ack_timeout > 0 && self.ack_timeout < self.probe_interval / 2,
             "answer",
-            "has to be more than 0 and less than half of probe, since others try in the other half",
+            "has to be more than 0 and less than half of probe: indirect probes take the other half",
         )?;
         ensure(
             self.suspicion_timeout >= MIN_SUSPICION_PROBES * self.probe_interval,
             "suspicion",
-            "is less than two probes: every lost datagram would be believed",
+            "is less than twice probe: one lost datagram could get a live member declared down",
         )?;
         ensure(
             self.down_retention >= self.suspicion_timeout,
@@ -108,11 +109,11 @@
         ensure(
             MEMBER_LIMITS.contains(&self.max_members),
             "most",
-            "has to lie between 2 and 4096",
+            "has to be between 2 and 4096",
         )
     }
 
-    /// The settings of the SWIM library.
+    /// Returns the configuration of the SWIM library.
     pub(crate) fn foca_config(&self) -> Config {
         Config {
             probe_period: Duration::from_micros(self.probe_interval),
@@ -123,8 +124,8 @@
             remove_down_after: Some(Duration::from_micros(self.down_retention)),
             max_packet_size: NonZeroUsize::new(MAX_DATAGRAM_BYTES - HEADER_AND_KIND_BYTES)
                 .unwrap_or(NonZeroUsize::MIN),
-            // The library also notifies members whose suspicion had been refuted, which makes live
-            // members rejoin for nothing. The state machine sends a notification of its own.
+            // The library would also notify members that have refuted their suspicion, so that live
+            // members would rejoin needlessly. The state machine sends its own notices instead.
             notify_down_members: false,
             periodic_announce: periodic(ANNOUNCE_PROBES * self.probe_interval, NonZeroUsize::MIN),
             periodic_announce_to_down_members: periodic(
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns the error for a setting unless its condition is met.
+/// Returns an error for a setting unless its condition is met.
 fn ensure(is_met: bool, key: &'static str, reason: &str) -> Result<(), InvalidSetting> {
     if is_met {
         return Ok(());
@@ -147,7 +148,7 @@
     })
 }
 
-/// Parameters of a message to so many members, once in each interval.
+/// Returns the parameters of a periodic message to this number of members.
 fn periodic(interval: Micros, num_members: NonZeroUsize) -> Option<PeriodicParams> {
     Some(PeriodicParams {
         frequency: Duration::from_micros(interval),
--- a/crates/membership/src/shared_metrics.rs
+++ b/crates/membership/src/shared_metrics.rs
@@ -1,13 +1,14 @@
-//! Small values that each process publishes about itself, with a version and an age.
+//! Small versioned values that each process publishes about itself.
 //!
 //! They form a state-based CRDT: the same set of metrics merges to the same state in any order and
-//! with any repetition. Of two metrics of one process and kind the one of the later incarnation
-//! wins, then the higher version, then the greater bytes, so that all processes agree even on one
-//! that publishes two values under one version.
+//! with any repetition. Of two metrics of the same process and kind, the one with the later
+//! incarnation wins, then the higher version, then the greater value, compared by bytes, so that
+//! all processes agree even if a process publishes two values under one version.
 //!
 //! A metric expires with its process, or when it has not been renewed for its lifetime. Its age is
-//! counted by the clock of the receiver from the first reception on: a lower bound, as the time in
-//! transit is not counted. Whoever uses a metric has to bound what it can change.
+//! measured by the clock of the receiver from the first reception on. This is a lower bound, as the
+//! time in transit is not included. Users of a metric have to limit its influence on their
+//! decisions.
 
 use crate::identity::Identity;
 use cleatpulley_policy::interface::Micros;
@@ -15,56 +16,56 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Longest value, in bytes.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 96;
-/// Kinds of metrics that one process may publish.
+/// Maximum number of kinds of metrics that a process may publish.
 pub const MAX_KINDS: usize = 16;
-/// Interval at which a process publishes its metrics again, changed or not, for processes that
-/// joined meanwhile.
+/// Interval at which a process publishes its metrics again, even if unchanged, for processes that
+/// have joined since.
 pub const RENEWAL_INTERVAL: Micros = 2_000_000;
 
-/// What a metric measures.
+/// Kind of a metric: what it measures.
 ///
-/// The order of the variants is their encoding in datagrams; `WarmUp` is the least, which
-/// [`SharedMetrics::of_process`] relies on.
+/// The order of the variants is their encoding in datagrams. `WarmUp` has to be the first, as
+/// [`SharedMetrics::of_process`] relies on that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MetricKind {
-    /// Share of its full speed that a process has reached in its slow start, from 0 to 1.
+    /// Share of its full speed that a process has reached during slow start, from 0 to 1.
     WarmUp,
-    /// 1 from the start of a graceful shutdown on, else 0.
+    /// 1 since the start of a graceful shutdown, else 0.
     Draining,
-    /// Work that the process can do, in the unit of its role.
+    /// Capacity of the process, in the unit of its role.
     Capacity,
-    /// Statistics of an upstream, or others, by number.
+    /// Statistics of an upstream, or other metrics, by number.
     Other(u16),
 }
 
-/// A value published by a process under one of its incarnations.
+/// A value published by a process in one of its incarnations.
 ///
-/// The order of the fields is that of their encoding in datagrams.
+/// Fields are encoded in datagrams in this order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Metric {
     /// Address of the process.
     pub address: SocketAddr,
     /// Incarnation of the process.
     pub incarnation: u64,
-    /// What the metric measures.
+    /// Kind of the metric.
     pub kind: MetricKind,
-    /// Version: rises with each publication under one incarnation.
+    /// Version of the value: increases with each publication in an incarnation.
     pub version: u64,
-    /// The value; at most [`MAX_VALUE_BYTES`].
+    /// Value of at most [`MAX_VALUE_BYTES`] bytes.
     pub value: Vec<u8>,
 }
 
 impl Metric {
-    /// Decodes a value that is a finite number: an `f64` in little-endian bytes.
+    /// Decodes the value as an `f64` in little-endian bytes; `None` if it is not a finite number.
     #[must_use]
     pub fn as_number(&self) -> Option<f64> {
         let bytes = <[u8; 8]>::try_from(&self.value[..]).ok()?;
         Some(f64::from_le_bytes(bytes)).filter(|number| number.is_finite())
     }
 
-    /// Whether this one wins over another of the same process and kind.
+    /// Returns whether this metric wins over another one of the same process and kind.
     fn supersedes(&self, other: &Self) -> bool {
         let precedence = |metric: &Self| (metric.incarnation, metric.version);
         precedence(self)
@@ -74,7 +75,7 @@
     }
 }
 
-/// A metric, and when it was first received.
+/// A metric and the time of its first reception.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Received {
     metric: Metric,
@@ -90,7 +91,8 @@
 }
 
 impl SharedMetrics {
-    /// Notes that a process is alive under this incarnation, and drops metrics of its others.
+    /// Notes that a process is alive in this incarnation, and drops the metrics of its other
+    /// incarnations.
     pub fn set_alive(&mut self, identity: &Identity) {
         self.alive.insert(identity.address, identity.incarnation);
         self.metrics.retain(|(address, _), received| {
@@ -107,10 +109,10 @@
         }
     }
 
-    /// Merges a metric; returns whether it changed the state.
+    /// Merges a metric. Returns whether it changed the state.
     ///
-    /// Ignores values over [`MAX_VALUE_BYTES`], kinds over [`MAX_KINDS`] of one process, and
-    /// metrics of processes that are not alive under the same incarnation.
+    /// Ignores values longer than [`MAX_VALUE_BYTES`], more than [`MAX_KINDS`] kinds of a process,
+    /// and metrics of processes that are not alive in the same incarnation.
     pub fn merge(&mut self, now: Micros, metric: Metric) -> bool {
         let is_alive = self.alive.get(&metric.address) == Some(&metric.incarnation);
         if !is_alive || metric.value.len() > MAX_VALUE_BYTES {
@@ -138,16 +140,16 @@
             .retain(|_, received| now.saturating_sub(received.received_at) <= lifetime);
     }
 
-    /// The metrics of one process.
+    /// Returns the metrics of a process.
     pub fn of_process(&self, address: SocketAddr) -> impl Iterator<Item = &Metric> {
-        let least_key = (address, MetricKind::WarmUp);
+        let first_key = (address, MetricKind::WarmUp);
         self.metrics
-            .range(least_key..)
+            .range(first_key..)
             .take_while(move |((owner, _), _)| *owner == address)
             .map(|(_, received)| &received.metric)
     }
 
-    /// The metrics of a kind, each with a lower bound of its age.
+    /// Returns the metrics of a kind, each with a lower bound of its age.
     pub fn of_kind(
         &self,
         now: Micros,
@@ -155,20 +157,20 @@
     ) -> impl Iterator<Item = (&Metric, Micros)> {
         self.metrics
             .iter()
-            .filter(move |((_, of), _)| *of == kind)
+            .filter(move |((_, metric_kind), _)| *metric_kind == kind)
             .map(move |(_, received)| {
                 let age = now.saturating_sub(received.received_at);
                 (&received.metric, age)
             })
     }
 
-    /// The number of metrics.
+    /// Returns the number of metrics.
     #[must_use]
     pub fn len(&self) -> usize {
         self.metrics.len()
     }
 
-    /// Whether there is no metric.
+    /// Returns whether there are no metrics.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.metrics.is_empty()
--- a/crates/membership/src/shared_metrics/tests.rs
+++ b/crates/membership/src/shared_metrics/tests.rs
@@ -33,7 +33,7 @@
 }
 
 proptest! {
-    /// The state does not depend on order or repetition.
+    /// The merged state depends neither on order nor on repetition.
     #[test]
     fn metrics_merge_to_the_same_state_in_any_order_and_repetition(
         published in proptest::collection::vec(metric(), 0..40), order in any::<u64>(),
@@ -41,16 +41,18 @@
         let mut in_order = SharedMetrics::default();
         (1..4).for_each(|port| in_order.set_alive(&process(port, 2)));
         let mut shuffled = in_order.clone();
-        published.iter().for_each(|one| { in_order.merge(0, one.clone()); });
+        published.iter().for_each(|metric| { in_order.merge(0, metric.clone()); });
         let mut updates: Vec<_> = published.iter().chain(&published).cloned().collect();
-        updates.sort_by_key(|one| (one.version ^ order, one.value[0] ^ order as u8, one.address));
-        updates.into_iter().for_each(|one| { shuffled.merge(0, one); });
+        updates.sort_by_key(|metric| {
+            (metric.version ^ order, metric.value[0] ^ order as u8, metric.address)
+        });
+        updates.into_iter().for_each(|metric| { shuffled.merge(0, metric); });
         prop_assert_eq!(in_order, shuffled);
     }
 }
 
 #[test]
-fn a_metric_ends_with_its_incarnation_and_its_lifetime() {
+fn metric_expires_with_its_incarnation_and_its_lifetime() {
     let (old, new) = (process(1, 5), process(1, 6));
     let metric_of = |identity: &Identity, version| Metric {
         address: identity.address,
@@ -60,24 +62,30 @@
         value: 0.5f64.to_le_bytes().to_vec(),
     };
     let mut metrics = SharedMetrics::default();
-    assert!(!metrics.merge(0, metric_of(&old, 1)), "nobody is there");
+    assert!(
+        !metrics.merge(0, metric_of(&old, 1)),
+        "the process is not alive"
+    );
     metrics.set_alive(&old);
     assert!(metrics.merge(0, metric_of(&old, 9)) && !metrics.merge(0, metric_of(&old, 9)));
     assert_eq!(
         metrics
             .of_kind(7, MetricKind::WarmUp)
             .next()
-            .map(|(f, age)| (f.as_number(), age)),
+            .map(|(metric, age)| (metric.as_number(), age)),
         Some((Some(0.5), 7))
     );
     metrics.set_alive(&new);
-    assert!(metrics.is_empty(), "another incarnation");
+    assert!(
+        metrics.is_empty(),
+        "metrics of the former incarnation are dropped"
+    );
     assert!(!metrics.merge(0, metric_of(&old, 10)) && metrics.merge(10, metric_of(&new, 1)));
     metrics.set_down(&old);
     assert_eq!(
         metrics.len(),
         1,
-        "the end of the old incarnation is no news"
+        "the end of the old incarnation changes nothing"
     );
     metrics.expire(20, 10);
     assert_eq!(metrics.len(), 1);
@@ -101,12 +109,12 @@
         metrics.merge(0, metric);
     }
     assert_eq!(metrics.len(), MAX_KINDS);
-    let long = Metric {
+    let too_long = Metric {
         address,
         incarnation: 1,
         kind: MetricKind::Other(0),
         version: 2,
         value: vec![0; MAX_VALUE_BYTES + 1],
     };
-    assert!(!metrics.merge(0, long));
+    assert!(!metrics.merge(0, too_long));
 }
