--- a/crates/membership/tests/gossip/emulated_process.rs
+++ b/crates/membership/tests/gossip/emulated_process.rs
@@ -1,10 +1,10 @@
-//! One process of an emulated network, its identity and its key.
+//! A process of the emulated network, with its identity and key.
 
 use cleatpulley_membership::authentication::KeyRing;
 use cleatpulley_membership::{Identity, Label, Membership, Role};
 use std::net::SocketAddr;
 
-/// A process that runs.
+/// A running process.
 pub struct Process {
     pub membership: Membership,
     /// Datagrams that arrived while it was paused.
@@ -14,7 +14,7 @@
 }
 
 impl Process {
-    /// When it is next polled.
+    /// Returns the time of the next poll.
     pub fn next_poll(&self) -> u64 {
         self.next_deadline.max(self.paused_until)
     }
@@ -28,7 +28,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// The key file that all processes start with.
+/// Returns the key file that all processes start with.
 pub fn first_key_file() -> String {
     format!("1 {}\n", "5a".repeat(32))
 }
@@ -37,8 +37,8 @@
     KeyRing::parse(&first_key_file()).expect("a key")
 }
 
-/// The identity of a process without its incarnation and boot number: a gateway where its name
-/// begins with `g`, else a server.
+/// Returns the identity of a process, without incarnation and boot id. A process whose name begins
+/// with `g` is a gateway, any other a server.
 pub fn identity(name: &str, port: u16) -> Identity {
     let role = if name.starts_with('g') {
         Role::Gateway
--- a/crates/membership/tests/gossip/failure_detection.rs
+++ b/crates/membership/tests/gossip/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Members that die or pause, and those that must not be declared down.
+//! Detection of dead and paused members, and live members that must not be declared down.
 
 use crate::emulated_network::{EmulatedNetwork, Link, NetworkConditions, MS, SECOND};
 use cleatpulley_membership::Event;
@@ -17,9 +17,10 @@
         network.run(60 * SECOND);
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
-        let gone = network.count_events(|reported| matches!(reported.event, Event::Down(_)));
-        // A false suspicion is refuted in time.
-        assert_eq!(gone, 0, "seed {seed}");
+        let declared_down =
+            network.count_events(|reported| matches!(reported.event, Event::Down(_)));
+        // False suspicions are refuted in time.
+        assert_eq!(declared_down, 0, "seed {seed}");
     }
 }
 
@@ -31,25 +32,25 @@
         network.conditions.lost_per_mille = 50;
         let ports = network.start_cluster(12);
         network.run(20 * SECOND);
-        let died = network.now;
+        let died_at = network.now;
 
         network.kill(7);
         network.run(15 * SECOND);
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
-        let seen: Vec<u64> = network
+        let delays: Vec<u64> = network
             .events
             .iter()
             .filter(|reported| {
-                reported.time > died
+                reported.time > died_at
                     && matches!(&reported.event, Event::Down(id) if id.name.as_str() == "m7")
             })
-            .map(|reported| reported.time - died)
+            .map(|reported| reported.time - died_at)
             .collect();
-        assert_eq!(seen.len(), ports.len() - 1, "seed {seed}");
-        slowest = slowest.max(*seen.iter().max().expect("some"));
+        assert_eq!(delays.len(), ports.len() - 1, "seed {seed}");
+        slowest = slowest.max(*delays.iter().max().expect("a delay"));
     }
-    // A round of probes, the suspicion, and its dissemination.
+    // The time of a round of probes, the suspicion timeout, and the dissemination.
     assert!(slowest < 12 * SECOND, "{slowest}");
 }
 
@@ -60,7 +61,7 @@
         let ports = network.start_cluster(8);
         network.run(20 * SECOND);
         let before = network.processes[&5].membership.identity().incarnation;
-        let paused = network.now;
+        let paused_at = network.now;
 
         network.pause(5, 10 * SECOND);
         network.run(40 * SECOND);
@@ -68,22 +69,25 @@
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
         let after = network.processes[&5].membership.identity().incarnation;
         assert!(after > before, "seed {seed}: {after} after {before}");
-        let gave_up: Vec<_> = network
+        let declared_by_paused: Vec<_> = network
             .events
             .iter()
             .filter(|reported| {
-                reported.time > paused
+                reported.time > paused_at
                     && reported.port == 5
                     && matches!(reported.event, Event::Down(_))
             })
             .collect();
-        assert!(gave_up.is_empty(), "seed {seed}: {gave_up:?}");
-        // No other process is declared down by anybody.
-        let others = network.count_events(|reported| {
-            reported.time > paused
+        assert!(
+            declared_by_paused.is_empty(),
+            "seed {seed}: {declared_by_paused:?}"
+        );
+        // No other process is declared down by any process.
+        let others_declared_down = network.count_events(|reported| {
+            reported.time > paused_at
                 && matches!(&reported.event, Event::Down(id) if id.name.as_str() != "m5")
         });
-        assert_eq!(others, 0, "seed {seed} of {ports:?}");
+        assert_eq!(others_declared_down, 0, "seed {seed} of {ports:?}");
     }
 }
 
@@ -99,10 +103,11 @@
         network.run(60 * SECOND);
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
-        let gone = network.count_events(|reported| matches!(reported.event, Event::Down(_)));
+        let declared_down =
+            network.count_events(|reported| matches!(reported.event, Event::Down(_)));
         assert_eq!(
-            gone, 0,
-            "seed {seed}: others ask on behalf of one that gets no answer"
+            declared_down, 0,
+            "seed {seed}: indirect probes replace unacknowledged direct ones"
         );
     }
 }
--- a/crates/membership/tests/gossip/incarnations.rs
+++ b/crates/membership/tests/gossip/incarnations.rs
@@ -1,4 +1,4 @@
-//! Restarts, and two processes with one name.
+//! Incarnations after restarts, and of two processes with the same name.
 
 use crate::emulated_network::{EmulatedNetwork, MS, SECOND};
 use crate::emulated_process::{address, label};
@@ -19,11 +19,12 @@
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
 
-        // Again with an empty disk, which would use the first incarnations again.
+        // Restart with an empty disk, from which the first incarnations would be used again.
         network.kill(4);
         network.durable_marks.remove(&4);
         network.run(50 * MS);
-        // The boot number distinguishes the two until the incarnation is raised above the former.
+        // The boot id distinguishes the two processes until the incarnation is raised above the
+        // former one.
         network.start("m4", 4, &[1, 2, 3]);
         network.run(40 * SECOND);
 
@@ -47,17 +48,21 @@
         network.run(30 * SECOND);
 
         let members = [5, 9].map(|port| network.processes[&port].membership.is_member());
-        assert_eq!(members, [false, true], "seed {seed}: the later has it");
+        assert_eq!(
+            members,
+            [false, true],
+            "seed {seed}: the later incarnation has the name"
+        );
         let seen = network.processes[&1].membership.members();
         assert_eq!(
             seen[&label("m5")].identity.address,
             address(9),
             "seed {seed}"
         );
-        let flaps = network.count_events(|reported| {
+        let rejoins = network.count_events(|reported| {
             [5, 9].contains(&reported.port) && matches!(reported.event, Event::Rejoined(_))
         });
-        assert_eq!(flaps, 0, "seed {seed}: neither fights for it");
+        assert_eq!(rejoins, 0, "seed {seed}: neither process rejoins");
 
         network.kill(9);
         network.run(60 * SECOND);
--- a/crates/membership/tests/gossip/keys_and_limits.rs
+++ b/crates/membership/tests/gossip/keys_and_limits.rs
@@ -1,4 +1,4 @@
-//! Datagrams and members that are rejected.
+//! Key rotation, and rejection of datagrams and members.
 
 use crate::emulated_network::{EmulatedNetwork, MS, SECOND};
 use crate::emulated_process::first_key_file;
@@ -14,7 +14,7 @@
     let parse = |text: String| KeyRing::parse(&text).expect("keys");
     let first = first_key_file();
 
-    // In each stage the processes take the new keys up one after another.
+    // In each stage the processes switch to the new keys one after another.
     for stage in [
         first.clone() + &key_file(2),
         key_file(2) + &first,
@@ -29,15 +29,15 @@
     network.run(10 * SECOND);
 
     assert_eq!(network.find_disagreement(), None);
-    let gone = network.count_events(|reported| matches!(reported.event, Event::Down(_)));
-    assert_eq!(gone, 0);
+    let declared_down = network.count_events(|reported| matches!(reported.event, Event::Down(_)));
+    assert_eq!(declared_down, 0);
 
     network.start("m9", 9, &[1]);
     network.run(10 * SECOND);
 
     assert!(
         network.processes[&9].membership.members().is_empty(),
-        "it has the first key only"
+        "the process has only the first key"
     );
     assert!(network.processes[&1].membership.rejections().datagrams > 0);
 }
--- a/crates/membership/tests/gossip/main.rs
+++ b/crates/membership/tests/gossip/main.rs
@@ -1,4 +1,4 @@
-//! Clusters of processes over an emulated network that loses, repeats, reorders and blocks
+//! Tests of clusters over an emulated network that loses, duplicates, reorders and blocks
 //! datagrams.
 
 mod emulated_network;
--- a/crates/membership/tests/gossip/partitions.rs
+++ b/crates/membership/tests/gossip/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions that heal.
+//! Behaviour after a partition has healed.
 
 use crate::emulated_network::{EmulatedNetwork, SECOND};
 use cleatpulley_membership::Event;
@@ -43,14 +43,14 @@
         network.run(30 * SECOND);
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
-        let back = network
+        let rejoined = network
             .events
             .iter()
             .filter(|reported| matches!(reported.event, Event::Rejoined(_)));
-        let back: Vec<u16> = back.map(|reported| reported.port).collect();
+        let rejoined: Vec<u16> = rejoined.map(|reported| reported.port).collect();
         assert!(
-            !back.is_empty() && back.iter().all(|port| *port == 6),
-            "seed {seed}: {back:?}"
+            !rejoined.is_empty() && rejoined.iter().all(|port| *port == 6),
+            "seed {seed}: {rejoined:?}"
         );
     }
 }
--- a/crates/membership/tests/gossip/settings.rs
+++ b/crates/membership/tests/gossip/settings.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn invalid_settings_are_reported_with_their_key() {
-    let rejected_key = |settings: Settings| settings.check().expect_err("can't be").key;
+    let rejected_key = |settings: Settings| settings.check().expect_err("an invalid setting").key;
     assert_eq!(
         rejected_key(Settings {
             probe_interval: 0,
--- a/crates/membership/tests/gossip/timelines.rs
+++ b/crates/membership/tests/gossip/timelines.rs
@@ -1,37 +1,39 @@
-//! What each process saw, compared with the drawings in `tests/timelines/` of the workspace. A
-//! drawing is exact in each column, and ties steps of different columns where a rule says so.
+//! Comparison of the steps of each process with the drawings in `tests/timelines/` of the
+//! workspace. A drawing defines the exact steps of each column, and orders the steps of different
+//! columns only by its horizontal rules.
 //!
-//! With the environment variable `SKETCH` set, the drawings are written anew first.
+//! If the environment variable `SKETCH` is set, the drawings are first rewritten from the actual
+//! steps.
 
 use crate::emulated_network::{EmulatedNetwork, DUPLICATE_NAME_PORT, MS, SECOND};
 use cleatpulley_timeline::{Drawing, Timeline};
 
-const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../tests/timelines");
+const TIMELINE_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../tests/timelines");
 
-/// A drawing, and what happens to a cluster of four in it.
+/// The name of a drawing, and the events that happen to a cluster of four processes.
 struct Scenario {
     drawing: &'static str,
-    play: fn(&mut EmulatedNetwork),
+    run: fn(&mut EmulatedNetwork),
 }
 
 const SCENARIOS: [Scenario; 5] = [
     Scenario {
         drawing: "membership-death",
-        play: |network| {
+        run: |network| {
             network.kill(4);
             network.run(15 * SECOND);
         },
     },
     Scenario {
         drawing: "membership-pause",
-        play: |network| {
+        run: |network| {
             network.pause(4, 10 * SECOND);
             network.run(30 * SECOND);
         },
     },
     Scenario {
         drawing: "membership-restart",
-        play: |network| {
+        run: |network| {
             network.kill(4);
             network.run(20 * MS);
             network.start("m4", 4, &[1, 2, 3]);
@@ -40,7 +42,7 @@
     },
     Scenario {
         drawing: "membership-halves",
-        play: |network| {
+        run: |network| {
             network.record_step("net", "cuts m4 off");
             network.partition(&[4], &[1, 2, 3]);
             network.run(15 * SECOND);
@@ -51,7 +53,7 @@
     },
     Scenario {
         drawing: "membership-two-of-one-name",
-        play: |network| {
+        run: |network| {
             let mark = network.durable_marks[&4];
             network.durable_marks.insert(DUPLICATE_NAME_PORT, mark);
             network.start("m4", DUPLICATE_NAME_PORT, &[1, 2, 3]);
@@ -64,28 +66,28 @@
 
 #[test]
 fn timelines_match_their_drawings() {
-    let mut wrong = String::new();
+    let mut differences = String::new();
     for scenario in SCENARIOS {
         let mut network = EmulatedNetwork::new(11);
         network.start_cluster(4);
         network.run(10 * SECOND);
 
-        (scenario.play)(&mut network);
+        (scenario.run)(&mut network);
 
         let timeline = network.timeline();
         let drawing = read_drawing(scenario.drawing, &timeline);
-        if let Err(differs) = timeline.check(&drawing) {
-            wrong += &format!("{}: {differs}\n", scenario.drawing);
+        if let Err(difference) = timeline.check(&drawing) {
+            differences += &format!("{}: {difference}\n", scenario.drawing);
         }
     }
-    assert!(wrong.is_empty(), "{wrong}");
+    assert!(differences.is_empty(), "{differences}");
 }
 
 fn read_drawing(name: &str, timeline: &Timeline) -> Drawing {
-    let file = format!("{FOLDER}/{name}.txt");
+    let file = format!("{TIMELINE_FOLDER}/{name}.txt");
     if std::env::var_os("SKETCH").is_some() {
-        std::fs::write(&file, Drawing::sketch(timeline, 800 * MS)).expect("written");
+        std::fs::write(&file, Drawing::sketch(timeline, 800 * MS)).expect("a writable file");
     }
-    let drawn = std::fs::read_to_string(&file).expect("a drawing");
-    Drawing::read(&drawn).unwrap_or_else(|why| panic!("{file}: {why}"))
+    let text = std::fs::read_to_string(&file).expect("a drawing");
+    Drawing::read(&text).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
