--- a/crates/idempotency/src/fence.rs
+++ b/crates/idempotency/src/fence.rs
@@ -8,10 +8,10 @@
 /// A range of scoped keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key of the range; hexadecimal digits in JSON.
+    /// Start of the range, inclusive; hexadecimal digits in JSON.
     #[serde(rename = "from", with = "crate::hex")]
     pub start: Vec<u8>,
-    /// First key after the range, which excludes it; empty if the range has no end.
+    /// End of the range, exclusive; empty if the range has no end.
     #[serde(rename = "to", with = "crate::hex")]
     pub end: Vec<u8>,
 }
--- a/crates/idempotency/src/journal.rs
+++ b/crates/idempotency/src/journal.rs
@@ -1,8 +1,8 @@
 //! Persistence of the records of keys in an embedded store: executes the write commands of a
 //! [`KeyTable`](crate::key_table::KeyTable), and recovers its keys.
 //!
-//! One sync makes all earlier writes durable. The caller decides on which thread the
-//! journal runs.
+//! One sync makes all earlier writes durable. The caller decides on which thread the journal
+//! runs.
 
 use crate::fence::{Fence, FenceTable};
 use crate::key_table::{KeyCommand, RecoveredKeys};
--- a/crates/idempotency/src/key_table.rs
+++ b/crates/idempotency/src/key_table.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Loads the keys recovered from the store, after which the table admits keys. Only the first
-    /// call has an effect.
+    /// Loads the keys recovered from the store, after which the table admits keys. Has no effect if
+    /// they are loaded already.
     pub fn load(&mut self, recovered: RecoveredKeys) {
         if self.persistence.is_recovered {
             return;
--- a/crates/idempotency/src/key_table/persistence.rs
+++ b/crates/idempotency/src/key_table/persistence.rs
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Removes expired keys, and discards keys whose intent does not become durable within the
-    /// stall timeout, so that they don't occupy cores: their runs were not started. Pending results
-    /// are kept, and the attempts that wait for them continue to wait.
+    /// Removes expired keys. If a write does not become durable within the stall timeout, also
+    /// discards the keys with a pending intent, so that they don't occupy cores: their runs were not
+    /// started. Pending results are kept, and the attempts that wait for them continue to wait.
     pub fn poll(&mut self, now: Micros, commands: &mut Vec<KeyCommand>) {
         self.remove_expired(now);
         let is_overdue = self
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys: what the key of a request permits, and where its result is cached, so that a
-//! repeated request gets the first response and never runs again.
+//! Idempotency keys: a repeated request gets the response of the first one, from its cached result,
+//! and never runs again.
 //!
 //! | module | contents |
 //! | --- | --- |
