--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -217,7 +217,8 @@
         })]
     }
 
-    /// Notifies the successor that this process has closed the store of idempotency keys.
+    /// Notifies the successor, if there is one, that this process has closed the store of
+    /// idempotency keys.
     #[must_use]
     pub fn on_store_released(&self) -> Vec<Effect> {
         if matches!(self.state, State::HandedOver { .. }) {
--- a/crates/membership/src/foca_hooks.rs
+++ b/crates/membership/src/foca_hooks.rs
@@ -14,7 +14,7 @@
     pub(crate) shared: Rc<RefCell<SharedState>>,
 }
 
-/// The error type of the library's codec, which has no exported name.
+/// The library exports the error type of its codec only through this path.
 type PostcardError = <PostcardCodec as Codec<Identity>>::Error;
 
 /// The reason why a datagram can't be encoded or decoded.
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// Number of incarnations reserved by one write to the disk.
-pub const BLOCK_SIZE: u64 = 1 << 16;
+pub const INCARNATION_BLOCK_SIZE: u64 = 1 << 16;
 
 /// The current incarnation of this process, and the reserved ones that it can use next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// If less than a block of incarnations is left.
     pub fn start_after(mark: u64) -> Result<(Self, IncarnationMark), IncarnationsExhausted> {
         let reserved = mark
-            .checked_add(BLOCK_SIZE)
+            .checked_add(INCARNATION_BLOCK_SIZE)
             .ok_or(IncarnationsExhausted(mark))?;
         Ok((
             Self {
@@ -75,7 +75,7 @@
             return Ok(None);
         }
         self.reserved = next
-            .checked_add(BLOCK_SIZE)
+            .checked_add(INCARNATION_BLOCK_SIZE)
             .ok_or(IncarnationsExhausted(next))?;
         Ok(Some(IncarnationMark(self.reserved)))
     }
--- a/crates/membership/src/incarnation/tests.rs
+++ b/crates/membership/src/incarnation/tests.rs
@@ -17,7 +17,7 @@
         assert!(used.insert(incarnations.current()), "twice");
         for bump in 0..start % 7 {
             let highest_seen = if bump == 3 {
-                incarnations.current() + 2 * BLOCK_SIZE
+                incarnations.current() + 2 * INCARNATION_BLOCK_SIZE
             } else {
                 0
             };
--- a/crates/membership/tests/gossip/failure_detection.rs
+++ b/crates/membership/tests/gossip/failure_detection.rs
@@ -4,7 +4,7 @@
 use cleatpulley_membership::Event;
 
 #[test]
-fn cluster_forms_over_a_lossy_network_and_declares_nobody_down() {
+fn cluster_forms_over_a_lossy_network_and_declares_no_live_member_down() {
     for seed in 0..8 {
         let mut network = EmulatedNetwork::new(seed);
         network.conditions = NetworkConditions {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn paused_process_rejoins_under_a_new_incarnation_and_declares_nobody_down() {
+fn paused_process_rejoins_under_a_new_incarnation_and_declares_no_live_member_down() {
     for seed in 0..8 {
         let mut network = EmulatedNetwork::new(seed);
         let ports = network.start_cluster(8);
--- a/crates/membership/tests/gossip/incarnations.rs
+++ b/crates/membership/tests/gossip/incarnations.rs
@@ -2,7 +2,7 @@
 
 use crate::emulated_network::{EmulatedNetwork, MS, SECOND};
 use crate::emulated_process::{address, label};
-use cleatpulley_membership::incarnation::BLOCK_SIZE;
+use cleatpulley_membership::incarnation::INCARNATION_BLOCK_SIZE;
 use cleatpulley_membership::Event;
 
 #[test]
@@ -30,7 +30,10 @@
 
         assert_eq!(network.find_disagreement(), None, "seed {seed}");
         let incarnation = network.processes[&4].membership.identity().incarnation;
-        assert!(incarnation > BLOCK_SIZE, "seed {seed}: {incarnation}");
+        assert!(
+            incarnation > INCARNATION_BLOCK_SIZE,
+            "seed {seed}: {incarnation}"
+        );
     }
 }
 
--- a/crates/server/src/gossip/incarnation_store/stored_format.rs
+++ b/crates/server/src/gossip/incarnation_store/stored_format.rs
@@ -3,7 +3,7 @@
 //! `tests/fixtures/incarnation` is the store of a process in its second life.
 
 use super::{begin, open, write, KEY};
-use cleatpulley_membership::incarnation::{IncarnationMark, BLOCK_SIZE};
+use cleatpulley_membership::incarnation::{IncarnationMark, INCARNATION_BLOCK_SIZE};
 use std::fs;
 use std::path::Path;
 use tempfile::TempDir;
@@ -44,5 +44,5 @@
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), IncarnationMark(0x0102_0304_0506_0708)).expect("a folder");
     assert_eq!(stored(folder.path()), Some(vec![8, 7, 6, 5, 4, 3, 2, 1]));
-    assert_eq!(BLOCK_SIZE, 65_536);
+    assert_eq!(INCARNATION_BLOCK_SIZE, 65_536);
 }
