--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -238,13 +238,12 @@
     pub fn wait_for(&mut self, text: &str) -> io::Result<String> {
         let since = Instant::now();
         loop {
+            // The thread that reads the log drops its handle after the last line of a process that ended.
+            let complete = self.child.try_wait()?.is_some() && Arc::strong_count(&self.log) == 1;
             if let Some(line) = self.log().into_iter().find(|line| line.contains(text)) {
                 return Ok(line);
             }
-            let ended = self.child.try_wait()?.is_some();
-            if ended || since.elapsed() > PATIENCE {
-                // What it said last may still be on its way here.
-                std::thread::sleep(Duration::from_millis(50));
+            if complete || since.elapsed() > PATIENCE {
                 return Err(io::Error::other(format!(
                     "no {text:?} in its log:\n{}",
                     self.log().join("\n")
