--- a/crates/policy/src/bug_injection.rs
+++ b/crates/policy/src/bug_injection.rs
@@ -80,8 +80,8 @@
     /// Bugs of chains of processes, searched for by overlapping hot restarts.
     pub const HOT_RESTART_CHAINS: [Self; 2] = [Self::StoreReopened, Self::LockIgnored];
 
-    /// All others.
-    pub const ALL: [Self; 22] = [
+    /// Bugs searched for by general random schedules: all that are in neither of the lists above.
+    pub const GENERAL: [Self; 22] = [
         Self::ResponseSentTwice,
         Self::ConnectionSlotLeaked,
         Self::DeadlinesLate,
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -131,7 +131,7 @@
         return;
     }
     say!("injected bugs: seeds to the first find, faults before and after it was shrunk");
-    let any = InjectedBug::ALL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
+    let any = InjectedBug::GENERAL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
     let chains = InjectedBug::HOT_RESTART_CHAINS.map(|bug| (bug, Plan::chained as fn(u64) -> Plan));
     for (bug, plan) in any.into_iter().chain(chains) {
         inject_bug(Some(bug));
