--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -55,8 +55,8 @@
     pub target: String,
     /// Headers, or the fields of a frame, as name and value.
     pub headers: Vec<(String, String)>,
-    /// The caller's address, or its number where there is none.
-    pub remote: String,
+    /// Address of the caller, or its number where the protocol carries no address.
+    pub remote_address: String,
     /// The payload of the frame that it was received in, unchanged.
     pub frame: Option<Vec<u8>>,
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -40,7 +40,7 @@
         method: &head.method,
         target: &head.target,
         headers: &head.headers,
-        remote: &head.remote,
+        remote: &head.remote_address,
     }
 }
 
@@ -461,9 +461,9 @@
             }
             (None, Some(head)) if pool.by_address => {
                 // As in nginx, the first three numbers of an address count.
-                head.remote
+                head.remote_address
                     .rsplit_once('.')
-                    .map_or(head.remote.clone(), |(net, _)| net.to_owned())
+                    .map_or(head.remote_address.clone(), |(net, _)| net.to_owned())
             }
             _ => String::new(),
         };
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -64,7 +64,7 @@
         headers: headers
             .map(|(name, value)| (name.to_owned(), value.to_string()))
             .to_vec(),
-        remote: "192.0.2.7".to_owned(),
+        remote_address: "192.0.2.7".to_owned(),
         frame: None,
     };
     IncomingRequest {
--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -519,7 +519,7 @@
             .iter()
             .map(|(name, value)| (text(name), text(value)))
             .collect(),
-        remote: request.remote_addr.map(text).unwrap_or_default(),
+        remote_address: request.remote_addr.map(text).unwrap_or_default(),
         frame: None,
     }
 }
--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -339,7 +339,7 @@
             .iter()
             .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
             .collect(),
-        remote: value("lb").to_owned(),
+        remote_address: value("lb").to_owned(),
         frame: Some(payload.to_vec()),
     }
 }
