--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -81,7 +81,7 @@
                 state.wait_number = self.next_wait_number();
                 commands.push(Command::LoadCachedResult {
                     id,
-                    number: state.wait_number,
+                    load_number: state.wait_number,
                     key,
                 });
             }
--- a/crates/dispatcher/src/command.rs
+++ b/crates/dispatcher/src/command.rs
@@ -72,8 +72,8 @@
     LoadCachedResult {
         /// The request.
         id: RequestId,
-        /// Never used again, while an id may be once its request is over.
-        number: u64,
+        /// Identifies this load. Never reused, whereas a request id may be once its request is over.
+        load_number: u64,
         /// Its key.
         key: ScopedKey,
     },
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -161,8 +161,8 @@
     CachedResultLoaded {
         /// The request.
         id: RequestId,
-        /// The number that it was requested under.
-        number: u64,
+        /// The `load_number` of the command that requested it.
+        load_number: u64,
         /// How the key ended; none where that can't be read.
         outcome: Option<KeyOutcome>,
     },
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -92,9 +92,9 @@
             }
             Event::CachedResultLoaded {
                 id,
-                number,
+                load_number,
                 outcome,
-            } => self.on_cached_result(now, id, number, outcome, commands),
+            } => self.on_cached_result(now, id, load_number, outcome, commands),
             _ => {}
         }
         self.carry_out_key_commands(now, commands);
@@ -104,12 +104,12 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        number: u64,
+        load_number: u64,
         outcome: Option<KeyOutcome>,
         commands: &mut Vec<Command>,
     ) {
         let response = outcome.map_or(Response::Failed, response_of);
-        if self.awaits_key(id, number) {
+        if self.awaits_key(id, load_number) {
             self.respond(now, id, response, commands);
         }
     }
@@ -162,7 +162,7 @@
                 request.wait_number = keys.next_wait_number();
                 commands.push(Command::LoadCachedResult {
                     id,
-                    number: request.wait_number,
+                    load_number: request.wait_number,
                     key,
                 });
             }
--- a/crates/dispatcher/tests/crash_recovery.rs
+++ b/crates/dispatcher/tests/crash_recovery.rs
@@ -280,7 +280,11 @@
                 Command::PersistKey(effect) if journal.write(&effect).is_err() => {
                     return self.lose_journal(process)
                 }
-                Command::LoadCachedResult { id, number, key } => {
+                Command::LoadCachedResult {
+                    id,
+                    load_number,
+                    key,
+                } => {
                     let outcome = journal.load_outcome(self.now, &key).unwrap_or_else(|_| {
                         self.disk_failed = true;
                         None
@@ -289,7 +293,7 @@
                         process,
                         Event::CachedResultLoaded {
                             id,
-                            number,
+                            load_number,
                             outcome,
                         },
                     );
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -141,7 +141,7 @@
                     let outcome = self.load_outcome(now, &key);
                     events.push(Event::CachedResultLoaded {
                         id,
-                        number,
+                        load_number: number,
                         outcome,
                     });
                 }
--- a/crates/server/src/server/command_execution.rs
+++ b/crates/server/src/server/command_execution.rs
@@ -40,9 +40,13 @@
                     storage.write(key_command);
                 }
             }
-            Command::LoadCachedResult { id, number, key } => {
+            Command::LoadCachedResult {
+                id,
+                load_number,
+                key,
+            } => {
                 if let Some(storage) = &mut self.key_persistence.storage {
-                    storage.load_result(now, id, number, key);
+                    storage.load_result(now, id, load_number, key);
                 }
             }
         }
