--- a/crates/policy/src/controller/admission.rs
+++ b/crates/policy/src/controller/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: what becomes of a request when it arrives.
 
 use super::request_state::{RequestStage, RequestState, RequestTiming, RequestValue};
-use super::{must_call, Controller};
+use super::{requires_call, Controller};
 use crate::interface::{Action, Effect, Micros, Request, RequestId, Settings};
 
 impl Controller {
@@ -12,7 +12,7 @@
         let priority = self.priority(&state);
         self.priority_filter.record_arrival(priority);
         if let Some(original) = request.duplicate_of {
-            if self.joins_original(&mut state, original, actions) {
+            if self.try_share_response(&mut state, original, actions) {
                 self.add_sharing_request(state, actions);
                 return;
             }
@@ -58,7 +58,7 @@
             memory_kb: request.memory_kb,
             timing: RequestTiming {
                 arrived_at,
-                respond_by: self.cut_to_stop(respond_by),
+                respond_by: self.cap_at_stop(respond_by),
                 objective_at,
             },
             value,
@@ -74,21 +74,21 @@
     /// It does not run a second time: whatever is not known to be queued may have run. A request
     /// with an idempotency key that is still queued yields to its repeat, whose caller is the one
     /// that waits; where results are cached, both wait.
-    fn joins_original(
+    fn try_share_response(
         &mut self,
         request: &mut RequestState,
         original: RequestId,
         actions: &mut Vec<Action>,
     ) -> bool {
         let is_idempotent = self.class(request).effect == Effect::Idempotent;
-        let yields = !is_idempotent && !request.caches_result;
+        let is_replaceable = !is_idempotent && !request.caches_result;
         match self.requests.get_mut(original) {
-            Some(other) if other.stage == RequestStage::Sharing(request.id) => return false,
-            Some(other) if other.stage == RequestStage::Queued && yields => {
+            Some(state) if state.stage == RequestStage::Sharing(request.id) => return false,
+            Some(state) if state.stage == RequestStage::Queued && is_replaceable => {
                 self.replace_original(original, actions);
                 return false;
             }
-            Some(other) => other.sharing_requests += 1,
+            Some(state) => state.sharing_requests += 1,
             None => {}
         }
         request.stage = RequestStage::Sharing(original);
@@ -128,8 +128,9 @@
         };
         let rank = self.rank(request);
         let lacks_key_capacity = request.caches_result && !self.keys.has_capacity;
-        let lacks_call_capacity = must_call(class)
-            && (self.dependency.is_closed(self.clock.now, rank) || self.are_calls_crowded(request));
+        let lacks_call_capacity = requires_call(class)
+            && (self.dependency.is_closed(self.clock.now, rank)
+                || self.is_call_queue_too_long(request));
         self.arrived_after_grace(request)
             || lacks_key_capacity
             || self.exceeds_memory(request.memory_kb + key_kb)
--- a/crates/policy/src/controller/arrival_statistics.rs
+++ b/crates/policy/src/controller/arrival_statistics.rs
@@ -8,7 +8,7 @@
 const RETRY_SAMPLE_WEIGHT: f64 = 0.03;
 /// Share by which the read delay fades in a period: with nothing left to read, nothing else would
 /// lower it.
-const READ_DELAY_FADE: f64 = 0.01;
+const READ_DELAY_DECAY: f64 = 0.01;
 
 /// Smoothed and fading measurements of arrivals.
 #[derive(Debug, Clone)]
@@ -24,9 +24,9 @@
 }
 
 impl ArrivalStatistics {
-    pub(super) fn new(tenants: usize) -> Self {
+    pub(super) fn new(tenant_count: usize) -> Self {
         Self {
-            first_attempts: vec![0.0; tenants.max(1)],
+            first_attempts: vec![0.0; tenant_count.max(1)],
             arrivals: 0.0,
             read_delay: 0.0,
             retry_ratio: 0.0,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Lets the counts of arrivals fade by `elapsed` over the statistics window.
-    pub(super) fn fade_counts(&mut self, elapsed: Micros, statistics_window: f64) {
+    /// Lets the counts of arrivals decay by `elapsed` over the statistics window.
+    pub(super) fn decay_counts(&mut self, elapsed: Micros, statistics_window: f64) {
         let remaining = (1.0 - elapsed as f64 / statistics_window).max(0.0);
         for attempts in &mut self.first_attempts {
             *attempts *= remaining;
@@ -63,7 +63,7 @@
         self.arrivals *= remaining;
     }
 
-    pub(super) fn fade_read_delay(&mut self) {
-        self.read_delay *= 1.0 - READ_DELAY_FADE;
+    pub(super) fn decay_read_delay(&mut self) {
+        self.read_delay *= 1.0 - READ_DELAY_DECAY;
     }
 }
--- a/crates/policy/src/controller/class_statistics.rs
+++ b/crates/policy/src/controller/class_statistics.rs
@@ -5,14 +5,14 @@
 use crate::learned_state::LearnedClass;
 
 /// Share of a class's latency objective that a run is assumed to take before one was measured.
-const INITIAL_RUN_SHARE: f64 = 0.25;
+const INITIAL_RUN_OBJECTIVE_SHARE: f64 = 0.25;
 /// By how much more a run is assumed to take on a server that is still cold.
-const COLD_START_FACTOR: f64 = 2.0;
+const COLD_RUN_TIME_FACTOR: f64 = 2.0;
 /// Share of a run's time that scales with the hint of its work: waiting times do not grow with
 /// work, and hints are rough.
-const HINT_SHARE: f64 = 0.5;
+const HINT_WEIGHT: f64 = 0.5;
 /// Relative size at which the time of a small run still counts.
-const SMALLEST_SIZE: f64 = 0.1;
+const MIN_RELATIVE_SIZE: f64 = 0.1;
 
 /// Measurements of the requests of one class.
 #[derive(Debug, Clone)]
@@ -28,9 +28,9 @@
 impl ClassStatistics {
     pub(super) fn new(class: &Class, cold_start: bool) -> Self {
         let share = if cold_start {
-            COLD_START_FACTOR * INITIAL_RUN_SHARE
+            COLD_RUN_TIME_FACTOR * INITIAL_RUN_OBJECTIVE_SHARE
         } else {
-            INITIAL_RUN_SHARE
+            INITIAL_RUN_OBJECTIVE_SHARE
         };
         Self {
             run_time: (share * class.latency_objective as f64).max(1.0),
@@ -54,12 +54,12 @@
             return 0;
         }
         let longest = self.longest_remaining_time;
-        let whole = if remaining > longest && longest > 0 {
+        let initial_time = if remaining > longest && longest > 0 {
             client_timeout
         } else {
             longest
         };
-        whole.saturating_sub(remaining)
+        initial_time.saturating_sub(remaining)
     }
 
     /// Returns a request's size relative to the usual one of its class; 1 where there is no hint.
@@ -72,7 +72,7 @@
         } else {
             work as f64
         };
-        HINT_SHARE * work as f64 / self.expected_work + (1.0 - HINT_SHARE)
+        HINT_WEIGHT * work as f64 / self.expected_work + (1.0 - HINT_WEIGHT)
     }
 
     /// Returns the work of a request of this size, in microseconds.
@@ -82,7 +82,7 @@
 
     /// Takes the time of a successful run into account.
     pub(super) fn on_run_completed(&mut self, elapsed: Micros, relative_size: f64) {
-        let time_at_usual_size = elapsed as f64 / relative_size.max(SMALLEST_SIZE);
+        let time_at_usual_size = elapsed as f64 / relative_size.max(MIN_RELATIVE_SIZE);
         self.run_time = smooth(self.run_time, time_at_usual_size).max(1.0);
     }
 
--- a/crates/policy/src/controller/concurrency.rs
+++ b/crates/policy/src/controller/concurrency.rs
@@ -1,16 +1,16 @@
 //! The limit on running requests, and their starts and ends.
 
 use super::request_state::RequestStage;
-use super::{must_call, Controller, MARGIN};
+use super::{requires_call, Controller, USABLE_SHARE};
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
 /// Share of the concurrency that a server survives which running requests may take.
-const OVERLOAD_SHARE: f64 = 0.5;
+const OVERLOAD_CONCURRENCY_SHARE: f64 = 0.5;
 /// Tasks that demand each core from which the limit shrinks: one run, and one request being read or
 /// connection being opened.
-pub(super) const FULL_CORE_TASKS: f64 = 2.0;
+pub(super) const BUSY_TASKS_PER_CORE: f64 = 2.0;
 /// Step of the limit in one period, as a share of the cores.
-const LIMIT_STEP: f64 = 0.05;
+const RUN_LIMIT_STEP_PER_CORE: f64 = 0.05;
 
 /// Limits how many requests run at a time.
 #[derive(Debug, Clone)]
@@ -19,7 +19,7 @@
     /// Tasks that demand a core, as last measured.
     pub(super) runnable: Option<f64>,
     /// When a run last ended or began to wait, or nothing was running.
-    progressed_at: Micros,
+    last_progress_at: Micros,
 }
 
 impl RunLimiter {
@@ -27,7 +27,7 @@
         Self {
             limit: f64::from(cores.max(1)),
             runnable: None,
-            progressed_at: 0,
+            last_progress_at: 0,
         }
     }
 
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn on_progress(&mut self, now: Micros) {
-        self.progressed_at = now;
+        self.last_progress_at = now;
     }
 }
 
@@ -45,7 +45,7 @@
     pub(super) fn start_runs(&mut self, actions: &mut Vec<Action>) {
         let mut running = self.cores_in_use();
         let mut memory_kb = self.memory_kb();
-        let usable_memory_kb = MARGIN * self.settings.memory_kb;
+        let usable_memory_kb = USABLE_SHARE * self.settings.memory_kb;
         if running == 0 && !self.requests.has_queued() {
             self.concurrency.on_progress(self.clock.now);
         }
@@ -58,7 +58,8 @@
             };
             let more_kb = request.memory_kb * (self.running_memory_factor() - 1.0);
             let fits = memory_kb + more_kb <= usable_memory_kb;
-            if !fits || (must_call(self.class(request)) && self.are_calls_crowded(request)) {
+            if !fits || (requires_call(self.class(request)) && self.is_call_queue_too_long(request))
+            {
                 continue;
             }
             memory_kb += more_kb;
@@ -83,7 +84,7 @@
         };
         let now = self.clock.now;
         match request.stage {
-            RequestStage::Sharing(original) => self.requests.leave_shared_response(original),
+            RequestStage::Sharing(original) => self.requests.remove_sharing_request(original),
             RequestStage::Calling => {
                 let released_at = now + self.settings.abandoned_call_linger;
                 self.dependency
@@ -115,29 +116,33 @@
     pub(super) fn adjust_run_limit(&mut self) {
         let cores = f64::from(self.settings.cores.max(1));
         let is_at_limit = self.cores_in_use() as f64 >= self.concurrency.limit.floor();
-        let holds_work_back = self.requests.has_queued() && is_at_limit;
+        let is_limiting = self.requests.has_queued() && is_at_limit;
         let limit = &mut self.concurrency.limit;
         match self.concurrency.runnable {
-            Some(runnable) if runnable > FULL_CORE_TASKS * cores => *limit -= LIMIT_STEP * cores,
-            Some(runnable) if runnable < cores && holds_work_back => *limit += LIMIT_STEP * cores,
+            Some(runnable) if runnable > BUSY_TASKS_PER_CORE * cores => {
+                *limit -= RUN_LIMIT_STEP_PER_CORE * cores
+            }
+            Some(runnable) if runnable < cores && is_limiting => {
+                *limit += RUN_LIMIT_STEP_PER_CORE * cores
+            }
             _ => {}
         }
-        let survivable = (self.settings.overload_concurrency_per_core - 1.0).max(0.0);
-        let survived_now = (1.0 + survivable * self.speed()) * cores;
-        let highest = (OVERLOAD_SHARE * survived_now).max(cores);
-        self.concurrency.limit = self.concurrency.limit.clamp(cores, highest);
+        let extra_per_core = (self.settings.overload_concurrency_per_core - 1.0).max(0.0);
+        let sustainable_now = (1.0 + extra_per_core * self.speed()) * cores;
+        let max_limit = (OVERLOAD_CONCURRENCY_SHARE * sustainable_now).max(cores);
+        self.concurrency.limit = self.concurrency.limit.clamp(cores, max_limit);
     }
 
     /// Returns the share of full speed that the server surely has by now: it may still warm up.
     pub(super) fn speed(&self) -> f64 {
         let warm_up_time = self.settings.warm_up_time.max(1) as f64;
-        let warmth = (self.clock.now - self.clock.started_at) as f64 / warm_up_time;
-        let initial = if self.settings.cold_start {
+        let warm_up_progress = (self.clock.now - self.clock.started_at) as f64 / warm_up_time;
+        let initial_speed = if self.settings.cold_start {
             self.settings.cold_start_speed
         } else {
             1.0
         };
-        (initial + (1.0 - initial) * warmth).min(1.0)
+        (initial_speed + (1.0 - initial_speed) * warm_up_progress).min(1.0)
     }
 
     /// Requests on the cores, those of a predecessor included.
@@ -152,12 +157,12 @@
 
     /// Runs that go on at a time, those at calls included.
     pub(super) fn parallel_runs(&self) -> f64 {
-        self.concurrency.limit + self.requests.at_call_count() as f64
+        self.concurrency.limit + self.requests.in_call_count() as f64
     }
 
     /// Returns for how long no run has ended though some should have, in microseconds: the symptom
     /// of cores that stand still.
     pub(super) fn stall_time(&self) -> f64 {
-        (self.clock.now - self.concurrency.progressed_at) as f64
+        (self.clock.now - self.concurrency.last_progress_at) as f64
     }
 }
--- a/crates/policy/src/controller/control_loop.rs
+++ b/crates/policy/src/controller/control_loop.rs
@@ -6,16 +6,16 @@
 use super::dependency_limiter::DependencyLimiter;
 use super::feedback::Feedback;
 use super::key_usage::KeyUsage;
-use super::must_call;
 use super::priority::PriorityFilter;
 use super::random::SplitMix64;
 use super::request_state::{RequestStage, RequestState, RequestTable};
+use super::requires_call;
 use super::shutdown::Shutdown;
 use crate::interface::{Action, Class, Event, Gauges, Micros, RequestId, Settings};
 use crate::learned_state::{LearnedState, LearnedStateError};
 
 /// Periods in the response slack: a deadline is met with three of four still in hand.
-const PERIODS_IN_SLACK: u64 = 4;
+const PERIODS_PER_SLACK: u64 = 4;
 /// The controller has one timer, and needs no token to distinguish it.
 const TIMER_TOKEN: u64 = 0;
 
@@ -59,7 +59,7 @@
     /// Creates the controller of a server that has just started.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let slack_share = settings.response_slack / PERIODS_IN_SLACK;
+        let slack_share = settings.response_slack / PERIODS_PER_SLACK;
         let period = settings.tick.max(slack_share).max(1);
         let class_statistics = settings
             .classes
@@ -136,7 +136,7 @@
             Event::IdempotencyTableUsage {
                 entries,
                 has_capacity,
-            } => self.keys.on_report(entries, has_capacity),
+            } => self.keys.on_usage_report(entries, has_capacity),
         }
     }
 
@@ -176,12 +176,12 @@
         self.clock.adjusted_at = now;
         self.keys.remove_expired(now);
         let statistics_window = self.statistics_window();
-        self.arrivals.fade_counts(elapsed, statistics_window);
+        self.arrivals.decay_counts(elapsed, statistics_window);
         let backlog = self.call_backlog();
         let in_flight = self.calls_in_flight();
         self.dependency.adjust(now, elapsed, backlog, in_flight);
         self.adjust_run_limit();
-        self.arrivals.fade_read_delay();
+        self.arrivals.decay_read_delay();
         self.adjust_rank_threshold(elapsed);
         self.adjust_advertised_capacity(elapsed);
         self.advertise_capacity(actions);
@@ -193,7 +193,7 @@
         self.requests
             .iter()
             .filter(|request| request.stage == RequestStage::AwaitingCall)
-            .filter(|request| must_call(self.class(request)))
+            .filter(|request| requires_call(self.class(request)))
             .count()
     }
 
--- a/crates/policy/src/controller/dependency_calls.rs
+++ b/crates/policy/src/controller/dependency_calls.rs
@@ -1,22 +1,22 @@
 //! Calls to the dependency: which are made, in which order, and which are left out or given up.
 
-use super::queue::QUEUE_SHARE;
+use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::{RequestStage, RequestState};
 use super::Controller;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
 /// Call latencies for which the reply to a call is waited for.
-const TIMEOUT_IN_LATENCIES: f64 = 8.0;
+const CALL_TIMEOUT_LATENCIES: f64 = 8.0;
 /// Periods for which the reply to a call is waited for at least.
-const TIMEOUT_IN_PERIODS: f64 = 2.0;
+const MIN_CALL_TIMEOUT_PERIODS: f64 = 2.0;
 
 impl Controller {
     /// Returns whether the runs at calls, those of lower priority left out, are more than the
     /// dependency serves in half the time that is left to the request's latency objective.
-    pub(super) fn are_calls_crowded(&self, request: &RequestState) -> bool {
+    pub(super) fn is_call_queue_too_long(&self, request: &RequestState) -> bool {
         let priority = self.priority(request);
         let remaining = request.timing.objective_at.saturating_sub(self.clock.now) as f64;
-        let rounds = (QUEUE_SHARE * remaining / self.dependency.call_latency()).max(1.0);
+        let rounds = (QUEUE_TIME_SHARE * remaining / self.dependency.call_latency()).max(1.0);
         let ahead = self
             .requests
             .iter()
@@ -65,7 +65,7 @@
             .filter(|request| request.stage == RequestStage::AwaitingCall && !request.is_settled)
             .map(|request| (self.priority(request), request.id))
             .collect();
-        waiting.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        waiting.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
         waiting.into_iter().map(|(_, id)| id).collect()
     }
 
@@ -87,8 +87,8 @@
         let now = self.clock.now;
         let period = self.clock.period;
         // A reply that takes longer is lost, not late.
-        let patience = (TIMEOUT_IN_LATENCIES * self.dependency.call_latency())
-            .max(TIMEOUT_IN_PERIODS * period as f64) as Micros;
+        let reply_timeout = (CALL_TIMEOUT_LATENCIES * self.dependency.call_latency())
+            .max(MIN_CALL_TIMEOUT_PERIODS * period as f64) as Micros;
         // A call that can't be made again is given up for good, and so not before its reply would be
         // worth nothing.
         let useful_time = if effect == Effect::Idempotent {
@@ -98,7 +98,7 @@
         };
         let timeout = respond_by
             .saturating_sub(now + period)
-            .min(patience.max(useful_time))
+            .min(reply_timeout.max(useful_time))
             .max(1);
         let within_quota = match self.dependency.remaining_call_time(now) {
             Some(remaining) => {
--- a/crates/policy/src/controller/dependency_limiter.rs
+++ b/crates/policy/src/controller/dependency_limiter.rs
@@ -11,7 +11,7 @@
 mod call_limit;
 mod call_quota;
 
-use super::MARGIN;
+use super::USABLE_SHARE;
 use crate::interface::{DependencyLimit, Micros, Outcome, Settings};
 use crate::learned_state::LearnedDependency;
 use admission_gap::AdmissionGap;
@@ -21,7 +21,7 @@
 
 /// Call latencies for which no call is made after the dependency rejected one or was unreachable: a
 /// dependency that is down gets no storm of retries.
-const PAUSE_IN_LATENCIES: f64 = 2.0;
+const CALL_PAUSE_LATENCIES: f64 = 2.0;
 /// Share of the quota below which the call limit is not halved: the dependency survives that many.
 const MINIMUM_QUOTA_SHARE: f64 = 0.5;
 
@@ -32,18 +32,18 @@
     quota: CallQuota,
     gap: AdmissionGap,
     latency: CallLatency,
-    silence: SilentCalls,
+    unanswered_calls: UnansweredCalls,
     /// No call is made before this time.
     paused_until: Micros,
 }
 
 /// Calls that ended without a reply from the dependency.
 #[derive(Debug, Clone, Default)]
-struct SilentCalls {
+struct UnansweredCalls {
     /// How many have ended since the last one with a reply.
     consecutive: u32,
     /// When the latest call with a reply was made.
-    last_replied_call: Micros,
+    last_replied_call_at: Micros,
 }
 
 /// What the end of a call says about the dependency.
@@ -56,7 +56,7 @@
     /// The call was interrupted, most likely by a lost connection.
     Interrupted,
     /// It rejected the call or could not be reached, or the call was withdrawn.
-    NoService,
+    Unavailable,
 }
 
 impl From<Outcome> for CallSignal {
@@ -68,7 +68,7 @@
             Outcome::Overloaded
             | Outcome::Unreachable
             | Outcome::Cancelled
-            | Outcome::NotStarted => Self::NoService,
+            | Outcome::NotStarted => Self::Unavailable,
         }
     }
 }
@@ -81,13 +81,21 @@
                 concurrency_quota,
                 averaging_window,
             } => {
-                let mean = MARGIN * concurrency_quota.max(0.0);
-                let minimum = MINIMUM_QUOTA_SHARE * MARGIN * concurrency_quota;
-                (CallQuota::new(mean, averaging_window), 1.0, minimum)
+                let mean_concurrency = USABLE_SHARE * concurrency_quota.max(0.0);
+                let minimum = MINIMUM_QUOTA_SHARE * USABLE_SHARE * concurrency_quota;
+                (
+                    CallQuota::new(mean_concurrency, averaging_window),
+                    1.0,
+                    minimum,
+                )
             }
             DependencyLimit::NoDependency | DependencyLimit::NextTier => {
-                let mean = cores * settings.overload_concurrency_per_core.max(1.0);
-                (CallQuota::new(mean, settings.warm_up_time), cores, 1.0)
+                let mean_concurrency = cores * settings.overload_concurrency_per_core.max(1.0);
+                (
+                    CallQuota::new(mean_concurrency, settings.warm_up_time),
+                    cores,
+                    1.0,
+                )
             }
         };
         let tightest_objective = settings
@@ -97,11 +105,11 @@
             .min()
             .unwrap_or(0);
         Self {
-            limit: CallLimit::new(initial_limit, minimum_limit, quota.highest_concurrency()),
+            limit: CallLimit::new(initial_limit, minimum_limit, quota.max_concurrency()),
             quota,
             gap: AdmissionGap::default(),
             latency: CallLatency::new(tightest_objective, period),
-            silence: SilentCalls::default(),
+            unanswered_calls: UnansweredCalls::default(),
             paused_until: 0,
         }
     }
@@ -129,7 +137,10 @@
     /// Returns whether another call may be made in addition to those in flight.
     pub(super) fn has_capacity(&self, now: Micros, in_flight: usize) -> bool {
         let concurrency = self.quota.concurrency(now, in_flight) as f64;
-        let shortest_allowance = self.latency.smoothed().min(self.quota.time_per_window());
+        let shortest_allowance = self
+            .latency
+            .smoothed()
+            .min(self.quota.call_time_per_window());
         now >= self.paused_until
             && concurrency < self.limit.limit().floor().max(1.0)
             && self.quota.is_within_budget()
@@ -156,8 +167,8 @@
         self.quota.adjust(now, elapsed, in_flight);
         let growth = self
             .gap
-            .growth_factor(backlog, self.limit.limit(), self.limit.is_faltering());
-        self.latency.fade(now, in_flight);
+            .growth_factor(backlog, self.limit.limit(), self.limit.is_degraded());
+        self.latency.decay(now, in_flight);
         self.gap.scale(growth, self.latency.smoothed());
     }
 
@@ -183,20 +194,20 @@
             now
         };
         self.quota.record_call(made_at, released_at);
-        if self.silence.is_inconclusive(signal, made_at) {
+        if self.unanswered_calls.is_inconclusive(signal, made_at) {
             return;
         }
         match signal {
             CallSignal::Reply => self.latency.on_reply(elapsed),
             CallSignal::Timeout => self.latency.on_timeout(elapsed),
-            CallSignal::Interrupted | CallSignal::NoService => {
-                let pause = PAUSE_IN_LATENCIES * self.latency.smoothed();
+            CallSignal::Interrupted | CallSignal::Unavailable => {
+                let pause = CALL_PAUSE_LATENCIES * self.latency.smoothed();
                 self.paused_until = now + pause as Micros;
             }
         }
-        let is_faltering = signal != CallSignal::Reply || self.latency.is_faltering();
+        let is_degraded = signal != CallSignal::Reply || self.latency.is_degraded();
         self.limit
-            .on_call_ended(now, is_faltering, self.latency.smoothed());
+            .on_call_ended(now, is_degraded, self.latency.smoothed());
     }
 
     pub(super) fn to_learned(&self) -> LearnedDependency {
@@ -217,7 +228,7 @@
     }
 }
 
-impl SilentCalls {
+impl UnansweredCalls {
     /// Notes the end of a call that was made at `made_at`. Returns whether it says nothing about
     /// the dependency.
     ///
@@ -225,13 +236,13 @@
     /// fault, the next call gets no reply either, and neither do those made after it.
     fn is_inconclusive(&mut self, signal: CallSignal, made_at: Micros) -> bool {
         if signal == CallSignal::Reply {
-            self.last_replied_call = self.last_replied_call.max(made_at);
+            self.last_replied_call_at = self.last_replied_call_at.max(made_at);
         }
         if !matches!(signal, CallSignal::Timeout | CallSignal::Interrupted) {
             self.consecutive = 0;
             return false;
         }
         self.consecutive += 1;
-        self.consecutive == 1 || self.last_replied_call > made_at
+        self.consecutive == 1 || self.last_replied_call_at > made_at
     }
 }
--- a/crates/policy/src/controller/dependency_limiter/admission_gap.rs
+++ b/crates/policy/src/controller/dependency_limiter/admission_gap.rs
@@ -4,14 +4,14 @@
 use crate::interface::Micros;
 
 /// Weight of the past in the smoothed backlog (alpha in the paper).
-const ALPHA: f64 = 0.9;
-/// The gap shrinks to no less than this share of itself in one period (the least phi in the paper).
-const PHI_MIN: f64 = 0.2;
+const BACKLOG_HISTORY_WEIGHT: f64 = 0.9;
+/// The gap shrinks to no less than this share of itself in one period (the least factor in the paper).
+const MIN_GROWTH_FACTOR: f64 = 0.2;
 /// The shortest gap, in call latencies. It spaces nothing out, and counts as none.
-const SHORTEST_GAP: f64 = 0.1;
+const MIN_GAP_LATENCIES: f64 = 0.1;
 /// The longest gap, in call latencies: one that outlives the fault by more would leave a recovered
 /// dependency idle.
-const LONGEST_GAP: f64 = 2.0;
+const MAX_GAP_LATENCIES: f64 = 2.0;
 
 /// The gap between two admissions.
 #[derive(Debug, Clone, Default)]
@@ -22,7 +22,7 @@
     gap: f64,
     last_admission: Micros,
     /// The last admission closed the dependency.
-    is_gapping: bool,
+    is_gap_active: bool,
 }
 
 impl AdmissionGap {
@@ -38,16 +38,16 @@
     /// highest for hardly any time.
     pub(super) fn is_closed(&self, now: Micros, rank: f64) -> bool {
         let since_admission = (now - self.last_admission) as f64;
-        self.is_gapping && since_admission < 2.0 * self.gap * (1.0 - rank)
+        self.is_gap_active && since_admission < 2.0 * self.gap * (1.0 - rank)
     }
 
     /// Notes an admission.
     pub(super) fn on_admission(&mut self, now: Micros, latency: f64) {
-        self.is_gapping = self.gap > SHORTEST_GAP * latency;
+        self.is_gap_active = self.gap > MIN_GAP_LATENCIES * latency;
         self.last_admission = now;
     }
 
-    /// Smooths the backlog and returns by which factor the gap has to change (phi in the paper).
+    /// Smooths the backlog and returns by which factor the gap has to change (factor in the paper).
     ///
     /// Without faltering calls the gap does not grow: the backlog alone is no overload while the
     /// dependency keeps its pace.
@@ -55,20 +55,22 @@
         &mut self,
         backlog: usize,
         call_limit: f64,
-        is_faltering: bool,
+        is_degraded: bool,
     ) -> f64 {
-        self.backlog = ALPHA * self.backlog + (1.0 - ALPHA) * backlog as f64;
-        let phi = (self.backlog / call_limit.max(1.0)).max(PHI_MIN);
-        if is_faltering {
-            phi
+        self.backlog =
+            BACKLOG_HISTORY_WEIGHT * self.backlog + (1.0 - BACKLOG_HISTORY_WEIGHT) * backlog as f64;
+        let factor = (self.backlog / call_limit.max(1.0)).max(MIN_GROWTH_FACTOR);
+        if is_degraded {
+            factor
         } else {
-            phi.min(1.0)
+            factor.min(1.0)
         }
     }
 
     /// Changes the gap by a factor, within its bounds.
     pub(super) fn scale(&mut self, factor: f64, latency: f64) {
-        self.gap = (self.gap * factor).clamp(SHORTEST_GAP * latency, LONGEST_GAP * latency);
+        self.gap =
+            (self.gap * factor).clamp(MIN_GAP_LATENCIES * latency, MAX_GAP_LATENCIES * latency);
     }
 
     pub(super) fn restore(&mut self, backlog: f64, gap: f64) {
--- a/crates/policy/src/controller/dependency_limiter/call_latency.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_latency.rs
@@ -6,12 +6,12 @@
 /// Share of the tightest latency objective that a call is assumed to take before one was measured.
 const INITIAL_OBJECTIVE_SHARE: f64 = 0.1;
 /// Calls falter when their smoothed latency is this multiple of the baseline.
-const FALTERING_FACTOR: f64 = 2.0;
+const DEGRADED_LATENCY_FACTOR: f64 = 2.0;
 /// Weight of one call in the baseline: a passing fault does not move it, a lasting change does.
 const BASELINE_SAMPLE_WEIGHT: f64 = 0.002;
 /// Weight by which the latency returns to the baseline during one latency without calls: nothing
 /// else would correct it.
-const FADE_WEIGHT: f64 = 0.25;
+const IDLE_DECAY_WEIGHT: f64 = 0.25;
 
 /// Smoothed latency of calls, in microseconds.
 #[derive(Debug, Clone)]
@@ -44,8 +44,8 @@
     }
 
     /// Returns whether calls take much longer than usual.
-    pub(super) fn is_faltering(&self) -> bool {
-        self.smoothed > FALTERING_FACTOR * self.baseline.max(self.period as f64)
+    pub(super) fn is_degraded(&self) -> bool {
+        self.smoothed > DEGRADED_LATENCY_FACTOR * self.baseline.max(self.period as f64)
     }
 
     pub(super) fn on_reply(&mut self, elapsed: Micros) {
@@ -67,12 +67,12 @@
     }
 
     /// Moves a high latency back towards the baseline while no call is in flight.
-    pub(super) fn fade(&mut self, now: Micros, in_flight: usize) {
+    pub(super) fn decay(&mut self, now: Micros, in_flight: usize) {
         let is_idle = now >= self.idle_since + self.smoothed as Micros;
         if in_flight > 0 {
             self.idle_since = now;
         } else if is_idle && self.smoothed > self.baseline && self.baseline > 0.0 {
-            self.smoothed += FADE_WEIGHT * (self.baseline - self.smoothed);
+            self.smoothed += IDLE_DECAY_WEIGHT * (self.baseline - self.smoothed);
             self.idle_since = now;
         }
     }
--- a/crates/policy/src/controller/dependency_limiter/call_limit.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_limit.rs
@@ -9,7 +9,7 @@
     minimum: f64,
     maximum: f64,
     /// The last call that ended faltered.
-    is_faltering: bool,
+    is_degraded: bool,
     halved_at: Micros,
 }
 
@@ -19,7 +19,7 @@
             limit: initial.min(maximum),
             minimum: minimum.max(1.0),
             maximum,
-            is_faltering: false,
+            is_degraded: false,
             halved_at: 0,
         }
     }
@@ -28,14 +28,14 @@
         self.limit
     }
 
-    pub(super) fn is_faltering(&self) -> bool {
-        self.is_faltering
+    pub(super) fn is_degraded(&self) -> bool {
+        self.is_degraded
     }
 
     /// Adjusts the limit to the end of a call; at most one halving per call latency.
-    pub(super) fn on_call_ended(&mut self, now: Micros, is_faltering: bool, latency: f64) {
-        self.is_faltering = is_faltering;
-        if !is_faltering {
+    pub(super) fn on_call_ended(&mut self, now: Micros, is_degraded: bool, latency: f64) {
+        self.is_degraded = is_degraded;
+        if !is_degraded {
             self.limit = (self.limit + 1.0 / self.limit).min(self.maximum);
         } else if now >= self.halved_at + latency as Micros {
             self.limit = (self.limit / 2.0).max(self.minimum);
--- a/crates/policy/src/controller/dependency_limiter/call_quota.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_quota.rs
@@ -1,6 +1,6 @@
 //! This server's quota of calls, as a mean over a window of time.
 
-use super::MARGIN;
+use super::USABLE_SHARE;
 use crate::interface::Micros;
 
 /// Share of the window by which the mean may run ahead of the quota: little in comparison with what
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct CallQuota {
     /// Concurrent calls, as a mean over the window, with a margin taken off.
-    mean: f64,
+    mean_concurrency: f64,
     window: Micros,
     /// Call time that the quota still allows, in microseconds; negative where it was overdrawn.
     budget: f64,
@@ -27,9 +27,9 @@
 }
 
 impl CallQuota {
-    pub(super) fn new(mean: f64, window: Micros) -> Self {
+    pub(super) fn new(mean_concurrency: f64, window: Micros) -> Self {
         Self {
-            mean,
+            mean_concurrency,
             window,
             budget: 0.0,
             recent: Vec::new(),
@@ -37,13 +37,13 @@
     }
 
     /// The most calls that may ever be in flight at a time.
-    pub(super) fn highest_concurrency(&self) -> f64 {
-        self.mean.max(1.0)
+    pub(super) fn max_concurrency(&self) -> f64 {
+        self.mean_concurrency.max(1.0)
     }
 
     /// The call time of one window that the quota without its margin stands for, in microseconds.
-    pub(super) fn time_per_window(&self) -> f64 {
-        self.mean / MARGIN * self.window as f64
+    pub(super) fn call_time_per_window(&self) -> f64 {
+        self.mean_concurrency / USABLE_SHARE * self.window as f64
     }
 
     pub(super) fn is_within_budget(&self) -> bool {
@@ -75,7 +75,7 @@
                     .saturating_sub(call.made_at.max(window_start))
             })
             .sum();
-        (self.mean < 1.0).then(|| self.time_per_window() - used as f64)
+        (self.mean_concurrency < 1.0).then(|| self.call_time_per_window() - used as f64)
     }
 
     pub(super) fn record_call(&mut self, made_at: Micros, released_at: Micros) {
@@ -89,9 +89,9 @@
     pub(super) fn adjust(&mut self, now: Micros, elapsed: Micros, in_flight: usize) {
         self.recent
             .retain(|call| call.released_at + self.window > now);
-        let unused_concurrency = self.mean - self.concurrency(now, in_flight) as f64;
+        let unused_concurrency = self.mean_concurrency - self.concurrency(now, in_flight) as f64;
         let gained = unused_concurrency * elapsed as f64;
-        let highest = BURST_SHARE * self.mean * self.window as f64;
-        self.budget = (self.budget + gained).min(highest);
+        let max_budget = BURST_SHARE * self.mean_concurrency * self.window as f64;
+        self.budget = (self.budget + gained).min(max_budget);
     }
 }
--- a/crates/policy/src/controller/feedback.rs
+++ b/crates/policy/src/controller/feedback.rs
@@ -1,16 +1,16 @@
 //! Feedback to callers: the advertised capacity, and which idle connections are closed.
 
-use super::concurrency::FULL_CORE_TASKS;
+use super::concurrency::BUSY_TASKS_PER_CORE;
 use super::Controller;
 use crate::interface::{Action, FeedbackKind, Micros};
 
 /// The least advertised capacity: with none, no caller would notice a recovery.
-const LEAST_CAPACITY: f64 = 0.1;
+const MIN_ADVERTISED_CAPACITY: f64 = 0.1;
 /// Requests per parallel run that one caller may have here: one that runs, and one that is on its
 /// way or queued.
 const REQUESTS_PER_RUN: f64 = 2.0;
 /// The feedback value is renewed when the capacity has moved by this much.
-const CAPACITY_STEP: f64 = 0.03;
+const MIN_CAPACITY_CHANGE: f64 = 0.03;
 /// The idle timeout is renewed when it has changed by more than this share.
 const IDLE_TIMEOUT_TOLERANCE: f64 = 0.1;
 
@@ -42,16 +42,16 @@
         let total_wait = load.waiting_time + self.arrivals.read_delay;
         let excess = (2.0 * total_wait / load.allowed_time - 1.0).clamp(-1.0, 1.0);
         let step = elapsed as f64 / (2.0 * load.allowed_time);
-        let highest = self.speed().max(LEAST_CAPACITY);
+        let highest = self.speed().max(MIN_ADVERTISED_CAPACITY);
         let capacity = self.feedback.capacity - excess * step;
-        self.feedback.capacity = capacity.clamp(LEAST_CAPACITY, highest);
+        self.feedback.capacity = capacity.clamp(MIN_ADVERTISED_CAPACITY, highest);
     }
 
     /// Advises callers of the capacity. It moves in small steps, so that they do not herd.
     pub(super) fn advertise_capacity(&mut self, actions: &mut Vec<Action>) {
         let capacity = self.capacity_to_advertise();
         let last = self.feedback.last_advertised;
-        let is_unchanged = (capacity - last).abs() < CAPACITY_STEP;
+        let is_unchanged = (capacity - last).abs() < MIN_CAPACITY_CHANGE;
         if is_unchanged && (capacity < 1.0) == (last < 1.0) {
             return;
         }
@@ -62,11 +62,11 @@
     }
 
     fn capacity_to_advertise(&self) -> f64 {
-        if self.sends_callers_elsewhere() {
+        if self.is_draining_without_successor() {
             return 0.0;
         }
         let delay_share = self.arrivals.read_delay / self.queue_load().allowed_time;
-        (self.feedback.capacity * (1.0 - delay_share)).max(LEAST_CAPACITY)
+        (self.feedback.capacity * (1.0 - delay_share)).max(MIN_ADVERTISED_CAPACITY)
     }
 
     /// Returns the feedback value for a capacity, in the terms of this deployment's callers.
@@ -95,7 +95,7 @@
         let interval = callers * self.statistics_window() / self.arrivals.arrivals().max(1.0);
         let cores = f64::from(self.settings.cores.max(1));
         let runnable = self.concurrency.runnable.unwrap_or(0.0);
-        let load = (runnable / cores / FULL_CORE_TASKS).max(1.0);
+        let load = (runnable / cores / BUSY_TASKS_PER_CORE).max(1.0);
         let reuse_chance = (load * client_timeout / interval.max(1.0)).min(1.0);
         let timeout = client_timeout * reuse_chance.powi(2);
         let last = self.feedback.idle_timeout;
--- a/crates/policy/src/controller/key_usage.rs
+++ b/crates/policy/src/controller/key_usage.rs
@@ -45,7 +45,7 @@
     }
 
     /// Takes over the usage that the table of cached results reports.
-    pub(super) fn on_report(&mut self, entries: usize, has_capacity: bool) {
+    pub(super) fn on_usage_report(&mut self, entries: usize, has_capacity: bool) {
         self.reported_entries = entries;
         self.has_capacity = has_capacity;
     }
--- a/crates/policy/src/controller/memory.rs
+++ b/crates/policy/src/controller/memory.rs
@@ -1,7 +1,7 @@
 //! Memory: what requests and the table of keys take of it.
 
 use super::request_state::{RequestStage, RequestState};
-use super::{Controller, MARGIN};
+use super::{Controller, USABLE_SHARE};
 use crate::interface::{Action, Micros, RequestId};
 
 impl Controller {
@@ -31,7 +31,7 @@
 
     /// Returns whether `more_kb` would exceed the memory, less a margin for what is not seen yet.
     pub(super) fn exceeds_memory(&self, more_kb: f64) -> bool {
-        self.memory_kb() + more_kb > MARGIN * self.settings.memory_kb
+        self.memory_kb() + more_kb > USABLE_SHARE * self.settings.memory_kb
     }
 
     pub(super) fn insert_key(
--- a/crates/policy/src/controller/mod.rs
+++ b/crates/policy/src/controller/mod.rs
@@ -45,9 +45,9 @@
 
 /// Share of the memory, of the quota of calls, or of the concurrency survived that is used: what is
 /// not seen yet needs the rest.
-const MARGIN: f64 = 0.85;
+const USABLE_SHARE: f64 = 0.85;
 
 /// Returns whether requests of a class can't do without their call to the dependency.
-fn must_call(class: &Class) -> bool {
+fn requires_call(class: &Class) -> bool {
     class.calls_dependency && class.weight_ratio_without_call == 0.0
 }
--- a/crates/policy/src/controller/priority.rs
+++ b/crates/policy/src/controller/priority.rs
@@ -1,6 +1,6 @@
 //! The priority of a request among others, and the rank below which arrivals are rejected.
 
-use super::queue::QUEUE_SHARE;
+use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::RequestState;
 use super::Controller;
 use crate::interface::Micros;
@@ -11,7 +11,7 @@
 /// Priorities that differ by less than this share are equal.
 const PRIORITY_TOLERANCE: f64 = 0.001;
 /// Share of its urgency that a request keeps at least after its latency objective.
-const LEAST_LATE_URGENCY: f64 = 0.01;
+const MIN_LATE_URGENCY_RATIO: f64 = 0.01;
 
 /// Rejects arrivals by their rank among recent ones.
 #[derive(Debug, Clone)]
@@ -71,14 +71,14 @@
 
     /// Returns the priority, less what a response after the latency objective loses.
     pub(super) fn urgency(&self, request: &RequestState) -> f64 {
-        let remaining_ratio = if self.is_late(request) {
+        let weight_ratio = if self.is_late(request) {
             self.class(request)
                 .late_weight_ratio
-                .max(LEAST_LATE_URGENCY)
+                .max(MIN_LATE_URGENCY_RATIO)
         } else {
             1.0
         };
-        self.priority(request) * remaining_ratio
+        self.priority(request) * weight_ratio
     }
 
     /// Returns the mean weight ratio of a tenant's requests: 1 within its quota.
@@ -94,8 +94,8 @@
         if quota <= 0.0 || rate <= quota * (1.0 + tolerance) {
             return 1.0;
         }
-        let within_quota = quota / rate;
-        within_quota + (1.0 - within_quota) * self.settings.over_quota_weight_ratio
+        let quota_share = quota / rate;
+        quota_share + (1.0 - quota_share) * self.settings.over_quota_weight_ratio
     }
 
     /// Returns how far back arrivals count, in microseconds: the longest that a client waits.
@@ -120,7 +120,8 @@
     /// otherwise.
     pub(super) fn adjust_rank_threshold(&mut self, elapsed: Micros) {
         let load = self.queue_load();
-        let excess = (QUEUE_SHARE * load.waiting_time / load.allowed_time - 1.0).clamp(-1.0, 1.0);
+        let excess =
+            (QUEUE_TIME_SHARE * load.waiting_time / load.allowed_time - 1.0).clamp(-1.0, 1.0);
         let step = elapsed as f64 / (2.0 * load.allowed_time);
         let threshold = &mut self.priority_filter.threshold;
         *threshold = (*threshold + excess * step).clamp(0.0, 1.0);
--- a/crates/policy/src/controller/queue.rs
+++ b/crates/policy/src/controller/queue.rs
@@ -6,9 +6,9 @@
 
 /// Share of the time between a run and its latency objective that queued work may need: the rest
 /// absorbs uneven runs.
-pub(super) const QUEUE_SHARE: f64 = 0.5;
+pub(super) const QUEUE_TIME_SHARE: f64 = 0.5;
 /// Share of its latency objective that a class leaves for queueing at least, however long its runs.
-const LEAST_SLACK_SHARE: f64 = 0.1;
+const MIN_SLACK_SHARE: f64 = 0.1;
 
 /// The time that queued work needs, and the time that it may need; both in microseconds.
 #[derive(Debug, Clone, Copy)]
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     is_late: bool,
-    wanted_at: Micros,
+    due_at: Micros,
     id: RequestId,
 }
 
@@ -41,14 +41,14 @@
 
     fn queue_position(&self, request: &RequestState) -> QueuePosition {
         let is_late = self.is_late(request);
-        let wanted_at = if is_late {
+        let due_at = if is_late {
             request.timing.respond_by
         } else {
             request.timing.objective_at
         };
         QueuePosition {
             is_late,
-            wanted_at,
+            due_at,
             id: request.id,
         }
     }
@@ -85,7 +85,7 @@
                 least_urgency = urgency;
                 least_urgent = id;
             }
-            if !self.can_end_in_time(request, wait) {
+            if !self.can_finish_in_time(request, wait) {
                 return Some(least_urgent);
             }
             work_ahead += self.run_time(request);
@@ -95,7 +95,7 @@
 
     /// Returns whether a request that starts after `wait` ends in time. Where it is the only one it
     /// may run in any case, so that a recovery is noticed.
-    fn can_end_in_time(&self, request: &RequestState, wait: f64) -> bool {
+    fn can_finish_in_time(&self, request: &RequestState, wait: f64) -> bool {
         let end = self.clock.now as f64 + wait + self.run_time(request);
         let latest = self.latest_useful_time(request);
         end <= latest as f64
@@ -134,7 +134,7 @@
             .map(|(class, statistics)| {
                 let objective = class.latency_objective as f64;
                 let slack = objective - statistics.run_time;
-                QUEUE_SHARE * slack.max(LEAST_SLACK_SHARE * objective)
+                QUEUE_TIME_SHARE * slack.max(MIN_SLACK_SHARE * objective)
             })
             .fold(f64::INFINITY, f64::min);
         QueueLoad {
--- a/crates/policy/src/controller/random.rs
+++ b/crates/policy/src/controller/random.rs
@@ -12,7 +12,7 @@
     }
 
     /// Returns the next number, from 0 (inclusive) to 1 (exclusive).
-    pub(super) fn next_fraction(&mut self) -> f64 {
+    pub(super) fn next_f64(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/policy/src/controller/request_state.rs
+++ b/crates/policy/src/controller/request_state.rs
@@ -109,7 +109,7 @@
     }
 
     /// Removes one request from those that wait to share the response of `original`.
-    pub(super) fn leave_shared_response(&mut self, original: RequestId) {
+    pub(super) fn remove_sharing_request(&mut self, original: RequestId) {
         if let Some(original) = self.requests.get_mut(&original) {
             original.sharing_requests = original.sharing_requests.saturating_sub(1);
         }
@@ -121,7 +121,7 @@
     }
 
     /// Runs that wait for their call or have it in flight: they occupy no core.
-    pub(super) fn at_call_count(&self) -> usize {
+    pub(super) fn in_call_count(&self) -> usize {
         self.count(|stage| matches!(stage, RequestStage::AwaitingCall | RequestStage::Calling))
     }
 
--- a/crates/policy/src/controller/responses.rs
+++ b/crates/policy/src/controller/responses.rs
@@ -1,6 +1,6 @@
 //! Final responses other than results: rejections, failures and deadlines.
 
-use super::queue::QUEUE_SHARE;
+use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::{RequestStage, RequestState};
 use super::Controller;
 use crate::interface::{Action, Effect, Micros, Preemption, RequestId};
@@ -10,9 +10,9 @@
 const NO_FAILOVER_RETRY_RATIO: f64 = 0.1;
 /// The same by the read delay, as a share of the time that queued work may need: being read again
 /// elsewhere costs too much.
-const NO_FAILOVER_READ_DELAY: f64 = 0.3;
+const NO_FAILOVER_READ_DELAY_SHARE: f64 = 0.3;
 /// The least factor by which the time to retry after is spread at random; the greatest is one more.
-const LEAST_SPREAD: f64 = 0.5;
+const MIN_RETRY_AFTER_JITTER: f64 = 0.5;
 
 impl Controller {
     /// Responds to all requests whose deadline comes before the next period.
@@ -47,20 +47,20 @@
         let load = self.queue_load();
         let read_delay = self.arrivals.read_delay;
         let allowed_time = load.allowed_time;
-        let excess = load.waiting_time + read_delay - QUEUE_SHARE * allowed_time;
-        let spread = LEAST_SPREAD + self.random.next_fraction();
+        let excess = load.waiting_time + read_delay - QUEUE_TIME_SHARE * allowed_time;
+        let spread = MIN_RETRY_AFTER_JITTER + self.random.next_f64();
         let recovery_time = (excess.max(0.0) * spread) as Micros;
         let lacks_key_capacity = request.caches_result && !self.keys.has_capacity;
         // Never without a time to retry after: a request that is rejected now may be admitted in
         // the next period.
-        let retry_after = if self.sends_callers_elsewhere() || lacks_key_capacity {
+        let retry_after = if self.is_draining_without_successor() || lacks_key_capacity {
             Micros::MAX
         } else {
             recovery_time.max(self.clock.period)
         };
         let no_failover = request.is_retry
             || self.arrivals.retry_ratio > NO_FAILOVER_RETRY_RATIO
-            || read_delay > NO_FAILOVER_READ_DELAY * allowed_time;
+            || read_delay > NO_FAILOVER_READ_DELAY_SHARE * allowed_time;
         actions.push(Action::Reject {
             id: request.id,
             retry_after: retry_after.min(self.settings.max_retry_after),
@@ -97,7 +97,7 @@
             }
             RequestStage::Sharing(original) => {
                 self.requests.remove(id);
-                self.requests.leave_shared_response(original);
+                self.requests.remove_sharing_request(original);
             }
             RequestStage::AwaitingCall | RequestStage::Calling => {}
         }
--- a/crates/policy/src/controller/shutdown.rs
+++ b/crates/policy/src/controller/shutdown.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, Micros};
 
 /// Times of response slack by which everything is answered before the stop.
-const STOP_MARGIN_IN_SLACKS: u64 = 2;
+const STOP_MARGIN_SLACKS: u64 = 2;
 
 /// A shutdown that has begun.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
         actions: &mut Vec<Action>,
     ) {
         let slack = self.settings.response_slack.max(self.clock.period);
-        let stop_at = stop_at.saturating_sub(STOP_MARGIN_IN_SLACKS * slack);
+        let stop_at = stop_at.saturating_sub(STOP_MARGIN_SLACKS * slack);
         let last_arrival = match self.shutdown {
             Some(earlier) => earlier.last_arrival,
             None => self.clock.now + self.settings.drain_grace,
@@ -49,7 +49,7 @@
     }
 
     /// Returns whether callers have to use other servers.
-    pub(super) fn sends_callers_elsewhere(&self) -> bool {
+    pub(super) fn is_draining_without_successor(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| !shutdown.is_replaced)
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Returns a deadline, or the stop where that comes first.
-    pub(super) fn cut_to_stop(&self, deadline: Micros) -> Micros {
+    pub(super) fn cap_at_stop(&self, deadline: Micros) -> Micros {
         self.shutdown
             .map_or(deadline, |shutdown| deadline.min(shutdown.stop_at))
     }
--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -108,27 +108,27 @@
 }
 
 /// No smoothed time is longer, in microseconds: nobody waits for an hour.
-const LONGEST_TIME: f64 = 3.6e9;
+const MAX_TIME_MICROS: f64 = 3.6e9;
 /// No limit on runs or calls is higher.
-const HIGHEST_LIMIT: f64 = 1e6;
+const MAX_LIMIT: f64 = 1e6;
 
 impl LearnedState {
     /// Protects a controller from values that no controller can have.
-    pub(crate) fn validate(&self, classes: usize) -> Result<(), LearnedStateError> {
-        if self.classes.len() != classes {
+    pub(crate) fn validate(&self, class_count: usize) -> Result<(), LearnedStateError> {
+        if self.classes.len() != class_count {
             return Err(LearnedStateError::ClassCount {
                 found: self.classes.len(),
-                expected: classes,
+                expected: class_count,
             });
         }
         for (index, class) in self.classes.iter().enumerate() {
             class.validate(index)?;
         }
         self.dependency.validate()?;
-        check_range(None, "run_limit", self.run_limit, 1.0..=HIGHEST_LIMIT)?;
+        check_range(None, "run_limit", self.run_limit, 1.0..=MAX_LIMIT)?;
         check_range(None, "cut", self.rank_threshold, 0.0..=1.0)?;
         check_range(None, "welcome", self.advertised_capacity, 0.0..=1.0)?;
-        check_range(None, "lag", self.read_delay, 0.0..=LONGEST_TIME)?;
+        check_range(None, "lag", self.read_delay, 0.0..=MAX_TIME_MICROS)?;
         check_range(None, "again", self.retry_ratio, 0.0..=1.0)
     }
 }
@@ -137,29 +137,24 @@
     fn validate(&self, index: usize) -> Result<(), LearnedStateError> {
         let class = Some(index);
         let remaining = self.longest_remaining_time as f64;
-        check_range(class, "run_time", self.run_time, 1.0..=LONGEST_TIME)?;
-        check_range(class, "work", self.expected_work, 0.0..=LONGEST_TIME)?;
-        check_range(class, "patience", remaining, 0.0..=LONGEST_TIME)
+        check_range(class, "run_time", self.run_time, 1.0..=MAX_TIME_MICROS)?;
+        check_range(class, "work", self.expected_work, 0.0..=MAX_TIME_MICROS)?;
+        check_range(class, "patience", remaining, 0.0..=MAX_TIME_MICROS)
     }
 }
 
 impl LearnedDependency {
     fn validate(&self) -> Result<(), LearnedStateError> {
-        check_range(
-            None,
-            "calls.bound",
-            self.concurrency_limit,
-            1.0..=HIGHEST_LIMIT,
-        )?;
-        check_range(None, "calls.latency", self.latency, 1.0..=LONGEST_TIME)?;
+        check_range(None, "calls.bound", self.concurrency_limit, 1.0..=MAX_LIMIT)?;
+        check_range(None, "calls.latency", self.latency, 1.0..=MAX_TIME_MICROS)?;
         check_range(
             None,
             "calls.usual",
             self.baseline_latency,
-            0.0..=LONGEST_TIME,
+            0.0..=MAX_TIME_MICROS,
         )?;
-        check_range(None, "calls.backlog", self.backlog, 0.0..=HIGHEST_LIMIT)?;
-        check_range(None, "calls.gap", self.gap, 0.0..=LONGEST_TIME)
+        check_range(None, "calls.backlog", self.backlog, 0.0..=MAX_LIMIT)?;
+        check_range(None, "calls.gap", self.gap, 0.0..=MAX_TIME_MICROS)
     }
 }
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 
 /// No time of a class is longer than a day: sums of times then stay far from overflow.
-const LONGEST_CLASS_TIME: Micros = 86_400_000_000;
+const MAX_CLASS_TIME: Micros = 86_400_000_000;
 /// The longest time between two steps of the controller.
-const LONGEST_TICK: Micros = 1_000_000;
+const MAX_TICK: Micros = 1_000_000;
 
 /// The settings as an instance receives them. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
@@ -131,7 +131,7 @@
         effect: String,
     },
     /// A time of a class is out of range.
-    #[error("classes[{index}].{key}: {value} is not within 1 to {LONGEST_CLASS_TIME}")]
+    #[error("classes[{index}].{key}: {value} is not within 1 to {MAX_CLASS_TIME}")]
     ClassTime {
         /// Index of the class.
         index: usize,
@@ -150,7 +150,7 @@
     #[error("specifics.halt: unknown way to stop a run: {0:?}")]
     UnknownPreemption(String),
     /// The tick is out of range.
-    #[error("tick: {0} is not within 1 to {LONGEST_TICK}")]
+    #[error("tick: {0} is not within 1 to {MAX_TICK}")]
     Tick(Micros),
 }
 
@@ -182,7 +182,7 @@
             class.validate(index, &self.classes[..index])?;
         }
         self.specifics.validate()?;
-        if self.tick == 0 || self.tick > LONGEST_TICK {
+        if self.tick == 0 || self.tick > MAX_TICK {
             return Err(SettingsError::Tick(self.tick));
         }
         Ok(())
@@ -243,8 +243,8 @@
 }
 
 impl ClassDocument {
-    fn validate(&self, index: usize, earlier: &[Self]) -> Result<(), SettingsError> {
-        let is_taken = earlier.iter().any(|other| other.name == self.name);
+    fn validate(&self, index: usize, earlier_classes: &[Self]) -> Result<(), SettingsError> {
+        let is_taken = earlier_classes.iter().any(|other| other.name == self.name);
         if self.name.is_empty() || is_taken {
             return Err(SettingsError::ClassName {
                 index,
@@ -261,7 +261,7 @@
             });
         }
         for (key, value) in [("on_time", self.on_time), ("give_up", self.give_up)] {
-            if value == 0 || value > LONGEST_CLASS_TIME {
+            if value == 0 || value > MAX_CLASS_TIME {
                 return Err(SettingsError::ClassTime { index, key, value });
             }
         }
