--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -14,7 +14,7 @@
 
 /// Share of the memory that may wait for recovered keys or cached results: the controller does not
 /// know of these requests, and leaves little more than this to others.
-const UNCONTROLLED_SHARE: f64 = 0.1;
+const UNCONTROLLED_MEMORY_SHARE: f64 = 0.1;
 
 impl Dispatcher {
     pub(crate) fn on_request(
@@ -38,10 +38,10 @@
             self.respond_unregistered(&incoming, Response::Failed, commands);
             return;
         }
-        let received_at = plausible_receipt(now, incoming.received_at, class);
+        let received_at = clamp_received_at(now, incoming.received_at, class);
         let respond_by = self
             .deadlines
-            .cut(received_at + class.client_timeout)
+            .cap(received_at + class.client_timeout)
             .max(now);
         request_trace::arrived(now, &incoming, received_at);
         let request = controller_request(&incoming, class);
@@ -100,7 +100,7 @@
             return KeyDecision::Admit;
         };
         let requests = &self.requests;
-        let limit_kb = UNCONTROLLED_SHARE * self.settings.memory_kb;
+        let limit_kb = UNCONTROLLED_MEMORY_SHARE * self.settings.memory_kb;
         let fits = |more_kb| requests.uncontrolled_memory_kb() + more_kb <= limit_kb;
         keys.on_request(now, request, incoming.key.as_deref(), &incoming.body, fits)
     }
@@ -143,7 +143,7 @@
     ) {
         let lost = self
             .requests
-            .ids_in_order(|request| is_lost(&request.client) && !request.is_answered);
+            .ids_in_order(|request| is_lost(&request.client) && !request.is_settled);
         for id in lost {
             self.driver.notify(ControllerEvent::Abandoned(id));
             if is_bug_injected(InjectedBug::RequestLeaked) {
@@ -167,7 +167,7 @@
         class: incoming.class,
         received_at,
         respond_by,
-        is_answered: false,
+        is_settled: false,
         is_start_uncertain: false,
         stage: RequestStage::Queued,
         has_key: request.caches_result,
@@ -180,7 +180,7 @@
 
 /// Returns when the request was received, within what is possible: clocks differ, but nothing comes
 /// from the future, or from longer ago than anyone waits.
-fn plausible_receipt(now: Micros, received_at: Micros, class: &Class) -> Micros {
+fn clamp_received_at(now: Micros, received_at: Micros, class: &Class) -> Micros {
     received_at
         .min(now)
         .max(now.saturating_sub(class.client_timeout))
--- a/crates/dispatcher/src/controller_actions.rs
+++ b/crates/dispatcher/src/controller_actions.rs
@@ -8,7 +8,12 @@
 use cleatpulley_policy::interface::{Action, Effect, Micros, RequestId};
 
 impl Dispatcher {
-    pub(crate) fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
+    pub(crate) fn execute_action(
+        &mut self,
+        now: Micros,
+        action: Action,
+        commands: &mut Vec<Command>,
+    ) {
         match action {
             Action::Run(id) => self.run(now, id, commands),
             Action::Reject {
@@ -85,7 +90,7 @@
 
     fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         // The controller gives up a little before the deadline, so that the response is in time.
-        let latest = self.driver.stepped_at + self.settings.response_slack;
+        let latest = self.driver.last_step_at + self.settings.response_slack;
         let is_due = self
             .requests
             .get(id)
@@ -102,7 +107,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if request.stage != RequestStage::AwaitingCall || request.is_answered {
+        if request.stage != RequestStage::AwaitingCall || request.is_settled {
             return;
         }
         request.stage = RequestStage::Calling;
@@ -135,7 +140,7 @@
             return;
         };
         let is_running = request.stage == RequestStage::Running;
-        if is_running && request.is_answered && !request.has_key {
+        if is_running && request.is_settled && !request.has_key {
             commands.push(Command::StopRun(id));
         }
     }
--- a/crates/dispatcher/src/controller_timers.rs
+++ b/crates/dispatcher/src/controller_timers.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeSet;
 
 /// Gauges are read so long before a timer expires that they are there and fresh by then.
-const GAUGE_LEAD: Micros = 4_000;
+const GAUGE_READ_LEAD: Micros = 4_000;
 /// Older gauges say nothing about the present.
-const LONGEST_GAUGE_AGE: Micros = 100_000;
+const MAX_GAUGE_AGE: Micros = 100_000;
 
 /// A timer of the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
                 return;
             }
             self.timers.pop_first();
-            let is_fresh = now.saturating_sub(self.gauges_read_at) <= LONGEST_GAUGE_AGE;
+            let is_fresh = now.saturating_sub(self.gauges_read_at) <= MAX_GAUGE_AGE;
             let gauges = if is_fresh {
                 self.gauges
             } else {
@@ -61,7 +61,7 @@
             return false;
         };
         let is_requested = timer.expires_at == self.gauges_requested_for;
-        if is_requested || now + GAUGE_LEAD < timer.expires_at {
+        if is_requested || now + GAUGE_READ_LEAD < timer.expires_at {
             return false;
         }
         self.gauges_requested_for = timer.expires_at;
@@ -74,7 +74,7 @@
         if timer.expires_at == self.gauges_requested_for {
             Some(timer.expires_at.max(next_step))
         } else {
-            Some(timer.expires_at.saturating_sub(GAUGE_LEAD))
+            Some(timer.expires_at.saturating_sub(GAUGE_READ_LEAD))
         }
     }
 }
--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -47,9 +47,9 @@
 }
 
 impl Counters {
-    pub(crate) fn new(classes: usize) -> Self {
+    pub(crate) fn new(class_count: usize) -> Self {
         Self {
-            classes: vec![ClassCounters::default(); classes],
+            classes: vec![ClassCounters::default(); class_count],
         }
     }
 
--- a/crates/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -49,21 +49,21 @@
     }
 
     /// Returns a deadline, or the latest possible one where that comes first.
-    pub(crate) fn cut(&self, respond_by: Micros) -> Micros {
+    pub(crate) fn cap(&self, respond_by: Micros) -> Micros {
         respond_by.min(self.latest)
     }
 
     /// Brings all deadlines forward to `latest` at most. Returns them as they are then.
-    pub(crate) fn cut_all(&mut self, latest: Micros) -> Vec<Deadline> {
+    pub(crate) fn cap_all(&mut self, latest: Micros) -> Vec<Deadline> {
         self.latest = latest;
-        let cut: Vec<Deadline> = std::mem::take(&mut self.pending)
+        let capped: Vec<Deadline> = std::mem::take(&mut self.pending)
             .into_iter()
             .map(|deadline| Deadline {
                 respond_by: deadline.respond_by.min(latest),
                 id: deadline.id,
             })
             .collect();
-        self.pending.extend(&cut);
-        cut
+        self.pending.extend(&capped);
+        capped
     }
 }
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -31,17 +31,17 @@
     controller: Controller,
     is_started: bool,
     /// When it last made a step.
-    pub(crate) stepped_at: Micros,
+    pub(crate) last_step_at: Micros,
     /// Events that wait for the next step.
     pub(crate) events: Vec<ControllerEvent>,
     actions: Vec<Action>,
     /// The usage of the table of keys that it was last notified of.
-    pub(crate) reported_keys: ReportedKeys,
+    pub(crate) reported_key_usage: KeyTableUsage,
 }
 
 /// The usage of the table of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ReportedKeys {
+pub(crate) struct KeyTableUsage {
     pub(crate) entries: usize,
     pub(crate) has_capacity: bool,
 }
@@ -51,10 +51,10 @@
         Self {
             controller: Controller::new(settings, seed),
             is_started: false,
-            stepped_at: 0,
+            last_step_at: 0,
             events: Vec::new(),
             actions: Vec::new(),
-            reported_keys: ReportedKeys {
+            reported_key_usage: KeyTableUsage {
                 entries: 0,
                 has_capacity: true,
             },
@@ -169,7 +169,7 @@
             .filter(|request| request.stage == RequestStage::Queued)
             .map(|request| (request.request.memory_kb * growth_factor) as u64)
             .collect();
-        growth.sort_unstable_by(|one, other| other.cmp(one));
+        growth.sort_unstable_by(|left, right| right.cmp(left));
         let run_limit = self.driver.controller.learned_state().run_limit as usize;
         let starts = run_limit.saturating_sub(running);
         present + growth.into_iter().take(starts).sum::<u64>()
@@ -226,7 +226,7 @@
                 reply,
             } => self.on_call_ended(id, outcome, elapsed, reply, commands),
             Event::Gauges(gauges) => self.timers.set_gauges(now, gauges),
-            Event::RuntimeReplaced => self.lose_runs(now, commands),
+            Event::RuntimeReplaced => self.on_runtime_replaced(now, commands),
             Event::DrainStarted { .. } if is_bug_injected(InjectedBug::DrainIgnored) => {}
             Event::DrainStarted { stop_at } => {
                 self.begin_shutdown(stop_at, ControllerEvent::DrainStarted { stop_at });
@@ -285,7 +285,7 @@
     }
 
     fn next_step_at(&self) -> Micros {
-        self.driver.stepped_at + self.settings.tick
+        self.driver.last_step_at + self.settings.tick
     }
 
     /// Starts the controller, as of `since`.
@@ -298,19 +298,19 @@
         let waiting = std::mem::replace(&mut self.driver.events, start);
         self.step(since, commands);
         self.driver.events = waiting;
-        self.driver.stepped_at = now.saturating_sub(self.settings.tick);
+        self.driver.last_step_at = now.saturating_sub(self.settings.tick);
     }
 
     /// Passes the events that wait to the controller, and carries out what it decides.
     fn step(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.driver.stepped_at = now;
+        self.driver.last_step_at = now;
         self.report_key_usage();
         let mut events = std::mem::take(&mut self.driver.events);
         self.update_read_delays(now, &mut events);
         let mut actions = std::mem::take(&mut self.driver.actions);
         self.driver.controller.step(now, &events, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, commands);
+            self.execute_action(now, action, commands);
         }
         self.driver.actions = actions;
         events.clear();
--- a/crates/dispatcher/src/idempotency_keys.rs
+++ b/crates/dispatcher/src/idempotency_keys.rs
@@ -18,9 +18,9 @@
 #[derive(Debug)]
 pub struct IdempotencyKeys {
     /// By class: whether results are cached.
-    pub classes: Vec<bool>,
+    pub cached_classes: Vec<bool>,
     /// A request of such a class without a key is invalid.
-    pub required: bool,
+    pub requires_key: bool,
     /// Who shares a space of keys.
     pub scope: KeyScope,
     /// The table of keys.
@@ -58,12 +58,17 @@
 }
 
 impl IdempotencyKeys {
-    /// Creates keys that are not recovered yet. `classes` says by class whether results are cached.
+    /// Creates keys that are not recovered yet. `cached_classes` says by class whether results are cached.
     #[must_use]
-    pub fn new(classes: Vec<bool>, required: bool, scope: KeyScope, table: KeyTable) -> Self {
+    pub fn new(
+        cached_classes: Vec<bool>,
+        requires_key: bool,
+        scope: KeyScope,
+        table: KeyTable,
+    ) -> Self {
         Self {
-            classes,
-            required,
+            cached_classes,
+            requires_key,
             scope,
             table,
             early_attempts: Vec::new(),
@@ -74,7 +79,7 @@
     }
 
     pub(crate) fn caches_results(&self, class: usize) -> bool {
-        self.classes.get(class).copied().unwrap_or(false)
+        self.cached_classes.get(class).copied().unwrap_or(false)
     }
 
     pub(crate) fn is_released(&self) -> bool {
@@ -96,7 +101,7 @@
             return KeyDecision::Admit;
         }
         let Some(key) = key else {
-            return if self.required {
+            return if self.requires_key {
                 KeyDecision::Respond(Response::Invalid(RequestError::KeyMissing))
             } else {
                 KeyDecision::Admit
@@ -184,13 +189,13 @@
     ///
     /// A request that found no capacity must not be admitted because there is some again by now: it
     /// has no entry, and its key might run for another request meanwhile.
-    pub(crate) fn take_capacity(&mut self) -> bool {
+    pub(crate) fn take_capacity_status(&mut self) -> bool {
         let lacked_capacity = std::mem::take(&mut self.lacked_capacity);
         !lacked_capacity && self.table.has_capacity()
     }
 
     /// Returns whether nothing waits for the table of keys and no run of it is active.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.table.active_runs() == 0
             && self.table.pending_attempts() == 0
             && self.early_attempts.is_empty()
--- a/crates/dispatcher/src/key_commands.rs
+++ b/crates/dispatcher/src/key_commands.rs
@@ -10,15 +10,15 @@
 
 impl Dispatcher {
     /// Carries out what the table of keys decides, until it decides nothing more.
-    pub(crate) fn carry_out_key_commands(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(crate) fn execute_key_commands(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while !self.key_commands.is_empty() {
             for command in std::mem::take(&mut self.key_commands) {
-                self.carry_out_key_command(now, command, commands);
+                self.execute_key_command(now, command, commands);
             }
         }
     }
 
-    fn carry_out_key_command(
+    fn execute_key_command(
         &mut self,
         now: Micros,
         command: KeyCommand,
@@ -63,7 +63,7 @@
             return;
         };
         request.stage = RequestStage::AwaitingKey;
-        if request.is_answered {
+        if request.is_settled {
             self.requests.remove(id);
         }
         self.driver.notify(ControllerEvent::RunEnded {
@@ -98,7 +98,7 @@
                 elapsed: 0,
             });
         }
-        if self.respond(now, id, response_of(key_outcome), commands) && is_waiting {
+        if self.respond(now, id, response_for(key_outcome), commands) && is_waiting {
             // The arrival of the request may still wait for the controller's next step.
             self.driver.notify(ControllerEvent::Abandoned(id));
         }
@@ -132,7 +132,7 @@
     }
 }
 
-pub(crate) fn response_of(outcome: KeyOutcome) -> Response {
+pub(crate) fn response_for(outcome: KeyOutcome) -> Response {
     match outcome {
         KeyOutcome::Served(result) => Response::Served(result),
         KeyOutcome::Failed => Response::Failed,
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -2,10 +2,10 @@
 //! controller's decisions and the adapters.
 
 use crate::command::Command;
-use crate::dispatcher::{Dispatcher, ReportedKeys};
+use crate::dispatcher::{Dispatcher, KeyTableUsage};
 use crate::event::{ClientStream, Event};
 use crate::idempotency_keys::{EarlyAttempt, KeyDecision};
-use crate::key_commands::response_of;
+use crate::key_commands::response_for;
 use crate::request_state::RequestStage;
 use crate::response::Response;
 use cleatpulley_idempotency::key_table::{KeyCommand, KeyTable, RecoveredKeys};
@@ -54,7 +54,7 @@
         let Some(keys) = &mut self.keys else {
             return false;
         };
-        if awaits_key || !keys.is_quiet() {
+        if awaits_key || !keys.is_idle() {
             return false;
         }
         keys.release();
@@ -97,7 +97,7 @@
             } => self.on_cached_result(now, id, load_number, outcome, commands),
             _ => {}
         }
-        self.carry_out_key_commands(now, commands);
+        self.execute_key_commands(now, commands);
     }
 
     fn on_cached_result(
@@ -108,7 +108,7 @@
         outcome: Option<KeyOutcome>,
         commands: &mut Vec<Command>,
     ) {
-        let response = outcome.map_or(Response::Failed, response_of);
+        let response = outcome.map_or(Response::Failed, response_for);
         if self.awaits_key(id, load_number) {
             self.respond(now, id, response, commands);
         }
@@ -176,21 +176,21 @@
     pub(crate) fn poll_keys(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(keys) = &mut self.keys {
             keys.table.poll(now, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
     /// Notifies the controller of the usage of the table before any other event.
     pub(crate) fn report_key_usage(&mut self) {
         let Some(keys) = &mut self.keys else { return };
-        let usage = ReportedKeys {
-            has_capacity: keys.take_capacity(),
+        let usage = KeyTableUsage {
+            has_capacity: keys.take_capacity_status(),
             entries: keys.table.len(),
         };
-        if self.driver.reported_keys == usage {
+        if self.driver.reported_key_usage == usage {
             return;
         }
-        self.driver.reported_keys = usage;
+        self.driver.reported_key_usage = usage;
         let event = ControllerEvent::IdempotencyTableUsage {
             entries: usage.entries,
             has_capacity: usage.has_capacity,
@@ -211,7 +211,7 @@
             self.key_commands.push(KeyCommand::CancelRun(id));
             self.key_commands.push(KeyCommand::Reject(id));
         }
-        self.carry_out_key_commands(now, commands);
+        self.execute_key_commands(now, commands);
     }
 
     /// Rejects a queued request with a key. Returns whether it got its response here.
@@ -236,30 +236,35 @@
             return self.respond(now, id, Response::Expired, commands);
         }
         keys.table.on_rejected(id, &mut self.key_commands);
-        let mut others = Vec::new();
+        let mut remaining_commands = Vec::new();
         for command in std::mem::take(&mut self.key_commands) {
             match command {
                 // Those that wait for it get the same response.
                 KeyCommand::Reject(waiting) => {
                     self.reject_waiting(now, waiting, rejection, commands);
                 }
-                command => others.push(command),
+                command => remaining_commands.push(command),
             }
         }
-        self.key_commands = others;
-        self.carry_out_key_commands(now, commands);
+        self.key_commands = remaining_commands;
+        self.execute_key_commands(now, commands);
         false
     }
 
     /// Notes that an attempt has its response, or that nobody waits for one.
-    pub(crate) fn leave_key(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    pub(crate) fn detach_from_key(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        commands: &mut Vec<Command>,
+    ) {
         if let Some(keys) = &mut self.keys {
             keys.table.yield_to_next(id, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
-    pub(crate) fn end_key(
+    pub(crate) fn complete_key(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -269,7 +274,7 @@
         if let Some(keys) = &mut self.keys {
             keys.table
                 .on_run_ended(now, id, outcome, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
@@ -282,7 +287,7 @@
     ) {
         if let Some(keys) = &mut self.keys {
             keys.table.on_never_ran(id, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 }
--- a/crates/dispatcher/src/request_state.rs
+++ b/crates/dispatcher/src/request_state.rs
@@ -42,7 +42,7 @@
     pub(crate) class: usize,
     pub(crate) received_at: Micros,
     pub(crate) respond_by: Micros,
-    pub(crate) is_answered: bool,
+    pub(crate) is_settled: bool,
     /// Its start may never have reached the runtime, and then no end will be reported.
     pub(crate) is_start_uncertain: bool,
     pub(crate) stage: RequestStage,
--- a/crates/dispatcher/src/request_trace.rs
+++ b/crates/dispatcher/src/request_trace.rs
@@ -26,7 +26,7 @@
     trace_request!(now, id = format_args!("{id:016x}"), "starts");
 }
 
-pub(crate) fn answered(now: Micros, id: RequestId, request: &RequestState, response: &Response) {
+pub(crate) fn responded(now: Micros, id: RequestId, request: &RequestState, response: &Response) {
     let what = match response {
         Response::Served(_) => "served",
         Response::Rejected { .. } => "refused",
--- a/crates/dispatcher/src/responses.rs
+++ b/crates/dispatcher/src/responses.rs
@@ -20,11 +20,11 @@
         let Some(request) = self.requests.get(id) else {
             return false;
         };
-        if request.is_answered {
+        if request.is_settled {
             return false;
         }
         self.counters.on_response(request.class, &response);
-        request_trace::answered(now, id, request, &response);
+        request_trace::responded(now, id, request, &response);
         commands.push(Command::Respond {
             client: request.client,
             response,
@@ -39,7 +39,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.is_answered = true;
+        request.is_settled = true;
         self.deadlines.remove(request.respond_by, id);
         let has_key = request.has_key;
         match request.stage {
@@ -64,7 +64,7 @@
             RequestStage::Running | RequestStage::AwaitingCall => {}
         }
         if has_key {
-            self.leave_key(now, id, commands);
+            self.detach_from_key(now, id, commands);
         }
     }
 
@@ -73,7 +73,7 @@
     pub(crate) fn begin_shutdown(&mut self, stop_at: Micros, event: ControllerEvent) {
         // Later than the controller's own last time, which has the better response.
         let latest = stop_at.saturating_sub(self.settings.response_slack);
-        for deadline in self.deadlines.cut_all(latest) {
+        for deadline in self.deadlines.cap_all(latest) {
             if let Some(request) = self.requests.get_mut(deadline.id) {
                 request.respond_by = deadline.respond_by;
             }
@@ -85,7 +85,7 @@
     /// shortly before the stop has no slack of its own.
     pub(crate) fn expires_at(&self, respond_by: Micros) -> Micros {
         self.deadlines
-            .cut(respond_by)
+            .cap(respond_by)
             .saturating_add(self.expiry_grace())
     }
 
--- a/crates/dispatcher/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -70,7 +70,7 @@
         let is_success = outcome == Outcome::Success;
         let Some(request) = self.requests.get_mut(id) else {
             // Nobody waits for it here any more; its result is cached all the same.
-            self.end_key(now, id, key_outcome(is_success, result), commands);
+            self.complete_key(now, id, key_outcome(is_success, result), commands);
             return;
         };
         if !request.stage.is_started() {
@@ -110,7 +110,7 @@
     ) {
         if let Some(request) = self.requests.get_mut(id) {
             request.stage = RequestStage::PersistingResult;
-            if request.is_answered {
+            if request.is_settled {
                 self.requests.remove(id);
             }
         }
@@ -123,12 +123,12 @@
             self.release_unstarted_key(now, id, commands);
         } else {
             let is_success = outcome == Outcome::Success;
-            self.end_key(now, id, key_outcome(is_success, result), commands);
+            self.complete_key(now, id, key_outcome(is_success, result), commands);
         }
     }
 
     /// Ends everything that was started: its end will never be reported.
-    pub(crate) fn lose_runs(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub(crate) fn on_runtime_replaced(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let started = self
             .requests
             .ids_in_order(|request| request.stage.is_started());
@@ -203,11 +203,11 @@
             return;
         };
         request.is_start_uncertain = true;
-        let is_answered = request.is_answered;
+        let is_settled = request.is_settled;
         if let Some(keys) = &mut self.keys {
             keys.table.mark_start_uncertain(id);
         }
-        if is_answered {
+        if is_settled {
             self.settle(now, id, commands);
         }
     }
