--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! The types exchanged between the controller and its caller: settings, events and actions. No
-//! decisions are made here.
+//! Types exchanged between the controller and its caller: settings, events and actions. This module
+//! contains no decision logic.
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
@@ -7,182 +7,182 @@
 /// Identifies one attempt of a request. Every retry has an id of its own.
 pub type RequestId = u64;
 
-/// What repeating a run does to the outside world.
+/// Whether a request may be run more than once, given its external side effects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Its caller may repeat it within the deduplication window, and it must not run twice on one
+    /// The caller may retry within the deduplication window; the request must not run twice on one
     /// server.
     Deduplicated,
-    /// It must not be repeated once it may have run.
+    /// The request must not be retried once it may have run.
     AtMostOnce,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// What repeating a run does.
+    /// Whether requests of this class may run more than once.
     pub effect: Effect,
-    /// A response within this time of the client's first attempt earns the full weight.
+    /// Maximum time between the client's first attempt and the response for the response to earn
+    /// the full weight.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's expected work.
+    /// Multiple of the request's expected work that is added to the latency objective.
     pub latency_objective_stretch: f64,
-    /// How long a client waits, over all its attempts.
+    /// Time for which a client waits, over all its attempts.
     pub client_timeout: Micros,
     /// Share of the priority weight that a response earns after the latency objective.
     pub late_weight_ratio: f64,
     /// Priority weight of one request, or of one unit of its work.
     pub priority_weight: f64,
-    /// How long after its arrival a request with an idempotency key may be repeated.
+    /// Time after its arrival within which a request with an idempotency key may be retried.
     pub deduplication_window: Micros,
-    /// Its requests may call the dependency.
+    /// Whether requests of this class may call the dependency.
     pub calls_dependency: bool,
-    /// Share of the priority weight that remains when the call is left out; 0 forbids leaving it
-    /// out.
+    /// Share of the priority weight that remains when the call is skipped; 0 forbids skipping it.
     pub weight_ratio_without_call: f64,
 }
 
-/// One tenant and its quota.
+/// A tenant and its quota.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Requests per second, over the whole fleet.
+    /// Quota in requests per second over the whole fleet.
     pub quota_per_second: f64,
 }
 
-/// What the requests of this server call, and how much of it this server may use.
+/// The dependency that requests of this server call, and this server's share of it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum DependencyLimit {
-    /// There is no dependency.
+    /// Requests call no dependency.
     #[default]
     NoDependency,
-    /// One dependency is shared by all servers.
+    /// All servers share one dependency.
     Shared {
-        /// This server's quota of concurrent calls, as a mean over `averaging_window`; it may be
-        /// below one.
+        /// This server's quota of concurrent calls, as a mean over `averaging_window`. May be below
+        /// 1.
         concurrency_quota: f64,
-        /// The time over which the mean is taken.
+        /// Window over which the mean is taken.
         averaging_window: Micros,
     },
-    /// The next tier of servers, behind a load balancer of its own.
+    /// The dependency is the next tier of servers, behind its own load balancer.
     NextTier,
 }
 
-/// How callers interpret the feedback value that responses carry.
+/// How callers interpret the feedback value carried by responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FeedbackKind {
-    /// They ignore it.
+    /// Callers ignore the value.
     #[default]
     Unused,
-    /// They send no requests of a lower rank.
+    /// The lowest rank of the requests that callers send to this server.
     MinimumRank,
-    /// Each caller keeps at most this many requests outstanding here.
+    /// Maximum number of requests that each caller has outstanding at this server.
     ConcurrencyAllowance,
-    /// The probability with which a caller considers this server.
+    /// Probability with which a caller considers this server.
     Weight,
 }
 
-/// What a deployment allows to be done to a running request.
+/// How a deployment allows a running request to be preempted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Preemption {
-    /// It always runs to its end.
+    /// A run is never preempted.
     #[default]
     Never,
-    /// It is stopped, and its work is lost.
+    /// A run is stopped, and its work is lost.
     Discard,
-    /// It is suspended; a request that has its response is removed.
+    /// A run is suspended; the run of a request that has its response is removed.
     Suspend,
 }
 
-/// The configuration of a controller, fixed at its start.
+/// Configuration of a controller, fixed when it is created.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// The classes; events refer to them by index.
+    /// Request classes; events refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a share of its class's priority weight.
+    /// Weight of a request over its tenant's quota, as a share of its class's priority weight.
     pub over_quota_weight_ratio: f64,
-    /// The priority weight counts per unit of work instead of per request.
+    /// Whether the priority weight counts per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// Retries are marked as such.
+    /// Whether callers mark retries as such.
     pub marks_retries: bool,
-    /// Servers in the endpoint list at the start.
+    /// Number of servers in the endpoint list at startup.
     pub servers: u32,
-    /// Callers at the start.
+    /// Number of callers at startup.
     pub callers: u32,
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: u32,
-    /// Memory of this server.
+    /// Memory of this server, in kB.
     pub memory_kb: f64,
-    /// Memory of one entry in the table of idempotency keys.
+    /// Memory of one entry in the table of idempotency keys, in kB.
     pub key_entry_kb: f64,
     /// Memory of a running request, as a multiple of its memory while queued.
     pub running_memory_factor: f64,
-    /// What requests call.
+    /// The dependency that requests call.
     pub dependency: DependencyLimit,
-    /// Callers close connections that were idle for this time; 0 where they do not.
+    /// Idle time after which callers close a connection; 0 where they never do.
     pub client_idle_timeout: Micros,
-    /// How long the dependency may still work on an abandoned call.
+    /// Time for which the dependency may keep working on an abandoned call.
     pub abandoned_call_linger: Micros,
-    /// How long the response of a read may be shared with other requests; 0 for never.
+    /// Time for which the response to a read may be shared with other requests; 0 for never.
     pub shared_response_lifetime: Micros,
     /// How callers interpret the feedback value.
     pub feedback: FeedbackKind,
     /// The longest Retry-After that callers honour; 0 where they honour none.
     pub max_retry_after: Micros,
-    /// Callers notify the server of requests that they abandon, possibly late.
+    /// Whether callers notify the server of requests that they abandon, possibly late.
     pub reports_abandonment: bool,
     /// How a running request can be preempted.
     pub preemption: Preemption,
-    /// The callers' endpoint list follows the health checks.
+    /// Whether the callers' endpoint list follows the health checks.
     pub discovery_follows_health: bool,
-    /// The process has only just started and has to warm up.
+    /// Whether the process has just started and has to warm up.
     pub cold_start: bool,
-    /// Share of its full speed that a cold server has at least.
+    /// Minimum speed of a cold server, as a share of its full speed.
     pub cold_start_speed: f64,
-    /// A cold server has its full speed after this time.
+    /// Time after which a cold server has reached its full speed.
     pub warm_up_time: Micros,
-    /// How long after its deadline a response may still be sent.
+    /// Time after its deadline within which a response may still be sent.
     pub response_slack: Micros,
-    /// Requests that arrive later than this after the start of draining must not run.
+    /// Time after the start of draining; requests that arrive later must not run.
     pub drain_grace: Micros,
-    /// Running requests per core that a warm server survives.
+    /// Running requests per core that a warm server sustains without failing.
     pub overload_concurrency_per_core: f64,
-    /// The shortest time between two steps of the controller.
+    /// Minimum time between two steps of the controller.
     pub tick: Micros,
 }
 
-/// A request as it was read.
+/// A request as read from its connection.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// When its caller stops waiting, where that is known.
+    /// Deadline after which the caller stops waiting, where known.
     pub respond_by: Option<Micros>,
-    /// The earlier request that it repeats, or whose response it may share.
+    /// Id of the earlier request that this one repeats, or whose response it may share.
     pub duplicate_of: Option<RequestId>,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant; 0 where there are none.
+    /// Index of the request's tenant; 0 where there are none.
     pub tenant: usize,
-    /// How long before it was read it reached the machine.
+    /// Time between the arrival at the machine and the read.
     pub read_delay: Micros,
     /// Expected work on a standard core, where a hint was given.
     pub expected_work: Option<Micros>,
-    /// Known to be a retry or a hedged request.
+    /// Whether the request is known to be a retry or a hedged request.
     pub is_retry: bool,
-    /// It writes.
+    /// Whether the request writes.
     pub is_write: bool,
-    /// It names a subject.
+    /// Whether the request names a subject.
     pub has_subject: bool,
-    /// The caller's number.
+    /// Number of the caller.
     pub caller: u64,
-    /// Rank from 0 to 1 by class and user.
+    /// Rank by class and user, from 0 to 1.
     pub rank: f64,
-    /// Memory while queued.
+    /// Memory while queued, in kB.
     pub memory_kb: f64,
-    /// Its result is to be cached for its repeats, in the table that
+    /// Whether the result is to be cached for later attempts, in the table that
     /// [`Event::IdempotencyTableUsage`] reports on.
     pub caches_result: bool,
 }
@@ -190,153 +190,153 @@
 /// How a run or a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// Completed successfully.
     Success,
-    /// It failed and may have taken effect.
+    /// Failed and may have taken effect.
     Failure,
-    /// It was rejected without being processed.
+    /// Rejected without being processed.
     Overloaded,
-    /// It was abandoned and may have taken effect.
+    /// Abandoned after its timeout; may have taken effect.
     TimedOut,
     /// The dependency could not be reached.
     Unreachable,
-    /// It was interrupted and may have taken effect.
+    /// Interrupted; may have taken effect.
     Interrupted,
-    /// It was stopped, or nobody waited for it any longer.
+    /// Stopped, or no longer waited for.
     Cancelled,
-    /// Nothing was started.
+    /// Never started.
     NotStarted,
 }
 
-/// The server's own gauges, where it has them.
+/// Gauges of the server, where it has them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
-    /// Tasks that demand a core now.
+    /// Number of tasks that are running or ready to run.
     pub runnable: Option<f64>,
     /// Share of the memory in use.
     pub memory: Option<f64>,
 }
 
-/// What the controller is notified of.
+/// An event that the controller is notified of.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The process has started; the first event of every controller.
+    /// The process has started. This is the first event of every controller.
     Started,
     /// A request was read and is queued.
     Arrived(Request),
-    /// Nobody waits for this request any longer.
+    /// The caller no longer waits for this request.
     Abandoned(RequestId),
     /// A running request waits for its call to the dependency.
     CallRequested(RequestId),
     /// A call ended.
     CallEnded {
-        /// The request that called.
+        /// Id of the request that made the call.
         id: RequestId,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
         /// Time since the call was made.
         elapsed: Micros,
     },
     /// A run, or the sharing of a response, ended.
     RunEnded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// Time since it was started.
+        /// Time since the run was started.
         elapsed: Micros,
     },
     /// A timer expired.
     TimerExpired {
-        /// The token that it was set with.
+        /// Token that the timer was set with.
         token: u64,
-        /// The gauges at this moment.
+        /// Current gauges.
         gauges: Gauges,
     },
     /// The server has to drain and shut down.
     DrainStarted {
-        /// When the process is stopped.
+        /// Time at which the process is stopped.
         stop_at: Micros,
     },
-    /// The process will be stopped, and a successor on the same machine has taken over: callers are
+    /// The process will be stopped, and a successor on the same machine has taken over. Callers are
     /// not affected.
     Replaced {
-        /// When the process is stopped.
+        /// Time at which the process is stopped.
         stop_at: Micros,
     },
-    /// What the predecessor of this process, which is still draining, uses of the machine.
+    /// Resource usage of the predecessor of this process, which is still draining.
     PredecessorUsage {
-        /// Its requests on the cores.
+        /// Number of the predecessor's requests that occupy a core.
         running: usize,
-        /// Memory reserved for its requests.
+        /// Memory reserved for the predecessor's requests, in kB.
         memory_kb: f64,
-        /// Its calls in flight to the dependency.
+        /// Number of the predecessor's calls in flight to the dependency.
         calls: usize,
     },
-    /// How full the table of cached results is.
+    /// Usage of the table of cached results.
     IdempotencyTableUsage {
-        /// Its entries, each of which takes memory.
+        /// Number of entries, each of which takes memory.
         entries: usize,
-        /// It takes more entries: without capacity no request may be admitted whose result is to be
-        /// cached.
+        /// Whether the table takes further entries. Without capacity, no request whose result is to
+        /// be cached may be admitted.
         has_capacity: bool,
     },
 }
 
-/// What the controller wants done.
+/// An action that the caller of the controller has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start a queued request.
     Run(RequestId),
-    /// Reject a request: final, and a promise that it never ran.
+    /// Reject a request. This is its final response, and guarantees that it never ran.
     Reject {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The caller should avoid this server for so long; 0 where it need not.
+        /// Time for which the caller should avoid this server; 0 where it need not.
         retry_after: Micros,
-        /// The caller should not retry on another server either.
+        /// Whether the caller should not retry on another server either.
         no_failover: bool,
     },
-    /// Fail a request: final, without a promise.
+    /// Fail a request. This is its final response; the request may have run.
     Fail(RequestId),
     /// Make the call that a request waits for.
     Call {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Abandon the call after this time.
+        /// Time after which the call is abandoned.
         timeout: Micros,
     },
     /// Continue a request without its call.
     SkipCall(RequestId),
     /// Preempt the run of a request that has its response.
     Preempt(RequestId),
-    /// Respond to a queued request with the outcome of the one that it repeats.
+    /// Respond to a queued request with the outcome of the request that it repeats.
     ShareResponse(RequestId),
     /// Insert a request into the table of keys.
     InsertKey {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// For how long from now.
+        /// Time from now until the entry expires.
         lifetime: Micros,
     },
     /// Remove a request from the table of keys.
     RemoveKey(RequestId),
     /// Set a timer.
     SetTimer {
-        /// When it expires.
+        /// Time at which the timer expires.
         at: Micros,
-        /// Returned with [`Event::TimerExpired`].
+        /// Token that [`Event::TimerExpired`] returns.
         token: u64,
     },
     /// Set the feedback value that responses carry from now on.
     SetFeedback(f64),
-    /// Close connections that were idle for this time, from now on.
+    /// From now on, close connections that have been idle for this time.
     CloseIdleConnections(Micros),
     /// Set the response to health checks from now on.
     SetHealth {
         /// Whether the server is healthy.
         healthy: bool,
-        /// Health checks are answered from this setting alone.
+        /// Whether health checks get this state without doing any work.
         from_state: bool,
     },
 }
