--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Every admission decision of a server, with the types it is made in and the settings it follows.
+//! The overload controller of a server: its admission decisions, the types of its interface, and
+//! its settings.
 //!
-//! A [`Controller`] decides for one server which requests it runs, which calls it lets through to
-//! the dependency, and which requests it rejects and when. It has no clock, threads or I/O: the
-//! caller notifies it of [`Event`](interface::Event)s and carries out the
-//! [`Action`](interface::Action)s that it appends.
+//! A [`Controller`] decides for one server which requests run, which calls to the dependency are
+//! made, and which requests are rejected and when. It has no clock, threads or I/O: the caller
+//! passes [`Event`](interface::Event)s to it and carries out the [`Action`](interface::Action)s
+//! that it returns.
 //!
 //! ```
 //! use cleatpulley_policy::interface::*;
