--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,17 +1,17 @@
-//! The settings document, as the configuration file and the simulator's first message carry it, and
-//! its translation to [`Settings`]. This module alone knows the names on the wire; it decides nothing.
+//! The settings document, as found in the configuration file and in the simulator's first message,
+//! and its conversion to [`Settings`]. The external names of settings appear in this module only.
 
 use crate::interface::{
     Class, DependencyLimit, Effect, FeedbackKind, Micros, Preemption, Settings, Tenant,
 };
 use serde::Deserialize;
 
-/// No time of a class is longer than a day: sums of times then stay far from overflow.
+/// The longest time that a class may be configured with, one day: sums of such times can't overflow.
 const MAX_CLASS_TIME: Micros = 86_400_000_000;
-/// The longest time between two steps of the controller.
+/// The longest configurable time between two steps of the controller.
 const MAX_TICK: Micros = 1_000_000;
 
-/// The settings as an instance receives them. Unknown keys are ignored.
+/// The settings document of an instance. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
 pub struct SettingsDocument {
     classes: Vec<ClassDocument>,
@@ -108,18 +108,18 @@
     tells_gone: bool,
 }
 
-/// A key of the settings document whose value can't be used.
+/// A key of the settings document with an invalid value.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The document has no class.
     #[error("classes: at least one is needed")]
     NoClasses,
-    /// The name of a class is empty or that of another class.
-    #[error("classes[{index}].name: {name:?} is empty or taken")]
+    /// The name of a class is empty or the same as that of another class.
+    #[error("classes[{index}].name: {name:?} is empty or already in use")]
     ClassName {
         /// Index of the class.
         index: usize,
-        /// Its name.
+        /// The invalid name.
         name: String,
     },
     /// The effect of a class is unknown.
@@ -127,7 +127,7 @@
     UnknownEffect {
         /// Index of the class.
         index: usize,
-        /// What stands there.
+        /// The unknown value.
         effect: String,
     },
     /// A time of a class is out of range.
@@ -135,19 +135,19 @@
     ClassTime {
         /// Index of the class.
         index: usize,
-        /// Key of the time.
+        /// Key of the time that is out of range.
         key: &'static str,
-        /// Its value, in microseconds.
+        /// Value, in microseconds.
         value: Micros,
     },
-    /// The server has no core.
+    /// The number of cores is 0.
     #[error("specifics.cores: at least one is needed")]
     NoCores,
-    /// The server has no memory.
-    #[error("specifics.memory_kb: {0} is no memory")]
+    /// The memory is not a positive finite number.
+    #[error("specifics.memory_kb: {0} is not a positive finite number")]
     NoMemory(f64),
-    /// The way to preempt a run is unknown.
-    #[error("specifics.halt: unknown way to stop a run: {0:?}")]
+    /// The preemption mode is unknown.
+    #[error("specifics.halt: unknown preemption mode {0:?}")]
     UnknownPreemption(String),
     /// The tick is out of range.
     #[error("tick: {0} is not within 1 to {MAX_TICK}")]
@@ -155,7 +155,7 @@
 }
 
 impl SettingsDocument {
-    /// The names of the classes, in the order of their indexes.
+    /// Returns the names of the classes, by index.
     #[must_use]
     pub fn class_names(&self) -> Vec<String> {
         self.classes
@@ -164,16 +164,16 @@
             .collect()
     }
 
-    /// The names of the server's own gauges, in the order in which their values are reported.
+    /// Returns the names of the server's gauges, in the order in which their values are reported.
     #[must_use]
     pub fn gauge_names(&self) -> Vec<String> {
         self.specifics.own_stats.clone()
     }
 
-    /// Checks the keys without which a real server can't work. The simulator always sends them.
+    /// Validates the keys that a production server requires. The simulator always sends them.
     ///
     /// # Errors
-    /// The first key whose value can't be used.
+    /// Returns the first key with an invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Translates the document to the controller's terms.
+    /// Converts the document to the settings of a controller.
     #[must_use]
     pub fn into_settings(self) -> Settings {
         let specifics = self.specifics;
