--- a/crates/policy/src/learned_state.rs
+++ b/crates/policy/src/learned_state.rs
@@ -1,64 +1,64 @@
-//! What a controller has learned of its machine and of the dependency. A process hands it to its
-//! successor, which would otherwise have to learn all of it again.
+//! The state that a controller has learned about its machine and the dependency. A process hands it
+//! to its successor, which would otherwise have to learn everything again.
 //!
-//! The serialized names belong to the snapshot format of a hot restart, which two releases share;
-//! they stay as they are when a field is renamed here.
+//! The serialized names are part of the hot restart's snapshot format, which the predecessor and a
+//! successor of another release share. They must not change when a field is renamed.
 
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// What was learned of one class.
+/// Learned state of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LearnedClass {
-    /// Smoothed time of a run of usual size, calls included, in microseconds.
+    /// Smoothed time of a run of typical size, calls included, in microseconds.
     pub run_time: f64,
-    /// Smoothed hint of the expected work, in microseconds; 0 where none was seen.
+    /// Smoothed hint of the expected work, in microseconds; 0 before the first hint.
     #[serde(rename = "work")]
     pub expected_work: f64,
-    /// The longest remaining time that a first attempt arrived with, in microseconds.
+    /// Longest time to its deadline that a first attempt arrived with, in microseconds.
     #[serde(rename = "patience")]
     pub longest_remaining_time: Micros,
 }
 
-/// What was learned of the calls to the dependency.
+/// Learned state of the calls to the dependency.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LearnedDependency {
-    /// The limit on concurrent calls.
+    /// Limit on concurrent calls.
     #[serde(rename = "bound")]
     pub concurrency_limit: f64,
-    /// Smoothed latency, in microseconds.
+    /// Smoothed latency of a call, in microseconds.
     pub latency: f64,
-    /// The baseline of the latency, in microseconds; 0 where none was seen.
+    /// Baseline of the latency, in microseconds; 0 before the first reply.
     #[serde(rename = "usual")]
     pub baseline_latency: f64,
-    /// Smoothed backlog of requests that wait for a call.
+    /// Smoothed number of requests that wait for their call.
     pub backlog: f64,
-    /// The gap between two admissions, in microseconds.
+    /// Gap between two admissions, in microseconds.
     pub gap: f64,
 }
 
-/// Everything that a controller hands to its successor.
+/// Learned state that a controller hands to its successor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LearnedState {
-    /// By index of the class.
+    /// Learned state of the classes, by class index.
     pub classes: Vec<LearnedClass>,
-    /// Of the dependency.
+    /// Learned state of the dependency.
     #[serde(rename = "calls")]
     pub dependency: LearnedDependency,
-    /// The limit on running requests.
+    /// Limit on running requests.
     pub run_limit: f64,
-    /// The rank below which arrivals are rejected, from 0 to 1.
+    /// Rank below which arrivals are rejected, from 0 to 1.
     #[serde(rename = "cut")]
     pub rank_threshold: f64,
-    /// The capacity that callers are advised of, from 0 to 1.
+    /// Capacity advertised to callers, from 0 to 1.
     #[serde(rename = "welcome")]
     pub advertised_capacity: f64,
-    /// Smoothed time that requests wait before they are read, in microseconds.
+    /// Smoothed time between the arrival of a request and its read, in microseconds.
     #[serde(rename = "lag")]
     pub read_delay: f64,
     /// Smoothed share of retries among the arrivals, from 0 to 1.
@@ -66,32 +66,32 @@
     pub retry_ratio: f64,
 }
 
-/// Why a learned state was not restored. Fields are named as they are in the snapshot.
+/// Reason why a learned state was not restored. Fields have their snapshot names.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum LearnedStateError {
-    /// It is of a configuration with another number of classes.
-    #[error("classes: {found} of them, {expected} here")]
+    /// The learned state has another number of classes than this configuration.
+    #[error("classes: found {found}, expected {expected}")]
     ClassCount {
-        /// Classes in the learned state.
+        /// Number of classes in the learned state.
         found: usize,
-        /// Classes of this controller.
+        /// Number of classes of this controller.
         expected: usize,
     },
-    /// A value is one that no controller can have.
+    /// A value is outside the range that a controller can reach.
     #[error("{field}: {value} is not within {minimum} to {maximum}")]
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: LearnedField,
-        /// Its value.
+        /// Value of the field.
         value: f64,
-        /// The least possible value.
+        /// Minimum valid value.
         minimum: f64,
-        /// The greatest possible value.
+        /// Maximum valid value.
         maximum: f64,
     },
 }
 
-/// Names a field of the snapshot: `run_limit`, `calls.bound` or `classes[2].run_time`.
+/// Name of a field in the snapshot, such as `run_limit`, `calls.bound` or `classes[2].run_time`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LearnedField {
     class: Option<usize>,
@@ -107,13 +107,13 @@
     }
 }
 
-/// No smoothed time is longer, in microseconds: nobody waits for an hour.
+/// Maximum valid smoothed time: one hour, longer than any caller waits.
 const MAX_TIME_MICROS: f64 = 3.6e9;
-/// No limit on runs or calls is higher.
+/// Maximum valid limit on runs or calls.
 const MAX_LIMIT: f64 = 1e6;
 
 impl LearnedState {
-    /// Protects a controller from values that no controller can have.
+    /// Checks that the number of classes matches and that every value is in its valid range.
     pub(crate) fn validate(&self, class_count: usize) -> Result<(), LearnedStateError> {
         if self.classes.len() != class_count {
             return Err(LearnedStateError::ClassCount {
