--- a/crates/policy/src/bug_injection.rs
+++ b/crates/policy/src/bug_injection.rs
@@ -1,23 +1,23 @@
-//! Bugs that can be injected, to verify that the simulator finds them. Without the feature
-//! `bug-injection` none can be, and the checks compile to nothing.
+//! Bugs that can be injected to verify that the simulator finds them. Without the feature
+//! `bug-injection` no bug can be injected, and the checks compile to nothing.
 
 #[cfg(feature = "bug-injection")]
 use std::cell::Cell;
 
-/// A bug that can be injected; each is checked for in the one place where it takes effect.
+/// A bug that can be injected. Each is checked for in the single place where it takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
     /// A rejection is sent twice.
     ResponseSentTwice,
-    /// A connection's count of open requests does not fall with a rejection.
+    /// A rejection does not decrement its connection's count of open requests.
     ConnectionSlotLeaked,
-    /// Deadlines are met a quarter of a second late.
+    /// Responses at the deadline are sent 250 ms late.
     DeadlinesLate,
     /// Commands written to a lost connection are sent again on the next one.
     StartResent,
     /// The controller is not notified that draining has started.
     DrainIgnored,
-    /// A sync is reported as done and is not.
+    /// A sync is reported as completed but is not executed.
     SyncSkipped,
     /// A request with an idempotency key is started before its intent is durable.
     IntentSkipped,
@@ -29,46 +29,47 @@
     RejectedAfterRun,
     /// An abandoned call keeps its connection.
     CallConnectionLeaked,
-    /// After a shortage of descriptors no connection is accepted any more.
+    /// After a shortage of file descriptors, no further connection is accepted.
     AcceptNotResumed,
     /// The process exits before every request has its response.
     ExitBeforeResponses,
     /// A queued request whose connection is lost keeps its entry.
     RequestLeaked,
-    /// Commands that were not written to a lost connection are dropped.
+    /// Commands not yet written when a connection is lost are dropped.
     CommandQueueLost,
     /// A completed key is evicted inside its deduplication window.
     KeyEvictedInWindow,
-    /// Silent callers of the management endpoint keep their connection slots.
+    /// Callers of the management endpoint that send nothing keep their connection slots.
     ManagementStarved,
     /// A listening socket passed by the predecessor is not used.
     PassedListenerDropped,
-    /// A successor ignores its predecessor's usage of the machine.
+    /// A successor ignores the resource usage of its predecessor.
     PredecessorUsageIgnored,
     /// Keys recovered from the store are dropped.
     RecoveredKeysDropped,
-    /// A store of results that another process has open is opened anyway.
+    /// A result store that another process has open is opened anyway.
     LockIgnored,
-    /// A process that has a successor exits without responding to what it read.
+    /// A process that has a successor exits without responding to requests that it has read.
     PredecessorExitsEarly,
     /// A snapshot is accepted whatever its checksum.
     TornSnapshotAccepted,
-    /// A caller with a reputation does not displace one without.
+    /// A connection from an address with a reputation does not displace one from an unknown address.
     UnknownAddressKept,
     /// An address's connection attempts are not counted.
     ConnectionRateUncounted,
-    /// The prefix with most connections yields none to a lighter one.
+    /// No connection of the prefix with the most connections is closed in favour of another prefix.
     PrefixQuotaStuck,
-    /// The spare descriptor kept for a shortage is not reserved again.
+    /// The spare descriptor kept for descriptor shortages is not reserved again after its use.
     SpareDescriptorLeaked,
     /// Reputation earned before a restart is not restored.
     ReputationLost,
-    /// A process whose successor died reopens the store of results, whichever process owns it by then.
+    /// A process whose successor died reopens the result store even if another process owns it by
+    /// then.
     StoreReopened,
 }
 
 impl InjectedBug {
-    /// Bugs of connection admission, searched for by connection floods.
+    /// Bugs in connection admission, searched for by connection floods.
     pub const CONNECTION_ADMISSION: [Self; 5] = [
         Self::UnknownAddressKept,
         Self::ConnectionRateUncounted,
@@ -77,10 +78,10 @@
         Self::ReputationLost,
     ];
 
-    /// Bugs of chains of processes, searched for by overlapping hot restarts.
+    /// Bugs in chains of processes, searched for by overlapping hot restarts.
     pub const HOT_RESTART_CHAINS: [Self; 2] = [Self::StoreReopened, Self::LockIgnored];
 
-    /// Bugs searched for by general random schedules: all that are in neither of the lists above.
+    /// All other bugs, searched for by the simulator's general schedules.
     pub const GENERAL: [Self; 22] = [
         Self::ResponseSentTwice,
         Self::ConnectionSlotLeaked,
@@ -112,7 +113,8 @@
     static INJECTED: Cell<Option<InjectedBug>> = const { Cell::new(None) };
 }
 
-/// Injects a bug on this thread, or removes it. Returns false where the feature is off.
+/// Injects a bug on this thread, or removes the injected one. Without the feature no bug can be
+/// injected, and false is returned for any.
 pub fn inject_bug(bug: Option<InjectedBug>) -> bool {
     #[cfg(feature = "bug-injection")]
     {
