--- a/crates/policy/tests/stored_format.rs
+++ b/crates/policy/tests/stored_format.rs
@@ -1,12 +1,13 @@
-//! What a controller has learned keeps its bytes, as the process that takes its place may be of another release.
+//! The serialized form of a learned state must stay byte-identical, since a successor process may be
+//! of another release.
 //!
-//! `fixtures/learned.json` is what release 0.2 writes.
+//! `fixtures/learned.json` was written by release 0.2.
 
 use cleatpulley_policy::learned_state::{LearnedClass, LearnedDependency, LearnedState};
 
-const TEXT: &str = include_str!("fixtures/learned.json");
+const RELEASE_0_2_JSON: &str = include_str!("fixtures/learned.json");
 
-fn learned() -> LearnedState {
+fn learned_state() -> LearnedState {
     LearnedState {
         classes: vec![
             LearnedClass {
@@ -36,17 +37,17 @@
 }
 
 #[test]
-fn reads_what_a_controller_of_release_0_2_learned() {
+fn deserializes_state_written_by_release_0_2() {
     assert_eq!(
-        serde_json::from_str::<LearnedState>(TEXT).expect("it is read"),
-        learned()
+        serde_json::from_str::<LearnedState>(RELEASE_0_2_JSON).expect("the fixture is valid JSON"),
+        learned_state()
     );
 }
 
 #[test]
-fn writes_what_was_learned_with_the_bytes_of_release_0_2() {
+fn serializes_to_the_bytes_of_release_0_2() {
     assert_eq!(
-        serde_json::to_string(&learned()).expect("it is written"),
-        TEXT
+        serde_json::to_string(&learned_state()).expect("serialization succeeds"),
+        RELEASE_0_2_JSON
     );
 }
