--- a/crates/policy/src/controller/concurrency.rs
+++ b/crates/policy/src/controller/concurrency.rs
@@ -10,7 +10,7 @@
 /// connection being opened.
 pub(super) const BUSY_TASKS_PER_CORE: f64 = 2.0;
 /// Step of the limit in one period, as a share of the cores.
-const RUN_LIMIT_STEP_PER_CORE: f64 = 0.05;
+const RUN_LIMIT_STEP: f64 = 0.05;
 
 /// Limits how many requests run at a time.
 #[derive(Debug, Clone)]
@@ -119,12 +119,8 @@
         let is_limiting = self.requests.has_queued() && is_at_limit;
         let limit = &mut self.concurrency.limit;
         match self.concurrency.runnable {
-            Some(runnable) if runnable > BUSY_TASKS_PER_CORE * cores => {
-                *limit -= RUN_LIMIT_STEP_PER_CORE * cores
-            }
-            Some(runnable) if runnable < cores && is_limiting => {
-                *limit += RUN_LIMIT_STEP_PER_CORE * cores
-            }
+            Some(tasks) if tasks > BUSY_TASKS_PER_CORE * cores => *limit -= RUN_LIMIT_STEP * cores,
+            Some(tasks) if tasks < cores && is_limiting => *limit += RUN_LIMIT_STEP * cores,
             _ => {}
         }
         let extra_per_core = (self.settings.overload_concurrency_per_core - 1.0).max(0.0);
