--- a/crates/policy/src/controller/admission.rs
+++ b/crates/policy/src/controller/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what becomes of a request when it arrives.
+//! Admission: whether an arriving request is queued, rejected, or waits for another one.
 
 use super::request_state::{RequestStage, RequestState, RequestTiming, RequestValue};
 use super::{requires_call, Controller};
@@ -69,11 +69,13 @@
         }
     }
 
-    /// Decides whether a repeated request waits for the outcome of its original.
+    /// Makes a repeated request wait for the outcome of its original. Returns false where it has to
+    /// be admitted on its own.
     ///
-    /// It does not run a second time: whatever is not known to be queued may have run. A request
-    /// with an idempotency key that is still queued yields to its repeat, whose caller is the one
-    /// that waits; where results are cached, both wait.
+    /// The repeated request is not run a second time, since an original that is not known to be
+    /// queued may have run. An original with an idempotency key that is still queued is replaced by
+    /// its retry, since only the caller of the retry still waits; where results are cached, both
+    /// wait.
     fn try_share_response(
         &mut self,
         request: &mut RequestState,
@@ -96,7 +98,7 @@
         true
     }
 
-    /// Rejects a queued original in favour of its repeat.
+    /// Rejects a queued original in favour of its retry.
     fn replace_original(&mut self, original: RequestId, actions: &mut Vec<Action>) {
         self.keys.remove(original);
         self.requests.remove(original);
@@ -107,8 +109,8 @@
         });
     }
 
-    /// Adds a request that waits for another's outcome. Where memory is short it fails: its
-    /// original may have run, so that it can't be rejected.
+    /// Adds a request that waits for another's outcome. If memory is short it fails instead of
+    /// being rejected, since its original may have run.
     fn add_sharing_request(&mut self, request: RequestState, actions: &mut Vec<Action>) {
         let id = request.id;
         let must_fail = request.caches_result && self.exceeds_memory(request.memory_kb);
@@ -138,13 +140,13 @@
             || (self.would_wait() && rank < self.priority_filter.threshold)
     }
 
-    /// Returns whether an arrival finds queued work or no free core. Without, the rank threshold
-    /// does not apply: cores would be idle behind it.
+    /// Returns whether an arrival would have to wait, behind queued work or for a free core. If
+    /// not, the rank threshold does not apply, since it would leave cores idle.
     fn would_wait(&self) -> bool {
         self.cores_in_use() >= self.concurrency.limit() || self.requests.has_queued()
     }
 
-    /// Notes the admission of a request, unless it was shed at once.
+    /// Records the admission of a request, unless it was shed immediately.
     fn on_admission(&mut self, id: RequestId, request: &Request, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else {
             return;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Returns for how long the request is entered in the table of keys; 0 where it is not.
+    /// Returns the lifetime of the request's entry in the table of keys; 0 where it gets none.
     fn key_lifetime(&self, state: &RequestState, request: &Request) -> Micros {
         let class = self.class(state);
         let sharing_time = self.settings.shared_response_lifetime;
@@ -178,7 +180,7 @@
 }
 
 impl Settings {
-    /// Returns by how much the priority weight of a request counts that needs this much work.
+    /// Returns the factor of the priority weight for a request with this much work.
     fn weighted_work(&self, work: f64) -> f64 {
         if self.weight_by_work {
             work
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Returns the rank of a request among those of its class, given its rank among all: classes
-    /// divide the ranks into bands of equal size.
+    /// Returns the rank of a request within its class, given its overall rank. Classes divide the
+    /// overall ranks into bands of equal size.
     fn rank_in_class(&self, rank: f64) -> f64 {
         (rank * self.classes.len() as f64).fract()
     }
