--- a/crates/policy/src/controller/arrival_statistics.rs
+++ b/crates/policy/src/controller/arrival_statistics.rs
@@ -1,25 +1,25 @@
-//! What is measured of arrivals, whatever their class.
+//! Statistics of arrivals over all classes.
 
 use super::request_state::RequestState;
 use super::smoothing::smooth;
 use crate::interface::Micros;
 
-/// Weight of one arrival in the share of retries.
+/// Weight of one arrival in the smoothed share of retries.
 const RETRY_SAMPLE_WEIGHT: f64 = 0.03;
-/// Share by which the read delay fades in a period: with nothing left to read, nothing else would
-/// lower it.
+/// Share by which the read delay decays in each period. Without arrivals nothing else would lower
+/// it.
 const READ_DELAY_DECAY: f64 = 0.01;
 
-/// Smoothed and fading measurements of arrivals.
+/// Smoothed and decaying statistics of arrivals.
 #[derive(Debug, Clone)]
 pub(super) struct ArrivalStatistics {
-    /// First attempts of each tenant, fading over the statistics window.
+    /// Number of first attempts by tenant, decaying over the statistics window.
     first_attempts: Vec<f64>,
-    /// All arrivals, fading over the statistics window.
+    /// Number of arrivals, decaying over the statistics window.
     arrivals: f64,
-    /// Smoothed time that requests wait before they are read, in microseconds.
+    /// Smoothed time between the arrival of a request and its read, in microseconds.
     pub(super) read_delay: f64,
-    /// Smoothed share of retries.
+    /// Smoothed share of retries among the arrivals, from 0 to 1.
     pub(super) retry_ratio: f64,
 }
 
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Lets the counts of arrivals decay by `elapsed` over the statistics window.
+    /// Decays the counts of arrivals for a period of length `elapsed`. The window is in
+    /// microseconds.
     pub(super) fn decay_counts(&mut self, elapsed: Micros, statistics_window: f64) {
         let remaining = (1.0 - elapsed as f64 / statistics_window).max(0.0);
         for attempts in &mut self.first_attempts {
