--- a/crates/policy/src/controller/class_statistics.rs
+++ b/crates/policy/src/controller/class_statistics.rs
@@ -1,27 +1,27 @@
-//! What is measured of each class of requests.
+//! Statistics of each request class.
 
 use super::smoothing::smooth;
 use crate::interface::{Class, Micros};
 use crate::learned_state::LearnedClass;
 
-/// Share of a class's latency objective that a run is assumed to take before one was measured.
+/// Assumed time of a run before the first one was measured, as a share of the latency objective.
 const INITIAL_RUN_OBJECTIVE_SHARE: f64 = 0.25;
-/// By how much more a run is assumed to take on a server that is still cold.
+/// Factor by which a run is assumed to take longer on a cold server.
 const COLD_RUN_TIME_FACTOR: f64 = 2.0;
-/// Share of a run's time that scales with the hint of its work: waiting times do not grow with
-/// work, and hints are rough.
+/// Share of the run time that scales with the work hint. The rest does not: waiting times do not
+/// grow with the work, and hints are imprecise.
 const HINT_WEIGHT: f64 = 0.5;
-/// Relative size at which the time of a small run still counts.
+/// Lower bound of the relative size by which a run time is normalized.
 const MIN_RELATIVE_SIZE: f64 = 0.1;
 
-/// Measurements of the requests of one class.
+/// Statistics of the requests of one class.
 #[derive(Debug, Clone)]
 pub(super) struct ClassStatistics {
-    /// Smoothed time of a run of usual size, calls included, in microseconds.
+    /// Smoothed time of a run of typical size, calls included, in microseconds.
     pub(super) run_time: f64,
-    /// Smoothed hint of the expected work, in microseconds; 0 before the first.
+    /// Smoothed hint of the expected work, in microseconds; 0 before the first hint.
     expected_work: f64,
-    /// The longest remaining time that a first attempt arrived with; 0 before the first.
+    /// Longest time to its deadline that a first attempt arrived with; 0 before the first one.
     longest_remaining_time: Micros,
 }
 
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Estimates how long before this attempt the client's first attempt was made.
+    /// Estimates the time between the client's first attempt and this one.
     ///
-    /// A retry with less time left than a first attempt is at least so much older. One with more
-    /// has what is left of the time that its client waits over all attempts.
+    /// A retry with less remaining time than a first attempt is older by at least the difference.
+    /// For a retry with more, the client timeout over all attempts is the reference.
     pub(super) fn estimate_age(
         &mut self,
         remaining: Micros,
@@ -62,7 +62,8 @@
         initial_time.saturating_sub(remaining)
     }
 
-    /// Returns a request's size relative to the usual one of its class; 1 where there is no hint.
+    /// Returns the size of a request relative to the typical size of its class; 1 where it has no
+    /// hint.
     pub(super) fn relative_size(&mut self, expected_work: Option<Micros>) -> f64 {
         let Some(work) = expected_work else {
             return 1.0;
@@ -75,12 +76,12 @@
         HINT_WEIGHT * work as f64 / self.expected_work + (1.0 - HINT_WEIGHT)
     }
 
-    /// Returns the work of a request of this size, in microseconds.
+    /// Returns the work of a request of this relative size, in microseconds.
     pub(super) fn work(&self, relative_size: f64) -> f64 {
         relative_size * self.expected_work.max(1.0)
     }
 
-    /// Takes the time of a successful run into account.
+    /// Records the time of a successful run.
     pub(super) fn on_run_completed(&mut self, elapsed: Micros, relative_size: f64) {
         let time_at_usual_size = elapsed as f64 / relative_size.max(MIN_RELATIVE_SIZE);
         self.run_time = smooth(self.run_time, time_at_usual_size).max(1.0);
