--- a/crates/policy/src/controller/concurrency.rs
+++ b/crates/policy/src/controller/concurrency.rs
@@ -1,24 +1,24 @@
-//! The limit on running requests, and their starts and ends.
+//! The limit on running requests, and the start and end of runs.
 
 use super::request_state::RequestStage;
 use super::{requires_call, Controller, USABLE_SHARE};
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
-/// Share of the concurrency that a server survives which running requests may take.
+/// Upper bound of the run limit, as a share of the concurrency that the server sustains.
 const OVERLOAD_CONCURRENCY_SHARE: f64 = 0.5;
-/// Tasks that demand each core from which the limit shrinks: one run, and one request being read or
-/// connection being opened.
+/// Runnable tasks per core above which the run limit decreases: one run, and one request being read
+/// or connection being opened.
 pub(super) const BUSY_TASKS_PER_CORE: f64 = 2.0;
-/// Step of the limit in one period, as a share of the cores.
+/// Change of the run limit in one period, as a share of the cores.
 const RUN_LIMIT_STEP: f64 = 0.05;
 
-/// Limits how many requests run at a time.
+/// The limit on concurrently running requests.
 #[derive(Debug, Clone)]
 pub(super) struct RunLimiter {
     pub(super) limit: f64,
-    /// Tasks that demand a core, as last measured.
+    /// Last measured number of tasks that are running or ready to run.
     pub(super) runnable: Option<f64>,
-    /// When a run last ended or began to wait, or nothing was running.
+    /// Last time at which a run ended, a run began to wait, or nothing was running.
     last_progress_at: Micros,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Controller {
-    /// Starts queued requests in their order while cores, memory and the dependency have room.
+    /// Starts queued requests in order while cores, memory and the dependency have capacity.
     pub(super) fn start_runs(&mut self, actions: &mut Vec<Action>) {
         let mut running = self.cores_in_use();
         let mut memory_kb = self.memory_kb();
@@ -111,8 +111,9 @@
         }
     }
 
-    /// Raises the limit while cores are idle and work is queued, lowers it towards the cores while
-    /// they are crowded, and keeps it below what the server survives at its present speed.
+    /// Raises the run limit while cores are idle and work is queued, lowers it towards the number
+    /// of cores while they are overcommitted, and keeps it below the concurrency that the server
+    /// sustains at its current speed.
     pub(super) fn adjust_run_limit(&mut self) {
         let cores = f64::from(self.settings.cores.max(1));
         let is_at_limit = self.cores_in_use() as f64 >= self.concurrency.limit.floor();
@@ -129,7 +130,8 @@
         self.concurrency.limit = self.concurrency.limit.clamp(cores, max_limit);
     }
 
-    /// Returns the share of full speed that the server surely has by now: it may still warm up.
+    /// Returns the speed that a possibly cold server has reached for certain, as a share of its
+    /// full speed.
     pub(super) fn speed(&self) -> f64 {
         let warm_up_time = self.settings.warm_up_time.max(1) as f64;
         let warm_up_progress = (self.clock.now - self.clock.started_at) as f64 / warm_up_time;
@@ -141,23 +143,24 @@
         (initial_speed + (1.0 - initial_speed) * warm_up_progress).min(1.0)
     }
 
-    /// Requests on the cores, those of a predecessor included.
+    /// Returns the number of requests that occupy a core, those of a predecessor included.
     pub(super) fn cores_in_use(&self) -> usize {
         self.requests.running_count() + self.predecessor.running
     }
 
-    /// Calls in flight, those of a predecessor included.
+    /// Returns the number of calls in flight, those of a predecessor included.
     pub(super) fn calls_in_flight(&self) -> usize {
         self.requests.calling_count() + self.predecessor.calls
     }
 
-    /// Runs that go on at a time, those at calls included.
+    /// Returns the number of runs that can be in progress at a time, those waiting for a call
+    /// included.
     pub(super) fn parallel_runs(&self) -> f64 {
         self.concurrency.limit + self.requests.in_call_count() as f64
     }
 
-    /// Returns for how long no run has ended though some should have, in microseconds: the symptom
-    /// of cores that stand still.
+    /// Returns the time without progress of any run, in microseconds. A long time indicates stalled
+    /// cores.
     pub(super) fn stall_time(&self) -> f64 {
         (self.clock.now - self.concurrency.last_progress_at) as f64
     }
