--- a/crates/policy/src/controller/control_loop.rs
+++ b/crates/policy/src/controller/control_loop.rs
@@ -1,4 +1,4 @@
-//! The controller's state, and one step of it.
+//! The controller's state, and its processing of events step by step.
 
 use super::arrival_statistics::ArrivalStatistics;
 use super::class_statistics::ClassStatistics;
@@ -14,9 +14,9 @@
 use crate::interface::{Action, Class, Event, Gauges, Micros, RequestId, Settings};
 use crate::learned_state::{LearnedState, LearnedStateError};
 
-/// Periods in the response slack: a deadline is met with three of four still in hand.
+/// Adjustment periods in the response slack: a deadline is handled with three of four to spare.
 const PERIODS_PER_SLACK: u64 = 4;
-/// The controller has one timer, and needs no token to distinguish it.
+/// Token of the controller's only timer.
 const TIMER_TOKEN: u64 = 0;
 
 /// The overload controller of one server.
@@ -37,17 +37,17 @@
     pub(super) predecessor: PredecessorUsage,
 }
 
-/// The times that the controller goes by.
+/// Current time and adjustment times of the controller.
 #[derive(Debug, Clone)]
 pub(super) struct ControllerClock {
     pub(super) now: Micros,
     pub(super) started_at: Micros,
-    /// Time between two adjustments.
+    /// Minimum time between two adjustments.
     pub(super) period: Micros,
     adjusted_at: Micros,
 }
 
-/// What a predecessor that still drains uses of the machine.
+/// Resource usage of a predecessor that is still draining.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PredecessorUsage {
     pub(super) running: usize,
@@ -56,7 +56,8 @@
 }
 
 impl Controller {
-    /// Creates the controller of a server that has just started.
+    /// Creates the controller of a server that has just started. `seed` is that of its random
+    /// numbers.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let slack_share = settings.response_slack / PERIODS_PER_SLACK;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Handles the events of one moment, and appends the actions that follow from them.
+    /// Handles the events that occurred up to `now`, and appends the resulting actions.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.clock.now = self.clock.now.max(now);
         for event in events {
@@ -144,7 +145,7 @@
         self.clock.started_at = self.clock.now;
         self.clock.adjusted_at = self.clock.now;
         self.concurrency.on_progress(self.clock.now);
-        // Health checks that do real work would take cores and calls from requests.
+        // Health checks that do real work would compete with requests for cores and calls.
         actions.push(Action::SetHealth {
             healthy: true,
             from_state: true,
@@ -169,7 +170,7 @@
         self.requests.set_stage(id, RequestStage::AwaitingCall);
     }
 
-    /// Adjusts limits, thresholds and feedback to the period that has passed.
+    /// Adjusts limits, thresholds and feedback after an adjustment period.
     fn adjust(&mut self, actions: &mut Vec<Action>) {
         let now = self.clock.now;
         let elapsed = now - self.clock.adjusted_at;
@@ -188,7 +189,7 @@
         self.adjust_idle_timeout(actions);
     }
 
-    /// Requests that wait for a call without which they can't go on.
+    /// Returns the number of requests that wait for a call that they can't skip.
     fn call_backlog(&self) -> usize {
         self.requests
             .iter()
@@ -201,12 +202,12 @@
         &self.settings.classes[request.class]
     }
 
-    /// Returns the time that a run of this request is expected to take, in microseconds.
+    /// Returns the expected run time of this request, in microseconds.
     pub(super) fn run_time(&self, request: &RequestState) -> f64 {
         self.class_statistics[request.class].run_time * request.value.relative_size
     }
 
-    /// Returns what this controller has learned.
+    /// Returns the state that this controller has learned.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
@@ -224,11 +225,11 @@
         }
     }
 
-    /// Restores what another controller has learned on this machine. Limits beyond those of this
-    /// controller are cut to them.
+    /// Restores the state that another controller has learned on this machine. Limits are reduced
+    /// to the maximum of this controller.
     ///
     /// # Errors
-    /// When a value is one that no controller can have; nothing is restored then.
+    /// Returns an error if a value is outside its valid range; nothing is restored then.
     pub fn restore_learned_state(
         &mut self,
         learned: &LearnedState,
@@ -238,7 +239,7 @@
             statistics.restore(class);
         }
         self.dependency.restore(&learned.dependency);
-        // The next adjustment cuts it to what this server survives.
+        // The next adjustment reduces it to the concurrency that this server sustains.
         self.concurrency.limit = learned.run_limit;
         self.priority_filter.threshold = learned.rank_threshold;
         self.feedback.capacity = learned.advertised_capacity;
