--- a/crates/policy/src/bug_injection.rs
+++ b/crates/policy/src/bug_injection.rs
@@ -53,7 +53,8 @@
     PredecessorExitsEarly,
     /// A snapshot is accepted whatever its checksum.
     TornSnapshotAccepted,
-    /// A connection from an address with a reputation does not displace one from an unknown address.
+    /// A connection from an address with a reputation does not displace one from an unknown
+    /// address.
     UnknownAddressKept,
     /// An address's connection attempts are not counted.
     ConnectionRateUncounted,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -6,7 +6,8 @@
 };
 use serde::Deserialize;
 
-/// The longest time that a class may be configured with, one day: sums of such times can't overflow.
+/// The longest time that a class may be configured with, one day: sums of such times can't
+/// overflow.
 const MAX_CLASS_TIME: Micros = 86_400_000_000;
 /// The longest configurable time between two steps of the controller.
 const MAX_TICK: Micros = 1_000_000;
--- a/crates/policy/tests/stored_format.rs
+++ b/crates/policy/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The serialized form of a learned state must stay byte-identical, since a successor process may be
-//! of another release.
+//! The serialized form of a learned state must stay byte-identical, since a successor process may
+//! be of another release.
 //!
 //! `fixtures/learned.json` was written by release 0.2.
 
