--- a/crates/policy/src/controller/class_statistics.rs
+++ b/crates/policy/src/controller/class_statistics.rs
@@ -83,8 +83,8 @@
 
     /// Records the time of a successful run.
     pub(super) fn on_run_completed(&mut self, elapsed: Micros, relative_size: f64) {
-        let time_at_usual_size = elapsed as f64 / relative_size.max(MIN_RELATIVE_SIZE);
-        self.run_time = smooth(self.run_time, time_at_usual_size).max(1.0);
+        let time_at_typical_size = elapsed as f64 / relative_size.max(MIN_RELATIVE_SIZE);
+        self.run_time = smooth(self.run_time, time_at_typical_size).max(1.0);
     }
 
     pub(super) fn to_learned(&self) -> LearnedClass {
