--- a/crates/policy/src/controller/dependency_calls.rs
+++ b/crates/policy/src/controller/dependency_calls.rs
@@ -1,18 +1,18 @@
-//! Calls to the dependency: which are made, in which order, and which are left out or given up.
+//! Calls to the dependency: which are made, in which order, and which are skipped or abandoned.
 
 use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::{RequestStage, RequestState};
 use super::Controller;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
-/// Call latencies for which the reply to a call is waited for.
+/// Timeout of a call, as a multiple of the smoothed call latency.
 const CALL_TIMEOUT_LATENCIES: f64 = 8.0;
-/// Periods for which the reply to a call is waited for at least.
+/// Minimum timeout of a call, in adjustment periods.
 const MIN_CALL_TIMEOUT_PERIODS: f64 = 2.0;
 
 impl Controller {
-    /// Returns whether the runs at calls, those of lower priority left out, are more than the
-    /// dependency serves in half the time that is left to the request's latency objective.
+    /// Returns whether more calls are in flight or wait with at least the request's priority than
+    /// the dependency serves in half the time that remains until the request's latency objective.
     pub(super) fn is_call_queue_too_long(&self, request: &RequestState) -> bool {
         let priority = self.priority(request);
         let remaining = request.timing.objective_at.saturating_sub(self.clock.now) as f64;
@@ -29,8 +29,8 @@
         ahead as f64 > self.dependency.call_limit() * rounds
     }
 
-    /// Makes waiting calls by priority while the limiter has capacity; leaves out or gives up those
-    /// that would come too late.
+    /// Makes waiting calls by priority while the limiter has capacity. Calls that would end too
+    /// late are skipped where the class allows it; requests past their useful time fail.
     pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
         let mut in_flight = self.calls_in_flight();
         let mut calls_ahead = 0.0;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the requests that wait for their call, the highest priority first.
+    /// Returns the ids of the requests that wait for their call, highest priority first.
     fn call_order(&self) -> Vec<RequestId> {
         let mut waiting: Vec<(f64, RequestId)> = self
             .requests
@@ -82,15 +82,15 @@
     }
 
     /// Returns the timeout of a call that is made now. It leaves time to respond, and stays within
-    /// the remaining call time where the quota is below one call.
+    /// the remaining call time where the quota is below one concurrent call.
     fn call_timeout(&self, objective_at: Micros, respond_by: Micros, effect: Effect) -> Micros {
         let now = self.clock.now;
         let period = self.clock.period;
-        // A reply that takes longer is lost, not late.
+        // A reply that takes longer is assumed to be lost.
         let reply_timeout = (CALL_TIMEOUT_LATENCIES * self.dependency.call_latency())
             .max(MIN_CALL_TIMEOUT_PERIODS * period as f64) as Micros;
-        // A call that can't be made again is given up for good, and so not before its reply would be
-        // worth nothing.
+        // A call that can't be repeated is waited for until its reply would no longer meet the
+        // latency objective.
         let useful_time = if effect == Effect::Idempotent {
             0
         } else {
@@ -133,7 +133,7 @@
         );
         let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         if !is_idempotent && !never_took_effect {
-            // The call may have taken effect, and must not be made again.
+            // The call may have taken effect and must not be repeated.
             self.fail(id, actions);
         }
     }
