--- a/crates/policy/src/controller/dependency_limiter.rs
+++ b/crates/policy/src/controller/dependency_limiter.rs
@@ -1,10 +1,9 @@
-//! The limiter of calls to the dependency: which admissions are spaced out, and which calls may be
-//! made.
+//! The limiter of calls to the dependency: paces admissions, and decides which calls may be made.
 //!
-//! Bassoon gapping decides the ordinary path: the smoothed backlog of requests that wait for a call
-//! sets a gap, and each admission closes the dependency for one gap (`admission_gap`). Calls in
-//! flight have a limit of their own, which follows their latency (`call_limit`), and where this
-//! server's quota is below one call, a budget of call time (`call_quota`).
+//! Admissions are paced by Bassoon gapping: the smoothed backlog of requests that wait for a call
+//! determines a gap, and each admission closes the dependency for one gap (`admission_gap`). The
+//! number of calls in flight has a limit that follows their latency (`call_limit`). Where this
+//! server's quota is below one concurrent call, a budget of call time applies (`call_quota`).
 
 mod admission_gap;
 mod call_latency;
@@ -19,10 +18,11 @@
 use call_limit::CallLimit;
 use call_quota::CallQuota;
 
-/// Call latencies for which no call is made after the dependency rejected one or was unreachable: a
-/// dependency that is down gets no storm of retries.
+/// Pause, in call latencies, after the dependency rejected a call or was unreachable. Prevents a
+/// retry storm against a dependency that is down.
 const CALL_PAUSE_LATENCIES: f64 = 2.0;
-/// Share of the quota below which the call limit is not halved: the dependency survives that many.
+/// Lower bound of the call limit, as a share of the quota, which the dependency is known to
+/// sustain.
 const MINIMUM_QUOTA_SHARE: f64 = 0.5;
 
 /// Limits the calls of one server to its dependency.
@@ -33,29 +33,29 @@
     gap: AdmissionGap,
     latency: CallLatency,
     unanswered_calls: UnansweredCalls,
-    /// No call is made before this time.
+    /// Time before which no call is made.
     paused_until: Micros,
 }
 
-/// Calls that ended without a reply from the dependency.
+/// Tracks calls that ended without a reply from the dependency.
 #[derive(Debug, Clone, Default)]
 struct UnansweredCalls {
-    /// How many have ended since the last one with a reply.
+    /// Number of unanswered calls since the last one that ended otherwise.
     consecutive: u32,
-    /// When the latest call with a reply was made.
+    /// Time at which the most recently made call with a reply was made.
     last_replied_call_at: Micros,
 }
 
-/// What the end of a call says about the dependency.
+/// What the outcome of a call indicates about the dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallSignal {
-    /// It replied.
+    /// The dependency replied.
     Reply,
-    /// It did not reply in time.
+    /// The dependency did not reply in time.
     Timeout,
     /// The call was interrupted, most likely by a lost connection.
     Interrupted,
-    /// It rejected the call or could not be reached, or the call was withdrawn.
+    /// The dependency rejected the call or could not be reached, or the call was cancelled.
     Unavailable,
 }
 
@@ -114,22 +114,22 @@
         }
     }
 
-    /// The limit on concurrent calls.
+    /// Returns the limit on concurrent calls.
     pub(super) fn call_limit(&self) -> f64 {
         self.limit.limit()
     }
 
-    /// Smoothed latency of a call, in microseconds.
+    /// Returns the smoothed latency of a call, in microseconds.
     pub(super) fn call_latency(&self) -> f64 {
         self.latency.smoothed()
     }
 
-    /// Returns whether a request of this rank is held off by the gap of the last admission.
+    /// Returns whether the gap after the last admission still blocks a request of this rank.
     pub(super) fn is_closed(&self, now: Micros, rank: f64) -> bool {
         self.gap.is_closed(now, rank)
     }
 
-    /// Notes an admission, which closes the dependency for one gap.
+    /// Records an admission, which closes the dependency for one gap.
     pub(super) fn on_admission(&mut self, now: Micros) {
         self.gap.on_admission(now, self.latency.smoothed());
     }
@@ -150,13 +150,14 @@
                 .is_none_or(|remaining| remaining >= shortest_allowance)
     }
 
-    /// Returns the call time that the quota leaves, in microseconds, where it is below one call.
+    /// Returns the remaining call time of the quota, in microseconds, where the quota is below one
+    /// concurrent call.
     pub(super) fn remaining_call_time(&self, now: Micros) -> Option<f64> {
         self.quota.remaining_time(now)
     }
 
-    /// Adjusts limiter and gap to the last period of length `elapsed`: to the `backlog` of requests
-    /// that wait for their call, and to the calls in flight.
+    /// Adjusts quota, latency and gap after a period of length `elapsed`, given the number of
+    /// requests that wait for their call (`backlog`) and of calls in flight.
     pub(super) fn adjust(
         &mut self,
         now: Micros,
@@ -172,13 +173,13 @@
         self.gap.scale(growth, self.latency.smoothed());
     }
 
-    /// Notes that a run ended while its call was in flight; the dependency works on it until
-    /// `released_at`.
+    /// Records that a run ended while its call was in flight. The call occupies the dependency
+    /// until `released_at`.
     pub(super) fn on_call_orphaned(&mut self, made_at: Micros, released_at: Micros) {
         self.quota.record_call(made_at, released_at);
     }
 
-    /// Notes the end of a call. One that timed out occupies the dependency for `linger` more.
+    /// Records the end of a call. One that timed out occupies the dependency for another `linger`.
     pub(super) fn on_call_ended(
         &mut self,
         now: Micros,
@@ -229,11 +230,11 @@
 }
 
 impl UnansweredCalls {
-    /// Notes the end of a call that was made at `made_at`. Returns whether it says nothing about
-    /// the dependency.
+    /// Records the end of a call that was made at `made_at`. Returns whether it allows no
+    /// conclusion about the dependency.
     ///
-    /// A connection that was lost or fell silent is not taken for a fault of the dependency: with a
-    /// fault, the next call gets no reply either, and neither do those made after it.
+    /// A lost or unresponsive connection is not taken for a fault of the dependency. During a
+    /// fault, the next call and those made after it get no reply either.
     fn is_inconclusive(&mut self, signal: CallSignal, made_at: Micros) -> bool {
         if signal == CallSignal::Reply {
             self.last_replied_call_at = self.last_replied_call_at.max(made_at);
