--- a/crates/policy/src/controller/dependency_limiter/admission_gap.rs
+++ b/crates/policy/src/controller/dependency_limiter/admission_gap.rs
@@ -1,19 +1,19 @@
-//! Bassoon gapping: each admission closes the dependency for one gap, which grows with the backlog
-//! of requests that wait for a call.
+//! Bassoon gapping: each admission closes the dependency for a gap that grows with the backlog of
+//! requests that wait for a call.
 
 use crate::interface::Micros;
 
-/// Weight of the past in the smoothed backlog (alpha in the paper).
+/// Weight of the previous value in the smoothed backlog (alpha in the paper on Bassoon gapping).
 const BACKLOG_HISTORY_WEIGHT: f64 = 0.9;
-/// The gap shrinks to no less than this share of itself in one period (the least factor in the paper).
+/// Minimum factor by which the gap changes in one period (the lower bound of phi in the paper).
 const MIN_GROWTH_FACTOR: f64 = 0.2;
-/// The shortest gap, in call latencies. It spaces nothing out, and counts as none.
+/// Minimum gap, in call latencies. A gap of this length has no effect and counts as none.
 const MIN_GAP_LATENCIES: f64 = 0.1;
-/// The longest gap, in call latencies: one that outlives the fault by more would leave a recovered
-/// dependency idle.
+/// Maximum gap, in call latencies. A longer one would leave the dependency idle after it recovered
+/// from a fault.
 const MAX_GAP_LATENCIES: f64 = 2.0;
 
-/// The gap between two admissions.
+/// The minimum time between two admissions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AdmissionGap {
     /// Smoothed number of requests that wait for their call.
@@ -21,7 +21,7 @@
     /// Length of the gap, in microseconds.
     gap: f64,
     last_admission: Micros,
-    /// The last admission closed the dependency.
+    /// Whether the last admission closed the dependency.
     is_gap_active: bool,
 }
 
@@ -34,23 +34,24 @@
         self.gap
     }
 
-    /// Returns whether a request of this rank is held off: the lowest rank for twice the gap, the
-    /// highest for hardly any time.
+    /// Returns whether a request of this rank is blocked. Rank 0 is blocked for twice the gap, rank
+    /// 1 not at all.
     pub(super) fn is_closed(&self, now: Micros, rank: f64) -> bool {
         let since_admission = (now - self.last_admission) as f64;
         self.is_gap_active && since_admission < 2.0 * self.gap * (1.0 - rank)
     }
 
-    /// Notes an admission.
+    /// Records an admission. `latency` is the call latency, in microseconds.
     pub(super) fn on_admission(&mut self, now: Micros, latency: f64) {
         self.is_gap_active = self.gap > MIN_GAP_LATENCIES * latency;
         self.last_admission = now;
     }
 
-    /// Smooths the backlog and returns by which factor the gap has to change (factor in the paper).
+    /// Smooths the backlog and returns the factor by which the gap has to change (phi in the
+    /// paper).
     ///
-    /// Without faltering calls the gap does not grow: the backlog alone is no overload while the
-    /// dependency keeps its pace.
+    /// The gap does not grow unless calls are degraded: a backlog alone is no overload while the
+    /// dependency keeps its usual latency.
     pub(super) fn growth_factor(
         &mut self,
         backlog: usize,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Changes the gap by a factor, within its bounds.
+    /// Multiplies the gap by `factor`, within its bounds.
     pub(super) fn scale(&mut self, factor: f64, latency: f64) {
         self.gap =
             (self.gap * factor).clamp(MIN_GAP_LATENCIES * latency, MAX_GAP_LATENCIES * latency);
