--- a/crates/policy/src/controller/dependency_limiter/call_latency.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_latency.rs
@@ -1,27 +1,30 @@
-//! The latency of calls, and its baseline.
+//! The smoothed latency of calls, and its baseline.
 
 use super::super::smoothing::smooth;
 use crate::interface::Micros;
 
-/// Share of the tightest latency objective that a call is assumed to take before one was measured.
+/// Assumed latency before the first call was measured, as a share of the tightest latency
+/// objective.
 const INITIAL_OBJECTIVE_SHARE: f64 = 0.1;
-/// Calls falter when their smoothed latency is this multiple of the baseline.
+/// Multiple of the baseline above which the smoothed latency counts as degraded.
 const DEGRADED_LATENCY_FACTOR: f64 = 2.0;
-/// Weight of one call in the baseline: a passing fault does not move it, a lasting change does.
+/// Weight of one call in the baseline. Low enough that only a lasting change moves the baseline,
+/// and a transient fault does not.
 const BASELINE_SAMPLE_WEIGHT: f64 = 0.002;
-/// Weight by which the latency returns to the baseline during one latency without calls: nothing
-/// else would correct it.
+/// Weight by which the smoothed latency returns to the baseline after one call latency without
+/// calls. Without calls nothing else would correct it.
 const IDLE_DECAY_WEIGHT: f64 = 0.25;
 
 /// Smoothed latency of calls, in microseconds.
 #[derive(Debug, Clone)]
 pub(super) struct CallLatency {
     smoothed: f64,
-    /// The latency that is usual; 0 before the first reply.
+    /// Long-term latency; 0 before the first reply.
     baseline: f64,
-    /// When a call was last in flight, or the latency last faded.
+    /// Last time at which a call was in flight or the latency decayed.
     idle_since: Micros,
-    /// Shorter latencies than one period differ by chance.
+    /// Lower bound of the baseline when detecting degradation: differences between latencies below
+    /// one period are noise.
     period: Micros,
 }
 
@@ -43,7 +46,7 @@
         self.baseline
     }
 
-    /// Returns whether calls take much longer than usual.
+    /// Returns whether calls take much longer than the baseline.
     pub(super) fn is_degraded(&self) -> bool {
         self.smoothed > DEGRADED_LATENCY_FACTOR * self.baseline.max(self.period as f64)
     }
@@ -66,7 +69,7 @@
         self.smoothed = smooth(self.smoothed, elapsed as f64).max(1.0);
     }
 
-    /// Moves a high latency back towards the baseline while no call is in flight.
+    /// Moves an elevated latency back towards the baseline while no call is in flight.
     pub(super) fn decay(&mut self, now: Micros, in_flight: usize) {
         let is_idle = now >= self.idle_since + self.smoothed as Micros;
         if in_flight > 0 {
