--- a/crates/policy/src/controller/dependency_limiter/call_limit.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_limit.rs
@@ -1,14 +1,15 @@
-//! The limit on concurrent calls: additive increase, multiplicative decrease.
+//! The limit on concurrent calls: additive increase, multiplicative decrease (AIMD).
 
 use crate::interface::Micros;
 
-/// A limit that grows by about one in a round of good calls, and is halved when calls falter.
+/// A limit that grows by about one per round of timely calls, and is halved when calls are
+/// degraded.
 #[derive(Debug, Clone)]
 pub(super) struct CallLimit {
     limit: f64,
     minimum: f64,
     maximum: f64,
-    /// The last call that ended faltered.
+    /// Whether the last ended call indicated a degraded dependency.
     is_degraded: bool,
     halved_at: Micros,
 }
@@ -32,7 +33,7 @@
         self.is_degraded
     }
 
-    /// Adjusts the limit to the end of a call; at most one halving per call latency.
+    /// Adjusts the limit after the end of a call. It is halved at most once per call latency.
     pub(super) fn on_call_ended(&mut self, now: Micros, is_degraded: bool, latency: f64) {
         self.is_degraded = is_degraded;
         if !is_degraded {
