--- a/crates/policy/src/controller/dependency_limiter/call_quota.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_quota.rs
@@ -1,28 +1,28 @@
-//! This server's quota of calls, as a mean over a window of time.
+//! This server's quota of concurrent calls, as a mean over a time window.
 
 use super::USABLE_SHARE;
 use crate::interface::Micros;
 
-/// Share of the window by which the mean may run ahead of the quota: little in comparison with what
-/// the mean forgives.
+/// Maximum budget, as a share of the quota's call time per window. Small compared with the bursts
+/// that a mean over the window tolerates anyway.
 const BURST_SHARE: f64 = 0.1;
 
-/// When a call occupied the dependency.
+/// The time during which a call occupied the dependency.
 #[derive(Debug, Clone, Copy)]
 struct CallSpan {
     made_at: Micros,
     released_at: Micros,
 }
 
-/// The quota and what was used of it.
+/// The quota of call time and its usage.
 #[derive(Debug, Clone)]
 pub(super) struct CallQuota {
-    /// Concurrent calls, as a mean over the window, with a margin taken off.
+    /// Mean number of concurrent calls allowed over the window, less the headroom.
     mean_concurrency: f64,
     window: Micros,
-    /// Call time that the quota still allows, in microseconds; negative where it was overdrawn.
+    /// Remaining call time, in microseconds; negative when overdrawn.
     budget: f64,
-    /// The calls that ended within the last window.
+    /// Calls that ended within the last window.
     recent: Vec<CallSpan>,
 }
 
@@ -36,12 +36,13 @@
         }
     }
 
-    /// The most calls that may ever be in flight at a time.
+    /// Returns the maximum number of calls in flight.
     pub(super) fn max_concurrency(&self) -> f64 {
         self.mean_concurrency.max(1.0)
     }
 
-    /// The call time of one window that the quota without its margin stands for, in microseconds.
+    /// Returns the call time that the full quota, headroom included, allows per window, in
+    /// microseconds.
     pub(super) fn call_time_per_window(&self) -> f64 {
         self.mean_concurrency / USABLE_SHARE * self.window as f64
     }
@@ -50,7 +51,8 @@
         self.budget >= 0.0
     }
 
-    /// Returns how many calls occupy the dependency: those in flight and those that linger there.
+    /// Returns the number of calls that occupy the dependency: those in flight, and abandoned ones
+    /// that it still works on.
     pub(super) fn concurrency(&self, now: Micros, in_flight: usize) -> usize {
         let lingering = self
             .recent
@@ -60,11 +62,11 @@
         in_flight + lingering
     }
 
-    /// Returns the call time that is left of the last window, in microseconds, where the quota is
-    /// below one call.
+    /// Returns the remaining call time of the last window, in microseconds, where the quota is
+    /// below one concurrent call.
     ///
-    /// This protects a dependency that turns slow, when all servers at once make calls as long as
-    /// they may.
+    /// This protects a dependency that becomes slow, when the calls of all servers last as long as
+    /// their timeouts allow.
     pub(super) fn remaining_time(&self, now: Micros) -> Option<f64> {
         let window_start = now.saturating_sub(self.window);
         let used: Micros = self
@@ -85,7 +87,7 @@
         });
     }
 
-    /// Refills the budget for the time `elapsed`, less what the calls of that time used.
+    /// Refills the budget for a period of length `elapsed`, less the call time used in it.
     pub(super) fn adjust(&mut self, now: Micros, elapsed: Micros, in_flight: usize) {
         self.recent
             .retain(|call| call.released_at + self.window > now);
