--- a/crates/policy/src/controller/feedback.rs
+++ b/crates/policy/src/controller/feedback.rs
@@ -1,27 +1,26 @@
-//! Feedback to callers: the advertised capacity, and which idle connections are closed.
+//! Feedback to callers: the advertised capacity, and the idle timeout of connections.
 
 use super::concurrency::BUSY_TASKS_PER_CORE;
 use super::Controller;
 use crate::interface::{Action, FeedbackKind, Micros};
 
-/// The least advertised capacity: with none, no caller would notice a recovery.
+/// Minimum advertised capacity. With none, no caller would send requests and notice a recovery.
 const MIN_ADVERTISED_CAPACITY: f64 = 0.1;
-/// Requests per parallel run that one caller may have here: one that runs, and one that is on its
-/// way or queued.
+/// Allowance of outstanding requests per parallel run: one that runs, and one in transit or queued.
 const REQUESTS_PER_RUN: f64 = 2.0;
-/// The feedback value is renewed when the capacity has moved by this much.
+/// Change of the capacity from which the feedback value is updated.
 const MIN_CAPACITY_CHANGE: f64 = 0.03;
-/// The idle timeout is renewed when it has changed by more than this share.
+/// Relative change above which the idle timeout is updated.
 const IDLE_TIMEOUT_TOLERANCE: f64 = 0.1;
 
-/// What callers were last advised of.
+/// The feedback that callers received last.
 #[derive(Debug, Clone)]
 pub(super) struct Feedback {
-    /// The capacity that callers are to be advised of, from 0 to 1, before the read delay counts.
+    /// Capacity to advertise, from 0 to 1, before the read delay is deducted.
     pub(super) capacity: f64,
-    /// The capacity that the last feedback value stood for.
+    /// Capacity that was advertised last, from 0 to 1.
     last_advertised: f64,
-    /// For how long an idle connection is kept, in microseconds.
+    /// Time for which an idle connection is kept open, in microseconds.
     idle_timeout: f64,
 }
 
@@ -36,7 +35,7 @@
 }
 
 impl Controller {
-    /// Lowers the advertised capacity while requests wait too long, and raises it otherwise.
+    /// Lowers the capacity to advertise while requests wait too long, and raises it otherwise.
     pub(super) fn adjust_advertised_capacity(&mut self, elapsed: Micros) {
         let load = self.queue_load();
         let total_wait = load.waiting_time + self.arrivals.read_delay;
@@ -47,7 +46,7 @@
         self.feedback.capacity = capacity.clamp(MIN_ADVERTISED_CAPACITY, highest);
     }
 
-    /// Advises callers of the capacity. It moves in small steps, so that they do not herd.
+    /// Advertises the capacity to callers. It changes in small steps, which prevents herding.
     pub(super) fn advertise_capacity(&mut self, actions: &mut Vec<Action>) {
         let capacity = self.capacity_to_advertise();
         let last = self.feedback.last_advertised;
@@ -69,26 +68,28 @@
         (self.feedback.capacity * (1.0 - delay_share)).max(MIN_ADVERTISED_CAPACITY)
     }
 
-    /// Returns the feedback value for a capacity, in the terms of this deployment's callers.
+    /// Returns the feedback value for a capacity, as the callers of this deployment interpret it.
     fn feedback_value(&self, capacity: f64) -> Option<f64> {
         let classes = self.settings.classes.len().max(1) as f64;
         match self.settings.feedback {
             FeedbackKind::Unused => None,
             FeedbackKind::Weight => Some(capacity),
             FeedbackKind::MinimumRank => Some((1.0 - capacity) * (1.0 - 1.0 / classes)),
-            // All that fits, for each caller: few callers send most requests, and a fixed share
-            // would keep them from cores that the others leave idle. If together they send too much,
-            // the capacity falls.
+            // Each caller may use the whole capacity: few callers send most of the requests, and a
+            // fixed share would keep them from cores that the others leave idle. If all callers
+            // together send too much, the capacity falls.
             FeedbackKind::ConcurrencyAllowance => {
                 Some(capacity * REQUESTS_PER_RUN * self.parallel_runs())
             }
         }
     }
 
-    /// Has idle connections closed that are unlikely to carry another request soon.
+    /// Adjusts the idle timeout so that connections unlikely to carry another request soon are
+    /// closed.
     ///
-    /// With many callers each comes too seldom. A full connection table costs cores and keeps other
-    /// callers out. Under load fewer connections are closed, since opening new ones would add to it.
+    /// With many callers each one rarely reuses its connection. A full connection table costs CPU
+    /// time and keeps other callers out. Under load fewer connections are closed, since opening new
+    /// ones would add to the load.
     pub(super) fn adjust_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let client_timeout = self.settings.client_idle_timeout as f64;
         let callers = f64::from(self.settings.callers);
