--- a/crates/policy/src/controller/key_usage.rs
+++ b/crates/policy/src/controller/key_usage.rs
@@ -1,16 +1,16 @@
-//! The table of idempotency keys, as far as the controller has to know it.
+//! The controller's view of the table of idempotency keys.
 
 use crate::interface::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// The entries of the table and when they expire.
+/// Entries of the table of keys and their expiry times.
 #[derive(Debug, Clone)]
 pub(super) struct KeyUsage {
-    /// Entries that the controller itself inserts and removes.
+    /// Expiry times of the entries that the controller itself inserts and removes.
     entries: BTreeMap<RequestId, Micros>,
-    /// Entries of the table of cached results, as it was last reported.
+    /// Last reported number of entries in the table of cached results.
     reported_entries: usize,
-    /// The table of cached results takes further entries.
+    /// Whether the table of cached results takes further entries.
     pub(super) has_capacity: bool,
 }
 
@@ -35,7 +35,7 @@
         self.entries.insert(id, expires_at);
     }
 
-    /// Removes an entry. Returns whether there was one.
+    /// Removes an entry. Returns whether it existed.
     pub(super) fn remove(&mut self, id: RequestId) -> bool {
         self.entries.remove(&id).is_some()
     }
@@ -44,7 +44,7 @@
         self.entries.retain(|_, expires_at| *expires_at > now);
     }
 
-    /// Takes over the usage that the table of cached results reports.
+    /// Records the usage that the table of cached results reports.
     pub(super) fn on_usage_report(&mut self, entries: usize, has_capacity: bool) {
         self.reported_entries = entries;
         self.has_capacity = has_capacity;
