--- a/crates/policy/src/controller/memory.rs
+++ b/crates/policy/src/controller/memory.rs
@@ -1,11 +1,11 @@
-//! Memory: what requests and the table of keys take of it.
+//! Memory usage of requests and of the table of keys.
 
 use super::request_state::{RequestStage, RequestState};
 use super::{Controller, USABLE_SHARE};
 use crate::interface::{Action, Micros, RequestId};
 
 impl Controller {
-    /// Returns the memory that requests, keys and a predecessor take.
+    /// Returns the memory used by requests, keys and a predecessor, in kB.
     pub(super) fn memory_kb(&self) -> f64 {
         let requests: f64 = self
             .requests
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Memory of a running request, as a multiple of its memory while queued.
+    /// Returns the memory of a running request, as a multiple of its memory while queued.
     pub(super) fn running_memory_factor(&self) -> f64 {
         self.settings.running_memory_factor.max(1.0)
     }
 
-    /// Returns whether `more_kb` would exceed the memory, less a margin for what is not seen yet.
+    /// Returns whether another `more_kb` would exceed the usable share of the memory.
     pub(super) fn exceeds_memory(&self, more_kb: f64) -> bool {
         self.memory_kb() + more_kb > USABLE_SHARE * self.settings.memory_kb
     }
