--- a/crates/policy/src/controller/priority.rs
+++ b/crates/policy/src/controller/priority.rs
@@ -1,4 +1,4 @@
-//! The priority of a request among others, and the rank below which arrivals are rejected.
+//! The priority of requests, and the rank threshold below which arrivals are rejected.
 
 use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::RequestState;
@@ -6,19 +6,19 @@
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// Arrivals that a rank is measured against: enough for steps of two in a hundred.
+/// Number of recent arrivals that a rank is computed from. Gives ranks a resolution of 2 %.
 const RECENT_ARRIVALS: usize = 64;
-/// Priorities that differ by less than this share are equal.
+/// Relative difference up to which priorities count as equal.
 const PRIORITY_TOLERANCE: f64 = 0.001;
-/// Share of its urgency that a request keeps at least after its latency objective.
+/// Minimum share of its urgency that a request keeps after its latency objective.
 const MIN_LATE_URGENCY_RATIO: f64 = 0.01;
 
-/// Rejects arrivals by their rank among recent ones.
+/// Filter that rejects arrivals by their rank among recent ones.
 #[derive(Debug, Clone)]
 pub(super) struct PriorityFilter {
-    /// Arrivals of a lower rank are rejected while others wait; from 0 to 1.
+    /// Rank below which arrivals are rejected while others wait, from 0 to 1.
     pub(super) threshold: f64,
-    /// The priorities of the latest arrivals.
+    /// Priorities of the most recent arrivals.
     recent: VecDeque<f64>,
 }
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns the share of recent arrivals of lower priority. Among equal ones, `rank_in_class`
-    /// decides.
+    /// Returns the share of recent arrivals with lower priority. `rank_in_class` gives the position
+    /// among those with equal priority.
     fn rank(&self, priority: f64, rank_in_class: f64) -> f64 {
         let lower = self
             .recent
@@ -55,8 +55,9 @@
 }
 
 impl Controller {
-    /// Returns the weight earned per unit of run time, the requests that share the response
-    /// included. A tenant over its quota, beyond what chance gives, counts for less.
+    /// Returns the weight earned per microsecond of run time, including the requests that share the
+    /// response. The weight is reduced for a tenant that exceeds its quota by more than random
+    /// variation.
     pub(super) fn priority(&self, request: &RequestState) -> f64 {
         let weight = request.value.weight
             * f64::from(1 + request.sharing_requests)
@@ -69,7 +70,7 @@
         self.clock.now as f64 + self.run_time(request) > request.timing.objective_at as f64
     }
 
-    /// Returns the priority, less what a response after the latency objective loses.
+    /// Returns the priority, reduced where the response would come after the latency objective.
     pub(super) fn urgency(&self, request: &RequestState) -> f64 {
         let weight_ratio = if self.is_late(request) {
             self.class(request)
@@ -81,7 +82,7 @@
         self.priority(request) * weight_ratio
     }
 
-    /// Returns the mean weight ratio of a tenant's requests: 1 within its quota.
+    /// Returns the mean weight ratio of a tenant's requests, which is 1 within its quota.
     fn quota_factor(&self, tenant: usize) -> f64 {
         let Some(tenant_settings) = self.settings.tenants.get(tenant) else {
             return 1.0;
@@ -98,7 +99,8 @@
         quota_share + (1.0 - quota_share) * self.settings.over_quota_weight_ratio
     }
 
-    /// Returns how far back arrivals count, in microseconds: the longest that a client waits.
+    /// Returns the window over which arrivals are counted, in microseconds: the longest client
+    /// timeout.
     pub(super) fn statistics_window(&self) -> f64 {
         let longest_timeout = self
             .settings
@@ -116,8 +118,8 @@
             .rank(self.priority(request), request.value.rank_in_class)
     }
 
-    /// Raises the rank threshold while queued work takes longer than it may, and lowers it
-    /// otherwise.
+    /// Raises the rank threshold while the queued work needs more than the allowed time, and lowers
+    /// it otherwise.
     pub(super) fn adjust_rank_threshold(&mut self, elapsed: Micros) {
         let load = self.queue_load();
         let excess =
