--- a/crates/policy/src/controller/queue.rs
+++ b/crates/policy/src/controller/queue.rs
@@ -1,25 +1,28 @@
-//! The queue: the order in which requests run, and which are shed so that the others are in time.
+//! The queue: the order in which requests run, and which requests are shed so that the others
+//! finish in time.
 
 use super::request_state::RequestState;
 use super::Controller;
 use crate::interface::{Action, Micros, RequestId};
 
-/// Share of the time between a run and its latency objective that queued work may need: the rest
-/// absorbs uneven runs.
+/// Share of the slack before the latency objective that queued work may use. The rest absorbs the
+/// variance of run times.
 pub(super) const QUEUE_TIME_SHARE: f64 = 0.5;
-/// Share of its latency objective that a class leaves for queueing at least, however long its runs.
+/// Minimum slack for queueing, as a share of the latency objective, however long the runs of a
+/// class take.
 const MIN_SLACK_SHARE: f64 = 0.1;
 
-/// The time that queued work needs, and the time that it may need; both in microseconds.
+/// The time that the queued work needs, and the time that it may take; both in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QueueLoad {
-    /// Until all queued work is started.
+    /// Expected time until all queued work is started.
     pub(super) waiting_time: f64,
-    /// What the class with the tightest latency objective allows.
+    /// Time allowed by the class with the least slack before its latency objective.
     pub(super) allowed_time: f64,
 }
 
-/// Position in the queue: requests in time come first, by the time at which they are wanted.
+/// Position in the queue: requests that can meet their objective come first, each group by due
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     is_late: bool,
@@ -28,7 +31,7 @@
 }
 
 impl Controller {
-    /// Returns the queued requests in the order in which they are to run.
+    /// Returns the ids of the queued requests in the order in which they run.
     pub(super) fn run_order(&self) -> Vec<RequestId> {
         let mut queue: Vec<QueuePosition> = self
             .requests
@@ -53,8 +56,8 @@
         }
     }
 
-    /// Sheds queued requests until all others can end in time. Early, so that their callers can
-    /// still go elsewhere.
+    /// Sheds queued requests until all others can finish in time. Shedding early lets their callers
+    /// still fail over to another server.
     pub(super) fn shed(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.next_to_shed() {
             let Some(request) = self.requests.remove(id) else {
@@ -64,8 +67,8 @@
         }
     }
 
-    /// Returns the least urgent request among the first that can't end in time and those that run
-    /// before it.
+    /// Returns the request to shed next, if any: the least urgent one among the first request that
+    /// can't finish in time and those that run before it.
     fn next_to_shed(&self) -> Option<RequestId> {
         let has_free_core = self.cores_in_use() < self.concurrency.limit();
         let mut work_ahead = 0.0;
@@ -93,8 +96,8 @@
         None
     }
 
-    /// Returns whether a request that starts after `wait` ends in time. Where it is the only one it
-    /// may run in any case, so that a recovery is noticed.
+    /// Returns whether a request that starts after `wait` microseconds finishes in time. If it is
+    /// the only request it may always run, so that a recovery is noticed.
     fn can_finish_in_time(&self, request: &RequestState, wait: f64) -> bool {
         let end = self.clock.now as f64 + wait + self.run_time(request);
         let latest = self.latest_useful_time(request);
@@ -105,7 +108,7 @@
                 .all(|other| other.is_settled || other.id == request.id)
     }
 
-    /// Returns until when a response to the request earns anything.
+    /// Returns the time until which a response to the request earns any weight.
     pub(super) fn latest_useful_time(&self, request: &RequestState) -> Micros {
         if self.class(request).late_weight_ratio > 0.0 {
             request.timing.respond_by
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Returns the time that the queued work needs, and what the tightest class allows.
+    /// Returns the time that the queued work needs, and the time that it may take.
     pub(super) fn queue_load(&self) -> QueueLoad {
         let work: f64 = self
             .requests
