--- a/crates/policy/src/controller/random.rs
+++ b/crates/policy/src/controller/random.rs
@@ -1,6 +1,6 @@
-//! The controller's own random numbers.
+//! The controller's random number generator.
 
-/// The generator splitmix64: small, fast, and the same sequence for the same seed on every machine.
+/// The SplitMix64 generator: small, fast, and reproducible from its seed on every machine.
 #[derive(Debug, Clone)]
 pub(super) struct SplitMix64 {
     state: u64,
