--- a/crates/policy/src/controller/request_state.rs
+++ b/crates/policy/src/controller/request_state.rs
@@ -1,65 +1,66 @@
-//! A request as the controller knows it, and the table of all of them.
+//! The controller's state of a request, and the table of requests.
 
 use crate::interface::{Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// How far a request has come.
+/// Stage of a request's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestStage {
-    /// It waits to be started.
+    /// The request waits to be started.
     Queued,
-    /// It occupies a core.
+    /// The request occupies a core.
     Running,
-    /// Its run waits for a call to the dependency that was not made yet, or has to be made again.
+    /// The run waits for a call to the dependency that has not been made yet or has to be repeated.
     AwaitingCall,
-    /// Its call is in flight.
+    /// The call is in flight.
     Calling,
-    /// It waits for the outcome of the request that it repeats.
+    /// The request waits for the outcome of the request with this id, which it repeats.
     Sharing(RequestId),
 }
 
-/// The times of a request.
+/// Arrival time, deadline and objective of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestTiming {
     pub(super) arrived_at: Micros,
     pub(super) respond_by: Micros,
-    /// When its response stops earning the full weight.
+    /// Time after which a response no longer earns the full weight.
     pub(super) objective_at: Micros,
 }
 
-/// What a response to the request is worth, and what it costs.
+/// Weight that a response to the request earns, and its relative cost.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestValue {
     pub(super) weight: f64,
-    /// Its work over the usual work of its class.
+    /// Work of the request relative to the typical work of its class.
     pub(super) relative_size: f64,
-    /// Its position among the requests of its class, from 0 to 1.
+    /// Rank of the request within its class, from 0 to 1.
     pub(super) rank_in_class: f64,
 }
 
-/// A request that is not over: it has no response yet, or still occupies a core or a call.
+/// A live request: it has no response yet, or still occupies a core, memory or a call.
 #[derive(Debug, Clone)]
 pub(super) struct RequestState {
     pub(super) id: RequestId,
     pub(super) class: usize,
     pub(super) tenant: usize,
     pub(super) is_retry: bool,
-    /// Its result is to be cached.
+    /// Whether the result is to be cached.
     pub(super) caches_result: bool,
-    /// Memory while queued.
+    /// Memory while queued, in kB.
     pub(super) memory_kb: f64,
     pub(super) timing: RequestTiming,
     pub(super) value: RequestValue,
     pub(super) stage: RequestStage,
-    /// It has its response, or nobody waits for one: only its core, memory or call is still taken.
+    /// Whether the request has its response, or nobody waits for one. A settled request only
+    /// occupies its core, memory or call.
     pub(super) is_settled: bool,
-    /// Requests that wait to share its response.
+    /// Number of requests that wait to share its response.
     pub(super) sharing_requests: u32,
-    /// When its last call was made.
+    /// Time at which its last call was made.
     pub(super) call_made_at: Micros,
 }
 
-/// The requests that are not over, by id.
+/// The live requests, by id.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, RequestState>,
@@ -82,17 +83,17 @@
         self.requests.remove(&id)
     }
 
-    /// All requests, by ascending id.
+    /// Iterates over all requests, by ascending id.
     pub(super) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.requests.values()
     }
 
-    /// All requests, by ascending id.
+    /// Iterates mutably over all requests, by ascending id.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut RequestState> {
         self.requests.values_mut()
     }
 
-    /// The queued requests, by ascending id.
+    /// Iterates over the queued requests, by ascending id.
     pub(super) fn queued(&self) -> impl Iterator<Item = &RequestState> {
         self.iter()
             .filter(|request| request.stage == RequestStage::Queued)
@@ -108,24 +109,25 @@
         }
     }
 
-    /// Removes one request from those that wait to share the response of `original`.
+    /// Decrements the number of requests that wait to share the response of `original`.
     pub(super) fn remove_sharing_request(&mut self, original: RequestId) {
         if let Some(original) = self.requests.get_mut(&original) {
             original.sharing_requests = original.sharing_requests.saturating_sub(1);
         }
     }
 
-    /// Requests that occupy a core.
+    /// Returns the number of requests that occupy a core.
     pub(super) fn running_count(&self) -> usize {
         self.count(|stage| stage == RequestStage::Running)
     }
 
-    /// Runs that wait for their call or have it in flight: they occupy no core.
+    /// Returns the number of runs that wait for their call or have it in flight. They occupy no
+    /// core.
     pub(super) fn in_call_count(&self) -> usize {
         self.count(|stage| matches!(stage, RequestStage::AwaitingCall | RequestStage::Calling))
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub(super) fn calling_count(&self) -> usize {
         self.count(|stage| stage == RequestStage::Calling)
     }
