--- a/crates/policy/src/controller/responses.rs
+++ b/crates/policy/src/controller/responses.rs
@@ -5,17 +5,17 @@
 use super::Controller;
 use crate::interface::{Action, Effect, Micros, Preemption, RequestId};
 
-/// Share of retries among arrivals from which a rejection is not to be retried elsewhere: the other
-/// servers reject too.
+/// Share of retries among arrivals above which rejected requests must not fail over: the other
+/// servers are rejecting requests, too.
 const NO_FAILOVER_RETRY_RATIO: f64 = 0.1;
-/// The same by the read delay, as a share of the time that queued work may need: being read again
-/// elsewhere costs too much.
+/// Read delay above which rejected requests must not fail over, as a share of the time that queued
+/// work may take: being read again elsewhere costs too much.
 const NO_FAILOVER_READ_DELAY_SHARE: f64 = 0.3;
-/// The least factor by which the time to retry after is spread at random; the greatest is one more.
+/// Minimum of the random factor applied to Retry-After. The maximum is greater by 1.
 const MIN_RETRY_AFTER_JITTER: f64 = 0.5;
 
 impl Controller {
-    /// Responds to all requests whose deadline comes before the next period.
+    /// Responds to all requests whose deadline comes before the next adjustment period.
     pub(super) fn respond_to_due(&mut self, actions: &mut Vec<Action>) {
         let next_period = self.clock.now + self.clock.period;
         let due: Vec<RequestId> = self
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Rejects a request that never ran here.
+    /// Rejects a request that never ran on this server.
     pub(super) fn reject(&mut self, request: &RequestState, actions: &mut Vec<Action>) {
         let load = self.queue_load();
         let read_delay = self.arrivals.read_delay;
@@ -51,8 +51,8 @@
         let spread = MIN_RETRY_AFTER_JITTER + self.random.next_f64();
         let recovery_time = (excess.max(0.0) * spread) as Micros;
         let lacks_key_capacity = request.caches_result && !self.keys.has_capacity;
-        // Never without a time to retry after: a request that is rejected now may be admitted in
-        // the next period.
+        // A rejection always carries a Retry-After time, since the request may be admitted as soon
+        // as in the next period.
         let retry_after = if self.is_draining_without_successor() || lacks_key_capacity {
             Micros::MAX
         } else {
@@ -69,15 +69,15 @@
         self.remove_key(request.id, actions);
     }
 
-    /// Fails a request that may have run or waits for another. What it occupies stays counted until
-    /// its run ends.
+    /// Fails a request that may have run, or that waits for another. The resources of its run stay
+    /// accounted for until the run ends.
     pub(super) fn fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         actions.push(Action::Fail(id));
         self.settle(id, actions);
     }
 
-    /// Notes that a request needs no response any longer. Its run goes on where it can't be
-    /// preempted or has an effect.
+    /// Records that a request needs no further response. Its run continues if it can't be preempted
+    /// or is not idempotent.
     pub(super) fn settle(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
