--- a/crates/policy/src/controller/shutdown.rs
+++ b/crates/policy/src/controller/shutdown.rs
@@ -1,25 +1,27 @@
-//! Graceful shutdown: the grace after the notice, the stop, and a successor that takes over.
+//! Graceful shutdown: the drain grace period, the time by which all responses are sent, and
+//! takeover by a successor.
 
 use super::request_state::RequestState;
 use super::Controller;
 use crate::interface::{Action, Micros};
 
-/// Times of response slack by which everything is answered before the stop.
+/// Multiple of the response slack by which the last response precedes the stop of the process.
 const STOP_MARGIN_SLACKS: u64 = 2;
 
-/// A shutdown that has begun.
+/// State of a shutdown in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Shutdown {
-    /// Requests that reached the machine later must not run.
+    /// End of the drain grace period. Requests that reach the machine later must not run.
     last_arrival: Micros,
-    /// Every request has its response by then.
+    /// Time by which every request must have its response.
     stop_at: Micros,
-    /// A successor has taken over: callers are not sent elsewhere.
+    /// Whether a successor has taken over, in which case callers need not use other servers.
     is_replaced: bool,
 }
 
 impl Controller {
-    /// Begins to shut down. A further notice moves the stop; the grace counts from the first.
+    /// Begins to shut down. A repeated notice changes the stop time, but not the end of the grace
+    /// period.
     pub(super) fn begin_shutdown(
         &mut self,
         stop_at: Micros,
@@ -48,18 +50,20 @@
         }
     }
 
-    /// Returns whether callers have to use other servers.
+    /// Returns whether this server drains without a successor, so that callers have to use other
+    /// servers.
     pub(super) fn is_draining_without_successor(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| !shutdown.is_replaced)
     }
 
-    /// Returns whether the request reached the machine after the grace, so that it must not run.
+    /// Returns whether the request reached the machine after the drain grace period, so that it
+    /// must not run.
     pub(super) fn arrived_after_grace(&self, request: &RequestState) -> bool {
         self.shutdown
             .is_some_and(|shutdown| request.timing.arrived_at > shutdown.last_arrival)
     }
 
-    /// Returns a deadline, or the stop where that comes first.
+    /// Returns the earlier of a deadline and the time by which all responses are due.
     pub(super) fn cap_at_stop(&self, deadline: Micros) -> Micros {
         self.shutdown
             .map_or(deadline, |shutdown| deadline.min(shutdown.stop_at))
