--- a/crates/policy/src/controller/smoothing.rs
+++ b/crates/policy/src/controller/smoothing.rs
@@ -1,6 +1,6 @@
 //! Exponential smoothing of measured times.
 
-/// Weight of one sample: a small server sees one or two per second, and a few of them must suffice.
+/// Weight of one sample. A small server gets one or two samples per second, so a few must suffice.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
 /// Returns `smoothed`, moved towards `sample`.
