--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that were read, and connections of the client side that were lost.
+//! Requests that were read, and client connections that were lost.
 
 use crate::command::Command;
 use crate::dispatcher::Dispatcher;
@@ -12,8 +12,8 @@
     Class, Effect, Event as ControllerEvent, Micros, Request, RequestId,
 };
 
-/// Share of the memory that may wait for recovered keys or cached results: the controller does not
-/// know of these requests, and leaves little more than this to others.
+/// Share of the memory for requests that wait for recovered keys or cached results. The controller
+/// does not account for these requests, and leaves little more memory than this unused.
 const UNCONTROLLED_MEMORY_SHARE: f64 = 0.1;
 
 impl Dispatcher {
@@ -33,7 +33,8 @@
             });
             return;
         };
-        // Every attempt has a new id: one that is known may run, and must not run again.
+        // Every attempt has a new id. A request whose id is known may be running, and must not run
+        // twice.
         if self.is_known(incoming.id) {
             self.respond_unregistered(&incoming, Response::Failed, commands);
             return;
@@ -48,7 +49,8 @@
         self.register(now, incoming, request, received_at, respond_by, commands);
     }
 
-    /// Decides on a request by its key, and enters it into the table unless it has its response.
+    /// Decides on a request by its key, and adds it to the table unless it gets its response at
+    /// once.
     fn register(
         &mut self,
         now: Micros,
@@ -128,13 +130,13 @@
         self.respond_unregistered(incoming, response, commands);
     }
 
-    /// Returns whether a request with this id is open or still runs.
+    /// Returns whether a request with this id is pending or still runs.
     pub(crate) fn is_known(&self, id: RequestId) -> bool {
         let runs = self.keys.as_ref().is_some_and(|keys| keys.table.is_run(id));
         runs || self.requests.contains(id)
     }
 
-    /// Notes that nobody waits any longer for the requests of these client streams.
+    /// Abandons the pending requests of the matching client streams, whose callers no longer wait.
     pub(crate) fn abandon_requests(
         &mut self,
         now: Micros,
@@ -155,7 +157,7 @@
     }
 }
 
-/// Returns the state of a request that waits for the controller, without its body.
+/// Returns the state of a queued request, without its body.
 fn queued_state(
     incoming: &IncomingRequest,
     request: Request,
@@ -178,15 +180,15 @@
     }
 }
 
-/// Returns when the request was received, within what is possible: clocks differ, but nothing comes
-/// from the future, or from longer ago than anyone waits.
+/// Limits the time of receipt to a plausible range, since clocks differ: not in the future, and not
+/// before any client would have timed out.
 fn clamp_received_at(now: Micros, received_at: Micros, class: &Class) -> Micros {
     received_at
         .min(now)
         .max(now.saturating_sub(class.client_timeout))
 }
 
-/// Returns the request as the controller is to know it.
+/// Converts an incoming request to the controller's type.
 fn controller_request(incoming: &IncomingRequest, class: &Class) -> Request {
     Request {
         id: incoming.id,
