--- a/crates/dispatcher/src/command.rs
+++ b/crates/dispatcher/src/command.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher wants its adapters to do.
+//! Commands that the dispatcher gives to its adapters.
 
 use crate::event::ClientStream;
 use crate::response::Response;
@@ -9,47 +9,47 @@
 /// A call to the dependency.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DependencyCall {
-    /// The request that it is made for.
+    /// Id of the request that the call is made for.
     pub id: RequestId,
-    /// Its body.
+    /// Body of the call.
     pub body: Vec<u8>,
-    /// Abandon it after this time.
+    /// Time after which the call is abandoned.
     pub timeout: Micros,
-    /// It may be made more than once.
+    /// Whether the call may be made more than once.
     pub is_idempotent: bool,
 }
 
-/// What the dispatcher wants done.
+/// A command to an adapter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Send the response to a request.
     Respond {
-        /// Where it goes.
+        /// Destination of the response.
         client: ClientStream,
         /// The response.
         response: Response,
     },
     /// Start a run.
     StartRun {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Its class.
+        /// Index of the request's class.
         class: usize,
-        /// Its body.
+        /// Body of the request.
         body: Vec<u8>,
     },
-    /// Give a run the reply to its call.
+    /// Resume a run with the reply to its call.
     ResumeWithReply {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The reply.
+        /// Body of the reply.
         body: Vec<u8>,
     },
-    /// Let a run go on without its call.
+    /// Resume a run without its call.
     ResumeWithoutCall {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The notice that requested the call.
+        /// Number of the notice that requested the call.
         notice: u64,
     },
     /// Stop a run.
@@ -60,21 +60,22 @@
     AbandonCall(RequestId),
     /// Read the gauges.
     ReadGauges,
-    /// Answer health checks like this from now on.
+    /// Set the response to health checks from now on: whether the server is healthy.
     SetHealth(bool),
-    /// Let every response carry this feedback value from now on.
+    /// Set the feedback value that responses carry from now on.
     SetFeedback(f64),
-    /// Close connections that were idle for this time, from now on.
+    /// From now on, close connections that have been idle for this time.
     CloseIdleConnections(Micros),
     /// Write or erase the record of a key.
     PersistKey(KeyCommand),
-    /// Load how the key of a request ended.
+    /// Load the recorded outcome of a request's key.
     LoadCachedResult {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Identifies this load. Never reused, whereas a request id may be once its request is over.
+        /// Identifies this load. Never reused, whereas a request id may be once its request is
+        /// over.
         load_number: u64,
-        /// Its key.
+        /// Key of the request.
         key: ScopedKey,
     },
 }
