--- a/crates/dispatcher/src/controller_actions.rs
+++ b/crates/dispatcher/src/controller_actions.rs
@@ -1,4 +1,4 @@
-//! The controller's actions, carried out on the requests that they are about.
+//! Execution of the controller's actions.
 
 use crate::command::{Command, DependencyCall};
 use crate::dispatcher::Dispatcher;
@@ -41,7 +41,7 @@
                 commands.push(Command::CloseIdleConnections(timeout));
             }
             Action::SetHealth { healthy, .. } => commands.push(Command::SetHealth(healthy)),
-            // The table of keys decides for how long keys are kept.
+            // The table of keys itself determines the lifetime of keys.
             Action::InsertKey { .. } | Action::RemoveKey(_) => {}
         }
     }
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Rejects a request. The promise that it never ran is only given where that is known.
+    /// Rejects a request if it is known that it never ran, and fails it otherwise.
     fn reject(
         &mut self,
         now: Micros,
@@ -89,7 +89,8 @@
     }
 
     fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        // The controller gives up a little before the deadline, so that the response is in time.
+        // The controller fails requests shortly before their deadline, so that the response is in
+        // time.
         let latest = self.driver.last_step_at + self.settings.response_slack;
         let is_due = self
             .requests
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Stops the run of a request that has its response; never one with an effect that its repeats
-    /// are given the result of.
+    /// Stops the run of a request that has its response. The run of a request with a key is never
+    /// stopped, since later attempts get its result.
     fn preempt(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Lets a request with a key wait for the outcome of its key. Without a key nothing is shared.
+    /// Makes a request with a key wait for the outcome of its key. Requests without a key share no
+    /// responses and fail.
     fn share_response(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         match self.requests.get_mut(id) {
             Some(request) if request.has_key => {
