--- a/crates/dispatcher/src/controller_timers.rs
+++ b/crates/dispatcher/src/controller_timers.rs
@@ -1,11 +1,12 @@
-//! The controller's timers, and the gauges that it gets with them.
+//! The controller's timers, and the gauges passed with their expiry.
 
 use cleatpulley_policy::interface::{Event as ControllerEvent, Gauges, Micros};
 use std::collections::BTreeSet;
 
-/// Gauges are read so long before a timer expires that they are there and fresh by then.
+/// Time before the expiry of a timer at which gauges are read, so that they are available and
+/// recent when it expires.
 const GAUGE_READ_LEAD: Micros = 4_000;
-/// Older gauges say nothing about the present.
+/// Age above which gauges are not passed to the controller.
 const MAX_GAUGE_AGE: Micros = 100_000;
 
 /// A timer of the controller.
@@ -15,13 +16,13 @@
     token: u64,
 }
 
-/// The timers that are set, and the gauges last read.
+/// Pending timers, and the last read gauges.
 #[derive(Debug, Default)]
 pub(crate) struct ControllerTimers {
     timers: BTreeSet<Timer>,
     gauges: Gauges,
     gauges_read_at: Micros,
-    /// Expiry of the timer that gauges were last requested for.
+    /// Expiry time of the timer for which gauges were last requested.
     gauges_requested_for: Micros,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Returns whether gauges have to be read now, and assumes that they are.
+    /// Returns whether gauges have to be read now, and records that they were requested.
     pub(crate) fn take_gauge_request(&mut self, now: Micros) -> bool {
         let Some(timer) = self.timers.first() else {
             return false;
@@ -68,7 +69,8 @@
         true
     }
 
-    /// Returns when there is something to do, given when the controller may step next.
+    /// Returns the time of the next expiry or gauge request, given the time of the controller's
+    /// next possible step.
     pub(crate) fn next_deadline(&self, next_step: Micros) -> Option<Micros> {
         let timer = self.timers.first()?;
         if timer.expires_at == self.gauges_requested_for {
