--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -1,28 +1,28 @@
-//! Counts of what became of requests, by class. This is the one place where that is counted; every
-//! process counts from 0.
+//! Counters of responses by class. All responses are counted here only; every process starts from
+//! 0.
 
 use crate::response::Response;
 
 /// The counters of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests served.
+    /// Number of requests served.
     pub served: u64,
-    /// Requests rejected.
+    /// Number of requests rejected.
     pub rejected: u64,
-    /// Requests that failed, the expired and the invalid ones included.
+    /// Number of requests that failed, including expired and invalid ones.
     pub failed: u64,
-    /// Requests whose deadline passed before any other response.
+    /// Number of requests whose deadline passed before any other response.
     pub expired: u64,
-    /// Requests that were at fault themselves.
+    /// Number of invalid requests.
     pub invalid: u64,
-    /// Runs handed to the runtime. One that is sent again after a lost connection counts once.
+    /// Number of runs sent to the runtime. A run sent again after a lost connection counts once.
     pub forwarded: u64,
 }
 
 impl ClassCounters {
-    /// Returns the failures that another server might have avoided: neither was the deadline over,
-    /// nor the request at fault.
+    /// Returns the number of failures that another server might have avoided: those of requests
+    /// that neither expired nor were invalid.
     #[must_use]
     pub fn server_failures(&self) -> u64 {
         self.failed - self.expired - self.invalid
@@ -53,13 +53,13 @@
         }
     }
 
-    /// By index of the class.
+    /// Returns the counters by class index.
     #[must_use]
     pub fn classes(&self) -> &[ClassCounters] {
         &self.classes
     }
 
-    /// The sum over all classes.
+    /// Returns the sum over all classes.
     #[must_use]
     pub fn total(&self) -> ClassCounters {
         let mut total = ClassCounters::default();
