--- a/crates/dispatcher/src/deadlines.rs
+++ b/crates/dispatcher/src/deadlines.rs
@@ -3,11 +3,11 @@
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// Pending requests by deadline.
+/// The pending requests, ordered by deadline.
 #[derive(Debug)]
 pub(crate) struct Deadlines {
     pending: BTreeSet<Deadline>,
-    /// No deadline is later: the stop is near.
+    /// Upper bound of all deadlines, set when the shutdown begins.
     latest: Micros,
 }
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Pending requests.
+    /// Returns the number of pending requests.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
@@ -43,17 +43,17 @@
         self.pending.remove(&Deadline { respond_by, id });
     }
 
-    /// Removes a request without its deadline being known.
+    /// Removes a request whose deadline is not known.
     pub(crate) fn remove_id(&mut self, id: RequestId) {
         self.pending.retain(|deadline| deadline.id != id);
     }
 
-    /// Returns a deadline, or the latest possible one where that comes first.
+    /// Returns the earlier of a deadline and the upper bound of all deadlines.
     pub(crate) fn cap(&self, respond_by: Micros) -> Micros {
         respond_by.min(self.latest)
     }
 
-    /// Brings all deadlines forward to `latest` at most. Returns them as they are then.
+    /// Limits all deadlines to `latest`, and returns them.
     pub(crate) fn cap_all(&mut self, latest: Micros) -> Vec<Deadline> {
         self.latest = latest;
         let capped: Vec<Deadline> = std::mem::take(&mut self.pending)
