--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's state, and how it passes events, time and decisions on.
+//! The dispatcher's state, and its processing of events, timers and controller steps.
 
 use crate::command::Command;
 use crate::controller_timers::ControllerTimers;
@@ -13,7 +13,7 @@
 use cleatpulley_policy::learned_state::{LearnedState, LearnedStateError};
 use cleatpulley_policy::Controller;
 
-/// The core of a server: the life cycle of its requests.
+/// Manages the life cycle of a server's requests.
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     pub(crate) driver: ControllerDriver,
@@ -21,25 +21,25 @@
     pub(crate) deadlines: Deadlines,
     pub(crate) timers: ControllerTimers,
     pub(crate) keys: Option<IdempotencyKeys>,
-    /// What the table of keys wants done.
+    /// Commands of the table of keys that have not been executed yet.
     pub(crate) key_commands: Vec<KeyCommand>,
     pub(crate) counters: Counters,
 }
 
-/// The controller, and what is exchanged with it in one step.
+/// The controller, with its pending events and the buffer of its actions.
 pub(crate) struct ControllerDriver {
     controller: Controller,
     is_started: bool,
-    /// When it last made a step.
+    /// Time of the controller's last step.
     pub(crate) last_step_at: Micros,
-    /// Events that wait for the next step.
+    /// Events for the controller's next step.
     pub(crate) events: Vec<ControllerEvent>,
     actions: Vec<Action>,
-    /// The usage of the table of keys that it was last notified of.
+    /// Usage of the table of keys that the controller was last notified of.
     pub(crate) reported_key_usage: KeyTableUsage,
 }
 
-/// The usage of the table of keys.
+/// Usage of the table of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KeyTableUsage {
     pub(crate) entries: usize,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Notes an event for the next step.
+    /// Queues an event for the controller's next step.
     pub(crate) fn notify(&mut self, event: ControllerEvent) {
         self.events.push(event);
     }
@@ -71,7 +71,7 @@
     /// Creates the dispatcher of a process that has just started.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
-        // A response must be the result of the request's own run: none is shared.
+        // A response must be the result of the request's own run, so responses are not shared.
         let settings = Settings {
             shared_response_lifetime: 0,
             ..settings
@@ -91,8 +91,8 @@
     /// Creates a dispatcher that caches the results of requests with an idempotency key.
     #[must_use]
     pub fn with_keys(mut settings: Settings, seed: u64, keys: IdempotencyKeys) -> Self {
-        // The controller forgets attempts that nobody can wait for any more; it is notified of the
-        // size of the table.
+        // The controller only has to remember a key while an attempt can still wait. It is notified
+        // of the size of the whole table.
         for class in &mut settings.classes {
             class.deduplication_window = class.deduplication_window.min(class.client_timeout);
         }
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Returns the number of known requests, those included that have their response and still run.
+    /// Returns the number of requests in the table, including those that have their response but
+    /// still run.
     #[must_use]
     pub fn request_count(&self) -> usize {
         self.requests.len()
@@ -114,16 +115,16 @@
         self.deadlines.len()
     }
 
-    /// Returns the counts of responses since the start.
+    /// Returns the counts of responses since the process started.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns what requests use of the machine.
+    /// Returns the resources of the machine that requests use.
     ///
-    /// The memory is what it will be once the cores have started as many queued requests as they
-    /// may: a successor leaves room for it, and would be notified of each start too late.
+    /// The memory includes what queued requests will need once the run limit is used up. A
+    /// successor reserves that memory, since it would be notified of each start too late.
     #[must_use]
     pub fn resource_usage(&self) -> ResourceUsage {
         let count = |matches: fn(RequestStage) -> bool| {
@@ -146,8 +147,9 @@
         }
     }
 
-    /// Returns the memory of all requests, and of those queued ones that may still start in
-    /// addition to `running` others. In whole bytes, so that the sum is the same in any order.
+    /// Returns the memory of all requests, with the running memory of those queued requests that
+    /// may start in addition to `running` others. Counted in whole bytes, so that the sum does not
+    /// depend on the order.
     fn reserved_memory_bytes(&self, running: usize) -> u64 {
         let factor = self.settings.running_memory_factor.max(1.0);
         let present: u64 = self
@@ -175,16 +177,16 @@
         present + growth.into_iter().take(starts).sum::<u64>()
     }
 
-    /// Returns what the controller has learned.
+    /// Returns the state that the controller has learned.
     #[must_use]
     pub fn learned_state(&self) -> LearnedState {
         self.driver.controller.learned_state()
     }
 
-    /// Restores what the controller of another process has learned on this machine.
+    /// Restores the state that the controller of another process has learned on this machine.
     ///
     /// # Errors
-    /// When a value is one that no controller can have; nothing is restored then.
+    /// Returns an error if a value is outside its valid range; nothing is restored then.
     pub fn restore_learned_state(
         &mut self,
         learned: &LearnedState,
@@ -192,7 +194,7 @@
         self.driver.controller.restore_learned_state(learned)
     }
 
-    /// Handles an event. What the controller has to decide waits for the next [`poll`](Self::poll).
+    /// Handles an event. Decisions of the controller are made in the next [`poll`](Self::poll).
     pub fn handle_event(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::RuntimeReady(since) => self.start(now, now.saturating_sub(since), commands),
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Lets the controller decide where it is time to, and keeps deadlines. Events are gathered
-    /// into one step, and steps are no closer than the tick.
+    /// Runs a step of the controller if one is due, and responds to expired requests. Events are
+    /// batched into steps that are at least one tick apart.
     pub fn poll(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.poll_keys(now, commands);
         if now >= self.next_step_at() {
@@ -267,7 +269,8 @@
         self.respond_to_expired(now, commands);
     }
 
-    /// Returns when [`poll`](Self::poll) has something to do next, if there is no event before.
+    /// Returns the time at which [`poll`](Self::poll) has to be called next, unless an event comes
+    /// first.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         let next_step = self.next_step_at();
@@ -288,7 +291,7 @@
         self.driver.last_step_at + self.settings.tick
     }
 
-    /// Starts the controller, as of `since`.
+    /// Starts the controller with a first step at the time `since`.
     fn start(&mut self, now: Micros, since: Micros, commands: &mut Vec<Command>) {
         if self.driver.is_started {
             return;
@@ -301,7 +304,7 @@
         self.driver.last_step_at = now.saturating_sub(self.settings.tick);
     }
 
-    /// Passes the events that wait to the controller, and carries out what it decides.
+    /// Passes the pending events to the controller and executes its actions.
     fn step(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.driver.last_step_at = now;
         self.report_key_usage();
@@ -318,7 +321,7 @@
         self.driver.events = events;
     }
 
-    /// Adds the time for which arrivals waited for this step to their read delay.
+    /// Sets the read delay of arrivals, which includes the time that they waited for this step.
     fn update_read_delays(&self, now: Micros, events: &mut [ControllerEvent]) {
         for event in events {
             if let ControllerEvent::Arrived(request) = event {
