--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -1,63 +1,63 @@
-//! What adapters notify the dispatcher of.
+//! Events that adapters pass to the dispatcher.
 
 use cleatpulley_idempotency::key_table::RecoveredKeys;
 use cleatpulley_idempotency::record::KeyOutcome;
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome, RequestId};
 
-/// Where a response goes: a connection of the client side, and a stream on it.
+/// Destination of a response: a client connection, and a stream on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientStream {
-    /// The connection; numbers are never used again.
+    /// Number of the connection; never reused.
     pub connection: u64,
-    /// The stream.
+    /// Number of the stream on the connection.
     pub stream: u32,
 }
 
-/// A request as the client side read it.
+/// A request that was read from a client connection.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
-    /// Where its response goes.
+    /// Destination of its response.
     pub client: ClientStream,
-    /// Its id; every attempt has an id of its own.
+    /// Id of this attempt; every attempt has its own.
     pub id: RequestId,
     /// Index of its class.
     pub class: usize,
-    /// The caller's number.
+    /// Number of the caller.
     pub caller: u64,
-    /// When it reached the machine, on the clock of all events.
+    /// Time at which it reached the machine, on the same clock as all events.
     pub received_at: Micros,
     /// Expected work on one core; 0 where no hint was given.
     pub expected_work: Micros,
-    /// Memory while queued.
+    /// Memory while queued, in kB.
     pub memory_kb: f64,
-    /// Rank from 0 to 1 by class and user.
+    /// Rank by class and user, from 0 to 1.
     pub rank: f64,
-    /// Known to be a retry or a hedged request.
+    /// Whether it is known to be a retry or a hedged request.
     pub is_retry: bool,
-    /// It names a subject.
+    /// Whether it names a subject.
     pub has_subject: bool,
-    /// The idempotency key that all attempts of one request share, where its caller sent one.
+    /// Idempotency key shared by all attempts of one request, where its caller sent one.
     pub key: Option<Box<[u8]>>,
-    /// Its body, as it was received.
+    /// Body as received.
     pub body: Vec<u8>,
-    /// How it was requested, where it is to be forwarded; a server needs none of it.
+    /// Head of the request where it is to be forwarded; a server needs none.
     pub head: Option<Box<RequestHead>>,
 }
 
-/// How a request was made, whatever the protocol.
+/// Method, target and headers of a request, in any protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// Method.
     pub method: String,
-    /// The host, with a port where one was sent.
+    /// Host, with a port where one was sent.
     pub host: String,
-    /// The path with its query.
+    /// Path with its query.
     pub target: String,
     /// Headers, or the fields of a frame, as name and value.
     pub headers: Vec<(String, String)>,
     /// Address of the caller, or its number where the protocol carries no address.
     pub remote_address: String,
-    /// The payload of the frame that it was received in, unchanged.
+    /// Unchanged payload of the frame in which the request was received.
     pub frame: Option<Vec<u8>>,
 }
 
@@ -66,115 +66,117 @@
 pub enum RuntimeCommand {
     /// Start a run.
     Start,
-    /// Give a run the reply to its call.
+    /// Resume a run with the reply to its call.
     ResumeWithReply,
-    /// Let a run go on without its call.
+    /// Resume a run without its call.
     ResumeWithoutCall,
     /// Stop a run.
     Stop,
 }
 
-/// What adapters notify the dispatcher of.
+/// An event that an adapter passes to the dispatcher.
 #[derive(Debug)]
 pub enum Event {
-    /// The runtime is ready, and has been for so long.
+    /// The runtime is ready. Carries the time for which it has been ready.
     RuntimeReady(Micros),
     /// A request was read.
     RequestRead(IncomingRequest),
-    /// A connection of the client side was lost: no response can be sent on it.
+    /// A client connection was lost, so that no response can be sent on it.
     ConnectionLost(u64),
-    /// Nobody waits for this request any longer.
+    /// The caller no longer waits for the request on this stream.
     RequestCancelled(ClientStream),
-    /// A request was read whose caller is not permitted its class. It gets that response, and never
-    /// runs.
+    /// A request was read whose caller is not permitted to use its class. Its response is
+    /// [`RequestError::Forbidden`](crate::RequestError::Forbidden), and it never runs.
     RequestForbidden(IncomingRequest),
     /// A run waits for a call with this body.
     CallRequested {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The number of the runtime's notice.
+        /// Number of the runtime's notice that requested the call.
         notice: u64,
-        /// The body of the call.
+        /// Body of the call.
         body: Vec<u8>,
     },
     /// A run ended.
     RunEnded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the run.
         elapsed: Micros,
-        /// Its result.
+        /// Result of the run.
         result: Vec<u8>,
     },
-    /// The runtime did not carry out a command.
+    /// The runtime did not execute a command.
     CommandRejected {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The command.
+        /// The rejected command.
         command: RuntimeCommand,
     },
-    /// The connection to the runtime was lost after this command was sent. All that the runtime
-    /// sent before it came back has been reported; the command may have been received or not.
+    /// The connection to the runtime was lost after this command was sent, so the runtime may or
+    /// may not have received it. All events that the runtime sent before the reconnect have been
+    /// reported.
     CommandUncertain {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The command.
+        /// The uncertain command.
         command: RuntimeCommand,
     },
     /// A call ended.
     CallEnded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the call.
         elapsed: Micros,
-        /// The reply.
+        /// Reply of the dependency.
         reply: Vec<u8>,
     },
-    /// The gauges, just read.
+    /// Current gauges of the server.
     Gauges(Gauges),
-    /// The runtime is another process than before: what ran there has ended, and nobody knows how.
+    /// The runtime was replaced by another process. The runs of the previous one have ended with an
+    /// unknown outcome.
     RuntimeReplaced,
     /// The process has to drain and shut down.
     DrainStarted {
-        /// When the process is stopped.
+        /// Time at which the process is stopped.
         stop_at: Micros,
     },
     /// The process will be stopped, and a successor has taken over.
     Replaced {
-        /// When the process is stopped.
+        /// Time at which the process is stopped.
         stop_at: Micros,
     },
-    /// What the predecessor of this process, which is still draining, uses of the machine.
+    /// Resource usage of the predecessor of this process, which is still draining.
     PredecessorUsage(ResourceUsage),
-    /// The keys that were recovered at the start.
+    /// The keys that were recovered at startup.
     KeysRecovered(Box<RecoveredKeys>),
     /// Everything written under this ticket and earlier ones is durable.
     KeysDurable(u64),
-    /// Whether keys can be persisted at present. While they can't, only what is durable counts as
+    /// Whether keys can currently be persisted. While they can't, only durable writes count as
     /// written.
     PersistenceAvailable(bool),
     /// A cached result was loaded.
     CachedResultLoaded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The `load_number` of the command that requested it.
+        /// The `load_number` of the command that requested the load.
         load_number: u64,
-        /// How the key ended; none where that can't be read.
+        /// Outcome recorded for the key; `None` where it can't be read.
         outcome: Option<KeyOutcome>,
     },
 }
 
-/// What a process uses of its machine for requests.
+/// Resources of the machine that a process uses for requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// Requests on the cores.
+    /// Number of requests that occupy a core.
     pub running: usize,
-    /// Memory reserved for requests.
+    /// Memory reserved for requests, in kB.
     pub memory_kb: f64,
-    /// Calls in flight to the dependency.
+    /// Number of calls in flight to the dependency.
     pub calls: usize,
 }
