--- a/crates/dispatcher/src/idempotency_keys.rs
+++ b/crates/dispatcher/src/idempotency_keys.rs
@@ -1,41 +1,41 @@
-//! What the keys of requests permit, as the dispatcher asks for it: decisions only.
+//! Decisions on requests by their idempotency key. The dispatcher executes them.
 
 use crate::response::{RequestError, Response};
 use cleatpulley_idempotency::key_table::{KeyStatus, KeyTable};
 use cleatpulley_idempotency::record::{request_digest, ScopedKey};
 use cleatpulley_policy::interface::{Micros, Request, RequestId};
 
-/// Who shares a space of keys.
+/// Which callers share a key space.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All callers.
+    /// All callers share one key space.
     Global,
-    /// Each caller has its own.
+    /// Each caller has its own key space.
     PerCaller,
 }
 
-/// The idempotency keys of a server, and how they are used.
+/// The idempotency keys of a server and their configuration.
 #[derive(Debug)]
 pub struct IdempotencyKeys {
-    /// By class: whether results are cached.
+    /// Whether results are cached, by class index.
     pub cached_classes: Vec<bool>,
-    /// A request of such a class without a key is invalid.
+    /// Whether a request of a cached class without a key is invalid.
     pub requires_key: bool,
-    /// Who shares a space of keys.
+    /// Which callers share a key space.
     pub scope: KeyScope,
-    /// The table of keys.
+    /// Table of keys.
     pub table: KeyTable,
-    /// Attempts that came before the keys were recovered.
+    /// Attempts that arrived before the keys were recovered.
     early_attempts: Vec<EarlyAttempt>,
-    /// A request found no capacity since the controller last decided.
+    /// Whether a request found no capacity since the last report to the controller.
     lacked_capacity: bool,
-    /// The last number under which a request waits.
+    /// Last assigned wait number.
     last_wait_number: u64,
-    /// Another process owns the keys.
+    /// Whether another process owns the keys.
     is_released: bool,
 }
 
-/// An attempt that came before the keys were recovered.
+/// An attempt that arrived before the keys were recovered.
 #[derive(Debug)]
 pub(crate) struct EarlyAttempt {
     pub(crate) id: RequestId,
@@ -44,21 +44,22 @@
     pub(crate) digest: u128,
 }
 
-/// What becomes of a request by its key.
+/// Decision on a request by its key.
 #[derive(Debug)]
 pub(crate) enum KeyDecision {
-    /// The controller decides.
+    /// Pass the request to the controller.
     Admit,
-    /// It gets its response at once.
+    /// Send this response immediately.
     Respond(Response),
-    /// Its key is completed, and its result has to be loaded.
+    /// Load the cached result of this completed key.
     LoadCachedResult(ScopedKey),
-    /// It waits under this number until the keys are recovered.
+    /// Wait under this number until the keys are recovered.
     AwaitRecovery(u64),
 }
 
 impl IdempotencyKeys {
-    /// Creates keys that are not recovered yet. `cached_classes` says by class whether results are cached.
+    /// Creates keys that have not been recovered yet. `cached_classes` states by class index
+    /// whether results are cached.
     #[must_use]
     pub fn new(
         cached_classes: Vec<bool>,
@@ -86,9 +87,9 @@
         self.is_released
     }
 
-    /// Decides on a request that was read, with or without a key. Notes in it what the controller
-    /// has to know. `fits` says whether the memory of one more request may wait without the
-    /// controller knowing.
+    /// Decides on a request that was read, with or without a key, and sets its fields for the
+    /// controller. `fits` returns whether a request of this memory may wait without being accounted
+    /// for by the controller.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
@@ -131,7 +132,8 @@
                 request.caches_result = true;
                 KeyDecision::Admit
             }
-            // The controller is notified of the lack before it is of the request, and rejects it.
+            // The controller is notified of the lack of capacity before the request, and rejects
+            // it.
             KeyStatus::NoCapacity => {
                 request.caches_result = true;
                 self.lacked_capacity = true;
@@ -142,7 +144,8 @@
                 request.duplicate_of = Some(first);
                 KeyDecision::Admit
             }
-            // A rejection would promise what is not so, or not known.
+            // The request fails, since a rejection would guarantee that it never ran, which is
+            // false or unknown.
             KeyStatus::Completed | KeyStatus::NotRecovered if !fits(request.memory_kb) => {
                 KeyDecision::Respond(Response::Failed)
             }
@@ -156,7 +159,7 @@
             }
             KeyStatus::Unknown => KeyDecision::Respond(Response::Failed),
             KeyStatus::Mismatch => KeyDecision::Respond(Response::Invalid(RequestError::KeyReused)),
-            // It never ran here, and the owner of the key may admit it at once.
+            // The request never ran here, and the process that owns the key may admit it at once.
             KeyStatus::OwnedElsewhere => KeyDecision::Respond(Response::Rejected {
                 retry_after: 0,
                 no_failover: false,
@@ -185,29 +188,30 @@
         self.last_wait_number
     }
 
-    /// Returns whether the table takes further keys, as the controller has to know it.
+    /// Returns whether the table has capacity, as reported to the controller, and resets the record
+    /// of lacking capacity.
     ///
-    /// A request that found no capacity must not be admitted because there is some again by now: it
-    /// has no entry, and its key might run for another request meanwhile.
+    /// A request that found no capacity must not be admitted although there is some again: it has
+    /// no entry in the table, and another request with its key might already be running.
     pub(crate) fn take_capacity_status(&mut self) -> bool {
         let lacked_capacity = std::mem::take(&mut self.lacked_capacity);
         !lacked_capacity && self.table.has_capacity()
     }
 
-    /// Returns whether nothing waits for the table of keys and no run of it is active.
+    /// Returns whether no attempt waits for the table of keys and no run with a key is active.
     pub(crate) fn is_idle(&self) -> bool {
         self.table.active_runs() == 0
             && self.table.pending_attempts() == 0
             && self.early_attempts.is_empty()
     }
 
-    /// Gives the keys up to another process.
+    /// Releases the keys to another process.
     pub(crate) fn release(&mut self) {
         self.table.release();
         self.is_released = true;
     }
 
-    /// Takes the keys over again.
+    /// Takes back released keys.
     pub(crate) fn reclaim(&mut self, table: KeyTable) {
         self.table = table;
         self.is_released = false;
