--- a/crates/dispatcher/src/key_commands.rs
+++ b/crates/dispatcher/src/key_commands.rs
@@ -1,4 +1,4 @@
-//! What the table of keys decides, carried out on the requests that it is about.
+//! Execution of the commands of the table of keys.
 
 use crate::command::Command;
 use crate::dispatcher::Dispatcher;
@@ -9,7 +9,7 @@
 use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, Outcome, RequestId};
 
 impl Dispatcher {
-    /// Carries out what the table of keys decides, until it decides nothing more.
+    /// Executes the commands of the table of keys until there are no more.
     pub(crate) fn execute_key_commands(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while !self.key_commands.is_empty() {
             for command in std::mem::take(&mut self.key_commands) {
@@ -81,8 +81,8 @@
         key_outcome: KeyOutcome,
         commands: &mut Vec<Command>,
     ) {
-        // The controller was notified of the first attempt's run when it ended. Those that wait for
-        // it end now.
+        // The controller was notified of the first attempt's end when its run ended. The attempts
+        // that wait for the key end now.
         let is_waiting = self
             .requests
             .get(id)
@@ -99,7 +99,7 @@
             });
         }
         if self.respond(now, id, response_for(key_outcome), commands) && is_waiting {
-            // The arrival of the request may still wait for the controller's next step.
+            // The request's arrival may still be pending for the controller's next step.
             self.driver.notify(ControllerEvent::Abandoned(id));
         }
         self.requests.remove(id);
@@ -118,8 +118,8 @@
         self.requests.remove(id);
     }
 
-    /// Makes an attempt the first one of its key, whose first attempt is over. The controller
-    /// decides on it as if it came now.
+    /// Makes a waiting attempt the first one of its key after the previous first attempt is over.
+    /// The controller decides on it as if it had just arrived.
     fn promote(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
