--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -1,5 +1,5 @@
-//! Requests with an idempotency key: what the table of keys decides is carried out here, between the
-//! controller's decisions and the adapters.
+//! Requests with an idempotency key: connects the table of keys with the controller's decisions and
+//! the adapters.
 
 use crate::command::Command;
 use crate::dispatcher::{Dispatcher, KeyTableUsage};
@@ -14,15 +14,15 @@
 use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, RequestId};
 
 impl Dispatcher {
-    /// Returns the table of keys, where results are cached.
+    /// Returns the table of keys; `None` where results are not cached.
     #[must_use]
     pub fn key_table(&self) -> Option<&KeyTable> {
         self.keys.as_ref().map(|keys| &keys.table)
     }
 
-    /// Returns an id for a request with a key: its own, or an unused one where another attempt with
-    /// the same id is open or still runs. A proxy that retries a request does not give it a new id;
-    /// its key identifies it.
+    /// Returns an id for a request with a key: its own, or an unused one if another attempt with
+    /// the same id is pending or still runs. A proxy that retries a request does not give the retry
+    /// a new id; the key identifies the request.
     pub(crate) fn unused_id(&self, id: RequestId, client: ClientStream, class: usize) -> RequestId {
         let Some(keys) = &self.keys else { return id };
         if !keys.caches_results(class) {
@@ -40,8 +40,8 @@
         unused
     }
 
-    /// Releases the keys to another process, where nobody waits for any of them and none of them
-    /// runs. From then on, a request with a key fails. Returns false where it is too early.
+    /// Releases the keys to another process. Returns false, without releasing them, while a request
+    /// waits for a key or runs with one. Afterwards, requests with a key fail.
     pub fn release_keys(&mut self) -> bool {
         let awaits_key = self.requests.iter().any(|request| {
             matches!(
@@ -61,7 +61,8 @@
         true
     }
 
-    /// Takes the keys over again after they were released, as a process does that has just started.
+    /// Takes back released keys with a new table, which has to be recovered as after a start of the
+    /// process.
     pub fn reclaim_keys(&mut self, table: KeyTable) {
         if let Some(keys) = &mut self.keys {
             keys.reclaim(table);
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Returns whether a request waits under this number. Another request may have the id of one
-    /// that is over.
+    /// Returns whether a request waits under this number. The id alone is not enough, since the id
+    /// of a completed request may be reused.
     fn awaits_key(&self, id: RequestId, wait_number: u64) -> bool {
         self.requests.get(id).is_some_and(|request| {
             request.stage == RequestStage::AwaitingKey && request.wait_number == wait_number
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Decides on the attempts that waited for the keys to be recovered, as if they came now.
+    /// Decides on the attempts that waited for the keys to be recovered, as if they had just
+    /// arrived.
     fn decide_on_early_attempts(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(keys) = &mut self.keys else { return };
         for attempt in keys.take_early_attempts() {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Notifies the controller of the usage of the table before any other event.
+    /// Notifies the controller of the usage of the table of keys, ahead of all pending events.
     pub(crate) fn report_key_usage(&mut self) {
         let Some(keys) = &mut self.keys else { return };
         let usage = KeyTableUsage {
@@ -198,7 +200,7 @@
         self.driver.events.insert(0, event);
     }
 
-    /// Runs a request with a key: its intent has to be durable first.
+    /// Starts the run of a request with a key once its intent is durable.
     pub(crate) fn run_with_key(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let (Some(request), Some(keys)) = (self.requests.get_mut(id), &mut self.keys) else {
             return;
@@ -207,17 +209,20 @@
         let commands_before = self.key_commands.len();
         keys.table.request_run(now, id, &mut self.key_commands);
         if self.key_commands.len() == commands_before {
-            // The table does not know it: it found no capacity when it came, and there is some now.
+            // The table has no entry for the request: there was no capacity when it arrived, but
+            // there is now.
             self.key_commands.push(KeyCommand::CancelRun(id));
             self.key_commands.push(KeyCommand::Reject(id));
         }
         self.execute_key_commands(now, commands);
     }
 
-    /// Rejects a queued request with a key. Returns whether it got its response here.
+    /// Prepares the rejection of a queued request with a key. Returns whether this function has
+    /// sent a response; otherwise the caller sends the rejection.
     ///
-    /// Where its deadline has come and others wait for its key, one of those takes its place, so
-    /// that it must not be promised that nothing ran.
+    /// If the deadline is reached while other attempts wait for the key, one of them takes its
+    /// place and may run. The request then expires, since a rejection would guarantee that nothing
+    /// ran.
     pub(crate) fn reject_with_key(
         &mut self,
         now: Micros,
@@ -239,7 +244,7 @@
         let mut remaining_commands = Vec::new();
         for command in std::mem::take(&mut self.key_commands) {
             match command {
-                // Those that wait for it get the same response.
+                // Attempts that wait for this request get the same response.
                 KeyCommand::Reject(waiting) => {
                     self.reject_waiting(now, waiting, rejection, commands);
                 }
@@ -251,7 +256,7 @@
         false
     }
 
-    /// Notes that an attempt has its response, or that nobody waits for one.
+    /// Records that an attempt has its response, or that nobody waits for one.
     pub(crate) fn detach_from_key(
         &mut self,
         now: Micros,
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Notes that a run was not started after all.
+    /// Releases the key of a run that was not started after all.
     pub(crate) fn release_unstarted_key(
         &mut self,
         now: Micros,
