--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,24 +1,24 @@
-//! The dispatcher, where the client side and the server side meet: the life cycle of requests,
+//! The dispatcher between client connections, controller and runtime: the life cycle of requests,
 //! without I/O or clock.
 //!
-//! Adapters notify it of [`Event`]s and carry out the [`Command`]s that it appends. It owns the
-//! table of requests, their deadlines, the timers and the
-//! [`Controller`](cleatpulley_policy::Controller), and sees to it that each request gets exactly one
-//! response, whatever the other parties do. It knows nothing of frames, lines or HTTP, so that any
-//! protocol can be put before it.
+//! Adapters pass [`Event`]s to it and execute the [`Command`]s that it returns. It owns the table
+//! of requests, their deadlines, the timers and the [`Controller`](cleatpulley_policy::Controller),
+//! and guarantees that each request gets exactly one response, whatever the callers, the runtime
+//! and the dependency do. It is independent of frames, lines and HTTP, so that it works with any
+//! protocol.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `event`, `command`, `response` | the types exchanged with the adapters |
-//! | `dispatcher` | the state of the [`Dispatcher`], and one step of the controller |
+//! | `event`, `command`, `response` | types exchanged with the adapters |
+//! | `dispatcher` | state of the [`Dispatcher`], and the steps of the controller |
 //! | `arrivals` | requests that were read, and lost connections |
-//! | `controller_actions` | what the controller decides, carried out |
-//! | `runs` | runs and calls at the runtime |
+//! | `controller_actions` | execution of the controller's actions |
+//! | `runs` | runs at the runtime, and their calls |
 //! | `responses`, `deadlines` | one response for each request, by its deadline |
 //! | `idempotency_keys`, `keyed_requests`, `key_commands` | requests with an idempotency key |
 //! | `controller_timers` | the controller's timers and gauges |
-//! | `request_state` | a request, and the table of all of them |
-//! | `counters`, `request_trace` | what became of requests |
+//! | `request_state` | state of a request, and the table of requests |
+//! | `counters`, `request_trace` | counts and traces of responses |
 
 mod arrivals;
 mod command;
