--- a/crates/dispatcher/src/request_state.rs
+++ b/crates/dispatcher/src/request_state.rs
@@ -1,25 +1,27 @@
-//! A request as the dispatcher knows it, and the table of all of them.
+//! The dispatcher's state of a request, and the table of requests.
 
 use crate::event::ClientStream;
 use cleatpulley_policy::interface::{Micros, Request, RequestId};
 use std::collections::HashMap;
 
-/// How far a request has come.
+/// Stage of a request's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestStage {
-    /// It waits for the controller to start or reject it.
+    /// The request waits for the controller to start or reject it.
     Queued,
-    /// Its run was started.
+    /// The run was started.
     Running,
-    /// Its run waits for a call that was not made yet or has to be made again.
+    /// The run waits for a call that has not been made yet or has to be repeated.
     AwaitingCall,
-    /// Its call is in flight.
+    /// The call is in flight.
     Calling,
-    /// It starts once its intent is durable. To the controller it runs already; nothing was sent.
+    /// The run starts once its intent is durable. The controller already counts it as running, but
+    /// nothing has been sent to the runtime.
     PersistingIntent,
-    /// Its run has ended, and its result is not durable yet.
+    /// The run has ended, and its result is not durable yet.
     PersistingResult,
-    /// It waits for how its key ends, or for a cached result to be loaded.
+    /// The request waits for the outcome of its key, for recovered keys, or for a cached result to
+    /// be loaded.
     AwaitingKey,
 }
 
@@ -29,7 +31,7 @@
         matches!(self, Self::Running | Self::AwaitingCall | Self::Calling)
     }
 
-    /// Returns whether the request takes the memory of a run.
+    /// Returns whether the request uses the memory of a running request.
     pub(crate) fn has_running_memory(self) -> bool {
         self.is_started() || self == Self::PersistingIntent
     }
@@ -43,30 +45,33 @@
     pub(crate) received_at: Micros,
     pub(crate) respond_by: Micros,
     pub(crate) is_settled: bool,
-    /// Its start may never have reached the runtime, and then no end will be reported.
+    /// Whether the start command may not have reached the runtime. If it has not, no end of the run
+    /// will be reported.
     pub(crate) is_start_uncertain: bool,
     pub(crate) stage: RequestStage,
-    /// It has an idempotency key, and its result is cached.
+    /// Whether the request has an idempotency key, so that its result is cached.
     pub(crate) has_key: bool,
-    /// What the controller was notified of, for an attempt that may have to be decided on again.
+    /// The request as passed to the controller, kept because the controller may have to decide on
+    /// it again.
     pub(crate) request: Request,
-    /// Its body; kept beyond the start only where a start may be sent again.
+    /// Body of the request; kept after the start only if the start may be sent again.
     pub(crate) body: Vec<u8>,
     /// The last call that the run requested.
     pub(crate) call: RequestedCall,
-    /// The number under which it waits for recovered keys or a cached result; 0 where it does not.
+    /// Number under which the request waits for recovered keys or a cached result; 0 where it does
+    /// not.
     pub(crate) wait_number: u64,
 }
 
 /// A call that a run has requested.
 #[derive(Debug, Default)]
 pub(crate) struct RequestedCall {
-    /// The number of the runtime's notice; 0 before the first call.
+    /// Number of the runtime's notice; 0 before the first call.
     pub(crate) notice: u64,
     pub(crate) body: Vec<u8>,
 }
 
-/// The requests that are not over, by id.
+/// The live requests, by id.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: HashMap<RequestId, RequestState>,
@@ -97,7 +102,7 @@
         self.requests.remove(&id);
     }
 
-    /// All requests, in no order.
+    /// Iterates over all requests, in no particular order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.requests.values()
     }
@@ -106,7 +111,7 @@
         self.get(id).is_some_and(|request| request.stage == stage)
     }
 
-    /// Returns the ids of those that match, in the order in which they were received.
+    /// Returns the ids of the matching requests, in the order in which they were received.
     pub(crate) fn ids_in_order(&self, matches: impl Fn(&RequestState) -> bool) -> Vec<RequestId> {
         let mut found: Vec<(Micros, RequestId)> = self
             .requests
@@ -118,8 +123,8 @@
         found.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Returns the memory of the requests that wait for recovered keys or a cached result. The
-    /// controller does not know of these.
+    /// Returns the memory of the requests that wait for recovered keys or a cached result, in kB.
+    /// The controller does not account for these.
     pub(crate) fn uncontrolled_memory_kb(&self) -> f64 {
         self.iter()
             .filter(|request| {
