--- a/crates/dispatcher/src/request_trace.rs
+++ b/crates/dispatcher/src/request_trace.rs
@@ -1,5 +1,5 @@
-//! The trace of each request by its id: `RUST_LOG=cleatpulley_requests=trace`. Switched off it costs
-//! one comparison.
+//! Tracing of each request by its id, enabled with `RUST_LOG=cleatpulley_requests=trace`. When it
+//! is disabled, a trace point costs one comparison.
 
 use crate::event::IncomingRequest;
 use crate::request_state::RequestState;
