--- a/crates/dispatcher/src/response.rs
+++ b/crates/dispatcher/src/response.rs
@@ -2,47 +2,47 @@
 
 use cleatpulley_policy::interface::Micros;
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
-    /// The result of its run.
+    /// The run's result.
     Served(Vec<u8>),
-    /// The load was shed: the request never ran.
+    /// The request was rejected, and never ran.
     Rejected {
-        /// The caller should avoid this server for so long; 0 where it need not.
+        /// Time for which the caller should avoid this server; 0 where it need not.
         retry_after: Micros,
-        /// The caller should not retry on another server either.
+        /// Whether the caller should not retry on another server either.
         no_failover: bool,
     },
-    /// An error, without a promise.
+    /// The request failed; it may have run.
     Failed,
-    /// The deadline has passed; without a promise either.
+    /// The deadline has passed; the request may have run.
     Expired,
-    /// The request is at fault; it never ran.
+    /// The request is invalid, and never ran.
     Invalid(RequestError),
-    /// A response by a route, or the target's own, with a status of HTTP.
+    /// A response of a route, or of the target itself, with an HTTP status.
     Direct {
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// The body; for a redirection its target.
+        /// Body; for a redirect its location.
         body: Vec<u8>,
     },
 }
 
-/// What is wrong with a request that could be decoded.
+/// Reason why a well-formed request is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum RequestError {
-    /// Its key belongs to a request of another class or body.
+    /// The key belongs to a request of another class or body.
     KeyReused,
-    /// Its class takes no request without a key.
+    /// The class requires a key, and the request has none.
     KeyMissing,
-    /// The names in its caller's certificate do not permit its class.
+    /// The names in the caller's certificate do not permit the class.
     Forbidden,
 }
 
 impl RequestError {
-    /// Returns the text that its caller receives.
+    /// Returns the message that the caller receives.
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
