--- a/crates/dispatcher/src/responses.rs
+++ b/crates/dispatcher/src/responses.rs
@@ -1,4 +1,4 @@
-//! Final responses: each request gets one, by its deadline and before the stop.
+//! Final responses: each request gets exactly one, by its deadline and before the process stops.
 
 use crate::command::Command;
 use crate::dispatcher::Dispatcher;
@@ -9,7 +9,7 @@
 use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, Outcome, RequestId};
 
 impl Dispatcher {
-    /// Responds to a request unless it has a response. Returns whether it did.
+    /// Responds to a request unless it already has a response. Returns whether it did.
     pub(crate) fn respond(
         &mut self,
         now: Micros,
@@ -33,8 +33,8 @@
         true
     }
 
-    /// Notes that a request needs no response any longer. A queued request is removed and a call
-    /// abandoned; a run ends in its own time.
+    /// Records that a request needs no further response. A queued request is removed, and a call is
+    /// abandoned; a run continues to its end.
     pub(crate) fn settle(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -46,14 +46,14 @@
             RequestStage::Queued | RequestStage::PersistingResult | RequestStage::AwaitingKey => {
                 self.requests.remove(id);
             }
-            // Whether it still starts depends on those that wait for it.
+            // Whether the run still starts depends on the attempts that wait for it.
             RequestStage::PersistingIntent => {}
             RequestStage::Calling => {
                 request.stage = RequestStage::AwaitingCall;
                 commands.push(Command::AbandonCall(id));
             }
             RequestStage::Running if request.is_start_uncertain => {
-                // The run may not exist, and would occupy a core for ever.
+                // If the run does not exist, its core would never be released.
                 self.requests.remove(id);
                 self.driver.notify(ControllerEvent::RunEnded {
                     id,
@@ -68,10 +68,11 @@
         }
     }
 
-    /// Begins to shut down: every request gets its response before the stop, also those that the
-    /// controller does not know of, which wait for a result to become durable or to be loaded.
+    /// Begins to shut down. Every request gets its response before the process stops, including
+    /// those unknown to the controller, which wait for a result to become durable or to be loaded.
     pub(crate) fn begin_shutdown(&mut self, stop_at: Micros, event: ControllerEvent) {
-        // Later than the controller's own last time, which has the better response.
+        // Later than the controller's own limit, since the controller can give a more specific
+        // response.
         let latest = stop_at.saturating_sub(self.settings.response_slack);
         for deadline in self.deadlines.cap_all(latest) {
             if let Some(request) = self.requests.get_mut(deadline.id) {
@@ -81,16 +82,16 @@
         self.driver.notify(event);
     }
 
-    /// Returns when the dispatcher itself responds to a request of this deadline. What was read
-    /// shortly before the stop has no slack of its own.
+    /// Returns the time at which the dispatcher itself responds to a request with this deadline. A
+    /// request that was read shortly before the stop gets no extra slack.
     pub(crate) fn expires_at(&self, respond_by: Micros) -> Micros {
         self.deadlines
             .cap(respond_by)
             .saturating_add(self.expiry_grace())
     }
 
-    /// The time that the controller has to respond after a deadline; half of the slack is left to
-    /// send the response.
+    /// Returns the time after a deadline within which the controller may still respond. The other
+    /// half of the slack is left for sending the response.
     fn expiry_grace(&self) -> Micros {
         let injected_delay = if is_bug_injected(InjectedBug::DeadlinesLate) {
             250_000
