--- a/crates/dispatcher/src/runs.rs
+++ b/crates/dispatcher/src/runs.rs
@@ -1,4 +1,5 @@
-//! Runs at the runtime: their calls, their ends, and what is unclear after a lost connection.
+//! Runs at the runtime: their calls, their ends, and commands that are uncertain after a lost
+//! connection.
 
 use crate::command::Command;
 use crate::dispatcher::Dispatcher;
@@ -69,7 +70,7 @@
     ) {
         let is_success = outcome == Outcome::Success;
         let Some(request) = self.requests.get_mut(id) else {
-            // Nobody waits for it here any more; its result is cached all the same.
+            // No request waits for the run here, but its result is still cached.
             self.complete_key(now, id, key_outcome(is_success, result), commands);
             return;
         };
@@ -97,8 +98,8 @@
         });
     }
 
-    /// Ends the run of a first attempt with a key. The response follows once the result is durable;
-    /// the core is free now.
+    /// Ends the run of a first attempt with a key. The core is free now; the response follows once
+    /// the result is durable.
     fn end_run_with_key(
         &mut self,
         now: Micros,
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Ends everything that was started: its end will never be reported.
+    /// Ends all started runs as interrupted, since a new runtime process will never report their
+    /// end.
     pub(crate) fn on_runtime_replaced(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let started = self
             .requests
@@ -148,10 +150,10 @@
             RuntimeCommand::Start => {
                 self.end_run(now, id, Outcome::NotStarted, 0, Vec::new(), commands);
             }
-            // The run ended by itself, or never was one.
+            // The run has already ended, or never existed.
             RuntimeCommand::Stop => {}
             RuntimeCommand::ResumeWithReply | RuntimeCommand::ResumeWithoutCall => {
-                // The run can't go on, and nothing better is known to be done for its caller.
+                // The run can't continue, so the request fails.
                 if self.respond(now, id, Response::Failed, commands) {
                     self.driver.notify(ControllerEvent::Abandoned(id));
                 }
@@ -159,8 +161,9 @@
         }
     }
 
-    /// Resolves a command that may or may not have reached the runtime, so that nothing runs twice:
-    /// a second start may run what has run and ended, and a second reply may answer a later call.
+    /// Resolves a command that may or may not have reached the runtime, so that nothing runs twice.
+    /// A repeated start could run a request again whose run has already ended, and a repeated reply
+    /// could be taken for the reply to a later call.
     pub(crate) fn resolve_uncertain_command(
         &mut self,
         now: Micros,
@@ -189,7 +192,8 @@
                 });
             }
             RuntimeCommand::Start => self.mark_start_uncertain(now, id, commands),
-            // It names the call that is left out: harmless where the run has gone on already.
+            // The command names the call that is skipped, so it is harmless if the run has already
+            // resumed.
             RuntimeCommand::ResumeWithoutCall => commands.push(resume_without_call),
             RuntimeCommand::ResumeWithReply if class.weight_ratio_without_call > 0.0 => {
                 commands.push(resume_without_call);
