--- a/crates/dispatcher/src/controller_actions.rs
+++ b/crates/dispatcher/src/controller_actions.rs
@@ -15,7 +15,7 @@
         commands: &mut Vec<Command>,
     ) {
         match action {
-            Action::Run(id) => self.run(now, id, commands),
+            Action::Run(id) => self.start_run(now, id, commands),
             Action::Reject {
                 id,
                 retry_after,
@@ -28,7 +28,7 @@
                 self.reject(now, id, rejection, commands);
             }
             Action::Fail(id) => self.fail(now, id, commands),
-            Action::Call { id, timeout } => self.call(id, timeout, commands),
+            Action::Call { id, timeout } => self.make_call(id, timeout, commands),
             Action::SkipCall(id) => self.skip_call(id, commands),
             Action::Preempt(id) => self.preempt(id, commands),
             Action::ShareResponse(id) => self.share_response(now, id, commands),
@@ -46,7 +46,7 @@
         }
     }
 
-    fn run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    fn start_run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -104,7 +104,7 @@
         self.respond(now, id, response, commands);
     }
 
-    fn call(&mut self, id: RequestId, timeout: Micros, commands: &mut Vec<Command>) {
+    fn make_call(&mut self, id: RequestId, timeout: Micros, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -197,7 +197,7 @@
     /// Handles an event. Decisions of the controller are made in the next [`poll`](Self::poll).
     pub fn handle_event(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
         match event {
-            Event::RuntimeReady(since) => self.start(now, now.saturating_sub(since), commands),
+            Event::RuntimeReady(age) => self.start(now, now.saturating_sub(age), commands),
             Event::RequestRead(request) => self.on_request(now, request, commands),
             Event::RequestForbidden(request) => self.on_forbidden_request(&request, commands),
             Event::ConnectionLost(connection) => {
@@ -291,16 +291,16 @@
         self.driver.last_step_at + self.settings.tick
     }
 
-    /// Starts the controller with a first step at the time `since`.
-    fn start(&mut self, now: Micros, since: Micros, commands: &mut Vec<Command>) {
+    /// Starts the controller with a first step at the time `started_at`.
+    fn start(&mut self, now: Micros, started_at: Micros, commands: &mut Vec<Command>) {
         if self.driver.is_started {
             return;
         }
         self.driver.is_started = true;
         let start = vec![ControllerEvent::Started];
-        let waiting = std::mem::replace(&mut self.driver.events, start);
-        self.step(since, commands);
-        self.driver.events = waiting;
+        let pending_events = std::mem::replace(&mut self.driver.events, start);
+        self.step(started_at, commands);
+        self.driver.events = pending_events;
         self.driver.last_step_at = now.saturating_sub(self.settings.tick);
     }
 
