--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -62,20 +62,20 @@
     }
 }
 
-pub struct Script {
+pub struct ControllerHarness {
     pub controller: Controller,
     pub now: Micros,
 }
 
-impl Script {
+impl ControllerHarness {
     /// A controller that has started at second 100.
     pub fn new(settings: Settings) -> Self {
-        let mut script = Self {
+        let mut harness = Self {
             controller: Controller::new(settings, 7),
             now: 100 * SECOND,
         };
-        script.step(&[Event::Started]);
-        script
+        harness.step(&[Event::Started]);
+        harness
     }
 
     /// Lets the events happen now.
@@ -86,7 +86,7 @@
     }
 
     /// Lets time pass with a timer each 20 ms, and collects what is done but for timers.
-    pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let until = self.now + time;
         let mut all = Vec::new();
         while self.now < until {
@@ -115,7 +115,7 @@
     }
 }
 
-pub fn ended(id: RequestId, elapsed: Micros) -> Event {
+pub fn run_ended(id: RequestId, elapsed: Micros) -> Event {
     Event::RunEnded {
         id,
         outcome: Outcome::Success,
@@ -123,7 +123,7 @@
     }
 }
 
-pub fn called(id: RequestId, outcome: Outcome, elapsed: Micros) -> Event {
+pub fn call_ended(id: RequestId, outcome: Outcome, elapsed: Micros) -> Event {
     Event::CallEnded {
         id,
         outcome,
@@ -131,11 +131,11 @@
     }
 }
 
-pub fn runs(actions: &[Action]) -> Vec<RequestId> {
+pub fn started_runs(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Run(id) = a {
+        .filter_map(|action| {
+            if let Action::Run(id) = action {
                 Some(*id)
             } else {
                 None
@@ -144,11 +144,11 @@
         .collect()
 }
 
-pub fn calls(actions: &[Action]) -> Vec<RequestId> {
+pub fn made_calls(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Call { id, .. } = a {
+        .filter_map(|action| {
+            if let Action::Call { id, .. } = action {
                 Some(*id)
             } else {
                 None
@@ -157,11 +157,11 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<RequestId> {
+pub fn rejected(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Reject { id, .. } = a {
+        .filter_map(|action| {
+            if let Action::Reject { id, .. } = action {
                 Some(*id)
             } else {
                 None
@@ -173,8 +173,8 @@
 pub fn failed(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Fail(id) = a {
+        .filter_map(|action| {
+            if let Action::Fail(id) = action {
                 Some(*id)
             } else {
                 None
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -56,7 +56,7 @@
     }
 
     /// Lets time pass as the event loop does: from one moment of `next` to the other.
-    fn pass_time(&mut self, time: Micros) -> Vec<Command> {
+    fn advance(&mut self, time: Micros) -> Vec<Command> {
         let until = self.now + time;
         let mut commands = Vec::new();
         while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= until) {
@@ -132,7 +132,7 @@
         [response_to(1, Response::Served(vec![7]))]
     );
     assert!(harness.end(1, Outcome::Success).is_empty());
-    assert!(harness.pass_time(10 * SECOND).is_empty());
+    assert!(harness.advance(10 * SECOND).is_empty());
 }
 
 #[test]
@@ -177,9 +177,9 @@
             .len(),
         1
     );
-    assert!(harness.pass_time(4_900 * MS).is_empty());
+    assert!(harness.advance(4_900 * MS).is_empty());
     assert_eq!(
-        harness.pass_time(100 * MS),
+        harness.advance(100 * MS),
         [response_to(1, Response::Expired)]
     );
     assert!(harness.now <= received_at + 8 * SECOND + 60 * MS);
@@ -207,7 +207,7 @@
         [start(1, 1)]
     );
     assert_eq!(
-        harness.pass_time(8 * SECOND),
+        harness.advance(8 * SECOND),
         [response_to(1, Response::Expired)],
         "due as if it came now"
     );
@@ -272,7 +272,7 @@
         "nobody is there to be answered"
     );
     assert!(harness.end(1, Outcome::Cancelled).is_empty());
-    assert!(harness.pass_time(10 * SECOND).is_empty());
+    assert!(harness.advance(10 * SECOND).is_empty());
 }
 
 #[test]
@@ -331,7 +331,7 @@
     harness.arrive(1, 1);
     assert!(harness.handle(doubt(RuntimeCommand::Start)).is_empty());
     assert_eq!(
-        harness.pass_time(8 * SECOND),
+        harness.advance(8 * SECOND),
         [response_to(1, Response::Expired)]
     );
     assert_eq!(harness.arrive(2, 1), [start(2, 1)]);
@@ -408,7 +408,7 @@
                 runnable,
                 memory: None,
             }));
-            commands.extend(harness.pass_time(4 * MS));
+            commands.extend(harness.advance(4 * MS));
             started += commands
                 .iter()
                 .filter(|c| matches!(c, Command::StartRun { .. }))
@@ -431,7 +431,7 @@
     let is_rejection = |c: &Command| matches!(c, Command::Respond { response: Response::Rejected { retry_after: later, .. }, .. } if *later == SECOND);
     assert!(late.len() == 1 && is_rejection(&late[0]), "{late:?}");
     assert_eq!(
-        harness.pass_time(2 * SECOND),
+        harness.advance(2 * SECOND),
         [response_to(1, Response::Failed)]
     );
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -338,7 +338,7 @@
                     outcome,
                     Outcome::Failure | Outcome::TimedOut | Outcome::Interrupted
                 );
-                return Some(called(id, outcome, self.chance.next_below(800) * MS));
+                return Some(call_ended(id, outcome, self.chance.next_below(800) * MS));
             }
             At::Called => return None,
             At::Sharing(prior) => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,33 +7,33 @@
 
 #[test]
 fn fails_a_running_request_before_its_deadline() {
-    let mut script = Script::new(settings());
-    assert_eq!(runs(&script.arrive(1, 0)), [1]);
-    assert!(failed(&script.pass_time(7_900 * MS)).is_empty());
-    assert_eq!(failed(&script.pass_time(100 * MS)), [1]);
+    let mut harness = ControllerHarness::new(settings());
+    assert_eq!(started_runs(&harness.arrive(1, 0)), [1]);
+    assert!(failed(&harness.advance(7_900 * MS)).is_empty());
+    assert_eq!(failed(&harness.advance(100 * MS)), [1]);
     // It was answered: nothing more is said, and its end is harmless.
-    assert!(script.step(&[ended(1, 8 * SECOND)]).is_empty());
-    assert!(script.pass_time(SECOND).is_empty());
+    assert!(harness.step(&[run_ended(1, 8 * SECOND)]).is_empty());
+    assert!(harness.advance(SECOND).is_empty());
 }
 
 #[test]
 fn counts_the_client_timeout_from_receipt_where_no_deadline_is_known() {
-    let mut script = Script::new(settings());
+    let mut harness = ControllerHarness::new(settings());
     let request = Request {
         respond_by: None,
         read_delay: 1_500 * MS,
-        ..script.request(1, 0)
+        ..harness.request(1, 0)
     };
-    assert_eq!(runs(&script.step(&[Event::Arrived(request)])), [1]);
-    assert_eq!(failed(&script.pass_time(6_500 * MS)), [1]);
+    assert_eq!(started_runs(&harness.step(&[Event::Arrived(request)])), [1]);
+    assert_eq!(failed(&harness.advance(6_500 * MS)), [1]);
 }
 
 #[test]
 fn sends_no_response_to_an_abandoned_request() {
-    let mut script = Script::new(settings());
-    script.arrive(1, 0);
-    assert!(script.step(&[Event::Abandoned(1)]).is_empty());
-    assert!(script.pass_time(9 * SECOND).is_empty());
+    let mut harness = ControllerHarness::new(settings());
+    harness.arrive(1, 0);
+    assert!(harness.step(&[Event::Abandoned(1)]).is_empty());
+    assert!(harness.advance(9 * SECOND).is_empty());
 }
 
 /// Where the deployment lets runs be stopped, that of a read whose caller has gone, or that is failed, is; never one that has
@@ -46,20 +46,24 @@
         (Preemption::Suspend, 0, true),
         (Preemption::Discard, 1, false),
     ] {
-        let mut script = Script::new(Settings {
+        let mut harness = ControllerHarness::new(Settings {
             preemption: halt,
             ..settings()
         });
-        script.arrive(1, class);
+        harness.arrive(1, class);
         let expected: Vec<_> = stops.then_some(Action::Preempt(1)).into_iter().collect();
         assert_eq!(
-            script.step(&[Event::Abandoned(1)]),
+            harness.step(&[Event::Abandoned(1)]),
             expected,
             "{halt:?}, class {class}"
         );
-        assert_eq!(script.step(&[ended(1, 5 * MS)]), [], "its end is no news");
-        script.arrive(2, class);
-        let actions = script.pass_time(9 * SECOND);
+        assert_eq!(
+            harness.step(&[run_ended(1, 5 * MS)]),
+            [],
+            "its end is no news"
+        );
+        harness.arrive(2, class);
+        let actions = harness.advance(9 * SECOND);
         assert_eq!(failed(&actions), [2]);
         assert_eq!(actions.contains(&Action::Preempt(2)), stops);
     }
@@ -67,12 +71,12 @@
 
 #[test]
 fn remembers_a_key_for_its_window_from_arrival() {
-    let mut script = Script::new(settings());
+    let mut harness = ControllerHarness::new(settings());
     let request = Request {
         read_delay: 300 * MS,
-        ..script.request(1, 1)
+        ..harness.request(1, 1)
     };
-    let actions = script.step(&[Event::Arrived(request)]);
+    let actions = harness.step(&[Event::Arrived(request)]);
     let lifetime = 20 * SECOND - 300 * MS + 15 * MS;
     assert_eq!(
         actions,
@@ -82,65 +86,68 @@
 
 #[test]
 fn repeat_shares_the_response_of_a_run_and_is_never_rejected_or_run() {
-    let mut script = Script::new(settings());
-    script.arrive(1, 1);
+    let mut harness = ControllerHarness::new(settings());
+    harness.arrive(1, 1);
     let repeat = Request {
         duplicate_of: Some(1),
-        ..script.request(2, 1)
+        ..harness.request(2, 1)
     };
     assert_eq!(
-        script.step(&[Event::Arrived(repeat)]),
+        harness.step(&[Event::Arrived(repeat)]),
         [Action::ShareResponse(2)]
     );
-    let later = script.pass_time(8 * SECOND);
+    let later = harness.advance(8 * SECOND);
     assert_eq!(failed(&later), [1, 2]);
-    assert!(runs(&later).is_empty() && refused(&later).is_empty());
+    assert!(started_runs(&later).is_empty() && rejected(&later).is_empty());
 }
 
 #[test]
 fn repeat_of_a_run_long_over_shares_its_response() {
-    let mut script = Script::new(settings());
-    script.arrive(1, 1);
-    script.step(&[ended(1, 100 * MS)]);
+    let mut harness = ControllerHarness::new(settings());
+    harness.arrive(1, 1);
+    harness.step(&[run_ended(1, 100 * MS)]);
     let repeat = Request {
         duplicate_of: Some(1),
-        ..script.request(2, 1)
+        ..harness.request(2, 1)
     };
     assert_eq!(
-        script.step(&[Event::Arrived(repeat)]),
+        harness.step(&[Event::Arrived(repeat)]),
         [Action::ShareResponse(2)]
     );
 }
 
 #[test]
 fn queued_request_yields_to_its_newer_attempt() {
-    let mut script = Script::new(settings());
-    script.arrive(1, 0);
-    script.arrive(2, 0);
-    assert!(runs(&script.arrive(3, 1)).is_empty(), "two cores are taken");
+    let mut harness = ControllerHarness::new(settings());
+    harness.arrive(1, 0);
+    harness.arrive(2, 0);
+    assert!(
+        started_runs(&harness.arrive(3, 1)).is_empty(),
+        "two cores are taken"
+    );
     let repeat = Request {
         duplicate_of: Some(3),
-        ..script.request(4, 1)
+        ..harness.request(4, 1)
     };
-    let actions = script.step(&[Event::Arrived(repeat)]);
-    assert_eq!(refused(&actions), [3]);
+    let actions = harness.step(&[Event::Arrived(repeat)]);
+    assert_eq!(rejected(&actions), [3]);
     assert!(!actions.contains(&Action::ShareResponse(4)));
-    assert_eq!(runs(&script.step(&[ended(1, 100 * MS)])), [4]);
+    assert_eq!(started_runs(&harness.step(&[run_ended(1, 100 * MS)])), [4]);
 }
 
 #[test]
 fn two_attempts_in_one_step_that_name_each_other_get_one_run() {
-    let mut script = Script::new(settings());
+    let mut harness = ControllerHarness::new(settings());
     let first = Request {
         duplicate_of: Some(2),
-        ..script.request(1, 1)
+        ..harness.request(1, 1)
     };
     let second = Request {
         duplicate_of: Some(1),
-        ..script.request(2, 1)
+        ..harness.request(2, 1)
     };
-    let actions = script.step(&[Event::Arrived(first), Event::Arrived(second)]);
-    assert_eq!(runs(&actions), [2]);
+    let actions = harness.step(&[Event::Arrived(first), Event::Arrived(second)]);
+    assert_eq!(started_runs(&actions), [2]);
     assert!(actions.contains(&Action::ShareResponse(1)));
 }
 
@@ -154,17 +161,17 @@
         (Effect::AtMostOnce, Outcome::Overloaded, true),
         (Effect::Idempotent, Outcome::TimedOut, true),
     ] {
-        let mut script = Script::new(Settings {
+        let mut harness = ControllerHarness::new(Settings {
             classes: vec![class(effect, true)],
             ..settings()
         });
-        script.arrive(1, 0);
-        assert_eq!(calls(&script.step(&[Event::CallRequested(1)])), [1]);
-        script.now += 10 * MS;
-        let mut actions = script.step(&[called(1, outcome, 10 * MS)]);
-        actions.extend(script.pass_time(SECOND));
+        harness.arrive(1, 0);
+        assert_eq!(made_calls(&harness.step(&[Event::CallRequested(1)])), [1]);
+        harness.now += 10 * MS;
+        let mut actions = harness.step(&[call_ended(1, outcome, 10 * MS)]);
+        actions.extend(harness.advance(SECOND));
         assert_eq!(
-            calls(&actions).len(),
+            made_calls(&actions).len(),
             usize::from(again),
             "{effect:?} {outcome:?}"
         );
@@ -178,94 +185,97 @@
 
 #[test]
 fn runs_nothing_new_after_the_grace_and_responds_to_all_before_the_stop() {
-    let mut script = Script::new(settings());
-    script.arrive(1, 0);
-    let stop_at = script.now + 4 * SECOND;
-    let actions = script.step(&[Event::DrainStarted { stop_at }]);
+    let mut harness = ControllerHarness::new(settings());
+    harness.arrive(1, 0);
+    let stop_at = harness.now + 4 * SECOND;
+    let actions = harness.step(&[Event::DrainStarted { stop_at }]);
     assert!(actions.contains(&Action::SetHealth {
         healthy: false,
         from_state: true
     }));
-    script.now += 1_990 * MS;
-    assert_eq!(runs(&script.arrive(2, 0)), [2], "within the grace");
-    script.now += 20 * MS;
-    assert_eq!(refused(&script.arrive(3, 0)), [3], "after the grace");
+    harness.now += 1_990 * MS;
+    assert_eq!(started_runs(&harness.arrive(2, 0)), [2], "within the grace");
+    harness.now += 20 * MS;
+    assert_eq!(rejected(&harness.arrive(3, 0)), [3], "after the grace");
     assert_eq!(
-        failed(&script.pass_time(stop_at - 60 * MS - script.now)),
+        failed(&harness.advance(stop_at - 60 * MS - harness.now)),
         [1, 2]
     );
 }
 
 #[test]
 fn may_run_what_was_received_within_the_grace_and_read_later() {
-    let mut script = Script::new(settings());
-    script.step(&[Event::DrainStarted {
-        stop_at: script.now + 5 * SECOND,
+    let mut harness = ControllerHarness::new(settings());
+    harness.step(&[Event::DrainStarted {
+        stop_at: harness.now + 5 * SECOND,
     }]);
-    script.now += 2_100 * MS;
+    harness.now += 2_100 * MS;
     let early = Request {
         read_delay: 200 * MS,
-        ..script.request(1, 0)
+        ..harness.request(1, 0)
     };
     let late = Request {
         read_delay: 50 * MS,
-        ..script.request(2, 0)
+        ..harness.request(2, 0)
     };
-    let actions = script.step(&[Event::Arrived(early), Event::Arrived(late)]);
-    assert_eq!((runs(&actions), refused(&actions)), (vec![1], vec![2]));
+    let actions = harness.step(&[Event::Arrived(early), Event::Arrived(late)]);
+    assert_eq!(
+        (started_runs(&actions), rejected(&actions)),
+        (vec![1], vec![2])
+    );
 }
 
 #[test]
 fn never_takes_memory_beyond_the_margin() {
-    let mut script = Script::new(Settings {
+    let mut harness = ControllerHarness::new(Settings {
         memory_kb: 200.0,
         cores: 8,
         ..settings()
     });
     let mut actions = Vec::new();
     for id in 1..=12 {
-        actions.extend(script.arrive(id, 0));
+        actions.extend(harness.arrive(id, 0));
     }
     // 85 in 100 of 200 kB: two runs of 80 kB and one held request of 10 kB.
-    assert_eq!(runs(&actions), [1, 2]);
-    assert_eq!(refused(&actions).len(), 9);
+    assert_eq!(started_runs(&actions), [1, 2]);
+    assert_eq!(rejected(&actions).len(), 9);
 }
 
 #[test]
 fn runs_no_more_than_the_limit_and_a_call_frees_its_core() {
-    let mut script = Script::new(settings());
-    let mut actions = script.arrive(1, 2);
-    actions.extend(script.arrive(2, 0));
-    actions.extend(script.arrive(3, 0));
-    assert_eq!(runs(&actions), [1, 2]);
-    assert_eq!(runs(&script.step(&[Event::CallRequested(1)])), [3]);
+    let mut harness = ControllerHarness::new(settings());
+    let mut actions = harness.arrive(1, 2);
+    actions.extend(harness.arrive(2, 0));
+    actions.extend(harness.arrive(3, 0));
+    assert_eq!(started_runs(&actions), [1, 2]);
+    assert_eq!(started_runs(&harness.step(&[Event::CallRequested(1)])), [3]);
 }
 
 #[test]
 fn same_events_give_the_same_actions() {
     let play = || {
-        let mut script = Script::new(settings());
+        let mut harness = ControllerHarness::new(settings());
         let mut all = Vec::new();
         for id in 1..=60 {
-            all.extend(script.arrive(id, (id % 3) as usize));
-            all.extend(script.pass_time(40 * MS));
+            all.extend(harness.arrive(id, (id % 3) as usize));
+            all.extend(harness.advance(40 * MS));
         }
         all
     };
     assert_eq!(play(), play());
-    assert!(!refused(&play()).is_empty());
+    assert!(!rejected(&play()).is_empty());
 }
 
 #[test]
 fn ignores_events_of_requests_that_are_over() {
-    let mut script = Script::new(settings());
+    let mut harness = ControllerHarness::new(settings());
     let gone = [
         Event::Abandoned(9),
         Event::CallRequested(9),
-        called(9, Outcome::Success, 1),
-        ended(9, 1),
+        call_ended(9, Outcome::Success, 1),
+        run_ended(9, 1),
     ];
-    assert!(script.step(&gone).is_empty());
+    assert!(harness.step(&gone).is_empty());
 }
 
 #[test]
@@ -294,8 +304,8 @@
         feedback: FeedbackKind::ConcurrencyAllowance,
         ..settings()
     };
-    let mut script = Script::new(odd);
-    let actions = script.arrive(1, 0);
-    assert_eq!(runs(&actions).len() + refused(&actions).len(), 1);
-    script.pass_time(200 * MS);
+    let mut harness = ControllerHarness::new(odd);
+    let actions = harness.arrive(1, 0);
+    assert_eq!(started_runs(&actions).len() + rejected(&actions).len(), 1);
+    harness.advance(200 * MS);
 }
