--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The four rules asserted after each step of many random, legal sequences of events, each from a fixed seed.
+//! Property tests: asserts the four rules of the controller after each step of many random, valid
+//! sequences of events, each from a fixed seed.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use common::*;
 use std::collections::BTreeMap;
 
-/// A generator of its own (splitmix64), so that a sequence is the same on every machine.
+/// SplitMix64 generator, so that a seed gives the same sequence on every machine.
 struct RandomSource(u64);
 
 impl RandomSource {
@@ -24,157 +25,188 @@
     }
 }
 
+/// Stage of a request's life cycle, as the model tracks it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum At {
-    Held,
-    Cores,
-    Call,
-    Called,
+enum Stage {
+    Queued,
+    Running,
+    AwaitingCall,
+    Calling,
     Sharing(RequestId),
-    Over,
+    Done,
 }
 
 #[derive(Debug, Clone)]
 struct RequestRecord {
     class: usize,
-    /// What it shares with its further tries.
+    /// Key that all attempts of the request share.
     key: u64,
-    arrived: Micros,
-    due: Micros,
-    at: At,
-    started: Micros,
-    ran: bool,
-    answered: bool,
-    /// Its last call may have taken effect although it did not succeed.
-    unsure: bool,
+    arrived_at: Micros,
+    deadline: Micros,
+    stage: Stage,
+    started_at: Micros,
+    has_run: bool,
+    /// Whether it has its response, or its caller no longer waits.
+    is_settled: bool,
+    /// Whether its last call may have taken effect although it did not succeed.
+    may_have_taken_effect: bool,
     memory_kb: f64,
 }
 
-/// The server around one controller: plays random events and holds every action against the rules.
+/// Model of the server around one controller: generates random events and checks every action
+/// against the rules.
 struct ServerModel {
     settings: Settings,
     controller: Controller,
-    chance: RandomSource,
+    random: RandomSource,
     now: Micros,
-    seen: BTreeMap<RequestId, RequestRecord>,
-    /// Entries in the table of keys: the key's holder and when it runs out.
-    entries: BTreeMap<RequestId, Micros>,
+    requests: BTreeMap<RequestId, RequestRecord>,
+    /// Expiry times of the entries in the table of keys, by id of the request that holds the key.
+    key_entries: BTreeMap<RequestId, Micros>,
+    /// Start of the drain, and time at which the process is stopped.
     drain: Option<(Micros, Micros)>,
-    log: Vec<Action>,
+    action_log: Vec<Action>,
 }
 
 impl ServerModel {
     fn new(settings: Settings, seed: u64) -> Self {
         let controller = Controller::new(settings.clone(), seed);
-        let mut world = Self {
+        let mut model = Self {
             settings,
             controller,
-            chance: RandomSource(seed),
+            random: RandomSource(seed),
             now: 50 * SECOND,
-            seen: BTreeMap::new(),
-            entries: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            key_entries: BTreeMap::new(),
             drain: None,
-            log: Vec::new(),
+            action_log: Vec::new(),
         };
-        world.step(&[Event::Started]);
-        world
+        model.step(&[Event::Started]);
+        model
     }
 
     fn step(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.controller.step(self.now, events, &mut actions);
         for action in &actions {
-            self.take(action);
+            self.apply_action(action);
         }
-        self.log.extend(actions);
+        self.action_log.extend(actions);
         self.check_invariants();
     }
 
-    fn take(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         let now = self.now;
         match *action {
             Action::Run(id) => {
-                let request = self.seen[&id].clone();
-                assert_eq!(request.at, At::Held, "only what is held can run");
-                assert!(!request.answered, "an answered request must not run");
+                let request = self.requests[&id].clone();
+                assert_eq!(
+                    request.stage,
+                    Stage::Queued,
+                    "only a queued request can run"
+                );
+                assert!(!request.is_settled, "a settled request must not run");
                 let class = &self.settings.classes[request.class];
                 if class.effect == Effect::Deduplicated {
-                    let twice = self.seen.iter().any(|(other, seen)| {
+                    let has_run_before = self.requests.iter().any(|(other, record)| {
                         *other != id
-                            && seen.key == request.key
-                            && seen.ran
-                            && request.arrived <= seen.arrived + class.deduplication_window
+                            && record.key == request.key
+                            && record.has_run
+                            && request.arrived_at <= record.arrived_at + class.deduplication_window
                     });
-                    assert!(!twice, "a keyed request runs once in its window");
+                    assert!(
+                        !has_run_before,
+                        "a request with a key must run only once in its deduplication window"
+                    );
                 }
-                if let Some((notice, _)) = self.drain {
+                if let Some((drain_started_at, _)) = self.drain {
                     assert!(
-                        request.arrived <= notice + self.settings.drain_grace,
-                        "after the grace"
+                        request.arrived_at <= drain_started_at + self.settings.drain_grace,
+                        "a request that arrives after the drain grace period must not run"
                     );
                 }
-                let request = self.seen.get_mut(&id).expect("seen");
-                (request.at, request.ran, request.started) = (At::Cores, true, now);
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                (request.stage, request.has_run, request.started_at) = (Stage::Running, true, now);
             }
             Action::Reject { id, .. } => {
                 let request = self
-                    .seen
+                    .requests
                     .get_mut(&id)
-                    .expect("only what arrived is refused");
-                assert_eq!(request.at, At::Held, "a refusal promises that it never ran");
-                assert!(!request.answered, "one final answer");
-                (request.answered, request.at) = (true, At::Over);
+                    .expect("only a known request can be rejected");
+                assert_eq!(
+                    request.stage,
+                    Stage::Queued,
+                    "a rejected request must never have run"
+                );
+                assert!(!request.is_settled, "a request must get only one response");
+                (request.is_settled, request.stage) = (true, Stage::Done);
             }
             Action::Fail(id) => {
-                let request = self.seen.get_mut(&id).expect("only what arrived is failed");
-                assert!(!request.answered, "one final answer");
-                request.answered = true;
-                if matches!(request.at, At::Held | At::Sharing(_)) {
-                    request.at = At::Over;
+                let request = self
+                    .requests
+                    .get_mut(&id)
+                    .expect("only a known request can fail");
+                assert!(!request.is_settled, "a request must get only one response");
+                request.is_settled = true;
+                if matches!(request.stage, Stage::Queued | Stage::Sharing(_)) {
+                    request.stage = Stage::Done;
                 }
             }
             Action::Call { id, .. } => {
-                let request = self.seen.get_mut(&id).expect("seen");
-                assert_eq!(request.at, At::Call, "only what stands at a call can call");
-                let safe = self.settings.classes[request.class].effect == Effect::Idempotent;
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                assert_eq!(
+                    request.stage,
+                    Stage::AwaitingCall,
+                    "only a run that awaits its call can make it"
+                );
+                let is_idempotent =
+                    self.settings.classes[request.class].effect == Effect::Idempotent;
                 assert!(
-                    safe || !request.unsure,
-                    "a call that may have taken effect is not made again"
+                    is_idempotent || !request.may_have_taken_effect,
+                    "a call that may have taken effect must not be repeated"
                 );
-                request.at = At::Called;
+                request.stage = Stage::Calling;
             }
             Action::SkipCall(id) => {
-                let request = self.seen.get_mut(&id).expect("seen");
-                assert_eq!(request.at, At::Call);
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                assert_eq!(request.stage, Stage::AwaitingCall);
                 assert!(
                     self.settings.classes[request.class].weight_ratio_without_call > 0.0,
-                    "this call can't be left out"
+                    "the class does not allow skipping the call"
                 );
-                request.at = At::Cores;
+                request.stage = Stage::Running;
             }
             Action::ShareResponse(id) => {
-                let request = self.seen.get_mut(&id).expect("seen");
-                let At::Sharing(_) = request.at else {
-                    panic!("nothing to share: {request:?}")
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                let Stage::Sharing(_) = request.stage else {
+                    panic!("the request has no original to share a response with: {request:?}")
                 };
             }
             Action::InsertKey { id, lifetime } => {
-                self.entries.insert(id, now + lifetime);
+                self.key_entries.insert(id, now + lifetime);
             }
             Action::RemoveKey(id) => {
-                self.entries.remove(&id);
+                self.key_entries.remove(&id);
             }
             Action::Preempt(id) => {
                 assert_ne!(
                     self.settings.preemption,
                     Preemption::Never,
-                    "nothing may be stopped here"
+                    "these settings forbid preemption"
+                );
+                let request = &self.requests[&id];
+                assert_eq!(
+                    request.stage,
+                    Stage::Running,
+                    "only a running request can be preempted"
+                );
+                assert!(
+                    request.is_settled,
+                    "a request without a response must not be preempted"
                 );
-                let request = &self.seen[&id];
-                assert_eq!(request.at, At::Cores, "only what runs is stopped");
-                assert!(request.answered, "an answer is owed");
-                let safe = self.settings.classes[request.class].effect == Effect::Idempotent;
-                assert!(safe, "what has an effect is not stopped");
+                let is_idempotent =
+                    self.settings.classes[request.class].effect == Effect::Idempotent;
+                assert!(is_idempotent, "only idempotent requests can be preempted");
             }
             Action::SetTimer { .. }
             | Action::SetFeedback(_)
@@ -184,99 +216,115 @@
     }
 
     fn check_invariants(&mut self) {
-        self.entries.retain(|_, until| *until > self.now);
-        let (mut memory, mut on_cores, mut calls) =
-            (self.entries.len() as f64 * self.settings.key_entry_kb, 0, 0);
-        for (id, request) in &self.seen {
+        self.key_entries
+            .retain(|_, expires_at| *expires_at > self.now);
+        let (mut memory, mut on_cores, mut calls) = (
+            self.key_entries.len() as f64 * self.settings.key_entry_kb,
+            0,
+            0,
+        );
+        for (id, request) in &self.requests {
             let stop = self.drain.map_or(Micros::MAX, |(_, stop_at)| stop_at);
-            let latest = (request.due + self.settings.response_slack).min(stop);
+            let latest = (request.deadline + self.settings.response_slack).min(stop);
             assert!(
-                request.answered || self.now <= latest,
-                "request {id} got no answer in time"
+                request.is_settled || self.now <= latest,
+                "request {id} got no response in time"
             );
-            let factor = match request.at {
-                At::Over => 0.0,
-                At::Held | At::Sharing(_) => 1.0,
-                At::Cores | At::Call | At::Called => self.settings.running_memory_factor,
+            let factor = match request.stage {
+                Stage::Done => 0.0,
+                Stage::Queued | Stage::Sharing(_) => 1.0,
+                Stage::Running | Stage::AwaitingCall | Stage::Calling => {
+                    self.settings.running_memory_factor
+                }
             };
             memory += request.memory_kb * factor;
-            on_cores += u32::from(request.at == At::Cores);
-            calls += u32::from(request.at == At::Called);
+            on_cores += u32::from(request.stage == Stage::Running);
+            calls += u32::from(request.stage == Stage::Calling);
         }
-        assert!(memory <= self.settings.memory_kb, "{memory} kB");
-        let crowd =
+        assert!(
+            memory <= self.settings.memory_kb,
+            "requests and keys use {memory} kB"
+        );
+        let max_running =
             self.settings.overload_concurrency_per_core * f64::from(self.settings.cores.max(1));
         assert!(
-            f64::from(on_cores) <= crowd.max(1.0),
-            "{on_cores} on the cores"
+            f64::from(on_cores) <= max_running.max(1.0),
+            "{on_cores} requests occupy a core"
         );
         if let DependencyLimit::Shared {
-            concurrency_quota: share,
+            concurrency_quota: quota,
             ..
         } = self.settings.dependency
         {
-            assert!(f64::from(calls) <= share.max(1.0), "{calls} calls in hand");
+            assert!(
+                f64::from(calls) <= quota.max(1.0),
+                "{calls} calls are in flight"
+            );
         }
     }
 
-    /// A new request, or now and then a further try of a keyed one.
-    fn arrival(&mut self, id: RequestId) -> Event {
-        let class = self.chance.next_below(self.settings.classes.len() as u64) as usize;
-        let keyed = self.settings.classes[class].effect == Effect::Deduplicated;
-        let fresh_key = id << 8;
-        let tries: Vec<u64> = self
-            .seen
+    /// Returns the arrival of a new request, or sometimes of a retry of one with a key.
+    fn next_arrival(&mut self, id: RequestId) -> Event {
+        let class = self.random.next_below(self.settings.classes.len() as u64) as usize;
+        let is_keyed = self.settings.classes[class].effect == Effect::Deduplicated;
+        let new_key = id << 8;
+        let known_keys: Vec<u64> = self
+            .requests
             .values()
-            .filter(|s| s.class == class)
-            .map(|s| s.key)
+            .filter(|record| record.class == class)
+            .map(|record| record.key)
             .collect();
-        let again = keyed && !tries.is_empty() && self.chance.is_one_in(3);
-        let key = if again {
-            tries[self.chance.next_below(tries.len() as u64) as usize]
+        let is_repeat = is_keyed && !known_keys.is_empty() && self.random.is_one_in(3);
+        let key = if is_repeat {
+            known_keys[self.random.next_below(known_keys.len() as u64) as usize]
         } else {
-            fresh_key
+            new_key
+        };
+        let has_same_key = |other: &RequestId| {
+            self.requests
+                .get(other)
+                .is_some_and(|record| record.key == key)
         };
-        let same = |other: &RequestId| self.seen.get(other).is_some_and(|seen| seen.key == key);
-        let kept = self.entries.keys().copied().find(same);
-        let held = self
-            .seen
+        let key_holder = self.key_entries.keys().copied().find(has_same_key);
+        let queued_attempt = self
+            .requests
             .iter()
-            .find(|(_, s)| s.key == key && s.at == At::Held)
+            .find(|(_, record)| record.key == key && record.stage == Stage::Queued)
             .map(|(other, _)| *other);
-        let prior = held.or(kept);
-        let waited = self.chance.next_below(20) * MS;
-        let arrived = self.now - waited;
-        let due = self.now + (1 + self.chance.next_below(6)) * SECOND;
-        let memory_kb = 5.0 + self.chance.next_below(40) as f64;
-        // What is not held can only be repeated by sharing.
-        let at = prior
-            .filter(|_| held.is_none())
-            .map_or(At::Held, At::Sharing);
-        let seen = RequestRecord {
+        let original = queued_attempt.or(key_holder);
+        let read_delay = self.random.next_below(20) * MS;
+        let arrived_at = self.now - read_delay;
+        let deadline = self.now + (1 + self.random.next_below(6)) * SECOND;
+        let memory_kb = 5.0 + self.random.next_below(40) as f64;
+        // A repeat of a request that is not queued can only share its response.
+        let stage = original
+            .filter(|_| queued_attempt.is_none())
+            .map_or(Stage::Queued, Stage::Sharing);
+        let record = RequestRecord {
             class,
             key,
-            arrived,
-            due,
-            at,
-            started: 0,
-            ran: false,
-            answered: false,
-            unsure: false,
+            arrived_at,
+            deadline,
+            stage,
+            started_at: 0,
+            has_run: false,
+            is_settled: false,
+            may_have_taken_effect: false,
             memory_kb,
         };
-        self.seen.insert(id, seen);
-        let (retry, rank) = (again, self.chance.next_below(100) as f64 / 100.0);
+        self.requests.insert(id, record);
+        let (is_retry, rank) = (is_repeat, self.random.next_below(100) as f64 / 100.0);
         let work = self
-            .chance
+            .random
             .is_one_in(2)
-            .then(|| (50 + self.chance.next_below(500)) * MS);
+            .then(|| (50 + self.random.next_below(500)) * MS);
         let request = Request {
             id,
             class,
-            respond_by: Some(due),
-            read_delay: waited,
-            duplicate_of: prior,
-            is_retry: retry,
+            respond_by: Some(deadline),
+            read_delay,
+            duplicate_of: original,
+            is_retry,
             rank,
             expected_work: work,
             ..Request::default()
@@ -287,37 +335,43 @@
         })
     }
 
-    /// What may become of one request by itself in this moment.
-    fn progress(&mut self, id: RequestId) -> Option<Event> {
-        let request = self.seen[&id].clone();
-        let elapsed = self.now - request.started;
-        let outcome = match request.at {
-            At::Over => return None,
-            At::Held if !request.answered && self.chance.is_one_in(200) => {
-                let request = self.seen.get_mut(&id).expect("seen");
-                (request.answered, request.at) = (true, At::Over);
+    /// Returns a random event of this request, if one occurs in this step.
+    fn next_event(&mut self, id: RequestId) -> Option<Event> {
+        let request = self.requests[&id].clone();
+        let elapsed = self.now - request.started_at;
+        let outcome = match request.stage {
+            Stage::Done => return None,
+            Stage::Queued if !request.is_settled && self.random.is_one_in(200) => {
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                (request.is_settled, request.stage) = (true, Stage::Done);
                 return Some(Event::Abandoned(id));
             }
-            At::Held => return None,
-            At::Cores
+            Stage::Queued => return None,
+            Stage::Running
                 if self.settings.classes[request.class].calls_dependency
-                    && self.chance.is_one_in(6) =>
+                    && self.random.is_one_in(6) =>
             {
-                self.seen.get_mut(&id).expect("seen").at =
-                    if request.answered { At::Over } else { At::Call };
-                if !request.answered {
+                self.requests
+                    .get_mut(&id)
+                    .expect("the request is known")
+                    .stage = if request.is_settled {
+                    Stage::Done
+                } else {
+                    Stage::AwaitingCall
+                };
+                if !request.is_settled {
                     return Some(Event::CallRequested(id));
                 }
                 Outcome::Cancelled
             }
-            At::Cores if self.chance.is_one_in(8) => {
+            Stage::Running if self.random.is_one_in(8) => {
                 [Outcome::Success, Outcome::Success, Outcome::Failure]
-                    [self.chance.next_below(3) as usize]
+                    [self.random.next_below(3) as usize]
             }
-            At::Cores => return None,
-            At::Call | At::Called if request.answered => Outcome::Cancelled,
-            At::Call => return None,
-            At::Called if self.chance.is_one_in(5) => {
+            Stage::Running => return None,
+            Stage::AwaitingCall | Stage::Calling if request.is_settled => Outcome::Cancelled,
+            Stage::AwaitingCall => return None,
+            Stage::Calling if self.random.is_one_in(5) => {
                 let outcome = [
                     Outcome::Success,
                     Outcome::Success,
@@ -326,34 +380,34 @@
                     Outcome::TimedOut,
                     Outcome::Unreachable,
                     Outcome::Interrupted,
-                ][self.chance.next_below(7) as usize];
-                let at = if outcome == Outcome::Success {
-                    At::Cores
+                ][self.random.next_below(7) as usize];
+                let stage = if outcome == Outcome::Success {
+                    Stage::Running
                 } else {
-                    At::Call
+                    Stage::AwaitingCall
                 };
-                let request = self.seen.get_mut(&id).expect("seen");
-                request.at = at;
-                request.unsure = matches!(
+                let request = self.requests.get_mut(&id).expect("the request is known");
+                request.stage = stage;
+                request.may_have_taken_effect = matches!(
                     outcome,
                     Outcome::Failure | Outcome::TimedOut | Outcome::Interrupted
                 );
-                return Some(call_ended(id, outcome, self.chance.next_below(800) * MS));
+                return Some(call_ended(id, outcome, self.random.next_below(800) * MS));
             }
-            At::Called => return None,
-            At::Sharing(prior) => {
+            Stage::Calling => return None,
+            Stage::Sharing(original) => {
                 if self
-                    .seen
-                    .get(&prior)
-                    .is_some_and(|prior| prior.at != At::Over)
+                    .requests
+                    .get(&original)
+                    .is_some_and(|original| original.stage != Stage::Done)
                 {
                     return None;
                 }
                 Outcome::Success
             }
         };
-        let request = self.seen.get_mut(&id).expect("seen");
-        (request.answered, request.at) = (true, At::Over);
+        let request = self.requests.get_mut(&id).expect("the request is known");
+        (request.is_settled, request.stage) = (true, Stage::Done);
         Some(Event::RunEnded {
             id,
             outcome,
@@ -361,19 +415,21 @@
         })
     }
 
-    fn play(mut self, steps: u64, drains: bool) -> Vec<Action> {
+    fn run(mut self, steps: u64, drains_halfway: bool) -> Vec<Action> {
         let mut next = 1;
         for step in 0..steps {
-            self.now += (1 + self.chance.next_below(40)) * MS;
-            let ids: Vec<RequestId> = self.seen.keys().copied().collect();
-            let mut events: Vec<Event> =
-                ids.into_iter().filter_map(|id| self.progress(id)).collect();
+            self.now += (1 + self.random.next_below(40)) * MS;
+            let ids: Vec<RequestId> = self.requests.keys().copied().collect();
+            let mut events: Vec<Event> = ids
+                .into_iter()
+                .filter_map(|id| self.next_event(id))
+                .collect();
             let gauges = Gauges {
-                runnable: Some(self.chance.next_below(8) as f64),
+                runnable: Some(self.random.next_below(8) as f64),
                 memory: None,
             };
             events.push(Event::TimerExpired { token: 0, gauges });
-            if drains && step == steps / 2 {
+            if drains_halfway && step == steps / 2 {
                 let stop_at = self.now + 4 * SECOND;
                 self.drain = Some((self.now, stop_at));
                 events.push(Event::DrainStarted { stop_at });
@@ -382,24 +438,26 @@
             if self
                 .drain
                 .is_none_or(|(_, stop_at)| self.now + SECOND < stop_at)
-                && self.chance.is_one_in(2)
+                && self.random.is_one_in(2)
             {
-                let event = self.arrival(next);
+                let event = self.next_arrival(next);
                 next += 1;
                 self.step(&[event]);
             }
         }
-        self.finish_all();
-        self.log
+        self.finish_requests();
+        self.action_log
     }
 
-    /// Lets all end, and sees that nothing is left behind.
-    fn finish_all(&mut self) {
+    /// Lets all requests end, and asserts that the controller keeps no state of them.
+    fn finish_requests(&mut self) {
         for _ in 0..1_500 {
             self.now += 10 * MS;
-            let ids: Vec<RequestId> = self.seen.keys().copied().collect();
-            let mut events: Vec<Event> =
-                ids.into_iter().filter_map(|id| self.progress(id)).collect();
+            let ids: Vec<RequestId> = self.requests.keys().copied().collect();
+            let mut events: Vec<Event> = ids
+                .into_iter()
+                .filter_map(|id| self.next_event(id))
+                .collect();
             events.push(Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
@@ -407,18 +465,18 @@
             self.step(&events);
         }
         assert!(self
-            .seen
+            .requests
             .values()
-            .all(|request| request.answered && request.at == At::Over));
-        let left = format!("{:?}", self.controller);
+            .all(|request| request.is_settled && request.stage == Stage::Done));
+        let debug_output = format!("{:?}", self.controller);
         assert!(
-            left.contains("requests: {}"),
-            "records of requests that are over: {left}"
+            debug_output.contains("requests: {}"),
+            "the controller keeps state of completed requests: {debug_output}"
         );
     }
 }
 
-fn varied() -> Settings {
+fn mixed_class_settings() -> Settings {
     let classes = vec![
         class(Effect::Idempotent, false),
         Class {
@@ -440,53 +498,53 @@
     }
 }
 
-fn play_all(settings: &Settings) {
+fn run_all_seeds(settings: &Settings) {
     for seed in 0..6 {
-        for drains in [false, true] {
-            ServerModel::new(settings.clone(), seed).play(600, drains);
+        for drains_halfway in [false, true] {
+            ServerModel::new(settings.clone(), seed).run(600, drains_halfway);
         }
     }
 }
 
 #[test]
 fn random_events_never_break_a_rule() {
-    play_all(&varied());
-    play_all(&Settings {
+    run_all_seeds(&mixed_class_settings());
+    run_all_seeds(&Settings {
         preemption: Preemption::Discard,
-        ..varied()
+        ..mixed_class_settings()
     });
 }
 
 #[test]
 fn random_events_never_break_a_rule_on_a_cold_server_with_one_core_and_little_memory() {
-    play_all(&Settings {
+    run_all_seeds(&Settings {
         cores: 1,
         cold_start: true,
         memory_kb: 800.0,
-        ..varied()
+        ..mixed_class_settings()
     });
 }
 
 #[test]
 fn random_events_never_break_a_rule_with_any_kind_of_dependency() {
-    play_all(&Settings {
+    run_all_seeds(&Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 0.01,
             averaging_window: 5 * SECOND,
         },
-        ..varied()
+        ..mixed_class_settings()
     });
-    play_all(&Settings {
+    run_all_seeds(&Settings {
         dependency: DependencyLimit::NextTier,
-        ..varied()
+        ..mixed_class_settings()
     });
-    let mut alone = varied();
-    alone.dependency = DependencyLimit::NoDependency;
-    alone
+    let mut without_dependency = mixed_class_settings();
+    without_dependency.dependency = DependencyLimit::NoDependency;
+    without_dependency
         .classes
         .iter_mut()
         .for_each(|class| class.calls_dependency = false);
-    play_all(&alone);
+    run_all_seeds(&without_dependency);
 }
 
 #[test]
@@ -499,37 +557,37 @@
             quota_per_second: 0.0,
         },
     ];
-    play_all(&Settings {
+    run_all_seeds(&Settings {
         tenants,
         callers: 1_000,
         servers: 300,
-        ..varied()
+        ..mixed_class_settings()
     });
-    let mut brief = varied();
-    brief
+    let mut without_windows = mixed_class_settings();
+    without_windows
         .classes
         .iter_mut()
         .for_each(|class| class.deduplication_window = 0);
-    play_all(&brief);
+    run_all_seeds(&without_windows);
 }
 
 #[test]
 fn same_seed_gives_the_same_actions() {
-    let log = |seed| ServerModel::new(varied(), seed).play(400, true);
-    assert_eq!(log(5), log(5));
-    assert_ne!(log(5), log(6));
+    let action_log = |seed| ServerModel::new(mixed_class_settings(), seed).run(400, true);
+    assert_eq!(action_log(5), action_log(5));
+    assert_ne!(action_log(5), action_log(6));
 }
 
 #[test]
 fn random_events_never_exceed_a_small_survivable_concurrency() {
-    let mut crowded = Settings {
+    let mut low_overload_concurrency = Settings {
         overload_concurrency_per_core: 2.0,
         dependency: DependencyLimit::NoDependency,
-        ..varied()
+        ..mixed_class_settings()
     };
-    crowded
+    low_overload_concurrency
         .classes
         .iter_mut()
         .for_each(|class| class.calls_dependency = false);
-    play_all(&crowded);
+    run_all_seeds(&low_overload_concurrency);
 }
