--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Scripts events for one controller. No decisions: only plain settings and short names.
+//! Test harness that passes events to one controller, with default settings and helpers.
 
-#![allow(dead_code)] // Each test binary uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of the helpers.
 
 use cleatpulley::interface::*;
 use cleatpulley::Controller;
@@ -8,7 +8,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Effect, calls: bool) -> Class {
+pub fn class(effect: Effect, calls_dependency: bool) -> Class {
     Class {
         effect,
         latency_objective: 2 * SECOND,
@@ -17,12 +17,13 @@
         late_weight_ratio: 0.0,
         priority_weight: 1.0,
         deduplication_window: 20 * SECOND,
-        calls_dependency: calls,
+        calls_dependency: calls_dependency,
         weight_ratio_without_call: 0.0,
     }
 }
 
-/// One core-bound safe class (0), one keyed class (1) and one that calls below (2); two cores.
+/// Settings with two cores and three classes: idempotent (0), deduplicated (1), and idempotent with
+/// calls to the dependency (2).
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -68,7 +69,7 @@
 }
 
 impl ControllerHarness {
-    /// A controller that has started at second 100.
+    /// Creates a controller that has started at second 100.
     pub fn new(settings: Settings) -> Self {
         let mut harness = Self {
             controller: Controller::new(settings, 7),
@@ -78,26 +79,26 @@
         harness
     }
 
-    /// Lets the events happen now.
+    /// Passes events to the controller at the current time, and returns its actions.
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.step(self.now, events, &mut actions);
         actions
     }
 
-    /// Lets time pass with a timer each 20 ms, and collects what is done but for timers.
-    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
-        let until = self.now + time;
-        let mut all = Vec::new();
-        while self.now < until {
-            self.now = (self.now + 20 * MS).min(until);
-            all.extend(self.step(&[Event::TimerExpired {
+    /// Advances the clock with a timer event every 20 ms, and returns all actions other than timers.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let end = self.now + duration;
+        let mut all_actions = Vec::new();
+        while self.now < end {
+            self.now = (self.now + 20 * MS).min(end);
+            all_actions.extend(self.step(&[Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
             }]));
         }
-        all.retain(|action| !matches!(action, Action::SetTimer { .. }));
-        all
+        all_actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
+        all_actions
     }
 
     pub fn request(&self, id: RequestId, class: usize) -> Request {
