--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, each kept by one controller on its own.
+//! Tests of the four rules of the controller: one response by the deadline, no forbidden second run,
+//! graceful shutdown, and no overload of memory or cores.
 
 mod common;
 
@@ -11,13 +12,13 @@
     assert_eq!(started_runs(&harness.arrive(1, 0)), [1]);
     assert!(failed(&harness.advance(7_900 * MS)).is_empty());
     assert_eq!(failed(&harness.advance(100 * MS)), [1]);
-    // It was answered: nothing more is said, and its end is harmless.
+    // The request has its response, so neither the end of its run nor time causes further actions.
     assert!(harness.step(&[run_ended(1, 8 * SECOND)]).is_empty());
     assert!(harness.advance(SECOND).is_empty());
 }
 
 #[test]
-fn counts_the_client_timeout_from_receipt_where_no_deadline_is_known() {
+fn counts_the_client_timeout_from_receipt_if_no_deadline_is_known() {
     let mut harness = ControllerHarness::new(settings());
     let request = Request {
         respond_by: None,
@@ -36,41 +37,44 @@
     assert!(harness.advance(9 * SECOND).is_empty());
 }
 
-/// Where the deployment lets runs be stopped, that of a read whose caller has gone, or that is failed, is; never one that has
-/// an effect, and nowhere else.
+/// Where the deployment allows preemption, the run of an idempotent request is preempted when its
+/// caller abandons it or it fails. Runs of other requests are never preempted.
 #[test]
 fn preempts_only_settled_reads_and_only_where_allowed() {
-    for (halt, class, stops) in [
+    for (preemption, class, is_preempted) in [
         (Preemption::Never, 0, false),
         (Preemption::Discard, 0, true),
         (Preemption::Suspend, 0, true),
         (Preemption::Discard, 1, false),
     ] {
         let mut harness = ControllerHarness::new(Settings {
-            preemption: halt,
+            preemption,
             ..settings()
         });
         harness.arrive(1, class);
-        let expected: Vec<_> = stops.then_some(Action::Preempt(1)).into_iter().collect();
+        let expected: Vec<_> = is_preempted
+            .then_some(Action::Preempt(1))
+            .into_iter()
+            .collect();
         assert_eq!(
             harness.step(&[Event::Abandoned(1)]),
             expected,
-            "{halt:?}, class {class}"
+            "{preemption:?}, class {class}"
         );
         assert_eq!(
             harness.step(&[run_ended(1, 5 * MS)]),
             [],
-            "its end is no news"
+            "the end of a settled run causes no action"
         );
         harness.arrive(2, class);
         let actions = harness.advance(9 * SECOND);
         assert_eq!(failed(&actions), [2]);
-        assert_eq!(actions.contains(&Action::Preempt(2)), stops);
+        assert_eq!(actions.contains(&Action::Preempt(2)), is_preempted);
     }
 }
 
 #[test]
-fn remembers_a_key_for_its_window_from_arrival() {
+fn keeps_a_key_for_the_deduplication_window_after_arrival() {
     let mut harness = ControllerHarness::new(settings());
     let request = Request {
         read_delay: 300 * MS,
@@ -85,58 +89,58 @@
 }
 
 #[test]
-fn repeat_shares_the_response_of_a_run_and_is_never_rejected_or_run() {
+fn retry_shares_the_response_of_a_run_and_is_never_rejected_or_run() {
     let mut harness = ControllerHarness::new(settings());
     harness.arrive(1, 1);
-    let repeat = Request {
+    let retry = Request {
         duplicate_of: Some(1),
         ..harness.request(2, 1)
     };
     assert_eq!(
-        harness.step(&[Event::Arrived(repeat)]),
+        harness.step(&[Event::Arrived(retry)]),
         [Action::ShareResponse(2)]
     );
-    let later = harness.advance(8 * SECOND);
-    assert_eq!(failed(&later), [1, 2]);
-    assert!(started_runs(&later).is_empty() && rejected(&later).is_empty());
+    let later_actions = harness.advance(8 * SECOND);
+    assert_eq!(failed(&later_actions), [1, 2]);
+    assert!(started_runs(&later_actions).is_empty() && rejected(&later_actions).is_empty());
 }
 
 #[test]
-fn repeat_of_a_run_long_over_shares_its_response() {
+fn retry_after_the_run_ended_shares_its_response() {
     let mut harness = ControllerHarness::new(settings());
     harness.arrive(1, 1);
     harness.step(&[run_ended(1, 100 * MS)]);
-    let repeat = Request {
+    let retry = Request {
         duplicate_of: Some(1),
         ..harness.request(2, 1)
     };
     assert_eq!(
-        harness.step(&[Event::Arrived(repeat)]),
+        harness.step(&[Event::Arrived(retry)]),
         [Action::ShareResponse(2)]
     );
 }
 
 #[test]
-fn queued_request_yields_to_its_newer_attempt() {
+fn retry_replaces_a_queued_original() {
     let mut harness = ControllerHarness::new(settings());
     harness.arrive(1, 0);
     harness.arrive(2, 0);
     assert!(
         started_runs(&harness.arrive(3, 1)).is_empty(),
-        "two cores are taken"
+        "both cores are occupied"
     );
-    let repeat = Request {
+    let retry = Request {
         duplicate_of: Some(3),
         ..harness.request(4, 1)
     };
-    let actions = harness.step(&[Event::Arrived(repeat)]);
+    let actions = harness.step(&[Event::Arrived(retry)]);
     assert_eq!(rejected(&actions), [3]);
     assert!(!actions.contains(&Action::ShareResponse(4)));
     assert_eq!(started_runs(&harness.step(&[run_ended(1, 100 * MS)])), [4]);
 }
 
 #[test]
-fn two_attempts_in_one_step_that_name_each_other_get_one_run() {
+fn attempts_that_name_each_other_in_one_step_run_once() {
     let mut harness = ControllerHarness::new(settings());
     let first = Request {
         duplicate_of: Some(2),
@@ -152,8 +156,8 @@
 }
 
 #[test]
-fn repeats_a_call_only_where_it_never_ran_or_is_idempotent() {
-    for (effect, outcome, again) in [
+fn repeats_a_call_only_if_it_took_no_effect_or_is_idempotent() {
+    for (effect, outcome, is_repeated) in [
         (Effect::Deduplicated, Outcome::TimedOut, false),
         (Effect::Deduplicated, Outcome::Failure, false),
         (Effect::Deduplicated, Outcome::Unreachable, true),
@@ -172,19 +176,19 @@
         actions.extend(harness.advance(SECOND));
         assert_eq!(
             made_calls(&actions).len(),
-            usize::from(again),
+            usize::from(is_repeated),
             "{effect:?} {outcome:?}"
         );
         assert_eq!(
             failed(&actions).len(),
-            usize::from(!again),
+            usize::from(!is_repeated),
             "{effect:?} {outcome:?}"
         );
     }
 }
 
 #[test]
-fn runs_nothing_new_after_the_grace_and_responds_to_all_before_the_stop() {
+fn starts_no_late_arrivals_after_the_grace_period_and_responds_to_all_before_the_stop() {
     let mut harness = ControllerHarness::new(settings());
     harness.arrive(1, 0);
     let stop_at = harness.now + 4 * SECOND;
@@ -194,9 +198,17 @@
         from_state: true
     }));
     harness.now += 1_990 * MS;
-    assert_eq!(started_runs(&harness.arrive(2, 0)), [2], "within the grace");
+    assert_eq!(
+        started_runs(&harness.arrive(2, 0)),
+        [2],
+        "within the grace period"
+    );
     harness.now += 20 * MS;
-    assert_eq!(rejected(&harness.arrive(3, 0)), [3], "after the grace");
+    assert_eq!(
+        rejected(&harness.arrive(3, 0)),
+        [3],
+        "after the grace period"
+    );
     assert_eq!(
         failed(&harness.advance(stop_at - 60 * MS - harness.now)),
         [1, 2]
@@ -204,21 +216,24 @@
 }
 
 #[test]
-fn may_run_what_was_received_within_the_grace_and_read_later() {
+fn runs_requests_received_within_the_grace_period_and_read_later() {
     let mut harness = ControllerHarness::new(settings());
     harness.step(&[Event::DrainStarted {
         stop_at: harness.now + 5 * SECOND,
     }]);
     harness.now += 2_100 * MS;
-    let early = Request {
+    let received_in_grace = Request {
         read_delay: 200 * MS,
         ..harness.request(1, 0)
     };
-    let late = Request {
+    let received_after_grace = Request {
         read_delay: 50 * MS,
         ..harness.request(2, 0)
     };
-    let actions = harness.step(&[Event::Arrived(early), Event::Arrived(late)]);
+    let actions = harness.step(&[
+        Event::Arrived(received_in_grace),
+        Event::Arrived(received_after_grace),
+    ]);
     assert_eq!(
         (started_runs(&actions), rejected(&actions)),
         (vec![1], vec![2])
@@ -226,7 +241,7 @@
 }
 
 #[test]
-fn never_takes_memory_beyond_the_margin() {
+fn never_exceeds_the_usable_memory() {
     let mut harness = ControllerHarness::new(Settings {
         memory_kb: 200.0,
         cores: 8,
@@ -236,13 +251,13 @@
     for id in 1..=12 {
         actions.extend(harness.arrive(id, 0));
     }
-    // 85 in 100 of 200 kB: two runs of 80 kB and one held request of 10 kB.
+    // 85 % of 200 kB hold two runs of 80 kB and one queued request of 10 kB.
     assert_eq!(started_runs(&actions), [1, 2]);
     assert_eq!(rejected(&actions).len(), 9);
 }
 
 #[test]
-fn runs_no_more_than_the_limit_and_a_call_frees_its_core() {
+fn runs_at_most_the_run_limit_and_a_call_releases_its_core() {
     let mut harness = ControllerHarness::new(settings());
     let mut actions = harness.arrive(1, 2);
     actions.extend(harness.arrive(2, 0));
@@ -253,34 +268,34 @@
 
 #[test]
 fn same_events_give_the_same_actions() {
-    let play = || {
+    let run_requests = || {
         let mut harness = ControllerHarness::new(settings());
-        let mut all = Vec::new();
+        let mut all_actions = Vec::new();
         for id in 1..=60 {
-            all.extend(harness.arrive(id, (id % 3) as usize));
-            all.extend(harness.advance(40 * MS));
+            all_actions.extend(harness.arrive(id, (id % 3) as usize));
+            all_actions.extend(harness.advance(40 * MS));
         }
-        all
+        all_actions
     };
-    assert_eq!(play(), play());
-    assert!(!rejected(&play()).is_empty());
+    assert_eq!(run_requests(), run_requests());
+    assert!(!rejected(&run_requests()).is_empty());
 }
 
 #[test]
-fn ignores_events_of_requests_that_are_over() {
+fn ignores_events_of_completed_requests() {
     let mut harness = ControllerHarness::new(settings());
-    let gone = [
+    let late_events = [
         Event::Abandoned(9),
         Event::CallRequested(9),
         call_ended(9, Outcome::Success, 1),
         run_ended(9, 1),
     ];
-    assert!(harness.step(&gone).is_empty());
+    assert!(harness.step(&late_events).is_empty());
 }
 
 #[test]
 fn unusual_settings_neither_stall_nor_panic() {
-    let odd = Settings {
+    let unusual_settings = Settings {
         classes: vec![Class {
             latency_objective: 0,
             client_timeout: 0,
@@ -304,7 +319,7 @@
         feedback: FeedbackKind::ConcurrencyAllowance,
         ..settings()
     };
-    let mut harness = ControllerHarness::new(odd);
+    let mut harness = ControllerHarness::new(unusual_settings);
     let actions = harness.arrive(1, 0);
     assert_eq!(started_runs(&actions).len() + rejected(&actions).len(), 1);
     harness.advance(200 * MS);
