--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
         late_weight_ratio: 0.0,
         priority_weight: 1.0,
         deduplication_window: 20 * SECOND,
-        calls_dependency: calls_dependency,
+        calls_dependency,
         weight_ratio_without_call: 0.0,
     }
 }
@@ -86,7 +86,8 @@
         actions
     }
 
-    /// Advances the clock with a timer event every 20 ms, and returns all actions other than timers.
+    /// Advances the clock with a timer event every 20 ms, and returns all actions other than
+    /// timers.
     pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
         let end = self.now + duration;
         let mut all_actions = Vec::new();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Tests of the four rules of the controller: one response by the deadline, no forbidden second run,
-//! graceful shutdown, and no overload of memory or cores.
+//! Tests of the four rules of the controller: one response by the deadline, no forbidden second
+//! run, graceful shutdown, and no overload of memory or cores.
 
 mod common;
 
