--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,15 +1,13 @@
-//! The steps of the gap, the call bound, the run limit, the cut and the advice.
+//! Tests of the controller's decisions: admission gap, call limit, run limit, rank threshold and
+//! feedback to callers.
 
 mod common;
 
 use cleatpulley::interface::*;
 use common::*;
 
-/// Brings `ids` to their calls, which the bound may or may not let go.
-fn run_up_to_their_calls(
-    harness: &mut ControllerHarness,
-    ids: std::ops::Range<RequestId>,
-) -> Vec<Action> {
+/// Lets requests with these ids arrive and request their calls, and returns all actions.
+fn request_calls(harness: &mut ControllerHarness, ids: std::ops::Range<RequestId>) -> Vec<Action> {
     let mut actions = Vec::new();
     for id in ids {
         actions.extend(harness.arrive(id, 2));
@@ -21,14 +19,14 @@
 #[test]
 fn call_limit_of_shared_dependency_starts_at_one_and_grows_after_timely_calls() {
     let mut harness = ControllerHarness::new(settings());
-    let actions = run_up_to_their_calls(&mut harness, 1..4);
-    assert_eq!(made_calls(&actions), [1], "one call in hand");
+    let actions = request_calls(&mut harness, 1..4);
+    assert_eq!(made_calls(&actions), [1], "one call is in flight");
     harness.now += 100 * MS;
     let actions = harness.step(&[call_ended(1, Outcome::Success, 100 * MS)]);
     assert_eq!(
         made_calls(&actions),
         [2, 3],
-        "the bound is two after one timely call"
+        "the call limit is two after one timely call"
     );
 }
 
@@ -38,10 +36,7 @@
         dependency: DependencyLimit::NextTier,
         ..settings()
     });
-    assert_eq!(
-        made_calls(&run_up_to_their_calls(&mut harness, 1..4)),
-        [1, 2]
-    );
+    assert_eq!(made_calls(&request_calls(&mut harness, 1..4)), [1, 2]);
 }
 
 #[test]
@@ -52,11 +47,9 @@
         abandoned_call_linger: 0,
         ..settings()
     });
-    assert_eq!(
-        made_calls(&run_up_to_their_calls(&mut harness, 1..7)),
-        [1, 2, 3, 4]
-    );
-    // The first call sets the usual latency; one of 2 s brings the mean of the two past twice that.
+    assert_eq!(made_calls(&request_calls(&mut harness, 1..7)), [1, 2, 3, 4]);
+    // The first call sets the baseline latency. One of 2 s raises the smoothed latency to more than
+    // twice the baseline.
     harness.now += 50 * MS;
     harness.step(&[
         call_ended(1, Outcome::Success, 50 * MS),
@@ -69,11 +62,11 @@
     ]);
     assert!(
         made_calls(&actions).is_empty(),
-        "two of the three calls in hand are past the halved bound"
+        "two of the three calls in flight exceed the halved call limit"
     );
 }
 
-/// Guards against leaving out most calls while what lies below is slow, though it was measured to bear them.
+/// Guards against skipping most calls while the dependency is slow, although it sustains the quota.
 #[test]
 fn call_limit_of_shared_dependency_stays_above_half_its_quota() {
     let mut settings = Settings {
@@ -85,33 +78,33 @@
     };
     settings.classes[2] = Class {
         client_timeout: 900 * SECOND,
-        ..once(900 * SECOND)
+        ..at_most_once_class(900 * SECOND)
     };
     settings.memory_kb = 1e9;
     let mut harness = ControllerHarness::new(settings);
     for id in 1..=100 {
-        run_up_to_their_calls(&mut harness, id..id + 1);
+        request_calls(&mut harness, id..id + 1);
         harness.step(&[
             call_ended(id, Outcome::Success, 50 * MS),
             run_ended(id, 60 * MS),
         ]);
     }
-    let mut out = made_calls(&run_up_to_their_calls(&mut harness, 101..112));
-    assert_eq!(out.len(), 10, "a margin below twelve");
+    let mut in_flight = made_calls(&request_calls(&mut harness, 101..112));
+    assert_eq!(in_flight.len(), 10, "85 % of the quota of twelve");
     for round in 0..20 {
         harness.now += 5 * SECOND;
-        let slow = out.remove(0);
-        out.extend(made_calls(&harness.step(&[
-            call_ended(slow, Outcome::Success, 5 * SECOND),
-            run_ended(slow, 60 * MS),
+        let slow_call = in_flight.remove(0);
+        in_flight.extend(made_calls(&harness.step(&[
+            call_ended(slow_call, Outcome::Success, 5 * SECOND),
+            run_ended(slow_call, 60 * MS),
         ])));
-        out.extend(made_calls(&run_up_to_their_calls(
+        in_flight.extend(made_calls(&request_calls(
             &mut harness,
             200 + round..201 + round,
         )));
     }
-    // Five may be out, of which one has just ended.
-    assert!(out.len() >= 4, "{out:?}");
+    // Five calls may be in flight, of which one has just ended.
+    assert!(in_flight.len() >= 4, "{in_flight:?}");
 }
 
 #[test]
@@ -124,27 +117,27 @@
         ..settings()
     };
     let mut harness = ControllerHarness::new(settings);
-    assert_eq!(made_calls(&run_up_to_their_calls(&mut harness, 1..2)), [1]);
+    assert_eq!(made_calls(&request_calls(&mut harness, 1..2)), [1]);
     assert!(made_calls(&harness.advance(400 * MS)).is_empty());
     harness.step(&[
         call_ended(1, Outcome::Success, 400 * MS),
         run_ended(1, 410 * MS),
     ]);
     assert!(
-        made_calls(&run_up_to_their_calls(&mut harness, 2..3)).is_empty(),
-        "the last call has used up the share"
+        made_calls(&request_calls(&mut harness, 2..3)).is_empty(),
+        "the last call has used up the quota"
     );
     assert_eq!(
         made_calls(&harness.advance(SECOND)),
         [2],
-        "and time gives it back"
+        "the quota recovers over time"
     );
 }
 
-/// A class that calls below and whose calls must not be made again.
-fn once(aim: Micros) -> Class {
+/// A class that calls the dependency and whose calls must not be repeated.
+fn at_most_once_class(latency_objective: Micros) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective,
         ..class(Effect::AtMostOnce, true)
     }
 }
@@ -152,7 +145,7 @@
 #[test]
 fn call_timeout_leaves_time_to_respond() {
     let mut settings = settings();
-    settings.classes[2] = once(8 * SECOND);
+    settings.classes[2] = at_most_once_class(8 * SECOND);
     let mut harness = ControllerHarness::new(settings);
     harness.arrive(1, 2);
     let actions = harness.step(&[Event::CallRequested(1)]);
@@ -165,11 +158,11 @@
     );
 }
 
-/// Guards against waiting for a reply that is lost until there is no time to ask again.
+/// Guards against waiting so long for a lost reply that no time is left to repeat the call.
 #[test]
-fn waits_for_replies_by_latency_and_for_those_to_writes_up_to_the_objective() {
-    // A call is thought to take a tenth of the aim.
-    let wait = |class: Class| {
+fn call_timeout_follows_latency_or_lasts_to_the_objective_if_unrepeatable() {
+    // The initial estimate of a call's latency is a tenth of the latency objective.
+    let call_actions = |class: Class| {
         let mut settings = settings();
         settings.classes[2] = class;
         let mut harness = ControllerHarness::new(settings);
@@ -177,14 +170,14 @@
         harness.step(&[Event::CallRequested(1)])
     };
     assert_eq!(
-        wait(class(Effect::Idempotent, true)),
+        call_actions(class(Effect::Idempotent, true)),
         [Action::Call {
             id: 1,
             timeout: 1_600 * MS
         }]
     );
     assert_eq!(
-        wait(once(2 * SECOND)),
+        call_actions(at_most_once_class(2 * SECOND)),
         [Action::Call {
             id: 1,
             timeout: 2 * SECOND
@@ -192,19 +185,16 @@
     );
 }
 
-/// Guards against holding back calls because of a connection that broke or fell silent.
+/// Guards against pausing calls because of a single lost or unresponsive connection.
 #[test]
-fn takes_two_silent_calls_in_a_row_but_not_one_for_a_faulty_dependency() {
+fn pauses_calls_after_two_unanswered_calls_in_a_row_but_not_after_one() {
     for outcome in [Outcome::TimedOut, Outcome::Interrupted] {
         let mut harness = ControllerHarness::new(Settings {
             dependency: DependencyLimit::NextTier,
             abandoned_call_linger: 0,
             ..settings()
         });
-        assert_eq!(
-            made_calls(&run_up_to_their_calls(&mut harness, 1..6)),
-            [1, 2]
-        );
+        assert_eq!(made_calls(&request_calls(&mut harness, 1..6)), [1, 2]);
         harness.now += 1_600 * MS;
         assert_eq!(
             made_calls(&harness.step(&[call_ended(1, outcome, 1_600 * MS)])).len(),
@@ -217,17 +207,14 @@
             "{outcome:?}"
         );
     }
-    // However many were silent, while one made after them has its reply.
+    // Any number of unanswered calls, as long as a call made after them got its reply.
     let mut harness = ControllerHarness::new(Settings {
         dependency: DependencyLimit::NextTier,
         cores: 4,
         abandoned_call_linger: 0,
         ..settings()
     });
-    assert_eq!(
-        made_calls(&run_up_to_their_calls(&mut harness, 1..7)),
-        [1, 2, 3, 4]
-    );
+    assert_eq!(made_calls(&request_calls(&mut harness, 1..7)), [1, 2, 3, 4]);
     harness.now += 100 * MS;
     assert_eq!(
         made_calls(&harness.step(&[call_ended(4, Outcome::Success, 100 * MS)])),
@@ -235,11 +222,11 @@
     );
     harness.now += 100 * MS;
     harness.step(&[call_ended(5, Outcome::Success, 100 * MS)]);
-    let silent = [1, 2, 3].map(|id| call_ended(id, Outcome::TimedOut, 200 * MS));
-    assert_eq!(made_calls(&harness.step(&silent)).len(), 3);
+    let unanswered = [1, 2, 3].map(|id| call_ended(id, Outcome::TimedOut, 200 * MS));
+    assert_eq!(made_calls(&harness.step(&unanswered)).len(), 3);
 }
 
-/// Guards against a belief that keeps calls from being made, and so from being put right.
+/// Guards against a high latency estimate that prevents calls, and so is never corrected.
 #[test]
 fn latency_returns_to_its_baseline_without_calls() {
     let mut settings = settings();
@@ -248,13 +235,13 @@
         dependency: DependencyLimit::NextTier,
         ..settings
     });
-    run_up_to_their_calls(&mut harness, 1..2);
+    request_calls(&mut harness, 1..2);
     harness.now += 50 * MS;
     harness.step(&[
         call_ended(1, Outcome::Success, 50 * MS),
         run_ended(1, 60 * MS),
     ]);
-    run_up_to_their_calls(&mut harness, 2..4);
+    request_calls(&mut harness, 2..4);
     harness.advance(8 * SECOND);
     harness.step(&[2, 3].map(|id| call_ended(id, Outcome::TimedOut, 8 * SECOND)));
     harness.step(&[2, 3].map(|id| run_ended(id, 60 * MS)));
@@ -272,29 +259,29 @@
 #[test]
 fn delays_the_next_call_after_a_rejected_one() {
     let mut harness = ControllerHarness::new(settings());
-    assert_eq!(made_calls(&run_up_to_their_calls(&mut harness, 1..2)), [1]);
+    assert_eq!(made_calls(&request_calls(&mut harness, 1..2)), [1]);
     harness.now += 10 * MS;
     assert!(made_calls(&harness.step(&[call_ended(1, Outcome::Unreachable, 10 * MS)])).is_empty());
     assert_eq!(made_calls(&harness.advance(SECOND)), [1]);
 }
 
 #[test]
-fn backlog_behind_faltering_calls_opens_a_gap_after_each_admission() {
+fn backlog_behind_degraded_calls_opens_a_gap_after_each_admission() {
     let mut settings = Settings {
         cores: 4,
         ..settings()
     };
     settings.classes[2].latency_objective = 6 * SECOND;
     let mut harness = ControllerHarness::new(settings);
-    run_up_to_their_calls(&mut harness, 1..2);
+    request_calls(&mut harness, 1..2);
     harness.now += 50 * MS;
     harness.step(&[
         call_ended(1, Outcome::Success, 50 * MS),
         run_ended(1, 60 * MS),
     ]);
-    run_up_to_their_calls(&mut harness, 2..8);
+    request_calls(&mut harness, 2..8);
     harness.advance(SECOND);
-    // Calls of a second against a usual of 50 ms falter, and the others wait behind them.
+    // Calls that take 1 s with a baseline of 50 ms are degraded, and the others wait behind them.
     harness.step(&[
         call_ended(2, Outcome::Success, SECOND),
         run_ended(2, SECOND),
@@ -304,21 +291,22 @@
         run_ended(3, SECOND),
     ]);
     harness.advance(400 * MS);
-    let refusals = rejected(&harness.arrive(20, 2)).len() + rejected(&harness.arrive(21, 2)).len();
+    let rejections =
+        rejected(&harness.arrive(20, 2)).len() + rejected(&harness.arrive(21, 2)).len();
     assert!(
-        refusals >= 1,
-        "the admission of one closes the destination for the next"
+        rejections >= 1,
+        "an admission closes the dependency for the next request"
     );
     assert!(
         rejected(&harness.arrive(22, 0)).is_empty(),
-        "a class that makes no calls is not bound for it"
+        "the gap does not apply to a class that makes no calls"
     );
 }
 
-/// Guards writes against a gap that is made by reads which wait for a call they can go without.
+/// Guards against a gap that rejects writes because reads wait for calls that they could skip.
 #[test]
-fn backlog_that_needs_no_call_opens_no_gap() {
-    let refusals = |reads_skip: f64| {
+fn backlog_of_skippable_calls_opens_no_gap() {
+    let rejections = |read_weight_ratio_without_call: f64| {
         let mut settings = Settings {
             cores: 12,
             memory_kb: 100_000.0,
@@ -330,11 +318,11 @@
             .for_each(|class| class.latency_objective = 6 * SECOND);
         settings.classes[0] = Class {
             calls_dependency: true,
-            weight_ratio_without_call: reads_skip,
+            weight_ratio_without_call: read_weight_ratio_without_call,
             ..settings.classes[0]
         };
         let mut harness = ControllerHarness::new(settings);
-        run_up_to_their_calls(&mut harness, 1..2);
+        request_calls(&mut harness, 1..2);
         harness.now += 50 * MS;
         harness.step(&[
             call_ended(1, Outcome::Success, 50 * MS),
@@ -354,53 +342,59 @@
             run_ended(3, SECOND),
         ]);
         harness.advance(400 * MS);
-        let mut refusals = 0;
+        let mut rejections = 0;
         for id in 20..23 {
-            refusals += rejected(&harness.arrive(id, 2)).len();
+            rejections += rejected(&harness.arrive(id, 2)).len();
         }
-        refusals
+        rejections
     };
-    assert_eq!(refusals(0.5), 0);
+    assert_eq!(rejections(0.5), 0);
     assert!(
-        refusals(0.0) > 0,
-        "where they must call, the next has no room behind them"
+        rejections(0.0) > 0,
+        "if the reads can't skip their calls, their backlog opens a gap"
     );
 }
 
 #[test]
 fn leaves_capacity_for_a_draining_predecessor() {
-    let beside = |running, memory_kb, calls| Event::PredecessorUsage {
+    let predecessor_usage = |running, memory_kb, calls| Event::PredecessorUsage {
         running,
         memory_kb,
         calls,
     };
     let mut harness = ControllerHarness::new(settings());
-    harness.step(&[beside(2, 0.0, 0)]);
+    harness.step(&[predecessor_usage(2, 0.0, 0)]);
     assert!(
         started_runs(&harness.arrive(1, 0)).is_empty(),
-        "its runs have both cores"
+        "the predecessor's runs occupy both cores"
+    );
+    assert_eq!(
+        started_runs(&harness.step(&[predecessor_usage(1, 0.0, 0)])),
+        [1]
     );
-    assert_eq!(started_runs(&harness.step(&[beside(1, 0.0, 0)])), [1]);
     let mut harness = ControllerHarness::new(Settings {
         memory_kb: 1_000.0,
         ..settings()
     });
-    harness.step(&[beside(0, 845.0, 0)]);
+    harness.step(&[predecessor_usage(0, 845.0, 0)]);
     assert_eq!(
         rejected(&harness.arrive(1, 0)),
         [1],
-        "its requests have the memory"
+        "the predecessor's requests occupy the memory"
     );
     let mut harness = ControllerHarness::new(Settings {
         cores: 8,
         ..settings()
     });
-    harness.step(&[beside(0, 0.0, 4)]);
+    harness.step(&[predecessor_usage(0, 0.0, 4)]);
     assert!(
-        made_calls(&run_up_to_their_calls(&mut harness, 1..2)).is_empty(),
-        "its calls have the share"
+        made_calls(&request_calls(&mut harness, 1..2)).is_empty(),
+        "the predecessor's calls use up the quota"
+    );
+    assert_eq!(
+        made_calls(&harness.step(&[predecessor_usage(0, 0.0, 0)])),
+        [1]
     );
-    assert_eq!(made_calls(&harness.step(&[beside(0, 0.0, 0)])), [1]);
 }
 
 #[test]
@@ -413,29 +407,29 @@
     let mut actions = harness.step(&[Event::Replaced { stop_at }]);
     harness.arrive(1, 0);
     actions.extend(harness.advance(500 * MS));
-    let told =
+    let notifies_callers =
         |action: &Action| matches!(action, Action::SetHealth { .. } | Action::SetFeedback(_));
-    assert!(!actions.iter().any(told), "{actions:?}");
+    assert!(!actions.iter().any(notifies_callers), "{actions:?}");
     harness.now += 2 * SECOND;
-    let late = harness.arrive(2, 0);
-    let advice = |action: &Action| matches!(action, Action::Reject { id: 2, retry_after: avoid_for, .. } if *avoid_for < SECOND);
+    let late_actions = harness.arrive(2, 0);
+    let is_rejected_briefly = |action: &Action| matches!(action, Action::Reject { id: 2, retry_after, .. } if *retry_after < SECOND);
     assert!(
-        late.iter().any(advice),
-        "after the grace it is turned away, and may come back at once: {late:?}"
+        late_actions.iter().any(is_rejected_briefly),
+        "a request after the grace period is rejected with a short Retry-After: {late_actions:?}"
     );
     assert_eq!(
         failed(&harness.advance(stop_at - 60 * MS - harness.now)),
         [1],
-        "all is answered before the stop"
+        "all requests have their response before the stop"
     );
 }
 
 #[test]
-fn leaves_a_call_out_where_waiting_would_miss_the_objective() {
+fn skips_a_call_if_waiting_would_miss_the_objective() {
     let mut settings = settings();
     settings.classes[2].weight_ratio_without_call = 0.5;
     let mut harness = ControllerHarness::new(settings);
-    run_up_to_their_calls(&mut harness, 1..3);
+    request_calls(&mut harness, 1..3);
     let actions = harness.advance(2 * SECOND);
     assert!(actions.contains(&Action::SkipCall(2)));
 }
@@ -457,7 +451,8 @@
     let mut settings = settings();
     settings.classes[1].priority_weight = 5.0;
     let mut harness = ControllerHarness::new(settings);
-    // Runs are thought to take half a second, so that seven end in time behind two that run.
+    // The initial estimate of a run is 500 ms, so that seven requests end in time behind the two
+    // that run.
     for id in 1..=9 {
         assert!(rejected(&harness.arrive(id, 0)).is_empty(), "{id}");
     }
@@ -470,58 +465,62 @@
     let mut settings = settings();
     settings.classes[1].priority_weight = 5.0;
     let mut harness = ControllerHarness::new(settings);
-    let (mut low, mut high) = (0, 0);
+    let (mut low_rejections, mut high_rejections) = (0, 0);
     let mut running = Vec::new();
     for step in 0..200 {
-        // Three arrive while two can run: two of low worth, one of high.
+        // Three requests arrive while two can run: two of low weight and one of high weight.
         for (id, class) in [(3 * step, 0), (3 * step + 1, 0), (3 * step + 2, 1)] {
             let actions = harness.arrive(id, class);
             running.extend(started_runs(&actions));
-            let turned = rejected(&actions);
-            high += turned.iter().filter(|id| **id % 3 == 2).count();
-            low += turned.iter().filter(|id| **id % 3 != 2).count();
+            let rejected_ids = rejected(&actions);
+            high_rejections += rejected_ids.iter().filter(|id| **id % 3 == 2).count();
+            low_rejections += rejected_ids.iter().filter(|id| **id % 3 != 2).count();
         }
         harness.advance(100 * MS);
-        let done: Vec<Event> = running
+        let run_ends: Vec<Event> = running
             .drain(..)
             .map(|id| run_ended(id, 200 * MS))
             .collect();
-        running.extend(started_runs(&harness.step(&done)));
+        running.extend(started_runs(&harness.step(&run_ends)));
     }
     assert!(
-        low > 100 && low > 20 * high,
-        "{low} of low worth and {high} of high worth turned away"
+        low_rejections > 100 && low_rejections > 20 * high_rejections,
+        "rejected {low_rejections} requests of low weight and {high_rejections} of high weight"
     );
 }
 
 #[test]
-fn rejects_at_once_what_cannot_end_by_its_objective() {
+fn immediately_rejects_requests_that_cannot_finish_by_their_objective() {
     let mut harness = ControllerHarness::new(settings());
     let mut actions = Vec::new();
     for id in 1..=20 {
         actions.extend(harness.arrive(id, 0));
     }
-    // A run is thought to take a quarter of the aim of 2 s: two run, and seven more can follow by the aim.
+    // The initial estimate of a run is a quarter of the latency objective of 2 s: two requests run,
+    // and seven more can finish by the objective.
     assert_eq!(rejected(&actions), (10..=20).collect::<Vec<_>>());
 }
 
 #[test]
 fn attempt_timeout_below_the_client_timeout_is_not_taken_for_age() {
     let mut harness = ControllerHarness::new(settings());
-    let patient = Request {
+    let with_long_deadline = Request {
         respond_by: Some(harness.now + 4 * SECOND),
         ..harness.request(1, 0)
     };
-    let hurried = Request {
+    let with_short_deadline = Request {
         respond_by: Some(harness.now + 3_900 * MS),
         ..harness.request(2, 0)
     };
-    let actions = harness.step(&[Event::Arrived(patient), Event::Arrived(hurried)]);
+    let actions = harness.step(&[
+        Event::Arrived(with_long_deadline),
+        Event::Arrived(with_short_deadline),
+    ]);
     assert_eq!(started_runs(&actions), [1, 2]);
 }
 
 #[test]
-fn small_hints_do_not_make_every_request_look_too_late() {
+fn small_work_hints_do_not_inflate_expected_run_times() {
     let mut harness = ControllerHarness::new(settings());
     for id in 1..=100 {
         let work = if id % 2 == 0 { 400 * MS } else { 10 * MS };
@@ -568,7 +567,7 @@
     for id in 1..=4 {
         harness.arrive(id, 0);
     }
-    let idle = Gauges {
+    let idle_gauges = Gauges {
         runnable: Some(0.0),
         memory: None,
     };
@@ -577,30 +576,30 @@
         harness.now += 20 * MS;
         started.extend(started_runs(&harness.step(&[Event::TimerExpired {
             token: 0,
-            gauges: idle,
+            gauges: idle_gauges,
         }])));
     }
-    // Two cores and steps of a tenth of a run: one more after ten steps.
+    // With two cores the run limit grows by 0.1 per step: one more run after ten steps.
     assert_eq!(started, [3]);
 }
 
 #[test]
 fn read_delay_lowers_the_advertised_capacity_and_forbids_failover() {
     let mut harness = ControllerHarness::new(settings());
-    let mut said = Vec::new();
+    let mut actions = Vec::new();
     for id in 1..=40 {
-        let late = Request {
+        let delayed_request = Request {
             read_delay: 1_900 * MS,
             ..harness.request(id, 0)
         };
-        said.extend(harness.step(&[Event::Arrived(late)]));
-        said.extend(harness.advance(20 * MS));
+        actions.extend(harness.step(&[Event::Arrived(delayed_request)]));
+        actions.extend(harness.advance(20 * MS));
     }
-    assert!(said
+    assert!(actions
         .iter()
         .any(|action| matches!(action, Action::SetFeedback(value) if *value < 0.5)));
-    assert!(said.iter().any(|a| matches!(
-        a,
+    assert!(actions.iter().any(|action| matches!(
+        action,
         Action::Reject {
             no_failover: true,
             ..
@@ -614,22 +613,22 @@
     for id in 1..=9 {
         harness.arrive(id, 0);
     }
-    let first = harness.arrive(10, 0);
+    let first_actions = harness.arrive(10, 0);
     assert!(matches!(
-        first[..],
+        first_actions[..],
         [Action::Reject {
             id: 10,
             no_failover: false,
             ..
         }]
     ));
-    let again = Request {
+    let retry = Request {
         is_retry: true,
         ..harness.request(11, 0)
     };
-    let again = harness.step(&[Event::Arrived(again)]);
+    let retry_actions = harness.step(&[Event::Arrived(retry)]);
     assert!(matches!(
-        again[..],
+        retry_actions[..],
         [Action::Reject {
             id: 11,
             no_failover: true,
@@ -644,11 +643,11 @@
         shared_response_lifetime: SECOND,
         ..settings()
     });
-    let read = Request {
+    let first_read = Request {
         has_subject: true,
         ..harness.request(1, 0)
     };
-    let actions = harness.step(&[Event::Arrived(read)]);
+    let actions = harness.step(&[Event::Arrived(first_read)]);
     assert_eq!(
         actions,
         [
@@ -659,13 +658,13 @@
             Action::Run(1)
         ]
     );
-    let joined = Request {
+    let second_read = Request {
         has_subject: true,
         duplicate_of: Some(1),
         ..harness.request(2, 0)
     };
     assert_eq!(
-        harness.step(&[Event::Arrived(joined)]),
+        harness.step(&[Event::Arrived(second_read)]),
         [Action::ShareResponse(2)]
     );
     assert_eq!(
@@ -678,12 +677,12 @@
 }
 
 #[test]
-fn cold_server_advertises_no_more_than_its_certain_speed() {
+fn cold_server_advertises_no_more_than_its_guaranteed_speed() {
     let mut harness = ControllerHarness::new(Settings {
         cold_start: true,
         ..settings()
     });
-    let said: Vec<f64> = harness
+    let feedback_values: Vec<f64> = harness
         .advance(10 * SECOND)
         .iter()
         .filter_map(|action| {
@@ -695,20 +694,21 @@
         })
         .collect();
     assert!(
-        said[0] < 0.25 && said.windows(2).all(|pair| pair[0] < pair[1]),
-        "{said:?}"
+        feedback_values[0] < 0.25 && feedback_values.windows(2).all(|pair| pair[0] < pair[1]),
+        "{feedback_values:?}"
     );
-    assert!(said.last().is_some_and(|value| *value > 0.95));
+    assert!(feedback_values.last().is_some_and(|value| *value > 0.95));
 }
 
-/// Guards against shutting out the few callers that send most: their number says nothing about each one's share.
+/// Guards against limiting the few callers that send most requests to an equal share: the number of
+/// callers says nothing about the demand of each.
 #[test]
-fn one_caller_may_use_all_that_others_leave_idle() {
-    let said = |callers| -> Vec<f64> {
-        let advert = FeedbackKind::ConcurrencyAllowance;
+fn one_caller_may_use_the_capacity_that_others_leave_idle() {
+    let feedback_values = |callers| -> Vec<f64> {
+        let feedback = FeedbackKind::ConcurrencyAllowance;
         let mut harness = ControllerHarness::new(Settings {
             cold_start: true,
-            feedback: advert,
+            feedback,
             callers,
             ..settings()
         });
@@ -716,33 +716,34 @@
         actions
             .iter()
             .filter_map(|action| {
-                if let Action::SetFeedback(v) = action {
-                    Some(*v)
+                if let Action::SetFeedback(value) = action {
+                    Some(*value)
                 } else {
                     None
                 }
             })
             .collect()
     };
-    assert_eq!(said(1), said(50));
-    // Two cores, twice.
-    assert_eq!(said(50).last(), Some(&4.0));
+    assert_eq!(feedback_values(1), feedback_values(50));
+    // Twice the number of cores.
+    assert_eq!(feedback_values(50).last(), Some(&4.0));
 }
 
 #[test]
-fn crowded_calls_hold_off_equal_priorities_but_not_higher_ones() {
+fn long_call_queue_rejects_equal_priorities_but_not_higher_ones() {
     let mut settings = settings();
     settings.classes[1].calls_dependency = true;
     settings.classes[1].priority_weight = 10.0;
     let mut harness = ControllerHarness::new(settings);
-    // A call is thought to take a tenth of the aim of 2 s: one at a time, five are served in half of it.
-    run_up_to_their_calls(&mut harness, 1..7);
+    // The initial estimate of a call is a tenth of the latency objective of 2 s: one at a time,
+    // five are served in half of it.
+    request_calls(&mut harness, 1..7);
     assert_eq!(rejected(&harness.arrive(7, 2)), [7]);
     assert_eq!(started_runs(&harness.arrive(8, 1)), [8]);
 }
 
 #[test]
-fn highest_priorities_pass_a_gap() {
+fn high_priorities_pass_an_admission_gap() {
     let mut settings = Settings {
         cores: 4,
         ..settings()
@@ -754,13 +755,13 @@
         class.client_timeout = 60 * SECOND;
     }
     let mut harness = ControllerHarness::new(settings);
-    let patient = |harness: &ControllerHarness, id, class, rank| Request {
+    let with_long_deadline = |harness: &ControllerHarness, id, class, rank| Request {
         respond_by: Some(harness.now + 60 * SECOND),
         rank,
         ..harness.request(id, class)
     };
     for id in 1..=8 {
-        let request = patient(&harness, id, 2, 0.67);
+        let request = with_long_deadline(&harness, id, 2, 0.67);
         harness.step(&[Event::Arrived(request), Event::CallRequested(id)]);
     }
     for (id, elapsed) in [(1, 10 * MS), (2, 9 * SECOND), (3, 9 * SECOND)] {
@@ -770,36 +771,38 @@
         ]);
     }
     harness.advance(SECOND);
-    let opener = patient(&harness, 20, 2, 0.67);
-    harness.step(&[Event::Arrived(opener)]);
-    // Three seconds into the gap: still closed to the low, open to the high.
+    let first_admitted = with_long_deadline(&harness, 20, 2, 0.67);
+    harness.step(&[Event::Arrived(first_admitted)]);
+    // 3 s into the gap, the dependency is still closed to the low priority but open to the high
+    // one.
     harness.now += 3 * SECOND;
-    let (low, high) = (
-        patient(&harness, 21, 2, 0.67),
-        patient(&harness, 22, 1, 0.66),
+    let (low_priority, high_priority) = (
+        with_long_deadline(&harness, 21, 2, 0.67),
+        with_long_deadline(&harness, 22, 1, 0.66),
     );
-    let actions = harness.step(&[Event::Arrived(low), Event::Arrived(high)]);
+    let actions = harness.step(&[Event::Arrived(low_priority), Event::Arrived(high_priority)]);
     assert_eq!(rejected(&actions), [21]);
 }
 
-/// What is said of idle connections while `callers` send fifty requests a second together and so many jobs
-/// demand the two cores.
-fn idle_times(callers: u32, jobs: f64) -> Vec<Micros> {
+/// Returns the idle timeouts set while `callers` together send 50 requests per second and
+/// `runnable_tasks` tasks are runnable on the two cores.
+fn idle_timeouts(callers: u32, runnable_tasks: f64) -> Vec<Micros> {
     let mut harness = ControllerHarness::new(Settings {
         callers,
         ..settings()
     });
-    let mut said = Vec::new();
+    let mut actions = Vec::new();
     let gauges = Gauges {
-        runnable: Some(jobs),
+        runnable: Some(runnable_tasks),
         memory: None,
     };
     for id in 1..=1_000 {
-        said.extend(harness.arrive(id, 0));
+        actions.extend(harness.arrive(id, 0));
         harness.now += 20 * MS;
-        said.extend(harness.step(&[Event::TimerExpired { token: 0, gauges }]));
+        actions.extend(harness.step(&[Event::TimerExpired { token: 0, gauges }]));
     }
-    said.iter()
+    actions
+        .iter()
         .filter_map(|action| {
             if let Action::CloseIdleConnections(after) = action {
                 Some(*after)
@@ -813,24 +816,28 @@
 #[test]
 fn closes_idle_connections_of_many_callers_sooner_than_those_of_few() {
     assert_eq!(
-        idle_times(5, 2.0).last(),
+        idle_timeouts(5, 2.0).last(),
         Some(&(30 * SECOND)),
-        "a caller comes again after a tenth of a second"
+        "each caller sends a request every 100 ms"
     );
-    let last = *idle_times(5_000, 2.0).last().expect("said once at least");
+    let last = *idle_timeouts(5_000, 2.0)
+        .last()
+        .expect("an idle timeout is set at least once");
     assert!(
         (10 * MS..5 * SECOND).contains(&last),
-        "a caller comes again after 100 s: {last}"
+        "each caller sends a request every 100 s: {last}"
     );
-    let strained = *idle_times(5_000, 8.0).last().expect("said once at least");
+    let under_load = *idle_timeouts(5_000, 8.0)
+        .last()
+        .expect("an idle timeout is set at least once");
     assert!(
-        strained > 3 * last,
-        "new connections would strain the cores more: {strained}"
+        under_load > 3 * last,
+        "opening new connections would add to the load: {under_load}"
     );
 }
 
 #[test]
-fn rank_threshold_left_from_a_queue_rejects_nothing_that_can_run_at_once() {
+fn remaining_rank_threshold_rejects_no_requests_that_can_run_immediately() {
     let mut settings = settings();
     settings.classes[0].late_weight_ratio = 0.5;
     let mut harness = ControllerHarness::new(settings);
@@ -839,8 +846,8 @@
     }
     harness.advance(800 * MS);
     assert_eq!(rejected(&harness.arrive(31, 0)), [31]);
-    let ends: Vec<Event> = (1..=30).map(|id| run_ended(id, SECOND)).collect();
-    harness.step(&ends);
+    let run_ends: Vec<Event> = (1..=30).map(|id| run_ended(id, SECOND)).collect();
+    harness.step(&run_ends);
     assert_eq!(started_runs(&harness.arrive(32, 0)), [32]);
 }
 
@@ -851,15 +858,15 @@
         harness.arrive(id, 0);
     }
     for id in 10..=15 {
-        let again = Request {
+        let retry = Request {
             is_retry: true,
             ..harness.request(id, 0)
         };
-        harness.step(&[Event::Arrived(again)]);
+        harness.step(&[Event::Arrived(retry)]);
     }
-    let first = harness.arrive(20, 0);
+    let first_actions = harness.arrive(20, 0);
     assert!(matches!(
-        first[..],
+        first_actions[..],
         [Action::Reject {
             id: 20,
             no_failover: true,
@@ -871,34 +878,35 @@
 #[test]
 fn retry_is_no_older_than_its_remaining_time_shows() {
     let mut harness = ControllerHarness::new(settings());
-    // First tries come with 4 of the 8 seconds; a client's last try has all that is left, 7 of them.
+    // First attempts arrive with 4 of the 8 seconds of the client timeout. A client's last attempt
+    // has all the remaining time, 7 s.
     let first = Request {
         respond_by: Some(harness.now + 4 * SECOND),
         ..harness.request(1, 0)
     };
-    let again = Request {
+    let retry = Request {
         respond_by: Some(harness.now + 7 * SECOND),
         is_retry: true,
         ..harness.request(2, 0)
     };
-    harness.step(&[Event::Arrived(again), Event::Arrived(first)]);
-    let walked = Request {
+    harness.step(&[Event::Arrived(retry), Event::Arrived(first)]);
+    let recent_retry = Request {
         respond_by: Some(harness.now + 3_500 * MS),
         is_retry: true,
         ..harness.request(3, 0)
     };
-    // Aged by half a second: it has one and a half left for its run, and is held.
-    assert!(rejected(&harness.step(&[Event::Arrived(walked)])).is_empty());
-    let stale = Request {
+    // The retry is 500 ms old, so it has 1.5 s left for its run and is queued.
+    assert!(rejected(&harness.step(&[Event::Arrived(recent_retry)])).is_empty());
+    let old_retry = Request {
         respond_by: Some(harness.now + 2_100 * MS),
         is_retry: true,
         ..harness.request(4, 0)
     };
-    assert_eq!(rejected(&harness.step(&[Event::Arrived(stale)])), [4]);
+    assert_eq!(rejected(&harness.step(&[Event::Arrived(old_retry)])), [4]);
 }
 
 #[test]
-fn call_gets_the_time_that_a_quota_below_one_leaves_of_its_window() {
+fn call_timeout_stays_within_the_remaining_time_of_a_quota_below_one() {
     let mut settings = Settings {
         dependency: DependencyLimit::Shared {
             concurrency_quota: 0.5,
@@ -906,7 +914,7 @@
         },
         ..settings()
     };
-    settings.classes[2] = once(8 * SECOND);
+    settings.classes[2] = at_most_once_class(8 * SECOND);
     let mut harness = ControllerHarness::new(settings);
     harness.arrive(1, 2);
     let actions = harness.step(&[Event::CallRequested(1)]);
@@ -916,7 +924,7 @@
             id: 1,
             timeout: 2_300 * MS
         }],
-        "2.5 s less the time it may linger"
+        "2.5 s less the time for which an abandoned call lingers"
     );
     harness.now += SECOND;
     harness.step(&[
@@ -936,7 +944,7 @@
 }
 
 #[test]
-fn tenant_of_few_attempts_is_not_over_its_quota_by_chance() {
+fn tenant_with_few_attempts_is_not_over_its_quota_by_chance() {
     let tenants = vec![
         Tenant {
             quota_per_second: 1_000.0,
@@ -950,7 +958,7 @@
         servers: 300,
         ..settings()
     });
-    let of = |harness: &ControllerHarness, id, tenant| {
+    let arrival_of = |harness: &ControllerHarness, id, tenant| {
         Event::Arrived(Request {
             tenant,
             ..harness.request(id, 0)
@@ -967,13 +975,17 @@
         (8, 1),
         (9, 1),
     ] {
-        assert!(rejected(&harness.step(&[of(&harness, id, tenant)])).is_empty());
+        assert!(rejected(&harness.step(&[arrival_of(&harness, id, tenant)])).is_empty());
     }
-    // Two tries here stand for 75 a second of the fleet, against 50, but two may be chance.
-    assert_eq!(rejected(&harness.step(&[of(&harness, 10, 0)])), [10]);
+    // Two attempts here correspond to 75 per second over the fleet, against a quota of 50, but two
+    // may be random variation.
+    assert_eq!(
+        rejected(&harness.step(&[arrival_of(&harness, 10, 0)])),
+        [10]
+    );
     for id in 11..=14 {
-        harness.step(&[of(&harness, id, 1)]);
+        harness.step(&[arrival_of(&harness, id, 1)]);
     }
-    // Six are not: its requests make way.
-    assert_eq!(rejected(&harness.step(&[of(&harness, 15, 0)])), [9]);
+    // Six are not, so the tenant's requests are shed first.
+    assert_eq!(rejected(&harness.step(&[arrival_of(&harness, 15, 0)])), [9]);
 }
