--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,10 +1,8 @@
-//! The dispatcher alone: events in, commands out, on a clock of the test's own.
+//! Tests of the dispatcher on its own: events in, commands out, with a simulated clock.
 
 mod common;
 
-use cleatpulley::dispatcher::key_table::{
-    Capacity, KeyCommand as KeyEffect, KeyTable, RecoveredKeys,
-};
+use cleatpulley::dispatcher::key_table::{Capacity, KeyCommand, KeyTable, RecoveredKeys};
 use cleatpulley::dispatcher::{
     ClientStream, Command, DependencyCall, Dispatcher, Event, IdempotencyKeys, IncomingRequest,
     KeyScope, Response, RuntimeCommand,
@@ -12,7 +10,7 @@
 use cleatpulley::interface::*;
 use common::{settings, MS, SECOND};
 
-/// Far from 0, as a Unix clock is.
+/// Start time of the simulated clock; like Unix time, it is far from 0.
 const START: Micros = 1_764_576_000 * SECOND;
 
 struct Harness {
@@ -20,9 +18,10 @@
     now: Micros,
 }
 
-/// Class 0 is safe, class 1 unsafe; both call below and the safe one may leave its call out. Two cores.
+/// Settings: two cores, and two classes that call the dependency. Class 0 is idempotent and may
+/// skip its call; class 1 runs at most once.
 impl Harness {
-    fn new(change: impl Fn(&mut Settings)) -> Self {
+    fn new(configure: impl Fn(&mut Settings)) -> Self {
         let mut settings = settings();
         settings.classes.truncate(2);
         settings.classes[0] = Class {
@@ -36,7 +35,7 @@
             ..settings.classes[1].clone()
         };
         settings.feedback = FeedbackKind::Unused;
-        change(&mut settings);
+        configure(&mut settings);
         let mut harness = Self {
             dispatcher: Dispatcher::new(settings, 7),
             now: START,
@@ -45,7 +44,8 @@
         harness
     }
 
-    /// Tells a fact and gives the controller the time to act on it.
+    /// Passes an event to the dispatcher, and polls it one tick later so that the controller can
+    /// act.
     fn handle(&mut self, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.dispatcher.handle_event(self.now, event, &mut commands);
@@ -55,15 +55,19 @@
         commands
     }
 
-    /// Lets time pass as the event loop does: from one moment of `next` to the other.
-    fn advance(&mut self, time: Micros) -> Vec<Command> {
-        let until = self.now + time;
+    /// Advances the clock like the event loop does, from one `next_deadline` to the next.
+    fn advance(&mut self, duration: Micros) -> Vec<Command> {
+        let end = self.now + duration;
         let mut commands = Vec::new();
-        while let Some(at) = self.dispatcher.next_deadline().filter(|at| *at <= until) {
-            self.now = self.now.max(at);
+        while let Some(deadline) = self
+            .dispatcher
+            .next_deadline()
+            .filter(|deadline| *deadline <= end)
+        {
+            self.now = self.now.max(deadline);
             self.dispatcher.poll(self.now, &mut commands);
         }
-        self.now = until;
+        self.now = end;
         commands.retain(|command| !matches!(command, Command::ReadGauges | Command::SetHealth(_)));
         commands
     }
@@ -108,14 +112,14 @@
     }
 }
 
-fn response_to(id: RequestId, answer: Response) -> Command {
+fn response_to(id: RequestId, response: Response) -> Command {
     Command::Respond {
         client: client_stream(id),
-        response: answer,
+        response,
     }
 }
 
-fn start(id: RequestId, class: usize) -> Command {
+fn start_command(id: RequestId, class: usize) -> Command {
     Command::StartRun {
         id,
         class,
@@ -126,7 +130,7 @@
 #[test]
 fn responds_to_a_run_with_its_own_result_once() {
     let mut harness = Harness::new(|_| {});
-    assert_eq!(harness.arrive(1, 0), [start(1, 0)]);
+    assert_eq!(harness.arrive(1, 0), [start_command(1, 0)]);
     assert_eq!(
         harness.end(1, Outcome::Success),
         [response_to(1, Response::Served(vec![7]))]
@@ -187,7 +191,7 @@
 }
 
 #[test]
-fn responds_once_and_at_once_after_a_pause_past_the_deadline() {
+fn responds_once_and_immediately_after_a_pause_past_the_deadline() {
     let mut harness = Harness::new(|_| {});
     harness.arrive(1, 0);
     harness.now += 30 * SECOND;
@@ -199,17 +203,17 @@
 }
 
 #[test]
-fn bounds_receipts_that_are_ahead_of_or_far_behind_the_clock() {
+fn limits_receipt_times_that_are_ahead_of_or_far_behind_the_clock() {
     let mut harness = Harness::new(|_| {});
-    let ahead = harness.now + 3_600 * SECOND;
+    let future_time = harness.now + 3_600 * SECOND;
     assert_eq!(
-        harness.handle(Event::RequestRead(incoming_request(1, 1, ahead))),
-        [start(1, 1)]
+        harness.handle(Event::RequestRead(incoming_request(1, 1, future_time))),
+        [start_command(1, 1)]
     );
     assert_eq!(
         harness.advance(8 * SECOND),
         [response_to(1, Response::Expired)],
-        "due as if it came now"
+        "a receipt time in the future counts as now"
     );
     let commands = harness.handle(Event::RequestRead(incoming_request(2, 0, 0)));
     assert!(
@@ -220,27 +224,27 @@
                 ..
             }]
         ),
-        "it never ran: {commands:?}"
+        "a request past its deadline is rejected without a run: {commands:?}"
     );
 }
 
 #[test]
-fn does_not_start_an_open_id_again() {
+fn does_not_start_a_pending_id_again() {
     let mut harness = Harness::new(|_| {});
     harness.arrive(1, 1);
-    let again = IncomingRequest {
+    let duplicate = IncomingRequest {
         client: ClientStream {
             connection: 2,
             stream: 5,
         },
         ..incoming_request(1, 1, harness.now)
     };
-    let to = again.client;
+    let client = duplicate.client;
     let failed = [Command::Respond {
-        client: to,
+        client,
         response: Response::Failed,
     }];
-    assert_eq!(harness.handle(Event::RequestRead(again)), failed);
+    assert_eq!(harness.handle(Event::RequestRead(duplicate)), failed);
     assert_eq!(
         harness.end(1, Outcome::Success),
         [response_to(1, Response::Served(vec![7]))]
@@ -248,8 +252,8 @@
 }
 
 #[test]
-fn lost_connection_frees_queued_requests_and_abandons_calls_but_not_runs() {
-    let mut harness = Harness::new(|s| s.cores = 1);
+fn lost_connection_removes_queued_requests_and_abandons_calls_but_not_runs() {
+    let mut harness = Harness::new(|settings| settings.cores = 1);
     harness.arrive(1, 0);
     harness.handle(Event::CallRequested {
         id: 1,
@@ -258,10 +262,10 @@
     });
     assert_eq!(
         harness.arrive(2, 0),
-        [start(2, 0)],
-        "a run at its call is off the core"
+        [start_command(2, 0)],
+        "a run that waits for its call occupies no core"
     );
-    assert!(harness.arrive(3, 0).is_empty(), "held");
+    assert!(harness.arrive(3, 0).is_empty(), "the request is queued");
     assert_eq!(
         harness.handle(Event::ConnectionLost(1)),
         [Command::AbandonCall(1)]
@@ -269,14 +273,14 @@
     assert_eq!(harness.dispatcher.pending_count(), 0);
     assert!(
         harness.end(2, Outcome::Success).is_empty(),
-        "nobody is there to be answered"
+        "an abandoned request gets no response"
     );
     assert!(harness.end(1, Outcome::Cancelled).is_empty());
     assert!(harness.advance(10 * SECOND).is_empty());
 }
 
 #[test]
-fn reports_a_run_that_ended_otherwise_as_a_failure() {
+fn reports_an_unsuccessful_run_as_a_failure() {
     for outcome in [Outcome::Failure, Outcome::Cancelled, Outcome::NotStarted] {
         let mut harness = Harness::new(|_| {});
         harness.arrive(1, 1);
@@ -286,12 +290,9 @@
 
 #[test]
 fn resolves_uncertain_commands_so_that_nothing_runs_twice() {
-    let doubt = |order| Event::CommandUncertain {
-        id: 1,
-        command: order,
-    };
-    for (class, order, settled) in [
-        (0, RuntimeCommand::Start, vec![start(1, 0)]),
+    let command_uncertain = |command| Event::CommandUncertain { id: 1, command };
+    for (class, command, expected) in [
+        (0, RuntimeCommand::Start, vec![start_command(1, 0)]),
         (1, RuntimeCommand::Start, vec![]),
         (
             0,
@@ -307,7 +308,7 @@
     ] {
         let mut harness = Harness::new(|_| {});
         harness.arrive(1, class);
-        if order != RuntimeCommand::Start {
+        if command != RuntimeCommand::Start {
             harness.handle(Event::CallRequested {
                 id: 1,
                 notice: 9,
@@ -321,21 +322,23 @@
             });
         }
         assert_eq!(
-            harness.handle(doubt(order)),
-            settled,
-            "class {class}, {order:?}"
+            harness.handle(command_uncertain(command)),
+            expected,
+            "class {class}, {command:?}"
         );
     }
-    // A write that was perhaps never started gives its place back when it is answered.
-    let mut harness = Harness::new(|s| s.cores = 1);
+    // A run whose start is uncertain releases its core when the request has its response.
+    let mut harness = Harness::new(|settings| settings.cores = 1);
     harness.arrive(1, 1);
-    assert!(harness.handle(doubt(RuntimeCommand::Start)).is_empty());
+    assert!(harness
+        .handle(command_uncertain(RuntimeCommand::Start))
+        .is_empty());
     assert_eq!(
         harness.advance(8 * SECOND),
         [response_to(1, Response::Expired)]
     );
-    assert_eq!(harness.arrive(2, 1), [start(2, 1)]);
-    // What has gone on since is settled by that.
+    assert_eq!(harness.arrive(2, 1), [start_command(2, 1)]);
+    // A start is certain once the run has requested a call.
     let mut harness = Harness::new(|_| {});
     harness.arrive(1, 0);
     harness.handle(Event::CallRequested {
@@ -343,12 +346,14 @@
         notice: 9,
         body: Vec::new(),
     });
-    assert!(harness.handle(doubt(RuntimeCommand::Start)).is_empty());
+    assert!(harness
+        .handle(command_uncertain(RuntimeCommand::Start))
+        .is_empty());
 }
 
 #[test]
-fn gathers_events_into_steps_no_closer_than_the_tick() {
-    let mut harness = Harness::new(|s| s.tick = 4 * MS);
+fn batches_events_into_steps_at_least_one_tick_apart() {
+    let mut harness = Harness::new(|settings| settings.tick = 4 * MS);
     let mut commands = Vec::new();
     harness.now += 10 * MS;
     harness.dispatcher.poll(harness.now, &mut commands);
@@ -363,118 +368,131 @@
             .poll(harness.now + id * MS, &mut commands);
         commands.retain(|command| *command != Command::ReadGauges);
     }
-    let first = commands.len();
+    let first_step_commands = commands.len();
     assert_eq!(
         harness.dispatcher.next_deadline(),
         Some(harness.now + 5 * MS),
-        "one tick after the step that took the first"
+        "one tick after the step that started the first request"
     );
     harness.dispatcher.poll(harness.now + 5 * MS, &mut commands);
-    assert_eq!((first, commands), (1, vec![start(1, 0), start(2, 0)]));
+    assert_eq!(
+        (first_step_commands, commands),
+        (1, vec![start_command(1, 0), start_command(2, 0)])
+    );
 }
 
 #[test]
 fn reads_gauges_before_each_timer_and_passes_them_with_it() {
     let mut harness = Harness::new(|_| {});
-    let mut asks = 0;
-    let mut times = Vec::new();
+    let mut gauge_requests = 0;
+    let mut request_times = Vec::new();
     for _ in 0..40 {
-        let Some(at) = harness.dispatcher.next_deadline() else {
+        let Some(deadline) = harness.dispatcher.next_deadline() else {
             break;
         };
-        harness.now = at;
+        harness.now = deadline;
         let mut commands = Vec::new();
         harness.dispatcher.poll(harness.now, &mut commands);
         if commands.contains(&Command::ReadGauges) {
-            asks += 1;
-            times.push(harness.now);
+            gauge_requests += 1;
+            request_times.push(harness.now);
         }
     }
-    assert_eq!(asks, 20, "every other moment");
+    assert_eq!(
+        gauge_requests, 20,
+        "gauges are read at every other deadline"
+    );
     assert!(
-        times.windows(2).all(|pair| pair[1] - pair[0] == 15 * MS),
-        "{times:?}"
+        request_times
+            .windows(2)
+            .all(|pair| pair[1] - pair[0] == 15 * MS),
+        "{request_times:?}"
     );
-    // The run limit grows only on gauges that show idle cores while work waits.
-    let runs = |runnable| {
-        let mut harness = Harness::new(|s| {
-            (s.classes[0].latency_objective, s.classes[0].client_timeout) =
-                (60 * SECOND, 90 * SECOND)
+    // The run limit grows only if the gauges show idle cores while work is queued.
+    let count_started = |runnable| {
+        let mut harness = Harness::new(|settings| {
+            (
+                settings.classes[0].latency_objective,
+                settings.classes[0].client_timeout,
+            ) = (60 * SECOND, 90 * SECOND)
         });
         (1..=4).for_each(|id| drop(harness.arrive(id, 0)));
-        let mut started = 0;
+        let mut started_count = 0;
         for _ in 0..200 {
             let mut commands = harness.handle(Event::Gauges(Gauges {
                 runnable,
                 memory: None,
             }));
             commands.extend(harness.advance(4 * MS));
-            started += commands
+            started_count += commands
                 .iter()
-                .filter(|c| matches!(c, Command::StartRun { .. }))
+                .filter(|command| matches!(command, Command::StartRun { .. }))
                 .count();
         }
-        started
+        started_count
     };
-    assert_eq!((runs(None), runs(Some(0.0))), (0, 2));
+    assert_eq!((count_started(None), count_started(Some(0.0))), (0, 2));
 }
 
 #[test]
-fn fails_a_rejection_after_a_start_and_rejects_with_retry_after_while_draining() {
-    let mut harness = Harness::new(|s| s.drain_grace = 0);
+fn fails_started_requests_and_rejects_with_retry_after_while_draining() {
+    let mut harness = Harness::new(|settings| settings.drain_grace = 0);
     harness.arrive(1, 0);
     harness.handle(Event::DrainStarted {
         stop_at: harness.now + 2 * SECOND,
     });
     harness.now += 10 * MS;
-    let late = harness.arrive(2, 0);
-    let is_rejection = |c: &Command| matches!(c, Command::Respond { response: Response::Rejected { retry_after: later, .. }, .. } if *later == SECOND);
-    assert!(late.len() == 1 && is_rejection(&late[0]), "{late:?}");
+    let late_commands = harness.arrive(2, 0);
+    let is_rejection = |command: &Command| matches!(command, Command::Respond { response: Response::Rejected { retry_after, .. }, .. } if *retry_after == SECOND);
+    assert!(
+        late_commands.len() == 1 && is_rejection(&late_commands[0]),
+        "{late_commands:?}"
+    );
     assert_eq!(
         harness.advance(2 * SECOND),
         [response_to(1, Response::Failed)]
     );
 }
 
-/// What the module gives up gets its answer in the same step, with the time to come back.
+/// Requests that the controller sheds are rejected in the same step, with a Retry-After time.
 #[test]
-fn responds_at_once_to_what_is_given_up() {
-    let mut harness = Harness::new(|s| s.cores = 1);
-    let mut open: Vec<RequestId> = Vec::new();
-    let mut turned_away = 0;
+fn responds_immediately_to_shed_requests() {
+    let mut harness = Harness::new(|settings| settings.cores = 1);
+    let mut pending_ids: Vec<RequestId> = Vec::new();
+    let mut rejected_count = 0;
     for id in 1..=40 {
         let commands = harness.arrive(id, 0);
-        open.push(id);
+        pending_ids.push(id);
         for command in commands {
             if let Command::Respond {
-                client: to,
-                response:
-                    Response::Rejected {
-                        retry_after: later, ..
-                    },
+                client,
+                response: Response::Rejected { retry_after, .. },
             } = command
             {
-                open.retain(|id| *id != RequestId::from(to.stream));
-                turned_away += 1;
+                pending_ids.retain(|id| *id != RequestId::from(client.stream));
+                rejected_count += 1;
                 assert!(
-                    (15 * MS..=SECOND).contains(&later),
-                    "no answer without a time to come back: {later}"
+                    (15 * MS..=SECOND).contains(&retry_after),
+                    "a rejection carries a plausible Retry-After: {retry_after}"
                 );
             }
         }
-        assert_eq!(harness.dispatcher.pending_count(), open.len());
+        assert_eq!(harness.dispatcher.pending_count(), pending_ids.len());
     }
-    assert!(turned_away > 20, "{turned_away}");
-    assert!(open.len() < 12, "what waits can still be in time: {open:?}");
+    assert!(rejected_count > 20, "{rejected_count}");
+    assert!(
+        pending_ids.len() < 12,
+        "more requests are queued than can finish in time: {pending_ids:?}"
+    );
 }
 
-/// Tries that wait for another try of their key are booked by the controller: they take nothing of the share that is
-/// left to reads of kept results, which would fail a key whose result is known.
+/// Guards against failing requests for cached results because attempts that wait for a run of their
+/// key use up the memory share of loads. The controller accounts for the memory of such attempts.
 #[test]
 fn attempts_that_share_a_run_leave_memory_for_loads_of_cached_results() {
     let mut harness = Harness::new(|_| {});
-    let kept = settings().memory_kb;
-    let bounds = Capacity {
+    let memory_kb = settings().memory_kb;
+    let capacity = Capacity {
         entries: 500,
         result_bytes: 100_000,
         deduplication_window: 3_600 * SECOND,
@@ -485,7 +503,7 @@
         vec![false, true],
         false,
         KeyScope::Global,
-        KeyTable::new(bounds),
+        KeyTable::new(capacity),
     );
     let mut settings = settings();
     settings.classes.truncate(2);
@@ -496,11 +514,11 @@
     harness.dispatcher = Dispatcher::with_keys(settings, 7, keys);
     harness.handle(Event::RuntimeReady(SECOND));
     harness.handle(Event::KeysRecovered(Box::new(RecoveredKeys::new(1))));
-    let each = kept / 200.0;
-    let ask = |harness: &mut Harness, id: RequestId, key: &[u8]| {
+    let request_memory_kb = memory_kb / 200.0;
+    let send_request = |harness: &mut Harness, id: RequestId, key: &[u8]| {
         let incoming_request = IncomingRequest {
             key: Some(key.into()),
-            memory_kb: each,
+            memory_kb: request_memory_kb,
             ..incoming_request(id, 1, harness.now)
         };
         harness.handle(Event::RequestRead(IncomingRequest {
@@ -508,42 +526,43 @@
             ..incoming_request
         }))
     };
-    let ticket = |commands: &[Command]| {
-        let written = commands.iter().find_map(|command| match command {
-            Command::PersistKey(KeyEffect::Write { ticket, .. }) => Some(*ticket),
+    let written_ticket = |commands: &[Command]| {
+        let found = commands.iter().find_map(|command| match command {
+            Command::PersistKey(KeyCommand::Write { ticket, .. }) => Some(*ticket),
             _ => None,
         });
-        written.expect("a write")
+        found.expect("the key is written")
     };
-    // Key a has its result; key b runs, and more tries wait for it than a tenth of the memory holds.
-    let intent = ticket(&ask(&mut harness, 1, b"a"));
-    harness.handle(Event::KeysDurable(intent));
-    let result = ticket(&harness.end(1, Outcome::Success));
+    // Key a has its result. Key b runs, and the attempts that wait for it need more than a tenth of
+    // the memory.
+    let intent_ticket = written_ticket(&send_request(&mut harness, 1, b"a"));
+    harness.handle(Event::KeysDurable(intent_ticket));
+    let result_ticket = written_ticket(&harness.end(1, Outcome::Success));
     assert_eq!(
-        harness.handle(Event::KeysDurable(result)),
+        harness.handle(Event::KeysDurable(result_ticket)),
         [response_to(1, Response::Served(vec![7]))]
     );
-    let intent = ticket(&ask(&mut harness, 2, b"b"));
-    harness.handle(Event::KeysDurable(intent));
+    let intent_ticket = written_ticket(&send_request(&mut harness, 2, b"b"));
+    harness.handle(Event::KeysDurable(intent_ticket));
     for id in 3..33 {
-        assert_eq!(ask(&mut harness, id, b"b"), []);
+        assert_eq!(send_request(&mut harness, id, b"b"), []);
     }
-    let commands = ask(&mut harness, 100, b"a");
+    let commands = send_request(&mut harness, 100, b"a");
     assert!(
         matches!(commands[..], [Command::LoadCachedResult { id: 100, .. }]),
         "{commands:?}"
     );
-    // What the controller does not know of is bounded all the same.
+    // The memory of requests unknown to the controller has a limit of its own.
     for id in 101..119 {
-        ask(&mut harness, id, b"a");
+        send_request(&mut harness, id, b"a");
     }
-    let commands = ask(&mut harness, 120, b"a");
+    let commands = send_request(&mut harness, 120, b"a");
     assert!(
         matches!(commands[..], [Command::LoadCachedResult { id: 120, .. }]),
-        "the last that fits: {commands:?}"
+        "the last request that fits: {commands:?}"
     );
     assert_eq!(
-        ask(&mut harness, 121, b"a"),
+        send_request(&mut harness, 121, b"a"),
         [response_to(121, Response::Failed)]
     );
 }
