--- a/crates/dispatcher/tests/counters.rs
+++ b/crates/dispatcher/tests/counters.rs
@@ -1,9 +1,9 @@
-//! Counts of what became of requests.
+//! Tests of the counters of responses.
 
 use cleatpulley_dispatcher::ClassCounters;
 
 #[test]
-fn counts_neither_expired_nor_invalid_nor_rejected_requests_as_failures_of_the_server() {
+fn server_failures_exclude_expired_invalid_and_rejected_requests() {
     let counters = ClassCounters {
         served: 100,
         rejected: 50,
