--- a/crates/dispatcher/src/controller_timers.rs
+++ b/crates/dispatcher/src/controller_timers.rs
@@ -6,7 +6,8 @@
 /// Time before the expiry of a timer at which gauges are read, so that they are available and
 /// recent when it expires.
 const GAUGE_READ_LEAD: Micros = 4_000;
-/// Age above which gauges are not passed to the controller.
+/// Age above which gauges are not passed to the controller, since they do not reflect the current
+/// load.
 const MAX_GAUGE_AGE: Micros = 100_000;
 
 /// A timer of the controller.
--- a/crates/policy/src/controller/responses.rs
+++ b/crates/policy/src/controller/responses.rs
@@ -51,8 +51,8 @@
         let spread = MIN_RETRY_AFTER_JITTER + self.random.next_f64();
         let recovery_time = (excess.max(0.0) * spread) as Micros;
         let lacks_key_capacity = request.caches_result && !self.keys.has_capacity;
-        // A rejection always carries a Retry-After time, since the request may be admitted as soon
-        // as in the next period.
+        // Retry-After is at least one period: a request that is rejected now may be admitted in the
+        // next one.
         let retry_after = if self.is_draining_without_successor() || lacks_key_capacity {
             Micros::MAX
         } else {
