--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -65,7 +65,7 @@
         let mut state = queued_state(&incoming, request, received_at, respond_by);
         match decision {
             KeyDecision::Admit => {
-                let arrival = ControllerEvent::Arrived(state.request.clone());
+                let arrival = ControllerEvent::Arrived(state.controller_request.clone());
                 self.driver.notify(arrival);
                 state.body = incoming.body;
             }
@@ -160,7 +160,7 @@
 /// Returns the state of a queued request, without its body.
 fn queued_state(
     incoming: &IncomingRequest,
-    request: Request,
+    controller_request: Request,
     received_at: Micros,
     respond_by: Micros,
 ) -> RequestState {
@@ -172,8 +172,8 @@
         is_settled: false,
         is_start_uncertain: false,
         stage: RequestStage::Queued,
-        has_key: request.caches_result,
-        request,
+        has_key: controller_request.caches_result,
+        controller_request,
         body: Vec::new(),
         call: RequestedCall::default(),
         wait_number: 0,
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -156,7 +156,7 @@
             .requests
             .iter()
             .map(|request| {
-                let queued_kb = request.request.memory_kb;
+                let queued_kb = request.controller_request.memory_kb;
                 if request.stage.has_running_memory() {
                     (queued_kb * factor * 1e3) as u64
                 } else {
@@ -169,7 +169,7 @@
             .requests
             .iter()
             .filter(|request| request.stage == RequestStage::Queued)
-            .map(|request| (request.request.memory_kb * growth_factor) as u64)
+            .map(|request| (request.controller_request.memory_kb * growth_factor) as u64)
             .collect();
         growth.sort_unstable_by(|left, right| right.cmp(left));
         let run_limit = self.driver.controller.learned_state().run_limit as usize;
--- a/crates/dispatcher/src/key_commands.rs
+++ b/crates/dispatcher/src/key_commands.rs
@@ -125,8 +125,8 @@
             return;
         };
         request.stage = RequestStage::Queued;
-        request.request.duplicate_of = None;
-        let arrival = ControllerEvent::Arrived(request.request.clone());
+        request.controller_request.duplicate_of = None;
+        let arrival = ControllerEvent::Arrived(request.controller_request.clone());
         self.driver.notify(ControllerEvent::Abandoned(id));
         self.driver.notify(arrival);
     }
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -153,11 +153,11 @@
         let (Some(request), Some(keys)) = (self.requests.get_mut(id), &mut self.keys) else {
             return;
         };
-        match keys.decide(now, &mut request.request, key, digest, |_| true) {
+        match keys.decide(now, &mut request.controller_request, key, digest, |_| true) {
             KeyDecision::Admit => {
                 request.stage = RequestStage::Queued;
                 request.wait_number = 0;
-                let arrival = ControllerEvent::Arrived(request.request.clone());
+                let arrival = ControllerEvent::Arrived(request.controller_request.clone());
                 self.driver.notify(arrival);
             }
             KeyDecision::LoadCachedResult(key) => {
--- a/crates/dispatcher/src/request_state.rs
+++ b/crates/dispatcher/src/request_state.rs
@@ -53,7 +53,7 @@
     pub(crate) has_key: bool,
     /// The request as passed to the controller, kept because the controller may have to decide on
     /// it again.
-    pub(crate) request: Request,
+    pub(crate) controller_request: Request,
     /// Body of the request; kept after the start only if the start may be sent again.
     pub(crate) body: Vec<u8>,
     /// The last call that the run requested.
@@ -130,7 +130,7 @@
             .filter(|request| {
                 request.stage == RequestStage::AwaitingKey && request.wait_number != 0
             })
-            .map(|request| request.request.memory_kb)
+            .map(|request| request.controller_request.memory_kb)
             .sum()
     }
 }
--- a/crates/dispatcher/src/request_trace.rs
+++ b/crates/dispatcher/src/request_trace.rs
@@ -42,7 +42,7 @@
     trace_request!(
         now,
         id = format_args!("{id:016x}"),
-        caller = request.request.caller,
+        caller = request.controller_request.caller,
         after = now.saturating_sub(request.received_at),
         later,
         what,
