--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that were read, and connections of the client side that were lost.
+//! Requests that were read, and client connections that were lost.
 
 use crate::command::Command;
 use crate::dispatcher::Dispatcher;
@@ -12,9 +12,9 @@
     Class, Effect, Event as ControllerEvent, Micros, Request, RequestId,
 };
 
-/// Share of the memory that may wait for recovered keys or cached results: the controller does not
-/// know of these requests, and leaves little more than this to others.
-const UNCONTROLLED_SHARE: f64 = 0.1;
+/// Share of the memory for requests that wait for recovered keys or cached results. The controller
+/// does not account for these requests, and leaves little more memory than this unused.
+const UNCONTROLLED_MEMORY_SHARE: f64 = 0.1;
 
 impl Dispatcher {
     pub(crate) fn on_request(
@@ -33,22 +33,24 @@
             });
             return;
         };
-        // Every attempt has a new id: one that is known may run, and must not run again.
+        // Every attempt has a new id. A request whose id is known may be running, and must not run
+        // twice.
         if self.is_known(incoming.id) {
             self.respond_unregistered(&incoming, Response::Failed, commands);
             return;
         }
-        let received_at = plausible_receipt(now, incoming.received_at, class);
+        let received_at = clamp_received_at(now, incoming.received_at, class);
         let respond_by = self
             .deadlines
-            .cut(received_at + class.client_timeout)
+            .cap(received_at + class.client_timeout)
             .max(now);
         request_trace::arrived(now, &incoming, received_at);
         let request = controller_request(&incoming, class);
         self.register(now, incoming, request, received_at, respond_by, commands);
     }
 
-    /// Decides on a request by its key, and enters it into the table unless it has its response.
+    /// Decides on a request by its key, and adds it to the table unless it gets its response at
+    /// once.
     fn register(
         &mut self,
         now: Micros,
@@ -63,7 +65,7 @@
         let mut state = queued_state(&incoming, request, received_at, respond_by);
         match decision {
             KeyDecision::Admit => {
-                let arrival = ControllerEvent::Arrived(state.request.clone());
+                let arrival = ControllerEvent::Arrived(state.controller_request.clone());
                 self.driver.notify(arrival);
                 state.body = incoming.body;
             }
@@ -81,7 +83,7 @@
                 state.wait_number = self.next_wait_number();
                 commands.push(Command::LoadCachedResult {
                     id,
-                    number: state.wait_number,
+                    load_number: state.wait_number,
                     key,
                 });
             }
@@ -100,7 +102,7 @@
             return KeyDecision::Admit;
         };
         let requests = &self.requests;
-        let limit_kb = UNCONTROLLED_SHARE * self.settings.memory_kb;
+        let limit_kb = UNCONTROLLED_MEMORY_SHARE * self.settings.memory_kb;
         let fits = |more_kb| requests.uncontrolled_memory_kb() + more_kb <= limit_kb;
         keys.on_request(now, request, incoming.key.as_deref(), &incoming.body, fits)
     }
@@ -128,7 +130,7 @@
         self.respond_unregistered(incoming, response, commands);
     }
 
-    /// Returns whether a request with this id is open or still runs.
+    /// Returns whether a request with this id is pending or still runs.
     pub(crate) fn is_known(&self, id: RequestId) -> bool {
         let runs = self
             .keys
@@ -137,7 +139,7 @@
         runs || self.requests.contains(id)
     }
 
-    /// Notes that nobody waits any longer for the requests of these client streams.
+    /// Abandons the pending requests of the matching client streams, whose callers no longer wait.
     pub(crate) fn abandon_requests(
         &mut self,
         now: Micros,
@@ -146,7 +148,7 @@
     ) {
         let lost = self
             .requests
-            .ids_in_order(|request| is_lost(&request.client) && !request.is_answered);
+            .ids_in_order(|request| is_lost(&request.client) && !request.is_settled);
         for id in lost {
             self.driver.notify(ControllerEvent::Abandoned(id));
             if is_bug_injected(InjectedBug::RequestLeaked) {
@@ -158,10 +160,10 @@
     }
 }
 
-/// Returns the state of a request that waits for the controller, without its body.
+/// Returns the state of a queued request, without its body.
 fn queued_state(
     incoming: &IncomingRequest,
-    request: Request,
+    controller_request: Request,
     received_at: Micros,
     respond_by: Micros,
 ) -> RequestState {
@@ -170,26 +172,26 @@
         class: incoming.class,
         received_at,
         respond_by,
-        is_answered: false,
+        is_settled: false,
         is_start_uncertain: false,
         stage: RequestStage::Queued,
-        has_key: request.caches_result,
-        request,
+        has_key: controller_request.caches_result,
+        controller_request,
         body: Vec::new(),
         call: RequestedCall::default(),
         wait_number: 0,
     }
 }
 
-/// Returns when the request was received, within what is possible: clocks differ, but nothing comes
-/// from the future, or from longer ago than anyone waits.
-fn plausible_receipt(now: Micros, received_at: Micros, class: &Class) -> Micros {
+/// Limits the time of receipt to a plausible range, since clocks differ: not in the future, and not
+/// before any client would have timed out.
+fn clamp_received_at(now: Micros, received_at: Micros, class: &Class) -> Micros {
     received_at
         .min(now)
         .max(now.saturating_sub(class.client_timeout))
 }
 
-/// Returns the request as the controller is to know it.
+/// Converts an incoming request to the controller's type.
 fn controller_request(incoming: &IncomingRequest, class: &Class) -> Request {
     Request {
         id: incoming.id,
--- a/crates/dispatcher/src/controller_actions.rs
+++ b/crates/dispatcher/src/controller_actions.rs
@@ -1,4 +1,4 @@
-//! The controller's actions, carried out on the requests that they are about.
+//! Execution of the controller's actions.
 
 use crate::command::{Command, DependencyCall};
 use crate::dispatcher::Dispatcher;
@@ -8,9 +8,14 @@
 use cleatpulley_policy::interface::{Action, Effect, Micros, RequestId};
 
 impl Dispatcher {
-    pub(crate) fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
+    pub(crate) fn execute_action(
+        &mut self,
+        now: Micros,
+        action: Action,
+        commands: &mut Vec<Command>,
+    ) {
         match action {
-            Action::Run(id) => self.run(now, id, commands),
+            Action::Run(id) => self.start_run(now, id, commands),
             Action::Reject {
                 id,
                 retry_after,
@@ -23,7 +28,7 @@
                 self.reject(now, id, rejection, commands);
             }
             Action::Fail(id) => self.fail(now, id, commands),
-            Action::Call { id, timeout } => self.call(id, timeout, commands),
+            Action::Call { id, timeout } => self.make_call(id, timeout, commands),
             Action::SkipCall(id) => self.skip_call(id, commands),
             Action::Preempt(id) => self.preempt(id, commands),
             Action::ShareResponse(id) => self.share_response(now, id, commands),
@@ -36,12 +41,12 @@
                 commands.push(Command::CloseIdleConnections(timeout));
             }
             Action::SetHealth { healthy, .. } => commands.push(Command::SetHealth(healthy)),
-            // The table of keys decides for how long keys are kept.
+            // The table of keys itself determines the lifetime of keys.
             Action::InsertKey { .. } | Action::RemoveKey(_) => {}
         }
     }
 
-    fn run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    fn start_run(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -68,7 +73,7 @@
         });
     }
 
-    /// Rejects a request. The promise that it never ran is only given where that is known.
+    /// Rejects a request if it is known that it never ran, and fails it otherwise.
     fn reject(
         &mut self,
         now: Micros,
@@ -84,8 +89,9 @@
     }
 
     fn fail(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
-        // The controller gives up a little before the deadline, so that the response is in time.
-        let latest = self.driver.stepped_at + self.settings.response_slack;
+        // The controller fails requests shortly before their deadline, so that the response is in
+        // time.
+        let latest = self.driver.last_step_at + self.settings.response_slack;
         let is_due = self
             .requests
             .get(id)
@@ -98,11 +104,11 @@
         self.respond(now, id, response, commands);
     }
 
-    fn call(&mut self, id: RequestId, timeout: Micros, commands: &mut Vec<Command>) {
+    fn make_call(&mut self, id: RequestId, timeout: Micros, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if request.stage != RequestStage::AwaitingCall || request.is_answered {
+        if request.stage != RequestStage::AwaitingCall || request.is_settled {
             return;
         }
         request.stage = RequestStage::Calling;
@@ -128,19 +134,20 @@
         }
     }
 
-    /// Stops the run of a request that has its response; never one with an effect that its repeats
-    /// are given the result of.
+    /// Stops the run of a request that has its response. The run of a request with a key is never
+    /// stopped, since later attempts get its result.
     fn preempt(&mut self, id: RequestId, commands: &mut Vec<Command>) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let is_running = request.stage == RequestStage::Running;
-        if is_running && request.is_answered && !request.has_key {
+        if is_running && request.is_settled && !request.has_key {
             commands.push(Command::StopRun(id));
         }
     }
 
-    /// Lets a request with a key wait for the outcome of its key. Without a key nothing is shared.
+    /// Makes a request with a key wait for the outcome of its key. Requests without a key share no
+    /// responses and fail.
     fn share_response(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         match self.requests.get_mut(id) {
             Some(request) if request.has_key => {
--- a/crates/dispatcher/src/controller_timers.rs
+++ b/crates/dispatcher/src/controller_timers.rs
@@ -1,12 +1,14 @@
-//! The controller's timers, and the gauges that it gets with them.
+//! The controller's timers, and the gauges passed with their expiry.
 
 use cleatpulley_policy::interface::{Event as ControllerEvent, Gauges, Micros};
 use std::collections::BTreeSet;
 
-/// Gauges are read so long before a timer expires that they are there and fresh by then.
-const GAUGE_LEAD: Micros = 4_000;
-/// Older gauges say nothing about the present.
-const LONGEST_GAUGE_AGE: Micros = 100_000;
+/// Time before the expiry of a timer at which gauges are read, so that they are available and
+/// recent when it expires.
+const GAUGE_READ_LEAD: Micros = 4_000;
+/// Age above which gauges are not passed to the controller, since they do not reflect the current
+/// load.
+const MAX_GAUGE_AGE: Micros = 100_000;
 
 /// A timer of the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -15,13 +17,13 @@
     token: u64,
 }
 
-/// The timers that are set, and the gauges last read.
+/// Pending timers, and the last read gauges.
 #[derive(Debug, Default)]
 pub(crate) struct ControllerTimers {
     timers: BTreeSet<Timer>,
     gauges: Gauges,
     gauges_read_at: Micros,
-    /// Expiry of the timer that gauges were last requested for.
+    /// Expiry time of the timer for which gauges were last requested.
     gauges_requested_for: Micros,
 }
 
@@ -42,7 +44,7 @@
                 return;
             }
             self.timers.pop_first();
-            let is_fresh = now.saturating_sub(self.gauges_read_at) <= LONGEST_GAUGE_AGE;
+            let is_fresh = now.saturating_sub(self.gauges_read_at) <= MAX_GAUGE_AGE;
             let gauges = if is_fresh {
                 self.gauges
             } else {
@@ -55,26 +57,27 @@
         }
     }
 
-    /// Returns whether gauges have to be read now, and assumes that they are.
+    /// Returns whether gauges have to be read now, and records that they were requested.
     pub(crate) fn take_gauge_request(&mut self, now: Micros) -> bool {
         let Some(timer) = self.timers.first() else {
             return false;
         };
         let is_requested = timer.expires_at == self.gauges_requested_for;
-        if is_requested || now + GAUGE_LEAD < timer.expires_at {
+        if is_requested || now + GAUGE_READ_LEAD < timer.expires_at {
             return false;
         }
         self.gauges_requested_for = timer.expires_at;
         true
     }
 
-    /// Returns when there is something to do, given when the controller may step next.
+    /// Returns the time of the next expiry or gauge request, given the time of the controller's
+    /// next possible step.
     pub(crate) fn next_deadline(&self, next_step: Micros) -> Option<Micros> {
         let timer = self.timers.first()?;
         if timer.expires_at == self.gauges_requested_for {
             Some(timer.expires_at.max(next_step))
         } else {
-            Some(timer.expires_at.saturating_sub(GAUGE_LEAD))
+            Some(timer.expires_at.saturating_sub(GAUGE_READ_LEAD))
         }
     }
 }
--- a/crates/dispatcher/src/keyed_requests.rs
+++ b/crates/dispatcher/src/keyed_requests.rs
@@ -1,11 +1,11 @@
-//! Requests with an idempotency key: what the table of keys decides is carried out here, between the
-//! controller's decisions and the adapters.
+//! Requests with an idempotency key: connects the table of keys with the controller's decisions and
+//! the adapters.
 
 use crate::command::Command;
-use crate::dispatcher::{Dispatcher, ReportedKeys};
+use crate::dispatcher::{Dispatcher, KeyTableUsage};
 use crate::event::{ClientStream, Event};
 use crate::idempotency_keys::{EarlyAttempt, KeyDecision};
-use crate::key_commands::response_of;
+use crate::key_commands::response_for;
 use crate::request_state::RequestStage;
 use crate::response::Response;
 use cleatpulley_idempotency::key_table::{KeyCommand, KeyTable, RecoveredKeys};
@@ -14,15 +14,15 @@
 use cleatpulley_policy::interface::{Event as ControllerEvent, Micros, RequestId};
 
 impl Dispatcher {
-    /// Returns the table of keys, where results are cached.
+    /// Returns the table of keys; `None` where results are not cached.
     #[must_use]
     pub fn key_table(&self) -> Option<&KeyTable> {
         self.keys.as_ref().map(|keys| &keys.table)
     }
 
-    /// Returns an id for a request with a key: its own, or an unused one where another attempt with
-    /// the same id is open or still runs. A proxy that retries a request does not give it a new id;
-    /// its key identifies it.
+    /// Returns an id for a request with a key: its own, or an unused one if another attempt with
+    /// the same id is pending or still runs. A proxy that retries a request does not give the retry
+    /// a new id; the key identifies the request.
     pub(crate) fn unused_id(&self, id: RequestId, client: ClientStream, class: usize) -> RequestId {
         let Some(keys) = &self.keys else { return id };
         if !keys.caches_results(class) {
@@ -40,8 +40,8 @@
         unused
     }
 
-    /// Releases the keys to another process, where nobody waits for any of them and none of them
-    /// runs. From then on, a request with a key fails. Returns false where it is too early.
+    /// Releases the keys to another process. Returns false, without releasing them, while a request
+    /// waits for a key or runs with one. Afterwards, requests with a key fail.
     pub fn release_keys(&mut self) -> bool {
         let awaits_key = self.requests.iter().any(|request| {
             matches!(
@@ -54,14 +54,15 @@
         let Some(keys) = &mut self.keys else {
             return false;
         };
-        if awaits_key || !keys.is_quiet() {
+        if awaits_key || !keys.is_idle() {
             return false;
         }
         keys.release();
         true
     }
 
-    /// Takes the keys over again after they were released, as a process does that has just started.
+    /// Takes back released keys with a new table, which has to be recovered as after a start of the
+    /// process.
     pub fn reclaim_keys(&mut self, table: KeyTable) {
         if let Some(keys) = &mut self.keys {
             keys.reclaim(table);
@@ -92,30 +93,30 @@
             }
             Event::CachedResultLoaded {
                 id,
-                number,
+                load_number,
                 outcome,
-            } => self.on_cached_result(now, id, number, outcome, commands),
+            } => self.on_cached_result(now, id, load_number, outcome, commands),
             _ => {}
         }
-        self.carry_out_key_commands(now, commands);
+        self.execute_key_commands(now, commands);
     }
 
     fn on_cached_result(
         &mut self,
         now: Micros,
         id: RequestId,
-        number: u64,
+        load_number: u64,
         outcome: Option<KeyOutcome>,
         commands: &mut Vec<Command>,
     ) {
-        let response = outcome.map_or(Response::Failed, response_of);
-        if self.awaits_key(id, number) {
+        let response = outcome.map_or(Response::Failed, response_for);
+        if self.awaits_key(id, load_number) {
             self.respond(now, id, response, commands);
         }
     }
 
-    /// Returns whether a request waits under this number. Another request may have the id of one
-    /// that is over.
+    /// Returns whether a request waits under this number. The id alone is not enough, since the id
+    /// of a completed request may be reused.
     fn awaits_key(&self, id: RequestId, wait_number: u64) -> bool {
         self.requests.get(id).is_some_and(|request| {
             request.stage == RequestStage::AwaitingKey && request.wait_number == wait_number
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Decides on the attempts that waited for the keys to be recovered, as if they came now.
+    /// Decides on the attempts that waited for the keys to be recovered, as if they had just
+    /// arrived.
     fn decide_on_early_attempts(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let Some(keys) = &mut self.keys else { return };
         for attempt in keys.take_early_attempts() {
@@ -151,18 +153,18 @@
         let (Some(request), Some(keys)) = (self.requests.get_mut(id), &mut self.keys) else {
             return;
         };
-        match keys.decide(now, &mut request.request, key, digest, |_| true) {
+        match keys.decide(now, &mut request.controller_request, key, digest, |_| true) {
             KeyDecision::Admit => {
                 request.stage = RequestStage::Queued;
                 request.wait_number = 0;
-                let arrival = ControllerEvent::Arrived(request.request.clone());
+                let arrival = ControllerEvent::Arrived(request.controller_request.clone());
                 self.driver.notify(arrival);
             }
             KeyDecision::LoadCachedResult(key) => {
                 request.wait_number = keys.next_wait_number();
                 commands.push(Command::LoadCachedResult {
                     id,
-                    number: request.wait_number,
+                    load_number: request.wait_number,
                     key,
                 });
             }
@@ -176,21 +178,21 @@
     pub(crate) fn poll_keys(&mut self, now: Micros, commands: &mut Vec<Command>) {
         if let Some(keys) = &mut self.keys {
             keys.table.poll(now, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
-    /// Notifies the controller of the usage of the table before any other event.
+    /// Notifies the controller of the usage of the table of keys, ahead of all pending events.
     pub(crate) fn report_key_usage(&mut self) {
         let Some(keys) = &mut self.keys else { return };
-        let usage = ReportedKeys {
-            has_capacity: keys.take_capacity(),
+        let usage = KeyTableUsage {
+            has_capacity: keys.take_capacity_status(),
             entries: keys.table.len(),
         };
-        if self.driver.reported_keys == usage {
+        if self.driver.reported_key_usage == usage {
             return;
         }
-        self.driver.reported_keys = usage;
+        self.driver.reported_key_usage = usage;
         let event = ControllerEvent::IdempotencyTableUsage {
             entries: usage.entries,
             has_capacity: usage.has_capacity,
@@ -198,7 +200,7 @@
         self.driver.events.insert(0, event);
     }
 
-    /// Runs a request with a key: its intent has to be durable first.
+    /// Starts the run of a request with a key once its intent is durable.
     pub(crate) fn run_with_key(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
         let (Some(request), Some(keys)) = (self.requests.get_mut(id), &mut self.keys) else {
             return;
@@ -207,17 +209,20 @@
         let commands_before = self.key_commands.len();
         keys.table.request_run(now, id, &mut self.key_commands);
         if self.key_commands.len() == commands_before {
-            // The table does not know it: it found no capacity when it came, and there is some now.
+            // The table has no entry for the request: there was no capacity when it arrived, but
+            // there is now.
             self.key_commands.push(KeyCommand::CancelRun(id));
             self.key_commands.push(KeyCommand::Reject(id));
         }
-        self.carry_out_key_commands(now, commands);
+        self.execute_key_commands(now, commands);
     }
 
-    /// Rejects a queued request with a key. Returns whether it got its response here.
+    /// Prepares the rejection of a queued request with a key. Returns whether this function has
+    /// sent a response; otherwise the caller sends the rejection.
     ///
-    /// Where its deadline has come and others wait for its key, one of those takes its place, so
-    /// that it must not be promised that nothing ran.
+    /// If the deadline is reached while other attempts wait for the key, one of them takes its
+    /// place and may run. The request then expires, since a rejection would guarantee that nothing
+    /// ran.
     pub(crate) fn reject_with_key(
         &mut self,
         now: Micros,
@@ -236,30 +241,35 @@
             return self.respond(now, id, Response::Expired, commands);
         }
         keys.table.on_rejected(id, &mut self.key_commands);
-        let mut others = Vec::new();
+        let mut remaining_commands = Vec::new();
         for command in std::mem::take(&mut self.key_commands) {
             match command {
-                // Those that wait for it get the same response.
+                // Attempts that wait for this request get the same response.
                 KeyCommand::Reject(waiting) => {
                     self.reject_waiting(now, waiting, rejection, commands);
                 }
-                command => others.push(command),
+                command => remaining_commands.push(command),
             }
         }
-        self.key_commands = others;
-        self.carry_out_key_commands(now, commands);
+        self.key_commands = remaining_commands;
+        self.execute_key_commands(now, commands);
         false
     }
 
-    /// Notes that an attempt has its response, or that nobody waits for one.
-    pub(crate) fn leave_key(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+    /// Records that an attempt has its response, or that nobody waits for one.
+    pub(crate) fn detach_from_key(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        commands: &mut Vec<Command>,
+    ) {
         if let Some(keys) = &mut self.keys {
             keys.table.yield_to_next(id, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
-    pub(crate) fn end_key(
+    pub(crate) fn complete_key(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -269,11 +279,11 @@
         if let Some(keys) = &mut self.keys {
             keys.table
                 .on_run_ended(now, id, outcome, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 
-    /// Notes that a run was not started after all.
+    /// Releases the key of a run that was not started after all.
     pub(crate) fn release_unstarted_key(
         &mut self,
         now: Micros,
@@ -282,7 +292,7 @@
     ) {
         if let Some(keys) = &mut self.keys {
             keys.table.on_never_ran(id, &mut self.key_commands);
-            self.carry_out_key_commands(now, commands);
+            self.execute_key_commands(now, commands);
         }
     }
 }
--- a/crates/dispatcher/src/request_trace.rs
+++ b/crates/dispatcher/src/request_trace.rs
@@ -1,5 +1,5 @@
-//! The trace of each request by its id: `RUST_LOG=cleatpulley_requests=trace`. Switched off it costs
-//! one comparison.
+//! Tracing of each request by its id, enabled with `RUST_LOG=cleatpulley_requests=trace`. When it
+//! is disabled, a trace point costs one comparison.
 
 use crate::event::IncomingRequest;
 use crate::request_state::RequestState;
@@ -26,7 +26,7 @@
     trace_request!(now, id = format_args!("{id:016x}"), "starts");
 }
 
-pub(crate) fn answered(now: Micros, id: RequestId, request: &RequestState, response: &Response) {
+pub(crate) fn responded(now: Micros, id: RequestId, request: &RequestState, response: &Response) {
     let what = match response {
         Response::Served(_) => "served",
         Response::Rejected { .. } => "refused",
@@ -42,7 +42,7 @@
     trace_request!(
         now,
         id = format_args!("{id:016x}"),
-        caller = request.request.caller,
+        caller = request.controller_request.caller,
         after = now.saturating_sub(request.received_at),
         later,
         what,
--- a/crates/policy/src/controller/dependency_calls.rs
+++ b/crates/policy/src/controller/dependency_calls.rs
@@ -1,22 +1,22 @@
-//! Calls to the dependency: which are made, in which order, and which are left out or given up.
+//! Calls to the dependency: which are made, in which order, and which are skipped or abandoned.
 
-use super::queue::QUEUE_SHARE;
+use super::queue::QUEUE_TIME_SHARE;
 use super::request_state::{RequestStage, RequestState};
 use super::Controller;
 use crate::interface::{Action, Effect, Micros, Outcome, RequestId};
 
-/// Call latencies for which the reply to a call is waited for.
-const TIMEOUT_IN_LATENCIES: f64 = 8.0;
-/// Periods for which the reply to a call is waited for at least.
-const TIMEOUT_IN_PERIODS: f64 = 2.0;
+/// Timeout of a call, as a multiple of the smoothed call latency.
+const CALL_TIMEOUT_LATENCIES: f64 = 8.0;
+/// Minimum timeout of a call, in adjustment periods.
+const MIN_CALL_TIMEOUT_PERIODS: f64 = 2.0;
 
 impl Controller {
-    /// Returns whether the runs at calls, those of lower priority left out, are more than the
-    /// dependency serves in half the time that is left to the request's latency objective.
-    pub(super) fn are_calls_crowded(&self, request: &RequestState) -> bool {
+    /// Returns whether more calls are in flight or wait with at least the request's priority than
+    /// the dependency serves in half the time that remains until the request's latency objective.
+    pub(super) fn is_call_queue_too_long(&self, request: &RequestState) -> bool {
         let priority = self.priority(request);
         let remaining = request.timing.objective_at.saturating_sub(self.clock.now) as f64;
-        let rounds = (QUEUE_SHARE * remaining / self.dependency.call_latency()).max(1.0);
+        let rounds = (QUEUE_TIME_SHARE * remaining / self.dependency.call_latency()).max(1.0);
         let ahead = self
             .requests
             .iter()
@@ -29,8 +29,8 @@
         ahead as f64 > self.dependency.call_limit() * rounds
     }
 
-    /// Makes waiting calls by priority while the limiter has capacity; leaves out or gives up those
-    /// that would come too late.
+    /// Makes waiting calls by priority while the limiter has capacity. Calls that would end too
+    /// late are skipped where the class allows it; requests past their useful time fail.
     pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
         let mut in_flight = self.calls_in_flight();
         let mut calls_ahead = 0.0;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the requests that wait for their call, the highest priority first.
+    /// Returns the ids of the requests that wait for their call, highest priority first.
     fn call_order(&self) -> Vec<RequestId> {
         let mut waiting: Vec<(f64, RequestId)> = self
             .requests
@@ -65,7 +65,7 @@
             .filter(|request| request.stage == RequestStage::AwaitingCall && !request.is_settled)
             .map(|request| (self.priority(request), request.id))
             .collect();
-        waiting.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.cmp(&other.1)));
+        waiting.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
         waiting.into_iter().map(|(_, id)| id).collect()
     }
 
@@ -82,15 +82,15 @@
     }
 
     /// Returns the timeout of a call that is made now. It leaves time to respond, and stays within
-    /// the remaining call time where the quota is below one call.
+    /// the remaining call time where the quota is below one concurrent call.
     fn call_timeout(&self, objective_at: Micros, respond_by: Micros, effect: Effect) -> Micros {
         let now = self.clock.now;
         let period = self.clock.period;
-        // A reply that takes longer is lost, not late.
-        let patience = (TIMEOUT_IN_LATENCIES * self.dependency.call_latency())
-            .max(TIMEOUT_IN_PERIODS * period as f64) as Micros;
-        // A call that can't be made again is given up for good, and so not before its reply would be
-        // worth nothing.
+        // A reply that takes longer is assumed to be lost.
+        let reply_timeout = (CALL_TIMEOUT_LATENCIES * self.dependency.call_latency())
+            .max(MIN_CALL_TIMEOUT_PERIODS * period as f64) as Micros;
+        // A call that can't be repeated is waited for until its reply would no longer meet the
+        // latency objective.
         let useful_time = if effect == Effect::Idempotent {
             0
         } else {
@@ -98,7 +98,7 @@
         };
         let timeout = respond_by
             .saturating_sub(now + period)
-            .min(patience.max(useful_time))
+            .min(reply_timeout.max(useful_time))
             .max(1);
         let within_quota = match self.dependency.remaining_call_time(now) {
             Some(remaining) => {
@@ -133,7 +133,7 @@
         );
         let is_idempotent = self.settings.classes[request.class].effect == Effect::Idempotent;
         if !is_idempotent && !never_took_effect {
-            // The call may have taken effect, and must not be made again.
+            // The call may have taken effect and must not be repeated.
             self.fail(id, actions);
         }
     }
--- a/crates/policy/src/controller/dependency_limiter.rs
+++ b/crates/policy/src/controller/dependency_limiter.rs
@@ -1,17 +1,16 @@
-//! The limiter of calls to the dependency: which admissions are spaced out, and which calls may be
-//! made.
+//! The limiter of calls to the dependency: paces admissions, and decides which calls may be made.
 //!
-//! Bassoon gapping decides the ordinary path: the smoothed backlog of requests that wait for a call
-//! sets a gap, and each admission closes the dependency for one gap (`admission_gap`). Calls in
-//! flight have a limit of their own, which follows their latency (`call_limit`), and where this
-//! server's quota is below one call, a budget of call time (`call_quota`).
+//! Admissions are paced by Bassoon gapping: the smoothed backlog of requests that wait for a call
+//! determines a gap, and each admission closes the dependency for one gap (`admission_gap`). The
+//! number of calls in flight has a limit that follows their latency (`call_limit`). Where this
+//! server's quota is below one concurrent call, a budget of call time applies (`call_quota`).
 
 mod admission_gap;
 mod call_latency;
 mod call_limit;
 mod call_quota;
 
-use super::MARGIN;
+use super::USABLE_SHARE;
 use crate::interface::{DependencyLimit, Micros, Outcome, Settings};
 use crate::learned_state::LearnedDependency;
 use admission_gap::AdmissionGap;
@@ -19,10 +18,11 @@
 use call_limit::CallLimit;
 use call_quota::CallQuota;
 
-/// Call latencies for which no call is made after the dependency rejected one or was unreachable: a
-/// dependency that is down gets no storm of retries.
-const PAUSE_IN_LATENCIES: f64 = 2.0;
-/// Share of the quota below which the call limit is not halved: the dependency survives that many.
+/// Pause, in call latencies, after the dependency rejected a call or was unreachable. Prevents a
+/// retry storm against a dependency that is down.
+const CALL_PAUSE_LATENCIES: f64 = 2.0;
+/// Lower bound of the call limit, as a share of the quota, which the dependency is known to
+/// sustain.
 const MINIMUM_QUOTA_SHARE: f64 = 0.5;
 
 /// Limits the calls of one server to its dependency.
@@ -32,31 +32,31 @@
     quota: CallQuota,
     gap: AdmissionGap,
     latency: CallLatency,
-    silence: SilentCalls,
-    /// No call is made before this time.
+    unanswered_calls: UnansweredCalls,
+    /// Time before which no call is made.
     paused_until: Micros,
 }
 
-/// Calls that ended without a reply from the dependency.
+/// Tracks calls that ended without a reply from the dependency.
 #[derive(Debug, Clone, Default)]
-struct SilentCalls {
-    /// How many have ended since the last one with a reply.
+struct UnansweredCalls {
+    /// Number of unanswered calls since the last one that ended otherwise.
     consecutive: u32,
-    /// When the latest call with a reply was made.
-    last_replied_call: Micros,
+    /// Time at which the most recently made call with a reply was made.
+    last_replied_call_at: Micros,
 }
 
-/// What the end of a call says about the dependency.
+/// What the outcome of a call indicates about the dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallSignal {
-    /// It replied.
+    /// The dependency replied.
     Reply,
-    /// It did not reply in time.
+    /// The dependency did not reply in time.
     Timeout,
     /// The call was interrupted, most likely by a lost connection.
     Interrupted,
-    /// It rejected the call or could not be reached, or the call was withdrawn.
-    NoService,
+    /// The dependency rejected the call or could not be reached, or the call was cancelled.
+    Unavailable,
 }
 
 impl From<Outcome> for CallSignal {
@@ -68,7 +68,7 @@
             Outcome::Overloaded
             | Outcome::Unreachable
             | Outcome::Cancelled
-            | Outcome::NotStarted => Self::NoService,
+            | Outcome::NotStarted => Self::Unavailable,
         }
     }
 }
@@ -81,13 +81,21 @@
                 concurrency_quota,
                 averaging_window,
             } => {
-                let mean = MARGIN * concurrency_quota.max(0.0);
-                let minimum = MINIMUM_QUOTA_SHARE * MARGIN * concurrency_quota;
-                (CallQuota::new(mean, averaging_window), 1.0, minimum)
+                let mean_concurrency = USABLE_SHARE * concurrency_quota.max(0.0);
+                let minimum = MINIMUM_QUOTA_SHARE * USABLE_SHARE * concurrency_quota;
+                (
+                    CallQuota::new(mean_concurrency, averaging_window),
+                    1.0,
+                    minimum,
+                )
             }
             DependencyLimit::NoDependency | DependencyLimit::NextTier => {
-                let mean = cores * settings.overload_concurrency_per_core.max(1.0);
-                (CallQuota::new(mean, settings.warm_up_time), cores, 1.0)
+                let mean_concurrency = cores * settings.overload_concurrency_per_core.max(1.0);
+                (
+                    CallQuota::new(mean_concurrency, settings.warm_up_time),
+                    cores,
+                    1.0,
+                )
             }
         };
         let tightest_objective = settings
@@ -97,31 +105,31 @@
             .min()
             .unwrap_or(0);
         Self {
-            limit: CallLimit::new(initial_limit, minimum_limit, quota.highest_concurrency()),
+            limit: CallLimit::new(initial_limit, minimum_limit, quota.max_concurrency()),
             quota,
             gap: AdmissionGap::default(),
             latency: CallLatency::new(tightest_objective, period),
-            silence: SilentCalls::default(),
+            unanswered_calls: UnansweredCalls::default(),
             paused_until: 0,
         }
     }
 
-    /// The limit on concurrent calls.
+    /// Returns the limit on concurrent calls.
     pub(super) fn call_limit(&self) -> f64 {
         self.limit.limit()
     }
 
-    /// Smoothed latency of a call, in microseconds.
+    /// Returns the smoothed latency of a call, in microseconds.
     pub(super) fn call_latency(&self) -> f64 {
         self.latency.smoothed()
     }
 
-    /// Returns whether a request of this rank is held off by the gap of the last admission.
+    /// Returns whether the gap after the last admission still blocks a request of this rank.
     pub(super) fn is_closed(&self, now: Micros, rank: f64) -> bool {
         self.gap.is_closed(now, rank)
     }
 
-    /// Notes an admission, which closes the dependency for one gap.
+    /// Records an admission, which closes the dependency for one gap.
     pub(super) fn on_admission(&mut self, now: Micros) {
         self.gap.on_admission(now, self.latency.smoothed());
     }
@@ -129,7 +137,10 @@
     /// Returns whether another call may be made in addition to those in flight.
     pub(super) fn has_capacity(&self, now: Micros, in_flight: usize) -> bool {
         let concurrency = self.quota.concurrency(now, in_flight) as f64;
-        let shortest_allowance = self.latency.smoothed().min(self.quota.time_per_window());
+        let shortest_allowance = self
+            .latency
+            .smoothed()
+            .min(self.quota.call_time_per_window());
         now >= self.paused_until
             && concurrency < self.limit.limit().floor().max(1.0)
             && self.quota.is_within_budget()
@@ -139,13 +150,14 @@
                 .is_none_or(|remaining| remaining >= shortest_allowance)
     }
 
-    /// Returns the call time that the quota leaves, in microseconds, where it is below one call.
+    /// Returns the remaining call time of the quota, in microseconds, where the quota is below one
+    /// concurrent call.
     pub(super) fn remaining_call_time(&self, now: Micros) -> Option<f64> {
         self.quota.remaining_time(now)
     }
 
-    /// Adjusts limiter and gap to the last period of length `elapsed`: to the `backlog` of requests
-    /// that wait for their call, and to the calls in flight.
+    /// Adjusts quota, latency and gap after a period of length `elapsed`, given the number of
+    /// requests that wait for their call (`backlog`) and of calls in flight.
     pub(super) fn adjust(
         &mut self,
         now: Micros,
@@ -156,18 +168,18 @@
         self.quota.adjust(now, elapsed, in_flight);
         let growth = self
             .gap
-            .growth_factor(backlog, self.limit.limit(), self.limit.is_faltering());
-        self.latency.fade(now, in_flight);
+            .growth_factor(backlog, self.limit.limit(), self.limit.is_degraded());
+        self.latency.decay(now, in_flight);
         self.gap.scale(growth, self.latency.smoothed());
     }
 
-    /// Notes that a run ended while its call was in flight; the dependency works on it until
-    /// `released_at`.
+    /// Records that a run ended while its call was in flight. The call occupies the dependency
+    /// until `released_at`.
     pub(super) fn on_call_orphaned(&mut self, made_at: Micros, released_at: Micros) {
         self.quota.record_call(made_at, released_at);
     }
 
-    /// Notes the end of a call. One that timed out occupies the dependency for `linger` more.
+    /// Records the end of a call. One that timed out occupies the dependency for another `linger`.
     pub(super) fn on_call_ended(
         &mut self,
         now: Micros,
@@ -183,20 +195,20 @@
             now
         };
         self.quota.record_call(made_at, released_at);
-        if self.silence.is_inconclusive(signal, made_at) {
+        if self.unanswered_calls.is_inconclusive(signal, made_at) {
             return;
         }
         match signal {
             CallSignal::Reply => self.latency.on_reply(elapsed),
             CallSignal::Timeout => self.latency.on_timeout(elapsed),
-            CallSignal::Interrupted | CallSignal::NoService => {
-                let pause = PAUSE_IN_LATENCIES * self.latency.smoothed();
+            CallSignal::Interrupted | CallSignal::Unavailable => {
+                let pause = CALL_PAUSE_LATENCIES * self.latency.smoothed();
                 self.paused_until = now + pause as Micros;
             }
         }
-        let is_faltering = signal != CallSignal::Reply || self.latency.is_faltering();
+        let is_degraded = signal != CallSignal::Reply || self.latency.is_degraded();
         self.limit
-            .on_call_ended(now, is_faltering, self.latency.smoothed());
+            .on_call_ended(now, is_degraded, self.latency.smoothed());
     }
 
     pub(super) fn to_learned(&self) -> LearnedDependency {
@@ -217,21 +229,21 @@
     }
 }
 
-impl SilentCalls {
-    /// Notes the end of a call that was made at `made_at`. Returns whether it says nothing about
-    /// the dependency.
+impl UnansweredCalls {
+    /// Records the end of a call that was made at `made_at`. Returns whether it allows no
+    /// conclusion about the dependency.
     ///
-    /// A connection that was lost or fell silent is not taken for a fault of the dependency: with a
-    /// fault, the next call gets no reply either, and neither do those made after it.
+    /// A lost or unresponsive connection is not taken for a fault of the dependency. During a
+    /// fault, the next call and those made after it get no reply either.
     fn is_inconclusive(&mut self, signal: CallSignal, made_at: Micros) -> bool {
         if signal == CallSignal::Reply {
-            self.last_replied_call = self.last_replied_call.max(made_at);
+            self.last_replied_call_at = self.last_replied_call_at.max(made_at);
         }
         if !matches!(signal, CallSignal::Timeout | CallSignal::Interrupted) {
             self.consecutive = 0;
             return false;
         }
         self.consecutive += 1;
-        self.consecutive == 1 || self.last_replied_call > made_at
+        self.consecutive == 1 || self.last_replied_call_at > made_at
     }
 }
--- a/crates/policy/src/controller/dependency_limiter/call_limit.rs
+++ b/crates/policy/src/controller/dependency_limiter/call_limit.rs
@@ -1,15 +1,16 @@
-//! The limit on concurrent calls: additive increase, multiplicative decrease.
+//! The limit on concurrent calls: additive increase, multiplicative decrease (AIMD).
 
 use crate::interface::Micros;
 
-/// A limit that grows by about one in a round of good calls, and is halved when calls falter.
+/// A limit that grows by about one per round of timely calls, and is halved when calls are
+/// degraded.
 #[derive(Debug, Clone)]
 pub(super) struct CallLimit {
     limit: f64,
     minimum: f64,
     maximum: f64,
-    /// The last call that ended faltered.
-    is_faltering: bool,
+    /// Whether the last ended call indicated a degraded dependency.
+    is_degraded: bool,
     halved_at: Micros,
 }
 
@@ -19,7 +20,7 @@
             limit: initial.min(maximum),
             minimum: minimum.max(1.0),
             maximum,
-            is_faltering: false,
+            is_degraded: false,
             halved_at: 0,
         }
     }
@@ -28,14 +29,14 @@
         self.limit
     }
 
-    pub(super) fn is_faltering(&self) -> bool {
-        self.is_faltering
+    pub(super) fn is_degraded(&self) -> bool {
+        self.is_degraded
     }
 
-    /// Adjusts the limit to the end of a call; at most one halving per call latency.
-    pub(super) fn on_call_ended(&mut self, now: Micros, is_faltering: bool, latency: f64) {
-        self.is_faltering = is_faltering;
-        if !is_faltering {
+    /// Adjusts the limit after the end of a call. It is halved at most once per call latency.
+    pub(super) fn on_call_ended(&mut self, now: Micros, is_degraded: bool, latency: f64) {
+        self.is_degraded = is_degraded;
+        if !is_degraded {
             self.limit = (self.limit + 1.0 / self.limit).min(self.maximum);
         } else if now >= self.halved_at + latency as Micros {
             self.limit = (self.limit / 2.0).max(self.minimum);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Scripts events for one controller. No decisions: only plain settings and short names.
+//! Test harness that passes events to one controller, with default settings and helpers.
 
-#![allow(dead_code)] // Each test binary uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of the helpers.
 
 use cleatpulley::interface::*;
 use cleatpulley::Controller;
@@ -8,7 +8,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Effect, calls: bool) -> Class {
+pub fn class(effect: Effect, calls_dependency: bool) -> Class {
     Class {
         effect,
         latency_objective: 2 * SECOND,
@@ -17,12 +17,13 @@
         late_weight_ratio: 0.0,
         priority_weight: 1.0,
         deduplication_window: 20 * SECOND,
-        calls_dependency: calls,
+        calls_dependency,
         weight_ratio_without_call: 0.0,
     }
 }
 
-/// One core-bound safe class (0), one keyed class (1) and one that calls below (2); two cores.
+/// Settings with two cores and three classes: idempotent (0), deduplicated (1), and idempotent with
+/// calls to the dependency (2).
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -62,42 +63,43 @@
     }
 }
 
-pub struct Script {
+pub struct ControllerHarness {
     pub controller: Controller,
     pub now: Micros,
 }
 
-impl Script {
-    /// A controller that has started at second 100.
+impl ControllerHarness {
+    /// Creates a controller that has started at second 100.
     pub fn new(settings: Settings) -> Self {
-        let mut script = Self {
+        let mut harness = Self {
             controller: Controller::new(settings, 7),
             now: 100 * SECOND,
         };
-        script.step(&[Event::Started]);
-        script
+        harness.step(&[Event::Started]);
+        harness
     }
 
-    /// Lets the events happen now.
+    /// Passes events to the controller at the current time, and returns its actions.
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.step(self.now, events, &mut actions);
         actions
     }
 
-    /// Lets time pass with a timer each 20 ms, and collects what is done but for timers.
-    pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
-        let until = self.now + time;
-        let mut all = Vec::new();
-        while self.now < until {
-            self.now = (self.now + 20 * MS).min(until);
-            all.extend(self.step(&[Event::TimerExpired {
+    /// Advances the clock with a timer event every 20 ms, and returns all actions other than
+    /// timers.
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let end = self.now + duration;
+        let mut all_actions = Vec::new();
+        while self.now < end {
+            self.now = (self.now + 20 * MS).min(end);
+            all_actions.extend(self.step(&[Event::TimerExpired {
                 token: 0,
                 gauges: Gauges::default(),
             }]));
         }
-        all.retain(|action| !matches!(action, Action::SetTimer { .. }));
-        all
+        all_actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
+        all_actions
     }
 
     pub fn request(&self, id: RequestId, class: usize) -> Request {
@@ -115,7 +117,7 @@
     }
 }
 
-pub fn ended(id: RequestId, elapsed: Micros) -> Event {
+pub fn run_ended(id: RequestId, elapsed: Micros) -> Event {
     Event::RunEnded {
         id,
         outcome: Outcome::Success,
@@ -123,7 +125,7 @@
     }
 }
 
-pub fn called(id: RequestId, outcome: Outcome, elapsed: Micros) -> Event {
+pub fn call_ended(id: RequestId, outcome: Outcome, elapsed: Micros) -> Event {
     Event::CallEnded {
         id,
         outcome,
@@ -131,11 +133,11 @@
     }
 }
 
-pub fn runs(actions: &[Action]) -> Vec<RequestId> {
+pub fn started_runs(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Run(id) = a {
+        .filter_map(|action| {
+            if let Action::Run(id) = action {
                 Some(*id)
             } else {
                 None
@@ -144,11 +146,11 @@
         .collect()
 }
 
-pub fn calls(actions: &[Action]) -> Vec<RequestId> {
+pub fn made_calls(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Call { id, .. } = a {
+        .filter_map(|action| {
+            if let Action::Call { id, .. } = action {
                 Some(*id)
             } else {
                 None
@@ -157,11 +159,11 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<RequestId> {
+pub fn rejected(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Reject { id, .. } = a {
+        .filter_map(|action| {
+            if let Action::Reject { id, .. } = action {
                 Some(*id)
             } else {
                 None
@@ -173,8 +175,8 @@
 pub fn failed(actions: &[Action]) -> Vec<RequestId> {
     actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Fail(id) = a {
+        .filter_map(|action| {
+            if let Action::Fail(id) = action {
                 Some(*id)
             } else {
                 None
