--- a/crates/connection-admission/src/address_prefix.rs
+++ b/crates/connection-admission/src/address_prefix.rs
@@ -22,7 +22,7 @@
     /// Returns the prefix of so many bits that contains an address; of more bits than the address
     /// has, all count.
     #[must_use]
-    pub fn of(address: IpAddr, bits: u8) -> Self {
+    pub fn containing(address: IpAddr, bits: u8) -> Self {
         match address.to_canonical() {
             IpAddr::V4(ipv4) => {
                 let bits = bits.min(IPV4_BITS);
@@ -47,15 +47,15 @@
 
     /// Returns the prefix that contains this address alone.
     #[must_use]
-    pub fn of_one_address(address: IpAddr) -> Self {
-        Self::of(address, IPV6_BITS)
+    pub fn from_address(address: IpAddr) -> Self {
+        Self::containing(address, IPV6_BITS)
     }
 
     /// Returns whether it contains an address.
     #[must_use]
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
-        address.is_ipv4() == self.address.is_ipv4() && Self::of(address, self.bits) == *self
+        address.is_ipv4() == self.address.is_ipv4() && Self::containing(address, self.bits) == *self
     }
 
     /// Hashes it with a seed that clients don't know, so that none can choose addresses whose hash
@@ -100,7 +100,7 @@
         } else {
             self.ipv6
         };
-        AddressPrefix::of(address, bits)
+        AddressPrefix::containing(address, bits)
     }
 }
 
@@ -150,7 +150,7 @@
         if bits > max_bits {
             return Err(malformed());
         }
-        let prefix = Self::of(address, bits);
+        let prefix = Self::containing(address, bits);
         if prefix.address != address {
             return Err(ParsePrefixError::BitsBeyondPrefix {
                 text: text.to_owned(),
--- a/crates/connection-admission/src/admission.rs
+++ b/crates/connection-admission/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::address_prefix::AddressPrefix;
 use crate::connection_rates::ConnectionRates;
 use crate::connection_table::ConnectionTable;
-use crate::decision::{ConnectionId, Counters, Decision, KnownBy, RejectReason};
+use crate::decision::{ConnectionId, Counters, Decision, RejectReason, TrustLevel};
 use crate::eviction::NewConnection;
 use crate::reputation::ReputationTable;
 use crate::reputation_database::StoredReputation;
@@ -12,7 +12,7 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::IpAddr;
 
-pub use crate::eviction::SILENCE_TOLERANCE;
+pub use crate::eviction::FIRST_MESSAGE_GRACE_PERIOD;
 
 /// Decides which connections of a process get a slot. Owns the table of them, the rates of new
 /// connections and the reputation of clients.
@@ -50,16 +50,16 @@
 
     /// Returns how the client at an address is known now.
     #[must_use]
-    pub fn known_by(&self, now: Micros, address: IpAddr) -> KnownBy {
-        let named = &self.settings.named_clients;
-        if named.iter().any(|prefix| prefix.contains(address)) {
-            return KnownBy::Named;
+    pub fn trust_level(&self, now: Micros, address: IpAddr) -> TrustLevel {
+        let allowlist = &self.settings.allowlist;
+        if allowlist.iter().any(|prefix| prefix.contains(address)) {
+            return TrustLevel::Allowlisted;
         }
         match &self.reputation {
             Some(reputation) if reputation.is_known(now, address.to_canonical()) => {
-                KnownBy::Reputation
+                TrustLevel::Reputable
             }
-            _ => KnownBy::Unknown,
+            _ => TrustLevel::Unknown,
         }
     }
 
@@ -102,7 +102,7 @@
             arrived_at: now,
             address,
             prefix: self.prefix_of(address),
-            known: self.known_by(now, address),
+            trust_level: self.trust_level(now, address),
         };
         let decision = self.decide_on(&new, max_slots, is_idle);
         self.counters.record(decision);
@@ -115,18 +115,18 @@
         max_slots: usize,
         is_idle: impl Fn(ConnectionId) -> bool,
     ) -> Decision {
-        if new.known != KnownBy::Named {
+        if new.trust_level != TrustLevel::Allowlisted {
             if let Err(reason) = self.check_limits(new) {
                 return Decision::Reject(reason);
             }
         }
-        if self.has_free_slot(new.known, max_slots) {
-            return Decision::Admit(new.known);
+        if self.has_free_slot(new.trust_level, max_slots) {
+            return Decision::Admit(new.trust_level);
         }
         match self.connections.select_victim(new, is_idle) {
-            Some(victim) => Decision::AdmitInstead {
+            Some(victim) => Decision::EvictAndAdmit {
                 victim,
-                known: new.known,
+                trust_level: new.trust_level,
             },
             None => Decision::Reject(RejectReason::Full),
         }
@@ -157,27 +157,35 @@
     }
 
     /// Returns whether a slot is free that is not reserved for clients known better.
-    fn has_free_slot(&self, known: KnownBy, max_slots: usize) -> bool {
+    fn has_free_slot(&self, trust_level: TrustLevel, max_slots: usize) -> bool {
         let reserve_share = self.settings.reserved_share.clamp(0.0, 1.0);
         let reserve = (reserve_share * max_slots as f64) as usize;
         let reputation_reserve = reserve / 2;
-        let named_reserve = reserve - reputation_reserve;
-        let free_for_named = named_reserve.saturating_sub(self.connections.named_count());
-        let free_for_reputation =
-            reputation_reserve.saturating_sub(self.connections.reputation_count());
-        let reserved_for_others = match known {
-            KnownBy::Named => 0,
-            KnownBy::Reputation => free_for_named,
-            KnownBy::Unknown => free_for_named + free_for_reputation,
+        let allowlist_reserve = reserve - reputation_reserve;
+        let free_for_allowlisted =
+            allowlist_reserve.saturating_sub(self.connections.allowlisted_count());
+        let free_for_reputable =
+            reputation_reserve.saturating_sub(self.connections.reputable_count());
+        let reserved_for_others = match trust_level {
+            TrustLevel::Allowlisted => 0,
+            TrustLevel::Reputable => free_for_allowlisted,
+            TrustLevel::Unknown => free_for_allowlisted + free_for_reputable,
         };
         self.connections.len() + reserved_for_others < max_slots
     }
 
     /// Notifies that an admitted connection has its slot.
-    pub fn on_admitted(&mut self, now: Micros, id: ConnectionId, address: IpAddr, known: KnownBy) {
+    pub fn on_admitted(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        address: IpAddr,
+        trust_level: TrustLevel,
+    ) {
         let address = address.to_canonical();
         let prefix = self.prefix_of(address);
-        self.connections.insert(now, id, address, prefix, known);
+        self.connections
+            .insert(now, id, address, prefix, trust_level);
     }
 
     /// Notifies that the first complete message of a connection has come.
@@ -194,15 +202,15 @@
         let Some(reputation) = &mut self.reputation else {
             return;
         };
-        if connection.known != KnownBy::Named {
+        if connection.trust_level != TrustLevel::Allowlisted {
             reputation.credit(now, connection.address, connection.prefix);
         }
     }
 
     /// Notifies that the client of a connection has proved to be a named one; its slot counts as
     /// theirs from now on.
-    pub fn on_named(&mut self, id: ConnectionId) {
-        self.connections.set_named(id);
+    pub fn on_allowlisted(&mut self, id: ConnectionId) {
+        self.connections.set_allowlisted(id);
     }
 
     /// Notifies that a connection is closed, and its slot free.
--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -79,7 +79,7 @@
         address: IpAddr,
         prefix: AddressPrefix,
     ) -> Result<(), RejectReason> {
-        let address_key = AddressPrefix::of_one_address(address).keyed_hash(self.hash_seed);
+        let address_key = AddressPrefix::from_address(address).keyed_hash(self.hash_seed);
         let prefix_key = prefix.keyed_hash(self.hash_seed);
         // Both are read before either is decided on: their cells lie far apart in memory, and are
         // fetched at once.
--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -2,7 +2,7 @@
 //! clients holds.
 
 use crate::address_prefix::AddressPrefix;
-use crate::decision::{ConnectionId, KnownBy};
+use crate::decision::{ConnectionId, TrustLevel};
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -12,7 +12,7 @@
 pub(crate) struct Connection {
     pub(crate) address: IpAddr,
     pub(crate) prefix: AddressPrefix,
-    pub(crate) known: KnownBy,
+    pub(crate) trust_level: TrustLevel,
     admitted_at: Micros,
     /// Whether its first complete message has come.
     has_spoken: bool,
@@ -36,7 +36,7 @@
 /// A connection without a complete message yet, in the order of how it is known and its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SilentConnection {
-    known: KnownBy,
+    trust_level: TrustLevel,
     admitted_at: Micros,
     id: ConnectionId,
 }
@@ -55,8 +55,8 @@
     groups: HashMap<AddressPrefix, PrefixGroup>,
     prefixes_by_slots: BTreeSet<PrefixBySlots>,
     silent: BTreeSet<SilentConnection>,
-    named_count: usize,
-    reputation_count: usize,
+    allowlisted_count: usize,
+    reputable_count: usize,
 }
 
 impl ConnectionTable {
@@ -69,13 +69,13 @@
     }
 
     /// Returns the number of connections whose clients are named.
-    pub(crate) fn named_count(&self) -> usize {
-        self.named_count
+    pub(crate) fn allowlisted_count(&self) -> usize {
+        self.allowlisted_count
     }
 
     /// Returns the number of connections whose clients have reputation.
-    pub(crate) fn reputation_count(&self) -> usize {
-        self.reputation_count
+    pub(crate) fn reputable_count(&self) -> usize {
+        self.reputable_count
     }
 
     pub(crate) fn slot_usage(&self, address: IpAddr, prefix: AddressPrefix) -> SlotUsage {
@@ -123,16 +123,16 @@
     /// was admitted by `admitted_by`.
     pub(crate) fn longest_silent(
         &self,
-        known: KnownBy,
+        trust_level: TrustLevel,
         admitted_by: impl FnOnce(Micros) -> bool,
     ) -> Option<ConnectionId> {
         let least = SilentConnection {
-            known,
+            trust_level,
             admitted_at: 0,
             id: 0,
         };
         let oldest = self.silent.range(least..).next()?;
-        let is_due = oldest.known == known && admitted_by(oldest.admitted_at);
+        let is_due = oldest.trust_level == trust_level && admitted_by(oldest.admitted_at);
         is_due.then_some(oldest.id)
     }
 
@@ -142,12 +142,12 @@
         id: ConnectionId,
         address: IpAddr,
         prefix: AddressPrefix,
-        known: KnownBy,
+        trust_level: TrustLevel,
     ) {
         let connection = Connection {
             address,
             prefix,
-            known,
+            trust_level,
             admitted_at: now,
             has_spoken: false,
         };
@@ -155,14 +155,14 @@
             return;
         }
         self.silent.insert(SilentConnection {
-            known,
+            trust_level,
             admitted_at: now,
             id,
         });
-        match known {
-            KnownBy::Named => self.named_count += 1,
-            KnownBy::Reputation => self.reputation_count += 1,
-            KnownBy::Unknown => self.insert_into_group(id, address, prefix),
+        match trust_level {
+            TrustLevel::Allowlisted => self.allowlisted_count += 1,
+            TrustLevel::Reputable => self.reputable_count += 1,
+            TrustLevel::Unknown => self.insert_into_group(id, address, prefix),
         }
     }
 
@@ -190,18 +190,18 @@
         }
         connection.has_spoken = true;
         self.silent.remove(&SilentConnection {
-            known: connection.known,
+            trust_level: connection.trust_level,
             admitted_at: connection.admitted_at,
             id,
         });
     }
 
     /// Counts a connection as that of a named client from now on.
-    pub(crate) fn set_named(&mut self, id: ConnectionId) {
+    pub(crate) fn set_allowlisted(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id).copied() else {
             return;
         };
-        if connection.known == KnownBy::Named {
+        if connection.trust_level == TrustLevel::Allowlisted {
             return;
         }
         self.remove(id);
@@ -210,7 +210,7 @@
             id,
             connection.address,
             connection.prefix,
-            KnownBy::Named,
+            TrustLevel::Allowlisted,
         );
         if connection.has_spoken {
             self.set_spoken(id);
@@ -223,14 +223,14 @@
             return;
         };
         self.silent.remove(&SilentConnection {
-            known: connection.known,
+            trust_level: connection.trust_level,
             admitted_at: connection.admitted_at,
             id,
         });
-        match connection.known {
-            KnownBy::Named => self.named_count -= 1,
-            KnownBy::Reputation => self.reputation_count -= 1,
-            KnownBy::Unknown => {
+        match connection.trust_level {
+            TrustLevel::Allowlisted => self.allowlisted_count -= 1,
+            TrustLevel::Reputable => self.reputable_count -= 1,
+            TrustLevel::Unknown => {
                 self.remove_from_group(id, connection.address, connection.prefix);
             }
         }
--- a/crates/connection-admission/src/decision.rs
+++ b/crates/connection-admission/src/decision.rs
@@ -5,13 +5,13 @@
 
 /// How a client is known; a greater one has the better right to a connection slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum KnownBy {
+pub enum TrustLevel {
     /// It is not known.
     Unknown,
     /// Its address has reputation.
-    Reputation,
+    Reputable,
     /// An operator has named its address, or a name of its certificate.
-    Named,
+    Allowlisted,
 }
 
 /// Why a connection is rejected.
@@ -33,13 +33,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// It gets a free slot.
-    Admit(KnownBy),
+    Admit(TrustLevel),
     /// It gets the slot of another connection, which has no pending request.
-    AdmitInstead {
+    EvictAndAdmit {
         /// The connection that is to be closed.
         victim: ConnectionId,
         /// How the client of the new one is known.
-        known: KnownBy,
+        trust_level: TrustLevel,
     },
     /// It is to be closed.
     Reject(RejectReason),
@@ -64,7 +64,7 @@
     pub(crate) fn record(&mut self, decision: Decision) {
         match decision {
             Decision::Admit(_) => self.admitted += 1,
-            Decision::AdmitInstead { .. } => {
+            Decision::EvictAndAdmit { .. } => {
                 self.admitted += 1;
                 self.evicted += 1;
             }
--- a/crates/connection-admission/src/eviction.rs
+++ b/crates/connection-admission/src/eviction.rs
@@ -5,14 +5,14 @@
 
 use crate::address_prefix::AddressPrefix;
 use crate::connection_table::{ConnectionTable, SlotUsage};
-use crate::decision::{ConnectionId, KnownBy};
+use crate::decision::{ConnectionId, TrustLevel};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 use std::net::IpAddr;
 
 /// A silent connection admitted less than this ago is not evicted for its silence: its first
 /// message may be on its way.
-pub const SILENCE_TOLERANCE: Micros = 50_000;
+pub const FIRST_MESSAGE_GRACE_PERIOD: Micros = 50_000;
 
 /// A connection that asks for a slot.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     pub(crate) arrived_at: Micros,
     pub(crate) address: IpAddr,
     pub(crate) prefix: AddressPrefix,
-    pub(crate) known: KnownBy,
+    pub(crate) trust_level: TrustLevel,
 }
 
 impl ConnectionTable {
@@ -31,7 +31,7 @@
         new: &NewConnection,
         is_idle: impl Fn(ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
-        if new.known == KnownBy::Unknown {
+        if new.trust_level == TrustLevel::Unknown {
             self.victim_for_unknown(new, &is_idle)
         } else if is_bug_injected(InjectedBug::UnknownAddressKept) {
             None
@@ -49,15 +49,15 @@
         new: &NewConnection,
         is_idle: &impl Fn(ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
-        self.silent_too_long(new.arrived_at, KnownBy::Unknown)
+        self.silent_too_long(new.arrived_at, TrustLevel::Unknown)
             .or_else(|| {
                 self.prefixes_with_more_slots(0)
                     .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
             })
-            .or_else(|| self.silent_too_long(new.arrived_at, KnownBy::Reputation))
+            .or_else(|| self.silent_too_long(new.arrived_at, TrustLevel::Reputable))
             .or_else(|| {
-                self.silent_too_long(new.arrived_at, KnownBy::Named)
-                    .filter(|_| new.known == KnownBy::Named)
+                self.silent_too_long(new.arrived_at, TrustLevel::Allowlisted)
+                    .filter(|_| new.trust_level == TrustLevel::Allowlisted)
             })
     }
 
@@ -78,13 +78,15 @@
             .filter(|_| !is_bug_injected(InjectedBug::PrefixQuotaStuck))
             .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
             .or_else(|| self.cheapest_in_prefix(new.prefix, address_slots + 1, is_idle))
-            .or_else(|| self.silent_too_long(new.arrived_at, KnownBy::Unknown))
+            .or_else(|| self.silent_too_long(new.arrived_at, TrustLevel::Unknown))
     }
 
     /// Returns the connection silent for longest among those known in this way, unless it was
     /// admitted just now.
-    fn silent_too_long(&self, now: Micros, known: KnownBy) -> Option<ConnectionId> {
-        self.longest_silent(known, |admitted_at| now >= admitted_at + SILENCE_TOLERANCE)
+    fn silent_too_long(&self, now: Micros, trust_level: TrustLevel) -> Option<ConnectionId> {
+        self.longest_silent(trust_level, |admitted_at| {
+            now >= admitted_at + FIRST_MESSAGE_GRACE_PERIOD
+        })
     }
 
     /// Returns the connection of a prefix that costs least to evict: of the address with the most
--- a/crates/connection-admission/src/handshake.rs
+++ b/crates/connection-admission/src/handshake.rs
@@ -14,13 +14,13 @@
 //! | `wait_queue` | the handshakes that wait, by priority |
 //! | `scheduler` | [`HandshakeScheduler`], which decides |
 
-mod offer;
+mod kind;
 mod scheduler;
 mod settings;
 mod token_buckets;
 mod wait_queue;
 
-pub use offer::Offer;
+pub use kind::HandshakeKind;
 pub use scheduler::{Counters, HandshakeDecision, HandshakeLoad, HandshakeScheduler};
 pub use settings::Settings;
 
--- a/crates/connection-admission/src/handshake/offer.rs
+++ b/crates/connection-admission/src/handshake/kind.rs
@@ -1,14 +1,14 @@
 //! What a client offers in its first record, and the priority that this gives its handshake.
 
-use crate::decision::KnownBy;
+use crate::decision::TrustLevel;
 
 /// What the first record of a client offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Offer {
+pub struct HandshakeKind {
     /// Whether it offers to resume a session.
-    pub resumes: bool,
+    pub is_resumption: bool,
     /// How its address is known.
-    pub known: KnownBy,
+    pub trust_level: TrustLevel,
 }
 
 /// The priority of a handshake; a lower one goes first.
@@ -30,10 +30,10 @@
     }
 }
 
-impl Offer {
+impl HandshakeKind {
     pub(super) fn priority(self) -> Priority {
-        let is_known = self.known > KnownBy::Unknown;
-        match (is_known, self.resumes) {
+        let is_known = self.trust_level > TrustLevel::Unknown;
+        match (is_known, self.is_resumption) {
             (true, true) => Priority::KnownResumption,
             (true, false) => Priority::KnownFull,
             (false, true) => Priority::UnknownResumption,
--- a/crates/connection-admission/src/handshake/scheduler.rs
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -1,6 +1,6 @@
 //! The decisions on handshakes.
 
-use super::offer::Offer;
+use super::kind::HandshakeKind;
 use super::settings::Settings;
 use super::token_buckets::TokenBuckets;
 use super::wait_queue::{WaitQueue, WaitingHandshake};
@@ -13,7 +13,7 @@
 pub enum HandshakeDecision {
     /// It begins now.
     Begin,
-    /// It waits until [`HandshakeScheduler::begin_waiting`] returns it.
+    /// It waits until [`HandshakeScheduler::begin_queued`] returns it.
     Wait,
     /// Its connection is to be closed: the queue is full of handshakes that go before it.
     Reject,
@@ -31,7 +31,7 @@
     /// Handshakes rejected because the queue was full.
     pub rejected: u64,
     /// Handshakes ended at their deadline.
-    pub overdue: u64,
+    pub timed_out: u64,
 }
 
 /// The handshakes of a process at one time.
@@ -54,8 +54,8 @@
 /// Decides which handshakes of a process run.
 ///
 /// It is notified of connections that were accepted, of offers and of handshakes that ended. From
-/// [`next_deadline`](Self::next_deadline) on, [`begin_waiting`](Self::begin_waiting) and
-/// [`take_overdue`](Self::take_overdue) return what is to begin and what to be closed.
+/// [`next_deadline`](Self::next_deadline) on, [`begin_queued`](Self::begin_queued) and
+/// [`take_expired`](Self::take_expired) return what is to begin and what to be closed.
 #[derive(Debug)]
 pub struct HandshakeScheduler {
     settings: Settings,
@@ -95,17 +95,17 @@
     }
 
     /// Returns whether a handshake may begin now.
-    fn may_begin(&self, offer: Offer) -> bool {
-        let is_within_reserve = offer.priority().may_use_reserve()
+    fn may_begin(&self, kind: HandshakeKind) -> bool {
+        let is_within_reserve = kind.priority().may_use_reserve()
             || self.running_unreserved < self.settings.unreserved_running_limit();
         self.running.len() < self.settings.running_limit()
             && is_within_reserve
-            && self.buckets.has_tokens(offer)
+            && self.buckets.has_tokens(kind)
     }
 
-    fn begin(&mut self, id: ConnectionId, offer: Offer, accepted_at: Micros) {
-        self.buckets.take(offer);
-        let may_use_reserve = offer.priority().may_use_reserve();
+    fn begin(&mut self, id: ConnectionId, kind: HandshakeKind, accepted_at: Micros) {
+        self.buckets.take(kind);
+        let may_use_reserve = kind.priority().may_use_reserve();
         self.running_unreserved += usize::from(!may_use_reserve);
         self.running.insert(
             id,
@@ -114,7 +114,7 @@
                 may_use_reserve,
             },
         );
-        if offer.resumes {
+        if kind.is_resumption {
             self.counters.resumed += 1;
         } else {
             self.counters.full += 1;
@@ -128,7 +128,12 @@
 
     /// Notifies of the offer in the first record of a connection. A handshake that waits may be
     /// overtaken, and displaced from a full queue, by a later one of a better priority.
-    pub fn on_offer(&mut self, now: Micros, id: ConnectionId, offer: Offer) -> HandshakeDecision {
+    pub fn on_client_hello(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        kind: HandshakeKind,
+    ) -> HandshakeDecision {
         if self.running.contains_key(&id) {
             return HandshakeDecision::Begin;
         }
@@ -140,17 +145,17 @@
         let is_next = self
             .queue
             .first()
-            .is_none_or(|first| offer.priority() < first.offer.priority());
-        if is_next && self.may_begin(offer) {
-            self.begin(id, offer, accepted_at);
+            .is_none_or(|first| kind.priority() < first.kind.priority());
+        if is_next && self.may_begin(kind) {
+            self.begin(id, kind, accepted_at);
             return HandshakeDecision::Begin;
         }
-        if !self.make_room_in_queue(offer) {
+        if !self.make_room_in_queue(kind) {
             return HandshakeDecision::Reject;
         }
         self.queue.insert(WaitingHandshake {
             id,
-            offer,
+            kind,
             accepted_at,
         });
         HandshakeDecision::Wait
@@ -158,7 +163,7 @@
 
     /// Displaces the last handshake from a full queue if its priority is worse than that of this
     /// one; otherwise this one is rejected. Returns whether there is room.
-    fn make_room_in_queue(&mut self, offer: Offer) -> bool {
+    fn make_room_in_queue(&mut self, kind: HandshakeKind) -> bool {
         if self.queue.len() < self.settings.max_waiting {
             return true;
         }
@@ -166,7 +171,7 @@
         let is_last_worse = self
             .queue
             .last_priority()
-            .is_some_and(|last| last > offer.priority());
+            .is_some_and(|last| last > kind.priority());
         if is_last_worse {
             self.displaced.extend(self.queue.pop_last());
         }
@@ -183,17 +188,17 @@
     }
 
     /// Begins handshakes that waited, and returns their connections, the first of the queue first.
-    pub fn begin_waiting(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn begin_queued(&mut self, now: Micros) -> Vec<ConnectionId> {
         self.buckets.refill(now);
         let mut begun = Vec::new();
         // The first blocks those behind it, also where one of them might begin.
         while let Some(first) = self
             .queue
             .first()
-            .filter(|first| self.may_begin(first.offer))
+            .filter(|first| self.may_begin(first.kind))
         {
             self.queue.remove(first.id);
-            self.begin(first.id, first.offer, first.accepted_at);
+            self.begin(first.id, first.kind, first.accepted_at);
             self.counters.waited += 1;
             begun.push(first.id);
         }
@@ -202,7 +207,7 @@
 
     /// Returns the connections that are to be closed: those displaced from the queue, and those
     /// whose handshake is past its deadline, whether it runs, waits or was not offered yet.
-    pub fn take_overdue(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         let mut closed = std::mem::take(&mut self.displaced);
         let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
         let pending = self.pending.iter();
@@ -220,7 +225,7 @@
                 .map(|handshake| handshake.id),
         );
         for id in &closed {
-            self.counters.overdue += u64::from(self.contains(*id));
+            self.counters.timed_out += u64::from(self.contains(*id));
             self.on_ended(*id);
         }
         closed
@@ -248,7 +253,7 @@
         let oldest_accept = oldest_accepts.into_iter().flatten().min();
         let deadline = oldest_accept.map(|accepted_at| accepted_at + self.settings.timeout);
         let first = self.queue.first();
-        let tokens_at = first.and_then(|first| self.buckets.available_at(first.offer));
+        let tokens_at = first.and_then(|first| self.buckets.available_at(first.kind));
         [deadline, tokens_at].into_iter().flatten().min()
     }
 
--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::decision::KnownBy;
+use crate::decision::TrustLevel;
 use cleatpulley_policy::interface::Micros;
 use proptest::prelude::*;
 
@@ -17,17 +17,17 @@
     }
 }
 
-const UNKNOWN_FULL: Offer = Offer {
-    resumes: false,
-    known: KnownBy::Unknown,
+const UNKNOWN_FULL: HandshakeKind = HandshakeKind {
+    is_resumption: false,
+    trust_level: TrustLevel::Unknown,
 };
-const UNKNOWN_RESUMPTION: Offer = Offer {
-    resumes: true,
-    known: KnownBy::Unknown,
+const UNKNOWN_RESUMPTION: HandshakeKind = HandshakeKind {
+    is_resumption: true,
+    trust_level: TrustLevel::Unknown,
 };
-const NAMED_FULL: Offer = Offer {
-    resumes: false,
-    known: KnownBy::Named,
+const NAMED_FULL: HandshakeKind = HandshakeKind {
+    is_resumption: false,
+    trust_level: TrustLevel::Allowlisted,
 };
 
 /// A flood of full handshakes of unknown clients does not take the CPU time left to requests.
@@ -47,21 +47,21 @@
             }
             at > now
         });
-        for begun in scheduler.begin_waiting(now) {
+        for begun in scheduler.begin_queued(now) {
             ends.push((now + 5 * MS, begun));
         }
-        for _ in scheduler.take_overdue(now) {}
+        for _ in scheduler.take_expired(now) {}
         for _ in 0..2 {
             id += 1;
             scheduler.on_accepted(now, id);
-            if scheduler.on_offer(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
+            if scheduler.on_client_hello(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
                 ends.push((now + 5 * MS, id));
             }
         }
         if ms % 100 == 0 {
             id += 1;
             scheduler.on_accepted(now, id);
-            match scheduler.on_offer(now, id, NAMED_FULL) {
+            match scheduler.on_client_hello(now, id, NAMED_FULL) {
                 HandshakeDecision::Begin => ends.push((now + 5 * MS, id)),
                 _ => named_waited += 1,
             }
@@ -93,7 +93,7 @@
     );
     for id in 0..20 {
         scheduler.on_accepted(0, id);
-        scheduler.on_offer(0, id, UNKNOWN_FULL);
+        scheduler.on_client_hello(0, id, UNKNOWN_FULL);
     }
     // Unknown clients get three quarters of the eight running handshakes.
     assert_eq!(
@@ -105,41 +105,41 @@
     );
     scheduler.on_accepted(0, 100);
     assert_eq!(
-        scheduler.on_offer(0, 100, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 100, UNKNOWN_RESUMPTION),
         HandshakeDecision::Begin,
         "the reserve is for resumptions too"
     );
     scheduler.on_accepted(0, 101);
     assert_eq!(
-        scheduler.on_offer(0, 101, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 101, UNKNOWN_RESUMPTION),
         HandshakeDecision::Begin
     );
     scheduler.on_accepted(0, 102);
     assert_eq!(
-        scheduler.on_offer(0, 102, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 102, UNKNOWN_RESUMPTION),
         HandshakeDecision::Wait,
         "all eight run"
     );
     scheduler.on_ended(0);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         vec![102],
         "the resumption before the unknown clients that waited longer"
     );
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         Vec::<u64>::new(),
         "all eight run"
     );
     scheduler.on_ended(100);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         vec![6],
         "an unknown client takes the sixth of theirs again"
     );
     scheduler.on_ended(101);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         Vec::<u64>::new(),
         "unknown clients have their six"
     );
@@ -164,7 +164,7 @@
     );
     for id in 0..17 {
         scheduler.on_accepted(0, id);
-        scheduler.on_offer(0, id, UNKNOWN_FULL);
+        scheduler.on_client_hello(0, id, UNKNOWN_FULL);
     }
     assert_eq!(
         scheduler.load(),
@@ -175,21 +175,21 @@
     );
     scheduler.on_accepted(0, 17);
     assert_eq!(
-        scheduler.on_offer(0, 17, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 17, UNKNOWN_FULL),
         HandshakeDecision::Reject
     );
     scheduler.on_accepted(0, 18);
     assert_eq!(
-        scheduler.on_offer(0, 18, NAMED_FULL),
+        scheduler.on_client_hello(0, 18, NAMED_FULL),
         HandshakeDecision::Wait
     );
     assert_eq!(
-        scheduler.take_overdue(1),
+        scheduler.take_expired(1),
         vec![16],
         "the unknown client who came last goes"
     );
     scheduler.on_ended(0);
-    assert_eq!(scheduler.begin_waiting(2), vec![18]);
+    assert_eq!(scheduler.begin_queued(2), vec![18]);
 }
 
 /// Handshakes that are begun and left, or come a byte at a time, are closed at their deadline,
@@ -205,9 +205,9 @@
     );
     scheduler.on_accepted(0, 1);
     scheduler.on_accepted(10 * MS, 2);
-    scheduler.on_offer(20 * MS, 2, NAMED_FULL);
+    scheduler.on_client_hello(20 * MS, 2, NAMED_FULL);
     scheduler.on_accepted(30 * MS, 3);
-    scheduler.on_offer(30 * MS, 3, NAMED_FULL);
+    scheduler.on_client_hello(30 * MS, 3, NAMED_FULL);
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -216,11 +216,11 @@
         }
     );
     assert_eq!(scheduler.next_deadline(), Some(1_000 * MS));
-    assert!(scheduler.take_overdue(999 * MS).is_empty());
-    assert_eq!(scheduler.take_overdue(1_000 * MS), vec![1]);
-    assert_eq!(scheduler.take_overdue(1_010 * MS), vec![2]);
-    assert_eq!(scheduler.take_overdue(1_030 * MS), vec![3]);
-    assert_eq!(scheduler.counters.overdue, 3);
+    assert!(scheduler.take_expired(999 * MS).is_empty());
+    assert_eq!(scheduler.take_expired(1_000 * MS), vec![1]);
+    assert_eq!(scheduler.take_expired(1_010 * MS), vec![2]);
+    assert_eq!(scheduler.take_expired(1_030 * MS), vec![3]);
+    assert_eq!(scheduler.counters.timed_out, 3);
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -243,18 +243,18 @@
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.on_accepted(0, 1);
     assert_eq!(
-        scheduler.on_offer(0, 1, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 1, UNKNOWN_FULL),
         HandshakeDecision::Begin
     );
     scheduler.on_accepted(0, 2);
     assert_eq!(
-        scheduler.on_offer(0, 2, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 2, UNKNOWN_FULL),
         HandshakeDecision::Wait
     );
     let at = scheduler.next_deadline().expect("a time");
     assert_eq!(at, 10 * MS);
-    assert!(scheduler.begin_waiting(at - 1).is_empty());
-    assert_eq!(scheduler.begin_waiting(at), vec![2]);
+    assert!(scheduler.begin_queued(at - 1).is_empty());
+    assert_eq!(scheduler.begin_queued(at), vec![2]);
 }
 
 proptest! {
@@ -271,13 +271,13 @@
             now += wait * MS;
             match event {
                 0 => scheduler.on_accepted(now, id),
-                1 => { scheduler.on_offer(now, id, UNKNOWN_FULL); }
+                1 => { scheduler.on_client_hello(now, id, UNKNOWN_FULL); }
                 2 => {
-                    let offer = Offer { resumes: id % 2 == 0, known: KnownBy::Reputation };
-                    scheduler.on_offer(now, id, offer);
+                    let kind = HandshakeKind { is_resumption: id % 2 == 0, trust_level: TrustLevel::Reputable };
+                    scheduler.on_client_hello(now, id, kind);
                 }
                 3 => scheduler.on_ended(id),
-                _ => { scheduler.begin_waiting(now); scheduler.take_overdue(now); }
+                _ => { scheduler.begin_queued(now); scheduler.take_expired(now); }
             }
             prop_assert!(scheduler.running.len() <= settings.max_running);
             prop_assert!(scheduler.running_unreserved <= 6);
--- a/crates/connection-admission/src/handshake/token_buckets.rs
+++ b/crates/connection-admission/src/handshake/token_buckets.rs
@@ -1,7 +1,7 @@
 //! The rate limit of handshakes: a token bucket for all of them, and one for those that may not use
 //! the reserve.
 
-use super::offer::Offer;
+use super::kind::HandshakeKind;
 use super::settings::Settings;
 use cleatpulley_policy::interface::Micros;
 
@@ -49,8 +49,8 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn cost(&self, offer: Offer) -> f64 {
-        if offer.resumes {
+    fn cost(&self, kind: HandshakeKind) -> f64 {
+        if kind.is_resumption {
             self.settings.resumed_cost
         } else {
             FULL_COST
@@ -58,10 +58,10 @@
     }
 
     /// Returns the tokens that a handshake lacks; none are lacking if that is negative.
-    fn shortage(&self, offer: Offer) -> f64 {
-        let cost = self.cost(offer);
+    fn shortage(&self, kind: HandshakeKind) -> f64 {
+        let cost = self.cost(kind);
         let shortage = cost - self.tokens;
-        if offer.priority().may_use_reserve() {
+        if kind.priority().may_use_reserve() {
             shortage
         } else {
             shortage.max(cost - self.unreserved_tokens)
@@ -69,31 +69,31 @@
     }
 
     /// Returns whether there are enough tokens for a handshake.
-    pub(super) fn has_tokens(&self, offer: Offer) -> bool {
-        self.shortage(offer) <= TOLERANCE
+    pub(super) fn has_tokens(&self, kind: HandshakeKind) -> bool {
+        self.shortage(kind) <= TOLERANCE
     }
 
     /// Takes the tokens of a handshake, also where there are not enough.
-    pub(super) fn take(&mut self, offer: Offer) {
-        let cost = self.cost(offer);
+    pub(super) fn take(&mut self, kind: HandshakeKind) {
+        let cost = self.cost(kind);
         self.tokens -= cost;
-        if !offer.priority().may_use_reserve() {
+        if !kind.priority().may_use_reserve() {
             self.unreserved_tokens -= cost;
         }
     }
 
     /// Returns when there will be enough tokens for a handshake, `None` if there are by now.
-    pub(super) fn available_at(&self, offer: Offer) -> Option<Micros> {
-        if self.has_tokens(offer) {
+    pub(super) fn available_at(&self, kind: HandshakeKind) -> Option<Micros> {
+        if self.has_tokens(kind) {
             return None;
         }
-        let share = if offer.priority().may_use_reserve() {
+        let share = if kind.priority().may_use_reserve() {
             1.0
         } else {
             self.settings.unreserved_share()
         };
         let per_second = (self.settings.per_second * share).max(MIN_REFILL_PER_SECOND);
-        let wait = self.shortage(offer) / per_second * 1e6;
+        let wait = self.shortage(kind) / per_second * 1e6;
         Some(self.refilled_at + wait.ceil() as Micros)
     }
 }
--- a/crates/connection-admission/src/handshake/wait_queue.rs
+++ b/crates/connection-admission/src/handshake/wait_queue.rs
@@ -1,6 +1,6 @@
 //! The handshakes that wait, by priority and then by the accept of their connection.
 
-use super::offer::{Offer, Priority};
+use super::kind::{HandshakeKind, Priority};
 use crate::decision::ConnectionId;
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingHandshake {
     pub(super) id: ConnectionId,
-    pub(super) offer: Offer,
+    pub(super) kind: HandshakeKind,
     /// When its connection was accepted.
     pub(super) accepted_at: Micros,
 }
@@ -17,7 +17,7 @@
 impl WaitingHandshake {
     fn position(&self) -> QueuePosition {
         QueuePosition {
-            priority: self.offer.priority(),
+            priority: self.kind.priority(),
             accepted_at: self.accepted_at,
             id: self.id,
         }
--- a/crates/connection-admission/src/identity.rs
+++ b/crates/connection-admission/src/identity.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// Names whose clients are known as if their address was named; they have no limits.
-    pub named: Vec<String>,
+    pub allowlist: Vec<String>,
     /// Connection slots that a name may hold.
     pub slots: Option<usize>,
     /// New connections of a name.
@@ -36,14 +36,14 @@
 
 /// The limits of a process by name, and the slots that each name holds.
 #[derive(Debug)]
-pub struct Identities {
+pub struct IdentityLimiter {
     settings: Settings,
     rates: Option<RateSketch>,
     connections_by_name: HashMap<String, BTreeSet<ConnectionId>>,
     names: HashMap<ConnectionId, String>,
 }
 
-impl Identities {
+impl IdentityLimiter {
     /// Creates the limits of a process in which no name holds a slot.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// [`IdentityRejection`] if the first name is at its limit; the connection is to be closed.
-    pub fn identify(
+    pub fn admit(
         &mut self,
         now: Micros,
         id: ConnectionId,
@@ -72,7 +72,10 @@
         let Some(first) = names.first() else {
             return Ok(false);
         };
-        if names.iter().any(|name| self.settings.named.contains(name)) {
+        if names
+            .iter()
+            .any(|name| self.settings.allowlist.contains(name))
+        {
             return Ok(true);
         }
         if self
--- a/crates/connection-admission/src/reputation.rs
+++ b/crates/connection-admission/src/reputation.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReputationSettings {
     /// Points from which on an address is known.
-    pub known_points: f64,
+    pub known_threshold: f64,
     /// The time in which half of the points decay.
     pub half_life: Micros,
     /// Addresses in the table at most.
@@ -44,7 +44,7 @@
     }
 
     fn min_saved_points(&self) -> f64 {
-        self.known_points * SAVED_SHARE
+        self.known_threshold * SAVED_SHARE
     }
 
     /// Returns until when points are worth storing: as long as they are enough to be saved.
@@ -112,7 +112,7 @@
         let Some(position) = self.positions.get(&address) else {
             return false;
         };
-        self.current_points(now, &self.entries[*position]) >= self.settings.known_points
+        self.current_points(now, &self.entries[*position]) >= self.settings.known_threshold
     }
 
     /// Returns the number of addresses with points.
@@ -161,7 +161,7 @@
     /// Marks an entry to be stored if it has enough points, and enough more than are stored. Decay
     /// needs no storing: it is computed from the time that is stored with the points.
     fn mark_unsaved(&mut self, position: usize) {
-        let step = (self.settings.known_points / SAVED_STEPS).max(1.0);
+        let step = (self.settings.known_threshold / SAVED_STEPS).max(1.0);
         let min_points = self.settings.min_saved_points();
         let entry = &mut self.entries[position];
         let SaveState::Saved(saved_points) = entry.save_state else {
@@ -219,7 +219,7 @@
         if self.entries.len() < self.settings.max_addresses {
             return true;
         }
-        let mut fewest_points = self.settings.known_points;
+        let mut fewest_points = self.settings.known_threshold;
         let mut victim = None;
         for _ in 0..EVICTION_SAMPLES {
             let position = self.random_position();
--- a/crates/connection-admission/src/reputation/tests.rs
+++ b/crates/connection-admission/src/reputation/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Micros = 1_000_000;
 const SETTINGS: ReputationSettings = ReputationSettings {
-    known_points: 20.0,
+    known_threshold: 20.0,
     half_life: 600 * SECOND,
     max_addresses: 64,
     max_addresses_per_prefix: 4,
@@ -13,7 +13,7 @@
 }
 
 fn prefix_of(address: IpAddr) -> AddressPrefix {
-    AddressPrefix::of(address, 24)
+    AddressPrefix::containing(address, 24)
 }
 
 fn credit(table: &mut ReputationTable, now: Micros, n: u32) {
--- a/crates/connection-admission/src/reputation_database.rs
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -1,6 +1,6 @@
 //! Reputation in an embedded store, so that clients known before a restart are known after it.
 //!
-//! A crash may lose what was added since the last [`work`](ReputationDatabase::work): each entry is
+//! A crash may lose what was added since the last [`flush`](ReputationDatabase::flush): each entry is
 //! worth little. The owner decides on which thread this runs.
 
 use cleatpulley_log_store::files::FileSystem;
@@ -170,7 +170,7 @@
 
     /// Adds entries that are to be written, each replacing an earlier one of its address. Drops
     /// those of further addresses while as many wait as there may be.
-    pub fn add(&mut self, entries: Vec<StoredReputation>) {
+    pub fn enqueue(&mut self, entries: Vec<StoredReputation>) {
         for entry in entries {
             let has_room = self.unwritten.len() < self.max_addresses;
             if has_room || self.unwritten.contains_key(&entry.address) {
@@ -181,8 +181,8 @@
 
     /// Writes the entries that wait, with one sync, and does a step of maintenance. Returns whether
     /// there is more maintenance to do; on a failure, which is logged once, the store is closed.
-    pub fn work(&mut self, now: Micros) -> bool {
-        match self.try_work(now) {
+    pub fn flush(&mut self, now: Micros) -> bool {
+        match self.try_flush(now) {
             Ok(MaintenanceStatus::MoreToDo) => true,
             Ok(MaintenanceStatus::Idle) => false,
             Err(error) => {
@@ -192,7 +192,7 @@
         }
     }
 
-    fn try_work(&mut self, now: Micros) -> Result<MaintenanceStatus, Error> {
+    fn try_flush(&mut self, now: Micros) -> Result<MaintenanceStatus, Error> {
         let Some(store) = &mut self.store else {
             return Ok(MaintenanceStatus::Idle);
         };
@@ -215,7 +215,7 @@
 
     /// Writes the entries that wait, and closes the store.
     pub fn close(&mut self, now: Micros) {
-        self.work(now);
+        self.flush(now);
         if let Some(Err(error)) = self.store.take().map(Store::close) {
             tracing::error!("reputation: the store could not be closed: {error}");
         }
--- a/crates/connection-admission/src/reputation_database/tests.rs
+++ b/crates/connection-admission/src/reputation_database/tests.rs
@@ -42,12 +42,12 @@
     let disk = SimulatedFolder::default();
     let (mut database, none) = opened(&disk, 1_000, 1);
     assert!(none.is_empty());
-    database.add(vec![entry(1, 5.0, 1), entry(2, 9.0, 1)]);
-    database.work(1);
-    database.add(vec![entry(1, 12.0, 2)]);
-    database.add(vec![entry(1, 11.0, 3)]);
-    database.work(3);
-    database.add(vec![entry(3, 99.0, 4)]);
+    database.enqueue(vec![entry(1, 5.0, 1), entry(2, 9.0, 1)]);
+    database.flush(1);
+    database.enqueue(vec![entry(1, 12.0, 2)]);
+    database.enqueue(vec![entry(1, 11.0, 3)]);
+    database.flush(3);
+    database.enqueue(vec![entry(3, 99.0, 4)]);
     let disk = disk.after_crash(7);
     let ipv6 = StoredReputation {
         address: "2001:db8::1".parse().expect("an address"),
@@ -59,7 +59,7 @@
     ];
     assert_eq!(read(&disk, 5), expected, "what waited is lost");
     let (mut database, _) = opened(&disk, 1_000, 5);
-    database.add(vec![ipv6]);
+    database.enqueue(vec![ipv6]);
     database.close(5);
     assert_eq!(read(&disk, 6)[1], (ipv6.address, 10.0, 5));
     assert_eq!(read(&disk, 200 * SECOND), [], "and each expires");
@@ -69,7 +69,7 @@
 fn entries_that_wait_or_are_loaded_are_bounded() {
     let disk = SimulatedFolder::default();
     let (mut database, _) = opened(&disk, 1_000, 1);
-    database.add((0..1_000).map(|n| entry(n, f64::from(n + 1), 1)).collect());
+    database.enqueue((0..1_000).map(|n| entry(n, f64::from(n + 1), 1)).collect());
     database.close(1);
     let (mut database, entries) = opened(&disk, 10, 1);
     assert_eq!(entries.len(), 10);
@@ -77,7 +77,7 @@
         entries.iter().all(|entry| entry.points > 990.0),
         "those with the most points"
     );
-    database.add((0..1_000).map(|n| entry(n, 1.0, 1)).collect());
+    database.enqueue((0..1_000).map(|n| entry(n, 1.0, 1)).collect());
     assert_eq!(database.unwritten.len(), 10);
 }
 
@@ -88,13 +88,13 @@
     let (mut database, _) = opened(&disk, 1_000, 1);
     let faults: Vec<_> = (0..8).map(Fault::FailOnce).collect();
     disk.set_faults(&faults);
-    database.add(vec![entry(1, 5.0, 1)]);
-    assert!(!database.work(1) && !database.is_open(), "it has failed");
+    database.enqueue(vec![entry(1, 5.0, 1)]);
+    assert!(!database.flush(1) && !database.is_open(), "it has failed");
     assert!(
-        !database.work(2),
+        !database.flush(2),
         "and nothing is done until it is opened again"
     );
-    database.add(vec![entry(2, 6.0, 2)]);
+    database.enqueue(vec![entry(2, 6.0, 2)]);
     disk.set_faults(&[]);
     disk.release_lock();
     assert_eq!(
--- a/crates/connection-admission/src/settings.rs
+++ b/crates/connection-admission/src/settings.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Clients that the operator has named. The limits below don't apply to them.
-    pub named_clients: Vec<AddressPrefix>,
+    pub allowlist: Vec<AddressPrefix>,
     /// Share of the connection slots reserved for known clients: half of it for the named ones,
     /// half for those with reputation.
     pub reserved_share: f64,
--- a/crates/connection-admission/tests/admission.rs
+++ b/crates/connection-admission/tests/admission.rs
@@ -1,8 +1,8 @@
 //! The decisions on new connections, by examples and by random histories.
 
 use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
-use cleatpulley_connection_admission::admission::SILENCE_TOLERANCE;
-use cleatpulley_connection_admission::decision::KnownBy;
+use cleatpulley_connection_admission::admission::FIRST_MESSAGE_GRACE_PERIOD;
+use cleatpulley_connection_admission::decision::TrustLevel;
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::reputation::{ReputationSettings, MIN_CREDIT_INTERVAL};
 use cleatpulley_connection_admission::settings::ConnectionLimits;
@@ -17,13 +17,13 @@
 
 fn settings() -> Settings {
     Settings {
-        named_clients: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
+        allowlist: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
         reserved_share: 0.2,
         address_limits: ConnectionLimits::default(),
         prefix_limits: ConnectionLimits::default(),
         prefix_lengths: PrefixLengths { ipv4: 24, ipv6: 64 },
         reputation: Some(ReputationSettings {
-            known_points: 5.0,
+            known_threshold: 5.0,
             half_life: 600 * SECOND,
             max_addresses: 1_000,
             max_addresses_per_prefix: 4,
@@ -68,24 +68,27 @@
         let address = ip(address);
         let connections = &self.connections;
         let is_idle = |id: u64| !connections[&id].owes_response;
-        let known = match self
+        let trust_level = match self
             .admission
             .decide(self.now, address, self.max_slots, is_idle)
         {
             Decision::Reject(reason) => return Err(reason),
-            Decision::Admit(known) => known,
-            Decision::AdmitInstead { victim: id, known } => {
+            Decision::Admit(trust_level) => trust_level,
+            Decision::EvictAndAdmit {
+                victim: id,
+                trust_level,
+            } => {
                 assert!(
                     !self.connections[&id].owes_response,
                     "a connection that owes a response is never closed"
                 );
                 self.close(id);
-                known
+                trust_level
             }
         };
         self.last_id += 1;
         self.admission
-            .on_admitted(self.now, self.last_id, address, known);
+            .on_admitted(self.now, self.last_id, address, trust_level);
         self.connections.insert(
             self.last_id,
             HeldConnection {
@@ -218,7 +221,7 @@
         Err(RejectReason::Full),
         "their first messages may be on their way"
     );
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.9.1.1").is_ok());
     assert!(
         !listener.connections.contains_key(&silent[0]),
@@ -284,17 +287,17 @@
         Err(RejectReason::Full),
         "both came just now"
     );
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.3.0.1").is_ok());
     assert!(
         !listener.connections.contains_key(&first),
         "silent for longest"
     );
     let third = listener.last_id;
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(third);
     assert!(listener.connect("10.4.0.1").is_ok(), "the second is silent");
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(listener.last_id);
     assert_eq!(
         listener.connect("10.5.0.1"),
@@ -392,8 +395,8 @@
         listener.respond(regular);
     }
     assert_eq!(
-        listener.admission.known_by(listener.now, ip("10.5.0.1")),
-        KnownBy::Reputation
+        listener.admission.trust_level(listener.now, ip("10.5.0.1")),
+        TrustLevel::Reputable
     );
     let exported = listener.admission.export_reputation(listener.now);
     let mut next = Listener::new(settings(), 20);
@@ -459,8 +462,8 @@
                 Step::Connect(net, host) => {
                     let is_named = net == 0;
                     let has_idle_unknown = listener.connections.values().any(|connection| {
-                        let known = listener.admission.known_by(listener.now, connection.address);
-                        !connection.owes_response && known == KnownBy::Unknown
+                        let trust_level = listener.admission.trust_level(listener.now, connection.address);
+                        !connection.owes_response && trust_level == TrustLevel::Unknown
                     });
                     let has_free_slot = listener.connections.len() < max_slots;
                     let address = if is_named {
--- a/crates/connection-admission/tests/stored_format.rs
+++ b/crates/connection-admission/tests/stored_format.rs
@@ -88,12 +88,12 @@
 fn write_database(path: &Path) {
     let (mut database, none) = opened(path);
     assert!(none.is_empty());
-    database.add(vec![
+    database.enqueue(vec![
         entry("10.0.0.1", 3.0, 1, EXPIRES_AT),
         entry("10.0.0.2", 9.0, 1, NOW - 1),
     ]);
-    database.work(1);
-    database.add(entries());
+    database.flush(1);
+    database.enqueue(entries());
     database.close(1);
 }
 
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -34,7 +34,7 @@
 use crate::tls_layer::TlsState;
 use acceptor::Acceptor;
 use cleatpulley_connection_admission::handshake::HandshakeScheduler;
-use cleatpulley_connection_admission::identity::Identities;
+use cleatpulley_connection_admission::identity::IdentityLimiter;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_dispatcher::{ClientStream, Event, IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
@@ -134,7 +134,7 @@
         self.tls = TlsHandshakes {
             state: Some(tls),
             handshakes: handshakes.map(|settings| HandshakeScheduler::new(settings, now)),
-            identities: identities.map(|settings| Identities::new(settings, now)),
+            identities: identities.map(|settings| IdentityLimiter::new(settings, now)),
         };
     }
 
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -9,7 +9,7 @@
 use crate::host::{Host, Readiness};
 use crate::socket_owner::SocketOwner;
 use crate::tls_layer::{TlsLayer, BUSY_ALERT};
-use cleatpulley_connection_admission::decision::KnownBy;
+use cleatpulley_connection_admission::decision::TrustLevel;
 use cleatpulley_connection_admission::Decision;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
@@ -36,8 +36,8 @@
 
 /// Whether a client gets a connection slot, and how its address is known.
 enum Admitted {
-    Yes(KnownBy),
-    No(KnownBy),
+    Yes(TrustLevel),
+    No(TrustLevel),
 }
 
 impl<H: Host> ClientListener<H> {
@@ -205,7 +205,7 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: KnownBy,
+        known: TrustLevel,
         is_secure: bool,
     ) {
         let AcceptedConnection {
@@ -239,14 +239,14 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: KnownBy,
+        known: TrustLevel,
         is_stuck: bool,
     ) {
         let AcceptedConnection {
             number, mut stream, ..
         } = accepted;
         machine.part(&self.context.at(now, number), stream.output());
-        if (accepted.is_short_of_descriptors || is_stuck) && known == KnownBy::Unknown {
+        if (accepted.is_short_of_descriptors || is_stuck) && known == TrustLevel::Unknown {
             // Nothing is read of it: its requests have failed, and are not rejected. For a known
             // client the reserved descriptor is worth having.
             return flush_unread(&mut stream);
@@ -295,7 +295,7 @@
         let address = accepted.address;
         let slot_count = self.acceptor.slot_count(accepted.is_short_of_descriptors);
         let Some(admission) = &mut self.acceptor.admission else {
-            return Admitted::Yes(KnownBy::Unknown);
+            return Admitted::Yes(TrustLevel::Unknown);
         };
         let connections = &self.connections;
         let may_lose_slot = |number: u64| {
@@ -309,15 +309,15 @@
         };
         match admission.decide(now, address, slot_count, may_lose_slot) {
             Decision::Admit(known) => Admitted::Yes(known),
-            Decision::AdmitInstead {
+            Decision::EvictAndAdmit {
                 victim: number,
-                known,
+                trust_level: known,
             } => {
                 self.close(number, events);
                 Admitted::Yes(known)
             }
             Decision::Reject(reason) => {
-                let known = admission.known_by(now, address);
+                let known = admission.trust_level(now, address);
                 tracing::debug!(%address, ?reason, "a connection gets no slot");
                 Admitted::No(known)
             }
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -3,7 +3,7 @@
 use super::client_protocol::ProtocolMachine;
 use crate::buffered_connection::BufferedConnection;
 use crate::host::Host;
-use cleatpulley_connection_admission::decision::KnownBy;
+use cleatpulley_connection_admission::decision::TrustLevel;
 use cleatpulley_dispatcher::IncomingRequest;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::connection::PARTING;
@@ -32,7 +32,7 @@
     /// Since when the write side is closed; what still arrives is discarded.
     pub(super) lingering_since: Option<Micros>,
     /// How its address is known.
-    pub(super) known: KnownBy,
+    pub(super) known: TrustLevel,
     /// The names of its certificate, where it spoke TLS.
     pub(super) certificate_names: Vec<String>,
     /// It got no connection slot, or its name has too many: it is asked to close, and closed soon
@@ -70,7 +70,7 @@
     pub(super) fn new(
         stream: BufferedConnection<H>,
         machine: ProtocolMachine,
-        known: KnownBy,
+        known: TrustLevel,
         is_rejected: bool,
     ) -> Self {
         Self {
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -5,8 +5,8 @@
 use super::ClientListener;
 use crate::host::Host;
 use crate::tls_layer::TlsLayer;
-use cleatpulley_connection_admission::decision::KnownBy;
-use cleatpulley_connection_admission::handshake::{HandshakeDecision, Offer};
+use cleatpulley_connection_admission::decision::TrustLevel;
+use cleatpulley_connection_admission::handshake::{HandshakeDecision, HandshakeKind};
 use cleatpulley_connection_admission::identity::IdentityRejection;
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
@@ -36,11 +36,11 @@
             return;
         };
         layer.mark_decided();
-        let offer = Offer {
-            resumes: offer.resumes,
-            known: connection.known,
+        let kind = HandshakeKind {
+            is_resumption: offer.resumes,
+            trust_level: connection.known,
         };
-        match self.tls.decide(now, number, offer) {
+        match self.tls.decide(now, number, kind) {
             HandshakeDecision::Begin => self.begin_handshake(number, events),
             HandshakeDecision::Wait => {}
             HandshakeDecision::Reject => self.reject_handshake(number, events),
@@ -61,11 +61,11 @@
         let Some(identities) = &mut self.tls.identities else {
             return;
         };
-        match identities.identify(now, number, &connection.certificate_names) {
+        match identities.admit(now, number, &connection.certificate_names) {
             Ok(true) => {
-                connection.known = KnownBy::Named;
+                connection.known = TrustLevel::Allowlisted;
                 if let Some(admission) = &mut self.acceptor.admission {
-                    admission.on_named(number);
+                    admission.on_allowlisted(number);
                 }
             }
             Ok(false) => {}
@@ -116,8 +116,8 @@
         let Some(handshakes) = &mut self.tls.handshakes else {
             return;
         };
-        let begun = handshakes.begin_waiting(now);
-        let overdue = handshakes.take_overdue(now);
+        let begun = handshakes.begin_queued(now);
+        let overdue = handshakes.take_expired(now);
         for number in begun {
             self.begin_handshake(number, events);
         }
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -3,8 +3,10 @@
 
 use super::client_protocol::ClientProtocol;
 use crate::tls_layer::TlsState;
-use cleatpulley_connection_admission::handshake::{HandshakeDecision, HandshakeScheduler, Offer};
-use cleatpulley_connection_admission::identity::Identities;
+use cleatpulley_connection_admission::handshake::{
+    HandshakeDecision, HandshakeKind, HandshakeScheduler,
+};
+use cleatpulley_connection_admission::identity::IdentityLimiter;
 use cleatpulley_policy::interface::Micros;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,7 +18,7 @@
     /// Decides which handshakes run; without it each begins at once.
     pub(super) handshakes: Option<HandshakeScheduler>,
     /// Knows clients by the names of their certificates.
-    pub(super) identities: Option<Identities>,
+    pub(super) identities: Option<IdentityLimiter>,
 }
 
 impl TlsHandshakes {
@@ -41,9 +43,14 @@
         }
     }
 
-    pub(super) fn decide(&mut self, now: Micros, number: u64, offer: Offer) -> HandshakeDecision {
+    pub(super) fn decide(
+        &mut self,
+        now: Micros,
+        number: u64,
+        kind: HandshakeKind,
+    ) -> HandshakeDecision {
         match &mut self.handshakes {
-            Some(handshakes) => handshakes.on_offer(now, number, offer),
+            Some(handshakes) => handshakes.on_client_hello(now, number, kind),
             None => HandshakeDecision::Begin,
         }
     }
--- a/crates/server/src/reputation_store.rs
+++ b/crates/server/src/reputation_store.rs
@@ -111,11 +111,11 @@
             MAINTENANCE_INTERVAL
         };
         match jobs.recv_timeout(wait) {
-            Ok(entries) => book.add(entries),
+            Ok(entries) => book.enqueue(entries),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return book.close(unix_time()),
         }
-        has_more_work = book.work(unix_time());
+        has_more_work = book.flush(unix_time());
     }
 }
 
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -113,7 +113,7 @@
             "resumed": counts.resumed,
             "waited": counts.waited,
             "refused": counts.rejected,
-            "overdue": counts.overdue,
+            "overdue": counts.timed_out,
             "running": load.running,
             "waiting": load.waiting,
         });
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -277,7 +277,7 @@
                     rate: Some(RateLimit { per_second, burst }),
                 };
                 (
-                    vec![AddressPrefix::of(self.net.borrow().address(), 32)],
+                    vec![AddressPrefix::containing(self.net.borrow().address(), 32)],
                     cap,
                     None,
                 )
@@ -285,7 +285,7 @@
             Places::Earned => {
                 let points = crowd::POINTS as f64;
                 let earned = ReputationSettings {
-                    known_points: points,
+                    known_threshold: points,
                     half_life: 600 * SECOND,
                     max_addresses: 100,
                     max_addresses_per_prefix: 4,
@@ -296,7 +296,7 @@
         let prefix_lengths = PrefixLengths { ipv4: 24, ipv6: 64 };
         let seed = self.plan.seed;
         Some(Admitting {
-            named_clients: named,
+            allowlist: named,
             reserved_share: 0.3,
             address_limits: address,
             prefix_limits: ConnectionLimits::default(),
--- a/crates/simulator/src/shelf.rs
+++ b/crates/simulator/src/shelf.rs
@@ -70,7 +70,7 @@
                 return Some(now + if locked { LOCKED } else { RETRY });
             }
         }
-        book.work(now);
+        book.flush(now);
         None
     }
 
@@ -112,7 +112,7 @@
 impl ReputationStorage for VirtualStandings {
     fn write(&self, entries: Vec<StoredReputation>) {
         if let Some(book) = &mut self.world.shelf.borrow_mut().book {
-            book.add(entries);
+            book.enqueue(entries);
         }
         self.soon();
     }
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -52,9 +52,9 @@
         burst: 4.0,
     };
     let settings = Settings {
-        named_clients: vec!["192.168.0.0/16"
+        allowlist: vec!["192.168.0.0/16"
             .parse::<AddressPrefix>()
-            .unwrap_or_else(|_| AddressPrefix::of(address(0), 16))],
+            .unwrap_or_else(|_| AddressPrefix::containing(address(0), 16))],
         reserved_share: 0.2,
         address_limits: ConnectionLimits {
             slots: None,
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -158,7 +158,7 @@
                 };
                 let half_life = within("half_life_s", earned.half_life_s as usize, 31_536_000)?;
                 Some(ReputationSettings {
-                    known_points: earned.points,
+                    known_threshold: earned.points,
                     half_life: half_life as u64 * SECOND,
                     max_addresses: within("most", earned.most, 1_000_000)?,
                     max_addresses_per_prefix: within("of_prefix", earned.of_prefix, 1_000_000)?,
@@ -166,7 +166,7 @@
             }
         };
         let settings = Settings {
-            named_clients: named,
+            allowlist: named,
             reserved_share: self.reserve,
             address_limits: self.address.check("address")?,
             prefix_limits: self.prefix.check("prefix")?,
@@ -223,13 +223,13 @@
     write!(
         f,
         "admission: {} nets named, {:.0}% of the places kept for known callers; an address: {}; a prefix (/{four}, /{six}): {}; {}",
-        settings.named_clients.len(),
+        settings.allowlist.len(),
         settings.reserved_share * 100.0,
         cap(&settings.address_limits),
         cap(&settings.prefix_limits),
         settings.reputation.map_or("standing is not earned".to_owned(), |earned| format!(
             "known from {} points on, half of which fades in {} s, {} addresses at most, {} of a prefix",
-            earned.known_points,
+            earned.known_threshold,
             earned.half_life / SECOND,
             earned.max_addresses,
             earned.max_addresses_per_prefix
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -123,7 +123,7 @@
             .map(|name| name.to_ascii_lowercase())
             .collect();
         Ok(cleatpulley_connection_admission::identity::Settings {
-            named,
+            allowlist: named,
             slots: self.places,
             rate,
         })
@@ -439,7 +439,7 @@
         write!(
             f,
             "; a certificate's name: {places}, {rate}, {} named",
-            identities.named.len()
+            identities.allowlist.len()
         )?;
     }
     match &tls.handshakes {
