--- a/crates/connection-admission/src/address_prefix.rs
+++ b/crates/connection-admission/src/address_prefix.rs
@@ -1,17 +1,17 @@
-//! Addresses and their prefixes.
+//! IP address prefixes.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bits of an IPv4 address.
+/// Length of an IPv4 address in bits.
 const IPV4_BITS: u8 = 32;
-/// Bits of an IPv6 address.
+/// Length of an IPv6 address in bits.
 const IPV6_BITS: u8 = 128;
 
-/// The addresses that share their first bits. An IPv4 address mapped into IPv6 counts as the IPv4
-/// address.
+/// An IP prefix: all addresses that share their leading bits. IPv4-mapped IPv6 addresses are
+/// treated as IPv4 addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AddressPrefix {
     address: IpAddr,
@@ -19,8 +19,8 @@
 }
 
 impl AddressPrefix {
-    /// Returns the prefix of so many bits that contains an address; of more bits than the address
-    /// has, all count.
+    /// Returns the prefix of `bits` bits that contains an address. `bits` is capped at the length
+    /// of the address.
     #[must_use]
     pub fn containing(address: IpAddr, bits: u8) -> Self {
         match address.to_canonical() {
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Returns the prefix that contains this address alone.
+    /// Returns the prefix that contains only this address.
     #[must_use]
     pub fn from_address(address: IpAddr) -> Self {
         Self::containing(address, IPV6_BITS)
     }
 
-    /// Returns whether it contains an address.
+    /// Returns whether the prefix contains an address.
     #[must_use]
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         address.is_ipv4() == self.address.is_ipv4() && Self::containing(address, self.bits) == *self
     }
 
-    /// Hashes it with a seed that clients don't know, so that none can choose addresses whose hash
-    /// is that of another's.
+    /// Returns a hash of the prefix. The seed is secret, so that clients can't choose addresses
+    /// whose hashes collide with another client's.
     #[must_use]
     pub fn keyed_hash(&self, seed: u64) -> u64 {
         match self.address {
@@ -82,17 +82,17 @@
     }
 }
 
-/// How many bits of an address form its prefix, for both kinds of addresses.
+/// Prefix lengths by which addresses are grouped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixLengths {
-    /// Bits of an IPv4 address.
+    /// Prefix length of IPv4 addresses, in bits.
     pub ipv4: u8,
-    /// Bits of an IPv6 address.
+    /// Prefix length of IPv6 addresses, in bits.
     pub ipv6: u8,
 }
 
 impl PrefixLengths {
-    /// Returns the prefix that an address, in its canonical form, counts with.
+    /// Returns the prefix by which an address, in its canonical form, is grouped.
     #[must_use]
     pub fn prefix_of(self, address: IpAddr) -> AddressPrefix {
         let bits = if address.is_ipv4() {
@@ -104,23 +104,23 @@
     }
 }
 
-/// Why a text is no [`AddressPrefix`].
+/// Error of parsing an [`AddressPrefix`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePrefixError {
-    /// It is neither an address nor an address, a slash and a number of bits.
+    /// The text is neither an address nor a prefix in CIDR notation.
     #[error("{0:?} is no address, and no net such as 10.0.0.0/24 or 2001:db8::/64")]
     Malformed(String),
     /// The address has bits set beyond the prefix.
     #[error("{text:?} has bits beyond its prefix: {prefix} is meant, or the address alone")]
     BitsBeyondPrefix {
-        /// What was to be parsed.
+        /// The text that was parsed.
         text: String,
-        /// The prefix that the address is in.
+        /// The prefix that contains the address.
         prefix: AddressPrefix,
     },
 }
 
-// The command line reports faults of the operator file as text.
+// The command line reports errors of the operator file as strings.
 impl From<ParsePrefixError> for String {
     fn from(error: ParsePrefixError) -> Self {
         error.to_string()
@@ -130,7 +130,7 @@
 impl FromStr for AddressPrefix {
     type Err = ParsePrefixError;
 
-    /// Parses an address, or an address, a slash and the number of bits that count.
+    /// Parses an address, or a prefix in CIDR notation: an address, a slash and a prefix length.
     fn from_str(text: &str) -> Result<Self, ParsePrefixError> {
         let malformed = || ParsePrefixError::Malformed(text.to_owned());
         let (address_text, bits_text) = match text.split_once('/') {
