--- a/crates/connection-admission/src/admission.rs
+++ b/crates/connection-admission/src/admission.rs
@@ -1,4 +1,4 @@
-//! The decision on a new connection.
+//! Decisions on new connections.
 
 use crate::address_prefix::AddressPrefix;
 use crate::connection_rates::ConnectionRates;
@@ -14,8 +14,8 @@
 
 pub use crate::eviction::FIRST_MESSAGE_GRACE_PERIOD;
 
-/// Decides which connections of a process get a slot. Owns the table of them, the rates of new
-/// connections and the reputation of clients.
+/// Decides which connections of a process get a slot. Owns the connection table, the rate limits on
+/// new connections and the reputation table.
 #[derive(Debug)]
 pub struct Admission {
     settings: Settings,
@@ -27,7 +27,7 @@
 }
 
 impl Admission {
-    /// Creates the state of a process without connections, in which no client has reputation.
+    /// Creates an instance without connections and without reputation.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
         Self {
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Returns the prefix that an address counts with.
+    /// Returns the prefix by which an address is grouped.
     #[must_use]
     pub fn prefix_of(&self, address: IpAddr) -> AddressPrefix {
         let lengths = self.settings.prefix_lengths;
         lengths.prefix_of(address.to_canonical())
     }
 
-    /// Returns how the client at an address is known now.
+    /// Returns the current trust level of the client at an address.
     #[must_use]
     pub fn trust_level(&self, now: Micros, address: IpAddr) -> TrustLevel {
         let allowlist = &self.settings.allowlist;
@@ -63,33 +63,33 @@
         }
     }
 
-    /// Returns the clients that have reputation, where clients can get it.
+    /// Returns the reputation table; `None` if addresses don't gain reputation.
     #[must_use]
     pub fn reputation(&self) -> Option<&ReputationTable> {
         self.reputation.as_ref()
     }
 
-    /// Returns the number of connections that have a slot.
+    /// Returns the number of connections that hold a slot.
     #[must_use]
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Returns whether no connection has a slot.
+    /// Returns whether no connection holds a slot.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the memory of the counts of new connections, in bytes.
+    /// Returns the memory used by the rate limits on new connections, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         self.rates.memory_bytes()
     }
 
-    /// Decides on a new connection from an address while there are `max_slots` slots; `is_idle`
-    /// tells whether a connection owes no response. An admitted connection has its slot once
-    /// [`on_admitted`](Self::on_admitted) was called.
+    /// Decides on a new connection from an address, given `max_slots` slots. `is_idle` returns
+    /// whether a connection has no pending response. An admitted connection holds its slot once
+    /// [`on_admitted`](Self::on_admitted) is called.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Checks the operator's limits, which hold also while slots are free.
+    /// Checks the configured limits, which apply even while slots are free.
     fn check_limits(&mut self, new: &NewConnection) -> Result<(), RejectReason> {
         self.check_slot_limits(new)?;
         self.rates
@@ -142,7 +142,7 @@
     fn check_slot_limits(&self, new: &NewConnection) -> Result<(), RejectReason> {
         let max_address_slots = self.settings.address_limits.slots;
         let max_prefix_slots = self.settings.prefix_limits.slots;
-        // Spares the look-up in the usual case.
+        // Saves the lookup in the common case.
         if max_address_slots.is_none() && max_prefix_slots.is_none() {
             return Ok(());
         }
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// Returns whether a slot is free that is not reserved for clients known better.
+    /// Returns whether a slot is free that is not reserved for clients of a higher trust level.
     fn has_free_slot(&self, trust_level: TrustLevel, max_slots: usize) -> bool {
         let reserve_share = self.settings.reserved_share.clamp(0.0, 1.0);
         let reserve = (reserve_share * max_slots as f64) as usize;
@@ -174,7 +174,7 @@
         self.connections.len() + reserved_for_others < max_slots
     }
 
-    /// Notifies that an admitted connection has its slot.
+    /// Gives an admitted connection its slot.
     pub fn on_admitted(
         &mut self,
         now: Micros,
@@ -188,13 +188,12 @@
             .insert(now, id, address, prefix, trust_level);
     }
 
-    /// Notifies that the first complete message of a connection has come.
+    /// Handles the first complete message of a connection.
     pub fn on_first_message(&mut self, id: ConnectionId) {
         self.connections.set_spoken(id);
     }
 
-    /// Notifies that a complete request of a connection was served, which counts for the
-    /// reputation of its client.
+    /// Credits the reputation of a connection's client for a complete request that was served.
     pub fn on_request_served(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else {
             return;
@@ -207,19 +206,19 @@
         }
     }
 
-    /// Notifies that the client of a connection has proved to be a named one; its slot counts as
-    /// theirs from now on.
+    /// Handles the identification of a connection's client as allowlisted; from now on its slot
+    /// counts towards the allowlisted ones.
     pub fn on_allowlisted(&mut self, id: ConnectionId) {
         self.connections.set_allowlisted(id);
     }
 
-    /// Notifies that a connection is closed, and its slot free.
+    /// Handles the close of a connection, which frees its slot.
     pub fn on_closed(&mut self, id: ConnectionId) {
         self.connections.remove(id);
     }
 
-    /// Returns the addresses with reputation that are worth handing over to a successor process,
-    /// with their points.
+    /// Returns the addresses with enough reputation to be handed over to a successor process, with
+    /// their points.
     #[must_use]
     pub fn export_reputation(&self, now: Micros) -> Vec<(IpAddr, f64)> {
         self.reputation
@@ -227,14 +226,14 @@
             .map_or_else(Vec::new, |reputation| reputation.export(now))
     }
 
-    /// Takes the reputation that has to be stored since the last call.
+    /// Returns the reputation that became due for storing since the last call.
     pub fn take_unsaved_reputation(&mut self, now: Micros) -> Vec<StoredReputation> {
         self.reputation
             .as_mut()
             .map_or_else(Vec::new, |reputation| reputation.take_unsaved(now))
     }
 
-    /// Restores the reputation that was stored.
+    /// Restores stored reputation.
     pub fn restore_reputation(&mut self, now: Micros, entries: &[StoredReputation]) {
         if is_bug_injected(InjectedBug::ReputationLost) {
             return;
@@ -245,7 +244,7 @@
         }
     }
 
-    /// Imports the reputation that a predecessor process handed over.
+    /// Imports reputation that a predecessor process handed over.
     pub fn import_reputation(&mut self, now: Micros, points: &[(IpAddr, f64)]) {
         let lengths = self.settings.prefix_lengths;
         if let Some(reputation) = &mut self.reputation {
