--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -1,4 +1,4 @@
-//! The limits on new connections a second, of addresses and of prefixes.
+//! Rate limits on new connections per address and per prefix.
 
 use crate::address_prefix::AddressPrefix;
 use crate::decision::RejectReason;
@@ -8,11 +8,11 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::IpAddr;
 
-/// The sketch of prefixes is narrower than that of addresses by this factor: fewer prefixes than
-/// addresses are busy at a time.
+/// Ratio of the address sketch's width to the prefix sketch's: fewer prefixes than addresses are
+/// active at the same time.
 const ADDRESSES_PER_PREFIX: usize = 8;
 
-/// The buckets of one limit; none where the operator has set no limit.
+/// The buckets of one rate limit; `None` if the limit is not configured.
 #[derive(Debug)]
 struct Limiter {
     sketch: Option<RateSketch>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The rates of new connections by address and by prefix, as far as they are limited.
+/// The rate limits on new connections by address and by prefix.
 #[derive(Debug)]
 pub(crate) struct ConnectionRates {
     by_address: Limiter,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Counts a new connection if both limits permit it. A connection that one of them rejects
-    /// counts for neither.
+    /// Counts a new connection if both limits permit it. A connection that either limit rejects is
+    /// counted by neither.
     pub(crate) fn try_acquire(
         &mut self,
         now: Micros,
@@ -81,8 +81,8 @@
     ) -> Result<(), RejectReason> {
         let address_key = AddressPrefix::from_address(address).keyed_hash(self.hash_seed);
         let prefix_key = prefix.keyed_hash(self.hash_seed);
-        // Both are read before either is decided on: their cells lie far apart in memory, and are
-        // fetched at once.
+        // Both sketches are read before either is checked, so that the cache misses on their cells
+        // overlap.
         let address_reading = self.by_address.read(now, address_key);
         let prefix_reading = self.by_prefix.read(now, prefix_key);
         if !is_bug_injected(InjectedBug::ConnectionRateUncounted) {
