--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -1,5 +1,5 @@
-//! The connections that have a slot, and how many of them each prefix and address of unknown
-//! clients holds.
+//! The connections that hold a slot, and the number of slots per prefix and address of unknown
+//! clients.
 
 use crate::address_prefix::AddressPrefix;
 use crate::decision::{ConnectionId, TrustLevel};
@@ -7,33 +7,34 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// A connection that has a slot.
+/// A connection that holds a slot.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Connection {
     pub(crate) address: IpAddr,
     pub(crate) prefix: AddressPrefix,
     pub(crate) trust_level: TrustLevel,
     admitted_at: Micros,
-    /// Whether its first complete message has come.
+    /// Whether it has sent a complete message.
     has_spoken: bool,
 }
 
-/// The connections of the unknown clients of a prefix.
+/// The connections of unknown clients in one prefix.
 #[derive(Debug, Default)]
 struct PrefixGroup {
-    /// Slots that they hold.
+    /// Number of slots held by these connections.
     slots: usize,
     connections: BTreeMap<IpAddr, BTreeSet<ConnectionId>>,
 }
 
-/// A prefix in the order of the slots that its unknown clients hold.
+/// A prefix with the number of slots held by its unknown clients, ordered by that number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PrefixBySlots {
     slots: usize,
     prefix: AddressPrefix,
 }
 
-/// A connection without a complete message yet, in the order of how it is known and its age.
+/// A connection that has not sent a complete message yet, ordered by trust level and admission
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SilentConnection {
     trust_level: TrustLevel,
@@ -41,14 +42,14 @@
     id: ConnectionId,
 }
 
-/// The slots that the unknown clients of an address and of its prefix hold.
+/// Number of slots held by the unknown clients of an address and of its prefix.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SlotUsage {
     pub(crate) address_slots: usize,
     pub(crate) prefix_slots: usize,
 }
 
-/// All connections that have a slot.
+/// All connections that hold a slot.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionTable {
     connections: HashMap<ConnectionId, Connection>,
@@ -68,12 +69,12 @@
         self.connections.get(&id)
     }
 
-    /// Returns the number of connections whose clients are named.
+    /// Returns the number of connections of allowlisted clients.
     pub(crate) fn allowlisted_count(&self) -> usize {
         self.allowlisted_count
     }
 
-    /// Returns the number of connections whose clients have reputation.
+    /// Returns the number of connections of clients with reputation.
     pub(crate) fn reputable_count(&self) -> usize {
         self.reputable_count
     }
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Returns the prefixes whose unknown clients hold more slots than this, the greatest first.
+    /// Returns the prefixes whose unknown clients hold more than `slots` slots, the one with the
+    /// most slots first.
     pub(crate) fn prefixes_with_more_slots(
         &self,
         slots: usize,
@@ -101,8 +103,8 @@
             .map(|entry| entry.prefix)
     }
 
-    /// Returns the connections of each unknown address of a prefix, those of the address with the
-    /// most first.
+    /// Returns the connections of unknown clients in a prefix, grouped by address, the address with
+    /// the most connections first.
     pub(crate) fn addresses_by_slots(&self, prefix: AddressPrefix) -> Vec<&BTreeSet<ConnectionId>> {
         let Some(group) = self.groups.get(&prefix) else {
             return Vec::new();
@@ -112,15 +114,15 @@
         addresses
     }
 
-    /// Returns whether a connection has a slot and no complete message of it has come.
+    /// Returns whether a connection holds a slot but has not sent a complete message yet.
     pub(crate) fn is_silent(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| !connection.has_spoken)
     }
 
-    /// Returns the connection that has been silent for longest among those known in this way, if it
-    /// was admitted by `admitted_by`.
+    /// Returns the silent connection of a trust level that was admitted first, if its admission
+    /// time satisfies `is_old_enough`.
     pub(crate) fn longest_silent(
         &self,
         trust_level: TrustLevel,
@@ -180,7 +182,7 @@
         });
     }
 
-    /// Notes that the first complete message of a connection has come.
+    /// Records that a connection has sent its first complete message.
     pub(crate) fn set_spoken(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -196,7 +198,7 @@
         });
     }
 
-    /// Counts a connection as that of a named client from now on.
+    /// Raises the trust level of a connection to allowlisted.
     pub(crate) fn set_allowlisted(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id).copied() else {
             return;
