--- a/crates/connection-admission/src/decision.rs
+++ b/crates/connection-admission/src/decision.rs
@@ -1,47 +1,49 @@
-//! What is decided on a new connection, and counters of the decisions.
+//! Decisions on new connections, and their counters.
 
-/// The number by which the listener identifies a connection.
+/// The listener's identifier of a connection.
 pub type ConnectionId = u64;
 
-/// How a client is known; a greater one has the better right to a connection slot.
+/// How far a client is trusted; clients of a higher level take precedence for connection slots.
+///
+/// A client of any level above [`Unknown`](Self::Unknown) is called *known*.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrustLevel {
-    /// It is not known.
+    /// The client is neither allowlisted nor has reputation.
     Unknown,
-    /// Its address has reputation.
+    /// The client's address has enough reputation.
     Reputable,
-    /// An operator has named its address, or a name of its certificate.
+    /// The client's address or a name of its certificate is on an allowlist of the operator.
     Allowlisted,
 }
 
-/// Why a connection is rejected.
+/// Reason for the rejection of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its address exceeds its rate of new connections.
+    /// The address exceeds its rate limit on new connections.
     AddressRate,
-    /// Its prefix exceeds its rate of new connections.
+    /// The prefix exceeds its rate limit on new connections.
     PrefixRate,
-    /// Its address holds as many slots as it may.
+    /// The address holds its maximum number of slots.
     AddressSlots,
-    /// Its prefix holds as many slots as it may.
+    /// The prefix holds its maximum number of slots.
     PrefixSlots,
-    /// All slots are held by connections that have no less right to them.
+    /// All slots are held by connections that can't be evicted for this one.
     Full,
 }
 
-/// What is to be done with a new connection.
+/// Decision on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It gets a free slot.
+    /// The connection gets a free slot.
     Admit(TrustLevel),
-    /// It gets the slot of another connection, which has no pending request.
+    /// The connection gets the slot of another one, which has no pending request.
     EvictAndAdmit {
-        /// The connection that is to be closed.
+        /// The connection to close.
         victim: ConnectionId,
-        /// How the client of the new one is known.
+        /// The trust level of the new connection's client.
         trust_level: TrustLevel,
     },
-    /// It is to be closed.
+    /// The connection must be closed.
     Reject(RejectReason),
 }
 
@@ -50,13 +52,13 @@
 pub struct Counters {
     /// Connections that got a slot.
     pub admitted: u64,
-    /// Of those, connections that got the slot of another.
+    /// Admitted connections that got the slot of an evicted one.
     pub evicted: u64,
-    /// Connections rejected for the rate of their address or prefix.
+    /// Connections rejected by the rate limit of their address or prefix.
     pub rejected_by_rate: u64,
-    /// Connections rejected for the slots of their address or prefix.
+    /// Connections rejected by the slot limit of their address or prefix.
     pub rejected_by_slots: u64,
-    /// Connections rejected because all slots were held.
+    /// Connections rejected because no slot was free and none could be evicted.
     pub rejected_as_full: u64,
 }
 
