--- a/crates/connection-admission/src/eviction.rs
+++ b/crates/connection-admission/src/eviction.rs
@@ -1,7 +1,8 @@
-//! Eviction: which connection gives its slot to a new one when all slots are held.
+//! Eviction: selects the connection that loses its slot to a new one when no slot is free.
 //!
-//! A connection with a pending request is never evicted. Unknown clients share the slots fairly: the
-//! prefix that holds the most gives to one that holds less, and within a prefix the address.
+//! A connection with a pending request is never evicted. Unknown clients share the slots fairly:
+//! the prefix with the most slots loses one to a prefix with fewer, and within a prefix the same
+//! holds for addresses. A connection that has not sent a complete message yet is called *silent*.
 
 use crate::address_prefix::AddressPrefix;
 use crate::connection_table::{ConnectionTable, SlotUsage};
@@ -10,11 +11,11 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::IpAddr;
 
-/// A silent connection admitted less than this ago is not evicted for its silence: its first
-/// message may be on its way.
+/// Time from the admission of a connection until it may be evicted for being silent: its first
+/// message may still be in transit.
 pub const FIRST_MESSAGE_GRACE_PERIOD: Micros = 50_000;
 
-/// A connection that asks for a slot.
+/// A new connection that needs a slot.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct NewConnection {
     pub(crate) arrived_at: Micros,
@@ -24,7 +25,7 @@
 }
 
 impl ConnectionTable {
-    /// Returns the connection whose slot goes to a new one, if any; `is_idle` tells whether a
+    /// Returns the connection to evict for a new one, if any. `is_idle` returns whether a
     /// connection has no pending request.
     pub(crate) fn select_victim(
         &self,
@@ -40,10 +41,10 @@
         }
     }
 
-    /// A known client gets the slot of an unknown one: of the one silent for longest, else of an
-    /// idle one. Where no unknown one can be evicted, it gets that of a client known no better that
-    /// has been silent for long; otherwise a named client with many silent connections would keep
-    /// the others out.
+    /// Returns the victim for a known client: the longest silent unknown client, else an idle
+    /// unknown one, else the longest silent client of at most the same trust level. Without the
+    /// last rule an allowlisted client with many silent connections would block the other known
+    /// clients.
     fn victim_for_known(
         &self,
         new: &NewConnection,
@@ -61,9 +62,9 @@
             })
     }
 
-    /// An unknown client gets a slot of a prefix, or within its own prefix of an address, that
-    /// would still hold no less than its own; where none holds that much, the slot of the client
-    /// silent for longest.
+    /// Returns the victim for an unknown client: a connection of a prefix, or of an address in the
+    /// same prefix, that holds no fewer slots than the new client's after the eviction, else the
+    /// longest silent connection of an unknown client.
     fn victim_for_unknown(
         &self,
         new: &NewConnection,
@@ -73,7 +74,7 @@
             address_slots,
             prefix_slots,
         } = self.slot_usage(new.address, new.prefix);
-        // Where all connections of the greatest prefix owe responses, the next one gives.
+        // If all connections of the largest prefix have pending requests, the next one is tried.
         self.prefixes_with_more_slots(prefix_slots + 1)
             .filter(|_| !is_bug_injected(InjectedBug::PrefixQuotaStuck))
             .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
@@ -81,17 +82,15 @@
             .or_else(|| self.silent_too_long(new.arrived_at, TrustLevel::Unknown))
     }
 
-    /// Returns the connection silent for longest among those known in this way, unless it was
-    /// admitted just now.
+    /// Returns the longest silent connection of a trust level, if its grace period has passed.
     fn silent_too_long(&self, now: Micros, trust_level: TrustLevel) -> Option<ConnectionId> {
         self.longest_silent(trust_level, |admitted_at| {
             now >= admitted_at + FIRST_MESSAGE_GRACE_PERIOD
         })
     }
 
-    /// Returns the connection of a prefix that costs least to evict: of the address with the most
-    /// slots one that is silent, else one that is idle. Only addresses with more than `slots` slots
-    /// give one.
+    /// Returns the victim within a prefix: a silent connection of the address with the most slots,
+    /// else an idle one. Considers only addresses with more than `slots` slots.
     fn cheapest_in_prefix(
         &self,
         prefix: AddressPrefix,
