--- a/crates/connection-admission/src/handshake.rs
+++ b/crates/connection-admission/src/handshake.rs
@@ -1,18 +1,18 @@
-//! Admission of TLS handshakes: which of them run, and when.
+//! Scheduling of TLS handshakes.
 //!
-//! A handshake takes CPU time that running requests need, so only so many begin a second, and only
-//! so many run at a time. Known clients and resumptions, which cost less, go first, and a share of
-//! both limits is reserved for them, so that a flood of full handshakes of unknown clients can't
-//! take it all. The queue is bounded too, and each handshake has a deadline from the accept of its
-//! connection.
+//! Handshakes compete with requests for CPU time, so both the rate at which they begin and the
+//! number that run concurrently are limited. Known clients and resumptions, which cost less, take
+//! precedence, and a share of both limits is reserved for them, so that a flood of full handshakes
+//! of unknown clients can't use up the limits. The queue of waiting handshakes is bounded, and each
+//! handshake must end within a timeout from the accept of its connection.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `settings` | what an operator sets |
-//! | `offer` | what a client offers, and the priority of its handshake |
-//! | `token_buckets` | the rate limit |
-//! | `wait_queue` | the handshakes that wait, by priority |
-//! | `scheduler` | [`HandshakeScheduler`], which decides |
+//! | `settings` | limits on handshakes |
+//! | `kind` | kinds of handshakes, and their priorities |
+//! | `token_buckets` | rate limit |
+//! | `wait_queue` | waiting handshakes, by priority |
+//! | `scheduler` | [`HandshakeScheduler`], which decides on handshakes |
 
 mod kind;
 mod scheduler;
