--- a/crates/connection-admission/src/handshake/kind.rs
+++ b/crates/connection-admission/src/handshake/kind.rs
@@ -1,17 +1,17 @@
-//! What a client offers in its first record, and the priority that this gives its handshake.
+//! Kinds of handshakes, and their priorities.
 
 use crate::decision::TrustLevel;
 
-/// What the first record of a client offers.
+/// The properties of a handshake that determine its priority and cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HandshakeKind {
-    /// Whether it offers to resume a session.
+    /// Whether the ClientHello offers to resume a session.
     pub is_resumption: bool,
-    /// How its address is known.
+    /// The trust level of the client's address.
     pub trust_level: TrustLevel,
 }
 
-/// The priority of a handshake; a lower one goes first.
+/// The priority of a handshake; the lowest value begins first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Priority {
     /// A resumption of a known client.
@@ -20,7 +20,7 @@
     KnownFull,
     /// A resumption of an unknown client.
     UnknownResumption,
-    /// A full handshake of an unknown client, the only one that may not use the reserve.
+    /// A full handshake of an unknown client, the only kind that may not use the reserve.
     UnknownFull,
 }
 
