--- a/crates/connection-admission/src/handshake/scheduler.rs
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -1,4 +1,4 @@
-//! The decisions on handshakes.
+//! Scheduler of TLS handshakes.
 
 use super::kind::HandshakeKind;
 use super::settings::Settings;
@@ -8,14 +8,14 @@
 use cleatpulley_policy::interface::Micros;
 use std::collections::BTreeMap;
 
-/// What is to be done with a handshake that was offered.
+/// Decision on a new handshake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandshakeDecision {
-    /// It begins now.
+    /// The handshake begins now.
     Begin,
-    /// It waits until [`HandshakeScheduler::begin_queued`] returns it.
+    /// The handshake waits until [`HandshakeScheduler::begin_queued`] returns its connection.
     Wait,
-    /// Its connection is to be closed: the queue is full of handshakes that go before it.
+    /// The connection must be closed: the queue is full of handshakes that take precedence.
     Reject,
 }
 
@@ -26,15 +26,15 @@
     pub full: u64,
     /// Resumptions begun.
     pub resumed: u64,
-    /// Handshakes, of both kinds, begun after a wait.
+    /// Handshakes, full or resumed, that waited in the queue before they began.
     pub waited: u64,
     /// Handshakes rejected because the queue was full.
     pub rejected: u64,
-    /// Handshakes ended at their deadline.
+    /// Handshakes that did not end before their deadline.
     pub timed_out: u64,
 }
 
-/// The handshakes of a process at one time.
+/// Numbers of running and waiting handshakes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HandshakeLoad {
     /// Handshakes that run.
@@ -43,37 +43,38 @@
     pub waiting: usize,
 }
 
-/// A handshake that runs.
+/// A running handshake.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunningHandshake {
-    /// When its connection was accepted.
+    /// Accept time of the connection.
     accepted_at: Micros,
     may_use_reserve: bool,
 }
 
 /// Decides which handshakes of a process run.
 ///
-/// It is notified of connections that were accepted, of offers and of handshakes that ended. From
-/// [`next_deadline`](Self::next_deadline) on, [`begin_queued`](Self::begin_queued) and
-/// [`take_expired`](Self::take_expired) return what is to begin and what to be closed.
+/// The caller reports accepted connections, ClientHello messages and the end of handshakes. At
+/// [`next_deadline`](Self::next_deadline) it calls [`begin_queued`](Self::begin_queued) and
+/// [`take_expired`](Self::take_expired), which return the handshakes to begin and the connections
+/// to close.
 #[derive(Debug)]
 pub struct HandshakeScheduler {
     settings: Settings,
     buckets: TokenBuckets,
-    /// Connections without an offer yet, with the time of their accept.
+    /// Connections that have not sent a ClientHello yet, with their accept time.
     pending: BTreeMap<ConnectionId, Micros>,
     pub(super) running: BTreeMap<ConnectionId, RunningHandshake>,
     /// Running handshakes that may not use the reserve.
     pub(super) running_unreserved: usize,
     pub(super) queue: WaitQueue,
-    /// Connections that others have displaced from the queue, and that are to be closed.
+    /// Connections displaced from the queue, which must be closed.
     displaced: Vec<ConnectionId>,
     /// Counters of the decisions.
     pub counters: Counters,
 }
 
 impl HandshakeScheduler {
-    /// Creates the state of a process in which no handshake runs, with full token buckets.
+    /// Creates a scheduler without handshakes, with full token buckets.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
         Self {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns its settings.
+    /// Returns the settings.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
@@ -121,13 +122,13 @@
         }
     }
 
-    /// Notifies of an accepted connection. The deadline of its handshake runs from now.
+    /// Handles the accept of a connection. The timeout of its handshake starts now.
     pub fn on_accepted(&mut self, now: Micros, id: ConnectionId) {
         self.pending.insert(id, now);
     }
 
-    /// Notifies of the offer in the first record of a connection. A handshake that waits may be
-    /// overtaken, and displaced from a full queue, by a later one of a better priority.
+    /// Handles the ClientHello of a connection. A waiting handshake may be overtaken, and displaced
+    /// from a full queue, by a later one of higher priority.
     pub fn on_client_hello(
         &mut self,
         now: Micros,
@@ -161,8 +162,8 @@
         HandshakeDecision::Wait
     }
 
-    /// Displaces the last handshake from a full queue if its priority is worse than that of this
-    /// one; otherwise this one is rejected. Returns whether there is room.
+    /// If the queue is full, displaces the handshake at its back if that has a lower priority than
+    /// the new one. Returns whether there is room; if not, the new one must be rejected.
     fn make_room_in_queue(&mut self, kind: HandshakeKind) -> bool {
         if self.queue.len() < self.settings.max_waiting {
             return true;
@@ -178,7 +179,7 @@
         is_last_worse
     }
 
-    /// Notifies that the handshake of a connection has ended, or that the connection is closed.
+    /// Handles the end of a connection's handshake, or the close of the connection.
     pub fn on_ended(&mut self, id: ConnectionId) {
         self.pending.remove(&id);
         if let Some(handshake) = self.running.remove(&id) {
@@ -187,11 +188,12 @@
         self.queue.remove(id);
     }
 
-    /// Begins handshakes that waited, and returns their connections, the first of the queue first.
+    /// Begins the waiting handshakes that the limits permit, and returns their connections in queue
+    /// order.
     pub fn begin_queued(&mut self, now: Micros) -> Vec<ConnectionId> {
         self.buckets.refill(now);
         let mut begun = Vec::new();
-        // The first blocks those behind it, also where one of them might begin.
+        // The handshake at the front blocks those behind it, even if one of them could begin.
         while let Some(first) = self
             .queue
             .first()
@@ -205,8 +207,8 @@
         begun
     }
 
-    /// Returns the connections that are to be closed: those displaced from the queue, and those
-    /// whose handshake is past its deadline, whether it runs, waits or was not offered yet.
+    /// Returns the connections to close: those displaced from the queue, and those whose handshake
+    /// is past its deadline, whether it runs, waits or has not begun with a ClientHello yet.
     pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         let mut closed = std::mem::take(&mut self.displaced);
         let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
@@ -235,8 +237,9 @@
         self.pending.contains_key(&id) || self.running.contains_key(&id) || self.queue.contains(id)
     }
 
-    /// Returns when the next deadline is, or when the first of the queue may begin, whichever comes
-    /// first. A handshake that waits for another to end is not awaited: that end is notified of.
+    /// Returns the next deadline of a handshake, or the time at which the front of the queue has
+    /// enough tokens, whichever is earlier. Waits for another handshake to end have no deadline:
+    /// the caller reports that end.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         let oldest_accepts = [
@@ -257,7 +260,7 @@
         [deadline, tokens_at].into_iter().flatten().min()
     }
 
-    /// Returns the number of handshakes that run, and of those that wait.
+    /// Returns the numbers of running and waiting handshakes.
     #[must_use]
     pub fn load(&self) -> HandshakeLoad {
         HandshakeLoad {
