--- a/crates/connection-admission/src/handshake/settings.rs
+++ b/crates/connection-admission/src/handshake/settings.rs
@@ -1,23 +1,23 @@
-//! What an operator sets.
+//! Limits on TLS handshakes.
 
 use cleatpulley_policy::interface::Micros;
 
 /// The limits on TLS handshakes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// Full handshakes that may begin a second.
+    /// Maximum rate of full handshakes per second.
     pub per_second: f64,
-    /// Full handshakes that may begin at once.
+    /// Maximum number of full handshakes that begin at once.
     pub burst: f64,
-    /// Handshakes that may run at a time.
+    /// Maximum number of handshakes that run concurrently.
     pub max_running: usize,
-    /// What a resumption takes of the rate, where a full handshake takes 1.
+    /// Cost of a resumption relative to a full handshake, in the rate limit.
     pub resumed_cost: f64,
-    /// Share of the rate and of the running handshakes reserved for known clients and resumptions.
+    /// Share of the rate and of the concurrency reserved for known clients and resumptions.
     pub reserved_share: f64,
-    /// Time from the accept of the connection to the end of the handshake.
+    /// Maximum time from the accept of the connection to the end of the handshake.
     pub timeout: Micros,
-    /// Handshakes that may wait in the queue.
+    /// Maximum number of handshakes in the queue.
     pub max_waiting: usize,
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl Settings {
-    /// Returns the share that full handshakes of unknown clients may take.
+    /// Returns the share of the limits that full handshakes of unknown clients may use.
     pub(super) fn unreserved_share(&self) -> f64 {
         1.0 - self.reserved_share
     }
 
-    /// Returns the number of handshakes that may run at a time, at least one.
+    /// Returns the maximum number of handshakes that run concurrently, at least one.
     pub(super) fn running_limit(&self) -> usize {
         self.max_running.max(1)
     }
 
-    /// Returns the number of full handshakes of unknown clients that may run at a time, at least
-    /// one.
+    /// Returns the maximum number of full handshakes of unknown clients that run concurrently, at
+    /// least one.
     pub(super) fn unreserved_running_limit(&self) -> usize {
         let share = self.unreserved_share() * self.running_limit() as f64;
         share.floor().max(1.0) as usize
