--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -30,14 +30,15 @@
     trust_level: TrustLevel::Allowlisted,
 };
 
-/// A flood of full handshakes of unknown clients does not take the CPU time left to requests.
+/// Guards against a flood of full handshakes of unknown clients that takes the CPU time of requests
+/// and delays the handshakes of allowlisted clients.
 #[test]
 fn flood_of_full_handshakes_is_limited_and_named_clients_begin_at_once() {
     let mut scheduler = HandshakeScheduler::new(settings(), 0);
     let mut id = 0;
     let mut named_waited = 0;
-    // 2,000 unknown clients a second for 10 s, each done 5 ms after it begins; a named client every
-    // 100 ms.
+    // For 10 s, 2,000 unknown clients per second and an allowlisted one every 100 ms; each
+    // handshake ends 5 ms after it begins.
     let mut ends: Vec<(Micros, u64)> = Vec::new();
     for ms in 0..10_000 {
         let now = ms * MS;
@@ -68,11 +69,11 @@
         }
     }
     let full = scheduler.counters.full;
-    // 100 named; unknown clients within three quarters of 100 a second, with the bucket at the
-    // start.
+    // 100 of allowlisted clients; those of unknown clients are limited to three quarters of 100 per
+    // second, plus the initial burst.
     assert_eq!(
         named_waited, 0,
-        "a named client never waits behind unknown clients"
+        "an allowlisted client never waits behind unknown clients"
     );
     assert!(
         (750..=100 + 760).contains(&full),
@@ -95,7 +96,7 @@
         scheduler.on_accepted(0, id);
         scheduler.on_client_hello(0, id, UNKNOWN_FULL);
     }
-    // Unknown clients get three quarters of the eight running handshakes.
+    // Unknown clients may use three quarters of the eight concurrent handshakes.
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -107,7 +108,7 @@
     assert_eq!(
         scheduler.on_client_hello(0, 100, UNKNOWN_RESUMPTION),
         HandshakeDecision::Begin,
-        "the reserve is for resumptions too"
+        "resumptions may use the reserve"
     );
     scheduler.on_accepted(0, 101);
     assert_eq!(
@@ -118,30 +119,30 @@
     assert_eq!(
         scheduler.on_client_hello(0, 102, UNKNOWN_RESUMPTION),
         HandshakeDecision::Wait,
-        "all eight run"
+        "all eight handshakes run"
     );
     scheduler.on_ended(0);
     assert_eq!(
         scheduler.begin_queued(1),
         vec![102],
-        "the resumption before the unknown clients that waited longer"
+        "a resumption begins before full handshakes that waited longer"
     );
     assert_eq!(
         scheduler.begin_queued(1),
         Vec::<u64>::new(),
-        "all eight run"
+        "all eight handshakes run"
     );
     scheduler.on_ended(100);
     assert_eq!(
         scheduler.begin_queued(1),
         vec![6],
-        "an unknown client takes the sixth of theirs again"
+        "an unknown client uses the sixth unreserved handshake again"
     );
     scheduler.on_ended(101);
     assert_eq!(
         scheduler.begin_queued(1),
         Vec::<u64>::new(),
-        "unknown clients have their six"
+        "unknown clients run their maximum of six"
     );
     assert_eq!(
         scheduler.load(),
@@ -186,14 +187,14 @@
     assert_eq!(
         scheduler.take_expired(1),
         vec![16],
-        "the unknown client who came last goes"
+        "the unknown client at the back of the queue is displaced"
     );
     scheduler.on_ended(0);
     assert_eq!(scheduler.begin_queued(2), vec![18]);
 }
 
-/// Handshakes that are begun and left, or come a byte at a time, are closed at their deadline,
-/// whatever their state.
+/// Guards against clients that abandon a handshake or send it byte by byte: it is closed at its
+/// deadline, whatever its state.
 #[test]
 fn each_handshake_ends_by_its_deadline_from_the_accept() {
     let mut scheduler = HandshakeScheduler::new(
@@ -251,15 +252,15 @@
         scheduler.on_client_hello(0, 2, UNKNOWN_FULL),
         HandshakeDecision::Wait
     );
-    let at = scheduler.next_deadline().expect("a time");
+    let at = scheduler.next_deadline().expect("a deadline");
     assert_eq!(at, 10 * MS);
     assert!(scheduler.begin_queued(at - 1).is_empty());
     assert_eq!(scheduler.begin_queued(at), vec![2]);
 }
 
 proptest! {
-    /// Whatever the order of events, no more handshakes run than set, unknown clients have no more
-    /// than their share, and no id both runs and waits.
+    /// In any order of events, the limits on running, unreserved and waiting handshakes hold, and
+    /// no connection both runs and waits.
     #[test]
     fn limits_hold_in_any_order_of_events(
         steps in proptest::collection::vec((0u8..5, 0u64..40, 0u64..50), 1..400)
@@ -273,7 +274,10 @@
                 0 => scheduler.on_accepted(now, id),
                 1 => { scheduler.on_client_hello(now, id, UNKNOWN_FULL); }
                 2 => {
-                    let kind = HandshakeKind { is_resumption: id % 2 == 0, trust_level: TrustLevel::Reputable };
+                    let kind = HandshakeKind {
+                        is_resumption: id % 2 == 0,
+                        trust_level: TrustLevel::Reputable,
+                    };
                     scheduler.on_client_hello(now, id, kind);
                 }
                 3 => scheduler.on_ended(id),
