--- a/crates/connection-admission/src/handshake/token_buckets.rs
+++ b/crates/connection-admission/src/handshake/token_buckets.rs
@@ -1,30 +1,31 @@
-//! The rate limit of handshakes: a token bucket for all of them, and one for those that may not use
+//! Rate limit of handshakes: one token bucket for all of them, and one for those that may not use
 //! the reserve.
 
 use super::kind::HandshakeKind;
 use super::settings::Settings;
 use cleatpulley_policy::interface::Micros;
 
-/// Tokens of a full handshake.
+/// Cost of a full handshake in tokens.
 const FULL_COST: f64 = 1.0;
-/// A shortage of fewer tokens is a rounding error.
+/// Shortage in tokens that is attributed to rounding.
 const TOLERANCE: f64 = 1e-9;
-/// The slowest refill, in tokens a second, so that a wait has an end.
+/// Minimum refill rate in tokens per second that waiting times are computed with, so that they are
+/// finite.
 const MIN_REFILL_PER_SECOND: f64 = 1e-9;
 
 /// Both buckets, filled up to `refilled_at`.
 #[derive(Debug)]
 pub(super) struct TokenBuckets {
-    /// For all handshakes.
+    /// Tokens for all handshakes.
     tokens: f64,
-    /// For full handshakes of unknown clients, which need tokens of both buckets.
+    /// Tokens for full handshakes of unknown clients, which take tokens from both buckets.
     unreserved_tokens: f64,
     refilled_at: Micros,
     settings: Settings,
 }
 
 impl TokenBuckets {
-    /// Creates buckets that are full.
+    /// Creates full buckets.
     pub(super) fn new(settings: Settings, now: Micros) -> Self {
         Self {
             tokens: settings.burst,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds the tokens of the time since the last refill.
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: Micros) {
         let Settings {
             per_second, burst, ..
@@ -44,7 +45,7 @@
         let tokens = self.tokens + elapsed_seconds * per_second;
         let unreserved_tokens = self.unreserved_tokens + elapsed_seconds * per_second * share;
         self.tokens = tokens.min(burst);
-        // A bucket that can't hold a whole token would never let a handshake begin.
+        // With a capacity below the cost of a full handshake, none could ever begin.
         self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST));
         self.refilled_at = self.refilled_at.max(now);
     }
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Returns the tokens that a handshake lacks; none are lacking if that is negative.
+    /// Returns the number of missing tokens for a handshake, negative if there are more than
+    /// enough.
     fn shortage(&self, kind: HandshakeKind) -> f64 {
         let cost = self.cost(kind);
         let shortage = cost - self.tokens;
@@ -73,7 +75,7 @@
         self.shortage(kind) <= TOLERANCE
     }
 
-    /// Takes the tokens of a handshake, also where there are not enough.
+    /// Deducts the cost of a handshake, even if there are not enough tokens.
     pub(super) fn take(&mut self, kind: HandshakeKind) {
         let cost = self.cost(kind);
         self.tokens -= cost;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Returns when there will be enough tokens for a handshake, `None` if there are by now.
+    /// Returns when there will be enough tokens for a handshake; `None` if there are already.
     pub(super) fn available_at(&self, kind: HandshakeKind) -> Option<Micros> {
         if self.has_tokens(kind) {
             return None;
