--- a/crates/connection-admission/src/handshake/wait_queue.rs
+++ b/crates/connection-admission/src/handshake/wait_queue.rs
@@ -1,16 +1,16 @@
-//! The handshakes that wait, by priority and then by the accept of their connection.
+//! Queue of waiting handshakes, ordered by priority and then by the accept time of the connection.
 
 use super::kind::{HandshakeKind, Priority};
 use crate::decision::ConnectionId;
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A handshake that waits.
+/// A handshake in the queue.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingHandshake {
     pub(super) id: ConnectionId,
     pub(super) kind: HandshakeKind,
-    /// When its connection was accepted.
+    /// Accept time of the connection.
     pub(super) accepted_at: Micros,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The position of a handshake in the queue; the lowest goes first.
+/// The position of a handshake in the queue; the lowest value begins first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     priority: Priority,
@@ -32,7 +32,7 @@
     id: ConnectionId,
 }
 
-/// The queue. Both of its parts hold the same handshakes.
+/// The queue. Both collections hold the same handshakes.
 #[derive(Debug, Default)]
 pub(super) struct WaitQueue {
     pub(super) order: BTreeSet<QueuePosition>,
@@ -48,18 +48,18 @@
         self.waiting.contains_key(&id)
     }
 
-    /// Returns the handshake that goes first.
+    /// Returns the handshake at the front of the queue.
     pub(super) fn first(&self) -> Option<WaitingHandshake> {
         let position = self.order.first()?;
         self.waiting.get(&position.id).copied()
     }
 
-    /// Returns the priority of the handshake that goes last.
+    /// Returns the priority of the handshake at the back of the queue.
     pub(super) fn last_priority(&self) -> Option<Priority> {
         self.order.last().map(|position| position.priority)
     }
 
-    /// Removes the handshake that goes last and returns its connection.
+    /// Removes the handshake at the back of the queue and returns its connection.
     pub(super) fn pop_last(&mut self) -> Option<ConnectionId> {
         let position = self.order.pop_last()?;
         self.waiting.remove(&position.id);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the handshakes in the order of their connections' numbers.
+    /// Returns the handshakes in the order of their connection identifiers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &WaitingHandshake> {
         self.waiting.values()
     }
