--- a/crates/connection-admission/src/identity.rs
+++ b/crates/connection-admission/src/identity.rs
@@ -1,6 +1,6 @@
-//! Clients known by the names of a verified certificate: named by the operator, or limited by name
-//! in slots and in new connections a second. The names are known only after the TLS handshake, so
-//! this is asked then, once for each connection.
+//! Limits on clients by the names in their verified certificate, in slots and in new connections
+//! per second. Allowlisted names have no limits. The names are available only after the TLS
+//! handshake, so these limits are checked then, once for each connection.
 
 use crate::decision::ConnectionId;
 use crate::rate_sketch::{RateLimit, RateSketch};
@@ -8,33 +8,33 @@
 use std::collections::{BTreeSet, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Cells of each row of the sketch that counts new connections by name: one authority issues few
-/// names.
+/// Cells in each row of the sketch that counts new connections by name. A narrow sketch is enough
+/// for the few names that one certificate authority issues.
 const SKETCH_WIDTH: usize = 4_096;
 
-/// What an operator sets.
+/// Limits per certificate name.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Names whose clients are known as if their address was named; they have no limits.
+    /// Names whose clients are trusted like those of an allowlisted address; they have no limits.
     pub allowlist: Vec<String>,
-    /// Connection slots that a name may hold.
+    /// Maximum number of connection slots held by a name.
     pub slots: Option<usize>,
-    /// New connections of a name.
+    /// Rate limit on new connections of a name.
     pub rate: Option<RateLimit>,
 }
 
-/// Why a connection is rejected for its name.
+/// Reason for the rejection of a connection by its certificate name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum IdentityRejection {
-    /// Its name holds as many slots as it may.
-    #[error("the certificate's name holds as many connection slots as it may")]
+    /// The name holds its maximum number of slots.
+    #[error("the certificate name holds its maximum number of connection slots")]
     Slots,
-    /// Its name exceeds its rate of new connections.
-    #[error("the certificate's name exceeds its rate of new connections")]
+    /// The name exceeds its rate limit on new connections.
+    #[error("the certificate name exceeds its rate limit on new connections")]
     Rate,
 }
 
-/// The limits of a process by name, and the slots that each name holds.
+/// Enforces the limits per certificate name on the connections of a process.
 #[derive(Debug)]
 pub struct IdentityLimiter {
     settings: Settings,
@@ -44,7 +44,7 @@
 }
 
 impl IdentityLimiter {
-    /// Creates the limits of a process in which no name holds a slot.
+    /// Creates a limiter in which no name holds a slot.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
         let rates = settings
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Notifies of the names of a connection's certificate, and returns whether the operator has
-    /// named one of them. If not, the first name holds the connection's slot.
+    /// Admits a connection by the names of its certificate. Returns whether one of them is
+    /// allowlisted; if none is, the connection's slot counts towards the first name.
     ///
     /// # Errors
-    /// [`IdentityRejection`] if the first name is at its limit; the connection is to be closed.
+    /// [`IdentityRejection`] if the first name is at its limit; the connection must be closed.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -99,7 +99,7 @@
         Ok(false)
     }
 
-    /// Notifies that a connection is closed.
+    /// Handles the close of a connection.
     pub fn on_closed(&mut self, id: ConnectionId) {
         let Some(name) = self.names.remove(&id) else {
             return;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the slots that a name holds.
+    /// Returns the number of slots held by a name.
     #[must_use]
     pub fn slots_held(&self, name: &str) -> usize {
         self.connections_by_name.get(name).map_or(0, BTreeSet::len)
