--- a/crates/connection-admission/src/lib.rs
+++ b/crates/connection-admission/src/lib.rs
@@ -1,21 +1,23 @@
-//! Connection admission: which connections get a connection slot, whatever protocol they speak. No
-//! I/O and no clock: the listener notifies of what happened to connections, and asks what to do
-//! with the next one.
+//! Connection admission: decides which client connections get a connection slot, independently of
+//! their protocol.
 //!
-//! | module | what it holds |
+//! This crate does no I/O and reads no clock. The listener reports the events of its connections
+//! and asks for a decision on each new one.
+//!
+//! | module | contents |
 //! | --- | --- |
 //! | [`admission`] | [`Admission`], which decides on new connections |
-//! | [`settings`] | per-address and per-prefix limits, the reserve for known clients |
-//! | [`decision`] | what is decided, why a connection is rejected, and counters of both |
-//! | `connection_table` | the connections that have a slot, by prefix and address |
-//! | `connection_rates` | the limits on new connections a second |
-//! | `eviction` | which connection gives its slot to a new one |
-//! | [`rate_sketch`] | rate limits for any number of keys in memory of a fixed size |
-//! | [`reputation`] | clients that are known because their requests were answered over time |
-//! | [`reputation_database`] | that reputation in an embedded store, across restarts |
-//! | [`handshake`] | which TLS handshakes run, and when |
-//! | [`identity`] | clients known by the names of their certificate, and their limits |
-//! | [`address_prefix`] | addresses and their prefixes |
+//! | [`settings`] | limits per address and per prefix, the share reserved for known clients |
+//! | [`decision`] | decisions, reasons for a rejection, trust levels, counters |
+//! | `connection_table` | connections that hold a slot, by prefix and address |
+//! | `connection_rates` | limits on new connections per second |
+//! | `eviction` | selection of the connection that loses its slot to a new one |
+//! | [`rate_sketch`] | rate limits for any number of keys in a fixed amount of memory |
+//! | [`reputation`] | reputation that addresses gain when their requests are served over time |
+//! | [`reputation_database`] | persistence of reputation across restarts |
+//! | [`handshake`] | scheduling of TLS handshakes |
+//! | [`identity`] | limits per client certificate name |
+//! | [`address_prefix`] | IP address prefixes |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
