--- a/crates/connection-admission/src/rate_sketch.rs
+++ b/crates/connection-admission/src/rate_sketch.rs
@@ -1,54 +1,54 @@
-//! Rate limits for any number of keys in memory of a fixed size: a count-min sketch whose cells are
-//! leaky buckets.
+//! Rate limits for any number of keys in a fixed amount of memory: a count-min sketch whose cells
+//! are leaky buckets.
 //!
-//! A key has one cell in each row, and its level is the lowest of them. To count an event, only
-//! those of its cells are raised that stand below the new level. A level that is read is never
-//! below that of a bucket of the key's own, so that no key gets more than its rate; a key that
-//! shares all its cells with busy keys gets less.
+//! A key has one cell in each row, and its level is the lowest level of these cells. An event
+//! raises only those cells that are below the new level (conservative update). The level that is
+//! read is never below that of an exact bucket for the key, so no key exceeds its rate; a key that
+//! shares all its cells with busy keys gets less than its rate.
 
 use cleatpulley_policy::interface::Micros;
 
-/// Rows of the sketch: the cells of a key.
+/// Number of rows of the sketch, and of cells per key.
 const ROWS: usize = 4;
-/// The narrowest sketch, in cells of a row.
+/// Minimum width of the sketch, in cells per row.
 const MIN_WIDTH: usize = 16;
-/// The widest sketch, in cells of a row.
+/// Maximum width of the sketch, in cells per row.
 const MAX_WIDTH: usize = 1 << 24;
-/// 2^64 divided by the golden ratio: spreads the bits of a key (Knuth's multiplicative hashing).
+/// 2^64 divided by the golden ratio, for Knuth's multiplicative hashing.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// A rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Events a second.
+    /// Sustained rate, in events per second.
     pub per_second: f64,
-    /// Events at once; at least one.
+    /// Maximum number of events at once, at least one.
     pub burst: f64,
 }
 
 /// A leaky bucket.
 #[derive(Debug, Clone, Copy, Default)]
 struct Cell {
-    /// Events in the bucket when it was last raised.
+    /// Number of events in the bucket at `updated_at_ms`.
     level: f32,
-    /// When that was, in milliseconds since the sketch was created.
+    /// Time of the last update, in milliseconds since the creation of the sketch.
     updated_at_ms: u32,
 }
 
-/// The buckets of all keys.
+/// A sketch of leaky buckets for all keys.
 #[derive(Debug, Clone)]
 pub struct RateSketch {
     leak_per_ms: f32,
     burst: f32,
     created_at: Micros,
-    /// Cells of a row, a power of two, less one.
+    /// Number of cells per row, a power of two, minus one.
     column_mask: usize,
-    /// Row after row.
+    /// The cells in row-major order.
     cells: Vec<Cell>,
 }
 
 impl RateSketch {
-    /// Creates empty buckets, in rows of at least `width` cells, rounded up to a power of two.
+    /// Creates a sketch of empty buckets with `width` cells per row, rounded up to a power of two.
     #[must_use]
     pub fn new(limit: RateLimit, width: usize, now: Micros) -> Self {
         let width = width.clamp(MIN_WIDTH, MAX_WIDTH).next_power_of_two();
@@ -61,13 +61,14 @@
         }
     }
 
-    /// Returns the memory of the buckets in bytes, which does not depend on the number of keys.
+    /// Returns the memory used by the cells in bytes, which does not depend on the number of keys.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         self.cells.len() * size_of::<Cell>()
     }
 
-    /// Reads the level of a key, whose bits have to be evenly distributed. Counts nothing.
+    /// Reads the level of a key without counting an event. The bits of the key must be uniformly
+    /// distributed.
     #[inline]
     #[must_use]
     pub fn read(&self, now: Micros, key: u64) -> BucketReading {
@@ -90,8 +91,8 @@
         reading
     }
 
-    /// Returns the index of a key's cell in a row. Each row takes sixteen bits of the key of its
-    /// own; the multiplication mixes the others in where a row has more columns than that.
+    /// Returns the index of a key's cell in a row. Each row uses a different sixteen bits of the
+    /// key; the multiplication mixes in the other bits for rows of more than 2^16 columns.
     #[inline]
     fn cell_index(&self, row: usize, key: u64) -> usize {
         let rotated = key.rotate_left(16 * row as u32);
@@ -100,13 +101,13 @@
         row * (self.column_mask + 1) + column
     }
 
-    /// Returns whether the key of this reading may have one event more.
+    /// Returns whether the limit permits another event of the reading's key.
     #[must_use]
     pub fn has_capacity(&self, reading: &BucketReading) -> bool {
         reading.level + 1.0 <= self.burst
     }
 
-    /// Counts an event of the key of this reading, which must have been read just now.
+    /// Counts an event of the reading's key. The sketch must not have changed since the reading.
     pub fn record(&mut self, reading: &BucketReading) {
         let new_level = reading.level + 1.0;
         for (index, cell_level) in reading.cell_indices.iter().zip(reading.cell_levels) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Counts an event of a key if the limit permits it, and returns whether it does.
+    /// Counts an event of a key if the limit permits it. Returns whether it does.
     pub fn try_acquire(&mut self, now: Micros, key: u64) -> bool {
         let reading = self.read(now, key);
         let is_permitted = self.has_capacity(&reading);
@@ -128,12 +129,12 @@
     }
 }
 
-/// The level of a key at one time, and of the cells that it was read from.
+/// The level of a key at one time, with the levels of its cells.
 #[derive(Debug, Clone, Copy)]
 pub struct BucketReading {
     read_at_ms: u32,
     cell_indices: [usize; ROWS],
     cell_levels: [f32; ROWS],
-    /// The lowest of the cells' levels.
+    /// The lowest of the cell levels.
     level: f32,
 }
