--- a/crates/connection-admission/src/reputation.rs
+++ b/crates/connection-admission/src/reputation.rs
@@ -1,8 +1,8 @@
-//! Reputation: which addresses are known because their requests were served over time.
+//! Reputation: addresses become known clients when their requests are served over time.
 //!
-//! An address gets a point for a request served, and half of its points decay in each half-life. It
-//! gets no more than one point in each [`MIN_CREDIT_INTERVAL`], so that reputation takes time
-//! whatever load is spent on it, and only a few addresses of a prefix have any.
+//! An address gains a point for a served request, but at most one in each [`MIN_CREDIT_INTERVAL`],
+//! so that gaining reputation takes time however many requests are sent. Points decay
+//! exponentially, and the number of addresses with points is limited per prefix.
 
 use crate::address_prefix::AddressPrefix;
 use crate::reputation_database::StoredReputation;
@@ -10,34 +10,35 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// An address gets at most one point in this time.
+/// Minimum time between two points of an address.
 pub const MIN_CREDIT_INTERVAL: Micros = 100_000;
-/// Addresses sampled for the one that is evicted.
+/// Number of entries sampled for the selection of the one to evict.
 const EVICTION_SAMPLES: usize = 8;
-/// Share of the points needed to be known from which on reputation is stored and handed over.
+/// Minimum points of an address that are stored and handed over, as a share of the threshold of
+/// known addresses.
 const SAVED_SHARE: f64 = 0.5;
-/// Reputation is stored again when it has grown by the points needed to be known, divided by this,
-/// and by a point at least.
+/// An address is stored again when its points have grown by the threshold of known addresses
+/// divided by this, and by at least one point.
 const SAVED_STEPS: f64 = 10.0;
-/// Multiplier and increment of the linear congruential generator that draws samples (Knuth, MMIX).
+/// Multiplier and increment of the linear congruential generator used for sampling (Knuth's MMIX).
 const RANDOM_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const RANDOM_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
-/// How addresses get reputation, and how many may have it.
+/// How addresses gain reputation, and how many may have it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReputationSettings {
-    /// Points from which on an address is known.
+    /// Minimum points of a known address.
     pub known_threshold: f64,
-    /// The time in which half of the points decay.
+    /// Half-life of the points.
     pub half_life: Micros,
-    /// Addresses in the table at most.
+    /// Maximum number of addresses in the table.
     pub max_addresses: usize,
-    /// Addresses of one prefix in the table at most.
+    /// Maximum number of addresses in the table per prefix.
     pub max_addresses_per_prefix: usize,
 }
 
 impl ReputationSettings {
-    /// Returns what is left of points after a time.
+    /// Returns the points that remain after `elapsed`.
     fn decayed(&self, points: f64, elapsed: Micros) -> f64 {
         let half_lives = elapsed as f64 / self.half_life.max(1) as f64;
         points * 0.5_f64.powf(half_lives)
@@ -47,19 +48,19 @@
         self.known_threshold * SAVED_SHARE
     }
 
-    /// Returns until when points are worth storing: as long as they are enough to be saved.
+    /// Returns when points have decayed below the minimum that is stored.
     fn expiry(&self, now: Micros, points: f64) -> Micros {
         let half_lives = (points / self.min_saved_points()).log2().max(0.0);
         now + (half_lives * self.half_life as f64) as Micros + 1
     }
 }
 
-/// What is stored of an address.
+/// Whether the reputation of an address is stored.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum SaveState {
-    /// Its reputation was stored with so many points, or not yet, with none.
+    /// The points that were last stored; zero if none were.
     Saved(f64),
-    /// Its reputation is to be stored.
+    /// The entry must be stored.
     Unsaved,
 }
 
@@ -68,7 +69,7 @@
 struct Entry {
     address: IpAddr,
     prefix: AddressPrefix,
-    /// Its points at `updated_at`.
+    /// Points at `updated_at`.
     points: f64,
     updated_at: Micros,
     save_state: SaveState,
@@ -79,16 +80,16 @@
 pub struct ReputationTable {
     settings: ReputationSettings,
     entries: Vec<Entry>,
-    /// The position of each address in `entries`.
+    /// Index of each address in `entries`.
     positions: HashMap<IpAddr, usize>,
     addresses_per_prefix: HashMap<AddressPrefix, usize>,
     random_state: u64,
-    /// Addresses that are to be stored, in the order in which they became so.
+    /// Addresses with unsaved entries, in the order in which they were marked.
     unsaved: Vec<IpAddr>,
 }
 
 impl ReputationTable {
-    /// Creates a table in which no address has points.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(settings: ReputationSettings, seed: u64) -> Self {
         Self {
@@ -158,8 +159,8 @@
         self.mark_unsaved(position);
     }
 
-    /// Marks an entry to be stored if it has enough points, and enough more than are stored. Decay
-    /// needs no storing: it is computed from the time that is stored with the points.
+    /// Marks an entry as unsaved if it has enough points, and enough more than were last stored.
+    /// Decay alone requires no write: it is computed from the time stored with the points.
     fn mark_unsaved(&mut self, position: usize) {
         let step = (self.settings.known_threshold / SAVED_STEPS).max(1.0);
         let min_points = self.settings.min_saved_points();
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Takes the reputation that has to be stored since the last call.
+    /// Returns the entries that became due for storing since the last call, and marks them as
+    /// saved.
     pub fn take_unsaved(&mut self, now: Micros) -> Vec<StoredReputation> {
         let unsaved = std::mem::take(&mut self.unsaved);
         let mut stored = Vec::with_capacity(unsaved.len());
@@ -193,7 +195,7 @@
         stored
     }
 
-    /// Restores what was stored: what is left of it by now.
+    /// Restores stored entries, with the points that remain now.
     pub fn restore(
         &mut self,
         now: Micros,
@@ -213,8 +215,8 @@
         count.unwrap_or(0) < self.settings.max_addresses_per_prefix
     }
 
-    /// Evicts an entry if the table is full: of some sampled ones that with the fewest points. An
-    /// address that is known is never evicted. Returns whether there is room.
+    /// If the table is full, evicts the entry with the fewest points among a random sample. A known
+    /// address is never evicted. Returns whether there is room.
     fn make_room(&mut self, now: Micros) -> bool {
         if self.entries.len() < self.settings.max_addresses {
             return true;
@@ -237,13 +239,13 @@
         true
     }
 
-    /// Draws a position in `entries`.
+    /// Returns a random index in `entries`.
     fn random_position(&mut self) -> usize {
         self.random_state = self
             .random_state
             .wrapping_mul(RANDOM_MULTIPLIER)
             .wrapping_add(RANDOM_INCREMENT);
-        // The lower bits of such a generator have short periods.
+        // The low bits of a linear congruential generator have short periods.
         (self.random_state >> 33) as usize % self.entries.len().max(1)
     }
 
@@ -267,8 +269,8 @@
         }
     }
 
-    /// Returns the addresses that are worth handing over, those at least half way to being known,
-    /// with their points by now, in the order of the addresses.
+    /// Returns the addresses to hand over, those with at least half of the threshold of known
+    /// addresses, with their current points, sorted by address.
     #[must_use]
     pub fn export(&self, now: Micros) -> Vec<(IpAddr, f64)> {
         let mut exported: Vec<_> = self
@@ -281,8 +283,8 @@
         exported
     }
 
-    /// Imports addresses with their points by now. Skips those with points that can't be, those
-    /// already in the table, and those for which it has no room.
+    /// Imports addresses with their current points. Skips addresses with invalid points, those
+    /// already in the table, and those for which the table has no room.
     pub fn import(
         &mut self,
         now: Micros,
