--- a/crates/connection-admission/src/reputation/tests.rs
+++ b/crates/connection-admission/src/reputation/tests.rs
@@ -24,19 +24,25 @@
 fn reputation_takes_time_and_decays() {
     let mut table = ReputationTable::new(SETTINGS, 1);
     (0..10_000).for_each(|_| credit(&mut table, SECOND, 1));
-    assert!(!table.is_known(SECOND, ip(1)), "many at once count as one");
+    assert!(
+        !table.is_known(SECOND, ip(1)),
+        "credits at the same time count once"
+    );
     for n in 1..=20 {
         credit(&mut table, SECOND + n * MIN_CREDIT_INTERVAL, 1);
     }
     let now = SECOND + 20 * MIN_CREDIT_INTERVAL;
     assert!(table.is_known(now, ip(1)) && !table.is_known(now, ip(2)));
-    assert!(!table.is_known(now + 600 * SECOND, ip(1)), "half is gone");
+    assert!(
+        !table.is_known(now + 600 * SECOND, ip(1)),
+        "half of the points have decayed"
+    );
 }
 
 #[test]
 fn unknown_addresses_evict_no_known_one_and_a_prefix_has_few() {
     let mut table = ReputationTable::new(SETTINGS, 1);
-    // Sixteen prefixes with four known addresses each fill the table.
+    // Fills the table with sixteen prefixes of four known addresses each.
     for round in 0..25 {
         for n in 0..64 {
             credit(
@@ -76,10 +82,18 @@
 fn takes_grown_reputation_for_storing_and_restores_what_has_not_decayed() {
     let mut table = ReputationTable::new(SETTINGS, 1);
     (0..9).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
-    assert_eq!(table.take_unsaved(2 * SECOND), [], "not half way");
+    assert_eq!(
+        table.take_unsaved(2 * SECOND),
+        [],
+        "less than half of the threshold"
+    );
     (9..14).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
     let unsaved = table.take_unsaved(3 * SECOND);
-    assert_eq!(unsaved.len(), 1, "once, however often it was gained");
+    assert_eq!(
+        unsaved.len(),
+        1,
+        "an address is returned once, whatever the number of credits"
+    );
     assert!(
         unsaved[0].address == ip(7) && (unsaved[0].points - 14.0).abs() < 0.1,
         "{unsaved:?}"
@@ -88,28 +102,32 @@
     assert_eq!(
         table.take_unsaved(4 * SECOND),
         [],
-        "a point is no tenth of what it takes"
+        "grown by less than a tenth of the threshold"
     );
     (0..30).for_each(|round| credit(&mut table, 5 * SECOND + round * MIN_CREDIT_INTERVAL, 7));
     let unsaved = table.take_unsaved(9 * SECOND);
     let kept_for_s = (unsaved[0].expires_at - 9 * SECOND) / SECOND;
     assert!(
         (1_200..1_400).contains(&kept_for_s),
-        "44 points are 10 after two half-lives and a bit: {kept_for_s} s"
+        "44 points decay to 10 in slightly more than two half-lives: {kept_for_s} s"
     );
     let mut next = ReputationTable::new(SETTINGS, 2);
     next.restore(9 * SECOND + SETTINGS.half_life, &unsaved, prefix_of);
     assert!(
         next.is_known(9 * SECOND + SETTINGS.half_life, ip(7)),
-        "22 of 44 are left"
+        "22 of 44 points remain"
     );
     assert!(!next.is_known(9 * SECOND + 2 * SETTINGS.half_life, ip(7)));
-    assert_eq!(next.take_unsaved(9 * SECOND), [], "that is stored already");
+    assert_eq!(
+        next.take_unsaved(9 * SECOND),
+        [],
+        "restored entries are already stored"
+    );
     let mut earlier = ReputationTable::new(SETTINGS, 2);
     earlier.restore(0, &unsaved, prefix_of);
     assert!(
         earlier.is_known(0, ip(7)),
-        "a clock that stepped back takes nothing away"
+        "points don't decay when the clock steps back"
     );
 }
 
@@ -120,7 +138,11 @@
     credit(&mut table, SECOND, 300);
     let now = SECOND + 25 * MIN_CREDIT_INTERVAL;
     let exported = table.export(now);
-    assert_eq!(exported.len(), 1, "one that came once is not worth keeping");
+    assert_eq!(
+        exported.len(),
+        1,
+        "an address with a single point is not exported"
+    );
     let mut next = ReputationTable::new(SETTINGS, 2);
     next.import(
         now,
