--- a/crates/connection-admission/src/reputation_database.rs
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -1,7 +1,9 @@
-//! Reputation in an embedded store, so that clients known before a restart are known after it.
+//! Persistence of reputation in an embedded store, so that clients known before a restart are known
+//! after it.
 //!
-//! A crash may lose what was added since the last [`flush`](ReputationDatabase::flush): each entry is
-//! worth little. The owner decides on which thread this runs.
+//! A crash may lose the entries enqueued since the last [`flush`](ReputationDatabase::flush), which
+//! is acceptable because a single entry has little value. The caller decides on which thread this
+//! runs.
 
 use cleatpulley_log_store::files::FileSystem;
 use cleatpulley_log_store::{Batch, Error, MaintenanceStatus, RecoveryReport, Store};
@@ -9,25 +11,25 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr};
 
-/// Bytes of the store that one step of maintenance works on.
+/// Number of bytes that one maintenance step of the store processes.
 const MAINTENANCE_STEP_BYTES: usize = 65_536;
-/// Entries written in one batch.
+/// Maximum number of entries written in one batch.
 const MAX_BATCH_ENTRIES: usize = 1_000;
-/// Bytes of a key: an address as one of IPv6.
+/// Length of a key: an IPv6 address, IPv4-mapped for IPv4.
 const KEY_BYTES: usize = 16;
-/// Bytes of a value: the points and their time, eight each, in network order.
+/// Length of a value: points and time, eight bytes each, big-endian.
 const VALUE_BYTES: usize = 16;
 
-/// The reputation of an address, as it is stored.
+/// The stored reputation of an address.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoredReputation {
     /// The address.
     pub address: IpAddr,
-    /// Its points at `updated_at`.
+    /// Points of the address at `updated_at`.
     pub points: f64,
-    /// The time of the points.
+    /// Time at which the points were computed.
     pub updated_at: Micros,
-    /// When the entry expires in the store; 0 in an entry that was read from it.
+    /// Time at which the entry expires in the store; 0 in an entry read from the store.
     pub expires_at: Micros,
 }
 
@@ -49,7 +51,8 @@
         Record { key, value }
     }
 
-    /// Decodes an entry, `None` if it is none: the store may hold what another release wrote.
+    /// Decodes an entry. Returns `None` for an invalid record: another release may have written to
+    /// the store.
     fn decode(key: &[u8], value: &[u8]) -> Option<Self> {
         let octets = <[u8; KEY_BYTES]>::try_from(key).ok()?;
         let address = IpAddr::V6(Ipv6Addr::from(octets)).to_canonical();
@@ -65,28 +68,28 @@
     }
 }
 
-/// Whether the store can be written to; a failure is logged when it begins and when it ends.
+/// Whether the store is writable. Only changes are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Health {
     Healthy,
     Failed,
 }
 
-/// The store, and the entries that wait to be written to it.
+/// The store, and the entries that are pending to be written to it.
 pub struct ReputationDatabase<F: FileSystem> {
-    /// `None` until it is opened, and after a failure.
+    /// `None` until the store is opened, and after a failure.
     store: Option<Store<F>>,
     unwritten: BTreeMap<IpAddr, StoredReputation>,
-    /// Bounds the entries that wait, and those that are read.
+    /// Maximum number of pending entries, and of loaded ones.
     max_addresses: usize,
-    /// Whether the entries have been read since this process started.
+    /// Whether the entries were loaded since the process started.
     has_loaded: bool,
     health: Health,
 }
 
 impl<F: FileSystem> ReputationDatabase<F> {
-    /// Creates a database of so many addresses at most, whose store is to be
-    /// [opened](Self::open).
+    /// Creates a database of at most `max_addresses` addresses. Its store must be
+    /// [opened](Self::open) first.
     #[must_use]
     pub fn new(max_addresses: usize) -> Self {
         Self {
@@ -104,9 +107,9 @@
         self.store.is_some()
     }
 
-    /// Takes the outcome of opening the store; a failure is logged once. Returns the entries, those
-    /// with the most points first, when the store opens for the first time, no entries later, and
-    /// `None` if it is not open.
+    /// Handles the result of opening the store; a failure is logged once. Returns the stored
+    /// entries, sorted by descending points, when the store opens for the first time, an empty list
+    /// when it opens again, and `None` if it did not open.
     pub fn open(
         &mut self,
         opened: Result<(Store<F>, RecoveryReport), Error>,
@@ -114,7 +117,7 @@
     ) -> Option<Vec<StoredReputation>> {
         let (store, report) = match opened {
             Ok(opened) => opened,
-            // The predecessor in a hot restart still has it open.
+            // During a hot restart the predecessor still has the store open.
             Err(Error::Locked) => return None,
             Err(error) => {
                 self.on_failure(&error);
@@ -168,8 +171,8 @@
         self.health = Health::Failed;
     }
 
-    /// Adds entries that are to be written, each replacing an earlier one of its address. Drops
-    /// those of further addresses while as many wait as there may be.
+    /// Enqueues entries to be written. An entry replaces a pending one of the same address; entries
+    /// of other addresses are dropped while the maximum number is pending.
     pub fn enqueue(&mut self, entries: Vec<StoredReputation>) {
         for entry in entries {
             let has_room = self.unwritten.len() < self.max_addresses;
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Writes the entries that wait, with one sync, and does a step of maintenance. Returns whether
-    /// there is more maintenance to do; on a failure, which is logged once, the store is closed.
+    /// Writes the pending entries with one sync, and runs a maintenance step of the store. Returns
+    /// whether more maintenance is due. A failure is logged once and closes the store.
     pub fn flush(&mut self, now: Micros) -> bool {
         match self.try_flush(now) {
             Ok(MaintenanceStatus::MoreToDo) => true,
@@ -213,7 +216,7 @@
         Ok(status)
     }
 
-    /// Writes the entries that wait, and closes the store.
+    /// Writes the pending entries, and closes the store.
     pub fn close(&mut self, now: Micros) {
         self.flush(now);
         if let Some(Err(error)) = self.store.take().map(Store::close) {
