--- a/crates/connection-admission/src/reputation_database/tests.rs
+++ b/crates/connection-admission/src/reputation_database/tests.rs
@@ -26,7 +26,7 @@
         ..Options::default()
     };
     let entries = database.open(Store::open(disk.clone(), options), now);
-    (database, entries.expect("it opens"))
+    (database, entries.expect("the store opens"))
 }
 
 fn read(disk: &SimulatedFolder, now: Micros) -> Vec<(IpAddr, f64, Micros)> {
@@ -50,19 +50,19 @@
     database.enqueue(vec![entry(3, 99.0, 4)]);
     let disk = disk.after_crash(7);
     let ipv6 = StoredReputation {
-        address: "2001:db8::1".parse().expect("an address"),
+        address: "2001:db8::1".parse().expect("a valid address"),
         ..entry(0, 10.0, 5)
     };
     let expected = [
         (entry(1, 0.0, 0).address, 11.0, 3),
         (entry(2, 0.0, 0).address, 9.0, 1),
     ];
-    assert_eq!(read(&disk, 5), expected, "what waited is lost");
+    assert_eq!(read(&disk, 5), expected, "pending entries are lost");
     let (mut database, _) = opened(&disk, 1_000, 5);
     database.enqueue(vec![ipv6]);
     database.close(5);
     assert_eq!(read(&disk, 6)[1], (ipv6.address, 10.0, 5));
-    assert_eq!(read(&disk, 200 * SECOND), [], "and each expires");
+    assert_eq!(read(&disk, 200 * SECOND), [], "all entries have expired");
 }
 
 #[test]
@@ -75,13 +75,14 @@
     assert_eq!(entries.len(), 10);
     assert!(
         entries.iter().all(|entry| entry.points > 990.0),
-        "those with the most points"
+        "the entries with the most points are loaded"
     );
     database.enqueue((0..1_000).map(|n| entry(n, 1.0, 1)).collect());
     assert_eq!(database.unwritten.len(), 10);
 }
 
-/// A failing disk is not written to without end, and what is known is not lost with it.
+/// After a write failure the store is closed, so that a failing disk is not written to in a loop;
+/// pending entries are kept until it is opened again.
 #[test]
 fn failed_disk_is_used_again_once_it_works() {
     let disk = SimulatedFolder::default();
@@ -89,10 +90,13 @@
     let faults: Vec<_> = (0..8).map(Fault::FailOnce).collect();
     disk.set_faults(&faults);
     database.enqueue(vec![entry(1, 5.0, 1)]);
-    assert!(!database.flush(1) && !database.is_open(), "it has failed");
+    assert!(
+        !database.flush(1) && !database.is_open(),
+        "the flush fails and closes the store"
+    );
     assert!(
         !database.flush(2),
-        "and nothing is done until it is opened again"
+        "no maintenance is due while the store is closed"
     );
     database.enqueue(vec![entry(2, 6.0, 2)]);
     disk.set_faults(&[]);
@@ -100,16 +104,16 @@
     assert_eq!(
         database.open(Store::open(disk.clone(), Options::default()), 3),
         Some(Vec::new()),
-        "it is opened again, and loads nothing twice"
+        "entries are not loaded again"
     );
     database.close(3);
-    assert_eq!(read(&disk, 4).len(), 2, "what waited was written");
+    assert_eq!(read(&disk, 4).len(), 2, "pending entries were written");
 }
 
 #[test]
 fn skips_records_that_are_no_entries() {
     let disk = SimulatedFolder::default();
-    let (mut store, _) = Store::open(disk.clone(), Options::default()).expect("it opens");
+    let (mut store, _) = Store::open(disk.clone(), Options::default()).expect("the store opens");
     let good = entry(1, 5.0, 1).encode();
     let batch = Batch::default()
         .put(&good.key, &good.value, None)
@@ -119,7 +123,7 @@
     store
         .write(batch)
         .and_then(|_| store.sync())
-        .expect("it is written");
-    store.close().expect("it closes");
+        .expect("the batch is written");
+    store.close().expect("the store closes");
     assert_eq!(read(&disk, 2), [(entry(1, 0.0, 0).address, 5.0, 1)]);
 }
