--- a/crates/connection-admission/src/settings.rs
+++ b/crates/connection-admission/src/settings.rs
@@ -1,36 +1,36 @@
-//! What an operator sets.
+//! Settings of connection admission.
 
 use crate::address_prefix::{AddressPrefix, PrefixLengths};
 use crate::rate_sketch::RateLimit;
 use crate::reputation::ReputationSettings;
 
-/// The limits of an address, or of a prefix.
+/// Limits on the connections of an address or of a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ConnectionLimits {
-    /// Connection slots held at a time.
+    /// Maximum number of connection slots held at the same time.
     pub slots: Option<usize>,
-    /// New connections.
+    /// Rate limit on new connections.
     pub rate: Option<RateLimit>,
 }
 
 /// The settings of connection admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Clients that the operator has named. The limits below don't apply to them.
+    /// Prefixes whose clients the operator trusts. The limits below don't apply to them.
     pub allowlist: Vec<AddressPrefix>,
-    /// Share of the connection slots reserved for known clients: half of it for the named ones,
-    /// half for those with reputation.
+    /// Share of the connection slots reserved for known clients: half of it for allowlisted
+    /// clients, half for clients with reputation.
     pub reserved_share: f64,
     /// Limits of each address.
     pub address_limits: ConnectionLimits,
     /// Limits of each prefix.
     pub prefix_limits: ConnectionLimits,
-    /// Bits of a prefix.
+    /// Prefix lengths by which addresses are grouped.
     pub prefix_lengths: PrefixLengths,
-    /// How clients get reputation, where they can.
+    /// How addresses gain reputation; `None` if they don't.
     pub reputation: Option<ReputationSettings>,
-    /// Cells of each row of the sketch that counts new connections by address.
+    /// Cells in each row of the sketch that counts new connections by address.
     pub sketch_width: usize,
-    /// Seeds random numbers, and hashes that no client can foresee.
+    /// Seed of random numbers, and of hashes that clients must not be able to predict.
     pub seed: u64,
 }
