--- a/crates/connection-admission/tests/admission.rs
+++ b/crates/connection-admission/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The decisions on new connections, by examples and by random histories.
+//! Decisions on new connections, in examples and in random sequences of events.
 
 use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::admission::FIRST_MESSAGE_GRACE_PERIOD;
@@ -17,7 +17,9 @@
 
 fn settings() -> Settings {
     Settings {
-        allowlist: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
+        allowlist: vec!["10.9.0.0/16"
+            .parse::<AddressPrefix>()
+            .expect("a valid prefix")],
         reserved_share: 0.2,
         address_limits: ConnectionLimits::default(),
         prefix_limits: ConnectionLimits::default(),
@@ -34,16 +36,16 @@
 }
 
 fn ip(text: &str) -> IpAddr {
-    text.parse().expect("an address")
+    text.parse().expect("a valid address")
 }
 
-/// A connection that has a slot.
+/// A connection that holds a slot.
 struct HeldConnection {
     address: IpAddr,
     owes_response: bool,
 }
 
-/// A listener with its connections by their ids.
+/// A listener and its connections by id.
 struct Listener {
     admission: Admission,
     max_slots: usize,
@@ -80,7 +82,7 @@
             } => {
                 assert!(
                     !self.connections[&id].owes_response,
-                    "a connection that owes a response is never closed"
+                    "a connection with a pending request is never evicted"
                 );
                 self.close(id);
                 trust_level
@@ -108,20 +110,20 @@
         self.admission.on_first_message(id);
         self.connections
             .get_mut(&id)
-            .expect("it is there")
+            .expect("an open connection")
             .owes_response = true;
     }
 
     fn respond(&mut self, id: u64) {
         self.connections
             .get_mut(&id)
-            .expect("it is there")
+            .expect("an open connection")
             .owes_response = false;
         self.admission.on_request_served(self.now, id);
     }
 
     fn count_in(&self, prefix: &str) -> usize {
-        let net: AddressPrefix = prefix.parse().expect("a net");
+        let net: AddressPrefix = prefix.parse().expect("a valid prefix");
         self.connections
             .values()
             .filter(|connection| net.contains(connection.address))
@@ -129,8 +131,8 @@
     }
 }
 
-/// One address may hold all slots but the reserved ones while nobody else wants them, and gives
-/// them up to others.
+/// One address may hold all unreserved slots while there is no demand from others, and loses them
+/// to others once there is.
 #[test]
 fn one_address_holds_free_slots_until_others_want_them() {
     let mut listener = Listener::new(settings(), 100);
@@ -146,7 +148,11 @@
     for n in 0..79 {
         assert!(listener.connect(&format!("10.2.{n}.1")).is_ok(), "{n}");
     }
-    assert_eq!(listener.count_in("10.1.1.0/24"), 1, "each has one");
+    assert_eq!(
+        listener.count_in("10.1.1.0/24"),
+        1,
+        "each address holds one slot"
+    );
     for n in 0..20 {
         assert!(listener.connect(&format!("10.9.0.{n}")).is_ok(), "{n}");
     }
@@ -163,7 +169,7 @@
         10,
     );
     for _ in 0..10 {
-        listener.connect("10.1.1.1").expect("room");
+        listener.connect("10.1.1.1").expect("a slot");
     }
     assert_eq!(
         listener
@@ -177,11 +183,11 @@
     assert_eq!(
         (listener.count_in("10.1.1.1"), listener.count_in("10.1.1.2")),
         (5, 5),
-        "no more than the other"
+        "both addresses hold the same number of slots"
     );
 }
 
-/// A connection with an open request is never evicted, whoever wants its slot.
+/// A connection with a pending request is never evicted, not even for an allowlisted client.
 #[test]
 fn connection_that_owes_a_response_is_not_evicted() {
     let mut listener = Listener::new(
@@ -192,7 +198,7 @@
         3,
     );
     let ids: Vec<_> = (0..3)
-        .map(|_| listener.connect("10.1.1.1").expect("room"))
+        .map(|_| listener.connect("10.1.1.1").expect("a slot"))
         .collect();
     ids.iter().for_each(|id| listener.request(*id));
     listener.now += 10 * SECOND;
@@ -201,7 +207,7 @@
     listener.respond(ids[1]);
     assert!(listener.connect("10.9.0.1").is_ok());
     assert!(!listener.connections.contains_key(&ids[1]));
-    // A named client is not evicted while it may be about to speak, or has spoken.
+    // An allowlisted client is evicted neither within the grace period nor after its first message.
     assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
     listener.request(listener.last_id);
     listener.respond(listener.last_id);
@@ -209,28 +215,28 @@
     assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
 }
 
-/// Known clients that hold silent connections do not keep others out that are known as well.
+/// Guards against known clients that block other known clients with silent connections.
 #[test]
 fn silent_known_clients_keep_no_known_client_out() {
     let mut listener = Listener::new(settings(), 4);
     let silent: Vec<_> = (0..4)
-        .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("room"))
+        .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("a slot"))
         .collect();
     assert_eq!(
         listener.connect("10.9.1.1"),
         Err(RejectReason::Full),
-        "their first messages may be on their way"
+        "within the grace period of the silent connections"
     );
     listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.9.1.1").is_ok());
     assert!(
         !listener.connections.contains_key(&silent[0]),
-        "silent for longest"
+        "the longest silent connection is evicted"
     );
     assert_eq!(
         listener.connect("10.1.0.1"),
         Err(RejectReason::Full),
-        "and not for an unknown one"
+        "no known client is evicted for an unknown one"
     );
     listener
         .admission
@@ -238,11 +244,12 @@
     assert_eq!(
         listener.connect("10.5.0.1"),
         Err(RejectReason::Full),
-        "nor for one with reputation"
+        "no allowlisted client is evicted for one with reputation"
     );
 }
 
-/// A prefix whose connections all owe responses does not shield those with fewer slots.
+/// If all connections of the prefix with the most slots have pending requests, one of the prefix
+/// with the next most slots is evicted.
 #[test]
 fn next_prefix_gives_slots_where_the_greatest_owes_responses() {
     let mut listener = Listener::new(
@@ -253,11 +260,11 @@
         9,
     );
     for _ in 0..5 {
-        let id = listener.connect("10.1.1.1").expect("room");
+        let id = listener.connect("10.1.1.1").expect("a slot");
         listener.request(id);
     }
     for _ in 0..4 {
-        let id = listener.connect("10.2.2.2").expect("room");
+        let id = listener.connect("10.2.2.2").expect("a slot");
         listener.request(id);
         listener.respond(id);
     }
@@ -280,23 +287,26 @@
         },
         2,
     );
-    let first = listener.connect("10.1.0.1").expect("room");
-    listener.connect("10.2.0.1").expect("room");
+    let first = listener.connect("10.1.0.1").expect("a slot");
+    listener.connect("10.2.0.1").expect("a slot");
     assert_eq!(
         listener.connect("10.3.0.1"),
         Err(RejectReason::Full),
-        "both came just now"
+        "both are within the grace period"
     );
     listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.3.0.1").is_ok());
     assert!(
         !listener.connections.contains_key(&first),
-        "silent for longest"
+        "the longest silent connection is evicted"
     );
     let third = listener.last_id;
     listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(third);
-    assert!(listener.connect("10.4.0.1").is_ok(), "the second is silent");
+    assert!(
+        listener.connect("10.4.0.1").is_ok(),
+        "the second connection is evicted, which is silent"
+    );
     listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(listener.last_id);
     assert_eq!(
@@ -338,7 +348,7 @@
     assert_eq!(
         listener.connect("10.1.1.1"),
         Err(RejectReason::AddressRate),
-        "four have come"
+        "four connections have used up the burst"
     );
     listener.now += SECOND;
     assert!(listener.connect("10.1.1.1").is_ok());
@@ -354,7 +364,7 @@
     );
 }
 
-/// What the limit of its prefix rejects takes nothing from the limit of an address.
+/// A connection that the rate limit of its prefix rejects is not counted by that of its address.
 #[test]
 fn rejected_connections_count_for_no_limit() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
@@ -379,16 +389,16 @@
     listener.now += 3 * SECOND;
     assert!(
         (0..2).all(|_| listener.connect("10.1.1.1").is_ok()),
-        "its own limit is untouched"
+        "the limit of the address has counted no rejected connection"
     );
 }
 
-/// An address with reputation gets a reserved slot in a flood, also after a hot restart, and none
-/// reserved for named clients.
+/// An address with reputation gets a reserved slot in a flood, even after a hot restart, but none
+/// of those reserved for allowlisted clients.
 #[test]
 fn address_with_reputation_gets_a_reserved_slot_in_a_flood() {
     let mut listener = Listener::new(settings(), 20);
-    let regular = listener.connect("10.5.0.1").expect("room");
+    let regular = listener.connect("10.5.0.1").expect("a slot");
     for _ in 0..8 {
         listener.now += MIN_CREDIT_INTERVAL;
         listener.request(regular);
@@ -402,7 +412,7 @@
     let mut next = Listener::new(settings(), 20);
     next.admission.import_reputation(STARTED_AT, &exported);
     for n in 0..60_u32 {
-        // All of them owe responses, so that none can be evicted.
+        // Connections with pending requests can't be evicted.
         if let Ok(id) = next.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
             next.request(id);
         }
@@ -412,7 +422,7 @@
     assert_eq!(
         next.connect("10.5.0.1"),
         Err(RejectReason::Full),
-        "half of the reserve is for named clients"
+        "half of the reserve is for allowlisted clients"
     );
     assert!(next.connect("10.9.0.1").is_ok() && next.connect("10.9.0.1").is_ok());
 }
@@ -444,9 +454,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order of events: no more connections than slots, the table agrees with the
-    /// listener, named clients are admitted while an unknown one can be evicted, and no connection
-    /// that owes a response is evicted.
+    /// In any order of events, there are no more connections than slots, the table agrees with the
+    /// listener, allowlisted clients are admitted while an unknown one can be evicted, and no
+    /// connection with a pending request is evicted.
     #[test]
     fn table_agrees_with_the_listener_whatever_happens(
         steps in proptest::collection::vec(step(), 1..300),
@@ -462,7 +472,9 @@
                 Step::Connect(net, host) => {
                     let is_named = net == 0;
                     let has_idle_unknown = listener.connections.values().any(|connection| {
-                        let trust_level = listener.admission.trust_level(listener.now, connection.address);
+                        let trust_level = listener
+                            .admission
+                            .trust_level(listener.now, connection.address);
                         !connection.owes_response && trust_level == TrustLevel::Unknown
                     });
                     let has_free_slot = listener.connections.len() < max_slots;
