--- a/crates/connection-admission/tests/identity.rs
+++ b/crates/connection-admission/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Limits of clients by the names of their certificate.
+//! Limits per client certificate name.
 
 use cleatpulley_connection_admission::identity::{IdentityLimiter, IdentityRejection, Settings};
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
@@ -31,7 +31,7 @@
     assert_eq!(
         identities.admit(0, 5, &names("fe-2")),
         Err(IdentityRejection::Rate),
-        "three at once, then ten a second"
+        "the burst of three is used up"
     );
     assert_eq!(identities.admit(100_000, 6, &names("fe-2")), Ok(false));
     for id in 10..100 {
@@ -41,6 +41,6 @@
     assert_eq!(
         identities.admit(0, 200, &[]),
         Ok(false),
-        "no certificate: nothing to limit"
+        "a client without a certificate is not limited"
     );
 }
