--- a/crates/connection-admission/tests/rate_sketch.rs
+++ b/crates/connection-admission/tests/rate_sketch.rs
@@ -1,4 +1,4 @@
-//! The sketch that limits rates of any number of keys.
+//! The sketch that limits the rates of any number of keys.
 
 use cleatpulley_connection_admission::rate_sketch::{RateLimit, RateSketch};
 use cleatpulley_policy::interface::Micros;
@@ -22,15 +22,15 @@
     );
     let mut acquired_at = |now| (0..20).filter(|_| sketch.try_acquire(now, key(1))).count();
     assert_eq!(acquired_at(100), 5);
-    assert_eq!(acquired_at(100 + SECOND / 5), 2, "two have leaked");
-    assert_eq!(acquired_at(100 + 10 * SECOND), 5, "no more than the burst");
+    assert_eq!(acquired_at(100 + SECOND / 5), 2, "two events have leaked");
+    assert_eq!(acquired_at(100 + 10 * SECOND), 5, "at most the burst");
     assert!(
         sketch.try_acquire(100, key(2)),
-        "a clock that steps back, and another key"
+        "another key is permitted after the clock stepped back"
     );
 }
 
-/// Compares what each key gets with an exact bucket of its own.
+/// Compares the sketch with one exact bucket per key.
 #[test]
 fn no_key_gets_more_than_an_exact_bucket_would_give() {
     let limit = RateLimit {
@@ -47,7 +47,7 @@
         let level = (level - (now - at) as f64 / 1e6 * limit.per_second).max(0.0);
         let is_permitted_exactly = level + 1.0 <= limit.burst;
         if sketch.try_acquire(now, key(client)) {
-            // Milliseconds and single precision make the difference.
+            // Allows for the sketch's millisecond resolution and single precision.
             assert!(
                 level + 1.0 <= limit.burst + 0.02,
                 "client {client} is at level {level} at {now}"
@@ -60,7 +60,7 @@
     }
     assert!(
         wrongly_rejected * 20 < permitted_exactly,
-        "{wrongly_rejected} of {permitted_exactly} were rejected for others' keys"
+        "{wrongly_rejected} of {permitted_exactly} events were rejected due to collisions"
     );
 }
 
