--- a/crates/connection-admission/tests/stored_format.rs
+++ b/crates/connection-admission/tests/stored_format.rs
@@ -1,7 +1,7 @@
-//! Reputation keeps its bytes in its store: the store of release 0.2 is read in full, and the same
-//! entries are still written the same.
+//! Compatibility of the stored format of reputation: a store written by release 0.2 is read in
+//! full, and the same entries are written as the same bytes.
 //!
-//! `fixtures/standings` is such a store.
+//! `fixtures/standings` is a store written by release 0.2.
 
 use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
 use cleatpulley_log_store::files::OsFolder;
@@ -20,26 +20,31 @@
         .join(name)
 }
 
-/// The names and bytes of a store's files, its lock left out.
+/// Returns the names and bytes of a store's files, except its lock.
 fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+    let entries = fs::read_dir(folder).expect("the folder exists");
     let names = entries.map(|entry| {
         entry
-            .expect("an entry")
+            .expect("a readable folder entry")
             .file_name()
             .into_string()
-            .expect("plain text")
+            .expect("a UTF-8 name")
     });
     let stored = names.filter(|name| name != "lock");
     stored
-        .map(|name| (name.clone(), fs::read(folder.join(&name)).expect("a file")))
+        .map(|name| {
+            (
+                name.clone(),
+                fs::read(folder.join(&name)).expect("a readable file"),
+            )
+        })
         .collect()
 }
 
 fn copy_of(name: &str) -> TempDir {
-    let copy = tempfile::tempdir().expect("a folder");
+    let copy = tempfile::tempdir().expect("a temporary folder");
     for (name, bytes) in files_of(&fixture(name)) {
-        fs::write(copy.path().join(name), bytes).expect("it is written");
+        fs::write(copy.path().join(name), bytes).expect("the file is written");
     }
     copy
 }
@@ -53,24 +58,27 @@
 }
 
 fn store(path: &Path) -> Store<OsFolder> {
-    Store::open(OsFolder::new(path, true).expect("a folder"), options())
-        .expect("it opens")
-        .0
+    Store::open(
+        OsFolder::new(path, true).expect("the folder opens"),
+        options(),
+    )
+    .expect("the store opens")
+    .0
 }
 
-/// Opens a database and returns it with the entries that it loaded.
+/// Opens a database and returns it with its loaded entries.
 fn opened(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
     let mut database = ReputationDatabase::new(100);
-    let files = OsFolder::new(path, true).expect("a folder");
+    let files = OsFolder::new(path, true).expect("the folder opens");
     let entries = database
         .open(Store::open(files, options()), NOW)
-        .expect("it opens");
+        .expect("the store opens");
     (database, entries)
 }
 
 fn entry(address: &str, points: f64, updated_at: u64, expires_at: u64) -> StoredReputation {
     StoredReputation {
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         points,
         updated_at,
         expires_at,
@@ -101,7 +109,7 @@
 fn opens_the_reputation_written_by_release_0_2() {
     let copy = copy_of("standings");
     let (_, found) = opened(copy.path());
-    // The expiry of an entry is not read back.
+    // The expiry of an entry is not loaded.
     let expected: Vec<StoredReputation> = entries()
         .into_iter()
         .map(|entry| StoredReputation {
@@ -122,7 +130,9 @@
             count += 1;
             true
         };
-        store.for_each_by_sequence(now, visit).expect("it is read");
+        store
+            .for_each_by_sequence(now, visit)
+            .expect("the store is read");
         count
     };
     assert_eq!(
@@ -139,7 +149,7 @@
 
 #[test]
 fn writes_the_same_files_as_release_0_2() {
-    let ours = tempfile::tempdir().expect("a folder");
+    let ours = tempfile::tempdir().expect("a temporary folder");
     write_database(ours.path());
     assert_eq!(files_of(ours.path()), files_of(&fixture("standings")));
 }
