--- a/crates/saturation-bench/src/accuracy.rs
+++ b/crates/saturation-bench/src/accuracy.rs
@@ -1,13 +1,13 @@
-//! Estimates over many upstreams, compared with the truth.
+//! Accuracy of the estimates over many upstreams.
 
 use crate::experiment::{run, to_micros, Experiment};
 use crate::upstream_kind::UpstreamKind;
 
 /// Length of a run, in seconds.
 const RUN_SECONDS: f64 = 60.0;
-/// Largest error by Little's law of an upstream in a steady state.
+/// Maximum error by Little's law of an upstream in a steady state.
 const MAX_LITTLES_LAW_ERROR: f64 = 0.1;
-/// Distinguishes the seed of a run from that of its upstream's kind.
+/// Separates the seed of a run from the seed that its upstream is generated from.
 const RUN_SEED: u64 = 0xACC;
 
 /// Consecutive seeds, one for each upstream.
@@ -19,19 +19,20 @@
     pub count: u64,
 }
 
-/// How accurate the estimates of throughput at saturation are.
+/// Accuracy of the estimated throughput at saturation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Accuracy {
     /// Median relative error.
     pub median_error: f64,
-    /// Share of the estimates whose interval contains the truth.
+    /// Share of the estimates whose interval contains the true throughput.
     pub coverage: f64,
-    /// Upstreams that collapsed, by Little's law, and are left out: the throughput of some falls
-    /// with concurrency, and they may never recover from an overload.
+    /// Number of upstreams excluded because they collapsed, as detected by Little's law: the
+    /// throughput of some decreases with concurrency, and they may never recover from an overload.
     pub collapsed: u64,
 }
 
-/// Measures the accuracy of estimates at a load, given as a share of the throughput at saturation.
+/// Measures the accuracy of the estimates at a load, given as a share of the throughput at
+/// saturation.
 #[must_use]
 pub fn measure_accuracy(load: f64, seeds: SeedRange) -> Accuracy {
     let mut errors = Vec::new();
