--- a/crates/saturation-bench/src/checks.rs
+++ b/crates/saturation-bench/src/checks.rs
@@ -1,4 +1,4 @@
-//! The checks, one file each.
+//! Checks of the queueing model, one module each.
 
 pub mod cost;
 pub mod estimates;
@@ -9,12 +9,12 @@
 
 use cleatpulley_saturation_bench::UpstreamKind;
 
-/// Upstreams in a check of changes over time.
+/// Number of upstreams in a check of changes over time.
 const UPSTREAMS: u64 = 60;
 /// Seconds in an hour.
 const HOUR: f64 = 3_600.0;
 
-/// Draws an upstream with a queue.
+/// Generates a random upstream with a queue.
 fn random_queue(seed: u64) -> UpstreamKind {
     match UpstreamKind::random(seed) {
         queue @ UpstreamKind::Queue { .. } => queue,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The value below which a share of the sorted values lie.
+/// Returns the quantile at `share` of sorted values.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let index = (sorted.len() as f64 * share) as usize;
     sorted.get(index).copied().unwrap_or(f64::NAN)
