--- a/crates/saturation-bench/src/checks/cost.rs
+++ b/crates/saturation-bench/src/checks/cost.rs
@@ -1,20 +1,20 @@
-//! Time of an update and of a prediction, and the size of a model.
+//! Time of an update and of a prediction, and memory of a model.
 
 use super::report::Report;
 use cleatpulley_saturation::{Completion, ModelSettings, UpstreamModel};
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Requests that are sent and completed.
+/// Number of requests that are sent and completed.
 const REQUESTS: u64 = 2_000_000;
-/// Time between two of them, in microseconds.
+/// Interval between two requests, in microseconds.
 const INTERVAL: u64 = 100;
-/// Latency of each, in microseconds.
+/// Latency of each request, in microseconds.
 const LATENCY: u64 = 90;
-/// Longest time of an update, in nanoseconds.
+/// Upper bound of the time of an update, in nanoseconds.
 const UPDATE_GOAL: f64 = 300.0;
 
-/// Checks the time of an update, and prints the others.
+/// Checks the time of an update, and prints the time of a prediction and the size of a model.
 pub fn check(report: &mut Report) {
     let mut model = UpstreamModel::new(ModelSettings::default());
     let start = Instant::now();
