--- a/crates/saturation-bench/src/checks/estimates.rs
+++ b/crates/saturation-bench/src/checks/estimates.rs
@@ -3,7 +3,7 @@
 use super::report::Report;
 use cleatpulley_saturation_bench::{measure_accuracy, SeedRange};
 
-/// A load, as a share of the throughput at saturation, and the largest median error there.
+/// A load, as a share of the throughput at saturation, and the maximum median error at that load.
 struct Goal {
     load: f64,
     median_error: f64,
@@ -20,7 +20,7 @@
     },
 ];
 
-/// The seeds that the model's constants were chosen on, and others.
+/// The seeds that the model was calibrated with, and held-out ones.
 const SEEDS: [SeedRange; 2] = [
     SeedRange {
         first: 0,
@@ -32,10 +32,10 @@
     },
 ];
 
-/// Coverage of the 90% interval that is accepted.
+/// Accepted coverage of the 90% interval.
 const COVERAGES: std::ops::RangeInclusive<f64> = 0.85..=0.955;
 
-/// Checks median error and coverage.
+/// Checks the median error and the coverage of the interval.
 pub fn check(report: &mut Report) {
     println!(
         "throughput at saturation, 200 upstreams of several kinds, 60 s each, and 100 by other seeds"
