--- a/crates/saturation-bench/src/checks/goodput.rs
+++ b/crates/saturation-bench/src/checks/goodput.rs
@@ -1,4 +1,4 @@
-//! Goodput with each limiter, on the same seeds.
+//! Goodput of each limiter on the same upstreams.
 
 use super::report::Report;
 use cleatpulley_saturation::ConcurrencyLimit;
@@ -6,17 +6,17 @@
 
 /// Loads, as shares of the throughput at saturation.
 const LOADS: [f64; 3] = [0.9, 1.1, 1.3];
-/// Fixed limits, of which the best one counts.
+/// Fixed limits, the best of which is the reference for each upstream.
 const FIXED_LIMITS: [usize; 11] = [1, 2, 4, 6, 8, 12, 16, 24, 32, 48, 64];
 /// Deadline of a response, as a multiple of the uncontended latency.
 const DEADLINE_LATENCIES: f64 = 20.0;
 /// Length of a run, in seconds.
 const RUN_SECONDS: f64 = 40.0;
-/// Threads that share the upstreams.
+/// Number of threads among which the upstreams are divided.
 const THREADS: u64 = 4;
-/// Upstreams of each thread.
+/// Number of upstreams per thread.
 const UPSTREAMS_PER_THREAD: u64 = 10;
-/// Goodput by which a predictive limit may fall behind the reactive one.
+/// Maximum shortfall in goodput of the predictive limit against the reactive one.
 const TOLERANCE: f64 = 0.01;
 
 /// Goodput of one upstream as a share of its throughput at saturation, by limiter.
@@ -28,13 +28,13 @@
     predictive: f64,
 }
 
-/// A mean over upstreams, and its standard error.
+/// A sample mean over upstreams, and its standard error.
 struct Mean {
     mean: f64,
     standard_error: f64,
 }
 
-/// Checks that estimates cost no goodput.
+/// Checks that the use of estimates does not reduce goodput.
 pub fn check(report: &mut Report) {
     println!(
         "goodput as a share of the throughput at saturation, 40 upstreams, mean and standard error"
@@ -54,8 +54,8 @@
     }
 }
 
-/// Measures all upstreams on several threads. Each has its own seed, so that the order of the
-/// threads makes no difference.
+/// Measures all upstreams on several threads. Each upstream has its own seed, so that the results
+/// don't depend on the scheduling of the threads.
 fn measure_all(load: f64) -> Vec<Goodput> {
     let measure_share = |thread: u64| -> Vec<Goodput> {
         (0..UPSTREAMS_PER_THREAD)
