--- a/crates/saturation-bench/src/checks/ramps.rs
+++ b/crates/saturation-bench/src/checks/ramps.rs
@@ -1,4 +1,4 @@
-//! Warnings ahead of saturation on a ramp, and false ones under a steady load.
+//! Lead time of saturation warnings on a load ramp, and false warnings under a steady load.
 
 use super::report::Report;
 use super::{quantile, random_queue, HOUR, UPSTREAMS};
@@ -7,24 +7,24 @@
 
 /// Load at the start of a ramp, as a share of the throughput at saturation.
 const RAMP_START: f64 = 0.3;
-/// Rise of the load a second, as the same share.
+/// Increase of the load per second, as a share of the throughput at saturation.
 const RAMP_SLOPE: f64 = 0.01;
-/// When a ramp reaches saturation, in seconds.
+/// Time at which a ramp reaches saturation, in seconds.
 const SATURATION_TIME: f64 = 70.0;
-/// Length of a run of a ramp, in seconds.
+/// Length of a run with a ramp, in seconds.
 const RAMP_SECONDS: f64 = 69.0;
-/// Predicted time to saturation of which a warning is given, in seconds.
+/// Predicted time to saturation below which a warning is given, in seconds.
 const WARNING_HORIZON: f64 = 30.0;
-/// Time at the start of a run in which warnings do not count, in seconds.
+/// Time at the start of a run in which warnings are ignored, in seconds.
 const WARM_UP: f64 = 20.0;
-/// Least time from the warning to saturation in the median, in seconds.
+/// Minimum median time from the warning to saturation, in seconds.
 const AHEAD_GOAL: f64 = 20.0;
-/// Load of a steady upstream.
+/// Steady load, as a share of the throughput at saturation.
 const STEADY_LOAD: f64 = 0.6;
-/// Length of a run of a steady upstream, in seconds.
+/// Length of a run with a steady load, in seconds.
 const STEADY_SECONDS: f64 = 120.0;
 
-/// Checks the time of warning, and prints the rate of false warnings.
+/// Checks the lead time of warnings, and prints the rate of false warnings.
 pub fn check(report: &mut Report) {
     let mut ahead: Vec<f64> = (0..UPSTREAMS).map(seconds_warned_ahead).collect();
     ahead.sort_by(f64::total_cmp);
@@ -43,7 +43,7 @@
     );
 }
 
-/// Seconds from the first warning to saturation, 0 without a warning.
+/// Returns the time from the first warning to saturation in seconds, 0 without a warning.
 fn seconds_warned_ahead(seed: u64) -> f64 {
     let kind = random_queue(seed);
     let truth = kind.saturation_throughput();
@@ -60,7 +60,7 @@
     SATURATION_TIME - warning.unwrap_or(SATURATION_TIME)
 }
 
-/// Warnings under a steady load; one that goes on counts once.
+/// Counts the warnings under a steady load; consecutive ones count once.
 fn count_false_warnings(seed: u64) -> u32 {
     let kind = random_queue(seed);
     let truth = kind.saturation_throughput();
@@ -78,7 +78,7 @@
     warnings
 }
 
-/// Whether saturation is predicted within the horizon.
+/// Returns whether saturation is predicted within the horizon.
 fn warns(now: f64, model: &mut UpstreamModel) -> bool {
     let seconds_to_saturation = model.predict(to_micros(now)).seconds_to_saturation;
     now > WARM_UP && seconds_to_saturation.is_some_and(|seconds| seconds < WARNING_HORIZON)
