--- a/crates/saturation-bench/src/checks/regime_changes.rs
+++ b/crates/saturation-bench/src/checks/regime_changes.rs
@@ -1,26 +1,26 @@
-//! Detection of an upstream that is slowed down, and false alarms of a steady one.
+//! Detection of a slowdown of an upstream, and false alarms in a steady state.
 
 use super::report::Report;
 use super::{quantile, random_queue, HOUR, UPSTREAMS};
 use cleatpulley_saturation_bench::{run, to_micros, Experiment, Slowdown};
 
-/// The fault: service times grow threefold after half a minute.
+/// The fault: service times triple after half a minute.
 const SLOWDOWN: Slowdown = Slowdown {
     start: 30.0,
     factor: 3.0,
 };
-/// Load of an upstream that is slowed down, as a share of its throughput at saturation.
+/// Load in the runs with a slowdown, as a share of the throughput at saturation without it.
 const SLOWED_LOAD: f64 = 0.25;
-/// Longest time to detection in nine of ten, in seconds.
+/// Maximum time to detection in nine of ten runs, in seconds.
 const DETECTION_GOAL: f64 = 5.0;
-/// Load of a steady upstream.
+/// Load in a steady state, as a share of the throughput at saturation.
 const STEADY_LOAD: f64 = 0.7;
-/// Length of a run of a steady upstream, in seconds.
+/// Length of a run in a steady state, in seconds.
 const STEADY_SECONDS: f64 = 120.0;
-/// Most false alarms in an hour of an upstream.
+/// Maximum number of false alarms per upstream and hour.
 const FALSE_ALARM_GOAL: f64 = 1.0;
 
-/// Checks both.
+/// Checks the time to detection, and the rate of false alarms.
 pub fn check(report: &mut Report) {
     check_detection(report);
     check_false_alarms(report);
@@ -37,7 +37,7 @@
     report.check(ninth_decile <= DETECTION_GOAL, figure);
 }
 
-/// Seconds from the slowdown to its detection, infinite where it was not detected.
+/// Returns the time from the slowdown to its detection in seconds, infinite if it was not detected.
 fn detection_delay(seed: u64) -> f64 {
     let kind = random_queue(seed);
     let rate = SLOWED_LOAD * kind.saturation_throughput();
