--- a/crates/saturation-bench/src/experiment.rs
+++ b/crates/saturation-bench/src/experiment.rs
@@ -7,48 +7,48 @@
 use rand::SeedableRng;
 use std::collections::VecDeque;
 
-/// Time of the model's clock at the start of a run, in microseconds.
+/// Time on the model's clock at the start of a run, in microseconds.
 const START: u64 = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Part of a run before goodput is measured.
+/// Share of a run before goodput is measured.
 const WARM_UP: f64 = 0.25;
-/// Seconds between two observations of the model.
+/// Interval between two observations of the model, in seconds.
 const OBSERVATION_INTERVAL: f64 = 1.0;
-/// Least rate of arrivals, in requests a second.
+/// Minimum arrival rate, in requests per second.
 const MIN_ARRIVAL_RATE: f64 = 0.1;
-/// Remaining work that counts as none.
+/// Remaining work up to which a request counts as completed.
 const NEGLIGIBLE_WORK: f64 = 1e-12;
 
-/// What is run. Times are in seconds since the start of the run.
+/// Parameters of a run. Times are in seconds since the start of the run.
 pub struct Experiment<'a> {
     /// The upstream.
     pub kind: UpstreamKind,
-    /// Rate of arrivals by time, in requests a second.
+    /// Arrival rate as a function of time, in requests per second.
     pub arrival_rate: &'a dyn Fn(f64) -> f64,
     /// Length of the run.
     pub seconds: f64,
-    /// A fault that makes the upstream slow.
+    /// Fault that slows down the upstream.
     pub slowdown: Option<Slowdown>,
-    /// What limits the requests in flight; others are rejected.
+    /// Limiter of the requests in flight; requests beyond the limit are rejected.
     pub limiter: Limiter,
-    /// Latency beyond which a response does not count as goodput, in seconds.
+    /// Maximum latency of a response that counts as goodput, in seconds.
     pub deadline: f64,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// A fault that makes an upstream slow.
+/// A fault that slows down an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Slowdown {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     pub start: f64,
-    /// Factor by which service times grow.
+    /// Factor by which service times increase.
     pub factor: f64,
 }
 
 impl<'a> Experiment<'a> {
-    /// A run without limit, deadline or fault.
+    /// Creates a run without limit, deadline or fault.
     #[must_use]
     pub fn new(
         kind: UpstreamKind,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Factor by which service times are longer at a time.
+    /// Returns the factor by which service times are increased at a time.
     fn slowdown_factor(&self, now: f64) -> f64 {
         match self.slowdown {
             Some(slowdown) if now >= slowdown.start => slowdown.factor,
@@ -79,7 +79,7 @@
         (self.arrival_rate)(now).max(MIN_ARRIVAL_RATE)
     }
 
-    /// When goodput is measured from.
+    /// Returns the start of the measurement of goodput, in seconds.
     fn measured_from(&self) -> f64 {
         self.seconds * WARM_UP
     }
@@ -87,23 +87,23 @@
 
 /// The result of a run.
 pub struct Outcome {
-    /// The model at the end.
+    /// The model at the end of the run.
     pub model: UpstreamModel,
-    /// Responses by their deadline, after the warm-up.
+    /// Number of responses after the warm-up that met their deadline.
     pub timely_responses: u64,
     /// Length of the run after the warm-up, in seconds.
     pub measured_seconds: f64,
 }
 
 impl Outcome {
-    /// Goodput: responses by their deadline a second.
+    /// Returns the goodput: responses per second that met their deadline.
     #[must_use]
     pub fn goodput(&self) -> f64 {
         self.timely_responses as f64 / self.measured_seconds
     }
 }
 
-/// The time of the model's clock at a second of a run, in microseconds.
+/// Converts seconds since the start of a run to the model's clock, in microseconds.
 #[must_use]
 pub fn to_micros(seconds: f64) -> u64 {
     START + (seconds * MICROS_PER_SECOND) as u64
@@ -136,11 +136,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Request {
     arrival: f64,
-    /// Requests in flight once it had arrived, itself included.
+    /// Number of requests in flight right after this one arrived, including itself.
     concurrency: usize,
 }
 
-/// A request that is being served.
+/// A request in service.
 struct InService {
     request: Request,
     remaining_work: f64,
