--- a/crates/saturation-bench/src/lib.rs
+++ b/crates/saturation-bench/src/lib.rs
@@ -1,12 +1,12 @@
-//! Emulated upstreams of many kinds, run event by event from a seed, to measure the queueing model
-//! and the concurrency limit by.
+//! Discrete-event simulation of many kinds of upstreams, reproducible from a seed, which measures
+//! the queueing model and the concurrency limit.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `upstream_kind` | the kinds of upstreams, with their true throughput |
-//! | `limiter` | what limits the requests in flight |
+//! | `upstream_kind` | kinds of emulated upstreams, with their true throughput |
+//! | `limiter` | limiters of the requests in flight |
 //! | `experiment` | one run of an upstream under a load |
-//! | `accuracy` | estimates over many upstreams, compared with the truth |
+//! | `accuracy` | accuracy of the estimates over many upstreams |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
