--- a/crates/saturation-bench/src/limiter.rs
+++ b/crates/saturation-bench/src/limiter.rs
@@ -1,4 +1,4 @@
-//! What limits the requests in flight at an emulated upstream.
+//! Limiters of the requests in flight at an emulated upstream.
 
 use cleatpulley_saturation::{Completion, ConcurrencyLimit, SaturationEstimate};
 
@@ -9,9 +9,9 @@
     Unlimited,
     /// A constant limit.
     Fixed(usize),
-    /// The reactive limit alone.
+    /// The reactive limit without estimates.
     Reactive(ConcurrencyLimit),
-    /// The reactive limit, moved by estimates.
+    /// The reactive limit, adjusted by estimates.
     Predictive(ConcurrencyLimit),
 }
 
