--- a/crates/saturation-bench/src/main.rs
+++ b/crates/saturation-bench/src/main.rs
@@ -1,5 +1,5 @@
-//! `make check-saturation`: measures what is asked for of the queueing model, and exits with 1
-//! where a figure falls short of its goal.
+//! `make check-saturation`: checks the queueing model against its goals, and exits with 1 if one is
+//! not met.
 
 #![forbid(unsafe_code)]
 
