--- a/crates/saturation-bench/src/upstream_kind.rs
+++ b/crates/saturation-bench/src/upstream_kind.rs
@@ -3,34 +3,34 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Concurrency below which the highest throughput is searched.
+/// Upper bound of the concurrencies that are searched for the highest throughput.
 const MAX_CONCURRENCY: i32 = 2_000;
 
-/// How an upstream serves its requests.
+/// The service discipline and the parameters of an emulated upstream.
 #[derive(Debug, Clone, Copy)]
 pub enum UpstreamKind {
-    /// Servers behind one first-come first-served queue.
+    /// Servers behind a single first-come, first-served queue.
     Queue {
         /// Number of servers.
         servers: usize,
         /// Mean service time, in seconds.
         service_time: f64,
-        /// Variability of the service time: 0 for a constant one, 1 for an exponential one.
+        /// Variability of the service time, from 0 (constant) to 1 (exponential).
         variability: f64,
     },
-    /// Processor sharing by the universal scalability law.
+    /// Processor sharing, with a throughput by the universal scalability law.
     Shared {
-        /// Throughput of a single request in flight, in completions a second.
+        /// Throughput with a single request in flight, in completions per second.
         single_throughput: f64,
-        /// Contention.
+        /// Contention of the universal scalability law.
         contention: f64,
-        /// Coherence.
+        /// Coherence of the universal scalability law.
         coherence: f64,
     },
 }
 
 impl UpstreamKind {
-    /// Draws a kind: one in three shared, the others queues.
+    /// Generates a random upstream: processor sharing with a probability of 1/3, otherwise a queue.
     #[must_use]
     pub fn random(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Throughput at saturation, in completions a second.
+    /// Returns the throughput at saturation, in completions per second.
     #[must_use]
     pub fn saturation_throughput(self) -> f64 {
         (1..MAX_CONCURRENCY)
@@ -57,7 +57,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Mean throughput with so many requests in flight, in completions a second.
+    /// Returns the mean throughput with `concurrency` requests in flight, in completions per
+    /// second.
     #[must_use]
     pub fn throughput(self, concurrency: f64) -> f64 {
         match self {
@@ -79,13 +80,13 @@
         }
     }
 
-    /// Mean latency of a single request in flight, in seconds.
+    /// Returns the mean latency with a single request in flight, in seconds.
     #[must_use]
     pub fn uncontended_latency(self) -> f64 {
         1.0 / self.throughput(1.0)
     }
 
-    /// Requests that are served at the same time; others wait.
+    /// Returns the maximum number of requests in service; others wait.
     pub(crate) fn servers(self) -> usize {
         match self {
             Self::Queue { servers, .. } => servers,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Work that each of so many requests gets done in a second, in the unit of
+    /// Returns the work done per second for each of `in_service` requests, in the unit of
     /// [`draw_work`](Self::draw_work).
     pub(crate) fn service_rate(self, in_service: usize) -> f64 {
         match self {
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Draws the work of a request: seconds at a server of a queue, or the share of a mean request.
+    /// Draws the work of a request: its service time in seconds for a queue, or a multiple of the
+    /// mean work for processor sharing.
     pub(crate) fn draw_work(self, random: &mut SmallRng) -> f64 {
         match self {
             Self::Queue {
@@ -115,7 +117,7 @@
     }
 }
 
-/// Draws from the exponential distribution of mean 1.
+/// Draws from the exponential distribution with mean 1.
 pub(crate) fn draw_exponential(random: &mut SmallRng) -> f64 {
     -(1.0 - random.random::<f64>()).ln()
 }
