--- a/crates/saturation-bench/tests/accuracy.rs
+++ b/crates/saturation-bench/tests/accuracy.rs
@@ -1,6 +1,5 @@
-//! Accuracy of the estimates while the load is only a part of the throughput at saturation, the
-//! time until a slow upstream is detected, and the goodput with a predictive limit compared with
-//! that of a reactive one.
+//! Accuracy of the estimates at partial load, time to detection of a slowdown, lead time of
+//! saturation warnings, and goodput of the predictive limit compared with the reactive one.
 
 use cleatpulley_saturation::ConcurrencyLimit;
 use cleatpulley_saturation_bench::{
@@ -63,7 +62,8 @@
 #[test]
 fn warns_of_saturation_ahead_of_a_ramp() {
     let truth = QUEUE.saturation_throughput();
-    // It rises by a hundredth of the throughput at saturation each second, and reaches it after 70.
+    // The load increases by 1% of the throughput at saturation per second, and reaches it after 70
+    // s.
     let arrival_rate = |now| truth * (0.3 + 0.01 * now);
     let mut warned = None;
     run(
@@ -78,11 +78,12 @@
             }
         },
     );
-    let ahead = 70.0 - warned.expect("it is warned of");
+    let ahead = 70.0 - warned.expect("a warning before saturation");
     assert!((15.0..45.0).contains(&ahead), "{ahead} s ahead");
 }
 
-/// An upstream whose throughput falls with concurrency, at 130% of its throughput at saturation.
+/// The load is 130% of the throughput at saturation of an upstream whose throughput decreases with
+/// concurrency.
 #[test]
 fn predictive_limit_has_no_less_goodput_than_the_reactive_one() {
     let kind = UpstreamKind::Shared {
@@ -103,9 +104,9 @@
     let none = relative_goodput(Limiter::Unlimited);
     let reactive = relative_goodput(Limiter::Reactive(ConcurrencyLimit::default()));
     let predicted = relative_goodput(Limiter::Predictive(ConcurrencyLimit::default()));
-    assert!(none < 0.2, "without a limit it falls over: {none}");
+    assert!(none < 0.2, "without a limit the goodput collapses: {none}");
     assert!(
         predicted >= reactive - 0.02 && predicted > 0.85,
-        "{predicted} beside {reactive}"
+        "{predicted} with predictions, {reactive} without"
     );
 }
