--- a/crates/saturation/src/completion.rs
+++ b/crates/saturation/src/completion.rs
@@ -1,15 +1,15 @@
-//! The completion of a request.
+//! Completions of requests.
 
 use cleatpulley_policy::interface::Micros;
 
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A request that completed.
+/// The completion of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Completion {
-    /// Requests that were in flight once it had been sent, itself included.
+    /// Number of requests in flight right after this one was sent, including itself.
     pub concurrency: usize,
-    /// Time from its sending to its completion.
+    /// Time from the sending of the request to its completion.
     pub latency: Micros,
 }
