--- a/crates/saturation/src/concurrency_limit.rs
+++ b/crates/saturation/src/concurrency_limit.rs
@@ -1,39 +1,41 @@
-//! A limit on the requests in flight at one upstream.
+//! Limit on the number of requests in flight at one upstream.
 //!
-//! It is reactive: additive increase while requests complete in time, multiplicative decrease where
-//! they take too long. A prediction may only move the limit within stated bounds, and only where
-//! its interval is narrow: without one, or where it is wrong, the reactive limit holds.
+//! The limit is reactive (AIMD): additive increase while latencies are acceptable, multiplicative
+//! decrease when they are too long. An estimate of the saturation point adjusts the limit only
+//! within fixed factors of the reactive one, and only if its interval is narrow, so that a missing
+//! or wrong estimate does little harm.
 
 use crate::completion::Completion;
 use crate::saturation_fit::SaturationEstimate;
 use cleatpulley_policy::interface::Micros;
 
-/// Largest ratio of the ends of an estimate's interval with which it is used.
+/// Maximum ratio of the upper to the lower end of an estimate's interval for the estimate to be
+/// used.
 const MAX_INTERVAL_RATIO: f64 = 1.6;
 /// Predicted limit as a multiple of the concurrency at saturation: a short queue keeps the servers
 /// busy.
 const QUEUE_FACTOR: f64 = 1.25;
-/// Least predicted limit, as a multiple of the reactive one.
+/// Minimum predicted limit, as a multiple of the reactive one.
 const MIN_PREDICTED_FACTOR: f64 = 0.5;
-/// Largest predicted limit, as a multiple of the reactive one.
+/// Maximum predicted limit, as a multiple of the reactive one.
 const MAX_PREDICTED_FACTOR: f64 = 2.0;
-/// Latency that is too long, as a multiple of the uncontended one.
+/// Latency that indicates overload, as a multiple of the uncontended one.
 const OVERLOAD_LATENCY_FACTOR: f64 = 2.5;
-/// Factor of a decrease.
+/// Factor of a multiplicative decrease.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Mean latencies between two decreases, at least: requests that were sent before a decrease still
+/// Minimum time between two decreases, in mean latencies: requests sent before a decrease still
 /// complete late.
 const DECREASE_INTERVAL_LATENCIES: Micros = 2;
-/// Requests in flight up to which a request is taken to be uncontended.
+/// Maximum concurrency at which a request counts as uncontended.
 const UNCONTENDED_CONCURRENCY: usize = 2;
 /// Smoothing weight of one request in the uncontended latency.
 const UNCONTENDED_WEIGHT: f64 = 0.02;
 /// Smoothing weight of one request in the recent latency.
 const RECENT_WEIGHT: f64 = 0.05;
-/// Reactive limit at the start.
+/// Initial reactive limit.
 const INITIAL_LIMIT: f64 = 4.0;
 
-/// The limit.
+/// An adaptive limit on the number of requests in flight.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     reactive: f64,
@@ -58,7 +60,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Adjusts the reactive limit to a completion, before which `in_flight` requests were in
+    /// Adjusts the reactive limit after a completion, before which `in_flight` requests were in
     /// flight.
     pub fn on_completion(&mut self, now: Micros, completion: Completion, in_flight: usize) {
         self.smooth_latencies(completion);
@@ -89,14 +91,15 @@
         }
     }
 
-    /// Sets the current estimate. None, or one with a wide interval, leaves the limit reactive.
+    /// Sets the current estimate. Without one, or with a wide interval, the limit is purely
+    /// reactive.
     pub fn set_estimate(&mut self, estimate: Option<&SaturationEstimate>) {
         self.predicted = estimate
             .filter(|estimate| estimate.high <= MAX_INTERVAL_RATIO * estimate.low)
             .map(|estimate| (QUEUE_FACTOR * estimate.concurrency).ceil() + 1.0);
     }
 
-    /// The number of requests that may be in flight, at least 1.
+    /// Returns the maximum number of requests in flight, at least 1.
     #[must_use]
     pub fn limit(&self) -> usize {
         let limit = match self.predicted {
