--- a/crates/saturation/src/concurrency_statistics.rs
+++ b/crates/saturation/src/concurrency_statistics.rs
@@ -1,18 +1,18 @@
-//! Sufficient statistics by the number of requests in flight.
+//! Sufficient statistics by level of concurrency.
 
-/// Numbers of requests below this have a level each.
+/// Number of lowest levels that cover a single concurrency each.
 const EXACT_LEVELS: usize = 32;
-/// Levels for each doubling beyond them.
+/// Number of levels for each doubling of the concurrency above the exact levels.
 const LEVELS_PER_DOUBLING: usize = 8;
-/// Doublings from the exact levels to [`MAX_CONCURRENCY`].
+/// Number of doublings from the exact levels to [`MAX_CONCURRENCY`].
 const DOUBLINGS: usize = 7;
-/// Largest number of requests in flight that is distinguished.
+/// Concurrency from which on all share the last level.
 const MAX_CONCURRENCY: usize = 4_096;
 /// Number of levels.
 const LEVELS: usize = EXACT_LEVELS + LEVELS_PER_DOUBLING * DOUBLINGS + 1;
 
-/// Observations of one upstream, of constant size, by levels of concurrency. Those of several
-/// observers add up.
+/// Observations of one upstream by level of concurrency, in constant memory. Statistics of several
+/// processes can be merged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConcurrencyStatistics {
     levels: [LevelStatistics; LEVELS],
@@ -21,31 +21,31 @@
 /// Observations at one level of concurrency.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LevelStatistics {
-    /// Time at this level, in seconds.
+    /// Time spent at this level, in seconds.
     pub seconds: f64,
-    /// Integral of the number in flight over that time, in request seconds.
+    /// Integral of the number of requests in flight over that time, in request-seconds.
     pub request_seconds: f64,
-    /// Requests that completed at this level.
+    /// Number of requests that completed at this level.
     pub completions: f64,
-    /// Completed requests that were sent at this level, themselves included in its number.
+    /// Number of completed requests that were at this level right after they were sent.
     pub sent: f64,
-    /// Sum of the latencies of those requests, in seconds.
+    /// Sum of the latencies of the requests sent at this level, in seconds.
     pub latency_sum: f64,
-    /// Sum of the squares of those latencies, in seconds squared.
+    /// Sum of the squared latencies of the requests sent at this level, in seconds squared.
     pub latency_square_sum: f64,
 }
 
 /// Sums over all levels.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Totals {
-    /// Requests that completed.
+    /// Number of completed requests.
     pub completions: f64,
-    /// Time observed, in seconds.
+    /// Observed time, in seconds.
     pub seconds: f64,
 }
 
 impl Totals {
-    /// Completions a second, 0 where no time was observed.
+    /// Returns the completions per second, 0 if no time was observed.
     #[must_use]
     pub fn throughput(&self) -> f64 {
         if self.seconds > 0.0 {
@@ -57,7 +57,7 @@
 }
 
 impl LevelStatistics {
-    /// Mean number of requests in flight at this level.
+    /// Returns the mean number of requests in flight at this level.
     #[must_use]
     pub fn concurrency(&self) -> f64 {
         if self.seconds > 0.0 {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Mean latency of the requests that were sent at this level, in seconds.
+    /// Returns the mean latency of the requests sent at this level, in seconds.
     #[must_use]
     pub fn mean_latency(&self) -> f64 {
         self.latency_sum / self.sent.max(1.0)
@@ -100,7 +100,7 @@
     }
 }
 
-/// The level that a number of requests in flight belongs to.
+/// Returns the index of the level of a number of requests in flight.
 fn level_index(in_flight: usize) -> usize {
     if in_flight < EXACT_LEVELS {
         return in_flight;
@@ -111,19 +111,19 @@
 }
 
 impl ConcurrencyStatistics {
-    /// Adds time during which so many requests were in flight.
+    /// Adds time during which `in_flight` requests were in flight.
     pub fn add_time(&mut self, in_flight: usize, seconds: f64) {
         let level = &mut self.levels[level_index(in_flight)];
         level.seconds += seconds;
         level.request_seconds += seconds * in_flight as f64;
     }
 
-    /// Adds a completion while so many requests were in flight, the completed one included.
+    /// Adds a completion at `in_flight` requests in flight, including the completed one.
     pub fn add_completion(&mut self, in_flight: usize) {
         self.levels[level_index(in_flight)].completions += 1.0;
     }
 
-    /// Adds the latency, in seconds, of a request after whose sending so many were in flight.
+    /// Adds the latency, in seconds, of a request that was sent as the `in_flight`-th in flight.
     pub fn add_latency(&mut self, in_flight: usize, seconds: f64) {
         let level = &mut self.levels[level_index(in_flight)];
         level.sent += 1.0;
@@ -131,26 +131,26 @@
         level.latency_square_sum += seconds * seconds;
     }
 
-    /// Scales the weight of all observations so far by a factor.
+    /// Multiplies the weight of all previous observations by a factor.
     pub fn scale(&mut self, factor: f64) {
         for level in &mut self.levels {
             level.scale(factor);
         }
     }
 
-    /// Adds the observations of others.
+    /// Adds the observations of other statistics.
     pub fn merge(&mut self, other: &Self) {
         for (level, added) in self.levels.iter_mut().zip(&other.levels) {
             level.merge(added);
         }
     }
 
-    /// The levels at which at least one request was in flight.
+    /// Returns the observed levels with at least one request in flight.
     pub fn busy_levels(&self) -> impl Iterator<Item = &LevelStatistics> {
         self.levels[1..].iter().filter(|level| level.seconds > 0.0)
     }
 
-    /// Sums of completions and time over all levels.
+    /// Returns the sums of completions and time over all levels.
     #[must_use]
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
@@ -161,7 +161,7 @@
         totals
     }
 
-    /// Mean latency of the completed requests, in seconds.
+    /// Returns the mean latency of the completed requests, in seconds.
     #[must_use]
     pub fn mean_latency(&self) -> f64 {
         let mut latency_sum = 0.0;
@@ -173,7 +173,7 @@
         latency_sum / sent.max(1.0)
     }
 
-    /// Mean number of requests in flight over time.
+    /// Returns the time-weighted mean number of requests in flight.
     #[must_use]
     pub fn mean_concurrency(&self) -> f64 {
         let mut request_seconds = 0.0;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Highest number of requests in flight that was observed for a time.
+    /// Returns the mean concurrency of the highest observed level.
     #[must_use]
     pub fn highest_concurrency(&self) -> f64 {
         self.busy_levels()
