--- a/crates/saturation/src/concurrency_statistics/tests.rs
+++ b/crates/saturation/src/concurrency_statistics/tests.rs
@@ -1,4 +1,4 @@
-//! Levels of concurrency, and merging.
+//! Levels of concurrency, and merging of statistics.
 
 use super::*;
 
