--- a/crates/saturation/src/lib.rs
+++ b/crates/saturation/src/lib.rs
@@ -1,27 +1,27 @@
-//! Predicts the saturation point of an upstream from what one process observes of it: when requests
-//! were sent, and when they completed. No I/O and no clock.
+//! Predicts the saturation point of an upstream from the times at which one process sent requests
+//! to it and at which they completed. This crate does no I/O and reads no clock.
 //!
-//! [`ConcurrencyStatistics`] count, for each number of requests in flight, how long that number was
-//! in flight and how many requests completed meanwhile. Natural fluctuations of the load show the
-//! curve of throughput over concurrency long before the mean load comes near its end. [`fit()`]
-//! fits a [`ThroughputCurve`] to it: a number of servers, with contention and coherence as in the
-//! universal scalability law. The result is a throughput with an interval, which is wide where the
-//! observations do not tell more.
+//! [`ConcurrencyStatistics`] record, for each level of concurrency (requests in flight), the time
+//! spent at it and the completions in that time. Natural fluctuations of the load reveal the curve
+//! of throughput over concurrency long before the mean load approaches saturation. [`fit()`] fits a
+//! [`ThroughputCurve`] to these statistics: a number of servers, with contention and coherence as
+//! in the universal scalability law. The result is the throughput at saturation with an interval,
+//! which is wide if the observations are not conclusive.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `upstream_model` | an [`UpstreamModel`]: observations of one upstream in, [`Prediction`]s out |
-//! | `concurrency_statistics` | sufficient statistics by the number of requests in flight |
-//! | `throughput_curve` | the family of curves |
-//! | `saturation_fit` | the likelihood of a grid of curves, and the estimate from it |
+//! | `upstream_model` | model that turns observations of one upstream into [`Prediction`]s |
+//! | `concurrency_statistics` | sufficient statistics by level of concurrency |
+//! | `throughput_curve` | the parametric family of curves |
+//! | `saturation_fit` | likelihoods on a grid of curves, and the estimate from them |
 //! | `throughput_history` | recent throughput, and its trend |
-//! | `concurrency_limit` | a reactive limit on requests in flight, which an estimate may move |
+//! | `concurrency_limit` | a reactive limit on requests in flight, which an estimate may adjust |
 //!
 //! ```
 //! use cleatpulley_saturation::{Completion, ModelSettings, UpstreamModel};
 //!
 //! let mut model = UpstreamModel::new(ModelSettings::default());
-//! // One request at a time, each for 10 ms: a throughput of 100 a second.
+//! // One request in flight at a time, with a latency of 10 ms: a throughput of 100 per second.
 //! for call in 0..2_000u64 {
 //!     let concurrency = model.on_request_sent(call * 10_000);
 //!     let completion = Completion {
