--- a/crates/saturation/src/saturation_fit.rs
+++ b/crates/saturation/src/saturation_fit.rs
@@ -1,46 +1,46 @@
-//! The fit of a curve to observations, and the estimate of the saturation point.
+//! Fits a curve to observations, and estimates the saturation point.
 //!
-//! With a given number of requests in flight, completions come at a constant rate, so that their
-//! count at a level is about Poisson distributed with the mean throughput times time. For each
-//! shape of a curve the most likely scale is known in closed form. The shapes lie on a grid and are
-//! weighted by their likelihood; the throughput at saturation is given by quantiles of these
-//! weights. Unlike a search along gradients, this needs no starting value and no stopping rule.
+//! At a constant concurrency, completions occur at a constant rate, so that their count at a level
+//! is approximately Poisson distributed with mean throughput times time. For each shape of a curve,
+//! the maximum likelihood scale has a closed form. The shapes on a grid are weighted by their
+//! likelihood, and the throughput at saturation is estimated by quantiles of these weights. Unlike
+//! gradient-based optimization, this needs no initial value and no stopping criterion.
 
 use crate::concurrency_statistics::{ConcurrencyStatistics, LevelStatistics};
 use crate::throughput_curve::{CurveShape, ThroughputCurve};
 
-/// Contentions on the grid.
+/// Values of the contention on the grid.
 const CONTENTIONS: [f64; 7] = [0.0, 0.01, 0.03, 0.07, 0.15, 0.3, 0.5];
-/// Coherences on the grid.
+/// Values of the coherence on the grid.
 const COHERENCES: [f64; 8] = [0.0, 3e-5, 1e-4, 3e-4, 1e-3, 3e-3, 1e-2, 3e-2];
-/// Numbers of servers up to this one are all on the grid.
+/// All numbers of servers up to this one are on the grid; above it they form a geometric series.
 const EXACT_SERVERS: usize = 12;
-/// Ratio of neighbouring numbers of servers beyond.
+/// Minimum ratio of the geometric series of numbers of servers.
 const SERVERS_RATIO: f64 = 1.12;
-/// Numbers of servers beyond, at most: the ratio is raised for them, so that the time of a fit is
-/// bounded.
+/// Maximum number of steps in that series. The ratio is raised to meet it, so that the time of a
+/// fit is bounded.
 const MAX_RATIO_STEPS: f64 = 24.0;
-/// Largest number of servers on the grid, as a multiple of the highest concurrency observed; more
+/// Maximum number of servers on the grid, as a multiple of the highest observed concurrency; more
 /// servers make no difference to the observations.
 const SERVERS_PER_OBSERVED: f64 = 3.0;
-/// Least value of that largest number.
+/// Lower bound of the maximum number of servers on the grid.
 const MIN_LARGEST_SERVERS: f64 = 4.0;
-/// Weight of the log-likelihood in the interval. Requests that are in flight together complete
-/// together, so that counts carry less information than independent ones; at full weight the
+/// Weight of the log-likelihood in the interval. Requests in flight together tend to complete
+/// together, so that their counts carry less information than independent ones; at full weight the
 /// interval would be too narrow.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// Weight of the log-likelihood in the median. A lower one leans towards many servers where the
-/// observations say little.
+/// Weight of the log-likelihood in the median. A lower one is biased towards many servers if the
+/// observations are not conclusive.
 const MEDIAN_WEIGHT: f64 = 1.0;
-/// Quantiles of the ends of the interval.
+/// Quantiles at the ends of the interval.
 const INTERVAL_QUANTILES: [f64; 2] = [0.05, 0.95];
-/// Half of the relative distance of neighbours on the grid, by which the interval is widened.
+/// Half of the relative distance between neighbours on the grid, by which the interval is widened.
 const GRID_MARGIN: f64 = 0.02;
-/// Completions below which there is no estimate.
+/// Minimum number of completions for an estimate.
 const MIN_COMPLETIONS: f64 = 50.0;
-/// Least relative variance of latencies that is assumed.
+/// Lower bound of the relative variance of latencies.
 const MIN_RELATIVE_VARIANCE: f64 = 1e-4;
-/// Least square of a mean latency that is divided by, in seconds squared.
+/// Lower bound of a squared mean latency used as a divisor, in seconds squared.
 const MIN_LATENCY_SQUARE: f64 = 1e-18;
 
 /// An estimate of the saturation point.
@@ -50,11 +50,11 @@
     pub curve: ThroughputCurve,
     /// Median of the throughput at saturation, in completions a second.
     pub throughput: f64,
-    /// Lower end of the 90% interval of that throughput.
+    /// Lower end of the 90% interval of the throughput at saturation.
     pub low: f64,
-    /// Upper end of the interval.
+    /// Upper end of that interval.
     pub high: f64,
-    /// Requests in flight at the saturation point of the most likely curve.
+    /// Number of requests in flight at the saturation point of the most likely curve.
     pub concurrency: f64,
 }
 
@@ -62,12 +62,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     curve: ThroughputCurve,
-    /// Throughput at its saturation point.
+    /// Throughput at the saturation point of the curve.
     peak_throughput: f64,
     log_likelihood: f64,
 }
 
-/// Estimates the saturation point; none where fewer than 50 requests completed.
+/// Estimates the saturation point. Returns `None` if fewer than 50 requests completed.
 #[must_use]
 pub fn fit(statistics: &ConcurrencyStatistics) -> Option<SaturationEstimate> {
     let observations = Observations::of(statistics);
@@ -90,7 +90,7 @@
     })
 }
 
-/// The peak throughput below which the candidates have this share of all weight. Their weights are
+/// Returns the weighted quantile of the candidates' peak throughputs at `share`. The weights are
 /// the likelihoods relative to the best one, raised to a power.
 fn quantile(candidates: &[Candidate], best_log_likelihood: f64, power: f64, share: f64) -> f64 {
     let weight = |candidate: &Candidate| {
@@ -127,7 +127,7 @@
     candidates
 }
 
-/// The numbers of servers on the grid: all small ones, then a geometric series.
+/// Returns the numbers of servers on the grid: all small ones, then a geometric series.
 fn servers_on_grid(highest_concurrency: f64) -> Vec<f64> {
     let largest = (SERVERS_PER_OBSERVED * highest_concurrency).max(MIN_LARGEST_SERVERS);
     let bounded_ratio = (largest / EXACT_SERVERS as f64).powf(1.0 / MAX_RATIO_STEPS);
@@ -144,12 +144,12 @@
     grid
 }
 
-/// What is fitted to.
+/// The observations that a curve is fitted to.
 struct Observations {
-    /// The levels at which at least one request was in flight.
+    /// The observed levels with at least one request in flight.
     levels: Vec<LevelStatistics>,
     completions: f64,
-    /// Variance of latencies relative to their mean, pooled over the levels.
+    /// Relative variance of latencies, pooled over the levels.
     relative_latency_variance: f64,
 }
 
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Scales a shape to the observations, and computes its likelihood. `speedups` is a buffer with
-    /// a place for each level.
+    /// Scales a shape to the observations, and computes its likelihood. `speedups` is a scratch
+    /// buffer with one element per level.
     fn evaluate(&self, shape: CurveShape, speedups: &mut [f64]) -> Candidate {
         let mut expected_per_scale = 0.0;
         for (level, speedup) in self.levels.iter().zip(speedups.iter_mut()) {
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Log-likelihood of the Poisson counts of completions, up to what is the same for all curves.
+    /// Returns the log-likelihood of the Poisson counts of completions, up to a constant that is
+    /// the same for all curves.
     fn completion_log_likelihood(&self, single_throughput: f64, speedups: &[f64]) -> f64 {
         self.levels
             .iter()
@@ -193,9 +194,10 @@
             .sum::<f64>()
     }
 
-    /// Log-likelihood of the mean latencies, up to what is the same for all curves. By Little's law
-    /// a request that is sent as the n-th in flight takes n divided by the throughput at n, whether
-    /// it waits for a server or shares one. Latencies say more than counts where they vary little.
+    /// Returns the log-likelihood of the mean latencies, up to a constant that is the same for all
+    /// curves. By Little's law the latency of a request sent as the n-th in flight is n divided by
+    /// the throughput at n, whether it waits for a server or shares one. Latencies with a low
+    /// variance carry more information than counts.
     fn latency_log_likelihood(&self, single_throughput: f64, speedups: &[f64]) -> f64 {
         let squared_errors = self
             .levels
@@ -210,7 +212,8 @@
     }
 }
 
-/// Variance of latencies relative to their mean, pooled: one level may have seen too few requests.
+/// Returns the relative variance of latencies, pooled over the levels because a single one may have
+/// too few requests.
 fn relative_latency_variance(levels: &[LevelStatistics]) -> f64 {
     let mut sent: f64 = 0.0;
     let mut squared_deviations = 0.0;
