--- a/crates/saturation/src/throughput_curve.rs
+++ b/crates/saturation/src/throughput_curve.rs
@@ -1,4 +1,4 @@
-//! The family of curves of throughput over concurrency.
+//! Parametric family of curves of throughput over concurrency.
 //!
 //! With `n` requests in flight at `c` servers, of which `m = min(n, c)` are busy, the throughput is
 //! `r m / (1 + s (m - 1) + k n (n - 1))`: the universal scalability law (N. Gunther) with
@@ -8,41 +8,40 @@
 /// A curve of throughput over the number of requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ThroughputCurve {
-    /// Throughput of a single request in flight, in completions a second.
+    /// Throughput with a single request in flight, in completions per second.
     pub single_throughput: f64,
-    /// Its shape.
+    /// Shape of the curve.
     pub shape: CurveShape,
 }
 
-/// The shape of a curve: its throughput as a multiple of that of a single request in flight.
+/// The shape of a curve: the throughput as a multiple of that with a single request in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CurveShape {
-    /// Number of servers; more requests in flight wait.
+    /// Number of servers. Requests in flight beyond it wait.
     pub servers: f64,
-    /// Contention: share of the work that is serialised.
+    /// Contention: share of the work that is serialized.
     pub contention: f64,
-    /// Coherence: what each request in flight costs each other one.
+    /// Coherence: cost that each request in flight imposes on every other one.
     pub coherence: f64,
 }
 
 /// The saturation point of a curve.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Peak {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub concurrency: f64,
-    /// Throughput, in completions a second.
+    /// Throughput, in completions per second.
     pub throughput: f64,
 }
 
 impl ThroughputCurve {
-    /// Throughput with so many requests in flight, in completions a second.
+    /// Returns the throughput with `concurrency` requests in flight, in completions per second.
     #[must_use]
     pub fn throughput(&self, concurrency: f64) -> f64 {
         self.single_throughput * self.shape.speedup(concurrency)
     }
 
-    /// The saturation point: the concurrency of the highest throughput, and the least one where
-    /// several have it.
+    /// Returns the saturation point: the lowest concurrency with the highest throughput.
     #[must_use]
     pub fn peak(&self) -> Peak {
         let concurrency = self.shape.peak_concurrency();
@@ -54,7 +53,8 @@
 }
 
 impl CurveShape {
-    /// Throughput with so many requests in flight, as a multiple of that of a single one.
+    /// Returns the throughput with `concurrency` requests in flight, as a multiple of that with a
+    /// single one.
     #[must_use]
     pub fn speedup(&self, concurrency: f64) -> f64 {
         let busy = concurrency.min(self.servers);
@@ -63,8 +63,8 @@
         busy / (1.0 + contention + coherence)
     }
 
-    /// Concurrency of the highest throughput: `sqrt((1 - s) / k)` by the universal scalability law,
-    /// and at most the number of servers.
+    /// Returns the concurrency of the highest throughput: `sqrt((1 - s) / k)` by the universal
+    /// scalability law, but at most the number of servers.
     fn peak_concurrency(&self) -> f64 {
         if self.coherence <= 0.0 {
             return self.servers;
