--- a/crates/saturation/src/throughput_history.rs
+++ b/crates/saturation/src/throughput_history.rs
@@ -1,13 +1,14 @@
 //! Recent throughput, and its trend.
 
-/// Windows that are remembered.
+/// Number of windows in the history.
 const WINDOWS: usize = 16;
-/// Fewest windows that a trend is computed from.
+/// Minimum number of windows for a trend.
 const MIN_WINDOWS: usize = 4;
-/// Standard deviations that a rise has to exceed: a smaller one may be chance.
+/// Minimum slope of a significant trend, in standard deviations; a smaller one may be due to
+/// chance.
 const SIGNIFICANT_SIGMAS: f64 = 2.0;
 
-/// Throughput of the last windows, in completions a second, the latest last.
+/// Throughput of the latest windows, in completions per second, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ThroughputHistory {
     throughputs: [f64; WINDOWS],
@@ -16,9 +17,9 @@
 /// A linear trend of the throughput.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Trend {
-    /// Rise a second, in completions a second; 0 where it is not significant.
+    /// Slope, in completions per second per second; 0 unless it is a significant rise.
     pub(crate) slope: f64,
-    /// Level at the latest window, in completions a second.
+    /// Level at the latest window, in completions per second.
     pub(crate) level: f64,
 }
 
@@ -29,12 +30,12 @@
         self.throughputs[WINDOWS - 1] = throughput;
     }
 
-    /// The throughput of the latest window.
+    /// Returns the throughput of the latest window.
     pub(crate) fn latest(&self) -> f64 {
         self.throughputs[WINDOWS - 1]
     }
 
-    /// The trend by least squares over the windows since the first with a completion.
+    /// Returns the least squares trend over the windows since the first one with a completion.
     pub(crate) fn trend(&self, window_seconds: f64) -> Trend {
         let known: Vec<f64> = self
             .throughputs
