--- a/crates/saturation/src/upstream_model.rs
+++ b/crates/saturation/src/upstream_model.rs
@@ -1,4 +1,4 @@
-//! The model of one upstream: its observations, what is forgotten of them, and the prediction.
+//! Model of one upstream: observations that decay over time, regime changes and predictions.
 
 use crate::completion::{Completion, MICROS_PER_SECOND};
 use crate::concurrency_statistics::ConcurrencyStatistics;
@@ -6,23 +6,23 @@
 use crate::throughput_history::ThroughputHistory;
 use cleatpulley_policy::interface::Micros;
 
-/// Variance of the completions in a window, as a multiple of a Poisson count's: completions that
-/// come together vary more.
+/// Variance of the completions in a window, relative to that of a Poisson count: completions that
+/// occur together vary more.
 const OVERDISPERSION: f64 = 2.0;
-/// Fewest expected completions that the variance is computed from.
+/// Lower bound of the expected completions that the variance is computed from.
 const MIN_EXPECTED: f64 = 4.0;
-/// Least relative difference from the expected completions that is a regime change.
+/// Minimum relative difference from the expected completions in a regime change.
 const MIN_REGIME_DIFFERENCE: f64 = 0.2;
 
-/// How fast the model forgets, and when it detects a regime change.
+/// Settings of the decay of observations and of the detection of regime changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ModelSettings {
-    /// Time after which the weight of an observation has halved.
+    /// Half-life of the weight of an observation.
     pub half_life: Micros,
     /// Length of a window. Each window is compared with the observations before it.
     pub window: Micros,
-    /// Standard deviations from the expected completions in a window beyond which it is the start
-    /// of another regime.
+    /// Minimum difference of a window's completions from the expected ones in a regime change, in
+    /// standard deviations.
     pub regime_change_sigmas: f64,
 }
 
@@ -36,22 +36,23 @@
     }
 }
 
-/// What the model predicts of an upstream.
+/// A prediction for an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prediction {
-    /// The estimate of the saturation point, where enough was observed.
+    /// Estimate of the saturation point, if there were enough observations.
     pub estimate: Option<SaturationEstimate>,
-    /// Throughput of the latest window, in completions a second.
+    /// Throughput of the latest window, in completions per second.
     pub throughput: f64,
-    /// Relative difference between the mean number in flight and throughput times mean latency,
-    /// which are equal in a steady state by Little's law. Where it is large, requests pile up, and
-    /// the estimate is not that of a steady upstream.
+    /// Relative difference between the mean number of requests in flight and throughput times mean
+    /// latency, which are equal in a steady state by Little's law. A large value means that
+    /// requests accumulate, and that the estimate does not describe a steady state.
     pub littles_law_error: f64,
-    /// Share of the throughput at saturation that is unused.
+    /// Unused share of the throughput at saturation.
     pub headroom: Option<f64>,
-    /// Seconds until saturation if the throughput goes on to rise as it does, where it rises.
+    /// Time to saturation at the current trend of the throughput, in seconds; `None` if it does not
+    /// rise.
     pub seconds_to_saturation: Option<f64>,
-    /// Regime changes since the start.
+    /// Number of regime changes since the model was created.
     pub regime_changes: u32,
 }
 
@@ -65,14 +66,14 @@
     window: ConcurrencyStatistics,
     window_start: Micros,
     in_flight: usize,
-    /// Time of the latest call; 0 before the first one.
+    /// Time of the latest event or prediction; 0 before the first one.
     last_update: Micros,
     throughputs: ThroughputHistory,
     regime_changes: u32,
 }
 
 impl UpstreamModel {
-    /// A model without observations.
+    /// Creates a model without observations.
     #[must_use]
     pub fn new(settings: ModelSettings) -> Self {
         Self {
@@ -87,15 +88,15 @@
         }
     }
 
-    /// Notes that a request was sent; returns how many are in flight now, for its
-    /// [`Completion`].
+    /// Handles the sending of a request. Returns the number of requests in flight including it, for
+    /// its [`Completion`].
     pub fn on_request_sent(&mut self, now: Micros) -> usize {
         self.advance_time(now);
         self.in_flight += 1;
         self.in_flight
     }
 
-    /// Notes that a request completed.
+    /// Handles the completion of a request.
     pub fn on_completion(&mut self, now: Micros, completion: Completion) {
         self.advance_time(now);
         let latency_seconds = completion.latency as f64 / MICROS_PER_SECOND;
@@ -105,13 +106,14 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// All observations of the current regime, which may be merged with those of other processes.
+    /// Returns all observations of the current regime, which can be merged with those of other
+    /// processes.
     #[must_use]
     pub fn statistics(&self) -> ConcurrencyStatistics {
         let mut statistics = self.history.clone();
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Adds the time since the latest call to the window, and ends the window when it is over.
+    /// Adds the time since the latest update to the window, and ends the window when its length is
+    /// reached.
     fn advance_time(&mut self, now: Micros) {
         if self.last_update == 0 {
             self.last_update = now;
@@ -161,7 +164,7 @@
         let length = self.last_update.saturating_sub(self.window_start) as f64;
         self.throughputs.push(self.window.totals().throughput());
         if self.is_regime_change() {
-            // Observations of the former regime say nothing about this one.
+            // Observations of the previous regime don't apply to the new one.
             self.history = ConcurrencyStatistics::default();
             self.regime_changes += 1;
         } else {
@@ -173,11 +176,11 @@
         self.window_start = self.last_update;
     }
 
-    /// Whether the completions in the window differ significantly from what the history predicts
-    /// for the numbers in flight.
+    /// Returns whether the completions in the window differ significantly from those that the
+    /// history predicts at the same concurrency.
     ///
-    /// Concurrency above the highest one in the history is expected to have the throughput of that
-    /// one: how the curve goes on is not known, and must not raise an alarm.
+    /// At a concurrency above the highest one in the history, the throughput at the highest one is
+    /// expected: the curve is unknown beyond it, which must not cause a false alarm.
     fn is_regime_change(&self) -> bool {
         let Some(estimate) = fit(&self.history) else {
             return false;
@@ -204,7 +207,8 @@
     }
 }
 
-/// Relative difference between the mean number in flight and throughput times mean latency.
+/// Returns the relative difference between the mean number of requests in flight and throughput
+/// times mean latency.
 fn littles_law_error(statistics: &ConcurrencyStatistics) -> f64 {
     let expected = statistics.totals().throughput() * statistics.mean_latency();
     if expected > 0.0 {
