--- a/crates/saturation/tests/concurrency_limit.rs
+++ b/crates/saturation/tests/concurrency_limit.rs
@@ -1,10 +1,10 @@
-//! The limit on requests in flight: its reactive part, and how far an estimate moves it.
+//! The limit on requests in flight: the reactive limit, and its adjustment by an estimate.
 
 use cleatpulley_saturation::{
     Completion, ConcurrencyLimit, CurveShape, SaturationEstimate, ThroughputCurve,
 };
 
-/// An estimate of saturation at a concurrency, with an interval of the throughput.
+/// Returns an estimate of saturation at a concurrency, with an interval of the throughput.
 fn estimate(concurrency: f64, low: f64, high: f64) -> SaturationEstimate {
     let shape = CurveShape {
         servers: concurrency,
@@ -28,11 +28,15 @@
     let mut limit = ConcurrencyLimit::default();
     assert_eq!(limit.limit(), 4);
     limit.set_estimate(Some(&estimate(100.0, 0.9, 1.1)));
-    assert_eq!(limit.limit(), 8, "twice the reactive at most");
+    assert_eq!(limit.limit(), 8, "at most twice the reactive limit");
     limit.set_estimate(Some(&estimate(0.1, 0.9, 1.1)));
-    assert_eq!(limit.limit(), 2, "half of it at least");
+    assert_eq!(limit.limit(), 2, "at least half of the reactive limit");
     limit.set_estimate(Some(&estimate(100.0, 0.5, 2.0)));
-    assert_eq!(limit.limit(), 4, "a wide one says nothing");
+    assert_eq!(
+        limit.limit(),
+        4,
+        "an estimate with a wide interval is ignored"
+    );
 }
 
 #[test]
