--- a/crates/saturation/tests/saturation_fit.rs
+++ b/crates/saturation/tests/saturation_fit.rs
@@ -1,8 +1,8 @@
-//! Estimates from observations that a known curve gives.
+//! Estimates from observations that are generated from a known curve.
 
 use cleatpulley_saturation::{fit, ConcurrencyStatistics, CurveShape, ThroughputCurve};
 
-/// The observations of a curve, at each number of requests in flight for a while.
+/// Generates observations of a curve, for `seconds` at each concurrency up to `highest`.
 fn observe(curve: ThroughputCurve, highest: usize, seconds: f64) -> ConcurrencyStatistics {
     let mut statistics = ConcurrencyStatistics::default();
     for in_flight in 1..=highest {
@@ -15,7 +15,7 @@
     statistics
 }
 
-/// A queue with some servers.
+/// Returns the curve of a queue with `servers` servers.
 fn queue(servers: f64, single_throughput: f64) -> ThroughputCurve {
     ThroughputCurve {
         single_throughput,
@@ -41,7 +41,7 @@
         let peak = curve.peak();
         let rate = peak.throughput;
         let statistics = observe(curve, (1.3 * peak.concurrency) as usize + 2, 20.0);
-        let fit = fit(&statistics).expect("much was seen");
+        let fit = fit(&statistics).expect("there are enough completions");
         assert!(
             (fit.throughput / rate - 1.0).abs() < 0.03,
             "{fit:?} of {rate}"
@@ -56,8 +56,8 @@
 #[test]
 fn interval_is_wide_far_from_saturation_and_too_few_completions_give_no_estimate() {
     let curve = queue(40.0, 20.0);
-    let far = fit(&observe(curve, 4, 20.0)).expect("much was seen");
-    let near = fit(&observe(curve, 50, 20.0)).expect("much was seen");
+    let far = fit(&observe(curve, 4, 20.0)).expect("there are enough completions");
+    let near = fit(&observe(curve, 50, 20.0)).expect("there are enough completions");
     assert!(
         far.high / far.low > 2.0 && near.high / near.low < 1.2,
         "{far:?} {near:?}"
