--- a/crates/connection-admission/src/address_prefix.rs
+++ b/crates/connection-admission/src/address_prefix.rs
@@ -15,31 +15,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AddressPrefix {
     address: IpAddr,
-    bits: u8,
+    length: u8,
 }
 
 impl AddressPrefix {
-    /// Returns the prefix of `bits` bits that contains an address. `bits` is capped at the length
-    /// of the address.
+    /// Returns the prefix of `length` bits that contains an address. `length` is capped at the
+    /// length of the address.
     #[must_use]
-    pub fn containing(address: IpAddr, bits: u8) -> Self {
+    pub fn containing(address: IpAddr, length: u8) -> Self {
         match address.to_canonical() {
             IpAddr::V4(ipv4) => {
-                let bits = bits.min(IPV4_BITS);
-                let host_bits = u32::from(IPV4_BITS - bits);
+                let length = length.min(IPV4_BITS);
+                let host_bits = u32::from(IPV4_BITS - length);
                 let mask = u32::MAX.checked_shl(host_bits).unwrap_or(0);
                 Self {
                     address: Ipv4Addr::from(u32::from(ipv4) & mask).into(),
-                    bits,
+                    length,
                 }
             }
             IpAddr::V6(ipv6) => {
-                let bits = bits.min(IPV6_BITS);
-                let host_bits = u32::from(IPV6_BITS - bits);
+                let length = length.min(IPV6_BITS);
+                let host_bits = u32::from(IPV6_BITS - length);
                 let mask = u128::MAX.checked_shl(host_bits).unwrap_or(0);
                 Self {
                     address: Ipv6Addr::from(u128::from(ipv6) & mask).into(),
-                    bits,
+                    length,
                 }
             }
         }
@@ -55,7 +55,8 @@
     #[must_use]
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
-        address.is_ipv4() == self.address.is_ipv4() && Self::containing(address, self.bits) == *self
+        address.is_ipv4() == self.address.is_ipv4()
+            && Self::containing(address, self.length) == *self
     }
 
     /// Returns a hash of the prefix. The seed is secret, so that clients can't choose addresses
@@ -65,10 +66,10 @@
         match self.address {
             IpAddr::V4(ipv4) => {
                 let [a, b, c, d] = ipv4.octets();
-                xxh3_64_with_seed(&[a, b, c, d, self.bits, 0, 0, 4], seed)
+                xxh3_64_with_seed(&[a, b, c, d, self.length, 0, 0, 4], seed)
             }
             IpAddr::V6(ipv6) => {
-                let mut bytes = [self.bits; 17];
+                let mut bytes = [self.length; 17];
                 bytes[..16].copy_from_slice(&ipv6.octets());
                 xxh3_64_with_seed(&bytes, seed)
             }
@@ -78,7 +79,7 @@
 
 impl fmt::Display for AddressPrefix {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.address, self.bits)
+        write!(f, "{}/{}", self.address, self.length)
     }
 }
 
@@ -95,12 +96,12 @@
     /// Returns the prefix by which an address, in its canonical form, is grouped.
     #[must_use]
     pub fn prefix_of(self, address: IpAddr) -> AddressPrefix {
-        let bits = if address.is_ipv4() {
+        let length = if address.is_ipv4() {
             self.ipv4
         } else {
             self.ipv6
         };
-        AddressPrefix::containing(address, bits)
+        AddressPrefix::containing(address, length)
     }
 }
 
@@ -108,10 +109,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePrefixError {
     /// The text is neither an address nor a prefix in CIDR notation.
-    #[error("{0:?} is no address, and no net such as 10.0.0.0/24 or 2001:db8::/64")]
+    #[error("{0:?} is neither an IP address nor a prefix such as 10.0.0.0/24 or 2001:db8::/64")]
     Malformed(String),
     /// The address has bits set beyond the prefix.
-    #[error("{text:?} has bits beyond its prefix: {prefix} is meant, or the address alone")]
+    #[error("{text:?} has bits beyond its prefix: use {prefix} or the address alone")]
     BitsBeyondPrefix {
         /// The text that was parsed.
         text: String,
@@ -134,23 +135,23 @@
     fn from_str(text: &str) -> Result<Self, ParsePrefixError> {
         let malformed = || ParsePrefixError::Malformed(text.to_owned());
         let (address_text, bits_text) = match text.split_once('/') {
-            Some((address, bits)) => (address, Some(bits)),
+            Some((address, length)) => (address, Some(length)),
             None => (text, None),
         };
         let address: IpAddr = address_text.parse().map_err(|_| malformed())?;
-        let max_bits = if address.is_ipv4() {
+        let max_length = if address.is_ipv4() {
             IPV4_BITS
         } else {
             IPV6_BITS
         };
-        let bits = match bits_text {
-            Some(bits) => bits.parse().map_err(|_| malformed())?,
-            None => max_bits,
+        let length = match bits_text {
+            Some(length) => length.parse().map_err(|_| malformed())?,
+            None => max_length,
         };
-        if bits > max_bits {
+        if length > max_length {
             return Err(malformed());
         }
-        let prefix = Self::containing(address, bits);
+        let prefix = Self::containing(address, length);
         if prefix.address != address {
             return Err(ParsePrefixError::BitsBeyondPrefix {
                 text: text.to_owned(),
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -270,7 +270,7 @@
         ),
         (
             "named: ['a', 'b']",
-            "admission.named[0]: \"a\" is no address",
+            "admission.named[0]: \"a\" is neither an IP address nor a prefix",
         ),
         (
             "reserve: 0.95",
