--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -10,15 +10,15 @@
 
 /// Ratio of the address sketch's width to the prefix sketch's: fewer prefixes than addresses are
 /// active at the same time.
-const ADDRESSES_PER_PREFIX: usize = 8;
+const PREFIX_SKETCH_WIDTH_DIVISOR: usize = 8;
 
 /// The buckets of one rate limit; `None` if the limit is not configured.
 #[derive(Debug)]
-struct Limiter {
+struct RateLimiter {
     sketch: Option<RateSketch>,
 }
 
-impl Limiter {
+impl RateLimiter {
     fn read(&self, now: Micros, key: u64) -> Option<BucketReading> {
         self.sketch.as_ref().map(|sketch| sketch.read(now, key))
     }
@@ -44,8 +44,8 @@
 /// The rate limits on new connections by address and by prefix.
 #[derive(Debug)]
 pub(crate) struct ConnectionRates {
-    by_address: Limiter,
-    by_prefix: Limiter,
+    by_address: RateLimiter,
+    by_prefix: RateLimiter,
     hash_seed: u64,
 }
 
@@ -55,16 +55,16 @@
             .address_limits
             .rate
             .map(|limit| RateSketch::new(limit, settings.sketch_width, now));
-        let prefix_width = settings.sketch_width / ADDRESSES_PER_PREFIX;
+        let prefix_width = settings.sketch_width / PREFIX_SKETCH_WIDTH_DIVISOR;
         let prefix_sketch = settings
             .prefix_limits
             .rate
             .map(|limit| RateSketch::new(limit, prefix_width, now));
         Self {
-            by_address: Limiter {
+            by_address: RateLimiter {
                 sketch: address_sketch,
             },
-            by_prefix: Limiter {
+            by_prefix: RateLimiter {
                 sketch: prefix_sketch,
             },
             hash_seed: settings.seed,
