--- a/crates/connection-admission/src/admission.rs
+++ b/crates/connection-admission/src/admission.rs
@@ -190,7 +190,7 @@
 
     /// Handles the first complete message of a connection.
     pub fn on_first_message(&mut self, id: ConnectionId) {
-        self.connections.set_spoken(id);
+        self.connections.mark_message_sent(id);
     }
 
     /// Credits the reputation of a connection's client for a complete request that was served.
--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -15,7 +15,7 @@
     pub(crate) trust_level: TrustLevel,
     admitted_at: Micros,
     /// Whether it has sent a complete message.
-    has_spoken: bool,
+    has_sent_message: bool,
 }
 
 /// The connections of unknown clients in one prefix.
@@ -118,7 +118,7 @@
     pub(crate) fn is_silent(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
-            .is_some_and(|connection| !connection.has_spoken)
+            .is_some_and(|connection| !connection.has_sent_message)
     }
 
     /// Returns the silent connection of a trust level that was admitted first, if its admission
@@ -126,16 +126,16 @@
     pub(crate) fn longest_silent(
         &self,
         trust_level: TrustLevel,
-        admitted_by: impl FnOnce(Micros) -> bool,
+        is_old_enough: impl FnOnce(Micros) -> bool,
     ) -> Option<ConnectionId> {
-        let least = SilentConnection {
+        let lower_bound = SilentConnection {
             trust_level,
             admitted_at: 0,
             id: 0,
         };
-        let oldest = self.silent.range(least..).next()?;
-        let is_due = oldest.trust_level == trust_level && admitted_by(oldest.admitted_at);
-        is_due.then_some(oldest.id)
+        let oldest = self.silent.range(lower_bound..).next()?;
+        let is_match = oldest.trust_level == trust_level && is_old_enough(oldest.admitted_at);
+        is_match.then_some(oldest.id)
     }
 
     pub(crate) fn insert(
@@ -151,7 +151,7 @@
             prefix,
             trust_level,
             admitted_at: now,
-            has_spoken: false,
+            has_sent_message: false,
         };
         if self.connections.insert(id, connection).is_some() {
             return;
@@ -183,14 +183,14 @@
     }
 
     /// Records that a connection has sent its first complete message.
-    pub(crate) fn set_spoken(&mut self, id: ConnectionId) {
+    pub(crate) fn mark_message_sent(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if connection.has_spoken {
+        if connection.has_sent_message {
             return;
         }
-        connection.has_spoken = true;
+        connection.has_sent_message = true;
         self.silent.remove(&SilentConnection {
             trust_level: connection.trust_level,
             admitted_at: connection.admitted_at,
@@ -214,8 +214,8 @@
             connection.prefix,
             TrustLevel::Allowlisted,
         );
-        if connection.has_spoken {
-            self.set_spoken(id);
+        if connection.has_sent_message {
+            self.mark_message_sent(id);
         }
     }
 
--- a/crates/connection-admission/src/eviction.rs
+++ b/crates/connection-admission/src/eviction.rs
@@ -50,14 +50,16 @@
         new: &NewConnection,
         is_idle: &impl Fn(ConnectionId) -> bool,
     ) -> Option<ConnectionId> {
-        self.silent_too_long(new.arrived_at, TrustLevel::Unknown)
+        self.longest_silent_after_grace_period(new.arrived_at, TrustLevel::Unknown)
             .or_else(|| {
                 self.prefixes_with_more_slots(0)
-                    .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
+                    .find_map(|prefix| self.victim_in_prefix(prefix, 0, is_idle))
             })
-            .or_else(|| self.silent_too_long(new.arrived_at, TrustLevel::Reputable))
             .or_else(|| {
-                self.silent_too_long(new.arrived_at, TrustLevel::Allowlisted)
+                self.longest_silent_after_grace_period(new.arrived_at, TrustLevel::Reputable)
+            })
+            .or_else(|| {
+                self.longest_silent_after_grace_period(new.arrived_at, TrustLevel::Allowlisted)
                     .filter(|_| new.trust_level == TrustLevel::Allowlisted)
             })
     }
@@ -77,13 +79,17 @@
         // If all connections of the largest prefix have pending requests, the next one is tried.
         self.prefixes_with_more_slots(prefix_slots + 1)
             .filter(|_| !is_bug_injected(InjectedBug::PrefixQuotaStuck))
-            .find_map(|prefix| self.cheapest_in_prefix(prefix, 0, is_idle))
-            .or_else(|| self.cheapest_in_prefix(new.prefix, address_slots + 1, is_idle))
-            .or_else(|| self.silent_too_long(new.arrived_at, TrustLevel::Unknown))
+            .find_map(|prefix| self.victim_in_prefix(prefix, 0, is_idle))
+            .or_else(|| self.victim_in_prefix(new.prefix, address_slots + 1, is_idle))
+            .or_else(|| self.longest_silent_after_grace_period(new.arrived_at, TrustLevel::Unknown))
     }
 
     /// Returns the longest silent connection of a trust level, if its grace period has passed.
-    fn silent_too_long(&self, now: Micros, trust_level: TrustLevel) -> Option<ConnectionId> {
+    fn longest_silent_after_grace_period(
+        &self,
+        now: Micros,
+        trust_level: TrustLevel,
+    ) -> Option<ConnectionId> {
         self.longest_silent(trust_level, |admitted_at| {
             now >= admitted_at + FIRST_MESSAGE_GRACE_PERIOD
         })
@@ -91,7 +97,7 @@
 
     /// Returns the victim within a prefix: a silent connection of the address with the most slots,
     /// else an idle one. Considers only addresses with more than `slots` slots.
-    fn cheapest_in_prefix(
+    fn victim_in_prefix(
         &self,
         prefix: AddressPrefix,
         slots: usize,
