--- a/crates/connection-admission/src/identity.rs
+++ b/crates/connection-admission/src/identity.rs
@@ -38,23 +38,23 @@
 #[derive(Debug)]
 pub struct IdentityLimiter {
     settings: Settings,
-    rates: Option<RateSketch>,
+    rate_sketch: Option<RateSketch>,
     connections_by_name: HashMap<String, BTreeSet<ConnectionId>>,
-    names: HashMap<ConnectionId, String>,
+    name_by_connection: HashMap<ConnectionId, String>,
 }
 
 impl IdentityLimiter {
     /// Creates a limiter in which no name holds a slot.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
-        let rates = settings
+        let rate_sketch = settings
             .rate
             .map(|limit| RateSketch::new(limit, SKETCH_WIDTH, now));
         Self {
             settings,
-            rates,
+            rate_sketch,
             connections_by_name: HashMap::new(),
-            names: HashMap::new(),
+            name_by_connection: HashMap::new(),
         }
     }
 
@@ -69,7 +69,7 @@
         id: ConnectionId,
         names: &[String],
     ) -> Result<bool, IdentityRejection> {
-        let Some(first) = names.first() else {
+        let Some(first_name) = names.first() else {
             return Ok(false);
         };
         if names
@@ -81,27 +81,27 @@
         if self
             .settings
             .slots
-            .is_some_and(|max| self.slots_held(first) >= max)
+            .is_some_and(|max| self.slots_held(first_name) >= max)
         {
             return Err(IdentityRejection::Slots);
         }
-        let key = xxh3_64(first.as_bytes());
-        if let Some(rates) = &mut self.rates {
-            if !rates.try_acquire(now, key) {
+        let name_hash = xxh3_64(first_name.as_bytes());
+        if let Some(rate_sketch) = &mut self.rate_sketch {
+            if !rate_sketch.try_acquire(now, name_hash) {
                 return Err(IdentityRejection::Rate);
             }
         }
         self.connections_by_name
-            .entry(first.clone())
+            .entry(first_name.clone())
             .or_default()
             .insert(id);
-        self.names.insert(id, first.clone());
+        self.name_by_connection.insert(id, first_name.clone());
         Ok(false)
     }
 
     /// Handles the close of a connection.
     pub fn on_closed(&mut self, id: ConnectionId) {
-        let Some(name) = self.names.remove(&id) else {
+        let Some(name) = self.name_by_connection.remove(&id) else {
             return;
         };
         if let Some(ids) = self.connections_by_name.get_mut(&name) {
