--- a/crates/connection-admission/src/handshake/scheduler.rs
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -62,7 +62,7 @@
     settings: Settings,
     buckets: TokenBuckets,
     /// Connections that have not sent a ClientHello yet, with their accept time.
-    pending: BTreeMap<ConnectionId, Micros>,
+    awaiting_client_hello: BTreeMap<ConnectionId, Micros>,
     pub(super) running: BTreeMap<ConnectionId, RunningHandshake>,
     /// Running handshakes that may not use the reserve.
     pub(super) running_unreserved: usize,
@@ -80,7 +80,7 @@
         Self {
             settings,
             buckets: TokenBuckets::new(settings, now),
-            pending: BTreeMap::new(),
+            awaiting_client_hello: BTreeMap::new(),
             running: BTreeMap::new(),
             running_unreserved: 0,
             queue: WaitQueue::default(),
@@ -97,15 +97,15 @@
 
     /// Returns whether a handshake may begin now.
     fn may_begin(&self, kind: HandshakeKind) -> bool {
-        let is_within_reserve = kind.priority().may_use_reserve()
+        let is_within_unreserved_limit = kind.priority().may_use_reserve()
             || self.running_unreserved < self.settings.unreserved_running_limit();
         self.running.len() < self.settings.running_limit()
-            && is_within_reserve
+            && is_within_unreserved_limit
             && self.buckets.has_tokens(kind)
     }
 
     fn begin(&mut self, id: ConnectionId, kind: HandshakeKind, accepted_at: Micros) {
-        self.buckets.take(kind);
+        self.buckets.deduct(kind);
         let may_use_reserve = kind.priority().may_use_reserve();
         self.running_unreserved += usize::from(!may_use_reserve);
         self.running.insert(
@@ -124,7 +124,7 @@
 
     /// Handles the accept of a connection. The timeout of its handshake starts now.
     pub fn on_accepted(&mut self, now: Micros, id: ConnectionId) {
-        self.pending.insert(id, now);
+        self.awaiting_client_hello.insert(id, now);
     }
 
     /// Handles the ClientHello of a connection. A waiting handshake may be overtaken, and displaced
@@ -142,7 +142,7 @@
             return HandshakeDecision::Wait;
         }
         self.buckets.refill(now);
-        let accepted_at = self.pending.remove(&id).unwrap_or(now);
+        let accepted_at = self.awaiting_client_hello.remove(&id).unwrap_or(now);
         let is_next = self
             .queue
             .first()
@@ -181,7 +181,7 @@
 
     /// Handles the end of a connection's handshake, or the close of the connection.
     pub fn on_ended(&mut self, id: ConnectionId) {
-        self.pending.remove(&id);
+        self.awaiting_client_hello.remove(&id);
         if let Some(handshake) = self.running.remove(&id) {
             self.running_unreserved -= usize::from(!handshake.may_use_reserve);
         }
@@ -210,31 +210,37 @@
     /// Returns the connections to close: those displaced from the queue, and those whose handshake
     /// is past its deadline, whether it runs, waits or has not begun with a ClientHello yet.
     pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
-        let mut closed = std::mem::take(&mut self.displaced);
-        let is_late = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
-        let pending = self.pending.iter();
-        closed.extend(pending.filter(|(_, at)| is_late(**at)).map(|(id, _)| *id));
+        let mut to_close = std::mem::take(&mut self.displaced);
+        let is_expired = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
+        let awaiting = self.awaiting_client_hello.iter();
+        to_close.extend(
+            awaiting
+                .filter(|(_, accepted_at)| is_expired(**accepted_at))
+                .map(|(id, _)| *id),
+        );
         let running = self.running.iter();
-        closed.extend(
+        to_close.extend(
             running
-                .filter(|(_, handshake)| is_late(handshake.accepted_at))
+                .filter(|(_, handshake)| is_expired(handshake.accepted_at))
                 .map(|(id, _)| *id),
         );
         let waiting = self.queue.iter();
-        closed.extend(
+        to_close.extend(
             waiting
-                .filter(|handshake| is_late(handshake.accepted_at))
+                .filter(|handshake| is_expired(handshake.accepted_at))
                 .map(|handshake| handshake.id),
         );
-        for id in &closed {
+        for id in &to_close {
             self.counters.timed_out += u64::from(self.contains(*id));
             self.on_ended(*id);
         }
-        closed
+        to_close
     }
 
     fn contains(&self, id: ConnectionId) -> bool {
-        self.pending.contains_key(&id) || self.running.contains_key(&id) || self.queue.contains(id)
+        self.awaiting_client_hello.contains_key(&id)
+            || self.running.contains_key(&id)
+            || self.queue.contains(id)
     }
 
     /// Returns the next deadline of a handshake, or the time at which the front of the queue has
@@ -242,8 +248,8 @@
     /// the caller reports that end.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
-        let oldest_accepts = [
-            self.pending.values().min().copied(),
+        let oldest_accept_times = [
+            self.awaiting_client_hello.values().min().copied(),
             self.running
                 .values()
                 .map(|handshake| handshake.accepted_at)
@@ -253,11 +259,11 @@
                 .map(|handshake| handshake.accepted_at)
                 .min(),
         ];
-        let oldest_accept = oldest_accepts.into_iter().flatten().min();
-        let deadline = oldest_accept.map(|accepted_at| accepted_at + self.settings.timeout);
+        let oldest_accept_time = oldest_accept_times.into_iter().flatten().min();
+        let deadline = oldest_accept_time.map(|accepted_at| accepted_at + self.settings.timeout);
         let first = self.queue.first();
-        let tokens_at = first.and_then(|first| self.buckets.available_at(first.kind));
-        [deadline, tokens_at].into_iter().flatten().min()
+        let tokens_available_at = first.and_then(|first| self.buckets.available_at(first.kind));
+        [deadline, tokens_available_at].into_iter().flatten().min()
     }
 
     /// Returns the numbers of running and waiting handshakes.
--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -25,7 +25,7 @@
     is_resumption: true,
     trust_level: TrustLevel::Unknown,
 };
-const NAMED_FULL: HandshakeKind = HandshakeKind {
+const ALLOWLISTED_FULL: HandshakeKind = HandshakeKind {
     is_resumption: false,
     trust_level: TrustLevel::Allowlisted,
 };
@@ -33,38 +33,38 @@
 /// Guards against a flood of full handshakes of unknown clients that takes the CPU time of requests
 /// and delays the handshakes of allowlisted clients.
 #[test]
-fn flood_of_full_handshakes_is_limited_and_named_clients_begin_at_once() {
+fn flood_of_full_handshakes_is_limited_and_allowlisted_clients_begin_at_once() {
     let mut scheduler = HandshakeScheduler::new(settings(), 0);
     let mut id = 0;
-    let mut named_waited = 0;
+    let mut allowlisted_waited = 0;
     // For 10 s, 2,000 unknown clients per second and an allowlisted one every 100 ms; each
     // handshake ends 5 ms after it begins.
-    let mut ends: Vec<(Micros, u64)> = Vec::new();
+    let mut running_until: Vec<(Micros, u64)> = Vec::new();
     for ms in 0..10_000 {
         let now = ms * MS;
-        ends.retain(|&(at, n)| {
-            if at <= now {
-                scheduler.on_ended(n);
+        running_until.retain(|&(end_time, id)| {
+            if end_time <= now {
+                scheduler.on_ended(id);
             }
-            at > now
+            end_time > now
         });
         for begun in scheduler.begin_queued(now) {
-            ends.push((now + 5 * MS, begun));
+            running_until.push((now + 5 * MS, begun));
         }
         for _ in scheduler.take_expired(now) {}
         for _ in 0..2 {
             id += 1;
             scheduler.on_accepted(now, id);
             if scheduler.on_client_hello(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
-                ends.push((now + 5 * MS, id));
+                running_until.push((now + 5 * MS, id));
             }
         }
         if ms % 100 == 0 {
             id += 1;
             scheduler.on_accepted(now, id);
-            match scheduler.on_client_hello(now, id, NAMED_FULL) {
-                HandshakeDecision::Begin => ends.push((now + 5 * MS, id)),
-                _ => named_waited += 1,
+            match scheduler.on_client_hello(now, id, ALLOWLISTED_FULL) {
+                HandshakeDecision::Begin => running_until.push((now + 5 * MS, id)),
+                _ => allowlisted_waited += 1,
             }
         }
     }
@@ -72,7 +72,7 @@
     // 100 of allowlisted clients; those of unknown clients are limited to three quarters of 100 per
     // second, plus the initial burst.
     assert_eq!(
-        named_waited, 0,
+        allowlisted_waited, 0,
         "an allowlisted client never waits behind unknown clients"
     );
     assert!(
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn running_handshakes_are_limited_and_resumptions_go_first() {
+fn running_handshakes_are_limited_and_resumptions_take_precedence() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
             per_second: 1e6,
@@ -181,7 +181,7 @@
     );
     scheduler.on_accepted(0, 18);
     assert_eq!(
-        scheduler.on_client_hello(0, 18, NAMED_FULL),
+        scheduler.on_client_hello(0, 18, ALLOWLISTED_FULL),
         HandshakeDecision::Wait
     );
     assert_eq!(
@@ -206,9 +206,9 @@
     );
     scheduler.on_accepted(0, 1);
     scheduler.on_accepted(10 * MS, 2);
-    scheduler.on_client_hello(20 * MS, 2, NAMED_FULL);
+    scheduler.on_client_hello(20 * MS, 2, ALLOWLISTED_FULL);
     scheduler.on_accepted(30 * MS, 3);
-    scheduler.on_client_hello(30 * MS, 3, NAMED_FULL);
+    scheduler.on_client_hello(30 * MS, 3, ALLOWLISTED_FULL);
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn handshake_that_waits_for_tokens_is_woken_when_there_are_enough() {
+fn waiting_handshake_begins_once_there_are_enough_tokens() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
             burst: 1.0,
@@ -252,10 +252,10 @@
         scheduler.on_client_hello(0, 2, UNKNOWN_FULL),
         HandshakeDecision::Wait
     );
-    let at = scheduler.next_deadline().expect("a deadline");
-    assert_eq!(at, 10 * MS);
-    assert!(scheduler.begin_queued(at - 1).is_empty());
-    assert_eq!(scheduler.begin_queued(at), vec![2]);
+    let deadline = scheduler.next_deadline().expect("a deadline");
+    assert_eq!(deadline, 10 * MS);
+    assert!(scheduler.begin_queued(deadline - 1).is_empty());
+    assert_eq!(scheduler.begin_queued(deadline), vec![2]);
 }
 
 proptest! {
@@ -268,8 +268,8 @@
         let settings = settings();
         let mut scheduler = HandshakeScheduler::new(settings, 0);
         let mut now = 0;
-        for (event, id, wait) in steps {
-            now += wait * MS;
+        for (event, id, elapsed_ms) in steps {
+            now += elapsed_ms * MS;
             match event {
                 0 => scheduler.on_accepted(now, id),
                 1 => { scheduler.on_client_hello(now, id, UNKNOWN_FULL); }
--- a/crates/connection-admission/src/handshake/token_buckets.rs
+++ b/crates/connection-admission/src/handshake/token_buckets.rs
@@ -6,12 +6,12 @@
 use cleatpulley_policy::interface::Micros;
 
 /// Cost of a full handshake in tokens.
-const FULL_COST: f64 = 1.0;
+const FULL_COST_TOKENS: f64 = 1.0;
 /// Shortage in tokens that is attributed to rounding.
-const TOLERANCE: f64 = 1e-9;
+const ROUNDING_TOLERANCE_TOKENS: f64 = 1e-9;
 /// Minimum refill rate in tokens per second that waiting times are computed with, so that they are
 /// finite.
-const MIN_REFILL_PER_SECOND: f64 = 1e-9;
+const MIN_REFILL_TOKENS_PER_SECOND: f64 = 1e-9;
 
 /// Both buckets, filled up to `refilled_at`.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
         let unreserved_tokens = self.unreserved_tokens + elapsed_seconds * per_second * share;
         self.tokens = tokens.min(burst);
         // With a capacity below the cost of a full handshake, none could ever begin.
-        self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST));
+        self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST_TOKENS));
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -54,7 +54,7 @@
         if kind.is_resumption {
             self.settings.resumed_cost
         } else {
-            FULL_COST
+            FULL_COST_TOKENS
         }
     }
 
@@ -72,11 +72,11 @@
 
     /// Returns whether there are enough tokens for a handshake.
     pub(super) fn has_tokens(&self, kind: HandshakeKind) -> bool {
-        self.shortage(kind) <= TOLERANCE
+        self.shortage(kind) <= ROUNDING_TOLERANCE_TOKENS
     }
 
     /// Deducts the cost of a handshake, even if there are not enough tokens.
-    pub(super) fn take(&mut self, kind: HandshakeKind) {
+    pub(super) fn deduct(&mut self, kind: HandshakeKind) {
         let cost = self.cost(kind);
         self.tokens -= cost;
         if !kind.priority().may_use_reserve() {
@@ -94,8 +94,8 @@
         } else {
             self.settings.unreserved_share()
         };
-        let per_second = (self.settings.per_second * share).max(MIN_REFILL_PER_SECOND);
-        let wait = self.shortage(kind) / per_second * 1e6;
-        Some(self.refilled_at + wait.ceil() as Micros)
+        let per_second = (self.settings.per_second * share).max(MIN_REFILL_TOKENS_PER_SECOND);
+        let wait_micros = self.shortage(kind) / per_second * 1e6;
+        Some(self.refilled_at + wait_micros.ceil() as Micros)
     }
 }
