--- a/crates/connection-admission/src/reputation.rs
+++ b/crates/connection-admission/src/reputation.rs
@@ -16,10 +16,10 @@
 const EVICTION_SAMPLES: usize = 8;
 /// Minimum points of an address that are stored and handed over, as a share of the threshold of
 /// known addresses.
-const SAVED_SHARE: f64 = 0.5;
+const MIN_SAVED_SHARE: f64 = 0.5;
 /// An address is stored again when its points have grown by the threshold of known addresses
 /// divided by this, and by at least one point.
-const SAVED_STEPS: f64 = 10.0;
+const SAVE_STEPS_PER_THRESHOLD: f64 = 10.0;
 /// Multiplier and increment of the linear congruential generator used for sampling (Knuth's MMIX).
 const RANDOM_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 const RANDOM_INCREMENT: u64 = 1_442_695_040_888_963_407;
@@ -45,7 +45,7 @@
     }
 
     fn min_saved_points(&self) -> f64 {
-        self.known_threshold * SAVED_SHARE
+        self.known_threshold * MIN_SAVED_SHARE
     }
 
     /// Returns when points have decayed below the minimum that is stored.
@@ -81,7 +81,7 @@
     settings: ReputationSettings,
     entries: Vec<Entry>,
     /// Index of each address in `entries`.
-    positions: HashMap<IpAddr, usize>,
+    indices: HashMap<IpAddr, usize>,
     addresses_per_prefix: HashMap<AddressPrefix, usize>,
     random_state: u64,
     /// Addresses with unsaved entries, in the order in which they were marked.
@@ -95,7 +95,7 @@
         Self {
             settings,
             entries: Vec::new(),
-            positions: HashMap::new(),
+            indices: HashMap::new(),
             addresses_per_prefix: HashMap::new(),
             random_state: seed,
             unsaved: Vec::new(),
@@ -110,10 +110,10 @@
     /// Returns whether an address has enough points to be known.
     #[must_use]
     pub fn is_known(&self, now: Micros, address: IpAddr) -> bool {
-        let Some(position) = self.positions.get(&address) else {
+        let Some(index) = self.indices.get(&address) else {
             return false;
         };
-        self.current_points(now, &self.entries[*position]) >= self.settings.known_threshold
+        self.current_points(now, &self.entries[*index]) >= self.settings.known_threshold
     }
 
     /// Returns the number of addresses with points.
@@ -130,8 +130,8 @@
 
     /// Credits an address for a complete request that was served.
     pub fn credit(&mut self, now: Micros, address: IpAddr, prefix: AddressPrefix) {
-        if let Some(&position) = self.positions.get(&address) {
-            self.credit_entry(now, position);
+        if let Some(&index) = self.indices.get(&address) {
+            self.credit_entry(now, index);
             return;
         }
         if self.has_capacity_for_prefix(prefix) && self.make_room(now) {
@@ -145,26 +145,26 @@
         }
     }
 
-    fn credit_entry(&mut self, now: Micros, position: usize) {
-        let entry = self.entries[position];
+    fn credit_entry(&mut self, now: Micros, index: usize) {
+        let entry = self.entries[index];
         if now < entry.updated_at + MIN_CREDIT_INTERVAL {
             return;
         }
         let points = self.current_points(now, &entry) + 1.0;
-        self.entries[position] = Entry {
+        self.entries[index] = Entry {
             points,
             updated_at: now,
             ..entry
         };
-        self.mark_unsaved(position);
+        self.mark_unsaved(index);
     }
 
     /// Marks an entry as unsaved if it has enough points, and enough more than were last stored.
     /// Decay alone requires no write: it is computed from the time stored with the points.
-    fn mark_unsaved(&mut self, position: usize) {
-        let step = (self.settings.known_threshold / SAVED_STEPS).max(1.0);
+    fn mark_unsaved(&mut self, index: usize) {
+        let step = (self.settings.known_threshold / SAVE_STEPS_PER_THRESHOLD).max(1.0);
         let min_points = self.settings.min_saved_points();
-        let entry = &mut self.entries[position];
+        let entry = &mut self.entries[index];
         let SaveState::Saved(saved_points) = entry.save_state else {
             return;
         };
@@ -180,11 +180,11 @@
         let unsaved = std::mem::take(&mut self.unsaved);
         let mut stored = Vec::with_capacity(unsaved.len());
         for address in unsaved {
-            let Some(&position) = self.positions.get(&address) else {
+            let Some(&index) = self.indices.get(&address) else {
                 continue;
             };
-            let points = self.current_points(now, &self.entries[position]);
-            self.entries[position].save_state = SaveState::Saved(points);
+            let points = self.current_points(now, &self.entries[index]);
+            self.entries[index].save_state = SaveState::Saved(points);
             stored.push(StoredReputation {
                 address,
                 points,
@@ -202,11 +202,11 @@
         stored: &[StoredReputation],
         prefix_of: impl Fn(IpAddr) -> AddressPrefix,
     ) {
-        let current = |entry: &StoredReputation| {
+        let decay_entry = |entry: &StoredReputation| {
             let elapsed = now.saturating_sub(entry.updated_at);
             (entry.address, self.settings.decayed(entry.points, elapsed))
         };
-        let points: Vec<_> = stored.iter().map(current).collect();
+        let points: Vec<_> = stored.iter().map(decay_entry).collect();
         self.import(now, &points, prefix_of);
     }
 
@@ -224,14 +224,14 @@
         let mut fewest_points = self.settings.known_threshold;
         let mut victim = None;
         for _ in 0..EVICTION_SAMPLES {
-            let position = self.random_position();
-            let Some(entry) = self.entries.get(position) else {
+            let index = self.random_index();
+            let Some(entry) = self.entries.get(index) else {
                 return false;
             };
             let points = self.current_points(now, entry);
             if points < fewest_points {
                 fewest_points = points;
-                victim = Some(position);
+                victim = Some(index);
             }
         }
         let Some(victim) = victim else { return false };
@@ -240,7 +240,7 @@
     }
 
     /// Returns a random index in `entries`.
-    fn random_position(&mut self) -> usize {
+    fn random_index(&mut self) -> usize {
         self.random_state = self
             .random_state
             .wrapping_mul(RANDOM_MULTIPLIER)
@@ -250,16 +250,16 @@
     }
 
     fn insert(&mut self, entry: Entry) {
-        self.positions.insert(entry.address, self.entries.len());
+        self.indices.insert(entry.address, self.entries.len());
         *self.addresses_per_prefix.entry(entry.prefix).or_default() += 1;
         self.entries.push(entry);
     }
 
-    fn remove(&mut self, position: usize) {
-        let removed = self.entries.swap_remove(position);
-        self.positions.remove(&removed.address);
-        if let Some(moved) = self.entries.get(position) {
-            self.positions.insert(moved.address, position);
+    fn remove(&mut self, index: usize) {
+        let removed = self.entries.swap_remove(index);
+        self.indices.remove(&removed.address);
+        if let Some(moved) = self.entries.get(index) {
+            self.indices.insert(moved.address, index);
         }
         if let Some(count) = self.addresses_per_prefix.get_mut(&removed.prefix) {
             *count -= 1;
@@ -296,7 +296,7 @@
             let has_room = self.entries.len() < self.settings.max_addresses
                 && self.has_capacity_for_prefix(prefix);
             let is_valid = points.is_finite() && points > 0.0;
-            if has_room && is_valid && !self.positions.contains_key(&address) {
+            if has_room && is_valid && !self.indices.contains_key(&address) {
                 self.insert(Entry {
                     address,
                     prefix,
--- a/crates/connection-admission/src/reputation/tests.rs
+++ b/crates/connection-admission/src/reputation/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn unknown_addresses_evict_no_known_one_and_a_prefix_has_few() {
+fn unknown_addresses_evict_no_known_one_and_addresses_per_prefix_are_limited() {
     let mut table = ReputationTable::new(SETTINGS, 1);
     // Fills the table with sixteen prefixes of four known addresses each.
     for round in 0..25 {
@@ -71,7 +71,7 @@
     assert_eq!(
         (
             table.len(),
-            table.positions.len(),
+            table.indices.len(),
             table.addresses_per_prefix.len()
         ),
         (64, 64, 64)
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn takes_grown_reputation_for_storing_and_restores_what_has_not_decayed() {
+fn returns_grown_reputation_for_storing_and_restores_the_decayed_points() {
     let mut table = ReputationTable::new(SETTINGS, 1);
     (0..9).for_each(|round| credit(&mut table, SECOND + round * MIN_CREDIT_INTERVAL, 7));
     assert_eq!(
@@ -111,22 +111,22 @@
         (1_200..1_400).contains(&kept_for_s),
         "44 points decay to 10 in slightly more than two half-lives: {kept_for_s} s"
     );
-    let mut next = ReputationTable::new(SETTINGS, 2);
-    next.restore(9 * SECOND + SETTINGS.half_life, &unsaved, prefix_of);
+    let mut restored = ReputationTable::new(SETTINGS, 2);
+    restored.restore(9 * SECOND + SETTINGS.half_life, &unsaved, prefix_of);
     assert!(
-        next.is_known(9 * SECOND + SETTINGS.half_life, ip(7)),
+        restored.is_known(9 * SECOND + SETTINGS.half_life, ip(7)),
         "22 of 44 points remain"
     );
-    assert!(!next.is_known(9 * SECOND + 2 * SETTINGS.half_life, ip(7)));
+    assert!(!restored.is_known(9 * SECOND + 2 * SETTINGS.half_life, ip(7)));
     assert_eq!(
-        next.take_unsaved(9 * SECOND),
+        restored.take_unsaved(9 * SECOND),
         [],
         "restored entries are already stored"
     );
-    let mut earlier = ReputationTable::new(SETTINGS, 2);
-    earlier.restore(0, &unsaved, prefix_of);
+    let mut restored_after_clock_step = ReputationTable::new(SETTINGS, 2);
+    restored_after_clock_step.restore(0, &unsaved, prefix_of);
     assert!(
-        earlier.is_known(0, ip(7)),
+        restored_after_clock_step.is_known(0, ip(7)),
         "points don't decay when the clock steps back"
     );
 }
@@ -143,8 +143,8 @@
         1,
         "an address with a single point is not exported"
     );
-    let mut next = ReputationTable::new(SETTINGS, 2);
-    next.import(
+    let mut successor = ReputationTable::new(SETTINGS, 2);
+    successor.import(
         now,
         &[
             exported.clone(),
@@ -154,5 +154,5 @@
         .concat(),
         prefix_of,
     );
-    assert!(next.is_known(now, ip(7)) && next.len() == 1);
+    assert!(successor.is_known(now, ip(7)) && successor.len() == 1);
 }
