--- a/crates/connection-admission/src/reputation_database.rs
+++ b/crates/connection-admission/src/reputation_database.rs
@@ -79,7 +79,7 @@
 pub struct ReputationDatabase<F: FileSystem> {
     /// `None` until the store is opened, and after a failure.
     store: Option<Store<F>>,
-    unwritten: BTreeMap<IpAddr, StoredReputation>,
+    pending: BTreeMap<IpAddr, StoredReputation>,
     /// Maximum number of pending entries, and of loaded ones.
     max_addresses: usize,
     /// Whether the entries were loaded since the process started.
@@ -94,7 +94,7 @@
     pub fn new(max_addresses: usize) -> Self {
         Self {
             store: None,
-            unwritten: BTreeMap::new(),
+            pending: BTreeMap::new(),
             max_addresses,
             has_loaded: false,
             health: Health::Healthy,
@@ -112,11 +112,11 @@
     /// when it opens again, and `None` if it did not open.
     pub fn open(
         &mut self,
-        opened: Result<(Store<F>, RecoveryReport), Error>,
+        open_result: Result<(Store<F>, RecoveryReport), Error>,
         now: Micros,
     ) -> Option<Vec<StoredReputation>> {
-        let (store, report) = match opened {
-            Ok(opened) => opened,
+        let (store, report) = match open_result {
+            Ok(success) => success,
             // During a hot restart the predecessor still has the store open.
             Err(Error::Locked) => return None,
             Err(error) => {
@@ -140,11 +140,11 @@
     fn load(&mut self, store: &Store<F>, now: Micros) -> Vec<StoredReputation> {
         self.has_loaded = true;
         let mut entries = Vec::new();
-        let outcome = store.for_each_by_sequence(now, |_, key, value| {
+        let result = store.for_each_by_sequence(now, |_, key, value| {
             entries.extend(StoredReputation::decode(key, value));
             true
         });
-        if let Err(error) = outcome {
+        if let Err(error) = result {
             tracing::error!("reputation: not all stored entries can be read: {error}");
         }
         entries.sort_by(|a, b| {
@@ -175,9 +175,9 @@
     /// of other addresses are dropped while the maximum number is pending.
     pub fn enqueue(&mut self, entries: Vec<StoredReputation>) {
         for entry in entries {
-            let has_room = self.unwritten.len() < self.max_addresses;
-            if has_room || self.unwritten.contains_key(&entry.address) {
-                self.unwritten.insert(entry.address, entry);
+            let has_room = self.pending.len() < self.max_addresses;
+            if has_room || self.pending.contains_key(&entry.address) {
+                self.pending.insert(entry.address, entry);
             }
         }
     }
@@ -199,7 +199,7 @@
         let Some(store) = &mut self.store else {
             return Ok(MaintenanceStatus::Idle);
         };
-        let entries: Vec<_> = self.unwritten.values().collect();
+        let entries: Vec<_> = self.pending.values().collect();
         for chunk in entries.chunks(MAX_BATCH_ENTRIES) {
             let mut batch = Batch::default();
             for entry in chunk {
@@ -212,7 +212,7 @@
             store.sync()?;
         }
         let status = store.run_maintenance_step(now, MAINTENANCE_STEP_BYTES)?;
-        self.unwritten.clear();
+        self.pending.clear();
         Ok(status)
     }
 
