--- a/crates/connection-admission/tests/admission.rs
+++ b/crates/connection-admission/tests/admission.rs
@@ -42,7 +42,7 @@
 /// A connection that holds a slot.
 struct HeldConnection {
     address: IpAddr,
-    owes_response: bool,
+    has_pending_request: bool,
 }
 
 /// A listener and its connections by id.
@@ -69,7 +69,7 @@
     fn connect(&mut self, address: &str) -> Result<u64, RejectReason> {
         let address = ip(address);
         let connections = &self.connections;
-        let is_idle = |id: u64| !connections[&id].owes_response;
+        let is_idle = |id: u64| !connections[&id].has_pending_request;
         let trust_level = match self
             .admission
             .decide(self.now, address, self.max_slots, is_idle)
@@ -81,7 +81,7 @@
                 trust_level,
             } => {
                 assert!(
-                    !self.connections[&id].owes_response,
+                    !self.connections[&id].has_pending_request,
                     "a connection with a pending request is never evicted"
                 );
                 self.close(id);
@@ -95,7 +95,7 @@
             self.last_id,
             HeldConnection {
                 address,
-                owes_response: false,
+                has_pending_request: false,
             },
         );
         Ok(self.last_id)
@@ -111,22 +111,22 @@
         self.connections
             .get_mut(&id)
             .expect("an open connection")
-            .owes_response = true;
+            .has_pending_request = true;
     }
 
     fn respond(&mut self, id: u64) {
         self.connections
             .get_mut(&id)
             .expect("an open connection")
-            .owes_response = false;
+            .has_pending_request = false;
         self.admission.on_request_served(self.now, id);
     }
 
-    fn count_in(&self, prefix: &str) -> usize {
-        let net: AddressPrefix = prefix.parse().expect("a valid prefix");
+    fn connections_in(&self, prefix: &str) -> usize {
+        let prefix: AddressPrefix = prefix.parse().expect("a valid prefix");
         self.connections
             .values()
-            .filter(|connection| net.contains(connection.address))
+            .filter(|connection| prefix.contains(connection.address))
             .count()
     }
 }
@@ -134,13 +134,13 @@
 /// One address may hold all unreserved slots while there is no demand from others, and loses them
 /// to others once there is.
 #[test]
-fn one_address_holds_free_slots_until_others_want_them() {
+fn one_address_holds_all_unreserved_slots_until_others_need_them() {
     let mut listener = Listener::new(settings(), 100);
     let admitted = (0..500)
         .filter(|_| listener.connect("10.1.1.1").is_ok())
         .count();
     assert_eq!(
-        (admitted, listener.count_in("10.1.1.0/24")),
+        (admitted, listener.connections_in("10.1.1.0/24")),
         (80, 80),
         "twenty slots are reserved for known clients"
     );
@@ -149,14 +149,14 @@
         assert!(listener.connect(&format!("10.2.{n}.1")).is_ok(), "{n}");
     }
     assert_eq!(
-        listener.count_in("10.1.1.0/24"),
+        listener.connections_in("10.1.1.0/24"),
         1,
         "each address holds one slot"
     );
     for n in 0..20 {
         assert!(listener.connect(&format!("10.9.0.{n}")).is_ok(), "{n}");
     }
-    assert_eq!(listener.count_in("10.9.0.0/16"), 20);
+    assert_eq!(listener.connections_in("10.9.0.0/16"), 20);
 }
 
 #[test]
@@ -174,14 +174,17 @@
     assert_eq!(
         listener
             .connect("10.1.1.2")
-            .map(|_| listener.count_in("10.1.1.1")),
+            .map(|_| listener.connections_in("10.1.1.1")),
         Ok(9)
     );
     for _ in 0..10 {
         let _ = listener.connect("10.1.1.2");
     }
     assert_eq!(
-        (listener.count_in("10.1.1.1"), listener.count_in("10.1.1.2")),
+        (
+            listener.connections_in("10.1.1.1"),
+            listener.connections_in("10.1.1.2")
+        ),
         (5, 5),
         "both addresses hold the same number of slots"
     );
@@ -189,7 +192,7 @@
 
 /// A connection with a pending request is never evicted, not even for an allowlisted client.
 #[test]
-fn connection_that_owes_a_response_is_not_evicted() {
+fn connection_with_a_pending_request_is_not_evicted() {
     let mut listener = Listener::new(
         Settings {
             reserved_share: 0.0,
@@ -217,7 +220,7 @@
 
 /// Guards against known clients that block other known clients with silent connections.
 #[test]
-fn silent_known_clients_keep_no_known_client_out() {
+fn silent_known_clients_do_not_block_other_known_clients() {
     let mut listener = Listener::new(settings(), 4);
     let silent: Vec<_> = (0..4)
         .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("a slot"))
@@ -251,7 +254,7 @@
 /// If all connections of the prefix with the most slots have pending requests, one of the prefix
 /// with the next most slots is evicted.
 #[test]
-fn next_prefix_gives_slots_where_the_greatest_owes_responses() {
+fn second_largest_prefix_loses_a_slot_if_the_largest_has_only_pending_requests() {
     let mut listener = Listener::new(
         Settings {
             reserved_share: 0.0,
@@ -271,8 +274,8 @@
     assert!(listener.connect("10.3.3.3").is_ok());
     assert_eq!(
         (
-            listener.count_in("10.1.1.0/24"),
-            listener.count_in("10.2.2.0/24")
+            listener.connections_in("10.1.1.0/24"),
+            listener.connections_in("10.2.2.0/24")
         ),
         (5, 3)
     );
@@ -317,7 +320,7 @@
 }
 
 #[test]
-fn limits_hold_while_slots_are_free_and_not_for_named_clients() {
+fn limits_apply_while_slots_are_free_but_not_to_allowlisted_clients() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
         slots: Some(3),
@@ -353,12 +356,12 @@
     listener.now += SECOND;
     assert!(listener.connect("10.1.1.1").is_ok());
     assert!((0..500).all(|_| listener.connect("10.9.1.1").is_ok()));
-    let counts = listener.admission.counters;
+    let counters = listener.admission.counters;
     assert_eq!(
         (
-            counts.admitted,
-            counts.rejected_by_rate,
-            counts.rejected_by_slots
+            counters.admitted,
+            counters.rejected_by_rate,
+            counters.rejected_by_slots
         ),
         (507, 1, 2)
     );
@@ -366,7 +369,7 @@
 
 /// A connection that the rate limit of its prefix rejects is not counted by that of its address.
 #[test]
-fn rejected_connections_count_for_no_limit() {
+fn rejected_connections_are_not_counted_by_any_limit() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
         slots: None,
@@ -398,51 +401,52 @@
 #[test]
 fn address_with_reputation_gets_a_reserved_slot_in_a_flood() {
     let mut listener = Listener::new(settings(), 20);
-    let regular = listener.connect("10.5.0.1").expect("a slot");
+    let regular_client = listener.connect("10.5.0.1").expect("a slot");
     for _ in 0..8 {
         listener.now += MIN_CREDIT_INTERVAL;
-        listener.request(regular);
-        listener.respond(regular);
+        listener.request(regular_client);
+        listener.respond(regular_client);
     }
     assert_eq!(
         listener.admission.trust_level(listener.now, ip("10.5.0.1")),
         TrustLevel::Reputable
     );
     let exported = listener.admission.export_reputation(listener.now);
-    let mut next = Listener::new(settings(), 20);
-    next.admission.import_reputation(STARTED_AT, &exported);
+    let mut successor = Listener::new(settings(), 20);
+    successor.admission.import_reputation(STARTED_AT, &exported);
     for n in 0..60_u32 {
         // Connections with pending requests can't be evicted.
-        if let Ok(id) = next.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
-            next.request(id);
+        if let Ok(id) = successor.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
+            successor.request(id);
         }
     }
-    assert_eq!(next.connections.len(), 16, "four slots are reserved");
-    assert!(next.connect("10.5.0.1").is_ok() && next.connect("10.5.0.1").is_ok());
+    assert_eq!(successor.connections.len(), 16, "four slots are reserved");
+    assert!(successor.connect("10.5.0.1").is_ok() && successor.connect("10.5.0.1").is_ok());
     assert_eq!(
-        next.connect("10.5.0.1"),
+        successor.connect("10.5.0.1"),
         Err(RejectReason::Full),
         "half of the reserve is for allowlisted clients"
     );
-    assert!(next.connect("10.9.0.1").is_ok() && next.connect("10.9.0.1").is_ok());
+    assert!(successor.connect("10.9.0.1").is_ok() && successor.connect("10.9.0.1").is_ok());
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum ListenerEvent {
     Connect(u8, u8),
     Request(usize),
     Respond(usize),
     Close(usize),
-    Pass(Micros),
+    AdvanceClock(Micros),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn listener_event() -> impl Strategy<Value = ListenerEvent> {
     prop_oneof![
-        4 => (0..6_u8, 0..3_u8).prop_map(|(net, host)| Step::Connect(net, host)),
-        2 => (0..40_usize).prop_map(Step::Request),
-        2 => (0..40_usize).prop_map(Step::Respond),
-        1 => (0..40_usize).prop_map(Step::Close),
-        1 => (0..200_000_u64).prop_map(Step::Pass),
+        4 => (0..6_u8, 0..3_u8)
+            .prop_map(|(second_octet, host)| ListenerEvent::Connect(second_octet, host)),
+        2 => (0..40_usize).prop_map(ListenerEvent::Request),
+        2 => (0..40_usize).prop_map(ListenerEvent::Respond),
+        1 => (0..40_usize).prop_map(ListenerEvent::Close),
+        1 => (0..200_000_u64).prop_map(ListenerEvent::AdvanceClock),
     ]
 }
 
@@ -458,47 +462,47 @@
     /// listener, allowlisted clients are admitted while an unknown one can be evicted, and no
     /// connection with a pending request is evicted.
     #[test]
-    fn table_agrees_with_the_listener_whatever_happens(
-        steps in proptest::collection::vec(step(), 1..300),
+    fn table_agrees_with_the_listener_in_any_order_of_events(
+        listener_events in proptest::collection::vec(listener_event(), 1..300),
         max_slots in 1..24_usize,
     ) {
         let mut listener = Listener::new(settings(), max_slots);
-        for step in steps {
-            let nth = |listener: &Listener, n: usize| {
-                let all: Vec<u64> = listener.connections.keys().copied().collect();
-                all.get(n % all.len().max(1)).copied()
+        for event in listener_events {
+            let nth_id = |listener: &Listener, n: usize| {
+                let ids: Vec<u64> = listener.connections.keys().copied().collect();
+                ids.get(n % ids.len().max(1)).copied()
             };
-            match step {
-                Step::Connect(net, host) => {
-                    let is_named = net == 0;
+            match event {
+                ListenerEvent::Connect(second_octet, host) => {
+                    let is_allowlisted = second_octet == 0;
                     let has_idle_unknown = listener.connections.values().any(|connection| {
                         let trust_level = listener
                             .admission
                             .trust_level(listener.now, connection.address);
-                        !connection.owes_response && trust_level == TrustLevel::Unknown
+                        !connection.has_pending_request && trust_level == TrustLevel::Unknown
                     });
                     let has_free_slot = listener.connections.len() < max_slots;
-                    let address = if is_named {
+                    let address = if is_allowlisted {
                         format!("10.9.0.{host}")
                     } else {
-                        format!("10.{net}.0.{host}")
+                        format!("10.{second_octet}.0.{host}")
                     };
                     let outcome = listener.connect(&address);
                     prop_assert!(
-                        outcome.is_ok() || !is_named || !(has_free_slot || has_idle_unknown),
+                        outcome.is_ok() || !is_allowlisted || !(has_free_slot || has_idle_unknown),
                         "{outcome:?}"
                     );
                 }
-                Step::Request(n) => if let Some(id) = nth(&listener, n) { listener.request(id) },
-                Step::Respond(n) => if let Some(id) = nth(&listener, n) { listener.respond(id) },
-                Step::Close(n) => if let Some(id) = nth(&listener, n) { listener.close(id) },
-                Step::Pass(time) => listener.now += time,
+                ListenerEvent::Request(n) => if let Some(id) = nth_id(&listener, n) { listener.request(id) },
+                ListenerEvent::Respond(n) => if let Some(id) = nth_id(&listener, n) { listener.respond(id) },
+                ListenerEvent::Close(n) => if let Some(id) = nth_id(&listener, n) { listener.close(id) },
+                ListenerEvent::AdvanceClock(elapsed) => listener.now += elapsed,
             }
             prop_assert!(listener.connections.len() <= max_slots);
             prop_assert_eq!(listener.admission.len(), listener.connections.len());
         }
-        let all: Vec<u64> = listener.connections.keys().copied().collect();
-        all.into_iter().for_each(|id| listener.close(id));
+        let ids: Vec<u64> = listener.connections.keys().copied().collect();
+        ids.into_iter().for_each(|id| listener.close(id));
         prop_assert!(listener.admission.is_empty());
     }
 }
