--- a/crates/connection-admission/tests/address_prefix.rs
+++ b/crates/connection-admission/tests/address_prefix.rs
@@ -30,11 +30,11 @@
         "a/8",
         "10.0.0.0/-1",
     ] {
-        let fault = malformed
+        let error = malformed
             .parse::<AddressPrefix>()
             .expect_err(malformed)
             .to_string();
-        assert!(fault.contains(malformed), "{fault}");
+        assert!(error.contains(malformed), "{error}");
     }
 }
 
@@ -51,7 +51,7 @@
         hash(2, "10.0.0.0/24"),
         hash(1, "a00::/24"),
     ];
-    for (n, hash) in hashes.iter().enumerate() {
-        assert!(!hashes[n + 1..].contains(hash), "{n}");
+    for (index, hash) in hashes.iter().enumerate() {
+        assert!(!hashes[index + 1..].contains(hash), "{index}");
     }
 }
--- a/crates/connection-admission/tests/rate_sketch.rs
+++ b/crates/connection-admission/tests/rate_sketch.rs
@@ -43,8 +43,8 @@
     for n in 0..40_000_u64 {
         let now = n * 500;
         let client = n.wrapping_mul(n) % 97;
-        let (level, at) = exact_buckets.get(&client).copied().unwrap_or_default();
-        let level = (level - (now - at) as f64 / 1e6 * limit.per_second).max(0.0);
+        let (level, updated_at) = exact_buckets.get(&client).copied().unwrap_or_default();
+        let level = (level - (now - updated_at) as f64 / 1e6 * limit.per_second).max(0.0);
         let is_permitted_exactly = level + 1.0 <= limit.burst;
         if sketch.try_acquire(now, key(client)) {
             // Allows for the sketch's millisecond resolution and single precision.
@@ -74,12 +74,12 @@
         4_096,
         0,
     );
-    let before = sketch.memory_bytes();
+    let initial_bytes = sketch.memory_bytes();
     (0..100_000).for_each(|n| {
         sketch.try_acquire(0, key(n));
     });
     assert_eq!(
-        (sketch.memory_bytes(), before),
+        (sketch.memory_bytes(), initial_bytes),
         (4 * 4_096 * 8, 4 * 4_096 * 8)
     );
 }
--- a/crates/connection-admission/tests/stored_format.rs
+++ b/crates/connection-admission/tests/stored_format.rs
@@ -14,14 +14,14 @@
 const NOW: u64 = 1_700_000_000_000_000;
 const EXPIRES_AT: u64 = NOW + 3_600_000_000;
 
-fn fixture(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
 }
 
 /// Returns the names and bytes of a store's files, except its lock.
-fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+fn read_files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).expect("the folder exists");
     let names = entries.map(|entry| {
         entry
@@ -41,9 +41,9 @@
         .collect()
 }
 
-fn copy_of(name: &str) -> TempDir {
+fn copy_fixture(name: &str) -> TempDir {
     let copy = tempfile::tempdir().expect("a temporary folder");
-    for (name, bytes) in files_of(&fixture(name)) {
+    for (name, bytes) in read_files(&fixture_path(name)) {
         fs::write(copy.path().join(name), bytes).expect("the file is written");
     }
     copy
@@ -57,7 +57,7 @@
     }
 }
 
-fn store(path: &Path) -> Store<OsFolder> {
+fn open_store(path: &Path) -> Store<OsFolder> {
     Store::open(
         OsFolder::new(path, true).expect("the folder opens"),
         options(),
@@ -67,11 +67,11 @@
 }
 
 /// Opens a database and returns it with its loaded entries.
-fn opened(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
+fn open_database(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
     let mut database = ReputationDatabase::new(100);
-    let files = OsFolder::new(path, true).expect("the folder opens");
+    let folder = OsFolder::new(path, true).expect("the folder opens");
     let entries = database
-        .open(Store::open(files, options()), NOW)
+        .open(Store::open(folder, options()), NOW)
         .expect("the store opens");
     (database, entries)
 }
@@ -94,8 +94,8 @@
 }
 
 fn write_database(path: &Path) {
-    let (mut database, none) = opened(path);
-    assert!(none.is_empty());
+    let (mut database, no_entries) = open_database(path);
+    assert!(no_entries.is_empty());
     database.enqueue(vec![
         entry("10.0.0.1", 3.0, 1, EXPIRES_AT),
         entry("10.0.0.2", 9.0, 1, NOW - 1),
@@ -107,8 +107,8 @@
 
 #[test]
 fn opens_the_reputation_written_by_release_0_2() {
-    let copy = copy_of("standings");
-    let (_, found) = opened(copy.path());
+    let copy = copy_fixture("standings");
+    let (_, loaded) = open_database(copy.path());
     // The expiry of an entry is not loaded.
     let expected: Vec<StoredReputation> = entries()
         .into_iter()
@@ -117,13 +117,13 @@
             ..entry
         })
         .collect();
-    assert_eq!(found, expected);
+    assert_eq!(loaded, expected);
 }
 
 #[test]
-fn entries_expire_when_release_0_2_meant_them_to() {
-    let copy = copy_of("standings");
-    let store = store(copy.path());
+fn entries_expire_at_the_time_written_by_release_0_2() {
+    let copy = copy_fixture("standings");
+    let store = open_store(copy.path());
     let unexpired = |now| {
         let mut count = 0;
         let visit = |_, _: &[u8], _: &[u8]| {
@@ -149,7 +149,10 @@
 
 #[test]
 fn writes_the_same_files_as_release_0_2() {
-    let ours = tempfile::tempdir().expect("a temporary folder");
-    write_database(ours.path());
-    assert_eq!(files_of(ours.path()), files_of(&fixture("standings")));
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    write_database(folder.path());
+    assert_eq!(
+        read_files(folder.path()),
+        read_files(&fixture_path("standings"))
+    );
 }
