--- a/crates/saturation/src/concurrency_limit.rs
+++ b/crates/saturation/src/concurrency_limit.rs
@@ -6,7 +6,7 @@
 //! or wrong estimate does little harm.
 
 use crate::completion::Completion;
-use crate::saturation_fit::SaturationEstimate;
+use crate::saturation_estimate::SaturationEstimate;
 use cleatpulley_policy::interface::Micros;
 
 /// Maximum ratio of the upper to the lower end of an estimate's interval for the estimate to be
--- a/crates/saturation/src/concurrency_statistics.rs
+++ b/crates/saturation/src/concurrency_statistics.rs
@@ -9,13 +9,13 @@
 /// Concurrency from which on all share the last level.
 const MAX_CONCURRENCY: usize = 4_096;
 /// Number of levels.
-const LEVELS: usize = EXACT_LEVELS + LEVELS_PER_DOUBLING * DOUBLINGS + 1;
+const LEVEL_COUNT: usize = EXACT_LEVELS + LEVELS_PER_DOUBLING * DOUBLINGS + 1;
 
 /// Observations of one upstream by level of concurrency, in constant memory. Statistics of several
 /// processes can be merged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConcurrencyStatistics {
-    levels: [LevelStatistics; LEVELS],
+    levels: [LevelStatistics; LEVEL_COUNT],
 }
 
 /// Observations at one level of concurrency.
@@ -28,7 +28,7 @@
     /// Number of requests that completed at this level.
     pub completions: f64,
     /// Number of completed requests that were at this level right after they were sent.
-    pub sent: f64,
+    pub latency_samples: f64,
     /// Sum of the latencies of the requests sent at this level, in seconds.
     pub latency_sum: f64,
     /// Sum of the squared latencies of the requests sent at this level, in seconds squared.
@@ -70,14 +70,14 @@
     /// Returns the mean latency of the requests sent at this level, in seconds.
     #[must_use]
     pub fn mean_latency(&self) -> f64 {
-        self.latency_sum / self.sent.max(1.0)
+        self.latency_sum / self.latency_samples.max(1.0)
     }
 
     fn scale(&mut self, factor: f64) {
         self.seconds *= factor;
         self.request_seconds *= factor;
         self.completions *= factor;
-        self.sent *= factor;
+        self.latency_samples *= factor;
         self.latency_sum *= factor;
         self.latency_square_sum *= factor;
     }
@@ -86,7 +86,7 @@
         self.seconds += other.seconds;
         self.request_seconds += other.request_seconds;
         self.completions += other.completions;
-        self.sent += other.sent;
+        self.latency_samples += other.latency_samples;
         self.latency_sum += other.latency_sum;
         self.latency_square_sum += other.latency_square_sum;
     }
@@ -95,7 +95,7 @@
 impl Default for ConcurrencyStatistics {
     fn default() -> Self {
         Self {
-            levels: [LevelStatistics::default(); LEVELS],
+            levels: [LevelStatistics::default(); LEVEL_COUNT],
         }
     }
 }
@@ -106,8 +106,8 @@
         return in_flight;
     }
     let doublings = (in_flight.min(MAX_CONCURRENCY) as f64 / EXACT_LEVELS as f64).log2();
-    let beyond = doublings * LEVELS_PER_DOUBLING as f64;
-    (EXACT_LEVELS + beyond as usize).min(LEVELS - 1)
+    let levels_above_exact = doublings * LEVELS_PER_DOUBLING as f64;
+    (EXACT_LEVELS + levels_above_exact as usize).min(LEVEL_COUNT - 1)
 }
 
 impl ConcurrencyStatistics {
@@ -126,7 +126,7 @@
     /// Adds the latency, in seconds, of a request that was sent as the `in_flight`-th in flight.
     pub fn add_latency(&mut self, in_flight: usize, seconds: f64) {
         let level = &mut self.levels[level_index(in_flight)];
-        level.sent += 1.0;
+        level.latency_samples += 1.0;
         level.latency_sum += seconds;
         level.latency_square_sum += seconds * seconds;
     }
@@ -165,12 +165,12 @@
     #[must_use]
     pub fn mean_latency(&self) -> f64 {
         let mut latency_sum = 0.0;
-        let mut sent: f64 = 0.0;
+        let mut latency_samples: f64 = 0.0;
         for level in &self.levels {
             latency_sum += level.latency_sum;
-            sent += level.sent;
+            latency_samples += level.latency_samples;
         }
-        latency_sum / sent.max(1.0)
+        latency_sum / latency_samples.max(1.0)
     }
 
     /// Returns the time-weighted mean number of requests in flight.
--- a/crates/saturation/src/lib.rs
+++ b/crates/saturation/src/lib.rs
@@ -3,17 +3,17 @@
 //!
 //! [`ConcurrencyStatistics`] record, for each level of concurrency (requests in flight), the time
 //! spent at it and the completions in that time. Natural fluctuations of the load reveal the curve
-//! of throughput over concurrency long before the mean load approaches saturation. [`fit()`] fits a
-//! [`ThroughputCurve`] to these statistics: a number of servers, with contention and coherence as
-//! in the universal scalability law. The result is the throughput at saturation with an interval,
-//! which is wide if the observations are not conclusive.
+//! of throughput over concurrency long before the mean load approaches saturation.
+//! [`estimate_saturation`] fits a [`ThroughputCurve`] to these statistics: a number of servers,
+//! with contention and coherence as in the universal scalability law. The result is the throughput
+//! at saturation with an interval, which is wide if the observations are not conclusive.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `upstream_model` | model that turns observations of one upstream into [`Prediction`]s |
 //! | `concurrency_statistics` | sufficient statistics by level of concurrency |
 //! | `throughput_curve` | the parametric family of curves |
-//! | `saturation_fit` | likelihoods on a grid of curves, and the estimate from them |
+//! | `saturation_estimate` | likelihoods on a grid of curves, and the estimate from them |
 //! | `throughput_history` | recent throughput, and its trend |
 //! | `concurrency_limit` | a reactive limit on requests in flight, which an estimate may adjust |
 //!
@@ -40,7 +40,7 @@
 mod completion;
 mod concurrency_limit;
 mod concurrency_statistics;
-mod saturation_fit;
+mod saturation_estimate;
 mod throughput_curve;
 mod throughput_history;
 mod upstream_model;
@@ -48,6 +48,6 @@
 pub use completion::Completion;
 pub use concurrency_limit::ConcurrencyLimit;
 pub use concurrency_statistics::{ConcurrencyStatistics, LevelStatistics, Totals};
-pub use saturation_fit::{fit, SaturationEstimate};
+pub use saturation_estimate::{estimate_saturation, SaturationEstimate};
 pub use throughput_curve::{CurveShape, Peak, ThroughputCurve};
 pub use upstream_model::{ModelSettings, Prediction, UpstreamModel};
--- a/crates/saturation/src/saturation_fit.rs
+++ b/crates/saturation/src/saturation_estimate.rs
@@ -16,15 +16,15 @@
 /// All numbers of servers up to this one are on the grid; above it they form a geometric series.
 const EXACT_SERVERS: usize = 12;
 /// Minimum ratio of the geometric series of numbers of servers.
-const SERVERS_RATIO: f64 = 1.12;
+const MIN_SERVERS_RATIO: f64 = 1.12;
 /// Maximum number of steps in that series. The ratio is raised to meet it, so that the time of a
 /// fit is bounded.
-const MAX_RATIO_STEPS: f64 = 24.0;
+const MAX_SERIES_STEPS: f64 = 24.0;
 /// Maximum number of servers on the grid, as a multiple of the highest observed concurrency; more
 /// servers make no difference to the observations.
-const SERVERS_PER_OBSERVED: f64 = 3.0;
+const MAX_SERVERS_PER_CONCURRENCY: f64 = 3.0;
 /// Lower bound of the maximum number of servers on the grid.
-const MIN_LARGEST_SERVERS: f64 = 4.0;
+const MAX_SERVERS_LOWER_BOUND: f64 = 4.0;
 /// Weight of the log-likelihood in the interval. Requests in flight together tend to complete
 /// together, so that their counts carry less information than independent ones; at full weight the
 /// interval would be too narrow.
@@ -69,16 +69,16 @@
 
 /// Estimates the saturation point. Returns `None` if fewer than 50 requests completed.
 #[must_use]
-pub fn fit(statistics: &ConcurrencyStatistics) -> Option<SaturationEstimate> {
-    let observations = Observations::of(statistics);
+pub fn estimate_saturation(statistics: &ConcurrencyStatistics) -> Option<SaturationEstimate> {
+    let observations = Observations::from_statistics(statistics);
     if observations.completions < MIN_COMPLETIONS {
         return None;
     }
     let mut candidates = evaluate_grid(&observations, statistics.highest_concurrency());
-    candidates.sort_by(|one, other| one.peak_throughput.total_cmp(&other.peak_throughput));
+    candidates.sort_by(|a, b| a.peak_throughput.total_cmp(&b.peak_throughput));
     let best = candidates
         .iter()
-        .max_by(|one, other| one.log_likelihood.total_cmp(&other.log_likelihood))?;
+        .max_by(|a, b| a.log_likelihood.total_cmp(&b.log_likelihood))?;
     let quantile = |weight, share| quantile(&candidates, best.log_likelihood, weight, share);
     let [low, high] = INTERVAL_QUANTILES.map(|share| quantile(INTERVAL_WEIGHT, share));
     Some(SaturationEstimate {
@@ -99,11 +99,11 @@
     };
     let total: f64 = candidates.iter().map(weight).sum();
     let mut sum = 0.0;
-    let found = candidates.iter().find(|candidate| {
+    let quantile_candidate = candidates.iter().find(|candidate| {
         sum += weight(candidate);
         sum >= share * total
     });
-    found
+    quantile_candidate
         .or(candidates.last())
         .map_or(0.0, |candidate| candidate.peak_throughput)
 }
@@ -129,15 +129,16 @@
 
 /// Returns the numbers of servers on the grid: all small ones, then a geometric series.
 fn servers_on_grid(highest_concurrency: f64) -> Vec<f64> {
-    let largest = (SERVERS_PER_OBSERVED * highest_concurrency).max(MIN_LARGEST_SERVERS);
-    let bounded_ratio = (largest / EXACT_SERVERS as f64).powf(1.0 / MAX_RATIO_STEPS);
-    let ratio = SERVERS_RATIO.max(bounded_ratio);
+    let max_servers =
+        (MAX_SERVERS_PER_CONCURRENCY * highest_concurrency).max(MAX_SERVERS_LOWER_BOUND);
+    let bounded_ratio = (max_servers / EXACT_SERVERS as f64).powf(1.0 / MAX_SERIES_STEPS);
+    let ratio = MIN_SERVERS_RATIO.max(bounded_ratio);
     let mut grid: Vec<f64> = (1..=EXACT_SERVERS)
         .map(|servers| servers as f64)
-        .filter(|servers| *servers <= largest)
+        .filter(|servers| *servers <= max_servers)
         .collect();
     let mut servers = EXACT_SERVERS as f64 * ratio;
-    while servers <= largest {
+    while servers <= max_servers {
         grid.push(servers);
         servers *= ratio;
     }
@@ -154,7 +155,7 @@
 }
 
 impl Observations {
-    fn of(statistics: &ConcurrencyStatistics) -> Self {
+    fn from_statistics(statistics: &ConcurrencyStatistics) -> Self {
         let levels: Vec<LevelStatistics> = statistics.busy_levels().copied().collect();
         Self {
             completions: levels.iter().map(|level| level.completions).sum(),
@@ -203,10 +204,10 @@
             .levels
             .iter()
             .zip(speedups)
-            .filter(|(level, _)| level.sent > 0.0)
+            .filter(|(level, _)| level.latency_samples > 0.0)
             .map(|(level, speedup)| {
                 let expected = level.concurrency() / (single_throughput * speedup);
-                level.sent * (level.mean_latency() / expected - 1.0).powi(2)
+                level.latency_samples * (level.mean_latency() / expected - 1.0).powi(2)
             });
         -squared_errors.sum::<f64>() / (2.0 * self.relative_latency_variance)
     }
@@ -215,17 +216,17 @@
 /// Returns the relative variance of latencies, pooled over the levels because a single one may have
 /// too few requests.
 fn relative_latency_variance(levels: &[LevelStatistics]) -> f64 {
-    let mut sent: f64 = 0.0;
+    let mut latency_samples: f64 = 0.0;
     let mut squared_deviations = 0.0;
     for level in levels {
         let mean = level.mean_latency();
-        let deviations = if level.sent >= 2.0 {
+        let deviations = if level.latency_samples >= 2.0 {
             level.latency_square_sum - level.latency_sum * mean
         } else {
             0.0
         };
-        sent += level.sent;
+        latency_samples += level.latency_samples;
         squared_deviations += deviations.max(0.0) / (mean * mean).max(MIN_LATENCY_SQUARE);
     }
-    (squared_deviations / sent.max(1.0)).max(MIN_RELATIVE_VARIANCE)
+    (squared_deviations / latency_samples.max(1.0)).max(MIN_RELATIVE_VARIANCE)
 }
--- a/crates/saturation/src/throughput_history.rs
+++ b/crates/saturation/src/throughput_history.rs
@@ -1,17 +1,17 @@
 //! Recent throughput, and its trend.
 
 /// Number of windows in the history.
-const WINDOWS: usize = 16;
+const WINDOW_COUNT: usize = 16;
 /// Minimum number of windows for a trend.
 const MIN_WINDOWS: usize = 4;
 /// Minimum slope of a significant trend, in standard deviations; a smaller one may be due to
 /// chance.
-const SIGNIFICANT_SIGMAS: f64 = 2.0;
+const MIN_SLOPE_SIGMAS: f64 = 2.0;
 
 /// Throughput of the latest windows, in completions per second, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ThroughputHistory {
-    throughputs: [f64; WINDOWS],
+    throughputs: [f64; WINDOW_COUNT],
 }
 
 /// A linear trend of the throughput.
@@ -27,34 +27,34 @@
     /// Adds the throughput of a window that has ended.
     pub(crate) fn push(&mut self, throughput: f64) {
         self.throughputs.rotate_left(1);
-        self.throughputs[WINDOWS - 1] = throughput;
+        self.throughputs[WINDOW_COUNT - 1] = throughput;
     }
 
     /// Returns the throughput of the latest window.
     pub(crate) fn latest(&self) -> f64 {
-        self.throughputs[WINDOWS - 1]
+        self.throughputs[WINDOW_COUNT - 1]
     }
 
     /// Returns the least squares trend over the windows since the first one with a completion.
     pub(crate) fn trend(&self, window_seconds: f64) -> Trend {
-        let known: Vec<f64> = self
+        let observed: Vec<f64> = self
             .throughputs
             .iter()
             .copied()
             .skip_while(|throughput| *throughput == 0.0)
             .collect();
-        if known.len() < MIN_WINDOWS {
+        if observed.len() < MIN_WINDOWS {
             return Trend {
                 slope: 0.0,
-                level: known.last().copied().unwrap_or(0.0),
+                level: observed.last().copied().unwrap_or(0.0),
             };
         }
-        let count = known.len() as f64;
+        let count = observed.len() as f64;
         let mean_index = (count - 1.0) / 2.0;
-        let mean = known.iter().sum::<f64>() / count;
+        let mean = observed.iter().sum::<f64>() / count;
         let mut covariance = 0.0;
         let mut variance = 0.0;
-        for (index, throughput) in known.iter().enumerate() {
+        for (index, throughput) in observed.iter().enumerate() {
             let offset = index as f64 - mean_index;
             covariance += offset * (throughput - mean);
             variance += offset.powi(2);
@@ -62,7 +62,7 @@
         // The variance of a Poisson count is its mean.
         let deviation = (mean / window_seconds / variance).sqrt();
         let slope = covariance / variance;
-        let is_significant = slope > SIGNIFICANT_SIGMAS * deviation;
+        let is_significant = slope > MIN_SLOPE_SIGMAS * deviation;
         let slope = if is_significant { slope } else { 0.0 };
         Trend {
             slope: slope / window_seconds,
--- a/crates/saturation/src/upstream_model.rs
+++ b/crates/saturation/src/upstream_model.rs
@@ -2,7 +2,7 @@
 
 use crate::completion::{Completion, MICROS_PER_SECOND};
 use crate::concurrency_statistics::ConcurrencyStatistics;
-use crate::saturation_fit::{fit, SaturationEstimate};
+use crate::saturation_estimate::{estimate_saturation, SaturationEstimate};
 use crate::throughput_history::ThroughputHistory;
 use cleatpulley_policy::interface::Micros;
 
@@ -10,7 +10,7 @@
 /// occur together vary more.
 const OVERDISPERSION: f64 = 2.0;
 /// Lower bound of the expected completions that the variance is computed from.
-const MIN_EXPECTED: f64 = 4.0;
+const MIN_EXPECTED_COMPLETIONS: f64 = 4.0;
 /// Minimum relative difference from the expected completions in a regime change.
 const MIN_REGIME_DIFFERENCE: f64 = 0.2;
 
@@ -125,7 +125,7 @@
     pub fn predict(&mut self, now: Micros) -> Prediction {
         self.advance_time(now);
         let statistics = self.statistics();
-        let estimate = fit(&statistics);
+        let estimate = estimate_saturation(&statistics);
         let throughput = self.throughputs.latest().max(0.0);
         let window_seconds = self.settings.window as f64 / MICROS_PER_SECOND;
         let trend = self.throughputs.trend(window_seconds);
@@ -182,7 +182,7 @@
     /// At a concurrency above the highest one in the history, the throughput at the highest one is
     /// expected: the curve is unknown beyond it, which must not cause a false alarm.
     fn is_regime_change(&self) -> bool {
-        let Some(estimate) = fit(&self.history) else {
+        let Some(estimate) = estimate_saturation(&self.history) else {
             return false;
         };
         let highest = self.history.highest_concurrency();
@@ -199,7 +199,7 @@
             .busy_levels()
             .map(|level| level.completions)
             .sum();
-        let deviation = (OVERDISPERSION * expected.max(MIN_EXPECTED)).sqrt();
+        let deviation = (OVERDISPERSION * expected.max(MIN_EXPECTED_COMPLETIONS)).sqrt();
         let is_significant =
             (completions - expected).abs() > self.settings.regime_change_sigmas * deviation;
         let relative_difference = (completions / expected.max(1.0) - 1.0).abs();
--- a/crates/saturation/tests/concurrency_limit.rs
+++ b/crates/saturation/tests/concurrency_limit.rs
@@ -49,8 +49,8 @@
     for step in 0..200 {
         limit.on_completion(step * 10_000, in_time, limit.limit());
     }
-    let grown = limit.limit();
-    assert!(grown > 15, "{grown}");
+    let grown_limit = limit.limit();
+    assert!(grown_limit > 15, "{grown_limit}");
 
     let late = Completion {
         concurrency: 9,
@@ -60,8 +60,8 @@
         limit.on_completion(2_000_000 + step * 1_000, late, limit.limit());
     }
     assert!(
-        limit.limit() < grown && limit.limit() >= grown / 3,
-        "{} after {grown}",
+        limit.limit() < grown_limit && limit.limit() >= grown_limit / 3,
+        "{} after {grown_limit}",
         limit.limit()
     );
 }
--- a/crates/saturation/tests/saturation_fit.rs
+++ b/crates/saturation/tests/saturation_estimate.rs
@@ -1,11 +1,13 @@
 //! Estimates from observations that are generated from a known curve.
 
-use cleatpulley_saturation::{fit, ConcurrencyStatistics, CurveShape, ThroughputCurve};
+use cleatpulley_saturation::{
+    estimate_saturation, ConcurrencyStatistics, CurveShape, ThroughputCurve,
+};
 
-/// Generates observations of a curve, for `seconds` at each concurrency up to `highest`.
-fn observe(curve: ThroughputCurve, highest: usize, seconds: f64) -> ConcurrencyStatistics {
+/// Generates observations of a curve, for `seconds` at each concurrency up to `max_concurrency`.
+fn observe(curve: ThroughputCurve, max_concurrency: usize, seconds: f64) -> ConcurrencyStatistics {
     let mut statistics = ConcurrencyStatistics::default();
-    for in_flight in 1..=highest {
+    for in_flight in 1..=max_concurrency {
         statistics.add_time(in_flight, seconds);
         let completions = (curve.throughput(in_flight as f64) * seconds) as usize;
         for _ in 0..completions {
@@ -29,7 +31,7 @@
 
 #[test]
 fn estimate_finds_the_saturation_throughput_of_a_known_curve() {
-    let shared = ThroughputCurve {
+    let usl_curve = ThroughputCurve {
         single_throughput: 10.0,
         shape: CurveShape {
             servers: 1_000.0,
@@ -37,18 +39,18 @@
             coherence: 1e-3,
         },
     };
-    for curve in [queue(8.0, 20.0), queue(1.0, 50.0), shared] {
+    for curve in [queue(8.0, 20.0), queue(1.0, 50.0), usl_curve] {
         let peak = curve.peak();
-        let rate = peak.throughput;
+        let true_throughput = peak.throughput;
         let statistics = observe(curve, (1.3 * peak.concurrency) as usize + 2, 20.0);
-        let fit = fit(&statistics).expect("there are enough completions");
+        let estimate = estimate_saturation(&statistics).expect("there are enough completions");
         assert!(
-            (fit.throughput / rate - 1.0).abs() < 0.03,
-            "{fit:?} of {rate}"
+            (estimate.throughput / true_throughput - 1.0).abs() < 0.03,
+            "{estimate:?} of {true_throughput}"
         );
         assert!(
-            fit.low <= rate * 1.001 && rate <= fit.high * 1.001,
-            "{fit:?} of {rate}"
+            estimate.low <= true_throughput * 1.001 && true_throughput <= estimate.high * 1.001,
+            "{estimate:?} of {true_throughput}"
         );
     }
 }
@@ -56,11 +58,12 @@
 #[test]
 fn interval_is_wide_far_from_saturation_and_too_few_completions_give_no_estimate() {
     let curve = queue(40.0, 20.0);
-    let far = fit(&observe(curve, 4, 20.0)).expect("there are enough completions");
-    let near = fit(&observe(curve, 50, 20.0)).expect("there are enough completions");
+    let far = estimate_saturation(&observe(curve, 4, 20.0)).expect("there are enough completions");
+    let near =
+        estimate_saturation(&observe(curve, 50, 20.0)).expect("there are enough completions");
     assert!(
         far.high / far.low > 2.0 && near.high / near.low < 1.2,
         "{far:?} {near:?}"
     );
-    assert_eq!(fit(&observe(curve, 1, 2.0)), None);
+    assert_eq!(estimate_saturation(&observe(curve, 1, 2.0)), None);
 }
