--- a/crates/saturation-bench/src/checks.rs
+++ b/crates/saturation-bench/src/checks.rs
@@ -10,15 +10,15 @@
 use cleatpulley_saturation_bench::UpstreamKind;
 
 /// Number of upstreams in a check of changes over time.
-const UPSTREAMS: u64 = 60;
+const UPSTREAM_COUNT: u64 = 60;
 /// Seconds in an hour.
-const HOUR: f64 = 3_600.0;
+const SECONDS_PER_HOUR: f64 = 3_600.0;
 
 /// Generates a random upstream with a queue.
 fn random_queue(seed: u64) -> UpstreamKind {
     match UpstreamKind::random(seed) {
         queue @ UpstreamKind::Queue { .. } => queue,
-        UpstreamKind::Shared { .. } => UpstreamKind::Queue {
+        UpstreamKind::ProcessorSharing { .. } => UpstreamKind::Queue {
             servers: 1 + seed as usize % 16,
             service_time: 0.02,
             variability: 0.8,
--- a/crates/saturation-bench/src/checks/goodput.rs
+++ b/crates/saturation-bench/src/checks/goodput.rs
@@ -2,7 +2,7 @@
 
 use super::report::Report;
 use cleatpulley_saturation::ConcurrencyLimit;
-use cleatpulley_saturation_bench::{run, Experiment, Limiter, UpstreamKind};
+use cleatpulley_saturation_bench::{run_experiment, Experiment, Limiter, UpstreamKind};
 
 /// Loads, as shares of the throughput at saturation.
 const LOADS: [f64; 3] = [0.9, 1.1, 1.3];
@@ -13,11 +13,11 @@
 /// Length of a run, in seconds.
 const RUN_SECONDS: f64 = 40.0;
 /// Number of threads among which the upstreams are divided.
-const THREADS: u64 = 4;
+const THREAD_COUNT: u64 = 4;
 /// Number of upstreams per thread.
 const UPSTREAMS_PER_THREAD: u64 = 10;
 /// Maximum shortfall in goodput of the predictive limit against the reactive one.
-const TOLERANCE: f64 = 0.01;
+const MAX_GOODPUT_LOSS: f64 = 0.01;
 
 /// Goodput of one upstream as a share of its throughput at saturation, by limiter.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
 }
 
 /// A sample mean over upstreams, and its standard error.
-struct Mean {
+struct MeanEstimate {
     mean: f64,
     standard_error: f64,
 }
@@ -41,7 +41,8 @@
     );
     for load in LOADS {
         let goodputs = measure_all(load);
-        let mean_of = |limiter: fn(&Goodput) -> f64| Mean::of(goodputs.iter().map(limiter));
+        let mean_of =
+            |limiter: fn(&Goodput) -> f64| MeanEstimate::from_values(goodputs.iter().map(limiter));
         let unlimited = mean_of(|goodput| goodput.unlimited);
         let reactive = mean_of(|goodput| goodput.reactive);
         let best_fixed = mean_of(|goodput| goodput.best_fixed);
@@ -50,21 +51,21 @@
             "  at {:.0}%: without a limit {unlimited}, reactive {reactive}, best fixed limit {best_fixed}, with predictions {predictive}",
             load * 100.0
         );
-        report.check(predictive.mean >= reactive.mean - TOLERANCE, figure);
+        report.check(predictive.mean >= reactive.mean - MAX_GOODPUT_LOSS, figure);
     }
 }
 
 /// Measures all upstreams on several threads. Each upstream has its own seed, so that the results
 /// don't depend on the scheduling of the threads.
 fn measure_all(load: f64) -> Vec<Goodput> {
-    let measure_share = |thread: u64| -> Vec<Goodput> {
+    let measure_on_thread = |thread: u64| -> Vec<Goodput> {
         (0..UPSTREAMS_PER_THREAD)
-            .map(|index| measure(THREADS * index + thread, load))
+            .map(|index| measure_goodput(THREAD_COUNT * index + thread, load))
             .collect()
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS)
-            .map(|thread| scope.spawn(move || measure_share(thread)))
+        let threads: Vec<_> = (0..THREAD_COUNT)
+            .map(|thread| scope.spawn(move || measure_on_thread(thread)))
             .collect();
         threads
             .into_iter()
@@ -73,17 +74,17 @@
     })
 }
 
-fn measure(seed: u64, load: f64) -> Goodput {
+fn measure_goodput(seed: u64, load: f64) -> Goodput {
     let kind = UpstreamKind::random(seed);
-    let truth = kind.saturation_throughput();
-    let arrival_rate = |_| load * truth;
+    let true_throughput = kind.saturation_throughput();
+    let arrival_rate = |_| load * true_throughput;
     let goodput = |limiter: Limiter| {
         let experiment = Experiment {
             limiter,
             deadline: DEADLINE_LATENCIES * kind.uncontended_latency(),
             ..Experiment::new(kind, &arrival_rate, RUN_SECONDS, seed)
         };
-        run(experiment, |_, _| ()).goodput() / truth
+        run_experiment(experiment, |_, _| ()).goodput() / true_throughput
     };
     let best_fixed = FIXED_LIMITS
         .into_iter()
@@ -97,13 +98,13 @@
     }
 }
 
-impl Mean {
-    fn of(values: impl Iterator<Item = f64>) -> Self {
+impl MeanEstimate {
+    fn from_values(values: impl Iterator<Item = f64>) -> Self {
         let values: Vec<f64> = values.collect();
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count;
-        let squares = values.iter().map(|value| (value - mean).powi(2));
-        let variance = squares.sum::<f64>() / (count - 1.0);
+        let squared_deviations = values.iter().map(|value| (value - mean).powi(2));
+        let variance = squared_deviations.sum::<f64>() / (count - 1.0);
         Self {
             mean,
             standard_error: (variance / count).sqrt(),
@@ -111,7 +112,7 @@
     }
 }
 
-impl std::fmt::Display for Mean {
+impl std::fmt::Display for MeanEstimate {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:.3} ({:.3})", self.mean, self.standard_error)
     }
--- a/crates/saturation-bench/src/checks/regime_changes.rs
+++ b/crates/saturation-bench/src/checks/regime_changes.rs
@@ -1,8 +1,8 @@
 //! Detection of a slowdown of an upstream, and false alarms in a steady state.
 
 use super::report::Report;
-use super::{quantile, random_queue, HOUR, UPSTREAMS};
-use cleatpulley_saturation_bench::{run, to_micros, Experiment, Slowdown};
+use super::{quantile, random_queue, SECONDS_PER_HOUR, UPSTREAM_COUNT};
+use cleatpulley_saturation_bench::{run_experiment, to_micros, Experiment, Slowdown};
 
 /// The fault: service times triple after half a minute.
 const SLOWDOWN: Slowdown = Slowdown {
@@ -12,13 +12,13 @@
 /// Load in the runs with a slowdown, as a share of the throughput at saturation without it.
 const SLOWED_LOAD: f64 = 0.25;
 /// Maximum time to detection in nine of ten runs, in seconds.
-const DETECTION_GOAL: f64 = 5.0;
+const MAX_DETECTION_SECONDS: f64 = 5.0;
 /// Load in a steady state, as a share of the throughput at saturation.
 const STEADY_LOAD: f64 = 0.7;
 /// Length of a run in a steady state, in seconds.
 const STEADY_SECONDS: f64 = 120.0;
 /// Maximum number of false alarms per upstream and hour.
-const FALSE_ALARM_GOAL: f64 = 1.0;
+const MAX_FALSE_ALARMS_PER_HOUR: f64 = 1.0;
 
 /// Checks the time to detection, and the rate of false alarms.
 pub fn check(report: &mut Report) {
@@ -27,51 +27,53 @@
 }
 
 fn check_detection(report: &mut Report) {
-    let mut delays: Vec<f64> = (0..UPSTREAMS).map(detection_delay).collect();
+    let mut delays: Vec<f64> = (0..UPSTREAM_COUNT).map(detection_delay).collect();
     delays.sort_by(f64::total_cmp);
     let median = quantile(&delays, 0.5);
     let ninth_decile = quantile(&delays, 0.9);
     let figure = format!(
         "slowed to a third: detected after {median:.1} s in the median, {ninth_decile:.1} s in nine of ten (goal 5 s)"
     );
-    report.check(ninth_decile <= DETECTION_GOAL, figure);
+    report.check(ninth_decile <= MAX_DETECTION_SECONDS, figure);
 }
 
 /// Returns the time from the slowdown to its detection in seconds, infinite if it was not detected.
 fn detection_delay(seed: u64) -> f64 {
     let kind = random_queue(seed);
-    let rate = SLOWED_LOAD * kind.saturation_throughput();
-    let arrival_rate = |_| rate;
+    let arrivals_per_second = SLOWED_LOAD * kind.saturation_throughput();
+    let arrival_rate = |_| arrivals_per_second;
     let experiment = Experiment {
         slowdown: Some(SLOWDOWN),
         ..Experiment::new(kind, &arrival_rate, 60.0, seed)
     };
-    let mut detection = None;
-    run(experiment, |now, model| {
+    let mut detected_after = None;
+    run_experiment(experiment, |now, model| {
         let regime_changes = model.predict(to_micros(now)).regime_changes;
-        if now >= SLOWDOWN.start && detection.is_none() && regime_changes > 0 {
-            detection = Some(now - SLOWDOWN.start);
+        if now >= SLOWDOWN.start && detected_after.is_none() && regime_changes > 0 {
+            detected_after = Some(now - SLOWDOWN.start);
         }
     });
-    detection.unwrap_or(f64::INFINITY)
+    detected_after.unwrap_or(f64::INFINITY)
 }
 
 fn check_false_alarms(report: &mut Report) {
     let mut alarms = 0;
     let mut hours = 0.0;
-    for seed in 0..UPSTREAMS {
+    for seed in 0..UPSTREAM_COUNT {
         let kind = random_queue(seed);
-        let rate = STEADY_LOAD * kind.saturation_throughput();
-        let arrival_rate = |_| rate;
+        let arrivals_per_second = STEADY_LOAD * kind.saturation_throughput();
+        let arrival_rate = |_| arrivals_per_second;
         let experiment = Experiment::new(kind, &arrival_rate, STEADY_SECONDS, seed);
-        let mut outcome = run(experiment, |_, _| ());
+        let mut outcome = run_experiment(experiment, |_, _| ());
         let prediction = outcome.model.predict(to_micros(STEADY_SECONDS));
         alarms += prediction.regime_changes;
-        hours += STEADY_SECONDS / HOUR;
+        hours += STEADY_SECONDS / SECONDS_PER_HOUR;
     }
-    let rate = f64::from(alarms) / hours;
+    let alarms_per_hour = f64::from(alarms) / hours;
     report.check(
-        rate <= FALSE_ALARM_GOAL,
-        format!("false alarms of a regime change: {rate:.2} an hour of an upstream (goal 1)"),
+        alarms_per_hour <= MAX_FALSE_ALARMS_PER_HOUR,
+        format!(
+            "false alarms of a regime change: {alarms_per_hour:.2} an hour of an upstream (goal 1)"
+        ),
     );
 }
--- a/crates/saturation-bench/src/experiment.rs
+++ b/crates/saturation-bench/src/experiment.rs
@@ -8,15 +8,15 @@
 use std::collections::VecDeque;
 
 /// Time on the model's clock at the start of a run, in microseconds.
-const START: u64 = 1_000_000;
+const CLOCK_START_MICROS: u64 = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Share of a run before goodput is measured.
-const WARM_UP: f64 = 0.25;
+const WARM_UP_SHARE: f64 = 0.25;
 /// Interval between two observations of the model, in seconds.
-const OBSERVATION_INTERVAL: f64 = 1.0;
+const OBSERVATION_INTERVAL_SECONDS: f64 = 1.0;
 /// Minimum arrival rate, in requests per second.
-const MIN_ARRIVAL_RATE: f64 = 0.1;
+const MIN_ARRIVALS_PER_SECOND: f64 = 0.1;
 /// Remaining work up to which a request counts as completed.
 const NEGLIGIBLE_WORK: f64 = 1e-12;
 
@@ -76,12 +76,12 @@
     }
 
     fn arrival_rate(&self, now: f64) -> f64 {
-        (self.arrival_rate)(now).max(MIN_ARRIVAL_RATE)
+        (self.arrival_rate)(now).max(MIN_ARRIVALS_PER_SECOND)
     }
 
     /// Returns the start of the measurement of goodput, in seconds.
     fn measured_from(&self) -> f64 {
-        self.seconds * WARM_UP
+        self.seconds * WARM_UP_SHARE
     }
 }
 
@@ -106,11 +106,11 @@
 /// Converts seconds since the start of a run to the model's clock, in microseconds.
 #[must_use]
 pub fn to_micros(seconds: f64) -> u64 {
-    START + (seconds * MICROS_PER_SECOND) as u64
+    CLOCK_START_MICROS + (seconds * MICROS_PER_SECOND) as u64
 }
 
 /// Runs an experiment, and calls `observe` with the time and the model about once a second.
-pub fn run(
+pub fn run_experiment(
     experiment: Experiment<'_>,
     mut observe: impl FnMut(f64, &mut UpstreamModel),
 ) -> Outcome {
@@ -118,7 +118,7 @@
     while run.now < run.experiment.seconds {
         run.advance();
         run.start_service();
-        if run.now >= run.last_observation + OBSERVATION_INTERVAL {
+        if run.now >= run.last_observation + OBSERVATION_INTERVAL_SECONDS {
             run.last_observation = run.now;
             run.update_limiter();
             observe(run.now, &mut run.model);
@@ -141,7 +141,7 @@
 }
 
 /// A request in service.
-struct InService {
+struct ActiveRequest {
     request: Request,
     remaining_work: f64,
 }
@@ -149,11 +149,11 @@
 /// The state of a run.
 struct Run<'a> {
     experiment: Experiment<'a>,
-    random: SmallRng,
+    rng: SmallRng,
     model: UpstreamModel,
     now: f64,
     next_arrival: f64,
-    in_service: Vec<InService>,
+    in_service: Vec<ActiveRequest>,
     queue: VecDeque<Request>,
     last_observation: f64,
     timely_responses: u64,
@@ -161,11 +161,11 @@
 
 impl<'a> Run<'a> {
     fn new(experiment: Experiment<'a>) -> Self {
-        let mut random = SmallRng::seed_from_u64(experiment.seed);
-        let next_arrival = draw_exponential(&mut random) / experiment.arrival_rate(0.0);
+        let mut rng = SmallRng::seed_from_u64(experiment.seed);
+        let next_arrival = draw_exponential(&mut rng) / experiment.arrival_rate(0.0);
         Self {
             experiment,
-            random,
+            rng,
             model: UpstreamModel::new(ModelSettings::default()),
             now: 0.0,
             next_arrival,
@@ -183,12 +183,12 @@
         let until_completion = self
             .in_service
             .iter()
-            .map(|served| served.remaining_work / service_rate)
+            .map(|job| job.remaining_work / service_rate)
             .fold(f64::INFINITY, f64::min);
         let step = until_completion.min(self.next_arrival - self.now).max(0.0);
         self.now += step;
-        for served in &mut self.in_service {
-            served.remaining_work -= step * service_rate;
+        for job in &mut self.in_service {
+            job.remaining_work -= step * service_rate;
         }
         if until_completion <= step {
             self.complete();
@@ -198,12 +198,12 @@
     }
 
     fn complete(&mut self) {
-        let completed = self
+        let index = self
             .in_service
             .iter()
-            .position(|served| served.remaining_work <= NEGLIGIBLE_WORK)
+            .position(|job| job.remaining_work <= NEGLIGIBLE_WORK)
             .unwrap_or(0);
-        let request = self.in_service.swap_remove(completed).request;
+        let request = self.in_service.swap_remove(index).request;
         let latency = self.now - request.arrival;
         let completion = Completion {
             concurrency: request.concurrency,
@@ -221,7 +221,7 @@
     }
 
     fn arrive(&mut self) {
-        let interval = draw_exponential(&mut self.random) / self.experiment.arrival_rate(self.now);
+        let interval = draw_exponential(&mut self.rng) / self.experiment.arrival_rate(self.now);
         self.next_arrival = self.now + interval;
         if self.model.in_flight() < self.experiment.limiter.limit() {
             let concurrency = self.model.on_request_sent(to_micros(self.now));
@@ -239,8 +239,8 @@
             let Some(request) = self.queue.pop_front() else {
                 return;
             };
-            let remaining_work = self.experiment.kind.draw_work(&mut self.random);
-            self.in_service.push(InService {
+            let remaining_work = self.experiment.kind.draw_work(&mut self.rng);
+            self.in_service.push(ActiveRequest {
                 request,
                 remaining_work,
             });
--- a/crates/saturation-bench/src/lib.rs
+++ b/crates/saturation-bench/src/lib.rs
@@ -17,6 +17,6 @@
 mod upstream_kind;
 
 pub use accuracy::{measure_accuracy, Accuracy, SeedRange};
-pub use experiment::{run, to_micros, Experiment, Outcome, Slowdown};
+pub use experiment::{run_experiment, to_micros, Experiment, Outcome, Slowdown};
 pub use limiter::Limiter;
 pub use upstream_kind::UpstreamKind;
--- a/crates/saturation-bench/src/upstream_kind.rs
+++ b/crates/saturation-bench/src/upstream_kind.rs
@@ -19,7 +19,7 @@
         variability: f64,
     },
     /// Processor sharing, with a throughput by the universal scalability law.
-    Shared {
+    ProcessorSharing {
         /// Throughput with a single request in flight, in completions per second.
         single_throughput: f64,
         /// Contention of the universal scalability law.
@@ -33,19 +33,19 @@
     /// Generates a random upstream: processor sharing with a probability of 1/3, otherwise a queue.
     #[must_use]
     pub fn random(seed: u64) -> Self {
-        let mut random = SmallRng::seed_from_u64(seed);
-        if random.random_range(0..3) == 0 {
-            return Self::Shared {
-                single_throughput: random.random_range(5.0..60.0),
-                contention: random.random_range(0.01..0.2),
-                coherence: random.random_range(0.0005..0.01),
+        let mut rng = SmallRng::seed_from_u64(seed);
+        if rng.random_range(0..3) == 0 {
+            return Self::ProcessorSharing {
+                single_throughput: rng.random_range(5.0..60.0),
+                contention: rng.random_range(0.01..0.2),
+                coherence: rng.random_range(0.0005..0.01),
             };
         }
-        let servers = random.random_range(1..24);
+        let servers = rng.random_range(1..24);
         Self::Queue {
             servers,
-            service_time: random.random_range(0.005..0.1),
-            variability: random.random_range(0.2..1.0),
+            service_time: rng.random_range(0.005..0.1),
+            variability: rng.random_range(0.2..1.0),
         }
     }
 
@@ -67,7 +67,7 @@
                 service_time,
                 ..
             } => concurrency.min(servers as f64) / service_time,
-            Self::Shared {
+            Self::ProcessorSharing {
                 single_throughput,
                 contention,
                 coherence,
@@ -90,7 +90,7 @@
     pub(crate) fn servers(self) -> usize {
         match self {
             Self::Queue { servers, .. } => servers,
-            Self::Shared { .. } => usize::MAX,
+            Self::ProcessorSharing { .. } => usize::MAX,
         }
     }
 
@@ -99,25 +99,27 @@
     pub(crate) fn service_rate(self, in_service: usize) -> f64 {
         match self {
             Self::Queue { .. } => 1.0,
-            Self::Shared { .. } => self.throughput(in_service as f64) / in_service.max(1) as f64,
+            Self::ProcessorSharing { .. } => {
+                self.throughput(in_service as f64) / in_service.max(1) as f64
+            }
         }
     }
 
     /// Draws the work of a request: its service time in seconds for a queue, or a multiple of the
     /// mean work for processor sharing.
-    pub(crate) fn draw_work(self, random: &mut SmallRng) -> f64 {
+    pub(crate) fn draw_work(self, rng: &mut SmallRng) -> f64 {
         match self {
             Self::Queue {
                 service_time,
                 variability,
                 ..
-            } => service_time * (1.0 - variability + variability * draw_exponential(random)),
-            Self::Shared { .. } => draw_exponential(random),
+            } => service_time * (1.0 - variability + variability * draw_exponential(rng)),
+            Self::ProcessorSharing { .. } => draw_exponential(rng),
         }
     }
 }
 
 /// Draws from the exponential distribution with mean 1.
-pub(crate) fn draw_exponential(random: &mut SmallRng) -> f64 {
-    -(1.0 - random.random::<f64>()).ln()
+pub(crate) fn draw_exponential(rng: &mut SmallRng) -> f64 {
+    -(1.0 - rng.random::<f64>()).ln()
 }
--- a/crates/saturation-bench/tests/accuracy.rs
+++ b/crates/saturation-bench/tests/accuracy.rs
@@ -3,7 +3,8 @@
 
 use cleatpulley_saturation::ConcurrencyLimit;
 use cleatpulley_saturation_bench::{
-    measure_accuracy, run, to_micros, Experiment, Limiter, SeedRange, Slowdown, UpstreamKind,
+    measure_accuracy, run_experiment, to_micros, Experiment, Limiter, SeedRange, Slowdown,
+    UpstreamKind,
 };
 
 const QUEUE: UpstreamKind = UpstreamKind::Queue {
@@ -31,10 +32,10 @@
 
 #[test]
 fn slow_upstream_is_detected_within_seconds_without_false_alarms() {
-    let mut noticed = Vec::new();
+    let mut detection_delays = Vec::new();
     let mut false_alarms = 0;
     for seed in 0..20 {
-        let mut detection = None;
+        let mut detected_at = None;
         let arrival_rate = |_| 200.0;
         let experiment = Experiment {
             slowdown: Some(Slowdown {
@@ -43,70 +44,79 @@
             }),
             ..Experiment::new(QUEUE, &arrival_rate, 60.0, seed)
         };
-        run(experiment, |now, model| {
-            if model.predict(to_micros(now)).regime_changes > 0 && detection.is_none() {
-                detection = Some(now);
+        run_experiment(experiment, |now, model| {
+            if model.predict(to_micros(now)).regime_changes > 0 && detected_at.is_none() {
+                detected_at = Some(now);
             }
         });
-        match detection {
-            Some(time) if time >= 40.0 => noticed.push(time - 40.0),
+        match detected_at {
+            Some(time) if time >= 40.0 => detection_delays.push(time - 40.0),
             Some(_) => false_alarms += 1,
             None => {}
         }
     }
     assert_eq!(false_alarms, 0);
-    assert_eq!(noticed.len(), 20, "{noticed:?}");
-    assert!(noticed.iter().all(|after| *after <= 9.0), "{noticed:?}");
+    assert_eq!(detection_delays.len(), 20, "{detection_delays:?}");
+    assert!(
+        detection_delays.iter().all(|delay| *delay <= 9.0),
+        "{detection_delays:?}"
+    );
 }
 
 #[test]
 fn warns_of_saturation_ahead_of_a_ramp() {
-    let truth = QUEUE.saturation_throughput();
+    let true_throughput = QUEUE.saturation_throughput();
     // The load increases by 1% of the throughput at saturation per second, and reaches it after 70
     // s.
-    let arrival_rate = |now| truth * (0.3 + 0.01 * now);
-    let mut warned = None;
-    run(
+    let arrival_rate = |now| true_throughput * (0.3 + 0.01 * now);
+    let mut warned_at = None;
+    run_experiment(
         Experiment::new(QUEUE, &arrival_rate, 69.0, 4),
         |now, model| {
             let prediction = model.predict(to_micros(now));
-            let is_near = prediction
+            let is_saturation_near = prediction
                 .seconds_to_saturation
                 .is_some_and(|seconds| seconds < 30.0);
-            if warned.is_none() && now > 20.0 && is_near {
-                warned = Some(now);
+            if warned_at.is_none() && now > 20.0 && is_saturation_near {
+                warned_at = Some(now);
             }
         },
     );
-    let ahead = 70.0 - warned.expect("a warning before saturation");
-    assert!((15.0..45.0).contains(&ahead), "{ahead} s ahead");
+    let lead_time = 70.0 - warned_at.expect("a warning before saturation");
+    assert!(
+        (15.0..45.0).contains(&lead_time),
+        "{lead_time} s before saturation"
+    );
 }
 
 /// The load is 130% of the throughput at saturation of an upstream whose throughput decreases with
 /// concurrency.
 #[test]
 fn predictive_limit_has_no_less_goodput_than_the_reactive_one() {
-    let kind = UpstreamKind::Shared {
+    let kind = UpstreamKind::ProcessorSharing {
         single_throughput: 20.0,
         contention: 0.05,
         coherence: 0.004,
     };
-    let truth = kind.saturation_throughput();
-    let arrival_rate = |_| 1.3 * truth;
+    let true_throughput = kind.saturation_throughput();
+    let arrival_rate = |_| 1.3 * true_throughput;
     let relative_goodput = |limiter: Limiter| {
         let experiment = Experiment {
             limiter,
             deadline: 20.0 * kind.uncontended_latency(),
             ..Experiment::new(kind, &arrival_rate, 60.0, 9)
         };
-        run(experiment, |_, _| ()).goodput() / truth
+        run_experiment(experiment, |_, _| ()).goodput() / true_throughput
     };
-    let none = relative_goodput(Limiter::Unlimited);
+    let unlimited = relative_goodput(Limiter::Unlimited);
     let reactive = relative_goodput(Limiter::Reactive(ConcurrencyLimit::default()));
-    let predicted = relative_goodput(Limiter::Predictive(ConcurrencyLimit::default()));
-    assert!(none < 0.2, "without a limit the goodput collapses: {none}");
+    let predictive = relative_goodput(Limiter::Predictive(ConcurrencyLimit::default()));
+    assert!(
+        unlimited < 0.2,
+        "without a limit the goodput collapses: {unlimited}"
+    );
     assert!(
-        predicted >= reactive - 0.02 && predicted > 0.85,
-        "{predicted} with predictions, {reactive} without"
+        predictive >= reactive - 0.02 && predictive > 0.85,
+        "{predictive} with predictions, {reactive} without"
     );
 }
