--- a/crates/saturation-bench/src/checks/ramps.rs
+++ b/crates/saturation-bench/src/checks/ramps.rs
@@ -31,14 +31,14 @@
     let median = quantile(&lead_times, 0.5);
     let first_decile = quantile(&lead_times, 0.1);
     let figure = format!(
-        "a ramp of 1% a second: warned {median:.0} s ahead in the median, {first_decile:.0} s in nine of ten (goal 20 s)"
+        "a ramp of 1% per second: warned {median:.0} s ahead in the median, {first_decile:.0} s in nine of ten (goal 20 s)"
     );
     report.check(median >= MIN_MEDIAN_LEAD_SECONDS, figure);
 
     let false_warnings: u32 = (0..UPSTREAM_COUNT).map(count_false_warnings).sum();
     let hours = UPSTREAM_COUNT as f64 * (STEADY_SECONDS - WARM_UP_SECONDS) / SECONDS_PER_HOUR;
     println!(
-        "  warnings at a steady 60%: {:.1} an hour of an upstream",
+        "  false warnings at a steady 60%: {:.1} per upstream and hour",
         f64::from(false_warnings) / hours
     );
 }
--- a/crates/saturation-bench/src/checks/regime_changes.rs
+++ b/crates/saturation-bench/src/checks/regime_changes.rs
@@ -32,7 +32,7 @@
     let median = quantile(&delays, 0.5);
     let ninth_decile = quantile(&delays, 0.9);
     let figure = format!(
-        "slowed to a third: detected after {median:.1} s in the median, {ninth_decile:.1} s in nine of ten (goal 5 s)"
+        "slowdown to a third: detected after {median:.1} s in the median, {ninth_decile:.1} s in nine of ten (goal 5 s)"
     );
     report.check(ninth_decile <= MAX_DETECTION_SECONDS, figure);
 }
@@ -73,7 +73,7 @@
     report.check(
         alarms_per_hour <= MAX_FALSE_ALARMS_PER_HOUR,
         format!(
-            "false alarms of a regime change: {alarms_per_hour:.2} an hour of an upstream (goal 1)"
+            "false alarms of a regime change: {alarms_per_hour:.2} per upstream and hour (goal 1)"
         ),
     );
 }
