--- a/crates/connection-admission/src/handshake/scheduler.rs
+++ b/crates/connection-admission/src/handshake/scheduler.rs
@@ -208,7 +208,7 @@
     }
 
     /// Returns the connections to close: those displaced from the queue, and those whose handshake
-    /// is past its deadline, whether it runs, waits or has not begun with a ClientHello yet.
+    /// is past its deadline, whether it runs, waits or still lacks a ClientHello.
     pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         let mut to_close = std::mem::take(&mut self.displaced);
         let is_expired = |accepted_at: Micros| now >= accepted_at + self.settings.timeout;
--- a/crates/saturation/src/saturation_estimate.rs
+++ b/crates/saturation/src/saturation_estimate.rs
@@ -48,7 +48,7 @@
 pub struct SaturationEstimate {
     /// The most likely curve.
     pub curve: ThroughputCurve,
-    /// Median of the throughput at saturation, in completions a second.
+    /// Median of the throughput at saturation, in completions per second.
     pub throughput: f64,
     /// Lower end of the 90% interval of the throughput at saturation.
     pub low: f64,
