--- a/crates/connection-admission/src/connection_rates.rs
+++ b/crates/connection-admission/src/connection_rates.rs
@@ -1,4 +1,4 @@
-//! The limits on new connections a second, of addresses and of prefixes.
+//! Rate limits on new connections per address and per prefix.
 
 use crate::address_prefix::AddressPrefix;
 use crate::decision::RejectReason;
@@ -8,17 +8,17 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::IpAddr;
 
-/// The sketch of prefixes is narrower than that of addresses by this factor: fewer prefixes than
-/// addresses are busy at a time.
-const ADDRESSES_PER_PREFIX: usize = 8;
+/// Ratio of the address sketch's width to the prefix sketch's: fewer prefixes than addresses are
+/// active at the same time.
+const PREFIX_SKETCH_WIDTH_DIVISOR: usize = 8;
 
-/// The buckets of one limit; none where the operator has set no limit.
+/// The buckets of one rate limit; `None` if the limit is not configured.
 #[derive(Debug)]
-struct Limiter {
+struct RateLimiter {
     sketch: Option<RateSketch>,
 }
 
-impl Limiter {
+impl RateLimiter {
     fn read(&self, now: Micros, key: u64) -> Option<BucketReading> {
         self.sketch.as_ref().map(|sketch| sketch.read(now, key))
     }
@@ -41,11 +41,11 @@
     }
 }
 
-/// The rates of new connections by address and by prefix, as far as they are limited.
+/// The rate limits on new connections by address and by prefix.
 #[derive(Debug)]
 pub(crate) struct ConnectionRates {
-    by_address: Limiter,
-    by_prefix: Limiter,
+    by_address: RateLimiter,
+    by_prefix: RateLimiter,
     hash_seed: u64,
 }
 
@@ -55,34 +55,34 @@
             .address_limits
             .rate
             .map(|limit| RateSketch::new(limit, settings.sketch_width, now));
-        let prefix_width = settings.sketch_width / ADDRESSES_PER_PREFIX;
+        let prefix_width = settings.sketch_width / PREFIX_SKETCH_WIDTH_DIVISOR;
         let prefix_sketch = settings
             .prefix_limits
             .rate
             .map(|limit| RateSketch::new(limit, prefix_width, now));
         Self {
-            by_address: Limiter {
+            by_address: RateLimiter {
                 sketch: address_sketch,
             },
-            by_prefix: Limiter {
+            by_prefix: RateLimiter {
                 sketch: prefix_sketch,
             },
             hash_seed: settings.seed,
         }
     }
 
-    /// Counts a new connection if both limits permit it. A connection that one of them rejects
-    /// counts for neither.
+    /// Counts a new connection if both limits permit it. A connection that either limit rejects is
+    /// counted by neither.
     pub(crate) fn try_acquire(
         &mut self,
         now: Micros,
         address: IpAddr,
         prefix: AddressPrefix,
     ) -> Result<(), RejectReason> {
-        let address_key = AddressPrefix::of_one_address(address).keyed_hash(self.hash_seed);
+        let address_key = AddressPrefix::from_address(address).keyed_hash(self.hash_seed);
         let prefix_key = prefix.keyed_hash(self.hash_seed);
-        // Both are read before either is decided on: their cells lie far apart in memory, and are
-        // fetched at once.
+        // Both sketches are read before either is checked, so that the cache misses on their cells
+        // overlap.
         let address_reading = self.by_address.read(now, address_key);
         let prefix_reading = self.by_prefix.read(now, prefix_key);
         if !is_bug_injected(InjectedBug::ConnectionRateUncounted) {
--- a/crates/connection-admission/src/connection_table.rs
+++ b/crates/connection-admission/src/connection_table.rs
@@ -1,62 +1,63 @@
-//! The connections that have a slot, and how many of them each prefix and address of unknown
-//! clients holds.
+//! The connections that hold a slot, and the number of slots per prefix and address of unknown
+//! clients.
 
 use crate::address_prefix::AddressPrefix;
-use crate::decision::{ConnectionId, KnownBy};
+use crate::decision::{ConnectionId, TrustLevel};
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// A connection that has a slot.
+/// A connection that holds a slot.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Connection {
     pub(crate) address: IpAddr,
     pub(crate) prefix: AddressPrefix,
-    pub(crate) known: KnownBy,
+    pub(crate) trust_level: TrustLevel,
     admitted_at: Micros,
-    /// Whether its first complete message has come.
-    has_spoken: bool,
+    /// Whether it has sent a complete message.
+    has_sent_message: bool,
 }
 
-/// The connections of the unknown clients of a prefix.
+/// The connections of unknown clients in one prefix.
 #[derive(Debug, Default)]
 struct PrefixGroup {
-    /// Slots that they hold.
+    /// Number of slots held by these connections.
     slots: usize,
     connections: BTreeMap<IpAddr, BTreeSet<ConnectionId>>,
 }
 
-/// A prefix in the order of the slots that its unknown clients hold.
+/// A prefix with the number of slots held by its unknown clients, ordered by that number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PrefixBySlots {
     slots: usize,
     prefix: AddressPrefix,
 }
 
-/// A connection without a complete message yet, in the order of how it is known and its age.
+/// A connection that has not sent a complete message yet, ordered by trust level and admission
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SilentConnection {
-    known: KnownBy,
+    trust_level: TrustLevel,
     admitted_at: Micros,
     id: ConnectionId,
 }
 
-/// The slots that the unknown clients of an address and of its prefix hold.
+/// Number of slots held by the unknown clients of an address and of its prefix.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct SlotUsage {
     pub(crate) address_slots: usize,
     pub(crate) prefix_slots: usize,
 }
 
-/// All connections that have a slot.
+/// All connections that hold a slot.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionTable {
     connections: HashMap<ConnectionId, Connection>,
     groups: HashMap<AddressPrefix, PrefixGroup>,
     prefixes_by_slots: BTreeSet<PrefixBySlots>,
     silent: BTreeSet<SilentConnection>,
-    named_count: usize,
-    reputation_count: usize,
+    allowlisted_count: usize,
+    reputable_count: usize,
 }
 
 impl ConnectionTable {
@@ -68,14 +69,14 @@
         self.connections.get(&id)
     }
 
-    /// Returns the number of connections whose clients are named.
-    pub(crate) fn named_count(&self) -> usize {
-        self.named_count
+    /// Returns the number of connections of allowlisted clients.
+    pub(crate) fn allowlisted_count(&self) -> usize {
+        self.allowlisted_count
     }
 
-    /// Returns the number of connections whose clients have reputation.
-    pub(crate) fn reputation_count(&self) -> usize {
-        self.reputation_count
+    /// Returns the number of connections of clients with reputation.
+    pub(crate) fn reputable_count(&self) -> usize {
+        self.reputable_count
     }
 
     pub(crate) fn slot_usage(&self, address: IpAddr, prefix: AddressPrefix) -> SlotUsage {
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Returns the prefixes whose unknown clients hold more slots than this, the greatest first.
+    /// Returns the prefixes whose unknown clients hold more than `slots` slots, the one with the
+    /// most slots first.
     pub(crate) fn prefixes_with_more_slots(
         &self,
         slots: usize,
@@ -101,8 +103,8 @@
             .map(|entry| entry.prefix)
     }
 
-    /// Returns the connections of each unknown address of a prefix, those of the address with the
-    /// most first.
+    /// Returns the connections of unknown clients in a prefix, grouped by address, the address with
+    /// the most connections first.
     pub(crate) fn addresses_by_slots(&self, prefix: AddressPrefix) -> Vec<&BTreeSet<ConnectionId>> {
         let Some(group) = self.groups.get(&prefix) else {
             return Vec::new();
@@ -112,28 +114,28 @@
         addresses
     }
 
-    /// Returns whether a connection has a slot and no complete message of it has come.
+    /// Returns whether a connection holds a slot but has not sent a complete message yet.
     pub(crate) fn is_silent(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
-            .is_some_and(|connection| !connection.has_spoken)
+            .is_some_and(|connection| !connection.has_sent_message)
     }
 
-    /// Returns the connection that has been silent for longest among those known in this way, if it
-    /// was admitted by `admitted_by`.
+    /// Returns the silent connection of a trust level that was admitted first, if its admission
+    /// time satisfies `is_old_enough`.
     pub(crate) fn longest_silent(
         &self,
-        known: KnownBy,
-        admitted_by: impl FnOnce(Micros) -> bool,
+        trust_level: TrustLevel,
+        is_old_enough: impl FnOnce(Micros) -> bool,
     ) -> Option<ConnectionId> {
-        let least = SilentConnection {
-            known,
+        let lower_bound = SilentConnection {
+            trust_level,
             admitted_at: 0,
             id: 0,
         };
-        let oldest = self.silent.range(least..).next()?;
-        let is_due = oldest.known == known && admitted_by(oldest.admitted_at);
-        is_due.then_some(oldest.id)
+        let oldest = self.silent.range(lower_bound..).next()?;
+        let is_match = oldest.trust_level == trust_level && is_old_enough(oldest.admitted_at);
+        is_match.then_some(oldest.id)
     }
 
     pub(crate) fn insert(
@@ -142,27 +144,27 @@
         id: ConnectionId,
         address: IpAddr,
         prefix: AddressPrefix,
-        known: KnownBy,
+        trust_level: TrustLevel,
     ) {
         let connection = Connection {
             address,
             prefix,
-            known,
+            trust_level,
             admitted_at: now,
-            has_spoken: false,
+            has_sent_message: false,
         };
         if self.connections.insert(id, connection).is_some() {
             return;
         }
         self.silent.insert(SilentConnection {
-            known,
+            trust_level,
             admitted_at: now,
             id,
         });
-        match known {
-            KnownBy::Named => self.named_count += 1,
-            KnownBy::Reputation => self.reputation_count += 1,
-            KnownBy::Unknown => self.insert_into_group(id, address, prefix),
+        match trust_level {
+            TrustLevel::Allowlisted => self.allowlisted_count += 1,
+            TrustLevel::Reputable => self.reputable_count += 1,
+            TrustLevel::Unknown => self.insert_into_group(id, address, prefix),
         }
     }
 
@@ -180,28 +182,28 @@
         });
     }
 
-    /// Notes that the first complete message of a connection has come.
-    pub(crate) fn set_spoken(&mut self, id: ConnectionId) {
+    /// Records that a connection has sent its first complete message.
+    pub(crate) fn mark_message_sent(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if connection.has_spoken {
+        if connection.has_sent_message {
             return;
         }
-        connection.has_spoken = true;
+        connection.has_sent_message = true;
         self.silent.remove(&SilentConnection {
-            known: connection.known,
+            trust_level: connection.trust_level,
             admitted_at: connection.admitted_at,
             id,
         });
     }
 
-    /// Counts a connection as that of a named client from now on.
-    pub(crate) fn set_named(&mut self, id: ConnectionId) {
+    /// Raises the trust level of a connection to allowlisted.
+    pub(crate) fn set_allowlisted(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id).copied() else {
             return;
         };
-        if connection.known == KnownBy::Named {
+        if connection.trust_level == TrustLevel::Allowlisted {
             return;
         }
         self.remove(id);
@@ -210,10 +212,10 @@
             id,
             connection.address,
             connection.prefix,
-            KnownBy::Named,
+            TrustLevel::Allowlisted,
         );
-        if connection.has_spoken {
-            self.set_spoken(id);
+        if connection.has_sent_message {
+            self.mark_message_sent(id);
         }
     }
 
@@ -223,14 +225,14 @@
             return;
         };
         self.silent.remove(&SilentConnection {
-            known: connection.known,
+            trust_level: connection.trust_level,
             admitted_at: connection.admitted_at,
             id,
         });
-        match connection.known {
-            KnownBy::Named => self.named_count -= 1,
-            KnownBy::Reputation => self.reputation_count -= 1,
-            KnownBy::Unknown => {
+        match connection.trust_level {
+            TrustLevel::Allowlisted => self.allowlisted_count -= 1,
+            TrustLevel::Reputable => self.reputable_count -= 1,
+            TrustLevel::Unknown => {
                 self.remove_from_group(id, connection.address, connection.prefix);
             }
         }
--- a/crates/connection-admission/src/handshake/tests.rs
+++ b/crates/connection-admission/src/handshake/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::decision::KnownBy;
+use crate::decision::TrustLevel;
 use cleatpulley_policy::interface::Micros;
 use proptest::prelude::*;
 
@@ -17,62 +17,63 @@
     }
 }
 
-const UNKNOWN_FULL: Offer = Offer {
-    resumes: false,
-    known: KnownBy::Unknown,
+const UNKNOWN_FULL: HandshakeKind = HandshakeKind {
+    is_resumption: false,
+    trust_level: TrustLevel::Unknown,
 };
-const UNKNOWN_RESUMPTION: Offer = Offer {
-    resumes: true,
-    known: KnownBy::Unknown,
+const UNKNOWN_RESUMPTION: HandshakeKind = HandshakeKind {
+    is_resumption: true,
+    trust_level: TrustLevel::Unknown,
 };
-const NAMED_FULL: Offer = Offer {
-    resumes: false,
-    known: KnownBy::Named,
+const ALLOWLISTED_FULL: HandshakeKind = HandshakeKind {
+    is_resumption: false,
+    trust_level: TrustLevel::Allowlisted,
 };
 
-/// A flood of full handshakes of unknown clients does not take the CPU time left to requests.
+/// Guards against a flood of full handshakes of unknown clients that takes the CPU time of requests
+/// and delays the handshakes of allowlisted clients.
 #[test]
-fn flood_of_full_handshakes_is_limited_and_named_clients_begin_at_once() {
+fn flood_of_full_handshakes_is_limited_and_allowlisted_clients_begin_at_once() {
     let mut scheduler = HandshakeScheduler::new(settings(), 0);
     let mut id = 0;
-    let mut named_waited = 0;
-    // 2,000 unknown clients a second for 10 s, each done 5 ms after it begins; a named client every
-    // 100 ms.
-    let mut ends: Vec<(Micros, u64)> = Vec::new();
+    let mut allowlisted_waited = 0;
+    // For 10 s, 2,000 unknown clients per second and an allowlisted one every 100 ms; each
+    // handshake ends 5 ms after it begins.
+    let mut running_until: Vec<(Micros, u64)> = Vec::new();
     for ms in 0..10_000 {
         let now = ms * MS;
-        ends.retain(|&(at, n)| {
-            if at <= now {
-                scheduler.on_ended(n);
+        running_until.retain(|&(end_time, id)| {
+            if end_time <= now {
+                scheduler.on_ended(id);
             }
-            at > now
+            end_time > now
         });
-        for begun in scheduler.begin_waiting(now) {
-            ends.push((now + 5 * MS, begun));
+        for begun in scheduler.begin_queued(now) {
+            running_until.push((now + 5 * MS, begun));
         }
-        for _ in scheduler.take_overdue(now) {}
+        for _ in scheduler.take_expired(now) {}
         for _ in 0..2 {
             id += 1;
             scheduler.on_accepted(now, id);
-            if scheduler.on_offer(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
-                ends.push((now + 5 * MS, id));
+            if scheduler.on_client_hello(now, id, UNKNOWN_FULL) == HandshakeDecision::Begin {
+                running_until.push((now + 5 * MS, id));
             }
         }
         if ms % 100 == 0 {
             id += 1;
             scheduler.on_accepted(now, id);
-            match scheduler.on_offer(now, id, NAMED_FULL) {
-                HandshakeDecision::Begin => ends.push((now + 5 * MS, id)),
-                _ => named_waited += 1,
+            match scheduler.on_client_hello(now, id, ALLOWLISTED_FULL) {
+                HandshakeDecision::Begin => running_until.push((now + 5 * MS, id)),
+                _ => allowlisted_waited += 1,
             }
         }
     }
     let full = scheduler.counters.full;
-    // 100 named; unknown clients within three quarters of 100 a second, with the bucket at the
-    // start.
+    // 100 of allowlisted clients; those of unknown clients are limited to three quarters of 100 per
+    // second, plus the initial burst.
     assert_eq!(
-        named_waited, 0,
-        "a named client never waits behind unknown clients"
+        allowlisted_waited, 0,
+        "an allowlisted client never waits behind unknown clients"
     );
     assert!(
         (750..=100 + 760).contains(&full),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn running_handshakes_are_limited_and_resumptions_go_first() {
+fn running_handshakes_are_limited_and_resumptions_take_precedence() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
             per_second: 1e6,
@@ -93,9 +94,9 @@
     );
     for id in 0..20 {
         scheduler.on_accepted(0, id);
-        scheduler.on_offer(0, id, UNKNOWN_FULL);
+        scheduler.on_client_hello(0, id, UNKNOWN_FULL);
     }
-    // Unknown clients get three quarters of the eight running handshakes.
+    // Unknown clients may use three quarters of the eight concurrent handshakes.
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -105,43 +106,43 @@
     );
     scheduler.on_accepted(0, 100);
     assert_eq!(
-        scheduler.on_offer(0, 100, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 100, UNKNOWN_RESUMPTION),
         HandshakeDecision::Begin,
-        "the reserve is for resumptions too"
+        "resumptions may use the reserve"
     );
     scheduler.on_accepted(0, 101);
     assert_eq!(
-        scheduler.on_offer(0, 101, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 101, UNKNOWN_RESUMPTION),
         HandshakeDecision::Begin
     );
     scheduler.on_accepted(0, 102);
     assert_eq!(
-        scheduler.on_offer(0, 102, UNKNOWN_RESUMPTION),
+        scheduler.on_client_hello(0, 102, UNKNOWN_RESUMPTION),
         HandshakeDecision::Wait,
-        "all eight run"
+        "all eight handshakes run"
     );
     scheduler.on_ended(0);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         vec![102],
-        "the resumption before the unknown clients that waited longer"
+        "a resumption begins before full handshakes that waited longer"
     );
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         Vec::<u64>::new(),
-        "all eight run"
+        "all eight handshakes run"
     );
     scheduler.on_ended(100);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         vec![6],
-        "an unknown client takes the sixth of theirs again"
+        "an unknown client uses the sixth unreserved handshake again"
     );
     scheduler.on_ended(101);
     assert_eq!(
-        scheduler.begin_waiting(1),
+        scheduler.begin_queued(1),
         Vec::<u64>::new(),
-        "unknown clients have their six"
+        "unknown clients run their maximum of six"
     );
     assert_eq!(
         scheduler.load(),
@@ -164,7 +165,7 @@
     );
     for id in 0..17 {
         scheduler.on_accepted(0, id);
-        scheduler.on_offer(0, id, UNKNOWN_FULL);
+        scheduler.on_client_hello(0, id, UNKNOWN_FULL);
     }
     assert_eq!(
         scheduler.load(),
@@ -175,25 +176,25 @@
     );
     scheduler.on_accepted(0, 17);
     assert_eq!(
-        scheduler.on_offer(0, 17, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 17, UNKNOWN_FULL),
         HandshakeDecision::Reject
     );
     scheduler.on_accepted(0, 18);
     assert_eq!(
-        scheduler.on_offer(0, 18, NAMED_FULL),
+        scheduler.on_client_hello(0, 18, ALLOWLISTED_FULL),
         HandshakeDecision::Wait
     );
     assert_eq!(
-        scheduler.take_overdue(1),
+        scheduler.take_expired(1),
         vec![16],
-        "the unknown client who came last goes"
+        "the unknown client at the back of the queue is displaced"
     );
     scheduler.on_ended(0);
-    assert_eq!(scheduler.begin_waiting(2), vec![18]);
+    assert_eq!(scheduler.begin_queued(2), vec![18]);
 }
 
-/// Handshakes that are begun and left, or come a byte at a time, are closed at their deadline,
-/// whatever their state.
+/// Guards against clients that abandon a handshake or send it byte by byte: it is closed at its
+/// deadline, whatever its state.
 #[test]
 fn each_handshake_ends_by_its_deadline_from_the_accept() {
     let mut scheduler = HandshakeScheduler::new(
@@ -205,9 +206,9 @@
     );
     scheduler.on_accepted(0, 1);
     scheduler.on_accepted(10 * MS, 2);
-    scheduler.on_offer(20 * MS, 2, NAMED_FULL);
+    scheduler.on_client_hello(20 * MS, 2, ALLOWLISTED_FULL);
     scheduler.on_accepted(30 * MS, 3);
-    scheduler.on_offer(30 * MS, 3, NAMED_FULL);
+    scheduler.on_client_hello(30 * MS, 3, ALLOWLISTED_FULL);
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -216,11 +217,11 @@
         }
     );
     assert_eq!(scheduler.next_deadline(), Some(1_000 * MS));
-    assert!(scheduler.take_overdue(999 * MS).is_empty());
-    assert_eq!(scheduler.take_overdue(1_000 * MS), vec![1]);
-    assert_eq!(scheduler.take_overdue(1_010 * MS), vec![2]);
-    assert_eq!(scheduler.take_overdue(1_030 * MS), vec![3]);
-    assert_eq!(scheduler.counters.overdue, 3);
+    assert!(scheduler.take_expired(999 * MS).is_empty());
+    assert_eq!(scheduler.take_expired(1_000 * MS), vec![1]);
+    assert_eq!(scheduler.take_expired(1_010 * MS), vec![2]);
+    assert_eq!(scheduler.take_expired(1_030 * MS), vec![3]);
+    assert_eq!(scheduler.counters.timed_out, 3);
     assert_eq!(
         scheduler.load(),
         HandshakeLoad {
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn handshake_that_waits_for_tokens_is_woken_when_there_are_enough() {
+fn waiting_handshake_begins_once_there_are_enough_tokens() {
     let mut scheduler = HandshakeScheduler::new(
         Settings {
             burst: 1.0,
@@ -243,23 +244,23 @@
     assert_eq!(scheduler.next_deadline(), None);
     scheduler.on_accepted(0, 1);
     assert_eq!(
-        scheduler.on_offer(0, 1, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 1, UNKNOWN_FULL),
         HandshakeDecision::Begin
     );
     scheduler.on_accepted(0, 2);
     assert_eq!(
-        scheduler.on_offer(0, 2, UNKNOWN_FULL),
+        scheduler.on_client_hello(0, 2, UNKNOWN_FULL),
         HandshakeDecision::Wait
     );
-    let at = scheduler.next_deadline().expect("a time");
-    assert_eq!(at, 10 * MS);
-    assert!(scheduler.begin_waiting(at - 1).is_empty());
-    assert_eq!(scheduler.begin_waiting(at), vec![2]);
+    let deadline = scheduler.next_deadline().expect("a deadline");
+    assert_eq!(deadline, 10 * MS);
+    assert!(scheduler.begin_queued(deadline - 1).is_empty());
+    assert_eq!(scheduler.begin_queued(deadline), vec![2]);
 }
 
 proptest! {
-    /// Whatever the order of events, no more handshakes run than set, unknown clients have no more
-    /// than their share, and no id both runs and waits.
+    /// In any order of events, the limits on running, unreserved and waiting handshakes hold, and
+    /// no connection both runs and waits.
     #[test]
     fn limits_hold_in_any_order_of_events(
         steps in proptest::collection::vec((0u8..5, 0u64..40, 0u64..50), 1..400)
@@ -267,17 +268,20 @@
         let settings = settings();
         let mut scheduler = HandshakeScheduler::new(settings, 0);
         let mut now = 0;
-        for (event, id, wait) in steps {
-            now += wait * MS;
+        for (event, id, elapsed_ms) in steps {
+            now += elapsed_ms * MS;
             match event {
                 0 => scheduler.on_accepted(now, id),
-                1 => { scheduler.on_offer(now, id, UNKNOWN_FULL); }
+                1 => { scheduler.on_client_hello(now, id, UNKNOWN_FULL); }
                 2 => {
-                    let offer = Offer { resumes: id % 2 == 0, known: KnownBy::Reputation };
-                    scheduler.on_offer(now, id, offer);
+                    let kind = HandshakeKind {
+                        is_resumption: id % 2 == 0,
+                        trust_level: TrustLevel::Reputable,
+                    };
+                    scheduler.on_client_hello(now, id, kind);
                 }
                 3 => scheduler.on_ended(id),
-                _ => { scheduler.begin_waiting(now); scheduler.take_overdue(now); }
+                _ => { scheduler.begin_queued(now); scheduler.take_expired(now); }
             }
             prop_assert!(scheduler.running.len() <= settings.max_running);
             prop_assert!(scheduler.running_unreserved <= 6);
--- a/crates/connection-admission/src/handshake/token_buckets.rs
+++ b/crates/connection-admission/src/handshake/token_buckets.rs
@@ -1,30 +1,31 @@
-//! The rate limit of handshakes: a token bucket for all of them, and one for those that may not use
+//! Rate limit of handshakes: one token bucket for all of them, and one for those that may not use
 //! the reserve.
 
-use super::offer::Offer;
+use super::kind::HandshakeKind;
 use super::settings::Settings;
 use cleatpulley_policy::interface::Micros;
 
-/// Tokens of a full handshake.
-const FULL_COST: f64 = 1.0;
-/// A shortage of fewer tokens is a rounding error.
-const TOLERANCE: f64 = 1e-9;
-/// The slowest refill, in tokens a second, so that a wait has an end.
-const MIN_REFILL_PER_SECOND: f64 = 1e-9;
+/// Cost of a full handshake in tokens.
+const FULL_COST_TOKENS: f64 = 1.0;
+/// Shortage in tokens that is attributed to rounding.
+const ROUNDING_TOLERANCE_TOKENS: f64 = 1e-9;
+/// Minimum refill rate in tokens per second that waiting times are computed with, so that they are
+/// finite.
+const MIN_REFILL_TOKENS_PER_SECOND: f64 = 1e-9;
 
 /// Both buckets, filled up to `refilled_at`.
 #[derive(Debug)]
 pub(super) struct TokenBuckets {
-    /// For all handshakes.
+    /// Tokens for all handshakes.
     tokens: f64,
-    /// For full handshakes of unknown clients, which need tokens of both buckets.
+    /// Tokens for full handshakes of unknown clients, which take tokens from both buckets.
     unreserved_tokens: f64,
     refilled_at: Micros,
     settings: Settings,
 }
 
 impl TokenBuckets {
-    /// Creates buckets that are full.
+    /// Creates full buckets.
     pub(super) fn new(settings: Settings, now: Micros) -> Self {
         Self {
             tokens: settings.burst,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds the tokens of the time since the last refill.
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: Micros) {
         let Settings {
             per_second, burst, ..
@@ -44,24 +45,25 @@
         let tokens = self.tokens + elapsed_seconds * per_second;
         let unreserved_tokens = self.unreserved_tokens + elapsed_seconds * per_second * share;
         self.tokens = tokens.min(burst);
-        // A bucket that can't hold a whole token would never let a handshake begin.
-        self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST));
+        // With a capacity below the cost of a full handshake, none could ever begin.
+        self.unreserved_tokens = unreserved_tokens.min((burst * share).max(FULL_COST_TOKENS));
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn cost(&self, offer: Offer) -> f64 {
-        if offer.resumes {
+    fn cost(&self, kind: HandshakeKind) -> f64 {
+        if kind.is_resumption {
             self.settings.resumed_cost
         } else {
-            FULL_COST
+            FULL_COST_TOKENS
         }
     }
 
-    /// Returns the tokens that a handshake lacks; none are lacking if that is negative.
-    fn shortage(&self, offer: Offer) -> f64 {
-        let cost = self.cost(offer);
+    /// Returns the number of missing tokens for a handshake, negative if there are more than
+    /// enough.
+    fn shortage(&self, kind: HandshakeKind) -> f64 {
+        let cost = self.cost(kind);
         let shortage = cost - self.tokens;
-        if offer.priority().may_use_reserve() {
+        if kind.priority().may_use_reserve() {
             shortage
         } else {
             shortage.max(cost - self.unreserved_tokens)
@@ -69,31 +71,31 @@
     }
 
     /// Returns whether there are enough tokens for a handshake.
-    pub(super) fn has_tokens(&self, offer: Offer) -> bool {
-        self.shortage(offer) <= TOLERANCE
+    pub(super) fn has_tokens(&self, kind: HandshakeKind) -> bool {
+        self.shortage(kind) <= ROUNDING_TOLERANCE_TOKENS
     }
 
-    /// Takes the tokens of a handshake, also where there are not enough.
-    pub(super) fn take(&mut self, offer: Offer) {
-        let cost = self.cost(offer);
+    /// Deducts the cost of a handshake, even if there are not enough tokens.
+    pub(super) fn deduct(&mut self, kind: HandshakeKind) {
+        let cost = self.cost(kind);
         self.tokens -= cost;
-        if !offer.priority().may_use_reserve() {
+        if !kind.priority().may_use_reserve() {
             self.unreserved_tokens -= cost;
         }
     }
 
-    /// Returns when there will be enough tokens for a handshake, `None` if there are by now.
-    pub(super) fn available_at(&self, offer: Offer) -> Option<Micros> {
-        if self.has_tokens(offer) {
+    /// Returns when there will be enough tokens for a handshake; `None` if there are already.
+    pub(super) fn available_at(&self, kind: HandshakeKind) -> Option<Micros> {
+        if self.has_tokens(kind) {
             return None;
         }
-        let share = if offer.priority().may_use_reserve() {
+        let share = if kind.priority().may_use_reserve() {
             1.0
         } else {
             self.settings.unreserved_share()
         };
-        let per_second = (self.settings.per_second * share).max(MIN_REFILL_PER_SECOND);
-        let wait = self.shortage(offer) / per_second * 1e6;
-        Some(self.refilled_at + wait.ceil() as Micros)
+        let per_second = (self.settings.per_second * share).max(MIN_REFILL_TOKENS_PER_SECOND);
+        let wait_micros = self.shortage(kind) / per_second * 1e6;
+        Some(self.refilled_at + wait_micros.ceil() as Micros)
     }
 }
--- a/crates/connection-admission/src/identity.rs
+++ b/crates/connection-admission/src/identity.rs
@@ -1,6 +1,6 @@
-//! Clients known by the names of a verified certificate: named by the operator, or limited by name
-//! in slots and in new connections a second. The names are known only after the TLS handshake, so
-//! this is asked then, once for each connection.
+//! Limits on clients by the names in their verified certificate, in slots and in new connections
+//! per second. Allowlisted names have no limits. The names are available only after the TLS
+//! handshake, so these limits are checked then, once for each connection.
 
 use crate::decision::ConnectionId;
 use crate::rate_sketch::{RateLimit, RateSketch};
@@ -8,97 +8,100 @@
 use std::collections::{BTreeSet, HashMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Cells of each row of the sketch that counts new connections by name: one authority issues few
-/// names.
+/// Cells in each row of the sketch that counts new connections by name. A narrow sketch is enough
+/// for the few names that one certificate authority issues.
 const SKETCH_WIDTH: usize = 4_096;
 
-/// What an operator sets.
+/// Limits per certificate name.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Names whose clients are known as if their address was named; they have no limits.
-    pub named: Vec<String>,
-    /// Connection slots that a name may hold.
+    /// Names whose clients are trusted like those of an allowlisted address; they have no limits.
+    pub allowlist: Vec<String>,
+    /// Maximum number of connection slots held by a name.
     pub slots: Option<usize>,
-    /// New connections of a name.
+    /// Rate limit on new connections of a name.
     pub rate: Option<RateLimit>,
 }
 
-/// Why a connection is rejected for its name.
+/// Reason for the rejection of a connection by its certificate name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum IdentityRejection {
-    /// Its name holds as many slots as it may.
-    #[error("the certificate's name holds as many connection slots as it may")]
+    /// The name holds its maximum number of slots.
+    #[error("the certificate name holds its maximum number of connection slots")]
     Slots,
-    /// Its name exceeds its rate of new connections.
-    #[error("the certificate's name exceeds its rate of new connections")]
+    /// The name exceeds its rate limit on new connections.
+    #[error("the certificate name exceeds its rate limit on new connections")]
     Rate,
 }
 
-/// The limits of a process by name, and the slots that each name holds.
+/// Enforces the limits per certificate name on the connections of a process.
 #[derive(Debug)]
-pub struct Identities {
+pub struct IdentityLimiter {
     settings: Settings,
-    rates: Option<RateSketch>,
+    rate_sketch: Option<RateSketch>,
     connections_by_name: HashMap<String, BTreeSet<ConnectionId>>,
-    names: HashMap<ConnectionId, String>,
+    name_by_connection: HashMap<ConnectionId, String>,
 }
 
-impl Identities {
-    /// Creates the limits of a process in which no name holds a slot.
+impl IdentityLimiter {
+    /// Creates a limiter in which no name holds a slot.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
-        let rates = settings
+        let rate_sketch = settings
             .rate
             .map(|limit| RateSketch::new(limit, SKETCH_WIDTH, now));
         Self {
             settings,
-            rates,
+            rate_sketch,
             connections_by_name: HashMap::new(),
-            names: HashMap::new(),
+            name_by_connection: HashMap::new(),
         }
     }
 
-    /// Notifies of the names of a connection's certificate, and returns whether the operator has
-    /// named one of them. If not, the first name holds the connection's slot.
+    /// Admits a connection by the names of its certificate. Returns whether one of them is
+    /// allowlisted; if none is, the connection's slot counts towards the first name.
     ///
     /// # Errors
-    /// [`IdentityRejection`] if the first name is at its limit; the connection is to be closed.
-    pub fn identify(
+    /// [`IdentityRejection`] if the first name is at its limit; the connection must be closed.
+    pub fn admit(
         &mut self,
         now: Micros,
         id: ConnectionId,
         names: &[String],
     ) -> Result<bool, IdentityRejection> {
-        let Some(first) = names.first() else {
+        let Some(first_name) = names.first() else {
             return Ok(false);
         };
-        if names.iter().any(|name| self.settings.named.contains(name)) {
+        if names
+            .iter()
+            .any(|name| self.settings.allowlist.contains(name))
+        {
             return Ok(true);
         }
         if self
             .settings
             .slots
-            .is_some_and(|max| self.slots_held(first) >= max)
+            .is_some_and(|max| self.slots_held(first_name) >= max)
         {
             return Err(IdentityRejection::Slots);
         }
-        let key = xxh3_64(first.as_bytes());
-        if let Some(rates) = &mut self.rates {
-            if !rates.try_acquire(now, key) {
+        let name_hash = xxh3_64(first_name.as_bytes());
+        if let Some(rate_sketch) = &mut self.rate_sketch {
+            if !rate_sketch.try_acquire(now, name_hash) {
                 return Err(IdentityRejection::Rate);
             }
         }
         self.connections_by_name
-            .entry(first.clone())
+            .entry(first_name.clone())
             .or_default()
             .insert(id);
-        self.names.insert(id, first.clone());
+        self.name_by_connection.insert(id, first_name.clone());
         Ok(false)
     }
 
-    /// Notifies that a connection is closed.
+    /// Handles the close of a connection.
     pub fn on_closed(&mut self, id: ConnectionId) {
-        let Some(name) = self.names.remove(&id) else {
+        let Some(name) = self.name_by_connection.remove(&id) else {
             return;
         };
         if let Some(ids) = self.connections_by_name.get_mut(&name) {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Returns the slots that a name holds.
+    /// Returns the number of slots held by a name.
     #[must_use]
     pub fn slots_held(&self, name: &str) -> usize {
         self.connections_by_name.get(name).map_or(0, BTreeSet::len)
--- a/crates/connection-admission/tests/admission.rs
+++ b/crates/connection-admission/tests/admission.rs
@@ -1,8 +1,8 @@
-//! The decisions on new connections, by examples and by random histories.
+//! Decisions on new connections, in examples and in random sequences of events.
 
 use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
-use cleatpulley_connection_admission::admission::SILENCE_TOLERANCE;
-use cleatpulley_connection_admission::decision::KnownBy;
+use cleatpulley_connection_admission::admission::FIRST_MESSAGE_GRACE_PERIOD;
+use cleatpulley_connection_admission::decision::TrustLevel;
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::reputation::{ReputationSettings, MIN_CREDIT_INTERVAL};
 use cleatpulley_connection_admission::settings::ConnectionLimits;
@@ -17,13 +17,15 @@
 
 fn settings() -> Settings {
     Settings {
-        named_clients: vec!["10.9.0.0/16".parse::<AddressPrefix>().expect("a net")],
+        allowlist: vec!["10.9.0.0/16"
+            .parse::<AddressPrefix>()
+            .expect("a valid prefix")],
         reserved_share: 0.2,
         address_limits: ConnectionLimits::default(),
         prefix_limits: ConnectionLimits::default(),
         prefix_lengths: PrefixLengths { ipv4: 24, ipv6: 64 },
         reputation: Some(ReputationSettings {
-            known_points: 5.0,
+            known_threshold: 5.0,
             half_life: 600 * SECOND,
             max_addresses: 1_000,
             max_addresses_per_prefix: 4,
@@ -34,16 +36,16 @@
 }
 
 fn ip(text: &str) -> IpAddr {
-    text.parse().expect("an address")
+    text.parse().expect("a valid address")
 }
 
-/// A connection that has a slot.
+/// A connection that holds a slot.
 struct HeldConnection {
     address: IpAddr,
-    owes_response: bool,
+    has_pending_request: bool,
 }
 
-/// A listener with its connections by their ids.
+/// A listener and its connections by id.
 struct Listener {
     admission: Admission,
     max_slots: usize,
@@ -67,30 +69,33 @@
     fn connect(&mut self, address: &str) -> Result<u64, RejectReason> {
         let address = ip(address);
         let connections = &self.connections;
-        let is_idle = |id: u64| !connections[&id].owes_response;
-        let known = match self
+        let is_idle = |id: u64| !connections[&id].has_pending_request;
+        let trust_level = match self
             .admission
             .decide(self.now, address, self.max_slots, is_idle)
         {
             Decision::Reject(reason) => return Err(reason),
-            Decision::Admit(known) => known,
-            Decision::AdmitInstead { victim: id, known } => {
+            Decision::Admit(trust_level) => trust_level,
+            Decision::EvictAndAdmit {
+                victim: id,
+                trust_level,
+            } => {
                 assert!(
-                    !self.connections[&id].owes_response,
-                    "a connection that owes a response is never closed"
+                    !self.connections[&id].has_pending_request,
+                    "a connection with a pending request is never evicted"
                 );
                 self.close(id);
-                known
+                trust_level
             }
         };
         self.last_id += 1;
         self.admission
-            .on_admitted(self.now, self.last_id, address, known);
+            .on_admitted(self.now, self.last_id, address, trust_level);
         self.connections.insert(
             self.last_id,
             HeldConnection {
                 address,
-                owes_response: false,
+                has_pending_request: false,
             },
         );
         Ok(self.last_id)
@@ -105,37 +110,37 @@
         self.admission.on_first_message(id);
         self.connections
             .get_mut(&id)
-            .expect("it is there")
-            .owes_response = true;
+            .expect("an open connection")
+            .has_pending_request = true;
     }
 
     fn respond(&mut self, id: u64) {
         self.connections
             .get_mut(&id)
-            .expect("it is there")
-            .owes_response = false;
+            .expect("an open connection")
+            .has_pending_request = false;
         self.admission.on_request_served(self.now, id);
     }
 
-    fn count_in(&self, prefix: &str) -> usize {
-        let net: AddressPrefix = prefix.parse().expect("a net");
+    fn connections_in(&self, prefix: &str) -> usize {
+        let prefix: AddressPrefix = prefix.parse().expect("a valid prefix");
         self.connections
             .values()
-            .filter(|connection| net.contains(connection.address))
+            .filter(|connection| prefix.contains(connection.address))
             .count()
     }
 }
 
-/// One address may hold all slots but the reserved ones while nobody else wants them, and gives
-/// them up to others.
+/// One address may hold all unreserved slots while there is no demand from others, and loses them
+/// to others once there is.
 #[test]
-fn one_address_holds_free_slots_until_others_want_them() {
+fn one_address_holds_all_unreserved_slots_until_others_need_them() {
     let mut listener = Listener::new(settings(), 100);
     let admitted = (0..500)
         .filter(|_| listener.connect("10.1.1.1").is_ok())
         .count();
     assert_eq!(
-        (admitted, listener.count_in("10.1.1.0/24")),
+        (admitted, listener.connections_in("10.1.1.0/24")),
         (80, 80),
         "twenty slots are reserved for known clients"
     );
@@ -143,11 +148,15 @@
     for n in 0..79 {
         assert!(listener.connect(&format!("10.2.{n}.1")).is_ok(), "{n}");
     }
-    assert_eq!(listener.count_in("10.1.1.0/24"), 1, "each has one");
+    assert_eq!(
+        listener.connections_in("10.1.1.0/24"),
+        1,
+        "each address holds one slot"
+    );
     for n in 0..20 {
         assert!(listener.connect(&format!("10.9.0.{n}")).is_ok(), "{n}");
     }
-    assert_eq!(listener.count_in("10.9.0.0/16"), 20);
+    assert_eq!(listener.connections_in("10.9.0.0/16"), 20);
 }
 
 #[test]
@@ -160,27 +169,30 @@
         10,
     );
     for _ in 0..10 {
-        listener.connect("10.1.1.1").expect("room");
+        listener.connect("10.1.1.1").expect("a slot");
     }
     assert_eq!(
         listener
             .connect("10.1.1.2")
-            .map(|_| listener.count_in("10.1.1.1")),
+            .map(|_| listener.connections_in("10.1.1.1")),
         Ok(9)
     );
     for _ in 0..10 {
         let _ = listener.connect("10.1.1.2");
     }
     assert_eq!(
-        (listener.count_in("10.1.1.1"), listener.count_in("10.1.1.2")),
+        (
+            listener.connections_in("10.1.1.1"),
+            listener.connections_in("10.1.1.2")
+        ),
         (5, 5),
-        "no more than the other"
+        "both addresses hold the same number of slots"
     );
 }
 
-/// A connection with an open request is never evicted, whoever wants its slot.
+/// A connection with a pending request is never evicted, not even for an allowlisted client.
 #[test]
-fn connection_that_owes_a_response_is_not_evicted() {
+fn connection_with_a_pending_request_is_not_evicted() {
     let mut listener = Listener::new(
         Settings {
             reserved_share: 0.0,
@@ -189,7 +201,7 @@
         3,
     );
     let ids: Vec<_> = (0..3)
-        .map(|_| listener.connect("10.1.1.1").expect("room"))
+        .map(|_| listener.connect("10.1.1.1").expect("a slot"))
         .collect();
     ids.iter().for_each(|id| listener.request(*id));
     listener.now += 10 * SECOND;
@@ -198,7 +210,7 @@
     listener.respond(ids[1]);
     assert!(listener.connect("10.9.0.1").is_ok());
     assert!(!listener.connections.contains_key(&ids[1]));
-    // A named client is not evicted while it may be about to speak, or has spoken.
+    // An allowlisted client is evicted neither within the grace period nor after its first message.
     assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
     listener.request(listener.last_id);
     listener.respond(listener.last_id);
@@ -206,28 +218,28 @@
     assert_eq!(listener.connect("10.9.0.2"), Err(RejectReason::Full));
 }
 
-/// Known clients that hold silent connections do not keep others out that are known as well.
+/// Guards against known clients that block other known clients with silent connections.
 #[test]
-fn silent_known_clients_keep_no_known_client_out() {
+fn silent_known_clients_do_not_block_other_known_clients() {
     let mut listener = Listener::new(settings(), 4);
     let silent: Vec<_> = (0..4)
-        .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("room"))
+        .map(|n| listener.connect(&format!("10.9.0.{n}")).expect("a slot"))
         .collect();
     assert_eq!(
         listener.connect("10.9.1.1"),
         Err(RejectReason::Full),
-        "their first messages may be on their way"
+        "within the grace period of the silent connections"
     );
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.9.1.1").is_ok());
     assert!(
         !listener.connections.contains_key(&silent[0]),
-        "silent for longest"
+        "the longest silent connection is evicted"
     );
     assert_eq!(
         listener.connect("10.1.0.1"),
         Err(RejectReason::Full),
-        "and not for an unknown one"
+        "no known client is evicted for an unknown one"
     );
     listener
         .admission
@@ -235,13 +247,14 @@
     assert_eq!(
         listener.connect("10.5.0.1"),
         Err(RejectReason::Full),
-        "nor for one with reputation"
+        "no allowlisted client is evicted for one with reputation"
     );
 }
 
-/// A prefix whose connections all owe responses does not shield those with fewer slots.
+/// If all connections of the prefix with the most slots have pending requests, one of the prefix
+/// with the next most slots is evicted.
 #[test]
-fn next_prefix_gives_slots_where_the_greatest_owes_responses() {
+fn second_largest_prefix_loses_a_slot_if_the_largest_has_only_pending_requests() {
     let mut listener = Listener::new(
         Settings {
             reserved_share: 0.0,
@@ -250,19 +263,19 @@
         9,
     );
     for _ in 0..5 {
-        let id = listener.connect("10.1.1.1").expect("room");
+        let id = listener.connect("10.1.1.1").expect("a slot");
         listener.request(id);
     }
     for _ in 0..4 {
-        let id = listener.connect("10.2.2.2").expect("room");
+        let id = listener.connect("10.2.2.2").expect("a slot");
         listener.request(id);
         listener.respond(id);
     }
     assert!(listener.connect("10.3.3.3").is_ok());
     assert_eq!(
         (
-            listener.count_in("10.1.1.0/24"),
-            listener.count_in("10.2.2.0/24")
+            listener.connections_in("10.1.1.0/24"),
+            listener.connections_in("10.2.2.0/24")
         ),
         (5, 3)
     );
@@ -277,24 +290,27 @@
         },
         2,
     );
-    let first = listener.connect("10.1.0.1").expect("room");
-    listener.connect("10.2.0.1").expect("room");
+    let first = listener.connect("10.1.0.1").expect("a slot");
+    listener.connect("10.2.0.1").expect("a slot");
     assert_eq!(
         listener.connect("10.3.0.1"),
         Err(RejectReason::Full),
-        "both came just now"
+        "both are within the grace period"
     );
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     assert!(listener.connect("10.3.0.1").is_ok());
     assert!(
         !listener.connections.contains_key(&first),
-        "silent for longest"
+        "the longest silent connection is evicted"
     );
     let third = listener.last_id;
-    listener.now += SILENCE_TOLERANCE;
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(third);
-    assert!(listener.connect("10.4.0.1").is_ok(), "the second is silent");
-    listener.now += SILENCE_TOLERANCE;
+    assert!(
+        listener.connect("10.4.0.1").is_ok(),
+        "the second connection is evicted, which is silent"
+    );
+    listener.now += FIRST_MESSAGE_GRACE_PERIOD;
     listener.request(listener.last_id);
     assert_eq!(
         listener.connect("10.5.0.1"),
@@ -304,7 +320,7 @@
 }
 
 #[test]
-fn limits_hold_while_slots_are_free_and_not_for_named_clients() {
+fn limits_apply_while_slots_are_free_but_not_to_allowlisted_clients() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
         slots: Some(3),
@@ -335,25 +351,25 @@
     assert_eq!(
         listener.connect("10.1.1.1"),
         Err(RejectReason::AddressRate),
-        "four have come"
+        "four connections have used up the burst"
     );
     listener.now += SECOND;
     assert!(listener.connect("10.1.1.1").is_ok());
     assert!((0..500).all(|_| listener.connect("10.9.1.1").is_ok()));
-    let counts = listener.admission.counters;
+    let counters = listener.admission.counters;
     assert_eq!(
         (
-            counts.admitted,
-            counts.rejected_by_rate,
-            counts.rejected_by_slots
+            counters.admitted,
+            counters.rejected_by_rate,
+            counters.rejected_by_slots
         ),
         (507, 1, 2)
     );
 }
 
-/// What the limit of its prefix rejects takes nothing from the limit of an address.
+/// A connection that the rate limit of its prefix rejects is not counted by that of its address.
 #[test]
-fn rejected_connections_count_for_no_limit() {
+fn rejected_connections_are_not_counted_by_any_limit() {
     let rate = |per_second, burst| Some(RateLimit { per_second, burst });
     let address = ConnectionLimits {
         slots: None,
@@ -376,60 +392,61 @@
     listener.now += 3 * SECOND;
     assert!(
         (0..2).all(|_| listener.connect("10.1.1.1").is_ok()),
-        "its own limit is untouched"
+        "the limit of the address has counted no rejected connection"
     );
 }
 
-/// An address with reputation gets a reserved slot in a flood, also after a hot restart, and none
-/// reserved for named clients.
+/// An address with reputation gets a reserved slot in a flood, even after a hot restart, but none
+/// of those reserved for allowlisted clients.
 #[test]
 fn address_with_reputation_gets_a_reserved_slot_in_a_flood() {
     let mut listener = Listener::new(settings(), 20);
-    let regular = listener.connect("10.5.0.1").expect("room");
+    let regular_client = listener.connect("10.5.0.1").expect("a slot");
     for _ in 0..8 {
         listener.now += MIN_CREDIT_INTERVAL;
-        listener.request(regular);
-        listener.respond(regular);
+        listener.request(regular_client);
+        listener.respond(regular_client);
     }
     assert_eq!(
-        listener.admission.known_by(listener.now, ip("10.5.0.1")),
-        KnownBy::Reputation
+        listener.admission.trust_level(listener.now, ip("10.5.0.1")),
+        TrustLevel::Reputable
     );
     let exported = listener.admission.export_reputation(listener.now);
-    let mut next = Listener::new(settings(), 20);
-    next.admission.import_reputation(STARTED_AT, &exported);
+    let mut successor = Listener::new(settings(), 20);
+    successor.admission.import_reputation(STARTED_AT, &exported);
     for n in 0..60_u32 {
-        // All of them owe responses, so that none can be evicted.
-        if let Ok(id) = next.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
-            next.request(id);
+        // Connections with pending requests can't be evicted.
+        if let Ok(id) = successor.connect(&format!("10.{}.{}.7", 20 + n / 200, n % 200)) {
+            successor.request(id);
         }
     }
-    assert_eq!(next.connections.len(), 16, "four slots are reserved");
-    assert!(next.connect("10.5.0.1").is_ok() && next.connect("10.5.0.1").is_ok());
+    assert_eq!(successor.connections.len(), 16, "four slots are reserved");
+    assert!(successor.connect("10.5.0.1").is_ok() && successor.connect("10.5.0.1").is_ok());
     assert_eq!(
-        next.connect("10.5.0.1"),
+        successor.connect("10.5.0.1"),
         Err(RejectReason::Full),
-        "half of the reserve is for named clients"
+        "half of the reserve is for allowlisted clients"
     );
-    assert!(next.connect("10.9.0.1").is_ok() && next.connect("10.9.0.1").is_ok());
+    assert!(successor.connect("10.9.0.1").is_ok() && successor.connect("10.9.0.1").is_ok());
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum ListenerEvent {
     Connect(u8, u8),
     Request(usize),
     Respond(usize),
     Close(usize),
-    Pass(Micros),
+    AdvanceClock(Micros),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn listener_event() -> impl Strategy<Value = ListenerEvent> {
     prop_oneof![
-        4 => (0..6_u8, 0..3_u8).prop_map(|(net, host)| Step::Connect(net, host)),
-        2 => (0..40_usize).prop_map(Step::Request),
-        2 => (0..40_usize).prop_map(Step::Respond),
-        1 => (0..40_usize).prop_map(Step::Close),
-        1 => (0..200_000_u64).prop_map(Step::Pass),
+        4 => (0..6_u8, 0..3_u8)
+            .prop_map(|(second_octet, host)| ListenerEvent::Connect(second_octet, host)),
+        2 => (0..40_usize).prop_map(ListenerEvent::Request),
+        2 => (0..40_usize).prop_map(ListenerEvent::Respond),
+        1 => (0..40_usize).prop_map(ListenerEvent::Close),
+        1 => (0..200_000_u64).prop_map(ListenerEvent::AdvanceClock),
     ]
 }
 
@@ -441,49 +458,51 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the order of events: no more connections than slots, the table agrees with the
-    /// listener, named clients are admitted while an unknown one can be evicted, and no connection
-    /// that owes a response is evicted.
+    /// In any order of events, there are no more connections than slots, the table agrees with the
+    /// listener, allowlisted clients are admitted while an unknown one can be evicted, and no
+    /// connection with a pending request is evicted.
     #[test]
-    fn table_agrees_with_the_listener_whatever_happens(
-        steps in proptest::collection::vec(step(), 1..300),
+    fn table_agrees_with_the_listener_in_any_order_of_events(
+        listener_events in proptest::collection::vec(listener_event(), 1..300),
         max_slots in 1..24_usize,
     ) {
         let mut listener = Listener::new(settings(), max_slots);
-        for step in steps {
-            let nth = |listener: &Listener, n: usize| {
-                let all: Vec<u64> = listener.connections.keys().copied().collect();
-                all.get(n % all.len().max(1)).copied()
+        for event in listener_events {
+            let nth_id = |listener: &Listener, n: usize| {
+                let ids: Vec<u64> = listener.connections.keys().copied().collect();
+                ids.get(n % ids.len().max(1)).copied()
             };
-            match step {
-                Step::Connect(net, host) => {
-                    let is_named = net == 0;
+            match event {
+                ListenerEvent::Connect(second_octet, host) => {
+                    let is_allowlisted = second_octet == 0;
                     let has_idle_unknown = listener.connections.values().any(|connection| {
-                        let known = listener.admission.known_by(listener.now, connection.address);
-                        !connection.owes_response && known == KnownBy::Unknown
+                        let trust_level = listener
+                            .admission
+                            .trust_level(listener.now, connection.address);
+                        !connection.has_pending_request && trust_level == TrustLevel::Unknown
                     });
                     let has_free_slot = listener.connections.len() < max_slots;
-                    let address = if is_named {
+                    let address = if is_allowlisted {
                         format!("10.9.0.{host}")
                     } else {
-                        format!("10.{net}.0.{host}")
+                        format!("10.{second_octet}.0.{host}")
                     };
                     let outcome = listener.connect(&address);
                     prop_assert!(
-                        outcome.is_ok() || !is_named || !(has_free_slot || has_idle_unknown),
+                        outcome.is_ok() || !is_allowlisted || !(has_free_slot || has_idle_unknown),
                         "{outcome:?}"
                     );
                 }
-                Step::Request(n) => if let Some(id) = nth(&listener, n) { listener.request(id) },
-                Step::Respond(n) => if let Some(id) = nth(&listener, n) { listener.respond(id) },
-                Step::Close(n) => if let Some(id) = nth(&listener, n) { listener.close(id) },
-                Step::Pass(time) => listener.now += time,
+                ListenerEvent::Request(n) => if let Some(id) = nth_id(&listener, n) { listener.request(id) },
+                ListenerEvent::Respond(n) => if let Some(id) = nth_id(&listener, n) { listener.respond(id) },
+                ListenerEvent::Close(n) => if let Some(id) = nth_id(&listener, n) { listener.close(id) },
+                ListenerEvent::AdvanceClock(elapsed) => listener.now += elapsed,
             }
             prop_assert!(listener.connections.len() <= max_slots);
             prop_assert_eq!(listener.admission.len(), listener.connections.len());
         }
-        let all: Vec<u64> = listener.connections.keys().copied().collect();
-        all.into_iter().for_each(|id| listener.close(id));
+        let ids: Vec<u64> = listener.connections.keys().copied().collect();
+        ids.into_iter().for_each(|id| listener.close(id));
         prop_assert!(listener.admission.is_empty());
     }
 }
--- a/crates/connection-admission/tests/stored_format.rs
+++ b/crates/connection-admission/tests/stored_format.rs
@@ -1,7 +1,7 @@
-//! Reputation keeps its bytes in its store: the store of release 0.2 is read in full, and the same
-//! entries are still written the same.
+//! Compatibility of the stored format of reputation: a store written by release 0.2 is read in
+//! full, and the same entries are written as the same bytes.
 //!
-//! `fixtures/standings` is such a store.
+//! `fixtures/standings` is a store written by release 0.2.
 
 use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
 use cleatpulley_log_store::files::OsFolder;
@@ -14,32 +14,37 @@
 const NOW: u64 = 1_700_000_000_000_000;
 const EXPIRES_AT: u64 = NOW + 3_600_000_000;
 
-fn fixture(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(name)
 }
 
-/// The names and bytes of a store's files, its lock left out.
-fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+/// Returns the names and bytes of a store's files, except its lock.
+fn read_files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(folder).expect("the folder exists");
     let names = entries.map(|entry| {
         entry
-            .expect("an entry")
+            .expect("a readable folder entry")
             .file_name()
             .into_string()
-            .expect("plain text")
+            .expect("a UTF-8 name")
     });
     let stored = names.filter(|name| name != "lock");
     stored
-        .map(|name| (name.clone(), fs::read(folder.join(&name)).expect("a file")))
+        .map(|name| {
+            (
+                name.clone(),
+                fs::read(folder.join(&name)).expect("a readable file"),
+            )
+        })
         .collect()
 }
 
-fn copy_of(name: &str) -> TempDir {
-    let copy = tempfile::tempdir().expect("a folder");
-    for (name, bytes) in files_of(&fixture(name)) {
-        fs::write(copy.path().join(name), bytes).expect("it is written");
+fn copy_fixture(name: &str) -> TempDir {
+    let copy = tempfile::tempdir().expect("a temporary folder");
+    for (name, bytes) in read_files(&fixture_path(name)) {
+        fs::write(copy.path().join(name), bytes).expect("the file is written");
     }
     copy
 }
@@ -52,25 +57,28 @@
     }
 }
 
-fn store(path: &Path) -> Store<OsFolder> {
-    Store::open(OsFolder::new(path, true).expect("a folder"), options())
-        .expect("it opens")
-        .0
+fn open_store(path: &Path) -> Store<OsFolder> {
+    Store::open(
+        OsFolder::new(path, true).expect("the folder opens"),
+        options(),
+    )
+    .expect("the store opens")
+    .0
 }
 
-/// Opens a database and returns it with the entries that it loaded.
-fn opened(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
+/// Opens a database and returns it with its loaded entries.
+fn open_database(path: &Path) -> (ReputationDatabase<OsFolder>, Vec<StoredReputation>) {
     let mut database = ReputationDatabase::new(100);
-    let files = OsFolder::new(path, true).expect("a folder");
+    let folder = OsFolder::new(path, true).expect("the folder opens");
     let entries = database
-        .open(Store::open(files, options()), NOW)
-        .expect("it opens");
+        .open(Store::open(folder, options()), NOW)
+        .expect("the store opens");
     (database, entries)
 }
 
 fn entry(address: &str, points: f64, updated_at: u64, expires_at: u64) -> StoredReputation {
     StoredReputation {
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         points,
         updated_at,
         expires_at,
@@ -86,22 +94,22 @@
 }
 
 fn write_database(path: &Path) {
-    let (mut database, none) = opened(path);
-    assert!(none.is_empty());
-    database.add(vec![
+    let (mut database, no_entries) = open_database(path);
+    assert!(no_entries.is_empty());
+    database.enqueue(vec![
         entry("10.0.0.1", 3.0, 1, EXPIRES_AT),
         entry("10.0.0.2", 9.0, 1, NOW - 1),
     ]);
-    database.work(1);
-    database.add(entries());
+    database.flush(1);
+    database.enqueue(entries());
     database.close(1);
 }
 
 #[test]
 fn opens_the_reputation_written_by_release_0_2() {
-    let copy = copy_of("standings");
-    let (_, found) = opened(copy.path());
-    // The expiry of an entry is not read back.
+    let copy = copy_fixture("standings");
+    let (_, loaded) = open_database(copy.path());
+    // The expiry of an entry is not loaded.
     let expected: Vec<StoredReputation> = entries()
         .into_iter()
         .map(|entry| StoredReputation {
@@ -109,20 +117,22 @@
             ..entry
         })
         .collect();
-    assert_eq!(found, expected);
+    assert_eq!(loaded, expected);
 }
 
 #[test]
-fn entries_expire_when_release_0_2_meant_them_to() {
-    let copy = copy_of("standings");
-    let store = store(copy.path());
+fn entries_expire_at_the_time_written_by_release_0_2() {
+    let copy = copy_fixture("standings");
+    let store = open_store(copy.path());
     let unexpired = |now| {
         let mut count = 0;
         let visit = |_, _: &[u8], _: &[u8]| {
             count += 1;
             true
         };
-        store.for_each_by_sequence(now, visit).expect("it is read");
+        store
+            .for_each_by_sequence(now, visit)
+            .expect("the store is read");
         count
     };
     assert_eq!(
@@ -139,7 +149,10 @@
 
 #[test]
 fn writes_the_same_files_as_release_0_2() {
-    let ours = tempfile::tempdir().expect("a folder");
-    write_database(ours.path());
-    assert_eq!(files_of(ours.path()), files_of(&fixture("standings")));
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    write_database(folder.path());
+    assert_eq!(
+        read_files(folder.path()),
+        read_files(&fixture_path("standings"))
+    );
 }
--- a/crates/saturation-bench/src/accuracy.rs
+++ b/crates/saturation-bench/src/accuracy.rs
@@ -1,14 +1,14 @@
-//! Estimates over many upstreams, compared with the truth.
+//! Accuracy of the estimates over many upstreams.
 
-use crate::experiment::{run, to_micros, Experiment};
+use crate::experiment::{run_experiment, to_micros, Experiment};
 use crate::upstream_kind::UpstreamKind;
 
 /// Length of a run, in seconds.
 const RUN_SECONDS: f64 = 60.0;
-/// Largest error by Little's law of an upstream in a steady state.
+/// Maximum error by Little's law of an upstream in a steady state.
 const MAX_LITTLES_LAW_ERROR: f64 = 0.1;
-/// Distinguishes the seed of a run from that of its upstream's kind.
-const RUN_SEED: u64 = 0xACC;
+/// Separates the seed of a run from the seed that its upstream is generated from.
+const RUN_SEED_MASK: u64 = 0xACC;
 
 /// Consecutive seeds, one for each upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,19 +19,20 @@
     pub count: u64,
 }
 
-/// How accurate the estimates of throughput at saturation are.
+/// Accuracy of the estimated throughput at saturation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Accuracy {
     /// Median relative error.
     pub median_error: f64,
-    /// Share of the estimates whose interval contains the truth.
+    /// Share of the estimates whose interval contains the true throughput.
     pub coverage: f64,
-    /// Upstreams that collapsed, by Little's law, and are left out: the throughput of some falls
-    /// with concurrency, and they may never recover from an overload.
+    /// Number of upstreams excluded because they collapsed, as detected by Little's law: the
+    /// throughput of some decreases with concurrency, and they may never recover from an overload.
     pub collapsed: u64,
 }
 
-/// Measures the accuracy of estimates at a load, given as a share of the throughput at saturation.
+/// Measures the accuracy of the estimates at a load, given as a share of the throughput at
+/// saturation.
 #[must_use]
 pub fn measure_accuracy(load: f64, seeds: SeedRange) -> Accuracy {
     let mut errors = Vec::new();
@@ -39,23 +40,23 @@
     let mut collapsed = 0;
     for seed in seeds.first..seeds.first + seeds.count {
         let kind = UpstreamKind::random(seed);
-        let truth = kind.saturation_throughput();
-        let arrival_rate = |_| load * truth;
-        let experiment = Experiment::new(kind, &arrival_rate, RUN_SECONDS, seed ^ RUN_SEED);
-        let mut outcome = run(experiment, |_, _| ());
+        let true_throughput = kind.saturation_throughput();
+        let arrival_rate = |_| load * true_throughput;
+        let experiment = Experiment::new(kind, &arrival_rate, RUN_SECONDS, seed ^ RUN_SEED_MASK);
+        let mut outcome = run_experiment(experiment, |_, _| ());
         let prediction = outcome.model.predict(to_micros(RUN_SECONDS));
         let is_steady = prediction.littles_law_error <= MAX_LITTLES_LAW_ERROR;
         let Some(estimate) = prediction.estimate.filter(|_| is_steady) else {
             collapsed += 1;
             continue;
         };
-        errors.push((estimate.throughput / truth - 1.0).abs());
-        covered += u64::from(estimate.low <= truth && truth <= estimate.high);
+        errors.push((estimate.throughput / true_throughput - 1.0).abs());
+        covered += u64::from(estimate.low <= true_throughput && true_throughput <= estimate.high);
     }
     errors.sort_by(f64::total_cmp);
-    let median = errors.get(errors.len() / 2);
+    let median_error = errors.get(errors.len() / 2);
     Accuracy {
-        median_error: median.copied().unwrap_or(f64::INFINITY),
+        median_error: median_error.copied().unwrap_or(f64::INFINITY),
         coverage: covered as f64 / errors.len().max(1) as f64,
         collapsed,
     }
--- a/crates/saturation-bench/src/experiment.rs
+++ b/crates/saturation-bench/src/experiment.rs
@@ -7,48 +7,48 @@
 use rand::SeedableRng;
 use std::collections::VecDeque;
 
-/// Time of the model's clock at the start of a run, in microseconds.
-const START: u64 = 1_000_000;
+/// Time on the model's clock at the start of a run, in microseconds.
+const CLOCK_START_MICROS: u64 = 1_000_000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Part of a run before goodput is measured.
-const WARM_UP: f64 = 0.25;
-/// Seconds between two observations of the model.
-const OBSERVATION_INTERVAL: f64 = 1.0;
-/// Least rate of arrivals, in requests a second.
-const MIN_ARRIVAL_RATE: f64 = 0.1;
-/// Remaining work that counts as none.
+/// Share of a run before goodput is measured.
+const WARM_UP_SHARE: f64 = 0.25;
+/// Interval between two observations of the model, in seconds.
+const OBSERVATION_INTERVAL_SECONDS: f64 = 1.0;
+/// Minimum arrival rate, in requests per second.
+const MIN_ARRIVALS_PER_SECOND: f64 = 0.1;
+/// Remaining work up to which a request counts as completed.
 const NEGLIGIBLE_WORK: f64 = 1e-12;
 
-/// What is run. Times are in seconds since the start of the run.
+/// Parameters of a run. Times are in seconds since the start of the run.
 pub struct Experiment<'a> {
     /// The upstream.
     pub kind: UpstreamKind,
-    /// Rate of arrivals by time, in requests a second.
+    /// Arrival rate as a function of time, in requests per second.
     pub arrival_rate: &'a dyn Fn(f64) -> f64,
     /// Length of the run.
     pub seconds: f64,
-    /// A fault that makes the upstream slow.
+    /// Fault that slows down the upstream.
     pub slowdown: Option<Slowdown>,
-    /// What limits the requests in flight; others are rejected.
+    /// Limiter of the requests in flight; requests beyond the limit are rejected.
     pub limiter: Limiter,
-    /// Latency beyond which a response does not count as goodput, in seconds.
+    /// Maximum latency of a response that counts as goodput, in seconds.
     pub deadline: f64,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// A fault that makes an upstream slow.
+/// A fault that slows down an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Slowdown {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds.
     pub start: f64,
-    /// Factor by which service times grow.
+    /// Factor by which service times increase.
     pub factor: f64,
 }
 
 impl<'a> Experiment<'a> {
-    /// A run without limit, deadline or fault.
+    /// Creates a run without limit, deadline or fault.
     #[must_use]
     pub fn new(
         kind: UpstreamKind,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Factor by which service times are longer at a time.
+    /// Returns the factor by which service times are increased at a time.
     fn slowdown_factor(&self, now: f64) -> f64 {
         match self.slowdown {
             Some(slowdown) if now >= slowdown.start => slowdown.factor,
@@ -76,41 +76,41 @@
     }
 
     fn arrival_rate(&self, now: f64) -> f64 {
-        (self.arrival_rate)(now).max(MIN_ARRIVAL_RATE)
+        (self.arrival_rate)(now).max(MIN_ARRIVALS_PER_SECOND)
     }
 
-    /// When goodput is measured from.
+    /// Returns the start of the measurement of goodput, in seconds.
     fn measured_from(&self) -> f64 {
-        self.seconds * WARM_UP
+        self.seconds * WARM_UP_SHARE
     }
 }
 
 /// The result of a run.
 pub struct Outcome {
-    /// The model at the end.
+    /// The model at the end of the run.
     pub model: UpstreamModel,
-    /// Responses by their deadline, after the warm-up.
+    /// Number of responses after the warm-up that met their deadline.
     pub timely_responses: u64,
     /// Length of the run after the warm-up, in seconds.
     pub measured_seconds: f64,
 }
 
 impl Outcome {
-    /// Goodput: responses by their deadline a second.
+    /// Returns the goodput: responses per second that met their deadline.
     #[must_use]
     pub fn goodput(&self) -> f64 {
         self.timely_responses as f64 / self.measured_seconds
     }
 }
 
-/// The time of the model's clock at a second of a run, in microseconds.
+/// Converts seconds since the start of a run to the model's clock, in microseconds.
 #[must_use]
 pub fn to_micros(seconds: f64) -> u64 {
-    START + (seconds * MICROS_PER_SECOND) as u64
+    CLOCK_START_MICROS + (seconds * MICROS_PER_SECOND) as u64
 }
 
 /// Runs an experiment, and calls `observe` with the time and the model about once a second.
-pub fn run(
+pub fn run_experiment(
     experiment: Experiment<'_>,
     mut observe: impl FnMut(f64, &mut UpstreamModel),
 ) -> Outcome {
@@ -118,7 +118,7 @@
     while run.now < run.experiment.seconds {
         run.advance();
         run.start_service();
-        if run.now >= run.last_observation + OBSERVATION_INTERVAL {
+        if run.now >= run.last_observation + OBSERVATION_INTERVAL_SECONDS {
             run.last_observation = run.now;
             run.update_limiter();
             observe(run.now, &mut run.model);
@@ -136,12 +136,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Request {
     arrival: f64,
-    /// Requests in flight once it had arrived, itself included.
+    /// Number of requests in flight right after this one arrived, including itself.
     concurrency: usize,
 }
 
-/// A request that is being served.
-struct InService {
+/// A request in service.
+struct ActiveRequest {
     request: Request,
     remaining_work: f64,
 }
@@ -149,11 +149,11 @@
 /// The state of a run.
 struct Run<'a> {
     experiment: Experiment<'a>,
-    random: SmallRng,
+    rng: SmallRng,
     model: UpstreamModel,
     now: f64,
     next_arrival: f64,
-    in_service: Vec<InService>,
+    in_service: Vec<ActiveRequest>,
     queue: VecDeque<Request>,
     last_observation: f64,
     timely_responses: u64,
@@ -161,11 +161,11 @@
 
 impl<'a> Run<'a> {
     fn new(experiment: Experiment<'a>) -> Self {
-        let mut random = SmallRng::seed_from_u64(experiment.seed);
-        let next_arrival = draw_exponential(&mut random) / experiment.arrival_rate(0.0);
+        let mut rng = SmallRng::seed_from_u64(experiment.seed);
+        let next_arrival = draw_exponential(&mut rng) / experiment.arrival_rate(0.0);
         Self {
             experiment,
-            random,
+            rng,
             model: UpstreamModel::new(ModelSettings::default()),
             now: 0.0,
             next_arrival,
@@ -183,12 +183,12 @@
         let until_completion = self
             .in_service
             .iter()
-            .map(|served| served.remaining_work / service_rate)
+            .map(|job| job.remaining_work / service_rate)
             .fold(f64::INFINITY, f64::min);
         let step = until_completion.min(self.next_arrival - self.now).max(0.0);
         self.now += step;
-        for served in &mut self.in_service {
-            served.remaining_work -= step * service_rate;
+        for job in &mut self.in_service {
+            job.remaining_work -= step * service_rate;
         }
         if until_completion <= step {
             self.complete();
@@ -198,12 +198,12 @@
     }
 
     fn complete(&mut self) {
-        let completed = self
+        let index = self
             .in_service
             .iter()
-            .position(|served| served.remaining_work <= NEGLIGIBLE_WORK)
+            .position(|job| job.remaining_work <= NEGLIGIBLE_WORK)
             .unwrap_or(0);
-        let request = self.in_service.swap_remove(completed).request;
+        let request = self.in_service.swap_remove(index).request;
         let latency = self.now - request.arrival;
         let completion = Completion {
             concurrency: request.concurrency,
@@ -221,7 +221,7 @@
     }
 
     fn arrive(&mut self) {
-        let interval = draw_exponential(&mut self.random) / self.experiment.arrival_rate(self.now);
+        let interval = draw_exponential(&mut self.rng) / self.experiment.arrival_rate(self.now);
         self.next_arrival = self.now + interval;
         if self.model.in_flight() < self.experiment.limiter.limit() {
             let concurrency = self.model.on_request_sent(to_micros(self.now));
@@ -239,8 +239,8 @@
             let Some(request) = self.queue.pop_front() else {
                 return;
             };
-            let remaining_work = self.experiment.kind.draw_work(&mut self.random);
-            self.in_service.push(InService {
+            let remaining_work = self.experiment.kind.draw_work(&mut self.rng);
+            self.in_service.push(ActiveRequest {
                 request,
                 remaining_work,
             });
--- a/crates/saturation/tests/concurrency_limit.rs
+++ b/crates/saturation/tests/concurrency_limit.rs
@@ -1,10 +1,10 @@
-//! The limit on requests in flight: its reactive part, and how far an estimate moves it.
+//! The limit on requests in flight: the reactive limit, and its adjustment by an estimate.
 
 use cleatpulley_saturation::{
     Completion, ConcurrencyLimit, CurveShape, SaturationEstimate, ThroughputCurve,
 };
 
-/// An estimate of saturation at a concurrency, with an interval of the throughput.
+/// Returns an estimate of saturation at a concurrency, with an interval of the throughput.
 fn estimate(concurrency: f64, low: f64, high: f64) -> SaturationEstimate {
     let shape = CurveShape {
         servers: concurrency,
@@ -28,11 +28,15 @@
     let mut limit = ConcurrencyLimit::default();
     assert_eq!(limit.limit(), 4);
     limit.set_estimate(Some(&estimate(100.0, 0.9, 1.1)));
-    assert_eq!(limit.limit(), 8, "twice the reactive at most");
+    assert_eq!(limit.limit(), 8, "at most twice the reactive limit");
     limit.set_estimate(Some(&estimate(0.1, 0.9, 1.1)));
-    assert_eq!(limit.limit(), 2, "half of it at least");
+    assert_eq!(limit.limit(), 2, "at least half of the reactive limit");
     limit.set_estimate(Some(&estimate(100.0, 0.5, 2.0)));
-    assert_eq!(limit.limit(), 4, "a wide one says nothing");
+    assert_eq!(
+        limit.limit(),
+        4,
+        "an estimate with a wide interval is ignored"
+    );
 }
 
 #[test]
@@ -45,8 +49,8 @@
     for step in 0..200 {
         limit.on_completion(step * 10_000, in_time, limit.limit());
     }
-    let grown = limit.limit();
-    assert!(grown > 15, "{grown}");
+    let grown_limit = limit.limit();
+    assert!(grown_limit > 15, "{grown_limit}");
 
     let late = Completion {
         concurrency: 9,
@@ -56,8 +60,8 @@
         limit.on_completion(2_000_000 + step * 1_000, late, limit.limit());
     }
     assert!(
-        limit.limit() < grown && limit.limit() >= grown / 3,
-        "{} after {grown}",
+        limit.limit() < grown_limit && limit.limit() >= grown_limit / 3,
+        "{} after {grown_limit}",
         limit.limit()
     );
 }
