--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -4,8 +4,8 @@
 
 use crate::plan::{Bounds, Effect, Event, Note, Phase, Plan, Status};
 use crate::process::{find, secret, Running, Start};
+use crate::regression::RequestCounts;
 use crate::site::{Place, Release};
-use crate::verdict::Counts;
 use crate::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 use crate::Micros;
 use cleatpulley_log_store::files::OsFolder;
@@ -104,7 +104,7 @@
 struct Said {
     held: usize,
     /// A point in time, and the counts then.
-    from: (Micros, Counts),
+    from: (Micros, RequestCounts),
     rate: f64,
     refused_share: f64,
 }
@@ -690,10 +690,10 @@
 
     fn note(&mut self, incarnation: u64, line: &Line) -> Status {
         let now = self.now();
-        let counts = Counts {
+        let counts = RequestCounts {
             served: line.served,
             late: line.late,
-            refused: line.refused,
+            rejected: line.refused,
             failed: line.failed,
         };
         let said = self.said.entry(incarnation).or_default();
@@ -703,8 +703,8 @@
             said.from = (now, counts);
         } else if now >= from + RATE_OVER {
             let more = counts.since(before);
-            said.rate = more.all() as f64 * 1e6 / (now - from) as f64;
-            said.refused_share = more.refused as f64 / more.all().max(1) as f64;
+            said.rate = more.total() as f64 * 1e6 / (now - from) as f64;
+            said.refused_share = more.rejected as f64 / more.total().max(1) as f64;
             said.from = (now, counts);
         }
         Status {
@@ -792,7 +792,7 @@
                 refused_share: said.map_or(0.0, |said| said.refused_share),
                 held: said.map_or(0, |said| said.held),
                 served: one.counts.served,
-                refused: one.counts.refused,
+                refused: one.counts.rejected,
                 failed: one.counts.failed + one.counts.late,
             }
         };
--- a/crates/fleet/src/daemon/tests.rs
+++ b/crates/fleet/src/daemon/tests.rs
@@ -5,9 +5,9 @@
 
 use super::{Daemon, Hello, Line, State, Wanted, CONTROL, KEY, STATUS};
 use crate::plan::{Bounds, Mode, Phase};
+use crate::regression::RegressionThresholds;
 use crate::restart::Policy;
 use crate::site::{Place, Release};
-use crate::verdict;
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Options, Store};
 use std::collections::BTreeMap;
@@ -42,12 +42,12 @@
         drain_within: 10_000_000,
         silent_within: 2_000_000,
         crashes: 3,
-        verdict: verdict::Bounds {
-            samples: 500,
-            refused: 0.05,
-            failed: 0.01,
-            late: 0.05,
-            errors: 4.0,
+        regression: RegressionThresholds {
+            min_samples: 500,
+            max_rejected_increase: 0.05,
+            max_failed_increase: 0.01,
+            max_late_increase: 0.05,
+            standard_errors: 4.0,
         },
         restart: Policy {
             first: 200_000,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,5 @@
 //! Many instances of the matcher on one host: what is started, told to leave and replaced, and when. All of it is
-//! decided without I/O and without a clock ([`plan`], [`planner`], [`restart`], [`verdict`]); the [`daemon`] runs the processes,
+//! decided without I/O and without a clock ([`plan`], [`planner`], [`restart`], [`regression`]); the [`daemon`] runs the processes,
 //! tells what happened and does what is wanted.
 
 #![warn(missing_docs)]
@@ -8,10 +8,10 @@
 pub mod plan;
 pub mod planner;
 pub mod process;
+pub mod regression;
 pub mod restart;
 pub mod site;
 pub mod trial;
-pub mod verdict;
 pub mod view;
 
 /// Microseconds.
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -6,8 +6,8 @@
 //! leave while the capacity without it would be below the floor. There is one exception: on the way back a generation
 //! that was given up and never got warm may hold all addresses, and then one of it leaves so that another can start.
 
+use crate::regression::{self, Regression, RegressionThresholds, RequestCounts};
 use crate::restart::{Policy, Restarts};
-use crate::verdict::{self, Counts, Worse};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -44,7 +44,8 @@
     /// So many failures of a new generation end its replacement.
     pub crashes: u32,
     /// When a new generation counts as worse than the old one.
-    pub verdict: verdict::Bounds,
+    #[serde(rename = "verdict")]
+    pub regression: RegressionThresholds,
     /// Starting again.
     pub restart: Policy,
 }
@@ -158,9 +159,9 @@
     /// Its speed, as a share of a warm one's.
     pub warmth: f64,
     /// What it did since it began.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// What it had done when the two generations began to be compared.
-    baseline: Option<Counts>,
+    baseline: Option<RequestCounts>,
     killed: Option<Micros>,
     /// Why it failed.
     pub why: Option<String>,
@@ -219,7 +220,7 @@
     /// Why it goes back by itself.
     pub halted: Option<String>,
     /// What instances that are gone did while the generations were compared: new and old.
-    gone: [Counts; 2],
+    gone: [RequestCounts; 2],
     compared: bool,
 }
 
@@ -242,7 +243,7 @@
     /// Its speed, as a share of a warm one's.
     pub warmth: f64,
     /// What it did since it began.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     /// It leaves.
     pub drains: bool,
 }
@@ -479,7 +480,7 @@
             crashes: 0,
             begun: now,
             halted: None,
-            gone: [Counts::default(); 2],
+            gone: [RequestCounts::default(); 2],
             compared: false,
         });
         self.work(now, out);
@@ -729,9 +730,10 @@
                 sides[side] = sides[side].plus(one.counts.since(baseline));
             }
         }
-        let worse: Option<Worse> = verdict::worse(sides[0], sides[1], &self.bounds.verdict);
-        if let Some(worse) = worse {
-            self.halt(worse.to_string(), out);
+        let regression: Option<Regression> =
+            regression::detect_regression(sides[0], sides[1], &self.bounds.regression);
+        if let Some(regression) = regression {
+            self.halt(regression.to_string(), out);
         }
     }
 
@@ -1007,7 +1009,7 @@
                     process: None,
                     heard: now,
                     warmth: 0.0,
-                    counts: Counts::default(),
+                    counts: RequestCounts::default(),
                     baseline: None,
                     killed: None,
                     why: None,
--- a/crates/fleet/src/trial.rs
+++ b/crates/fleet/src/trial.rs
@@ -5,8 +5,8 @@
 use crate::plan::{
     Bounds, Effect, Event, Exit, Instance, Mode, Note, Phase, Plan, Process, Status, WARM,
 };
+use crate::regression::{RegressionThresholds, RequestCounts};
 use crate::restart::Policy;
-use crate::verdict::{self, Counts};
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -40,7 +40,7 @@
     process: Process,
     born: Micros,
     speaks_from: Micros,
-    counts: Counts,
+    counts: RequestCounts,
     warmth: f64,
     hangs: bool,
     deaf: bool,
@@ -91,12 +91,12 @@
         drain_within: 4 * SECOND,
         silent_within: SECOND,
         crashes: 3,
-        verdict: verdict::Bounds {
-            samples: 200,
-            refused: 0.05,
-            failed: 0.02,
-            late: 0.05,
-            errors: 3.0,
+        regression: RegressionThresholds {
+            min_samples: 200,
+            max_rejected_increase: 0.05,
+            max_failed_increase: 0.02,
+            max_late_increase: 0.05,
+            standard_errors: 3.0,
         },
         restart: Policy {
             first: SECOND / 2,
@@ -277,7 +277,7 @@
                 (0.25 + 0.75 * warm).min(1.0)
             };
             if kind == Kind::Refuses {
-                one.counts.refused += served;
+                one.counts.rejected += served;
             }
             one.counts.served += served;
             one.known |= one.told;
@@ -368,7 +368,7 @@
             process,
             born: self.now,
             speaks_from: self.now + self.random.random_range(1..8) * TICK,
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
             warmth: 0.0,
             hangs,
             deaf,
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -2,8 +2,8 @@
 
 use cleatpulley_fleet::plan::Bounds;
 use cleatpulley_fleet::planner::{answer, play, Answer, Forecast, Host, Limit, Question};
+use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::Policy;
-use cleatpulley_fleet::verdict;
 
 const SECOND: u64 = 1_000_000;
 
@@ -19,12 +19,12 @@
             drain_within: SECOND,
             silent_within: SECOND,
             crashes: 3,
-            verdict: verdict::Bounds {
-                samples: 100,
-                refused: 0.1,
-                failed: 0.1,
-                late: 0.1,
-                errors: 3.0,
+            regression: RegressionThresholds {
+                min_samples: 100,
+                max_rejected_increase: 0.1,
+                max_failed_increase: 0.1,
+                max_late_increase: 0.1,
+                standard_errors: 3.0,
             },
             restart: Policy {
                 first: SECOND,
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -8,9 +8,10 @@
 use cleatpulley_fleet::daemon::ask;
 use cleatpulley_fleet::plan::{Bounds, Phase};
 use cleatpulley_fleet::planner::{self, Answer, Forecast, Host, Question};
+use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::Policy;
+use cleatpulley_fleet::trial;
 use cleatpulley_fleet::view::{Ask, Reply, View};
-use cleatpulley_fleet::{trial, verdict};
 use std::collections::{BTreeMap, HashSet};
 use std::fs;
 use std::io;
@@ -617,12 +618,12 @@
             drain_within: 10 * SECOND,
             silent_within: 2 * SECOND,
             crashes: 3,
-            verdict: verdict::Bounds {
-                samples: 500,
-                refused: 0.05,
-                failed: 0.01,
-                late: 0.05,
-                errors: 4.0,
+            regression: RegressionThresholds {
+                min_samples: 500,
+                max_rejected_increase: 0.05,
+                max_failed_increase: 0.01,
+                max_late_increase: 0.05,
+                standard_errors: 4.0,
             },
             restart: Policy {
                 first: SECOND,
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -3,9 +3,9 @@
 use super::{evaluate, locate, wrong, Fault, Wrong};
 use cleatpulley_fleet::plan::Bounds;
 use cleatpulley_fleet::planner::{Forecast, Host, Question};
+use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::Policy;
 use cleatpulley_fleet::site::{Place, Release};
-use cleatpulley_fleet::verdict;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -230,12 +230,12 @@
             drain_within: self.timeouts_ms.drain.saturating_mul(MS),
             silent_within: self.timeouts_ms.silent.saturating_mul(MS),
             crashes: self.crashes.max(1),
-            verdict: verdict::Bounds {
-                samples: self.worse.samples,
-                refused: self.worse.refused,
-                failed: self.worse.failed,
-                late: self.worse.late,
-                errors: self.worse.errors,
+            regression: RegressionThresholds {
+                min_samples: self.worse.samples,
+                max_rejected_increase: self.worse.refused,
+                max_failed_increase: self.worse.failed,
+                max_late_increase: self.worse.late,
+                standard_errors: self.worse.errors,
             },
             restart: Policy {
                 first: self.restart.first_ms.saturating_mul(MS),
