--- a/crates/fleet/src/daemon/tests.rs
+++ b/crates/fleet/src/daemon/tests.rs
@@ -6,7 +6,7 @@
 use super::{Daemon, Hello, Line, State, Wanted, CONTROL, KEY, STATUS};
 use crate::plan::{Bounds, Mode, Phase};
 use crate::regression::RegressionThresholds;
-use crate::restart::Policy;
+use crate::restart::RestartPolicy;
 use crate::site::{Place, Release};
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Options, Store};
@@ -49,11 +49,11 @@
             max_late_increase: 0.05,
             standard_errors: 4.0,
         },
-        restart: Policy {
-            first: 200_000,
-            most: 30_000_000,
+        restart: RestartPolicy {
+            initial_delay: 200_000,
+            max_delay: 30_000_000,
             budget: 20,
-            within: 60_000_000,
+            budget_window: 60_000_000,
         },
     }
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -7,7 +7,7 @@
 //! that was given up and never got warm may hold all addresses, and then one of it leaves so that another can start.
 
 use crate::regression::{self, Regression, RegressionThresholds, RequestCounts};
-use crate::restart::{Policy, Restarts};
+use crate::restart::{RestartBackoff, RestartPolicy};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -47,7 +47,7 @@
     #[serde(rename = "verdict")]
     pub regression: RegressionThresholds,
     /// Starting again.
-    pub restart: Policy,
+    pub restart: RestartPolicy,
 }
 
 /// What is wrong with bounds, or why a command is not obeyed.
@@ -319,7 +319,7 @@
     stable: u32,
     replacement: Option<Replacement>,
     ends: bool,
-    restarts: Restarts,
+    restarts: RestartBackoff,
     /// When an instance at an address last failed.
     failed_at: BTreeMap<usize, Micros>,
     /// Why the last replacement went back by itself.
@@ -344,7 +344,7 @@
             stable: generation,
             replacement: None,
             ends: false,
-            restarts: Restarts::new(bounds.restart, seed),
+            restarts: RestartBackoff::new(bounds.restart, seed),
             failed_at: BTreeMap::new(),
             halted: None,
             next_incarnation: 1,
@@ -618,7 +618,7 @@
         self.version += 1;
         out.push(Effect::Save);
         if after == Phase::Warm {
-            self.restarts.went_well(generation);
+            self.restarts.on_success(generation);
             self.begin_to_compare(generation);
         }
     }
@@ -664,7 +664,7 @@
             Phase::Stopped
         };
         if let Some(why) = why {
-            self.restarts.failed(now, one.generation);
+            self.restarts.on_failure(now, one.generation);
             self.failed_at.insert(one.address, now);
             out.push(Effect::Note(Note::Failed(incarnation, why.clone())));
             one.why = Some(why);
@@ -814,7 +814,7 @@
             .into_iter()
             .filter(|(generation, want)| self.have(*generation) < *want);
         let starts = starts
-            .map(|(generation, _)| self.restarts.from(now, generation))
+            .map(|(generation, _)| self.restarts.earliest_start(now, generation))
             .filter(|at| *at > now);
         self.instances
             .iter()
@@ -985,7 +985,7 @@
         let most = self.bounds.instances + self.bounds.surge;
         for (generation, want) in self.wanted() {
             while self.have(generation) < want && self.instances.len() < most {
-                if self.restarts.from(now, generation) > now {
+                if self.restarts.earliest_start(now, generation) > now {
                     break;
                 }
                 let taken =
@@ -999,7 +999,7 @@
                 let incarnation = self.next_incarnation;
                 self.next_incarnation += 1;
                 self.version += 1;
-                self.restarts.started(now, generation);
+                self.restarts.on_start(now, generation);
                 self.instances.push(Instance {
                     incarnation,
                     generation,
--- a/crates/fleet/src/restart.rs
+++ b/crates/fleet/src/restart.rs
@@ -1,111 +1,117 @@
-//! When what has failed may be started again: later and later while a generation keeps failing, and so many times at
-//! most for the whole fleet in a stretch of time.
+//! Decides when a failed instance may be started again: with an exponential delay per generation, and with at most a
+//! fixed number of restarts of the whole fleet within a sliding window.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bounds of starting again.
+/// Delays and budget of restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Policy {
-    /// Wait after the first failure; it doubles with each further one.
-    pub first: Micros,
-    /// The longest wait.
-    pub most: Micros,
-    /// So many starts after failures for the whole fleet ...
+pub struct RestartPolicy {
+    /// Delay after the first failure; it doubles with each further failure in a row.
+    #[serde(rename = "first")]
+    pub initial_delay: Micros,
+    /// Maximum delay.
+    #[serde(rename = "most")]
+    pub max_delay: Micros,
+    /// Maximum number of restarts of the whole fleet within `budget_window`.
     pub budget: usize,
-    /// ... in any stretch of this length.
-    pub within: Micros,
+    /// Length of the sliding window for `budget`.
+    #[serde(rename = "within")]
+    pub budget_window: Micros,
 }
 
-/// What has failed, and what was started for it.
+/// Failures in a row of each generation, and the recent restarts of the fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Restarts {
-    policy: Policy,
+pub struct RestartBackoff {
+    policy: RestartPolicy,
     seed: u64,
+    /// Number of random values drawn for the jitter.
     draws: u64,
-    /// By generation: failures in a row, and no start before this.
+    /// For each generation, the number of failures in a row and the earliest time of the next start.
     streaks: BTreeMap<u32, (u32, Micros)>,
-    /// Starts after failures, by time.
-    spent: VecDeque<Micros>,
+    /// Times of the restarts within the budget window, ascending.
+    #[serde(rename = "spent")]
+    recent_restarts: VecDeque<Micros>,
 }
 
-impl Restarts {
-    /// Nothing has failed.
+impl RestartBackoff {
+    /// Creates the backoff of a fleet without failures.
     #[must_use]
-    pub fn new(policy: Policy, seed: u64) -> Self {
+    pub fn new(policy: RestartPolicy, seed: u64) -> Self {
         Self {
             policy,
             seed,
             draws: 0,
             streaks: BTreeMap::new(),
-            spent: VecDeque::new(),
+            recent_restarts: VecDeque::new(),
         }
     }
 
-    /// An instance of a generation has failed.
-    pub fn failed(&mut self, now: Micros, generation: u32) {
+    /// Records a failure of an instance of `generation`.
+    pub fn on_failure(&mut self, now: Micros, generation: u32) {
         self.draws += 1;
         let draw = xxh3_64_with_seed(&self.draws.to_le_bytes(), self.seed) >> 11;
-        // Between half of the wait and all of it: what failed together is not started together.
+        // The jitter is between half of the delay and all of it, so that instances that failed together are not started
+        // together.
         let jitter = 0.5 + draw as f64 / (1_u64 << 54) as f64;
         let streak = self.streaks.entry(generation).or_default();
         streak.0 = streak.0.saturating_add(1);
         let doubled = self
             .policy
-            .first
+            .initial_delay
             .saturating_mul(1 << (streak.0 - 1).min(40));
-        let wait = doubled.min(self.policy.most) as f64 * jitter;
-        streak.1 = streak.1.max(now.saturating_add(wait as Micros));
+        let delay = doubled.min(self.policy.max_delay) as f64 * jitter;
+        streak.1 = streak.1.max(now.saturating_add(delay as Micros));
     }
 
-    /// An instance of a generation came so far that it serves as it should.
-    pub fn went_well(&mut self, generation: u32) {
+    /// Records that an instance of `generation` became warm, which resets the delay.
+    pub fn on_success(&mut self, generation: u32) {
         self.streaks.remove(&generation);
     }
 
-    /// Failures in a row.
+    /// Returns the number of failures in a row of `generation`.
     #[must_use]
-    pub fn streak(&self, generation: u32) -> u32 {
+    pub fn consecutive_failures(&self, generation: u32) -> u32 {
         self.streaks.get(&generation).map_or(0, |streak| streak.0)
     }
 
-    /// The time from which on an instance of a generation may be started.
+    /// Returns the earliest time, not before `now`, at which an instance of `generation` may be started.
     #[must_use]
-    pub fn from(&self, now: Micros, generation: u32) -> Micros {
-        let Some(&(_, wait)) = self.streaks.get(&generation) else {
+    pub fn earliest_start(&self, now: Micros, generation: u32) -> Micros {
+        let Some(&(_, delayed_until)) = self.streaks.get(&generation) else {
             return now;
         };
-        let spent = self
-            .spent
+        let used = self
+            .recent_restarts
             .iter()
-            .filter(|at| **at + self.policy.within > now)
+            .filter(|at| **at + self.policy.budget_window > now)
             .count();
-        let budget = match spent.checked_sub(self.policy.budget) {
-            // The budget is there again once enough of these are old.
-            Some(over) => self
-                .spent
+        let budget_from = match used.checked_sub(self.policy.budget) {
+            // The budget allows another restart once enough of the recent ones have left the window.
+            Some(excess) => self
+                .recent_restarts
                 .iter()
-                .filter(|at| **at + self.policy.within > now)
-                .nth(over)
-                .map_or(now, |at| at + self.policy.within),
+                .filter(|at| **at + self.policy.budget_window > now)
+                .nth(excess)
+                .map_or(now, |at| at + self.policy.budget_window),
             None => now,
         };
-        now.max(wait).max(budget)
+        now.max(delayed_until).max(budget_from)
     }
 
-    /// An instance of a generation is started.
-    pub fn started(&mut self, now: Micros, generation: u32) {
+    /// Records a start of an instance of `generation`; it uses the budget if the generation failed before.
+    pub fn on_start(&mut self, now: Micros, generation: u32) {
         if self.streaks.contains_key(&generation) {
-            self.spent.push_back(now);
+            self.recent_restarts.push_back(now);
         }
         while self
-            .spent
+            .recent_restarts
             .front()
-            .is_some_and(|at| at + self.policy.within <= now)
+            .is_some_and(|at| at + self.policy.budget_window <= now)
         {
-            self.spent.pop_front();
+            self.recent_restarts.pop_front();
         }
     }
 }
@@ -114,42 +120,51 @@
 mod tests {
     use super::*;
 
-    const POLICY: Policy = Policy {
-        first: 100,
-        most: 1_000,
+    const POLICY: RestartPolicy = RestartPolicy {
+        initial_delay: 100,
+        max_delay: 1_000,
         budget: 3,
-        within: 10_000,
+        budget_window: 10_000,
     };
 
     #[test]
-    fn waits_double_up_to_the_longest_and_end_with_success() {
-        let mut restarts = Restarts::new(POLICY, 7);
-        assert_eq!(restarts.from(5, 1), 5);
-        for (n, most) in [100, 200, 400, 800, 1_000, 1_000].into_iter().enumerate() {
+    fn delay_doubles_up_to_the_maximum_and_is_reset_by_success() {
+        let mut backoff = RestartBackoff::new(POLICY, 7);
+        assert_eq!(backoff.earliest_start(5, 1), 5);
+        for (n, max_delay) in [100, 200, 400, 800, 1_000, 1_000].into_iter().enumerate() {
             let now = 100_000 * (n as u64 + 1);
-            restarts.failed(now, 1);
-            let wait = restarts.from(now, 1) - now;
-            assert!(wait * 2 >= most && wait <= most, "{wait} of {most}");
+            backoff.on_failure(now, 1);
+            let delay = backoff.earliest_start(now, 1) - now;
+            assert!(
+                delay * 2 >= max_delay && delay <= max_delay,
+                "{delay} of {max_delay}"
+            );
             assert_eq!(
-                restarts.from(now, 2),
+                backoff.earliest_start(now, 2),
                 now,
-                "another generation is not held back"
+                "another generation is not delayed"
             );
         }
-        restarts.went_well(1);
-        assert_eq!((restarts.from(5, 1), restarts.streak(1)), (5, 0));
+        backoff.on_success(1);
+        assert_eq!(
+            (
+                backoff.earliest_start(5, 1),
+                backoff.consecutive_failures(1)
+            ),
+            (5, 0)
+        );
     }
 
     #[test]
-    fn the_whole_fleet_has_one_budget() {
-        let mut restarts = Restarts::new(POLICY, 7);
-        (0..3).for_each(|generation| restarts.failed(0, generation));
+    fn all_generations_share_the_restart_budget() {
+        let mut backoff = RestartBackoff::new(POLICY, 7);
+        (0..3).for_each(|generation| backoff.on_failure(0, generation));
         for n in 0..3 {
-            assert!(restarts.from(1_000 + n, n as u32) <= 1_000 + n);
-            restarts.started(1_000 + n, n as u32);
+            assert!(backoff.earliest_start(1_000 + n, n as u32) <= 1_000 + n);
+            backoff.on_start(1_000 + n, n as u32);
         }
-        // The first of the three is old at 11,000.
-        assert_eq!(restarts.from(2_000, 1), 11_000);
-        assert_eq!(restarts.from(11_000, 1), 11_000);
+        // The first of the three restarts leaves the window at 11,000.
+        assert_eq!(backoff.earliest_start(2_000, 1), 11_000);
+        assert_eq!(backoff.earliest_start(11_000, 1), 11_000);
     }
 }
--- a/crates/fleet/src/trial.rs
+++ b/crates/fleet/src/trial.rs
@@ -6,7 +6,7 @@
     Bounds, Effect, Event, Exit, Instance, Mode, Note, Phase, Plan, Process, Status, WARM,
 };
 use crate::regression::{RegressionThresholds, RequestCounts};
-use crate::restart::Policy;
+use crate::restart::RestartPolicy;
 use crate::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -98,11 +98,11 @@
             max_late_increase: 0.05,
             standard_errors: 3.0,
         },
-        restart: Policy {
-            first: SECOND / 2,
-            most: 10 * SECOND,
+        restart: RestartPolicy {
+            initial_delay: SECOND / 2,
+            max_delay: 10 * SECOND,
             budget: 12,
-            within: 30 * SECOND,
+            budget_window: 30 * SECOND,
         },
     }
 }
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -3,7 +3,7 @@
 use cleatpulley_fleet::plan::Bounds;
 use cleatpulley_fleet::planner::{answer, play, Answer, Forecast, Host, Limit, Question};
 use cleatpulley_fleet::regression::RegressionThresholds;
-use cleatpulley_fleet::restart::Policy;
+use cleatpulley_fleet::restart::RestartPolicy;
 
 const SECOND: u64 = 1_000_000;
 
@@ -26,11 +26,11 @@
                 max_late_increase: 0.1,
                 standard_errors: 3.0,
             },
-            restart: Policy {
-                first: SECOND,
-                most: SECOND,
+            restart: RestartPolicy {
+                initial_delay: SECOND,
+                max_delay: SECOND,
                 budget: 3,
-                within: SECOND,
+                budget_window: SECOND,
             },
         },
         host: Host {
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -9,7 +9,7 @@
 use cleatpulley_fleet::plan::{Bounds, Phase};
 use cleatpulley_fleet::planner::{self, Answer, Forecast, Host, Question};
 use cleatpulley_fleet::regression::RegressionThresholds;
-use cleatpulley_fleet::restart::Policy;
+use cleatpulley_fleet::restart::RestartPolicy;
 use cleatpulley_fleet::trial;
 use cleatpulley_fleet::view::{Ask, Reply, View};
 use std::collections::{BTreeMap, HashSet};
@@ -625,11 +625,11 @@
                 max_late_increase: 0.05,
                 standard_errors: 4.0,
             },
-            restart: Policy {
-                first: SECOND,
-                most: 30 * SECOND,
+            restart: RestartPolicy {
+                initial_delay: SECOND,
+                max_delay: 30 * SECOND,
                 budget: 20,
-                within: 60 * SECOND,
+                budget_window: 60 * SECOND,
             },
         },
         host: Host {
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -4,7 +4,7 @@
 use cleatpulley_fleet::plan::Bounds;
 use cleatpulley_fleet::planner::{Forecast, Host, Question};
 use cleatpulley_fleet::regression::RegressionThresholds;
-use cleatpulley_fleet::restart::Policy;
+use cleatpulley_fleet::restart::RestartPolicy;
 use cleatpulley_fleet::site::{Place, Release};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -237,11 +237,11 @@
                 max_late_increase: self.worse.late,
                 standard_errors: self.worse.errors,
             },
-            restart: Policy {
-                first: self.restart.first_ms.saturating_mul(MS),
-                most: self.restart.most_ms.saturating_mul(MS),
+            restart: RestartPolicy {
+                initial_delay: self.restart.first_ms.saturating_mul(MS),
+                max_delay: self.restart.most_ms.saturating_mul(MS),
                 budget: self.restart.budget.max(1),
-                within: self.restart.within_ms.saturating_mul(MS),
+                budget_window: self.restart.within_ms.saturating_mul(MS),
             },
         };
         bounds.check().map_err(|refused| {
