--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -2,10 +2,10 @@
 //! operators. What the plan wants saved is durable before the next thing is done, so that a daemon that dies at any moment is
 //! followed by one that knows what was on.
 
+use crate::instance_config::{Release, Slot};
 use crate::plan::{Bounds, Effect, Event, Note, Phase, Plan, Status};
 use crate::process::{find, secret, Running, Start};
 use crate::regression::RequestCounts;
-use crate::site::{Place, Release};
 use crate::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 use crate::Micros;
 use cleatpulley_log_store::files::OsFolder;
@@ -77,7 +77,7 @@
     /// Where the daemon keeps what it knows.
     pub folder: PathBuf,
     /// The fleet's places.
-    pub places: Vec<Place>,
+    pub places: Vec<Slot>,
     /// Its releases.
     pub releases: BTreeMap<u32, Release>,
     /// The address that all instances share, where they do.
@@ -92,7 +92,7 @@
 #[derive(Serialize, Deserialize)]
 struct State {
     plan: Plan,
-    places: Vec<Place>,
+    places: Vec<Slot>,
     releases: BTreeMap<u32, Release>,
     #[serde(default)]
     shared: Option<SocketAddr>,
--- a/crates/fleet/src/daemon/tests.rs
+++ b/crates/fleet/src/daemon/tests.rs
@@ -4,10 +4,10 @@
 //! went back by itself; `store` is the store of a fleet on its way down, and `instance.jsonl` what an instance says.
 
 use super::{Daemon, Hello, Line, State, Wanted, CONTROL, KEY, STATUS};
+use crate::instance_config::{Release, Slot};
 use crate::plan::{Bounds, Mode, Phase};
 use crate::regression::RegressionThresholds;
 use crate::restart::RestartPolicy;
-use crate::site::{Place, Release};
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Options, Store};
 use std::collections::BTreeMap;
@@ -58,8 +58,8 @@
     }
 }
 
-fn places() -> Vec<Place> {
-    let place = |number: u16| Place {
+fn places() -> Vec<Slot> {
+    let place = |number: u16| Slot {
         name: format!("m{number}"),
         listen: ([127, 0, 0, 1], 7_000 + number).into(),
         config: format!("/etc/cleatpulley/m{number}.json").into(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,12 +5,12 @@
 #![warn(missing_docs)]
 
 pub mod daemon;
+pub mod instance_config;
 pub mod plan;
 pub mod planner;
 pub mod process;
 pub mod regression;
 pub mod restart;
-pub mod site;
 pub mod trial;
 pub mod view;
 
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -1,8 +1,8 @@
 //! Processes of the system: started apart from the daemon's own, so that they outlive it, and known by a descriptor that
 //! means this process and no other that gets its number later.
 
+use crate::instance_config::{Release, Slot};
 use crate::plan::{Exit, Process};
-use crate::site::{Place, Release};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::fs::{File, OpenOptions};
@@ -23,7 +23,7 @@
 /// What an instance is told when it is started.
 pub struct Start<'a> {
     /// Its place.
-    pub place: &'a Place,
+    pub place: &'a Slot,
     /// What it runs.
     pub release: &'a Release,
     /// Where it tells how it is.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,7 +1,7 @@
 //! What the daemon shows of a fleet, and what it is asked: a JSON object in a line each way.
 
+use crate::instance_config::{Release, Slot};
 use crate::plan::{Mode, Phase};
-use crate::site::{Place, Release};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
@@ -87,7 +87,7 @@
 pub struct InstanceView {
     /// Its place.
     #[serde(flatten)]
-    pub place: Place,
+    pub place: Slot,
     /// Its number.
     pub incarnation: u64,
     /// What it runs.
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -2,8 +2,8 @@
 //!
 //! `fixtures/asks.jsonl` and `fixtures/replies.jsonl` have one in each line.
 
+use cleatpulley_fleet::instance_config::{Release, Slot};
 use cleatpulley_fleet::plan::{Mode, Phase};
-use cleatpulley_fleet::site::{Place, Release};
 use cleatpulley_fleet::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 
 const ASKS: &str = include_str!("fixtures/asks.jsonl");
@@ -37,7 +37,7 @@
 
 fn instance(number: u16, phase: Phase) -> InstanceView {
     InstanceView {
-        place: Place {
+        place: Slot {
             name: format!("m{number}"),
             listen: ([127, 0, 0, 1], 7_000 + number).into(),
             config: format!("/etc/cleatpulley/m{number}.json").into(),
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,11 +1,11 @@
 //! The section on a fleet: its places, releases and bounds, and what is known for planning.
 
 use super::{evaluate, locate, wrong, Fault, Wrong};
+use cleatpulley_fleet::instance_config::{Release, Slot};
 use cleatpulley_fleet::plan::Bounds;
 use cleatpulley_fleet::planner::{Forecast, Host, Question};
 use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::RestartPolicy;
-use cleatpulley_fleet::site::{Place, Release};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -149,7 +149,7 @@
     /// The address that all instances share, where they do.
     pub shared: Option<SocketAddr>,
     /// As many as instances and surge.
-    pub places: Vec<Place>,
+    pub places: Vec<Slot>,
     /// By generation.
     pub releases: BTreeMap<u32, Release>,
     /// Bounds of its plan.
@@ -277,7 +277,7 @@
     text.parse().map_err(|_| (key, what()))
 }
 
-fn places(sections: &[PlaceSection], shared: Option<SocketAddr>) -> Result<Vec<Place>, Wrong> {
+fn places(sections: &[PlaceSection], shared: Option<SocketAddr>) -> Result<Vec<Slot>, Wrong> {
     let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
     let one = |(i, section): (usize, &PlaceSection)| {
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
@@ -304,7 +304,7 @@
         if shared.is_none() && !addresses.insert(listen) {
             return wrong(key(), format!("{listen} is there twice"));
         }
-        Ok(Place {
+        Ok(Slot {
             name: section.name.clone(),
             listen,
             config: section.config.clone(),
