--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -1,12 +1,15 @@
-//! The daemon: an event loop that obeys the plan. It starts processes, hears how they are, sends them signals and answers
-//! operators. What the plan wants saved is durable before the next thing is done, so that a daemon that dies at any moment is
-//! followed by one that knows what was on.
-
+//! The daemon: an event loop that executes the plan's effects. It starts processes, receives their status reports, sends
+//! them signals and executes operators' commands. The plan's state is durable before the next effect is executed, so that
+//! a daemon started after a crash at any moment resumes where the last one stopped.
+
+use crate::control_protocol::{
+    ControlCommand, ControlResponse, FleetView, InstanceView, ReplacementView,
+    TerminatedInstanceView,
+};
 use crate::instance_config::{Release, Slot};
-use crate::plan::{Bounds, Effect, Event, Note, Phase, Plan, Status};
-use crate::process::{find, secret, Running, Start};
+use crate::plan::{Effect, Event, FleetSettings, Notice, Phase, Plan, StatusReport};
+use crate::process::{find_by_argument, random_secret, LaunchOptions, ProcessHandle};
 use crate::regression::RequestCounts;
-use crate::view::{Ask, GoneView, InstanceView, ReplacementView, Reply, View};
 use crate::Micros;
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, MaintenanceStatus, Options, Store};
@@ -27,126 +30,131 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
-/// The socket for operators, in the folder.
-pub const CONTROL: &str = "control.sock";
-const STATUS: &str = "status.sock";
-const KEY: &[u8] = b"fleet";
-/// A line is no longer than this.
-const LONGEST_LINE: usize = 65_536;
-/// Rates are taken over about so long.
-const RATE_OVER: Micros = 1_000_000;
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1_024;
-/// Instances of a daemon before this one pass on their listening socket within this time.
-const PASSES_ON: Duration = Duration::from_secs(2);
-/// Turns are not closer together than this.
-const TURN: Duration = Duration::from_millis(5);
-/// Bytes of the store that are looked after at a time.
-const MAINTENANCE: usize = 65_536;
-
-/// What goes wrong with a daemon as a whole.
+/// Name of the socket for operators' commands, in the daemon's folder.
+pub const CONTROL_SOCKET: &str = "control.sock";
+/// Name of the socket for status reports, in the daemon's folder.
+const STATUS_SOCKET: &str = "status.sock";
+/// Key of the daemon's state in the store.
+const STATE_KEY: &[u8] = b"fleet";
+/// Maximum length of a line on either socket, in bytes.
+const MAX_LINE_BYTES: usize = 65_536;
+/// Minimum period over which rates are computed, in microseconds.
+const RATE_PERIOD: Micros = 1_000_000;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1_024;
+/// Time within which instances of a previous daemon have to hand over their shared listening socket.
+const LISTENER_HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum time between two iterations of the event loop.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bytes of the store that are processed in one maintenance step.
+const MAINTENANCE_BYTES: usize = 65_536;
+
+/// Error of the daemon as a whole.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The folder's store.
-    #[error("{}: {what}", folder.display())]
+    /// The store in the daemon's folder failed.
+    #[error("{}: {message}", folder.display())]
     Store {
-        /// The folder.
+        /// The daemon's folder.
         folder: PathBuf,
-        /// What it says.
-        what: String,
+        /// The store's error.
+        message: String,
     },
-    /// A socket or file.
-    #[error("{}: {what}", path.display())]
+    /// A socket or file failed.
+    #[error("{}: {error}", path.display())]
     File {
-        /// Which.
+        /// Path of the socket or file.
         path: PathBuf,
-        /// The system's error.
-        what: io::Error,
+        /// The error of the operating system.
+        error: io::Error,
     },
-    /// What is asked for does not go with what is on.
+    /// A command or configuration conflicts with the current state of the fleet.
     #[error("{0}")]
-    Asked(String),
-    /// The system.
+    Rejected(String),
+    /// The operating system failed.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// What a fleet is to be.
+/// Configuration of a fleet.
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// Where the daemon keeps what it knows.
+pub struct FleetSpec {
+    /// The folder of the daemon's state and sockets.
     pub folder: PathBuf,
-    /// The fleet's places.
-    pub places: Vec<Slot>,
-    /// Its releases.
+    /// Slots of the fleet.
+    pub slots: Vec<Slot>,
+    /// Releases by generation.
     pub releases: BTreeMap<u32, Release>,
-    /// The address that all instances share, where they do.
-    pub shared: Option<SocketAddr>,
-    /// Its bounds.
-    pub bounds: Bounds,
-    /// What it runs, where it does not run already.
+    /// The listen address that all instances share, if they do.
+    pub shared_address: Option<SocketAddr>,
+    /// Size, limits and timeouts of the fleet.
+    pub settings: FleetSettings,
+    /// The generation to run, if no instances run already.
     pub generation: u32,
 }
 
-/// What is kept.
+/// State kept in the store.
 #[derive(Serialize, Deserialize)]
 struct State {
     plan: Plan,
-    places: Vec<Slot>,
+    #[serde(rename = "places")]
+    slots: Vec<Slot>,
     releases: BTreeMap<u32, Release>,
-    #[serde(default)]
-    shared: Option<SocketAddr>,
+    #[serde(default, rename = "shared")]
+    shared_address: Option<SocketAddr>,
     secret: u64,
 }
 
-/// What an instance said lately.
+/// Figures from the recent status reports of an instance.
 #[derive(Default)]
-struct Said {
-    held: usize,
-    /// A point in time, and the counts then.
-    from: (Micros, RequestCounts),
+struct InstanceLoad {
+    open_requests: usize,
+    /// Start of the period over which rates are computed, and the counts at that time.
+    period_start: (Micros, RequestCounts),
     rate: f64,
-    refused_share: f64,
+    rejected_share: f64,
 }
 
-struct Link {
+/// Connection of an instance to the status socket.
+struct InstanceLink {
     stream: UnixStream,
     input: Vec<u8>,
+    /// The instance's number, once it has proved it.
     incarnation: Option<u64>,
-    /// A descriptor that came along.
-    passed: Option<OwnedFd>,
+    /// A descriptor received with the data.
+    received_fd: Option<OwnedFd>,
 }
 
-impl Link {
+impl InstanceLink {
     fn new(stream: UnixStream) -> Self {
         Self {
             stream,
             input: Vec::new(),
             incarnation: None,
-            passed: None,
+            received_fd: None,
         }
     }
 
-    /// Reads what has come; false where no more will.
+    /// Reads the available data; returns false once the connection is closed or failed.
     fn read(&mut self) -> bool {
         let mut buffer = [0; 4_096];
-        while self.input.len() <= LONGEST_LINE {
+        while self.input.len() <= MAX_LINE_BYTES {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-            let mut along = RecvAncillaryBuffer::new(&mut space);
+            let mut ancillary = RecvAncillaryBuffer::new(&mut space);
             let received = recvmsg(
                 &self.stream,
                 &mut [IoSliceMut::new(&mut buffer)],
-                &mut along,
+                &mut ancillary,
                 RecvFlags::CMSG_CLOEXEC,
             );
-            for message in along.drain() {
-                if let RecvAncillaryMessage::ScmRights(passed) = message {
-                    self.passed = passed.last().or(self.passed.take());
+            for message in ancillary.drain() {
+                if let RecvAncillaryMessage::ScmRights(descriptors) = message {
+                    self.received_fd = descriptors.last().or(self.received_fd.take());
                 }
             }
             match received.map(|received| received.bytes) {
                 Ok(0) => return false,
-                Ok(number) => self.input.extend_from_slice(&buffer[..number]),
+                Ok(length) => self.input.extend_from_slice(&buffer[..length]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return e.kind() == ErrorKind::WouldBlock,
             }
@@ -155,12 +163,14 @@
     }
 }
 
-struct Operator {
+/// Connection of an operator to the control socket.
+struct OperatorConnection {
     stream: UnixStream,
     input: Vec<u8>,
     output: Vec<u8>,
 }
 
+/// First line on an instance's connection.
 #[derive(Deserialize)]
 struct Hello {
     incarnation: u64,
@@ -168,70 +178,77 @@
     pid: u32,
 }
 
+/// Each further line on an instance's connection.
 #[derive(Deserialize)]
-struct Line {
+struct StatusLine {
     warmth: f64,
     served: u64,
     late: u64,
-    refused: u64,
+    #[serde(rename = "refused")]
+    rejected: u64,
     failed: u64,
-    held: usize,
-    drains: bool,
+    #[serde(rename = "held")]
+    open_requests: usize,
+    #[serde(rename = "drains")]
+    draining: bool,
 }
 
-/// The daemon.
+/// The daemon of a fleet.
 pub struct Daemon {
     folder: PathBuf,
     store: Store<OsFolder>,
     state: State,
     dirty: bool,
-    begun: (Micros, Instant),
-    running: BTreeMap<u64, Running>,
-    said: BTreeMap<u64, Said>,
-    status: UnixListener,
-    control: UnixListener,
-    links: Vec<Link>,
-    operators: Vec<Operator>,
-    turned: Instant,
-    /// The listening socket that all share.
-    listener: Option<OwnedFd>,
-    /// Instances that were taken up from a daemon before.
+    /// Wall clock time and monotonic time at the daemon's start.
+    started_at: (Micros, Instant),
+    processes: BTreeMap<u64, ProcessHandle>,
+    loads: BTreeMap<u64, InstanceLoad>,
+    status_listener: UnixListener,
+    control_listener: UnixListener,
+    links: Vec<InstanceLink>,
+    operators: Vec<OperatorConnection>,
+    last_poll: Instant,
+    /// The listening socket that all instances share.
+    shared_listener: Option<OwnedFd>,
+    /// Number of instances adopted from a previous daemon.
     pub adopted: usize,
 }
 
-fn at(path: &Path) -> impl Fn(io::Error) -> Error + '_ {
-    |what| Error::File {
+fn file_error(path: &Path) -> impl Fn(io::Error) -> Error + '_ {
+    |error| Error::File {
         path: path.to_owned(),
-        what,
+        error,
     }
 }
 
-fn listen(path: &Path) -> Result<UnixListener, Error> {
-    // Whoever holds the store's lock is alone: a socket that is there is that of a daemon that is gone.
+fn bind_unix_listener(path: &Path) -> Result<UnixListener, Error> {
+    // The store's lock excludes another daemon: an existing socket was left by one that has ended.
     match fs::remove_file(path) {
-        Err(e) if e.kind() != ErrorKind::NotFound => return Err(at(path)(e)),
+        Err(e) if e.kind() != ErrorKind::NotFound => return Err(file_error(path)(e)),
         _ => {}
     }
-    let listener = UnixListener::bind(path).map_err(at(path))?;
-    // Whoever may write there can end the fleet.
-    fs::set_permissions(path, fs::Permissions::from_mode(0o600)).map_err(at(path))?;
+    let listener = UnixListener::bind(path).map_err(file_error(path))?;
+    // Write access to the socket allows shutting down the fleet.
+    fs::set_permissions(path, fs::Permissions::from_mode(0o600)).map_err(file_error(path))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
 impl Daemon {
-    /// Opens the folder, takes up what runs, and begins what is missing.
+    /// Opens the folder, adopts running instances, and starts missing ones.
     ///
     /// # Errors
-    /// Another daemon on the folder; a fleet there that has other places or bounds; the system.
-    pub fn open(wanted: Wanted) -> Result<Self, Error> {
-        let folder = wanted.folder.clone();
-        let failed = |what: String| Error::Store {
+    /// Another daemon uses the folder; its running fleet has other slots or another size; the store or the operating
+    /// system failed.
+    pub fn open(spec: FleetSpec) -> Result<Self, Error> {
+        let folder = spec.folder.clone();
+        let store_error = |message: String| Error::Store {
             folder: folder.clone(),
-            what,
+            message,
         };
-        fs::create_dir_all(folder.join("logs")).map_err(at(&folder))?;
-        fs::set_permissions(&folder, fs::Permissions::from_mode(0o700)).map_err(at(&folder))?;
+        fs::create_dir_all(folder.join("logs")).map_err(file_error(&folder))?;
+        fs::set_permissions(&folder, fs::Permissions::from_mode(0o700))
+            .map_err(file_error(&folder))?;
         let files = OsFolder::new(folder.join("store"), true)?;
         let options = Options {
             segment_bytes: 1 << 20,
@@ -239,45 +256,47 @@
         };
         let (store, _) = Store::open(files, options).map_err(|e| match e {
             cleatpulley_log_store::Error::Locked => {
-                failed("another daemon has this fleet".to_owned())
+                store_error("another daemon runs this fleet".to_owned())
             }
-            e => failed(e.to_string()),
+            e => store_error(e.to_string()),
         })?;
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |at| at.as_micros() as Micros);
-        let kept = store.get(now, KEY).map_err(|e| failed(e.to_string()))?;
-        let state = match kept {
+            .map_or(0, |since_epoch| since_epoch.as_micros() as Micros);
+        let stored = store
+            .get(now, STATE_KEY)
+            .map_err(|e| store_error(e.to_string()))?;
+        let state = match stored {
             Some(bytes) => {
                 let state = serde_json::from_slice(&bytes)
-                    .map_err(|e| failed(format!("its state: {e}")))?;
-                go_on(state, &wanted)?
+                    .map_err(|e| store_error(format!("invalid state: {e}")))?;
+                resume_state(state, &spec)?
             }
             None => State {
-                plan: Plan::new(wanted.bounds, wanted.generation, secret()?)
-                    .map_err(|e| Error::Asked(e.to_string()))?,
-                places: wanted.places,
-                releases: wanted.releases,
-                shared: wanted.shared,
-                secret: secret()?,
+                plan: Plan::new(spec.settings, spec.generation, random_secret()?)
+                    .map_err(|e| Error::Rejected(e.to_string()))?,
+                slots: spec.slots,
+                releases: spec.releases,
+                shared_address: spec.shared_address,
+                secret: random_secret()?,
             },
         };
-        let status = listen(&folder.join(STATUS))?;
-        let control = listen(&folder.join(CONTROL))?;
+        let status_listener = bind_unix_listener(&folder.join(STATUS_SOCKET))?;
+        let control_listener = bind_unix_listener(&folder.join(CONTROL_SOCKET))?;
         let mut daemon = Self {
             folder,
             store,
             state,
             dirty: true,
-            begun: (now, Instant::now()),
-            running: BTreeMap::new(),
-            said: BTreeMap::new(),
-            status,
-            control,
+            started_at: (now, Instant::now()),
+            processes: BTreeMap::new(),
+            loads: BTreeMap::new(),
+            status_listener,
+            control_listener,
             links: Vec::new(),
             operators: Vec::new(),
-            turned: Instant::now(),
-            listener: None,
+            last_poll: Instant::now(),
+            shared_listener: None,
             adopted: 0,
         };
         daemon.recover()?;
@@ -285,7 +304,7 @@
     }
 
     fn now(&self) -> Micros {
-        self.begun.0 + self.begun.1.elapsed().as_micros() as Micros
+        self.started_at.0 + self.started_at.1.elapsed().as_micros() as Micros
     }
 
     fn token(&self, incarnation: u64) -> String {
@@ -296,75 +315,80 @@
         )
     }
 
-    /// Takes up the processes of a daemon before: by number and start, or, where it died before it knew of one, by the token
-    /// that only this instance was started with.
+    /// Adopts the processes of a previous daemon: by process id and start time, or, if that daemon died before it saved
+    /// them, by the token on the command line, which is unique to the instance.
     fn recover(&mut self) -> Result<(), Error> {
         let known: Vec<_> = self
             .state
             .plan
             .instances()
             .iter()
-            .map(|one| (one.incarnation, one.process))
+            .map(|instance| (instance.incarnation, instance.process))
             .collect();
-        let mut facts = Vec::new();
+        let mut events = Vec::new();
         for (incarnation, process) in known {
-            let words = || format!("{incarnation}:{}", self.token(incarnation));
-            let process = process.or_else(|| look_for(&words()));
-            match process.and_then(Running::adopt) {
-                Some(running) => {
-                    facts.push(Event::Spawned(incarnation, running.process));
-                    self.running.insert(incarnation, running);
+            let argument = || format!("{incarnation}:{}", self.token(incarnation));
+            let process = process.or_else(|| find_unsaved_process(&argument()));
+            match process.and_then(ProcessHandle::adopt) {
+                Some(handle) => {
+                    events.push(Event::Spawned(incarnation, handle.identity));
+                    self.processes.insert(incarnation, handle);
                     self.adopted += 1;
                 }
-                None => facts.push(Event::Exited(incarnation, crate::plan::Exit::Unseen)),
+                None => events.push(Event::Exited(
+                    incarnation,
+                    crate::plan::ProcessExit::Unobserved,
+                )),
             }
         }
-        if self.state.shared.is_some() && !self.running.is_empty() {
-            self.await_listener()?;
+        if self.state.shared_address.is_some() && !self.processes.is_empty() {
+            self.receive_shared_listener()?;
         }
         let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.recover(now, facts, &mut out);
-        // The daemon before may have died between the saving and the signal.
-        for one in self
+        self.state.plan.recover(now, events, &mut out);
+        // The previous daemon may have died after saving the plan and before sending the signal.
+        for instance in self
             .state
             .plan
             .instances()
             .iter()
-            .filter(|one| one.phase == Phase::Draining)
+            .filter(|instance| instance.phase == Phase::Draining)
         {
-            if let Some(running) = self.running.get(&one.incarnation) {
-                running.signal(Signal::TERM);
+            if let Some(process) = self.processes.get(&instance.incarnation) {
+                process.signal(Signal::TERM);
             }
         }
-        self.obey(out)
+        self.execute_effects(out)
     }
 
     fn save(&mut self) -> Result<(), Error> {
         if !std::mem::take(&mut self.dirty) {
             return Ok(());
         }
-        let failed = |what: String| Error::Store {
+        let store_error = |message: String| Error::Store {
             folder: self.folder.clone(),
-            what,
+            message,
         };
-        let bytes = serde_json::to_vec(&self.state).map_err(|e| failed(e.to_string()))?;
-        let written = self.store.write(Batch::default().put(KEY, &bytes, None));
+        let bytes = serde_json::to_vec(&self.state).map_err(|e| store_error(e.to_string()))?;
+        let written = self
+            .store
+            .write(Batch::default().put(STATE_KEY, &bytes, None));
         written
             .and_then(|_| self.store.sync())
-            .map_err(|e| failed(e.to_string()))
+            .map_err(|e| store_error(e.to_string()))
     }
 
-    /// Carries out what the plan wants, and what it wants after that.
-    fn obey(&mut self, effects: Vec<Effect>) -> Result<(), Error> {
-        let mut todo = VecDeque::from(effects);
-        while let Some(effect) = todo.pop_front() {
+    /// Executes effects of the plan, and those that follow from them.
+    fn execute_effects(&mut self, effects: Vec<Effect>) -> Result<(), Error> {
+        let mut queue = VecDeque::from(effects);
+        while let Some(effect) = queue.pop_front() {
             match effect {
                 Effect::Save => {
                     self.dirty = true;
                     continue;
                 }
-                Effect::Note(note) => {
-                    tell(&note);
+                Effect::Notify(notice) => {
+                    log_notice(&notice);
                     continue;
                 }
                 _ => self.save()?,
@@ -373,16 +397,16 @@
                 Effect::Spawn {
                     incarnation,
                     generation,
-                    address,
+                    slot,
                 } => {
-                    let event = self.spawn(incarnation, generation, address);
+                    let event = self.spawn(incarnation, generation, slot);
                     let (now, mut out) = (self.now(), Vec::new());
-                    self.state.plan.handle(now, event, &mut out);
-                    todo.extend(out);
+                    self.state.plan.handle_event(now, event, &mut out);
+                    queue.extend(out);
                 }
-                Effect::Leave(incarnation) => self.signal(incarnation, Signal::TERM),
+                Effect::Drain(incarnation) => self.signal(incarnation, Signal::TERM),
                 Effect::Kill(incarnation) => self.signal(incarnation, Signal::KILL),
-                Effect::Save | Effect::Note(_) => {}
+                Effect::Save | Effect::Notify(_) => {}
             }
         }
         self.save()
@@ -392,77 +416,77 @@
         tracing::info!(
             "instance {incarnation}: {}",
             if signal == Signal::TERM {
-                "told to leave"
+                "told to drain"
             } else {
                 "killed"
             }
         );
-        if let Some(running) = self.running.get(&incarnation) {
-            running.signal(signal);
+        if let Some(process) = self.processes.get(&incarnation) {
+            process.signal(signal);
         }
     }
 
-    fn log(&self, address: usize) -> PathBuf {
+    fn log_path(&self, slot: usize) -> PathBuf {
         let name = self
             .state
-            .places
-            .get(address)
-            .map_or("none", |place| place.name.as_str());
+            .slots
+            .get(slot)
+            .map_or("none", |slot| slot.name.as_str());
         self.folder.join("logs").join(format!("{name}.log"))
     }
 
-    fn spawn(&mut self, incarnation: u64, generation: u32, address: usize) -> Event {
+    fn spawn(&mut self, incarnation: u64, generation: u32, slot_index: usize) -> Event {
         let listener = match self
             .state
-            .shared
-            .map(|address| self.shared_listener(address))
+            .shared_address
+            .map(|address| self.clone_shared_listener(address))
         {
             Some(Err(e)) => {
-                return Event::NotSpawned(incarnation, format!("the shared listener: {e}"))
+                return Event::SpawnFailed(incarnation, format!("the shared listener: {e}"))
             }
             Some(Ok(listener)) => Some(listener),
             None => None,
         };
-        let (Some(place), Some(release)) = (
-            self.state.places.get(address),
+        let (Some(slot), Some(release)) = (
+            self.state.slots.get(slot_index),
             self.state.releases.get(&generation),
         ) else {
-            let why = format!("there is no place {address} or no release {generation}");
-            self.close_shared();
-            return Event::NotSpawned(incarnation, why);
+            let reason = format!("there is no place {slot_index} or no release {generation}");
+            self.close_unused_shared_listener();
+            return Event::SpawnFailed(incarnation, reason);
         };
-        let start = Start {
-            place,
+        let options = LaunchOptions {
+            slot,
             listener,
             release,
-            socket: &self.folder.join(STATUS),
+            status_socket: &self.folder.join(STATUS_SOCKET),
             incarnation,
             token: &self.token(incarnation),
-            log: &self.log(address),
+            log_path: &self.log_path(slot_index),
         };
-        match Running::start(start) {
-            Ok(running) => {
-                let process = running.process;
+        match ProcessHandle::spawn(options) {
+            Ok(handle) => {
+                let process = handle.identity;
                 tracing::info!(
                     "instance {incarnation}: generation {generation} started as {} on {}, process {}",
-                    place.name,
-                    place.listen,
+                    slot.name,
+                    slot.listen,
                     process.pid
                 );
-                self.running.insert(incarnation, running);
+                self.processes.insert(incarnation, handle);
                 Event::Spawned(incarnation, process)
             }
             Err(e) => {
-                let why = format!("{}: {e}", release.program.display());
-                self.close_shared();
-                Event::NotSpawned(incarnation, why)
+                let reason = format!("{}: {e}", release.program.display());
+                self.close_unused_shared_listener();
+                Event::SpawnFailed(incarnation, reason)
             }
         }
     }
 
-    /// The listening socket that all share, a descriptor for one more of them.
-    fn shared_listener(&mut self, address: SocketAddr) -> io::Result<OwnedFd> {
-        if let Some(listener) = &self.listener {
+    /// Returns another descriptor of the shared listening socket, which is opened if necessary.
+    fn clone_shared_listener(&mut self, address: SocketAddr) -> io::Result<OwnedFd> {
+        if let Some(listener) = &self.shared_listener {
             return listener.try_clone();
         }
         let socket = Socket::new(
@@ -472,92 +496,94 @@
         )?;
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
-        let own = OwnedFd::from(socket);
-        let listener = own.try_clone()?;
-        self.listener = Some(own);
-        Ok(listener)
-    }
-
-    /// Instances of a daemon before pass on the socket that they accept with. Guards against a second one on the address:
-    /// connections that wait at the first would be lost with its last instance.
-    fn await_listener(&mut self) -> Result<(), Error> {
-        let begun = Instant::now();
-        while self.listener.is_none() && begun.elapsed() < PASSES_ON {
-            std::thread::sleep(TURN);
-            accept(&self.status, |stream| self.links.push(Link::new(stream)));
-            for place in (0..self.links.len()).rev() {
-                let open = self.links[place].read();
-                let line = match self.links[place].incarnation {
-                    None => take_line(&mut self.links[place].input),
+        socket.listen(LISTEN_BACKLOG)?;
+        let original = OwnedFd::from(socket);
+        let clone = original.try_clone()?;
+        self.shared_listener = Some(original);
+        Ok(clone)
+    }
+
+    /// Receives the shared listening socket from an instance of a previous daemon. A second socket on the address would
+    /// lose the connections waiting at the first one when its last instance ends.
+    fn receive_shared_listener(&mut self) -> Result<(), Error> {
+        let started_at = Instant::now();
+        while self.shared_listener.is_none() && started_at.elapsed() < LISTENER_HANDOVER_TIMEOUT {
+            std::thread::sleep(MIN_POLL_INTERVAL);
+            accept_all(&self.status_listener, |stream| {
+                self.links.push(InstanceLink::new(stream));
+            });
+            for index in (0..self.links.len()).rev() {
+                let open = self.links[index].read();
+                let line = match self.links[index].incarnation {
+                    None => take_line(&mut self.links[index].input),
                     Some(_) => None,
                 };
-                if line.is_some_and(|line| !self.greet(place, &line)) || !open {
-                    self.links.swap_remove(place);
+                if line.is_some_and(|line| !self.authenticate(index, &line)) || !open {
+                    self.links.swap_remove(index);
                 }
             }
         }
         Ok(())
     }
 
-    /// Guards against connections that wait where nobody will accept them.
-    fn close_shared(&mut self) {
-        if self.running.is_empty() {
-            self.listener = None;
+    /// Closes the shared listening socket if no process runs: connections would wait on it and never be accepted.
+    fn close_unused_shared_listener(&mut self) {
+        if self.processes.is_empty() {
+            self.shared_listener = None;
         }
     }
 
-    fn tell_plan(&mut self, event: Event) -> Result<(), Error> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Error> {
         let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.handle(now, event, &mut out);
-        self.obey(out)
+        self.state.plan.handle_event(now, event, &mut out);
+        self.execute_effects(out)
     }
 
-    /// Goes on until the fleet has ended.
+    /// Runs until the fleet has shut down.
     ///
     /// # Errors
-    /// Where what is on can't be kept, or the system gives no events. Instances serve on.
+    /// The state can't be saved, or polling failed. The instances keep serving.
     pub fn run(&mut self) -> Result<(), Error> {
         loop {
-            self.turn()?;
-            if self.state.plan.ends() && self.state.plan.at_rest() {
-                // Whoever asked still gets the answer.
+            self.poll_once()?;
+            if self.state.plan.is_shutting_down() && self.state.plan.is_converged() {
+                // Sends the responses that are still buffered.
                 self.operators
                     .iter_mut()
                     .for_each(|operator| drop(flush(operator)));
-                tracing::info!("the fleet has ended");
+                tracing::info!("the fleet has shut down");
                 return Ok(());
             }
         }
     }
 
-    /// Waits for something, and does what follows.
+    /// Runs one iteration of the event loop: waits for events and handles them.
     ///
     /// # Errors
     /// As [`run`](Self::run).
-    pub fn turn(&mut self) -> Result<(), Error> {
-        // Guards against a turn for each word of each instance.
-        std::thread::sleep(TURN.saturating_sub(self.turned.elapsed()));
-        self.turned = Instant::now();
+    pub fn poll_once(&mut self) -> Result<(), Error> {
+        // Limits the number of iterations when many instances report: one iteration handles several reports.
+        std::thread::sleep(MIN_POLL_INTERVAL.saturating_sub(self.last_poll.elapsed()));
+        self.last_poll = Instant::now();
         let now = self.now();
-        let wait = self
+        let timeout = self
             .state
             .plan
-            .next(now)
+            .next_deadline(now)
             .map_or(1_000_000, |at| at.saturating_sub(now).min(1_000_000));
-        let ids: Vec<u64> = self.running.keys().copied().collect();
-        let seen: Vec<bool> = {
+        let incarnations: Vec<u64> = self.processes.keys().copied().collect();
+        let ready: Vec<bool> = {
             let read = PollFlags::IN;
-            let mut all = vec![
-                PollFd::new(&self.status, read),
-                PollFd::new(&self.control, read),
+            let mut descriptors = vec![
+                PollFd::new(&self.status_listener, read),
+                PollFd::new(&self.control_listener, read),
             ];
-            all.extend(
+            descriptors.extend(
                 self.links
                     .iter()
                     .map(|link| PollFd::new(&link.stream, read)),
             );
-            all.extend(self.operators.iter().map(|operator| {
+            descriptors.extend(self.operators.iter().map(|operator| {
                 let write = if operator.output.is_empty() {
                     PollFlags::empty()
                 } else {
@@ -565,49 +591,61 @@
                 };
                 PollFd::new(&operator.stream, read | write)
             }));
-            all.extend(
-                self.running
+            descriptors.extend(
+                self.processes
                     .values()
-                    .map(|one| PollFd::from_borrowed_fd(one.descriptor(), read)),
+                    .map(|process| PollFd::from_borrowed_fd(process.pidfd(), read)),
             );
-            let wait = Timespec {
-                tv_sec: (wait / 1_000_000) as i64,
-                tv_nsec: (wait % 1_000_000) as i64 * 1_000,
+            let timeout = Timespec {
+                tv_sec: (timeout / 1_000_000) as i64,
+                tv_nsec: (timeout % 1_000_000) as i64 * 1_000,
             };
-            match poll(&mut all, Some(&wait)) {
+            match poll(&mut descriptors, Some(&timeout)) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => {
                     return Err(io::Error::from(e).into())
                 }
-                _ => all.iter().map(|one| !one.revents().is_empty()).collect(),
+                _ => descriptors
+                    .iter()
+                    .map(|descriptor| !descriptor.revents().is_empty())
+                    .collect(),
             }
         };
         let (links, operators) = (self.links.len(), self.operators.len());
-        let ended = &seen[2 + links + operators..];
-        // Ends come first: what an instance said before does not count any more.
-        for (id, _) in ids.iter().zip(ended).filter(|(_, ended)| **ended) {
-            if let Some(mut running) = self.running.remove(id) {
-                let exit = running.ended();
-                self.said.remove(id);
-                self.tell_plan(Event::Exited(*id, exit))?;
-                self.close_shared();
+        let exited = &ready[2 + links + operators..];
+        // Exits are handled first: earlier status reports of an ended process no longer count.
+        for (incarnation, _) in incarnations
+            .iter()
+            .zip(exited)
+            .filter(|(_, exited)| **exited)
+        {
+            if let Some(mut process) = self.processes.remove(incarnation) {
+                let exit = process.wait();
+                self.loads.remove(incarnation);
+                self.handle_event(Event::Exited(*incarnation, exit))?;
+                self.close_unused_shared_listener();
             }
         }
-        for place in (0..links).rev().filter(|place| seen[2 + place]) {
-            if !self.hear(place)? {
-                self.links.swap_remove(place);
+        for index in (0..links).rev().filter(|index| ready[2 + index]) {
+            if !self.read_link(index)? {
+                self.links.swap_remove(index);
             }
         }
-        for place in (0..operators).rev().filter(|place| seen[2 + links + place]) {
-            if !self.serve(place)? {
-                self.operators.swap_remove(place);
+        for index in (0..operators)
+            .rev()
+            .filter(|index| ready[2 + links + index])
+        {
+            if !self.serve_operator(index)? {
+                self.operators.swap_remove(index);
             }
         }
-        if seen[0] {
-            accept(&self.status, |stream| self.links.push(Link::new(stream)));
+        if ready[0] {
+            accept_all(&self.status_listener, |stream| {
+                self.links.push(InstanceLink::new(stream));
+            });
         }
-        if seen[1] {
-            accept(&self.control, |stream| {
-                self.operators.push(Operator {
+        if ready[1] {
+            accept_all(&self.control_listener, |stream| {
+                self.operators.push(OperatorConnection {
                     stream,
                     input: Vec::new(),
                     output: Vec::new(),
@@ -615,256 +653,273 @@
             });
         }
         let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.advance(now, &mut out);
-        self.obey(out)?;
-        if let Ok(MaintenanceStatus::MoreToDo) = self.store.run_maintenance_step(now, MAINTENANCE) {
-            tracing::debug!("the store has more to tidy");
+        self.state.plan.handle_timeouts(now, &mut out);
+        self.execute_effects(out)?;
+        if let Ok(MaintenanceStatus::MoreToDo) =
+            self.store.run_maintenance_step(now, MAINTENANCE_BYTES)
+        {
+            tracing::debug!("store maintenance is not finished");
         }
         Ok(())
     }
 
-    /// An instance says something; false where its link is over.
-    fn hear(&mut self, place: usize) -> Result<bool, Error> {
-        let open = self.links[place].read();
-        while let Some(line) = take_line(&mut self.links[place].input) {
-            let heard = match self.links[place].incarnation {
-                None => self.greet(place, &line),
-                Some(incarnation) => match serde_json::from_slice::<Line>(&line) {
+    /// Reads and handles lines of an instance; returns false if its connection is to be closed.
+    fn read_link(&mut self, index: usize) -> Result<bool, Error> {
+        let open = self.links[index].read();
+        while let Some(line) = take_line(&mut self.links[index].input) {
+            let valid = match self.links[index].incarnation {
+                None => self.authenticate(index, &line),
+                Some(incarnation) => match serde_json::from_slice::<StatusLine>(&line) {
                     Ok(line) => {
-                        let status = self.note(incarnation, &line);
-                        self.tell_plan(Event::Heard(incarnation, status))?;
+                        let status = self.record_status(incarnation, &line);
+                        self.handle_event(Event::StatusReported(incarnation, status))?;
                         true
                     }
                     Err(e) => {
-                        tracing::warn!("instance {incarnation} says what can't be read: {e}");
+                        tracing::warn!("instance {incarnation} sent an invalid status report: {e}");
                         false
                     }
                 },
             };
-            if !heard {
+            if !valid {
                 return Ok(false);
             }
         }
-        Ok(open && self.links[place].input.len() <= LONGEST_LINE)
+        Ok(open && self.links[index].input.len() <= MAX_LINE_BYTES)
     }
 
-    /// Who is it? Numbers of processes come again and names are anybody's: the token tells.
-    fn greet(&mut self, place: usize, line: &[u8]) -> bool {
+    /// Authenticates an instance by the token in its first line: process ids are reused, and anybody can send a number.
+    fn authenticate(&mut self, index: usize, line: &[u8]) -> bool {
         let Ok(hello) = serde_json::from_slice::<Hello>(line) else {
             return false;
         };
         if hello.token != self.token(hello.incarnation) {
             tracing::warn!(
-                "somebody claims to be instance {} and is not",
+                "a client claims to be instance {} with a wrong token",
                 hello.incarnation
             );
             return false;
         }
         if self
-            .running
+            .processes
             .get(&hello.incarnation)
-            .is_none_or(|one| one.process.pid != hello.pid)
+            .is_none_or(|process| process.identity.pid != hello.pid)
         {
-            // Guards against two owners of an address: it was counted as gone, and is not.
+            // The instance was counted as terminated and still runs: killed, so that no slot has two instances.
             tracing::warn!(
-                "instance {} was given up and lives: killed",
+                "instance {} was counted as terminated and still runs: killed",
                 hello.incarnation
             );
-            let start = crate::process::started(hello.pid);
-            let process = start.map(|start| crate::plan::Process {
+            let start_ticks = crate::process::read_start_ticks(hello.pid);
+            let process = start_ticks.map(|start_ticks| crate::plan::ProcessIdentity {
                 pid: hello.pid,
-                start,
+                start_ticks,
             });
-            if let Some(ghost) = process.ok().and_then(Running::adopt) {
-                ghost.signal(Signal::KILL);
+            if let Some(process) = process.ok().and_then(ProcessHandle::adopt) {
+                process.signal(Signal::KILL);
             }
             return false;
         }
-        self.links[place].incarnation = Some(hello.incarnation);
-        let passed = self.links[place].passed.take();
-        if self.state.shared.is_some() && self.listener.is_none() {
-            self.listener = passed;
+        self.links[index].incarnation = Some(hello.incarnation);
+        let received_fd = self.links[index].received_fd.take();
+        if self.state.shared_address.is_some() && self.shared_listener.is_none() {
+            self.shared_listener = received_fd;
         }
         true
     }
 
-    fn note(&mut self, incarnation: u64, line: &Line) -> Status {
+    fn record_status(&mut self, incarnation: u64, line: &StatusLine) -> StatusReport {
         let now = self.now();
         let counts = RequestCounts {
             served: line.served,
             late: line.late,
-            rejected: line.refused,
+            rejected: line.rejected,
             failed: line.failed,
         };
-        let said = self.said.entry(incarnation).or_default();
-        said.held = line.held;
-        let (from, before) = said.from;
-        if from == 0 {
-            said.from = (now, counts);
-        } else if now >= from + RATE_OVER {
-            let more = counts.since(before);
-            said.rate = more.total() as f64 * 1e6 / (now - from) as f64;
-            said.refused_share = more.rejected as f64 / more.total().max(1) as f64;
-            said.from = (now, counts);
-        }
-        Status {
+        let load = self.loads.entry(incarnation).or_default();
+        load.open_requests = line.open_requests;
+        let (period_start, baseline) = load.period_start;
+        if period_start == 0 {
+            load.period_start = (now, counts);
+        } else if now >= period_start + RATE_PERIOD {
+            let recent = counts.since(baseline);
+            load.rate = recent.total() as f64 * 1e6 / (now - period_start) as f64;
+            load.rejected_share = recent.rejected as f64 / recent.total().max(1) as f64;
+            load.period_start = (now, counts);
+        }
+        StatusReport {
             warmth: line.warmth,
             counts,
-            drains: line.drains,
+            draining: line.draining,
         }
     }
 
-    /// An operator asks; false where that is over.
-    fn serve(&mut self, place: usize) -> Result<bool, Error> {
-        let operator = &mut self.operators[place];
-        let open = read(&mut operator.stream, &mut operator.input);
-        while let Some(line) = take_line(&mut self.operators[place].input) {
-            let reply = match serde_json::from_slice::<Ask>(&line) {
-                Ok(ask) => self.answer(ask)?,
-                Err(e) => Reply::Refused(format!("what was asked can't be read: {e}")),
+    /// Executes an operator's commands; returns false if the connection is to be closed.
+    fn serve_operator(&mut self, index: usize) -> Result<bool, Error> {
+        let operator = &mut self.operators[index];
+        let open = read_available(&mut operator.stream, &mut operator.input);
+        while let Some(line) = take_line(&mut self.operators[index].input) {
+            let response = match serde_json::from_slice::<ControlCommand>(&line) {
+                Ok(command) => self.execute_command(command)?,
+                Err(e) => ControlResponse::Rejected(format!("invalid command: {e}")),
             };
-            let mut bytes = serde_json::to_vec(&reply).unwrap_or_default();
+            let mut bytes = serde_json::to_vec(&response).unwrap_or_default();
             bytes.push(b'\n');
-            self.operators[place].output.extend_from_slice(&bytes);
+            self.operators[index].output.extend_from_slice(&bytes);
         }
-        let operator = &mut self.operators[place];
-        let whole = flush(operator).is_ok();
-        Ok(whole && operator.input.len() <= LONGEST_LINE && (open || !operator.output.is_empty()))
+        let operator = &mut self.operators[index];
+        let writable = flush(operator).is_ok();
+        Ok(writable
+            && operator.input.len() <= MAX_LINE_BYTES
+            && (open || !operator.output.is_empty()))
     }
 
-    fn answer(&mut self, ask: Ask) -> Result<Reply, Error> {
+    fn execute_command(&mut self, command: ControlCommand) -> Result<ControlResponse, Error> {
         let (now, mut out) = (self.now(), Vec::new());
         let plan = &mut self.state.plan;
-        let done = match ask {
-            Ask::Status => Ok(()),
-            Ask::Replace {
+        let result = match command {
+            ControlCommand::Status => Ok(()),
+            ControlCommand::Replace {
                 generation,
                 releases,
             } => {
                 let unknown = !releases.iter().any(|(number, _)| *number == generation);
-                let known: Vec<u32> = plan.instances().iter().map(|one| one.generation).collect();
+                let running: Vec<u32> = plan
+                    .instances()
+                    .iter()
+                    .map(|instance| instance.generation)
+                    .collect();
                 for (number, release) in releases {
-                    // What instances run stays what it was, whatever a file says now.
-                    if !known.contains(&number) {
+                    // The release of running instances doesn't change, whatever the command says.
+                    if !running.contains(&number) {
                         self.state.releases.insert(number, release);
                     }
                 }
                 if unknown && !self.state.releases.contains_key(&generation) {
-                    return Ok(Reply::Refused(format!("there is no release {generation}")));
+                    return Ok(ControlResponse::Rejected(format!(
+                        "there is no release {generation}"
+                    )));
                 }
-                plan.replace(now, generation, &mut out)
+                plan.begin_replacement(now, generation, &mut out)
             }
-            Ask::Pause => plan.pause(now, &mut out),
-            Ask::Resume => plan.resume(now, &mut out),
-            Ask::Rollback => plan.roll_back(now, &mut out),
-            Ask::Down => {
-                plan.end(now, &mut out);
+            ControlCommand::Pause => plan.pause(now, &mut out),
+            ControlCommand::Resume => plan.resume(now, &mut out),
+            ControlCommand::Rollback => plan.roll_back(now, &mut out),
+            ControlCommand::Shutdown => {
+                plan.begin_shutdown(now, &mut out);
                 Ok(())
             }
         };
-        if let Err(refused) = done {
-            return Ok(Reply::Refused(refused.to_string()));
+        if let Err(error) = result {
+            return Ok(ControlResponse::Rejected(error.to_string()));
         }
         if !out.is_empty() {
             self.dirty = true;
         }
-        self.obey(out)?;
-        Ok(Reply::Fleet(Box::new(self.view())))
+        self.execute_effects(out)?;
+        Ok(ControlResponse::Fleet(Box::new(self.view())))
     }
 
-    /// The fleet as it is.
+    /// Returns the current state of the fleet.
     #[must_use]
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> FleetView {
         let now = self.now();
-        let seconds = |since: Micros| now.saturating_sub(since) as f64 / 1e6;
+        let seconds_since = |since: Micros| now.saturating_sub(since) as f64 / 1e6;
         let plan = &self.state.plan;
-        let instance = |one: &crate::plan::Instance| {
-            let said = self.said.get(&one.incarnation);
+        let instance_view = |instance: &crate::plan::Instance| {
+            let load = self.loads.get(&instance.incarnation);
             InstanceView {
-                place: self.state.places[one.address].clone(),
-                incarnation: one.incarnation,
-                generation: one.generation,
-                phase: one.phase,
-                phase_s: seconds(one.since),
-                pid: one.process.map(|process| process.pid),
-                warmth: one.warmth,
-                rate: said.map_or(0.0, |said| said.rate),
-                refused_share: said.map_or(0.0, |said| said.refused_share),
-                held: said.map_or(0, |said| said.held),
-                served: one.counts.served,
-                refused: one.counts.rejected,
-                failed: one.counts.failed + one.counts.late,
+                slot: self.state.slots[instance.slot].clone(),
+                incarnation: instance.incarnation,
+                generation: instance.generation,
+                phase: instance.phase,
+                phase_s: seconds_since(instance.phase_since),
+                pid: instance.process.map(|process| process.pid),
+                warmth: instance.warmth,
+                rate: load.map_or(0.0, |load| load.rate),
+                rejected_share: load.map_or(0.0, |load| load.rejected_share),
+                open_requests: load.map_or(0, |load| load.open_requests),
+                served: instance.counts.served,
+                rejected: instance.counts.rejected,
+                failed: instance.counts.failed + instance.counts.late,
             }
         };
-        let gone = |one: &crate::plan::Instance| GoneView {
-            incarnation: one.incarnation,
-            generation: one.generation,
-            phase: one.phase,
-            why: one.why.clone(),
-            log: self.log(one.address),
+        let terminated_view = |instance: &crate::plan::Instance| TerminatedInstanceView {
+            incarnation: instance.incarnation,
+            generation: instance.generation,
+            phase: instance.phase,
+            failure_reason: instance.failure_reason.clone(),
+            log_path: self.log_path(instance.slot),
         };
-        View {
-            daemon: std::process::id(),
+        FleetView {
+            daemon_pid: std::process::id(),
             version: plan.version(),
-            stable: plan.stable(),
-            replacement: plan.replacement().map(|one| ReplacementView {
-                generation: one.generation,
-                mode: one.mode,
-                quota: one.quota,
-                crashes: one.crashes,
-                age_s: seconds(one.begun),
-                halted: one.halted.clone(),
+            stable_generation: plan.stable_generation(),
+            replacement: plan.replacement().map(|replacement| ReplacementView {
+                generation: replacement.generation,
+                mode: replacement.mode,
+                target_count: replacement.target_count,
+                failures: replacement.failures,
+                age_s: seconds_since(replacement.started_at),
+                rollback_reason: replacement.rollback_reason.clone(),
             }),
             capacity: plan.capacity(),
-            floor: plan.bounds().floor(),
-            at_rest: plan.at_rest(),
-            ends: plan.ends(),
-            halted: plan.halted().map(str::to_owned),
-            instances: plan.instances().iter().map(instance).collect(),
-            gone: plan.gone().map(gone).collect(),
+            floor: plan.settings().floor(),
+            converged: plan.is_converged(),
+            shutting_down: plan.is_shutting_down(),
+            rollback_reason: plan.rollback_reason().map(str::to_owned),
+            instances: plan.instances().iter().map(instance_view).collect(),
+            terminated: plan.terminated().map(terminated_view).collect(),
         }
     }
 }
 
-/// A process that the daemon before had started and not saved. Guards against one that has just been forked, and does not
-/// have its arguments yet.
-fn look_for(words: &str) -> Option<crate::plan::Process> {
-    (0..5).find_map(|turn| {
-        if turn > 0 {
+/// Searches a process that the previous daemon started and did not save. Retries, because a process that was just forked
+/// does not have its arguments yet.
+fn find_unsaved_process(argument: &str) -> Option<crate::plan::ProcessIdentity> {
+    (0..5).find_map(|attempt| {
+        if attempt > 0 {
             std::thread::sleep(Duration::from_millis(10));
         }
-        find(words).first().copied()
+        find_by_argument(argument).first().copied()
     })
 }
 
-/// Goes on with what is kept, where that goes with what is wanted now.
-fn go_on(mut state: State, wanted: &Wanted) -> Result<State, Error> {
+/// Resumes a stored state, provided that it is compatible with the configuration.
+fn resume_state(mut state: State, spec: &FleetSpec) -> Result<State, Error> {
     if state.plan.instances().is_empty() {
-        // Nothing runs: all may be as wanted now, but no number comes again.
+        // No instance runs: everything may change, but incarnation numbers are not reused.
         state
             .plan
-            .begin_again(wanted.bounds, wanted.generation)
-            .map_err(|e| Error::Asked(e.to_string()))?;
-        state.places.clone_from(&wanted.places);
-        state.releases.clone_from(&wanted.releases);
-        state.shared = wanted.shared;
+            .reinitialize(spec.settings, spec.generation)
+            .map_err(|e| Error::Rejected(e.to_string()))?;
+        state.slots.clone_from(&spec.slots);
+        state.releases.clone_from(&spec.releases);
+        state.shared_address = spec.shared_address;
         return Ok(state);
     }
-    if state.places != wanted.places || state.shared != wanted.shared {
-        let what = "its fleet runs in other places than the file names: take it down first, or name the same";
-        return Err(Error::Asked(format!("{}: {what}", wanted.folder.display())));
+    if state.slots != spec.slots || state.shared_address != spec.shared_address {
+        let message = "its fleet runs in other places than the file names: shut it down first, or name the same places";
+        return Err(Error::Rejected(format!(
+            "{}: {message}",
+            spec.folder.display()
+        )));
     }
-    if state.plan.bounds().instances != wanted.bounds.instances
-        || state.plan.bounds().surge != wanted.bounds.surge
+    if state.plan.settings().instances != spec.settings.instances
+        || state.plan.settings().surge != spec.settings.surge
     {
-        let what = "its fleet has another number of instances or another surge: take it down first";
-        return Err(Error::Asked(format!("{}: {what}", wanted.folder.display())));
+        let message =
+            "its fleet has another number of instances or another surge: shut it down first";
+        return Err(Error::Rejected(format!(
+            "{}: {message}",
+            spec.folder.display()
+        )));
     }
     state
         .plan
-        .set_bounds(wanted.bounds)
-        .map_err(|e| Error::Asked(e.to_string()))?;
-    for (generation, release) in &wanted.releases {
+        .update_settings(spec.settings)
+        .map_err(|e| Error::Rejected(e.to_string()))?;
+    for (generation, release) in &spec.releases {
         state
             .releases
             .entry(*generation)
@@ -873,36 +928,42 @@
     Ok(state)
 }
 
-fn tell(note: &Note) {
-    match note {
-        Note::Failed(incarnation, why) => {
-            tracing::error!("instance {incarnation} has failed: {why}");
+fn log_notice(notice: &Notice) {
+    match notice {
+        Notice::InstanceFailed(incarnation, reason) => {
+            tracing::error!("instance {incarnation} failed: {reason}");
+        }
+        Notice::DrainOverdue(incarnation) => {
+            tracing::warn!("instance {incarnation} did not drain in time");
+        }
+        Notice::RollbackStarted(reason) => {
+            tracing::error!("the replacement is rolled back: {reason}");
+        }
+        Notice::ReplacementCompleted(generation) => {
+            tracing::info!("all instances run generation {generation}");
         }
-        Note::Overdue(incarnation) => {
-            tracing::warn!("instance {incarnation} does not leave in time");
+        Notice::RollbackCompleted(generation) => {
+            tracing::info!("all instances run generation {generation} again");
         }
-        Note::Halted(why) => tracing::error!("the replacement goes back: {why}"),
-        Note::Replaced(generation) => tracing::info!("all run generation {generation}"),
-        Note::WentBack(generation) => tracing::info!("all run generation {generation} again"),
     }
 }
 
-fn accept(listener: &UnixListener, mut take: impl FnMut(UnixStream)) {
-    // Where no descriptor is left the rest waits.
+fn accept_all(listener: &UnixListener, mut on_connection: impl FnMut(UnixStream)) {
+    // If no descriptor is left, the remaining connections wait for a later call.
     while let Ok((stream, _)) = listener.accept() {
         if stream.set_nonblocking(true).is_ok() {
-            take(stream);
+            on_connection(stream);
         }
     }
 }
 
-/// Reads what has come; false where no more will.
-fn read(stream: &mut UnixStream, input: &mut Vec<u8>) -> bool {
+/// Reads the available data; returns false once the connection is closed or failed.
+fn read_available(stream: &mut UnixStream, input: &mut Vec<u8>) -> bool {
     let mut buffer = [0; 4_096];
-    while input.len() <= LONGEST_LINE {
+    while input.len() <= MAX_LINE_BYTES {
         match stream.read(&mut buffer) {
             Ok(0) => return false,
-            Ok(number) => input.extend_from_slice(&buffer[..number]),
+            Ok(length) => input.extend_from_slice(&buffer[..length]),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return e.kind() == ErrorKind::WouldBlock,
         }
@@ -917,10 +978,10 @@
     Some(line)
 }
 
-fn flush(operator: &mut Operator) -> io::Result<()> {
+fn flush(operator: &mut OperatorConnection) -> io::Result<()> {
     while !operator.output.is_empty() {
         match operator.stream.write(&operator.output) {
-            Ok(number) => drop(operator.output.drain(..number)),
+            Ok(length) => drop(operator.output.drain(..length)),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) => return Err(e),
         }
@@ -928,25 +989,27 @@
     Ok(())
 }
 
-/// Asks the daemon of a folder.
+/// Sends a command to the daemon of `folder` and returns its response.
 ///
 /// # Errors
-/// Where none listens, or it can't be understood.
-pub fn ask(folder: &Path, ask: &Ask) -> Result<Reply, Error> {
-    let path = folder.join(CONTROL);
-    let mut stream = UnixStream::connect(&path).map_err(|what| match what.kind() {
-        ErrorKind::NotFound | ErrorKind::ConnectionRefused => {
-            Error::Asked(format!("{}: no daemon runs there ({what})", path.display()))
-        }
-        _ => at(&path)(what),
+/// No daemon listens there, or its response is invalid.
+pub fn send_command(folder: &Path, command: &ControlCommand) -> Result<ControlResponse, Error> {
+    let path = folder.join(CONTROL_SOCKET);
+    let mut stream = UnixStream::connect(&path).map_err(|error| match error.kind() {
+        ErrorKind::NotFound | ErrorKind::ConnectionRefused => Error::Rejected(format!(
+            "{}: no daemon runs there ({error})",
+            path.display()
+        )),
+        _ => file_error(&path)(error),
     })?;
     stream.set_read_timeout(Some(std::time::Duration::from_secs(10)))?;
-    let mut bytes = serde_json::to_vec(ask).map_err(io::Error::from)?;
+    let mut bytes = serde_json::to_vec(command).map_err(io::Error::from)?;
     bytes.push(b'\n');
-    stream.write_all(&bytes).map_err(at(&path))?;
+    stream.write_all(&bytes).map_err(file_error(&path))?;
     let mut line = String::new();
-    io::BufRead::read_line(&mut io::BufReader::new(stream), &mut line).map_err(at(&path))?;
-    serde_json::from_str(&line).map_err(|e| Error::Asked(format!("{}: {e}", path.display())))
+    io::BufRead::read_line(&mut io::BufReader::new(stream), &mut line)
+        .map_err(file_error(&path))?;
+    serde_json::from_str(&line).map_err(|e| Error::Rejected(format!("{}: {e}", path.display())))
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/daemon/tests.rs
+++ b/crates/fleet/src/daemon/tests.rs
@@ -1,11 +1,14 @@
-//! What the daemon keeps of its fleet, and what instances say to it, keep their bytes: release 0.2 wrote all fixtures.
+//! Compatibility tests of the daemon's stored state and of the status reports of instances: release 0.2 wrote all
+//! fixtures, and the current release has to read them and write the same bytes.
 //!
-//! `tests/fixtures/state-replacing.json` is the state in the midst of a replacement, `state-halted.json` after one that
-//! went back by itself; `store` is the store of a fleet on its way down, and `instance.jsonl` what an instance says.
+//! `tests/fixtures/state-replacing.json` is a state during a replacement, `state-halted.json` one after an automatic
+//! rollback; `store` is the store of a fleet that is shutting down, and `instance.jsonl` the lines that an instance sends.
 
-use super::{Daemon, Hello, Line, State, Wanted, CONTROL, KEY, STATUS};
+use super::{
+    Daemon, FleetSpec, Hello, State, StatusLine, CONTROL_SOCKET, STATE_KEY, STATUS_SOCKET,
+};
 use crate::instance_config::{Release, Slot};
-use crate::plan::{Bounds, Mode, Phase};
+use crate::plan::{FleetSettings, Phase, ReplacementMode};
 use crate::regression::RegressionThresholds;
 use crate::restart::RestartPolicy;
 use cleatpulley_log_store::files::OsFolder;
@@ -14,8 +17,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The time from which on the states were written.
-const BEGIN: u64 = 1_700_000_000_000_000;
+/// Start time of the fleets in the fixtures, in microseconds since the Unix epoch.
+const STARTED_AT: u64 = 1_700_000_000_000_000;
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -23,25 +26,25 @@
         .join(name)
 }
 
-fn text(name: &str) -> String {
-    fs::read_to_string(fixture(name)).expect("a fixture")
+fn read_fixture(name: &str) -> String {
+    fs::read_to_string(fixture(name)).expect("reads the fixture")
 }
 
-fn state(name: &str) -> State {
-    serde_json::from_str(&text(name)).expect("it is read")
+fn read_state(name: &str) -> State {
+    serde_json::from_str(&read_fixture(name)).expect("decodes")
 }
 
-fn bounds() -> Bounds {
-    Bounds {
+fn settings() -> FleetSettings {
+    FleetSettings {
         instances: 2,
         surge: 1,
         batch: 1,
-        minimum: 1.5,
-        start_within: 5_000_000,
-        warm_within: 120_000_000,
-        drain_within: 10_000_000,
-        silent_within: 2_000_000,
-        crashes: 3,
+        min_capacity: 1.5,
+        start_timeout: 5_000_000,
+        warm_up_timeout: 120_000_000,
+        drain_timeout: 10_000_000,
+        report_timeout: 2_000_000,
+        failure_limit: 3,
         regression: RegressionThresholds {
             min_samples: 500,
             max_rejected_increase: 0.05,
@@ -58,13 +61,13 @@
     }
 }
 
-fn places() -> Vec<Slot> {
-    let place = |number: u16| Slot {
+fn slots() -> Vec<Slot> {
+    let slot = |number: u16| Slot {
         name: format!("m{number}"),
         listen: ([127, 0, 0, 1], 7_000 + number).into(),
         config: format!("/etc/cleatpulley/m{number}.json").into(),
     };
-    (1..=3).map(place).collect()
+    (1..=3).map(slot).collect()
 }
 
 fn releases() -> BTreeMap<u32, Release> {
@@ -76,51 +79,65 @@
 }
 
 #[test]
-fn the_state_has_the_bytes_of_release_0_2() {
+fn encodes_the_state_to_the_same_bytes_as_release_0_2() {
     for name in ["state-replacing.json", "state-halted.json"] {
-        let state = state(name);
+        let state = read_state(name);
         assert_eq!(
-            serde_json::to_string(&state).expect("it is written"),
-            text(name),
+            serde_json::to_string(&state).expect("encodes"),
+            read_fixture(name),
             "{name}"
         );
         assert_eq!(
-            (state.places, state.releases),
-            (places(), releases()),
+            (state.slots, state.releases),
+            (slots(), releases()),
             "{name}"
         );
         assert_eq!(
-            (state.secret, *state.plan.bounds()),
-            (0x0123_4567_89ab_cdef, bounds()),
+            (state.secret, *state.plan.settings()),
+            (0x0123_4567_89ab_cdef, settings()),
             "{name}"
         );
     }
     assert_eq!(
-        state("state-replacing.json").shared,
+        read_state("state-replacing.json").shared_address,
         "127.0.0.1:7000".parse().ok()
     );
-    assert_eq!(state("state-halted.json").shared, None);
+    assert_eq!(read_state("state-halted.json").shared_address, None);
 }
 
 #[test]
-fn reads_a_replacement_that_release_0_2_had_begun() {
-    let plan = state("state-replacing.json").plan;
+fn reads_a_replacement_begun_by_release_0_2() {
+    let plan = read_state("state-replacing.json").plan;
     assert_eq!(
-        (plan.stable(), plan.ends(), plan.halted()),
+        (
+            plan.stable_generation(),
+            plan.is_shutting_down(),
+            plan.rollback_reason()
+        ),
         (1, false, None)
     );
-    let replacement = plan.replacement().expect("it is on");
+    let replacement = plan.replacement().expect("a replacement is in progress");
     assert_eq!(
-        (replacement.generation, replacement.mode, replacement.quota),
-        (3, Mode::Paused, 1)
+        (
+            replacement.generation,
+            replacement.mode,
+            replacement.target_count
+        ),
+        (3, ReplacementMode::Paused, 1)
     );
     assert_eq!(
-        (replacement.crashes, replacement.begun),
-        (1, BEGIN + 20_000_000)
+        (replacement.failures, replacement.started_at),
+        (1, STARTED_AT + 20_000_000)
     );
-    let of =
-        |one: &crate::plan::Instance| (one.incarnation, one.generation, one.address, one.phase);
-    let instances: Vec<_> = plan.instances().iter().map(of).collect();
+    let key_fields = |instance: &crate::plan::Instance| {
+        (
+            instance.incarnation,
+            instance.generation,
+            instance.slot,
+            instance.phase,
+        )
+    };
+    let instances: Vec<_> = plan.instances().iter().map(key_fields).collect();
     assert_eq!(
         instances,
         [
@@ -131,98 +148,124 @@
     );
     let cold = &plan.instances()[2];
     assert_eq!(
-        cold.process.map(|process| (process.pid, process.start)),
+        cold.process
+            .map(|process| (process.pid, process.start_ticks)),
         Some((5_000_007, 107))
     );
     assert_eq!(
         (cold.warmth, cold.counts.served, cold.counts.late),
         (0.625, 70, 2)
     );
-    let gone: Vec<_> = plan
-        .gone()
-        .map(|one| (one.incarnation, one.phase, one.why.as_deref()))
+    let terminated: Vec<_> = plan
+        .terminated()
+        .map(|instance| {
+            (
+                instance.incarnation,
+                instance.phase,
+                instance.failure_reason.as_deref(),
+            )
+        })
         .collect();
-    assert_eq!(gone.len(), 4);
-    assert_eq!(gone[3], (6, Phase::Failed, Some("it ended with status 3")));
+    assert_eq!(terminated.len(), 4);
+    assert_eq!(
+        terminated[3],
+        (6, Phase::Failed, Some("it ended with status 3"))
+    );
 }
 
 #[test]
-fn reads_why_a_replacement_of_release_0_2_went_back() {
-    let plan = state("state-halted.json").plan;
-    assert_eq!((plan.stable(), plan.replacement()), (1, None));
+fn reads_the_rollback_reason_of_release_0_2() {
+    let plan = read_state("state-halted.json").plan;
+    assert_eq!((plan.stable_generation(), plan.replacement()), (1, None));
     assert_eq!(
-        plan.halted(),
+        plan.rollback_reason(),
         Some("3 instances of the new generation failed")
     );
-    let gone: Vec<_> = plan
-        .gone()
-        .map(|one| (one.incarnation, one.generation, one.why.as_deref()))
+    let terminated: Vec<_> = plan
+        .terminated()
+        .map(|instance| {
+            (
+                instance.incarnation,
+                instance.generation,
+                instance.failure_reason.as_deref(),
+            )
+        })
         .collect();
-    let why = Some("no such file");
-    assert_eq!(gone, [(3, 2, why), (4, 2, why), (5, 2, why)]);
+    let reason = Some("no such file");
+    assert_eq!(terminated, [(3, 2, reason), (4, 2, reason), (5, 2, reason)]);
 }
 
 #[test]
-fn goes_on_with_the_store_of_release_0_2() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn resumes_with_the_store_of_release_0_2() {
+    let folder = tempfile::tempdir().expect("creates a folder");
     let store = folder.path().join("store");
-    fs::create_dir(&store).expect("a folder");
-    for entry in fs::read_dir(fixture("store")).expect("the fixture is there") {
-        let entry = entry.expect("an entry");
-        fs::copy(entry.path(), store.join(entry.file_name())).expect("it is copied");
+    fs::create_dir(&store).expect("creates a folder");
+    for entry in fs::read_dir(fixture("store")).expect("reads the fixture") {
+        let entry = entry.expect("reads an entry");
+        fs::copy(entry.path(), store.join(entry.file_name())).expect("copies the file");
     }
-    let wanted = Wanted {
+    let spec = FleetSpec {
         folder: folder.path().to_owned(),
-        places: places(),
+        slots: slots(),
         releases: releases(),
-        shared: None,
-        bounds: bounds(),
+        shared_address: None,
+        settings: settings(),
         generation: 1,
     };
-    let daemon = Daemon::open(wanted).expect("it opens");
+    let daemon = Daemon::open(spec).expect("opens");
     let view = daemon.view();
     assert_eq!(
-        (view.stable, view.ends, view.instances.len()),
+        (
+            view.stable_generation,
+            view.shutting_down,
+            view.instances.len()
+        ),
         (1, true, 0),
-        "its processes are gone"
+        "the processes of the fixture do not run"
     );
-    let gone: Vec<_> = view
-        .gone
+    let terminated: Vec<_> = view
+        .terminated
         .iter()
-        .map(|one| (one.incarnation, one.phase))
+        .map(|instance| (instance.incarnation, instance.phase))
         .collect();
     assert_eq!(
-        gone[gone.len() - 2..],
+        terminated[terminated.len() - 2..],
         [(1, Phase::Stopped), (2, Phase::Stopped)]
     );
     assert_eq!(daemon.token(1), "f1de4933cdf126aa3f251e01ea3a55d1");
-    assert_eq!([CONTROL, STATUS], ["control.sock", "status.sock"]);
+    assert_eq!(
+        [CONTROL_SOCKET, STATUS_SOCKET],
+        ["control.sock", "status.sock"]
+    );
     drop(daemon);
-    let files = OsFolder::new(&store, false).expect("a folder");
-    let (kept, _) = Store::open(files, Options::default()).expect("it opens");
-    assert_eq!(KEY, b"fleet");
-    let kept = kept
+    let files = OsFolder::new(&store, false).expect("opens the folder");
+    let (store, _) = Store::open(files, Options::default()).expect("opens");
+    assert_eq!(STATE_KEY, b"fleet");
+    let stored = store
         .get(0, b"fleet")
-        .expect("it is read")
-        .expect("it is there");
-    let kept: State = serde_json::from_slice(&kept).expect("it is read");
-    assert_eq!(kept.plan.version(), view.version);
+        .expect("reads the store")
+        .expect("the state is stored");
+    let stored: State = serde_json::from_slice(&stored).expect("decodes");
+    assert_eq!(stored.plan.version(), view.version);
 }
 
 #[test]
-fn understands_what_an_instance_of_release_0_2_says() {
-    let text = text("instance.jsonl");
+fn decodes_the_status_reports_of_release_0_2() {
+    let text = read_fixture("instance.jsonl");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3);
-    let hello: Hello = serde_json::from_str(lines[0]).expect("a greeting");
+    let hello: Hello = serde_json::from_str(lines[0]).expect("decodes");
     assert_eq!((hello.incarnation, hello.pid), (3, 77));
     assert_eq!(hello.token, "0123456789abcdef0123456789abcdef");
-    let line: Line = serde_json::from_str(lines[1]).expect("how it is");
+    let line: StatusLine = serde_json::from_str(lines[1]).expect("decodes");
     assert_eq!(
-        (line.warmth, line.served, line.late, line.refused),
+        (line.warmth, line.served, line.late, line.rejected),
         (0.75, 11, 2, 3)
     );
-    assert_eq!((line.failed, line.held, line.drains), (4, 5, false));
-    let line: Line = serde_json::from_str(lines[2]).expect("how it is");
-    assert_eq!((line.warmth, line.drains), (1.0, true));
+    assert_eq!(
+        (line.failed, line.open_requests, line.draining),
+        (4, 5, false)
+    );
+    let line: StatusLine = serde_json::from_str(lines[2]).expect("decodes");
+    assert_eq!((line.warmth, line.draining), (1.0, true));
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,10 +1,10 @@
-//! The plan of a fleet: instances, the generation that is wanted, and each step between what is and what should be.
-//! Events and deadlines go in, effects come out. Whoever carries them out obeys their order: what is to be saved is
-//! durable before the next effect is done.
+//! The plan of a fleet: its instances, the target generation, and the steps from the current to the target state. Events
+//! and deadlines go in, effects come out. The caller executes the effects in order: what [`Effect::Save`] covers must be
+//! durable before the next effect is executed.
 //!
-//! What it keeps to, whatever happens: no address has two owners, no incarnation comes twice, and no instance is told to
-//! leave while the capacity without it would be below the floor. There is one exception: on the way back a generation
-//! that was given up and never got warm may hold all addresses, and then one of it leaves so that another can start.
+//! Invariants: no slot has two instances, no incarnation number is used twice, and no instance is drained while the
+//! capacity without it would be below the floor. There is one exception: during a rollback, a generation that was given
+//! up and never became warm may occupy all slots; then one of its instances is drained so that another can start.
 
 use crate::regression::{self, Regression, RegressionThresholds, RequestCounts};
 use crate::restart::{RestartBackoff, RestartPolicy};
@@ -13,194 +13,210 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// Instances that are gone and still shown.
-const SHOWN: usize = 64;
-/// What did not end after it was killed is killed again after this time.
-const KILL_AGAIN: Micros = 1_000_000;
-/// From this warmth on an instance counts as warm.
-pub const WARM: f64 = 0.95;
-/// Guards against sums of shares that miss a bound by rounding.
-const ROUNDING: f64 = 1e-9;
+/// Maximum number of terminated instances that are kept for display.
+const MAX_TERMINATED: usize = 64;
+/// Time after which a process that did not end is killed again, in microseconds.
+const KILL_RETRY_INTERVAL: Micros = 1_000_000;
+/// Minimum warmth of an instance that counts as warm.
+pub const WARM_THRESHOLD: f64 = 0.95;
+/// Tolerance for sums of shares that miss a limit by rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Bounds of a fleet.
+/// Size, limits and timeouts of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Bounds {
-    /// Instances.
+pub struct FleetSettings {
+    /// Number of instances.
     pub instances: usize,
-    /// Further ones that may exist within a replacement, each with an address of its own.
+    /// Maximum number of additional instances during a replacement, each in a slot of its own.
     pub surge: usize,
-    /// So many are replaced at once.
+    /// Maximum number of instances replaced at the same time.
     pub batch: usize,
-    /// Capacity that is kept within a replacement, in warm instances.
-    pub minimum: f64,
-    /// A process has to say its first word within this time.
-    pub start_within: Micros,
-    /// An instance has to be warm within this time after its first word.
-    pub warm_within: Micros,
-    /// An instance that was told to leave is killed after this time.
-    pub drain_within: Micros,
-    /// One that says nothing for so long hangs, and is killed.
-    pub silent_within: Micros,
-    /// So many failures of a new generation end its replacement.
-    pub crashes: u32,
-    /// When a new generation counts as worse than the old one.
+    /// Minimum capacity during a replacement, in warm instances.
+    #[serde(rename = "minimum")]
+    pub min_capacity: f64,
+    /// Time within which a new process has to send its first status report.
+    #[serde(rename = "start_within")]
+    pub start_timeout: Micros,
+    /// Time from the first status report within which an instance has to become warm.
+    #[serde(rename = "warm_within")]
+    pub warm_up_timeout: Micros,
+    /// Time after which a draining instance is killed.
+    #[serde(rename = "drain_within")]
+    pub drain_timeout: Micros,
+    /// Time without a status report after which an instance counts as hung and is killed.
+    #[serde(rename = "silent_within")]
+    pub report_timeout: Micros,
+    /// Number of failed instances of a new generation that ends its replacement.
+    #[serde(rename = "crashes")]
+    pub failure_limit: u32,
+    /// Thresholds above which a new generation counts as worse than the old one.
     #[serde(rename = "verdict")]
     pub regression: RegressionThresholds,
-    /// Starting again.
+    /// Restarts of failed instances.
     pub restart: RestartPolicy,
 }
 
-/// What is wrong with bounds, or why a command is not obeyed.
+/// Why settings are invalid or a command was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum Refused {
-    /// A bound is none.
+pub enum PlanError {
+    /// A setting is out of range.
     #[error("{0}")]
-    Bound(&'static str),
-    /// A replacement could never begin.
+    InvalidSetting(&'static str),
+    /// No instance could ever be replaced with these settings.
     #[error(
-        "with {instances} instances, a surge of 0 and a minimum of {minimum} no instance could ever leave: the minimum \
-         may be {} at most, or the surge has to be 1",
+        "with {instances} instances, a surge of 0 and a minimum of {min_capacity} no instance could ever be drained: \
+         the minimum may be {} at most, or the surge has to be 1",
         instances - 1
     )]
-    Stuck {
-        /// Instances.
+    NoRoomToReplace {
+        /// Number of instances.
         instances: usize,
-        /// The minimum.
-        minimum: f64,
+        /// Minimum capacity, in warm instances.
+        min_capacity: f64,
     },
-    /// There is nothing to replace, or a replacement is on.
+    /// The command is not possible in the current state of the fleet.
     #[error("{0}")]
-    Now(&'static str),
+    InvalidState(&'static str),
 }
 
-impl Bounds {
-    /// Checks them.
+impl FleetSettings {
+    /// Checks that the settings are in range and allow a replacement.
     ///
     /// # Errors
-    /// What is wrong.
-    pub fn check(&self) -> Result<(), Refused> {
-        let (instances, minimum) = (self.instances, self.minimum);
+    /// The first invalid setting.
+    pub fn check(&self) -> Result<(), PlanError> {
+        let (instances, min_capacity) = (self.instances, self.min_capacity);
         if instances == 0 {
-            return Err(Refused::Bound("instances: 0 is no fleet"));
+            return Err(PlanError::InvalidSetting("instances: must be at least 1"));
         }
         if self.batch == 0 {
-            return Err(Refused::Bound("batch: 0 would replace nothing"));
+            return Err(PlanError::InvalidSetting("batch: must be at least 1"));
         }
-        if !(0.0..=instances as f64).contains(&minimum) {
-            return Err(Refused::Bound(
+        if !(0.0..=instances as f64).contains(&min_capacity) {
+            return Err(PlanError::InvalidSetting(
                 "minimum: not between 0 and the number of instances",
             ));
         }
-        if self.surge == 0 && minimum > instances as f64 - 1.0 {
-            return Err(Refused::Stuck { instances, minimum });
+        if self.surge == 0 && min_capacity > instances as f64 - 1.0 {
+            return Err(PlanError::NoRoomToReplace {
+                instances,
+                min_capacity,
+            });
         }
         Ok(())
     }
 
-    /// Capacity below which no instance is told to leave within a replacement: the minimum, and without need not less
-    /// than what the batch takes beyond the surge.
+    /// Returns the capacity, in warm instances, below which no instance is drained during a replacement: at least the
+    /// minimum, and no lower than replacing the batch beyond the surge requires.
     #[must_use]
     pub fn floor(&self) -> f64 {
-        let without = self
+        let missing = self
             .batch
             .saturating_sub(self.surge)
             .max(usize::from(self.surge == 0));
-        self.minimum
-            .max(self.instances.saturating_sub(without) as f64)
+        self.min_capacity
+            .max(self.instances.saturating_sub(missing) as f64)
     }
 }
 
-/// A process: its number and its start, which together are used once.
+/// Identity of a process: its id and its start time, a pair that is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Process {
+pub struct ProcessIdentity {
     /// The process id.
     pub pid: u32,
-    /// When the system started it, in the system's ticks.
-    pub start: u64,
+    /// When the system started the process, in clock ticks since boot.
+    #[serde(rename = "start")]
+    pub start_ticks: u64,
 }
 
-/// Where an instance stands.
+/// Phase of an instance's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It is to be started.
+    /// The process is not started yet.
     Planned,
-    /// Its process runs and has said nothing yet.
+    /// The process runs and has sent no status report yet.
     Starting,
-    /// It serves, slower than it will.
+    /// The instance serves at reduced speed while it warms up.
     Cold,
-    /// It serves.
+    /// The instance serves at full speed.
     Warm,
-    /// It was told to leave, or leaves.
+    /// The instance was told to drain, or reported that it drains.
     Draining,
-    /// It has left.
+    /// The process ended after draining.
     Stopped,
-    /// It ended without having been told to, or never began.
+    /// The process ended without having been told to, or could not be started.
     Failed,
 }
 
-/// An instance.
+/// An instance of the server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its number, which never comes again.
+    /// The instance's number, which is never reused.
     pub incarnation: u64,
-    /// What it runs.
+    /// The generation that the instance runs.
     pub generation: u32,
-    /// Which of the addresses it owns.
-    pub address: usize,
-    /// Where it stands.
+    /// Index of the slot that the instance occupies.
+    #[serde(rename = "address")]
+    pub slot: usize,
+    /// Current phase.
     pub phase: Phase,
-    /// Since when.
-    pub since: Micros,
-    /// Its process, where one is known.
-    pub process: Option<Process>,
-    /// When it was last heard of.
-    pub heard: Micros,
-    /// Its speed, as a share of a warm one's.
+    /// When the current phase began.
+    #[serde(rename = "since")]
+    pub phase_since: Micros,
+    /// The instance's process, if known.
+    pub process: Option<ProcessIdentity>,
+    /// When the last status report was received.
+    #[serde(rename = "heard")]
+    pub last_report_at: Micros,
+    /// Speed relative to a warm instance, from 0 to 1.
     pub warmth: f64,
-    /// What it did since it began.
+    /// Requests since the instance started.
     pub counts: RequestCounts,
-    /// What it had done when the two generations began to be compared.
+    /// The counts when the comparison of the two generations began.
     baseline: Option<RequestCounts>,
-    killed: Option<Micros>,
-    /// Why it failed.
-    pub why: Option<String>,
+    /// When the process was last killed.
+    #[serde(rename = "killed")]
+    killed_at: Option<Micros>,
+    /// Why the instance failed.
+    #[serde(rename = "why")]
+    pub failure_reason: Option<String>,
 }
 
 impl Instance {
-    /// Its capacity, in warm instances.
+    /// Returns the instance's capacity, in warm instances.
     #[must_use]
-    pub fn weight(&self) -> f64 {
+    pub fn capacity(&self) -> f64 {
         match self.phase {
-            // What was killed serves nothing, whether or not it has ended.
-            _ if self.killed.is_some() => 0.0,
+            // A killed instance serves nothing, whether or not its process has ended.
+            _ if self.killed_at.is_some() => 0.0,
             Phase::Warm => 1.0,
             Phase::Cold => self.warmth.clamp(0.0, 1.0),
             _ => 0.0,
         }
     }
 
-    fn stays(&self) -> bool {
+    fn is_active(&self) -> bool {
         matches!(
             self.phase,
             Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm
         )
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         matches!(self.phase, Phase::Cold | Phase::Warm)
     }
 }
 
-/// How a replacement goes on.
+/// Direction of a replacement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
-    /// Forwards.
+pub enum ReplacementMode {
+    /// Proceeds towards the new generation.
     Rolling,
-    /// Not at all.
+    /// Paused by an operator.
     Paused,
-    /// Back.
+    /// Rolls back to the old generation.
     Back,
 }
 
@@ -209,817 +225,894 @@
 pub struct Replacement {
     /// The new generation.
     pub generation: u32,
-    /// How it goes on.
-    pub mode: Mode,
-    /// So many of the new generation are wanted now.
-    pub quota: usize,
-    /// Failures of the new generation.
-    pub crashes: u32,
-    /// When it began.
-    pub begun: Micros,
-    /// Why it goes back by itself.
-    pub halted: Option<String>,
-    /// What instances that are gone did while the generations were compared: new and old.
-    gone: [RequestCounts; 2],
-    compared: bool,
+    /// Current direction.
+    pub mode: ReplacementMode,
+    /// Current target number of instances of the new generation.
+    #[serde(rename = "quota")]
+    pub target_count: usize,
+    /// Number of failed instances of the new generation.
+    #[serde(rename = "crashes")]
+    pub failures: u32,
+    /// When the replacement began.
+    #[serde(rename = "begun")]
+    pub started_at: Micros,
+    /// Why the replacement is rolled back automatically.
+    #[serde(rename = "halted")]
+    pub rollback_reason: Option<String>,
+    /// Requests of instances that terminated during the comparison: of the new and of the old generation.
+    #[serde(rename = "gone")]
+    terminated_counts: [RequestCounts; 2],
+    /// Whether the comparison of the two generations has begun.
+    #[serde(rename = "compared")]
+    comparing: bool,
 }
 
-/// What happens to instances.
+/// An input of the plan, for the instance with the given incarnation number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A process runs for it.
-    Spawned(u64, Process),
-    /// None could be started.
-    NotSpawned(u64, String),
-    /// It says how it is.
-    Heard(u64, Status),
-    /// Its process has ended.
-    Exited(u64, Exit),
+    /// The instance's process was started, or found running.
+    Spawned(u64, ProcessIdentity),
+    /// The process could not be started.
+    SpawnFailed(u64, String),
+    /// The instance sent a status report.
+    StatusReported(u64, StatusReport),
+    /// The process has ended.
+    Exited(u64, ProcessExit),
 }
 
-/// How an instance says it is.
+/// Status report of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Status {
-    /// Its speed, as a share of a warm one's.
+pub struct StatusReport {
+    /// Speed relative to a warm instance, from 0 to 1.
     pub warmth: f64,
-    /// What it did since it began.
+    /// Requests since the instance started.
     pub counts: RequestCounts,
-    /// It leaves.
-    pub drains: bool,
+    /// Whether the instance is draining.
+    pub draining: bool,
 }
 
 /// How a process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Exit {
+pub enum ProcessExit {
     /// With status 0.
     Clean,
     /// With another status.
     Status(i32),
     /// By a signal.
     Signal(i32),
-    /// Nobody saw it.
-    Unseen,
+    /// Unknown, because the process was not a child of this daemon or could not be waited for.
+    Unobserved,
 }
 
-impl fmt::Display for Exit {
+impl fmt::Display for ProcessExit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Clean => write!(f, "it ended with status 0 though nobody told it to"),
+            Self::Clean => write!(f, "it ended with status 0 without having been told to"),
             Self::Status(status) => write!(f, "it ended with status {status}"),
             Self::Signal(signal) => write!(f, "it ended by signal {signal}"),
-            Self::Unseen => write!(f, "its process is gone"),
+            Self::Unobserved => write!(f, "its process is gone"),
         }
     }
 }
 
-/// What is to be done.
+/// An action that the caller executes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// The plan is to be made durable before what follows is done.
+    /// Make the plan durable before the next effect is executed.
     Save,
-    /// A process is to be started.
+    /// Start a process.
     Spawn {
-        /// For this instance.
+        /// The instance's number.
         incarnation: u64,
-        /// What it runs.
+        /// The generation to run.
         generation: u32,
-        /// Its address.
-        address: usize,
+        /// Index of the instance's slot.
+        slot: usize,
     },
-    /// An instance is to be told to leave.
-    Leave(u64),
-    /// An instance's process is to be killed.
+    /// Tell an instance to drain.
+    Drain(u64),
+    /// Kill an instance's process.
     Kill(u64),
-    /// Operators are to be told.
-    Note(Note),
+    /// Notify operators.
+    Notify(Notice),
 }
 
-/// What operators are told.
+/// A notice to operators.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
-    /// An instance has failed.
-    Failed(u64, String),
-    /// It did not leave in time and is killed.
-    Overdue(u64),
-    /// The replacement goes back by itself.
-    Halted(String),
-    /// All run the new generation.
-    Replaced(u32),
-    /// All run the old generation again.
-    WentBack(u32),
+pub enum Notice {
+    /// An instance has failed, with the reason.
+    InstanceFailed(u64, String),
+    /// An instance did not drain in time and is killed.
+    DrainOverdue(u64),
+    /// The replacement is rolled back automatically, with the reason.
+    RollbackStarted(String),
+    /// All instances run the new generation.
+    ReplacementCompleted(u32),
+    /// All instances run the old generation again.
+    RollbackCompleted(u32),
 }
 
-/// The plan.
+/// The plan of a fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Plan {
-    bounds: Bounds,
+    #[serde(rename = "bounds")]
+    settings: FleetSettings,
     instances: Vec<Instance>,
-    gone: VecDeque<Instance>,
-    /// What all run, or ran before the replacement that is on.
-    stable: u32,
+    #[serde(rename = "gone")]
+    terminated: VecDeque<Instance>,
+    /// The generation that all instances run, or ran before the current replacement.
+    #[serde(rename = "stable")]
+    stable_generation: u32,
     replacement: Option<Replacement>,
-    ends: bool,
-    restarts: RestartBackoff,
-    /// When an instance at an address last failed.
+    #[serde(rename = "ends")]
+    shutting_down: bool,
+    #[serde(rename = "restarts")]
+    restart_backoff: RestartBackoff,
+    /// For each slot, when an instance in it last failed.
     failed_at: BTreeMap<usize, Micros>,
-    /// Why the last replacement went back by itself.
-    #[serde(default)]
-    halted: Option<String>,
+    /// Why the last replacement was rolled back automatically.
+    #[serde(default, rename = "halted")]
+    rollback_reason: Option<String>,
     next_incarnation: u64,
-    /// Grows with each change of the instances.
+    /// Version of the table of instances, which grows with each change.
     version: u64,
 }
 
 impl Plan {
-    /// A fleet that is to run this generation.
+    /// Creates the plan of an empty fleet that is to run `generation`.
     ///
     /// # Errors
-    /// Where the bounds are none.
-    pub fn new(bounds: Bounds, generation: u32, seed: u64) -> Result<Self, Refused> {
-        bounds.check()?;
+    /// Invalid settings.
+    pub fn new(settings: FleetSettings, generation: u32, seed: u64) -> Result<Self, PlanError> {
+        settings.check()?;
         Ok(Self {
-            bounds,
+            settings,
             instances: Vec::new(),
-            gone: VecDeque::new(),
-            stable: generation,
+            terminated: VecDeque::new(),
+            stable_generation: generation,
             replacement: None,
-            ends: false,
-            restarts: RestartBackoff::new(bounds.restart, seed),
+            shutting_down: false,
+            restart_backoff: RestartBackoff::new(settings.restart, seed),
             failed_at: BTreeMap::new(),
-            halted: None,
+            rollback_reason: None,
             next_incarnation: 1,
             version: 0,
         })
     }
 
-    /// Its bounds.
+    /// Returns the settings of the fleet.
     #[must_use]
-    pub fn bounds(&self) -> &Bounds {
-        &self.bounds
+    pub fn settings(&self) -> &FleetSettings {
+        &self.settings
     }
 
-    /// Instances that are not gone.
+    /// Returns the instances that have not terminated.
     #[must_use]
     pub fn instances(&self) -> &[Instance] {
         &self.instances
     }
 
-    /// Those that are, the latest last.
-    pub fn gone(&self) -> impl Iterator<Item = &Instance> {
-        self.gone.iter()
+    /// Returns the most recently terminated instances, the latest last.
+    pub fn terminated(&self) -> impl Iterator<Item = &Instance> {
+        self.terminated.iter()
     }
 
-    /// What all run, or ran before the replacement that is on.
+    /// Returns the generation that all instances run, or ran before the current replacement.
     #[must_use]
-    pub fn stable(&self) -> u32 {
-        self.stable
+    pub fn stable_generation(&self) -> u32 {
+        self.stable_generation
     }
 
-    /// The replacement that is on.
+    /// Returns the current replacement.
     #[must_use]
     pub fn replacement(&self) -> Option<&Replacement> {
         self.replacement.as_ref()
     }
 
-    /// Why the last replacement went back by itself, until the next begins.
+    /// Returns why the last replacement was rolled back automatically, until the next one begins.
     #[must_use]
-    pub fn halted(&self) -> Option<&str> {
-        self.halted.as_deref()
+    pub fn rollback_reason(&self) -> Option<&str> {
+        self.rollback_reason.as_deref()
     }
 
-    /// The table's version: it grows with each change.
+    /// Returns the version of the table of instances, which grows with each change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What all serving instances can do, in warm ones.
+    /// Returns the capacity of all serving instances, in warm instances.
     #[must_use]
     pub fn capacity(&self) -> f64 {
-        // The sum of nothing is a negative zero, which nobody wants to read.
-        self.instances.iter().map(Instance::weight).sum::<f64>() + 0.0
+        // The empty sum is -0.0, which would be printed with its sign.
+        self.instances.iter().map(Instance::capacity).sum::<f64>() + 0.0
     }
 
-    /// All is as it should be, and nothing is due.
+    /// Returns whether the fleet is in its target state and nothing is due.
     #[must_use]
-    pub fn at_rest(&self) -> bool {
-        if self.ends {
+    pub fn is_converged(&self) -> bool {
+        if self.shutting_down {
             return self.instances.is_empty();
         }
-        let right = |one: &Instance| one.phase == Phase::Warm && one.generation == self.stable;
+        let is_settled = |instance: &Instance| {
+            instance.phase == Phase::Warm && instance.generation == self.stable_generation
+        };
         self.replacement.is_none()
-            && self.instances.len() == self.bounds.instances
-            && self.instances.iter().all(right)
+            && self.instances.len() == self.settings.instances
+            && self.instances.iter().all(is_settled)
     }
 
-    /// The fleet goes down, or has.
+    /// Returns whether the fleet is shutting down or has shut down.
     #[must_use]
-    pub fn ends(&self) -> bool {
-        self.ends
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down
     }
 
-    /// Other bounds hold from now on.
+    /// Replaces the settings.
     ///
     /// # Errors
-    /// Where they are none.
-    pub fn set_bounds(&mut self, bounds: Bounds) -> Result<(), Refused> {
-        bounds.check()?;
-        self.bounds = bounds;
+    /// Invalid settings.
+    pub fn update_settings(&mut self, settings: FleetSettings) -> Result<(), PlanError> {
+        settings.check()?;
+        self.settings = settings;
         Ok(())
     }
 
-    /// A fleet without instances begins again, with other bounds and another generation. Incarnations go on.
+    /// Reinitializes a fleet without instances with other settings and another generation. Incarnation numbers continue.
     ///
     /// # Errors
-    /// Where the bounds are none.
-    pub fn begin_again(&mut self, bounds: Bounds, generation: u32) -> Result<(), Refused> {
-        self.set_bounds(bounds)?;
-        (self.stable, self.replacement, self.ends) = (generation, None, false);
+    /// Invalid settings.
+    pub fn reinitialize(
+        &mut self,
+        settings: FleetSettings,
+        generation: u32,
+    ) -> Result<(), PlanError> {
+        self.update_settings(settings)?;
+        (self.stable_generation, self.replacement, self.shutting_down) = (generation, None, false);
         Ok(())
     }
 
-    /// Begins to bring the fleet up, or goes on after the plan was read back. What changed meanwhile is told all at
-    /// once: for each instance that it runs, with its process, or that it is gone. Nothing is done before all is known.
-    pub fn recover(&mut self, now: Micros, facts: Vec<Event>, out: &mut Vec<Effect>) {
-        for fact in facts {
-            self.take(now, fact, out);
+    /// Starts a new fleet, or resumes a plan that was read from the store. `events` holds all changes in the meantime: for
+    /// each instance its running process, or its exit. No effect is produced before all of them are applied.
+    pub fn recover(&mut self, now: Micros, events: Vec<Event>, out: &mut Vec<Effect>) {
+        for event in events {
+            self.apply_event(now, event, out);
         }
-        // Guards against calling everybody hung after nobody listened for a while.
-        for one in &mut self.instances {
-            one.heard = one.heard.max(now);
+        // No status reports were received while the daemon was down, so that no instance counts as hung.
+        for instance in &mut self.instances {
+            instance.last_report_at = instance.last_report_at.max(now);
         }
-        self.work(now, out);
+        self.reconcile(now, out);
     }
 
-    /// Replaces all instances by a new generation.
+    /// Begins to replace all instances by a new generation.
     ///
     /// # Errors
-    /// Where a replacement is on, or the generation runs already.
-    pub fn replace(
+    /// A replacement is in progress, `generation` is already running, or the fleet is shutting down.
+    pub fn begin_replacement(
         &mut self,
         now: Micros,
         generation: u32,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
-        if self.ends {
-            return Err(Refused::Now("the fleet is going down"));
+    ) -> Result<(), PlanError> {
+        if self.shutting_down {
+            return Err(PlanError::InvalidState("the fleet is shutting down"));
         }
         if self.replacement.is_some() {
-            return Err(Refused::Now(
-                "a replacement is on: wait for its end, or roll it back",
+            return Err(PlanError::InvalidState(
+                "a replacement is already in progress: wait until it ends, or roll it back",
             ));
         }
-        if generation == self.stable {
-            return Err(Refused::Now("this generation runs already"));
+        if generation == self.stable_generation {
+            return Err(PlanError::InvalidState(
+                "this generation is already running",
+            ));
         }
-        self.halted = None;
+        self.rollback_reason = None;
         self.replacement = Some(Replacement {
             generation,
-            mode: Mode::Rolling,
-            quota: 0,
-            crashes: 0,
-            begun: now,
-            halted: None,
-            gone: [RequestCounts::default(); 2],
-            compared: false,
+            mode: ReplacementMode::Rolling,
+            target_count: 0,
+            failures: 0,
+            started_at: now,
+            rollback_reason: None,
+            terminated_counts: [RequestCounts::default(); 2],
+            comparing: false,
         });
-        self.work(now, out);
+        self.reconcile(now, out);
         Ok(())
     }
 
     fn change_mode(
         &mut self,
         now: Micros,
-        from: &[Mode],
-        to: Mode,
-        or: &'static str,
+        from: &[ReplacementMode],
+        to: ReplacementMode,
+        error: &'static str,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), PlanError> {
         match &mut self.replacement {
-            Some(one) if from.contains(&one.mode) => one.mode = to,
-            _ => return Err(Refused::Now(or)),
+            Some(replacement) if from.contains(&replacement.mode) => replacement.mode = to,
+            _ => return Err(PlanError::InvalidState(error)),
         }
         out.push(Effect::Save);
-        self.work(now, out);
+        self.reconcile(now, out);
         Ok(())
     }
 
-    /// Stops a replacement where it stands.
+    /// Pauses the replacement.
     ///
     /// # Errors
-    /// Where none is on.
-    pub fn pause(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
+    /// No replacement is rolling.
+    pub fn pause(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
         self.change_mode(
             now,
-            &[Mode::Rolling],
-            Mode::Paused,
+            &[ReplacementMode::Rolling],
+            ReplacementMode::Paused,
             "no replacement goes on",
             out,
         )
     }
 
-    /// Lets a replacement go on.
+    /// Resumes a paused replacement.
     ///
     /// # Errors
-    /// Where none was stopped.
-    pub fn resume(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
+    /// No replacement is paused.
+    pub fn resume(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
         self.change_mode(
             now,
-            &[Mode::Paused],
-            Mode::Rolling,
-            "no replacement was paused",
+            &[ReplacementMode::Paused],
+            ReplacementMode::Rolling,
+            "no replacement is paused",
             out,
         )
     }
 
-    /// Goes back to the old generation.
+    /// Rolls the replacement back to the old generation.
     ///
     /// # Errors
-    /// Where no replacement is on, or it goes back already.
-    pub fn roll_back(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), Refused> {
-        let from = [Mode::Rolling, Mode::Paused];
+    /// No replacement is in progress, or it is already being rolled back.
+    pub fn roll_back(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
+        let from = [ReplacementMode::Rolling, ReplacementMode::Paused];
         self.change_mode(
             now,
             &from,
-            Mode::Back,
-            "there is no replacement to go back from",
+            ReplacementMode::Back,
+            "there is no replacement to roll back",
             out,
         )
     }
 
-    /// Ends the whole fleet.
-    pub fn end(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.ends = true;
+    /// Begins to shut down the whole fleet.
+    pub fn begin_shutdown(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        self.shutting_down = true;
         out.push(Effect::Save);
-        self.work(now, out);
+        self.reconcile(now, out);
     }
 
-    /// Something happened to an instance. What is said of one that is gone is passed over.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        self.take(now, event, out);
-        self.work(now, out);
+    /// Handles an event of an instance. Events of terminated instances are ignored.
+    pub fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
+        self.apply_event(now, event, out);
+        self.reconcile(now, out);
     }
 
-    fn take(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
+    fn apply_event(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Spawned(incarnation, process) => {
-                if let Some(one) = self.find(incarnation) {
-                    one.process = Some(process);
-                    if one.phase == Phase::Planned {
-                        (one.phase, one.since, one.heard) = (Phase::Starting, now, now);
+                if let Some(instance) = self.instance_mut(incarnation) {
+                    instance.process = Some(process);
+                    if instance.phase == Phase::Planned {
+                        (
+                            instance.phase,
+                            instance.phase_since,
+                            instance.last_report_at,
+                        ) = (Phase::Starting, now, now);
                     }
                     self.version += 1;
                     out.push(Effect::Save);
                 }
             }
-            Event::NotSpawned(incarnation, why) => self.ended(now, incarnation, Some(why), out),
-            Event::Heard(incarnation, status) => self.heard(now, incarnation, &status, out),
+            Event::SpawnFailed(incarnation, reason) => {
+                self.on_exit(now, incarnation, Some(reason), out);
+            }
+            Event::StatusReported(incarnation, status) => {
+                self.on_status_report(now, incarnation, &status, out);
+            }
             Event::Exited(incarnation, exit) => {
-                let fine = self.find(incarnation).is_some_and(|one| match one.phase {
-                    Phase::Draining => true,
-                    // Whoever runs this died before it was started: that is no fault of what it would have run.
-                    Phase::Planned => exit == Exit::Unseen,
-                    _ => false,
-                });
-                self.ended(now, incarnation, (!fine).then(|| exit.to_string()), out);
+                let expected =
+                    self.instance_mut(incarnation)
+                        .is_some_and(|instance| match instance.phase {
+                            Phase::Draining => true,
+                            // The daemon died before it started the process: the generation is not at fault.
+                            Phase::Planned => exit == ProcessExit::Unobserved,
+                            _ => false,
+                        });
+                self.on_exit(now, incarnation, (!expected).then(|| exit.to_string()), out);
             }
         }
     }
 
-    fn find(&mut self, incarnation: u64) -> Option<&mut Instance> {
+    fn instance_mut(&mut self, incarnation: u64) -> Option<&mut Instance> {
         self.instances
             .iter_mut()
-            .find(|one| one.incarnation == incarnation)
+            .find(|instance| instance.incarnation == incarnation)
     }
 
-    fn heard(&mut self, now: Micros, incarnation: u64, status: &Status, out: &mut Vec<Effect>) {
-        let Some(one) = self.find(incarnation) else {
+    fn on_status_report(
+        &mut self,
+        now: Micros,
+        incarnation: u64,
+        status: &StatusReport,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(instance) = self.instance_mut(incarnation) else {
             return;
         };
-        (one.heard, one.counts) = (now, status.counts);
+        (instance.last_report_at, instance.counts) = (now, status.counts);
         if status.warmth.is_finite() {
-            one.warmth = status.warmth;
+            instance.warmth = status.warmth;
         }
-        let before = one.phase;
-        let after = match before {
-            // Somebody told it to leave by hand: it is no crash when it ends.
-            Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm if status.drains => {
+        let old_phase = instance.phase;
+        let new_phase = match old_phase {
+            // An operator stopped the process directly: its exit is not a failure.
+            Phase::Planned | Phase::Starting | Phase::Cold | Phase::Warm if status.draining => {
                 Phase::Draining
             }
-            Phase::Planned | Phase::Starting | Phase::Cold if one.warmth >= WARM => Phase::Warm,
+            Phase::Planned | Phase::Starting | Phase::Cold if instance.warmth >= WARM_THRESHOLD => {
+                Phase::Warm
+            }
             Phase::Planned | Phase::Starting => Phase::Cold,
-            other => other,
+            unchanged => unchanged,
         };
-        if before == after {
+        if old_phase == new_phase {
             return;
         }
-        (one.phase, one.since) = (after, now);
-        let generation = one.generation;
+        (instance.phase, instance.phase_since) = (new_phase, now);
+        let generation = instance.generation;
         self.version += 1;
         out.push(Effect::Save);
-        if after == Phase::Warm {
-            self.restarts.on_success(generation);
-            self.begin_to_compare(generation);
+        if new_phase == Phase::Warm {
+            self.restart_backoff.on_success(generation);
+            self.begin_comparison(generation);
         }
     }
 
-    /// From the first warm instance of a new generation on the two are compared.
-    fn begin_to_compare(&mut self, generation: u32) {
+    /// Records baselines when an instance of the new generation becomes warm; the comparison begins with the first one.
+    fn begin_comparison(&mut self, generation: u32) {
         let Some(replacement) = self
             .replacement
             .as_mut()
-            .filter(|one| one.generation == generation)
+            .filter(|replacement| replacement.generation == generation)
         else {
             return;
         };
-        let first = !std::mem::replace(&mut replacement.compared, true);
-        for one in &mut self.instances {
-            let is_new = one.generation == generation;
-            if one.phase == Phase::Warm && one.baseline.is_none() && (is_new || first) {
-                one.baseline = Some(one.counts);
+        let first = !std::mem::replace(&mut replacement.comparing, true);
+        for instance in &mut self.instances {
+            let is_new = instance.generation == generation;
+            if instance.phase == Phase::Warm && instance.baseline.is_none() && (is_new || first) {
+                instance.baseline = Some(instance.counts);
             }
         }
     }
 
-    fn ended(&mut self, now: Micros, incarnation: u64, why: Option<String>, out: &mut Vec<Effect>) {
-        let Some(place) = self
+    fn on_exit(
+        &mut self,
+        now: Micros,
+        incarnation: u64,
+        failure: Option<String>,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(index) = self
             .instances
             .iter()
-            .position(|one| one.incarnation == incarnation)
+            .position(|instance| instance.incarnation == incarnation)
         else {
             return;
         };
-        let mut one = self.instances.remove(place);
+        let mut instance = self.instances.remove(index);
         self.version += 1;
-        self.keep_counts(&one);
-        (one.since, one.process) = (now, None);
-        let why = match (why, one.phase, one.killed) {
-            // What hung was killed: that is why it failed.
-            (Some(why), _, Some(_)) => Some(one.why.take().unwrap_or(why)),
-            (why, ..) => why,
+        self.add_terminated_counts(&instance);
+        (instance.phase_since, instance.process) = (now, None);
+        let failure = match (failure, instance.phase, instance.killed_at) {
+            // An instance killed by the plan failed for the reason recorded then, such as a hang.
+            (Some(failure), _, Some(_)) => Some(instance.failure_reason.take().unwrap_or(failure)),
+            (failure, ..) => failure,
         };
-        one.phase = if why.is_some() {
+        instance.phase = if failure.is_some() {
             Phase::Failed
         } else {
             Phase::Stopped
         };
-        if let Some(why) = why {
-            self.restarts.on_failure(now, one.generation);
-            self.failed_at.insert(one.address, now);
-            out.push(Effect::Note(Note::Failed(incarnation, why.clone())));
-            one.why = Some(why);
-            let limit = self.bounds.crashes;
+        if let Some(failure) = failure {
+            self.restart_backoff.on_failure(now, instance.generation);
+            self.failed_at.insert(instance.slot, now);
+            out.push(Effect::Notify(Notice::InstanceFailed(
+                incarnation,
+                failure.clone(),
+            )));
+            instance.failure_reason = Some(failure);
+            let limit = self.settings.failure_limit;
             if let Some(replacement) = self
                 .replacement
                 .as_mut()
-                .filter(|of| of.generation == one.generation)
+                .filter(|replacement| replacement.generation == instance.generation)
             {
-                replacement.crashes += 1;
-                if replacement.crashes >= limit {
-                    let text = format!(
+                replacement.failures += 1;
+                if replacement.failures >= limit {
+                    let reason = format!(
                         "{} instances of the new generation failed",
-                        replacement.crashes
+                        replacement.failures
                     );
-                    self.halt(text, out);
+                    self.begin_rollback(reason, out);
                 }
             }
         }
-        self.gone.push_back(one);
-        if self.gone.len() > SHOWN {
-            self.gone.pop_front();
+        self.terminated.push_back(instance);
+        if self.terminated.len() > MAX_TERMINATED {
+            self.terminated.pop_front();
         }
         out.push(Effect::Save);
     }
 
-    fn keep_counts(&mut self, one: &Instance) {
-        let (Some(replacement), Some(baseline)) = (&mut self.replacement, one.baseline) else {
+    fn add_terminated_counts(&mut self, instance: &Instance) {
+        let (Some(replacement), Some(baseline)) = (&mut self.replacement, instance.baseline) else {
             return;
         };
-        let side = usize::from(one.generation != replacement.generation);
-        replacement.gone[side] = replacement.gone[side].plus(one.counts.since(baseline));
+        let side = usize::from(instance.generation != replacement.generation);
+        replacement.terminated_counts[side] =
+            replacement.terminated_counts[side].plus(instance.counts.since(baseline));
     }
 
-    fn halt(&mut self, why: String, out: &mut Vec<Effect>) {
+    fn begin_rollback(&mut self, reason: String, out: &mut Vec<Effect>) {
         let Some(replacement) = self
             .replacement
             .as_mut()
-            .filter(|one| one.mode != Mode::Back)
+            .filter(|replacement| replacement.mode != ReplacementMode::Back)
         else {
             return;
         };
-        replacement.mode = Mode::Back;
-        replacement.halted = Some(why.clone());
-        self.halted = Some(why.clone());
-        out.push(Effect::Note(Note::Halted(why)));
+        replacement.mode = ReplacementMode::Back;
+        replacement.rollback_reason = Some(reason.clone());
+        self.rollback_reason = Some(reason.clone());
+        out.push(Effect::Notify(Notice::RollbackStarted(reason)));
         out.push(Effect::Save);
     }
 
-    /// Whether the new generation answers worse than the old one.
-    fn judge(&mut self, out: &mut Vec<Effect>) {
+    /// Rolls the replacement back if the new generation performs worse than the old one.
+    fn check_regression(&mut self, out: &mut Vec<Effect>) {
         let Some(replacement) = self
             .replacement
             .as_ref()
-            .filter(|one| one.mode != Mode::Back)
+            .filter(|replacement| replacement.mode != ReplacementMode::Back)
         else {
             return;
         };
-        let mut sides = replacement.gone;
-        for one in &self.instances {
-            if let Some(baseline) = one.baseline {
-                let side = usize::from(one.generation != replacement.generation);
-                sides[side] = sides[side].plus(one.counts.since(baseline));
+        let mut counts = replacement.terminated_counts;
+        for instance in &self.instances {
+            if let Some(baseline) = instance.baseline {
+                let side = usize::from(instance.generation != replacement.generation);
+                counts[side] = counts[side].plus(instance.counts.since(baseline));
             }
         }
         let regression: Option<Regression> =
-            regression::detect_regression(sides[0], sides[1], &self.bounds.regression);
+            regression::detect_regression(counts[0], counts[1], &self.settings.regression);
         if let Some(regression) = regression {
-            self.halt(regression.to_string(), out);
+            self.begin_rollback(regression.to_string(), out);
         }
     }
 
-    /// Time has passed.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let bounds = self.bounds;
-        let mut slow = None;
-        for one in &mut self.instances {
-            let overdue = match one.phase {
-                Phase::Starting => now >= one.since + bounds.start_within,
-                Phase::Cold | Phase::Warm => now >= one.heard + bounds.silent_within,
-                Phase::Draining => now >= one.since + bounds.drain_within,
+    /// Handles the deadlines that have passed.
+    pub fn handle_timeouts(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let settings = self.settings;
+        let mut warm_up_overdue = None;
+        for instance in &mut self.instances {
+            let overdue = match instance.phase {
+                Phase::Starting => now >= instance.phase_since + settings.start_timeout,
+                Phase::Cold | Phase::Warm => {
+                    now >= instance.last_report_at + settings.report_timeout
+                }
+                Phase::Draining => now >= instance.phase_since + settings.drain_timeout,
                 _ => false,
             };
-            let cold = one.phase == Phase::Cold && now >= one.since + bounds.warm_within;
-            if cold
+            let still_cold = instance.phase == Phase::Cold
+                && now >= instance.phase_since + settings.warm_up_timeout;
+            if still_cold
                 && self
                     .replacement
                     .as_ref()
-                    .is_some_and(|of| of.generation == one.generation)
+                    .is_some_and(|replacement| replacement.generation == instance.generation)
             {
-                slow = Some(one.incarnation);
+                warm_up_overdue = Some(instance.incarnation);
             }
-            if !overdue || one.killed.is_some_and(|at| now < at + KILL_AGAIN) {
+            if !overdue
+                || instance
+                    .killed_at
+                    .is_some_and(|at| now < at + KILL_RETRY_INTERVAL)
+            {
                 continue;
             }
-            if one.killed.replace(now).is_none() {
-                if one.phase == Phase::Draining {
-                    out.push(Effect::Note(Note::Overdue(one.incarnation)));
+            if instance.killed_at.replace(now).is_none() {
+                if instance.phase == Phase::Draining {
+                    out.push(Effect::Notify(Notice::DrainOverdue(instance.incarnation)));
                 } else {
-                    let silent = if one.phase == Phase::Starting {
-                        "it never said a word"
+                    let reason = if instance.phase == Phase::Starting {
+                        "it sent no status report after its start"
                     } else {
                         "it hung"
                     };
-                    one.why = Some(silent.to_owned());
+                    instance.failure_reason = Some(reason.to_owned());
                 }
-                // Guards against counting on it after whoever runs this has died.
+                // The kill is saved first, so that a restarted daemon does not count on this instance's capacity.
                 out.push(Effect::Save);
             }
-            out.push(Effect::Kill(one.incarnation));
+            out.push(Effect::Kill(instance.incarnation));
         }
-        if let Some(incarnation) = slow {
-            self.halt(
-                format!("instance {incarnation} of the new generation does not get warm"),
+        if let Some(incarnation) = warm_up_overdue {
+            self.begin_rollback(
+                format!("instance {incarnation} of the new generation did not become warm in time"),
                 out,
             );
         }
-        self.work(now, out);
+        self.reconcile(now, out);
     }
 
-    /// When something is due.
+    /// Returns the earliest time at which [`handle_timeouts`](Self::handle_timeouts) has something to do.
     #[must_use]
-    pub fn next(&self, now: Micros) -> Option<Micros> {
-        let bounds = &self.bounds;
-        let of = |one: &Instance| {
-            let due = match one.phase {
+    pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
+        let settings = &self.settings;
+        let instance_deadline = |instance: &Instance| {
+            let deadline = match instance.phase {
                 Phase::Planned => return None,
-                Phase::Starting => one.since + bounds.start_within,
-                Phase::Cold | Phase::Warm => one.heard + bounds.silent_within,
-                Phase::Draining => one.since + bounds.drain_within,
+                Phase::Starting => instance.phase_since + settings.start_timeout,
+                Phase::Cold | Phase::Warm => instance.last_report_at + settings.report_timeout,
+                Phase::Draining => instance.phase_since + settings.drain_timeout,
                 Phase::Stopped | Phase::Failed => return None,
             };
-            Some(one.killed.map_or(due, |at| due.max(at + KILL_AGAIN)))
+            Some(
+                instance
+                    .killed_at
+                    .map_or(deadline, |at| deadline.max(at + KILL_RETRY_INTERVAL)),
+            )
         };
-        let new = self
+        let new_generation = self
             .replacement
             .as_ref()
-            .filter(|one| one.mode != Mode::Back)
-            .map(|one| one.generation);
-        let warm = self
+            .filter(|replacement| replacement.mode != ReplacementMode::Back)
+            .map(|replacement| replacement.generation);
+        let warm_up_deadlines = self
             .instances
             .iter()
-            .filter(|one| one.phase == Phase::Cold && Some(one.generation) == new)
-            .map(|one| one.since + bounds.warm_within);
+            .filter(|instance| {
+                instance.phase == Phase::Cold && Some(instance.generation) == new_generation
+            })
+            .map(|instance| instance.phase_since + settings.warm_up_timeout);
         let starts = self
-            .wanted()
+            .target_counts()
             .into_iter()
-            .filter(|(generation, want)| self.have(*generation) < *want);
+            .filter(|(generation, target)| self.active_count(*generation) < *target);
         let starts = starts
-            .map(|(generation, _)| self.restarts.earliest_start(now, generation))
+            .map(|(generation, _)| self.restart_backoff.earliest_start(now, generation))
             .filter(|at| *at > now);
         self.instances
             .iter()
-            .filter_map(of)
-            .chain(warm)
+            .filter_map(instance_deadline)
+            .chain(warm_up_deadlines)
             .chain(starts)
             .min()
     }
 
-    /// How many of each generation are wanted now.
-    fn wanted(&self) -> Vec<(u32, usize)> {
-        let all = self.bounds.instances;
+    /// Returns the current target number of instances of each generation.
+    fn target_counts(&self) -> Vec<(u32, usize)> {
+        let total = self.settings.instances;
         match &self.replacement {
-            _ if self.ends => Vec::new(),
-            None => vec![(self.stable, all)],
-            Some(one) => vec![
-                (one.generation, one.quota),
-                (self.stable, all - one.quota.min(all)),
+            _ if self.shutting_down => Vec::new(),
+            None => vec![(self.stable_generation, total)],
+            Some(replacement) => vec![
+                (replacement.generation, replacement.target_count),
+                (
+                    self.stable_generation,
+                    total - replacement.target_count.min(total),
+                ),
             ],
         }
     }
 
-    fn have(&self, generation: u32) -> usize {
+    fn active_count(&self, generation: u32) -> usize {
         self.instances
             .iter()
-            .filter(|one| one.generation == generation && one.stays())
+            .filter(|instance| instance.generation == generation && instance.is_active())
             .count()
     }
 
-    /// Each step from what is to what is wanted that may be done now.
-    fn work(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.judge(out);
-        self.move_quota(out);
-        if self.ends {
-            let leaving: Vec<u64> = self
+    /// Takes all steps from the current to the target state that are possible now.
+    fn reconcile(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        self.check_regression(out);
+        self.update_target_count(out);
+        if self.shutting_down {
+            let active: Vec<u64> = self
                 .instances
                 .iter()
-                .filter(|one| one.stays())
-                .map(|one| one.incarnation)
+                .filter(|instance| instance.is_active())
+                .map(|instance| instance.incarnation)
                 .collect();
-            leaving
+            active
                 .into_iter()
-                .for_each(|incarnation| self.tell_to_leave(now, incarnation, out));
+                .for_each(|incarnation| self.drain(now, incarnation, out));
             return;
         }
-        self.let_go(now, out);
-        self.start(now, out);
+        self.drain_excess(now, out);
+        self.start_missing(now, out);
     }
 
-    /// The new generation's share grows with what of it is warm, and not by time.
-    fn move_quota(&mut self, out: &mut Vec<Effect>) {
-        let (all, batch) = (self.bounds.instances, self.bounds.batch);
+    /// Raises the target number of new instances with the number of warm ones, not with time, and ends the replacement
+    /// once all instances run the same generation.
+    fn update_target_count(&mut self, out: &mut Vec<Effect>) {
+        let (total, batch) = (self.settings.instances, self.settings.batch);
         let Some(replacement) = &mut self.replacement else {
             return;
         };
-        let new = replacement.generation;
-        let warm = |one: &&Instance, right: bool| {
-            one.phase == Phase::Warm && (one.generation == new) == right
+        let new_generation = replacement.generation;
+        let is_warm = |instance: &&Instance, is_new: bool| {
+            instance.phase == Phase::Warm && (instance.generation == new_generation) == is_new
         };
-        let warm_new = self.instances.iter().filter(|one| warm(one, true)).count();
-        let others = |right| {
+        let warm_new = self
+            .instances
+            .iter()
+            .filter(|instance| is_warm(instance, true))
+            .count();
+        let has_any = |is_new| {
             self.instances
                 .iter()
-                .any(|one| (one.generation == new) == right)
+                .any(|instance| (instance.generation == new_generation) == is_new)
         };
-        let before = replacement.quota;
-        replacement.quota = match replacement.mode {
-            Mode::Rolling => before.max(all.min(warm_new + batch)),
-            Mode::Paused => before,
-            Mode::Back => 0,
+        let old_target = replacement.target_count;
+        replacement.target_count = match replacement.mode {
+            ReplacementMode::Rolling => old_target.max(total.min(warm_new + batch)),
+            ReplacementMode::Paused => old_target,
+            ReplacementMode::Back => 0,
         };
-        let quota = replacement.quota;
+        let target = replacement.target_count;
         let mode = replacement.mode;
-        if mode == Mode::Rolling && warm_new == all && !others(false) {
-            self.finish(new, Note::Replaced(new), out);
-        } else if mode == Mode::Back && !others(true) {
-            let stable = self.stable;
-            self.finish(stable, Note::WentBack(stable), out);
-        } else if before != quota {
+        if mode == ReplacementMode::Rolling && warm_new == total && !has_any(false) {
+            self.finish_replacement(
+                new_generation,
+                Notice::ReplacementCompleted(new_generation),
+                out,
+            );
+        } else if mode == ReplacementMode::Back && !has_any(true) {
+            let stable = self.stable_generation;
+            self.finish_replacement(stable, Notice::RollbackCompleted(stable), out);
+        } else if old_target != target {
             out.push(Effect::Save);
         }
     }
 
-    fn finish(&mut self, generation: u32, note: Note, out: &mut Vec<Effect>) {
-        self.stable = generation;
+    fn finish_replacement(&mut self, generation: u32, notice: Notice, out: &mut Vec<Effect>) {
+        self.stable_generation = generation;
         self.replacement = None;
         self.instances
             .iter_mut()
-            .for_each(|one| one.baseline = None);
-        out.push(Effect::Note(note));
+            .for_each(|instance| instance.baseline = None);
+        out.push(Effect::Notify(notice));
         out.push(Effect::Save);
     }
 
-    fn tell_to_leave(&mut self, now: Micros, incarnation: u64, out: &mut Vec<Effect>) {
-        let Some(one) = self.find(incarnation) else {
+    fn drain(&mut self, now: Micros, incarnation: u64, out: &mut Vec<Effect>) {
+        let Some(instance) = self.instance_mut(incarnation) else {
             return;
         };
-        // A process that is not there yet hears nothing: it is told once it is.
-        if one.phase == Phase::Planned {
+        // A process that is not started yet receives no signal: it is told to drain once it runs.
+        if instance.phase == Phase::Planned {
             return;
         }
-        (one.phase, one.since) = (Phase::Draining, now);
+        (instance.phase, instance.phase_since) = (Phase::Draining, now);
         self.version += 1;
         out.push(Effect::Save);
-        out.push(Effect::Leave(incarnation));
+        out.push(Effect::Drain(incarnation));
     }
 
-    /// Tells instances to leave of which there are too many, as far as capacity stays at the floor.
-    fn let_go(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        // Guards against standing still for ever: where a generation that was given up holds all addresses, one of it
-        // that is not warm has to leave before anything else can be started, whatever it still serves.
-        let most = self.bounds.instances + self.bounds.surge;
-        let back = self
+    /// Drains instances beyond the target numbers, as far as the capacity stays at the floor.
+    fn drain_excess(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        // Avoids a deadlock: where a generation that is rolled back occupies all slots, one of its instances that is not
+        // warm has to drain before anything else can start, whatever it still serves.
+        let max_instances = self.settings.instances + self.settings.surge;
+        let rolling_back = self
             .replacement
             .as_ref()
-            .is_some_and(|one| one.mode == Mode::Back);
-        let stuck =
-            back && self.instances.len() >= most && self.have(self.stable) < self.bounds.instances;
-        for (generation, want) in self.wanted() {
-            while self.have(generation) > want {
-                let warm = self
-                    .instances
-                    .iter()
-                    .filter(|one| one.phase == Phase::Warm && one.killed.is_none());
+            .is_some_and(|replacement| replacement.mode == ReplacementMode::Back);
+        let deadlocked = rolling_back
+            && self.instances.len() >= max_instances
+            && self.active_count(self.stable_generation) < self.settings.instances;
+        for (generation, target) in self.target_counts() {
+            while self.active_count(generation) > target {
+                let warm = self.instances.iter().filter(|instance| {
+                    instance.phase == Phase::Warm && instance.killed_at.is_none()
+                });
                 let warm = warm.count() as f64;
                 let draining = self
                     .instances
                     .iter()
-                    .filter(|one| one.phase == Phase::Draining)
+                    .filter(|instance| instance.phase == Phase::Draining)
                     .count();
                 let capacity = self.capacity();
-                // Those first that are worth least; among equals the oldest.
+                // Instances with the least capacity first, among equals the oldest.
                 let candidate = self
                     .instances
                     .iter()
-                    .filter(|one| {
-                        one.generation == generation && one.stays() && one.killed.is_none()
+                    .filter(|instance| {
+                        instance.generation == generation
+                            && instance.is_active()
+                            && instance.killed_at.is_none()
                     })
-                    .filter(|one| one.phase != Phase::Planned)
+                    .filter(|instance| instance.phase != Phase::Planned)
                     .min_by(|a, b| {
-                        a.weight()
-                            .total_cmp(&b.weight())
+                        a.capacity()
+                            .total_cmp(&b.capacity())
                             .then(a.incarnation.cmp(&b.incarnation))
                     });
-                let Some(one) = candidate else { break };
-                let floor = self.bounds.floor();
-                let fits = match one.phase {
-                    // Guards against counting on what may never get warm: warm ones leave for warm ones.
-                    Phase::Warm => warm - 1.0 + ROUNDING >= floor,
+                let Some(instance) = candidate else { break };
+                let floor = self.settings.floor();
+                let keeps_floor = match instance.phase {
+                    // Only warm instances replace a warm one: an instance that is cold now may never become warm.
+                    Phase::Warm => warm - 1.0 + ROUNDING_TOLERANCE >= floor,
                     _ => {
                         warm >= floor
-                            || capacity - one.weight() + ROUNDING >= floor
-                            || stuck && draining == 0
+                            || capacity - instance.capacity() + ROUNDING_TOLERANCE >= floor
+                            || deadlocked && draining == 0
                     }
                 };
-                // What serves nothing yet is no loss.
-                if !(fits && draining < self.bounds.batch || !one.serves()) {
+                // An instance that serves nothing yet can always drain.
+                if !(keeps_floor && draining < self.settings.batch || !instance.is_serving()) {
                     break;
                 }
-                let incarnation = one.incarnation;
-                self.tell_to_leave(now, incarnation, out);
+                let incarnation = instance.incarnation;
+                self.drain(now, incarnation, out);
             }
         }
     }
 
-    /// Starts what is missing, as far as there are addresses and what failed may be started again.
-    fn start(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let most = self.bounds.instances + self.bounds.surge;
-        for (generation, want) in self.wanted() {
-            while self.have(generation) < want && self.instances.len() < most {
-                if self.restarts.earliest_start(now, generation) > now {
+    /// Starts missing instances, as far as there are free slots and the restart backoff allows.
+    fn start_missing(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let max_instances = self.settings.instances + self.settings.surge;
+        for (generation, target) in self.target_counts() {
+            while self.active_count(generation) < target && self.instances.len() < max_instances {
+                if self.restart_backoff.earliest_start(now, generation) > now {
                     break;
                 }
-                let taken =
-                    |address: &usize| self.instances.iter().any(|one| one.address == *address);
-                // Guards against trying again and again an address that somebody else has taken.
-                let last = |address: &usize| self.failed_at.get(address).copied().unwrap_or(0);
-                let Some(address) = (0..most).filter(|address| !taken(address)).min_by_key(last)
+                let is_occupied =
+                    |slot: &usize| self.instances.iter().any(|instance| instance.slot == *slot);
+                // Prefers the slot whose last failure is the oldest: another process may use the address of a slot.
+                let last_failure = |slot: &usize| self.failed_at.get(slot).copied().unwrap_or(0);
+                let Some(slot) = (0..max_instances)
+                    .filter(|slot| !is_occupied(slot))
+                    .min_by_key(last_failure)
                 else {
                     return;
                 };
                 let incarnation = self.next_incarnation;
                 self.next_incarnation += 1;
                 self.version += 1;
-                self.restarts.on_start(now, generation);
+                self.restart_backoff.on_start(now, generation);
                 self.instances.push(Instance {
                     incarnation,
                     generation,
-                    address,
+                    slot,
                     phase: Phase::Planned,
-                    since: now,
+                    phase_since: now,
                     process: None,
-                    heard: now,
+                    last_report_at: now,
                     warmth: 0.0,
                     counts: RequestCounts::default(),
                     baseline: None,
-                    killed: None,
-                    why: None,
+                    killed_at: None,
+                    failure_reason: None,
                 });
-                // Guards against an incarnation that comes twice after a crash of whoever runs this.
+                // Saved before the start, so that a daemon that crashes in between does not reuse the incarnation number.
                 out.push(Effect::Save);
                 out.push(Effect::Spawn {
                     incarnation,
                     generation,
-                    address,
+                    slot,
                 });
             }
         }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,54 +1,63 @@
-//! What a replacement would come to, before anything is touched: the plan itself is played with instances that start, warm
-//! and drain as told, for each way to go about it, and the quickest is taken whose capacity stays above demand. Where
-//! none does, the limit that forbids it is named, and by how much it would have to give.
+//! Plans a replacement before anything is changed: the plan is simulated with instances that start, warm up and drain as
+//! described, for every combination of batch and surge, and the quickest schedule is chosen whose capacity stays above
+//! demand. If there is none, the limit that prevents it is named, together with the value that would suffice.
 
-use crate::plan::{Bounds, Effect, Event, Exit, Phase, Plan, Process, Refused, Status};
+use crate::plan::{
+    Effect, Event, FleetSettings, Phase, Plan, PlanError, ProcessExit, ProcessIdentity,
+    StatusReport,
+};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Capacity is looked at so often, and whenever something happens.
-const SAMPLE: Micros = 250_000;
-/// An instance says so often how warm it is.
-const SAYS: Micros = 100_000;
-/// No replacement is played for longer.
-const LONGEST: Micros = 6 * 3_600_000_000;
-/// Deadlines of the plan play no part here.
-const NEVER: Micros = Micros::MAX / 8;
+/// Interval at which capacity is sampled, in addition to each event.
+const SAMPLE_INTERVAL: Micros = 250_000;
+/// Interval at which a simulated instance reports its warmth.
+const REPORT_INTERVAL: Micros = 100_000;
+/// Maximum simulated time of a replacement.
+const MAX_SIMULATED_TIME: Micros = 6 * 3_600_000_000;
+/// Timeout of the plan that never expires within a simulation.
+const NO_TIMEOUT: Micros = Micros::MAX / 8;
 
-/// What instances on a host are like.
+/// Properties of the host and of one instance on it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Host {
-    /// Cores of the host.
+pub struct HostProfile {
+    /// Number of cores of the host.
     pub cores: f64,
-    /// Cores that one instance at its full rate takes.
-    pub cores_each: f64,
-    /// Requests a second that a warm instance can do.
-    pub rate_each: f64,
-    /// Time from a start to the first word.
-    pub start: Micros,
-    /// Speed at the first word, as a share of a warm one's.
-    pub cold_from: f64,
-    /// Time from the first word until it is warm; the speed grows evenly.
-    pub warm_after: Micros,
-    /// Time from being told to leave to the end.
-    pub drain: Micros,
+    /// Cores that one instance uses at its full rate.
+    #[serde(rename = "cores_each")]
+    pub cores_per_instance: f64,
+    /// Requests per second that a warm instance can serve.
+    #[serde(rename = "rate_each")]
+    pub rate_per_instance: f64,
+    /// Time from the start of a process to its first status report.
+    #[serde(rename = "start")]
+    pub start_duration: Micros,
+    /// Warmth at the first status report, relative to a warm instance.
+    #[serde(rename = "cold_from")]
+    pub initial_warmth: f64,
+    /// Time from the first status report until the instance is warm; the warmth grows linearly.
+    #[serde(rename = "warm_after")]
+    pub warm_up_duration: Micros,
+    /// Time from the drain signal to the end of the process.
+    #[serde(rename = "drain")]
+    pub drain_duration: Micros,
 }
 
-/// Requests a second that are expected, by time from the beginning on; between two points along a line.
+/// Expected requests per second, as points of time since the start and rate; linear between two points.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Forecast(pub Vec<(Micros, f64)>);
 
 impl Forecast {
-    /// What is expected then: before the first point as there, after the last as there.
+    /// Returns the expected rate at `time`; before the first point it is that of the first, after the last that of the last.
     #[must_use]
     pub fn at(&self, time: Micros) -> f64 {
-        let after = self
+        let next = self
             .0
             .iter()
             .position(|point| point.0 > time)
             .unwrap_or(self.0.len());
-        match (after.checked_sub(1).map(|i| self.0[i]), self.0.get(after)) {
+        match (next.checked_sub(1).map(|i| self.0[i]), self.0.get(next)) {
             (Some((from, low)), Some(&(to, high))) => {
                 low + (high - low) * (time - from) as f64 / (to - from).max(1) as f64
             }
@@ -58,417 +67,441 @@
         }
     }
 
-    /// The most that is expected at any time.
+    /// Returns the highest expected rate.
     #[must_use]
     pub fn peak(&self) -> f64 {
         self.0.iter().map(|point| point.1).fold(0.0, f64::max)
     }
 }
 
-/// What is asked.
+/// Input of the planner.
 #[derive(Debug, Clone)]
-pub struct Question {
-    /// Bounds of the fleet; its batch is the largest that may be taken, its surge too.
-    pub bounds: Bounds,
-    /// What instances are like.
-    pub host: Host,
-    /// What is expected.
+pub struct PlannerInput {
+    /// Settings of the fleet; its batch and its surge are the maxima that a schedule may use.
+    pub settings: FleetSettings,
+    /// Properties of the host and its instances.
+    pub host: HostProfile,
+    /// Expected load.
     pub demand: Forecast,
-    /// Capacity has to be above demand by this share.
+    /// Share by which capacity has to exceed demand.
     pub headroom: f64,
 }
 
-/// What happens in a course.
+/// Kind of a step of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum StepKind {
     /// A new instance is started.
     Start,
-    /// It is warm.
+    /// A new instance is warm.
     Warm,
-    /// An old one is told to leave.
-    Leave,
-    /// It is gone.
-    Gone,
+    /// An old instance is told to drain.
+    #[serde(rename = "leave")]
+    Drain,
+    /// An instance has ended.
+    #[serde(rename = "gone")]
+    Exit,
 }
 
-/// A step of a course.
+/// A step of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Step {
-    /// When, from the beginning on.
+    /// Time since the start of the replacement.
     pub at: Micros,
-    /// What.
-    pub what: What,
-    /// With which instance.
+    /// What happens.
+    #[serde(rename = "what")]
+    pub kind: StepKind,
+    /// The number of the instance.
     pub incarnation: u64,
-    /// At which address.
-    pub address: usize,
+    /// Index of the instance's slot.
+    #[serde(rename = "address")]
+    pub slot: usize,
 }
 
-/// A way to replace all.
+/// A simulated replacement of all instances.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Course {
-    /// So many at once.
+pub struct Schedule {
+    /// Maximum number of instances replaced at the same time.
     pub batch: usize,
-    /// So many more than usual.
+    /// Maximum number of additional instances.
     pub surge: usize,
-    /// How long it takes; none where it does not end.
-    pub takes: Option<Micros>,
-    /// The least of capacity beyond what is needed, in requests a second, and when.
-    pub margin: (f64, Micros),
-    /// The most cores that processes would take together.
-    pub cores: f64,
-    /// What happens.
+    /// Duration of the replacement, or `None` if it does not end.
+    #[serde(rename = "takes")]
+    pub duration: Option<Micros>,
+    /// Minimum of the capacity less the required rate, in requests per second, and its time.
+    #[serde(rename = "margin")]
+    pub min_margin: (f64, Micros),
+    /// Maximum number of cores used by all processes together.
+    #[serde(rename = "cores")]
+    pub peak_cores: f64,
+    /// All steps, ordered by time.
     pub steps: Vec<Step>,
-    /// Time, capacity and what is needed.
+    /// Samples of time, capacity and required rate.
     pub samples: Vec<(Micros, f64, f64)>,
 }
 
-impl Course {
-    fn holds(&self) -> bool {
-        self.takes.is_some() && self.margin.0 >= 0.0
+impl Schedule {
+    fn is_feasible(&self) -> bool {
+        self.duration.is_some() && self.min_margin.0 >= 0.0
     }
 }
 
-/// What forbids it.
+/// The limit that prevents a replacement.
 #[derive(Debug, Clone, PartialEq, Serialize, thiserror::Error)]
 pub enum Limit {
-    /// There is too much load for the fleet as it stands.
-    #[error("load: without any replacement {needed:.1} requests a second are needed and {there:.1} are there, {:.1} short", needed - there)]
+    /// The fleet has too little capacity even without a replacement.
+    #[error("load: without any replacement {needed:.1} requests a second are needed and {available:.1} are there, {:.1} short", needed - available)]
     Load {
-        /// What is needed.
+        /// Required requests per second.
         needed: f64,
-        /// What there is.
-        there: f64,
+        /// Available requests per second.
+        #[serde(rename = "there")]
+        available: f64,
     },
-    /// More instances would have to exist at once.
-    #[error("surge: {allowed} are allowed, {needed} would do")]
+    /// More additional instances are needed.
+    #[error("surge: {allowed} allowed, {needed} needed")]
     Surge {
-        /// What is allowed.
+        /// Allowed surge.
         allowed: usize,
-        /// What would do.
+        /// Smallest sufficient surge.
         needed: usize,
     },
-    /// More cores would be needed.
-    #[error("cores: there are {there:.1}, {needed:.1} would do")]
+    /// More cores are needed.
+    #[error("cores: {available:.1} available, {needed:.1} needed")]
     Cores {
-        /// What there is.
-        there: f64,
-        /// What would do.
+        /// Available cores.
+        #[serde(rename = "there")]
+        available: f64,
+        /// Sufficient number of cores.
         needed: f64,
     },
-    /// The load would have to be lower meanwhile.
-    #[error("load meanwhile: {short:.1} requests a second too much at {:.1} s, whatever the surge", *at as f64 / 1e6)]
-    Meanwhile {
-        /// By how much.
-        short: f64,
-        /// When.
+    /// The load during the replacement is too high, whatever the surge.
+    #[error("load during the replacement: {shortfall:.1} requests a second too much at {:.1} s, whatever the surge", *at as f64 / 1e6)]
+    #[serde(rename = "Meanwhile")]
+    LoadDuringReplacement {
+        /// Requests per second that exceed the capacity.
+        #[serde(rename = "short")]
+        shortfall: f64,
+        /// Time since the start of the replacement.
         at: Micros,
     },
 }
 
-/// What came of the question.
+/// Result of the planner.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub enum Answer {
-    /// This is the quickest way.
-    Possible(Course),
-    /// There is none: the way that comes nearest, and what forbids it.
-    Impossible(Box<Course>, Limit),
+pub enum PlannerOutput {
+    /// The quickest feasible schedule.
+    Possible(Schedule),
+    /// No schedule is feasible: the one with the largest margin, and the limit that prevents a replacement.
+    Impossible(Box<Schedule>, Limit),
 }
 
-/// Answers a question.
+/// Searches the quickest feasible schedule.
 ///
 /// # Errors
-/// Where the bounds are none.
-pub fn answer(question: &Question) -> Result<Answer, Refused> {
-    Bounds {
-        surge: question.bounds.surge.max(1),
-        ..question.bounds
+/// Invalid settings.
+pub fn plan_replacement(input: &PlannerInput) -> Result<PlannerOutput, PlanError> {
+    FleetSettings {
+        surge: input.settings.surge.max(1),
+        ..input.settings
     }
     .check()?;
-    let best = search(question, question.bounds.surge);
-    if let Some(course) = best.as_ref().filter(|course| course.holds()) {
-        return Ok(Answer::Possible(course.clone()));
+    let best = search(input, input.settings.surge);
+    if let Some(schedule) = best.as_ref().filter(|schedule| schedule.is_feasible()) {
+        return Ok(PlannerOutput::Possible(schedule.clone()));
     }
-    let limit = limit(question);
-    let nearest = best.or_else(|| search(question, question.bounds.surge.max(1)));
-    let nearest = nearest.ok_or(Refused::Bound("batch: no way to replace anything"))?;
-    Ok(Answer::Impossible(Box::new(nearest), limit))
+    let limit = find_limit(input);
+    let nearest = best.or_else(|| search(input, input.settings.surge.max(1)));
+    let nearest = nearest.ok_or(PlanError::InvalidSetting("batch: no replacement can begin"))?;
+    Ok(PlannerOutput::Impossible(Box::new(nearest), limit))
 }
 
-fn limit(question: &Question) -> Limit {
-    let (host, bounds) = (&question.host, &question.bounds);
-    let needed = question.demand.peak() * (1.0 + question.headroom);
-    let there = capacity(host, bounds.instances as f64);
-    if needed > there {
-        return Limit::Load { needed, there };
+fn find_limit(input: &PlannerInput) -> Limit {
+    let (host, settings) = (&input.host, &input.settings);
+    let needed = input.demand.peak() * (1.0 + input.headroom);
+    let available = capacity(host, settings.instances as f64);
+    if needed > available {
+        return Limit::Load { needed, available };
     }
-    let wide = bounds.instances;
-    let holds = |question: &Question, surge| search(question, surge).filter(Course::holds);
-    if holds(question, wide).is_some() {
-        // The fewest that would do; more never harm.
-        let needed = (bounds.surge + 1..=wide).find(|surge| holds(question, *surge).is_some());
+    let max_surge = settings.instances;
+    let feasible = |input: &PlannerInput, surge| search(input, surge).filter(Schedule::is_feasible);
+    if feasible(input, max_surge).is_some() {
+        // The smallest sufficient surge; a larger one is never worse.
+        let needed =
+            (settings.surge + 1..=max_surge).find(|surge| feasible(input, *surge).is_some());
         return Limit::Surge {
-            allowed: bounds.surge,
-            needed: needed.unwrap_or(wide),
+            allowed: settings.surge,
+            needed: needed.unwrap_or(max_surge),
         };
     }
-    let free = Question {
-        host: Host {
+    let unlimited_cores = PlannerInput {
+        host: HostProfile {
             cores: f64::MAX,
             ..*host
         },
-        ..question.clone()
+        ..input.clone()
     };
-    if let Some(course) = holds(&free, wide) {
+    if let Some(schedule) = feasible(&unlimited_cores, max_surge) {
         return Limit::Cores {
-            there: host.cores,
-            needed: course.cores,
+            available: host.cores,
+            needed: schedule.peak_cores,
         };
     }
-    let best = search(&free, wide).map_or((0.0, 0), |course| course.margin);
-    Limit::Meanwhile {
-        short: -best.0,
+    let best = search(&unlimited_cores, max_surge).map_or((0.0, 0), |schedule| schedule.min_margin);
+    Limit::LoadDuringReplacement {
+        shortfall: -best.0,
         at: best.1,
     }
 }
 
-/// What so many warm instances can do on the host's cores.
-fn capacity(host: &Host, warm: f64) -> f64 {
-    (warm * host.rate_each).min(host.cores / host.cores_each.max(1e-9) * host.rate_each)
+/// Returns the requests per second that `warm` warm instances can serve on the host's cores.
+fn capacity(host: &HostProfile, warm: f64) -> f64 {
+    (warm * host.rate_per_instance)
+        .min(host.cores / host.cores_per_instance.max(1e-9) * host.rate_per_instance)
 }
 
-/// The best of the ways with at most this surge: the quickest that holds, or the one with the largest margin.
-fn search(question: &Question, surge: usize) -> Option<Course> {
-    let mut best: Option<Course> = None;
-    for surge in steps_to(surge, true) {
-        for batch in steps_to(question.bounds.batch.min(question.bounds.instances), false) {
-            let Some(course) = play(question, batch, surge) else {
+/// Returns the best schedule with a surge up to `max_surge`: the quickest feasible one, or else the one with the largest
+/// margin.
+fn search(input: &PlannerInput, max_surge: usize) -> Option<Schedule> {
+    let mut best: Option<Schedule> = None;
+    for surge in candidates_up_to(max_surge, true) {
+        for batch in candidates_up_to(input.settings.batch.min(input.settings.instances), false) {
+            let Some(schedule) = simulate(input, batch, surge) else {
                 continue;
             };
-            let better = best
-                .as_ref()
-                .is_none_or(|best| match (course.holds(), best.holds()) {
-                    (true, true) => course.takes < best.takes,
-                    (false, false) => course.margin.0 > best.margin.0,
-                    (holds, _) => holds,
-                });
-            if better {
-                best = Some(course);
+            let is_better = best.as_ref().is_none_or(|best| {
+                match (schedule.is_feasible(), best.is_feasible()) {
+                    (true, true) => schedule.duration < best.duration,
+                    (false, false) => schedule.min_margin.0 > best.min_margin.0,
+                    (is_feasible, _) => is_feasible,
+                }
+            });
+            if is_better {
+                best = Some(schedule);
             }
         }
     }
     best
 }
 
-/// Numbers up to this one: each of the small, fewer of the large.
-fn steps_to(most: usize, zero: bool) -> Vec<usize> {
-    let mut all: Vec<usize> = if zero { vec![0] } else { Vec::new() };
+/// Returns candidate values up to `max`: all small values, and fewer of the large ones.
+fn candidates_up_to(max: usize, include_zero: bool) -> Vec<usize> {
+    let mut candidates: Vec<usize> = if include_zero { vec![0] } else { Vec::new() };
     let mut next = 1;
-    while next < most {
-        all.push(next);
+    while next < max {
+        candidates.push(next);
         next += (next / 4).max(1);
     }
-    if most > 0 {
-        all.push(most);
+    if max > 0 {
+        candidates.push(max);
     }
-    all
+    candidates
 }
 
-/// Plays a replacement; nothing where it could not begin.
+/// Simulates a replacement; returns `None` if it can't begin.
 #[must_use]
-pub fn play(question: &Question, batch: usize, surge: usize) -> Option<Course> {
-    let host = question.host;
-    let bounds = Bounds {
+pub fn simulate(input: &PlannerInput, batch: usize, surge: usize) -> Option<Schedule> {
+    let host = input.host;
+    let settings = FleetSettings {
         batch,
         surge,
-        start_within: NEVER,
-        warm_within: NEVER,
-        drain_within: NEVER,
-        silent_within: NEVER,
-        ..question.bounds
+        start_timeout: NO_TIMEOUT,
+        warm_up_timeout: NO_TIMEOUT,
+        drain_timeout: NO_TIMEOUT,
+        report_timeout: NO_TIMEOUT,
+        ..input.settings
     };
-    let mut stage = Stage {
-        plan: Plan::new(bounds, 1, 0).ok()?,
+    let mut simulation = Simulation {
+        plan: Plan::new(settings, 1, 0).ok()?,
         host,
-        due: BTreeMap::new(),
-        order: 0,
+        pending_events: BTreeMap::new(),
+        sequence: 0,
         fleet_is_up: false,
         steps: Vec::new(),
     };
     let mut out = Vec::new();
-    stage.plan.recover(0, Vec::new(), &mut out);
-    stage.obey(0, out);
-    stage.run(0);
-    stage.fleet_is_up = true;
+    simulation.plan.recover(0, Vec::new(), &mut out);
+    simulation.execute_effects(0, out);
+    simulation.run_due_events(0);
+    simulation.fleet_is_up = true;
     let mut out = Vec::new();
-    stage.plan.replace(0, 2, &mut out).ok()?;
-    stage.obey(0, out);
-    let mut course = Course {
+    simulation.plan.begin_replacement(0, 2, &mut out).ok()?;
+    simulation.execute_effects(0, out);
+    let mut schedule = Schedule {
         batch,
         surge,
-        takes: None,
-        margin: (f64::INFINITY, 0),
-        cores: 0.0,
+        duration: None,
+        min_margin: (f64::INFINITY, 0),
+        peak_cores: 0.0,
         steps: Vec::new(),
         samples: Vec::new(),
     };
-    let (mut now, mut sampled) = (0, 0);
+    let (mut now, mut next_sample) = (0, 0);
     loop {
-        stage.run(now);
-        course.look(question, &stage.plan, now);
-        if stage.plan.at_rest() && stage.due.is_empty() {
-            course.takes = Some(now);
+        simulation.run_due_events(now);
+        schedule.record_sample(input, &simulation.plan, now);
+        if simulation.plan.is_converged() && simulation.pending_events.is_empty() {
+            schedule.duration = Some(now);
             break;
         }
-        let Some(next) = stage.due.keys().next().map(|due| due.0) else {
+        let Some(next_event) = simulation.pending_events.keys().next().map(|key| key.0) else {
             break;
         };
-        sampled = sampled.max(now) + SAMPLE;
-        now = next.min(sampled).max(now);
-        if now > LONGEST {
+        next_sample = next_sample.max(now) + SAMPLE_INTERVAL;
+        now = next_event.min(next_sample).max(now);
+        if now > MAX_SIMULATED_TIME {
             break;
         }
     }
-    course.steps = stage.steps;
-    Some(course)
+    schedule.steps = simulation.steps;
+    Some(schedule)
 }
 
-impl Course {
-    fn look(&mut self, question: &Question, plan: &Plan, now: Micros) {
-        let host = &question.host;
-        let there = capacity(host, plan.capacity());
-        let needed = question.demand.at(now) * (1.0 + question.headroom);
-        if there - needed < self.margin.0 {
-            self.margin = (there - needed, now);
+impl Schedule {
+    fn record_sample(&mut self, input: &PlannerInput, plan: &Plan, now: Micros) {
+        let host = &input.host;
+        let available = capacity(host, plan.capacity());
+        let needed = input.demand.at(now) * (1.0 + input.headroom);
+        if available - needed < self.min_margin.0 {
+            self.min_margin = (available - needed, now);
         }
-        let runs = plan
+        let processes = plan
             .instances()
             .iter()
-            .filter(|one| one.phase != Phase::Planned)
+            .filter(|instance| instance.phase != Phase::Planned)
             .count();
-        self.cores = self.cores.max(runs as f64 * host.cores_each);
+        self.peak_cores = self
+            .peak_cores
+            .max(processes as f64 * host.cores_per_instance);
         if self
             .samples
             .last()
-            .is_none_or(|last| now >= last.0 + SAMPLE || last.1 != there)
+            .is_none_or(|last| now >= last.0 + SAMPLE_INTERVAL || last.1 != available)
         {
-            self.samples.push((now, there, needed));
+            self.samples.push((now, available, needed));
         }
     }
 }
 
-/// Instances that do as they are told.
-struct Stage {
+/// A plan with simulated instances that obey every signal.
+struct Simulation {
     plan: Plan,
-    host: Host,
-    due: BTreeMap<(Micros, u64), Event>,
-    order: u64,
+    host: HostProfile,
+    /// Future events by time and sequence number.
+    pending_events: BTreeMap<(Micros, u64), Event>,
+    sequence: u64,
+    /// Whether the first generation is up; before that, instances start at once and no steps are recorded.
     fleet_is_up: bool,
     steps: Vec<Step>,
 }
 
-impl Stage {
-    fn later(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.due.insert((at, self.order), event);
+impl Simulation {
+    fn schedule_event(&mut self, at: Micros, event: Event) {
+        self.sequence += 1;
+        self.pending_events.insert((at, self.sequence), event);
     }
 
-    fn step(&mut self, at: Micros, what: What, incarnation: u64) {
-        let one = self
+    fn record_step(&mut self, at: Micros, kind: StepKind, incarnation: u64) {
+        let instance = self
             .plan
             .instances()
             .iter()
-            .find(|one| one.incarnation == incarnation);
-        if let (Some(one), true) = (one, self.fleet_is_up) {
+            .find(|instance| instance.incarnation == incarnation);
+        if let (Some(instance), true) = (instance, self.fleet_is_up) {
             self.steps.push(Step {
                 at,
-                what,
+                kind,
                 incarnation,
-                address: one.address,
+                slot: instance.slot,
             });
         }
     }
 
-    fn obey(&mut self, now: Micros, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, now: Micros, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Spawn { incarnation, .. } => {
-                    self.step(now, What::Start, incarnation);
-                    self.later(
+                    self.record_step(now, StepKind::Start, incarnation);
+                    self.schedule_event(
                         now,
                         Event::Spawned(
                             incarnation,
-                            Process {
+                            ProcessIdentity {
                                 pid: 1,
-                                start: incarnation,
+                                start_ticks: incarnation,
                             },
                         ),
                     );
-                    let says = |warmth| {
-                        Event::Heard(
+                    let status_report = |warmth| {
+                        Event::StatusReported(
                             incarnation,
-                            Status {
+                            StatusReport {
                                 warmth,
-                                ..Status::default()
+                                ..StatusReport::default()
                             },
                         )
                     };
                     if !self.fleet_is_up {
-                        self.later(now, says(1.0));
+                        self.schedule_event(now, status_report(1.0));
                         continue;
                     }
-                    let (host, begins) = (self.host, now + self.host.start);
-                    let mut passed = 0;
-                    while passed < host.warm_after {
-                        let share = passed as f64 / host.warm_after as f64;
-                        self.later(
-                            begins + passed,
-                            says(host.cold_from + (1.0 - host.cold_from) * share),
+                    let (host, started_at) = (self.host, now + self.host.start_duration);
+                    let mut elapsed = 0;
+                    while elapsed < host.warm_up_duration {
+                        let share = elapsed as f64 / host.warm_up_duration as f64;
+                        self.schedule_event(
+                            started_at + elapsed,
+                            status_report(
+                                host.initial_warmth + (1.0 - host.initial_warmth) * share,
+                            ),
                         );
-                        passed += SAYS;
+                        elapsed += REPORT_INTERVAL;
                     }
-                    self.later(begins + host.warm_after, says(1.0));
+                    self.schedule_event(started_at + host.warm_up_duration, status_report(1.0));
                 }
-                Effect::Leave(incarnation) => {
-                    self.step(now, What::Leave, incarnation);
-                    self.later(
-                        now + self.host.drain,
-                        Event::Exited(incarnation, Exit::Clean),
+                Effect::Drain(incarnation) => {
+                    self.record_step(now, StepKind::Drain, incarnation);
+                    self.schedule_event(
+                        now + self.host.drain_duration,
+                        Event::Exited(incarnation, ProcessExit::Clean),
                     );
                 }
                 Effect::Kill(incarnation) => {
-                    self.later(now, Event::Exited(incarnation, Exit::Signal(9)));
+                    self.schedule_event(now, Event::Exited(incarnation, ProcessExit::Signal(9)));
                 }
-                Effect::Save | Effect::Note(_) => {}
+                Effect::Save | Effect::Notify(_) => {}
             }
         }
     }
 
-    /// All that is due by now.
-    fn run(&mut self, now: Micros) {
-        while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
+    /// Delivers all events that are due at `now`.
+    fn run_due_events(&mut self, now: Micros) {
+        while let Some(entry) = self
+            .pending_events
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             let event = entry.remove();
             let (Event::Spawned(incarnation, _)
-            | Event::NotSpawned(incarnation, _)
-            | Event::Heard(incarnation, _)
+            | Event::SpawnFailed(incarnation, _)
+            | Event::StatusReported(incarnation, _)
             | Event::Exited(incarnation, _)) = event;
-            let phase = |plan: &Plan| {
+            let phase_of = |plan: &Plan| {
                 plan.instances()
                     .iter()
-                    .find(|one| one.incarnation == incarnation)
-                    .map(|one| one.phase)
+                    .find(|instance| instance.incarnation == incarnation)
+                    .map(|instance| instance.phase)
             };
-            let before = phase(&self.plan);
+            let old_phase = phase_of(&self.plan);
             if matches!(event, Event::Exited(..)) {
-                self.step(now, What::Gone, incarnation);
+                self.record_step(now, StepKind::Exit, incarnation);
             }
             let mut out = Vec::new();
-            self.plan.handle(now, event, &mut out);
-            if before != Some(Phase::Warm) && phase(&self.plan) == Some(Phase::Warm) {
-                self.step(now, What::Warm, incarnation);
+            self.plan.handle_event(now, event, &mut out);
+            if old_phase != Some(Phase::Warm) && phase_of(&self.plan) == Some(Phase::Warm) {
+                self.record_step(now, StepKind::Warm, incarnation);
             }
-            self.obey(now, out);
+            self.execute_effects(now, out);
         }
     }
 }
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -1,8 +1,8 @@
-//! Processes of the system: started apart from the daemon's own, so that they outlive it, and known by a descriptor that
-//! means this process and no other that gets its number later.
+//! Processes of instances. They run in process groups of their own, so that they outlive the daemon, and are referred to
+//! by a pidfd, which keeps denoting the same process even if the kernel reuses its id.
 
 use crate::instance_config::{Release, Slot};
-use crate::plan::{Exit, Process};
+use crate::plan::{ProcessExit, ProcessIdentity};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::fs::{File, OpenOptions};
@@ -11,84 +11,84 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// A process that runs for an instance.
-pub struct Running {
-    /// Which.
-    pub process: Process,
-    descriptor: OwnedFd,
-    /// Where this daemon has started it itself.
+/// Handle of a running process of an instance.
+pub struct ProcessHandle {
+    /// Identity of the process.
+    pub identity: ProcessIdentity,
+    pidfd: OwnedFd,
+    /// The child, if this daemon started the process itself.
     child: Option<Child>,
 }
 
-/// What an instance is told when it is started.
-pub struct Start<'a> {
-    /// Its place.
-    pub place: &'a Slot,
-    /// What it runs.
+/// Parameters of a new instance process.
+pub struct LaunchOptions<'a> {
+    /// The instance's slot.
+    pub slot: &'a Slot,
+    /// The release to run.
     pub release: &'a Release,
-    /// Where it tells how it is.
-    pub socket: &'a Path,
-    /// Its number.
+    /// Path of the socket for status reports.
+    pub status_socket: &'a Path,
+    /// The instance's number.
     pub incarnation: u64,
-    /// What proves it.
+    /// The token with which the instance proves its number.
     pub token: &'a str,
-    /// Where its log goes.
-    pub log: &'a Path,
-    /// The listening socket that it shares with others, where there is one.
+    /// Path of the instance's log.
+    pub log_path: &'a Path,
+    /// The listening socket shared by all instances, if there is one.
     pub listener: Option<OwnedFd>,
 }
 
-impl Running {
+impl ProcessHandle {
     /// Starts a process.
     ///
     /// # Errors
-    /// The system's.
-    pub fn start(start: Start<'_>) -> io::Result<Self> {
+    /// Errors of the operating system.
+    pub fn spawn(options: LaunchOptions<'_>) -> io::Result<Self> {
         let log = OpenOptions::new()
             .create(true)
             .append(true)
-            .open(start.log)?;
-        let mut command = Command::new(&start.release.program);
+            .open(options.log_path)?;
+        let mut command = Command::new(&options.release.program);
         command
             .arg("serve")
             .arg("--config")
-            .arg(&start.place.config);
+            .arg(&options.slot.config);
         command
             .arg("--name")
-            .arg(&start.place.name)
+            .arg(&options.slot.name)
             .arg("--listen")
-            .arg(start.place.listen.to_string());
-        if let Some(operator) = &start.release.operator {
+            .arg(options.slot.listen.to_string());
+        if let Some(operator) = &options.release.operator {
             let path = operator
                 .to_string_lossy()
-                .replace("{place}", &start.place.name);
+                .replace("{place}", &options.slot.name);
             command.arg("--operator").arg(path);
         }
-        command.arg("--fleet-socket").arg(start.socket);
+        command.arg("--fleet-socket").arg(options.status_socket);
         command
             .arg("--fleet-instance")
-            .arg(format!("{}:{}", start.incarnation, start.token));
-        // What a terminal sends to the daemon is not for them.
-        match start.listener {
-            // Handed over as standard input: no process gets more descriptors than those it is told of.
+            .arg(format!("{}:{}", options.incarnation, options.token));
+        match options.listener {
+            // Passed as standard input, so that the process inherits no other descriptors.
             Some(listener) => command
                 .arg("--inherit-listener")
                 .stdin(Stdio::from(listener)),
             None => command.stdin(Stdio::null()),
         };
+        // In a process group of its own: signals from the daemon's terminal don't reach it.
         command
             .process_group(0)
             .stdout(log.try_clone()?)
             .stderr(log);
         let mut child = command.spawn()?;
-        match Self::open(child.id()) {
-            Ok((process, descriptor)) => Ok(Self {
-                process,
-                descriptor,
+        match Self::open_pidfd(child.id()) {
+            Ok((identity, pidfd)) => Ok(Self {
+                identity,
+                pidfd,
                 child: Some(child),
             }),
             Err(e) => {
-                // Guards against a process that nobody would watch.
+                // Without a pidfd the process could not be supervised.
                 let _ = child.kill();
                 let _ = child.wait();
                 Err(e)
@@ -96,100 +96,101 @@
         }
     }
 
-    /// Takes up a process that another daemon has started. None where it is gone, or its number belongs to another.
+    /// Adopts a process that another daemon started. Returns `None` if it has ended or its id was reused.
     #[must_use]
-    pub fn adopt(process: Process) -> Option<Self> {
-        let (found, descriptor) = Self::open(process.pid).ok()?;
-        (found == process).then_some(Self {
-            process,
-            descriptor,
+    pub fn adopt(identity: ProcessIdentity) -> Option<Self> {
+        let (found, pidfd) = Self::open_pidfd(identity.pid).ok()?;
+        (found == identity).then_some(Self {
+            identity,
+            pidfd,
             child: None,
         })
     }
 
-    /// The process with this number now.
-    fn open(pid: u32) -> io::Result<(Process, OwnedFd)> {
-        let number = i32::try_from(pid)
+    /// Opens the process that has this id now.
+    fn open_pidfd(pid: u32) -> io::Result<(ProcessIdentity, OwnedFd)> {
+        let raw_pid = i32::try_from(pid)
             .ok()
             .and_then(Pid::from_raw)
             .ok_or(io::ErrorKind::InvalidInput)?;
-        let descriptor = pidfd_open(number, PidfdFlags::empty())?;
-        // Read after the descriptor is open: as long as the two agree nobody else can have the number.
-        let start = started(pid)?;
-        Ok((Process { pid, start }, descriptor))
+        let pidfd = pidfd_open(raw_pid, PidfdFlags::empty())?;
+        // Read after the pidfd is open: if the start time matches then, the id was not reused.
+        let start_ticks = read_start_ticks(pid)?;
+        Ok((ProcessIdentity { pid, start_ticks }, pidfd))
     }
 
-    /// Becomes readable when the process has ended.
+    /// Returns the pidfd, which becomes readable when the process has ended.
     #[must_use]
-    pub fn descriptor(&self) -> BorrowedFd<'_> {
-        self.descriptor.as_fd()
+    pub fn pidfd(&self) -> BorrowedFd<'_> {
+        self.pidfd.as_fd()
     }
 
-    /// Sends a signal; one that has ended already is no failure, its end is told elsewhere.
+    /// Sends a signal. Errors are ignored: a process that has already ended is reported through its pidfd.
     pub fn signal(&self, signal: Signal) {
-        let _ = pidfd_send_signal(&self.descriptor, signal);
+        let _ = pidfd_send_signal(&self.pidfd, signal);
     }
 
-    /// How it ended, once its descriptor is readable.
-    pub fn ended(&mut self) -> Exit {
+    /// Returns how the process ended, once its pidfd is readable.
+    pub fn wait(&mut self) -> ProcessExit {
         let Some(child) = &mut self.child else {
-            return Exit::Unseen;
+            return ProcessExit::Unobserved;
         };
         match child.wait() {
             Ok(status) => match (status.code(), status.signal()) {
-                (Some(0), _) => Exit::Clean,
-                (Some(code), _) => Exit::Status(code),
-                (None, Some(signal)) => Exit::Signal(signal),
-                (None, None) => Exit::Unseen,
+                (Some(0), _) => ProcessExit::Clean,
+                (Some(code), _) => ProcessExit::Status(code),
+                (None, Some(signal)) => ProcessExit::Signal(signal),
+                (None, None) => ProcessExit::Unobserved,
             },
-            Err(_) => Exit::Unseen,
+            Err(_) => ProcessExit::Unobserved,
         }
     }
 }
 
-/// When the system started a process, in its ticks.
+/// Returns when the system started a process, in clock ticks since boot.
 ///
 /// # Errors
-/// Where there is none.
-pub fn started(pid: u32) -> io::Result<u64> {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name before it may hold spaces and brackets.
-    let fields = text
+/// There is no such process.
+pub fn read_start_ticks(pid: u32) -> io::Result<u64> {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
+    // The process name before the last bracket may contain spaces and brackets.
+    let fields = stat
         .rsplit_once(')')
         .map(|(_, rest)| rest.split_whitespace());
-    let start = fields.and_then(|mut fields| fields.nth(19)?.parse().ok());
-    start.ok_or_else(|| io::ErrorKind::InvalidData.into())
+    let start_ticks = fields.and_then(|mut fields| fields.nth(19)?.parse().ok());
+    start_ticks.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// Processes that were started with these words among their arguments.
+/// Returns the processes that have `argument` among their command line arguments.
 #[must_use]
-pub fn find(words: &str) -> Vec<Process> {
+pub fn find_by_argument(argument: &str) -> Vec<ProcessIdentity> {
     let Ok(folder) = std::fs::read_dir("/proc") else {
         return Vec::new();
     };
     let pids = folder
         .flatten()
         .filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
-    let has = |pid: &u32| {
-        let line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        line.split(|byte| *byte == 0)
-            .any(|word| word == words.as_bytes())
+    let has_argument = |pid: &u32| {
+        let command_line = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
+        command_line
+            .split(|byte| *byte == 0)
+            .any(|word| word == argument.as_bytes())
     };
-    pids.filter(has)
+    pids.filter(has_argument)
         .filter_map(|pid| {
-            Some(Process {
+            Some(ProcessIdentity {
                 pid,
-                start: started(pid).ok()?,
+                start_ticks: read_start_ticks(pid).ok()?,
             })
         })
         .collect()
 }
 
-/// A secret that nobody else knows.
+/// Returns a random secret.
 ///
 /// # Errors
-/// The system's.
-pub fn secret() -> io::Result<u64> {
+/// Errors of the operating system.
+pub fn random_secret() -> io::Result<u64> {
     use std::io::Read;
     let mut bytes = [0; 8];
     File::open("/dev/urandom")?.read_exact(&mut bytes)?;
@@ -201,21 +202,21 @@
     use super::*;
 
     #[test]
-    fn a_number_that_another_process_has_now_is_not_taken_up() {
+    fn does_not_adopt_a_process_that_ended_or_whose_id_was_reused() {
         let pid = std::process::id();
-        let start = started(pid).expect("this process");
-        assert!(Running::adopt(Process { pid, start }).is_some());
-        assert!(Running::adopt(Process {
+        let start_ticks = read_start_ticks(pid).expect("this process");
+        assert!(ProcessHandle::adopt(ProcessIdentity { pid, start_ticks }).is_some());
+        assert!(ProcessHandle::adopt(ProcessIdentity {
             pid,
-            start: start - 1
+            start_ticks: start_ticks - 1
         })
         .is_none());
         let mut child = Command::new("true").spawn().expect("a process");
-        let gone = Process {
+        let ended = ProcessIdentity {
             pid: child.id(),
-            start: started(child.id()).expect("it is there until it is waited for"),
+            start_ticks: read_start_ticks(child.id()).expect("it is there until it is waited for"),
         };
         child.wait().expect("it ends");
-        assert!(Running::adopt(gone).is_none());
+        assert!(ProcessHandle::adopt(ended).is_none());
     }
 }
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -5,13 +5,13 @@
 use cleatpulley_emulators::callers::{Callers, Front, Plan, Tally};
 use cleatpulley_emulators::host::{look, shared, Clock, Host as Services, Running, Shared};
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_fleet::daemon::ask;
-use cleatpulley_fleet::plan::{Bounds, Phase};
-use cleatpulley_fleet::planner::{self, Answer, Forecast, Host, Question};
+use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
+use cleatpulley_fleet::daemon::send_command;
+use cleatpulley_fleet::fault_simulation;
+use cleatpulley_fleet::plan::{FleetSettings, Phase};
+use cleatpulley_fleet::planner::{self, Forecast, HostProfile, PlannerInput, PlannerOutput};
 use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::RestartPolicy;
-use cleatpulley_fleet::trial;
-use cleatpulley_fleet::view::{Ask, Reply, View};
 use std::collections::{BTreeMap, HashSet};
 use std::fs;
 use std::io;
@@ -146,19 +146,19 @@
         Ok(())
     }
 
-    fn ask(&self, what: &Ask) -> Result<View, String> {
-        match ask(&self.folder.join("state"), what) {
-            Ok(Reply::Fleet(view)) => Ok(*view),
-            Ok(Reply::Refused(why)) => Err(why),
+    fn ask(&self, what: &ControlCommand) -> Result<FleetView, String> {
+        match send_command(&self.folder.join("state"), what) {
+            Ok(ControlResponse::Fleet(view)) => Ok(*view),
+            Ok(ControlResponse::Rejected(why)) => Err(why),
             Err(e) => Err(e.to_string()),
         }
     }
 
-    fn view(&self) -> Result<View, String> {
-        self.ask(&Ask::Status)
+    fn view(&self) -> Result<FleetView, String> {
+        self.ask(&ControlCommand::Status)
     }
 
-    fn wait(&self, what: &str, until: impl Fn(&View) -> bool) -> Result<View, String> {
+    fn wait(&self, what: &str, until: impl Fn(&FleetView) -> bool) -> Result<FleetView, String> {
         let since = Instant::now();
         loop {
             match self.view() {
@@ -167,7 +167,10 @@
                     let log =
                         fs::read_to_string(self.folder.join("daemon.log")).unwrap_or_default();
                     let end: Vec<_> = log.lines().rev().take(5).collect();
-                    return Err(format!("{what}: {:?}; {end:?}", last.map(|view| view.gone)));
+                    return Err(format!(
+                        "{what}: {:?}; {end:?}",
+                        last.map(|view| view.terminated)
+                    ));
                 }
                 _ => std::thread::sleep(Duration::from_millis(1)),
             }
@@ -198,12 +201,12 @@
 }
 
 impl Senders {
-    fn by(&self, view: &View) {
+    fn by(&self, view: &FleetView) {
         let weight = |address: &SocketAddr| {
             let one = view
                 .instances
                 .iter()
-                .find(|one| one.place.listen == *address);
+                .find(|one| one.slot.listen == *address);
             one.map_or(0.0, |one| match one.phase {
                 Phase::Warm => 1.0,
                 Phase::Cold => one.warmth,
@@ -323,9 +326,10 @@
     );
     let mut yard = Yard::new(program, "load", &configs, &operators, &rest).map_err(text)?;
     yard.up().map_err(text)?;
-    let view = yard.wait("all warm", |view| view.at_rest)?;
-    let file = cleatpulley::operator::fleet::Fleet::load(&yard.file).map_err(|e| e.to_string())?;
-    let listen: Vec<_> = file.places.iter().map(|place| place.listen).collect();
+    let view = yard.wait("all warm", |view| view.converged)?;
+    let file =
+        cleatpulley::operator::fleet::FleetConfig::load(&yard.file).map_err(|e| e.to_string())?;
+    let listen: Vec<_> = file.slots.iter().map(|slot| slot.listen).collect();
     let clock = Clock::default();
     let mut services = Services::default();
     let mut callers = Vec::new();
@@ -365,7 +369,7 @@
         _running: running,
     };
     senders.by(&view);
-    let go_on = |until: &dyn Fn(&View, Duration) -> bool| -> Result<Duration, String> {
+    let go_on = |until: &dyn Fn(&FleetView, Duration) -> bool| -> Result<Duration, String> {
         let begun = Instant::now();
         loop {
             let view = yard.view()?;
@@ -383,7 +387,7 @@
     let (before, used) = (senders.total(), yard.daemon_uses());
     go_on(&|_, passed| passed > Duration::from_secs(8))?;
     let (calm, used_after) = (senders.total(), yard.daemon_uses());
-    yard.ask(&Ask::Replace {
+    yard.ask(&ControlCommand::Replace {
         generation: 2,
         releases: Vec::new(),
     })?;
@@ -416,10 +420,10 @@
         100.0 * calm.2,
         100.0 * change.2
     );
-    if view.stable != 2 {
+    if view.stable_generation != 2 {
         short.push(format!(
             "load {load}: the replacement went back: {:?}",
-            view.gone.last()
+            view.terminated.last()
         ));
     }
     if load <= 0.7 && lost > 2.0 {
@@ -435,15 +439,15 @@
     );
     // The planner's bound, told the same.
     let mut question = question(INSTANCES, load);
-    question.bounds = file.bounds;
-    question.host = Host {
-        start: SECOND / 10,
-        warm_after: 4 * SECOND,
-        drain: 1_500_000,
+    question.settings = file.settings;
+    question.host = HostProfile {
+        start_duration: SECOND / 10,
+        warm_up_duration: 4 * SECOND,
+        drain_duration: 1_500_000,
         ..question.host
     };
-    let bound = planner::play(&question, SURGE, SURGE)
-        .and_then(|course| course.takes)
+    let bound = planner::simulate(&question, SURGE, SURGE)
+        .and_then(|course| course.duration)
         .unwrap_or_default();
     let ratio = takes.as_secs_f64() * 1e6 / bound.max(1) as f64;
     say!(
@@ -464,7 +468,7 @@
             after.1 as f64 / 1e3
         );
     }
-    yard.ask(&Ask::Down)?;
+    yard.ask(&ControlCommand::Shutdown)?;
     Ok(())
 }
 
@@ -487,7 +491,7 @@
     let mut yard = Yard::new(program, "many", &configs, &[], &rest).map_err(text)?;
     yard.up().map_err(text)?;
     let begun = Instant::now();
-    let all_cold = |view: &View| {
+    let all_cold = |view: &FleetView| {
         view.instances.len() == MANY && view.instances.iter().all(|one| one.phase == Phase::Cold)
     };
     let view = yard.wait("all there", all_cold)?;
@@ -513,7 +517,7 @@
         signal(pid, rustix::process::Signal::KILL);
         let begun = Instant::now();
         yard.wait("a death", |view| {
-            view.gone.iter().any(|one| one.incarnation == number)
+            view.terminated.iter().any(|one| one.incarnation == number)
         })?;
         worst = worst.max(begun.elapsed());
     }
@@ -535,13 +539,13 @@
         signal(pid, rustix::process::Signal::STOP);
         let begun = Instant::now();
         yard.wait("a hang", |view| {
-            view.gone.iter().any(|one| one.incarnation == number)
+            view.terminated.iter().any(|one| one.incarnation == number)
         })?;
         let hang = begun.elapsed().as_secs_f64();
         say!("  one that hangs is killed and gone after {hang:.2} s, where silence of 1 s is allowed");
     }
     let view = yard.wait("all there again", all_cold)?;
-    let pids = |view: &View| {
+    let pids = |view: &FleetView| {
         view.instances
             .iter()
             .filter_map(|one| one.pid)
@@ -561,7 +565,7 @@
     if pids(&view) != known {
         short.push("the next daemon did not take up the same processes".to_owned());
     }
-    yard.ask(&Ask::Down)?;
+    yard.ask(&ControlCommand::Shutdown)?;
     Ok(())
 }
 
@@ -579,15 +583,15 @@
                 if seed >= TRIALS {
                     return;
                 }
-                let outcome = trial::play(seed);
+                let outcome = fault_simulation::run(seed);
                 if let (Ok(mut met), Ok(mut broken)) = (met.lock(), broken.lock()) {
                     outcome
-                        .met
+                        .situations
                         .into_iter()
                         .for_each(|(name, number)| *met.entry(name).or_default() += number);
                     broken.extend(
                         outcome
-                            .broken
+                            .violations
                             .into_iter()
                             .map(|what| format!("trial {seed}: {what}")),
                     );
@@ -605,19 +609,19 @@
     short.extend(broken.into_inner().unwrap_or_default());
 }
 
-fn question(instances: usize, load: f64) -> Question {
+fn question(instances: usize, load: f64) -> PlannerInput {
     let rate_each = 150.0;
-    Question {
-        bounds: Bounds {
+    PlannerInput {
+        settings: FleetSettings {
             instances,
             surge: 4,
             batch: instances,
-            minimum: 0.0,
-            start_within: 5 * SECOND,
-            warm_within: 60 * SECOND,
-            drain_within: 10 * SECOND,
-            silent_within: 2 * SECOND,
-            crashes: 3,
+            min_capacity: 0.0,
+            start_timeout: 5 * SECOND,
+            warm_up_timeout: 60 * SECOND,
+            drain_timeout: 10 * SECOND,
+            report_timeout: 2 * SECOND,
+            failure_limit: 3,
             regression: RegressionThresholds {
                 min_samples: 500,
                 max_rejected_increase: 0.05,
@@ -632,14 +636,14 @@
                 budget_window: 60 * SECOND,
             },
         },
-        host: Host {
+        host: HostProfile {
             cores: (instances + 4) as f64,
-            cores_each: 1.0,
-            rate_each,
-            start: SECOND / 2,
-            cold_from: 0.25,
-            warm_after: 4 * SECOND,
-            drain: 3 * SECOND,
+            cores_per_instance: 1.0,
+            rate_per_instance: rate_each,
+            start_duration: SECOND / 2,
+            initial_warmth: 0.25,
+            warm_up_duration: 4 * SECOND,
+            drain_duration: 3 * SECOND,
         },
         demand: Forecast(vec![(0, load * rate_each * instances as f64)]),
         headroom: 0.02,
@@ -652,11 +656,11 @@
     for load in [0.5, 0.7, 0.9, 0.97] {
         let question = question(20, load);
         let begun = Instant::now();
-        let answer = planner::answer(&question);
+        let answer = planner::plan_replacement(&question);
         let computed = begun.elapsed().as_secs_f64();
         let course = match answer {
-            Ok(Answer::Possible(course)) => course,
-            Ok(Answer::Impossible(_, limit)) => {
+            Ok(PlannerOutput::Possible(course)) => course,
+            Ok(PlannerOutput::Impossible(_, limit)) => {
                 say!("  load {load:.2}: not possible: {limit}");
                 short.push(format!("no plan at load {load}"));
                 continue;
@@ -666,26 +670,26 @@
                 continue;
             }
         };
-        let takes = course.takes.unwrap_or_default();
+        let takes = course.duration.unwrap_or_default();
         say!(
             "  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
             course.batch,
             course.surge,
             takes as f64 / 1e6,
-            course.margin.0
+            course.min_margin.0
         );
         for (batch, surge) in [(1, 0), (1, 1), (2, 0), (5, 0), (10, 0), (20, 0)] {
-            let Some(fixed) = planner::play(&question, batch, surge) else {
+            let Some(fixed) = planner::simulate(&question, batch, surge) else {
                 continue;
             };
-            let holds = fixed.margin.0 >= 0.0;
+            let holds = fixed.min_margin.0 >= 0.0;
             say!(
                 "    fixed: batch {batch:>2}, surge {surge}: {:>5.1} s, margin {:>7.1} a second{}",
-                fixed.takes.unwrap_or_default() as f64 / 1e6,
-                fixed.margin.0,
+                fixed.duration.unwrap_or_default() as f64 / 1e6,
+                fixed.min_margin.0,
                 if holds { "" } else { "  (too little)" }
             );
-            if holds && fixed.takes.is_some_and(|fixed| fixed < takes) {
+            if holds && fixed.duration.is_some_and(|fixed| fixed < takes) {
                 short.push(format!(
                     "load {load}: a fixed batch of {batch} is quicker than the plan"
                 ));
