--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -2,10 +2,10 @@
 //! come to.
 
 use clap::{Args, Subcommand};
-use cleatpulley::operator::fleet::Fleet as FleetFile;
-use cleatpulley_fleet::daemon::{self, Daemon, Wanted};
-use cleatpulley_fleet::planner::{self, Answer, Course, Question, What};
-use cleatpulley_fleet::view::{Ask, Reply, View};
+use cleatpulley::operator::fleet::FleetConfig as FleetFile;
+use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
+use cleatpulley_fleet::daemon::{self, Daemon, FleetSpec};
+use cleatpulley_fleet::planner::{self, PlannerInput, PlannerOutput, Schedule, StepKind};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -74,7 +74,7 @@
 pub fn run(fleet: &Fleet) -> Result<ExitCode, String> {
     match fleet {
         Fleet::Up { file, generation } => up(file, *generation),
-        Fleet::Status(asked) => tell(asked, &Ask::Status),
+        Fleet::Status(asked) => tell(asked, &ControlCommand::Status),
         Fleet::Replace {
             generation,
             asked,
@@ -82,7 +82,7 @@
         } => {
             let file = load(&asked.file)?;
             let releases = file.releases.into_iter().collect();
-            let ask = Ask::Replace {
+            let ask = ControlCommand::Replace {
                 generation: *generation,
                 releases,
             };
@@ -91,10 +91,10 @@
             }
             tell(asked, &ask)
         }
-        Fleet::Pause(asked) => tell(asked, &Ask::Pause),
-        Fleet::Resume(asked) => tell(asked, &Ask::Resume),
-        Fleet::Rollback(asked) => tell(asked, &Ask::Rollback),
-        Fleet::Down(asked) => tell(asked, &Ask::Down),
+        Fleet::Pause(asked) => tell(asked, &ControlCommand::Pause),
+        Fleet::Resume(asked) => tell(asked, &ControlCommand::Resume),
+        Fleet::Rollback(asked) => tell(asked, &ControlCommand::Rollback),
+        Fleet::Down(asked) => tell(asked, &ControlCommand::Shutdown),
         Fleet::Top(asked) => super::fleet_top::run(&load(&asked.file)?.folder),
         Fleet::Plan(asked) => plan(&asked.file, asked.json),
     }
@@ -119,12 +119,12 @@
             file.display()
         ));
     }
-    let wanted = Wanted {
+    let wanted = FleetSpec {
         folder: fleet.folder,
-        places: fleet.places,
+        slots: fleet.slots,
         releases: fleet.releases,
-        shared: fleet.shared,
-        bounds: fleet.bounds,
+        shared_address: fleet.shared_address,
+        settings: fleet.settings,
         generation,
     };
     let mut daemon = Daemon::open(wanted).map_err(|e| e.to_string())?;
@@ -142,14 +142,14 @@
 ///
 /// # Errors
 /// Why it is not done.
-pub fn ask(folder: &Path, ask: &Ask) -> Result<View, String> {
-    match daemon::ask(folder, ask).map_err(|e| e.to_string())? {
-        Reply::Fleet(view) => Ok(*view),
-        Reply::Refused(why) => Err(why),
+pub fn ask(folder: &Path, ask: &ControlCommand) -> Result<FleetView, String> {
+    match daemon::send_command(folder, ask).map_err(|e| e.to_string())? {
+        ControlResponse::Fleet(view) => Ok(*view),
+        ControlResponse::Rejected(why) => Err(why),
     }
 }
 
-fn tell(asked: &Asked, what: &Ask) -> Result<ExitCode, String> {
+fn tell(asked: &Asked, what: &ControlCommand) -> Result<ExitCode, String> {
     let view = ask(&load(&asked.file)?.folder, what)?;
     if asked.json {
         say!(
@@ -164,19 +164,19 @@
 
 /// What is on, in a line.
 #[must_use]
-pub fn summary(view: &View) -> String {
+pub fn summary(view: &FleetView) -> String {
     let state = match &view.replacement {
-        _ if view.ends => "going down".to_owned(),
+        _ if view.shutting_down => "going down".to_owned(),
         None => {
-            let rest = if view.at_rest { ", at rest" } else { "" };
-            let back = view.halted.as_ref().map_or(String::new(), |why| {
+            let rest = if view.converged { ", at rest" } else { "" };
+            let back = view.rollback_reason.as_ref().map_or(String::new(), |why| {
                 format!("; the last replacement went back: {why}")
             });
-            format!("generation {}{rest}{back}", view.stable)
+            format!("generation {}{rest}{back}", view.stable_generation)
         }
         Some(one) => {
             let why = one
-                .halted
+                .rollback_reason
                 .as_ref()
                 .map_or(String::new(), |why| format!(": {why}"));
             let mode = format!("{:?}", one.mode).to_lowercase();
@@ -190,7 +190,7 @@
                 .count();
             format!(
                 "generation {} to {}, {mode}{why}; {done} warm",
-                view.stable, one.generation
+                view.stable_generation, one.generation
             )
         }
     };
@@ -200,7 +200,7 @@
     )
 }
 
-fn show_fleet(view: &View) {
+fn show_fleet(view: &FleetView) {
     say!("{}", summary(view));
     say!(
         "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>6} {:>8} {:>8} {:>5}",
@@ -218,21 +218,25 @@
     for one in &view.instances {
         say!(
             "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>5.0}% {:>6.1}/s {:>7.1}% {:>5}",
-            one.place.name,
-            one.place.listen,
+            one.slot.name,
+            one.slot.listen,
             one.incarnation,
             one.generation,
             format!("{:?}", one.phase).to_lowercase(),
             one.pid.map_or(String::new(), |pid| pid.to_string()),
             100.0 * one.warmth,
             one.rate,
-            100.0 * one.refused_share,
-            one.held
+            100.0 * one.rejected_share,
+            one.open_requests
         );
     }
-    for one in view.gone.iter().filter(|one| one.why.is_some()) {
-        let why = one.why.as_deref().unwrap_or_default();
-        let log = one.log.display();
+    for one in view
+        .terminated
+        .iter()
+        .filter(|one| one.failure_reason.is_some())
+    {
+        let why = one.failure_reason.as_deref().unwrap_or_default();
+        let log = one.log_path.display();
         say!(
             "failed: instance {}, generation {}: {why}; log {log}",
             one.incarnation,
@@ -242,7 +246,7 @@
 }
 
 /// Replaces and waits, with a line for each change.
-fn replace(folder: &Path, what: &Ask, generation: u32) -> Result<ExitCode, String> {
+fn replace(folder: &Path, what: &ControlCommand, generation: u32) -> Result<ExitCode, String> {
     let mut view = ask(folder, what)?;
     let mut said = String::new();
     while view.replacement.is_some() {
@@ -255,7 +259,7 @@
         // A daemon that died may be back soon: the replacement goes on then.
         let mut tries = 0;
         view = loop {
-            match ask(folder, &Ask::Status) {
+            match ask(folder, &ControlCommand::Status) {
                 Ok(view) => break view,
                 Err(why) if tries >= AWAY => return Err(why),
                 Err(why) => {
@@ -269,7 +273,7 @@
         };
     }
     say!("{}", summary(&view));
-    Ok(if view.stable == generation {
+    Ok(if view.stable_generation == generation {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -278,19 +282,19 @@
 
 fn plan(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let fleet = FleetFile::load(file).map_err(|e| e.to_string())?;
-    let question = fleet.question.as_ref().ok_or_else(|| {
+    let question = fleet.planner_input.as_ref().ok_or_else(|| {
         format!(
             "{}: fleet.host: missing: planning needs to know what instances are like",
             file.display()
         )
     })?;
-    let answer =
-        planner::answer(question).map_err(|e| format!("{}: fleet: {e}", file.display()))?;
-    let possible = matches!(answer, Answer::Possible(_));
+    let answer = planner::plan_replacement(question)
+        .map_err(|e| format!("{}: fleet: {e}", file.display()))?;
+    let possible = matches!(answer, PlannerOutput::Possible(_));
     if as_json {
         let value = match &answer {
-            Answer::Possible(course) => json!({ "possible": true, "course": course }),
-            Answer::Impossible(course, limit) => json!({
+            PlannerOutput::Possible(course) => json!({ "possible": true, "course": course }),
+            PlannerOutput::Impossible(course, limit) => json!({
                 "possible": false, "limit": limit, "what": limit.to_string(), "nearest": course
             }),
         };
@@ -309,40 +313,40 @@
     micros as f64 / 1e6
 }
 
-fn show(fleet: &FleetFile, question: &Question, answer: &Answer) {
+fn show(fleet: &FleetFile, question: &PlannerInput, answer: &PlannerOutput) {
     let course = match answer {
-        Answer::Possible(course) => course,
-        Answer::Impossible(course, limit) => {
+        PlannerOutput::Possible(course) => course,
+        PlannerOutput::Impossible(course, limit) => {
             say!("not possible: {limit}");
             say!("the way that comes nearest:");
             course
         }
     };
-    let takes = course.takes.map_or("it does not end".to_owned(), |at| {
+    let takes = course.duration.map_or("it does not end".to_owned(), |at| {
         format!("{:.1} s", seconds(at))
     });
     say!(
         "{} instances, batch {}, surge {}: {takes}; least margin {:.1} requests a second at {:.1} s; {:.1} of {:.1} cores \
          at most",
-        question.bounds.instances,
+        question.settings.instances,
         course.batch,
         course.surge,
-        course.margin.0,
-        seconds(course.margin.1),
-        course.cores,
+        course.min_margin.0,
+        seconds(course.min_margin.1),
+        course.peak_cores,
         question.host.cores
     );
     say!("\n{:>9}  {:<5}  {:>8}  place", "s", "step", "instance");
     for step in &course.steps {
-        let what = match step.what {
-            What::Start => "start",
-            What::Warm => "warm",
-            What::Leave => "leave",
-            What::Gone => "gone",
+        let what = match step.kind {
+            StepKind::Start => "start",
+            StepKind::Warm => "warm",
+            StepKind::Drain => "leave",
+            StepKind::Exit => "gone",
         };
         let place = fleet
-            .places
-            .get(step.address)
+            .slots
+            .get(step.slot)
             .map_or("", |place| place.name.as_str());
         say!(
             "{:>9.2}  {what:<5}  {:>8}  {place}",
@@ -354,7 +358,7 @@
 }
 
 /// Capacity as a bar, and what is needed as a mark in it.
-fn chart(course: &Course) {
+fn chart(course: &Schedule) {
     let Some(last) = course.samples.last() else {
         return;
     };
--- a/src/commands/fleet_top.rs
+++ b/src/commands/fleet_top.rs
@@ -1,8 +1,8 @@
 //! `cleatpulley fleet top`: the fleet in the terminal.
 
 use super::fleet::{ask, summary};
+use cleatpulley_fleet::control_protocol::{ControlCommand, FleetView};
 use cleatpulley_fleet::plan::Phase;
-use cleatpulley_fleet::view::{Ask, View};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style};
@@ -27,7 +27,7 @@
         );
     }
     // Asked once before the screen is taken: a daemon that is not there is an error like any other.
-    let mut view = ask(folder, &Ask::Status);
+    let mut view = ask(folder, &ControlCommand::Status);
     if let Err(why) = view {
         return Err(why);
     }
@@ -49,7 +49,7 @@
             Ok(false) => {}
             Err(e) => break Err(format!("the terminal: {e}")),
         }
-        view = ask(folder, &Ask::Status);
+        view = ask(folder, &ControlCommand::Status);
     };
     ratatui::restore();
     ended
@@ -66,13 +66,13 @@
     }
 }
 
-fn draw(frame: &mut Frame<'_>, view: &Result<View, String>) {
+fn draw(frame: &mut Frame<'_>, view: &Result<FleetView, String>) {
     let view = match view {
         Ok(view) => view,
         Err(why) => return frame.render_widget(Paragraph::new(why.as_str()), frame.area()),
     };
     let failed: Vec<String> = view
-        .gone
+        .terminated
         .iter()
         .rev()
         .filter_map(|one| {
@@ -80,7 +80,7 @@
                 "instance {}, generation {}: {}",
                 one.incarnation,
                 one.generation,
-                one.why.as_ref()?
+                one.failure_reason.as_ref()?
             ))
         })
         .take(6)
@@ -107,7 +107,7 @@
     let new = view
         .replacement
         .as_ref()
-        .map_or(view.stable, |one| one.generation);
+        .map_or(view.stable_generation, |one| one.generation);
     let done = view
         .instances
         .iter()
@@ -120,16 +120,16 @@
     frame.render_widget(gauge.gauge_style(Style::new().fg(Color::Green)), bar);
     let rows = view.instances.iter().map(|one| {
         Row::new([
-            one.place.name.clone(),
-            one.place.listen.to_string(),
+            one.slot.name.clone(),
+            one.slot.listen.to_string(),
             one.incarnation.to_string(),
             one.generation.to_string(),
             format!("{:?} {:.0} s", one.phase, one.phase_s),
             one.pid.map_or(String::new(), |pid| pid.to_string()),
             format!("{:.0}%", 100.0 * one.warmth),
             format!("{:.0}/s", one.rate),
-            format!("{:.1}%", 100.0 * one.refused_share),
-            one.held.to_string(),
+            format!("{:.1}%", 100.0 * one.rejected_share),
+            one.open_requests.to_string(),
         ])
         .style(Style::new().fg(colour(one.phase)))
     });
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -88,7 +88,7 @@
     results: Option<results::ResultsSection>,
     admission: Option<admission::AdmissionSection>,
     tls: Option<tls::TlsSection>,
-    /// Read by [`fleet::Fleet::load`]: it concerns the daemon alone.
+    /// Read by [`fleet::FleetConfig::load`]: it concerns the daemon alone.
     #[serde(rename = "fleet")]
     _fleet: Option<serde::de::IgnoredAny>,
     /// Read by [`gateway::load`]: a gateway is a process of its own.
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,9 +1,9 @@
-//! The section on a fleet: its places, releases and bounds, and what is known for planning.
+//! The `fleet` section of the operator file: places, releases, limits, and the properties that the planner needs.
 
 use super::{evaluate, locate, wrong, Fault, Wrong};
 use cleatpulley_fleet::instance_config::{Release, Slot};
-use cleatpulley_fleet::plan::Bounds;
-use cleatpulley_fleet::planner::{Forecast, Host, Question};
+use cleatpulley_fleet::plan::FleetSettings;
+use cleatpulley_fleet::planner::{Forecast, HostProfile, PlannerInput};
 use cleatpulley_fleet::regression::RegressionThresholds;
 use cleatpulley_fleet::restart::RestartPolicy;
 use serde::Deserialize;
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const MS: u64 = 1_000;
-const SECOND: u64 = 1_000_000;
+const MICROS_PER_MS: u64 = 1_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 #[derive(Deserialize)]
 struct File {
@@ -25,31 +25,33 @@
     folder: PathBuf,
     listen: Option<String>,
     instances: usize,
-    places: Vec<PlaceSection>,
+    #[serde(rename = "places")]
+    slots: Vec<SlotSection>,
     releases: BTreeMap<u32, Release>,
-    #[serde(default = "one")]
+    #[serde(default = "default_to_one")]
     surge: usize,
-    #[serde(default = "one")]
+    #[serde(default = "default_to_one")]
     batch: usize,
-    minimum: Option<f64>,
+    #[serde(rename = "minimum")]
+    min_capacity: Option<f64>,
     #[serde(default)]
-    timeouts_ms: Timeouts,
-    #[serde(default = "crashes")]
-    crashes: u32,
+    timeouts_ms: TimeoutsSection,
+    #[serde(default = "default_failure_limit", rename = "crashes")]
+    failure_limit: u32,
+    #[serde(default, rename = "worse")]
+    regression: RegressionSection,
     #[serde(default)]
-    worse: Worse,
-    #[serde(default)]
-    restart: Restart,
+    restart: RestartSection,
     host: Option<HostSection>,
     #[serde(default)]
     demand: Vec<(f64, f64)>,
-    #[serde(default = "headroom")]
+    #[serde(default = "default_headroom")]
     headroom: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct PlaceSection {
+struct SlotSection {
     name: String,
     listen: Option<String>,
     config: PathBuf,
@@ -57,14 +59,14 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Timeouts {
+struct TimeoutsSection {
     start: u64,
     warm: u64,
     drain: u64,
     silent: u64,
 }
 
-impl Default for Timeouts {
+impl Default for TimeoutsSection {
     fn default() -> Self {
         Self {
             start: 5_000,
@@ -77,42 +79,50 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Worse {
-    samples: u64,
-    refused: f64,
-    failed: f64,
-    late: f64,
-    errors: f64,
+struct RegressionSection {
+    #[serde(rename = "samples")]
+    min_samples: u64,
+    #[serde(rename = "refused")]
+    max_rejected_increase: f64,
+    #[serde(rename = "failed")]
+    max_failed_increase: f64,
+    #[serde(rename = "late")]
+    max_late_increase: f64,
+    #[serde(rename = "errors")]
+    standard_errors: f64,
 }
 
-impl Default for Worse {
+impl Default for RegressionSection {
     fn default() -> Self {
         Self {
-            samples: 500,
-            refused: 0.05,
-            failed: 0.01,
-            late: 0.05,
-            errors: 4.0,
+            min_samples: 500,
+            max_rejected_increase: 0.05,
+            max_failed_increase: 0.01,
+            max_late_increase: 0.05,
+            standard_errors: 4.0,
         }
     }
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Restart {
-    first_ms: u64,
-    most_ms: u64,
+struct RestartSection {
+    #[serde(rename = "first_ms")]
+    initial_delay_ms: u64,
+    #[serde(rename = "most_ms")]
+    max_delay_ms: u64,
     budget: usize,
-    within_ms: u64,
+    #[serde(rename = "within_ms")]
+    budget_window_ms: u64,
 }
 
-impl Default for Restart {
+impl Default for RestartSection {
     fn default() -> Self {
         Self {
-            first_ms: 200,
-            most_ms: 30_000,
+            initial_delay_ms: 200,
+            max_delay_ms: 30_000,
             budget: 20,
-            within_ms: 60_000,
+            budget_window_ms: 60_000,
         }
     }
 }
@@ -121,58 +131,62 @@
 #[serde(deny_unknown_fields)]
 struct HostSection {
     cores: f64,
-    cores_each: f64,
-    rate_each: f64,
+    #[serde(rename = "cores_each")]
+    cores_per_instance: f64,
+    #[serde(rename = "rate_each")]
+    rate_per_instance: f64,
     start_ms: u64,
-    cold_from: f64,
-    warm_ms: u64,
+    #[serde(rename = "cold_from")]
+    initial_warmth: f64,
+    #[serde(rename = "warm_ms")]
+    warm_up_ms: u64,
     drain_ms: u64,
 }
 
-fn one() -> usize {
+fn default_to_one() -> usize {
     1
 }
 
-fn crashes() -> u32 {
+fn default_failure_limit() -> u32 {
     3
 }
 
-fn headroom() -> f64 {
+fn default_headroom() -> f64 {
     0.1
 }
 
-/// A fleet.
+/// The checked configuration of a fleet.
 #[derive(Debug, Clone)]
-pub struct Fleet {
-    /// Where its daemon keeps what it knows, and its control socket.
+pub struct FleetConfig {
+    /// The folder of the daemon's state and sockets.
     pub folder: PathBuf,
-    /// The address that all instances share, where they do.
-    pub shared: Option<SocketAddr>,
-    /// As many as instances and surge.
-    pub places: Vec<Slot>,
-    /// By generation.
+    /// The listen address that all instances share, if they do.
+    pub shared_address: Option<SocketAddr>,
+    /// Slots, at least as many as instances plus surge.
+    pub slots: Vec<Slot>,
+    /// Releases by generation.
     pub releases: BTreeMap<u32, Release>,
-    /// Bounds of its plan.
-    pub bounds: Bounds,
-    /// What is known for planning.
-    pub question: Option<Question>,
+    /// Size, limits and timeouts of the fleet.
+    pub settings: FleetSettings,
+    /// Input of the planner, if the file describes the host.
+    pub planner_input: Option<PlannerInput>,
 }
 
-impl Fleet {
-    /// Reads the fleet's section of an operator file; other sections are not looked at.
+impl FleetConfig {
+    /// Reads the `fleet` section of an operator file; other sections are ignored.
     ///
     /// # Errors
-    /// File, line where it is known, key, and what is wrong there.
+    /// The file is invalid; the error has the file, the line if known, the key, and what is wrong.
     pub fn load(file: &Path) -> Result<Self, Fault> {
         let json = evaluate(file)?;
         let source = std::fs::read_to_string(file).unwrap_or_default();
-        Self::parse(&json).map_err(|(key, what)| {
-            let line = locate(&source, &key, &what);
+        Self::parse(&json).map_err(|(key, message)| {
+            let line = locate(&source, &key, &message);
             Fault {
                 file: file.to_owned(),
                 line,
                 key,
-                what,
+                what: message,
             }
         })
     }
@@ -181,128 +195,142 @@
         let mut reader = serde_json::Deserializer::from_str(json);
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let key = e.path().to_string();
-            let what = e.into_inner().to_string();
-            let what = what
+            let message = e.into_inner().to_string();
+            let message = message
                 .split(" at line ")
                 .next()
                 .unwrap_or_default()
                 .to_owned();
-            (if key == "." { "fleet".to_owned() } else { key }, what)
+            (if key == "." { "fleet".to_owned() } else { key }, message)
         })?;
         file.fleet
             .check()
-            .map_err(|(key, what)| (format!("fleet.{key}"), what))
+            .map_err(|(key, message)| (format!("fleet.{key}"), message))
     }
 }
 
 impl FleetSection {
-    fn check(self) -> Result<Fleet, Wrong> {
+    fn check(self) -> Result<FleetConfig, Wrong> {
         let needed = self.instances.saturating_add(self.surge);
-        if self.places.len() < needed {
-            let what = format!(
-                "{} for {} instances and a surge of {}: one of each is needed",
-                self.places.len(),
+        if self.slots.len() < needed {
+            let message = format!(
+                "{} for {} instances and a surge of {}: one is needed for each",
+                self.slots.len(),
                 self.instances,
                 self.surge
             );
-            return wrong("places", what);
+            return wrong("places", message);
         }
-        let shared = self
+        let shared_address = self
             .listen
             .as_deref()
-            .map(|text| address("listen".to_owned(), text))
+            .map(|text| parse_address("listen".to_owned(), text))
             .transpose()?;
-        let places = places(&self.places, shared)?;
+        let slots = check_slots(&self.slots, shared_address)?;
         if self.releases.is_empty() {
-            return wrong("releases", "none: there is nothing to run");
+            return wrong("releases", "none: at least one release is needed");
         }
-        let less = if self.surge == 0 { 1 } else { 0 };
-        let minimum = self
-            .minimum
-            .unwrap_or(self.instances.saturating_sub(less.max(self.batch)) as f64);
-        let bounds = Bounds {
+        let min_missing = if self.surge == 0 { 1 } else { 0 };
+        let min_capacity = self
+            .min_capacity
+            .unwrap_or(self.instances.saturating_sub(min_missing.max(self.batch)) as f64);
+        let settings = FleetSettings {
             instances: self.instances,
             surge: self.surge,
             batch: self.batch,
-            minimum,
-            start_within: self.timeouts_ms.start.saturating_mul(MS),
-            warm_within: self.timeouts_ms.warm.saturating_mul(MS),
-            drain_within: self.timeouts_ms.drain.saturating_mul(MS),
-            silent_within: self.timeouts_ms.silent.saturating_mul(MS),
-            crashes: self.crashes.max(1),
+            min_capacity,
+            start_timeout: self.timeouts_ms.start.saturating_mul(MICROS_PER_MS),
+            warm_up_timeout: self.timeouts_ms.warm.saturating_mul(MICROS_PER_MS),
+            drain_timeout: self.timeouts_ms.drain.saturating_mul(MICROS_PER_MS),
+            report_timeout: self.timeouts_ms.silent.saturating_mul(MICROS_PER_MS),
+            failure_limit: self.failure_limit.max(1),
             regression: RegressionThresholds {
-                min_samples: self.worse.samples,
-                max_rejected_increase: self.worse.refused,
-                max_failed_increase: self.worse.failed,
-                max_late_increase: self.worse.late,
-                standard_errors: self.worse.errors,
+                min_samples: self.regression.min_samples,
+                max_rejected_increase: self.regression.max_rejected_increase,
+                max_failed_increase: self.regression.max_failed_increase,
+                max_late_increase: self.regression.max_late_increase,
+                standard_errors: self.regression.standard_errors,
             },
             restart: RestartPolicy {
-                initial_delay: self.restart.first_ms.saturating_mul(MS),
-                max_delay: self.restart.most_ms.saturating_mul(MS),
+                initial_delay: self.restart.initial_delay_ms.saturating_mul(MICROS_PER_MS),
+                max_delay: self.restart.max_delay_ms.saturating_mul(MICROS_PER_MS),
                 budget: self.restart.budget.max(1),
-                budget_window: self.restart.within_ms.saturating_mul(MS),
+                budget_window: self.restart.budget_window_ms.saturating_mul(MICROS_PER_MS),
             },
         };
-        bounds.check().map_err(|refused| {
-            let text = refused.to_string();
+        // The message begins with the key, if it is about a single setting.
+        settings.check().map_err(|error| {
+            let text = error.to_string();
             match text.split_once(": ") {
-                Some((key, what)) if !key.contains(' ') => (key.to_owned(), what.to_owned()),
+                Some((key, message)) if !key.contains(' ') => (key.to_owned(), message.to_owned()),
                 _ => ("minimum".to_owned(), text),
             }
         })?;
         let host = self.host.as_ref().map(HostSection::check).transpose()?;
-        let question = match host {
+        let planner_input = match host {
             None => None,
-            Some(host) => Some(Question {
-                bounds,
+            Some(host) => Some(PlannerInput {
+                settings,
                 host,
-                demand: forecast(&self.demand)?,
+                demand: check_forecast(&self.demand)?,
                 headroom: self.headroom.max(0.0),
             }),
         };
-        Ok(Fleet {
+        Ok(FleetConfig {
             folder: self.folder,
-            shared,
-            places,
+            shared_address,
+            slots,
             releases: self.releases,
-            bounds,
-            question,
+            settings,
+            planner_input,
         })
     }
 }
 
-fn address(key: String, text: &str) -> Result<SocketAddr, Wrong> {
-    let what = || format!("{text:?} is not an address and port, such as 127.0.0.1:5050");
-    text.parse().map_err(|_| (key, what()))
+fn parse_address(key: String, text: &str) -> Result<SocketAddr, Wrong> {
+    let message = || format!("{text:?} is not an address and port, such as 127.0.0.1:5050");
+    text.parse().map_err(|_| (key, message()))
 }
 
-fn places(sections: &[PlaceSection], shared: Option<SocketAddr>) -> Result<Vec<Slot>, Wrong> {
+fn check_slots(
+    sections: &[SlotSection],
+    shared_address: Option<SocketAddr>,
+) -> Result<Vec<Slot>, Wrong> {
     let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
-    let one = |(i, section): (usize, &PlaceSection)| {
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if section.name.is_empty() || !section.name.chars().all(plain) {
-            let what = format!(
-                "{:?} is not letters, digits, '-', '_' and '.'",
+    let check_slot = |(i, section): (usize, &SlotSection)| {
+        let is_name_character = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        if section.name.is_empty() || !section.name.chars().all(is_name_character) {
+            let message = format!(
+                "{:?} is not a name of letters, digits, '-', '_' and '.'",
                 section.name
             );
-            return wrong(format!("places[{i}].name"), what);
+            return wrong(format!("places[{i}].name"), message);
         }
         let key = || format!("places[{i}].listen");
-        let listen = match (&section.listen, shared) {
-            (Some(text), None) => address(key(), text)?,
-            (None, Some(shared)) => shared,
-            (Some(_), Some(_)) => return wrong(key(), "fleet.listen names one address for all"),
-            (None, None) => return wrong(key(), "missing, and fleet.listen names none for all"),
+        let listen = match (&section.listen, shared_address) {
+            (Some(text), None) => parse_address(key(), text)?,
+            (None, Some(shared_address)) => shared_address,
+            (Some(_), Some(_)) => {
+                return wrong(
+                    key(),
+                    "conflicts with fleet.listen, the address of all places",
+                )
+            }
+            (None, None) => {
+                return wrong(
+                    key(),
+                    "missing, and there is no fleet.listen for all places",
+                )
+            }
         };
         if !names.insert(section.name.clone()) {
             return wrong(
                 format!("places[{i}].name"),
-                format!("{:?} is there twice", section.name),
+                format!("{:?} is used twice", section.name),
             );
         }
-        if shared.is_none() && !addresses.insert(listen) {
-            return wrong(key(), format!("{listen} is there twice"));
+        if shared_address.is_none() && !addresses.insert(listen) {
+            return wrong(key(), format!("{listen} is used twice"));
         }
         Ok(Slot {
             name: section.name.clone(),
@@ -310,83 +338,88 @@
             config: section.config.clone(),
         })
     };
-    sections.iter().enumerate().map(one).collect()
+    sections.iter().enumerate().map(check_slot).collect()
 }
 
 impl HostSection {
-    fn check(&self) -> Result<Host, Wrong> {
+    fn check(&self) -> Result<HostProfile, Wrong> {
         let positive = [
             ("cores", self.cores),
-            ("cores_each", self.cores_each),
-            ("rate_each", self.rate_each),
-            ("cold_from", self.cold_from),
+            ("cores_each", self.cores_per_instance),
+            ("rate_each", self.rate_per_instance),
+            ("cold_from", self.initial_warmth),
         ];
         for (key, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return wrong(format!("host.{key}"), format!("{value} is not above 0"));
+                return wrong(
+                    format!("host.{key}"),
+                    format!("{value} is not greater than 0"),
+                );
             }
         }
-        if self.cold_from > 1.0 {
+        if self.initial_warmth > 1.0 {
             return wrong(
                 "host.cold_from",
-                format!("{} is a share above 1", self.cold_from),
+                format!("{} is a share above 1", self.initial_warmth),
             );
         }
-        Ok(Host {
+        Ok(HostProfile {
             cores: self.cores,
-            cores_each: self.cores_each,
-            rate_each: self.rate_each,
-            start: self.start_ms.saturating_mul(MS),
-            cold_from: self.cold_from,
-            warm_after: self.warm_ms.saturating_mul(MS),
-            drain: self.drain_ms.saturating_mul(MS),
+            cores_per_instance: self.cores_per_instance,
+            rate_per_instance: self.rate_per_instance,
+            start_duration: self.start_ms.saturating_mul(MICROS_PER_MS),
+            initial_warmth: self.initial_warmth,
+            warm_up_duration: self.warm_up_ms.saturating_mul(MICROS_PER_MS),
+            drain_duration: self.drain_ms.saturating_mul(MICROS_PER_MS),
         })
     }
 }
 
-fn forecast(points: &[(f64, f64)]) -> Result<Forecast, Wrong> {
-    let mut before = -1.0;
-    let mut all = Vec::new();
+fn check_forecast(points: &[(f64, f64)]) -> Result<Forecast, Wrong> {
+    let mut previous = -1.0;
+    let mut checked = Vec::new();
     for (i, &(seconds, rate)) in points.iter().enumerate() {
-        if !(seconds.is_finite() && (0.0..1e7).contains(&seconds) && seconds > before) {
-            let what = format!("{seconds} is no time in seconds after the point before it");
-            return wrong(format!("demand[{i}]"), what);
+        if !(seconds.is_finite() && (0.0..1e7).contains(&seconds) && seconds > previous) {
+            let message = format!("{seconds} is not a time in seconds after the previous point");
+            return wrong(format!("demand[{i}]"), message);
         }
         if !(rate.is_finite() && rate >= 0.0) {
             return wrong(
                 format!("demand[{i}]"),
-                format!("{rate} is no number of requests a second"),
+                format!("{rate} is not a number of requests per second"),
             );
         }
-        before = seconds;
-        all.push(((seconds * SECOND as f64) as u64, rate));
+        previous = seconds;
+        checked.push(((seconds * MICROS_PER_SECOND as f64) as u64, rate));
     }
-    Ok(Forecast(all))
+    Ok(Forecast(checked))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn fault(change: &str) -> String {
+    fn check_changed(replacement: &str) -> String {
         let text = r#"{"fleet": {"folder": "/f", "instances": 1, "surge": 1, "minimum": 1, "releases": {"1": {"program": "/p"}},
             "places": [{"name": "a", "listen": "127.0.0.1:1", "config": "/a"},
                        {"name": "b", "listen": "127.0.0.1:2", "config": "/b"}]}}"#;
-        let (from, to) = change.split_once(" => ").unwrap_or((change, change));
+        let (from, to) = replacement
+            .split_once(" => ")
+            .unwrap_or((replacement, replacement));
         assert!(text.contains(from), "{from}");
-        match Fleet::parse(&text.replace(from, to)) {
-            Ok(_) => "fine".to_owned(),
-            Err((key, what)) => format!("{key}: {what}"),
+        match FleetConfig::parse(&text.replace(from, to)) {
+            Ok(_) => "valid".to_owned(),
+            Err((key, message)) => format!("{key}: {message}"),
         }
     }
 
     #[test]
-    fn each_fault_names_its_key() {
-        assert_eq!(fault("127.0.0.1:2"), "fine");
-        for (change, key) in [
+    fn every_error_names_its_key() {
+        assert_eq!(check_changed("127.0.0.1:2"), "valid");
+        for (replacement, expected) in [
             (
                 "127.0.0.1:2 => 127.0.0.1:1",
-                "fleet.places[1].listen: 127.0.0.1:1 is there twice",
+                "fleet.places[1].listen: 127.0.0.1:1 is used twice",
             ),
             (
                 "127.0.0.1:2 => here",
@@ -394,7 +427,7 @@
             ),
             (
                 "\"b\" => \"a\"",
-                "fleet.places[1].name: \"a\" is there twice",
+                "fleet.places[1].name: \"a\" is used twice",
             ),
             (
                 "\"surge\": 1 => \"surge\": 2",
@@ -418,8 +451,8 @@
             ),
             ("\"1\": {\"program => \"x\": {\"program", "fleet.releases"),
         ] {
-            let told = fault(change);
-            assert!(told.starts_with(key), "{change}: {told}");
+            let message = check_changed(replacement);
+            assert!(message.starts_with(expected), "{replacement}: {message}");
         }
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,9 +3,9 @@
 
 use cleatpulley_emulators::callers::request_frame;
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_fleet::daemon::ask;
+use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
+use cleatpulley_fleet::daemon::send_command;
 use cleatpulley_fleet::plan::Phase;
-use cleatpulley_fleet::view::{Ask, Reply, View};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -28,7 +28,9 @@
 impl Drop for Rig {
     fn drop(&mut self) {
         // Processes that a failed test leaves behind end with it.
-        if let Ok(Reply::Fleet(view)) = ask(&self.state(), &Ask::Status) {
+        if let Ok(ControlResponse::Fleet(view)) =
+            send_command(&self.state(), &ControlCommand::Status)
+        {
             view.instances
                 .iter()
                 .filter_map(|one| one.pid)
@@ -143,19 +145,19 @@
         self.up();
     }
 
-    fn ask(&self, what: &Ask) -> Result<View, String> {
-        match ask(&self.state(), what) {
-            Ok(Reply::Fleet(view)) => Ok(*view),
-            Ok(Reply::Refused(why)) => Err(why),
+    fn ask(&self, what: &ControlCommand) -> Result<FleetView, String> {
+        match send_command(&self.state(), what) {
+            Ok(ControlResponse::Fleet(view)) => Ok(*view),
+            Ok(ControlResponse::Rejected(why)) => Err(why),
             Err(e) => Err(e.to_string()),
         }
     }
 
-    fn wait(&self, what: &str, until: impl Fn(&View) -> bool) -> View {
+    fn wait(&self, what: &str, until: impl Fn(&FleetView) -> bool) -> FleetView {
         let since = Instant::now();
         let mut last = Err("nothing was heard".to_owned());
         while since.elapsed() < PATIENCE {
-            last = self.ask(&Ask::Status);
+            last = self.ask(&ControlCommand::Status);
             match &last {
                 Ok(view) if until(view) => return last.unwrap_or_else(|e| panic!("{e}")),
                 _ => std::thread::sleep(Duration::from_millis(5)),
@@ -177,7 +179,7 @@
     }
 
     /// As an operator does it.
-    fn replace(&self, generation: u32) -> Result<View, String> {
+    fn replace(&self, generation: u32) -> Result<FleetView, String> {
         let mut command = Command::new(PROGRAM);
         command
             .args([
@@ -196,7 +198,7 @@
     }
 
     fn pids(&self) -> BTreeSet<u32> {
-        self.ask(&Ask::Status)
+        self.ask(&ControlCommand::Status)
             .expect("a view")
             .instances
             .iter()
@@ -206,7 +208,7 @@
 
     fn down(&mut self) {
         let pids = self.pids();
-        self.ask(&Ask::Down).expect("it goes down");
+        self.ask(&ControlCommand::Shutdown).expect("it goes down");
         let status = self
             .daemon
             .take()
@@ -230,8 +232,8 @@
 fn a_daemon_that_is_killed_again_and_again_finishes_its_replacement() {
     let mut rig = Rig::new(3, 1, "batch: 1, minimum: 3");
     rig.up();
-    let view = rig.wait("all warm", |view| view.at_rest);
-    assert!(view.instances.iter().all(|one| answers(one.place.listen)));
+    let view = rig.wait("all warm", |view| view.converged);
+    assert!(view.instances.iter().all(|one| answers(one.slot.listen)));
     // A second daemon on the folder is refused, and says why.
     let second = Command::new(PROGRAM)
         .args(["fleet", "up"])
@@ -239,15 +241,15 @@
         .output()
         .expect("it ends");
     assert!(!second.status.success());
-    assert!(String::from_utf8_lossy(&second.stderr).contains("another daemon has this fleet"));
+    assert!(String::from_utf8_lossy(&second.stderr).contains("another daemon runs this fleet"));
     let before = rig.pids();
     rig.daemon_dies();
-    rig.wait("taken up", |view| view.at_rest);
+    rig.wait("taken up", |view| view.converged);
     assert_eq!(rig.pids(), before, "none was started anew");
     rig.replace(2).expect("it begins");
     assert!(rig
         .replace(3)
-        .is_err_and(|why| why.contains("a replacement is on")));
+        .is_err_and(|why| why.contains("a replacement is already in progress")));
     let mut least = f64::INFINITY;
     for n in 0..40 {
         std::thread::sleep(Duration::from_millis(20 + 13 * (n % 5)));
@@ -258,12 +260,16 @@
             break;
         }
     }
-    let view = rig.wait("replaced", |view| view.at_rest && view.stable == 2);
+    let view = rig.wait("replaced", |view| {
+        view.converged && view.stable_generation == 2
+    });
     assert!(view.instances.iter().all(|one| one.generation == 2));
     assert!(
-        view.gone.iter().all(|one| one.phase == Phase::Stopped),
+        view.terminated
+            .iter()
+            .all(|one| one.phase == Phase::Stopped),
         "{:?}",
-        view.gone
+        view.terminated
     );
     assert!(least >= 3.0, "{least}");
     assert!(rig.pids().is_disjoint(&before));
@@ -276,7 +282,7 @@
         .max()
         .unwrap_or_default();
     rig.up();
-    let view = rig.wait("up again", |view| view.at_rest);
+    let view = rig.wait("up again", |view| view.converged);
     assert!(view.instances.iter().all(|one| one.incarnation > most));
     rig.down();
 }
@@ -285,14 +291,19 @@
 fn a_release_that_fails_goes_back_by_itself_and_nobody_else_is_touched() {
     let mut rig = Rig::new(2, 1, "batch: 1, minimum: 2");
     rig.up();
-    rig.wait("all warm", |view| view.at_rest);
+    rig.wait("all warm", |view| view.converged);
     let before = rig.pids();
     for (generation, why) in [(3, "status 1"), (4, "/nowhere/at/all")] {
         rig.replace(generation).expect("it begins");
-        let view = rig.wait("it went back", |view| view.at_rest);
-        assert_eq!(view.stable, 1);
-        let failed = view.gone.iter().filter(|one| one.generation == generation);
-        let whys: Vec<_> = failed.filter_map(|one| one.why.clone()).collect();
+        let view = rig.wait("it went back", |view| view.converged);
+        assert_eq!(view.stable_generation, 1);
+        let failed = view
+            .terminated
+            .iter()
+            .filter(|one| one.generation == generation);
+        let whys: Vec<_> = failed
+            .filter_map(|one| one.failure_reason.clone())
+            .collect();
         assert!(
             whys.len() >= 3 && whys.iter().all(|told| told.contains(why)),
             "{whys:?}"
@@ -306,35 +317,36 @@
 fn deaths_hangs_and_strays_are_noticed() {
     let mut rig = Rig::new(2, 1, "batch: 1, minimum: 1");
     rig.up();
-    let view = rig.wait("all warm", |view| view.at_rest);
+    let view = rig.wait("all warm", |view| view.converged);
     let one = &view.instances[0];
     kill(one.pid.expect("a process"));
     let number = one.incarnation;
-    let gone =
-        |number: u64| move |view: &View| view.gone.iter().any(|one| one.incarnation == number);
+    let gone = |number: u64| {
+        move |view: &FleetView| view.terminated.iter().any(|one| one.incarnation == number)
+    };
     rig.wait("its death is noticed", gone(number));
-    let view = rig.wait("another came", |view| view.at_rest);
+    let view = rig.wait("another came", |view| view.converged);
     let one = &view.instances[0];
     signal(one.pid.expect("a process"), "STOP");
     let number = one.incarnation;
     let view = rig.wait("that it hangs is noticed", gone(number));
     let why = view
-        .gone
+        .terminated
         .iter()
         .find(|one| one.incarnation == number)
-        .and_then(|one| one.why.clone());
+        .and_then(|one| one.failure_reason.clone());
     assert_eq!(why.as_deref(), Some("it hung"));
-    let view = rig.wait("another came", |view| view.at_rest);
+    let view = rig.wait("another came", |view| view.converged);
     // One that somebody tells to leave by hand is no crash.
     let one = &view.instances[0];
     signal(one.pid.expect("a process"), "TERM");
     let view = rig.wait("it has left", gone(one.incarnation));
     let left = view
-        .gone
+        .terminated
         .iter()
         .find(|gone| gone.incarnation == one.incarnation);
     assert_eq!(left.map(|gone| gone.phase), Some(Phase::Stopped));
-    rig.wait("another came", |view| view.at_rest);
+    rig.wait("another came", |view| view.converged);
     assert_eq!(rig.sites.len(), 3);
     rig.down();
 }
@@ -358,11 +370,11 @@
 fn where_descriptors_run_out_it_goes_on_once_there_are_some() {
     let mut rig = Rig::new(2, 1, "batch: 1, minimum: 1");
     rig.up();
-    rig.wait("all warm", |view| view.at_rest);
+    rig.wait("all warm", |view| view.converged);
     let daemon = rig.daemon.as_ref().map(Child::id).expect("a daemon");
     // Whether it has tried within that time nobody can ask it: then once more.
     for _ in 0..20 {
-        let view = rig.wait("all warm", |view| view.at_rest);
+        let view = rig.wait("all warm", |view| view.converged);
         let open = std::fs::read_dir(format!("/proc/{daemon}/fd"))
             .expect("its descriptors")
             .count();
@@ -370,9 +382,9 @@
         kill(view.instances[0].pid.expect("a process"));
         std::thread::sleep(Duration::from_millis(100));
         limit(daemon, None);
-        let view = rig.wait("all warm again", |view| view.at_rest);
-        if view.gone.iter().any(|one| {
-            one.why
+        let view = rig.wait("all warm again", |view| view.converged);
+        if view.terminated.iter().any(|one| {
+            one.failure_reason
                 .as_ref()
                 .is_some_and(|why| why.contains("os error 24"))
         }) {
@@ -416,7 +428,7 @@
     let address = SocketAddr::from(([127, 0, 0, 3], ports(1)[0]));
     let mut rig = Rig::with(2, 1, Some(address), "batch: 1, minimum: 2");
     rig.up();
-    rig.wait("all warm", |view| view.at_rest);
+    rig.wait("all warm", |view| view.converged);
     let over = AtomicBool::new(false);
     let (asked, failed) = std::thread::scope(|scope| {
         let asking: Vec<_> = (0..3_u64)
@@ -435,7 +447,9 @@
         for generation in [2, 1, 2] {
             rig.replace(generation).expect("it begins");
             rig.daemon_dies();
-            rig.wait("replaced", |view| view.at_rest && view.stable == generation);
+            rig.wait("replaced", |view| {
+                view.converged && view.stable_generation == generation
+            });
         }
         over.store(true, Ordering::Relaxed);
         let all: Vec<_> = asking
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -9,7 +9,7 @@
 use cleatpulley::config::{Config, Sources};
 use cleatpulley::dispatcher::KeyScope;
 use cleatpulley::interface::{DependencyLimit, Effect, FeedbackKind, Preemption};
-use cleatpulley::operator::{evaluate, fleet::Fleet, gateway, Operator};
+use cleatpulley::operator::{evaluate, fleet::FleetConfig, gateway, Operator};
 use cleatpulley::protocol::ajp::server::Source;
 use cleatpulley::protocol::mgmt::{Answers, Connection};
 use cleatpulley::server::dependency_pool::DependencyProtocol;
@@ -237,12 +237,12 @@
 
 #[test]
 fn the_fleet_section_comes_to_the_same_as_with_release_0_2() {
-    let fleet = Fleet::load(&fixture("operator/operator.jsonnet")).expect("good");
+    let fleet = FleetConfig::load(&fixture("operator/operator.jsonnet")).expect("good");
     assert_eq!(
-        (fleet.folder.to_str(), fleet.shared),
+        (fleet.folder.to_str(), fleet.shared_address),
         (Some("/var/lib/cleatpulley-fleet"), None)
     );
-    assert_eq!(fleet.places.len(), 3);
+    assert_eq!(fleet.slots.len(), 3);
     assert_eq!(
         fleet.releases[&2].operator.as_deref(),
         Some(Path::new("/etc/cleatpulley/{place}.jsonnet"))
@@ -254,15 +254,21 @@
         "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
         "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
     });
-    assert_eq!(serde_json::to_value(fleet.bounds).expect("JSON"), expected);
-    let question = fleet.question.expect("a host is described");
+    assert_eq!(
+        serde_json::to_value(fleet.settings).expect("JSON"),
+        expected
+    );
+    let planner_input = fleet.planner_input.expect("a host is described");
     let host = json!({
         "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
         "warm_after": 4_000_000, "drain": 3_000_000,
     });
-    assert_eq!(serde_json::to_value(question.host).expect("JSON"), host);
     assert_eq!(
-        (question.demand.0, question.headroom),
+        serde_json::to_value(planner_input.host).expect("JSON"),
+        host
+    );
+    assert_eq!(
+        (planner_input.demand.0, planner_input.headroom),
         (vec![(0, 180.0), (600_000_000, 240.0)], 0.125)
     );
 }
@@ -284,13 +290,17 @@
         (results.scope, results.capacity.deduplication_window),
         (KeyScope::Global, 600_000_000)
     );
-    let fleet = Fleet::load(&file).expect("good");
-    assert_eq!(fleet.shared, "127.0.0.1:7000".parse().ok());
+    let fleet = FleetConfig::load(&file).expect("good");
+    assert_eq!(fleet.shared_address, "127.0.0.1:7000".parse().ok());
     assert_eq!(
-        (fleet.bounds.surge, fleet.bounds.batch, fleet.bounds.crashes),
+        (
+            fleet.settings.surge,
+            fleet.settings.batch,
+            fleet.settings.failure_limit
+        ),
         (1, 1, 3)
     );
-    assert!(fleet.question.is_none());
+    assert!(fleet.planner_input.is_none());
     let options = gateway::load(&file).expect("good");
     assert_eq!(
         (options.name.as_str(), options.connections, options.sockets),
