--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,8 +1,7 @@
-//! `cleatpulley fleet`: the daemon of many instances on one host, what operators ask of it, and what a replacement would
-//! come to.
+//! `cleatpulley fleet`: runs the daemon of many instances on one host, sends commands to it, and plans replacements.
 
 use clap::{Args, Subcommand};
-use cleatpulley::operator::fleet::FleetConfig as FleetFile;
+use cleatpulley::operator::fleet::FleetConfig;
 use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
 use cleatpulley_fleet::daemon::{self, Daemon, FleetSpec};
 use cleatpulley_fleet::planner::{self, PlannerInput, PlannerOutput, Schedule, StepKind};
@@ -11,126 +10,128 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Lines of the chart, and their width.
-const LINES: usize = 24;
-const WIDTH: usize = 60;
+/// Maximum number of lines of the chart.
+const CHART_LINES: usize = 24;
+/// Width of the chart's bars, in characters.
+const CHART_WIDTH: usize = 60;
 
-/// A daemon that is away is asked again so often, five times a second.
-const AWAY: u32 = 50;
+/// Maximum number of retries, five per second, while the daemon does not respond.
+const MAX_STATUS_RETRIES: u32 = 50;
 
-/// Many instances on one host.
+/// Subcommands for many instances on one host.
 #[derive(Subcommand)]
-pub enum Fleet {
-    /// Run the daemon: start what is missing, take up what runs, until `fleet down`; instances outlive it
+pub enum FleetCommand {
+    /// Run the daemon: adopt running instances and start missing ones, until `fleet down`; instances outlive the daemon
     Up {
         /// The operator file with the fleet's section
         file: PathBuf,
-        /// What is run where nothing runs yet; the newest release of the file without it
+        /// The generation to start if no instances run yet; the newest release in the file by default
         #[arg(long)]
         generation: Option<u32>,
     },
     /// Show the fleet
-    Status(Asked),
+    Status(FleetArgs),
     /// Replace all instances by another generation
     Replace {
         /// The generation, one of the file's releases
         generation: u32,
         #[command(flatten)]
-        asked: Asked,
-        /// Wait for the end, with progress; ends with 1 where it went back
+        args: FleetArgs,
+        /// Wait for the end and show progress; exits with 1 if the replacement is rolled back
         #[arg(long)]
         wait: bool,
     },
-    /// Stop a replacement where it stands
-    Pause(Asked),
-    /// Let a paused replacement go on
-    Resume(Asked),
-    /// Go back to the generation before the replacement that is on
-    Rollback(Asked),
-    /// Tell all instances to leave, and end the daemon once they have
-    Down(Asked),
-    /// Watch the fleet in the terminal; q ends it
-    Top(Asked),
-    /// Compute the order and pace of a replacement that keeps capacity above demand, or say which limit forbids it;
-    /// ends with 1 where none is possible. Nothing is touched
-    Plan(Asked),
+    /// Pause the replacement
+    Pause(FleetArgs),
+    /// Resume a paused replacement
+    Resume(FleetArgs),
+    /// Roll the current replacement back to the previous generation
+    Rollback(FleetArgs),
+    /// Drain all instances, and stop the daemon once they have ended
+    #[command(name = "down")]
+    Shutdown(FleetArgs),
+    /// Watch the fleet in the terminal; q quits
+    Top(FleetArgs),
+    /// Compute the order and pace of a replacement that keeps capacity above demand, or name the limit that prevents it;
+    /// exits with 1 if no replacement is possible. Changes nothing
+    Plan(FleetArgs),
 }
 
-/// Which fleet, and how it is shown.
+/// Arguments that select a fleet and the output format.
 #[derive(Args)]
-pub struct Asked {
+pub struct FleetArgs {
     /// The operator file with the fleet's section
     #[arg(long, value_name = "FILE")]
     file: PathBuf,
-    /// As JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Runs it.
+/// Runs a subcommand.
 ///
 /// # Errors
-/// What is wrong with the file, or why the daemon does not do it.
-pub fn run(fleet: &Fleet) -> Result<ExitCode, String> {
-    match fleet {
-        Fleet::Up { file, generation } => up(file, *generation),
-        Fleet::Status(asked) => tell(asked, &ControlCommand::Status),
-        Fleet::Replace {
+/// The operator file is invalid, or the daemon failed or rejected the command.
+pub fn run(command: &FleetCommand) -> Result<ExitCode, String> {
+    match command {
+        FleetCommand::Up { file, generation } => run_daemon(file, *generation),
+        FleetCommand::Status(args) => execute(args, &ControlCommand::Status),
+        FleetCommand::Replace {
             generation,
-            asked,
+            args,
             wait,
         } => {
-            let file = load(&asked.file)?;
-            let releases = file.releases.into_iter().collect();
-            let ask = ControlCommand::Replace {
+            let config = load_config(&args.file)?;
+            let releases = config.releases.into_iter().collect();
+            let command = ControlCommand::Replace {
                 generation: *generation,
                 releases,
             };
             if *wait {
-                return replace(&file.folder, &ask, *generation);
+                return replace_and_wait(&config.folder, &command, *generation);
             }
-            tell(asked, &ask)
+            execute(args, &command)
         }
-        Fleet::Pause(asked) => tell(asked, &ControlCommand::Pause),
-        Fleet::Resume(asked) => tell(asked, &ControlCommand::Resume),
-        Fleet::Rollback(asked) => tell(asked, &ControlCommand::Rollback),
-        Fleet::Down(asked) => tell(asked, &ControlCommand::Shutdown),
-        Fleet::Top(asked) => super::fleet_top::run(&load(&asked.file)?.folder),
-        Fleet::Plan(asked) => plan(&asked.file, asked.json),
+        FleetCommand::Pause(args) => execute(args, &ControlCommand::Pause),
+        FleetCommand::Resume(args) => execute(args, &ControlCommand::Resume),
+        FleetCommand::Rollback(args) => execute(args, &ControlCommand::Rollback),
+        FleetCommand::Shutdown(args) => execute(args, &ControlCommand::Shutdown),
+        FleetCommand::Top(args) => super::fleet_top::run(&load_config(&args.file)?.folder),
+        FleetCommand::Plan(args) => plan(&args.file, args.json),
     }
 }
 
-fn load(file: &Path) -> Result<FleetFile, String> {
-    FleetFile::load(file).map_err(|e| e.to_string())
+fn load_config(file: &Path) -> Result<FleetConfig, String> {
+    FleetConfig::load(file).map_err(|e| e.to_string())
 }
 
-fn up(file: &Path, generation: Option<u32>) -> Result<ExitCode, String> {
-    let fleet = load(file)?;
-    let newest = fleet
+fn run_daemon(file: &Path, generation: Option<u32>) -> Result<ExitCode, String> {
+    let config = load_config(file)?;
+    let newest = config
         .releases
         .keys()
         .next_back()
         .copied()
         .unwrap_or_default();
     let generation = generation.unwrap_or(newest);
-    if !fleet.releases.contains_key(&generation) {
+    if !config.releases.contains_key(&generation) {
         return Err(format!(
             "{}: fleet.releases: there is no release {generation}",
             file.display()
         ));
     }
-    let wanted = FleetSpec {
-        folder: fleet.folder,
-        slots: fleet.slots,
-        releases: fleet.releases,
-        shared_address: fleet.shared_address,
-        settings: fleet.settings,
+    let spec = FleetSpec {
+        folder: config.folder,
+        slots: config.slots,
+        releases: config.releases,
+        shared_address: config.shared_address,
+        settings: config.settings,
         generation,
     };
-    let mut daemon = Daemon::open(wanted).map_err(|e| e.to_string())?;
+    let mut daemon = Daemon::open(spec).map_err(|e| e.to_string())?;
     if daemon.adopted > 0 {
         tracing::info!(
-            "{} instances of a daemon before this one were taken up",
+            "{} instances of a previous daemon were adopted",
             daemon.adopted
         );
     }
@@ -138,59 +139,62 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Asks, and returns the fleet as it is then.
+/// Sends a command to the daemon of `folder`, and returns the state of the fleet after it.
 ///
 /// # Errors
-/// Why it is not done.
-pub fn ask(folder: &Path, ask: &ControlCommand) -> Result<FleetView, String> {
-    match daemon::send_command(folder, ask).map_err(|e| e.to_string())? {
+/// The daemon does not respond or rejected the command.
+pub fn send_command(folder: &Path, command: &ControlCommand) -> Result<FleetView, String> {
+    match daemon::send_command(folder, command).map_err(|e| e.to_string())? {
         ControlResponse::Fleet(view) => Ok(*view),
-        ControlResponse::Rejected(why) => Err(why),
+        ControlResponse::Rejected(reason) => Err(reason),
     }
 }
 
-fn tell(asked: &Asked, what: &ControlCommand) -> Result<ExitCode, String> {
-    let view = ask(&load(&asked.file)?.folder, what)?;
-    if asked.json {
+fn execute(args: &FleetArgs, command: &ControlCommand) -> Result<ExitCode, String> {
+    let view = send_command(&load_config(&args.file)?.folder, command)?;
+    if args.json {
         say!(
             "{}",
             serde_json::to_string_pretty(&view).map_err(|e| e.to_string())?
         );
     } else {
-        show_fleet(&view);
+        print_fleet(&view);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// What is on, in a line.
+/// Returns the state of the fleet in one line.
 #[must_use]
 pub fn summary(view: &FleetView) -> String {
     let state = match &view.replacement {
         _ if view.shutting_down => "going down".to_owned(),
         None => {
-            let rest = if view.converged { ", at rest" } else { "" };
-            let back = view.rollback_reason.as_ref().map_or(String::new(), |why| {
-                format!("; the last replacement went back: {why}")
-            });
-            format!("generation {}{rest}{back}", view.stable_generation)
+            let converged = if view.converged { ", at rest" } else { "" };
+            let rollback = view
+                .rollback_reason
+                .as_ref()
+                .map_or(String::new(), |reason| {
+                    format!("; the last replacement was rolled back: {reason}")
+                });
+            format!("generation {}{converged}{rollback}", view.stable_generation)
         }
-        Some(one) => {
-            let why = one
+        Some(replacement) => {
+            let reason = replacement
                 .rollback_reason
                 .as_ref()
-                .map_or(String::new(), |why| format!(": {why}"));
-            let mode = format!("{:?}", one.mode).to_lowercase();
-            let done = view
+                .map_or(String::new(), |reason| format!(": {reason}"));
+            let mode = format!("{:?}", replacement.mode).to_lowercase();
+            let warm = view
                 .instances
                 .iter()
-                .filter(|of| {
-                    of.generation == one.generation
-                        && of.phase == cleatpulley_fleet::plan::Phase::Warm
+                .filter(|instance| {
+                    instance.generation == replacement.generation
+                        && instance.phase == cleatpulley_fleet::plan::Phase::Warm
                 })
                 .count();
             format!(
-                "generation {} to {}, {mode}{why}; {done} warm",
-                view.stable_generation, one.generation
+                "generation {} to {}, {mode}{reason}; {warm} warm",
+                view.stable_generation, replacement.generation
             )
         }
     };
@@ -200,7 +204,7 @@
     )
 }
 
-fn show_fleet(view: &FleetView) {
+fn print_fleet(view: &FleetView) {
     say!("{}", summary(view));
     say!(
         "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>6} {:>8} {:>8} {:>5}",
@@ -215,58 +219,62 @@
         "refused",
         "held"
     );
-    for one in &view.instances {
+    for instance in &view.instances {
         say!(
             "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>5.0}% {:>6.1}/s {:>7.1}% {:>5}",
-            one.slot.name,
-            one.slot.listen,
-            one.incarnation,
-            one.generation,
-            format!("{:?}", one.phase).to_lowercase(),
-            one.pid.map_or(String::new(), |pid| pid.to_string()),
-            100.0 * one.warmth,
-            one.rate,
-            100.0 * one.rejected_share,
-            one.open_requests
+            instance.slot.name,
+            instance.slot.listen,
+            instance.incarnation,
+            instance.generation,
+            format!("{:?}", instance.phase).to_lowercase(),
+            instance.pid.map_or(String::new(), |pid| pid.to_string()),
+            100.0 * instance.warmth,
+            instance.rate,
+            100.0 * instance.rejected_share,
+            instance.open_requests
         );
     }
-    for one in view
+    for instance in view
         .terminated
         .iter()
-        .filter(|one| one.failure_reason.is_some())
+        .filter(|instance| instance.failure_reason.is_some())
     {
-        let why = one.failure_reason.as_deref().unwrap_or_default();
-        let log = one.log_path.display();
+        let reason = instance.failure_reason.as_deref().unwrap_or_default();
+        let log_path = instance.log_path.display();
         say!(
-            "failed: instance {}, generation {}: {why}; log {log}",
-            one.incarnation,
-            one.generation
+            "failed: instance {}, generation {}: {reason}; log {log_path}",
+            instance.incarnation,
+            instance.generation
         );
     }
 }
 
-/// Replaces and waits, with a line for each change.
-fn replace(folder: &Path, what: &ControlCommand, generation: u32) -> Result<ExitCode, String> {
-    let mut view = ask(folder, what)?;
-    let mut said = String::new();
+/// Sends a replace command and waits until the replacement ends; prints a line for each change.
+fn replace_and_wait(
+    folder: &Path,
+    command: &ControlCommand,
+    generation: u32,
+) -> Result<ExitCode, String> {
+    let mut view = send_command(folder, command)?;
+    let mut last_line = String::new();
     while view.replacement.is_some() {
         let line = summary(&view);
-        if line != said {
+        if line != last_line {
             say!("{line}");
-            said = line;
+            last_line = line;
         }
         std::thread::sleep(Duration::from_millis(200));
-        // A daemon that died may be back soon: the replacement goes on then.
-        let mut tries = 0;
+        // A daemon that crashed may be restarted soon: it then resumes the replacement.
+        let mut retries = 0;
         view = loop {
-            match ask(folder, &ControlCommand::Status) {
+            match send_command(folder, &ControlCommand::Status) {
                 Ok(view) => break view,
-                Err(why) if tries >= AWAY => return Err(why),
-                Err(why) => {
-                    if tries == 0 {
-                        say!("{why}; waiting for it");
+                Err(error) if retries >= MAX_STATUS_RETRIES => return Err(error),
+                Err(error) => {
+                    if retries == 0 {
+                        say!("{error}; waiting for it");
                     }
-                    tries += 1;
+                    retries += 1;
                     std::thread::sleep(Duration::from_millis(200));
                 }
             }
@@ -281,26 +289,26 @@
 }
 
 fn plan(file: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let fleet = FleetFile::load(file).map_err(|e| e.to_string())?;
-    let question = fleet.planner_input.as_ref().ok_or_else(|| {
+    let config = FleetConfig::load(file).map_err(|e| e.to_string())?;
+    let input = config.planner_input.as_ref().ok_or_else(|| {
         format!(
-            "{}: fleet.host: missing: planning needs to know what instances are like",
+            "{}: fleet.host: missing: planning needs the properties of the host and its instances",
             file.display()
         )
     })?;
-    let answer = planner::plan_replacement(question)
-        .map_err(|e| format!("{}: fleet: {e}", file.display()))?;
-    let possible = matches!(answer, PlannerOutput::Possible(_));
+    let output =
+        planner::plan_replacement(input).map_err(|e| format!("{}: fleet: {e}", file.display()))?;
+    let possible = matches!(output, PlannerOutput::Possible(_));
     if as_json {
-        let value = match &answer {
-            PlannerOutput::Possible(course) => json!({ "possible": true, "course": course }),
-            PlannerOutput::Impossible(course, limit) => json!({
-                "possible": false, "limit": limit, "what": limit.to_string(), "nearest": course
+        let value = match &output {
+            PlannerOutput::Possible(schedule) => json!({ "possible": true, "course": schedule }),
+            PlannerOutput::Impossible(schedule, limit) => json!({
+                "possible": false, "limit": limit, "what": limit.to_string(), "nearest": schedule
             }),
         };
         say!("{value:#}");
     } else {
-        show(&fleet, question, &answer);
+        print_plan(&config, input, &output);
     }
     Ok(if possible {
         ExitCode::SUCCESS
@@ -313,56 +321,58 @@
     micros as f64 / 1e6
 }
 
-fn show(fleet: &FleetFile, question: &PlannerInput, answer: &PlannerOutput) {
-    let course = match answer {
-        PlannerOutput::Possible(course) => course,
-        PlannerOutput::Impossible(course, limit) => {
+fn print_plan(config: &FleetConfig, input: &PlannerInput, output: &PlannerOutput) {
+    let schedule = match output {
+        PlannerOutput::Possible(schedule) => schedule,
+        PlannerOutput::Impossible(schedule, limit) => {
             say!("not possible: {limit}");
-            say!("the way that comes nearest:");
-            course
+            say!("the schedule with the largest margin:");
+            schedule
         }
     };
-    let takes = course.duration.map_or("it does not end".to_owned(), |at| {
-        format!("{:.1} s", seconds(at))
-    });
+    let duration = schedule
+        .duration
+        .map_or("it does not end".to_owned(), |duration| {
+            format!("{:.1} s", seconds(duration))
+        });
     say!(
-        "{} instances, batch {}, surge {}: {takes}; least margin {:.1} requests a second at {:.1} s; {:.1} of {:.1} cores \
+        "{} instances, batch {}, surge {}: {duration}; least margin {:.1} requests a second at {:.1} s; {:.1} of {:.1} cores \
          at most",
-        question.settings.instances,
-        course.batch,
-        course.surge,
-        course.min_margin.0,
-        seconds(course.min_margin.1),
-        course.peak_cores,
-        question.host.cores
+        input.settings.instances,
+        schedule.batch,
+        schedule.surge,
+        schedule.min_margin.0,
+        seconds(schedule.min_margin.1),
+        schedule.peak_cores,
+        input.host.cores
     );
     say!("\n{:>9}  {:<5}  {:>8}  place", "s", "step", "instance");
-    for step in &course.steps {
-        let what = match step.kind {
+    for step in &schedule.steps {
+        let kind = match step.kind {
             StepKind::Start => "start",
             StepKind::Warm => "warm",
             StepKind::Drain => "leave",
             StepKind::Exit => "gone",
         };
-        let place = fleet
+        let slot = config
             .slots
             .get(step.slot)
-            .map_or("", |place| place.name.as_str());
+            .map_or("", |slot| slot.name.as_str());
         say!(
-            "{:>9.2}  {what:<5}  {:>8}  {place}",
+            "{:>9.2}  {kind:<5}  {:>8}  {slot}",
             seconds(step.at),
             step.incarnation
         );
     }
-    chart(course);
+    print_chart(schedule);
 }
 
-/// Capacity as a bar, and what is needed as a mark in it.
-fn chart(course: &Schedule) {
-    let Some(last) = course.samples.last() else {
+/// Prints a chart over time: a bar for the capacity, with a mark at the required rate.
+fn print_chart(schedule: &Schedule) {
+    let Some(last) = schedule.samples.last() else {
         return;
     };
-    let most = course
+    let max_rate = schedule
         .samples
         .iter()
         .map(|sample| sample.1.max(sample.2))
@@ -373,26 +383,25 @@
         "capacity",
         "needed"
     );
-    let place = |value: f64| (value / most * WIDTH as f64).round() as usize;
-    let lines = LINES.min(course.samples.len());
+    let column = |rate: f64| (rate / max_rate * CHART_WIDTH as f64).round() as usize;
+    let lines = CHART_LINES.min(schedule.samples.len());
     for line in 0..lines {
         let from = last.0 * line as u64 / lines as u64;
         let to = last.0 * (line as u64 + 1) / lines as u64;
-        let within = course
-            .samples
-            .iter()
-            .filter(|one| one.0 >= from && (one.0 < to || line + 1 == lines && one.0 == to));
-        // Of each stretch its worst moment.
-        let worst = within.min_by(|a, b| (a.1 - a.2).total_cmp(&(b.1 - b.2)));
-        let Some(&(at, there, needed)) = worst else {
+        let samples = schedule.samples.iter().filter(|sample| {
+            sample.0 >= from && (sample.0 < to || line + 1 == lines && sample.0 == to)
+        });
+        // Each line shows the sample with the smallest margin in its interval.
+        let worst = samples.min_by(|a, b| (a.1 - a.2).total_cmp(&(b.1 - b.2)));
+        let Some(&(at, available, needed)) = worst else {
             continue;
         };
-        let mut bar = vec![b' '; WIDTH + 1];
-        bar[..place(there)].fill(b'#');
-        bar[place(needed)] = b'|';
+        let mut bar = vec![b' '; CHART_WIDTH + 1];
+        bar[..column(available)].fill(b'#');
+        bar[column(needed)] = b'|';
         let bar = String::from_utf8(bar).unwrap_or_default();
         say!(
-            "{:>9.2}  {there:>9.1}  {needed:>9.1}  {}",
+            "{:>9.2}  {available:>9.1}  {needed:>9.1}  {}",
             seconds(at),
             bar.trim_end()
         );
--- a/src/commands/fleet_top.rs
+++ b/src/commands/fleet_top.rs
@@ -1,6 +1,6 @@
-//! `cleatpulley fleet top`: the fleet in the terminal.
+//! `cleatpulley fleet top`: shows the fleet in the terminal and refreshes it.
 
-use super::fleet::{ask, summary};
+use super::fleet::{send_command, summary};
 use cleatpulley_fleet::control_protocol::{ControlCommand, FleetView};
 use cleatpulley_fleet::plan::Phase;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -13,30 +13,30 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The fleet is asked so often.
-const EVERY: Duration = Duration::from_millis(500);
+/// Time between two refreshes.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shows it until q is pressed.
+/// Shows the fleet until q or Esc is pressed.
 ///
 /// # Errors
-/// Where there is no terminal.
+/// Standard output is not a terminal, the daemon does not respond at the start, or the terminal failed.
 pub fn run(folder: &Path) -> Result<ExitCode, String> {
     if !std::io::stdout().is_terminal() {
         return Err(
-            "fleet top: standard output is no terminal; fleet status shows the same".to_owned(),
+            "fleet top: standard output is not a terminal; fleet status shows the same".to_owned(),
         );
     }
-    // Asked once before the screen is taken: a daemon that is not there is an error like any other.
-    let mut view = ask(folder, &ControlCommand::Status);
-    if let Err(why) = view {
-        return Err(why);
+    // Requested before the terminal switches to the full screen, so that a missing daemon is reported as a plain error.
+    let mut view = send_command(folder, &ControlCommand::Status);
+    if let Err(error) = view {
+        return Err(error);
     }
     let mut terminal = ratatui::try_init().map_err(|e| format!("the terminal: {e}"))?;
-    let ended = loop {
+    let result = loop {
         if let Err(e) = terminal.draw(|frame| draw(frame, &view)) {
             break Err(format!("the terminal: {e}"));
         }
-        match event::poll(EVERY) {
+        match event::poll(REFRESH_INTERVAL) {
             Ok(true) => match event::read() {
                 Ok(Event::Key(key)) if key.kind == KeyEventKind::Press => {
                     if matches!(key.code, KeyCode::Char('q') | KeyCode::Esc) {
@@ -49,13 +49,13 @@
             Ok(false) => {}
             Err(e) => break Err(format!("the terminal: {e}")),
         }
-        view = ask(folder, &ControlCommand::Status);
+        view = send_command(folder, &ControlCommand::Status);
     };
     ratatui::restore();
-    ended
+    result
 }
 
-fn colour(phase: Phase) -> Color {
+fn phase_colour(phase: Phase) -> Color {
     match phase {
         Phase::Warm => Color::Green,
         Phase::Cold => Color::Yellow,
@@ -69,83 +69,86 @@
 fn draw(frame: &mut Frame<'_>, view: &Result<FleetView, String>) {
     let view = match view {
         Ok(view) => view,
-        Err(why) => return frame.render_widget(Paragraph::new(why.as_str()), frame.area()),
+        Err(error) => return frame.render_widget(Paragraph::new(error.as_str()), frame.area()),
     };
-    let failed: Vec<String> = view
+    let failures: Vec<String> = view
         .terminated
         .iter()
         .rev()
-        .filter_map(|one| {
+        .filter_map(|instance| {
             Some(format!(
                 "instance {}, generation {}: {}",
-                one.incarnation,
-                one.generation,
-                one.failure_reason.as_ref()?
+                instance.incarnation,
+                instance.generation,
+                instance.failure_reason.as_ref()?
             ))
         })
         .take(6)
         .collect();
-    let below = if failed.is_empty() {
+    let failures_height = if failures.is_empty() {
         0
     } else {
-        failed.len() as u16 + 2
+        failures.len() as u16 + 2
     };
-    let parts = Layout::vertical([
+    let layout = Layout::vertical([
         Constraint::Length(1),
         Constraint::Length(1),
         Constraint::Min(4),
-        Constraint::Length(below),
+        Constraint::Length(failures_height),
     ]);
-    let [top, bar, table, bottom] = parts.areas(frame.area());
-    frame.render_widget(Paragraph::new(summary(view)), top);
-    let all = view
+    let [summary_area, gauge_area, table_area, failures_area] = layout.areas(frame.area());
+    frame.render_widget(Paragraph::new(summary(view)), summary_area);
+    let active = view
         .instances
         .iter()
-        .filter(|one| one.phase != Phase::Draining)
+        .filter(|instance| instance.phase != Phase::Draining)
         .count()
         .max(1);
-    let new = view
+    let generation = view
         .replacement
         .as_ref()
-        .map_or(view.stable_generation, |one| one.generation);
-    let done = view
+        .map_or(view.stable_generation, |replacement| replacement.generation);
+    let warm = view
         .instances
         .iter()
-        .filter(|one| one.generation == new && one.phase == Phase::Warm)
+        .filter(|instance| instance.generation == generation && instance.phase == Phase::Warm)
         .count();
-    let share = (done as f64 / all as f64).clamp(0.0, 1.0);
+    let share = (warm as f64 / active as f64).clamp(0.0, 1.0);
     let gauge = Gauge::default()
         .ratio(share)
-        .label(format!("{done} warm of generation {new}"));
-    frame.render_widget(gauge.gauge_style(Style::new().fg(Color::Green)), bar);
-    let rows = view.instances.iter().map(|one| {
+        .label(format!("{warm} warm of generation {generation}"));
+    frame.render_widget(gauge.gauge_style(Style::new().fg(Color::Green)), gauge_area);
+    let rows = view.instances.iter().map(|instance| {
         Row::new([
-            one.slot.name.clone(),
-            one.slot.listen.to_string(),
-            one.incarnation.to_string(),
-            one.generation.to_string(),
-            format!("{:?} {:.0} s", one.phase, one.phase_s),
-            one.pid.map_or(String::new(), |pid| pid.to_string()),
-            format!("{:.0}%", 100.0 * one.warmth),
-            format!("{:.0}/s", one.rate),
-            format!("{:.1}%", 100.0 * one.rejected_share),
-            one.open_requests.to_string(),
+            instance.slot.name.clone(),
+            instance.slot.listen.to_string(),
+            instance.incarnation.to_string(),
+            instance.generation.to_string(),
+            format!("{:?} {:.0} s", instance.phase, instance.phase_s),
+            instance.pid.map_or(String::new(), |pid| pid.to_string()),
+            format!("{:.0}%", 100.0 * instance.warmth),
+            format!("{:.0}/s", instance.rate),
+            format!("{:.1}%", 100.0 * instance.rejected_share),
+            instance.open_requests.to_string(),
         ])
-        .style(Style::new().fg(colour(one.phase)))
+        .style(Style::new().fg(phase_colour(instance.phase)))
     });
     let widths = [12, 21, 7, 4, 15, 8, 7, 8, 8, 6].map(Constraint::Length);
-    let heads = [
+    let column_titles = [
         "name", "address", "number", "gen", "phase", "pid", "warmth", "rate", "refused", "held",
     ];
-    let block = Block::bordered().title(" q ends this, not the fleet ");
+    let block = Block::bordered().title(" q quits; the fleet keeps running ");
     frame.render_widget(
         Table::new(rows, widths)
-            .header(Row::new(heads))
+            .header(Row::new(column_titles))
             .block(block),
-        table,
+        table_area,
     );
-    if below > 0 {
-        let list = List::new(failed).style(Style::new().fg(Color::Red));
-        frame.render_widget(list.block(Block::bordered().title(" failed ")), bottom);
+    if failures_height > 0 {
+        let list = List::new(failures).style(Style::new().fg(Color::Red));
+        frame.render_widget(
+            list.block(Block::bordered().title(" failed ")),
+            failures_area,
+        );
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -95,7 +95,7 @@
     Upgrade(commands::upgrade::Upgrade),
     /// Start, drain and replace many instances on one host
     #[command(subcommand)]
-    Fleet(commands::fleet::Fleet),
+    Fleet(commands::fleet::FleetCommand),
     /// Measure a part of the program beside what it is compared with; the last line says ok or what falls short
     #[command(subcommand)]
     Check(commands::bench::Check),
