--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A daemon with real processes: started, killed at moments of a replacement and started again, a release that fails, and
-//! what else goes wrong with processes.
+//! Tests of the daemon with real processes: the daemon is killed and restarted during a replacement, a release fails, and
+//! instances crash, hang or are stopped.
 
 use cleatpulley_emulators::callers::request_frame;
 use cleatpulley_emulators::site::{Setup, Site};
@@ -15,25 +15,26 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cleatpulley");
-/// Nothing here takes longer, or it failed.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum time to wait for any condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Rig {
+/// A fleet with its sites, in a folder of its own.
+struct TestFleet {
     folder: tempfile::TempDir,
     file: PathBuf,
     sites: Vec<Site>,
     daemon: Option<Child>,
 }
 
-impl Drop for Rig {
+impl Drop for TestFleet {
     fn drop(&mut self) {
-        // Processes that a failed test leaves behind end with it.
+        // Kills the processes that a failed test leaves behind.
         if let Ok(ControlResponse::Fleet(view)) =
-            send_command(&self.state(), &ControlCommand::Status)
+            send_command(&self.state_folder(), &ControlCommand::Status)
         {
             view.instances
                 .iter()
-                .filter_map(|one| one.pid)
+                .filter_map(|instance| instance.pid)
                 .for_each(kill);
         }
         if let Some(mut daemon) = self.daemon.take() {
@@ -59,61 +60,68 @@
     }
 }
 
-/// Ports that nobody has now, on an address from which no connection is dialled: none of them is taken meanwhile.
-fn ports(number: usize) -> Vec<u16> {
-    let all: Vec<_> = (0..number)
+/// Returns free ports of an address that no outgoing connection uses, so that none of them is taken as a client port before
+/// it is bound.
+fn free_ports(count: usize) -> Vec<u16> {
+    let listeners: Vec<_> = (0..count)
         .filter_map(|_| TcpListener::bind("127.0.0.2:0").ok())
         .collect();
-    all.iter()
-        .filter_map(|one| Some(one.local_addr().ok()?.port()))
+    listeners
+        .iter()
+        .filter_map(|listener| Some(listener.local_addr().ok()?.port()))
         .collect()
 }
 
-impl Rig {
-    fn new(instances: usize, surge: usize, more: &str) -> Self {
-        Self::with(instances, surge, None, more)
+impl TestFleet {
+    fn new(instances: usize, surge: usize, extra_settings: &str) -> Self {
+        Self::with_shared_address(instances, surge, None, extra_settings)
     }
 
-    fn with(instances: usize, surge: usize, shared: Option<SocketAddr>, more: &str) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn with_shared_address(
+        instances: usize,
+        surge: usize,
+        shared_address: Option<SocketAddr>,
+        extra_settings: &str,
+    ) -> Self {
+        let folder = tempfile::tempdir().expect("creates a folder");
         let mut places = Vec::new();
         let mut sites = Vec::new();
-        for (i, port) in ports(instances + surge).into_iter().enumerate() {
+        for (i, port) in free_ports(instances + surge).into_iter().enumerate() {
             let site = Site::start(Setup {
                 stop: 600_000,
                 grace: 300_000,
                 seed: i as u64,
                 ..Setup::default()
             })
-            .expect("a site");
+            .expect("starts a site");
             let config = folder.path().join(format!("m{i}.json"));
-            std::fs::write(&config, site.config.to_string()).expect("a configuration");
-            let own = if shared.is_none() {
+            std::fs::write(&config, site.config.to_string()).expect("writes the configuration");
+            let listen = if shared_address.is_none() {
                 format!("listen: '127.0.0.2:{port}', ")
             } else {
                 String::new()
             };
             places.push(format!(
-                "{{ name: 'm{i}', {own}config: '{}' }}",
+                "{{ name: 'm{i}', {listen}config: '{}' }}",
                 config.display()
             ));
             sites.push(site);
         }
-        let bad = folder.path().join("bad.jsonnet");
-        std::fs::write(&bad, "{ ajp: { listen: 7 } }").expect("a file");
+        let invalid_operator = folder.path().join("bad.jsonnet");
+        std::fs::write(&invalid_operator, "{ ajp: { listen: 7 } }").expect("writes the file");
         let file = folder.path().join("fleet.jsonnet");
         let text = format!(
             "{{ fleet: {{ folder: '{}', instances: {instances}, surge: {surge}, places: [{}], releases: {{ \
              '1': {{ program: '{PROGRAM}' }}, '2': {{ program: '{PROGRAM}' }}, \
              '3': {{ program: '{PROGRAM}', operator: '{}' }}, '4': {{ program: '/nowhere/at/all' }} }}, \
              timeouts_ms: {{ start: 5000, warm: 20000, drain: 3000, silent: 1000 }}, \
-             restart: {{ first_ms: 50, most_ms: 500, budget: 100, within_ms: 1000 }}, {more}{} }} }}",
+             restart: {{ first_ms: 50, most_ms: 500, budget: 100, within_ms: 1000 }}, {extra_settings}{} }} }}",
             folder.path().join("state").display(),
             places.join(", "),
-            bad.display(),
-            shared.map_or(String::new(), |address| format!(", listen: '{address}'"))
+            invalid_operator.display(),
+            shared_address.map_or(String::new(), |address| format!(", listen: '{address}'"))
         );
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("writes the file");
         Self {
             folder,
             file,
@@ -122,63 +130,64 @@
         }
     }
 
-    fn state(&self) -> PathBuf {
+    fn state_folder(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
-    fn up(&mut self) {
+    fn start_daemon(&mut self) {
         let child = Command::new(PROGRAM)
             .args(["fleet", "up", "--generation", "1"])
             .arg(&self.file)
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("a daemon");
+            .expect("starts the daemon");
         self.daemon = Some(child);
     }
 
-    /// The daemon dies and another comes.
-    fn daemon_dies(&mut self) {
-        let mut daemon = self.daemon.take().expect("a daemon");
-        daemon.kill().expect("it can be killed");
-        daemon.wait().expect("it ends");
-        self.up();
+    /// Kills the daemon and starts another one.
+    fn restart_daemon(&mut self) {
+        let mut daemon = self.daemon.take().expect("the daemon runs");
+        daemon.kill().expect("kills the daemon");
+        daemon.wait().expect("the daemon ends");
+        self.start_daemon();
     }
 
-    fn ask(&self, what: &ControlCommand) -> Result<FleetView, String> {
-        match send_command(&self.state(), what) {
+    fn send_command(&self, command: &ControlCommand) -> Result<FleetView, String> {
+        match send_command(&self.state_folder(), command) {
             Ok(ControlResponse::Fleet(view)) => Ok(*view),
-            Ok(ControlResponse::Rejected(why)) => Err(why),
+            Ok(ControlResponse::Rejected(reason)) => Err(reason),
             Err(e) => Err(e.to_string()),
         }
     }
 
-    fn wait(&self, what: &str, until: impl Fn(&FleetView) -> bool) -> FleetView {
-        let since = Instant::now();
-        let mut last = Err("nothing was heard".to_owned());
-        while since.elapsed() < PATIENCE {
-            last = self.ask(&ControlCommand::Status);
+    /// Waits until the fleet meets a condition, which `description` names in the panic message.
+    fn wait_until(&self, description: &str, condition: impl Fn(&FleetView) -> bool) -> FleetView {
+        let started_at = Instant::now();
+        let mut last = Err("no response yet".to_owned());
+        while started_at.elapsed() < WAIT_TIMEOUT {
+            last = self.send_command(&ControlCommand::Status);
             match &last {
-                Ok(view) if until(view) => return last.unwrap_or_else(|e| panic!("{e}")),
+                Ok(view) if condition(view) => return last.unwrap_or_else(|e| panic!("{e}")),
                 _ => std::thread::sleep(Duration::from_millis(5)),
             }
         }
-        panic!("{what}: {last:#?}\n{}", self.logs());
+        panic!("{description}: {last:#?}\n{}", self.logs());
     }
 
     fn logs(&self) -> String {
-        let mut all = String::new();
-        for entry in std::fs::read_dir(self.state().join("logs"))
+        let mut logs = String::new();
+        for entry in std::fs::read_dir(self.state_folder().join("logs"))
             .into_iter()
             .flatten()
             .flatten()
         {
-            all += &std::fs::read_to_string(entry.path()).unwrap_or_default();
+            logs += &std::fs::read_to_string(entry.path()).unwrap_or_default();
         }
-        all
+        logs
     }
 
-    /// As an operator does it.
+    /// Runs the command line program to begin a replacement.
     fn replace(&self, generation: u32) -> Result<FleetView, String> {
         let mut command = Command::new(PROGRAM);
         command
@@ -190,213 +199,238 @@
                 "--file",
             ])
             .arg(&self.file);
-        let done = command.output().expect("it ends");
-        if !done.status.success() {
-            return Err(String::from_utf8_lossy(&done.stderr).into_owned());
+        let output = command.output().expect("runs the program");
+        if !output.status.success() {
+            return Err(String::from_utf8_lossy(&output.stderr).into_owned());
         }
-        serde_json::from_slice(&done.stdout).map_err(|e| e.to_string())
+        serde_json::from_slice(&output.stdout).map_err(|e| e.to_string())
     }
 
     fn pids(&self) -> BTreeSet<u32> {
-        self.ask(&ControlCommand::Status)
-            .expect("a view")
+        self.send_command(&ControlCommand::Status)
+            .expect("the daemon responds")
             .instances
             .iter()
-            .filter_map(|one| one.pid)
+            .filter_map(|instance| instance.pid)
             .collect()
     }
 
-    fn down(&mut self) {
+    fn shut_down(&mut self) {
         let pids = self.pids();
-        self.ask(&ControlCommand::Shutdown).expect("it goes down");
+        self.send_command(&ControlCommand::Shutdown)
+            .expect("begins to shut down");
         let status = self
             .daemon
             .take()
-            .expect("a daemon")
+            .expect("the daemon runs")
             .wait()
-            .expect("it ends");
+            .expect("the daemon ends");
         assert!(status.success());
         assert!(
             pids.iter()
                 .all(|pid| !Path::new(&format!("/proc/{pid}/exe")).exists()),
-            "all have left"
+            "all processes have ended"
         );
     }
 }
 
-fn answers(address: SocketAddr) -> bool {
+fn accepts_connections(address: SocketAddr) -> bool {
     TcpStream::connect(address).is_ok()
 }
 
 #[test]
-fn a_daemon_that_is_killed_again_and_again_finishes_its_replacement() {
-    let mut rig = Rig::new(3, 1, "batch: 1, minimum: 3");
-    rig.up();
-    let view = rig.wait("all warm", |view| view.converged);
-    assert!(view.instances.iter().all(|one| answers(one.slot.listen)));
-    // A second daemon on the folder is refused, and says why.
+fn a_daemon_killed_repeatedly_completes_its_replacement() {
+    let mut fleet = TestFleet::new(3, 1, "batch: 1, minimum: 3");
+    fleet.start_daemon();
+    let view = fleet.wait_until("all warm", |view| view.converged);
+    assert!(view
+        .instances
+        .iter()
+        .all(|instance| accepts_connections(instance.slot.listen)));
+    // A second daemon on the same folder fails with an error.
     let second = Command::new(PROGRAM)
         .args(["fleet", "up"])
-        .arg(&rig.file)
+        .arg(&fleet.file)
         .output()
-        .expect("it ends");
+        .expect("runs the program");
     assert!(!second.status.success());
     assert!(String::from_utf8_lossy(&second.stderr).contains("another daemon runs this fleet"));
-    let before = rig.pids();
-    rig.daemon_dies();
-    rig.wait("taken up", |view| view.converged);
-    assert_eq!(rig.pids(), before, "none was started anew");
-    rig.replace(2).expect("it begins");
-    assert!(rig
+    let before = fleet.pids();
+    fleet.restart_daemon();
+    fleet.wait_until("adopted", |view| view.converged);
+    assert_eq!(fleet.pids(), before, "no instance was restarted");
+    fleet.replace(2).expect("begins the replacement");
+    assert!(fleet
         .replace(3)
-        .is_err_and(|why| why.contains("a replacement is already in progress")));
-    let mut least = f64::INFINITY;
+        .is_err_and(|error| error.contains("a replacement is already in progress")));
+    let mut min_capacity = f64::INFINITY;
     for n in 0..40 {
         std::thread::sleep(Duration::from_millis(20 + 13 * (n % 5)));
-        rig.daemon_dies();
-        let view = rig.wait("it answers", |_| true);
-        least = least.min(view.capacity);
+        fleet.restart_daemon();
+        let view = fleet.wait_until("the daemon responds", |_| true);
+        min_capacity = min_capacity.min(view.capacity);
         if view.replacement.is_none() {
             break;
         }
     }
-    let view = rig.wait("replaced", |view| {
+    let view = fleet.wait_until("replaced", |view| {
         view.converged && view.stable_generation == 2
     });
-    assert!(view.instances.iter().all(|one| one.generation == 2));
+    assert!(view
+        .instances
+        .iter()
+        .all(|instance| instance.generation == 2));
     assert!(
         view.terminated
             .iter()
-            .all(|one| one.phase == Phase::Stopped),
+            .all(|instance| instance.phase == Phase::Stopped),
         "{:?}",
         view.terminated
     );
-    assert!(least >= 3.0, "{least}");
-    assert!(rig.pids().is_disjoint(&before));
-    rig.down();
-    // What comes next has other numbers.
-    let most = view
+    assert!(min_capacity >= 3.0, "{min_capacity}");
+    assert!(fleet.pids().is_disjoint(&before));
+    fleet.shut_down();
+    // A new daemon does not reuse incarnation numbers.
+    let last_incarnation = view
         .instances
         .iter()
-        .map(|one| one.incarnation)
+        .map(|instance| instance.incarnation)
         .max()
         .unwrap_or_default();
-    rig.up();
-    let view = rig.wait("up again", |view| view.converged);
-    assert!(view.instances.iter().all(|one| one.incarnation > most));
-    rig.down();
+    fleet.start_daemon();
+    let view = fleet.wait_until("started again", |view| view.converged);
+    assert!(view
+        .instances
+        .iter()
+        .all(|instance| instance.incarnation > last_incarnation));
+    fleet.shut_down();
 }
 
 #[test]
-fn a_release_that_fails_goes_back_by_itself_and_nobody_else_is_touched() {
-    let mut rig = Rig::new(2, 1, "batch: 1, minimum: 2");
-    rig.up();
-    rig.wait("all warm", |view| view.converged);
-    let before = rig.pids();
-    for (generation, why) in [(3, "status 1"), (4, "/nowhere/at/all")] {
-        rig.replace(generation).expect("it begins");
-        let view = rig.wait("it went back", |view| view.converged);
+fn a_failing_release_is_rolled_back_and_old_instances_keep_running() {
+    let mut fleet = TestFleet::new(2, 1, "batch: 1, minimum: 2");
+    fleet.start_daemon();
+    fleet.wait_until("all warm", |view| view.converged);
+    let before = fleet.pids();
+    for (generation, expected) in [(3, "status 1"), (4, "/nowhere/at/all")] {
+        fleet.replace(generation).expect("begins the replacement");
+        let view = fleet.wait_until("rolled back", |view| view.converged);
         assert_eq!(view.stable_generation, 1);
         let failed = view
             .terminated
             .iter()
-            .filter(|one| one.generation == generation);
-        let whys: Vec<_> = failed
-            .filter_map(|one| one.failure_reason.clone())
+            .filter(|instance| instance.generation == generation);
+        let reasons: Vec<_> = failed
+            .filter_map(|instance| instance.failure_reason.clone())
             .collect();
         assert!(
-            whys.len() >= 3 && whys.iter().all(|told| told.contains(why)),
-            "{whys:?}"
+            reasons.len() >= 3 && reasons.iter().all(|reason| reason.contains(expected)),
+            "{reasons:?}"
         );
-        assert_eq!(rig.pids(), before);
+        assert_eq!(fleet.pids(), before);
     }
-    rig.down();
+    fleet.shut_down();
 }
 
 #[test]
-fn deaths_hangs_and_strays_are_noticed() {
-    let mut rig = Rig::new(2, 1, "batch: 1, minimum: 1");
-    rig.up();
-    let view = rig.wait("all warm", |view| view.converged);
-    let one = &view.instances[0];
-    kill(one.pid.expect("a process"));
-    let number = one.incarnation;
-    let gone = |number: u64| {
-        move |view: &FleetView| view.terminated.iter().any(|one| one.incarnation == number)
+fn crashed_hung_and_stopped_instances_are_replaced() {
+    let mut fleet = TestFleet::new(2, 1, "batch: 1, minimum: 1");
+    fleet.start_daemon();
+    let view = fleet.wait_until("all warm", |view| view.converged);
+    let instance = &view.instances[0];
+    kill(instance.pid.expect("the instance has a process"));
+    let incarnation = instance.incarnation;
+    let has_terminated = |incarnation: u64| {
+        move |view: &FleetView| {
+            view.terminated
+                .iter()
+                .any(|instance| instance.incarnation == incarnation)
+        }
     };
-    rig.wait("its death is noticed", gone(number));
-    let view = rig.wait("another came", |view| view.converged);
-    let one = &view.instances[0];
-    signal(one.pid.expect("a process"), "STOP");
-    let number = one.incarnation;
-    let view = rig.wait("that it hangs is noticed", gone(number));
-    let why = view
+    fleet.wait_until("the crash is detected", has_terminated(incarnation));
+    let view = fleet.wait_until("the crashed instance is replaced", |view| view.converged);
+    let instance = &view.instances[0];
+    signal(instance.pid.expect("the instance has a process"), "STOP");
+    let incarnation = instance.incarnation;
+    let view = fleet.wait_until("the hang is detected", has_terminated(incarnation));
+    let reason = view
         .terminated
         .iter()
-        .find(|one| one.incarnation == number)
-        .and_then(|one| one.failure_reason.clone());
-    assert_eq!(why.as_deref(), Some("it hung"));
-    let view = rig.wait("another came", |view| view.converged);
-    // One that somebody tells to leave by hand is no crash.
-    let one = &view.instances[0];
-    signal(one.pid.expect("a process"), "TERM");
-    let view = rig.wait("it has left", gone(one.incarnation));
-    let left = view
+        .find(|instance| instance.incarnation == incarnation)
+        .and_then(|instance| instance.failure_reason.clone());
+    assert_eq!(reason.as_deref(), Some("it hung"));
+    let view = fleet.wait_until("the hung instance is replaced", |view| view.converged);
+    // An instance that an operator stops directly does not count as failed.
+    let instance = &view.instances[0];
+    signal(instance.pid.expect("the instance has a process"), "TERM");
+    let view = fleet.wait_until(
+        "the instance has stopped",
+        has_terminated(instance.incarnation),
+    );
+    let stopped = view
         .terminated
         .iter()
-        .find(|gone| gone.incarnation == one.incarnation);
-    assert_eq!(left.map(|gone| gone.phase), Some(Phase::Stopped));
-    rig.wait("another came", |view| view.converged);
-    assert_eq!(rig.sites.len(), 3);
-    rig.down();
+        .find(|terminated| terminated.incarnation == instance.incarnation);
+    assert_eq!(
+        stopped.map(|terminated| terminated.phase),
+        Some(Phase::Stopped)
+    );
+    fleet.wait_until("the stopped instance is replaced", |view| view.converged);
+    assert_eq!(fleet.sites.len(), 3);
+    fleet.shut_down();
 }
 
-/// How many descriptors a process may open from now on.
-fn limit(pid: u32, most: Option<u64>) {
+/// Sets the number of descriptors that a process may open; `None` restores the limit of this process.
+fn set_descriptor_limit(pid: u32, max_descriptors: Option<u64>) {
     use rustix::process::{prlimit, Pid, Resource, Rlimit};
     let pid = i32::try_from(pid)
         .ok()
         .and_then(Pid::from_raw)
-        .expect("a process");
-    let before = rustix::process::getrlimit(Resource::Nofile);
+        .expect("a valid process id");
+    let own_limit = rustix::process::getrlimit(Resource::Nofile);
     let limit = Rlimit {
-        current: most.or(before.current),
-        maximum: before.maximum,
+        current: max_descriptors.or(own_limit.current),
+        maximum: own_limit.maximum,
     };
-    prlimit(Some(pid), Resource::Nofile, limit).expect("its own processes may be limited");
+    prlimit(Some(pid), Resource::Nofile, limit).expect("limits a child process");
 }
 
 #[test]
-fn where_descriptors_run_out_it_goes_on_once_there_are_some() {
-    let mut rig = Rig::new(2, 1, "batch: 1, minimum: 1");
-    rig.up();
-    rig.wait("all warm", |view| view.converged);
-    let daemon = rig.daemon.as_ref().map(Child::id).expect("a daemon");
-    // Whether it has tried within that time nobody can ask it: then once more.
+fn a_daemon_without_free_descriptors_recovers_once_there_are_some() {
+    let mut fleet = TestFleet::new(2, 1, "batch: 1, minimum: 1");
+    fleet.start_daemon();
+    fleet.wait_until("all warm", |view| view.converged);
+    let daemon_pid = fleet
+        .daemon
+        .as_ref()
+        .map(Child::id)
+        .expect("the daemon runs");
+    // Repeated, because the daemon may not attempt a start while the limit is in force.
     for _ in 0..20 {
-        let view = rig.wait("all warm", |view| view.converged);
-        let open = std::fs::read_dir(format!("/proc/{daemon}/fd"))
-            .expect("its descriptors")
+        let view = fleet.wait_until("all warm", |view| view.converged);
+        let open_descriptors = std::fs::read_dir(format!("/proc/{daemon_pid}/fd"))
+            .expect("reads the daemon's descriptors")
             .count();
-        limit(daemon, Some(open as u64 - 3));
-        kill(view.instances[0].pid.expect("a process"));
+        set_descriptor_limit(daemon_pid, Some(open_descriptors as u64 - 3));
+        kill(view.instances[0].pid.expect("the instance has a process"));
         std::thread::sleep(Duration::from_millis(100));
-        limit(daemon, None);
-        let view = rig.wait("all warm again", |view| view.converged);
-        if view.terminated.iter().any(|one| {
-            one.failure_reason
+        set_descriptor_limit(daemon_pid, None);
+        let view = fleet.wait_until("all warm again", |view| view.converged);
+        if view.terminated.iter().any(|instance| {
+            instance
+                .failure_reason
                 .as_ref()
-                .is_some_and(|why| why.contains("os error 24"))
+                .is_some_and(|reason| reason.contains("os error 24"))
         }) {
-            return rig.down();
+            return fleet.shut_down();
         }
     }
-    panic!("no start failed for want of descriptors");
+    panic!("no start failed for lack of descriptors");
 }
 
-/// Asks once on a connection of its own; what went wrong, if anything did.
-fn ask_once(address: SocketAddr, id: u64) -> Result<(), String> {
-    let mut stream = TcpStream::connect(address).map_err(|e| format!("connecting: {e}"))?;
+/// Sends one request on a connection of its own and waits for the response.
+fn send_request(address: SocketAddr, id: u64) -> Result<(), String> {
+    let mut stream = TcpStream::connect(address).map_err(|e| format!("connect: {e}"))?;
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .map_err(|e| e.to_string())?;
@@ -414,59 +448,62 @@
     ];
     stream
         .write_all(&request_frame(1, &fields, b"lobby"))
-        .map_err(|e| format!("asking: {e}"))?;
-    let mut answer = [0; 1_024];
-    match stream.read(&mut answer) {
-        Ok(0) => Err("closed without an answer".to_owned()),
+        .map_err(|e| format!("send: {e}"))?;
+    let mut response = [0; 1_024];
+    match stream.read(&mut response) {
+        Ok(0) => Err("closed without a response".to_owned()),
         Ok(_) => Ok(()),
-        Err(e) => Err(format!("waiting: {e}")),
+        Err(e) => Err(format!("receive: {e}")),
     }
 }
 
 #[test]
-fn one_address_for_all_is_handed_over_and_no_connection_is_refused() {
-    let address = SocketAddr::from(([127, 0, 0, 3], ports(1)[0]));
-    let mut rig = Rig::with(2, 1, Some(address), "batch: 1, minimum: 2");
-    rig.up();
-    rig.wait("all warm", |view| view.converged);
-    let over = AtomicBool::new(false);
-    let (asked, failed) = std::thread::scope(|scope| {
-        let asking: Vec<_> = (0..3_u64)
-            .map(|n| {
-                let over = &over;
+fn replacements_on_a_shared_address_lose_no_request() {
+    let address = SocketAddr::from(([127, 0, 0, 3], free_ports(1)[0]));
+    let mut fleet = TestFleet::with_shared_address(2, 1, Some(address), "batch: 1, minimum: 2");
+    fleet.start_daemon();
+    fleet.wait_until("all warm", |view| view.converged);
+    let stop = AtomicBool::new(false);
+    let (requests, errors) = std::thread::scope(|scope| {
+        let clients: Vec<_> = (0..3_u64)
+            .map(|client| {
+                let stop = &stop;
                 scope.spawn(move || {
-                    let (mut asked, mut failed) = (0, Vec::new());
-                    while !over.load(Ordering::Relaxed) {
-                        asked += 1;
-                        failed.extend(ask_once(address, n << 32 | asked).err());
+                    let (mut requests, mut errors) = (0, Vec::new());
+                    while !stop.load(Ordering::Relaxed) {
+                        requests += 1;
+                        errors.extend(send_request(address, client << 32 | requests).err());
                     }
-                    (asked, failed)
+                    (requests, errors)
                 })
             })
             .collect();
         for generation in [2, 1, 2] {
-            rig.replace(generation).expect("it begins");
-            rig.daemon_dies();
-            rig.wait("replaced", |view| {
+            fleet.replace(generation).expect("begins the replacement");
+            fleet.restart_daemon();
+            fleet.wait_until("replaced", |view| {
                 view.converged && view.stable_generation == generation
             });
         }
-        over.store(true, Ordering::Relaxed);
-        let all: Vec<_> = asking
+        stop.store(true, Ordering::Relaxed);
+        let results: Vec<_> = clients
             .into_iter()
-            .filter_map(|one| one.join().ok())
+            .filter_map(|client| client.join().ok())
             .collect();
         (
-            all.iter().map(|one| one.0).sum::<u64>(),
-            all.into_iter().flat_map(|one| one.1).collect::<Vec<_>>(),
+            results.iter().map(|result| result.0).sum::<u64>(),
+            results
+                .into_iter()
+                .flat_map(|result| result.1)
+                .collect::<Vec<_>>(),
         )
     });
-    assert!(asked > 50, "{asked}");
+    assert!(requests > 50, "{requests}");
     assert!(
-        failed.is_empty(),
-        "{} of {asked}: {:?}",
-        failed.len(),
-        failed.first()
+        errors.is_empty(),
+        "{} of {requests}: {:?}",
+        errors.len(),
+        errors.first()
     );
-    rig.down();
+    fleet.shut_down();
 }
