--- a/crates/fleet/src/daemon.rs
+++ b/crates/fleet/src/daemon.rs
@@ -1,6 +1,6 @@
 //! The daemon: an event loop that executes the plan's effects. It starts processes, receives their status reports, sends
-//! them signals and executes operators' commands. The plan's state is durable before the next effect is executed, so that
-//! a daemon started after a crash at any moment resumes where the last one stopped.
+//! them signals and executes operators' commands. The plan's state is durable before the next effect is executed, so
+//! that after a crash at any moment the next daemon resumes where the previous one stopped.
 
 use crate::control_protocol::{
     ControlCommand, ControlResponse, FleetView, InstanceView, ReplacementView,
@@ -344,8 +344,8 @@
         if self.state.shared_address.is_some() && !self.processes.is_empty() {
             self.receive_shared_listener()?;
         }
-        let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.recover(now, events, &mut out);
+        let (now, mut effects) = (self.now(), Vec::new());
+        self.state.plan.recover(now, events, &mut effects);
         // The previous daemon may have died after saving the plan and before sending the signal.
         for instance in self
             .state
@@ -358,7 +358,7 @@
                 process.signal(Signal::TERM);
             }
         }
-        self.execute_effects(out)
+        self.execute_effects(effects)
     }
 
     fn save(&mut self) -> Result<(), Error> {
@@ -400,9 +400,9 @@
                     slot,
                 } => {
                     let event = self.spawn(incarnation, generation, slot);
-                    let (now, mut out) = (self.now(), Vec::new());
-                    self.state.plan.handle_event(now, event, &mut out);
-                    queue.extend(out);
+                    let (now, mut effects) = (self.now(), Vec::new());
+                    self.state.plan.handle_event(now, event, &mut effects);
+                    queue.extend(effects);
                 }
                 Effect::Drain(incarnation) => self.signal(incarnation, Signal::TERM),
                 Effect::Kill(incarnation) => self.signal(incarnation, Signal::KILL),
@@ -534,9 +534,9 @@
     }
 
     fn handle_event(&mut self, event: Event) -> Result<(), Error> {
-        let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.handle_event(now, event, &mut out);
-        self.execute_effects(out)
+        let (now, mut effects) = (self.now(), Vec::new());
+        self.state.plan.handle_event(now, event, &mut effects);
+        self.execute_effects(effects)
     }
 
     /// Runs until the fleet has shut down.
@@ -562,7 +562,7 @@
     /// # Errors
     /// As [`run`](Self::run).
     pub fn poll_once(&mut self) -> Result<(), Error> {
-        // Limits the number of iterations when many instances report: one iteration handles several reports.
+        // Handles the reports of several instances in one iteration, instead of one iteration for each report.
         std::thread::sleep(MIN_POLL_INTERVAL.saturating_sub(self.last_poll.elapsed()));
         self.last_poll = Instant::now();
         let now = self.now();
@@ -652,9 +652,9 @@
                 });
             });
         }
-        let (now, mut out) = (self.now(), Vec::new());
-        self.state.plan.handle_timeouts(now, &mut out);
-        self.execute_effects(out)?;
+        let (now, mut effects) = (self.now(), Vec::new());
+        self.state.plan.handle_timeouts(now, &mut effects);
+        self.execute_effects(effects)?;
         if let Ok(MaintenanceStatus::MoreToDo) =
             self.store.run_maintenance_step(now, MAINTENANCE_BYTES)
         {
@@ -775,7 +775,7 @@
     }
 
     fn execute_command(&mut self, command: ControlCommand) -> Result<ControlResponse, Error> {
-        let (now, mut out) = (self.now(), Vec::new());
+        let (now, mut effects) = (self.now(), Vec::new());
         let plan = &mut self.state.plan;
         let result = match command {
             ControlCommand::Status => Ok(()),
@@ -800,23 +800,23 @@
                         "there is no release {generation}"
                     )));
                 }
-                plan.begin_replacement(now, generation, &mut out)
+                plan.begin_replacement(now, generation, &mut effects)
             }
-            ControlCommand::Pause => plan.pause(now, &mut out),
-            ControlCommand::Resume => plan.resume(now, &mut out),
-            ControlCommand::Rollback => plan.roll_back(now, &mut out),
+            ControlCommand::Pause => plan.pause(now, &mut effects),
+            ControlCommand::Resume => plan.resume(now, &mut effects),
+            ControlCommand::Rollback => plan.roll_back(now, &mut effects),
             ControlCommand::Shutdown => {
-                plan.begin_shutdown(now, &mut out);
+                plan.begin_shutdown(now, &mut effects);
                 Ok(())
             }
         };
         if let Err(error) = result {
             return Ok(ControlResponse::Rejected(error.to_string()));
         }
-        if !out.is_empty() {
+        if !effects.is_empty() {
             self.dirty = true;
         }
-        self.execute_effects(out)?;
+        self.execute_effects(effects)?;
         Ok(ControlResponse::Fleet(Box::new(self.view())))
     }
 
--- a/crates/fleet/src/fault_simulation.rs
+++ b/crates/fleet/src/fault_simulation.rs
@@ -1,6 +1,7 @@
-//! Randomized simulation of the plan with injected faults: processes fail to start, crash, hang, ignore the drain signal or
-//! perform worse, the daemon crashes between any two effects and reads the saved plan back, and operators change their
-//! minds. Everything is derived from a seed. The plan's invariants are checked against the state of the simulated processes.
+//! Randomized simulation of the plan with injected faults: processes fail to start, crash, hang, ignore the drain signal
+//! or perform worse, the daemon crashes between any two effects and reads the saved plan back, and operators pause,
+//! resume and roll back replacements. Everything is derived from a seed. The plan's invariants are checked against the
+//! state of the simulated processes.
 
 use crate::plan::{
     Effect, Event, FleetSettings, Instance, Notice, Phase, Plan, ProcessExit, ProcessIdentity,
@@ -138,9 +139,9 @@
         shutting_down: false,
     };
     simulation.saved_plan = simulation.encode_plan();
-    let mut out = Vec::new();
-    simulation.plan.recover(0, Vec::new(), &mut out);
-    simulation.execute_effects(out);
+    let mut effects = Vec::new();
+    simulation.plan.recover(0, Vec::new(), &mut effects);
+    simulation.execute_effects(effects);
     while simulation.now < CONVERGENCE_DEADLINE && simulation.result.violations.is_empty() {
         simulation.now += TICK;
         simulation.tick();
@@ -175,9 +176,9 @@
         self.run_operator();
         self.run_processes();
         self.deliver_events();
-        let mut out = Vec::new();
-        self.plan.handle_timeouts(self.now, &mut out);
-        self.execute_effects(out);
+        let mut effects = Vec::new();
+        self.plan.handle_timeouts(self.now, &mut effects);
+        self.execute_effects(effects);
         if self.random_event_occurs(3) {
             self.crash_daemon();
         }
@@ -185,15 +186,15 @@
 
     fn deliver_events(&mut self) {
         for event in std::mem::take(&mut self.pending_events) {
-            let mut out = Vec::new();
-            self.plan.handle_event(self.now, event, &mut out);
-            self.execute_effects(out);
+            let mut effects = Vec::new();
+            self.plan.handle_event(self.now, event, &mut effects);
+            self.execute_effects(effects);
         }
     }
 
     /// Issues random operator commands: a new generation now and then, pause, resume and rollback.
     fn run_operator(&mut self) {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         let now = self.now;
         if self.plan.replacement().is_none() && self.random_event_occurs(12) {
             let generation = self.behaviours.len() as u32 + 1;
@@ -206,7 +207,7 @@
             self.behaviours.insert(generation, behaviour);
             if self
                 .plan
-                .begin_replacement(now, generation, &mut out)
+                .begin_replacement(now, generation, &mut effects)
                 .is_ok()
             {
                 self.count(match behaviour {
@@ -217,7 +218,7 @@
                 });
             }
         }
-        if self.random_event_occurs(4) && self.plan.pause(now, &mut out).is_ok() {
+        if self.random_event_occurs(4) && self.plan.pause(now, &mut effects).is_ok() {
             self.count("paused");
         }
         let paused = self
@@ -225,14 +226,14 @@
             .replacement()
             .is_some_and(|replacement| replacement.mode == ReplacementMode::Paused);
         if (self.random_event_occurs(30) || paused && self.now >= FAULTS_END)
-            && self.plan.resume(now, &mut out).is_ok()
+            && self.plan.resume(now, &mut effects).is_ok()
         {
             self.count("resumed");
         }
-        if self.random_event_occurs(2) && self.plan.roll_back(now, &mut out).is_ok() {
+        if self.random_event_occurs(2) && self.plan.roll_back(now, &mut effects).is_ok() {
             self.count("rolled back by an operator");
         }
-        self.execute_effects(out);
+        self.execute_effects(effects);
     }
 
     /// Runs all processes for one tick.
@@ -490,7 +491,7 @@
                 "{incarnation} runs, and the restarted daemon does not know it"
             ));
         }
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         // Instances that were drained just before the crash may not have received the signal.
         let draining: Vec<u64> = self
             .plan
@@ -515,8 +516,8 @@
                 process.exits_at = (!process.ignores_drain).then_some(self.now + SECOND);
             }
         }
-        self.plan.recover(self.now, events, &mut out);
-        self.execute_effects(out);
+        self.plan.recover(self.now, events, &mut effects);
+        self.execute_effects(effects);
     }
 
     fn check_final_state(&mut self) {
@@ -551,9 +552,9 @@
         }
         self.result.converged_at = self.now;
         self.shutting_down = true;
-        let mut out = Vec::new();
-        self.plan.begin_shutdown(self.now, &mut out);
-        self.execute_effects(out);
+        let mut effects = Vec::new();
+        self.plan.begin_shutdown(self.now, &mut effects);
+        self.execute_effects(effects);
         for _ in 0..200 {
             self.now += TICK;
             self.tick();
--- a/crates/fleet/src/instance_config.rs
+++ b/crates/fleet/src/instance_config.rs
@@ -11,7 +11,7 @@
     pub name: String,
     /// Address on which the matcher listens.
     pub listen: SocketAddr,
-    /// Path of the matcher's configuration by the platform.
+    /// Path of the platform's configuration of the matcher.
     pub config: PathBuf,
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! Supervisor of many instances of the matcher on one host: starts, drains and replaces them. All decisions are made
-//! without I/O and without a clock ([`plan`], [`planner`], [`restart`], [`regression`]); the [`daemon`] runs the processes,
-//! reports events to the plan and executes its effects.
+//! without I/O and without a clock ([`plan`], [`planner`], [`restart`], [`regression`]); the [`daemon`] runs the
+//! processes, reports events to the plan and executes its effects.
 
 #![warn(missing_docs)]
 
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -106,8 +106,8 @@
         Ok(())
     }
 
-    /// Returns the capacity, in warm instances, below which no instance is drained during a replacement: at least the
-    /// minimum, and no lower than replacing the batch beyond the surge requires.
+    /// Returns the capacity, in warm instances, below which no instance is drained during a replacement: the minimum,
+    /// but at least the number of instances less the part of the batch that the surge does not cover.
     #[must_use]
     pub fn floor(&self) -> f64 {
         let missing = self
@@ -458,7 +458,8 @@
         Ok(())
     }
 
-    /// Reinitializes a fleet without instances with other settings and another generation. Incarnation numbers continue.
+    /// Reinitializes a fleet without instances, with other settings and another generation. Incarnation numbers are not
+    /// reused.
     ///
     /// # Errors
     /// Invalid settings.
@@ -472,17 +473,17 @@
         Ok(())
     }
 
-    /// Starts a new fleet, or resumes a plan that was read from the store. `events` holds all changes in the meantime: for
-    /// each instance its running process, or its exit. No effect is produced before all of them are applied.
-    pub fn recover(&mut self, now: Micros, events: Vec<Event>, out: &mut Vec<Effect>) {
+    /// Starts a new fleet, or resumes a plan that was read from the store. `events` holds what changed in the meantime:
+    /// the running process or the exit of each instance. No step is taken before all of them are applied.
+    pub fn recover(&mut self, now: Micros, events: Vec<Event>, effects: &mut Vec<Effect>) {
         for event in events {
-            self.apply_event(now, event, out);
+            self.apply_event(now, event, effects);
         }
-        // No status reports were received while the daemon was down, so that no instance counts as hung.
+        // Status reports missed while the daemon was down must not make instances count as hung.
         for instance in &mut self.instances {
             instance.last_report_at = instance.last_report_at.max(now);
         }
-        self.reconcile(now, out);
+        self.reconcile(now, effects);
     }
 
     /// Begins to replace all instances by a new generation.
@@ -493,7 +494,7 @@
         &mut self,
         now: Micros,
         generation: u32,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> Result<(), PlanError> {
         if self.shutting_down {
             return Err(PlanError::InvalidState("the fleet is shutting down"));
@@ -519,7 +520,7 @@
             terminated_counts: [RequestCounts::default(); 2],
             comparing: false,
         });
-        self.reconcile(now, out);
+        self.reconcile(now, effects);
         Ok(())
     }
 
@@ -529,14 +530,14 @@
         from: &[ReplacementMode],
         to: ReplacementMode,
         error: &'static str,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> Result<(), PlanError> {
         match &mut self.replacement {
             Some(replacement) if from.contains(&replacement.mode) => replacement.mode = to,
             _ => return Err(PlanError::InvalidState(error)),
         }
-        out.push(Effect::Save);
-        self.reconcile(now, out);
+        effects.push(Effect::Save);
+        self.reconcile(now, effects);
         Ok(())
     }
 
@@ -544,13 +545,13 @@
     ///
     /// # Errors
     /// No replacement is rolling.
-    pub fn pause(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
+    pub fn pause(&mut self, now: Micros, effects: &mut Vec<Effect>) -> Result<(), PlanError> {
         self.change_mode(
             now,
             &[ReplacementMode::Rolling],
             ReplacementMode::Paused,
             "no replacement goes on",
-            out,
+            effects,
         )
     }
 
@@ -558,13 +559,13 @@
     ///
     /// # Errors
     /// No replacement is paused.
-    pub fn resume(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
+    pub fn resume(&mut self, now: Micros, effects: &mut Vec<Effect>) -> Result<(), PlanError> {
         self.change_mode(
             now,
             &[ReplacementMode::Paused],
             ReplacementMode::Rolling,
             "no replacement is paused",
-            out,
+            effects,
         )
     }
 
@@ -572,31 +573,31 @@
     ///
     /// # Errors
     /// No replacement is in progress, or it is already being rolled back.
-    pub fn roll_back(&mut self, now: Micros, out: &mut Vec<Effect>) -> Result<(), PlanError> {
+    pub fn roll_back(&mut self, now: Micros, effects: &mut Vec<Effect>) -> Result<(), PlanError> {
         let from = [ReplacementMode::Rolling, ReplacementMode::Paused];
         self.change_mode(
             now,
             &from,
             ReplacementMode::Back,
             "there is no replacement to roll back",
-            out,
+            effects,
         )
     }
 
     /// Begins to shut down the whole fleet.
-    pub fn begin_shutdown(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub fn begin_shutdown(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.shutting_down = true;
-        out.push(Effect::Save);
-        self.reconcile(now, out);
+        effects.push(Effect::Save);
+        self.reconcile(now, effects);
     }
 
     /// Handles an event of an instance. Events of terminated instances are ignored.
-    pub fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
-        self.apply_event(now, event, out);
-        self.reconcile(now, out);
+    pub fn handle_event(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
+        self.apply_event(now, event, effects);
+        self.reconcile(now, effects);
     }
 
-    fn apply_event(&mut self, now: Micros, event: Event, out: &mut Vec<Effect>) {
+    fn apply_event(&mut self, now: Micros, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Spawned(incarnation, process) => {
                 if let Some(instance) = self.instance_mut(incarnation) {
@@ -609,14 +610,14 @@
                         ) = (Phase::Starting, now, now);
                     }
                     self.version += 1;
-                    out.push(Effect::Save);
+                    effects.push(Effect::Save);
                 }
             }
             Event::SpawnFailed(incarnation, reason) => {
-                self.on_exit(now, incarnation, Some(reason), out);
+                self.on_exit(now, incarnation, Some(reason), effects);
             }
             Event::StatusReported(incarnation, status) => {
-                self.on_status_report(now, incarnation, &status, out);
+                self.on_status_report(now, incarnation, &status, effects);
             }
             Event::Exited(incarnation, exit) => {
                 let expected =
@@ -627,7 +628,12 @@
                             Phase::Planned => exit == ProcessExit::Unobserved,
                             _ => false,
                         });
-                self.on_exit(now, incarnation, (!expected).then(|| exit.to_string()), out);
+                self.on_exit(
+                    now,
+                    incarnation,
+                    (!expected).then(|| exit.to_string()),
+                    effects,
+                );
             }
         }
     }
@@ -643,7 +649,7 @@
         now: Micros,
         incarnation: u64,
         status: &StatusReport,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(instance) = self.instance_mut(incarnation) else {
             return;
@@ -670,7 +676,7 @@
         (instance.phase, instance.phase_since) = (new_phase, now);
         let generation = instance.generation;
         self.version += 1;
-        out.push(Effect::Save);
+        effects.push(Effect::Save);
         if new_phase == Phase::Warm {
             self.restart_backoff.on_success(generation);
             self.begin_comparison(generation);
@@ -700,7 +706,7 @@
         now: Micros,
         incarnation: u64,
         failure: Option<String>,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(index) = self
             .instances
@@ -726,7 +732,7 @@
         if let Some(failure) = failure {
             self.restart_backoff.on_failure(now, instance.generation);
             self.failed_at.insert(instance.slot, now);
-            out.push(Effect::Notify(Notice::InstanceFailed(
+            effects.push(Effect::Notify(Notice::InstanceFailed(
                 incarnation,
                 failure.clone(),
             )));
@@ -743,7 +749,7 @@
                         "{} instances of the new generation failed",
                         replacement.failures
                     );
-                    self.begin_rollback(reason, out);
+                    self.begin_rollback(reason, effects);
                 }
             }
         }
@@ -751,7 +757,7 @@
         if self.terminated.len() > MAX_TERMINATED {
             self.terminated.pop_front();
         }
-        out.push(Effect::Save);
+        effects.push(Effect::Save);
     }
 
     fn add_terminated_counts(&mut self, instance: &Instance) {
@@ -763,7 +769,7 @@
             replacement.terminated_counts[side].plus(instance.counts.since(baseline));
     }
 
-    fn begin_rollback(&mut self, reason: String, out: &mut Vec<Effect>) {
+    fn begin_rollback(&mut self, reason: String, effects: &mut Vec<Effect>) {
         let Some(replacement) = self
             .replacement
             .as_mut()
@@ -774,12 +780,12 @@
         replacement.mode = ReplacementMode::Back;
         replacement.rollback_reason = Some(reason.clone());
         self.rollback_reason = Some(reason.clone());
-        out.push(Effect::Notify(Notice::RollbackStarted(reason)));
-        out.push(Effect::Save);
+        effects.push(Effect::Notify(Notice::RollbackStarted(reason)));
+        effects.push(Effect::Save);
     }
 
     /// Rolls the replacement back if the new generation performs worse than the old one.
-    fn check_regression(&mut self, out: &mut Vec<Effect>) {
+    fn check_regression(&mut self, effects: &mut Vec<Effect>) {
         let Some(replacement) = self
             .replacement
             .as_ref()
@@ -797,12 +803,12 @@
         let regression: Option<Regression> =
             regression::detect_regression(counts[0], counts[1], &self.settings.regression);
         if let Some(regression) = regression {
-            self.begin_rollback(regression.to_string(), out);
+            self.begin_rollback(regression.to_string(), effects);
         }
     }
 
     /// Handles the deadlines that have passed.
-    pub fn handle_timeouts(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    pub fn handle_timeouts(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let settings = self.settings;
         let mut warm_up_overdue = None;
         for instance in &mut self.instances {
@@ -833,7 +839,7 @@
             }
             if instance.killed_at.replace(now).is_none() {
                 if instance.phase == Phase::Draining {
-                    out.push(Effect::Notify(Notice::DrainOverdue(instance.incarnation)));
+                    effects.push(Effect::Notify(Notice::DrainOverdue(instance.incarnation)));
                 } else {
                     let reason = if instance.phase == Phase::Starting {
                         "it sent no status report after its start"
@@ -843,17 +849,17 @@
                     instance.failure_reason = Some(reason.to_owned());
                 }
                 // The kill is saved first, so that a restarted daemon does not count on this instance's capacity.
-                out.push(Effect::Save);
+                effects.push(Effect::Save);
             }
-            out.push(Effect::Kill(instance.incarnation));
+            effects.push(Effect::Kill(instance.incarnation));
         }
         if let Some(incarnation) = warm_up_overdue {
             self.begin_rollback(
                 format!("instance {incarnation} of the new generation did not become warm in time"),
-                out,
+                effects,
             );
         }
-        self.reconcile(now, out);
+        self.reconcile(now, effects);
     }
 
     /// Returns the earliest time at which [`handle_timeouts`](Self::handle_timeouts) has something to do.
@@ -925,9 +931,9 @@
     }
 
     /// Takes all steps from the current to the target state that are possible now.
-    fn reconcile(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        self.check_regression(out);
-        self.update_target_count(out);
+    fn reconcile(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        self.check_regression(effects);
+        self.update_target_count(effects);
         if self.shutting_down {
             let active: Vec<u64> = self
                 .instances
@@ -937,16 +943,16 @@
                 .collect();
             active
                 .into_iter()
-                .for_each(|incarnation| self.drain(now, incarnation, out));
+                .for_each(|incarnation| self.drain(now, incarnation, effects));
             return;
         }
-        self.drain_excess(now, out);
-        self.start_missing(now, out);
+        self.drain_excess(now, effects);
+        self.start_missing(now, effects);
     }
 
     /// Raises the target number of new instances with the number of warm ones, not with time, and ends the replacement
     /// once all instances run the same generation.
-    fn update_target_count(&mut self, out: &mut Vec<Effect>) {
+    fn update_target_count(&mut self, effects: &mut Vec<Effect>) {
         let (total, batch) = (self.settings.instances, self.settings.batch);
         let Some(replacement) = &mut self.replacement else {
             return;
@@ -977,27 +983,27 @@
             self.finish_replacement(
                 new_generation,
                 Notice::ReplacementCompleted(new_generation),
-                out,
+                effects,
             );
         } else if mode == ReplacementMode::Back && !has_any(true) {
             let stable = self.stable_generation;
-            self.finish_replacement(stable, Notice::RollbackCompleted(stable), out);
+            self.finish_replacement(stable, Notice::RollbackCompleted(stable), effects);
         } else if old_target != target {
-            out.push(Effect::Save);
+            effects.push(Effect::Save);
         }
     }
 
-    fn finish_replacement(&mut self, generation: u32, notice: Notice, out: &mut Vec<Effect>) {
+    fn finish_replacement(&mut self, generation: u32, notice: Notice, effects: &mut Vec<Effect>) {
         self.stable_generation = generation;
         self.replacement = None;
         self.instances
             .iter_mut()
             .for_each(|instance| instance.baseline = None);
-        out.push(Effect::Notify(notice));
-        out.push(Effect::Save);
+        effects.push(Effect::Notify(notice));
+        effects.push(Effect::Save);
     }
 
-    fn drain(&mut self, now: Micros, incarnation: u64, out: &mut Vec<Effect>) {
+    fn drain(&mut self, now: Micros, incarnation: u64, effects: &mut Vec<Effect>) {
         let Some(instance) = self.instance_mut(incarnation) else {
             return;
         };
@@ -1007,12 +1013,12 @@
         }
         (instance.phase, instance.phase_since) = (Phase::Draining, now);
         self.version += 1;
-        out.push(Effect::Save);
-        out.push(Effect::Drain(incarnation));
+        effects.push(Effect::Save);
+        effects.push(Effect::Drain(incarnation));
     }
 
     /// Drains instances beyond the target numbers, as far as the capacity stays at the floor.
-    fn drain_excess(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    fn drain_excess(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         // Avoids a deadlock: where a generation that is rolled back occupies all slots, one of its instances that is not
         // warm has to drain before anything else can start, whatever it still serves.
         let max_instances = self.settings.instances + self.settings.surge;
@@ -1066,13 +1072,13 @@
                     break;
                 }
                 let incarnation = instance.incarnation;
-                self.drain(now, incarnation, out);
+                self.drain(now, incarnation, effects);
             }
         }
     }
 
     /// Starts missing instances, as far as there are free slots and the restart backoff allows.
-    fn start_missing(&mut self, now: Micros, out: &mut Vec<Effect>) {
+    fn start_missing(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         let max_instances = self.settings.instances + self.settings.surge;
         for (generation, target) in self.target_counts() {
             while self.active_count(generation) < target && self.instances.len() < max_instances {
@@ -1107,9 +1113,9 @@
                     killed_at: None,
                     failure_reason: None,
                 });
-                // Saved before the start, so that a daemon that crashes in between does not reuse the incarnation number.
-                out.push(Effect::Save);
-                out.push(Effect::Spawn {
+                // Saved before the start, so that the number is not reused if the daemon crashes in between.
+                effects.push(Effect::Save);
+                effects.push(Effect::Spawn {
                     incarnation,
                     generation,
                     slot,
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -49,7 +49,7 @@
 pub struct Forecast(pub Vec<(Micros, f64)>);
 
 impl Forecast {
-    /// Returns the expected rate at `time`; before the first point it is that of the first, after the last that of the last.
+    /// Returns the expected rate at `time`: before the first point that of the first, after the last that of the last.
     #[must_use]
     pub fn at(&self, time: Micros) -> f64 {
         let next = self
@@ -319,14 +319,14 @@
         fleet_is_up: false,
         steps: Vec::new(),
     };
-    let mut out = Vec::new();
-    simulation.plan.recover(0, Vec::new(), &mut out);
-    simulation.execute_effects(0, out);
+    let mut effects = Vec::new();
+    simulation.plan.recover(0, Vec::new(), &mut effects);
+    simulation.execute_effects(0, effects);
     simulation.run_due_events(0);
     simulation.fleet_is_up = true;
-    let mut out = Vec::new();
-    simulation.plan.begin_replacement(0, 2, &mut out).ok()?;
-    simulation.execute_effects(0, out);
+    let mut effects = Vec::new();
+    simulation.plan.begin_replacement(0, 2, &mut effects).ok()?;
+    simulation.execute_effects(0, effects);
     let mut schedule = Schedule {
         batch,
         surge,
@@ -496,12 +496,12 @@
             if matches!(event, Event::Exited(..)) {
                 self.record_step(now, StepKind::Exit, incarnation);
             }
-            let mut out = Vec::new();
-            self.plan.handle_event(now, event, &mut out);
+            let mut effects = Vec::new();
+            self.plan.handle_event(now, event, &mut effects);
             if old_phase != Some(Phase::Warm) && phase_of(&self.plan) == Some(Phase::Warm) {
                 self.record_step(now, StepKind::Warm, incarnation);
             }
-            self.execute_effects(now, out);
+            self.execute_effects(now, effects);
         }
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of the daemon with real processes: the daemon is killed and restarted during a replacement, a release fails, and
-//! instances crash, hang or are stopped.
+//! Tests of the daemon with real processes: the daemon is killed and restarted during a replacement, a release fails,
+//! descriptors run out, and instances crash, hang or are stopped.
 
 use cleatpulley_emulators::callers::request_frame;
 use cleatpulley_emulators::site::{Setup, Site};
@@ -60,8 +60,8 @@
     }
 }
 
-/// Returns free ports of an address that no outgoing connection uses, so that none of them is taken as a client port before
-/// it is bound.
+/// Returns free ports of an address that no outgoing connection uses, so that none of them is taken as a client port
+/// before it is bound.
 fn free_ports(count: usize) -> Vec<u16> {
     let listeners: Vec<_> = (0..count)
         .filter_map(|_| TcpListener::bind("127.0.0.2:0").ok())
