--- a/crates/fleet/src/fault_simulation.rs
+++ b/crates/fleet/src/fault_simulation.rs
@@ -342,7 +342,7 @@
                     self.count("rolled back automatically");
                 }
                 Effect::Notify(Notice::ReplacementCompleted(generation)) => {
-                    self.count("replacement completed");
+                    self.count("replaced");
                     if self.behaviours[&generation] != Behaviour::Good
                         && self.behaviours[&generation] != Behaviour::RejectsMore
                     {
@@ -353,7 +353,7 @@
                 }
                 Effect::Notify(Notice::RollbackCompleted(_)) => self.count("rollback completed"),
                 Effect::Notify(Notice::DrainOverdue(_)) => self.count("drain overdue"),
-                Effect::Notify(Notice::InstanceFailed(..)) => self.count("instance failed"),
+                Effect::Notify(Notice::InstanceFailed(..)) => self.count("failed"),
             }
         }
     }
--- a/crates/fleet/tests/fault_simulation.rs
+++ b/crates/fleet/tests/fault_simulation.rs
@@ -22,7 +22,7 @@
         "daemon crashed",
         "rolled back automatically",
         "rollback completed",
-        "replacement completed",
+        "replaced",
         "killed",
         "drain overdue",
         "crash while draining",
