--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -6,9 +6,9 @@
 
 use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_routes::limits::Limits;
+use cleatpulley_routes::balancer::{AttemptOutcome, Balancer};
+use cleatpulley_routes::limits::RequestLimiter;
 use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
-use cleatpulley_routes::pool::{Balancer, End};
 use cleatpulley_routes::retry::{Asked as Between, Budget, Stopped, Try, Verdict};
 use cleatpulley_routes::table::{Asked, Decision, Table};
 use cleatpulley_routes::text::Template;
@@ -169,7 +169,7 @@
     classes: Vec<Class>,
     listen: Option<String>,
     pools: HashMap<Arc<str>, Pool>,
-    limits: Limits,
+    limits: RequestLimiter,
     open: BTreeMap<Number, Open>,
     origins: BTreeSet<(u64, u32, Number)>,
     timers: BTreeSet<(Micros, Number)>,
@@ -219,7 +219,7 @@
             classes: settings.classes.clone(),
             listen: settings.listen.clone(),
             pools,
-            limits: Limits::default(),
+            limits: RequestLimiter::default(),
             open: BTreeMap::new(),
             origins: BTreeSet::new(),
             timers: BTreeSet::new(),
@@ -416,9 +416,9 @@
             .iter()
             .map(|(limit, key)| (limit, key.clone()))
             .collect();
-        if let Err(over) = self.limits.enter(now, &entering) {
+        if let Err(over) = self.limits.try_acquire(now, &entering) {
             return Err(match over.status {
-                429 | 503 => refuse(over.later),
+                429 | 503 => refuse(over.retry_after),
                 status => returned(status, "a limit is reached".to_owned()),
             });
         }
@@ -484,7 +484,9 @@
                 orders.push(Order::Send { number, to, uri });
             }
             Err(nobody) => {
-                let later = nobody.until.map_or(0, |until| until.saturating_sub(now));
+                let later = nobody
+                    .available_at
+                    .map_or(0, |until| until.saturating_sub(now));
                 let answer = if open.ran {
                     Response::Failed
                 } else {
@@ -524,13 +526,16 @@
         };
         let what = match reply {
             Reply::Advised(most) => {
-                return tell(&mut |pool, target| pool.balancer.advise(target, most))
+                return tell(&mut |pool, target| {
+                    pool.balancer.set_advised_concurrency(target, most)
+                })
             }
             Reply::Answered(answer) => {
                 open.at = None;
                 let took = now.saturating_sub(since) as f64;
                 tell(&mut |pool, target| {
-                    pool.balancer.ended(now, target, End::Answered);
+                    pool.balancer
+                        .record_outcome(now, target, AttemptOutcome::Responded);
                     pool.latency = if pool.latency == 0.0 {
                         took
                     } else {
@@ -545,14 +550,14 @@
         };
         open.at = None;
         let end = match what {
-            Try::Refused { .. } | Try::Failed => End::Answered,
-            Try::Unsent | Try::Lost | Try::TimedOut => End::Failed,
+            Try::Refused { .. } | Try::Failed => AttemptOutcome::Responded,
+            Try::Unsent | Try::Lost | Try::TimedOut => AttemptOutcome::Failed,
         };
         tell(&mut |pool, target| {
-            pool.balancer.ended(now, target, end);
+            pool.balancer.record_outcome(now, target, end);
             if let Try::Refused { later, .. } = what {
                 if later > 0 {
-                    pool.balancer.leave_alone(target, now + later);
+                    pool.balancer.back_off_until(target, now + later);
                 }
             }
         });
@@ -636,7 +641,8 @@
             if let Some(open) = self.open.get(&number) {
                 if let Some((target, _)) = open.at {
                     if let (Some(target), Some(pool)) = (target, self.pools.get_mut(&open.pool)) {
-                        pool.balancer.ended(now, target, End::Left);
+                        pool.balancer
+                            .record_outcome(now, target, AttemptOutcome::Abandoned);
                     }
                     orders.push(Order::Abandon(number));
                 }
@@ -656,7 +662,7 @@
             .iter()
             .map(|(limit, key)| (limit, key.clone()))
             .collect();
-        self.limits.leave(&left);
+        self.limits.release(&left);
         Some(open)
     }
 
@@ -681,7 +687,7 @@
     pub fn out(&self) -> usize {
         let of = |pool: &Pool| {
             (0..pool.addresses.len())
-                .map(|at| pool.balancer.open(at) as usize)
+                .map(|at| pool.balancer.open_requests(at) as usize)
                 .sum::<usize>()
         };
         self.pools.values().map(of).sum()
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/balancer.rs
@@ -22,13 +22,13 @@
 
 /// How a try ended, as far as its target's health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// It was answered, whatever the answer was.
-    Answered,
+    Responded,
     /// It was not: no connection, a broken one, or no answer in time.
     Failed,
     /// Nobody knows, and it is nobody's fault: the caller has left.
-    Left,
+    Abandoned,
 }
 
 #[derive(Debug, Clone)]
@@ -118,9 +118,9 @@
 
 /// None can be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Nobody {
+pub struct NoTargetAvailable {
     /// When one can be, if time alone makes that so.
-    pub until: Option<Micros>,
+    pub available_at: Option<Micros>,
 }
 
 /// A pool at work.
@@ -195,7 +195,7 @@
 
     /// Open requests of a target.
     #[must_use]
-    pub fn open(&self, target: usize) -> u32 {
+    pub fn open_requests(&self, target: usize) -> u32 {
         self.states.get(target).map_or(0, |state| state.open)
     }
 
@@ -203,7 +203,12 @@
     ///
     /// # Errors
     /// Where none can be chosen.
-    pub fn pick(&mut self, now: Micros, key: &[u8], tried: &[usize]) -> Result<usize, Nobody> {
+    pub fn pick(
+        &mut self,
+        now: Micros,
+        key: &[u8],
+        tried: &[usize],
+    ) -> Result<usize, NoTargetAvailable> {
         let alone = self.states.len() == 1;
         for backup in [false, true] {
             let can: Vec<usize> = (0..self.states.len())
@@ -238,8 +243,8 @@
             .iter()
             .enumerate()
             .filter(|(at, _)| !tried.contains(at));
-        Err(Nobody {
-            until: untried
+        Err(NoTargetAvailable {
+            available_at: untried
                 .filter_map(|(_, state)| state.free_at(now, alone))
                 .filter(|free| *free > now)
                 .min(),
@@ -342,14 +347,14 @@
     }
 
     /// A try at a target is over.
-    pub fn ended(&mut self, now: Micros, target: usize, end: End) {
+    pub fn record_outcome(&mut self, now: Micros, target: usize, outcome: AttemptOutcome) {
         let Some(state) = self.states.get_mut(target) else {
             return;
         };
         state.open = state.open.saturating_sub(1);
-        match end {
-            End::Left => {}
-            End::Failed => {
+        match outcome {
+            AttemptOutcome::Abandoned => {}
+            AttemptOutcome::Failed => {
                 let was_out = state.is_out();
                 // Failures count together while they are no further apart than the time.
                 if !was_out && now > state.failed_at + state.timeout() {
@@ -362,7 +367,7 @@
                 state.effective =
                     (state.effective - full / i64::from(state.target.max_fails.max(1))).max(0);
             }
-            End::Answered => {
+            AttemptOutcome::Responded => {
                 // Answers to what was sent before it went away tell nothing of now; one after its time is over does.
                 if state.is_out() && state.checked_at > state.failed_at {
                     state.growing_from = Some(now);
@@ -375,14 +380,14 @@
     }
 
     /// A target asked to be left alone until then.
-    pub fn leave_alone(&mut self, target: usize, until: Micros) {
+    pub fn back_off_until(&mut self, target: usize, resume_at: Micros) {
         if let Some(state) = self.states.get_mut(target) {
-            state.alone_until = state.alone_until.max(until);
+            state.alone_until = state.alone_until.max(resume_at);
         }
     }
 
     /// A target wishes to have no more requests open than this. One is always let through: its answer brings the next wish.
-    pub fn advise(&mut self, target: usize, most: u32) {
+    pub fn set_advised_concurrency(&mut self, target: usize, most: u32) {
         if let Some(state) = self.states.get_mut(target) {
             state.advised = Some(most.max(1));
         }
@@ -401,7 +406,7 @@
 
     /// Where a key goes while all is well and nothing is open: what a table alone says of it.
     #[must_use]
-    pub fn home(&self, key: &[u8]) -> Option<usize> {
+    pub fn preferred_target(&self, key: &[u8]) -> Option<usize> {
         let can = |target: &usize| {
             let target = &self.states[*target].target;
             !target.down && !target.backup
@@ -516,7 +521,7 @@
         pool.targets[0].slow_start_ms = 10_000;
         let mut balancer = Balancer::new(&pool, 1);
         assert_eq!(balancer.pick(0, b"", &[]), Ok(0));
-        balancer.ended(MS, 0, End::Failed);
+        balancer.record_outcome(MS, 0, AttemptOutcome::Failed);
         for _ in 0..5 {
             assert_eq!(balancer.pick(2 * MS, b"", &[]), Ok(1));
         }
@@ -524,8 +529,8 @@
         let later = 10 * SECOND + 2 * MS;
         assert_eq!(balancer.pick(later, b"", &[]), Ok(0));
         assert_eq!(balancer.pick(later + MS, b"", &[]), Ok(1));
-        balancer.ended(later + 2 * MS, 0, End::Answered);
-        assert_eq!(balancer.open(1), 6);
+        balancer.record_outcome(later + 2 * MS, 0, AttemptOutcome::Responded);
+        assert_eq!(balancer.open_requests(1), 6);
         // At first it has a thousandth of its weight, then a half, then all.
         assert_eq!(balancer.pick(later + 3 * MS, b"", &[]), Ok(1));
         let mut at = later + 5 * SECOND;
@@ -543,14 +548,14 @@
     fn a_failure_after_the_time_is_over_leaves_it_alone_again() {
         let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[1, 1]), 1);
         let zero = balancer.pick(0, b"", &[1]).unwrap();
-        balancer.ended(0, zero, End::Failed);
+        balancer.record_outcome(0, zero, AttemptOutcome::Failed);
         let later = 11 * SECOND;
         assert_eq!(balancer.pick(later, b"", &[1]), Ok(0));
-        balancer.ended(later, 0, End::Failed);
+        balancer.record_outcome(later, 0, AttemptOutcome::Failed);
         assert_eq!(
             balancer.pick(later + 9 * SECOND, b"", &[1]),
-            Err(Nobody {
-                until: Some(later + 10 * SECOND)
+            Err(NoTargetAvailable {
+                available_at: Some(later + 10 * SECOND)
             })
         );
     }
@@ -561,8 +566,8 @@
         for _ in 0..2 {
             balancer.pick(0, b"", &[1]).unwrap();
         }
-        balancer.ended(MS, 0, End::Failed);
-        balancer.ended(2 * MS, 0, End::Answered);
+        balancer.record_outcome(MS, 0, AttemptOutcome::Failed);
+        balancer.record_outcome(2 * MS, 0, AttemptOutcome::Responded);
         assert!(balancer.pick(3 * MS, b"", &[1]).is_err());
     }
 
@@ -573,15 +578,15 @@
         (pool.targets[2].backup, pool.targets[2].down) = (true, true);
         let mut balancer = Balancer::new(&pool, 1);
         assert_eq!(balancer.pick(0, b"", &[]), Ok(0));
-        balancer.ended(0, 0, End::Failed);
+        balancer.record_outcome(0, 0, AttemptOutcome::Failed);
         for _ in 0..3 {
             assert_eq!(balancer.pick(MS, b"", &[]), Ok(1));
         }
         balancer.set_draining(MS, 1, true);
         assert_eq!(
             balancer.pick(MS, b"", &[]),
-            Err(Nobody {
-                until: Some(10 * SECOND)
+            Err(NoTargetAvailable {
+                available_at: Some(10 * SECOND)
             })
         );
     }
@@ -591,26 +596,29 @@
         let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[1, 1]), 1);
         for at in [0, 1] {
             assert_eq!(balancer.pick(0, b"", &[1 - at]), Ok(at));
-            balancer.ended(at as u64 * SECOND, at, End::Failed);
+            balancer.record_outcome(at as u64 * SECOND, at, AttemptOutcome::Failed);
         }
         assert_eq!(
             balancer.pick(2 * SECOND, b"", &[]),
-            Err(Nobody {
-                until: Some(10 * SECOND)
+            Err(NoTargetAvailable {
+                available_at: Some(10 * SECOND)
             })
         );
         let mut empty = Balancer::new(&self::pool(Way::LeastConnections, &[]), 1);
-        assert_eq!(empty.pick(0, b"", &[]), Err(Nobody { until: None }));
+        assert_eq!(
+            empty.pick(0, b"", &[]),
+            Err(NoTargetAvailable { available_at: None })
+        );
         // A pool's only target is never given up.
         let mut only = Balancer::new(&self::pool(Way::RoundRobin, &[1]), 1);
         only.pick(0, b"", &[]).unwrap();
-        only.ended(0, 0, End::Failed);
+        only.record_outcome(0, 0, AttemptOutcome::Failed);
         assert_eq!(only.pick(0, b"", &[]), Ok(0));
-        only.leave_alone(0, SECOND);
+        only.back_off_until(0, SECOND);
         assert_eq!(
             only.pick(MS, b"", &[]),
-            Err(Nobody {
-                until: Some(SECOND)
+            Err(NoTargetAvailable {
+                available_at: Some(SECOND)
             })
         );
     }
@@ -629,12 +637,18 @@
         other.targets[0].address = "t1:1".to_owned();
         other.targets[1].address = "new:1".to_owned();
         assert_eq!(balancer.reload(&other), [Some(1), None]);
-        assert_eq!((balancer.open(0), balancer.open(1)), (3, 0));
+        assert_eq!(
+            (balancer.open_requests(0), balancer.open_requests(1)),
+            (3, 0)
+        );
         // A pool emptied while requests are open.
         let none = self::pool(Way::RoundRobin, &[]);
         assert_eq!(balancer.reload(&none), []);
-        balancer.ended(0, 0, End::Answered);
-        assert_eq!(balancer.pick(0, b"", &[]), Err(Nobody { until: None }));
+        balancer.record_outcome(0, 0, AttemptOutcome::Responded);
+        assert_eq!(
+            balancer.pick(0, b"", &[]),
+            Err(NoTargetAvailable { available_at: None })
+        );
     }
 
     #[test]
@@ -643,14 +657,17 @@
         let mut less = whole.clone();
         less.targets.remove(1);
         let (whole, less) = (Balancer::new(&whole, 1), Balancer::new(&less, 1));
-        let home = |balancer: &Balancer, key: &str| {
-            let at = balancer.home(key.as_bytes()).unwrap();
+        let preferred_target = |balancer: &Balancer, key: &str| {
+            let at = balancer.preferred_target(key.as_bytes()).unwrap();
             balancer.states[at].target.address.clone()
         };
         let mut counts = std::collections::BTreeMap::new();
         for number in 0..2_000 {
             let key = format!("racer-{number}");
-            let (before, after) = (home(&whole, &key), home(&less, &key));
+            let (before, after) = (
+                preferred_target(&whole, &key),
+                preferred_target(&less, &key),
+            );
             *counts.entry(before.clone()).or_insert(0) += 1;
             assert!(
                 before == after || before == "t1:1",
@@ -669,7 +686,7 @@
         for _ in 0..100 {
             balancer.pick(0, b"popular", &[]).unwrap();
         }
-        let most = (0..4).map(|at| balancer.open(at)).max().unwrap();
+        let most = (0..4).map(|at| balancer.open_requests(at)).max().unwrap();
         assert!(most <= 32, "{most} of 100 at one of four targets");
     }
 
@@ -714,19 +731,19 @@
                     }
                     2 if open[target] > 0 => {
                         open[target] -= 1;
-                        balancer.ended(now, target, End::Answered);
+                        balancer.record_outcome(now, target, AttemptOutcome::Responded);
                     }
                     3 if open[target] > 0 => {
                         open[target] -= 1;
-                        balancer.ended(now, target, End::Failed);
+                        balancer.record_outcome(now, target, AttemptOutcome::Failed);
                     }
                     4 => {
                         alone[target] = now + SECOND;
-                        balancer.leave_alone(target, now + SECOND);
+                        balancer.back_off_until(target, now + SECOND);
                     }
                     _ => {}
                 }
-                assert!((0..count).all(|at| balancer.open(at) == open[at]));
+                assert!((0..count).all(|at| balancer.open_requests(at) == open[at]));
             }
         }
     }
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -5,8 +5,8 @@
 //! that a map names and a seeded sample are tried, and the report says so. An expectation that meets nothing is vacuous,
 //! and fails: a change of the configuration has left it behind.
 
+use crate::balancer::Balancer;
 use crate::model::{Match, Routes, Server, Way};
-use crate::pool::Balancer;
 use crate::probe;
 use crate::table::{Asked, Decision, Table};
 use crate::text::Template;
@@ -246,7 +246,7 @@
         };
         let target = self.pools.get(&**pool).and_then(|(balancer, key)| {
             let key = key.as_ref()?;
-            let at = balancer.home(self.table.text(key, &asked).as_bytes())?;
+            let at = balancer.preferred_target(self.table.text(key, &asked).as_bytes())?;
             balancer.addresses().nth(at).map(str::to_owned)
         });
         Home {
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -7,6 +7,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod balancer;
 pub mod diff;
 pub mod expect;
 pub mod import;
@@ -15,7 +16,6 @@
 pub mod model;
 pub mod pattern;
 pub mod place;
-pub mod pool;
 pub mod probe;
 pub mod retry;
 pub mod syntax;
--- a/crates/routes/src/limits.rs
+++ b/crates/routes/src/limits.rs
@@ -1,8 +1,8 @@
 //! Limits of a location: requests a second, and open requests, by a key. The keys that are remembered are bounded; the
 //! one not seen for longest makes room, as its count has leaked away first.
 
+use crate::balancer::Micros;
 use crate::model::Limit;
-use crate::pool::Micros;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap};
 
@@ -22,26 +22,30 @@
 
 /// A limit is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Over {
+pub struct LimitExceeded {
     /// When the next request of this key is let through, counted from now; 0 where no time tells.
-    pub later: Micros,
+    pub retry_after: Micros,
     /// Status of the answer.
     pub status: u16,
 }
 
 /// All zones.
 #[derive(Debug, Default)]
-pub struct Limits {
+pub struct RequestLimiter {
     zones: HashMap<String, Zone>,
 }
 
-impl Limits {
+impl RequestLimiter {
     /// Lets a request through all limits, or through none; each comes with the value of its key. An empty key is not
     /// counted, as in nginx.
     ///
     /// # Errors
     /// The first limit that is reached.
-    pub fn enter(&mut self, now: Micros, limits: &[(&Limit, String)]) -> Result<(), Over> {
+    pub fn try_acquire(
+        &mut self,
+        now: Micros,
+        limits: &[(&Limit, String)],
+    ) -> Result<(), LimitExceeded> {
         let counted = || {
             limits
                 .iter()
@@ -58,9 +62,9 @@
                     (excess > most).then(|| (excess - most) * 1_000_000 / rate)
                 }
             };
-            if let Some(later) = over {
-                return Err(Over {
-                    later,
+            if let Some(retry_after) = over {
+                return Err(LimitExceeded {
+                    retry_after,
                     status: limit.status,
                 });
             }
@@ -78,7 +82,7 @@
     }
 
     /// A request that was let through is over.
-    pub fn leave(&mut self, limits: &[(&Limit, String)]) {
+    pub fn release(&mut self, limits: &[(&Limit, String)]) {
         for (limit, key) in limits
             .iter()
             .filter(|(limit, key)| limit.rate == 0 && !key.is_empty())
@@ -158,20 +162,20 @@
 
     #[test]
     fn a_rate_and_its_burst_are_held_and_the_wait_is_told() {
-        let (mut limits, limit) = (Limits::default(), limit(10_000, 2));
-        let mut ask = |now: Micros| limits.enter(now, &[(&limit, "a".to_owned())]);
+        let (mut limits, limit) = (RequestLimiter::default(), limit(10_000, 2));
+        let mut ask = |now: Micros| limits.try_acquire(now, &[(&limit, "a".to_owned())]);
         assert_eq!([ask(0), ask(0), ask(0)], [Ok(()); 3]);
         assert_eq!(
             ask(0),
-            Err(Over {
-                later: 100_000,
+            Err(LimitExceeded {
+                retry_after: 100_000,
                 status: 429
             })
         );
         assert_eq!(
             ask(99_000),
-            Err(Over {
-                later: 1_000,
+            Err(LimitExceeded {
+                retry_after: 1_000,
                 status: 429
             })
         );
@@ -185,51 +189,59 @@
 
     #[test]
     fn open_requests_are_counted_by_key_and_given_back() {
-        let (mut limits, limit) = (Limits::default(), limit(0, 2));
+        let (mut limits, limit) = (RequestLimiter::default(), limit(0, 2));
         let a = [(&limit, "a".to_owned())];
-        assert_eq!([limits.enter(0, &a), limits.enter(0, &a)], [Ok(()); 2]);
+        assert_eq!(
+            [limits.try_acquire(0, &a), limits.try_acquire(0, &a)],
+            [Ok(()); 2]
+        );
         assert!(
-            limits.enter(0, &a).is_err() && limits.enter(0, &[(&limit, "b".to_owned())]).is_ok()
+            limits.try_acquire(0, &a).is_err()
+                && limits.try_acquire(0, &[(&limit, "b".to_owned())]).is_ok()
         );
-        limits.leave(&a);
-        assert!(limits.enter(0, &a).is_ok());
-        assert!((0..10).all(|_| limits.enter(0, &[(&limit, String::new())]).is_ok()));
-        limits.leave(&a);
-        limits.leave(&a);
+        limits.release(&a);
+        assert!(limits.try_acquire(0, &a).is_ok());
+        assert!((0..10).all(|_| limits.try_acquire(0, &[(&limit, String::new())]).is_ok()));
+        limits.release(&a);
+        limits.release(&a);
         assert_eq!(limits.keys(), 1);
     }
 
     #[test]
     fn a_request_that_one_limit_stops_is_counted_by_none() {
-        let (mut limits, rate, open) = (Limits::default(), limit(1_000, 0), limit(0, 1));
+        let (mut limits, rate, open) = (RequestLimiter::default(), limit(1_000, 0), limit(0, 1));
         let key = || "a".to_owned();
-        limits.enter(0, &[(&open, key())]).unwrap();
-        assert!(limits.enter(0, &[(&rate, key()), (&open, key())]).is_err());
-        assert_eq!(limits.enter(0, &[(&rate, key())]), Ok(()));
+        limits.try_acquire(0, &[(&open, key())]).unwrap();
+        assert!(limits
+            .try_acquire(0, &[(&rate, key()), (&open, key())])
+            .is_err());
+        assert_eq!(limits.try_acquire(0, &[(&rate, key())]), Ok(()));
     }
 
     /// Guards against keys of kilobytes, of which a zone would remember thousands.
     #[test]
     fn long_keys_are_told_apart_and_take_little() {
-        let (mut limits, limit) = (Limits::default(), limit(0, 1));
+        let (mut limits, limit) = (RequestLimiter::default(), limit(0, 1));
         let key = |end: &str| [(&limit, "k".repeat(10_000) + end)];
-        assert!(limits.enter(0, &key("a")).is_ok() && limits.enter(0, &key("b")).is_ok());
-        assert!(limits.enter(0, &key("a")).is_err());
+        assert!(
+            limits.try_acquire(0, &key("a")).is_ok() && limits.try_acquire(0, &key("b")).is_ok()
+        );
+        assert!(limits.try_acquire(0, &key("a")).is_err());
         assert!(limits
             .zones
             .values()
             .flat_map(|zone| zone.open.keys())
             .all(|key| key.len() <= LONGEST));
-        limits.leave(&key("a"));
-        assert!(limits.enter(0, &key("a")).is_ok());
+        limits.release(&key("a"));
+        assert!(limits.try_acquire(0, &key("a")).is_ok());
     }
 
     #[test]
     fn keys_that_are_always_new_take_a_bounded_room() {
-        let (mut limits, limit) = (Limits::default(), limit(1_000, 0));
+        let (mut limits, limit) = (RequestLimiter::default(), limit(1_000, 0));
         for number in 0..3 * KEYS {
             limits
-                .enter(number as u64, &[(&limit, number.to_string())])
+                .try_acquire(number as u64, &[(&limit, number.to_string())])
                 .unwrap();
         }
         assert_eq!(limits.keys(), KEYS);
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -4,8 +4,8 @@
 //! - No try begins that could not be answered by the due time.
 //! - Further tries are a share of first tries: when many targets fail, the load does not multiply.
 
+use crate::balancer::Micros;
 use crate::model::Next;
-use crate::pool::Micros;
 
 /// What a try came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -4,11 +4,11 @@
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::relay::{Act, Relay, Report};
 use cleatpulley_emulators::target::Setup;
+use cleatpulley_routes::balancer::Balancer;
 use cleatpulley_routes::expect::{check, Came, File};
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::locate::{Locator, Taken};
 use cleatpulley_routes::model::{Pool, Routes};
-use cleatpulley_routes::pool::Balancer;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -245,7 +245,7 @@
     let (before, after) = (Balancer::new(&whole, 1), Balancer::new(&less, 1));
     let address = |balancer: &Balancer, key: &str| {
         balancer
-            .home(key.as_bytes())
+            .preferred_target(key.as_bytes())
             .and_then(|at| balancer.addresses().nth(at).map(str::to_owned))
     };
     let (mut counts, mut moved, mut needless) = (BTreeMap::new(), 0, 0);
