--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -9,7 +9,9 @@
 use cleatpulley_routes::balancer::{AttemptOutcome, Balancer};
 use cleatpulley_routes::limits::RequestLimiter;
 use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
-use cleatpulley_routes::retry::{Asked as Between, Budget, Stopped, Try, Verdict};
+use cleatpulley_routes::retry::{
+    AttemptFailure, RetryBudget, RetryContext as Between, RetryDecision, RetryDenial,
+};
 use cleatpulley_routes::table::{Asked, Decision, Table};
 use cleatpulley_routes::text::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -71,7 +73,7 @@
     /// The target's own answer, which goes on: served, or at fault.
     Answered(Response),
     /// It came to nothing.
-    Nothing(Try),
+    Nothing(AttemptFailure),
     /// The target said so, and how many requests it wishes to have open.
     Advised(u32),
 }
@@ -82,7 +84,7 @@
     addresses: Vec<Arc<str>>,
     key: Option<Template>,
     by_address: bool,
-    budget: Budget,
+    budget: RetryBudget,
     /// Latency of what was answered, smoothed: a try that has less time left than a part of it comes to nothing.
     latency: f64,
 }
@@ -112,7 +114,7 @@
                 _ => None,
             },
             by_address: pool.way == Way::AddressHash,
-            budget: Budget::new(share, SAVED),
+            budget: RetryBudget::new(share, SAVED),
             latency: 0.0,
         })
     }
@@ -159,7 +161,7 @@
     /// Answered by a route, or at fault.
     pub returned: u64,
     /// Why no further try was made.
-    pub stopped: BTreeMap<Stopped, u64>,
+    pub stopped: BTreeMap<RetryDenial, u64>,
 }
 
 /// The core of a gateway.
@@ -339,7 +341,7 @@
                     .get(&number)
                     .and_then(|open| self.pools.get_mut(&open.pool))
                 {
-                    pool.budget.first();
+                    pool.budget.record_first_attempt();
                 }
                 return self.try_next(now, number, orders);
             }
@@ -550,23 +552,28 @@
         };
         open.at = None;
         let end = match what {
-            Try::Refused { .. } | Try::Failed => AttemptOutcome::Responded,
-            Try::Unsent | Try::Lost | Try::TimedOut => AttemptOutcome::Failed,
+            AttemptFailure::Rejected { .. } | AttemptFailure::Failed => AttemptOutcome::Responded,
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost | AttemptFailure::TimedOut => {
+                AttemptOutcome::Failed
+            }
         };
         tell(&mut |pool, target| {
             pool.balancer.record_outcome(now, target, end);
-            if let Try::Refused { later, .. } = what {
+            if let AttemptFailure::Rejected {
+                retry_after: later, ..
+            } = what
+            {
                 if later > 0 {
                     pool.balancer.back_off_until(target, now + later);
                 }
             }
         });
         let between = Between {
-            effect: open.effect,
-            ran: open.ran,
-            came: open.came,
-            due: open.due - SLACK,
-            tries: open.tries.len() as u32 + open.gone,
+            has_effect: open.effect,
+            may_have_run: open.ran,
+            received_at: open.came,
+            deadline: open.due - SLACK,
+            attempts: open.tries.len() as u32 + open.gone,
         };
         open.ran |= what.may_have_run();
         let (verdict, stopped) = match pool {
@@ -576,16 +583,22 @@
                     .decide(now, &between, what, &open.next, shortest)
             }
             // Its pool is gone, and nobody else is asked.
-            None if open.ran => (Verdict::Fail, None),
-            None => (Verdict::Refuse(0), None),
+            None if open.ran => (RetryDecision::Fail, None),
+            None => (RetryDecision::Reject(0), None),
         };
         if let Some(why) = stopped {
             *self.counts.stopped.entry(why).or_default() += 1;
         }
-        let last = matches!(what, Try::Refused { last: true, .. });
+        let last = matches!(
+            what,
+            AttemptFailure::Rejected {
+                no_failover: true,
+                ..
+            }
+        );
         match verdict {
-            Verdict::Again => self.try_next(now, number, orders),
-            Verdict::Refuse(later) => self.finish(
+            RetryDecision::Retry => self.try_next(now, number, orders),
+            RetryDecision::Reject(later) => self.finish(
                 number,
                 Response::Rejected {
                     retry_after: later,
@@ -593,10 +606,10 @@
                 },
                 orders,
             ),
-            Verdict::Fail if now + SLACK >= between.due => {
+            RetryDecision::Fail if now + SLACK >= between.deadline => {
                 self.finish(number, Response::Expired, orders);
             }
-            Verdict::Fail => self.finish(number, Response::Failed, orders),
+            RetryDecision::Fail => self.finish(number, Response::Failed, orders),
         }
     }
 
@@ -625,7 +638,11 @@
             return self.set_timer(number, until);
         }
         orders.push(Order::Abandon(number));
-        let what = if written { Try::TimedOut } else { Try::Unsent };
+        let what = if written {
+            AttemptFailure::TimedOut
+        } else {
+            AttemptFailure::NotSent
+        };
         self.ended(now, number, Reply::Nothing(what), orders);
     }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -9,7 +9,7 @@
 use cleatpulley_protocol::ajp::client::{Client, Fate, Options};
 use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
 use cleatpulley_protocol::frame::codec::{self, Parsed};
-use cleatpulley_routes::retry::Try;
+use cleatpulley_routes::retry::AttemptFailure;
 use cleatpulley_server::buffered_connection::BufferedConnection;
 use cleatpulley_server::host::{Host, Readiness};
 use cleatpulley_server::tls_layer::TlsLayer;
@@ -241,7 +241,7 @@
     }
 
     /// A connection that can take one more request; a new one where all are full and there may be more.
-    fn line(&mut self, now: Micros, to: &Arc<str>) -> Result<u64, Try> {
+    fn line(&mut self, now: Micros, to: &Arc<str>) -> Result<u64, AttemptFailure> {
         let free = |line: &Line<W>| match &line.kind {
             Kind::Frames { open, gone, .. } if !gone && open.len() < OPEN => Some(open.len()),
             Kind::Ajp {
@@ -263,14 +263,14 @@
         match best {
             Some((open, number)) if open == 0 || count >= self.most => return Ok(number),
             None if count >= self.most => {
-                return Err(Try::Refused {
-                    later: 0,
-                    last: false,
+                return Err(AttemptFailure::Rejected {
+                    retry_after: 0,
+                    no_failover: false,
                 })
             }
             _ => {}
         }
-        let address = *self.addresses.get(to).ok_or(Try::Unsent)?;
+        let address = *self.addresses.get(to).ok_or(AttemptFailure::NotSent)?;
         let number = self.next;
         self.next += 1;
         let kind = match &self.speaks {
@@ -313,7 +313,8 @@
                 if self.failing.insert(to.clone()) {
                     tracing::warn!("target {to}: {e}");
                 }
-                best.map(|(_, number)| number).ok_or(Try::Unsent)
+                best.map(|(_, number)| number)
+                    .ok_or(AttemptFailure::NotSent)
             }
         }
     }
@@ -416,7 +417,11 @@
                     let unread = line.written < end;
                     replies.push((
                         asked,
-                        Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
+                        Reply::Nothing(if unread {
+                            AttemptFailure::NotSent
+                        } else {
+                            AttemptFailure::ConnectionLost
+                        }),
                     ));
                 }
             }
@@ -428,7 +433,11 @@
                 let unread = !line.up || client.fate(line.conn.unsent()) == Fate::NeverRan;
                 replies.push((
                     asked,
-                    Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
+                    Reply::Nothing(if unread {
+                        AttemptFailure::NotSent
+                    } else {
+                        AttemptFailure::ConnectionLost
+                    }),
                 ));
             }
             Kind::Ajp { .. } => {}
@@ -556,12 +565,15 @@
                             asked,
                             match response.status {
                                 200 => Reply::Answered(Response::Served(response.body)),
-                                503 | 429 if never => Reply::Nothing(Try::Refused { later, last }),
+                                503 | 429 if never => Reply::Nothing(AttemptFailure::Rejected {
+                                    retry_after: later,
+                                    no_failover: last,
+                                }),
                                 status if never => Reply::Answered(Response::Direct {
                                     status,
                                     body: response.body,
                                 }),
-                                _ => Reply::Nothing(Try::Failed),
+                                _ => Reply::Nothing(AttemptFailure::Failed),
                             },
                         ));
                     }
@@ -604,9 +616,9 @@
                 .and_then(|ms| ms.parse::<Micros>().ok())
                 .unwrap_or(0);
             let last = find("giveup") == Some("1");
-            Reply::Nothing(Try::Refused {
-                later: later.saturating_mul(1_000),
-                last,
+            Reply::Nothing(AttemptFailure::Rejected {
+                retry_after: later.saturating_mul(1_000),
+                no_failover: last,
             })
         }
         // With words it is the request that is at fault.
@@ -614,7 +626,7 @@
             status: 400,
             body: body.to_vec(),
         }),
-        2 => Reply::Nothing(Try::Failed),
+        2 => Reply::Nothing(AttemptFailure::Failed),
         _ => return Err(broken()),
     };
     Ok((reply, advice))
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -202,7 +202,7 @@
     upstream.abandon(1, &mut replies);
     assert_eq!(
         replies,
-        [(2, Reply::Nothing(Try::Unsent))],
+        [(2, Reply::Nothing(AttemptFailure::NotSent))],
         "the other one goes elsewhere too"
     );
     fake.takes.set(usize::MAX);
@@ -230,7 +230,7 @@
     fake.ended.set(true);
     upstream.note(1, READY);
     upstream.turn(0, &mut replies);
-    assert_eq!(replies, [(1, Reply::Nothing(Try::Unsent))]);
+    assert_eq!(replies, [(1, Reply::Nothing(AttemptFailure::NotSent))]);
 }
 
 /// Also after a goodbye, what was sent whole and not answered may have run: a target may be killed then.
@@ -260,12 +260,12 @@
         (2, Reply::Advised(3)),
         (
             2,
-            Reply::Nothing(Try::Refused {
-                later: 70_000,
-                last: true,
+            Reply::Nothing(AttemptFailure::Rejected {
+                retry_after: 70_000,
+                no_failover: true,
             }),
         ),
-        (1, Reply::Nothing(Try::Lost)),
+        (1, Reply::Nothing(AttemptFailure::ConnectionLost)),
     ];
     assert_eq!(replies, expected);
 }
@@ -282,9 +282,9 @@
         replies,
         [(
             OPEN as u64,
-            Reply::Nothing(Try::Refused {
-                later: 0,
-                last: false
+            Reply::Nothing(AttemptFailure::Rejected {
+                retry_after: 0,
+                no_failover: false
             })
         )]
     );
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -6,7 +6,7 @@
 use cleatpulley_gateway::core::{Class, Core, Order, Reply, Settings};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::import::Import;
-use cleatpulley_routes::retry::Try;
+use cleatpulley_routes::retry::AttemptFailure;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -213,9 +213,16 @@
         let last = self.random.random_range(0..9) == 0;
         let reply = match self.random.random_range(0..9) {
             0..=2 => Reply::Answered(Response::Served(vec![1])),
-            3 => Reply::Nothing(Try::Refused { later, last }),
-            4 => Reply::Nothing(Try::Failed),
-            5 => Reply::Nothing(if written { Try::Lost } else { Try::Unsent }),
+            3 => Reply::Nothing(AttemptFailure::Rejected {
+                retry_after: later,
+                no_failover: last,
+            }),
+            4 => Reply::Nothing(AttemptFailure::Failed),
+            5 => Reply::Nothing(if written {
+                AttemptFailure::ConnectionLost
+            } else {
+                AttemptFailure::NotSent
+            }),
             6 => Reply::Advised(self.random.random_range(0..4)),
             7 => Reply::Answered(Response::Direct {
                 status: 422,
@@ -226,7 +233,10 @@
         if !matches!(reply, Reply::Advised(_)) {
             self.out.remove(&number);
         }
-        let ran = matches!(reply, Reply::Nothing(Try::Failed | Try::Lost));
+        let ran = matches!(
+            reply,
+            Reply::Nothing(AttemptFailure::Failed | AttemptFailure::ConnectionLost)
+        );
         self.seen.get_mut(&stream).expect("it came").ran |= ran;
         self.core.ended(self.now, number, reply, orders);
     }
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -9,61 +9,61 @@
 
 /// What a try came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Try {
+pub enum AttemptFailure {
     /// Turned away: it never ran. The target may ask to be left alone, and that nobody else is asked.
-    Refused {
+    Rejected {
         /// For so long.
-        later: Micros,
+        retry_after: Micros,
         /// Nobody else should be asked.
-        last: bool,
+        no_failover: bool,
     },
     /// No connection, or a connection that was closed before anything of it was read: it never ran.
-    Unsent,
+    NotSent,
     /// The connection broke after it was sent: it may have run.
-    Lost,
+    ConnectionLost,
     /// No answer within its time: it may run still.
     TimedOut,
     /// The target answered that it failed: it may have run.
     Failed,
 }
 
-impl Try {
+impl AttemptFailure {
     /// Whether it may have run.
     #[must_use]
     pub fn may_have_run(self) -> bool {
-        matches!(self, Self::Lost | Self::TimedOut | Self::Failed)
+        matches!(self, Self::ConnectionLost | Self::TimedOut | Self::Failed)
     }
 }
 
 /// A request between two tries.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
+pub struct RetryContext {
     /// It has an effect.
-    pub effect: bool,
+    pub has_effect: bool,
     /// Any of its tries so far may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// When it came.
-    pub came: Micros,
+    pub received_at: Micros,
     /// When it has to be answered.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Tries so far.
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 /// What becomes of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// Another target is tried.
-    Again,
+    Retry,
     /// It is turned away: nothing of it ran. The caller may come back after this time.
-    Refuse(Micros),
+    Reject(Micros),
     /// It failed: something of it may have run.
     Fail,
 }
 
 /// Why no further try was made, for counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stopped {
+pub enum RetryDenial {
     /// It may have run, and has an effect.
     Effect,
     /// The configuration says so.
@@ -80,7 +80,7 @@
 
 /// The budget of further tries, for one pool.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Further tries for each first try.
     share: f64,
     /// Further tries that are saved at most.
@@ -88,7 +88,7 @@
     saved: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of this share of first tries, of which so many further tries can be saved; it begins with those.
     #[must_use]
     pub fn new(share: f64, most: f64) -> Self {
@@ -100,7 +100,7 @@
     }
 
     /// A request made its first try.
-    pub fn first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.share).min(self.most);
     }
 
@@ -114,18 +114,20 @@
     pub fn decide(
         &mut self,
         now: Micros,
-        asked: &Asked,
-        what: Try,
+        asked: &RetryContext,
+        what: AttemptFailure,
         next: &Next,
         shortest: Micros,
-    ) -> (Verdict, Option<Stopped>) {
+    ) -> (RetryDecision, Option<RetryDenial>) {
         let stopped = self.stopped(now, asked, what, next, shortest);
         let verdict = match (stopped, what) {
-            (None, _) => Verdict::Again,
+            (None, _) => RetryDecision::Retry,
             // Nothing of it ran anywhere, so that it can be said so.
-            (_, Try::Refused { later, .. }) if !asked.ran => Verdict::Refuse(later),
-            (_, Try::Unsent) if !asked.ran => Verdict::Refuse(0),
-            _ => Verdict::Fail,
+            (_, AttemptFailure::Rejected { retry_after, .. }) if !asked.may_have_run => {
+                RetryDecision::Reject(retry_after)
+            }
+            (_, AttemptFailure::NotSent) if !asked.may_have_run => RetryDecision::Reject(0),
+            _ => RetryDecision::Fail,
         };
         (verdict, stopped)
     }
@@ -133,35 +135,38 @@
     fn stopped(
         &mut self,
         now: Micros,
-        asked: &Asked,
-        what: Try,
+        asked: &RetryContext,
+        what: AttemptFailure,
         next: &Next,
         shortest: Micros,
-    ) -> Option<Stopped> {
-        if asked.effect && (asked.ran || what.may_have_run()) {
-            return Some(Stopped::Effect);
+    ) -> Option<RetryDenial> {
+        if asked.has_effect && (asked.may_have_run || what.may_have_run()) {
+            return Some(RetryDenial::Effect);
         }
-        if let Try::Refused { last: true, .. } = what {
-            return Some(Stopped::Told);
+        if let AttemptFailure::Rejected {
+            no_failover: true, ..
+        } = what
+        {
+            return Some(RetryDenial::Told);
         }
         let says = |statuses: &[u16]| statuses.iter().any(|status| next.statuses.contains(status));
         let configured = match what {
-            Try::Refused { .. } => says(&[503, 429]),
-            Try::Unsent | Try::Lost => next.error,
-            Try::TimedOut => next.timeout,
-            Try::Failed => says(&[500, 502, 504]),
+            AttemptFailure::Rejected { .. } => says(&[503, 429]),
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => next.error,
+            AttemptFailure::TimedOut => next.timeout,
+            AttemptFailure::Failed => says(&[500, 502, 504]),
         };
         if !configured {
-            return Some(Stopped::Configured);
+            return Some(RetryDenial::Configured);
         }
-        if next.tries > 0 && asked.tries >= next.tries {
-            return Some(Stopped::Tries);
+        if next.tries > 0 && asked.attempts >= next.tries {
+            return Some(RetryDenial::Tries);
         }
-        let over = next.timeout_ms > 0 && now >= asked.came + next.timeout_ms * 1_000;
-        if over || now + shortest >= asked.due {
-            return Some(Stopped::Time);
+        let over = next.timeout_ms > 0 && now >= asked.received_at + next.timeout_ms * 1_000;
+        if over || now + shortest >= asked.deadline {
+            return Some(RetryDenial::Time);
         }
-        (!self.take()).then_some(Stopped::Budget)
+        (!self.take()).then_some(RetryDenial::Budget)
     }
 }
 
@@ -179,51 +184,55 @@
         }
     }
 
-    fn asked(effect: bool) -> Asked {
-        Asked {
-            effect,
-            ran: false,
-            came: 0,
-            due: 1_000_000,
-            tries: 1,
+    fn asked(has_effect: bool) -> RetryContext {
+        RetryContext {
+            has_effect,
+            may_have_run: false,
+            received_at: 0,
+            deadline: 1_000_000,
+            attempts: 1,
         }
     }
 
-    const REFUSED: Try = Try::Refused {
-        later: 500,
-        last: false,
+    const REJECTED: AttemptFailure = AttemptFailure::Rejected {
+        retry_after: 500,
+        no_failover: false,
     };
 
     #[test]
     fn what_may_have_run_with_an_effect_is_never_tried_again() {
         let all = next(&[403, 404, 429, 500, 502, 503, 504], 0, 0);
-        let mut budget = Budget::new(1.0, 100.0);
-        for what in [Try::Lost, Try::TimedOut, Try::Failed] {
+        let mut budget = RetryBudget::new(1.0, 100.0);
+        for what in [
+            AttemptFailure::ConnectionLost,
+            AttemptFailure::TimedOut,
+            AttemptFailure::Failed,
+        ] {
             assert_eq!(
                 budget.decide(0, &asked(true), what, &all, 0),
-                (Verdict::Fail, Some(Stopped::Effect)),
+                (RetryDecision::Fail, Some(RetryDenial::Effect)),
                 "{what:?}"
             );
             assert_eq!(
                 budget.decide(0, &asked(false), what, &all, 0),
-                (Verdict::Again, None),
+                (RetryDecision::Retry, None),
                 "{what:?}"
             );
         }
-        for what in [Try::Unsent, REFUSED] {
+        for what in [AttemptFailure::NotSent, REJECTED] {
             assert_eq!(
                 budget.decide(0, &asked(true), what, &all, 0),
-                (Verdict::Again, None),
+                (RetryDecision::Retry, None),
                 "{what:?}"
             );
             // Nor after a try before that may have run.
-            let before = Asked {
-                ran: true,
+            let before = RetryContext {
+                may_have_run: true,
                 ..asked(true)
             };
             assert_eq!(
                 budget.decide(0, &before, what, &all, 0),
-                (Verdict::Fail, Some(Stopped::Effect)),
+                (RetryDecision::Fail, Some(RetryDenial::Effect)),
                 "{what:?}"
             );
         }
@@ -236,65 +245,84 @@
             timeout: false,
             ..next(&[], 0, 0)
         };
-        let mut budget = Budget::new(1.0, 100.0);
+        let mut budget = RetryBudget::new(1.0, 100.0);
         assert_eq!(
-            budget.decide(0, &asked(true), REFUSED, &none, 0).0,
-            Verdict::Refuse(500)
+            budget.decide(0, &asked(true), REJECTED, &none, 0).0,
+            RetryDecision::Reject(500)
         );
         assert_eq!(
-            budget.decide(0, &asked(true), Try::Unsent, &none, 0).0,
-            Verdict::Refuse(0)
+            budget
+                .decide(0, &asked(true), AttemptFailure::NotSent, &none, 0)
+                .0,
+            RetryDecision::Reject(0)
         );
-        let ran = Asked {
-            ran: true,
+        let may_have_run = RetryContext {
+            may_have_run: true,
             ..asked(false)
         };
-        assert_eq!(budget.decide(0, &ran, REFUSED, &none, 0).0, Verdict::Fail);
         assert_eq!(
-            budget.decide(0, &asked(false), Try::Lost, &none, 0).0,
-            Verdict::Fail
+            budget.decide(0, &may_have_run, REJECTED, &none, 0).0,
+            RetryDecision::Fail
+        );
+        assert_eq!(
+            budget
+                .decide(0, &asked(false), AttemptFailure::ConnectionLost, &none, 0)
+                .0,
+            RetryDecision::Fail
         );
     }
 
     #[test]
     fn tries_times_and_words_of_the_target_end_it() {
-        let mut budget = Budget::new(1.0, 100.0);
+        let mut budget = RetryBudget::new(1.0, 100.0);
         let all = next(&[503], 2, 300);
         let table = [
             (
                 0,
-                Asked {
-                    tries: 1,
+                RetryContext {
+                    attempts: 1,
                     ..asked(false)
                 },
-                REFUSED,
+                REJECTED,
                 0,
                 None,
             ),
             (
                 0,
-                Asked {
-                    tries: 2,
+                RetryContext {
+                    attempts: 2,
                     ..asked(false)
                 },
-                REFUSED,
+                REJECTED,
                 0,
-                Some(Stopped::Tries),
+                Some(RetryDenial::Tries),
+            ),
+            (300_000, asked(false), REJECTED, 0, Some(RetryDenial::Time)),
+            (
+                200_000,
+                asked(false),
+                REJECTED,
+                800_000,
+                Some(RetryDenial::Time),
             ),
-            (300_000, asked(false), REFUSED, 0, Some(Stopped::Time)),
-            (200_000, asked(false), REFUSED, 800_000, Some(Stopped::Time)),
-            (200_000, asked(false), REFUSED, 799_999, None),
+            (200_000, asked(false), REJECTED, 799_999, None),
             (
                 0,
                 asked(false),
-                Try::Refused {
-                    later: 0,
-                    last: true,
+                AttemptFailure::Rejected {
+                    retry_after: 0,
+                    no_failover: true,
                 },
                 0,
-                Some(Stopped::Told),
+                Some(RetryDenial::Told),
+            ),
+            (
+                0,
+                asked(false),
+                AttemptFailure::Failed,
+                0,
+                Some(RetryDenial::Configured),
             ),
-            (0, asked(false), Try::Failed, 0, Some(Stopped::Configured)),
         ];
         for (now, asked, what, shortest, stopped) in table {
             assert_eq!(
@@ -307,25 +335,25 @@
 
     #[test]
     fn further_tries_stay_a_share_of_first_tries_when_all_fail() {
-        let mut budget = Budget::new(0.2, 10.0);
+        let mut budget = RetryBudget::new(0.2, 10.0);
         let all = next(&[503], 0, 0);
         let mut again = 0;
         for _ in 0..10_000 {
-            budget.first();
+            budget.record_first_attempt();
             let mut tries = 1;
             while budget
                 .decide(
                     0,
-                    &Asked {
-                        tries,
+                    &RetryContext {
+                        attempts: tries,
                         ..asked(false)
                     },
-                    Try::Unsent,
+                    AttemptFailure::NotSent,
                     &all,
                     0,
                 )
                 .0
-                == Verdict::Again
+                == RetryDecision::Retry
             {
                 (again, tries) = (again + 1, tries + 1);
             }
