--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -8,7 +8,9 @@
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_routes::balancer::{AttemptOutcome, Balancer};
 use cleatpulley_routes::limits::RequestLimiter;
-use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
+use cleatpulley_routes::model::{
+    BalancingMethod, Limit, Pool as PoolModel, ProxyTimeouts, RetryPolicy, Routes,
+};
 use cleatpulley_routes::retry::{
     AttemptFailure, RetryBudget, RetryContext as Between, RetryDecision, RetryDenial,
 };
@@ -109,11 +111,11 @@
                 .iter()
                 .map(|target| Arc::from(target.address.as_str()))
                 .collect(),
-            key: match &pool.way {
-                Way::Hash { key, .. } => Some(Template::read(key)?),
+            key: match &pool.method {
+                BalancingMethod::Hash { key, .. } => Some(Template::read(key)?),
                 _ => None,
             },
-            by_address: pool.way == Way::AddressHash,
+            by_address: pool.method == BalancingMethod::AddressHash,
             budget: RetryBudget::new(share, SAVED),
             latency: 0.0,
         })
@@ -128,8 +130,8 @@
     due: Micros,
     pool: Arc<str>,
     /// What its location says of further tries and times; a reload changes neither for it.
-    next: Next,
-    times: Times,
+    next: RetryPolicy,
+    times: ProxyTimeouts,
     uri: String,
     limits: Vec<(Limit, String)>,
     /// Bytes that it holds.
@@ -374,7 +376,7 @@
             .decide(&asked)
             .map_err(|what| returned(404, what))?;
         let (server, location, pool, uri, class) = match decision {
-            Decision::Pass {
+            Decision::Forward {
                 server,
                 location,
                 pool,
@@ -435,8 +437,8 @@
             came: now,
             due,
             pool,
-            next: site.next.clone(),
-            times: site.times,
+            next: site.retry_policy.clone(),
+            times: site.timeouts,
             uri,
             limits,
             size: 0,
@@ -474,7 +476,7 @@
                 open.tries.push(target);
                 open.at = Some((Some(target), now));
                 let to = pool.addresses[target].clone();
-                let first = open.times.connect.min(open.times.read) * 1_000;
+                let first = open.times.connect_ms.min(open.times.read_ms) * 1_000;
                 let timer = (now + first).min(open.due - SLACK);
                 let uri = open.uri.clone();
                 if open.tries.len() as u32 + open.gone == 1 {
@@ -632,7 +634,7 @@
         };
         let Some((_, since)) = open.at else { return };
         let last = open.due - SLACK;
-        let read = open.times.read * 1_000;
+        let read = open.times.read_ms * 1_000;
         let until = (since + read).min(last);
         if written && now < until {
             return self.set_timer(number, until);
--- a/crates/routes/src/balancer.rs
+++ b/crates/routes/src/balancer.rs
@@ -3,7 +3,7 @@
 //! A target is left alone while it is `down`, drains, has asked to be left alone, failed too often, or has as many
 //! requests open as it may. After too many failures one request goes to it once its time is over, and its end decides.
 
-use crate::model::{Pool, Target, Way};
+use crate::model::{BalancingMethod, Pool, Target};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -126,7 +126,7 @@
 /// A pool at work.
 #[derive(Debug, Clone)]
 pub struct Balancer {
-    way: Way,
+    method: BalancingMethod,
     states: Vec<State>,
     /// Points and targets, by points.
     ring: Vec<(u64, u32)>,
@@ -139,8 +139,8 @@
     pub fn new(pool: &Pool, seed: u64) -> Self {
         let states: Vec<_> = pool.targets.iter().map(State::new).collect();
         let ring = if matches!(
-            pool.way,
-            Way::Hash {
+            pool.method,
+            BalancingMethod::Hash {
                 consistent: true,
                 ..
             }
@@ -150,7 +150,7 @@
             Vec::new()
         };
         Self {
-            way: pool.way.clone(),
+            method: pool.method.clone(),
             states,
             ring,
             random: SmallRng::seed_from_u64(seed),
@@ -220,16 +220,18 @@
                 })
                 .collect();
             let Some(&first) = can.first() else { continue };
-            let chosen = match &self.way {
+            let chosen = match &self.method {
                 _ if can.len() == 1 => first,
-                Way::RoundRobin => self.in_turn(now, &can),
-                Way::LeastConnections => self.least(now, &can),
-                Way::Random => self.at_random(now, &can),
-                Way::RandomTwo => self.better_of_two(now, &can),
-                Way::Hash {
+                BalancingMethod::RoundRobin => self.in_turn(now, &can),
+                BalancingMethod::LeastConnections => self.least(now, &can),
+                BalancingMethod::Random => self.at_random(now, &can),
+                BalancingMethod::RandomTwo => self.better_of_two(now, &can),
+                BalancingMethod::Hash {
                     consistent: true, ..
                 } => self.on_ring(now, key, &can),
-                Way::Hash { .. } | Way::AddressHash => self.by_hash(now, key, &can),
+                BalancingMethod::Hash { .. } | BalancingMethod::AddressHash => {
+                    self.by_hash(now, key, &can)
+                }
             };
             let state = &mut self.states[chosen];
             state.open += 1;
@@ -411,8 +413,8 @@
             let target = &self.states[*target].target;
             !target.down && !target.backup
         };
-        match &self.way {
-            Way::Hash {
+        match &self.method {
+            BalancingMethod::Hash {
                 consistent: true, ..
             } => {
                 let start = self
@@ -421,7 +423,7 @@
                 let around = self.ring[start..].iter().chain(&self.ring[..start]);
                 around.map(|(_, target)| *target as usize).find(can)
             }
-            Way::Hash { .. } | Way::AddressHash => {
+            BalancingMethod::Hash { .. } | BalancingMethod::AddressHash => {
                 (0..REHASHES).find_map(|turn| self.hashed(key, turn).filter(can))
             }
             _ => None,
@@ -480,7 +482,7 @@
     const MS: Micros = 1_000;
     const SECOND: Micros = 1_000_000;
 
-    fn pool(way: Way, weights: &[u32]) -> Pool {
+    fn pool(method: BalancingMethod, weights: &[u32]) -> Pool {
         let place = Place {
             file: "t".into(),
             line: 1,
@@ -493,14 +495,14 @@
         let targets = weights.iter().enumerate().map(target).collect();
         Pool {
             place: place.clone(),
-            way,
+            method,
             keepalive: 0,
             targets,
         }
     }
 
-    fn consistent() -> Way {
-        Way::Hash {
+    fn consistent() -> BalancingMethod {
+        BalancingMethod::Hash {
             key: "$http_x".to_owned(),
             consistent: true,
         }
@@ -508,7 +510,7 @@
 
     #[test]
     fn weights_are_kept_smoothly_and_exactly() {
-        let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[5, 1, 1]), 1);
+        let mut balancer = Balancer::new(&pool(BalancingMethod::RoundRobin, &[5, 1, 1]), 1);
         let order: Vec<_> = (0..14)
             .map(|_| balancer.pick(0, b"", &[]).unwrap())
             .collect();
@@ -517,7 +519,7 @@
 
     #[test]
     fn a_target_that_failed_is_left_alone_then_asked_once_and_grows_slowly() {
-        let mut pool = pool(Way::LeastConnections, &[1, 1]);
+        let mut pool = pool(BalancingMethod::LeastConnections, &[1, 1]);
         pool.targets[0].slow_start_ms = 10_000;
         let mut balancer = Balancer::new(&pool, 1);
         assert_eq!(balancer.pick(0, b"", &[]), Ok(0));
@@ -546,7 +548,7 @@
 
     #[test]
     fn a_failure_after_the_time_is_over_leaves_it_alone_again() {
-        let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[1, 1]), 1);
+        let mut balancer = Balancer::new(&pool(BalancingMethod::RoundRobin, &[1, 1]), 1);
         let zero = balancer.pick(0, b"", &[1]).unwrap();
         balancer.record_outcome(0, zero, AttemptOutcome::Failed);
         let later = 11 * SECOND;
@@ -562,7 +564,7 @@
 
     #[test]
     fn an_answer_to_what_was_sent_before_a_failure_does_not_bring_a_target_back() {
-        let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[1, 1]), 1);
+        let mut balancer = Balancer::new(&pool(BalancingMethod::RoundRobin, &[1, 1]), 1);
         for _ in 0..2 {
             balancer.pick(0, b"", &[1]).unwrap();
         }
@@ -573,7 +575,7 @@
 
     #[test]
     fn backups_serve_only_where_all_others_are_away_and_down_never() {
-        let mut pool = pool(Way::RoundRobin, &[1, 1, 1]);
+        let mut pool = pool(BalancingMethod::RoundRobin, &[1, 1, 1]);
         pool.targets[1].backup = true;
         (pool.targets[2].backup, pool.targets[2].down) = (true, true);
         let mut balancer = Balancer::new(&pool, 1);
@@ -593,7 +595,7 @@
 
     #[test]
     fn all_that_are_away_are_told_with_the_time_when_one_comes_back() {
-        let mut balancer = Balancer::new(&pool(Way::RoundRobin, &[1, 1]), 1);
+        let mut balancer = Balancer::new(&pool(BalancingMethod::RoundRobin, &[1, 1]), 1);
         for at in [0, 1] {
             assert_eq!(balancer.pick(0, b"", &[1 - at]), Ok(at));
             balancer.record_outcome(at as u64 * SECOND, at, AttemptOutcome::Failed);
@@ -604,13 +606,13 @@
                 available_at: Some(10 * SECOND)
             })
         );
-        let mut empty = Balancer::new(&self::pool(Way::LeastConnections, &[]), 1);
+        let mut empty = Balancer::new(&self::pool(BalancingMethod::LeastConnections, &[]), 1);
         assert_eq!(
             empty.pick(0, b"", &[]),
             Err(NoTargetAvailable { available_at: None })
         );
         // A pool's only target is never given up.
-        let mut only = Balancer::new(&self::pool(Way::RoundRobin, &[1]), 1);
+        let mut only = Balancer::new(&self::pool(BalancingMethod::RoundRobin, &[1]), 1);
         only.pick(0, b"", &[]).unwrap();
         only.record_outcome(0, 0, AttemptOutcome::Failed);
         assert_eq!(only.pick(0, b"", &[]), Ok(0));
@@ -625,7 +627,7 @@
 
     #[test]
     fn no_more_is_open_than_a_target_takes_and_a_reload_loses_no_count() {
-        let mut pool = pool(Way::RoundRobin, &[1, 1]);
+        let mut pool = pool(BalancingMethod::RoundRobin, &[1, 1]);
         pool.targets[0].max_connections = 1;
         let mut balancer = Balancer::new(&pool, 1);
         let picks: Vec<_> = (0..4)
@@ -633,7 +635,7 @@
             .collect();
         assert_eq!(picks.iter().filter(|at| **at == 0).count(), 1);
         // The first is gone, and the second has its open requests still.
-        let mut other = self::pool(Way::RoundRobin, &[1, 1]);
+        let mut other = self::pool(BalancingMethod::RoundRobin, &[1, 1]);
         other.targets[0].address = "t1:1".to_owned();
         other.targets[1].address = "new:1".to_owned();
         assert_eq!(balancer.reload(&other), [Some(1), None]);
@@ -642,7 +644,7 @@
             (3, 0)
         );
         // A pool emptied while requests are open.
-        let none = self::pool(Way::RoundRobin, &[]);
+        let none = self::pool(BalancingMethod::RoundRobin, &[]);
         assert_eq!(balancer.reload(&none), []);
         balancer.record_outcome(0, 0, AttemptOutcome::Responded);
         assert_eq!(
@@ -693,17 +695,17 @@
     #[test]
     fn no_choice_breaks_a_rule_whatever_happens() {
         let ways = [
-            Way::RoundRobin,
-            Way::LeastConnections,
-            Way::Random,
-            Way::RandomTwo,
+            BalancingMethod::RoundRobin,
+            BalancingMethod::LeastConnections,
+            BalancingMethod::Random,
+            BalancingMethod::RandomTwo,
             consistent(),
-            Way::AddressHash,
+            BalancingMethod::AddressHash,
         ];
-        for (number, way) in ways.into_iter().cycle().take(120).enumerate() {
+        for (number, method) in ways.into_iter().cycle().take(120).enumerate() {
             let mut random = SmallRng::seed_from_u64(number as u64);
             let count = random.random_range(1..6);
-            let mut pool = pool(way, &vec![1; count]);
+            let mut pool = pool(method, &vec![1; count]);
             for target in &mut pool.targets {
                 target.weight = random.random_range(1..9);
                 target.max_fails = random.random_range(0..3);
--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -45,7 +45,7 @@
 #[must_use]
 pub fn outcome(found: &Result<Decision, String>) -> String {
     match found {
-        Ok(Decision::Pass {
+        Ok(Decision::Forward {
             pool, uri, class, ..
         }) => {
             let class = class
@@ -62,7 +62,7 @@
 
 fn by(table: &Table, found: &Result<Decision, String>) -> String {
     match found {
-        Ok(Decision::Pass {
+        Ok(Decision::Forward {
             server,
             location,
             pool,
@@ -189,10 +189,10 @@
 }
 
 fn pool(name: &str, was: &Pool, is: &Pool, out: &mut Vec<String>) {
-    if was.way != is.way {
+    if was.method != is.method {
         out.push(format!(
             "{name}: chooses by {:?}, before by {:?}",
-            is.way, was.way
+            is.method, was.method
         ));
     }
     let lines = |pool: &Pool| -> Vec<String> {
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -6,7 +6,7 @@
 //! and fails: a change of the configuration has left it behind.
 
 use crate::balancer::Balancer;
-use crate::model::{Match, Routes, Server, Way};
+use crate::model::{BalancingMethod, MatchKind, Routes, Server};
 use crate::probe;
 use crate::table::{Asked, Decision, Table};
 use crate::text::Template;
@@ -190,12 +190,13 @@
     /// # Errors
     /// Where it can't be prepared.
     pub fn new(routes: &'a Routes) -> Result<Self, String> {
-        let key = |way: &Way| match way {
-            Way::Hash { key, .. } => Template::read(key).ok(),
+        let key = |method: &BalancingMethod| match method {
+            BalancingMethod::Hash { key, .. } => Template::read(key).ok(),
             _ => None,
         };
-        let one =
-            |(name, pool): (&String, &_)| (name.clone(), (Balancer::new(pool, 0), key(&pool.way)));
+        let one = |(name, pool): (&String, &_)| {
+            (name.clone(), (Balancer::new(pool, 0), key(&pool.method)))
+        };
         let pools = routes.pools.iter().map(one).collect();
         Ok(Self {
             routes,
@@ -218,7 +219,7 @@
         match decision {
             // The text of an answer may differ; its status does not.
             Decision::Answer { .. } => true,
-            Decision::Pass {
+            Decision::Forward {
                 server, location, ..
             } => {
                 self.table
@@ -237,7 +238,7 @@
     fn home(&self, requests: &Requests, path: &str, headers: &[(String, String)]) -> Home {
         let asked = asked(requests, path, headers);
         let found = self.table.decide(&asked);
-        let Ok(Decision::Pass { pool, .. }) = &found else {
+        let Ok(Decision::Forward { pool, .. }) = &found else {
             return Home {
                 found: crate::diff::outcome(&found).into(),
                 passes: false,
@@ -314,7 +315,10 @@
     let any_regex = |server: &Server| {
         let mut any = !server.steps.is_empty();
         crate::import::locations(&server.locations, &mut |location| {
-            any |= matches!(location.how, Match::Regex | Match::RegexAnyCase);
+            any |= matches!(
+                location.match_kind,
+                MatchKind::Regex | MatchKind::RegexCaseInsensitive
+            );
         });
         any
     };
@@ -359,14 +363,14 @@
     let under = requests.under.as_ref()?;
     let (tried, _) = paths(checked.routes, requests);
     let met = |path: &String| match checked.decide(requests, path, &[]) {
-        Ok(Decision::Pass { .. }) => true,
+        Ok(Decision::Forward { .. }) => true,
         Ok(Decision::Answer { code, .. }) => code != 404,
         Err(_) => false,
     };
     let mut any = tried.iter().any(met);
     for server in &checked.routes.servers {
         let plain = |location: &crate::model::Location| {
-            !location.how.is_regex() && location.pattern.starts_with(under)
+            !location.match_kind.is_regex() && location.pattern.starts_with(under)
         };
         crate::import::locations(&server.locations, &mut |location| any |= plain(location));
     }
@@ -476,7 +480,7 @@
 
 fn lands_there(lands: &Lands, found: &Result<Decision, String>) -> bool {
     match found {
-        Ok(Decision::Pass { pool, class, .. }) => {
+        Ok(Decision::Forward { pool, class, .. }) => {
             lands.status.is_none()
                 && (lands.pools.is_empty() || lands.pools.iter().any(|wanted| **wanted == **pool))
                 && (lands.class.is_none() || lands.class == *class)
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -10,7 +10,7 @@
 
 pub use directives::{table, Fate};
 
-use crate::model::{Limit, Location, Next, Routes, Times};
+use crate::model::{Limit, Location, ProxyTimeouts, RetryPolicy, Routes};
 use crate::place::{Finding, Gravity, Place};
 use crate::syntax::{Directive, Files, Tree, Word};
 use crate::text::Template;
@@ -91,23 +91,23 @@
 /// What locations inherit.
 #[derive(Clone)]
 struct Inherited {
-    next: Next,
-    times: Times,
+    retry_policy: RetryPolicy,
+    timeouts: ProxyTimeouts,
     limits: Vec<Limit>,
-    request_status: u16,
-    open_status: u16,
+    rate_limit_status: u16,
+    concurrency_limit_status: u16,
     merge_slashes: bool,
 }
 
 impl Default for Inherited {
     fn default() -> Self {
-        let (request_status, open_status) = (503, 503);
+        let (rate_limit_status, concurrency_limit_status) = (503, 503);
         Self {
-            next: Next::default(),
-            times: Times::default(),
+            retry_policy: RetryPolicy::default(),
+            timeouts: ProxyTimeouts::default(),
             limits: Vec::new(),
-            request_status,
-            open_status,
+            rate_limit_status,
+            concurrency_limit_status,
             merge_slashes: true,
         }
     }
@@ -303,9 +303,9 @@
                     };
                     match word.text.parse() {
                         Ok(status @ 400..=599) if one.name.text == "limit_req_status" => {
-                            here.request_status = status;
+                            here.rate_limit_status = status;
                         }
-                        Ok(status @ 400..=599) => here.open_status = status,
+                        Ok(status @ 400..=599) => here.concurrency_limit_status = status,
                         _ => self.error(
                             word,
                             format!("{:?} is not a status from 400 to 599", word.text),
@@ -321,18 +321,20 @@
                     }
                     _ => {}
                 },
-                "proxy_next_upstream" => self.next(one, &mut here.next),
+                "proxy_next_upstream" => self.next(one, &mut here.retry_policy),
                 "proxy_next_upstream_tries" => {
                     if let Some([word]) = self.args(one, 1, 1) {
-                        here.next.tries = self.number(word).unwrap_or(0);
+                        here.retry_policy.max_attempts = self.number(word).unwrap_or(0);
                     }
                 }
                 "proxy_next_upstream_timeout" => {
-                    here.next.timeout_ms = self.time_of(one).unwrap_or(0);
+                    here.retry_policy.timeout_ms = self.time_of(one).unwrap_or(0);
                 }
-                "proxy_connect_timeout" => here.times.connect = self.time_of(one).unwrap_or(60_000),
-                "proxy_send_timeout" => here.times.send = self.time_of(one).unwrap_or(60_000),
-                "proxy_read_timeout" => here.times.read = self.time_of(one).unwrap_or(60_000),
+                "proxy_connect_timeout" => {
+                    here.timeouts.connect_ms = self.time_of(one).unwrap_or(60_000)
+                }
+                "proxy_send_timeout" => here.timeouts.send_ms = self.time_of(one).unwrap_or(60_000),
+                "proxy_read_timeout" => here.timeouts.read_ms = self.time_of(one).unwrap_or(60_000),
                 _ => {}
             }
         }
@@ -357,9 +359,9 @@
         }
         for limit in &mut here.limits {
             limit.status = if limit.rate > 0 {
-                here.request_status
+                here.rate_limit_status
             } else {
-                here.open_status
+                here.concurrency_limit_status
             };
         }
         here
@@ -397,22 +399,22 @@
         }
     }
 
-    fn next(&mut self, one: &Directive, next: &mut Next) {
+    fn next(&mut self, one: &Directive, next: &mut RetryPolicy) {
         let Some(words) = self.args(one, 1, 20) else {
             return;
         };
-        *next = Next {
-            error: false,
-            timeout: false,
-            statuses: Vec::new(),
+        *next = RetryPolicy {
+            on_error: false,
+            on_timeout: false,
+            on_statuses: Vec::new(),
             ..next.clone()
         };
         for word in words {
             match word.text.as_str() {
-                "error" => next.error = true,
-                "timeout" => next.timeout = true,
+                "error" => next.on_error = true,
+                "timeout" => next.on_timeout = true,
                 "off" => {}
-                "invalid_header" => next.error = true,
+                "invalid_header" => next.on_error = true,
                 "non_idempotent" => {
                     let what =
                         "non_idempotent: what may have run of a class with an effect is never tried again";
@@ -423,7 +425,7 @@
                     .and_then(|code| code.parse::<u16>().ok())
                 {
                     Some(code @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => {
-                        next.statuses.push(code);
+                        next.on_statuses.push(code);
                     }
                     _ => self.error(word, format!("{other:?} is no outcome of a try")),
                 },
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -2,7 +2,7 @@
 
 use super::values::share;
 use super::{Reader, UPSTREAM};
-use crate::model::{Pool, Target, Variable, Way};
+use crate::model::{BalancingMethod, Pool, Target, Variable};
 use crate::pattern;
 use crate::syntax::{Directive, Word};
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
         };
         let mut pool = Pool {
             place: one.name.place.clone(),
-            way: Way::RoundRobin,
+            method: BalancingMethod::RoundRobin,
             keepalive: 0,
             targets: Vec::new(),
         };
@@ -38,14 +38,16 @@
                 }
                 continue;
             }
-            if pool.way != Way::RoundRobin {
+            if pool.method != BalancingMethod::RoundRobin {
                 self.error(&inner.name, "the pool has a way to choose already");
             }
             match inner.name.text.as_str() {
                 "least_conn" if self.args(inner, 0, 0).is_some() => {
-                    pool.way = Way::LeastConnections;
+                    pool.method = BalancingMethod::LeastConnections;
+                }
+                "ip_hash" if self.args(inner, 0, 0).is_some() => {
+                    pool.method = BalancingMethod::AddressHash
                 }
-                "ip_hash" if self.args(inner, 0, 0).is_some() => pool.way = Way::AddressHash,
                 "hash" => {
                     let Some(words) = self.args(inner, 1, 2) else {
                         continue;
@@ -58,7 +60,7 @@
                         }
                         other => other.is_some(),
                     };
-                    pool.way = Way::Hash {
+                    pool.method = BalancingMethod::Hash {
                         key: words[0].text.clone(),
                         consistent,
                     };
@@ -66,8 +68,8 @@
                 "random" => {
                     let words: Vec<_> = inner.args.iter().map(|word| word.text.as_str()).collect();
                     match words[..] {
-                        [] => pool.way = Way::Random,
-                        ["two"] | ["two", "least_conn"] => pool.way = Way::RandomTwo,
+                        [] => pool.method = BalancingMethod::Random,
+                        ["two"] | ["two", "least_conn"] => pool.method = BalancingMethod::RandomTwo,
                         _ => self.refuse(
                             &inner.name,
                             format!("random {} is not measured here", words.join(" ")),
@@ -77,8 +79,13 @@
                 _ => {}
             }
         }
-        if let (Some(inner), Way::Hash { .. } | Way::AddressHash | Way::Random | Way::RandomTwo) =
-            (backup, &pool.way)
+        if let (
+            Some(inner),
+            BalancingMethod::Hash { .. }
+            | BalancingMethod::AddressHash
+            | BalancingMethod::Random
+            | BalancingMethod::RandomTwo,
+        ) = (backup, &pool.method)
         {
             self.error(&inner.name, "this way to choose knows no backup");
         }
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -1,7 +1,7 @@
 //! What can be said only when all was read: names of pools and variables.
 
 use super::{locations, Reader};
-use crate::model::{Location, Pass, Routes, Server, Step, Variable};
+use crate::model::{Location, ProxyPass, RewriteStep, Routes, Server, Variable};
 use crate::pattern;
 use crate::syntax::Word;
 use crate::text::Template;
@@ -22,7 +22,7 @@
             });
             let mut faults = Vec::new();
             locations(&server.locations, &mut |location| {
-                if let Some(pass) = &location.pass {
+                if let Some(pass) = &location.proxy_pass {
                     faults.extend(
                         pool_fault(&routes, server, pass)
                             .map(|what| (location.place.clone(), what)),
@@ -80,36 +80,41 @@
     }
 }
 
-fn collect_set(steps: &[Step], into: &mut BTreeSet<String>) {
+fn collect_set(steps: &[RewriteStep], into: &mut BTreeSet<String>) {
     for step in steps {
         match step {
-            Step::Set { variable, .. } => {
+            RewriteStep::Set { variable, .. } => {
                 into.insert(variable.clone());
             }
-            Step::Rewrite { regex, .. } => into.extend(pattern::names(regex)),
+            RewriteStep::Rewrite { regex, .. } => into.extend(pattern::names(regex)),
             _ => {}
         }
     }
 }
 
-fn step_texts(step: &Step) -> Vec<String> {
+fn step_texts(step: &RewriteStep) -> Vec<String> {
     match step {
-        Step::Set { value, .. } => vec![value.clone()],
-        Step::Rewrite { replacement, .. } => vec![replacement.clone()],
-        Step::Return { text, .. } => text.iter().cloned().collect(),
-        Step::Break => Vec::new(),
+        RewriteStep::Set { value, .. } => vec![value.clone()],
+        RewriteStep::Rewrite { replacement, .. } => vec![replacement.clone()],
+        RewriteStep::Return { text, .. } => text.iter().cloned().collect(),
+        RewriteStep::Break => Vec::new(),
     }
 }
 
 fn texts(location: &Location) -> Vec<String> {
     let mut found: Vec<String> = location.steps.iter().flat_map(step_texts).collect();
     found.extend(location.limits.iter().map(|limit| limit.key.clone()));
-    found.extend(location.pass.iter().filter_map(|pass| pass.uri.clone()));
+    found.extend(
+        location
+            .proxy_pass
+            .iter()
+            .filter_map(|pass| pass.uri.clone()),
+    );
     found
 }
 
 /// What is wrong with the pool that a location passes to.
-fn pool_fault(routes: &Routes, server: &Server, pass: &Pass) -> Option<String> {
+fn pool_fault(routes: &Routes, server: &Server, pass: &ProxyPass) -> Option<String> {
     let missing = |pool: &str| {
         (!routes.pools.contains_key(pool))
             .then(|| format!("no upstream is called {pool:?}, and names are not looked up"))
@@ -132,9 +137,9 @@
             }
         }
         None => {
-            let collect = |steps: &'_ [Step]| {
+            let collect = |steps: &'_ [RewriteStep]| {
                 steps.iter().any(
-                    |step| matches!(step, Step::Set { variable: name, .. } if name == variable),
+                    |step| matches!(step, RewriteStep::Set { variable: name, .. } if name == variable),
                 )
             };
             let mut found = collect(&server.steps);
@@ -146,9 +151,9 @@
                     "the pool is ${variable}, which no map, split_clients or set makes"
                 ));
             }
-            let set = |steps: &[Step]| {
+            let set = |steps: &[RewriteStep]| {
                 for step in steps {
-                    if let Step::Set {
+                    if let RewriteStep::Set {
                         variable: name,
                         value,
                     } = step
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -2,7 +2,9 @@
 
 use super::directives::{table, Fate};
 use super::{is_inherited, Inherited, Reader, Siblings, LOCATION, SERVER};
-use crate::model::{After, Location, Match, Pass, Pool, Server, Step, Target, Way};
+use crate::model::{
+    BalancingMethod, Location, MatchKind, Pool, ProxyPass, RewriteFlag, RewriteStep, Server, Target,
+};
 use crate::pattern;
 use crate::place::{Gravity, Place};
 use crate::syntax::{Directive, Word};
@@ -15,7 +17,7 @@
         let inherited = self.inherit(block, SERVER, above);
         let mut server = Server {
             place: one.name.place.clone(),
-            listens: Vec::new(),
+            listen_addresses: Vec::new(),
             names: Vec::new(),
             merge_slashes: inherited.merge_slashes,
             steps: Vec::new(),
@@ -38,13 +40,13 @@
             }
         }
         server.locations = siblings.all;
-        if server.listens.is_empty() {
-            server.listens.push(("*:80".to_owned(), false));
+        if server.listen_addresses.is_empty() {
+            server.listen_addresses.push(("*:80".to_owned(), false));
         }
         if server.names.is_empty() {
             server.names.push(String::new());
         }
-        for (listen, default) in &server.listens {
+        for (listen, default) in &server.listen_addresses {
             if *default
                 && self
                     .defaults
@@ -105,10 +107,14 @@
                 other => self.error(word, format!("{other:?} is not understood")),
             }
         }
-        if server.listens.iter().any(|(other, _)| *other == address) {
+        if server
+            .listen_addresses
+            .iter()
+            .any(|(other, _)| *other == address)
+        {
             return self.error(word, format!("{address} is there already"));
         }
-        server.listens.push((address, default));
+        server.listen_addresses.push((address, default));
     }
 
     pub(super) fn server_name(&mut self, word: &Word, server: &mut Server) {
@@ -137,7 +143,7 @@
         }
     }
 
-    pub(super) fn step(&mut self, one: &Directive, in_location: bool) -> Option<Step> {
+    pub(super) fn step(&mut self, one: &Directive, in_location: bool) -> Option<RewriteStep> {
         match one.name.text.as_str() {
             "set" => {
                 let [variable, value] = self.args(one, 2, 2)? else {
@@ -155,12 +161,12 @@
                 if crate::text::is_given(name) {
                     self.error(variable, format!("{:?} can't be set", variable.text));
                 }
-                Some(Step::Set {
+                Some(RewriteStep::Set {
                     variable: name.to_owned(),
                     value: value.text.clone(),
                 })
             }
-            "break" => self.args(one, 0, 0).map(|_| Step::Break),
+            "break" => self.args(one, 0, 0).map(|_| RewriteStep::Break),
             "return" => {
                 let words = self.args(one, 1, 2)?;
                 let first = &words[0];
@@ -168,7 +174,7 @@
                     self.template(text);
                 }
                 match first.text.parse::<u16>() {
-                    Ok(code @ 100..=999) => Some(Step::Return {
+                    Ok(code @ 100..=999) => Some(RewriteStep::Return {
                         code,
                         text: words.get(1).map(|word| word.text.clone()),
                     }),
@@ -176,7 +182,7 @@
                         || first.text.starts_with("https://")
                         || first.text.starts_with('$') =>
                     {
-                        Some(Step::Return {
+                        Some(RewriteStep::Return {
                             code: 302,
                             text: Some(first.text.clone()),
                         })
@@ -200,13 +206,13 @@
                 let away = ["http://", "https://", "$scheme"]
                     .iter()
                     .any(|start| replacement.starts_with(start));
-                let after = match words.get(2).map(|word| word.text.as_str()) {
-                    None if away => After::Redirect,
-                    None => After::Next,
-                    Some("last") => After::Last,
-                    Some("break") => After::Break,
-                    Some("redirect") => After::Redirect,
-                    Some("permanent") => After::Permanent,
+                let flag = match words.get(2).map(|word| word.text.as_str()) {
+                    None if away => RewriteFlag::Redirect,
+                    None => RewriteFlag::Next,
+                    Some("last") => RewriteFlag::Last,
+                    Some("break") => RewriteFlag::Break,
+                    Some("redirect") => RewriteFlag::Redirect,
+                    Some("permanent") => RewriteFlag::Permanent,
                     Some(_) => {
                         self.error(
                             &words[2],
@@ -215,18 +221,18 @@
                         return None;
                     }
                 };
-                if after == After::Break && !in_location {
+                if flag == RewriteFlag::Break && !in_location {
                     // The path stays replaced, and a location is looked up by it: the same as the next step.
-                    return Some(Step::Rewrite {
+                    return Some(RewriteStep::Rewrite {
                         regex: words[0].text.clone(),
                         replacement,
-                        after: After::Last,
+                        flag: RewriteFlag::Last,
                     });
                 }
-                Some(Step::Rewrite {
+                Some(RewriteStep::Rewrite {
                     regex: words[0].text.clone(),
                     replacement,
-                    after,
+                    flag,
                 })
             }
             _ => None,
@@ -243,21 +249,24 @@
         let Some(words) = self.args(one, 1, 2) else {
             return;
         };
-        let Some((how, pattern)) = self.matcher(words) else {
+        let Some((match_kind, pattern)) = self.matcher(words) else {
             return;
         };
         let at = words.last().unwrap_or(&one.name);
         if let Some(above) = above {
-            if above.how == Match::Exact {
+            if above.match_kind == MatchKind::Exact {
                 return self.error(at, "a location within an exact one is never reached");
             }
-            if above.how == Match::Named || how == Match::Named {
+            if above.match_kind == MatchKind::Named || match_kind == MatchKind::Named {
                 return self.error(
                     at,
                     "named locations stand in a server only, with none within",
                 );
             }
-            if !how.is_regex() && !above.how.is_regex() && !pattern.starts_with(&above.pattern) {
+            if !match_kind.is_regex()
+                && !above.match_kind.is_regex()
+                && !pattern.starts_with(&above.pattern)
+            {
                 return self.error(
                     at,
                     format!(
@@ -267,21 +276,23 @@
                 );
             }
         }
-        if how.is_regex() {
-            if let Err(what) = pattern::compile(&pattern, how == Match::RegexAnyCase) {
+        if match_kind.is_regex() {
+            if let Err(what) =
+                pattern::compile(&pattern, match_kind == MatchKind::RegexCaseInsensitive)
+            {
                 self.refuse(at, what);
             }
         }
-        let kind = match how {
-            Match::Final => Match::Prefix,
-            how => how,
+        let kind = match match_kind {
+            MatchKind::PreferentialPrefix => MatchKind::Prefix,
+            match_kind => match_kind,
         };
-        if !how.is_regex() {
+        if !match_kind.is_regex() {
             let place = one.name.place.clone();
-            if let Some(other) = into.seen.insert((kind.sign(), pattern.clone()), place) {
+            if let Some(other) = into.seen.insert((kind.modifier(), pattern.clone()), place) {
                 let what = format!(
                     "location {}{pattern} is there already, at {other}",
-                    how.sign()
+                    match_kind.modifier()
                 );
                 self.error(at, what);
             }
@@ -290,14 +301,14 @@
         let here = self.inherit(block, LOCATION, inherited);
         let mut location = Location {
             place: one.name.place.clone(),
-            how,
+            match_kind,
             pattern,
             internal: false,
             steps: Vec::new(),
-            pass: None,
-            next: here.next.clone(),
+            proxy_pass: None,
+            retry_policy: here.retry_policy.clone(),
             limits: here.limits.clone(),
-            times: here.times,
+            timeouts: here.timeouts,
             nested: Vec::new(),
         };
         let mut siblings = Siblings::default();
@@ -308,10 +319,10 @@
             match inner.name.text.as_str() {
                 "internal" => location.internal = true,
                 "proxy_pass" => {
-                    if location.pass.is_some() {
+                    if location.proxy_pass.is_some() {
                         self.error(&inner.name, "a second proxy_pass");
                     }
-                    location.pass = self.pass(inner, &location, &one.name.place);
+                    location.proxy_pass = self.pass(inner, &location, &one.name.place);
                 }
                 "location" => {
                     let mut nested = std::mem::take(&mut siblings);
@@ -323,9 +334,9 @@
         }
         location.nested = siblings.all;
         // What a rewrite does not match is answered 404, as by an nginx without the file.
-        let answers = |step: &Step| match step {
-            Step::Return { .. } => true,
-            Step::Rewrite { after, .. } => *after != After::Break,
+        let answers = |step: &RewriteStep| match step {
+            RewriteStep::Return { .. } => true,
+            RewriteStep::Rewrite { flag, .. } => *flag != RewriteFlag::Break,
             _ => false,
         };
         let refused = block.iter().any(|inner| {
@@ -334,7 +345,7 @@
                 Some((.., Fate::Taken | Fate::Harmless | Fate::Differs(_)))
             ) || inner.name.text == "proxy_pass"
         });
-        if location.pass.is_none() && !location.steps.iter().any(answers) && !refused {
+        if location.proxy_pass.is_none() && !location.steps.iter().any(answers) && !refused {
             self.refuse(
                 at,
                 "nothing is passed on or returned here, and nginx would look for a file",
@@ -343,39 +354,43 @@
         into.all.push(location);
     }
 
-    pub(super) fn matcher(&mut self, words: &[Word]) -> Option<(Match, String)> {
-        let (how, word, pattern) = match words {
+    pub(super) fn matcher(&mut self, words: &[Word]) -> Option<(MatchKind, String)> {
+        let (match_kind, word, pattern) = match words {
             [word] => {
                 // The sign may stand without a space.
                 let signs = [
-                    ("=", Match::Exact),
-                    ("^~", Match::Final),
-                    ("~*", Match::RegexAnyCase),
-                    ("~", Match::Regex),
-                    ("@", Match::Named),
+                    ("=", MatchKind::Exact),
+                    ("^~", MatchKind::PreferentialPrefix),
+                    ("~*", MatchKind::RegexCaseInsensitive),
+                    ("~", MatchKind::Regex),
+                    ("@", MatchKind::Named),
                 ];
-                let found = signs
-                    .iter()
-                    .find_map(|(sign, how)| Some((*how, word.text.strip_prefix(sign)?)));
-                let (how, pattern) = found.unwrap_or((Match::Prefix, &word.text));
-                (how, word, pattern.to_owned())
+                let found = signs.iter().find_map(|(sign, match_kind)| {
+                    Some((*match_kind, word.text.strip_prefix(sign)?))
+                });
+                let (match_kind, pattern) = found.unwrap_or((MatchKind::Prefix, &word.text));
+                (match_kind, word, pattern.to_owned())
             }
             [sign, word] => {
-                let how = match sign.text.as_str() {
-                    "=" => Match::Exact,
-                    "^~" => Match::Final,
-                    "~" => Match::Regex,
-                    "~*" => Match::RegexAnyCase,
+                let match_kind = match sign.text.as_str() {
+                    "=" => MatchKind::Exact,
+                    "^~" => MatchKind::PreferentialPrefix,
+                    "~" => MatchKind::Regex,
+                    "~*" => MatchKind::RegexCaseInsensitive,
                     other => {
                         self.error(sign, format!("{other:?} is no modifier of a location"));
                         return None;
                     }
                 };
-                (how, word, word.text.clone())
+                (match_kind, word, word.text.clone())
             }
             _ => return None,
         };
-        if matches!(how, Match::Exact | Match::Prefix | Match::Final) && !pattern.starts_with('/') {
+        if matches!(
+            match_kind,
+            MatchKind::Exact | MatchKind::Prefix | MatchKind::PreferentialPrefix
+        ) && !pattern.starts_with('/')
+        {
             self.refuse(
                 word,
                 format!(
@@ -384,7 +399,7 @@
             );
             return None;
         }
-        Some((how, pattern))
+        Some((match_kind, pattern))
     }
 
     pub(super) fn pass(
@@ -392,7 +407,7 @@
         one: &Directive,
         location: &Location,
         place: &Place,
-    ) -> Option<Pass> {
+    ) -> Option<ProxyPass> {
         let [word] = self.args(one, 1, 1)? else {
             return None;
         };
@@ -410,7 +425,7 @@
         };
         self.template(word);
         if uri.is_some()
-            && (location.how.is_regex() || location.how == Match::Named)
+            && (location.match_kind.is_regex() || location.match_kind == MatchKind::Named)
             && !word.text.contains('$')
         {
             self.error(
@@ -426,7 +441,7 @@
                 self.refuse(word, "the host is one variable or none");
                 return None;
             }
-            return Some(Pass {
+            return Some(ProxyPass {
                 pool: host.to_owned(),
                 uri,
             });
@@ -444,14 +459,14 @@
             };
             let pool = Pool {
                 place: place.clone(),
-                way: Way::RoundRobin,
+                method: BalancingMethod::RoundRobin,
                 keepalive: 0,
                 targets: vec![target],
             };
             self.routes.pools.entry(address.clone()).or_insert(pool);
-            return Some(Pass { pool: address, uri });
+            return Some(ProxyPass { pool: address, uri });
         }
-        Some(Pass {
+        Some(ProxyPass {
             pool: host.to_owned(),
             uri,
         })
--- a/crates/routes/src/locate.rs
+++ b/crates/routes/src/locate.rs
@@ -1,7 +1,7 @@
 //! Which location takes a path: nginx's rules, over a trie of the plain locations and the regular expressions in order.
 //! [`one_by_one`] is the same by a look at each location: what tests and measurements compare with.
 
-use crate::model::{Location, Match};
+use crate::model::{Location, MatchKind};
 use crate::pattern;
 use crate::trie::{Item, Trie};
 use regex::bytes::{Regex, RegexSet, RegexSetBuilder};
@@ -45,7 +45,7 @@
 }
 
 fn adds_slash(location: &Location) -> bool {
-    location.pass.is_some() && location.pattern.ends_with('/')
+    location.proxy_pass.is_some() && location.pattern.ends_with('/')
 }
 
 impl Locator {
@@ -64,7 +64,7 @@
         let mut items: Vec<Item<'_>> = Vec::new();
         for location in locations {
             let number = self.known.len() as u32;
-            let is_final = location.how == Match::Final;
+            let is_final = location.match_kind == MatchKind::PreferentialPrefix;
             self.known.push(Known {
                 is_final,
                 adds_slash: adds_slash(location),
@@ -72,16 +72,20 @@
                 regex: None,
             });
             let pattern = location.pattern.as_bytes();
-            match location.how {
-                Match::Exact => items.push((pattern, Some(number), None)),
-                Match::Prefix | Match::Final => items.push((pattern, None, Some(number))),
-                Match::Regex | Match::RegexAnyCase => {
-                    let regex =
-                        pattern::compile(&location.pattern, location.how == Match::RegexAnyCase)?;
+            match location.match_kind {
+                MatchKind::Exact => items.push((pattern, Some(number), None)),
+                MatchKind::Prefix | MatchKind::PreferentialPrefix => {
+                    items.push((pattern, None, Some(number)))
+                }
+                MatchKind::Regex | MatchKind::RegexCaseInsensitive => {
+                    let regex = pattern::compile(
+                        &location.pattern,
+                        location.match_kind == MatchKind::RegexCaseInsensitive,
+                    )?;
                     self.known[number as usize].regex = Some(regex.clone());
                     level.regexes.push((regex, number));
                 }
-                Match::Named => {}
+                MatchKind::Named => {}
             }
             if !location.nested.is_empty() {
                 let within = self.level(&location.nested)?;
@@ -92,9 +96,9 @@
         if level.regexes.len() >= TOGETHER {
             let any = locations
                 .iter()
-                .filter(|one| one.how.is_regex())
-                .map(|one| match one.how {
-                    Match::RegexAnyCase => format!("(?i){}", one.pattern),
+                .filter(|one| one.match_kind.is_regex())
+                .map(|one| match one.match_kind {
+                    MatchKind::RegexCaseInsensitive => format!("(?i){}", one.pattern),
                     _ => one.pattern.clone(),
                 });
             // A set that grows too large is left out: then they are tried in turn.
@@ -202,40 +206,52 @@
     /// The location, and whether regular expressions beside the block may still come before it.
     fn block(locations: &[Location], from: u32, path: &[u8]) -> Option<(Taken, bool)> {
         let all = numbered(locations, from);
-        let named = |how: Match, pattern: &[u8]| {
+        let named = |match_kind: MatchKind, pattern: &[u8]| {
             all.iter()
-                .find(|(_, one)| one.how == how && one.pattern.as_bytes() == pattern)
+                .find(|(_, one)| one.match_kind == match_kind && one.pattern.as_bytes() == pattern)
         };
-        if let Some((number, _)) = named(Match::Exact, path) {
+        if let Some((number, _)) = named(MatchKind::Exact, path) {
             return Some((Taken::By(*number), false));
         }
-        let whole = [Match::Prefix, Match::Final]
+        let whole = [MatchKind::Prefix, MatchKind::PreferentialPrefix]
             .into_iter()
-            .any(|how| named(how, path).is_some());
+            .any(|match_kind| named(match_kind, path).is_some());
         let slash = [path, b"/"].concat();
-        let mut slashed = [Match::Exact, Match::Prefix, Match::Final]
-            .into_iter()
-            .filter_map(|how| named(how, &slash));
+        let mut slashed = [
+            MatchKind::Exact,
+            MatchKind::Prefix,
+            MatchKind::PreferentialPrefix,
+        ]
+        .into_iter()
+        .filter_map(|match_kind| named(match_kind, &slash));
         if let Some((number, one)) = slashed.next().filter(|_| !whole) {
             if adds_slash(one) {
                 return Some((Taken::Slash(*number), false));
             }
         }
-        let plain = all
-            .iter()
-            .filter(|(_, one)| matches!(one.how, Match::Prefix | Match::Final));
+        let plain = all.iter().filter(|(_, one)| {
+            matches!(
+                one.match_kind,
+                MatchKind::Prefix | MatchKind::PreferentialPrefix
+            )
+        });
         let best = plain
             .filter(|(_, one)| path.starts_with(one.pattern.as_bytes()))
             .max_by_key(|(_, one)| one.pattern.len());
         let mut found = None;
         if let Some((number, one)) = best {
             found = block(&one.nested, number + 1, path).or(Some((Taken::By(*number), true)));
-            if one.how == Match::Final || found.is_some_and(|(_, open)| !open) {
+            if one.match_kind == MatchKind::PreferentialPrefix
+                || found.is_some_and(|(_, open)| !open)
+            {
                 return found;
             }
         }
-        for (number, one) in all.iter().filter(|(_, one)| one.how.is_regex()) {
-            let regex = pattern::compile(&one.pattern, one.how == Match::RegexAnyCase);
+        for (number, one) in all.iter().filter(|(_, one)| one.match_kind.is_regex()) {
+            let regex = pattern::compile(
+                &one.pattern,
+                one.match_kind == MatchKind::RegexCaseInsensitive,
+            );
             if regex.is_ok_and(|regex| regex.is_match(path)) {
                 let inner = block(&one.nested, number + 1, path).map(|(taken, _)| taken);
                 return Some((inner.unwrap_or(Taken::By(*number)), false));
@@ -249,12 +265,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::model::{Next, Pass, Times};
+    use crate::model::{ProxyPass, ProxyTimeouts, RetryPolicy};
     use crate::place::Place;
     use proptest::prelude::*;
 
-    fn location(how: Match, pattern: String, pass: bool, nested: Vec<Location>) -> Location {
-        let pass = pass.then(|| Pass {
+    fn location(
+        match_kind: MatchKind,
+        pattern: String,
+        pass: bool,
+        nested: Vec<Location>,
+    ) -> Location {
+        let pass = pass.then(|| ProxyPass {
             pool: "p".to_owned(),
             uri: None,
         });
@@ -264,23 +285,23 @@
                 line: 1,
                 column: 1,
             },
-            how,
+            match_kind,
             pattern,
             internal: false,
             steps: Vec::new(),
-            pass,
-            next: Next {
-                error: true,
-                timeout: true,
-                statuses: Vec::new(),
-                tries: 0,
+            proxy_pass: pass,
+            retry_policy: RetryPolicy {
+                on_error: true,
+                on_timeout: true,
+                on_statuses: Vec::new(),
+                max_attempts: 0,
                 timeout_ms: 0,
             },
             limits: Vec::new(),
-            times: Times {
-                connect: 1,
-                send: 1,
-                read: 1,
+            timeouts: ProxyTimeouts {
+                connect_ms: 1,
+                send_ms: 1,
+                read_ms: 1,
             },
             nested,
         }
@@ -299,29 +320,33 @@
             siblings(depth - 1)
         };
         let either = prop_oneof![
-            plain.prop_map(|(how, path, pass)| (
-                [Match::Exact, Match::Prefix, Match::Final][how],
+            plain.prop_map(|(match_kind, path, pass)| (
+                [
+                    MatchKind::Exact,
+                    MatchKind::Prefix,
+                    MatchKind::PreferentialPrefix
+                ][match_kind],
                 path,
                 pass
             )),
             regex.prop_map(|(any, text, pass)| (
                 if any {
-                    Match::RegexAnyCase
+                    MatchKind::RegexCaseInsensitive
                 } else {
-                    Match::Regex
+                    MatchKind::Regex
                 },
                 text.to_owned(),
                 pass
             )),
         ];
         (either, nested)
-            .prop_map(|((how, pattern, pass), nested)| {
-                let nested = if how == Match::Exact {
+            .prop_map(|((match_kind, pattern, pass), nested)| {
+                let nested = if match_kind == MatchKind::Exact {
                     Vec::new()
                 } else {
                     nested
                 };
-                location(how, pattern, pass, nested)
+                location(match_kind, pattern, pass, nested)
             })
             .boxed()
     }
@@ -332,8 +357,8 @@
             .prop_map(|mut all| {
                 let mut seen = std::collections::HashSet::new();
                 all.retain(|one| {
-                    one.how.is_regex()
-                        || seen.insert((one.how == Match::Exact, one.pattern.clone()))
+                    one.match_kind.is_regex()
+                        || seen.insert((one.match_kind == MatchKind::Exact, one.pattern.clone()))
                 });
                 all
             })
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -17,24 +17,24 @@
     }
 }
 
-impl Default for Next {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            error: true,
-            timeout: true,
-            statuses: Vec::new(),
-            tries: 0,
+            on_error: true,
+            on_timeout: true,
+            on_statuses: Vec::new(),
+            max_attempts: 0,
             timeout_ms: 0,
         }
     }
 }
 
-impl Default for Times {
+impl Default for ProxyTimeouts {
     fn default() -> Self {
         Self {
-            connect: 60_000,
-            send: 60_000,
-            read: 60_000,
+            connect_ms: 60_000,
+            send_ms: 60_000,
+            read_ms: 60_000,
         }
     }
 }
@@ -62,31 +62,33 @@
 /// How a location is matched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Match {
+pub enum MatchKind {
     /// `=`: the whole path.
     Exact,
     /// No modifier: the longest prefix, unless a regular expression matches.
     Prefix,
     /// `^~`: the longest prefix, and no regular expression is tried.
-    Final,
+    #[serde(rename = "final")]
+    PreferentialPrefix,
     /// `~`: a regular expression, in the order of the file.
     Regex,
     /// `~*`: one that ignores case.
-    RegexAnyCase,
+    #[serde(rename = "regex_any_case")]
+    RegexCaseInsensitive,
     /// `@`: reached by name only.
     Named,
 }
 
-impl Match {
+impl MatchKind {
     /// As nginx writes it.
     #[must_use]
-    pub fn sign(self) -> &'static str {
+    pub fn modifier(self) -> &'static str {
         match self {
             Self::Exact => "= ",
             Self::Prefix => "",
-            Self::Final => "^~ ",
+            Self::PreferentialPrefix => "^~ ",
             Self::Regex => "~ ",
-            Self::RegexAnyCase => "~* ",
+            Self::RegexCaseInsensitive => "~* ",
             Self::Named => "@",
         }
     }
@@ -94,14 +96,14 @@
     /// Whether it is a regular expression.
     #[must_use]
     pub fn is_regex(self) -> bool {
-        matches!(self, Self::Regex | Self::RegexAnyCase)
+        matches!(self, Self::Regex | Self::RegexCaseInsensitive)
     }
 }
 
 /// What a rewrite does after it has replaced the path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum After {
+pub enum RewriteFlag {
     /// The next step.
     Next,
     /// `last`: locations are looked up again.
@@ -117,7 +119,7 @@
 /// A step of a server or location, in the order of the file. Texts may hold variables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Step {
+pub enum RewriteStep {
     /// Sets a variable.
     Set {
         /// Its name, without the sign.
@@ -132,7 +134,8 @@
         /// What replaces the path; with a question mark at its end the arguments are left out.
         replacement: String,
         /// What follows.
-        after: After,
+        #[serde(rename = "after")]
+        flag: RewriteFlag,
     },
     /// Answers.
     Return {
@@ -148,7 +151,7 @@
 /// Where a location sends requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pass {
+pub struct ProxyPass {
     /// The pool, or a variable with its sign whose values are pools.
     pub pool: String,
     /// What replaces the part of the path that the location matched; without it the path goes on as it came.
@@ -159,15 +162,19 @@
 /// Which outcomes of a try are followed by another try elsewhere.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Next {
+pub struct RetryPolicy {
     /// Refused connections, broken ones.
-    pub error: bool,
+    #[serde(rename = "error")]
+    pub on_error: bool,
     /// No answer within the time.
-    pub timeout: bool,
+    #[serde(rename = "timeout")]
+    pub on_timeout: bool,
     /// Answers that say failure, by status; 503 and 429 are the refusals.
-    pub statuses: Vec<u16>,
+    #[serde(rename = "statuses")]
+    pub on_statuses: Vec<u16>,
     /// Tries in all, 0 for as many as there are targets.
-    pub tries: u32,
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
     /// Time for all tries in ms, 0 for no bound of its own.
     pub timeout_ms: u64,
 }
@@ -191,13 +198,16 @@
 /// Times in ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Times {
+pub struct ProxyTimeouts {
     /// For a connection.
-    pub connect: u64,
+    #[serde(rename = "connect")]
+    pub connect_ms: u64,
     /// Without anything written.
-    pub send: u64,
+    #[serde(rename = "send")]
+    pub send_ms: u64,
     /// Without anything read.
-    pub read: u64,
+    #[serde(rename = "read")]
+    pub read_ms: u64,
 }
 
 /// A location.
@@ -208,7 +218,8 @@
     #[serde(default = "by_hand")]
     pub place: Place,
     /// How it is matched.
-    pub how: Match,
+    #[serde(rename = "how")]
+    pub match_kind: MatchKind,
     /// The path, prefix, regular expression or name.
     pub pattern: String,
     /// Not for requests from outside.
@@ -216,19 +227,19 @@
     pub internal: bool,
     /// What happens first.
     #[serde(default)]
-    pub steps: Vec<Step>,
+    pub steps: Vec<RewriteStep>,
     /// Where requests go; `None` where the steps answer.
-    #[serde(default)]
-    pub pass: Option<Pass>,
+    #[serde(rename = "pass", default)]
+    pub proxy_pass: Option<ProxyPass>,
     /// Further tries.
-    #[serde(default)]
-    pub next: Next,
+    #[serde(rename = "next", default)]
+    pub retry_policy: RetryPolicy,
     /// Limits.
     #[serde(default)]
     pub limits: Vec<Limit>,
     /// Times.
-    #[serde(default)]
-    pub times: Times,
+    #[serde(rename = "times", default)]
+    pub timeouts: ProxyTimeouts,
     /// Locations within.
     #[serde(default)]
     pub nested: Vec<Location>,
@@ -242,7 +253,8 @@
     #[serde(default = "by_hand")]
     pub place: Place,
     /// Addresses as `address:port`, and whether it is the default there.
-    pub listens: Vec<(String, bool)>,
+    #[serde(rename = "listens")]
+    pub listen_addresses: Vec<(String, bool)>,
     /// Names: whole, `*.x`, `x.*`, or a regular expression after `~`.
     pub names: Vec<String>,
     /// Slashes in a row count as one.
@@ -250,7 +262,7 @@
     pub merge_slashes: bool,
     /// What happens before a location is looked up.
     #[serde(default)]
-    pub steps: Vec<Step>,
+    pub steps: Vec<RewriteStep>,
     /// Locations, in the order of the file.
     pub locations: Vec<Location>,
 }
@@ -258,7 +270,7 @@
 /// How a pool chooses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum BalancingMethod {
     /// Smooth weighted round robin.
     RoundRobin,
     /// The fewest open requests by weight.
@@ -336,7 +348,8 @@
     #[serde(default = "by_hand")]
     pub place: Place,
     /// How it chooses.
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub method: BalancingMethod,
     /// Idle connections that are kept.
     #[serde(default)]
     pub keepalive: u32,
@@ -382,15 +395,15 @@
 }
 
 /// The variable that names the class of a request's route.
-pub const CLASS: &str = "matcher_class";
+pub const CLASS_VARIABLE: &str = "matcher_class";
 
 fn name_of(pool: &Pool) -> String {
-    match &pool.way {
-        Way::RoundRobin => "round robin".to_owned(),
-        Way::LeastConnections => "least connections".to_owned(),
-        Way::RandomTwo => "random two".to_owned(),
-        Way::Random => "random".to_owned(),
-        Way::Hash { key, consistent } => {
+    match &pool.method {
+        BalancingMethod::RoundRobin => "round robin".to_owned(),
+        BalancingMethod::LeastConnections => "least connections".to_owned(),
+        BalancingMethod::RandomTwo => "random two".to_owned(),
+        BalancingMethod::Random => "random".to_owned(),
+        BalancingMethod::Hash { key, consistent } => {
             format!(
                 "{} of {key}",
                 if *consistent {
@@ -400,18 +413,18 @@
                 }
             )
         }
-        Way::AddressHash => "hash of the address".to_owned(),
+        BalancingMethod::AddressHash => "hash of the address".to_owned(),
     }
 }
 
 impl Routes {
     /// A location whose pool is not there, and that pool: an import has none, a table written by hand may.
     #[must_use]
-    pub fn without_pool(&self) -> Option<(&Location, &str)> {
+    pub fn find_missing_pool(&self) -> Option<(&Location, &str)> {
         let mut found = None;
         for server in &self.servers {
             crate::import::locations(&server.locations, &mut |location| {
-                let pool = location.pass.as_ref().map(|pass| pass.pool.as_str());
+                let pool = location.proxy_pass.as_ref().map(|pass| pass.pool.as_str());
                 let missing =
                     pool.filter(|pool| !pool.starts_with('$') && !self.pools.contains_key(*pool));
                 found = found.or(missing.map(|pool| (location, pool)));
@@ -422,11 +435,11 @@
 
     /// The table as lines of text: one for each server, location, step, pool, target and variable.
     #[must_use]
-    pub fn lines(&self) -> Vec<String> {
+    pub fn to_lines(&self) -> Vec<String> {
         let mut out = Vec::new();
         for server in &self.servers {
-            let listens: Vec<_> = server
-                .listens
+            let listen_addresses: Vec<_> = server
+                .listen_addresses
                 .iter()
                 .map(|(at, default)| format!("{at}{}", if *default { " default" } else { "" }))
                 .collect();
@@ -439,7 +452,7 @@
             out.push(format!(
                 "{} server {} [{names}]{merge}",
                 server.place,
-                listens.join(", ")
+                listen_addresses.join(", ")
             ));
             steps(&server.steps, 1, &mut out);
             locations(&server.locations, 1, &mut out);
@@ -509,26 +522,26 @@
     }
 }
 
-fn steps(steps: &[Step], depth: usize, out: &mut Vec<String>) {
+fn steps(steps: &[RewriteStep], depth: usize, out: &mut Vec<String>) {
     let indent = "  ".repeat(depth);
     for step in steps {
         out.push(match step {
-            Step::Set { variable, value } => format!("{indent}set ${variable} {value:?}"),
-            Step::Rewrite {
+            RewriteStep::Set { variable, value } => format!("{indent}set ${variable} {value:?}"),
+            RewriteStep::Rewrite {
                 regex,
                 replacement,
-                after,
+                flag,
             } => {
                 format!(
                     "{indent}rewrite {regex} to {replacement:?} then {}",
-                    format!("{after:?}").to_lowercase()
+                    format!("{flag:?}").to_lowercase()
                 )
             }
-            Step::Return { code, text } => match text {
+            RewriteStep::Return { code, text } => match text {
                 Some(text) => format!("{indent}return {code} {text:?}"),
                 None => format!("{indent}return {code}"),
             },
-            Step::Break => format!("{indent}break"),
+            RewriteStep::Break => format!("{indent}break"),
         });
     }
 }
@@ -539,31 +552,34 @@
         let mut line = format!(
             "{} {indent}{}{}",
             location.place,
-            location.how.sign(),
+            location.match_kind.modifier(),
             location.pattern
         );
-        if let Some(Pass { pool, uri }) = &location.pass {
+        if let Some(ProxyPass { pool, uri }) = &location.proxy_pass {
             line.push_str(&format!(" -> {pool}"));
             if let Some(uri) = uri {
                 line.push_str(&format!(" with {uri}"));
             }
-            let next = &location.next;
+            let next = &location.retry_policy;
             let mut after: Vec<String> = Vec::new();
-            after.extend(next.error.then(|| "error".to_owned()));
-            after.extend(next.timeout.then(|| "timeout".to_owned()));
-            after.extend(next.statuses.iter().map(ToString::to_string));
-            let usual = next.error && next.timeout && next.statuses.is_empty();
-            if !usual || next.tries > 0 || next.timeout_ms > 0 {
+            after.extend(next.on_error.then(|| "error".to_owned()));
+            after.extend(next.on_timeout.then(|| "timeout".to_owned()));
+            after.extend(next.on_statuses.iter().map(ToString::to_string));
+            let usual = next.on_error && next.on_timeout && next.on_statuses.is_empty();
+            if !usual || next.max_attempts > 0 || next.timeout_ms > 0 {
                 line.push_str(&format!(", next after [{}]", after.join(" ")));
-                line.push_str(&format!(" {} tries {} ms", next.tries, next.timeout_ms));
+                line.push_str(&format!(
+                    " {} tries {} ms",
+                    next.max_attempts, next.timeout_ms
+                ));
             }
-            let Times {
-                connect,
-                send,
-                read,
-            } = location.times;
-            if (connect, send, read) != (60_000, 60_000, 60_000) {
-                line.push_str(&format!(", times {connect}/{send}/{read} ms"));
+            let ProxyTimeouts {
+                connect_ms,
+                send_ms,
+                read_ms,
+            } = location.timeouts;
+            if (connect_ms, send_ms, read_ms) != (60_000, 60_000, 60_000) {
+                line.push_str(&format!(", times {connect_ms}/{send_ms}/{read_ms} ms"));
             }
         }
         if location.internal {
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -2,7 +2,7 @@
 //! tables, or looks for a path below a prefix, asks these.
 
 use crate::import::locations;
-use crate::model::{Location, Match, Routes, Server, Variable};
+use crate::model::{Location, MatchKind, Routes, Server, Variable};
 use regex_syntax::hir::{Class, Hir, HirKind};
 use std::collections::BTreeSet;
 
@@ -87,26 +87,28 @@
 /// A text that the regular expression of a location matches.
 #[must_use]
 pub fn location_example(location: &Location) -> Option<String> {
-    let text = location
-        .how
-        .is_regex()
-        .then(|| example(&location.pattern, location.how == Match::RegexAnyCase));
+    let text = location.match_kind.is_regex().then(|| {
+        example(
+            &location.pattern,
+            location.match_kind == MatchKind::RegexCaseInsensitive,
+        )
+    });
     text.flatten().filter(|text| !text.is_empty())
 }
 
 /// Paths near what a location takes.
 fn paths(location: &Location, into: &mut BTreeSet<String>) {
     let pattern = &location.pattern;
-    match location.how {
-        Match::Named => {}
-        Match::Exact => {
+    match location.match_kind {
+        MatchKind::Named => {}
+        MatchKind::Exact => {
             into.extend([
                 pattern.clone(),
                 format!("{pattern}/"),
                 format!("{pattern}x"),
             ]);
         }
-        Match::Prefix | Match::Final => {
+        MatchKind::Prefix | MatchKind::PreferentialPrefix => {
             into.extend([
                 pattern.clone(),
                 format!("{pattern}x"),
@@ -121,7 +123,7 @@
                 );
             }
         }
-        Match::Regex | Match::RegexAnyCase => {
+        MatchKind::Regex | MatchKind::RegexCaseInsensitive => {
             if let Some(text) = location_example(location) {
                 let rooted = if text.starts_with('/') {
                     text
@@ -179,7 +181,7 @@
     let mut found = BTreeSet::new();
     for server in &routes.servers {
         let paths = server_paths(server);
-        for (listen, _) in &server.listens {
+        for (listen, _) in &server.listen_addresses {
             for name in &server.names {
                 for path in &paths {
                     found.insert(Probe {
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -116,7 +116,7 @@
         now: Micros,
         asked: &RetryContext,
         what: AttemptFailure,
-        next: &Next,
+        next: &RetryPolicy,
         shortest: Micros,
     ) -> (RetryDecision, Option<RetryDenial>) {
         let stopped = self.stopped(now, asked, what, next, shortest);
@@ -137,7 +137,7 @@
         now: Micros,
         asked: &RetryContext,
         what: AttemptFailure,
-        next: &Next,
+        next: &RetryPolicy,
         shortest: Micros,
     ) -> Option<RetryDenial> {
         if asked.has_effect && (asked.may_have_run || what.may_have_run()) {
@@ -149,17 +149,21 @@
         {
             return Some(RetryDenial::Told);
         }
-        let says = |statuses: &[u16]| statuses.iter().any(|status| next.statuses.contains(status));
+        let says = |statuses: &[u16]| {
+            statuses
+                .iter()
+                .any(|status| next.on_statuses.contains(status))
+        };
         let configured = match what {
             AttemptFailure::Rejected { .. } => says(&[503, 429]),
-            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => next.error,
-            AttemptFailure::TimedOut => next.timeout,
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => next.on_error,
+            AttemptFailure::TimedOut => next.on_timeout,
             AttemptFailure::Failed => says(&[500, 502, 504]),
         };
         if !configured {
             return Some(RetryDenial::Configured);
         }
-        if next.tries > 0 && asked.attempts >= next.tries {
+        if next.max_attempts > 0 && asked.attempts >= next.max_attempts {
             return Some(RetryDenial::Tries);
         }
         let over = next.timeout_ms > 0 && now >= asked.received_at + next.timeout_ms * 1_000;
@@ -174,12 +178,12 @@
 mod tests {
     use super::*;
 
-    fn next(statuses: &[u16], tries: u32, timeout_ms: u64) -> Next {
-        Next {
-            error: true,
-            timeout: true,
-            statuses: statuses.to_vec(),
-            tries,
+    fn next(statuses: &[u16], tries: u32, timeout_ms: u64) -> RetryPolicy {
+        RetryPolicy {
+            on_error: true,
+            on_timeout: true,
+            on_statuses: statuses.to_vec(),
+            max_attempts: tries,
             timeout_ms,
         }
     }
@@ -240,9 +244,9 @@
 
     #[test]
     fn a_refusal_is_passed_on_only_where_nothing_ran() {
-        let none = Next {
-            error: false,
-            timeout: false,
+        let none = RetryPolicy {
+            on_error: false,
+            on_timeout: false,
             ..next(&[], 0, 0)
         };
         let mut budget = RetryBudget::new(1.0, 100.0);
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -3,7 +3,8 @@
 
 use crate::locate::{Locator, Taken};
 use crate::model::{
-    After, Limit, Location, Match, Next, Routes, Server, Step, Times, Variable, CLASS,
+    Limit, Location, MatchKind, ProxyTimeouts, RetryPolicy, RewriteFlag, RewriteStep, Routes,
+    Server, Variable, CLASS_VARIABLE,
 };
 use crate::pattern;
 use crate::place::Place;
@@ -43,18 +44,18 @@
     /// As nginx writes it.
     pub name: String,
     /// Further tries.
-    pub next: Next,
+    pub retry_policy: RetryPolicy,
     /// Times.
-    pub times: Times,
+    pub timeouts: ProxyTimeouts,
     /// Limits, with their keys.
     pub limits: Vec<(Template, Limit)>,
     /// The number of the location around it.
     pub parent: Option<u32>,
-    how: Match,
+    match_kind: MatchKind,
     pattern: String,
     internal: bool,
     steps: Vec<Prepared>,
-    pass: Option<(Template, Option<Template>)>,
+    proxy_pass: Option<(Template, Option<Template>)>,
     /// The pool, where it has no variable in it.
     pool: Option<Arc<str>>,
 }
@@ -62,7 +63,7 @@
 #[derive(Debug)]
 enum Prepared {
     Set(String, Template),
-    Rewrite(Regex, Template, bool, After),
+    Rewrite(Regex, Template, bool, RewriteFlag),
     Return(u16, Option<Template>),
     Break,
 }
@@ -112,7 +113,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// It goes on to a pool.
-    Pass {
+    Forward {
         /// The server, by its number.
         server: usize,
         /// The location, by its number there.
@@ -160,24 +161,24 @@
     Template::read(text)
 }
 
-fn prepare(steps: &[Step]) -> Result<Vec<Prepared>, String> {
-    let one = |step: &Step| {
+fn prepare(steps: &[RewriteStep]) -> Result<Vec<Prepared>, String> {
+    let one = |step: &RewriteStep| {
         Ok(match step {
-            Step::Set { variable, value } => Prepared::Set(variable.clone(), read(value)?),
-            Step::Rewrite {
+            RewriteStep::Set { variable, value } => Prepared::Set(variable.clone(), read(value)?),
+            RewriteStep::Rewrite {
                 regex,
                 replacement,
-                after,
+                flag,
             } => {
                 let (text, drops) = replacement
                     .strip_suffix('?')
                     .map_or((replacement.as_str(), false), |text| (text, true));
-                Prepared::Rewrite(pattern::compile(regex, false)?, read(text)?, drops, *after)
+                Prepared::Rewrite(pattern::compile(regex, false)?, read(text)?, drops, *flag)
             }
-            Step::Return { code, text } => {
+            RewriteStep::Return { code, text } => {
                 Prepared::Return(*code, text.as_deref().map(read).transpose()?)
             }
-            Step::Break => Prepared::Break,
+            RewriteStep::Break => Prepared::Break,
         })
     };
     steps.iter().map(one).collect()
@@ -202,7 +203,7 @@
     fn all(locations: &[Location], parent: Option<u32>, out: &mut Vec<Self>) -> Result<(), String> {
         for location in locations {
             let number = out.len() as u32;
-            let pass = match &location.pass {
+            let pass = match &location.proxy_pass {
                 Some(pass) => Some((
                     read(&pass.pool)?,
                     pass.uri.as_deref().map(read).transpose()?,
@@ -210,7 +211,7 @@
                 None => None,
             };
             let pool = location
-                .pass
+                .proxy_pass
                 .as_ref()
                 .map(|pass| pass.pool.as_str())
                 .filter(|pool| !pool.starts_with('$'));
@@ -220,16 +221,16 @@
                 .map(|limit| Ok((read(&limit.key)?, limit.clone())));
             out.push(Self {
                 place: location.place.clone(),
-                name: format!("{}{}", location.how.sign(), location.pattern),
-                next: location.next.clone(),
-                times: location.times,
+                name: format!("{}{}", location.match_kind.modifier(), location.pattern),
+                retry_policy: location.retry_policy.clone(),
+                timeouts: location.timeouts,
                 limits: limits.collect::<Result<_, String>>()?,
                 parent,
-                how: location.how,
+                match_kind: location.match_kind,
                 pattern: location.pattern.clone(),
                 internal: location.internal,
                 steps: prepare(&location.steps)?,
-                pass,
+                proxy_pass: pass,
                 pool: pool.map(Arc::from),
             });
             Self::all(&location.nested, Some(number), out)?;
@@ -504,7 +505,7 @@
             if again {
                 continue;
             }
-            let Some((pool, uri)) = &site.pass else {
+            let Some((pool, uri)) = &site.proxy_pass else {
                 return answer(
                     404,
                     String::new(),
@@ -523,7 +524,7 @@
             });
             let class = walk
                 .set
-                .get(CLASS)
+                .get(CLASS_VARIABLE)
                 .filter(|class| !class.is_empty())
                 .cloned();
             let location = number;
@@ -533,7 +534,7 @@
                 .position(|other| std::ptr::eq(other, host))
                 .unwrap_or_default();
             let uri = walk.goes_on(site, uri);
-            return Ok(Decision::Pass {
+            return Ok(Decision::Forward {
                 server,
                 location,
                 pool,
@@ -578,7 +579,7 @@
                         }),
                     );
                 }
-                Prepared::Rewrite(regex, to, drops, after) => {
+                Prepared::Rewrite(regex, to, drops, flag) => {
                     let path = walk.uri.path.clone();
                     let Some(groups) = regex.captures(&path) else {
                         continue;
@@ -590,9 +591,9 @@
                         text: to.clone(),
                         by: format!("{place} rewrites it"),
                     };
-                    match after {
-                        After::Redirect => return (false, Some(redirect(302))),
-                        After::Permanent => return (false, Some(redirect(301))),
+                    match flag {
+                        RewriteFlag::Redirect => return (false, Some(redirect(302))),
+                        RewriteFlag::Permanent => return (false, Some(redirect(301))),
                         _ => {}
                     }
                     let (path, args) = to
@@ -608,9 +609,9 @@
                     walk.uri.path = path.as_bytes().to_vec();
                     walk.changed = true;
                     say(said, || format!("{place} rewrites the path to {path:?}"));
-                    match after {
-                        After::Last => return (true, None),
-                        After::Break => {
+                    match flag {
+                        RewriteFlag::Last => return (true, None),
+                        RewriteFlag::Break => {
                             walk.stays = true;
                             return (false, None);
                         }
@@ -775,53 +776,58 @@
                 break;
             }
             let chosen = way.get(depth).copied();
-            let fits = |site: &Site| match site.how {
-                Match::Exact => site.pattern.as_bytes() == path,
-                Match::Prefix | Match::Final => path.starts_with(site.pattern.as_bytes()),
-                Match::Named => false,
-                Match::Regex | Match::RegexAnyCase => {
-                    pattern::compile(&site.pattern, site.how == Match::RegexAnyCase)
-                        .is_ok_and(|regex| regex.is_match(path))
+            let fits = |site: &Site| match site.match_kind {
+                MatchKind::Exact => site.pattern.as_bytes() == path,
+                MatchKind::Prefix | MatchKind::PreferentialPrefix => {
+                    path.starts_with(site.pattern.as_bytes())
                 }
+                MatchKind::Named => false,
+                MatchKind::Regex | MatchKind::RegexCaseInsensitive => pattern::compile(
+                    &site.pattern,
+                    site.match_kind == MatchKind::RegexCaseInsensitive,
+                )
+                .is_ok_and(|regex| regex.is_match(path)),
             };
             let longest = here
                 .iter()
-                .filter(|(_, site)| !site.how.is_regex() && site.how != Match::Exact && fits(site))
+                .filter(|(_, site)| {
+                    !site.match_kind.is_regex() && site.match_kind != MatchKind::Exact && fits(site)
+                })
                 .max_by_key(|(_, site)| site.pattern.len());
             let by = chosen.map(|number| &self.sites[number as usize]);
             for (number, site) in &here {
                 let why = if Some(*number as u32) == chosen {
-                    match (site.how, taken) {
+                    match (site.match_kind, taken) {
                         (_, Taken::Slash(_)) if depth + 1 == way.len() => {
                             "adds the slash that the path lacks".to_owned()
                         }
-                        (Match::Exact, _) => "is the whole path".to_owned(),
-                        (how, _) if how.is_regex() => {
+                        (MatchKind::Exact, _) => "is the whole path".to_owned(),
+                        (match_kind, _) if match_kind.is_regex() => {
                             "the first regular expression that matches".to_owned()
                         }
-                        (Match::Final, _) => {
+                        (MatchKind::PreferentialPrefix, _) => {
                             "the longest prefix, and no regular expression is tried".to_owned()
                         }
                         _ => "the longest prefix, and no regular expression matches".to_owned(),
                     }
                 } else {
                     let name = by.map_or("", |site| &site.name);
-                    match site.how {
-                        Match::Named => "is reached by name only".to_owned(),
-                        Match::Exact => "is not the path".to_owned(),
-                        Match::Prefix | Match::Final if !fits(site) => {
+                    match site.match_kind {
+                        MatchKind::Named => "is reached by name only".to_owned(),
+                        MatchKind::Exact => "is not the path".to_owned(),
+                        MatchKind::Prefix | MatchKind::PreferentialPrefix if !fits(site) => {
                             "is no prefix of the path".to_owned()
                         }
-                        Match::Prefix | Match::Final
+                        MatchKind::Prefix | MatchKind::PreferentialPrefix
                             if longest.is_some_and(|(other, _)| other != number) =>
                         {
                             let other = longest.map_or("", |(_, site)| &site.name);
                             format!("a prefix, and {other} is longer")
                         }
-                        Match::Prefix | Match::Final => {
+                        MatchKind::Prefix | MatchKind::PreferentialPrefix => {
                             format!("the longest prefix, and {name} comes before it")
                         }
-                        _ if by.is_some_and(|by| !by.how.is_regex()) && fits(site) => {
+                        _ if by.is_some_and(|by| !by.match_kind.is_regex()) && fits(site) => {
                             format!("matches, and is not tried because of {name}")
                         }
                         _ if fits(site) => format!("matches, and {name} stands before it"),
--- a/crates/routes/tests/expect.rs
+++ b/crates/routes/tests/expect.rs
@@ -210,7 +210,7 @@
     assert!(diff(&by_hand, &routes(blocks))
         .expect("two tables")
         .is_none());
-    assert!(by_hand.without_pool().is_none());
+    assert!(by_hand.find_missing_pool().is_none());
     let unknown = json!({ "servers": [], "pools": {}, "variable": {} });
     assert!(serde_json::from_value::<Routes>(unknown).is_err());
 }
--- a/crates/routes/tests/files.rs
+++ b/crates/routes/tests/files.rs
@@ -76,7 +76,7 @@
         remote: "192.0.2.1",
     };
     let found = match table.decide(&asked) {
-        Ok(Decision::Pass {
+        Ok(Decision::Forward {
             server,
             location,
             pool,
@@ -124,7 +124,7 @@
         found.insert(
             "table".to_owned(),
             if whole {
-                import.routes.lines()
+                import.routes.to_lines()
             } else {
                 Vec::new()
             },
@@ -142,7 +142,7 @@
             let json = serde_json::to_string(&import.routes).expect("it can be written");
             let read: cleatpulley_routes::model::Routes =
                 serde_json::from_str(&json).expect("it can be read");
-            assert_eq!(read.lines(), import.routes.lines());
+            assert_eq!(read.to_lines(), import.routes.to_lines());
         } else if std::env::var_os("WRITE_EXPECTED").is_none() {
             assert!(
                 requests.is_empty(),
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -145,7 +145,7 @@
                 serde_json::to_string_pretty(routes).map_err(|e| e.to_string())?
             );
         } else {
-            routes.lines().iter().for_each(|line| say!("{line}"));
+            routes.to_lines().iter().for_each(|line| say!("{line}"));
         }
         Ok(ExitCode::SUCCESS)
     };
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -56,10 +56,10 @@
     if file.extension().is_some_and(|end| end == "json") {
         let text = Disk.read(name).map_err(|e| format!("{name}: {e}"))?;
         let routes: Routes = serde_json::from_slice(&text).map_err(|e| format!("{name}: {e}"))?;
-        if let Some((location, pool)) = routes.without_pool() {
+        if let Some((location, pool)) = routes.find_missing_pool() {
             return Err(format!(
                 "{name}: location {}{}: there is no pool {pool:?}",
-                location.how.sign(),
+                location.match_kind.modifier(),
                 location.pattern
             ));
         }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -429,13 +429,13 @@
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
         match self.table.decide(&asked).map_err(|what| (404, what))? {
-            Decision::Pass {
+            Decision::Forward {
                 class: Some(class), ..
             } => {
                 let found = self.classes.iter().position(|known| *known == class);
                 found.ok_or_else(|| (404, format!("{class:?} is no class")))
             }
-            Decision::Pass { .. } => Err((404, "this route has no class".to_owned())),
+            Decision::Forward { .. } => Err((404, "this route has no class".to_owned())),
             Decision::Answer { code, text, .. } => Err((code, text)),
         }
     }
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -9,7 +9,7 @@
 use cleatpulley_protocol::ajp::client;
 use cleatpulley_protocol::ajp::server::{self, Defaults, Figures, Source};
 use cleatpulley_protocol::ajp::table::Table;
-use cleatpulley_routes::model::{Location, Routes, Step, CLASS};
+use cleatpulley_routes::model::{Location, RewriteStep, Routes, CLASS_VARIABLE};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -242,7 +242,7 @@
             if !routes
                 .servers
                 .iter()
-                .flat_map(|server| &server.listens)
+                .flat_map(|server| &server.listen_addresses)
                 .any(|(known, _)| known == at)
             {
                 return wrong(
@@ -303,15 +303,15 @@
 /// Each location that passes on has to know its class, where it stands there in plain text.
 fn classes_known(
     locations: &[Location],
-    above: &[Step],
+    above: &[RewriteStep],
     classes: &BTreeMap<String, ClassSection>,
 ) -> Result<(), Wrong> {
     for location in locations {
         for step in above.iter().chain(&location.steps) {
-            let Step::Set { variable, value } = step else {
+            let RewriteStep::Set { variable, value } = step else {
                 continue;
             };
-            if variable == CLASS
+            if variable == CLASS_VARIABLE
                 && !value.contains('$')
                 && !value.is_empty()
                 && !classes.contains_key(value)
