--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -15,7 +15,7 @@
     AttemptFailure, RetryBudget, RetryContext as Between, RetryDecision, RetryDenial,
 };
 use cleatpulley_routes::table::{Asked, Decision, Table};
-use cleatpulley_routes::text::Template;
+use cleatpulley_routes::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -112,7 +112,7 @@
                 .map(|target| Arc::from(target.address.as_str()))
                 .collect(),
             key: match &pool.method {
-                BalancingMethod::Hash { key, .. } => Some(Template::read(key)?),
+                BalancingMethod::Hash { key, .. } => Some(Template::parse(key)?),
                 _ => None,
             },
             by_address: pool.method == BalancingMethod::AddressHash,
--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -94,7 +94,7 @@
     });
     let mut found = BTreeSet::new();
     for source in sources {
-        let Ok(template) = crate::text::Template::read(source) else {
+        let Ok(template) = crate::template::Template::parse(source) else {
             continue;
         };
         found.extend(
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -9,7 +9,7 @@
 use crate::model::{BalancingMethod, MatchKind, Routes, Server};
 use crate::probe;
 use crate::table::{Asked, Decision, Table};
-use crate::text::Template;
+use crate::template::Template;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -191,7 +191,7 @@
     /// Where it can't be prepared.
     pub fn new(routes: &'a Routes) -> Result<Self, String> {
         let key = |method: &BalancingMethod| match method {
-            BalancingMethod::Hash { key, .. } => Template::read(key).ok(),
+            BalancingMethod::Hash { key, .. } => Template::parse(key).ok(),
             _ => None,
         };
         let one = |(name, pool): (&String, &_)| {
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -13,7 +13,7 @@
 use crate::model::{Limit, Location, ProxyTimeouts, RetryPolicy, Routes};
 use crate::place::{Finding, Gravity, Place};
 use crate::syntax::{Directive, Files, Tree, Word};
-use crate::text::Template;
+use crate::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use values::milliseconds;
 
@@ -394,7 +394,7 @@
     }
 
     fn template(&mut self, word: &Word) {
-        if let Err(what) = Template::read(&word.text) {
+        if let Err(what) = Template::parse(&word.text) {
             self.error(word, what);
         }
     }
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -4,7 +4,7 @@
 use crate::model::{Location, ProxyPass, RewriteStep, Routes, Server, Variable};
 use crate::pattern;
 use crate::syntax::Word;
-use crate::text::Template;
+use crate::template::Template;
 use std::collections::BTreeSet;
 
 impl Reader {
@@ -185,9 +185,11 @@
 }
 
 fn variable_fault(routes: &Routes, known: &BTreeSet<String>, text: &str) -> Option<String> {
-    let template = Template::read(text).ok()?;
+    let template = Template::parse(text).ok()?;
     let is_known = |name: &str| {
-        routes.variables.contains_key(name) || known.contains(name) || crate::text::is_given(name)
+        routes.variables.contains_key(name)
+            || known.contains(name)
+            || crate::template::is_request_variable(name)
     };
     let unknown = template.variables().find(|name| !is_known(name))?;
     Some(format!("${unknown} is a variable that nothing here sets"))
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -158,7 +158,7 @@
                     self.error(variable, format!("{:?} is no variable", variable.text));
                     return None;
                 };
-                if crate::text::is_given(name) {
+                if crate::template::is_request_variable(name) {
                     self.error(variable, format!("{:?} can't be set", variable.text));
                 }
                 Some(RewriteStep::Set {
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -20,6 +20,6 @@
 pub mod retry;
 pub mod syntax;
 pub mod table;
-pub mod text;
+pub mod template;
 pub mod trie;
 pub mod uri;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -8,7 +8,7 @@
 };
 use crate::pattern;
 use crate::place::Place;
-use crate::text::{Piece, Template};
+use crate::template::{Template, TemplatePart};
 use crate::uri::{self, Uri};
 use regex::bytes::Regex;
 use std::collections::{BTreeMap, HashMap};
@@ -158,7 +158,7 @@
 }
 
 fn read(text: &str) -> Result<Template, String> {
-    Template::read(text)
+    Template::parse(text)
 }
 
 fn prepare(steps: &[RewriteStep]) -> Result<Vec<Prepared>, String> {
@@ -628,10 +628,12 @@
     }
 
     fn fill_at(&self, template: &Template, walk: &Walk<'_>, depth: usize) -> String {
-        template.fill(|piece, out| match piece {
-            Piece::Group(number) => out.push_str(walk.groups.get(*number).map_or("", |text| text)),
-            Piece::Variable(name) => out.push_str(&self.value(name, walk, depth)),
-            Piece::Text(_) => {}
+        template.expand(|piece, out| match piece {
+            TemplatePart::Capture(number) => {
+                out.push_str(walk.groups.get(*number).map_or("", |text| text))
+            }
+            TemplatePart::Variable(name) => out.push_str(&self.value(name, walk, depth)),
+            TemplatePart::Literal(_) => {}
         })
     }
 
--- a/crates/routes/src/text.rs
+++ b/crates/routes/src/template.rs
@@ -2,29 +2,29 @@
 
 /// A part of a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum TemplatePart {
     /// Text as it stands.
-    Text(String),
+    Literal(String),
     /// A variable's value.
     Variable(String),
     /// What a group of the last regular expression matched.
-    Group(usize),
+    Capture(usize),
 }
 
 /// A text with variables in it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Template(pub Vec<Piece>);
+pub struct Template(pub Vec<TemplatePart>);
 
 impl Template {
     /// Reads one.
     ///
     /// # Errors
     /// A sign without a name.
-    pub fn read(text: &str) -> Result<Self, String> {
+    pub fn parse(text: &str) -> Result<Self, String> {
         let (mut pieces, mut rest) = (Vec::new(), text);
         while let Some(at) = rest.find('$') {
             if at > 0 {
-                pieces.push(Piece::Text(rest[..at].to_owned()));
+                pieces.push(TemplatePart::Literal(rest[..at].to_owned()));
             }
             rest = &rest[at + 1..];
             let (name, after) = match rest.strip_prefix('{') {
@@ -46,12 +46,12 @@
                 ));
             }
             pieces.push(match name.parse() {
-                Ok(group @ 0..=9) => Piece::Group(group),
-                _ => Piece::Variable(name.to_owned()),
+                Ok(group @ 0..=9) => TemplatePart::Capture(group),
+                _ => TemplatePart::Variable(name.to_owned()),
             });
         }
         if !rest.is_empty() {
-            pieces.push(Piece::Text(rest.to_owned()));
+            pieces.push(TemplatePart::Literal(rest.to_owned()));
         }
         Ok(Self(pieces))
     }
@@ -59,17 +59,17 @@
     /// Its variables, groups left out.
     pub fn variables(&self) -> impl Iterator<Item = &str> {
         self.0.iter().filter_map(|piece| match piece {
-            Piece::Variable(name) => Some(name.as_str()),
+            TemplatePart::Variable(name) => Some(name.as_str()),
             _ => None,
         })
     }
 
     /// The text, with values put in.
-    pub fn fill(&self, mut value: impl FnMut(&Piece, &mut String)) -> String {
+    pub fn expand(&self, mut value: impl FnMut(&TemplatePart, &mut String)) -> String {
         let mut out = String::new();
         for piece in &self.0 {
             match piece {
-                Piece::Text(text) => out.push_str(text),
+                TemplatePart::Literal(text) => out.push_str(text),
                 other => value(other, &mut out),
             }
         }
@@ -79,7 +79,7 @@
 
 /// Whether a variable is given with each request.
 #[must_use]
-pub fn is_given(name: &str) -> bool {
+pub fn is_request_variable(name: &str) -> bool {
     const GIVEN: [&str; 12] = [
         "uri",
         "document_uri",
@@ -106,24 +106,24 @@
 
     #[test]
     fn variables_and_groups_are_found() {
-        let read = Template::read("a$b/${c}d$1$12").unwrap();
-        let variable = |name: &str| Piece::Variable(name.to_owned());
-        let text = |text: &str| Piece::Text(text.to_owned());
+        let parse = Template::parse("a$b/${c}d$1$12").unwrap();
+        let variable = |name: &str| TemplatePart::Variable(name.to_owned());
+        let text = |text: &str| TemplatePart::Literal(text.to_owned());
         let expected = [
             text("a"),
             variable("b"),
             text("/"),
             variable("c"),
             text("d"),
-            Piece::Group(1),
-            Piece::Group(1),
+            TemplatePart::Capture(1),
+            TemplatePart::Capture(1),
             text("2"),
         ];
-        assert_eq!(read.0, expected);
+        assert_eq!(parse.0, expected);
         assert!(
-            Template::read("a$").is_err()
-                && Template::read("${a").is_err()
-                && Template::read("$-").is_err()
+            Template::parse("a$").is_err()
+                && Template::parse("${a").is_err()
+                && Template::parse("$-").is_err()
         );
     }
 }
