--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -14,7 +14,7 @@
 use cleatpulley_routes::retry::{
     AttemptFailure, RetryBudget, RetryContext as Between, RetryDecision, RetryDenial,
 };
-use cleatpulley_routes::table::{Asked, Decision, Table};
+use cleatpulley_routes::router::{RouteDecision, RouteRequest, Router};
 use cleatpulley_routes::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -37,14 +37,14 @@
 
 /// A request as routes look at it, which came to this `address:port` of theirs.
 #[must_use]
-pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> Asked<'a> {
-    Asked {
-        listen,
+pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> RouteRequest<'a> {
+    RouteRequest {
+        listen_address: listen,
         host: &head.host,
         method: &head.method,
-        target: &head.target,
+        request_target: &head.target,
         headers: &head.headers,
-        remote: &head.remote,
+        caller_address: &head.remote,
     }
 }
 
@@ -169,7 +169,7 @@
 /// The core of a gateway.
 #[derive(Debug)]
 pub struct Core {
-    table: Table,
+    table: Router,
     classes: Vec<Class>,
     listen: Option<String>,
     pools: HashMap<Arc<str>, Pool>,
@@ -209,7 +209,7 @@
     /// # Errors
     /// Where the routes can't be prepared.
     pub fn new(settings: &Settings) -> Result<Self, String> {
-        let table = Table::new(&settings.routes)?;
+        let table = Router::new(&settings.routes)?;
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
@@ -244,7 +244,7 @@
         if settings.classes != self.classes {
             return Err("the classes differ, which takes a new start".to_owned());
         }
-        let table = Table::new(&settings.routes)?;
+        let table = Router::new(&settings.routes)?;
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
@@ -373,17 +373,19 @@
         };
         let decision = self
             .table
-            .decide(&asked)
+            .route(&asked)
             .map_err(|what| returned(404, what))?;
         let (server, location, pool, uri, class) = match decision {
-            Decision::Forward {
+            RouteDecision::Forward {
                 server,
                 location,
                 pool,
                 uri,
                 class,
             } => (server, location, pool, uri, class),
-            Decision::Answer { code, text, .. } => return Err(returned(code, text)),
+            RouteDecision::Respond {
+                status: code, text, ..
+            } => return Err(returned(code, text)),
         };
         // A frame brings its class along; what a route says of it has to be the same.
         let by_route = class
@@ -408,13 +410,13 @@
         if self.closed_at.is_some_and(|at| now >= at) || now + SLACK >= due {
             return Err(refuse(0));
         }
-        let Some(site) = self.table.site(server, location) else {
+        let Some(site) = self.table.location(server, location) else {
             return Err(Response::Failed);
         };
         let limits: Vec<_> = site
             .limits
             .iter()
-            .map(|(key, limit)| (limit.clone(), self.table.text(key, &asked)))
+            .map(|(key, limit)| (limit.clone(), self.table.expand(key, &asked)))
             .collect();
         let entering: Vec<_> = limits
             .iter()
@@ -461,7 +463,7 @@
         let key = match (&pool.key, &open.arrival.head) {
             (Some(key), Some(head)) => {
                 let asked = asked(self.listen.as_deref(), head);
-                self.table.text(key, &asked)
+                self.table.expand(key, &asked)
             }
             (None, Some(head)) if pool.by_address => {
                 // As in nginx, the first three numbers of an address count.
--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Pool, Routes};
 use crate::probe::{probes, values, Probe};
-use crate::table::{Asked, Decision, Table};
+use crate::router::{RouteDecision, RouteRequest, Router};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,9 +43,9 @@
 
 /// What a decision comes to, without its place in a file.
 #[must_use]
-pub fn outcome(found: &Result<Decision, String>) -> String {
+pub fn outcome(found: &Result<RouteDecision, String>) -> String {
     match found {
-        Ok(Decision::Forward {
+        Ok(RouteDecision::Forward {
             pool, uri, class, ..
         }) => {
             let class = class
@@ -54,22 +54,26 @@
                 .unwrap_or_default();
             format!("{pool} {uri}{class}")
         }
-        Ok(Decision::Answer { code, text, .. }) if text.is_empty() => code.to_string(),
-        Ok(Decision::Answer { code, text, .. }) => format!("{code} {text:?}"),
+        Ok(RouteDecision::Respond {
+            status: code, text, ..
+        }) if text.is_empty() => code.to_string(),
+        Ok(RouteDecision::Respond {
+            status: code, text, ..
+        }) => format!("{code} {text:?}"),
         Err(what) => what.clone(),
     }
 }
 
-fn by(table: &Table, found: &Result<Decision, String>) -> String {
+fn by(table: &Router, found: &Result<RouteDecision, String>) -> String {
     match found {
-        Ok(Decision::Forward {
+        Ok(RouteDecision::Forward {
             server,
             location,
             pool,
             class,
             ..
         }) => {
-            let site = table.site(*server, *location);
+            let site = table.location(*server, *location);
             let site = site
                 .map(|site| format!("{} at {}", site.name, site.place))
                 .unwrap_or_default();
@@ -79,7 +83,11 @@
                 .unwrap_or_default();
             format!("{pool}{class} by {site}")
         }
-        Ok(Decision::Answer { code, by, .. }) => format!("{code}: {by}"),
+        Ok(RouteDecision::Respond {
+            status: code,
+            reason: by,
+            ..
+        }) => format!("{code}: {by}"),
         Err(what) => what.clone(),
     }
 }
@@ -112,7 +120,7 @@
 /// # Errors
 /// Where one of them can't be prepared.
 pub fn diff(old: &Routes, new: &Routes) -> Result<Difference, String> {
-    let (before, after) = (Table::new(old)?, Table::new(new)?);
+    let (before, after) = (Router::new(old)?, Router::new(new)?);
     let all: BTreeSet<Probe> = probes(old).into_iter().chain(probes(new)).collect();
     // With no header, and with each value that a map names and some that none does.
     let mut variants: Vec<Vec<(String, String)>> = vec![Vec::new()];
@@ -138,16 +146,16 @@
     let mut groups: BTreeMap<(String, String), (String, usize)> = BTreeMap::new();
     for probe in &all {
         for headers in &variants {
-            let asked = Asked {
-                listen: Some(&probe.listen),
+            let asked = RouteRequest {
+                listen_address: Some(&probe.listen),
                 host: &probe.host,
                 method: "POST",
-                target: &probe.path,
+                request_target: &probe.path,
                 headers,
-                remote: "192.0.2.1",
+                caller_address: "192.0.2.1",
             };
             difference.tried += 1;
-            let (was, is) = (before.decide(&asked), after.decide(&asked));
+            let (was, is) = (before.route(&asked), after.route(&asked));
             if outcome(&was) == outcome(&is) {
                 continue;
             }
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -8,7 +8,7 @@
 use crate::balancer::Balancer;
 use crate::model::{BalancingMethod, MatchKind, Routes, Server};
 use crate::probe;
-use crate::table::{Asked, Decision, Table};
+use crate::router::{RouteDecision, RouteRequest, Router};
 use crate::template::Template;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -179,7 +179,7 @@
 /// A table with what is needed to check it.
 pub struct Checked<'a> {
     routes: &'a Routes,
-    table: Table,
+    table: Router,
     /// Pools, and what they choose by.
     pools: BTreeMap<String, (Balancer, Option<Template>)>,
 }
@@ -200,7 +200,7 @@
         let pools = routes.pools.iter().map(one).collect();
         Ok(Self {
             routes,
-            table: Table::new(routes)?,
+            table: Router::new(routes)?,
             pools,
         })
     }
@@ -210,26 +210,26 @@
         requests: &Requests,
         path: &str,
         headers: &[(String, String)],
-    ) -> Result<Decision, String> {
-        self.table.decide(&asked(requests, path, headers))
+    ) -> Result<RouteDecision, String> {
+        self.table.route(&asked(requests, path, headers))
     }
 
     /// Whether the decision depends on nothing but host and path.
-    fn is_settled(&self, decision: &Decision) -> bool {
+    fn is_settled(&self, decision: &RouteDecision) -> bool {
         match decision {
             // The text of an answer may differ; its status does not.
-            Decision::Answer { .. } => true,
-            Decision::Forward {
+            RouteDecision::Respond { .. } => true,
+            RouteDecision::Forward {
                 server, location, ..
             } => {
                 self.table
-                    .site(*server, *location)
-                    .is_some_and(crate::table::Site::is_settled)
+                    .location(*server, *location)
+                    .is_some_and(crate::router::CompiledLocation::is_settled)
                     && self
                         .table
                         .servers
                         .get(*server)
-                        .is_some_and(crate::table::Host::is_settled)
+                        .is_some_and(crate::router::CompiledServer::is_settled)
             }
         }
     }
@@ -237,8 +237,8 @@
     /// The pool, and where the pool chooses by a key the target, that a request goes to.
     fn home(&self, requests: &Requests, path: &str, headers: &[(String, String)]) -> Home {
         let asked = asked(requests, path, headers);
-        let found = self.table.decide(&asked);
-        let Ok(Decision::Forward { pool, .. }) = &found else {
+        let found = self.table.route(&asked);
+        let Ok(RouteDecision::Forward { pool, .. }) = &found else {
             return Home {
                 found: crate::diff::outcome(&found).into(),
                 passes: false,
@@ -247,7 +247,7 @@
         };
         let target = self.pools.get(&**pool).and_then(|(balancer, key)| {
             let key = key.as_ref()?;
-            let at = balancer.preferred_target(self.table.text(key, &asked).as_bytes())?;
+            let at = balancer.preferred_target(self.table.expand(key, &asked).as_bytes())?;
             balancer.addresses().nth(at).map(str::to_owned)
         });
         Home {
@@ -275,15 +275,19 @@
     }
 }
 
-fn asked<'a>(requests: &'a Requests, path: &'a str, headers: &'a [(String, String)]) -> Asked<'a> {
+fn asked<'a>(
+    requests: &'a Requests,
+    path: &'a str,
+    headers: &'a [(String, String)],
+) -> RouteRequest<'a> {
     let (host, method) = (requests.host.as_str(), requests.method.as_str());
-    Asked {
-        listen: None,
+    RouteRequest {
+        listen_address: None,
         host,
         method,
-        target: path,
+        request_target: path,
         headers,
-        remote: "192.0.2.1",
+        caller_address: "192.0.2.1",
     }
 }
 
@@ -363,8 +367,8 @@
     let under = requests.under.as_ref()?;
     let (tried, _) = paths(checked.routes, requests);
     let met = |path: &String| match checked.decide(requests, path, &[]) {
-        Ok(Decision::Forward { .. }) => true,
-        Ok(Decision::Answer { code, .. }) => code != 404,
+        Ok(RouteDecision::Forward { .. }) => true,
+        Ok(RouteDecision::Respond { status: code, .. }) => code != 404,
         Err(_) => false,
     };
     let mut any = tried.iter().any(met);
@@ -478,14 +482,14 @@
     }
 }
 
-fn lands_there(lands: &Lands, found: &Result<Decision, String>) -> bool {
+fn lands_there(lands: &Lands, found: &Result<RouteDecision, String>) -> bool {
     match found {
-        Ok(Decision::Forward { pool, class, .. }) => {
+        Ok(RouteDecision::Forward { pool, class, .. }) => {
             lands.status.is_none()
                 && (lands.pools.is_empty() || lands.pools.iter().any(|wanted| **wanted == **pool))
                 && (lands.class.is_none() || lands.class == *class)
         }
-        Ok(Decision::Answer { code, .. }) => lands.status == Some(*code),
+        Ok(RouteDecision::Respond { status: code, .. }) => lands.status == Some(*code),
         Err(_) => false,
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/router.rs
@@ -21,24 +21,24 @@
 
 /// A request, as far as routing looks at it.
 #[derive(Debug, Clone, Default)]
-pub struct Asked<'a> {
+pub struct RouteRequest<'a> {
     /// The `address:port` that it came to; the host's port counts where it is not told.
-    pub listen: Option<&'a str>,
+    pub listen_address: Option<&'a str>,
     /// The host it names, with a port or without.
     pub host: &'a str,
     /// The method.
     pub method: &'a str,
     /// The path with its arguments, as it came.
-    pub target: &'a str,
+    pub request_target: &'a str,
     /// The headers.
     pub headers: &'a [(String, String)],
     /// The caller's address.
-    pub remote: &'a str,
+    pub caller_address: &'a str,
 }
 
 /// A location that passes requests on, ready for them.
 #[derive(Debug)]
-pub struct Site {
+pub struct CompiledLocation {
     /// Where it came from.
     pub place: Place,
     /// As nginx writes it.
@@ -70,13 +70,13 @@
 
 /// A server, ready for requests.
 #[derive(Debug)]
-pub struct Host {
+pub struct CompiledServer {
     /// Where it came from.
     pub place: Place,
     /// The first of its names.
     pub name: String,
     /// Its locations, by number.
-    pub sites: Vec<Site>,
+    pub locations: Vec<CompiledLocation>,
     merge_slashes: bool,
     steps: Vec<Prepared>,
     locator: Locator,
@@ -111,7 +111,7 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Decision {
+pub enum RouteDecision {
     /// It goes on to a pool.
     Forward {
         /// The server, by its number.
@@ -126,28 +126,28 @@
         class: Option<String>,
     },
     /// It is answered.
-    Answer {
+    Respond {
         /// The status.
-        code: u16,
+        status: u16,
         /// The text, or where a redirection leads.
         text: String,
         /// What answers it: a place and why.
-        by: String,
+        reason: String,
     },
 }
 
 /// The table.
 #[derive(Debug)]
-pub struct Table {
+pub struct Router {
     /// Servers, in the order of the file.
-    pub servers: Vec<Host>,
+    pub servers: Vec<CompiledServer>,
     listens: BTreeMap<String, Listen>,
     variables: HashMap<String, Known>,
 }
 
 /// What a request has gathered on its way.
 struct Walk<'a> {
-    asked: &'a Asked<'a>,
+    asked: &'a RouteRequest<'a>,
     uri: Uri,
     /// The path was replaced: what came is no longer what goes on.
     changed: bool,
@@ -193,7 +193,7 @@
     })
 }
 
-impl Site {
+impl CompiledLocation {
     /// Whether host and path alone decide what becomes of its requests.
     #[must_use]
     pub fn is_settled(&self) -> bool {
@@ -239,7 +239,7 @@
     }
 }
 
-impl Host {
+impl CompiledServer {
     /// Whether its own steps leave everything to host and path.
     #[must_use]
     pub fn is_settled(&self) -> bool {
@@ -247,12 +247,12 @@
     }
 
     fn new(server: &Server) -> Result<Self, String> {
-        let mut sites = Vec::new();
-        Site::all(&server.locations, None, &mut sites)?;
+        let mut locations = Vec::new();
+        CompiledLocation::all(&server.locations, None, &mut locations)?;
         Ok(Self {
             place: server.place.clone(),
             name: server.names.first().cloned().unwrap_or_default(),
-            sites,
+            locations,
             merge_slashes: server.merge_slashes,
             steps: prepare(&server.steps)?,
             locator: Locator::new(&server.locations)?,
@@ -315,7 +315,7 @@
     }
 }
 
-impl Table {
+impl Router {
     /// Prepares a table.
     ///
     /// # Errors
@@ -324,7 +324,7 @@
         let servers = routes
             .servers
             .iter()
-            .map(Host::new)
+            .map(CompiledServer::new)
             .collect::<Result<Vec<_>, _>>()?;
         let mut listens: BTreeMap<String, Listen> = BTreeMap::new();
         for (number, server) in routes.servers.iter().enumerate() {
@@ -381,15 +381,18 @@
     ///
     /// # Errors
     /// Where the request could not have come: no server listens where it says.
-    pub fn decide(&self, asked: &Asked<'_>) -> Result<Decision, String> {
+    pub fn route(&self, asked: &RouteRequest<'_>) -> Result<RouteDecision, String> {
         self.walk(asked, &mut None)
     }
 
     /// The same, and what was weighed on the way, a line each.
     ///
     /// # Errors
-    /// As with [`decide`](Self::decide).
-    pub fn explain(&self, asked: &Asked<'_>) -> Result<(Decision, Vec<String>), String> {
+    /// As with [`route`](Self::route).
+    pub fn explain(
+        &self,
+        asked: &RouteRequest<'_>,
+    ) -> Result<(RouteDecision, Vec<String>), String> {
         let mut said = Some(Vec::new());
         let decision = self.walk(asked, &mut said)?;
         Ok((decision, said.unwrap_or_default()))
@@ -397,12 +400,12 @@
 
     /// The location of a decision.
     #[must_use]
-    pub fn site(&self, server: usize, location: u32) -> Option<&Site> {
-        self.servers.get(server)?.sites.get(location as usize)
+    pub fn location(&self, server: usize, location: u32) -> Option<&CompiledLocation> {
+        self.servers.get(server)?.locations.get(location as usize)
     }
 
-    fn listen(&self, asked: &Asked<'_>) -> Result<(&str, &Listen), String> {
-        if let Some(at) = asked.listen {
+    fn listen(&self, asked: &RouteRequest<'_>) -> Result<(&str, &Listen), String> {
+        if let Some(at) = asked.listen_address {
             let found = self
                 .listens
                 .get_key_value(at)
@@ -428,7 +431,11 @@
         }
     }
 
-    fn walk(&self, asked: &Asked<'_>, said: &mut Option<Vec<String>>) -> Result<Decision, String> {
+    fn walk(
+        &self,
+        asked: &RouteRequest<'_>,
+        said: &mut Option<Vec<String>>,
+    ) -> Result<RouteDecision, String> {
         let (at, listen) = self.listen(asked)?;
         let name = split_port(asked.host)
             .0
@@ -439,8 +446,14 @@
         say(said, || {
             format!("{} server {:?} on {at}: {why}", host.place, host.name)
         });
-        let answer = |code: u16, text: String, by: String| Ok(Decision::Answer { code, text, by });
-        let uri = match uri::read(asked.target, host.merge_slashes) {
+        let answer = |code: u16, text: String, by: String| {
+            Ok(RouteDecision::Respond {
+                status: code,
+                text,
+                reason: by,
+            })
+        };
+        let uri = match uri::read(asked.request_target, host.merge_slashes) {
             Ok(uri) => uri,
             Err(what) => {
                 return answer(
@@ -479,7 +492,7 @@
                         to,
                         format!(
                             "{} adds the slash at the end",
-                            host.sites[number as usize].place
+                            host.locations[number as usize].place
                         ),
                     );
                 }
@@ -487,7 +500,7 @@
                     return answer(404, String::new(), "no location takes the path".to_owned())
                 }
             };
-            let site = &host.sites[number as usize];
+            let site = &host.locations[number as usize];
             if site.internal && !walk.changed {
                 return answer(404, String::new(), format!("{} is internal", site.place));
             }
@@ -534,7 +547,7 @@
                 .position(|other| std::ptr::eq(other, host))
                 .unwrap_or_default();
             let uri = walk.goes_on(site, uri);
-            return Ok(Decision::Forward {
+            return Ok(RouteDecision::Forward {
                 server,
                 location,
                 pool,
@@ -556,7 +569,7 @@
         place: &Place,
         walk: &mut Walk<'_>,
         said: &mut Option<Vec<String>>,
-    ) -> (bool, Option<Decision>) {
+    ) -> (bool, Option<RouteDecision>) {
         let mut again = false;
         for step in steps {
             match step {
@@ -572,10 +585,10 @@
                         .unwrap_or_default();
                     return (
                         false,
-                        Some(Decision::Answer {
-                            code: *code,
+                        Some(RouteDecision::Respond {
+                            status: *code,
                             text,
-                            by: format!("{place} returns it"),
+                            reason: format!("{place} returns it"),
                         }),
                     );
                 }
@@ -586,10 +599,10 @@
                     };
                     walk.capture(Some(regex), &groups);
                     let to = self.fill(to, walk);
-                    let redirect = |code| Decision::Answer {
-                        code,
+                    let redirect = |code| RouteDecision::Respond {
+                        status: code,
                         text: to.clone(),
-                        by: format!("{place} rewrites it"),
+                        reason: format!("{place} rewrites it"),
                     };
                     match flag {
                         RewriteFlag::Redirect => return (false, Some(redirect(302))),
@@ -639,8 +652,8 @@
 
     /// A text with the values that a request gives to its variables.
     #[must_use]
-    pub fn text(&self, template: &Template, asked: &Asked<'_>) -> String {
-        let uri = uri::read(asked.target, true).unwrap_or(Uri {
+    pub fn expand(&self, template: &Template, asked: &RouteRequest<'_>) -> String {
+        let uri = uri::read(asked.request_target, true).unwrap_or(Uri {
             path: Vec::new(),
             args: String::new(),
         });
@@ -753,7 +766,7 @@
     }
 }
 
-impl Host {
+impl CompiledServer {
     /// Says of each location why it takes the path or does not.
     fn weigh(&self, path: &[u8], taken: Taken, said: &mut Option<Vec<String>>) {
         let shown = String::from_utf8_lossy(path).into_owned();
@@ -764,12 +777,13 @@
         };
         // The locations around the winner, and the winner, from the outside in.
         let mut way: Vec<u32> =
-            std::iter::successors(winner, |number| self.sites[*number as usize].parent).collect();
+            std::iter::successors(winner, |number| self.locations[*number as usize].parent)
+                .collect();
         way.reverse();
         let mut parent = None;
         for depth in 0..=way.len() {
             let here: Vec<_> = self
-                .sites
+                .locations
                 .iter()
                 .enumerate()
                 .filter(|(_, site)| site.parent == parent)
@@ -778,7 +792,7 @@
                 break;
             }
             let chosen = way.get(depth).copied();
-            let fits = |site: &Site| match site.match_kind {
+            let fits = |site: &CompiledLocation| match site.match_kind {
                 MatchKind::Exact => site.pattern.as_bytes() == path,
                 MatchKind::Prefix | MatchKind::PreferentialPrefix => {
                     path.starts_with(site.pattern.as_bytes())
@@ -796,7 +810,7 @@
                     !site.match_kind.is_regex() && site.match_kind != MatchKind::Exact && fits(site)
                 })
                 .max_by_key(|(_, site)| site.pattern.len());
-            let by = chosen.map(|number| &self.sites[number as usize]);
+            let by = chosen.map(|number| &self.locations[number as usize]);
             for (number, site) in &here {
                 let why = if Some(*number as u32) == chosen {
                     match (site.match_kind, taken) {
@@ -877,14 +891,14 @@
         let asked = self.asked;
         match name {
             "uri" | "document_uri" => String::from_utf8_lossy(&self.uri.path).into_owned(),
-            "request_uri" => asked.target.to_owned(),
+            "request_uri" => asked.request_target.to_owned(),
             "args" | "query_string" => self.uri.args.clone(),
             "is_args" => if self.uri.args.is_empty() { "" } else { "?" }.to_owned(),
             "host" => split_port(asked.host).0.to_lowercase(),
             "request_method" => asked.method.to_owned(),
-            "remote_addr" | "binary_remote_addr" => asked.remote.to_owned(),
+            "remote_addr" | "binary_remote_addr" => asked.caller_address.to_owned(),
             "scheme" => "http".to_owned(),
-            "server_port" => split_port(asked.listen.unwrap_or(asked.host))
+            "server_port" => split_port(asked.listen_address.unwrap_or(asked.host))
                 .1
                 .unwrap_or("80")
                 .to_owned(),
@@ -939,7 +953,7 @@
     }
 
     /// The path and arguments that go on.
-    fn goes_on(&self, site: &Site, uri: Option<(String, bool)>) -> String {
+    fn goes_on(&self, site: &CompiledLocation, uri: Option<(String, bool)>) -> String {
         let mut out = match uri {
             // One with variables is the whole of it.
             Some((uri, true)) => return uri,
@@ -954,7 +968,7 @@
             None if !self.changed => {
                 return self
                     .asked
-                    .target
+                    .request_target
                     .split('#')
                     .next()
                     .unwrap_or_default()
--- a/crates/routes/tests/files.rs
+++ b/crates/routes/tests/files.rs
@@ -5,7 +5,7 @@
 //! and after `=>` what becomes of it.
 
 use cleatpulley_routes::import::Import;
-use cleatpulley_routes::table::{Asked, Decision, Table};
+use cleatpulley_routes::router::{RouteDecision, RouteRequest, Router};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -52,7 +52,7 @@
     case
 }
 
-fn ask(table: &Table, line: &str) -> String {
+fn ask(table: &Router, line: &str) -> String {
     let request = line.split(" => ").next().unwrap_or_default();
     let (method, rest) = request.split_once(' ').expect("a method and a URL");
     let mut parts = rest.split(" ++ ");
@@ -67,29 +67,33 @@
         .collect();
     let at = url.find('/').unwrap_or(url.len());
     let (host, target) = url.split_at(at);
-    let asked = Asked {
-        listen: None,
+    let asked = RouteRequest {
+        listen_address: None,
         host,
         method,
-        target,
+        request_target: target,
         headers: &headers,
-        remote: "192.0.2.1",
+        caller_address: "192.0.2.1",
     };
-    let found = match table.decide(&asked) {
-        Ok(Decision::Forward {
+    let found = match table.route(&asked) {
+        Ok(RouteDecision::Forward {
             server,
             location,
             pool,
             uri,
             class,
         }) => {
-            let site = table.site(server, location).expect("a location");
+            let site = table.location(server, location).expect("a location");
             let class = class
                 .map(|class| format!(" class {class}"))
                 .unwrap_or_default();
             format!("{} {} -> {pool} {uri}{class}", site.place.line, site.name)
         }
-        Ok(Decision::Answer { code, text, by }) => format!("{code} {text:?} {by}"),
+        Ok(RouteDecision::Respond {
+            status: code,
+            text,
+            reason: by,
+        }) => format!("{code} {text:?} {by}"),
         Err(what) => format!("error: {what}"),
     };
     format!("{request} => {found}")
@@ -131,7 +135,7 @@
         );
         let empty = Vec::new();
         let requests = case.expected.get("requests").unwrap_or(&empty);
-        let table = Table::new(&import.routes);
+        let table = Router::new(&import.routes);
         if whole {
             let table = table.expect("what was imported can be prepared");
             found.insert(
@@ -204,7 +208,7 @@
             }
             errors += usize::from(!import.is_whole());
             if import.is_whole() {
-                assert!(Table::new(&import.routes).is_ok(), "{name} at {cut}");
+                assert!(Router::new(&import.routes).is_ok(), "{name} at {cut}");
             }
         }
         // All but cuts between blocks of the outermost level.
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -6,7 +6,7 @@
 use cleatpulley_routes::diff::{diff, outcome};
 use cleatpulley_routes::expect::{check, Came, File, How};
 use cleatpulley_routes::import::{table, Fate, Import};
-use cleatpulley_routes::table::{Asked, Table};
+use cleatpulley_routes::router::{RouteRequest, Router};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -102,13 +102,13 @@
             let listen = listen.as_deref();
             explain(
                 file,
-                &Asked {
-                    listen,
+                &RouteRequest {
+                    listen_address: listen,
                     host,
                     method,
-                    target,
+                    request_target: target,
                     headers,
-                    remote,
+                    caller_address: remote,
                 },
                 *json,
             )
@@ -167,8 +167,8 @@
     show(&import.routes)
 }
 
-fn explain(file: &Path, asked: &Asked<'_>, as_json: bool) -> Result<ExitCode, String> {
-    let table = Table::new(&load(file)?)?;
+fn explain(file: &Path, asked: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
+    let table = Router::new(&load(file)?)?;
     let (decision, said) = table.explain(asked)?;
     let comes_to = outcome(&Ok(decision));
     if as_json {
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -63,7 +63,8 @@
                 location.pattern
             ));
         }
-        cleatpulley_routes::table::Table::new(&routes).map_err(|what| format!("{name}: {what}"))?;
+        cleatpulley_routes::router::Router::new(&routes)
+            .map_err(|what| format!("{name}: {what}"))?;
         return Ok(routes);
     }
     let import = Import::read(&Disk, name);
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -17,7 +17,7 @@
 use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZES};
 use cleatpulley_protocol::ajp::server::{Defaults, Figures, Lookup, Settings, Source};
 use cleatpulley_protocol::ajp::table::{Entry, Table};
-use cleatpulley_routes::table::Decision;
+use cleatpulley_routes::router::RouteDecision;
 use cleatpulley_server::{dependency_pool, AjpOptions, IdempotencyOptions};
 use jrsonnet_evaluator::error::Error as EvaluationError;
 use jrsonnet_evaluator::{EvaluationState, FileImportResolver};
@@ -420,7 +420,7 @@
 /// Classes of an imported table: a route has to name one, and where it leads is another's affair.
 #[derive(Debug)]
 struct Imported {
-    table: cleatpulley_routes::table::Table,
+    table: cleatpulley_routes::router::Router,
     listen: Option<String>,
     classes: Vec<String>,
 }
@@ -428,15 +428,17 @@
 impl Lookup for Imported {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
-        match self.table.decide(&asked).map_err(|what| (404, what))? {
-            Decision::Forward {
+        match self.table.route(&asked).map_err(|what| (404, what))? {
+            RouteDecision::Forward {
                 class: Some(class), ..
             } => {
                 let found = self.classes.iter().position(|known| *known == class);
                 found.ok_or_else(|| (404, format!("{class:?} is no class")))
             }
-            Decision::Forward { .. } => Err((404, "this route has no class".to_owned())),
-            Decision::Answer { code, text, .. } => Err((code, text)),
+            RouteDecision::Forward { .. } => Err((404, "this route has no class".to_owned())),
+            RouteDecision::Respond {
+                status: code, text, ..
+            } => Err((code, text)),
         }
     }
 
@@ -452,7 +454,7 @@
 ) -> Result<Arc<dyn Lookup>, Wrong> {
     let fault = |what| ("routes_from".to_owned(), what);
     let routes = crate::nginx::load(file).map_err(fault)?;
-    let table = cleatpulley_routes::table::Table::new(&routes).map_err(fault)?;
+    let table = cleatpulley_routes::router::Router::new(&routes).map_err(fault)?;
     Ok(Arc::new(Imported {
         table,
         listen,
