--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -38,7 +38,7 @@
          }}"
     );
     let import = Import::read(&BTreeMap::from([("f".to_owned(), text.into_bytes())]), "f");
-    assert!(import.is_whole(), "{:?}", import.findings);
+    assert!(import.is_complete(), "{:?}", import.diagnostics);
     let class = |name: &str, effect| Class {
         name: name.to_owned(),
         effect,
--- a/crates/routes/src/balancer.rs
+++ b/crates/routes/src/balancer.rs
@@ -477,24 +477,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::place::Place;
+    use crate::diagnostic::SourcePosition;
 
     const MS: Micros = 1_000;
     const SECOND: Micros = 1_000_000;
 
     fn pool(method: BalancingMethod, weights: &[u32]) -> Pool {
-        let place = Place {
+        let position = SourcePosition {
             file: "t".into(),
             line: 1,
             column: 1,
         };
         let target = |(at, weight): (usize, &u32)| Target {
             weight: *weight,
-            ..Target::new(place.clone(), format!("t{at}:1"))
+            ..Target::new(position.clone(), format!("t{at}:1"))
         };
         let targets = weights.iter().enumerate().map(target).collect();
         Pool {
-            place: place.clone(),
+            position: position.clone(),
             method,
             keepalive: 0,
             targets,
--- a/crates/routes/src/place.rs
+++ b/crates/routes/src/diagnostic.rs
@@ -6,7 +6,7 @@
 
 /// A place: a file, and a line and column counted from 1, the column in bytes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct SourcePosition {
     /// The file.
     pub file: Arc<str>,
     /// The line.
@@ -15,13 +15,13 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourcePosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.file, self.line)
     }
 }
 
-impl Serialize for Place {
+impl Serialize for SourcePosition {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(self)
     }
@@ -29,73 +29,73 @@
 
 /// How grave something is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Gravity {
+pub enum Severity {
     /// nginx would not take the file either.
     Error,
     /// nginx takes it, and it can't be expressed here.
-    Refused,
+    Unsupported,
     /// It is taken over, and differs in what is said.
-    Differs,
+    Difference,
 }
 
-impl fmt::Display for Gravity {
+impl fmt::Display for Severity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Error => "error",
-            Self::Refused => "refused",
-            Self::Differs => "differs",
+            Self::Unsupported => "refused",
+            Self::Difference => "differs",
         })
     }
 }
 
 /// What is said of a place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Finding {
+pub struct Diagnostic {
     /// Where.
-    pub place: Place,
+    pub position: SourcePosition,
     /// How grave it is.
-    pub gravity: Gravity,
+    pub severity: Severity,
     /// What.
-    pub what: String,
+    pub message: String,
     /// The line itself, cut where it is very long, and how many bytes to point at.
-    pub shown: (String, usize),
+    pub excerpt: (String, usize),
 }
 
 /// Bytes of a line that are shown.
 const SHOWN: usize = 160;
 
-impl Finding {
+impl Diagnostic {
     /// One about this many bytes at a place of a text.
     #[must_use]
     pub fn new(
-        place: Place,
-        gravity: Gravity,
-        what: impl Into<String>,
+        position: SourcePosition,
+        severity: Severity,
+        message: impl Into<String>,
         text: &[u8],
         length: usize,
     ) -> Self {
         let line = text
             .split(|byte| *byte == b'\n')
-            .nth(place.line - 1)
+            .nth(position.line - 1)
             .unwrap_or_default();
         let line = &line[..line.len().min(SHOWN)];
-        let shown = String::from_utf8_lossy(line).replace(|c: char| c.is_control(), " ");
+        let excerpt = String::from_utf8_lossy(line).replace(|c: char| c.is_control(), " ");
         Self {
-            place,
-            gravity,
-            what: what.into(),
-            shown: (shown, length),
+            position,
+            severity,
+            message: message.into(),
+            excerpt: (excerpt, length),
         }
     }
 
     /// Text with the line and a mark below it.
     #[must_use]
-    pub fn pointed(&self) -> String {
-        let (line, length) = &self.shown;
+    pub fn render(&self) -> String {
+        let (line, length) = &self.excerpt;
         if line.trim().is_empty() {
             return self.to_string();
         }
-        let before = self.place.column - 1;
+        let before = self.position.column - 1;
         if before >= SHOWN {
             return format!("{self}\n  {line} ...");
         }
@@ -108,9 +108,13 @@
     }
 }
 
-impl fmt::Display for Finding {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Place { file, line, column } = &self.place;
-        write!(f, "{file}:{line}:{column}: {}: {}", self.gravity, self.what)
+        let SourcePosition { file, line, column } = &self.position;
+        write!(
+            f,
+            "{file}:{line}:{column}: {}: {}",
+            self.severity, self.message
+        )
     }
 }
--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -75,7 +75,7 @@
         }) => {
             let site = table.location(*server, *location);
             let site = site
-                .map(|site| format!("{} at {}", site.name, site.place))
+                .map(|site| format!("{} at {}", site.name, site.position))
                 .unwrap_or_default();
             let class = class
                 .as_ref()
@@ -206,7 +206,7 @@
     let lines = |pool: &Pool| -> Vec<String> {
         let one = |target: &crate::model::Target| {
             let mut target = target.clone();
-            target.place.line = 0;
+            target.position.line = 0;
             let parts = [
                 format!("weight {}", target.weight),
                 format!(
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expect.rs
@@ -581,7 +581,7 @@
         {
             broken.push(format!(
                 "{} is in the pool {name}, at {}, and not down",
-                target.address, target.place
+                target.address, target.position
             ));
         }
     }
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -10,9 +10,9 @@
 
 pub use directives::{table, Fate};
 
+use crate::diagnostic::{Diagnostic, Severity, SourcePosition};
 use crate::model::{Limit, Location, ProxyTimeouts, RetryPolicy, Routes};
-use crate::place::{Finding, Gravity, Place};
-use crate::syntax::{Directive, Files, Tree, Word};
+use crate::syntax::{ConfigTree, Directive, FileSource, Word};
 use crate::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use values::milliseconds;
@@ -30,18 +30,18 @@
     /// The table, as far as it was understood; to be used only where nothing was refused.
     pub routes: Routes,
     /// What was found, in the order of files and lines.
-    pub findings: Vec<Finding>,
+    pub diagnostics: Vec<Diagnostic>,
     /// Findings that are not told one by one.
-    pub untold: usize,
+    pub omitted_diagnostics: usize,
     /// Directives read.
-    pub directives: usize,
+    pub directive_count: usize,
 }
 
 impl Import {
     /// Reads a file and what it includes.
     #[must_use]
-    pub fn read(files: &dyn Files, name: &str) -> Self {
-        let mut tree = Tree::read(files, name);
+    pub fn read(files: &dyn FileSource, name: &str) -> Self {
+        let mut tree = ConfigTree::read(files, name);
         let directives = std::mem::take(&mut tree.directives);
         let mut reader = Reader {
             tree,
@@ -57,28 +57,28 @@
         let Reader {
             mut tree, routes, ..
         } = reader;
-        tree.findings.sort_by(|a, b| {
-            a.place
-                .cmp(&b.place)
-                .then_with(|| a.gravity.cmp(&b.gravity))
+        tree.diagnostics.sort_by(|a, b| {
+            a.position
+                .cmp(&b.position)
+                .then_with(|| a.severity.cmp(&b.severity))
         });
         let count = count(&directives);
         Self {
             routes,
-            findings: tree.findings,
-            untold: tree.untold,
-            directives: count,
+            diagnostics: tree.diagnostics,
+            omitted_diagnostics: tree.omitted_diagnostics,
+            directive_count: count,
         }
     }
 
     /// Whether the table means all that the file means.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
-        self.untold == 0
+    pub fn is_complete(&self) -> bool {
+        self.omitted_diagnostics == 0
             && self
-                .findings
+                .diagnostics
                 .iter()
-                .all(|finding| finding.gravity == Gravity::Differs)
+                .all(|finding| finding.severity == Severity::Difference)
     }
 }
 
@@ -118,17 +118,17 @@
 struct Siblings {
     all: Vec<Location>,
     /// Plain ones, by their sign and pattern.
-    seen: HashMap<(&'static str, String), Place>,
+    seen: HashMap<(&'static str, String), SourcePosition>,
 }
 
 struct Reader {
-    tree: Tree,
+    tree: ConfigTree,
     /// Servers by address and name.
-    names: HashMap<(String, String), Place>,
+    names: HashMap<(String, String), SourcePosition>,
     /// Where variables are made.
     made: HashMap<String, Word>,
     /// Default servers by address.
-    defaults: HashMap<String, Place>,
+    defaults: HashMap<String, SourcePosition>,
     routes: Routes,
     /// Keys and rates of zones; no rate for those of open requests.
     zones: BTreeMap<String, (String, u64)>,
@@ -138,17 +138,17 @@
 
 impl Reader {
     fn error(&mut self, at: &Word, what: impl Into<String>) {
-        self.tree.note(at, Gravity::Error, what);
+        self.tree.note(at, Severity::Error, what);
     }
 
     fn refuse(&mut self, at: &Word, what: impl Into<String>) {
-        self.tree.note(at, Gravity::Refused, what);
+        self.tree.note(at, Severity::Unsupported, what);
     }
 
     fn differs(&mut self, at: &Word, what: impl Into<String>) {
         let what = what.into();
         if self.differs.insert(what.clone()) {
-            self.tree.note(at, Gravity::Differs, what);
+            self.tree.note(at, Severity::Difference, what);
         }
     }
 
@@ -241,8 +241,8 @@
             } else {
                 self.http(&bare);
             }
-        } else if !seen && self.tree.findings.is_empty() {
-            let place = Place {
+        } else if !seen && self.tree.diagnostics.is_empty() {
+            let position = SourcePosition {
                 file: self.tree.texts.keys().next().cloned().unwrap_or_default(),
                 line: 1,
                 column: 1,
@@ -250,7 +250,7 @@
             self.error(
                 &Word {
                     text: String::new(),
-                    place,
+                    position,
                     length: 1,
                 },
                 "there is no http block and no server in it",
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -13,7 +13,7 @@
             return;
         };
         let mut pool = Pool {
-            place: one.name.place.clone(),
+            position: one.name.position.clone(),
             method: BalancingMethod::RoundRobin,
             keepalive: 0,
             targets: Vec::new(),
@@ -104,7 +104,7 @@
         }
         let (address, rest) = self.args(one, 1, 20)?.split_first()?;
         let mut target = Target::new(
-            one.name.place.clone(),
+            one.name.position.clone(),
             self.address(address, &address.text)?,
         );
         for word in rest {
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -25,13 +25,13 @@
                 if let Some(pass) = &location.proxy_pass {
                     faults.extend(
                         pool_fault(&routes, server, pass)
-                            .map(|what| (location.place.clone(), what)),
+                            .map(|what| (location.position.clone(), what)),
                     );
                 }
                 for text in texts(location) {
                     faults.extend(
                         variable_fault(&routes, &known, &text)
-                            .map(|what| (location.place.clone(), what)),
+                            .map(|what| (location.position.clone(), what)),
                     );
                 }
             });
@@ -39,15 +39,15 @@
                 for text in step_texts(step) {
                     faults.extend(
                         variable_fault(&routes, &known, &text)
-                            .map(|what| (server.place.clone(), what)),
+                            .map(|what| (server.position.clone(), what)),
                     );
                 }
             }
-            for (place, what) in faults {
+            for (position, what) in faults {
                 self.refuse(
                     &Word {
                         text: String::new(),
-                        place,
+                        position,
                         length: 8,
                     },
                     what,
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -2,11 +2,11 @@
 
 use super::directives::{table, Fate};
 use super::{is_inherited, Inherited, Reader, Siblings, LOCATION, SERVER};
+use crate::diagnostic::{Severity, SourcePosition};
 use crate::model::{
     BalancingMethod, Location, MatchKind, Pool, ProxyPass, RewriteFlag, RewriteStep, Server, Target,
 };
 use crate::pattern;
-use crate::place::{Gravity, Place};
 use crate::syntax::{Directive, Word};
 
 impl Reader {
@@ -16,7 +16,7 @@
         }
         let inherited = self.inherit(block, SERVER, above);
         let mut server = Server {
-            place: one.name.place.clone(),
+            position: one.name.position.clone(),
             listen_addresses: Vec::new(),
             names: Vec::new(),
             merge_slashes: inherited.merge_slashes,
@@ -50,7 +50,7 @@
             if *default
                 && self
                     .defaults
-                    .insert(listen.clone(), server.place.clone())
+                    .insert(listen.clone(), server.position.clone())
                     .is_some()
             {
                 self.error(&one.name, format!("{listen} has a default server already"));
@@ -62,9 +62,9 @@
                     let what = format!(
                         "the name {name:?} on {listen} belongs to the server of {other}; this one is never chosen by it"
                     );
-                    self.tree.note(&one.name, Gravity::Differs, what);
+                    self.tree.note(&one.name, Severity::Difference, what);
                 } else {
-                    known.or_insert(server.place.clone());
+                    known.or_insert(server.position.clone());
                 }
             }
         }
@@ -288,8 +288,11 @@
             match_kind => match_kind,
         };
         if !match_kind.is_regex() {
-            let place = one.name.place.clone();
-            if let Some(other) = into.seen.insert((kind.modifier(), pattern.clone()), place) {
+            let position = one.name.position.clone();
+            if let Some(other) = into
+                .seen
+                .insert((kind.modifier(), pattern.clone()), position)
+            {
                 let what = format!(
                     "location {}{pattern} is there already, at {other}",
                     match_kind.modifier()
@@ -300,7 +303,7 @@
         let block = one.block.as_deref().unwrap_or_default();
         let here = self.inherit(block, LOCATION, inherited);
         let mut location = Location {
-            place: one.name.place.clone(),
+            position: one.name.position.clone(),
             match_kind,
             pattern,
             internal: false,
@@ -322,7 +325,7 @@
                     if location.proxy_pass.is_some() {
                         self.error(&inner.name, "a second proxy_pass");
                     }
-                    location.proxy_pass = self.pass(inner, &location, &one.name.place);
+                    location.proxy_pass = self.pass(inner, &location, &one.name.position);
                 }
                 "location" => {
                     let mut nested = std::mem::take(&mut siblings);
@@ -406,7 +409,7 @@
         &mut self,
         one: &Directive,
         location: &Location,
-        place: &Place,
+        position: &SourcePosition,
     ) -> Option<ProxyPass> {
         let [word] = self.args(one, 1, 1)? else {
             return None;
@@ -455,10 +458,10 @@
             let address = self.address(word, host)?;
             let target = Target {
                 max_fails: 0,
-                ..Target::new(place.clone(), address.clone())
+                ..Target::new(position.clone(), address.clone())
             };
             let pool = Pool {
-                place: place.clone(),
+                position: position.clone(),
                 method: BalancingMethod::RoundRobin,
                 keepalive: 0,
                 targets: vec![target],
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -8,6 +8,7 @@
 #![warn(missing_docs)]
 
 pub mod balancer;
+pub mod diagnostic;
 pub mod diff;
 pub mod expect;
 pub mod import;
@@ -15,7 +16,6 @@
 pub mod locate;
 pub mod model;
 pub mod pattern;
-pub mod place;
 pub mod probe;
 pub mod retry;
 pub mod router;
--- a/crates/routes/src/locate.rs
+++ b/crates/routes/src/locate.rs
@@ -265,8 +265,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::diagnostic::SourcePosition;
     use crate::model::{ProxyPass, ProxyTimeouts, RetryPolicy};
-    use crate::place::Place;
     use proptest::prelude::*;
 
     fn location(
@@ -280,7 +280,7 @@
             uri: None,
         });
         Location {
-            place: Place {
+            position: SourcePosition {
                 file: "t".into(),
                 line: 1,
                 column: 1,
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -1,11 +1,11 @@
 //! A route table in the project's own form: what an importer understood, and what can be written by hand as JSON.
 
-use crate::place::Place;
+use crate::diagnostic::SourcePosition;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-impl<'de> Deserialize<'de> for Place {
+impl<'de> Deserialize<'de> for SourcePosition {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
         let (file, line) = text.rsplit_once(':').unwrap_or((&text, "1"));
@@ -39,8 +39,8 @@
     }
 }
 
-fn by_hand() -> Place {
-    Place {
+fn by_hand() -> SourcePosition {
+    SourcePosition {
         file: Arc::from("by hand"),
         line: 1,
         column: 1,
@@ -215,8 +215,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Location {
     /// Where it came from.
-    #[serde(default = "by_hand")]
-    pub place: Place,
+    #[serde(rename = "place", default = "by_hand")]
+    pub position: SourcePosition,
     /// How it is matched.
     #[serde(rename = "how")]
     pub match_kind: MatchKind,
@@ -250,8 +250,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Server {
     /// Where it came from.
-    #[serde(default = "by_hand")]
-    pub place: Place,
+    #[serde(rename = "place", default = "by_hand")]
+    pub position: SourcePosition,
     /// Addresses as `address:port`, and whether it is the default there.
     #[serde(rename = "listens")]
     pub listen_addresses: Vec<(String, bool)>,
@@ -295,8 +295,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// Where it came from.
-    #[serde(default = "by_hand")]
-    pub place: Place,
+    #[serde(rename = "place", default = "by_hand")]
+    pub position: SourcePosition,
     /// Host and port.
     pub address: String,
     /// Its weight.
@@ -325,9 +325,9 @@
 impl Target {
     /// One with all that is usual.
     #[must_use]
-    pub fn new(place: Place, address: String) -> Self {
+    pub fn new(position: SourcePosition, address: String) -> Self {
         Self {
-            place,
+            position,
             address,
             weight: 1,
             max_fails: 1,
@@ -345,8 +345,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// Where it came from.
-    #[serde(default = "by_hand")]
-    pub place: Place,
+    #[serde(rename = "place", default = "by_hand")]
+    pub position: SourcePosition,
     /// How it chooses.
     #[serde(rename = "way")]
     pub method: BalancingMethod,
@@ -451,7 +451,7 @@
             };
             out.push(format!(
                 "{} server {} [{names}]{merge}",
-                server.place,
+                server.position,
                 listen_addresses.join(", ")
             ));
             steps(&server.steps, 1, &mut out);
@@ -465,13 +465,13 @@
             };
             out.push(format!(
                 "{} pool {name}: {}{keep}",
-                pool.place,
+                pool.position,
                 name_of(pool)
             ));
             for target in &pool.targets {
                 let mut line = format!(
                     "{}   {} weight {}",
-                    target.place, target.address, target.weight
+                    target.position, target.address, target.weight
                 );
                 match target.max_fails {
                     0 => line.push_str(" fails not counted"),
@@ -551,7 +551,7 @@
     for location in all {
         let mut line = format!(
             "{} {indent}{}{}",
-            location.place,
+            location.position,
             location.match_kind.modifier(),
             location.pattern
         );
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,13 +1,13 @@
 //! The route table ready for requests: from host, path and headers to a location, and from there to a pool, the path that
 //! goes on, and the class; or to an answer.
 
+use crate::diagnostic::SourcePosition;
 use crate::locate::{Locator, Taken};
 use crate::model::{
     Limit, Location, MatchKind, ProxyTimeouts, RetryPolicy, RewriteFlag, RewriteStep, Routes,
     Server, Variable, CLASS_VARIABLE,
 };
 use crate::pattern;
-use crate::place::Place;
 use crate::template::{Template, TemplatePart};
 use crate::uri::{self, Uri};
 use regex::bytes::Regex;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct CompiledLocation {
     /// Where it came from.
-    pub place: Place,
+    pub position: SourcePosition,
     /// As nginx writes it.
     pub name: String,
     /// Further tries.
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub struct CompiledServer {
     /// Where it came from.
-    pub place: Place,
+    pub position: SourcePosition,
     /// The first of its names.
     pub name: String,
     /// Its locations, by number.
@@ -220,7 +220,7 @@
                 .iter()
                 .map(|limit| Ok((read(&limit.key)?, limit.clone())));
             out.push(Self {
-                place: location.place.clone(),
+                position: location.position.clone(),
                 name: format!("{}{}", location.match_kind.modifier(), location.pattern),
                 retry_policy: location.retry_policy.clone(),
                 timeouts: location.timeouts,
@@ -250,7 +250,7 @@
         let mut locations = Vec::new();
         CompiledLocation::all(&server.locations, None, &mut locations)?;
         Ok(Self {
-            place: server.place.clone(),
+            position: server.position.clone(),
             name: server.names.first().cloned().unwrap_or_default(),
             locations,
             merge_slashes: server.merge_slashes,
@@ -444,7 +444,7 @@
         let (number, why) = listen.choose(&name);
         let host = &self.servers[number];
         say(said, || {
-            format!("{} server {:?} on {at}: {why}", host.place, host.name)
+            format!("{} server {:?} on {at}: {why}", host.position, host.name)
         });
         let answer = |code: u16, text: String, by: String| {
             Ok(RouteDecision::Respond {
@@ -471,7 +471,7 @@
             set: HashMap::new(),
             groups: Vec::new(),
         };
-        if let Some(done) = self.steps(&host.steps, &host.place, &mut walk, said).1 {
+        if let Some(done) = self.steps(&host.steps, &host.position, &mut walk, said).1 {
             return Ok(done);
         }
         for _ in 0..=CYCLES {
@@ -492,7 +492,7 @@
                         to,
                         format!(
                             "{} adds the slash at the end",
-                            host.locations[number as usize].place
+                            host.locations[number as usize].position
                         ),
                     );
                 }
@@ -502,7 +502,7 @@
             };
             let site = &host.locations[number as usize];
             if site.internal && !walk.changed {
-                return answer(404, String::new(), format!("{} is internal", site.place));
+                return answer(404, String::new(), format!("{} is internal", site.position));
             }
             if let Some(groups) = host
                 .locator
@@ -511,7 +511,7 @@
             {
                 walk.capture(host.locator.regex(number), &groups);
             }
-            let (again, done) = self.steps(&site.steps, &site.place, &mut walk, said);
+            let (again, done) = self.steps(&site.steps, &site.position, &mut walk, said);
             if let Some(done) = done {
                 return Ok(done);
             }
@@ -522,7 +522,7 @@
                 return answer(
                     404,
                     String::new(),
-                    format!("{} passes nothing on", site.place),
+                    format!("{} passes nothing on", site.position),
                 );
             };
             let pool = match &site.pool {
@@ -566,7 +566,7 @@
     fn steps(
         &self,
         steps: &[Prepared],
-        place: &Place,
+        position: &SourcePosition,
         walk: &mut Walk<'_>,
         said: &mut Option<Vec<String>>,
     ) -> (bool, Option<RouteDecision>) {
@@ -588,7 +588,7 @@
                         Some(RouteDecision::Respond {
                             status: *code,
                             text,
-                            reason: format!("{place} returns it"),
+                            reason: format!("{position} returns it"),
                         }),
                     );
                 }
@@ -602,7 +602,7 @@
                     let redirect = |code| RouteDecision::Respond {
                         status: code,
                         text: to.clone(),
-                        reason: format!("{place} rewrites it"),
+                        reason: format!("{position} rewrites it"),
                     };
                     match flag {
                         RewriteFlag::Redirect => return (false, Some(redirect(302))),
@@ -621,7 +621,7 @@
                     };
                     walk.uri.path = path.as_bytes().to_vec();
                     walk.changed = true;
-                    say(said, || format!("{place} rewrites the path to {path:?}"));
+                    say(said, || format!("{position} rewrites the path to {path:?}"));
                     match flag {
                         RewriteFlag::Last => return (true, None),
                         RewriteFlag::Break => {
@@ -859,7 +859,7 @@
                     format!(
                         "  {}{mark} {} {}: {why}",
                         "  ".repeat(depth),
-                        site.place,
+                        site.position,
                         site.name
                     )
                 });
--- a/crates/routes/src/syntax.rs
+++ b/crates/routes/src/syntax.rs
@@ -1,7 +1,7 @@
 //! The language of nginx's files: tokens that cover every byte, and a tree of directives. Nothing is known here of
 //! what a directive means. All faults of a file are found in one pass.
 
-use crate::place::{Finding, Gravity, Place};
+use crate::diagnostic::{Diagnostic, Severity, SourcePosition};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::Arc;
@@ -172,7 +172,7 @@
     /// What it says.
     pub text: String,
     /// Where it stands.
-    pub place: Place,
+    pub position: SourcePosition,
     /// Its length in the file.
     pub length: usize,
 }
@@ -189,7 +189,7 @@
 }
 
 /// Where files come from; nothing here reads any.
-pub trait Files {
+pub trait FileSource {
     /// The bytes of a file.
     ///
     /// # Errors
@@ -200,17 +200,17 @@
     ///
     /// # Errors
     /// What is wrong with the pattern.
-    fn matching(&self, pattern: &str) -> Result<Vec<String>, String>;
+    fn expand_glob(&self, pattern: &str) -> Result<Vec<String>, String>;
 }
 
-impl Files for BTreeMap<String, Vec<u8>> {
+impl FileSource for BTreeMap<String, Vec<u8>> {
     fn read(&self, name: &str) -> Result<Vec<u8>, String> {
         self.get(name)
             .cloned()
             .ok_or_else(|| "no such file".to_owned())
     }
 
-    fn matching(&self, pattern: &str) -> Result<Vec<String>, String> {
+    fn expand_glob(&self, pattern: &str) -> Result<Vec<String>, String> {
         if !pattern.contains(['*', '?', '[']) {
             return Ok(vec![pattern.to_owned()]);
         }
@@ -229,21 +229,21 @@
 
 /// A whole configuration as it was read.
 #[derive(Debug, Default)]
-pub struct Tree {
+pub struct ConfigTree {
     /// The directives, with those of included files in place of each `include`.
     pub directives: Vec<Directive>,
     /// What was found.
-    pub findings: Vec<Finding>,
+    pub diagnostics: Vec<Diagnostic>,
     /// Findings beyond those.
-    pub untold: usize,
+    pub omitted_diagnostics: usize,
     /// The texts, by file.
     pub texts: BTreeMap<Arc<str>, Vec<u8>>,
 }
 
-impl Tree {
+impl ConfigTree {
     /// Reads a file and those that it includes.
     #[must_use]
-    pub fn read(files: &dyn Files, name: &str) -> Self {
+    pub fn read(files: &dyn FileSource, name: &str) -> Self {
         let mut tree = Self::default();
         match files.read(name) {
             Ok(text) => {
@@ -256,14 +256,14 @@
                 tree.directives = directives;
             }
             Err(e) => {
-                let place = Place {
+                let position = SourcePosition {
                     file: Arc::from(name),
                     line: 1,
                     column: 1,
                 };
-                tree.findings.push(Finding::new(
-                    place,
-                    Gravity::Error,
+                tree.diagnostics.push(Diagnostic::new(
+                    position,
+                    Severity::Error,
                     format!("can't be read: {e}"),
                     b"",
                     1,
@@ -274,19 +274,19 @@
     }
 
     /// Notes something about words of this tree.
-    pub fn note(&mut self, word: &Word, gravity: Gravity, what: impl Into<String>) {
+    pub fn note(&mut self, word: &Word, severity: Severity, what: impl Into<String>) {
         // Each is shown with its line, which takes a look through the text.
-        if self.findings.len() >= 10 * TOLD {
-            self.untold += 1;
+        if self.diagnostics.len() >= 10 * TOLD {
+            self.omitted_diagnostics += 1;
             return;
         }
         let text = self
             .texts
-            .get(&word.place.file)
+            .get(&word.position.file)
             .map_or(&b""[..], |text| text);
-        self.findings.push(Finding::new(
-            word.place.clone(),
-            gravity,
+        self.diagnostics.push(Diagnostic::new(
+            word.position.clone(),
+            severity,
             what,
             text,
             word.length,
@@ -307,9 +307,9 @@
         Self(std::iter::once(0).chain(ends).collect())
     }
 
-    fn place(&self, file: &Arc<str>, at: usize) -> Place {
+    fn position(&self, file: &Arc<str>, at: usize) -> SourcePosition {
         let line = self.0.partition_point(|start| *start <= at);
-        Place {
+        SourcePosition {
             file: file.clone(),
             line,
             column: at - self.0[line - 1] + 1,
@@ -318,8 +318,8 @@
 }
 
 struct Reader<'a> {
-    files: &'a dyn Files,
-    tree: &'a mut Tree,
+    files: &'a dyn FileSource,
+    tree: &'a mut ConfigTree,
     /// Files that are being read, the outermost first.
     open: Vec<Arc<str>>,
 }
@@ -356,7 +356,7 @@
                     };
                     words.push(Word {
                         text,
-                        place: lines.place(file, span.start),
+                        position: lines.position(file, span.start),
                         length: span.len(),
                     });
                 }
@@ -445,10 +445,14 @@
             }
         }
         for (span, what) in faults.into_iter().take(TOLD) {
-            let place = lines.place(file, span.start);
-            self.tree
-                .findings
-                .push(Finding::new(place, Gravity::Error, what, &text, span.len()));
+            let position = lines.position(file, span.start);
+            self.tree.diagnostics.push(Diagnostic::new(
+                position,
+                Severity::Error,
+                what,
+                &text,
+                span.len(),
+            ));
         }
         self.tree.texts.insert(file.clone(), text);
         self.open.pop();
@@ -457,10 +461,10 @@
 
     fn fault(&mut self, at: &Word, what: String) {
         // The text of the file that is being read is not in the tree yet.
-        let text = self.files.read(&at.place.file).unwrap_or_default();
-        self.tree.findings.push(Finding::new(
-            at.place.clone(),
-            Gravity::Error,
+        let text = self.files.read(&at.position.file).unwrap_or_default();
+        self.tree.diagnostics.push(Diagnostic::new(
+            at.position.clone(),
+            Severity::Error,
             what,
             &text,
             at.length,
@@ -483,7 +487,7 @@
         } else {
             format!("{folder}{}", pattern.text)
         };
-        let names = match self.files.matching(&path) {
+        let names = match self.files.expand_glob(&path) {
             Ok(names) => names,
             Err(e) => {
                 self.fault(pattern, format!("{path}: {e}"));
--- a/crates/routes/tests/expect.rs
+++ b/crates/routes/tests/expect.rs
@@ -26,7 +26,7 @@
         &BTreeMap::from([("f".to_owned(), text.as_bytes().to_vec())]),
         "f",
     );
-    assert!(import.is_whole(), "{:?}", import.findings);
+    assert!(import.is_complete(), "{:?}", import.diagnostics);
     import.routes
 }
 
--- a/crates/routes/tests/files.rs
+++ b/crates/routes/tests/files.rs
@@ -87,7 +87,10 @@
             let class = class
                 .map(|class| format!(" class {class}"))
                 .unwrap_or_default();
-            format!("{} {} -> {pool} {uri}{class}", site.place.line, site.name)
+            format!(
+                "{} {} -> {pool} {uri}{class}",
+                site.position.line, site.name
+            )
         }
         Ok(RouteDecision::Respond {
             status: code,
@@ -113,18 +116,18 @@
         let case = read(&text);
         let import = Import::read(&case.files, &case.first);
         let mut found = BTreeMap::new();
-        let findings: Vec<_> = import
-            .findings
+        let diagnostics: Vec<_> = import
+            .diagnostics
             .iter()
             .flat_map(|one| {
-                one.pointed()
+                one.render()
                     .lines()
                     .map(|line| line.trim_end().to_owned())
                     .collect::<Vec<_>>()
             })
             .collect();
-        found.insert("findings".to_owned(), findings);
-        let whole = import.is_whole();
+        found.insert("findings".to_owned(), diagnostics);
+        let whole = import.is_complete();
         found.insert(
             "table".to_owned(),
             if whole {
@@ -199,15 +202,15 @@
             let files = BTreeMap::from([("cut".to_owned(), whole[..cut].to_vec())]);
             let import = Import::read(&files, "cut");
             let lines = whole[..cut].split(|byte| *byte == b'\n').count();
-            for finding in &import.findings {
+            for finding in &import.diagnostics {
                 assert!(
-                    (1..=lines).contains(&finding.place.line) && finding.place.column > 0,
+                    (1..=lines).contains(&finding.position.line) && finding.position.column > 0,
                     "{name} at {cut}: {finding}"
                 );
-                assert!(!finding.pointed().is_empty());
+                assert!(!finding.render().is_empty());
             }
-            errors += usize::from(!import.is_whole());
-            if import.is_whole() {
+            errors += usize::from(!import.is_complete());
+            if import.is_complete() {
                 assert!(Router::new(&import.routes).is_ok(), "{name} at {cut}");
             }
         }
@@ -240,14 +243,14 @@
         (BTreeMap::new(), "f", "can't be read: no such file"),
     ] {
         let import = Import::read(&files, name);
-        assert!(!import.is_whole() && import.findings.len() < 1_200);
+        assert!(!import.is_complete() && import.diagnostics.len() < 1_200);
         assert!(
             import
-                .findings
+                .diagnostics
                 .iter()
-                .any(|finding| finding.what.contains(what)),
+                .any(|finding| finding.message.contains(what)),
             "{what}: {:?}",
-            import.findings.first()
+            import.diagnostics.first()
         );
     }
 }
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -45,11 +45,11 @@
 
 fn routes(text: String) -> Result<Routes, String> {
     let import = Import::read(&BTreeMap::from([("f".to_owned(), text.into_bytes())]), "f");
-    if import.is_whole() {
+    if import.is_complete() {
         return Ok(import.routes);
     }
     Err(import
-        .findings
+        .diagnostics
         .first()
         .map_or("not imported".to_owned(), ToString::to_string))
 }
@@ -166,9 +166,9 @@
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
         took.as_secs_f64() * 1e3,
-        import.directives
+        import.directive_count
     );
-    if took > Duration::from_secs(1) || !import.is_whole() {
+    if took > Duration::from_secs(1) || !import.is_complete() {
         short.push(format!(
             "an import of {lines} lines takes {:.1} s",
             took.as_secs_f64()
@@ -182,7 +182,7 @@
     let import = Import::read(&files, "f");
     say!(
         "10 MB of noise: refused with {} findings after {:.0} ms",
-        import.findings.len(),
+        import.diagnostics.len(),
         begun.elapsed().as_secs_f64() * 1e3
     );
 }
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -154,13 +154,13 @@
     }
     let name = file.to_str().ok_or("the file's name is no text")?;
     let import = Import::read(&Disk, name);
-    for finding in &import.findings {
-        eprintln!("{}", finding.pointed());
+    for finding in &import.diagnostics {
+        eprintln!("{}", finding.render());
     }
-    if import.untold > 0 {
-        eprintln!("{} more findings are not told", import.untold);
+    if import.omitted_diagnostics > 0 {
+        eprintln!("{} more findings are not told", import.omitted_diagnostics);
     }
-    if !import.is_whole() {
+    if !import.is_complete() {
         eprintln!("{name}: not imported");
         return Ok(ExitCode::from(NOT_SO));
     }
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -2,7 +2,7 @@
 
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::model::Routes;
-use cleatpulley_routes::syntax::Files;
+use cleatpulley_routes::syntax::FileSource;
 use std::path::Path;
 
 /// A file that is larger is no configuration.
@@ -11,7 +11,7 @@
 /// The files of this machine.
 pub struct Disk;
 
-impl Files for Disk {
+impl FileSource for Disk {
     fn read(&self, name: &str) -> Result<Vec<u8>, String> {
         let about = std::fs::metadata(name).map_err(|e| e.to_string())?;
         if !about.is_file() {
@@ -26,7 +26,7 @@
         std::fs::read(name).map_err(|e| e.to_string())
     }
 
-    fn matching(&self, pattern: &str) -> Result<Vec<String>, String> {
+    fn expand_glob(&self, pattern: &str) -> Result<Vec<String>, String> {
         if !pattern.contains(['*', '?', '[']) {
             return Ok(vec![pattern.to_owned()]);
         }
@@ -68,15 +68,15 @@
         return Ok(routes);
     }
     let import = Import::read(&Disk, name);
-    if import.is_whole() {
+    if import.is_complete() {
         return Ok(import.routes);
     }
     let faults = import
-        .findings
+        .diagnostics
         .iter()
-        .filter(|one| one.gravity != cleatpulley_routes::place::Gravity::Differs);
+        .filter(|one| one.severity != cleatpulley_routes::diagnostic::Severity::Difference);
     let told: Vec<_> = faults
-        .map(cleatpulley_routes::place::Finding::pointed)
+        .map(cleatpulley_routes::diagnostic::Diagnostic::render)
         .collect();
     Err(told.join("\n"))
 }
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -318,7 +318,7 @@
             {
                 let what = format!(
                     "{}: {value:?} is no class; there are {}",
-                    location.place,
+                    location.position,
                     classes.keys().cloned().collect::<Vec<_>>().join(", ")
                 );
                 return wrong("routes", what);
