--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -26,24 +26,26 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Difference {
     /// Requests that go elsewhere.
-    pub moved: Vec<Moved>,
+    #[serde(rename = "moved")]
+    pub rerouted: Vec<Moved>,
     /// Pools whose way to choose or targets differ, a line each.
     pub pools: Vec<String>,
     /// Requests that were tried.
-    pub tried: usize,
+    #[serde(rename = "tried")]
+    pub probe_count: usize,
 }
 
 impl Difference {
     /// Whether nothing differs, as far as was tried.
     #[must_use]
-    pub fn is_none(&self) -> bool {
-        self.moved.is_empty() && self.pools.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.rerouted.is_empty() && self.pools.is_empty()
     }
 }
 
 /// What a decision comes to, without its place in a file.
 #[must_use]
-pub fn outcome(found: &Result<RouteDecision, String>) -> String {
+pub fn describe_decision(found: &Result<RouteDecision, String>) -> String {
     match found {
         Ok(RouteDecision::Forward {
             pool, uri, class, ..
@@ -119,7 +121,7 @@
 ///
 /// # Errors
 /// Where one of them can't be prepared.
-pub fn diff(old: &Routes, new: &Routes) -> Result<Difference, String> {
+pub fn diff_routes(old: &Routes, new: &Routes) -> Result<Difference, String> {
     let (before, after) = (Router::new(old)?, Router::new(new)?);
     let all: BTreeSet<Probe> = probes(old).into_iter().chain(probes(new)).collect();
     // With no header, and with each value that a map names and some that none does.
@@ -154,9 +156,9 @@
                 headers,
                 caller_address: "192.0.2.1",
             };
-            difference.tried += 1;
+            difference.probe_count += 1;
             let (was, is) = (before.route(&asked), after.route(&asked));
-            if outcome(&was) == outcome(&is) {
+            if describe_decision(&was) == describe_decision(&is) {
                 continue;
             }
             let port = probe.listen.rsplit(':').next().unwrap_or("80");
@@ -184,7 +186,7 @@
             example,
             count,
         });
-    difference.moved = moved.collect();
+    difference.rerouted = moved.collect();
     let names: BTreeSet<_> = old.pools.keys().chain(new.pools.keys()).collect();
     for name in names {
         match (old.pools.get(name), new.pools.get(name)) {
--- a/crates/routes/src/expect.rs
+++ b/crates/routes/src/expectations.rs
@@ -19,7 +19,7 @@
 /// A file of expectations.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct ExpectationFile {
     /// Whom requests concern.
     #[serde(default)]
     pub subjects: Subjects,
@@ -133,7 +133,7 @@
 /// How an expectation was checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum Coverage {
     /// For all requests that it is about.
     Proven,
     /// For those that were tried.
@@ -143,9 +143,9 @@
 /// What came of an expectation.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Came {
+pub enum Outcome {
     /// It holds.
-    Holds(How),
+    Holds(Coverage),
     /// It does not; with an example, and how many of those that were tried.
     Broken {
         /// A request and what became of it.
@@ -159,20 +159,22 @@
 
 /// A line of the report.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Report {
+pub struct ExpectationReport {
     /// The expectation.
     pub name: String,
     /// What came of it.
-    pub came: Came,
+    #[serde(rename = "came")]
+    pub outcome: Outcome,
     /// Requests that were tried.
-    pub tried: usize,
+    #[serde(rename = "tried")]
+    pub requests_checked: usize,
 }
 
-impl Report {
+impl ExpectationReport {
     /// Whether it holds.
     #[must_use]
     pub fn holds(&self) -> bool {
-        matches!(self.came, Came::Holds(_))
+        matches!(self.outcome, Outcome::Holds(_))
     }
 }
 
@@ -240,7 +242,7 @@
         let found = self.table.route(&asked);
         let Ok(RouteDecision::Forward { pool, .. }) = &found else {
             return Home {
-                found: crate::diff::outcome(&found).into(),
+                found: crate::diff::describe_decision(&found).into(),
                 passes: false,
                 target: None,
             };
@@ -385,11 +387,11 @@
 ///
 /// # Errors
 /// Where the table can't be prepared.
-pub fn check(
+pub fn check_expectations(
     routes: &Routes,
-    file: &File,
+    file: &ExpectationFile,
     old: &dyn Fn(&str) -> Result<Routes, String>,
-) -> Result<Vec<Report>, String> {
+) -> Result<Vec<ExpectationReport>, String> {
     let checked = Checked::new(routes)?;
     let subjects = Sample::new(routes, &file.subjects);
     Ok(file
@@ -438,13 +440,13 @@
     sample: &Sample,
     one: &Expectation,
     old: &dyn Fn(&str) -> Result<Routes, String>,
-) -> Report {
+) -> ExpectationReport {
     let mut tried = 0;
     let came = came(checked, sample, one, old, &mut tried);
-    Report {
+    ExpectationReport {
         name: one.name.clone(),
-        came,
-        tried,
+        outcome: came,
+        requests_checked: tried,
     }
 }
 
@@ -454,19 +456,19 @@
     one: &Expectation,
     old: &dyn Fn(&str) -> Result<Routes, String>,
     tried: &mut usize,
-) -> Came {
+) -> Outcome {
     if !one.never.is_empty() {
         return never(checked, one);
     }
     if one.requests.is_empty() {
-        return Came::Vacuous("it is about no requests".to_owned());
+        return Outcome::Vacuous("it is about no requests".to_owned());
     }
     if let Some(why) = one
         .requests
         .iter()
         .find_map(|requests| vacuous(checked, requests))
     {
-        return Came::Vacuous(why);
+        return Outcome::Vacuous(why);
     }
     if let Some(lands) = &one.lands {
         return all_land(checked, sample, one, lands, tried);
@@ -476,7 +478,7 @@
     }
     match &one.moves {
         Some(moves) => few_move(checked, sample, one, moves, old, tried),
-        None => Came::Vacuous(
+        None => Outcome::Vacuous(
             "it says nothing: one of lands, never, one_pool and moves does".to_owned(),
         ),
     }
@@ -500,19 +502,19 @@
     one: &Expectation,
     lands: &Lands,
     tried: &mut usize,
-) -> Came {
+) -> Outcome {
     if let Some(pool) = lands
         .pools
         .iter()
         .find(|pool| !checked.routes.pools.contains_key(*pool))
     {
-        return Came::Vacuous(format!("there is no pool {pool:?}"));
+        return Outcome::Vacuous(format!("there is no pool {pool:?}"));
     }
-    let (mut how, mut broken, mut example) = (How::Proven, 0, None);
+    let (mut how, mut broken, mut example) = (Coverage::Proven, 0, None);
     for requests in &one.requests {
         let (paths, whole) = paths(checked.routes, requests);
         if !whole {
-            how = How::Sampled;
+            how = Coverage::Sampled;
         }
         for path in &paths {
             let first = checked.decide(requests, path, &[]);
@@ -523,7 +525,7 @@
             let subjects = if settled { &none } else { sample.of(requests) };
             // A set that is named is tried whole.
             if !settled && requests.subjects.is_none() {
-                how = How::Sampled;
+                how = Coverage::Sampled;
             }
             for subject in subjects {
                 let found = if settled {
@@ -539,7 +541,7 @@
                     } else {
                         format!(" for {subject:?}")
                     };
-                    let become_of = crate::diff::outcome(&found);
+                    let become_of = crate::diff::describe_decision(&found);
                     example.get_or_insert_with(|| {
                         format!(
                             "{} {}{path}{for_whom}: {become_of}",
@@ -551,16 +553,16 @@
         }
     }
     match example {
-        Some(example) => Came::Broken {
+        Some(example) => Outcome::Broken {
             example,
             count: broken,
         },
-        None => Came::Holds(how),
+        None => Outcome::Holds(how),
     }
 }
 
 /// Each pool that a location leads to is looked at, whatever leads there.
-fn never(checked: &Checked<'_>, one: &Expectation) -> Came {
+fn never(checked: &Checked<'_>, one: &Expectation) -> Outcome {
     let named = |address: &String| {
         checked
             .routes
@@ -570,7 +572,7 @@
             .any(|target| target.address == *address)
     };
     if let Some(address) = one.never.iter().find(|address| !named(address)) {
-        return Came::Vacuous(format!("no pool names {address}"));
+        return Outcome::Vacuous(format!("no pool names {address}"));
     }
     let mut broken = Vec::new();
     for (name, pool) in &checked.routes.pools {
@@ -586,11 +588,11 @@
         }
     }
     match broken.first().cloned() {
-        Some(example) => Came::Broken {
+        Some(example) => Outcome::Broken {
             example,
             count: broken.len(),
         },
-        None => Came::Holds(How::Proven),
+        None => Outcome::Holds(Coverage::Proven),
     }
 }
 
@@ -599,7 +601,7 @@
     sample: &Sample,
     one: &Expectation,
     tried: &mut usize,
-) -> Came {
+) -> Outcome {
     let mut settled = true;
     let mut homes: BTreeMap<&str, (Arc<str>, String)> = BTreeMap::new();
     let (mut broken, mut example) = (BTreeSet::new(), None);
@@ -639,12 +641,16 @@
         }
     }
     match example {
-        Some(example) => Came::Broken {
+        Some(example) => Outcome::Broken {
             example,
             count: broken.len(),
         },
-        None if homes.is_empty() => Came::Vacuous("no request of it lands in a pool".to_owned()),
-        None => Came::Holds(if settled { How::Proven } else { How::Sampled }),
+        None if homes.is_empty() => Outcome::Vacuous("no request of it lands in a pool".to_owned()),
+        None => Outcome::Holds(if settled {
+            Coverage::Proven
+        } else {
+            Coverage::Sampled
+        }),
     }
 }
 
@@ -655,14 +661,14 @@
     moves: &Moves,
     old: &dyn Fn(&str) -> Result<Routes, String>,
     tried: &mut usize,
-) -> Came {
+) -> Outcome {
     let before = match old(&moves.from) {
         Ok(before) => before,
-        Err(what) => return Came::Vacuous(format!("{}: {what}", moves.from)),
+        Err(what) => return Outcome::Vacuous(format!("{}: {what}", moves.from)),
     };
     let before = match Checked::new(&before) {
         Ok(before) => before,
-        Err(what) => return Came::Vacuous(format!("{}: {what}", moves.from)),
+        Err(what) => return Outcome::Vacuous(format!("{}: {what}", moves.from)),
     };
     let (mut moved, mut example) = (0, None);
     for requests in &one.requests {
@@ -683,14 +689,14 @@
         }
     }
     if *tried == 0 {
-        return Came::Vacuous("it is about no subjects".to_owned());
+        return Outcome::Vacuous("it is about no subjects".to_owned());
     }
     let share = moved as f64 / *tried as f64;
     match example {
-        Some(example) if share > moves.at_most => Came::Broken {
+        Some(example) if share > moves.at_most => Outcome::Broken {
             example: format!("{:.2}% move; {example}", share * 100.0),
             count: moved,
         },
-        _ => Came::Holds(How::Sampled),
+        _ => Outcome::Holds(Coverage::Sampled),
     }
 }
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -8,7 +8,7 @@
 mod servers;
 mod values;
 
-pub use directives::{table, Fate};
+pub use directives::{known_directives, DirectiveSupport};
 
 use crate::diagnostic::{Diagnostic, Severity, SourcePosition};
 use crate::model::{Limit, Location, ProxyTimeouts, RetryPolicy, Routes};
@@ -155,7 +155,9 @@
     /// Whether a directive is to be read; says so where it is not.
     fn takes(&mut self, one: &Directive, context: &str) -> bool {
         let name = one.name.text.as_str();
-        let Some((_, contexts, fate)) = table().iter().find(|(known, ..)| *known == name) else {
+        let Some((_, contexts, fate)) =
+            known_directives().iter().find(|(known, ..)| *known == name)
+        else {
             self.refuse(
                 &one.name,
                 format!("{name:?} is not known here, and nobody should guess what it does"),
@@ -193,10 +195,10 @@
             return false;
         }
         match fate {
-            Fate::Taken => return true,
-            Fate::Harmless => {}
-            Fate::Differs(what) => self.differs(&one.name, format!("{name}: {what}")),
-            Fate::Refused(why) => self.refuse(&one.name, format!("{name}: {why}")),
+            DirectiveSupport::Full => return true,
+            DirectiveSupport::Ignored => {}
+            DirectiveSupport::Partial(what) => self.differs(&one.name, format!("{name}: {what}")),
+            DirectiveSupport::Unsupported(why) => self.refuse(&one.name, format!("{name}: {why}")),
         }
         false
     }
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -1,6 +1,6 @@
 //! Servers and locations.
 
-use super::directives::{table, Fate};
+use super::directives::{known_directives, DirectiveSupport};
 use super::{is_inherited, Inherited, Reader, Siblings, LOCATION, SERVER};
 use crate::diagnostic::{Severity, SourcePosition};
 use crate::model::{
@@ -344,8 +344,15 @@
         };
         let refused = block.iter().any(|inner| {
             !matches!(
-                table().iter().find(|(name, ..)| *name == inner.name.text),
-                Some((.., Fate::Taken | Fate::Harmless | Fate::Differs(_)))
+                known_directives()
+                    .iter()
+                    .find(|(name, ..)| *name == inner.name.text),
+                Some((
+                    ..,
+                    DirectiveSupport::Full
+                        | DirectiveSupport::Ignored
+                        | DirectiveSupport::Partial(_)
+                ))
             ) || inner.name.text == "proxy_pass"
         });
         if location.proxy_pass.is_none() && !location.steps.iter().any(answers) && !refused {
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -2,7 +2,7 @@
 //! that follows, pools of targets, and expectations on all of it. No I/O and no clock.
 //!
 //! - [`syntax`], [`import`]: the language, and what its directives mean.
-//! - [`model`]: the table as data. [`table`]: the same, ready for requests; [`locate`], [`trie`], [`uri`] find locations.
+//! - [`model`]: the table as data. [`router`]: the same, ready for requests; [`location_index`], [`trie`], [`uri`] find locations.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -10,10 +10,10 @@
 pub mod balancer;
 pub mod diagnostic;
 pub mod diff;
-pub mod expect;
+pub mod expectations;
 pub mod import;
 pub mod limits;
-pub mod locate;
+pub mod location_index;
 pub mod model;
 pub mod pattern;
 pub mod probe;
--- a/crates/routes/src/locate.rs
+++ b/crates/routes/src/location_index.rs
@@ -11,13 +11,13 @@
 
 /// What takes a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum LocationMatch {
     /// This location, by its number in the order of the file.
-    By(u32),
+    Found(u32),
     /// The path lacks the slash at its end that this location has: the caller is sent there.
-    Slash(u32),
+    AppendSlash(u32),
     /// None.
-    Nobody,
+    NotFound,
 }
 
 /// Locations of one block.
@@ -39,7 +39,7 @@
 
 /// The locations of a server, ready to be looked up.
 #[derive(Debug, Clone, Default)]
-pub struct Locator {
+pub struct LocationIndex {
     top: Level,
     known: Vec<Known>,
 }
@@ -48,7 +48,7 @@
     location.proxy_pass.is_some() && location.pattern.ends_with('/')
 }
 
-impl Locator {
+impl LocationIndex {
     /// Prepares locations. Each gets a number: those within a location follow it.
     ///
     /// # Errors
@@ -109,11 +109,11 @@
 
     /// Finds the location that takes a normal path.
     #[must_use]
-    pub fn find(&self, path: &[u8]) -> Taken {
+    pub fn find(&self, path: &[u8]) -> LocationMatch {
         match self.find_in(&self.top, path) {
-            Inner::Settled(number) | Inner::Open(number) => Taken::By(number),
-            Inner::Slash(number) => Taken::Slash(number),
-            Inner::Nobody => Taken::Nobody,
+            Inner::Settled(number) | Inner::Open(number) => LocationMatch::Found(number),
+            Inner::AppendSlash(number) => LocationMatch::AppendSlash(number),
+            Inner::NotFound => LocationMatch::NotFound,
         }
     }
 
@@ -127,7 +127,7 @@
         self.known[number as usize]
             .within
             .as_ref()
-            .map_or(Inner::Nobody, |level| self.find_in(level, path))
+            .map_or(Inner::NotFound, |level| self.find_in(level, path))
     }
 
     fn find_in(&self, level: &Level, path: &[u8]) -> Inner {
@@ -139,14 +139,14 @@
             .slashed
             .filter(|number| !hit.whole && self.known[*number as usize].adds_slash);
         if let Some(number) = slashed {
-            return Inner::Slash(number);
+            return Inner::AppendSlash(number);
         }
-        let mut found = Inner::Nobody;
+        let mut found = Inner::NotFound;
         if let Some(number) = hit.prefix {
             found = match self.within(number, path) {
-                settled @ (Inner::Settled(_) | Inner::Slash(_)) => return settled,
+                settled @ (Inner::Settled(_) | Inner::AppendSlash(_)) => return settled,
                 Inner::Open(inner) => Inner::Open(inner),
-                Inner::Nobody => Inner::Open(number),
+                Inner::NotFound => Inner::Open(number),
             };
             if self.known[number as usize].is_final {
                 return found;
@@ -157,8 +157,8 @@
         };
         match self.within(number, path) {
             Inner::Settled(inner) | Inner::Open(inner) => Inner::Settled(inner),
-            Inner::Slash(inner) => Inner::Slash(inner),
-            Inner::Nobody => Inner::Settled(number),
+            Inner::AppendSlash(inner) => Inner::AppendSlash(inner),
+            Inner::NotFound => Inner::Settled(number),
         }
     }
 }
@@ -170,8 +170,8 @@
     Settled(u32),
     /// A prefix: regular expressions beside the block come before it.
     Open(u32),
-    Slash(u32),
-    Nobody,
+    AppendSlash(u32),
+    NotFound,
 }
 
 impl Level {
@@ -189,7 +189,7 @@
 
 /// The same by a look at each location, from the text of nginx's rules.
 #[must_use]
-pub fn one_by_one(locations: &[Location], path: &[u8]) -> Taken {
+pub fn one_by_one(locations: &[Location], path: &[u8]) -> LocationMatch {
     /// Numbers of locations in the order of the file.
     fn numbered(locations: &[Location], from: u32) -> Vec<(u32, &Location)> {
         let mut next = from;
@@ -204,14 +204,14 @@
         locations.iter().map(|one| 1 + size(&one.nested)).sum()
     }
     /// The location, and whether regular expressions beside the block may still come before it.
-    fn block(locations: &[Location], from: u32, path: &[u8]) -> Option<(Taken, bool)> {
+    fn block(locations: &[Location], from: u32, path: &[u8]) -> Option<(LocationMatch, bool)> {
         let all = numbered(locations, from);
         let named = |match_kind: MatchKind, pattern: &[u8]| {
             all.iter()
                 .find(|(_, one)| one.match_kind == match_kind && one.pattern.as_bytes() == pattern)
         };
         if let Some((number, _)) = named(MatchKind::Exact, path) {
-            return Some((Taken::By(*number), false));
+            return Some((LocationMatch::Found(*number), false));
         }
         let whole = [MatchKind::Prefix, MatchKind::PreferentialPrefix]
             .into_iter()
@@ -226,7 +226,7 @@
         .filter_map(|match_kind| named(match_kind, &slash));
         if let Some((number, one)) = slashed.next().filter(|_| !whole) {
             if adds_slash(one) {
-                return Some((Taken::Slash(*number), false));
+                return Some((LocationMatch::AppendSlash(*number), false));
             }
         }
         let plain = all.iter().filter(|(_, one)| {
@@ -240,7 +240,8 @@
             .max_by_key(|(_, one)| one.pattern.len());
         let mut found = None;
         if let Some((number, one)) = best {
-            found = block(&one.nested, number + 1, path).or(Some((Taken::By(*number), true)));
+            found = block(&one.nested, number + 1, path)
+                .or(Some((LocationMatch::Found(*number), true)));
             if one.match_kind == MatchKind::PreferentialPrefix
                 || found.is_some_and(|(_, open)| !open)
             {
@@ -254,12 +255,12 @@
             );
             if regex.is_ok_and(|regex| regex.is_match(path)) {
                 let inner = block(&one.nested, number + 1, path).map(|(taken, _)| taken);
-                return Some((inner.unwrap_or(Taken::By(*number)), false));
+                return Some((inner.unwrap_or(LocationMatch::Found(*number)), false));
             }
         }
         found
     }
-    block(locations, 0, path).map_or(Taken::Nobody, |(taken, _)| taken)
+    block(locations, 0, path).map_or(LocationMatch::NotFound, |(taken, _)| taken)
 }
 
 #[cfg(test)]
@@ -369,7 +370,7 @@
         #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(12), ..ProptestConfig::default() })]
         #[test]
         fn it_finds_what_a_look_at_each_location_finds(all in siblings(2), paths in prop::collection::vec("/[abAB/]{0,4}", 8)) {
-            let locator = Locator::new(&all).unwrap();
+            let locator = LocationIndex::new(&all).unwrap();
             for path in paths {
                 prop_assert_eq!(locator.find(path.as_bytes()), one_by_one(&all, path.as_bytes()), "{}", path);
             }
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -2,7 +2,7 @@
 //! goes on, and the class; or to an answer.
 
 use crate::diagnostic::SourcePosition;
-use crate::locate::{Locator, Taken};
+use crate::location_index::{LocationIndex, LocationMatch};
 use crate::model::{
     Limit, Location, MatchKind, ProxyTimeouts, RetryPolicy, RewriteFlag, RewriteStep, Routes,
     Server, Variable, CLASS_VARIABLE,
@@ -79,7 +79,7 @@
     pub locations: Vec<CompiledLocation>,
     merge_slashes: bool,
     steps: Vec<Prepared>,
-    locator: Locator,
+    locator: LocationIndex,
 }
 
 #[derive(Debug)]
@@ -255,7 +255,7 @@
             locations,
             merge_slashes: server.merge_slashes,
             steps: prepare(&server.steps)?,
-            locator: Locator::new(&server.locations)?,
+            locator: LocationIndex::new(&server.locations)?,
         })
     }
 }
@@ -481,8 +481,8 @@
                 host.weigh(&path, taken, said);
             }
             let number = match taken {
-                Taken::By(number) => number,
-                Taken::Slash(number) => {
+                LocationMatch::Found(number) => number,
+                LocationMatch::AppendSlash(number) => {
                     let mut to = uri::escape(&path) + "/";
                     if !walk.uri.args.is_empty() {
                         to = to + "?" + &walk.uri.args;
@@ -496,7 +496,7 @@
                         ),
                     );
                 }
-                Taken::Nobody => {
+                LocationMatch::NotFound => {
                     return answer(404, String::new(), "no location takes the path".to_owned())
                 }
             };
@@ -768,12 +768,12 @@
 
 impl CompiledServer {
     /// Says of each location why it takes the path or does not.
-    fn weigh(&self, path: &[u8], taken: Taken, said: &mut Option<Vec<String>>) {
+    fn weigh(&self, path: &[u8], taken: LocationMatch, said: &mut Option<Vec<String>>) {
         let shown = String::from_utf8_lossy(path).into_owned();
         say(said, || format!("path {shown:?}:"));
         let winner = match taken {
-            Taken::By(number) | Taken::Slash(number) => Some(number),
-            Taken::Nobody => None,
+            LocationMatch::Found(number) | LocationMatch::AppendSlash(number) => Some(number),
+            LocationMatch::NotFound => None,
         };
         // The locations around the winner, and the winner, from the outside in.
         let mut way: Vec<u32> =
@@ -814,7 +814,7 @@
             for (number, site) in &here {
                 let why = if Some(*number as u32) == chosen {
                     match (site.match_kind, taken) {
-                        (_, Taken::Slash(_)) if depth + 1 == way.len() => {
+                        (_, LocationMatch::AppendSlash(_)) if depth + 1 == way.len() => {
                             "adds the slash that the path lacks".to_owned()
                         }
                         (MatchKind::Exact, _) => "is the whole path".to_owned(),
--- a/crates/routes/tests/expect.rs
+++ b/crates/routes/tests/expectations.rs
@@ -1,8 +1,8 @@
 //! Expectations beside configurations that keep them, and beside ones that are broken on purpose; and what differs between
 //! two tables.
 
-use cleatpulley_routes::diff::diff;
-use cleatpulley_routes::expect::{check, Came, File, How};
+use cleatpulley_routes::diff::diff_routes;
+use cleatpulley_routes::expectations::{check_expectations, Coverage, ExpectationFile, Outcome};
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::model::Routes;
 use serde_json::{json, Value};
@@ -31,11 +31,12 @@
 }
 
 /// What comes of expectations on a file.
-fn came(text: &str, expect: Value) -> Vec<Came> {
+fn came(text: &str, expect: Value) -> Vec<Outcome> {
     let subjects =
         json!({ "popular": ["racer-7"], "samples": 500, "pattern": "racer-%d", "numbers": 30_000 });
-    let file: File = serde_json::from_value(json!({ "subjects": subjects, "expect": expect }))
-        .expect("expectations");
+    let file: ExpectationFile =
+        serde_json::from_value(json!({ "subjects": subjects, "expect": expect }))
+            .expect("expectations");
     let old = |name: &str| {
         if name == "before" {
             Ok(routes(RIGHT))
@@ -43,10 +44,10 @@
             Err("no such file".to_owned())
         }
     };
-    check(&routes(text), &file, &old)
+    check_expectations(&routes(text), &file, &old)
         .expect("a table")
         .into_iter()
-        .map(|report| report.came)
+        .map(|report| report.outcome)
         .collect()
 }
 
@@ -70,8 +71,8 @@
 #[test]
 fn the_right_configuration_passes_and_says_how_it_was_checked() {
     let holds: Vec<_> = came(RIGHT, expectations());
-    use How::{Proven, Sampled};
-    let expected = [Proven, Sampled, Proven, Sampled, Sampled, Proven].map(Came::Holds);
+    use Coverage::{Proven, Sampled};
+    let expected = [Proven, Sampled, Proven, Sampled, Sampled, Proven].map(Outcome::Holds);
     assert_eq!(holds, expected);
 }
 
@@ -107,7 +108,7 @@
         assert!(RIGHT.contains(from), "{from}");
         let all = came(&RIGHT.replace(from, to), expectations());
         for (at, came) in all.iter().enumerate() {
-            let broken = matches!(came, Came::Broken { .. });
+            let broken = matches!(came, Outcome::Broken { .. });
             assert_eq!(broken, at == number, "{to}: expectation {at}: {came:?}");
         }
     }
@@ -122,7 +123,7 @@
     for (number, from, to) in changes {
         let all = came(&RIGHT.replace(from, to), expectations());
         assert!(
-            matches!(all[number], Came::Vacuous(_)),
+            matches!(all[number], Outcome::Vacuous(_)),
             "{to}: {:?}",
             all[number]
         );
@@ -134,7 +135,7 @@
     assert!(
         renamed
             .iter()
-            .filter(|came| matches!(came, Came::Vacuous(_)))
+            .filter(|came| matches!(came, Outcome::Vacuous(_)))
             .count()
             == 5,
         "{renamed:?}"
@@ -148,26 +149,26 @@
     ]);
     assert!(came(RIGHT, nothing)
         .iter()
-        .all(|came| matches!(came, Came::Vacuous(_))));
+        .all(|came| matches!(came, Outcome::Vacuous(_))));
 }
 
 #[test]
 fn a_difference_is_told_with_an_example_that_shows_it() {
-    let same = diff(
+    let same = diff_routes(
         &routes(RIGHT),
         &routes(&RIGHT.replace("    location /prefs", "\n\n    location /prefs")),
     )
     .unwrap();
     assert!(
-        same.is_none() && same.tried > 50,
+        same.is_empty() && same.probe_count > 50,
         "moved lines are no difference: {same:?}"
     );
     let new = RIGHT
         .replace("vip-1 cell_a", "vip-2 cell_a")
         .replace("9005; }", "9005 weight=2; }");
-    let found = diff(&routes(RIGHT), &routes(&new)).unwrap();
+    let found = diff_routes(&routes(RIGHT), &routes(&new)).unwrap();
     let examples: Vec<_> = found
-        .moved
+        .rerouted
         .iter()
         .map(|moved| moved.example.as_str())
         .collect();
@@ -185,10 +186,10 @@
         "location / {",
         "location ~ ^/prefs/v[0-9]+$ { return 410; }\n    location / {",
     );
-    let found = diff(&routes(RIGHT), &routes(&regex)).unwrap();
+    let found = diff_routes(&routes(RIGHT), &routes(&regex)).unwrap();
     assert!(
         found
-            .moved
+            .rerouted
             .iter()
             .any(|moved| moved.after.starts_with("410") && moved.example.contains("/prefs/v1")),
         "{found:?}"
@@ -207,9 +208,9 @@
     });
     let by_hand: Routes = serde_json::from_value(text).expect("a table");
     let blocks = "upstream p { least_conn; server 127.0.0.1:1; }\nserver { listen 80; server_name h; location = /a { proxy_pass http://p; } location ~ ^/b { return 403; } }";
-    assert!(diff(&by_hand, &routes(blocks))
+    assert!(diff_routes(&by_hand, &routes(blocks))
         .expect("two tables")
-        .is_none());
+        .is_empty());
     assert!(by_hand.find_missing_pool().is_none());
     let unknown = json!({ "servers": [], "pools": {}, "variable": {} });
     assert!(serde_json::from_value::<Routes>(unknown).is_err());
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -5,9 +5,9 @@
 use cleatpulley_emulators::relay::{Act, Relay, Report};
 use cleatpulley_emulators::target::Setup;
 use cleatpulley_routes::balancer::Balancer;
-use cleatpulley_routes::expect::{check, Came, File};
+use cleatpulley_routes::expectations::{check_expectations, ExpectationFile, Outcome};
 use cleatpulley_routes::import::Import;
-use cleatpulley_routes::locate::{Locator, Taken};
+use cleatpulley_routes::location_index::{LocationIndex, LocationMatch};
 use cleatpulley_routes::model::{Pool, Routes};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -92,7 +92,7 @@
             .map(|prefix| format!("location {prefix} {{ return 200; }}\n"))
             .collect();
         let routes = routes(format!("server {{\n{text}}}\n"))?;
-        let locator = Locator::new(&routes.servers[0].locations)?;
+        let locator = LocationIndex::new(&routes.servers[0].locations)?;
         let mut random = SmallRng::seed_from_u64(5);
         let paths: Vec<String> = (0..4_096)
             .map(|_| format!("{}grid/7", prefixes[random.random_range(0..count)]))
@@ -105,7 +105,9 @@
             let found = by_each
                 .max_by_key(|(_, prefix)| prefix.len())
                 .map(|(number, _)| number as u32);
-            if locator.find(path.as_bytes()) != found.map_or(Taken::Nobody, Taken::By) {
+            if locator.find(path.as_bytes())
+                != found.map_or(LocationMatch::NotFound, LocationMatch::Found)
+            {
                 short.push(format!("{path}: the trie and a look at each prefix differ"));
             }
         }
@@ -212,18 +214,18 @@
             { "name": "few move", "requests": [seat], "moves": { "from": "before", "at_most": 0.07 } },
         ],
     });
-    let file_of: File = serde_json::from_value(expected).map_err(|e| e.to_string())?;
+    let file_of: ExpectationFile = serde_json::from_value(expected).map_err(|e| e.to_string())?;
     let (now, before) = (routes(file(15))?, routes(file(16))?);
     let begun = Instant::now();
-    let reports = check(&now, &file_of, &|_| Ok(before.clone()))?;
+    let reports = check_expectations(&now, &file_of, &|_| Ok(before.clone()))?;
     let took = begun.elapsed().as_secs_f64();
-    let tried: usize = reports.iter().map(|report| report.tried).sum();
+    let tried: usize = reports.iter().map(|report| report.requests_checked).sum();
     let held = reports.iter().filter(|report| report.holds()).count();
     say!("expectations over 30,000 subjects: {took:.2} s for {tried} requests; {held} of 4 hold");
     // One popular subject is on its own in another cell, which two of them have to find.
     let broken = reports
         .iter()
-        .filter(|report| matches!(report.came, Came::Broken { .. }))
+        .filter(|report| matches!(report.outcome, Outcome::Broken { .. }))
         .count();
     if took > 5.0 || held != 2 || broken != 2 {
         short.push(format!(
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -3,9 +3,9 @@
 use clap::Subcommand;
 use cleatpulley::nginx::{load, Disk};
 use cleatpulley::operator;
-use cleatpulley_routes::diff::{diff, outcome};
-use cleatpulley_routes::expect::{check, Came, File, How};
-use cleatpulley_routes::import::{table, Fate, Import};
+use cleatpulley_routes::diff::{describe_decision, diff_routes};
+use cleatpulley_routes::expectations::{check_expectations, Coverage, ExpectationFile, Outcome};
+use cleatpulley_routes::import::{known_directives, DirectiveSupport, Import};
 use cleatpulley_routes::router::{RouteRequest, Router};
 use serde_json::json;
 use std::path::{Path, PathBuf};
@@ -120,12 +120,12 @@
             json,
         } => expect(file, expectations, *json),
         Routes::Directives => {
-            for (name, contexts, fate) in table() {
+            for (name, contexts, fate) in known_directives() {
                 let (what, why) = match fate {
-                    Fate::Taken => ("taken over", ""),
-                    Fate::Differs(why) => ("differs", *why),
-                    Fate::Harmless => ("passed over", ""),
-                    Fate::Refused(why) => ("refused", *why),
+                    DirectiveSupport::Full => ("taken over", ""),
+                    DirectiveSupport::Partial(why) => ("differs", *why),
+                    DirectiveSupport::Ignored => ("passed over", ""),
+                    DirectiveSupport::Unsupported(why) => ("refused", *why),
                 };
                 say!(
                     "{}",
@@ -170,7 +170,7 @@
 fn explain(file: &Path, asked: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
     let table = Router::new(&load(file)?)?;
     let (decision, said) = table.explain(asked)?;
-    let comes_to = outcome(&Ok(decision));
+    let comes_to = describe_decision(&Ok(decision));
     if as_json {
         say!("{}", json!({ "weighed": said, "comes_to": comes_to }));
     } else {
@@ -181,14 +181,14 @@
 }
 
 fn differ(old: &Path, new: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let difference = diff(&load(old)?, &load(new)?)?;
+    let difference = diff_routes(&load(old)?, &load(new)?)?;
     if as_json {
         say!(
             "{}",
             serde_json::to_string(&difference).map_err(|e| e.to_string())?
         );
     } else {
-        for moved in &difference.moved {
+        for moved in &difference.rerouted {
             say!("- {}", moved.before);
             say!("+ {}", moved.after);
             say!(
@@ -198,9 +198,9 @@
             );
         }
         difference.pools.iter().for_each(|line| say!("pool {line}"));
-        say!("{} requests tried", difference.tried);
+        say!("{} requests tried", difference.probe_count);
     }
-    Ok(if difference.is_none() {
+    Ok(if difference.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(NOT_SO)
@@ -211,7 +211,7 @@
     let routes = load(file)?;
     let text = operator::evaluate(expectations).map_err(|e| e.to_string())?;
     let mut reader = serde_json::Deserializer::from_str(&text);
-    let read: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
+    let read: ExpectationFile = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
         let what = e.inner().to_string();
         let what = what
             .split(" at line ")
@@ -225,7 +225,7 @@
         .parent()
         .map(Path::to_owned)
         .unwrap_or_default();
-    let reports = check(&routes, &read, &|name| load(&folder.join(name)))?;
+    let reports = check_expectations(&routes, &read, &|name| load(&folder.join(name)))?;
     for report in &reports {
         if as_json {
             say!(
@@ -234,24 +234,24 @@
             );
             continue;
         }
-        let tried = report.tried;
-        match &report.came {
-            Came::Holds(How::Proven) => say!("holds    {}: proven", report.name),
-            Came::Holds(How::Sampled) => {
+        let tried = report.requests_checked;
+        match &report.outcome {
+            Outcome::Holds(Coverage::Proven) => say!("holds    {}: proven", report.name),
+            Outcome::Holds(Coverage::Sampled) => {
                 say!(
                     "holds    {}: for {tried} requests that were tried",
                     report.name
                 )
             }
-            Came::Broken { example, count } => {
+            Outcome::Broken { example, count } => {
                 say!("broken   {}: {example} ({count} found)", report.name)
             }
-            Came::Vacuous(why) => say!("vacuous  {}: {why}", report.name),
+            Outcome::Vacuous(why) => say!("vacuous  {}: {why}", report.name),
         }
     }
     let all = reports
         .iter()
-        .all(cleatpulley_routes::expect::Report::holds);
+        .all(cleatpulley_routes::expectations::ExpectationReport::holds);
     Ok(if all {
         ExitCode::SUCCESS
     } else {
