--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -533,7 +533,7 @@
         let what = match reply {
             Reply::Advised(most) => {
                 return tell(&mut |pool, target| {
-                    pool.balancer.set_advised_concurrency(target, most)
+                    pool.balancer.set_advised_concurrency(target, most);
                 })
             }
             Reply::Answered(answer) => {
--- a/crates/routes/src/diagnostic.rs
+++ b/crates/routes/src/diagnostic.rs
@@ -1,17 +1,17 @@
-//! Places in files, and what is said of them.
+//! Diagnostics: messages on a configuration, with the position in its files.
 
 use serde::Serialize;
 use std::fmt;
 use std::sync::Arc;
 
-/// A place: a file, and a line and column counted from 1, the column in bytes.
+/// A position in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourcePosition {
-    /// The file.
+    /// File name.
     pub file: Arc<str>,
-    /// The line.
+    /// Line, counted from 1.
     pub line: usize,
-    /// The column.
+    /// Column in bytes, counted from 1.
     pub column: usize,
 }
 
@@ -22,19 +22,19 @@
 }
 
 impl Serialize for SourcePosition {
-    fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
-/// How grave something is.
+/// Severity of a diagnostic, the gravest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// nginx would not take the file either.
+    /// nginx would reject the file as well.
     Error,
-    /// nginx takes it, and it can't be expressed here.
+    /// nginx accepts it, but it can't be expressed here.
     Unsupported,
-    /// It is taken over, and differs in what is said.
+    /// It is imported, and behaves differently in the way that the message says.
     Difference,
 }
 
@@ -48,37 +48,37 @@
     }
 }
 
-/// What is said of a place.
+/// A message on a position in a configuration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where.
+    /// Where the text in question begins.
     pub position: SourcePosition,
-    /// How grave it is.
+    /// Severity.
     pub severity: Severity,
-    /// What.
+    /// What is wrong, or differs.
     pub message: String,
-    /// The line itself, cut where it is very long, and how many bytes to point at.
+    /// The source line, cut to 160 bytes, and the number of bytes to underline.
     pub excerpt: (String, usize),
 }
 
-/// Bytes of a line that are shown.
-const SHOWN: usize = 160;
+/// Maximum number of bytes of a source line in an excerpt.
+const MAX_EXCERPT_BYTES: usize = 160;
 
 impl Diagnostic {
-    /// One about this many bytes at a place of a text.
+    /// Creates a diagnostic on `length` bytes of `source`, the whole text of the file.
     #[must_use]
     pub fn new(
         position: SourcePosition,
         severity: Severity,
         message: impl Into<String>,
-        text: &[u8],
+        source: &[u8],
         length: usize,
     ) -> Self {
-        let line = text
+        let line = source
             .split(|byte| *byte == b'\n')
             .nth(position.line - 1)
             .unwrap_or_default();
-        let line = &line[..line.len().min(SHOWN)];
+        let line = &line[..line.len().min(MAX_EXCERPT_BYTES)];
         let excerpt = String::from_utf8_lossy(line).replace(|c: char| c.is_control(), " ");
         Self {
             position,
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Text with the line and a mark below it.
+    /// Returns the message followed by the source line, with the text in question underlined.
     #[must_use]
     pub fn render(&self) -> String {
         let (line, length) = &self.excerpt;
         if line.trim().is_empty() {
             return self.to_string();
         }
-        let before = self.position.column - 1;
-        if before >= SHOWN {
+        let indent = self.position.column - 1;
+        if indent >= MAX_EXCERPT_BYTES {
             return format!("{self}\n  {line} ...");
         }
-        let marks = (*length).clamp(1, SHOWN - before);
+        let underlined = (*length).clamp(1, MAX_EXCERPT_BYTES - indent);
         format!(
             "{self}\n  {line}\n  {}{}",
-            " ".repeat(before),
-            "^".repeat(marks)
+            " ".repeat(indent),
+            "^".repeat(underlined)
         )
     }
 }
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -333,7 +333,7 @@
                     here.retry_policy.timeout_ms = self.time_of(one).unwrap_or(0);
                 }
                 "proxy_connect_timeout" => {
-                    here.timeouts.connect_ms = self.time_of(one).unwrap_or(60_000)
+                    here.timeouts.connect_ms = self.time_of(one).unwrap_or(60_000);
                 }
                 "proxy_send_timeout" => here.timeouts.send_ms = self.time_of(one).unwrap_or(60_000),
                 "proxy_read_timeout" => here.timeouts.read_ms = self.time_of(one).unwrap_or(60_000),
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -46,7 +46,7 @@
                     pool.method = BalancingMethod::LeastConnections;
                 }
                 "ip_hash" if self.args(inner, 0, 0).is_some() => {
-                    pool.method = BalancingMethod::AddressHash
+                    pool.method = BalancingMethod::AddressHash;
                 }
                 "hash" => {
                     let Some(words) = self.args(inner, 1, 2) else {
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -16,8 +16,8 @@
             collect_set(&server.steps, &mut known);
             locations(&server.locations, &mut |location| {
                 collect_set(&location.steps, &mut known);
-                if location.how.is_regex() {
-                    known.extend(pattern::names(&location.pattern));
+                if location.match_kind.is_regex() {
+                    known.extend(pattern::capture_names(&location.pattern));
                 }
             });
             let mut faults = Vec::new();
@@ -86,7 +86,7 @@
             RewriteStep::Set { variable, .. } => {
                 into.insert(variable.clone());
             }
-            RewriteStep::Rewrite { regex, .. } => into.extend(pattern::names(regex)),
+            RewriteStep::Rewrite { regex, .. } => into.extend(pattern::capture_names(regex)),
             _ => {}
         }
     }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,8 +1,18 @@
-//! What nginx's upstream and location blocks mean for the routing of requests to matchers, or a clear refusal; the table
-//! that follows, pools of targets, and expectations on all of it. No I/O and no clock.
+//! Routes requests to matchers by nginx's `upstream` and `location` blocks.
 //!
-//! - [`syntax`], [`import`]: the language, and what its directives mean.
-//! - [`model`]: the table as data. [`router`]: the same, ready for requests; [`location_index`], [`trie`], [`uri`] find locations.
+//! An importer takes the blocks over, or reports each directive that it can't express. Beside it
+//! are the route table that follows, load balancing over the targets of a pool, and expectations on
+//! routing that are checked without traffic. No I/O and no clock.
+//!
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`syntax`], [`diagnostic`] | nginx's configuration language, and messages on its files |
+//! | [`import`] | what each directive means |
+//! | [`model`] | the route table as data, also read and written as JSON |
+//! | [`router`] | the table prepared for requests |
+//! | [`location_index`], [`trie`], [`uri`], [`pattern`], [`template`] | how a location is found, and texts with variables |
+//! | [`balancer`], [`retry`], [`limits`] | targets of a pool, retries, and limits of requests |
+//! | [`expectations`], [`diff`], [`probe`] | checks and comparisons of tables, and the requests they use |
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/routes/src/location_index.rs
+++ b/crates/routes/src/location_index.rs
@@ -1,47 +1,49 @@
-//! Which location takes a path: nginx's rules, over a trie of the plain locations and the regular expressions in order.
-//! [`one_by_one`] is the same by a look at each location: what tests and measurements compare with.
+//! Finds the location for a path by nginx's rules, with a trie of the exact and prefix locations,
+//! and the regular expressions in the order of the file. [`find_linear`] does the same by checking
+//! every location; tests and measurements compare with it.
 
 use crate::model::{Location, MatchKind};
 use crate::pattern;
-use crate::trie::{Item, Trie};
+use crate::trie::{Trie, TrieItem};
 use regex::bytes::{Regex, RegexSet, RegexSetBuilder};
 
-/// From so many regular expressions on they are tried together.
-const TOGETHER: usize = 4;
+/// Number of regular expressions in a block from which they are matched as one set.
+const MIN_REGEXES_FOR_SET: usize = 4;
 
-/// What takes a path.
+/// Result of looking up a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocationMatch {
-    /// This location, by its number in the order of the file.
+    /// The location with this number takes the path. Numbers follow the order of the file.
     Found(u32),
-    /// The path lacks the slash at its end that this location has: the caller is sent there.
+    /// The path lacks the trailing slash of the location with this number: the caller is redirected
+    /// to the path with the slash.
     AppendSlash(u32),
-    /// None.
+    /// No location takes the path.
     NotFound,
 }
 
-/// Locations of one block.
+/// Lookup structures for the locations of one block.
 #[derive(Debug, Clone, Default)]
-struct Level {
+struct BlockIndex {
     trie: Trie,
     regexes: Vec<(Regex, u32)>,
-    together: Option<RegexSet>,
+    regex_set: Option<RegexSet>,
 }
 
-/// What is known of a location to look it up.
+/// Properties of a location that a lookup needs.
 #[derive(Debug, Clone)]
-struct Known {
-    is_final: bool,
+struct IndexedLocation {
+    excludes_regexes: bool,
     adds_slash: bool,
-    within: Option<Box<Level>>,
+    nested: Option<Box<BlockIndex>>,
     regex: Option<Regex>,
 }
 
-/// The locations of a server, ready to be looked up.
+/// The locations of a server, prepared for lookups.
 #[derive(Debug, Clone, Default)]
 pub struct LocationIndex {
-    top: Level,
-    known: Vec<Known>,
+    top_level: BlockIndex,
+    locations: Vec<IndexedLocation>,
 }
 
 fn adds_slash(location: &Location) -> bool {
@@ -49,135 +51,149 @@
 }
 
 impl LocationIndex {
-    /// Prepares locations. Each gets a number: those within a location follow it.
+    /// Prepares the locations of a server and numbers them; nested locations follow the one around
+    /// them.
     ///
     /// # Errors
     /// A regular expression that can't be compiled.
     pub fn new(locations: &[Location]) -> Result<Self, String> {
-        let mut locator = Self::default();
-        locator.top = locator.level(locations)?;
-        Ok(locator)
+        let mut index = Self::default();
+        index.top_level = index.build_block(locations)?;
+        Ok(index)
     }
 
-    fn level(&mut self, locations: &[Location]) -> Result<Level, String> {
-        let mut level = Level::default();
-        let mut items: Vec<Item<'_>> = Vec::new();
+    fn build_block(&mut self, locations: &[Location]) -> Result<BlockIndex, String> {
+        let mut block_index = BlockIndex::default();
+        let mut items: Vec<TrieItem<'_>> = Vec::new();
         for location in locations {
-            let number = self.known.len() as u32;
-            let is_final = location.match_kind == MatchKind::PreferentialPrefix;
-            self.known.push(Known {
-                is_final,
+            let number = self.locations.len() as u32;
+            let excludes_regexes = location.match_kind == MatchKind::PreferentialPrefix;
+            self.locations.push(IndexedLocation {
+                excludes_regexes,
                 adds_slash: adds_slash(location),
-                within: None,
+                nested: None,
                 regex: None,
             });
             let pattern = location.pattern.as_bytes();
             match location.match_kind {
                 MatchKind::Exact => items.push((pattern, Some(number), None)),
                 MatchKind::Prefix | MatchKind::PreferentialPrefix => {
-                    items.push((pattern, None, Some(number)))
+                    items.push((pattern, None, Some(number)));
                 }
                 MatchKind::Regex | MatchKind::RegexCaseInsensitive => {
                     let regex = pattern::compile(
                         &location.pattern,
                         location.match_kind == MatchKind::RegexCaseInsensitive,
                     )?;
-                    self.known[number as usize].regex = Some(regex.clone());
-                    level.regexes.push((regex, number));
+                    self.locations[number as usize].regex = Some(regex.clone());
+                    block_index.regexes.push((regex, number));
                 }
                 MatchKind::Named => {}
             }
             if !location.nested.is_empty() {
-                let within = self.level(&location.nested)?;
-                self.known[number as usize].within = Some(Box::new(within));
+                let nested = self.build_block(&location.nested)?;
+                self.locations[number as usize].nested = Some(Box::new(nested));
             }
         }
-        level.trie = Trie::new(items);
-        if level.regexes.len() >= TOGETHER {
-            let any = locations
+        block_index.trie = Trie::new(items);
+        if block_index.regexes.len() >= MIN_REGEXES_FOR_SET {
+            let patterns = locations
                 .iter()
-                .filter(|one| one.match_kind.is_regex())
-                .map(|one| match one.match_kind {
-                    MatchKind::RegexCaseInsensitive => format!("(?i){}", one.pattern),
-                    _ => one.pattern.clone(),
+                .filter(|location| location.match_kind.is_regex())
+                .map(|location| match location.match_kind {
+                    MatchKind::RegexCaseInsensitive => format!("(?i){}", location.pattern),
+                    _ => location.pattern.clone(),
                 });
-            // A set that grows too large is left out: then they are tried in turn.
-            level.together = RegexSetBuilder::new(any).unicode(false).build().ok();
+            // Building a set that would be too large fails; the expressions are then matched one by
+            // one.
+            block_index.regex_set = RegexSetBuilder::new(patterns).unicode(false).build().ok();
         }
-        Ok(level)
+        Ok(block_index)
     }
 
-    /// Finds the location that takes a normal path.
+    /// Finds the location that takes a normalized path.
     #[must_use]
     pub fn find(&self, path: &[u8]) -> LocationMatch {
-        match self.find_in(&self.top, path) {
-            Inner::Settled(number) | Inner::Open(number) => LocationMatch::Found(number),
-            Inner::AppendSlash(number) => LocationMatch::AppendSlash(number),
-            Inner::NotFound => LocationMatch::NotFound,
+        match self.find_in_block(&self.top_level, path) {
+            BlockMatch::Final(number) | BlockMatch::Overridable(number) => {
+                LocationMatch::Found(number)
+            }
+            BlockMatch::AppendSlash(number) => LocationMatch::AppendSlash(number),
+            BlockMatch::NotFound => LocationMatch::NotFound,
         }
     }
 
-    /// The regular expression of a location, whose groups a request's texts may name.
+    /// Returns the regular expression of a location; texts of the location may refer to its capture
+    /// groups.
     #[must_use]
     pub fn regex(&self, number: u32) -> Option<&Regex> {
-        self.known.get(number as usize)?.regex.as_ref()
+        self.locations.get(number as usize)?.regex.as_ref()
     }
 
-    fn within(&self, number: u32, path: &[u8]) -> Inner {
-        self.known[number as usize]
-            .within
+    fn find_nested(&self, number: u32, path: &[u8]) -> BlockMatch {
+        self.locations[number as usize]
+            .nested
             .as_ref()
-            .map_or(Inner::NotFound, |level| self.find_in(level, path))
+            .map_or(BlockMatch::NotFound, |block_index| {
+                self.find_in_block(block_index, path)
+            })
     }
 
-    fn find_in(&self, level: &Level, path: &[u8]) -> Inner {
-        let hit = level.trie.find(path);
-        if let Some(number) = hit.exact {
-            return Inner::Settled(number);
+    fn find_in_block(&self, block_index: &BlockIndex, path: &[u8]) -> BlockMatch {
+        let trie_match = block_index.trie.find(path);
+        if let Some(number) = trie_match.exact {
+            return BlockMatch::Final(number);
         }
-        let slashed = hit
-            .slashed
-            .filter(|number| !hit.whole && self.known[*number as usize].adds_slash);
-        if let Some(number) = slashed {
-            return Inner::AppendSlash(number);
+        let with_slash = trie_match.with_slash.filter(|number| {
+            !trie_match.prefix_is_whole_path && self.locations[*number as usize].adds_slash
+        });
+        if let Some(number) = with_slash {
+            return BlockMatch::AppendSlash(number);
         }
-        let mut found = Inner::NotFound;
-        if let Some(number) = hit.prefix {
-            found = match self.within(number, path) {
-                settled @ (Inner::Settled(_) | Inner::AppendSlash(_)) => return settled,
-                Inner::Open(inner) => Inner::Open(inner),
-                Inner::NotFound => Inner::Open(number),
+        let mut found = BlockMatch::NotFound;
+        if let Some(number) = trie_match.prefix {
+            found = match self.find_nested(number, path) {
+                final_match @ (BlockMatch::Final(_) | BlockMatch::AppendSlash(_)) => {
+                    return final_match
+                }
+                BlockMatch::Overridable(inner) => BlockMatch::Overridable(inner),
+                BlockMatch::NotFound => BlockMatch::Overridable(number),
             };
-            if self.known[number as usize].is_final {
+            if self.locations[number as usize].excludes_regexes {
                 return found;
             }
         }
-        let Some(number) = level.first_regex(path) else {
+        let Some(number) = block_index.first_regex(path) else {
             return found;
         };
-        match self.within(number, path) {
-            Inner::Settled(inner) | Inner::Open(inner) => Inner::Settled(inner),
-            Inner::AppendSlash(inner) => Inner::AppendSlash(inner),
-            Inner::NotFound => Inner::Settled(number),
+        match self.find_nested(number, path) {
+            BlockMatch::Final(inner) | BlockMatch::Overridable(inner) => BlockMatch::Final(inner),
+            BlockMatch::AppendSlash(inner) => BlockMatch::AppendSlash(inner),
+            BlockMatch::NotFound => BlockMatch::Final(number),
         }
     }
 }
 
-/// What one block says of a path.
+/// Result of looking up a path in one block.
 #[derive(Clone, Copy)]
-enum Inner {
-    /// An exact location or a regular expression: nothing beside the block changes that.
-    Settled(u32),
-    /// A prefix: regular expressions beside the block come before it.
-    Open(u32),
+enum BlockMatch {
+    /// An exact location or a regular expression takes the path; the enclosing block can't override
+    /// it.
+    Final(u32),
+    /// A prefix location takes the path; regular expressions of the enclosing block take precedence.
+    Overridable(u32),
     AppendSlash(u32),
     NotFound,
 }
 
-impl Level {
+impl BlockIndex {
     fn first_regex(&self, path: &[u8]) -> Option<u32> {
-        match &self.together {
-            Some(set) => set.matches(path).iter().next().map(|at| self.regexes[at].1),
+        match &self.regex_set {
+            Some(set) => set
+                .matches(path)
+                .iter()
+                .next()
+                .map(|position| self.regexes[position].1),
             None => self
                 .regexes
                 .iter()
@@ -187,80 +203,95 @@
     }
 }
 
-/// The same by a look at each location, from the text of nginx's rules.
+/// Finds the location for a path by checking every location, following nginx's documentation
+/// literally.
 #[must_use]
-pub fn one_by_one(locations: &[Location], path: &[u8]) -> LocationMatch {
-    /// Numbers of locations in the order of the file.
-    fn numbered(locations: &[Location], from: u32) -> Vec<(u32, &Location)> {
-        let mut next = from;
+pub fn find_linear(locations: &[Location], path: &[u8]) -> LocationMatch {
+    /// Pairs the locations of a block with their numbers.
+    fn number_locations(locations: &[Location], first_number: u32) -> Vec<(u32, &Location)> {
+        let mut next_number = first_number;
         let mut out = Vec::new();
         for location in locations {
-            out.push((next, location));
-            next += 1 + size(&location.nested);
+            out.push((next_number, location));
+            next_number += 1 + subtree_size(&location.nested);
         }
         out
     }
-    fn size(locations: &[Location]) -> u32 {
-        locations.iter().map(|one| 1 + size(&one.nested)).sum()
+    fn subtree_size(locations: &[Location]) -> u32 {
+        locations
+            .iter()
+            .map(|location| 1 + subtree_size(&location.nested))
+            .sum()
     }
-    /// The location, and whether regular expressions beside the block may still come before it.
-    fn block(locations: &[Location], from: u32, path: &[u8]) -> Option<(LocationMatch, bool)> {
-        let all = numbered(locations, from);
-        let named = |match_kind: MatchKind, pattern: &[u8]| {
-            all.iter()
-                .find(|(_, one)| one.match_kind == match_kind && one.pattern.as_bytes() == pattern)
+    /// Returns the match, and whether regular expressions of the enclosing block take precedence.
+    fn find_in_block(
+        locations: &[Location],
+        first_number: u32,
+        path: &[u8],
+    ) -> Option<(LocationMatch, bool)> {
+        let numbered_locations = number_locations(locations, first_number);
+        let find_plain = |match_kind: MatchKind, pattern: &[u8]| {
+            numbered_locations.iter().find(|(_, location)| {
+                location.match_kind == match_kind && location.pattern.as_bytes() == pattern
+            })
         };
-        if let Some((number, _)) = named(MatchKind::Exact, path) {
+        if let Some((number, _)) = find_plain(MatchKind::Exact, path) {
             return Some((LocationMatch::Found(*number), false));
         }
-        let whole = [MatchKind::Prefix, MatchKind::PreferentialPrefix]
+        let has_whole_path = [MatchKind::Prefix, MatchKind::PreferentialPrefix]
             .into_iter()
-            .any(|match_kind| named(match_kind, path).is_some());
-        let slash = [path, b"/"].concat();
-        let mut slashed = [
+            .any(|match_kind| find_plain(match_kind, path).is_some());
+        let path_with_slash = [path, b"/"].concat();
+        let mut with_slash = [
             MatchKind::Exact,
             MatchKind::Prefix,
             MatchKind::PreferentialPrefix,
         ]
         .into_iter()
-        .filter_map(|match_kind| named(match_kind, &slash));
-        if let Some((number, one)) = slashed.next().filter(|_| !whole) {
-            if adds_slash(one) {
+        .filter_map(|match_kind| find_plain(match_kind, &path_with_slash));
+        if let Some((number, location)) = with_slash.next().filter(|_| !has_whole_path) {
+            if adds_slash(location) {
                 return Some((LocationMatch::AppendSlash(*number), false));
             }
         }
-        let plain = all.iter().filter(|(_, one)| {
+        let prefixes = numbered_locations.iter().filter(|(_, location)| {
             matches!(
-                one.match_kind,
+                location.match_kind,
                 MatchKind::Prefix | MatchKind::PreferentialPrefix
             )
         });
-        let best = plain
-            .filter(|(_, one)| path.starts_with(one.pattern.as_bytes()))
-            .max_by_key(|(_, one)| one.pattern.len());
+        let longest = prefixes
+            .filter(|(_, location)| path.starts_with(location.pattern.as_bytes()))
+            .max_by_key(|(_, location)| location.pattern.len());
         let mut found = None;
-        if let Some((number, one)) = best {
-            found = block(&one.nested, number + 1, path)
+        if let Some((number, location)) = longest {
+            found = find_in_block(&location.nested, number + 1, path)
                 .or(Some((LocationMatch::Found(*number), true)));
-            if one.match_kind == MatchKind::PreferentialPrefix
-                || found.is_some_and(|(_, open)| !open)
+            if location.match_kind == MatchKind::PreferentialPrefix
+                || found.is_some_and(|(_, is_overridable)| !is_overridable)
             {
                 return found;
             }
         }
-        for (number, one) in all.iter().filter(|(_, one)| one.match_kind.is_regex()) {
+        for (number, location) in numbered_locations
+            .iter()
+            .filter(|(_, location)| location.match_kind.is_regex())
+        {
             let regex = pattern::compile(
-                &one.pattern,
-                one.match_kind == MatchKind::RegexCaseInsensitive,
+                &location.pattern,
+                location.match_kind == MatchKind::RegexCaseInsensitive,
             );
             if regex.is_ok_and(|regex| regex.is_match(path)) {
-                let inner = block(&one.nested, number + 1, path).map(|(taken, _)| taken);
-                return Some((inner.unwrap_or(LocationMatch::Found(*number)), false));
+                let nested_match = find_in_block(&location.nested, number + 1, path)
+                    .map(|(location_match, _)| location_match);
+                return Some((nested_match.unwrap_or(LocationMatch::Found(*number)), false));
             }
         }
         found
     }
-    block(locations, 0, path).map_or(LocationMatch::NotFound, |(taken, _)| taken)
+    find_in_block(locations, 0, path).map_or(LocationMatch::NotFound, |(location_match, _)| {
+        location_match
+    })
 }
 
 #[cfg(test)]
@@ -352,16 +383,19 @@
             .boxed()
     }
 
-    /// Locations of one block, without two of a kind for one path.
+    /// Locations of one block, without duplicates of an exact or prefix location.
     fn siblings(depth: u32) -> BoxedStrategy<Vec<Location>> {
         prop::collection::vec(any_location(depth), 0..7)
-            .prop_map(|mut all| {
+            .prop_map(|mut locations| {
                 let mut seen = std::collections::HashSet::new();
-                all.retain(|one| {
-                    one.match_kind.is_regex()
-                        || seen.insert((one.match_kind == MatchKind::Exact, one.pattern.clone()))
+                locations.retain(|location| {
+                    location.match_kind.is_regex()
+                        || seen.insert((
+                            location.match_kind == MatchKind::Exact,
+                            location.pattern.clone(),
+                        ))
                 });
-                all
+                locations
             })
             .boxed()
     }
@@ -369,10 +403,10 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(12), ..ProptestConfig::default() })]
         #[test]
-        fn it_finds_what_a_look_at_each_location_finds(all in siblings(2), paths in prop::collection::vec("/[abAB/]{0,4}", 8)) {
-            let locator = LocationIndex::new(&all).unwrap();
+        fn find_agrees_with_a_linear_search(locations in siblings(2), paths in prop::collection::vec("/[abAB/]{0,4}", 8)) {
+            let index = LocationIndex::new(&locations).unwrap();
             for path in paths {
-                prop_assert_eq!(locator.find(path.as_bytes()), one_by_one(&all, path.as_bytes()), "{}", path);
+                prop_assert_eq!(index.find(path.as_bytes()), find_linear(&locations, path.as_bytes()), "{}", path);
             }
         }
     }
--- a/crates/routes/src/pattern.rs
+++ b/crates/routes/src/pattern.rs
@@ -1,19 +1,21 @@
-//! Regular expressions of a configuration: on bytes, as nginx matches them, and only those that mean the same here.
+//! Regular expressions of a configuration. They match bytes, as in nginx; one that would mean
+//! something else here than in nginx is rejected.
 
 use regex::bytes::{Regex, RegexBuilder};
 
-/// Compiles one.
+/// Compiles a regular expression.
 ///
 /// # Errors
-/// Why it can't be expressed: look-around, references back and possessive repetition are not.
-pub fn compile(text: &str, any_case: bool) -> Result<Regex, String> {
+/// A message that names the unsupported construct: look-around, backreferences or possessive
+/// repetition.
+pub fn compile(text: &str, case_insensitive: bool) -> Result<Regex, String> {
     RegexBuilder::new(text)
-        .case_insensitive(any_case)
+        .case_insensitive(case_insensitive)
         .unicode(false)
         .build()
         .map_err(|e| {
-            let what = e.to_string();
-            let last = what
+            let message = e.to_string();
+            let last = message
                 .lines()
                 .last()
                 .unwrap_or_default()
@@ -23,9 +25,9 @@
         })
 }
 
-/// Names of its groups; they become variables.
+/// Returns the names of the capture groups; nginx makes variables of them.
 #[must_use]
-pub fn names(text: &str) -> Vec<String> {
+pub fn capture_names(text: &str) -> Vec<String> {
     let Ok(regex) = compile(text, false) else {
         return Vec::new();
     };
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -164,7 +164,7 @@
         steps.extend(&location.steps);
     });
     for step in steps {
-        if let crate::model::Step::Rewrite { regex, .. } = step {
+        if let crate::model::RewriteStep::Rewrite { regex, .. } = step {
             found.extend(example(regex, false).filter(|text| text.starts_with('/')));
         }
     }
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -5,7 +5,7 @@
 //! - Further tries are a share of first tries: when many targets fail, the load does not multiply.
 
 use crate::balancer::Micros;
-use crate::model::Next;
+use crate::model::RetryPolicy;
 
 /// What a try came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -328,14 +328,14 @@
             .collect::<Result<Vec<_>, _>>()?;
         let mut listens: BTreeMap<String, Listen> = BTreeMap::new();
         for (number, server) in routes.servers.iter().enumerate() {
-            for (address, default) in &server.listens {
+            for (address, default) in &server.listen_addresses {
                 let listen = listens.entry(address.clone()).or_default();
                 if *default || listen.default.is_none() {
                     let first = listen.default.replace(number);
                     // One that is the default by its place gives way to one that says so, and not the other way.
                     let said = |at: usize| {
                         routes.servers[at]
-                            .listens
+                            .listen_addresses
                             .iter()
                             .any(|(other, said)| other == address && *said)
                     };
@@ -453,7 +453,7 @@
                 reason: by,
             })
         };
-        let uri = match uri::read(asked.request_target, host.merge_slashes) {
+        let uri = match uri::parse(asked.request_target, host.merge_slashes) {
             Ok(uri) => uri,
             Err(what) => {
                 return answer(
@@ -643,7 +643,7 @@
     fn fill_at(&self, template: &Template, walk: &Walk<'_>, depth: usize) -> String {
         template.expand(|piece, out| match piece {
             TemplatePart::Capture(number) => {
-                out.push_str(walk.groups.get(*number).map_or("", |text| text))
+                out.push_str(walk.groups.get(*number).map_or("", |text| text));
             }
             TemplatePart::Variable(name) => out.push_str(&self.value(name, walk, depth)),
             TemplatePart::Literal(_) => {}
@@ -653,7 +653,7 @@
     /// A text with the values that a request gives to its variables.
     #[must_use]
     pub fn expand(&self, template: &Template, asked: &RouteRequest<'_>) -> String {
-        let uri = uri::read(asked.request_target, true).unwrap_or(Uri {
+        let uri = uri::parse(asked.request_target, true).unwrap_or(Uri {
             path: Vec::new(),
             args: String::new(),
         });
--- a/crates/routes/src/template.rs
+++ b/crates/routes/src/template.rs
@@ -1,86 +1,88 @@
-//! Texts with variables.
+//! Texts that contain variables and captures, such as `/new/$1?tenant=$arg_t`.
 
-/// A part of a text.
+/// A part of a [`Template`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TemplatePart {
-    /// Text as it stands.
+    /// Literal text.
     Literal(String),
-    /// A variable's value.
+    /// A variable, by its name without the dollar sign.
     Variable(String),
-    /// What a group of the last regular expression matched.
+    /// A capture group, by number, of the regular expression that matched last.
     Capture(usize),
 }
 
-/// A text with variables in it.
+/// A text that contains variables and captures.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Template(pub Vec<TemplatePart>);
 
 impl Template {
-    /// Reads one.
+    /// Parses a text.
     ///
     /// # Errors
-    /// A sign without a name.
+    /// A dollar sign without a variable name, or a brace that is not closed.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let (mut pieces, mut rest) = (Vec::new(), text);
-        while let Some(at) = rest.find('$') {
-            if at > 0 {
-                pieces.push(TemplatePart::Literal(rest[..at].to_owned()));
+        let (mut parts, mut remaining) = (Vec::new(), text);
+        while let Some(offset) = remaining.find('$') {
+            if offset > 0 {
+                parts.push(TemplatePart::Literal(remaining[..offset].to_owned()));
             }
-            rest = &rest[at + 1..];
-            let (name, after) = match rest.strip_prefix('{') {
+            remaining = &remaining[offset + 1..];
+            let (name, tail) = match remaining.strip_prefix('{') {
                 Some(inner) => inner
                     .split_once('}')
                     .ok_or_else(|| format!("{text:?}: a brace is not closed"))?,
-                None if rest.starts_with(|c: char| c.is_ascii_digit()) => rest.split_at(1),
+                None if remaining.starts_with(|c: char| c.is_ascii_digit()) => {
+                    remaining.split_at(1)
+                }
                 None => {
-                    let end = rest
+                    let end = remaining
                         .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
-                        .unwrap_or(rest.len());
-                    rest.split_at(end)
+                        .unwrap_or(remaining.len());
+                    remaining.split_at(end)
                 }
             };
-            rest = after;
+            remaining = tail;
             if name.is_empty() || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_') {
                 return Err(format!(
                     "{text:?}: a variable's name is missing after the sign"
                 ));
             }
-            pieces.push(match name.parse() {
+            parts.push(match name.parse() {
                 Ok(group @ 0..=9) => TemplatePart::Capture(group),
                 _ => TemplatePart::Variable(name.to_owned()),
             });
         }
-        if !rest.is_empty() {
-            pieces.push(TemplatePart::Literal(rest.to_owned()));
+        if !remaining.is_empty() {
+            parts.push(TemplatePart::Literal(remaining.to_owned()));
         }
-        Ok(Self(pieces))
+        Ok(Self(parts))
     }
 
-    /// Its variables, groups left out.
+    /// Iterates over the names of the variables, without captures.
     pub fn variables(&self) -> impl Iterator<Item = &str> {
-        self.0.iter().filter_map(|piece| match piece {
+        self.0.iter().filter_map(|part| match part {
             TemplatePart::Variable(name) => Some(name.as_str()),
             _ => None,
         })
     }
 
-    /// The text, with values put in.
-    pub fn expand(&self, mut value: impl FnMut(&TemplatePart, &mut String)) -> String {
+    /// Expands the template; `expand_part` appends the value of a variable or capture.
+    pub fn expand(&self, mut expand_part: impl FnMut(&TemplatePart, &mut String)) -> String {
         let mut out = String::new();
-        for piece in &self.0 {
-            match piece {
+        for part in &self.0 {
+            match part {
                 TemplatePart::Literal(text) => out.push_str(text),
-                other => value(other, &mut out),
+                other => expand_part(other, &mut out),
             }
         }
         out
     }
 }
 
-/// Whether a variable is given with each request.
+/// Whether a variable has its value from the request itself, as nginx's built-in ones.
 #[must_use]
 pub fn is_request_variable(name: &str) -> bool {
-    const GIVEN: [&str; 12] = [
+    const REQUEST_VARIABLES: [&str; 12] = [
         "uri",
         "document_uri",
         "request_uri",
@@ -94,10 +96,10 @@
         "scheme",
         "server_port",
     ];
-    GIVEN.contains(&name)
+    REQUEST_VARIABLES.contains(&name)
         || ["arg_", "http_", "cookie_"]
             .iter()
-            .any(|start| name.starts_with(start))
+            .any(|prefix| name.starts_with(prefix))
 }
 
 #[cfg(test)]
@@ -105,21 +107,21 @@
     use super::*;
 
     #[test]
-    fn variables_and_groups_are_found() {
-        let parse = Template::parse("a$b/${c}d$1$12").unwrap();
+    fn parse_splits_variables_captures_and_literals() {
+        let template = Template::parse("a$b/${c}d$1$12").unwrap();
         let variable = |name: &str| TemplatePart::Variable(name.to_owned());
-        let text = |text: &str| TemplatePart::Literal(text.to_owned());
+        let literal = |text: &str| TemplatePart::Literal(text.to_owned());
         let expected = [
-            text("a"),
+            literal("a"),
             variable("b"),
-            text("/"),
+            literal("/"),
             variable("c"),
-            text("d"),
+            literal("d"),
             TemplatePart::Capture(1),
             TemplatePart::Capture(1),
-            text("2"),
+            literal("2"),
         ];
-        assert_eq!(parse.0, expected);
+        assert_eq!(template.0, expected);
         assert!(
             Template::parse("a$").is_err()
                 && Template::parse("${a").is_err()
--- a/crates/routes/src/uri.rs
+++ b/crates/routes/src/uri.rs
@@ -1,23 +1,24 @@
-//! Paths of requests as nginx reads them before it looks for a location: decoded, dot segments resolved, slashes merged.
+//! Normalized request paths, as nginx makes them before it looks up a location: percent-decoded,
+//! dot segments resolved, adjacent slashes merged.
 
-/// A request's target, taken apart.
+/// A parsed request target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Uri {
-    /// The path to route by: decoded and normal.
+    /// Path to route by, decoded and normalized.
     pub path: Vec<u8>,
-    /// What follows the question mark.
+    /// Query string, without the question mark.
     pub args: String,
 }
 
-fn hex(byte: u8) -> Option<u8> {
+fn hex_digit(byte: u8) -> Option<u8> {
     char::from(byte).to_digit(16).map(|digit| digit as u8)
 }
 
-/// Reads a target such as `/a/../b%20c?d#e`; what follows a number sign is dropped.
+/// Parses a request target such as `/a/../b%20c?d#e`. The fragment is dropped.
 ///
 /// # Errors
-/// What is wrong with it; nginx answers 400.
-pub fn read(target: &str, merge_slashes: bool) -> Result<Uri, &'static str> {
+/// What is wrong with the target; nginx responds with 400.
+pub fn parse(target: &str, merge_slashes: bool) -> Result<Uri, &'static str> {
     if !target.starts_with('/') {
         return Err("it does not begin with a slash");
     }
@@ -27,7 +28,10 @@
     let mut bytes = path.bytes();
     while let Some(byte) = bytes.next() {
         let byte = match byte {
-            b'%' => match (bytes.next().and_then(hex), bytes.next().and_then(hex)) {
+            b'%' => match (
+                bytes.next().and_then(hex_digit),
+                bytes.next().and_then(hex_digit),
+            ) {
                 (Some(high), Some(low)) => high << 4 | low,
                 _ => return Err("a percent sign without two hexadecimal digits"),
             },
@@ -38,37 +42,37 @@
         }
         decoded.push(byte);
     }
-    // Without any of these the path is normal as it stands.
-    let odd = |pair: &[u8]| matches!(pair, [b'/', b'/' | b'.']);
-    if !decoded.windows(2).any(odd) {
+    // A path without adjacent slashes and without a dot after a slash is normalized already.
+    let needs_normalizing = |pair: &[u8]| matches!(pair, [b'/', b'/' | b'.']);
+    if !decoded.windows(2).any(needs_normalizing) {
         return Ok(Uri {
             path: decoded,
             args: args.to_owned(),
         });
     }
     let mut out: Vec<u8> = Vec::with_capacity(decoded.len());
-    let mut rest = &decoded[..];
-    // Each turn takes a slash and the segment after it.
-    while let Some(after) = rest.strip_prefix(b"/") {
-        let end = after
+    let mut remaining = &decoded[..];
+    // Each iteration consumes a slash and the segment after it.
+    while let Some(tail) = remaining.strip_prefix(b"/") {
+        let end = tail
             .iter()
             .position(|byte| *byte == b'/')
-            .unwrap_or(after.len());
-        let (segment, next) = after.split_at(end);
-        rest = next;
+            .unwrap_or(tail.len());
+        let (segment, following) = tail.split_at(end);
+        remaining = following;
         match segment {
-            b"." if next.is_empty() => out.push(b'/'),
+            b"." if following.is_empty() => out.push(b'/'),
             b"." => {}
             b".." => {
-                let Some(back) = out.iter().rposition(|byte| *byte == b'/') else {
+                let Some(parent) = out.iter().rposition(|byte| *byte == b'/') else {
                     return Err("it leads above the root");
                 };
-                out.truncate(back);
-                if next.is_empty() {
+                out.truncate(parent);
+                if following.is_empty() {
                     out.push(b'/');
                 }
             }
-            b"" if merge_slashes && !next.is_empty() => {}
+            b"" if merge_slashes && !following.is_empty() => {}
             segment => {
                 out.push(b'/');
                 out.extend_from_slice(segment);
@@ -81,7 +85,7 @@
     })
 }
 
-/// Writes a decoded path as it may stand in a request.
+/// Percent-encodes a decoded path, so that it can be part of a request.
 #[must_use]
 pub fn escape(path: &[u8]) -> String {
     let mut out = String::with_capacity(path.len());
@@ -101,7 +105,7 @@
     use super::*;
 
     #[test]
-    fn targets_are_read_as_nginx_reads_them() {
+    fn parse_normalizes_targets_as_nginx_does() {
         let cases: [(&str, &str, &str); 16] = [
             ("/a", "/a", ""),
             ("/a?b?c", "/a", "b?c"),
@@ -121,7 +125,7 @@
             ("/a/..", "/", ""),
         ];
         for (target, path, args) in cases {
-            let found = read(target, true).unwrap();
+            let found = parse(target, true).unwrap();
             assert_eq!(
                 (
                     String::from_utf8_lossy(&found.path).as_ref(),
@@ -131,7 +135,7 @@
                 "{target}"
             );
         }
-        assert_eq!(read("/a//b", false).unwrap().path, b"/a//b");
+        assert_eq!(parse("/a//b", false).unwrap().path, b"/a//b");
         for target in [
             "a",
             "",
@@ -143,7 +147,7 @@
             "/%00",
             "/a/../../b",
         ] {
-            assert!(read(target, true).is_err(), "{target}");
+            assert!(parse(target, true).is_err(), "{target}");
         }
         assert_eq!(escape(b"/a b%?\xff"), "/a%20b%25%3F%FF");
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -309,7 +309,7 @@
                 options
                     .settings
                     .routes
-                    .lines()
+                    .to_lines()
                     .iter()
                     .for_each(|line| say!("{line}"));
                 say!("{}", cluster::show(cluster.as_ref()));
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -339,7 +339,7 @@
         let Ok(address) = text.parse() else {
             let what = format!(
                 "{}: where {} leads is not told, and names are not looked up",
-                target.place, target.address
+                target.position, target.address
             );
             return wrong("targets.names", what);
         };
