--- a/crates/routes/src/diff.rs
+++ b/crates/routes/src/diff.rs
@@ -1,52 +1,53 @@
-//! What goes elsewhere under another table, with a request for each as an example.
+//! Compares two route tables and reports which requests are routed differently, each kind with an
+//! example request.
 
 use crate::model::{Pool, Routes};
-use crate::probe::{probes, values, Probe};
+use crate::probe::{example_values, probe_requests, ProbeRequest};
 use crate::router::{RouteDecision, RouteRequest, Router};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Values of one header that are tried with each request.
-const VALUES: usize = 64;
+/// Maximum number of values of one header that are combined with each request.
+const MAX_HEADER_VALUES: usize = 64;
 
-/// Requests that go elsewhere now.
+/// Requests of one kind that the two tables route differently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Moved {
-    /// What became of them, and by which location.
+pub struct ReroutedRequests {
+    /// Decision of the old table, with the location that made it.
     pub before: String,
-    /// What becomes of them now.
+    /// Decision of the new table, with the location that made it.
     pub after: String,
-    /// An example, with the header that makes it so.
+    /// An example request, with the header that the decision depends on.
     pub example: String,
-    /// Examples of this kind that were tried.
+    /// Number of probe requests of this kind.
     pub count: usize,
 }
 
-/// How two tables differ.
+/// Difference between two route tables.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Requests that go elsewhere.
+    /// Requests that are routed differently.
     #[serde(rename = "moved")]
-    pub rerouted: Vec<Moved>,
-    /// Pools whose way to choose or targets differ, a line each.
+    pub rerouted: Vec<ReroutedRequests>,
+    /// One line for each change of a pool's balancing method or targets.
     pub pools: Vec<String>,
-    /// Requests that were tried.
+    /// Number of probe requests.
     #[serde(rename = "tried")]
     pub probe_count: usize,
 }
 
 impl Difference {
-    /// Whether nothing differs, as far as was tried.
+    /// Whether no probe request and no pool shows a difference.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rerouted.is_empty() && self.pools.is_empty()
     }
 }
 
-/// What a decision comes to, without its place in a file.
+/// Describes a decision, without the position of the location that made it.
 #[must_use]
-pub fn describe_decision(found: &Result<RouteDecision, String>) -> String {
-    match found {
+pub fn describe_decision(decision: &Result<RouteDecision, String>) -> String {
+    match decision {
         Ok(RouteDecision::Forward {
             pool, uri, class, ..
         }) => {
@@ -56,18 +57,14 @@
                 .unwrap_or_default();
             format!("{pool} {uri}{class}")
         }
-        Ok(RouteDecision::Respond {
-            status: code, text, ..
-        }) if text.is_empty() => code.to_string(),
-        Ok(RouteDecision::Respond {
-            status: code, text, ..
-        }) => format!("{code} {text:?}"),
-        Err(what) => what.clone(),
+        Ok(RouteDecision::Respond { status, text, .. }) if text.is_empty() => status.to_string(),
+        Ok(RouteDecision::Respond { status, text, .. }) => format!("{status} {text:?}"),
+        Err(error) => error.clone(),
     }
 }
 
-fn by(table: &Router, found: &Result<RouteDecision, String>) -> String {
-    match found {
+fn describe_with_location(router: &Router, decision: &Result<RouteDecision, String>) -> String {
+    match decision {
         Ok(RouteDecision::Forward {
             server,
             location,
@@ -75,138 +72,148 @@
             class,
             ..
         }) => {
-            let site = table.location(*server, *location);
-            let site = site
-                .map(|site| format!("{} at {}", site.name, site.position))
+            let location = router.location(*server, *location);
+            let location = location
+                .map(|location| format!("{} at {}", location.name, location.position))
                 .unwrap_or_default();
             let class = class
                 .as_ref()
                 .map(|class| format!(" as {class}"))
                 .unwrap_or_default();
-            format!("{pool}{class} by {site}")
+            format!("{pool}{class} by {location}")
         }
-        Ok(RouteDecision::Respond {
-            status: code,
-            reason: by,
-            ..
-        }) => format!("{code}: {by}"),
-        Err(what) => what.clone(),
+        Ok(RouteDecision::Respond { status, reason, .. }) => format!("{status}: {reason}"),
+        Err(error) => error.clone(),
     }
 }
 
-/// Headers that a table's variables look at.
+/// Returns the names of the `http_` variables, which are request headers, that a table's own
+/// variables use.
 #[must_use]
-pub fn headers(routes: &Routes) -> BTreeSet<String> {
+pub fn header_variables(routes: &Routes) -> BTreeSet<String> {
     use crate::model::Variable;
-    let sources = routes.variables.values().map(|made| match made {
-        Variable::Map { source, .. } => source,
-        Variable::Split { key, .. } => key,
-    });
-    let mut found = BTreeSet::new();
+    let sources = routes
+        .variables
+        .values()
+        .map(|definition| match definition {
+            Variable::Map { source, .. } => source,
+            Variable::Split { key, .. } => key,
+        });
+    let mut names = BTreeSet::new();
     for source in sources {
         let Ok(template) = crate::template::Template::parse(source) else {
             continue;
         };
-        found.extend(
+        names.extend(
             template
                 .variables()
                 .filter(|name| name.starts_with("http_"))
                 .map(str::to_owned),
         );
     }
-    found
+    names
 }
 
-/// Compares two tables.
+/// Compares two route tables.
 ///
 /// # Errors
-/// Where one of them can't be prepared.
+/// A table can't be prepared.
 pub fn diff_routes(old: &Routes, new: &Routes) -> Result<Difference, String> {
-    let (before, after) = (Router::new(old)?, Router::new(new)?);
-    let all: BTreeSet<Probe> = probes(old).into_iter().chain(probes(new)).collect();
-    // With no header, and with each value that a map names and some that none does.
-    let mut variants: Vec<Vec<(String, String)>> = vec![Vec::new()];
-    for name in headers(old)
+    let (old_router, new_router) = (Router::new(old)?, Router::new(new)?);
+    let requests: BTreeSet<ProbeRequest> = probe_requests(old)
+        .into_iter()
+        .chain(probe_requests(new))
+        .collect();
+    // Each request is routed without headers, with each value that a map lists, and with some values
+    // that no map lists.
+    let mut header_variants: Vec<Vec<(String, String)>> = vec![Vec::new()];
+    for name in header_variables(old)
         .into_iter()
-        .chain(headers(new))
+        .chain(header_variables(new))
         .collect::<BTreeSet<_>>()
     {
         let header = name.trim_start_matches("http_").replace('_', "-");
-        let mut tried: BTreeSet<String> = values(old, &name)
+        let mut values: BTreeSet<String> = example_values(old, &name)
             .into_iter()
-            .chain(values(new, &name))
+            .chain(example_values(new, &name))
             .collect();
-        tried.extend((0..16).map(|number| format!("sample-{number}")));
-        variants.extend(
-            tried
+        values.extend((0..16).map(|number| format!("sample-{number}")));
+        header_variants.extend(
+            values
                 .into_iter()
-                .take(VALUES)
+                .take(MAX_HEADER_VALUES)
                 .map(|value| vec![(header.clone(), value)]),
         );
     }
     let mut difference = Difference::default();
     let mut groups: BTreeMap<(String, String), (String, usize)> = BTreeMap::new();
-    for probe in &all {
-        for headers in &variants {
-            let asked = RouteRequest {
-                listen_address: Some(&probe.listen),
-                host: &probe.host,
+    for request in &requests {
+        for headers in &header_variants {
+            let route_request = RouteRequest {
+                listen_address: Some(&request.listen_address),
+                host: &request.host,
                 method: "POST",
-                request_target: &probe.path,
+                request_target: &request.path,
                 headers,
                 caller_address: "192.0.2.1",
             };
             difference.probe_count += 1;
-            let (was, is) = (before.route(&asked), after.route(&asked));
-            if describe_decision(&was) == describe_decision(&is) {
+            let (old_decision, new_decision) = (
+                old_router.route(&route_request),
+                new_router.route(&route_request),
+            );
+            if describe_decision(&old_decision) == describe_decision(&new_decision) {
                 continue;
             }
-            let port = probe.listen.rsplit(':').next().unwrap_or("80");
+            let port = request.listen_address.rsplit(':').next().unwrap_or("80");
             let header: String = headers
                 .iter()
                 .map(|(name, value)| format!(" with {name}: {value}"))
                 .collect();
-            let host = if probe.host.is_empty() {
+            let host = if request.host.is_empty() {
                 "-"
             } else {
-                &probe.host
+                &request.host
             };
-            let example = format!("POST http://{host}:{port}{}{header}", probe.path);
+            let example = format!("POST http://{host}:{port}{}{header}", request.path);
             let group = groups
-                .entry((by(&before, &was), by(&after, &is)))
+                .entry((
+                    describe_with_location(&old_router, &old_decision),
+                    describe_with_location(&new_router, &new_decision),
+                ))
                 .or_insert((example, 0));
             group.1 += 1;
         }
     }
-    let moved = groups
+    let rerouted = groups
         .into_iter()
-        .map(|((before, after), (example, count))| Moved {
+        .map(|((before, after), (example, count))| ReroutedRequests {
             before,
             after,
             example,
             count,
         });
-    difference.rerouted = moved.collect();
+    difference.rerouted = rerouted.collect();
     let names: BTreeSet<_> = old.pools.keys().chain(new.pools.keys()).collect();
     for name in names {
         match (old.pools.get(name), new.pools.get(name)) {
             (None, _) => difference.pools.push(format!("{name}: new")),
             (_, None) => difference.pools.push(format!("{name}: gone")),
-            (Some(was), Some(is)) => pool(name, was, is, &mut difference.pools),
+            (Some(old), Some(new)) => diff_pool(name, old, new, &mut difference.pools),
         }
     }
     Ok(difference)
 }
 
-fn pool(name: &str, was: &Pool, is: &Pool, out: &mut Vec<String>) {
-    if was.method != is.method {
+fn diff_pool(name: &str, old: &Pool, new: &Pool, out: &mut Vec<String>) {
+    if old.method != new.method {
         out.push(format!(
             "{name}: chooses by {:?}, before by {:?}",
-            is.method, was.method
+            new.method, old.method
         ));
     }
-    let lines = |pool: &Pool| -> Vec<String> {
-        let one = |target: &crate::model::Target| {
+    let target_lines = |pool: &Pool| -> Vec<String> {
+        let target_line = |target: &crate::model::Target| {
             let mut target = target.clone();
             target.position.line = 0;
             let parts = [
@@ -230,17 +237,17 @@
             ];
             format!("{} {}", target.address, parts.join(" ").trim_end())
         };
-        pool.targets.iter().map(one).collect()
+        pool.targets.iter().map(target_line).collect()
     };
-    let (was, is) = (lines(was), lines(is));
+    let (old, new) = (target_lines(old), target_lines(new));
     out.extend(
-        was.iter()
-            .filter(|line| !is.contains(line))
+        old.iter()
+            .filter(|line| !new.contains(line))
             .map(|line| format!("{name}: no longer {line}")),
     );
     out.extend(
-        is.iter()
-            .filter(|line| !was.contains(line))
+        new.iter()
+            .filter(|line| !old.contains(line))
             .map(|line| format!("{name}: now {line}")),
     );
 }
--- a/crates/routes/src/expectations.rs
+++ b/crates/routes/src/expectations.rs
@@ -412,7 +412,7 @@
     fn new(routes: &Routes, subjects: &Subjects) -> Self {
         let mut all = subjects.popular.clone();
         let variable = format!("http_{}", subjects.header.to_lowercase().replace('-', "_"));
-        all.extend(probe::values(routes, &variable));
+        all.extend(probe::example_values(routes, &variable));
         let mut random = SmallRng::seed_from_u64(subjects.seed);
         let number = |_| random.random_range(0..subjects.numbers.max(1)).to_string();
         all.extend(
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -1,65 +1,73 @@
-//! Example requests for a table: for each server and location some that it takes or nearly takes. What compares two
-//! tables, or looks for a path below a prefix, asks these.
+//! Probe requests for a route table: for each server and location some requests that it takes, and
+//! some that it just misses. Comparisons of tables and expectations use them.
 
 use crate::import::locations;
 use crate::model::{Location, MatchKind, Routes, Server, Variable};
 use regex_syntax::hir::{Class, Hir, HirKind};
 use std::collections::BTreeSet;
 
-/// A request to try.
+/// A probe request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Probe {
-    /// The `address:port`.
-    pub listen: String,
-    /// The host.
+pub struct ProbeRequest {
+    /// The `address:port` at which the request arrives.
+    pub listen_address: String,
+    /// Host.
     pub host: String,
-    /// The path.
+    /// Path.
     pub path: String,
 }
 
-/// Copies of what is repeated.
-const REPEATS: u32 = 2;
-/// Bytes of an example.
-const LONGEST: usize = 512;
+/// Maximum number of copies of a repetition whose minimum is lower.
+const MAX_REPETITIONS: u32 = 2;
+/// Maximum length of an example.
+const MAX_EXAMPLE_BYTES: usize = 512;
 
-/// A text that a regular expression matches, where one is easily made; it is to be checked.
+/// Returns a text that a regular expression probably matches, if one is easily made. The caller has
+/// to check that it does.
 #[must_use]
-pub fn example(regex: &str, any_case: bool) -> Option<String> {
-    let parsed = regex_syntax::ParserBuilder::new()
-        .case_insensitive(any_case)
+pub fn regex_example(regex: &str, case_insensitive: bool) -> Option<String> {
+    let hir = regex_syntax::ParserBuilder::new()
+        .case_insensitive(case_insensitive)
         .unicode(false)
         .utf8(false)
         .build()
         .parse(regex)
         .ok()?;
     let mut bytes = Vec::new();
-    write(&parsed, &mut bytes);
-    bytes.truncate(LONGEST);
+    write_example(&hir, &mut bytes);
+    bytes.truncate(MAX_EXAMPLE_BYTES);
     String::from_utf8(bytes).ok()
 }
 
-fn write(hir: &Hir, out: &mut Vec<u8>) {
-    if out.len() > LONGEST {
+fn write_example(hir: &Hir, out: &mut Vec<u8>) {
+    if out.len() > MAX_EXAMPLE_BYTES {
         return;
     }
     match hir.kind() {
         HirKind::Empty | HirKind::Look(_) => {}
         HirKind::Literal(literal) => out.extend_from_slice(&literal.0),
-        HirKind::Class(class) => out.extend(one_of(class)),
-        HirKind::Repetition(repeated) => {
-            let most = repeated.max.unwrap_or(u32::MAX);
-            for _ in 0..repeated.min.max(1.min(most)).min(repeated.min.max(REPEATS)) {
-                write(&repeated.sub, out);
+        HirKind::Class(class) => out.extend(example_byte(class)),
+        HirKind::Repetition(repetition) => {
+            let max_count = repetition.max.unwrap_or(u32::MAX);
+            for _ in 0..repetition
+                .min
+                .max(1.min(max_count))
+                .min(repetition.min.max(MAX_REPETITIONS))
+            {
+                write_example(&repetition.sub, out);
             }
         }
-        HirKind::Capture(group) => write(&group.sub, out),
-        HirKind::Concat(parts) => parts.iter().for_each(|part| write(part, out)),
-        HirKind::Alternation(parts) => parts.first().into_iter().for_each(|part| write(part, out)),
+        HirKind::Capture(group) => write_example(&group.sub, out),
+        HirKind::Concat(parts) => parts.iter().for_each(|part| write_example(part, out)),
+        HirKind::Alternation(parts) => parts
+            .first()
+            .into_iter()
+            .for_each(|part| write_example(part, out)),
     }
 }
 
-/// A plain letter or digit where the class has one.
-fn one_of(class: &Class) -> Option<u8> {
+/// Returns a byte of a character class, preferably a plain letter or digit.
+fn example_byte(class: &Class) -> Option<u8> {
     let ranges: Vec<(u8, u8)> = match class {
         Class::Bytes(class) => class
             .ranges()
@@ -75,48 +83,48 @@
                 .collect()
         }
     };
-    let has = |wanted: &u8| {
+    let is_in_class = |preferred: &u8| {
         ranges
             .iter()
-            .any(|(from, to)| (from..=to).contains(&wanted))
+            .any(|(from, to)| (from..=to).contains(&preferred))
     };
-    let wanted = b"x1a-_/.".iter().copied().find(|byte| has(byte));
-    wanted.or_else(|| ranges.first().map(|(from, _)| *from))
+    let preferred = b"x1a-_/.".iter().copied().find(|byte| is_in_class(byte));
+    preferred.or_else(|| ranges.first().map(|(from, _)| *from))
 }
 
-/// A text that the regular expression of a location matches.
+/// Returns an example for the regular expression of a location.
 #[must_use]
 pub fn location_example(location: &Location) -> Option<String> {
-    let text = location.match_kind.is_regex().then(|| {
-        example(
+    let example = location.match_kind.is_regex().then(|| {
+        regex_example(
             &location.pattern,
             location.match_kind == MatchKind::RegexCaseInsensitive,
         )
     });
-    text.flatten().filter(|text| !text.is_empty())
+    example.flatten().filter(|example| !example.is_empty())
 }
 
-/// Paths near what a location takes.
-fn paths(location: &Location, into: &mut BTreeSet<String>) {
+/// Adds paths that a location takes or just misses.
+fn add_location_paths(location: &Location, paths: &mut BTreeSet<String>) {
     let pattern = &location.pattern;
     match location.match_kind {
         MatchKind::Named => {}
         MatchKind::Exact => {
-            into.extend([
+            paths.extend([
                 pattern.clone(),
                 format!("{pattern}/"),
                 format!("{pattern}x"),
             ]);
         }
         MatchKind::Prefix | MatchKind::PreferentialPrefix => {
-            into.extend([
+            paths.extend([
                 pattern.clone(),
                 format!("{pattern}x"),
                 format!("{}/x/y", pattern.trim_end_matches('/')),
             ]);
-            // The path without its last byte just misses it.
+            // The prefix without its last character just misses the location.
             if pattern.len() > 1 {
-                into.insert(
+                paths.insert(
                     pattern
                         [..pattern.len() - pattern.chars().next_back().map_or(1, char::len_utf8)]
                         .to_owned(),
@@ -124,23 +132,23 @@
             }
         }
         MatchKind::Regex | MatchKind::RegexCaseInsensitive => {
-            if let Some(text) = location_example(location) {
-                let rooted = if text.starts_with('/') {
-                    text
+            if let Some(example) = location_example(location) {
+                let absolute = if example.starts_with('/') {
+                    example
                 } else {
-                    format!("/{text}")
+                    format!("/{example}")
                 };
-                into.extend([format!("{rooted}x"), rooted]);
+                paths.extend([format!("{absolute}x"), absolute]);
             }
         }
     }
 }
 
-/// A host that a server's name takes.
+/// Returns a host that matches a server name.
 #[must_use]
-pub fn host(name: &str) -> String {
+pub fn example_host(name: &str) -> String {
     if let Some(regex) = name.strip_prefix('~') {
-        return example(regex, true).unwrap_or_default();
+        return regex_example(regex, true).unwrap_or_default();
     }
     if let Some(rest) = name.strip_prefix("*.") {
         return format!("x.{rest}");
@@ -151,57 +159,57 @@
     name.to_owned()
 }
 
-/// The paths near all locations of a server.
+/// Returns paths that the locations of a server take or just miss.
 #[must_use]
 pub fn server_paths(server: &Server) -> BTreeSet<String> {
-    let mut found = BTreeSet::from(["/".to_owned()]);
+    let mut paths = BTreeSet::from(["/".to_owned()]);
     locations(&server.locations, &mut |location| {
-        paths(location, &mut found);
+        add_location_paths(location, &mut paths);
     });
-    // What a rewrite matches goes elsewhere than the locations say.
+    // Rewrites change the location that a path leads to.
     let mut steps: Vec<_> = server.steps.iter().collect();
     locations(&server.locations, &mut |location| {
         steps.extend(&location.steps);
     });
     for step in steps {
         if let crate::model::RewriteStep::Rewrite { regex, .. } = step {
-            found.extend(example(regex, false).filter(|text| text.starts_with('/')));
+            paths.extend(regex_example(regex, false).filter(|text| text.starts_with('/')));
         }
     }
-    found.retain(|path| path.starts_with('/'));
-    found
+    paths.retain(|path| path.starts_with('/'));
+    paths
         .into_iter()
         .map(|path| crate::uri::escape(path.as_bytes()))
         .collect()
 }
 
-/// Requests near all locations of a table.
+/// Returns the probe requests for all servers and locations of a table.
 #[must_use]
-pub fn probes(routes: &Routes) -> BTreeSet<Probe> {
-    let mut found = BTreeSet::new();
+pub fn probe_requests(routes: &Routes) -> BTreeSet<ProbeRequest> {
+    let mut probe_requests = BTreeSet::new();
     for server in &routes.servers {
         let paths = server_paths(server);
-        for (listen, _) in &server.listen_addresses {
+        for (listen_address, _) in &server.listen_addresses {
             for name in &server.names {
                 for path in &paths {
-                    found.insert(Probe {
-                        listen: listen.clone(),
-                        host: host(name),
+                    probe_requests.insert(ProbeRequest {
+                        listen_address: listen_address.clone(),
+                        host: example_host(name),
                         path: path.clone(),
                     });
                 }
             }
         }
     }
-    found
+    probe_requests
 }
 
-/// Values of a variable that a table's maps name, or take by a regular expression.
+/// Returns values of a variable that the maps of a table list or match by a regular expression.
 #[must_use]
-pub fn values(routes: &Routes, variable: &str) -> BTreeSet<String> {
-    let mut found = BTreeSet::new();
-    for made in routes.variables.values() {
-        let Variable::Map { source, cases, .. } = made else {
+pub fn example_values(routes: &Routes, variable: &str) -> BTreeSet<String> {
+    let mut values = BTreeSet::new();
+    for definition in routes.variables.values() {
+        let Variable::Map { source, cases, .. } = definition else {
             continue;
         };
         if source
@@ -215,18 +223,18 @@
         for (case, _) in cases {
             match case.strip_prefix('~') {
                 Some(regex) => {
-                    let (regex, any_case) = regex
+                    let (regex, case_insensitive) = regex
                         .strip_prefix('*')
                         .map_or((regex, false), |regex| (regex, true));
-                    found.extend(example(regex, any_case));
+                    values.extend(regex_example(regex, case_insensitive));
                 }
                 None => {
-                    found.insert(host(case));
+                    values.insert(example_host(case));
                 }
             }
         }
     }
-    found
+    values
 }
 
 #[cfg(test)]
@@ -234,7 +242,7 @@
     use super::*;
 
     #[test]
-    fn examples_match_what_they_are_made_from() {
+    fn examples_match_their_regular_expressions() {
         for regex in [
             r"^/api/v\d+/(?:seat|lobby)s?$",
             r"\.(png|gif)$",
@@ -243,7 +251,7 @@
             "(?i)^/QUEUE",
             "^$",
         ] {
-            let text = example(regex, false).unwrap();
+            let text = regex_example(regex, false).unwrap();
             assert!(
                 crate::pattern::compile(regex, false)
                     .unwrap()
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -1,176 +1,185 @@
-//! Whether a request whose try came to nothing is tried again elsewhere. Decisions alone.
+//! Decides whether a request whose attempt failed is retried at another target. No I/O and no
+//! clock.
 //!
-//! - What may have run of a class with an effect is never tried again, whatever the configuration says.
-//! - No try begins that could not be answered by the due time.
-//! - Further tries are a share of first tries: when many targets fail, the load does not multiply.
+//! - A request of a class with an effect is never retried once it may have run, whatever the
+//!   configuration says.
+//! - No attempt begins that can't be completed by the deadline.
+//! - Retries are limited to a share of first attempts, so that the load does not multiply when many
+//!   targets fail.
 
 use crate::balancer::Micros;
 use crate::model::RetryPolicy;
 
-/// What a try came to.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// Turned away: it never ran. The target may ask to be left alone, and that nobody else is asked.
+    /// The target rejected the request, which never ran. The target may ask for a backoff, and for
+    /// no attempt at another target.
     Rejected {
-        /// For so long.
+        /// Time for which the target asks not to be used.
         retry_after: Micros,
-        /// Nobody else should be asked.
+        /// The request should not be sent to another target.
         no_failover: bool,
     },
-    /// No connection, or a connection that was closed before anything of it was read: it never ran.
+    /// There was no connection, or it was closed before the target read any of the request, which
+    /// never ran.
     NotSent,
-    /// The connection broke after it was sent: it may have run.
+    /// The connection broke after the request was sent: it may have run.
     ConnectionLost,
-    /// No answer within its time: it may run still.
+    /// There was no response in time: the request may still run.
     TimedOut,
-    /// The target answered that it failed: it may have run.
+    /// The target responded that the request failed: it may have run.
     Failed,
 }
 
 impl AttemptFailure {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::TimedOut | Self::Failed)
     }
 }
 
-/// A request between two tries.
+/// State of a request after an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryContext {
-    /// It has an effect.
+    /// The class of the request has an effect.
     pub has_effect: bool,
-    /// Any of its tries so far may have run.
+    /// Any earlier attempt may have run.
     pub may_have_run: bool,
-    /// When it came.
+    /// Time at which the request was received.
     pub received_at: Micros,
-    /// When it has to be answered.
+    /// Time by which the response is due.
     pub deadline: Micros,
-    /// Tries so far.
+    /// Number of attempts so far.
     pub attempts: u32,
 }
 
-/// What becomes of it.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another target is tried.
+    /// Send the request to another target.
     Retry,
-    /// It is turned away: nothing of it ran. The caller may come back after this time.
+    /// Reject the request: no attempt ran. The caller may retry after this time.
     Reject(Micros),
-    /// It failed: something of it may have run.
+    /// Respond that the request failed: an attempt may have run.
     Fail,
 }
 
-/// Why no further try was made, for counters.
+/// Reason for which a request is not retried, as a key of counters. The names of the variants appear
+/// in a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryDenial {
-    /// It may have run, and has an effect.
+    /// The request may have run, and has an effect.
     Effect,
-    /// The configuration says so.
+    /// The configuration does not retry this kind of failure.
     Configured,
-    /// No more tries for it.
+    /// The maximum number of attempts is reached.
     Tries,
-    /// No time.
+    /// The timeout for all attempts is over, or the deadline is too close for another one.
     Time,
-    /// The budget is spent.
+    /// The retry budget is spent.
     Budget,
-    /// The target asked that nobody else be tried.
+    /// The target asked for no attempt at another target.
     Told,
 }
 
-/// The budget of further tries, for one pool.
+/// Retry budget of one pool: a token bucket that first attempts fill and retries drain.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Further tries for each first try.
-    share: f64,
-    /// Further tries that are saved at most.
-    most: f64,
-    saved: f64,
+    /// Tokens earned by each first attempt; a retry costs one token.
+    retry_ratio: f64,
+    /// Maximum number of saved tokens.
+    max_tokens: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget of this share of first tries, of which so many further tries can be saved; it begins with those.
+    /// Creates a full budget of `max_tokens` retries, to which each first attempt adds
+    /// `retry_ratio`.
     #[must_use]
-    pub fn new(share: f64, most: f64) -> Self {
+    pub fn new(retry_ratio: f64, max_tokens: f64) -> Self {
         Self {
-            share,
-            most,
-            saved: most,
+            retry_ratio,
+            max_tokens,
+            tokens: max_tokens,
         }
     }
 
-    /// A request made its first try.
+    /// Records that a request makes its first attempt.
     pub fn record_first_attempt(&mut self) {
-        self.saved = (self.saved + self.share).min(self.most);
+        self.tokens = (self.tokens + self.retry_ratio).min(self.max_tokens);
     }
 
-    fn take(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        self.saved -= f64::from(u8::from(enough));
-        enough
+    fn try_consume(&mut self) -> bool {
+        let is_available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_available));
+        is_available
     }
 
-    /// Decides what becomes of a request after a try; takes from the budget where it is tried again.
+    /// Decides what to do after a failed attempt, and takes a token from the budget for a retry. No
+    /// retry begins unless `shortest_attempt` is left before the deadline.
     pub fn decide(
         &mut self,
         now: Micros,
-        asked: &RetryContext,
-        what: AttemptFailure,
-        next: &RetryPolicy,
-        shortest: Micros,
+        context: &RetryContext,
+        failure: AttemptFailure,
+        policy: &RetryPolicy,
+        shortest_attempt: Micros,
     ) -> (RetryDecision, Option<RetryDenial>) {
-        let stopped = self.stopped(now, asked, what, next, shortest);
-        let verdict = match (stopped, what) {
+        let denial = self.denial(now, context, failure, policy, shortest_attempt);
+        let decision = match (denial, failure) {
             (None, _) => RetryDecision::Retry,
-            // Nothing of it ran anywhere, so that it can be said so.
-            (_, AttemptFailure::Rejected { retry_after, .. }) if !asked.may_have_run => {
+            // No attempt ran, so the caller may be told so.
+            (_, AttemptFailure::Rejected { retry_after, .. }) if !context.may_have_run => {
                 RetryDecision::Reject(retry_after)
             }
-            (_, AttemptFailure::NotSent) if !asked.may_have_run => RetryDecision::Reject(0),
+            (_, AttemptFailure::NotSent) if !context.may_have_run => RetryDecision::Reject(0),
             _ => RetryDecision::Fail,
         };
-        (verdict, stopped)
+        (decision, denial)
     }
 
-    fn stopped(
+    fn denial(
         &mut self,
         now: Micros,
-        asked: &RetryContext,
-        what: AttemptFailure,
-        next: &RetryPolicy,
-        shortest: Micros,
+        context: &RetryContext,
+        failure: AttemptFailure,
+        policy: &RetryPolicy,
+        shortest_attempt: Micros,
     ) -> Option<RetryDenial> {
-        if asked.has_effect && (asked.may_have_run || what.may_have_run()) {
+        if context.has_effect && (context.may_have_run || failure.may_have_run()) {
             return Some(RetryDenial::Effect);
         }
         if let AttemptFailure::Rejected {
             no_failover: true, ..
-        } = what
+        } = failure
         {
             return Some(RetryDenial::Told);
         }
-        let says = |statuses: &[u16]| {
+        let retries_any_of = |statuses: &[u16]| {
             statuses
                 .iter()
-                .any(|status| next.on_statuses.contains(status))
+                .any(|status| policy.on_statuses.contains(status))
         };
-        let configured = match what {
-            AttemptFailure::Rejected { .. } => says(&[503, 429]),
-            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => next.on_error,
-            AttemptFailure::TimedOut => next.on_timeout,
-            AttemptFailure::Failed => says(&[500, 502, 504]),
+        let is_configured = match failure {
+            AttemptFailure::Rejected { .. } => retries_any_of(&[503, 429]),
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => policy.on_error,
+            AttemptFailure::TimedOut => policy.on_timeout,
+            AttemptFailure::Failed => retries_any_of(&[500, 502, 504]),
         };
-        if !configured {
+        if !is_configured {
             return Some(RetryDenial::Configured);
         }
-        if next.max_attempts > 0 && asked.attempts >= next.max_attempts {
+        if policy.max_attempts > 0 && context.attempts >= policy.max_attempts {
             return Some(RetryDenial::Tries);
         }
-        let over = next.timeout_ms > 0 && now >= asked.received_at + next.timeout_ms * 1_000;
-        if over || now + shortest >= asked.deadline {
+        let is_past_timeout =
+            policy.timeout_ms > 0 && now >= context.received_at + policy.timeout_ms * 1_000;
+        if is_past_timeout || now + shortest_attempt >= context.deadline {
             return Some(RetryDenial::Time);
         }
-        (!self.take()).then_some(RetryDenial::Budget)
+        (!self.try_consume()).then_some(RetryDenial::Budget)
     }
 }
 
@@ -178,17 +187,17 @@
 mod tests {
     use super::*;
 
-    fn next(statuses: &[u16], tries: u32, timeout_ms: u64) -> RetryPolicy {
+    fn policy(statuses: &[u16], max_attempts: u32, timeout_ms: u64) -> RetryPolicy {
         RetryPolicy {
             on_error: true,
             on_timeout: true,
             on_statuses: statuses.to_vec(),
-            max_attempts: tries,
+            max_attempts,
             timeout_ms,
         }
     }
 
-    fn asked(has_effect: bool) -> RetryContext {
+    fn context(has_effect: bool) -> RetryContext {
         RetryContext {
             has_effect,
             may_have_run: false,
@@ -204,88 +213,96 @@
     };
 
     #[test]
-    fn what_may_have_run_with_an_effect_is_never_tried_again() {
-        let all = next(&[403, 404, 429, 500, 502, 503, 504], 0, 0);
+    fn a_request_with_an_effect_that_may_have_run_is_never_retried() {
+        let retry_all = policy(&[403, 404, 429, 500, 502, 503, 504], 0, 0);
         let mut budget = RetryBudget::new(1.0, 100.0);
-        for what in [
+        for failure in [
             AttemptFailure::ConnectionLost,
             AttemptFailure::TimedOut,
             AttemptFailure::Failed,
         ] {
             assert_eq!(
-                budget.decide(0, &asked(true), what, &all, 0),
+                budget.decide(0, &context(true), failure, &retry_all, 0),
                 (RetryDecision::Fail, Some(RetryDenial::Effect)),
-                "{what:?}"
+                "{failure:?}"
             );
             assert_eq!(
-                budget.decide(0, &asked(false), what, &all, 0),
+                budget.decide(0, &context(false), failure, &retry_all, 0),
                 (RetryDecision::Retry, None),
-                "{what:?}"
+                "{failure:?}"
             );
         }
-        for what in [AttemptFailure::NotSent, REJECTED] {
+        for failure in [AttemptFailure::NotSent, REJECTED] {
             assert_eq!(
-                budget.decide(0, &asked(true), what, &all, 0),
+                budget.decide(0, &context(true), failure, &retry_all, 0),
                 (RetryDecision::Retry, None),
-                "{what:?}"
+                "{failure:?}"
             );
-            // Nor after a try before that may have run.
-            let before = RetryContext {
+            // An earlier attempt may have run.
+            let after_earlier_attempt = RetryContext {
                 may_have_run: true,
-                ..asked(true)
+                ..context(true)
             };
             assert_eq!(
-                budget.decide(0, &before, what, &all, 0),
+                budget.decide(0, &after_earlier_attempt, failure, &retry_all, 0),
                 (RetryDecision::Fail, Some(RetryDenial::Effect)),
-                "{what:?}"
+                "{failure:?}"
             );
         }
     }
 
     #[test]
-    fn a_refusal_is_passed_on_only_where_nothing_ran() {
-        let none = RetryPolicy {
+    fn a_rejection_is_passed_on_only_if_no_attempt_ran() {
+        let retry_none = RetryPolicy {
             on_error: false,
             on_timeout: false,
-            ..next(&[], 0, 0)
+            ..policy(&[], 0, 0)
         };
         let mut budget = RetryBudget::new(1.0, 100.0);
         assert_eq!(
-            budget.decide(0, &asked(true), REJECTED, &none, 0).0,
+            budget.decide(0, &context(true), REJECTED, &retry_none, 0).0,
             RetryDecision::Reject(500)
         );
         assert_eq!(
             budget
-                .decide(0, &asked(true), AttemptFailure::NotSent, &none, 0)
+                .decide(0, &context(true), AttemptFailure::NotSent, &retry_none, 0)
                 .0,
             RetryDecision::Reject(0)
         );
-        let may_have_run = RetryContext {
+        let after_earlier_attempt = RetryContext {
             may_have_run: true,
-            ..asked(false)
+            ..context(false)
         };
         assert_eq!(
-            budget.decide(0, &may_have_run, REJECTED, &none, 0).0,
+            budget
+                .decide(0, &after_earlier_attempt, REJECTED, &retry_none, 0)
+                .0,
             RetryDecision::Fail
         );
         assert_eq!(
             budget
-                .decide(0, &asked(false), AttemptFailure::ConnectionLost, &none, 0)
+                .decide(
+                    0,
+                    &context(false),
+                    AttemptFailure::ConnectionLost,
+                    &retry_none,
+                    0
+                )
                 .0,
             RetryDecision::Fail
         );
     }
 
     #[test]
-    fn tries_times_and_words_of_the_target_end_it() {
+    fn attempts_timeouts_deadline_and_no_failover_stop_retries() {
         let mut budget = RetryBudget::new(1.0, 100.0);
-        let all = next(&[503], 2, 300);
+        let retry_all = policy(&[503], 2, 300);
         let table = [
             (
                 0,
                 RetryContext {
                     attempts: 1,
-                    ..asked(false)
+                    ..context(false)
                 },
                 REJECTED,
                 0,
@@ -295,24 +312,30 @@
                 0,
                 RetryContext {
                     attempts: 2,
-                    ..asked(false)
+                    ..context(false)
                 },
                 REJECTED,
                 0,
                 Some(RetryDenial::Tries),
             ),
-            (300_000, asked(false), REJECTED, 0, Some(RetryDenial::Time)),
+            (
+                300_000,
+                context(false),
+                REJECTED,
+                0,
+                Some(RetryDenial::Time),
+            ),
             (
                 200_000,
-                asked(false),
+                context(false),
                 REJECTED,
                 800_000,
                 Some(RetryDenial::Time),
             ),
-            (200_000, asked(false), REJECTED, 799_999, None),
+            (200_000, context(false), REJECTED, 799_999, None),
             (
                 0,
-                asked(false),
+                context(false),
                 AttemptFailure::Rejected {
                     retry_after: 0,
                     no_failover: true,
@@ -322,26 +345,28 @@
             ),
             (
                 0,
-                asked(false),
+                context(false),
                 AttemptFailure::Failed,
                 0,
                 Some(RetryDenial::Configured),
             ),
         ];
-        for (now, asked, what, shortest, stopped) in table {
+        for (now, context, failure, shortest_attempt, denial) in table {
             assert_eq!(
-                budget.decide(now, &asked, what, &all, shortest).1,
-                stopped,
-                "{asked:?} {what:?}"
+                budget
+                    .decide(now, &context, failure, &retry_all, shortest_attempt)
+                    .1,
+                denial,
+                "{context:?} {failure:?}"
             );
         }
     }
 
     #[test]
-    fn further_tries_stay_a_share_of_first_tries_when_all_fail() {
+    fn retries_stay_a_share_of_first_attempts_when_all_fail() {
         let mut budget = RetryBudget::new(0.2, 10.0);
-        let all = next(&[503], 0, 0);
-        let mut again = 0;
+        let retry_all = policy(&[503], 0, 0);
+        let mut retries = 0;
         for _ in 0..10_000 {
             budget.record_first_attempt();
             let mut tries = 1;
@@ -350,21 +375,21 @@
                     0,
                     &RetryContext {
                         attempts: tries,
-                        ..asked(false)
+                        ..context(false)
                     },
                     AttemptFailure::NotSent,
-                    &all,
+                    &retry_all,
                     0,
                 )
                 .0
                 == RetryDecision::Retry
             {
-                (again, tries) = (again + 1, tries + 1);
+                (retries, tries) = (retries + 1, tries + 1);
             }
         }
         assert!(
-            (1_990..=2_010).contains(&again),
-            "{again} further tries of 10000"
+            (1_990..=2_010).contains(&retries),
+            "{retries} retries of 10000 requests"
         );
     }
 }
