--- a/crates/routes/src/expectations.rs
+++ b/crates/routes/src/expectations.rs
@@ -1,9 +1,10 @@
 //! Expectations on routing, checked without traffic.
 //!
-//! Which location takes a request follows from its host and path alone, so that an expectation over all subjects is
-//! proven by one look where the location's pool has no variable in it. Where it has, the subjects that the file names, those
-//! that a map names and a seeded sample are tried, and the report says so. An expectation that meets nothing is vacuous,
-//! and fails: a change of the configuration has left it behind.
+//! The location of a request follows from its host and path alone, so one lookup proves an
+//! expectation for all subjects if the location's pool contains no variable. Otherwise the subjects
+//! that the file lists, those that a map lists and a seeded sample are checked, and the report says
+//! so. An expectation that matches nothing is vacuous and fails, because the configuration has
+//! changed without it.
 
 use crate::balancer::Balancer;
 use crate::model::{BalancingMethod, MatchKind, Routes, Server};
@@ -20,265 +21,278 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExpectationFile {
-    /// Whom requests concern.
+    /// Subjects that the requests are about.
     #[serde(default)]
-    pub subjects: Subjects,
-    /// What is expected.
-    pub expect: Vec<Expectation>,
+    pub subjects: SubjectSettings,
+    /// The expectations.
+    #[serde(rename = "expect")]
+    pub expectations: Vec<Expectation>,
 }
 
-/// Subjects of requests.
+/// The subjects that are checked.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Subjects {
-    /// The header that names them.
+pub struct SubjectSettings {
+    /// Request header that names the subject.
     pub header: String,
-    /// Those that are always tried.
+    /// Subjects that are always checked.
     pub popular: Vec<String>,
-    /// So many more are made from the pattern.
+    /// Number of random subjects, made from the pattern.
     pub samples: u32,
-    /// A name with `%d` for a number.
+    /// Name of a random subject, with `%d` for its number.
     pub pattern: String,
-    /// Numbers below this.
-    pub numbers: u64,
-    /// For the sample.
+    /// Random numbers are below this.
+    #[serde(rename = "numbers")]
+    pub number_limit: u64,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-impl Default for Subjects {
+impl Default for SubjectSettings {
     fn default() -> Self {
         Self {
             header: "X-Subject".to_owned(),
             popular: Vec::new(),
             samples: 2_000,
             pattern: "subject-%d".to_owned(),
-            numbers: 1_000_000,
+            number_limit: 1_000_000,
             seed: 1,
         }
     }
 }
 
-/// Requests that an expectation is about.
+/// A set of requests that an expectation is about.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Requests {
-    /// The host, with a port where it is not 80.
+pub struct RequestSet {
+    /// Host, with a port if it is not 80.
     pub host: String,
-    /// The method.
-    #[serde(default = "post")]
+    /// Method.
+    #[serde(default = "default_method")]
     pub method: String,
-    /// A path.
+    /// The only path.
     #[serde(default)]
     pub path: Option<String>,
-    /// All paths that begin with this.
-    #[serde(default)]
-    pub under: Option<String>,
-    /// These subjects instead of all.
+    /// Prefix of the paths.
+    #[serde(rename = "under", default)]
+    pub prefix: Option<String>,
+    /// Subjects, instead of those of the file.
     #[serde(default)]
     pub subjects: Option<Vec<String>>,
 }
 
-fn post() -> String {
+fn default_method() -> String {
     "POST".to_owned()
 }
 
-/// Where requests land.
+/// Where requests are expected to be routed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Lands {
-    /// In one of these pools.
+pub struct ExpectedDestination {
+    /// To one of these pools.
     #[serde(default)]
     pub pools: Vec<String>,
-    /// As this class.
+    /// With this class.
     #[serde(default)]
     pub class: Option<String>,
-    /// Answered with this status instead.
+    /// Not to a pool, but to a response with this status.
     #[serde(default)]
     pub status: Option<u16>,
 }
 
-/// A bound on what moves.
+/// A limit of the requests that a change of the configuration may move.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Moves {
-    /// The file before.
-    pub from: String,
-    /// The share of subjects that may go to another pool or target.
-    pub at_most: f64,
+pub struct MoveLimit {
+    /// Configuration file to compare with.
+    #[serde(rename = "from")]
+    pub baseline_file: String,
+    /// Maximum share of requests that may go to another pool or target.
+    #[serde(rename = "at_most")]
+    pub max_share: f64,
 }
 
-/// An expectation: one of its last four says what.
+/// An expectation. One of its last four fields says what is expected.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
-    /// What it is called.
+    /// Name in the report.
     pub name: String,
-    /// What it is about; nothing for one about targets.
-    #[serde(default)]
-    pub requests: Vec<Requests>,
-    /// They land there.
+    /// The requests it is about; empty if it is about targets.
     #[serde(default)]
-    pub lands: Option<Lands>,
+    pub requests: Vec<RequestSet>,
+    /// The requests are routed there.
+    #[serde(rename = "lands", default)]
+    pub destination: Option<ExpectedDestination>,
     /// No request reaches any of these addresses.
-    #[serde(default)]
-    pub never: Vec<String>,
-    /// Each subject lands in one pool, whichever of the paths it asks for.
-    #[serde(default)]
-    pub one_pool: bool,
-    /// So few subjects move.
-    #[serde(default)]
-    pub moves: Option<Moves>,
+    #[serde(rename = "never", default)]
+    pub unreachable_addresses: Vec<String>,
+    /// All requests of a subject go to the same pool, whatever their path.
+    #[serde(rename = "one_pool", default)]
+    pub single_pool: bool,
+    /// At most a share of the requests moves.
+    #[serde(rename = "moves", default)]
+    pub move_limit: Option<MoveLimit>,
 }
 
-/// How an expectation was checked.
+/// For which requests an expectation was checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Coverage {
     /// For all requests that it is about.
     Proven,
-    /// For those that were tried.
+    /// For a sample of them.
     Sampled,
 }
 
-/// What came of an expectation.
+/// Outcome of an expectation.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// It holds.
     Holds(Coverage),
-    /// It does not; with an example, and how many of those that were tried.
+    /// It doesn't hold.
     Broken {
-        /// A request and what became of it.
+        /// A request that breaks it, and how that request is routed.
         example: String,
-        /// How many were found.
+        /// Number of requests, targets or subjects that break it.
         count: usize,
     },
-    /// It meets nothing, for this reason.
+    /// It matches nothing, for this reason.
     Vacuous(String),
 }
 
-/// A line of the report.
+/// Report on one expectation.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ExpectationReport {
-    /// The expectation.
+    /// Name of the expectation.
     pub name: String,
-    /// What came of it.
+    /// Outcome.
     #[serde(rename = "came")]
     pub outcome: Outcome,
-    /// Requests that were tried.
+    /// Number of requests that were checked.
     #[serde(rename = "tried")]
     pub requests_checked: usize,
 }
 
 impl ExpectationReport {
-    /// Whether it holds.
+    /// Whether the expectation holds.
     #[must_use]
     pub fn holds(&self) -> bool {
         matches!(self.outcome, Outcome::Holds(_))
     }
 }
 
-/// A table with what is needed to check it.
-pub struct Checked<'a> {
+/// A route table, prepared for checks of expectations.
+pub struct Checker<'a> {
     routes: &'a Routes,
-    table: Router,
-    /// Pools, and what they choose by.
+    router: Router,
+    /// The pools by name: their balancer, and the key of a pool that balances by one.
     pools: BTreeMap<String, (Balancer, Option<Template>)>,
 }
 
-impl<'a> Checked<'a> {
-    /// Prepares a table.
+impl<'a> Checker<'a> {
+    /// Prepares a route table.
     ///
     /// # Errors
-    /// Where it can't be prepared.
+    /// The table can't be prepared.
     pub fn new(routes: &'a Routes) -> Result<Self, String> {
-        let key = |method: &BalancingMethod| match method {
+        let key_template = |method: &BalancingMethod| match method {
             BalancingMethod::Hash { key, .. } => Template::parse(key).ok(),
             _ => None,
         };
-        let one = |(name, pool): (&String, &_)| {
-            (name.clone(), (Balancer::new(pool, 0), key(&pool.method)))
+        let with_balancer = |(name, pool): (&String, &_)| {
+            (
+                name.clone(),
+                (Balancer::new(pool, 0), key_template(&pool.method)),
+            )
         };
-        let pools = routes.pools.iter().map(one).collect();
+        let pools = routes.pools.iter().map(with_balancer).collect();
         Ok(Self {
             routes,
-            table: Router::new(routes)?,
+            router: Router::new(routes)?,
             pools,
         })
     }
 
-    fn decide(
+    fn route(
         &self,
-        requests: &Requests,
+        requests: &RequestSet,
         path: &str,
         headers: &[(String, String)],
     ) -> Result<RouteDecision, String> {
-        self.table.route(&asked(requests, path, headers))
+        self.router.route(&route_request(requests, path, headers))
     }
 
-    /// Whether the decision depends on nothing but host and path.
-    fn is_settled(&self, decision: &RouteDecision) -> bool {
+    /// Whether a decision depends only on host and path.
+    fn is_static(&self, decision: &RouteDecision) -> bool {
         match decision {
-            // The text of an answer may differ; its status does not.
+            // The body of a response may depend on more, but its status doesn't.
             RouteDecision::Respond { .. } => true,
             RouteDecision::Forward {
                 server, location, ..
             } => {
-                self.table
+                self.router
                     .location(*server, *location)
-                    .is_some_and(crate::router::CompiledLocation::is_settled)
+                    .is_some_and(crate::router::CompiledLocation::is_static)
                     && self
-                        .table
+                        .router
                         .servers
                         .get(*server)
-                        .is_some_and(crate::router::CompiledServer::is_settled)
+                        .is_some_and(crate::router::CompiledServer::is_static)
             }
         }
     }
 
-    /// The pool, and where the pool chooses by a key the target, that a request goes to.
-    fn home(&self, requests: &Requests, path: &str, headers: &[(String, String)]) -> Home {
-        let asked = asked(requests, path, headers);
-        let found = self.table.route(&asked);
-        let Ok(RouteDecision::Forward { pool, .. }) = &found else {
-            return Home {
-                found: crate::diff::describe_decision(&found).into(),
-                passes: false,
+    /// Returns the pool that a request goes to, and its target if the pool balances by a key.
+    fn destination(
+        &self,
+        requests: &RequestSet,
+        path: &str,
+        headers: &[(String, String)],
+    ) -> Destination {
+        let route_request = route_request(requests, path, headers);
+        let decision = self.router.route(&route_request);
+        let Ok(RouteDecision::Forward { pool, .. }) = &decision else {
+            return Destination {
+                pool_or_response: crate::diff::describe_decision(&decision).into(),
+                is_forwarded: false,
                 target: None,
             };
         };
         let target = self.pools.get(&**pool).and_then(|(balancer, key)| {
             let key = key.as_ref()?;
-            let at = balancer.preferred_target(self.table.expand(key, &asked).as_bytes())?;
-            balancer.addresses().nth(at).map(str::to_owned)
+            let index =
+                balancer.preferred_target(self.router.expand(key, &route_request).as_bytes())?;
+            balancer.addresses().nth(index).map(str::to_owned)
         });
-        Home {
-            found: pool.clone(),
-            passes: true,
+        Destination {
+            pool_or_response: pool.clone(),
+            is_forwarded: true,
             target,
         }
     }
 }
 
-/// Where a request goes.
+/// Where a request is routed.
 #[derive(PartialEq)]
-struct Home {
-    found: Arc<str>,
-    passes: bool,
+struct Destination {
+    pool_or_response: Arc<str>,
+    is_forwarded: bool,
     target: Option<String>,
 }
 
-impl std::fmt::Display for Home {
+impl std::fmt::Display for Destination {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match &self.target {
-            Some(target) => write!(f, "{target} of {}", self.found),
-            None => f.write_str(&self.found),
+            Some(target) => write!(f, "{target} of {}", self.pool_or_response),
+            None => f.write_str(&self.pool_or_response),
         }
     }
 }
 
-fn asked<'a>(
-    requests: &'a Requests,
+fn route_request<'a>(
+    requests: &'a RequestSet,
     path: &'a str,
     headers: &'a [(String, String)],
 ) -> RouteRequest<'a> {
@@ -293,141 +307,146 @@
     }
 }
 
-/// Paths that requests are about, and whether these stand for all of them.
-fn paths(routes: &Routes, requests: &Requests) -> (Vec<String>, bool) {
+/// Returns the paths to check for a set of requests, and whether they represent all paths of the set.
+fn paths(routes: &Routes, requests: &RequestSet) -> (Vec<String>, bool) {
     if let Some(path) = &requests.path {
         return (vec![path.clone()], true);
     }
-    let under = requests.under.clone().unwrap_or_else(|| "/".to_owned());
-    let mut found: BTreeSet<String> = BTreeSet::from([under.clone(), format!("{under}x")]);
-    let stem = under.trim_end_matches('/');
+    let prefix = requests.prefix.clone().unwrap_or_else(|| "/".to_owned());
+    let mut paths_found: BTreeSet<String> = BTreeSet::from([prefix.clone(), format!("{prefix}x")]);
+    let prefix_without_slash = prefix.trim_end_matches('/');
     for server in &routes.servers {
-        found.extend(
+        paths_found.extend(
             probe::server_paths(server)
                 .into_iter()
-                .filter(|path| path.starts_with(&under)),
+                .filter(|path| path.starts_with(&prefix)),
         );
-        // A regular expression without an anchor takes paths below any prefix.
-        crate::import::locations(&server.locations, &mut |location| {
-            if let Some(text) = probe::location_example(location) {
-                found.insert(format!(
-                    "{stem}/{}",
-                    crate::uri::escape(text.trim_start_matches('/').as_bytes())
+        // A regular expression without an anchor may match paths below any prefix.
+        crate::import::visit_locations(&server.locations, &mut |location| {
+            if let Some(example) = probe::location_example(location) {
+                paths_found.insert(format!(
+                    "{prefix_without_slash}/{}",
+                    crate::uri::escape(example.trim_start_matches('/').as_bytes())
                 ));
             }
         });
     }
-    // Plain locations are all met by these; what else a regular expression takes is not known.
-    let any_regex = |server: &Server| {
-        let mut any = !server.steps.is_empty();
-        crate::import::locations(&server.locations, &mut |location| {
-            any |= matches!(
+    // These paths cover all exact and prefix locations, but not all that a regular expression or the
+    // steps of a server may match.
+    let may_have_other_paths = |server: &Server| {
+        let mut found = !server.steps.is_empty();
+        crate::import::visit_locations(&server.locations, &mut |location| {
+            found |= matches!(
                 location.match_kind,
                 MatchKind::Regex | MatchKind::RegexCaseInsensitive
             );
         });
-        any
+        found
     };
     (
-        found.into_iter().collect(),
-        !routes.servers.iter().any(any_regex),
+        paths_found.into_iter().collect(),
+        !routes.servers.iter().any(may_have_other_paths),
     )
 }
 
-/// Why requests meet nothing, if they do.
-fn vacuous(checked: &Checked<'_>, requests: &Requests) -> Option<String> {
+/// Returns why a set of requests matches nothing, if it does.
+fn vacuous_reason(checker: &Checker<'_>, requests: &RequestSet) -> Option<String> {
     let name = requests
         .host
         .rsplit_once(':')
         .map_or(requests.host.as_str(), |(name, _)| name)
         .to_lowercase();
-    let named = checked
+    let is_known_host = checker
         .routes
         .servers
         .iter()
         .flat_map(|server| &server.names)
-        .any(|known| {
-            let regex = known
+        .any(|server_name| {
+            let regex = server_name
                 .strip_prefix('~')
                 .and_then(|regex| crate::pattern::compile(regex, true).ok());
-            *known == name
-                || known
+            *server_name == name
+                || server_name
                     .strip_prefix('*')
                     .is_some_and(|end| name.ends_with(end))
-                || known
+                || server_name
                     .strip_suffix('*')
                     .is_some_and(|start| name.starts_with(start))
                 || regex.is_some_and(|regex| regex.is_match(name.as_bytes()))
-                || known.is_empty() && checked.routes.servers.len() == 1
+                || server_name.is_empty() && checker.routes.servers.len() == 1
         });
-    if !named {
+    if !is_known_host {
         return Some(format!("no server is called {:?}", requests.host));
     }
     if requests.subjects.as_ref().is_some_and(Vec::is_empty) {
         return Some("its set of subjects is empty".to_owned());
     }
-    let under = requests.under.as_ref()?;
-    let (tried, _) = paths(checked.routes, requests);
-    let met = |path: &String| match checked.decide(requests, path, &[]) {
+    let prefix = requests.prefix.as_ref()?;
+    let (paths_checked, _) = paths(checker.routes, requests);
+    let is_routed = |path: &String| match checker.route(requests, path, &[]) {
         Ok(RouteDecision::Forward { .. }) => true,
-        Ok(RouteDecision::Respond { status: code, .. }) => code != 404,
+        Ok(RouteDecision::Respond { status, .. }) => status != 404,
         Err(_) => false,
     };
-    let mut any = tried.iter().any(met);
-    for server in &checked.routes.servers {
-        let plain = |location: &crate::model::Location| {
-            !location.match_kind.is_regex() && location.pattern.starts_with(under)
+    let mut any = paths_checked.iter().any(is_routed);
+    for server in &checker.routes.servers {
+        let applies = |location: &crate::model::Location| {
+            !location.match_kind.is_regex() && location.pattern.starts_with(prefix)
         };
-        crate::import::locations(&server.locations, &mut |location| any |= plain(location));
+        crate::import::visit_locations(&server.locations, &mut |location| any |= applies(location));
     }
-    (!any).then(|| format!("no location takes paths below {under:?}"))
+    (!any).then(|| format!("no location takes paths below {prefix:?}"))
 }
 
-/// Checks all expectations; `old` reads the files that are compared with.
+/// Checks all expectations. `load_baseline` loads a configuration file to compare with.
 ///
 /// # Errors
-/// Where the table can't be prepared.
+/// The table can't be prepared.
 pub fn check_expectations(
     routes: &Routes,
     file: &ExpectationFile,
-    old: &dyn Fn(&str) -> Result<Routes, String>,
+    load_baseline: &dyn Fn(&str) -> Result<Routes, String>,
 ) -> Result<Vec<ExpectationReport>, String> {
-    let checked = Checked::new(routes)?;
-    let subjects = Sample::new(routes, &file.subjects);
+    let checker = Checker::new(routes)?;
+    let sample = SubjectSample::new(routes, &file.subjects);
     Ok(file
-        .expect
+        .expectations
         .iter()
-        .map(|one| report(&checked, &subjects, one, old))
+        .map(|expectation| check_expectation(&checker, &sample, expectation, load_baseline))
         .collect())
 }
 
-/// The subjects that are tried.
-struct Sample {
+/// The subjects that are checked.
+struct SubjectSample {
     header: String,
-    /// Named in the file or by a map, then the sample.
-    all: Vec<String>,
+    /// Subjects that the file or a map lists, followed by the random ones.
+    subjects: Vec<String>,
 }
 
-impl Sample {
-    fn new(routes: &Routes, subjects: &Subjects) -> Self {
-        let mut all = subjects.popular.clone();
-        let variable = format!("http_{}", subjects.header.to_lowercase().replace('-', "_"));
-        all.extend(probe::example_values(routes, &variable));
-        let mut random = SmallRng::seed_from_u64(subjects.seed);
-        let number = |_| random.random_range(0..subjects.numbers.max(1)).to_string();
-        all.extend(
-            (0..subjects.samples)
+impl SubjectSample {
+    fn new(routes: &Routes, settings: &SubjectSettings) -> Self {
+        let mut subjects = settings.popular.clone();
+        let variable = format!("http_{}", settings.header.to_lowercase().replace('-', "_"));
+        subjects.extend(probe::example_values(routes, &variable));
+        let mut random = SmallRng::seed_from_u64(settings.seed);
+        let number = |_| {
+            random
+                .random_range(0..settings.number_limit.max(1))
+                .to_string()
+        };
+        subjects.extend(
+            (0..settings.samples)
                 .map(number)
-                .map(|number| subjects.pattern.replace("%d", &number)),
+                .map(|number| settings.pattern.replace("%d", &number)),
         );
         Self {
-            header: subjects.header.clone(),
-            all,
+            header: settings.header.clone(),
+            subjects,
         }
     }
 
-    fn of<'a>(&'a self, requests: &'a Requests) -> &'a [String] {
-        requests.subjects.as_deref().unwrap_or(&self.all)
+    fn subjects_of<'a>(&'a self, requests: &'a RequestSet) -> &'a [String] {
+        requests.subjects.as_deref().unwrap_or(&self.subjects)
     }
 
     fn headers(&self, subject: &str) -> Vec<(String, String)> {
@@ -435,116 +454,134 @@
     }
 }
 
-fn report(
-    checked: &Checked<'_>,
-    sample: &Sample,
-    one: &Expectation,
-    old: &dyn Fn(&str) -> Result<Routes, String>,
+fn check_expectation(
+    checker: &Checker<'_>,
+    sample: &SubjectSample,
+    expectation: &Expectation,
+    load_baseline: &dyn Fn(&str) -> Result<Routes, String>,
 ) -> ExpectationReport {
-    let mut tried = 0;
-    let came = came(checked, sample, one, old, &mut tried);
+    let mut requests_checked = 0;
+    let outcome = evaluate(
+        checker,
+        sample,
+        expectation,
+        load_baseline,
+        &mut requests_checked,
+    );
     ExpectationReport {
-        name: one.name.clone(),
-        outcome: came,
-        requests_checked: tried,
+        name: expectation.name.clone(),
+        outcome,
+        requests_checked,
     }
 }
 
-fn came(
-    checked: &Checked<'_>,
-    sample: &Sample,
-    one: &Expectation,
-    old: &dyn Fn(&str) -> Result<Routes, String>,
-    tried: &mut usize,
+fn evaluate(
+    checker: &Checker<'_>,
+    sample: &SubjectSample,
+    expectation: &Expectation,
+    load_baseline: &dyn Fn(&str) -> Result<Routes, String>,
+    requests_checked: &mut usize,
 ) -> Outcome {
-    if !one.never.is_empty() {
-        return never(checked, one);
+    if !expectation.unreachable_addresses.is_empty() {
+        return check_unreachable(checker, expectation);
     }
-    if one.requests.is_empty() {
+    if expectation.requests.is_empty() {
         return Outcome::Vacuous("it is about no requests".to_owned());
     }
-    if let Some(why) = one
+    if let Some(reason) = expectation
         .requests
         .iter()
-        .find_map(|requests| vacuous(checked, requests))
+        .find_map(|requests| vacuous_reason(checker, requests))
     {
-        return Outcome::Vacuous(why);
-    }
-    if let Some(lands) = &one.lands {
-        return all_land(checked, sample, one, lands, tried);
-    }
-    if one.one_pool {
-        return in_one_pool(checked, sample, one, tried);
-    }
-    match &one.moves {
-        Some(moves) => few_move(checked, sample, one, moves, old, tried),
+        return Outcome::Vacuous(reason);
+    }
+    if let Some(destination) = &expectation.destination {
+        return check_destination(checker, sample, expectation, destination, requests_checked);
+    }
+    if expectation.single_pool {
+        return check_single_pool(checker, sample, expectation, requests_checked);
+    }
+    match &expectation.move_limit {
+        Some(move_limit) => check_moves(
+            checker,
+            sample,
+            expectation,
+            move_limit,
+            load_baseline,
+            requests_checked,
+        ),
         None => Outcome::Vacuous(
             "it says nothing: one of lands, never, one_pool and moves does".to_owned(),
         ),
     }
 }
 
-fn lands_there(lands: &Lands, found: &Result<RouteDecision, String>) -> bool {
-    match found {
+fn is_expected(expected: &ExpectedDestination, decision: &Result<RouteDecision, String>) -> bool {
+    match decision {
         Ok(RouteDecision::Forward { pool, class, .. }) => {
-            lands.status.is_none()
-                && (lands.pools.is_empty() || lands.pools.iter().any(|wanted| **wanted == **pool))
-                && (lands.class.is_none() || lands.class == *class)
+            expected.status.is_none()
+                && (expected.pools.is_empty()
+                    || expected.pools.iter().any(|wanted| **wanted == **pool))
+                && (expected.class.is_none() || expected.class == *class)
         }
-        Ok(RouteDecision::Respond { status: code, .. }) => lands.status == Some(*code),
+        Ok(RouteDecision::Respond { status, .. }) => expected.status == Some(*status),
         Err(_) => false,
     }
 }
 
-fn all_land(
-    checked: &Checked<'_>,
-    sample: &Sample,
-    one: &Expectation,
-    lands: &Lands,
-    tried: &mut usize,
+fn check_destination(
+    checker: &Checker<'_>,
+    sample: &SubjectSample,
+    expectation: &Expectation,
+    expected: &ExpectedDestination,
+    requests_checked: &mut usize,
 ) -> Outcome {
-    if let Some(pool) = lands
+    if let Some(pool) = expected
         .pools
         .iter()
-        .find(|pool| !checked.routes.pools.contains_key(*pool))
+        .find(|pool| !checker.routes.pools.contains_key(*pool))
     {
         return Outcome::Vacuous(format!("there is no pool {pool:?}"));
     }
-    let (mut how, mut broken, mut example) = (Coverage::Proven, 0, None);
-    for requests in &one.requests {
-        let (paths, whole) = paths(checked.routes, requests);
-        if !whole {
-            how = Coverage::Sampled;
+    let (mut coverage, mut broken_count, mut example) = (Coverage::Proven, 0, None);
+    for requests in &expectation.requests {
+        let (paths, covers_all_paths) = paths(checker.routes, requests);
+        if !covers_all_paths {
+            coverage = Coverage::Sampled;
         }
         for path in &paths {
-            let first = checked.decide(requests, path, &[]);
-            let settled = first
+            let decision_without_headers = checker.route(requests, path, &[]);
+            let is_static = decision_without_headers
                 .as_ref()
-                .is_ok_and(|decision| checked.is_settled(decision));
-            let none = vec![String::new()];
-            let subjects = if settled { &none } else { sample.of(requests) };
-            // A set that is named is tried whole.
-            if !settled && requests.subjects.is_none() {
-                how = Coverage::Sampled;
+                .is_ok_and(|decision| checker.is_static(decision));
+            let no_subject = vec![String::new()];
+            let subjects = if is_static {
+                &no_subject
+            } else {
+                sample.subjects_of(requests)
+            };
+            // A list of subjects is checked as a whole.
+            if !is_static && requests.subjects.is_none() {
+                coverage = Coverage::Sampled;
             }
             for subject in subjects {
-                let found = if settled {
-                    first.clone()
+                let decision = if is_static {
+                    decision_without_headers.clone()
                 } else {
-                    checked.decide(requests, path, &sample.headers(subject))
+                    checker.route(requests, path, &sample.headers(subject))
                 };
-                *tried += 1;
-                if !lands_there(lands, &found) {
-                    broken += 1;
-                    let for_whom = if settled {
+                *requests_checked += 1;
+                if !is_expected(expected, &decision) {
+                    broken_count += 1;
+                    let subject_text = if is_static {
                         String::new()
                     } else {
                         format!(" for {subject:?}")
                     };
-                    let become_of = crate::diff::describe_decision(&found);
+                    let decision_text = crate::diff::describe_decision(&decision);
                     example.get_or_insert_with(|| {
                         format!(
-                            "{} {}{path}{for_whom}: {become_of}",
+                            "{} {}{path}{subject_text}: {decision_text}",
                             requests.method, requests.host
                         )
                     });
@@ -555,32 +592,34 @@
     match example {
         Some(example) => Outcome::Broken {
             example,
-            count: broken,
+            count: broken_count,
         },
-        None => Outcome::Holds(how),
+        None => Outcome::Holds(coverage),
     }
 }
 
-/// Each pool that a location leads to is looked at, whatever leads there.
-fn never(checked: &Checked<'_>, one: &Expectation) -> Outcome {
-    let named = |address: &String| {
-        checked
+/// Checks the targets of all pools, whether a location leads to them or not.
+fn check_unreachable(checker: &Checker<'_>, expectation: &Expectation) -> Outcome {
+    let is_known = |address: &String| {
+        checker
             .routes
             .pools
             .values()
             .flat_map(|pool| &pool.targets)
             .any(|target| target.address == *address)
     };
-    if let Some(address) = one.never.iter().find(|address| !named(address)) {
+    if let Some(address) = expectation
+        .unreachable_addresses
+        .iter()
+        .find(|address| !is_known(address))
+    {
         return Outcome::Vacuous(format!("no pool names {address}"));
     }
     let mut broken = Vec::new();
-    for (name, pool) in &checked.routes.pools {
-        for target in pool
-            .targets
-            .iter()
-            .filter(|target| one.never.contains(&target.address) && !target.down)
-        {
+    for (name, pool) in &checker.routes.pools {
+        for target in pool.targets.iter().filter(|target| {
+            expectation.unreachable_addresses.contains(&target.address) && !target.down
+        }) {
             broken.push(format!(
                 "{} is in the pool {name}, at {}, and not down",
                 target.address, target.position
@@ -596,44 +635,44 @@
     }
 }
 
-fn in_one_pool(
-    checked: &Checked<'_>,
-    sample: &Sample,
-    one: &Expectation,
-    tried: &mut usize,
+fn check_single_pool(
+    checker: &Checker<'_>,
+    sample: &SubjectSample,
+    expectation: &Expectation,
+    requests_checked: &mut usize,
 ) -> Outcome {
-    let mut settled = true;
-    let mut homes: BTreeMap<&str, (Arc<str>, String)> = BTreeMap::new();
+    let mut is_proven = true;
+    let mut pools_by_subject: BTreeMap<&str, (Arc<str>, String)> = BTreeMap::new();
     let (mut broken, mut example) = (BTreeSet::new(), None);
-    for requests in &one.requests {
-        let (paths, whole) = paths(checked.routes, requests);
-        settled &= whole;
+    for requests in &expectation.requests {
+        let (paths, covers_all_paths) = paths(checker.routes, requests);
+        is_proven &= covers_all_paths;
         for path in &paths {
-            for subject in sample.of(requests) {
+            for subject in sample.subjects_of(requests) {
                 let headers = sample.headers(subject);
-                let found = checked.decide(requests, path, &headers);
-                settled &= found
+                let decision = checker.route(requests, path, &headers);
+                is_proven &= decision
                     .as_ref()
-                    .is_ok_and(|decision| checked.is_settled(decision));
-                *tried += 1;
-                let Home {
-                    found: pool,
-                    passes,
+                    .is_ok_and(|decision| checker.is_static(decision));
+                *requests_checked += 1;
+                let Destination {
+                    pool_or_response: pool,
+                    is_forwarded,
                     ..
-                } = checked.home(requests, path, &headers);
-                // Answers reach no pool.
-                if !passes {
+                } = checker.destination(requests, path, &headers);
+                // A response without any target goes to no pool.
+                if !is_forwarded {
                     continue;
                 }
-                let home = homes
+                let first = pools_by_subject
                     .entry(subject)
                     .or_insert_with(|| (pool.clone(), path.clone()));
-                if home.0 != pool {
+                if first.0 != pool {
                     broken.insert(subject.clone());
-                    let (other, other_path) = (home.0.clone(), home.1.clone());
+                    let (first_pool, first_path) = (first.0.clone(), first.1.clone());
                     example.get_or_insert_with(|| {
                         format!(
-                            "{subject:?} lands in {other} by {other_path} and in {pool} by {path}"
+                            "{subject:?} lands in {first_pool} by {first_path} and in {pool} by {path}"
                         )
                     });
                 }
@@ -645,8 +684,10 @@
             example,
             count: broken.len(),
         },
-        None if homes.is_empty() => Outcome::Vacuous("no request of it lands in a pool".to_owned()),
-        None => Outcome::Holds(if settled {
+        None if pools_by_subject.is_empty() => {
+            Outcome::Vacuous("no request of it lands in a pool".to_owned())
+        }
+        None => Outcome::Holds(if is_proven {
             Coverage::Proven
         } else {
             Coverage::Sampled
@@ -654,46 +695,46 @@
     }
 }
 
-fn few_move(
-    checked: &Checked<'_>,
-    sample: &Sample,
-    one: &Expectation,
-    moves: &Moves,
-    old: &dyn Fn(&str) -> Result<Routes, String>,
-    tried: &mut usize,
+fn check_moves(
+    checker: &Checker<'_>,
+    sample: &SubjectSample,
+    expectation: &Expectation,
+    limit: &MoveLimit,
+    load_baseline: &dyn Fn(&str) -> Result<Routes, String>,
+    requests_checked: &mut usize,
 ) -> Outcome {
-    let before = match old(&moves.from) {
-        Ok(before) => before,
-        Err(what) => return Outcome::Vacuous(format!("{}: {what}", moves.from)),
+    let baseline = match load_baseline(&limit.baseline_file) {
+        Ok(baseline) => baseline,
+        Err(error) => return Outcome::Vacuous(format!("{}: {error}", limit.baseline_file)),
     };
-    let before = match Checked::new(&before) {
-        Ok(before) => before,
-        Err(what) => return Outcome::Vacuous(format!("{}: {what}", moves.from)),
+    let baseline = match Checker::new(&baseline) {
+        Ok(baseline) => baseline,
+        Err(error) => return Outcome::Vacuous(format!("{}: {error}", limit.baseline_file)),
     };
     let (mut moved, mut example) = (0, None);
-    for requests in &one.requests {
-        let (paths, _) = paths(checked.routes, requests);
+    for requests in &expectation.requests {
+        let (paths, _) = paths(checker.routes, requests);
         for path in &paths {
-            for subject in sample.of(requests) {
+            for subject in sample.subjects_of(requests) {
                 let headers = sample.headers(subject);
-                let was = before.home(requests, path, &headers);
-                let is = checked.home(requests, path, &headers);
-                *tried += 1;
-                if was != is {
+                let old_destination = baseline.destination(requests, path, &headers);
+                let new_destination = checker.destination(requests, path, &headers);
+                *requests_checked += 1;
+                if old_destination != new_destination {
                     moved += 1;
                     example.get_or_insert_with(|| {
-                        format!("{subject:?} by {path} moves from {was} to {is}")
+                        format!("{subject:?} by {path} moves from {old_destination} to {new_destination}")
                     });
                 }
             }
         }
     }
-    if *tried == 0 {
+    if *requests_checked == 0 {
         return Outcome::Vacuous("it is about no subjects".to_owned());
     }
-    let share = moved as f64 / *tried as f64;
+    let share = moved as f64 / *requests_checked as f64;
     match example {
-        Some(example) if share > moves.at_most => Outcome::Broken {
+        Some(example) if share > limit.max_share => Outcome::Broken {
             example: format!("{:.2}% move; {example}", share * 100.0),
             count: moved,
         },
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -461,10 +461,10 @@
     )
 }
 
-/// Visits all locations, those within too.
-pub(crate) fn locations<'a>(all: &'a [Location], visit: &mut impl FnMut(&'a Location)) {
+/// Visits all locations, nested ones included.
+pub(crate) fn visit_locations<'a>(all: &'a [Location], visit: &mut impl FnMut(&'a Location)) {
     for location in all {
         visit(location);
-        locations(&location.nested, visit);
+        visit_locations(&location.nested, visit);
     }
 }
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -1,6 +1,6 @@
 //! What can be said only when all was read: names of pools and variables.
 
-use super::{locations, Reader};
+use super::{visit_locations, Reader};
 use crate::model::{Location, ProxyPass, RewriteStep, Routes, Server, Variable};
 use crate::pattern;
 use crate::syntax::Word;
@@ -14,14 +14,14 @@
         for server in &routes.servers {
             let mut known = BTreeSet::new();
             collect_set(&server.steps, &mut known);
-            locations(&server.locations, &mut |location| {
+            visit_locations(&server.locations, &mut |location| {
                 collect_set(&location.steps, &mut known);
                 if location.match_kind.is_regex() {
                     known.extend(pattern::capture_names(&location.pattern));
                 }
             });
             let mut faults = Vec::new();
-            locations(&server.locations, &mut |location| {
+            visit_locations(&server.locations, &mut |location| {
                 if let Some(pass) = &location.proxy_pass {
                     faults.extend(
                         pool_fault(&routes, server, pass)
@@ -143,7 +143,7 @@
                 )
             };
             let mut found = collect(&server.steps);
-            locations(&server.locations, &mut |location| {
+            visit_locations(&server.locations, &mut |location| {
                 found |= collect(&location.steps);
             });
             if !found {
@@ -166,7 +166,7 @@
                 None
             };
             let mut bad = set(&server.steps);
-            locations(&server.locations, &mut |location| {
+            visit_locations(&server.locations, &mut |location| {
                 if bad.is_none() {
                     bad = set(&location.steps);
                 }
--- a/crates/routes/src/model.rs
+++ b/crates/routes/src/model.rs
@@ -1,4 +1,4 @@
-//! A route table in the project's own form: what an importer understood, and what can be written by hand as JSON.
+//! The route table as data. An importer produces it, and it can be written by hand as JSON.
 
 use crate::diagnostic::SourcePosition;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 impl<'de> Deserialize<'de> for SourcePosition {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         let (file, line) = text.rsplit_once(':').unwrap_or((&text, "1"));
         Ok(Self {
             file: Arc::from(file),
@@ -39,7 +39,7 @@
     }
 }
 
-fn by_hand() -> SourcePosition {
+fn handwritten_position() -> SourcePosition {
     SourcePosition {
         file: Arc::from("by hand"),
         line: 1,
@@ -47,40 +47,40 @@
     }
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn one() -> u32 {
+fn default_one() -> u32 {
     1
 }
 
-fn ten_seconds() -> u64 {
+fn default_fail_timeout_ms() -> u64 {
     10_000
 }
 
-/// How a location is matched.
+/// How a location matches paths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MatchKind {
-    /// `=`: the whole path.
+    /// `=`: the whole path is equal.
     Exact,
-    /// No modifier: the longest prefix, unless a regular expression matches.
+    /// No modifier: the longest prefix wins, unless a regular expression matches.
     Prefix,
-    /// `^~`: the longest prefix, and no regular expression is tried.
+    /// `^~`: the longest prefix wins, without a check of regular expressions.
     #[serde(rename = "final")]
     PreferentialPrefix,
-    /// `~`: a regular expression, in the order of the file.
+    /// `~`: a regular expression; the first one in the file that matches wins.
     Regex,
-    /// `~*`: one that ignores case.
+    /// `~*`: a regular expression that ignores case.
     #[serde(rename = "regex_any_case")]
     RegexCaseInsensitive,
-    /// `@`: reached by name only.
+    /// `@`: a named location, which matches no path.
     Named,
 }
 
 impl MatchKind {
-    /// As nginx writes it.
+    /// Returns nginx's modifier, with the space that follows it.
     #[must_use]
     pub fn modifier(self) -> &'static str {
         match self {
@@ -93,200 +93,204 @@
         }
     }
 
-    /// Whether it is a regular expression.
+    /// Whether the location matches by a regular expression.
     #[must_use]
     pub fn is_regex(self) -> bool {
         matches!(self, Self::Regex | Self::RegexCaseInsensitive)
     }
 }
 
-/// What a rewrite does after it has replaced the path.
+/// Flag of a `rewrite`: what follows after the path was replaced. The names of the variants appear in
+/// [`Routes::to_lines`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RewriteFlag {
-    /// The next step.
+    /// No flag: the next step runs.
     Next,
-    /// `last`: locations are looked up again.
+    /// `last`: the location is looked up again.
     Last,
-    /// `break`: it stays in this location.
+    /// `break`: the request stays in this location.
     Break,
-    /// `redirect`: answered with 302.
+    /// `redirect`: the response is 302.
     Redirect,
-    /// `permanent`: answered with 301.
+    /// `permanent`: the response is 301.
     Permanent,
 }
 
-/// A step of a server or location, in the order of the file. Texts may hold variables.
+/// A directive of nginx's rewrite module in a server or location. The steps run in the order of the
+/// file. Their texts may contain variables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RewriteStep {
     /// Sets a variable.
     Set {
-        /// Its name, without the sign.
+        /// Name, without the dollar sign.
         variable: String,
-        /// Its value.
+        /// Value.
         value: String,
     },
-    /// Replaces the path where it matches.
+    /// Replaces the path if it matches.
     Rewrite {
-        /// The regular expression.
+        /// Regular expression for the path.
         regex: String,
-        /// What replaces the path; with a question mark at its end the arguments are left out.
+        /// New path. A question mark at its end drops the query string of the request.
         replacement: String,
-        /// What follows.
+        /// What follows after the replacement.
         #[serde(rename = "after")]
         flag: RewriteFlag,
     },
-    /// Answers.
+    /// Responds to the request.
     Return {
-        /// The status.
+        /// Status.
         code: u16,
-        /// The text, or the address of a redirection.
+        /// Body, or the address of a redirection.
         text: Option<String>,
     },
-    /// Ends the steps.
+    /// Skips the remaining steps.
     Break,
 }
 
-/// Where a location sends requests.
+/// Where a location forwards requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyPass {
-    /// The pool, or a variable with its sign whose values are pools.
+    /// Name of the pool, or a variable, with its dollar sign, whose values are names of pools.
     pub pool: String,
-    /// What replaces the part of the path that the location matched; without it the path goes on as it came.
+    /// Replaces the part of the path that the location matched. Without it, the path is forwarded
+    /// unchanged.
     #[serde(default)]
     pub uri: Option<String>,
 }
 
-/// Which outcomes of a try are followed by another try elsewhere.
+/// Which failed attempts are retried at another target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryPolicy {
-    /// Refused connections, broken ones.
+    /// Retries after a connection that failed or broke.
     #[serde(rename = "error")]
     pub on_error: bool,
-    /// No answer within the time.
+    /// Retries after a timeout.
     #[serde(rename = "timeout")]
     pub on_timeout: bool,
-    /// Answers that say failure, by status; 503 and 429 are the refusals.
+    /// Retries after a response with one of these statuses; 503 and 429 stand for rejections.
     #[serde(rename = "statuses")]
     pub on_statuses: Vec<u16>,
-    /// Tries in all, 0 for as many as there are targets.
+    /// Maximum number of attempts; 0 for as many as there are targets.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// Time for all tries in ms, 0 for no bound of its own.
+    /// Time in ms after which no retry begins; 0 for no limit of its own.
     pub timeout_ms: u64,
 }
 
-/// A limit of requests a second or of open requests, by a key.
+/// A limit of requests per second or of concurrent requests, for each value of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Key, with variables.
+    /// Key; may contain variables.
     pub key: String,
-    /// Zone: limits with one zone share their counts.
+    /// Name of the zone. Limits with the same zone share their counts.
     pub zone: String,
-    /// Requests in 1,000 s, or 0 for a limit of open requests.
+    /// Rate in thousandths of a request per second; 0 for a limit of concurrent requests.
     pub rate: u64,
-    /// Requests beyond the rate that are let through, or the open requests.
+    /// Number of requests beyond the rate that are admitted, or maximum number of concurrent requests.
     pub burst: u64,
-    /// Status of the answer where it is reached.
+    /// Status of the response to requests beyond the limit.
     pub status: u16,
 }
 
-/// Times in ms.
+/// Timeouts of an attempt, in ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyTimeouts {
-    /// For a connection.
+    /// Maximum time to establish a connection.
     #[serde(rename = "connect")]
     pub connect_ms: u64,
-    /// Without anything written.
+    /// Maximum time during which nothing is written.
     #[serde(rename = "send")]
     pub send_ms: u64,
-    /// Without anything read.
+    /// Maximum time during which nothing is read.
     #[serde(rename = "read")]
     pub read_ms: u64,
 }
 
-/// A location.
+/// A `location` block.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Location {
-    /// Where it came from.
-    #[serde(rename = "place", default = "by_hand")]
+    /// Position of its definition.
+    #[serde(rename = "place", default = "handwritten_position")]
     pub position: SourcePosition,
-    /// How it is matched.
+    /// How it matches paths.
     #[serde(rename = "how")]
     pub match_kind: MatchKind,
-    /// The path, prefix, regular expression or name.
+    /// Path, prefix, regular expression or name.
     pub pattern: String,
-    /// Not for requests from outside.
+    /// Takes only requests that a rewrite has sent here.
     #[serde(default)]
     pub internal: bool,
-    /// What happens first.
+    /// Steps that run before the request is forwarded.
     #[serde(default)]
     pub steps: Vec<RewriteStep>,
-    /// Where requests go; `None` where the steps answer.
+    /// Where requests are forwarded to; `None` if the steps respond.
     #[serde(rename = "pass", default)]
     pub proxy_pass: Option<ProxyPass>,
-    /// Further tries.
+    /// Which failed attempts are retried.
     #[serde(rename = "next", default)]
     pub retry_policy: RetryPolicy,
-    /// Limits.
+    /// Request limits.
     #[serde(default)]
     pub limits: Vec<Limit>,
-    /// Times.
+    /// Timeouts of an attempt.
     #[serde(rename = "times", default)]
     pub timeouts: ProxyTimeouts,
-    /// Locations within.
+    /// Nested locations.
     #[serde(default)]
     pub nested: Vec<Location>,
 }
 
-/// A server.
+/// A `server` block.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Where it came from.
-    #[serde(rename = "place", default = "by_hand")]
+    /// Position of its definition.
+    #[serde(rename = "place", default = "handwritten_position")]
     pub position: SourcePosition,
-    /// Addresses as `address:port`, and whether it is the default there.
+    /// Listen addresses as `address:port`, and whether this is the default server of the address.
     #[serde(rename = "listens")]
     pub listen_addresses: Vec<(String, bool)>,
-    /// Names: whole, `*.x`, `x.*`, or a regular expression after `~`.
+    /// Server names: exact, `*.x`, `x.*`, or a regular expression after `~`.
     pub names: Vec<String>,
-    /// Slashes in a row count as one.
-    #[serde(default = "yes")]
+    /// Merges adjacent slashes of a path.
+    #[serde(default = "default_true")]
     pub merge_slashes: bool,
-    /// What happens before a location is looked up.
+    /// Steps that run before the location is looked up.
     #[serde(default)]
     pub steps: Vec<RewriteStep>,
     /// Locations, in the order of the file.
     pub locations: Vec<Location>,
 }
 
-/// How a pool chooses.
+/// How a pool chooses the target of a request. The names of the variants appear in the comparison of
+/// two tables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BalancingMethod {
     /// Smooth weighted round robin.
     RoundRobin,
-    /// The fewest open requests by weight.
+    /// Fewest open requests, relative to the weight.
     LeastConnections,
-    /// The better of two taken at random.
+    /// The less loaded of two random targets.
     RandomTwo,
-    /// One at random, by weight.
+    /// A random target, by weight.
     Random,
-    /// By a key; consistent where a target's loss moves its own keys only.
+    /// Hash of a key.
     Hash {
-        /// The key, with variables.
+        /// Key; may contain variables.
         key: String,
-        /// On a ring.
+        /// Uses a hash ring, on which the loss of a target moves only its own keys.
         consistent: bool,
     },
-    /// By the caller's address.
+    /// Hash of the caller's address.
     AddressHash,
 }
 
@@ -294,36 +298,37 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Where it came from.
-    #[serde(rename = "place", default = "by_hand")]
+    /// Position of its definition.
+    #[serde(rename = "place", default = "handwritten_position")]
     pub position: SourcePosition,
     /// Host and port.
     pub address: String,
-    /// Its weight.
-    #[serde(default = "one")]
+    /// Weight.
+    #[serde(default = "default_one")]
     pub weight: u32,
-    /// Failures within the time after which it is left alone; 0 for never.
-    #[serde(default = "one")]
+    /// Number of failures within the fail timeout after which it is considered unavailable; 0 for
+    /// never.
+    #[serde(default = "default_one")]
     pub max_fails: u32,
-    /// That time, and how long it is left alone, in ms.
-    #[serde(default = "ten_seconds")]
+    /// Time in ms within which failures count, and for which the target is then unavailable.
+    #[serde(default = "default_fail_timeout_ms")]
     pub fail_timeout_ms: u64,
-    /// Open requests at most; 0 for no bound.
+    /// Maximum number of open requests; 0 for no limit.
     #[serde(default)]
     pub max_connections: u32,
-    /// Time in ms over which its weight grows after it was left alone.
+    /// Time in ms over which the weight grows after the target was unavailable.
     #[serde(default)]
     pub slow_start_ms: u64,
-    /// Takes requests only where all others are left alone.
+    /// Takes requests only while all other targets are unavailable.
     #[serde(default)]
     pub backup: bool,
-    /// Takes none.
+    /// Takes no requests.
     #[serde(default)]
     pub down: bool,
 }
 
 impl Target {
-    /// One with all that is usual.
+    /// Creates a target with nginx's defaults.
     #[must_use]
     pub fn new(position: SourcePosition, address: String) -> Self {
         Self {
@@ -344,60 +349,60 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Where it came from.
-    #[serde(rename = "place", default = "by_hand")]
+    /// Position of its definition.
+    #[serde(rename = "place", default = "handwritten_position")]
     pub position: SourcePosition,
-    /// How it chooses.
+    /// How it chooses a target.
     #[serde(rename = "way")]
     pub method: BalancingMethod,
-    /// Idle connections that are kept.
+    /// Number of idle connections that are kept open.
     #[serde(default)]
     pub keepalive: u32,
-    /// The targets.
+    /// Targets, in the order of the file.
     pub targets: Vec<Target>,
 }
 
-/// A variable whose value follows from others.
+/// A variable whose value follows from other variables.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Variable {
-    /// The value beside the first case that fits: a whole value, then a regular expression.
+    /// `map`: the value of the first case that matches; exact values precede regular expressions.
     Map {
-        /// What is looked up.
+        /// The text that is looked up.
         source: String,
-        /// Cases, as they were written.
+        /// Cases, as in the file, with their values.
         cases: Vec<(String, String)>,
-        /// The value where none fits.
+        /// Value if no case matches.
         default: String,
-        /// Cases may be names with `*`.
+        /// Cases may be host names with `*`.
         hostnames: bool,
     },
-    /// Parts by a hash of the key; shares in hundredths of a percent, 0 for the rest.
+    /// `split_clients`: a value chosen by a hash of the key.
     Split {
-        /// The key.
+        /// Key.
         key: String,
-        /// Shares and values.
+        /// Shares in hundredths of a percent, 0 for the rest, with their values.
         parts: Vec<(u32, String)>,
     },
 }
 
-/// The whole table.
+/// A route table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Routes {
-    /// Servers in the order of the file.
+    /// Servers, in the order of the file.
     pub servers: Vec<Server>,
     /// Pools by name.
     pub pools: BTreeMap<String, Pool>,
-    /// Variables by name, without the sign.
+    /// Variables by name, without the dollar sign.
     #[serde(default)]
     pub variables: BTreeMap<String, Variable>,
 }
 
-/// The variable that names the class of a request's route.
+/// Name of the variable that a route sets to the class of its requests.
 pub const CLASS_VARIABLE: &str = "matcher_class";
 
-fn name_of(pool: &Pool) -> String {
+fn method_name(pool: &Pool) -> String {
     match &pool.method {
         BalancingMethod::RoundRobin => "round robin".to_owned(),
         BalancingMethod::LeastConnections => "least connections".to_owned(),
@@ -418,13 +423,17 @@
 }
 
 impl Routes {
-    /// A location whose pool is not there, and that pool: an import has none, a table written by hand may.
+    /// Returns a location whose pool is not defined, and the name of the pool. Only a table written by
+    /// hand can have one.
     #[must_use]
     pub fn find_missing_pool(&self) -> Option<(&Location, &str)> {
         let mut found = None;
         for server in &self.servers {
-            crate::import::locations(&server.locations, &mut |location| {
-                let pool = location.proxy_pass.as_ref().map(|pass| pass.pool.as_str());
+            crate::import::visit_locations(&server.locations, &mut |location| {
+                let pool = location
+                    .proxy_pass
+                    .as_ref()
+                    .map(|proxy_pass| proxy_pass.pool.as_str());
                 let missing =
                     pool.filter(|pool| !pool.starts_with('$') && !self.pools.contains_key(*pool));
                 found = found.or(missing.map(|pool| (location, pool)));
@@ -433,7 +442,8 @@
         found
     }
 
-    /// The table as lines of text: one for each server, location, step, pool, target and variable.
+    /// Returns the table as text, with a line for each server, location, step, pool, target and
+    /// variable.
     #[must_use]
     pub fn to_lines(&self) -> Vec<String> {
         let mut out = Vec::new();
@@ -441,32 +451,34 @@
             let listen_addresses: Vec<_> = server
                 .listen_addresses
                 .iter()
-                .map(|(at, default)| format!("{at}{}", if *default { " default" } else { "" }))
+                .map(|(address, default)| {
+                    format!("{address}{}", if *default { " default" } else { "" })
+                })
                 .collect();
             let names = server.names.join(" ");
-            let merge = if server.merge_slashes {
+            let slashes = if server.merge_slashes {
                 ""
             } else {
                 " slashes kept"
             };
             out.push(format!(
-                "{} server {} [{names}]{merge}",
+                "{} server {} [{names}]{slashes}",
                 server.position,
                 listen_addresses.join(", ")
             ));
-            steps(&server.steps, 1, &mut out);
-            locations(&server.locations, 1, &mut out);
+            push_step_lines(&server.steps, 1, &mut out);
+            push_location_lines(&server.locations, 1, &mut out);
         }
         for (name, pool) in &self.pools {
-            let keep = if pool.keepalive > 0 {
+            let keepalive = if pool.keepalive > 0 {
                 format!(" keepalive {}", pool.keepalive)
             } else {
                 String::new()
             };
             out.push(format!(
-                "{} pool {name}: {}{keep}",
+                "{} pool {name}: {}{keepalive}",
                 pool.position,
-                name_of(pool)
+                method_name(pool)
             ));
             for target in &pool.targets {
                 let mut line = format!(
@@ -485,8 +497,8 @@
                 if target.slow_start_ms > 0 {
                     line.push_str(&format!(" slow start {} ms", target.slow_start_ms));
                 }
-                for (is, word) in [(target.backup, " backup"), (target.down, " down")] {
-                    line.push_str(if is { word } else { "" });
+                for (is_set, word) in [(target.backup, " backup"), (target.down, " down")] {
+                    line.push_str(if is_set { word } else { "" });
                 }
                 out.push(line);
             }
@@ -522,7 +534,7 @@
     }
 }
 
-fn steps(steps: &[RewriteStep], depth: usize, out: &mut Vec<String>) {
+fn push_step_lines(steps: &[RewriteStep], depth: usize, out: &mut Vec<String>) {
     let indent = "  ".repeat(depth);
     for step in steps {
         out.push(match step {
@@ -546,9 +558,9 @@
     }
 }
 
-fn locations(all: &[Location], depth: usize, out: &mut Vec<String>) {
+fn push_location_lines(locations: &[Location], depth: usize, out: &mut Vec<String>) {
     let indent = "  ".repeat(depth);
-    for location in all {
+    for location in locations {
         let mut line = format!(
             "{} {indent}{}{}",
             location.position,
@@ -560,17 +572,17 @@
             if let Some(uri) = uri {
                 line.push_str(&format!(" with {uri}"));
             }
-            let next = &location.retry_policy;
-            let mut after: Vec<String> = Vec::new();
-            after.extend(next.on_error.then(|| "error".to_owned()));
-            after.extend(next.on_timeout.then(|| "timeout".to_owned()));
-            after.extend(next.on_statuses.iter().map(ToString::to_string));
-            let usual = next.on_error && next.on_timeout && next.on_statuses.is_empty();
-            if !usual || next.max_attempts > 0 || next.timeout_ms > 0 {
-                line.push_str(&format!(", next after [{}]", after.join(" ")));
+            let policy = &location.retry_policy;
+            let mut retried_failures: Vec<String> = Vec::new();
+            retried_failures.extend(policy.on_error.then(|| "error".to_owned()));
+            retried_failures.extend(policy.on_timeout.then(|| "timeout".to_owned()));
+            retried_failures.extend(policy.on_statuses.iter().map(ToString::to_string));
+            let is_default = policy.on_error && policy.on_timeout && policy.on_statuses.is_empty();
+            if !is_default || policy.max_attempts > 0 || policy.timeout_ms > 0 {
+                line.push_str(&format!(", next after [{}]", retried_failures.join(" ")));
                 line.push_str(&format!(
                     " {} tries {} ms",
-                    next.max_attempts, next.timeout_ms
+                    policy.max_attempts, policy.timeout_ms
                 ));
             }
             let ProxyTimeouts {
@@ -602,7 +614,7 @@
             });
         }
         out.push(line);
-        steps(&location.steps, depth + 1, out);
-        locations(&location.nested, depth + 1, out);
+        push_step_lines(&location.steps, depth + 1, out);
+        push_location_lines(&location.nested, depth + 1, out);
     }
 }
--- a/crates/routes/src/probe.rs
+++ b/crates/routes/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probe requests for a route table: for each server and location some requests that it takes, and
 //! some that it just misses. Comparisons of tables and expectations use them.
 
-use crate::import::locations;
+use crate::import::visit_locations;
 use crate::model::{Location, MatchKind, Routes, Server, Variable};
 use regex_syntax::hir::{Class, Hir, HirKind};
 use std::collections::BTreeSet;
@@ -163,12 +163,12 @@
 #[must_use]
 pub fn server_paths(server: &Server) -> BTreeSet<String> {
     let mut paths = BTreeSet::from(["/".to_owned()]);
-    locations(&server.locations, &mut |location| {
+    visit_locations(&server.locations, &mut |location| {
         add_location_paths(location, &mut paths);
     });
     // Rewrites change the location that a path leads to.
     let mut steps: Vec<_> = server.steps.iter().collect();
-    locations(&server.locations, &mut |location| {
+    visit_locations(&server.locations, &mut |location| {
         steps.extend(&location.steps);
     });
     for step in steps {
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,5 +1,5 @@
-//! The route table ready for requests: from host, path and headers to a location, and from there to a pool, the path that
-//! goes on, and the class; or to an answer.
+//! Routes requests: from host, path and headers to a location, and from there to a pool, the URI that
+//! the target gets, and the class of the request; or to a response without any target.
 
 use crate::diagnostic::SourcePosition;
 use crate::location_index::{LocationIndex, LocationMatch};
@@ -14,80 +14,80 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Times that a request may be sent back to look for its location, as in nginx.
-const CYCLES: usize = 10;
-/// Variables that are made from variables that are made from variables.
-const DEEPEST: usize = 16;
+/// Maximum number of times that rewrites may restart the location lookup of a request, as in nginx.
+const MAX_INTERNAL_REDIRECTS: usize = 10;
+/// Maximum depth of variables whose values refer to other variables.
+const MAX_VARIABLE_DEPTH: usize = 16;
 
-/// A request, as far as routing looks at it.
+/// The parts of a request that routing depends on.
 #[derive(Debug, Clone, Default)]
 pub struct RouteRequest<'a> {
-    /// The `address:port` that it came to; the host's port counts where it is not told.
+    /// `address:port` at which the request arrived; if absent, the port of the host decides.
     pub listen_address: Option<&'a str>,
-    /// The host it names, with a port or without.
+    /// Host of the request, with or without a port.
     pub host: &'a str,
-    /// The method.
+    /// Method.
     pub method: &'a str,
-    /// The path with its arguments, as it came.
+    /// Path and query string, as received.
     pub request_target: &'a str,
-    /// The headers.
+    /// Headers.
     pub headers: &'a [(String, String)],
-    /// The caller's address.
+    /// Address of the caller.
     pub caller_address: &'a str,
 }
 
-/// A location that passes requests on, ready for them.
+/// A location, prepared for requests.
 #[derive(Debug)]
 pub struct CompiledLocation {
-    /// Where it came from.
+    /// Where the configuration defines it.
     pub position: SourcePosition,
-    /// As nginx writes it.
+    /// Modifier and pattern, as in the configuration.
     pub name: String,
-    /// Further tries.
+    /// Which failed attempts are retried.
     pub retry_policy: RetryPolicy,
-    /// Times.
+    /// Timeouts of an attempt.
     pub timeouts: ProxyTimeouts,
-    /// Limits, with their keys.
+    /// Request limits, with the templates of their keys.
     pub limits: Vec<(Template, Limit)>,
-    /// The number of the location around it.
+    /// Number of the enclosing location.
     pub parent: Option<u32>,
     match_kind: MatchKind,
     pattern: String,
     internal: bool,
-    steps: Vec<Prepared>,
+    steps: Vec<CompiledStep>,
     proxy_pass: Option<(Template, Option<Template>)>,
-    /// The pool, where it has no variable in it.
+    /// Name of the pool, if it contains no variable.
     pool: Option<Arc<str>>,
 }
 
 #[derive(Debug)]
-enum Prepared {
+enum CompiledStep {
     Set(String, Template),
     Rewrite(Regex, Template, bool, RewriteFlag),
     Return(u16, Option<Template>),
     Break,
 }
 
-/// A server, ready for requests.
+/// A server, prepared for requests.
 #[derive(Debug)]
 pub struct CompiledServer {
-    /// Where it came from.
+    /// Where the configuration defines it.
     pub position: SourcePosition,
-    /// The first of its names.
+    /// First server name.
     pub name: String,
-    /// Its locations, by number.
+    /// Locations, by their number.
     pub locations: Vec<CompiledLocation>,
     merge_slashes: bool,
-    steps: Vec<Prepared>,
-    locator: LocationIndex,
+    steps: Vec<CompiledStep>,
+    location_index: LocationIndex,
 }
 
 #[derive(Debug)]
-enum Known {
+enum CompiledVariable {
     Map {
         source: Template,
-        whole: HashMap<String, Template>,
-        names: Vec<(String, Template)>,
+        exact: HashMap<String, Template>,
+        wildcards: Vec<(String, Template)>,
         regexes: Vec<(Regex, Template)>,
         default: Template,
     },
@@ -97,116 +97,127 @@
     },
 }
 
-/// Servers of one address.
+/// The servers of one listen address, by their names.
 #[derive(Debug, Default)]
-struct Listen {
+struct VirtualHosts {
     default: Option<usize>,
-    whole: HashMap<String, usize>,
-    /// `*.x`, without the star, the longest first.
-    below: Vec<(String, usize)>,
-    /// `x.*`, without the star, the longest first.
-    above: Vec<(String, usize)>,
+    exact: HashMap<String, usize>,
+    /// Names `*.x` without the asterisk, the longest first.
+    leading_wildcards: Vec<(String, usize)>,
+    /// Names `x.*` without the asterisk, the longest first.
+    trailing_wildcards: Vec<(String, usize)>,
     regexes: Vec<(Regex, usize)>,
 }
 
-/// What becomes of a request.
+/// Where a request is routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// It goes on to a pool.
+    /// The request is forwarded to a pool.
     Forward {
-        /// The server, by its number.
+        /// Index of the server.
         server: usize,
-        /// The location, by its number there.
+        /// Number of the location within the server.
         location: u32,
-        /// The pool.
+        /// Name of the pool.
         pool: Arc<str>,
-        /// The path and arguments that go on.
+        /// Path and query string that the target gets.
         uri: String,
-        /// The class of the route, where one is set.
+        /// Class of the request, if the route sets one.
         class: Option<String>,
     },
-    /// It is answered.
+    /// The request gets a response without any target.
     Respond {
-        /// The status.
+        /// Status.
         status: u16,
-        /// The text, or where a redirection leads.
+        /// Body, or the address of a redirection.
         text: String,
-        /// What answers it: a place and why.
+        /// Position in the configuration, and why it responds.
         reason: String,
     },
 }
 
-/// The table.
+/// A route table, prepared for requests.
 #[derive(Debug)]
 pub struct Router {
     /// Servers, in the order of the file.
     pub servers: Vec<CompiledServer>,
-    listens: BTreeMap<String, Listen>,
-    variables: HashMap<String, Known>,
+    virtual_hosts: BTreeMap<String, VirtualHosts>,
+    variables: HashMap<String, CompiledVariable>,
 }
 
-/// What a request has gathered on its way.
-struct Walk<'a> {
-    asked: &'a RouteRequest<'a>,
+/// State of a request while it is routed.
+struct RequestState<'a> {
+    request: &'a RouteRequest<'a>,
     uri: Uri,
-    /// The path was replaced: what came is no longer what goes on.
-    changed: bool,
-    /// Replaced by a rewrite that stays in its location: the location's own replacement is left out then.
-    stays: bool,
-    set: HashMap<String, String>,
-    groups: Vec<String>,
+    /// A rewrite has replaced the path, so that the target gets the new one.
+    path_rewritten: bool,
+    /// A rewrite with the flag `break` has replaced the path: the URI of `proxy_pass` is ignored.
+    stays_in_location: bool,
+    set_variables: HashMap<String, String>,
+    captures: Vec<String>,
 }
 
-fn read(text: &str) -> Result<Template, String> {
+fn parse_template(text: &str) -> Result<Template, String> {
     Template::parse(text)
 }
 
-fn prepare(steps: &[RewriteStep]) -> Result<Vec<Prepared>, String> {
-    let one = |step: &RewriteStep| {
+fn compile_steps(steps: &[RewriteStep]) -> Result<Vec<CompiledStep>, String> {
+    let compile_step = |step: &RewriteStep| {
         Ok(match step {
-            RewriteStep::Set { variable, value } => Prepared::Set(variable.clone(), read(value)?),
+            RewriteStep::Set { variable, value } => {
+                CompiledStep::Set(variable.clone(), parse_template(value)?)
+            }
             RewriteStep::Rewrite {
                 regex,
                 replacement,
                 flag,
             } => {
-                let (text, drops) = replacement
+                let (text, drops_arguments) = replacement
                     .strip_suffix('?')
                     .map_or((replacement.as_str(), false), |text| (text, true));
-                Prepared::Rewrite(pattern::compile(regex, false)?, read(text)?, drops, *flag)
+                CompiledStep::Rewrite(
+                    pattern::compile(regex, false)?,
+                    parse_template(text)?,
+                    drops_arguments,
+                    *flag,
+                )
             }
             RewriteStep::Return { code, text } => {
-                Prepared::Return(*code, text.as_deref().map(read).transpose()?)
+                CompiledStep::Return(*code, text.as_deref().map(parse_template).transpose()?)
             }
-            RewriteStep::Break => Prepared::Break,
+            RewriteStep::Break => CompiledStep::Break,
         })
     };
-    steps.iter().map(one).collect()
+    steps.iter().map(compile_step).collect()
 }
 
-/// Whether no step makes a class or pool of more than plain text, so that host and path alone decide.
-fn are_settled(steps: &[Prepared]) -> bool {
+/// Whether the steps set only literal values and rewrite nothing, so that host and path alone decide.
+fn are_static(steps: &[CompiledStep]) -> bool {
     steps.iter().all(|step| match step {
-        Prepared::Set(_, value) => value.variables().next().is_none(),
-        Prepared::Rewrite(..) => false,
-        Prepared::Return(..) | Prepared::Break => true,
+        CompiledStep::Set(_, value) => value.variables().next().is_none(),
+        CompiledStep::Rewrite(..) => false,
+        CompiledStep::Return(..) | CompiledStep::Break => true,
     })
 }
 
 impl CompiledLocation {
-    /// Whether host and path alone decide what becomes of its requests.
+    /// Whether host and path alone decide how the requests of the location are routed.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
-        self.pool.is_some() && are_settled(&self.steps)
+    pub fn is_static(&self) -> bool {
+        self.pool.is_some() && are_static(&self.steps)
     }
 
-    fn all(locations: &[Location], parent: Option<u32>, out: &mut Vec<Self>) -> Result<(), String> {
+    fn compile_all(
+        locations: &[Location],
+        parent: Option<u32>,
+        compiled: &mut Vec<Self>,
+    ) -> Result<(), String> {
         for location in locations {
-            let number = out.len() as u32;
+            let index = compiled.len() as u32;
             let pass = match &location.proxy_pass {
                 Some(pass) => Some((
-                    read(&pass.pool)?,
-                    pass.uri.as_deref().map(read).transpose()?,
+                    parse_template(&pass.pool)?,
+                    pass.uri.as_deref().map(parse_template).transpose()?,
                 )),
                 None => None,
             };
@@ -218,8 +229,8 @@
             let limits = location
                 .limits
                 .iter()
-                .map(|limit| Ok((read(&limit.key)?, limit.clone())));
-            out.push(Self {
+                .map(|limit| Ok((parse_template(&limit.key)?, limit.clone())));
+            compiled.push(Self {
                 position: location.position.clone(),
                 name: format!("{}{}", location.match_kind.modifier(), location.pattern),
                 retry_policy: location.retry_policy.clone(),
@@ -229,38 +240,38 @@
                 match_kind: location.match_kind,
                 pattern: location.pattern.clone(),
                 internal: location.internal,
-                steps: prepare(&location.steps)?,
+                steps: compile_steps(&location.steps)?,
                 proxy_pass: pass,
                 pool: pool.map(Arc::from),
             });
-            Self::all(&location.nested, Some(number), out)?;
+            Self::compile_all(&location.nested, Some(index), compiled)?;
         }
         Ok(())
     }
 }
 
 impl CompiledServer {
-    /// Whether its own steps leave everything to host and path.
+    /// Whether the steps of the server leave the decision to host and path.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
-        are_settled(&self.steps)
+    pub fn is_static(&self) -> bool {
+        are_static(&self.steps)
     }
 
     fn new(server: &Server) -> Result<Self, String> {
         let mut locations = Vec::new();
-        CompiledLocation::all(&server.locations, None, &mut locations)?;
+        CompiledLocation::compile_all(&server.locations, None, &mut locations)?;
         Ok(Self {
             position: server.position.clone(),
             name: server.names.first().cloned().unwrap_or_default(),
             locations,
             merge_slashes: server.merge_slashes,
-            steps: prepare(&server.steps)?,
-            locator: LocationIndex::new(&server.locations)?,
+            steps: compile_steps(&server.steps)?,
+            location_index: LocationIndex::new(&server.locations)?,
         })
     }
 }
 
-impl Known {
+impl CompiledVariable {
     fn new(variable: &Variable) -> Result<Self, String> {
         Ok(match variable {
             Variable::Map {
@@ -269,46 +280,50 @@
                 default,
                 hostnames,
             } => {
-                let (mut whole, mut names, mut regexes) = (HashMap::new(), Vec::new(), Vec::new());
+                let (mut exact, mut wildcards, mut regexes) =
+                    (HashMap::new(), Vec::new(), Vec::new());
                 for (case, value) in cases {
-                    let value = read(value)?;
+                    let value = parse_template(value)?;
                     if let Some(regex) = case.strip_prefix('~') {
-                        let (regex, any_case) = regex
+                        let (regex, case_insensitive) = regex
                             .strip_prefix('*')
                             .map_or((regex, false), |regex| (regex, true));
-                        regexes.push((pattern::compile(regex, any_case)?, value));
+                        regexes.push((pattern::compile(regex, case_insensitive)?, value));
                     } else if let Some(rest) = case.strip_prefix('.').filter(|_| *hostnames) {
-                        // A name and all below it.
-                        names.push((format!("*.{rest}").to_lowercase(), value.clone()));
-                        whole.insert(rest.to_lowercase(), value);
+                        // The name itself and all names below it.
+                        wildcards.push((format!("*.{rest}").to_lowercase(), value.clone()));
+                        exact.insert(rest.to_lowercase(), value);
                     } else if *hostnames && case.contains('*') {
-                        names.push((case.to_lowercase(), value));
+                        wildcards.push((case.to_lowercase(), value));
                     } else {
-                        // A backslash takes the meaning of what follows away.
-                        whole.insert(
+                        // A leading backslash escapes a value that begins with a special character.
+                        exact.insert(
                             case.strip_prefix('\\').unwrap_or(case).to_lowercase(),
                             value,
                         );
                     }
                 }
-                names.sort_by_key(|(name, _)| (name.ends_with('*'), usize::MAX - name.len()));
+                wildcards.sort_by_key(|(name, _)| (name.ends_with('*'), usize::MAX - name.len()));
                 Self::Map {
-                    source: read(source)?,
-                    whole,
-                    names,
+                    source: parse_template(source)?,
+                    exact,
+                    wildcards,
                     regexes,
-                    default: read(default)?,
+                    default: parse_template(default)?,
                 }
             }
             Variable::Split { key, parts } => {
-                let mut last = 0_u64;
-                let bound = |(share, value): &(u32, String)| {
-                    last += u64::from(*share) * 0xffff_ffff / 10_000;
-                    (if *share == 0 { 0 } else { last as u32 }, value.clone())
+                let mut upper_bound = 0_u64;
+                let to_bound = |(share, value): &(u32, String)| {
+                    upper_bound += u64::from(*share) * 0xffff_ffff / 10_000;
+                    (
+                        if *share == 0 { 0 } else { upper_bound as u32 },
+                        value.clone(),
+                    )
                 };
                 Self::Split {
-                    key: read(key)?,
-                    parts: parts.iter().map(bound).collect(),
+                    key: parse_template(key)?,
+                    parts: parts.iter().map(to_bound).collect(),
                 }
             }
         })
@@ -316,114 +331,124 @@
 }
 
 impl Router {
-    /// Prepares a table.
+    /// Prepares a route table.
     ///
     /// # Errors
-    /// What can't be prepared; a table that was imported can.
+    /// A regular expression or template is invalid. That can't happen with an imported table.
     pub fn new(routes: &Routes) -> Result<Self, String> {
         let servers = routes
             .servers
             .iter()
             .map(CompiledServer::new)
             .collect::<Result<Vec<_>, _>>()?;
-        let mut listens: BTreeMap<String, Listen> = BTreeMap::new();
-        for (number, server) in routes.servers.iter().enumerate() {
+        let mut virtual_hosts: BTreeMap<String, VirtualHosts> = BTreeMap::new();
+        for (server_index, server) in routes.servers.iter().enumerate() {
             for (address, default) in &server.listen_addresses {
-                let listen = listens.entry(address.clone()).or_default();
-                if *default || listen.default.is_none() {
-                    let first = listen.default.replace(number);
-                    // One that is the default by its place gives way to one that says so, and not the other way.
-                    let said = |at: usize| {
-                        routes.servers[at]
+                let hosts = virtual_hosts.entry(address.clone()).or_default();
+                if *default || hosts.default.is_none() {
+                    let previous = hosts.default.replace(server_index);
+                    // An explicit default server replaces one that is the default as the first of its
+                    // address, and never the other way round.
+                    let is_explicit_default = |index: usize| {
+                        routes.servers[index]
                             .listen_addresses
                             .iter()
-                            .any(|(other, said)| other == address && *said)
+                            .any(|(other, is_default)| other == address && *is_default)
                     };
-                    if let Some(first) = first.filter(|first| said(*first)) {
-                        listen.default = Some(first);
+                    if let Some(previous) =
+                        previous.filter(|previous| is_explicit_default(*previous))
+                    {
+                        hosts.default = Some(previous);
                     }
                 }
                 for name in &server.names {
                     if let Some(regex) = name.strip_prefix('~') {
-                        listen
+                        hosts
                             .regexes
-                            .push((pattern::compile(regex, true)?, number));
+                            .push((pattern::compile(regex, true)?, server_index));
                     } else if let Some(rest) = name.strip_prefix('*') {
-                        listen.below.push((rest.to_owned(), number));
+                        hosts
+                            .leading_wildcards
+                            .push((rest.to_owned(), server_index));
                     } else if let Some(rest) = name.strip_suffix('*') {
-                        listen.above.push((rest.to_owned(), number));
+                        hosts
+                            .trailing_wildcards
+                            .push((rest.to_owned(), server_index));
                     } else {
-                        listen.whole.entry(name.clone()).or_insert(number);
+                        hosts.exact.entry(name.clone()).or_insert(server_index);
                     }
                 }
             }
         }
-        for listen in listens.values_mut() {
-            listen
-                .below
-                .sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
-            listen
-                .above
-                .sort_by_key(|(name, number)| (usize::MAX - name.len(), *number));
+        for hosts in virtual_hosts.values_mut() {
+            hosts
+                .leading_wildcards
+                .sort_by_key(|(name, server_index)| (usize::MAX - name.len(), *server_index));
+            hosts
+                .trailing_wildcards
+                .sort_by_key(|(name, server_index)| (usize::MAX - name.len(), *server_index));
         }
         let variables = routes
             .variables
             .iter()
-            .map(|(name, variable)| Ok((name.clone(), Known::new(variable)?)));
+            .map(|(name, variable)| Ok((name.clone(), CompiledVariable::new(variable)?)));
         Ok(Self {
             servers,
-            listens,
+            virtual_hosts,
             variables: variables.collect::<Result<_, String>>()?,
         })
     }
 
-    /// Decides on a request.
+    /// Routes a request.
     ///
     /// # Errors
-    /// Where the request could not have come: no server listens where it says.
-    pub fn route(&self, asked: &RouteRequest<'_>) -> Result<RouteDecision, String> {
-        self.walk(asked, &mut None)
+    /// No server listens on the address or port of the request.
+    pub fn route(&self, request: &RouteRequest<'_>) -> Result<RouteDecision, String> {
+        self.route_with_trace(request, &mut None)
     }
 
-    /// The same, and what was weighed on the way, a line each.
+    /// Routes a request and returns one line of explanation for each consideration.
     ///
     /// # Errors
-    /// As with [`route`](Self::route).
+    /// As for [`route`](Self::route).
     pub fn explain(
         &self,
-        asked: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
     ) -> Result<(RouteDecision, Vec<String>), String> {
-        let mut said = Some(Vec::new());
-        let decision = self.walk(asked, &mut said)?;
-        Ok((decision, said.unwrap_or_default()))
+        let mut trace = Some(Vec::new());
+        let decision = self.route_with_trace(request, &mut trace)?;
+        Ok((decision, trace.unwrap_or_default()))
     }
 
-    /// The location of a decision.
+    /// Returns the location of a decision.
     #[must_use]
     pub fn location(&self, server: usize, location: u32) -> Option<&CompiledLocation> {
         self.servers.get(server)?.locations.get(location as usize)
     }
 
-    fn listen(&self, asked: &RouteRequest<'_>) -> Result<(&str, &Listen), String> {
-        if let Some(at) = asked.listen_address {
-            let found = self
-                .listens
-                .get_key_value(at)
-                .map(|(key, listen)| (key.as_str(), listen));
-            return found.ok_or_else(|| format!("no server listens on {at}"));
+    fn find_virtual_hosts(
+        &self,
+        request: &RouteRequest<'_>,
+    ) -> Result<(&str, &VirtualHosts), String> {
+        if let Some(address) = request.listen_address {
+            let candidates = self
+                .virtual_hosts
+                .get_key_value(address)
+                .map(|(key, virtual_hosts)| (key.as_str(), virtual_hosts));
+            return candidates.ok_or_else(|| format!("no server listens on {address}"));
         }
-        let port = split_port(asked.host).1.unwrap_or("80");
-        let mut found = self
-            .listens
+        let port = split_port(request.host).1.unwrap_or("80");
+        let mut candidates = self
+            .virtual_hosts
             .iter()
-            .filter(|(at, _)| at.rsplit(':').next() == Some(port));
-        match (found.next(), found.next()) {
-            (Some((at, listen)), None) => Ok((at, listen)),
+            .filter(|(address, _)| address.rsplit(':').next() == Some(port));
+        match (candidates.next(), candidates.next()) {
+            (Some((address, virtual_hosts)), None) => Ok((address, virtual_hosts)),
             (None, _) => Err(format!("no server listens on port {port}")),
             _ => {
-                // A request to a name may have come to any of these addresses.
-                let any = self.listens.get_key_value(&format!("*:{port}"));
-                any.map(|(at, listen)| (at.as_str(), listen))
+                // The request may have arrived at any of these addresses; a wildcard address decides.
+                let wildcard = self.virtual_hosts.get_key_value(&format!("*:{port}"));
+                wildcard.map(|(address, virtual_hosts)| (address.as_str(), virtual_hosts))
                     .ok_or_else(|| {
                         format!("several addresses have port {port}: name the one it came to")
                     })
@@ -431,112 +456,132 @@
         }
     }
 
-    fn walk(
+    fn route_with_trace(
         &self,
-        asked: &RouteRequest<'_>,
-        said: &mut Option<Vec<String>>,
+        request: &RouteRequest<'_>,
+        trace: &mut Option<Vec<String>>,
     ) -> Result<RouteDecision, String> {
-        let (at, listen) = self.listen(asked)?;
-        let name = split_port(asked.host)
+        let (address, virtual_hosts) = self.find_virtual_hosts(request)?;
+        let name = split_port(request.host)
             .0
             .trim_end_matches('.')
             .to_lowercase();
-        let (number, why) = listen.choose(&name);
-        let host = &self.servers[number];
-        say(said, || {
-            format!("{} server {:?} on {at}: {why}", host.position, host.name)
+        let (server_index, why) = virtual_hosts.choose(&name);
+        let compiled_server = &self.servers[server_index];
+        push_trace(trace, || {
+            format!(
+                "{} server {:?} on {address}: {why}",
+                compiled_server.position, compiled_server.name
+            )
         });
-        let answer = |code: u16, text: String, by: String| {
+        let respond = |status: u16, text: String, reason: String| {
             Ok(RouteDecision::Respond {
-                status: code,
+                status,
                 text,
-                reason: by,
+                reason,
             })
         };
-        let uri = match uri::parse(asked.request_target, host.merge_slashes) {
+        let uri = match uri::parse(request.request_target, compiled_server.merge_slashes) {
             Ok(uri) => uri,
-            Err(what) => {
-                return answer(
+            Err(error) => {
+                return respond(
                     400,
                     String::new(),
-                    format!("the path can't be read: {what}"),
+                    format!("the path can't be read: {error}"),
                 )
             }
         };
-        let mut walk = Walk {
-            asked,
+        let mut state = RequestState {
+            request,
             uri,
-            changed: false,
-            stays: false,
-            set: HashMap::new(),
-            groups: Vec::new(),
+            path_rewritten: false,
+            stays_in_location: false,
+            set_variables: HashMap::new(),
+            captures: Vec::new(),
         };
-        if let Some(done) = self.steps(&host.steps, &host.position, &mut walk, said).1 {
-            return Ok(done);
+        if let Some(decision) = self
+            .run_steps(
+                &compiled_server.steps,
+                &compiled_server.position,
+                &mut state,
+                trace,
+            )
+            .1
+        {
+            return Ok(decision);
         }
-        for _ in 0..=CYCLES {
-            let path = walk.uri.path.clone();
-            let taken = host.locator.find(&path);
-            if said.is_some() {
-                host.weigh(&path, taken, said);
+        for _ in 0..=MAX_INTERNAL_REDIRECTS {
+            let path = state.uri.path.clone();
+            let location_match = compiled_server.location_index.find(&path);
+            if trace.is_some() {
+                compiled_server.trace_locations(&path, location_match, trace);
             }
-            let number = match taken {
+            let number = match location_match {
                 LocationMatch::Found(number) => number,
                 LocationMatch::AppendSlash(number) => {
-                    let mut to = uri::escape(&path) + "/";
-                    if !walk.uri.args.is_empty() {
-                        to = to + "?" + &walk.uri.args;
+                    let mut redirect_uri = uri::escape(&path) + "/";
+                    if !state.uri.args.is_empty() {
+                        redirect_uri = redirect_uri + "?" + &state.uri.args;
                     }
-                    return answer(
+                    return respond(
                         301,
-                        to,
+                        redirect_uri,
                         format!(
                             "{} adds the slash at the end",
-                            host.locations[number as usize].position
+                            compiled_server.locations[number as usize].position
                         ),
                     );
                 }
                 LocationMatch::NotFound => {
-                    return answer(404, String::new(), "no location takes the path".to_owned())
+                    return respond(404, String::new(), "no location takes the path".to_owned())
                 }
             };
-            let site = &host.locations[number as usize];
-            if site.internal && !walk.changed {
-                return answer(404, String::new(), format!("{} is internal", site.position));
+            let compiled_location = &compiled_server.locations[number as usize];
+            if compiled_location.internal && !state.path_rewritten {
+                return respond(
+                    404,
+                    String::new(),
+                    format!("{} is internal", compiled_location.position),
+                );
             }
-            if let Some(groups) = host
-                .locator
+            if let Some(captures) = compiled_server
+                .location_index
                 .regex(number)
                 .and_then(|regex| regex.captures(&path))
             {
-                walk.capture(host.locator.regex(number), &groups);
+                state.capture(compiled_server.location_index.regex(number), &captures);
             }
-            let (again, done) = self.steps(&site.steps, &site.position, &mut walk, said);
-            if let Some(done) = done {
-                return Ok(done);
+            let (look_up_again, decision) = self.run_steps(
+                &compiled_location.steps,
+                &compiled_location.position,
+                &mut state,
+                trace,
+            );
+            if let Some(decision) = decision {
+                return Ok(decision);
             }
-            if again {
+            if look_up_again {
                 continue;
             }
-            let Some((pool, uri)) = &site.proxy_pass else {
-                return answer(
+            let Some((pool, uri)) = &compiled_location.proxy_pass else {
+                return respond(
                     404,
                     String::new(),
-                    format!("{} passes nothing on", site.position),
+                    format!("{} passes nothing on", compiled_location.position),
                 );
             };
-            let pool = match &site.pool {
+            let pool = match &compiled_location.pool {
                 Some(pool) => pool.clone(),
-                None => Arc::from(self.fill(pool, &walk)),
+                None => Arc::from(self.expand_with_state(pool, &state)),
             };
             let uri = uri.as_ref().map(|uri| {
                 (
-                    self.fill(uri, &walk),
+                    self.expand_with_state(uri, &state),
                     uri.0.len() > 1 || uri.variables().next().is_some(),
                 )
             });
-            let class = walk
-                .set
+            let class = state
+                .set_variables
                 .get(CLASS_VARIABLE)
                 .filter(|class| !class.is_empty())
                 .cloned();
@@ -544,9 +589,9 @@
             let server = self
                 .servers
                 .iter()
-                .position(|other| std::ptr::eq(other, host))
+                .position(|other| std::ptr::eq(other, compiled_server))
                 .unwrap_or_default();
-            let uri = walk.goes_on(site, uri);
+            let uri = state.upstream_uri(compiled_location, uri);
             return Ok(RouteDecision::Forward {
                 server,
                 location,
@@ -555,33 +600,34 @@
                 class,
             });
         }
-        answer(
+        respond(
             500,
             String::new(),
-            format!("rewrites sent it back more than {CYCLES} times"),
+            format!("rewrites sent it back more than {MAX_INTERNAL_REDIRECTS} times"),
         )
     }
 
-    /// Takes steps; whether a location has to be looked up again, and an answer where they give one.
-    fn steps(
+    /// Runs the steps of a server or location. Returns whether the location has to be looked up again,
+    /// and the response if a step makes one.
+    fn run_steps(
         &self,
-        steps: &[Prepared],
+        steps: &[CompiledStep],
         position: &SourcePosition,
-        walk: &mut Walk<'_>,
-        said: &mut Option<Vec<String>>,
+        state: &mut RequestState<'_>,
+        trace: &mut Option<Vec<String>>,
     ) -> (bool, Option<RouteDecision>) {
-        let mut again = false;
+        let mut look_up_again = false;
         for step in steps {
             match step {
-                Prepared::Set(name, value) => {
-                    let value = self.fill(value, walk);
-                    walk.set.insert(name.clone(), value);
+                CompiledStep::Set(name, value) => {
+                    let value = self.expand_with_state(value, state);
+                    state.set_variables.insert(name.clone(), value);
                 }
-                Prepared::Break => return (again, None),
-                Prepared::Return(code, text) => {
+                CompiledStep::Break => return (look_up_again, None),
+                CompiledStep::Return(code, text) => {
                     let text = text
                         .as_ref()
-                        .map(|text| self.fill(text, walk))
+                        .map(|text| self.expand_with_state(text, state))
                         .unwrap_or_default();
                     return (
                         false,
@@ -592,16 +638,16 @@
                         }),
                     );
                 }
-                Prepared::Rewrite(regex, to, drops, flag) => {
-                    let path = walk.uri.path.clone();
-                    let Some(groups) = regex.captures(&path) else {
+                CompiledStep::Rewrite(regex, replacement, drops_arguments, flag) => {
+                    let path = state.uri.path.clone();
+                    let Some(captures) = regex.captures(&path) else {
                         continue;
                     };
-                    walk.capture(Some(regex), &groups);
-                    let to = self.fill(to, walk);
-                    let redirect = |code| RouteDecision::Respond {
-                        status: code,
-                        text: to.clone(),
+                    state.capture(Some(regex), &captures);
+                    let replacement = self.expand_with_state(replacement, state);
+                    let redirect = |status| RouteDecision::Respond {
+                        status,
+                        text: replacement.clone(),
                         reason: format!("{position} rewrites it"),
                     };
                     match flag {
@@ -609,109 +655,126 @@
                         RewriteFlag::Permanent => return (false, Some(redirect(301))),
                         _ => {}
                     }
-                    let (path, args) = to
+                    let (path, arguments) = replacement
                         .split_once('?')
-                        .map_or((to.as_str(), None), |(path, args)| (path, Some(args)));
-                    let old = std::mem::take(&mut walk.uri.args);
-                    walk.uri.args = match args {
-                        _ if *drops => args.unwrap_or_default().to_owned(),
-                        Some(args) if old.is_empty() => args.to_owned(),
-                        Some(args) => format!("{args}&{old}"),
-                        None => old,
+                        .map_or((replacement.as_str(), None), |(path, arguments)| {
+                            (path, Some(arguments))
+                        });
+                    let old_arguments = std::mem::take(&mut state.uri.args);
+                    state.uri.args = match arguments {
+                        _ if *drops_arguments => arguments.unwrap_or_default().to_owned(),
+                        Some(arguments) if old_arguments.is_empty() => arguments.to_owned(),
+                        Some(arguments) => format!("{arguments}&{old_arguments}"),
+                        None => old_arguments,
                     };
-                    walk.uri.path = path.as_bytes().to_vec();
-                    walk.changed = true;
-                    say(said, || format!("{position} rewrites the path to {path:?}"));
+                    state.uri.path = path.as_bytes().to_vec();
+                    state.path_rewritten = true;
+                    push_trace(trace, || {
+                        format!("{position} rewrites the path to {path:?}")
+                    });
                     match flag {
                         RewriteFlag::Last => return (true, None),
                         RewriteFlag::Break => {
-                            walk.stays = true;
+                            state.stays_in_location = true;
                             return (false, None);
                         }
-                        _ => again = true,
+                        _ => look_up_again = true,
                     }
                 }
             }
         }
-        (again, None)
+        (look_up_again, None)
     }
 
-    fn fill(&self, template: &Template, walk: &Walk<'_>) -> String {
-        self.fill_at(template, walk, 0)
+    fn expand_with_state(&self, template: &Template, state: &RequestState<'_>) -> String {
+        self.expand_at_depth(template, state, 0)
     }
 
-    fn fill_at(&self, template: &Template, walk: &Walk<'_>, depth: usize) -> String {
-        template.expand(|piece, out| match piece {
+    fn expand_at_depth(
+        &self,
+        template: &Template,
+        state: &RequestState<'_>,
+        depth: usize,
+    ) -> String {
+        template.expand(|part, out| match part {
             TemplatePart::Capture(number) => {
-                out.push_str(walk.groups.get(*number).map_or("", |text| text));
+                out.push_str(state.captures.get(*number).map_or("", |text| text));
             }
-            TemplatePart::Variable(name) => out.push_str(&self.value(name, walk, depth)),
+            TemplatePart::Variable(name) => out.push_str(&self.variable_value(name, state, depth)),
             TemplatePart::Literal(_) => {}
         })
     }
 
-    /// A text with the values that a request gives to its variables.
+    /// Expands a template with the variables of a request.
     #[must_use]
-    pub fn expand(&self, template: &Template, asked: &RouteRequest<'_>) -> String {
-        let uri = uri::parse(asked.request_target, true).unwrap_or(Uri {
+    pub fn expand(&self, template: &Template, request: &RouteRequest<'_>) -> String {
+        let uri = uri::parse(request.request_target, true).unwrap_or(Uri {
             path: Vec::new(),
             args: String::new(),
         });
-        let walk = Walk {
-            asked,
+        let state = RequestState {
+            request,
             uri,
-            changed: false,
-            stays: false,
-            set: HashMap::new(),
-            groups: Vec::new(),
+            path_rewritten: false,
+            stays_in_location: false,
+            set_variables: HashMap::new(),
+            captures: Vec::new(),
         };
-        self.fill(template, &walk)
+        self.expand_with_state(template, &state)
     }
 
-    fn value(&self, name: &str, walk: &Walk<'_>, depth: usize) -> String {
-        if let Some(value) = walk.set.get(name) {
+    fn variable_value(&self, name: &str, state: &RequestState<'_>, depth: usize) -> String {
+        if let Some(value) = state.set_variables.get(name) {
             return value.clone();
         }
-        let Some(known) = self.variables.get(name).filter(|_| depth < DEEPEST) else {
-            return walk.given(name);
+        let Some(variable) = self
+            .variables
+            .get(name)
+            .filter(|_| depth < MAX_VARIABLE_DEPTH)
+        else {
+            return state.request_variable(name);
         };
-        match known {
-            Known::Map {
+        match variable {
+            CompiledVariable::Map {
                 source,
-                whole,
-                names,
+                exact,
+                wildcards,
                 regexes,
                 default,
             } => {
-                let source = self.fill_at(source, walk, depth + 1);
-                let lower = source.to_lowercase();
-                let by_name = || {
-                    let fits = |name: &str| match name.strip_prefix('*') {
-                        Some(end) => lower.len() > end.len() && lower.ends_with(end),
-                        None => name.strip_suffix('*').is_some_and(|start| {
-                            lower.len() > start.len() && lower.starts_with(start)
+                let source = self.expand_at_depth(source, state, depth + 1);
+                let lowercase_source = source.to_lowercase();
+                let find_wildcard = || {
+                    let matches_name = |name: &str| match name.strip_prefix('*') {
+                        Some(suffix) => {
+                            lowercase_source.len() > suffix.len()
+                                && lowercase_source.ends_with(suffix)
+                        }
+                        None => name.strip_suffix('*').is_some_and(|prefix| {
+                            lowercase_source.len() > prefix.len()
+                                && lowercase_source.starts_with(prefix)
                         }),
                     };
-                    names
+                    wildcards
                         .iter()
-                        .find(|(name, _)| fits(name))
+                        .find(|(name, _)| matches_name(name))
                         .map(|(_, value)| value)
                 };
-                let by_regex = || {
+                let find_regex = || {
                     regexes
                         .iter()
                         .find(|(regex, _)| regex.is_match(source.as_bytes()))
                         .map(|(_, value)| value)
                 };
-                let value = whole
-                    .get(&lower)
-                    .or_else(by_name)
-                    .or_else(by_regex)
+                let value = exact
+                    .get(&lowercase_source)
+                    .or_else(find_wildcard)
+                    .or_else(find_regex)
                     .unwrap_or(default);
-                self.fill_at(value, walk, depth + 1)
+                self.expand_at_depth(value, state, depth + 1)
             }
-            Known::Split { key, parts } => {
-                let hash = murmur2(self.fill_at(key, walk, depth + 1).as_bytes());
+            CompiledVariable::Split { key, parts } => {
+                let hash = murmur2(self.expand_at_depth(key, state, depth + 1).as_bytes());
                 let part = parts.iter().find(|(bound, _)| *bound == 0 || hash < *bound);
                 part.map(|(_, value)| value.clone()).unwrap_or_default()
             }
@@ -719,31 +782,31 @@
     }
 }
 
-impl Listen {
-    /// The server for a host, and why.
+impl VirtualHosts {
+    /// Returns the index of the server for a host name, and why it was chosen.
     fn choose(&self, name: &str) -> (usize, String) {
-        if let Some(number) = self.whole.get(name).filter(|_| !name.is_empty()) {
+        if let Some(number) = self.exact.get(name).filter(|_| !name.is_empty()) {
             return (*number, "the whole name".to_owned());
         }
-        // `*.x` stands for labels below x, and not for x itself.
-        if let Some((end, number)) = self
-            .below
+        // `*.x` matches names below x, but not x itself.
+        if let Some((suffix, number)) = self
+            .leading_wildcards
             .iter()
-            .find(|(end, _)| name.len() > end.len() && name.ends_with(end))
+            .find(|(suffix, _)| name.len() > suffix.len() && name.ends_with(suffix))
         {
             return (
                 *number,
-                format!("the longest name with a star before, *{end}"),
+                format!("the longest name with a star before, *{suffix}"),
             );
         }
-        if let Some((start, number)) = self
-            .above
+        if let Some((prefix, number)) = self
+            .trailing_wildcards
             .iter()
-            .find(|(start, _)| name.len() > start.len() && name.starts_with(start))
+            .find(|(prefix, _)| name.len() > prefix.len() && name.starts_with(prefix))
         {
             return (
                 *number,
-                format!("the longest name with a star after, {start}*"),
+                format!("the longest name with a star after, {prefix}*"),
             );
         }
         if let Some((regex, number)) = self
@@ -756,7 +819,7 @@
                 format!("the first regular expression that matches, {regex}"),
             );
         }
-        if let Some(number) = self.whole.get("").filter(|_| name.is_empty()) {
+        if let Some(number) = self.exact.get("").filter(|_| name.is_empty()) {
             return (*number, "the server without a name".to_owned());
         }
         (
@@ -767,54 +830,61 @@
 }
 
 impl CompiledServer {
-    /// Says of each location why it takes the path or does not.
-    fn weigh(&self, path: &[u8], taken: LocationMatch, said: &mut Option<Vec<String>>) {
-        let shown = String::from_utf8_lossy(path).into_owned();
-        say(said, || format!("path {shown:?}:"));
-        let winner = match taken {
+    /// Adds a line to the trace for each location, with the reason why it takes the path or not.
+    fn trace_locations(
+        &self,
+        path: &[u8],
+        location_match: LocationMatch,
+        trace: &mut Option<Vec<String>>,
+    ) {
+        let path_text = String::from_utf8_lossy(path).into_owned();
+        push_trace(trace, || format!("path {path_text:?}:"));
+        let winner = match location_match {
             LocationMatch::Found(number) | LocationMatch::AppendSlash(number) => Some(number),
             LocationMatch::NotFound => None,
         };
-        // The locations around the winner, and the winner, from the outside in.
-        let mut way: Vec<u32> =
+        // The winning location and those around it, the outermost first.
+        let mut ancestry: Vec<u32> =
             std::iter::successors(winner, |number| self.locations[*number as usize].parent)
                 .collect();
-        way.reverse();
+        ancestry.reverse();
         let mut parent = None;
-        for depth in 0..=way.len() {
-            let here: Vec<_> = self
+        for depth in 0..=ancestry.len() {
+            let siblings: Vec<_> = self
                 .locations
                 .iter()
                 .enumerate()
-                .filter(|(_, site)| site.parent == parent)
+                .filter(|(_, location)| location.parent == parent)
                 .collect();
-            if here.is_empty() {
+            if siblings.is_empty() {
                 break;
             }
-            let chosen = way.get(depth).copied();
-            let fits = |site: &CompiledLocation| match site.match_kind {
-                MatchKind::Exact => site.pattern.as_bytes() == path,
+            let chosen = ancestry.get(depth).copied();
+            let matches_path = |location: &CompiledLocation| match location.match_kind {
+                MatchKind::Exact => location.pattern.as_bytes() == path,
                 MatchKind::Prefix | MatchKind::PreferentialPrefix => {
-                    path.starts_with(site.pattern.as_bytes())
+                    path.starts_with(location.pattern.as_bytes())
                 }
                 MatchKind::Named => false,
                 MatchKind::Regex | MatchKind::RegexCaseInsensitive => pattern::compile(
-                    &site.pattern,
-                    site.match_kind == MatchKind::RegexCaseInsensitive,
+                    &location.pattern,
+                    location.match_kind == MatchKind::RegexCaseInsensitive,
                 )
                 .is_ok_and(|regex| regex.is_match(path)),
             };
-            let longest = here
+            let longest = siblings
                 .iter()
-                .filter(|(_, site)| {
-                    !site.match_kind.is_regex() && site.match_kind != MatchKind::Exact && fits(site)
+                .filter(|(_, location)| {
+                    !location.match_kind.is_regex()
+                        && location.match_kind != MatchKind::Exact
+                        && matches_path(location)
                 })
-                .max_by_key(|(_, site)| site.pattern.len());
-            let by = chosen.map(|number| &self.locations[number as usize]);
-            for (number, site) in &here {
-                let why = if Some(*number as u32) == chosen {
-                    match (site.match_kind, taken) {
-                        (_, LocationMatch::AppendSlash(_)) if depth + 1 == way.len() => {
+                .max_by_key(|(_, location)| location.pattern.len());
+            let winning_location = chosen.map(|number| &self.locations[number as usize]);
+            for (number, location) in &siblings {
+                let reason = if Some(*number as u32) == chosen {
+                    match (location.match_kind, location_match) {
+                        (_, LocationMatch::AppendSlash(_)) if depth + 1 == ancestry.len() => {
                             "adds the slash that the path lacks".to_owned()
                         }
                         (MatchKind::Exact, _) => "is the whole path".to_owned(),
@@ -827,26 +897,33 @@
                         _ => "the longest prefix, and no regular expression matches".to_owned(),
                     }
                 } else {
-                    let name = by.map_or("", |site| &site.name);
-                    match site.match_kind {
+                    let name = winning_location.map_or("", |location| &location.name);
+                    match location.match_kind {
                         MatchKind::Named => "is reached by name only".to_owned(),
                         MatchKind::Exact => "is not the path".to_owned(),
-                        MatchKind::Prefix | MatchKind::PreferentialPrefix if !fits(site) => {
+                        MatchKind::Prefix | MatchKind::PreferentialPrefix
+                            if !matches_path(location) =>
+                        {
                             "is no prefix of the path".to_owned()
                         }
                         MatchKind::Prefix | MatchKind::PreferentialPrefix
-                            if longest.is_some_and(|(other, _)| other != number) =>
+                            if longest.is_some_and(|(longer, _)| longer != number) =>
                         {
-                            let other = longest.map_or("", |(_, site)| &site.name);
-                            format!("a prefix, and {other} is longer")
+                            let longer = longest.map_or("", |(_, location)| &location.name);
+                            format!("a prefix, and {longer} is longer")
                         }
                         MatchKind::Prefix | MatchKind::PreferentialPrefix => {
                             format!("the longest prefix, and {name} comes before it")
                         }
-                        _ if by.is_some_and(|by| !by.match_kind.is_regex()) && fits(site) => {
+                        _ if winning_location.is_some_and(|winning_location| {
+                            !winning_location.match_kind.is_regex()
+                        }) && matches_path(location) =>
+                        {
                             format!("matches, and is not tried because of {name}")
                         }
-                        _ if fits(site) => format!("matches, and {name} stands before it"),
+                        _ if matches_path(location) => {
+                            format!("matches, and {name} stands before it")
+                        }
                         _ => "does not match".to_owned(),
                     }
                 };
@@ -855,50 +932,51 @@
                 } else {
                     "-"
                 };
-                say(said, || {
+                push_trace(trace, || {
                     format!(
-                        "  {}{mark} {} {}: {why}",
+                        "  {}{mark} {} {}: {reason}",
                         "  ".repeat(depth),
-                        site.position,
-                        site.name
+                        location.position,
+                        location.name
                     )
                 });
             }
-            let Some(next) = chosen else { break };
-            parent = Some(next);
+            let Some(next_parent) = chosen else { break };
+            parent = Some(next_parent);
         }
     }
 }
 
-impl Walk<'_> {
-    fn capture(&mut self, regex: Option<&Regex>, groups: &regex::bytes::Captures<'_>) {
-        let text =
-            |found: regex::bytes::Match<'_>| String::from_utf8_lossy(found.as_bytes()).into_owned();
-        self.groups = groups
+impl RequestState<'_> {
+    fn capture(&mut self, regex: Option<&Regex>, captures: &regex::bytes::Captures<'_>) {
+        let to_text = |capture: regex::bytes::Match<'_>| {
+            String::from_utf8_lossy(capture.as_bytes()).into_owned()
+        };
+        self.captures = captures
             .iter()
-            .map(|group| group.map(text).unwrap_or_default())
+            .map(|group| group.map(to_text).unwrap_or_default())
             .collect();
         for name in regex
             .into_iter()
             .flat_map(|regex| regex.capture_names().flatten())
         {
-            let value = groups.name(name).map(text).unwrap_or_default();
-            self.set.insert(name.to_owned(), value);
+            let value = captures.name(name).map(to_text).unwrap_or_default();
+            self.set_variables.insert(name.to_owned(), value);
         }
     }
 
-    fn given(&self, name: &str) -> String {
-        let asked = self.asked;
+    fn request_variable(&self, name: &str) -> String {
+        let request = self.request;
         match name {
             "uri" | "document_uri" => String::from_utf8_lossy(&self.uri.path).into_owned(),
-            "request_uri" => asked.request_target.to_owned(),
+            "request_uri" => request.request_target.to_owned(),
             "args" | "query_string" => self.uri.args.clone(),
             "is_args" => if self.uri.args.is_empty() { "" } else { "?" }.to_owned(),
-            "host" => split_port(asked.host).0.to_lowercase(),
-            "request_method" => asked.method.to_owned(),
-            "remote_addr" | "binary_remote_addr" => asked.caller_address.to_owned(),
+            "host" => split_port(request.host).0.to_lowercase(),
+            "request_method" => request.method.to_owned(),
+            "remote_addr" | "binary_remote_addr" => request.caller_address.to_owned(),
             "scheme" => "http".to_owned(),
-            "server_port" => split_port(asked.listen_address.unwrap_or(asked.host))
+            "server_port" => split_port(request.listen_address.unwrap_or(request.host))
                 .1
                 .unwrap_or("80")
                 .to_owned(),
@@ -916,7 +994,7 @@
                         .unwrap_or_default();
                 }
                 if let Some(wanted) = name.strip_prefix("cookie_") {
-                    let cookies = asked
+                    let cookies = request
                         .headers
                         .iter()
                         .filter(|(name, _)| name.eq_ignore_ascii_case("cookie"));
@@ -933,41 +1011,41 @@
                     return String::new();
                 };
                 if wanted == "host" {
-                    return asked.host.to_owned();
+                    return request.host.to_owned();
                 }
-                let same = |name: &str| {
+                let matches_header = |name: &str| {
                     name.len() == wanted.len()
                         && name
                             .bytes()
                             .zip(wanted.bytes())
                             .all(|(a, b)| a.to_ascii_lowercase() == b || a == b'-' && b == b'_')
                 };
-                asked
+                request
                     .headers
                     .iter()
-                    .find(|(name, _)| same(name))
+                    .find(|(name, _)| matches_header(name))
                     .map(|(_, value)| value.clone())
                     .unwrap_or_default()
             }
         }
     }
 
-    /// The path and arguments that go on.
-    fn goes_on(&self, site: &CompiledLocation, uri: Option<(String, bool)>) -> String {
+    /// Returns the path and query string that the target gets.
+    fn upstream_uri(&self, location: &CompiledLocation, uri: Option<(String, bool)>) -> String {
         let mut out = match uri {
-            // One with variables is the whole of it.
+            // A URI with variables replaces the whole path and query string.
             Some((uri, true)) => return uri,
-            Some((uri, false)) if !self.stays => {
+            Some((uri, false)) if !self.stays_in_location => {
                 let rest = self
                     .uri
                     .path
-                    .strip_prefix(site.pattern.as_bytes())
+                    .strip_prefix(location.pattern.as_bytes())
                     .unwrap_or_default();
                 uri + &uri::escape(rest)
             }
-            None if !self.changed => {
+            None if !self.path_rewritten => {
                 return self
-                    .asked
+                    .request
                     .request_target
                     .split('#')
                     .next()
@@ -983,13 +1061,13 @@
     }
 }
 
-fn say(said: &mut Option<Vec<String>>, what: impl FnOnce() -> String) {
-    if let Some(said) = said {
-        said.push(what());
+fn push_trace(trace: &mut Option<Vec<String>>, line: impl FnOnce() -> String) {
+    if let Some(trace) = trace {
+        trace.push(line());
     }
 }
 
-/// Host and port.
+/// Splits host and port.
 fn split_port(host: &str) -> (&str, Option<&str>) {
     match host.rsplit_once(':') {
         Some((name, port)) if !port.contains(']') && !port.is_empty() => (name, Some(port)),
@@ -997,7 +1075,7 @@
     }
 }
 
-/// The hash by which nginx splits clients; no other would give them the same parts.
+/// MurmurHash2, the hash of nginx's `split_clients`; another hash would assign other parts.
 fn murmur2(data: &[u8]) -> u32 {
     const M: u32 = 0x5bd1_e995;
     let mut hash = data.len() as u32;
@@ -1022,9 +1100,9 @@
 mod tests {
     use super::murmur2;
 
-    /// Values of the reference's own making, with the seed 0.
+    /// The expected values come from the reference implementation, with the seed 0.
     #[test]
-    fn the_split_hashes_as_murmur_does() {
+    fn murmur2_agrees_with_the_reference_implementation() {
         for (text, hash) in [
             ("", 0),
             ("a", 0x9268_5f5e),
