--- a/crates/routes/src/expectations.rs
+++ b/crates/routes/src/expectations.rs
@@ -486,7 +486,7 @@
         return check_unreachable(checker, expectation);
     }
     if expectation.requests.is_empty() {
-        return Outcome::Vacuous("it is about no requests".to_owned());
+        return Outcome::Vacuous("it has no requests".to_owned());
     }
     if let Some(reason) = expectation
         .requests
@@ -730,7 +730,7 @@
         }
     }
     if *requests_checked == 0 {
-        return Outcome::Vacuous("it is about no subjects".to_owned());
+        return Outcome::Vacuous("it has no subjects".to_owned());
     }
     let share = moved as f64 / *requests_checked as f64;
     match example {
--- a/crates/routes/src/import/directives.rs
+++ b/crates/routes/src/import/directives.rs
@@ -1,30 +1,31 @@
-//! All directives that are known, and what becomes of each.
+//! The known directives of nginx, and how far the importer supports each.
 
-/// What becomes of a directive.
+/// How far the importer supports a directive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectiveSupport {
-    /// It is part of the table.
+    /// The importer takes it over into the route table.
     Full,
-    /// It is part of the table, and differs in this.
+    /// It is accepted, with this difference to nginx.
     Partial(&'static str),
-    /// It has no part in routing.
+    /// It is accepted and has no influence on routing.
     Ignored,
-    /// It can't be expressed, for this reason.
+    /// It is rejected for this reason.
     Unsupported(&'static str),
 }
 
-/// All directives that are known, with the contexts that nginx takes them in: m main, h http, s server, l location,
-/// u upstream.
+/// Returns the known directives: name, the contexts in which nginx allows it (m main, h http, s server,
+/// l location, u upstream), and support.
 #[must_use]
 pub fn known_directives() -> &'static [(&'static str, &'static str, DirectiveSupport)] {
     use DirectiveSupport::{Full, Ignored, Partial, Unsupported};
-    const FILES: DirectiveSupport = Unsupported("matchers serve no files");
-    const OTHER: DirectiveSupport =
+    const SERVES_FILES: DirectiveSupport = Unsupported("matchers serve no files");
+    const OTHER_PROTOCOL: DirectiveSupport =
         Unsupported("targets speak AJP or frames, and this names another protocol");
-    const CHANGES: DirectiveSupport =
-        Unsupported("it changes requests or answers, and they go on as they came");
-    const ACCESS: DirectiveSupport = Unsupported("it admits by other rules than the matcher's");
-    const PROCESS: DirectiveSupport = Ignored;
+    const CHANGES_MESSAGES: DirectiveSupport =
+        Unsupported("it changes requests or responses, which are passed on unchanged");
+    const ACCESS_CONTROL: DirectiveSupport =
+        Unsupported("it admits by other rules than the matcher's");
+    const PROCESS_SETTING: DirectiveSupport = Ignored;
     &[
         ("http", "m", Full),
         ("server", "h", Full),
@@ -70,12 +71,12 @@
         (
             "proxy_hide_header",
             "hsl",
-            Partial("headers of answers go on as they came"),
+            Partial("response headers are passed on unchanged"),
         ),
         (
             "proxy_pass_header",
             "hsl",
-            Partial("headers of answers go on as they came"),
+            Partial("response headers are passed on unchanged"),
         ),
         (
             "add_header",
@@ -95,12 +96,12 @@
         (
             "client_body_timeout",
             "hsl",
-            Partial("the operator file bounds the time of a body"),
+            Partial("the operator file limits the time to receive a body"),
         ),
         (
             "client_header_timeout",
             "hs",
-            Partial("the operator file bounds the time of a packet"),
+            Partial("the operator file limits the time to receive a packet"),
         ),
         ("proxy_http_version", "hsl", Ignored),
         ("proxy_buffering", "hsl", Ignored),
@@ -163,16 +164,16 @@
             "hs",
             Partial("TLS is ended elsewhere"),
         ),
-        ("events", "m", PROCESS),
-        ("user", "m", PROCESS),
-        ("pid", "m", PROCESS),
-        ("daemon", "m", PROCESS),
-        ("worker_processes", "m", PROCESS),
-        ("worker_rlimit_nofile", "m", PROCESS),
-        ("worker_shutdown_timeout", "m", PROCESS),
-        ("worker_cpu_affinity", "m", PROCESS),
-        ("pcre_jit", "m", PROCESS),
-        ("thread_pool", "m", PROCESS),
+        ("events", "m", PROCESS_SETTING),
+        ("user", "m", PROCESS_SETTING),
+        ("pid", "m", PROCESS_SETTING),
+        ("daemon", "m", PROCESS_SETTING),
+        ("worker_processes", "m", PROCESS_SETTING),
+        ("worker_rlimit_nofile", "m", PROCESS_SETTING),
+        ("worker_shutdown_timeout", "m", PROCESS_SETTING),
+        ("worker_cpu_affinity", "m", PROCESS_SETTING),
+        ("pcre_jit", "m", PROCESS_SETTING),
+        ("thread_pool", "m", PROCESS_SETTING),
         (
             "stream",
             "m",
@@ -182,19 +183,19 @@
         (
             "load_module",
             "m",
-            Unsupported("nobody knows what a module changes"),
+            Unsupported("what a module changes is unknown"),
         ),
         (
             "if",
             "sl",
             Unsupported("conditions are not taken over; a map of the variable says the same"),
         ),
-        ("root", "hsl", FILES),
-        ("alias", "l", FILES),
-        ("index", "hsl", FILES),
-        ("try_files", "sl", FILES),
-        ("autoindex", "hsl", FILES),
-        ("expires", "hsl", FILES),
+        ("root", "hsl", SERVES_FILES),
+        ("alias", "l", SERVES_FILES),
+        ("index", "hsl", SERVES_FILES),
+        ("try_files", "sl", SERVES_FILES),
+        ("autoindex", "hsl", SERVES_FILES),
+        ("expires", "hsl", SERVES_FILES),
         (
             "error_page",
             "hsl",
@@ -212,31 +213,35 @@
         ),
         ("port_in_redirect", "hsl", Ignored),
         ("absolute_redirect", "hsl", Ignored),
-        ("fastcgi_pass", "l", OTHER),
-        ("uwsgi_pass", "l", OTHER),
-        ("scgi_pass", "l", OTHER),
-        ("grpc_pass", "l", OTHER),
-        ("memcached_pass", "l", OTHER),
-        ("proxy_method", "hsl", CHANGES),
-        ("proxy_set_body", "hsl", CHANGES),
-        ("proxy_pass_request_body", "hsl", CHANGES),
-        ("proxy_pass_request_headers", "hsl", CHANGES),
+        ("fastcgi_pass", "l", OTHER_PROTOCOL),
+        ("uwsgi_pass", "l", OTHER_PROTOCOL),
+        ("scgi_pass", "l", OTHER_PROTOCOL),
+        ("grpc_pass", "l", OTHER_PROTOCOL),
+        ("memcached_pass", "l", OTHER_PROTOCOL),
+        ("proxy_method", "hsl", CHANGES_MESSAGES),
+        ("proxy_set_body", "hsl", CHANGES_MESSAGES),
+        ("proxy_pass_request_body", "hsl", CHANGES_MESSAGES),
+        ("proxy_pass_request_headers", "hsl", CHANGES_MESSAGES),
         (
             "proxy_bind",
             "hsl",
-            Unsupported("connections to targets leave from any address"),
+            Unsupported("connections to targets use any local address"),
+        ),
+        ("sub_filter", "hsl", CHANGES_MESSAGES),
+        (
+            "proxy_cache",
+            "hsl",
+            Unsupported("responses are not cached"),
         ),
-        ("sub_filter", "hsl", CHANGES),
-        ("proxy_cache", "hsl", Unsupported("answers are not cached")),
         (
             "proxy_cache_path",
             "h",
-            Unsupported("answers are not cached"),
+            Unsupported("responses are not cached"),
         ),
         (
             "proxy_cache_valid",
             "hsl",
-            Unsupported("answers are not cached"),
+            Unsupported("responses are not cached"),
         ),
         (
             "mirror",
@@ -244,14 +249,18 @@
             Unsupported("a request goes to one target, and one with an effect must run once"),
         ),
         ("proxy_ignore_client_abort", "hsl", Ignored),
-        ("allow", "hsl", ACCESS),
-        ("deny", "hsl", ACCESS),
-        ("satisfy", "hsl", ACCESS),
-        ("auth_basic", "hsl", ACCESS),
-        ("auth_basic_user_file", "hsl", ACCESS),
-        ("auth_request", "hsl", ACCESS),
-        ("limit_except", "l", ACCESS),
-        ("limit_rate", "hsl", Unsupported("answers are not delayed")),
+        ("allow", "hsl", ACCESS_CONTROL),
+        ("deny", "hsl", ACCESS_CONTROL),
+        ("satisfy", "hsl", ACCESS_CONTROL),
+        ("auth_basic", "hsl", ACCESS_CONTROL),
+        ("auth_basic_user_file", "hsl", ACCESS_CONTROL),
+        ("auth_request", "hsl", ACCESS_CONTROL),
+        ("limit_except", "l", ACCESS_CONTROL),
+        (
+            "limit_rate",
+            "hsl",
+            Unsupported("the rate of a response is not limited"),
+        ),
         ("geo", "h", Unsupported("addresses are not looked up")),
         (
             "sticky",
@@ -261,12 +270,12 @@
         (
             "ntlm",
             "u",
-            Unsupported("a connection belongs to no caller"),
+            Unsupported("connections to targets are shared by all callers"),
         ),
         (
             "queue",
             "u",
-            Unsupported("requests wait in the matcher, which answers them by their due time"),
+            Unsupported("requests wait in the matcher, which responds by their deadline"),
         ),
     ]
 }
@@ -276,7 +285,7 @@
     use super::*;
 
     #[test]
-    fn each_directive_has_one_fate() {
+    fn each_directive_is_listed_once() {
         let mut names: Vec<_> = known_directives().iter().map(|(name, ..)| *name).collect();
         let count = names.len();
         names.sort_unstable();
--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -1,5 +1,5 @@
-//! What nginx's directives mean, as a route table; or a refusal for each that can't be expressed. Nothing is guessed: a
-//! directive that is not named in [`table`] is refused.
+//! Imports an nginx configuration as a route table, and reports each directive that can't be
+//! expressed. Nothing is guessed: a directive that is not in [`known_directives`] is rejected.
 
 mod directives;
 mod limits;
@@ -15,63 +15,63 @@
 use crate::syntax::{ConfigTree, Directive, FileSource, Word};
 use crate::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use values::milliseconds;
+use values::parse_milliseconds;
 
-/// Contexts, by their letters in [`table`].
+// Contexts; `known_directives` abbreviates them by their first letters.
 const MAIN: &str = "main";
 const HTTP: &str = "http";
 const SERVER: &str = "server";
 const LOCATION: &str = "location";
 const UPSTREAM: &str = "upstream";
 
-/// What an import came to.
+/// Result of an import.
 #[derive(Debug)]
 pub struct Import {
-    /// The table, as far as it was understood; to be used only where nothing was refused.
+    /// The route table. It may be used only if the import [is complete](Self::is_complete).
     pub routes: Routes,
-    /// What was found, in the order of files and lines.
+    /// Diagnostics, sorted by file and line.
     pub diagnostics: Vec<Diagnostic>,
-    /// Findings that are not told one by one.
+    /// Number of diagnostics beyond the maximum, which are left out.
     pub omitted_diagnostics: usize,
-    /// Directives read.
+    /// Number of directives that were read.
     pub directive_count: usize,
 }
 
 impl Import {
-    /// Reads a file and what it includes.
+    /// Imports a file and the files that it includes.
     #[must_use]
     pub fn read(files: &dyn FileSource, name: &str) -> Self {
         let mut tree = ConfigTree::read(files, name);
         let directives = std::mem::take(&mut tree.directives);
-        let mut reader = Reader {
+        let mut importer = Importer {
             tree,
-            names: HashMap::new(),
-            defaults: HashMap::new(),
-            made: HashMap::new(),
+            server_positions: HashMap::new(),
+            default_servers: HashMap::new(),
+            variable_definitions: HashMap::new(),
             routes: Routes::default(),
             zones: BTreeMap::new(),
-            differs: BTreeSet::new(),
+            reported_differences: BTreeSet::new(),
         };
-        reader.main(&directives);
-        reader.references();
-        let Reader {
+        importer.import_main(&directives);
+        importer.check_references();
+        let Importer {
             mut tree, routes, ..
-        } = reader;
+        } = importer;
         tree.diagnostics.sort_by(|a, b| {
             a.position
                 .cmp(&b.position)
                 .then_with(|| a.severity.cmp(&b.severity))
         });
-        let count = count(&directives);
+        let directive_count = count_directives(&directives);
         Self {
             routes,
             diagnostics: tree.diagnostics,
             omitted_diagnostics: tree.omitted_diagnostics,
-            directive_count: count,
+            directive_count,
         }
     }
 
-    /// Whether the table means all that the file means.
+    /// Whether the whole configuration was imported: there are no diagnostics but differences to nginx.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.omitted_diagnostics == 0
@@ -82,13 +82,14 @@
     }
 }
 
-fn count(all: &[Directive]) -> usize {
-    all.iter()
-        .map(|one| 1 + one.block.as_deref().map_or(0, count))
+fn count_directives(directives: &[Directive]) -> usize {
+    directives
+        .iter()
+        .map(|directive| 1 + directive.block.as_deref().map_or(0, count_directives))
         .sum()
 }
 
-/// What locations inherit.
+/// Settings that locations inherit from the enclosing blocks.
 #[derive(Clone)]
 struct Inherited {
     retry_policy: RetryPolicy,
@@ -113,63 +114,67 @@
     }
 }
 
-/// Locations of one block.
+/// The locations of one block.
 #[derive(Default)]
-struct Siblings {
-    all: Vec<Location>,
-    /// Plain ones, by their sign and pattern.
-    seen: HashMap<(&'static str, String), SourcePosition>,
+struct SiblingLocations {
+    locations: Vec<Location>,
+    /// Positions of the locations without regular expressions, by modifier and pattern.
+    positions: HashMap<(&'static str, String), SourcePosition>,
 }
 
-struct Reader {
+struct Importer {
     tree: ConfigTree,
-    /// Servers by address and name.
-    names: HashMap<(String, String), SourcePosition>,
-    /// Where variables are made.
-    made: HashMap<String, Word>,
-    /// Default servers by address.
-    defaults: HashMap<String, SourcePosition>,
+    /// Positions of servers, by listen address and name.
+    server_positions: HashMap<(String, String), SourcePosition>,
+    /// Words that define variables, by name.
+    variable_definitions: HashMap<String, Word>,
+    /// Positions of default servers, by listen address.
+    default_servers: HashMap<String, SourcePosition>,
     routes: Routes,
-    /// Keys and rates of zones; no rate for those of open requests.
+    /// Key and rate of each zone, by name. The rate is 0 for a zone of concurrent requests.
     zones: BTreeMap<String, (String, u64)>,
-    /// Directives whose difference was told; once is enough.
-    differs: BTreeSet<String>,
+    /// Differences that were reported; each is reported once.
+    reported_differences: BTreeSet<String>,
 }
 
-impl Reader {
-    fn error(&mut self, at: &Word, what: impl Into<String>) {
-        self.tree.note(at, Severity::Error, what);
+impl Importer {
+    fn error(&mut self, word: &Word, message: impl Into<String>) {
+        self.tree.report(word, Severity::Error, message);
     }
 
-    fn refuse(&mut self, at: &Word, what: impl Into<String>) {
-        self.tree.note(at, Severity::Unsupported, what);
+    fn reject(&mut self, word: &Word, message: impl Into<String>) {
+        self.tree.report(word, Severity::Unsupported, message);
     }
 
-    fn differs(&mut self, at: &Word, what: impl Into<String>) {
-        let what = what.into();
-        if self.differs.insert(what.clone()) {
-            self.tree.note(at, Severity::Difference, what);
+    fn warn(&mut self, word: &Word, message: impl Into<String>) {
+        let message = message.into();
+        if self.reported_differences.insert(message.clone()) {
+            self.tree.report(word, Severity::Difference, message);
         }
     }
 
-    /// Whether a directive is to be read; says so where it is not.
-    fn takes(&mut self, one: &Directive, context: &str) -> bool {
-        let name = one.name.text.as_str();
-        let Some((_, contexts, fate)) =
-            known_directives().iter().find(|(known, ..)| *known == name)
+    /// Whether a directive is to be imported; otherwise reports why not.
+    fn accepts(&mut self, directive: &Directive, context: &str) -> bool {
+        let name = directive.name.text.as_str();
+        let Some((_, contexts, support)) = known_directives()
+            .iter()
+            .find(|(known_name, ..)| *known_name == name)
         else {
-            self.refuse(
-                &one.name,
+            self.reject(
+                &directive.name,
                 format!("{name:?} is not known here, and nobody should guess what it does"),
             );
             return false;
         };
         let letter = context.chars().next().unwrap_or('m');
         if !contexts.contains(letter) {
-            self.error(&one.name, format!("{name:?} is not allowed in {context}"));
+            self.error(
+                &directive.name,
+                format!("{name:?} is not allowed in {context}"),
+            );
             return false;
         }
-        let takes_block = matches!(
+        let needs_block = matches!(
             name,
             "http"
                 | "server"
@@ -185,67 +190,75 @@
                 | "limit_except"
                 | "geo"
         );
-        if takes_block != one.block.is_some() {
-            let what = if takes_block {
+        if needs_block != directive.block.is_some() {
+            let message = if needs_block {
                 "has no block"
             } else {
                 "takes no block"
             };
-            self.error(&one.name, format!("{name:?} {what}"));
+            self.error(&directive.name, format!("{name:?} {message}"));
             return false;
         }
-        match fate {
+        match support {
             DirectiveSupport::Full => return true,
             DirectiveSupport::Ignored => {}
-            DirectiveSupport::Partial(what) => self.differs(&one.name, format!("{name}: {what}")),
-            DirectiveSupport::Unsupported(why) => self.refuse(&one.name, format!("{name}: {why}")),
+            DirectiveSupport::Partial(message) => {
+                self.warn(&directive.name, format!("{name}: {message}"));
+            }
+            DirectiveSupport::Unsupported(reason) => {
+                self.reject(&directive.name, format!("{name}: {reason}"));
+            }
         }
         false
     }
 
-    /// The arguments, where their number is within this range.
-    fn args<'a>(&mut self, one: &'a Directive, least: usize, most: usize) -> Option<&'a [Word]> {
-        if (least..=most).contains(&one.args.len()) {
-            return Some(&one.args);
+    /// Returns the arguments of a directive if their number is in the range; otherwise reports an error.
+    fn args<'a>(&mut self, directive: &'a Directive, min: usize, max: usize) -> Option<&'a [Word]> {
+        if (min..=max).contains(&directive.args.len()) {
+            return Some(&directive.args);
         }
-        let name = &one.name.text;
+        let name = &directive.name.text;
         self.error(
-            &one.name,
+            &directive.name,
             format!(
                 "{name:?} has {} arguments, which is not what it takes",
-                one.args.len()
+                directive.args.len()
             ),
         );
         None
     }
 
-    fn main(&mut self, all: &[Directive]) {
-        let mut seen = false;
-        for one in all {
-            // A file of upstream and location blocks alone is what others include; it is read as if in http.
-            if is_bare(one) {
+    fn import_main(&mut self, directives: &[Directive]) {
+        let mut has_http = false;
+        for directive in directives {
+            // A file without an http block is one that others include; it is read as the content of http.
+            if is_http_level(directive) {
                 continue;
             }
-            if self.takes(one, MAIN) {
-                if std::mem::replace(&mut seen, true) {
-                    self.error(&one.name, "a second http block");
+            if self.accepts(directive, MAIN) {
+                if std::mem::replace(&mut has_http, true) {
+                    self.error(&directive.name, "a second http block");
                 }
-                self.http(one.block.as_deref().unwrap_or_default());
+                self.import_http(directive.block.as_deref().unwrap_or_default());
             }
         }
-        let bare: Vec<_> = all.iter().filter(|one| is_bare(one)).cloned().collect();
-        if let Some(one) = bare.first() {
-            if seen {
+        let http_level: Vec<_> = directives
+            .iter()
+            .filter(|directive| is_http_level(directive))
+            .cloned()
+            .collect();
+        if let Some(directive) = http_level.first() {
+            if has_http {
                 self.error(
-                    &one.name,
-                    format!("{:?} is not allowed in main", one.name.text),
+                    &directive.name,
+                    format!("{:?} is not allowed in main", directive.name.text),
                 );
             } else {
-                self.http(&bare);
+                self.import_http(&http_level);
             }
-        } else if !seen && self.tree.diagnostics.is_empty() {
+        } else if !has_http && self.tree.diagnostics.is_empty() {
             let position = SourcePosition {
-                file: self.tree.texts.keys().next().cloned().unwrap_or_default(),
+                file: self.tree.sources.keys().next().cloned().unwrap_or_default(),
                 line: 1,
                 column: 1,
             };
@@ -253,123 +266,141 @@
                 &Word {
                     text: String::new(),
                     position,
-                    length: 1,
+                    byte_length: 1,
                 },
                 "there is no http block and no server in it",
             );
         }
     }
 
-    fn http(&mut self, all: &[Directive]) {
-        let inherited = self.inherit(all, HTTP, &Inherited::default());
-        for one in all {
-            let name = one.name.text.as_str();
+    fn import_http(&mut self, directives: &[Directive]) {
+        let inherited = self.inherited_settings(directives, HTTP, &Inherited::default());
+        for directive in directives {
+            let name = directive.name.text.as_str();
             if is_inherited(name) || name == "limit_req_zone" || name == "limit_conn_zone" {
                 continue;
             }
-            if !self.takes(one, HTTP) {
+            if !self.accepts(directive, HTTP) {
                 continue;
             }
-            let block = one.block.as_deref().unwrap_or_default();
+            let block = directive.block.as_deref().unwrap_or_default();
             match name {
-                "upstream" => self.upstream(one, block),
-                "map" => self.map(one, block),
-                "split_clients" => self.split(one, block),
-                "server" => self.server(one, block, &inherited),
+                "upstream" => self.import_upstream(directive, block),
+                "map" => self.import_map(directive, block),
+                "split_clients" => self.import_split_clients(directive, block),
+                "server" => self.import_server(directive, block, &inherited),
                 _ => {}
             }
         }
     }
 
-    /// Settings that hold for all below, unless they say otherwise.
-    fn inherit(&mut self, all: &[Directive], context: &str, above: &Inherited) -> Inherited {
+    /// Returns the settings of a block: those of the enclosing block, with the block's own directives
+    /// applied.
+    fn inherited_settings(
+        &mut self,
+        directives: &[Directive],
+        context: &str,
+        outer: &Inherited,
+    ) -> Inherited {
         if context == HTTP {
-            // Zones may stand after what uses them.
-            for one in all {
-                if matches!(one.name.text.as_str(), "limit_req_zone" | "limit_conn_zone")
-                    && self.takes(one, HTTP)
+            // Zones may be defined after the limits that use them.
+            for directive in directives {
+                if matches!(
+                    directive.name.text.as_str(),
+                    "limit_req_zone" | "limit_conn_zone"
+                ) && self.accepts(directive, HTTP)
                 {
-                    self.zone(one);
+                    self.import_zone(directive);
                 }
             }
         }
-        let mut here = above.clone();
-        for one in all.iter().filter(|one| is_inherited(&one.name.text)) {
-            if !self.takes(one, context) {
+        let mut settings = outer.clone();
+        for directive in directives
+            .iter()
+            .filter(|directive| is_inherited(&directive.name.text))
+        {
+            if !self.accepts(directive, context) {
                 continue;
             }
-            match one.name.text.as_str() {
+            match directive.name.text.as_str() {
                 "limit_req_status" | "limit_conn_status" => {
-                    let Some([word]) = self.args(one, 1, 1) else {
+                    let Some([word]) = self.args(directive, 1, 1) else {
                         continue;
                     };
                     match word.text.parse() {
-                        Ok(status @ 400..=599) if one.name.text == "limit_req_status" => {
-                            here.rate_limit_status = status;
+                        Ok(status @ 400..=599) if directive.name.text == "limit_req_status" => {
+                            settings.rate_limit_status = status;
                         }
-                        Ok(status @ 400..=599) => here.concurrency_limit_status = status,
+                        Ok(status @ 400..=599) => settings.concurrency_limit_status = status,
                         _ => self.error(
                             word,
                             format!("{:?} is not a status from 400 to 599", word.text),
                         ),
                     }
                 }
-                "merge_slashes" => match self.args(one, 1, 1) {
+                "merge_slashes" => match self.args(directive, 1, 1) {
                     Some([word]) if word.text == "on" || word.text == "off" => {
-                        here.merge_slashes = word.text == "on";
+                        settings.merge_slashes = word.text == "on";
                     }
                     Some([word, ..]) => {
                         self.error(word, format!("{:?} is neither on nor off", word.text));
                     }
                     _ => {}
                 },
-                "proxy_next_upstream" => self.next(one, &mut here.retry_policy),
+                "proxy_next_upstream" => self.retry_policy(directive, &mut settings.retry_policy),
                 "proxy_next_upstream_tries" => {
-                    if let Some([word]) = self.args(one, 1, 1) {
-                        here.retry_policy.max_attempts = self.number(word).unwrap_or(0);
+                    if let Some([word]) = self.args(directive, 1, 1) {
+                        settings.retry_policy.max_attempts = self.parse_number(word).unwrap_or(0);
                     }
                 }
                 "proxy_next_upstream_timeout" => {
-                    here.retry_policy.timeout_ms = self.time_of(one).unwrap_or(0);
+                    settings.retry_policy.timeout_ms = self.time_arg(directive).unwrap_or(0);
                 }
                 "proxy_connect_timeout" => {
-                    here.timeouts.connect_ms = self.time_of(one).unwrap_or(60_000);
+                    settings.timeouts.connect_ms = self.time_arg(directive).unwrap_or(60_000);
+                }
+                "proxy_send_timeout" => {
+                    settings.timeouts.send_ms = self.time_arg(directive).unwrap_or(60_000);
+                }
+                "proxy_read_timeout" => {
+                    settings.timeouts.read_ms = self.time_arg(directive).unwrap_or(60_000);
                 }
-                "proxy_send_timeout" => here.timeouts.send_ms = self.time_of(one).unwrap_or(60_000),
-                "proxy_read_timeout" => here.timeouts.read_ms = self.time_of(one).unwrap_or(60_000),
                 _ => {}
             }
         }
-        // Limits of one level replace those above; both kinds apart.
-        for rate in [true, false] {
-            let name = if rate { "limit_req" } else { "limit_conn" };
-            let own: Vec<_> = all.iter().filter(|one| one.name.text == name).collect();
-            if own.is_empty() {
+        // The limits of a block replace those of the enclosing block, separately for each kind.
+        for is_rate in [true, false] {
+            let name = if is_rate { "limit_req" } else { "limit_conn" };
+            let own_limits: Vec<_> = directives
+                .iter()
+                .filter(|directive| directive.name.text == name)
+                .collect();
+            if own_limits.is_empty() {
                 continue;
             }
-            here.limits.retain(|limit| (limit.rate > 0) != rate);
-            for one in own {
-                if self.takes(one, context) {
-                    let limit = if rate {
-                        self.limit_rate(one)
+            settings.limits.retain(|limit| (limit.rate > 0) != is_rate);
+            for directive in own_limits {
+                if self.accepts(directive, context) {
+                    let limit = if is_rate {
+                        self.parse_rate_limit(directive)
                     } else {
-                        self.limit_open(one)
+                        self.parse_concurrency_limit(directive)
                     };
-                    here.limits.extend(limit);
+                    settings.limits.extend(limit);
                 }
             }
         }
-        for limit in &mut here.limits {
+        for limit in &mut settings.limits {
             limit.status = if limit.rate > 0 {
-                here.rate_limit_status
+                settings.rate_limit_status
             } else {
-                here.concurrency_limit_status
+                settings.concurrency_limit_status
             };
         }
-        here
+        settings
     }
 
-    fn number(&mut self, word: &Word) -> Option<u32> {
+    fn parse_number(&mut self, word: &Word) -> Option<u32> {
         let number = word.text.parse().ok();
         if number.is_none() {
             self.error(word, format!("{:?} is not a whole number", word.text));
@@ -377,15 +408,15 @@
         number
     }
 
-    fn time_of(&mut self, one: &Directive) -> Option<u64> {
-        let [word] = self.args(one, 1, 1)? else {
+    fn time_arg(&mut self, directive: &Directive) -> Option<u64> {
+        let [word] = self.args(directive, 1, 1)? else {
             return None;
         };
-        self.time(word, &word.text)
+        self.parse_time(word, &word.text)
     }
 
-    fn time(&mut self, word: &Word, text: &str) -> Option<u64> {
-        let time = milliseconds(text);
+    fn parse_time(&mut self, word: &Word, text: &str) -> Option<u64> {
+        let time = parse_milliseconds(text);
         if time.is_none() {
             self.error(
                 word,
@@ -395,51 +426,52 @@
         time
     }
 
-    fn template(&mut self, word: &Word) {
-        if let Err(what) = Template::parse(&word.text) {
-            self.error(word, what);
+    fn check_template(&mut self, word: &Word) {
+        if let Err(message) = Template::parse(&word.text) {
+            self.error(word, message);
         }
     }
 
-    fn next(&mut self, one: &Directive, next: &mut RetryPolicy) {
-        let Some(words) = self.args(one, 1, 20) else {
+    fn retry_policy(&mut self, directive: &Directive, policy: &mut RetryPolicy) {
+        let Some(words) = self.args(directive, 1, 20) else {
             return;
         };
-        *next = RetryPolicy {
+        *policy = RetryPolicy {
             on_error: false,
             on_timeout: false,
             on_statuses: Vec::new(),
-            ..next.clone()
+            ..policy.clone()
         };
         for word in words {
             match word.text.as_str() {
-                "error" => next.on_error = true,
-                "timeout" => next.on_timeout = true,
+                "error" => policy.on_error = true,
+                "timeout" => policy.on_timeout = true,
                 "off" => {}
-                "invalid_header" => next.on_error = true,
+                "invalid_header" => policy.on_error = true,
                 "non_idempotent" => {
-                    let what =
+                    let message =
                         "non_idempotent: what may have run of a class with an effect is never tried again";
-                    self.differs(word, what);
+                    self.warn(word, message);
                 }
-                other => match other
+                outcome => match outcome
                     .strip_prefix("http_")
-                    .and_then(|code| code.parse::<u16>().ok())
+                    .and_then(|status| status.parse::<u16>().ok())
                 {
-                    Some(code @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => {
-                        next.on_statuses.push(code);
+                    Some(status @ (403 | 404 | 429 | 500 | 502 | 503 | 504)) => {
+                        policy.on_statuses.push(status);
                     }
-                    _ => self.error(word, format!("{other:?} is no outcome of a try")),
+                    _ => self.error(word, format!("{outcome:?} is no outcome of a try")),
                 },
             }
         }
     }
 }
 
-/// What a file of its own may hold that others include within http.
-fn is_bare(one: &Directive) -> bool {
+/// Whether a directive belongs to the http context, and so may be at the top of a file that others
+/// include.
+fn is_http_level(directive: &Directive) -> bool {
     matches!(
-        one.name.text.as_str(),
+        directive.name.text.as_str(),
         "upstream" | "server" | "map" | "split_clients" | "limit_req_zone" | "limit_conn_zone"
     )
 }
@@ -462,8 +494,8 @@
 }
 
 /// Visits all locations, nested ones included.
-pub(crate) fn visit_locations<'a>(all: &'a [Location], visit: &mut impl FnMut(&'a Location)) {
-    for location in all {
+pub(crate) fn visit_locations<'a>(locations: &'a [Location], visit: &mut impl FnMut(&'a Location)) {
+    for location in locations {
         visit(location);
         visit_locations(&location.nested, visit);
     }
--- a/crates/routes/src/import/pools.rs
+++ b/crates/routes/src/import/pools.rs
@@ -1,45 +1,45 @@
-//! Upstream blocks, and variables that maps and splits make.
+//! Imports `upstream`, `map` and `split_clients` blocks.
 
-use super::values::share;
-use super::{Reader, UPSTREAM};
+use super::values::parse_share;
+use super::{Importer, UPSTREAM};
 use crate::model::{BalancingMethod, Pool, Target, Variable};
 use crate::pattern;
 use crate::syntax::{Directive, Word};
 use std::collections::BTreeSet;
 
-impl Reader {
-    pub(super) fn upstream(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([name]) = self.args(one, 1, 1) else {
+impl Importer {
+    pub(super) fn import_upstream(&mut self, directive: &Directive, block: &[Directive]) {
+        let Some([name]) = self.args(directive, 1, 1) else {
             return;
         };
         let mut pool = Pool {
-            position: one.name.position.clone(),
+            position: directive.name.position.clone(),
             method: BalancingMethod::RoundRobin,
             keepalive: 0,
             targets: Vec::new(),
         };
-        let mut backup = None;
+        let mut first_backup = None;
         for inner in block {
             if inner.name.text == "server" {
-                if let Some(target) = self.target(inner) {
+                if let Some(target) = self.parse_target(inner) {
                     if target.backup {
-                        backup = backup.or(Some(inner));
+                        first_backup = first_backup.or(Some(inner));
                     }
                     pool.targets.push(target);
                 }
                 continue;
             }
-            if !self.takes(inner, UPSTREAM) {
+            if !self.accepts(inner, UPSTREAM) {
                 continue;
             }
             if inner.name.text == "keepalive" {
                 if let Some([word]) = self.args(inner, 1, 2).map(|args| &args[..1]) {
-                    pool.keepalive = self.number(word).unwrap_or(0);
+                    pool.keepalive = self.parse_number(word).unwrap_or(0);
                 }
                 continue;
             }
             if pool.method != BalancingMethod::RoundRobin {
-                self.error(&inner.name, "the pool has a way to choose already");
+                self.error(&inner.name, "the pool already has a load balancing method");
             }
             match inner.name.text.as_str() {
                 "least_conn" if self.args(inner, 0, 0).is_some() => {
@@ -52,13 +52,16 @@
                     let Some(words) = self.args(inner, 1, 2) else {
                         continue;
                     };
-                    self.template(&words[0]);
+                    self.check_template(&words[0]);
                     let consistent = match words.get(1) {
                         Some(word) if word.text != "consistent" => {
-                            self.error(word, format!("{:?} is not consistent", word.text));
+                            self.error(
+                                word,
+                                format!("{:?} is not understood, only consistent is", word.text),
+                            );
                             continue;
                         }
-                        other => other.is_some(),
+                        second => second.is_some(),
                     };
                     pool.method = BalancingMethod::Hash {
                         key: words[0].text.clone(),
@@ -70,9 +73,9 @@
                     match words[..] {
                         [] => pool.method = BalancingMethod::Random,
                         ["two"] | ["two", "least_conn"] => pool.method = BalancingMethod::RandomTwo,
-                        _ => self.refuse(
+                        _ => self.reject(
                             &inner.name,
-                            format!("random {} is not measured here", words.join(" ")),
+                            format!("random {} is not supported", words.join(" ")),
                         ),
                     }
                 }
@@ -85,9 +88,9 @@
             | BalancingMethod::AddressHash
             | BalancingMethod::Random
             | BalancingMethod::RandomTwo,
-        ) = (backup, &pool.method)
+        ) = (first_backup, &pool.method)
         {
-            self.error(&inner.name, "this way to choose knows no backup");
+            self.error(&inner.name, "this load balancing method supports no backup");
         }
         if pool.targets.is_empty() {
             self.error(name, format!("upstream {:?} has no server", name.text));
@@ -97,17 +100,17 @@
         }
     }
 
-    pub(super) fn target(&mut self, one: &Directive) -> Option<Target> {
-        if one.block.is_some() {
-            self.error(&one.name, "a server of an upstream takes no block");
+    pub(super) fn parse_target(&mut self, directive: &Directive) -> Option<Target> {
+        if directive.block.is_some() {
+            self.error(&directive.name, "a server of an upstream takes no block");
             return None;
         }
-        let (address, rest) = self.args(one, 1, 20)?.split_first()?;
+        let (address, parameters) = self.args(directive, 1, 20)?.split_first()?;
         let mut target = Target::new(
-            one.name.position.clone(),
-            self.address(address, &address.text)?,
+            directive.name.position.clone(),
+            self.parse_address(address, &address.text)?,
         );
-        for word in rest {
+        for word in parameters {
             match word.text.split_once('=') {
                 None if word.text == "backup" => target.backup = true,
                 None if word.text == "down" => target.down = true,
@@ -124,24 +127,24 @@
                     Err(_) => self.error(word, format!("{key} {text:?} is not a whole number")),
                 },
                 Some(("fail_timeout", text)) => {
-                    target.fail_timeout_ms = self.time(word, text).unwrap_or(10_000);
+                    target.fail_timeout_ms = self.parse_time(word, text).unwrap_or(10_000);
                 }
                 Some(("slow_start", text)) => {
-                    target.slow_start_ms = self.time(word, text).unwrap_or(0);
+                    target.slow_start_ms = self.parse_time(word, text).unwrap_or(0);
                 }
                 _ if word.text == "resolve" => {
-                    self.refuse(word, "resolve: names are not looked up again");
+                    self.reject(word, "resolve: names are not looked up again");
                 }
-                _ => self.refuse(word, format!("{:?} is not understood", word.text)),
+                _ => self.reject(word, format!("{:?} is not understood", word.text)),
             }
         }
         Some(target)
     }
 
-    /// Host and port; 80 where none is named.
-    pub(super) fn address(&mut self, word: &Word, text: &str) -> Option<String> {
+    /// Parses a host and port; the default port is 80.
+    pub(super) fn parse_address(&mut self, word: &Word, text: &str) -> Option<String> {
         if text.starts_with("unix:") {
-            self.refuse(word, "targets are reached over TCP only");
+            self.reject(word, "targets are reached over TCP only");
             return None;
         }
         let (host, port) = match text.rsplit_once(':') {
@@ -149,16 +152,16 @@
             _ => (text, None),
         };
         let port = port.map_or(Ok(80), str::parse::<u16>);
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
-        let literal = host
+        let is_plain = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
+        let ipv6_literal = host
             .strip_prefix('[')
             .and_then(|host| host.strip_suffix(']'));
-        let good = match literal {
+        let is_valid = match ipv6_literal {
             Some(inner) => inner.parse::<std::net::Ipv6Addr>().is_ok(),
-            None => !host.is_empty() && host.chars().all(plain),
+            None => !host.is_empty() && host.chars().all(is_plain),
         };
         match port {
-            Ok(port @ 1..) if good => Some(format!("{host}:{port}")),
+            Ok(port @ 1..) if is_valid => Some(format!("{host}:{port}")),
             _ => {
                 self.error(word, format!("{text:?} is not a host and port"));
                 None
@@ -166,11 +169,11 @@
         }
     }
 
-    pub(super) fn map(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([source, variable]) = self.args(one, 2, 2) else {
+    pub(super) fn import_map(&mut self, directive: &Directive, block: &[Directive]) {
+        let Some([source, variable]) = self.args(directive, 2, 2) else {
             return;
         };
-        self.template(source);
+        self.check_template(source);
         let (mut cases, mut default, mut hostnames) = (Vec::new(), String::new(), false);
         let mut seen = BTreeSet::new();
         for inner in block {
@@ -179,17 +182,17 @@
                 ("hostnames", []) => hostnames = true,
                 ("volatile", []) => {}
                 ("default", [value]) => {
-                    self.template(value);
+                    self.check_template(value);
                     default.clone_from(&value.text);
                 }
                 (_, [value]) => {
-                    self.template(value);
+                    self.check_template(value);
                     if let Some(regex) = case.strip_prefix('~') {
-                        let (regex, any_case) = regex
+                        let (regex, case_insensitive) = regex
                             .strip_prefix('*')
                             .map_or((regex, false), |regex| (regex, true));
-                        if let Err(what) = pattern::compile(regex, any_case) {
-                            self.refuse(&inner.name, what);
+                        if let Err(message) = pattern::compile(regex, case_insensitive) {
+                            self.reject(&inner.name, message);
                         }
                     }
                     if !seen.insert(case.to_lowercase()) {
@@ -197,7 +200,7 @@
                     }
                     cases.push((case, value.text.clone()));
                 }
-                _ => self.error(&inner.name, "a map has a value beside each case"),
+                _ => self.error(&inner.name, "each case of a map takes one value"),
             }
         }
         let map = Variable::Map {
@@ -206,22 +209,26 @@
             default,
             hostnames,
         };
-        self.variable(variable, map);
+        self.define_variable(variable, map);
     }
 
-    pub(super) fn split(&mut self, one: &Directive, block: &[Directive]) {
-        let Some([key, variable]) = self.args(one, 2, 2) else {
+    pub(super) fn import_split_clients(&mut self, directive: &Directive, block: &[Directive]) {
+        let Some([key, variable]) = self.args(directive, 2, 2) else {
             return;
         };
-        self.template(key);
+        self.check_template(key);
         let (mut parts, mut sum) = (Vec::new(), 0);
         for inner in block {
             let [value] = &inner.args[..] else {
-                self.error(&inner.name, "a split has a value beside each share");
+                self.error(&inner.name, "each share of split_clients takes one value");
                 continue;
             };
             let text = inner.name.text.as_str();
-            let share = if text == "*" { Some(0) } else { share(text) };
+            let share = if text == "*" {
+                Some(0)
+            } else {
+                parse_share(text)
+            };
             let Some(share) = share else {
                 self.error(
                     &inner.name,
@@ -235,7 +242,7 @@
             }
             parts.push((share, value.text.clone()));
         }
-        self.variable(
+        self.define_variable(
             variable,
             Variable::Split {
                 key: key.text.clone(),
@@ -244,11 +251,12 @@
         );
     }
 
-    pub(super) fn variable(&mut self, word: &Word, variable: Variable) {
+    pub(super) fn define_variable(&mut self, word: &Word, variable: Variable) {
         let Some(name) = word.text.strip_prefix('$').filter(|name| !name.is_empty()) else {
             return self.error(word, format!("{:?} is no variable", word.text));
         };
-        self.made.insert(name.to_owned(), word.clone());
+        self.variable_definitions
+            .insert(name.to_owned(), word.clone());
         if self
             .routes
             .variables
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -1,56 +1,57 @@
-//! What can be said only when all was read: names of pools and variables.
+//! Checks references to pools and variables, which is possible only after the whole configuration was
+//! read.
 
-use super::{visit_locations, Reader};
+use super::{visit_locations, Importer};
 use crate::model::{Location, ProxyPass, RewriteStep, Routes, Server, Variable};
 use crate::pattern;
 use crate::syntax::Word;
 use crate::template::Template;
 use std::collections::BTreeSet;
 
-impl Reader {
-    /// What can be said only when all was read: names of pools and variables.
-    pub(super) fn references(&mut self) {
+impl Importer {
+    /// Reports references to unknown pools and variables.
+    pub(super) fn check_references(&mut self) {
         let routes = std::mem::take(&mut self.routes);
         for server in &routes.servers {
-            let mut known = BTreeSet::new();
-            collect_set(&server.steps, &mut known);
+            let mut set_variables = BTreeSet::new();
+            collect_set_variables(&server.steps, &mut set_variables);
             visit_locations(&server.locations, &mut |location| {
-                collect_set(&location.steps, &mut known);
+                collect_set_variables(&location.steps, &mut set_variables);
                 if location.match_kind.is_regex() {
-                    known.extend(pattern::capture_names(&location.pattern));
+                    set_variables.extend(pattern::capture_names(&location.pattern));
                 }
             });
-            let mut faults = Vec::new();
+            let mut errors = Vec::new();
             visit_locations(&server.locations, &mut |location| {
-                if let Some(pass) = &location.proxy_pass {
-                    faults.extend(
-                        pool_fault(&routes, server, pass)
-                            .map(|what| (location.position.clone(), what)),
+                if let Some(proxy_pass) = &location.proxy_pass {
+                    errors.extend(
+                        pool_error(&routes, server, proxy_pass)
+                            .map(|message| (location.position.clone(), message)),
                     );
                 }
-                for text in texts(location) {
-                    faults.extend(
-                        variable_fault(&routes, &known, &text)
-                            .map(|what| (location.position.clone(), what)),
+                for text in location_texts(location) {
+                    errors.extend(
+                        variable_error(&routes, &set_variables, &text)
+                            .map(|message| (location.position.clone(), message)),
                     );
                 }
             });
             for step in &server.steps {
                 for text in step_texts(step) {
-                    faults.extend(
-                        variable_fault(&routes, &known, &text)
-                            .map(|what| (server.position.clone(), what)),
+                    errors.extend(
+                        variable_error(&routes, &set_variables, &text)
+                            .map(|message| (server.position.clone(), message)),
                     );
                 }
             }
-            for (position, what) in faults {
-                self.refuse(
+            for (position, message) in errors {
+                self.reject(
                     &Word {
                         text: String::new(),
                         position,
-                        length: 8,
+                        byte_length: 8,
                     },
-                    what,
+                    message,
                 );
             }
         }
@@ -68,25 +69,25 @@
                     .collect(),
                 Variable::Split { key, .. } => vec![key],
             };
-            let known = BTreeSet::new();
-            let fault = texts
+            let set_variables = BTreeSet::new();
+            let error = texts
                 .into_iter()
-                .find_map(|text| variable_fault(&routes, &known, text));
-            if let Some((what, word)) = fault.zip(self.made.get(name).cloned()) {
-                self.refuse(&word, what);
+                .find_map(|text| variable_error(&routes, &set_variables, text));
+            if let Some((message, word)) = error.zip(self.variable_definitions.get(name).cloned()) {
+                self.reject(&word, message);
             }
         }
         self.routes = routes;
     }
 }
 
-fn collect_set(steps: &[RewriteStep], into: &mut BTreeSet<String>) {
+fn collect_set_variables(steps: &[RewriteStep], variables: &mut BTreeSet<String>) {
     for step in steps {
         match step {
             RewriteStep::Set { variable, .. } => {
-                into.insert(variable.clone());
+                variables.insert(variable.clone());
             }
-            RewriteStep::Rewrite { regex, .. } => into.extend(pattern::capture_names(regex)),
+            RewriteStep::Rewrite { regex, .. } => variables.extend(pattern::capture_names(regex)),
             _ => {}
         }
     }
@@ -101,26 +102,26 @@
     }
 }
 
-fn texts(location: &Location) -> Vec<String> {
-    let mut found: Vec<String> = location.steps.iter().flat_map(step_texts).collect();
-    found.extend(location.limits.iter().map(|limit| limit.key.clone()));
-    found.extend(
+fn location_texts(location: &Location) -> Vec<String> {
+    let mut texts: Vec<String> = location.steps.iter().flat_map(step_texts).collect();
+    texts.extend(location.limits.iter().map(|limit| limit.key.clone()));
+    texts.extend(
         location
             .proxy_pass
             .iter()
             .filter_map(|pass| pass.uri.clone()),
     );
-    found
+    texts
 }
 
-/// What is wrong with the pool that a location passes to.
-fn pool_fault(routes: &Routes, server: &Server, pass: &ProxyPass) -> Option<String> {
-    let missing = |pool: &str| {
+/// Returns what is wrong with the pool that a location forwards to.
+fn pool_error(routes: &Routes, server: &Server, proxy_pass: &ProxyPass) -> Option<String> {
+    let missing_pool = |pool: &str| {
         (!routes.pools.contains_key(pool))
             .then(|| format!("no upstream is called {pool:?}, and names are not looked up"))
     };
-    let Some(variable) = pass.pool.strip_prefix('$') else {
-        return missing(&pass.pool);
+    let Some(variable) = proxy_pass.pool.strip_prefix('$') else {
+        return missing_pool(&proxy_pass.pool);
     };
     let mut values: Vec<&str> = Vec::new();
     match routes.variables.get(variable) {
@@ -137,21 +138,21 @@
             }
         }
         None => {
-            let collect = |steps: &'_ [RewriteStep]| {
+            let sets_variable = |steps: &'_ [RewriteStep]| {
                 steps.iter().any(
                     |step| matches!(step, RewriteStep::Set { variable: name, .. } if name == variable),
                 )
             };
-            let mut found = collect(&server.steps);
+            let mut found = sets_variable(&server.steps);
             visit_locations(&server.locations, &mut |location| {
-                found |= collect(&location.steps);
+                found |= sets_variable(&location.steps);
             });
             if !found {
                 return Some(format!(
                     "the pool is ${variable}, which no map, split_clients or set makes"
                 ));
             }
-            let set = |steps: &[RewriteStep]| {
+            let unknown_pool = |steps: &[RewriteStep]| {
                 for step in steps {
                     if let RewriteStep::Set {
                         variable: name,
@@ -165,30 +166,30 @@
                 }
                 None
             };
-            let mut bad = set(&server.steps);
+            let mut unknown = unknown_pool(&server.steps);
             visit_locations(&server.locations, &mut |location| {
-                if bad.is_none() {
-                    bad = set(&location.steps);
+                if unknown.is_none() {
+                    unknown = unknown_pool(&location.steps);
                 }
             });
-            return bad.map(|value| {
+            return unknown.map(|value| {
                 format!("${variable} may be {value:?}, and no upstream is called that")
             });
         }
     }
-    let bad = values
+    let unknown = values
         .into_iter()
         .find(|value| !routes.pools.contains_key(*value))?;
     Some(format!(
-        "${variable} may be {bad:?}, and no upstream is called that"
+        "${variable} may be {unknown:?}, and no upstream is called that"
     ))
 }
 
-fn variable_fault(routes: &Routes, known: &BTreeSet<String>, text: &str) -> Option<String> {
+fn variable_error(routes: &Routes, set_variables: &BTreeSet<String>, text: &str) -> Option<String> {
     let template = Template::parse(text).ok()?;
     let is_known = |name: &str| {
         routes.variables.contains_key(name)
-            || known.contains(name)
+            || set_variables.contains(name)
             || crate::template::is_request_variable(name)
     };
     let unknown = template.variables().find(|name| !is_known(name))?;
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -1,7 +1,7 @@
-//! Servers and locations.
+//! Imports `server` and `location` blocks.
 
 use super::directives::{known_directives, DirectiveSupport};
-use super::{is_inherited, Inherited, Reader, Siblings, LOCATION, SERVER};
+use super::{is_inherited, Importer, Inherited, SiblingLocations, LOCATION, SERVER};
 use crate::diagnostic::{Severity, SourcePosition};
 use crate::model::{
     BalancingMethod, Location, MatchKind, Pool, ProxyPass, RewriteFlag, RewriteStep, Server, Target,
@@ -9,37 +9,42 @@
 use crate::pattern;
 use crate::syntax::{Directive, Word};
 
-impl Reader {
-    pub(super) fn server(&mut self, one: &Directive, block: &[Directive], above: &Inherited) {
-        if self.args(one, 0, 0).is_none() {
+impl Importer {
+    pub(super) fn import_server(
+        &mut self,
+        directive: &Directive,
+        block: &[Directive],
+        outer: &Inherited,
+    ) {
+        if self.args(directive, 0, 0).is_none() {
             return;
         }
-        let inherited = self.inherit(block, SERVER, above);
+        let inherited = self.inherited_settings(block, SERVER, outer);
         let mut server = Server {
-            position: one.name.position.clone(),
+            position: directive.name.position.clone(),
             listen_addresses: Vec::new(),
             names: Vec::new(),
             merge_slashes: inherited.merge_slashes,
             steps: Vec::new(),
             locations: Vec::new(),
         };
-        let mut siblings = Siblings::default();
+        let mut siblings = SiblingLocations::default();
         for inner in block.iter().filter(|inner| !is_inherited(&inner.name.text)) {
-            if !self.takes(inner, SERVER) {
+            if !self.accepts(inner, SERVER) {
                 continue;
             }
             match inner.name.text.as_str() {
-                "listen" => self.listen(inner, &mut server),
+                "listen" => self.import_listen(inner, &mut server),
                 "server_name" => {
                     for word in self.args(inner, 1, 1_000).unwrap_or_default() {
-                        self.server_name(word, &mut server);
+                        self.import_server_name(word, &mut server);
                     }
                 }
-                "location" => self.location(inner, None, &inherited, &mut siblings),
-                _ => server.steps.extend(self.step(inner, false)),
+                "location" => self.import_location(inner, None, &inherited, &mut siblings),
+                _ => server.steps.extend(self.parse_step(inner, false)),
             }
         }
-        server.locations = siblings.all;
+        server.locations = siblings.locations;
         if server.listen_addresses.is_empty() {
             server.listen_addresses.push(("*:80".to_owned(), false));
         }
@@ -49,35 +54,40 @@
         for (listen, default) in &server.listen_addresses {
             if *default
                 && self
-                    .defaults
+                    .default_servers
                     .insert(listen.clone(), server.position.clone())
                     .is_some()
             {
-                self.error(&one.name, format!("{listen} has a default server already"));
+                self.error(
+                    &directive.name,
+                    format!("{listen} already has a default server"),
+                );
             }
             for name in &server.names {
-                let known = self.names.entry((listen.clone(), name.clone()));
-                if let std::collections::hash_map::Entry::Occupied(other) = known {
-                    let other = other.get();
-                    let what = format!(
-                        "the name {name:?} on {listen} belongs to the server of {other}; this one is never chosen by it"
+                let entry = self.server_positions.entry((listen.clone(), name.clone()));
+                if let std::collections::hash_map::Entry::Occupied(existing) = entry {
+                    let existing = existing.get();
+                    let message = format!(
+                        "the name {name:?} on {listen} belongs to the server of {existing}; this one is never chosen by it"
                     );
-                    self.tree.note(&one.name, Severity::Difference, what);
+                    self.tree
+                        .report(&directive.name, Severity::Difference, message);
                 } else {
-                    known.or_insert(server.position.clone());
+                    entry.or_insert(server.position.clone());
                 }
             }
         }
         self.routes.servers.push(server);
     }
 
-    pub(super) fn listen(&mut self, one: &Directive, server: &mut Server) {
-        let Some((word, rest)) = self.args(one, 1, 20).and_then(<[_]>::split_first) else {
+    pub(super) fn import_listen(&mut self, directive: &Directive, server: &mut Server) {
+        let Some((word, parameters)) = self.args(directive, 1, 20).and_then(<[_]>::split_first)
+        else {
             return;
         };
         let text = word.text.as_str();
         if text.starts_with("unix:") {
-            return self.refuse(word, "callers come over TCP only");
+            return self.reject(word, "callers come over TCP only");
         }
         let address = match text.rsplit_once(':') {
             _ if text.parse::<u16>().is_ok() => Some(format!("*:{text}")),
@@ -92,64 +102,70 @@
             return self.error(word, format!("{text:?} is not an address, a port or both"));
         };
         let mut default = false;
-        for word in rest {
+        for word in parameters {
             match word.text.as_str() {
                 "default_server" | "default" => default = true,
-                "ssl" => self.differs(word, "listen ssl: TLS is ended elsewhere"),
-                "http2" | "quic" => self.differs(word, "listen: callers speak AJP or frames here"),
+                "ssl" => self.warn(word, "listen ssl: TLS is ended elsewhere"),
+                "http2" | "quic" => self.warn(word, "listen: callers speak AJP or frames here"),
                 "proxy_protocol" => {
-                    self.refuse(word, "the address of a caller is its connection's");
+                    self.reject(word, "the address of a caller is that of its connection");
                 }
                 text if text == "reuseport"
                     || text == "deferred"
                     || text == "bind"
                     || text.contains('=') => {}
-                other => self.error(word, format!("{other:?} is not understood")),
+                parameter => self.error(word, format!("{parameter:?} is not understood")),
             }
         }
         if server
             .listen_addresses
             .iter()
-            .any(|(other, _)| *other == address)
+            .any(|(existing, _)| *existing == address)
         {
             return self.error(word, format!("{address} is there already"));
         }
         server.listen_addresses.push((address, default));
     }
 
-    pub(super) fn server_name(&mut self, word: &Word, server: &mut Server) {
+    pub(super) fn import_server_name(&mut self, word: &Word, server: &mut Server) {
         let name = word.text.as_str();
         if let Some(regex) = name.strip_prefix('~') {
-            if let Err(what) = pattern::compile(regex, true) {
-                self.refuse(word, what);
+            if let Err(message) = pattern::compile(regex, true) {
+                self.reject(word, message);
             }
             return server.names.push(name.to_owned());
         }
         let name = name.to_lowercase();
-        let inner = name
+        let core = name
             .strip_prefix("*.")
             .or_else(|| name.strip_suffix(".*"))
             .unwrap_or(&name);
-        if inner.contains('*') || inner.contains('$') {
+        if core.contains('*') || core.contains('$') {
             return self.error(
                 word,
-                format!("{name:?}: a star stands for whole labels at the begin or end only"),
+                format!(
+                    "{name:?}: an asterisk stands for whole labels, at the beginning or end only"
+                ),
             );
         }
-        // A name that begins with a dot means itself and all below it.
+        // A name that begins with a dot matches itself and all names below it.
         match name.strip_prefix('.') {
             Some(rest) => server.names.extend([rest.to_owned(), format!("*.{rest}")]),
             None => server.names.push(name),
         }
     }
 
-    pub(super) fn step(&mut self, one: &Directive, in_location: bool) -> Option<RewriteStep> {
-        match one.name.text.as_str() {
+    pub(super) fn parse_step(
+        &mut self,
+        directive: &Directive,
+        in_location: bool,
+    ) -> Option<RewriteStep> {
+        match directive.name.text.as_str() {
             "set" => {
-                let [variable, value] = self.args(one, 2, 2)? else {
+                let [variable, value] = self.args(directive, 2, 2)? else {
                     return None;
                 };
-                self.template(value);
+                self.check_template(value);
                 let Some(name) = variable
                     .text
                     .strip_prefix('$')
@@ -166,12 +182,12 @@
                     value: value.text.clone(),
                 })
             }
-            "break" => self.args(one, 0, 0).map(|_| RewriteStep::Break),
+            "break" => self.args(directive, 0, 0).map(|_| RewriteStep::Break),
             "return" => {
-                let words = self.args(one, 1, 2)?;
+                let words = self.args(directive, 1, 2)?;
                 let first = &words[0];
                 if let Some(text) = words.get(1) {
-                    self.template(text);
+                    self.check_template(text);
                 }
                 match first.text.parse::<u16>() {
                     Ok(code @ 100..=999) => Some(RewriteStep::Return {
@@ -197,17 +213,17 @@
                 }
             }
             "rewrite" => {
-                let words = self.args(one, 2, 3)?;
-                if let Err(what) = pattern::compile(&words[0].text, false) {
-                    self.refuse(&words[0], what);
+                let words = self.args(directive, 2, 3)?;
+                if let Err(message) = pattern::compile(&words[0].text, false) {
+                    self.reject(&words[0], message);
                 }
-                self.template(&words[1]);
+                self.check_template(&words[1]);
                 let replacement = words[1].text.clone();
-                let away = ["http://", "https://", "$scheme"]
+                let is_redirect = ["http://", "https://", "$scheme"]
                     .iter()
-                    .any(|start| replacement.starts_with(start));
+                    .any(|prefix| replacement.starts_with(prefix));
                 let flag = match words.get(2).map(|word| word.text.as_str()) {
-                    None if away => RewriteFlag::Redirect,
+                    None if is_redirect => RewriteFlag::Redirect,
                     None => RewriteFlag::Next,
                     Some("last") => RewriteFlag::Last,
                     Some("break") => RewriteFlag::Break,
@@ -216,13 +232,14 @@
                     Some(_) => {
                         self.error(
                             &words[2],
-                            format!("{:?} is no flag of a rewrite", words[2].text),
+                            format!("{:?} is not a flag of rewrite", words[2].text),
                         );
                         return None;
                     }
                 };
                 if flag == RewriteFlag::Break && !in_location {
-                    // The path stays replaced, and a location is looked up by it: the same as the next step.
+                    // In a server, `break` keeps the new path and looks up the location by it, which is
+                    // what `last` does.
                     return Some(RewriteStep::Rewrite {
                         regex: words[0].text.clone(),
                         replacement,
@@ -239,84 +256,84 @@
         }
     }
 
-    pub(super) fn location(
+    pub(super) fn import_location(
         &mut self,
-        one: &Directive,
-        above: Option<&Location>,
+        directive: &Directive,
+        outer: Option<&Location>,
         inherited: &Inherited,
-        into: &mut Siblings,
+        siblings: &mut SiblingLocations,
     ) {
-        let Some(words) = self.args(one, 1, 2) else {
+        let Some(words) = self.args(directive, 1, 2) else {
             return;
         };
-        let Some((match_kind, pattern)) = self.matcher(words) else {
+        let Some((match_kind, pattern)) = self.parse_location_pattern(words) else {
             return;
         };
-        let at = words.last().unwrap_or(&one.name);
-        if let Some(above) = above {
-            if above.match_kind == MatchKind::Exact {
-                return self.error(at, "a location within an exact one is never reached");
+        let last_word = words.last().unwrap_or(&directive.name);
+        if let Some(outer) = outer {
+            if outer.match_kind == MatchKind::Exact {
+                return self.error(last_word, "a location within an exact one is never reached");
             }
-            if above.match_kind == MatchKind::Named || match_kind == MatchKind::Named {
+            if outer.match_kind == MatchKind::Named || match_kind == MatchKind::Named {
                 return self.error(
-                    at,
+                    last_word,
                     "named locations stand in a server only, with none within",
                 );
             }
             if !match_kind.is_regex()
-                && !above.match_kind.is_regex()
-                && !pattern.starts_with(&above.pattern)
+                && !outer.match_kind.is_regex()
+                && !pattern.starts_with(&outer.pattern)
             {
                 return self.error(
-                    at,
+                    last_word,
                     format!(
                         "{pattern:?} is outside of {:?}, in which it stands",
-                        above.pattern
+                        outer.pattern
                     ),
                 );
             }
         }
         if match_kind.is_regex() {
-            if let Err(what) =
+            if let Err(message) =
                 pattern::compile(&pattern, match_kind == MatchKind::RegexCaseInsensitive)
             {
-                self.refuse(at, what);
+                self.reject(last_word, message);
             }
         }
-        let kind = match match_kind {
+        let duplicate_kind = match match_kind {
             MatchKind::PreferentialPrefix => MatchKind::Prefix,
             match_kind => match_kind,
         };
         if !match_kind.is_regex() {
-            let position = one.name.position.clone();
-            if let Some(other) = into
-                .seen
-                .insert((kind.modifier(), pattern.clone()), position)
+            let position = directive.name.position.clone();
+            if let Some(existing) = siblings
+                .positions
+                .insert((duplicate_kind.modifier(), pattern.clone()), position)
             {
-                let what = format!(
-                    "location {}{pattern} is there already, at {other}",
+                let message = format!(
+                    "location {}{pattern} is there already, at {existing}",
                     match_kind.modifier()
                 );
-                self.error(at, what);
+                self.error(last_word, message);
             }
         }
-        let block = one.block.as_deref().unwrap_or_default();
-        let here = self.inherit(block, LOCATION, inherited);
+        let block = directive.block.as_deref().unwrap_or_default();
+        let settings = self.inherited_settings(block, LOCATION, inherited);
         let mut location = Location {
-            position: one.name.position.clone(),
+            position: directive.name.position.clone(),
             match_kind,
             pattern,
             internal: false,
             steps: Vec::new(),
             proxy_pass: None,
-            retry_policy: here.retry_policy.clone(),
-            limits: here.limits.clone(),
-            timeouts: here.timeouts,
+            retry_policy: settings.retry_policy.clone(),
+            limits: settings.limits.clone(),
+            timeouts: settings.timeouts,
             nested: Vec::new(),
         };
-        let mut siblings = Siblings::default();
+        let mut nested_siblings = SiblingLocations::default();
         for inner in block.iter().filter(|inner| !is_inherited(&inner.name.text)) {
-            if !self.takes(inner, LOCATION) {
+            if !self.accepts(inner, LOCATION) {
                 continue;
             }
             match inner.name.text.as_str() {
@@ -325,24 +342,25 @@
                     if location.proxy_pass.is_some() {
                         self.error(&inner.name, "a second proxy_pass");
                     }
-                    location.proxy_pass = self.pass(inner, &location, &one.name.position);
+                    location.proxy_pass =
+                        self.parse_proxy_pass(inner, &location, &directive.name.position);
                 }
                 "location" => {
-                    let mut nested = std::mem::take(&mut siblings);
-                    self.location(inner, Some(&location), &here, &mut nested);
-                    siblings = nested;
+                    let mut nested = std::mem::take(&mut nested_siblings);
+                    self.import_location(inner, Some(&location), &settings, &mut nested);
+                    nested_siblings = nested;
                 }
-                _ => location.steps.extend(self.step(inner, true)),
+                _ => location.steps.extend(self.parse_step(inner, true)),
             }
         }
-        location.nested = siblings.all;
-        // What a rewrite does not match is answered 404, as by an nginx without the file.
-        let answers = |step: &RewriteStep| match step {
+        location.nested = nested_siblings.locations;
+        // A request that no rewrite matches gets a 404 response, as from an nginx without the file.
+        let responds = |step: &RewriteStep| match step {
             RewriteStep::Return { .. } => true,
             RewriteStep::Rewrite { flag, .. } => *flag != RewriteFlag::Break,
             _ => false,
         };
-        let refused = block.iter().any(|inner| {
+        let has_reported_error = block.iter().any(|inner| {
             !matches!(
                 known_directives()
                     .iter()
@@ -355,40 +373,46 @@
                 ))
             ) || inner.name.text == "proxy_pass"
         });
-        if location.proxy_pass.is_none() && !location.steps.iter().any(answers) && !refused {
-            self.refuse(
-                at,
+        if location.proxy_pass.is_none()
+            && !location.steps.iter().any(responds)
+            && !has_reported_error
+        {
+            self.reject(
+                last_word,
                 "nothing is passed on or returned here, and nginx would look for a file",
             );
         }
-        into.all.push(location);
+        siblings.locations.push(location);
     }
 
-    pub(super) fn matcher(&mut self, words: &[Word]) -> Option<(MatchKind, String)> {
+    pub(super) fn parse_location_pattern(&mut self, words: &[Word]) -> Option<(MatchKind, String)> {
         let (match_kind, word, pattern) = match words {
             [word] => {
-                // The sign may stand without a space.
-                let signs = [
+                // The modifier may be written without a space.
+                let modifiers = [
                     ("=", MatchKind::Exact),
                     ("^~", MatchKind::PreferentialPrefix),
                     ("~*", MatchKind::RegexCaseInsensitive),
                     ("~", MatchKind::Regex),
                     ("@", MatchKind::Named),
                 ];
-                let found = signs.iter().find_map(|(sign, match_kind)| {
-                    Some((*match_kind, word.text.strip_prefix(sign)?))
+                let found = modifiers.iter().find_map(|(modifier, match_kind)| {
+                    Some((*match_kind, word.text.strip_prefix(modifier)?))
                 });
                 let (match_kind, pattern) = found.unwrap_or((MatchKind::Prefix, &word.text));
                 (match_kind, word, pattern.to_owned())
             }
-            [sign, word] => {
-                let match_kind = match sign.text.as_str() {
+            [modifier, word] => {
+                let match_kind = match modifier.text.as_str() {
                     "=" => MatchKind::Exact,
                     "^~" => MatchKind::PreferentialPrefix,
                     "~" => MatchKind::Regex,
                     "~*" => MatchKind::RegexCaseInsensitive,
-                    other => {
-                        self.error(sign, format!("{other:?} is no modifier of a location"));
+                    unknown => {
+                        self.error(
+                            modifier,
+                            format!("{unknown:?} is no modifier of a location"),
+                        );
                         return None;
                     }
                 };
@@ -401,7 +425,7 @@
             MatchKind::Exact | MatchKind::Prefix | MatchKind::PreferentialPrefix
         ) && !pattern.starts_with('/')
         {
-            self.refuse(
+            self.reject(
                 word,
                 format!(
                     "{pattern:?} does not begin with a slash, as all paths do: nothing reaches it"
@@ -412,28 +436,31 @@
         Some((match_kind, pattern))
     }
 
-    pub(super) fn pass(
+    pub(super) fn parse_proxy_pass(
         &mut self,
-        one: &Directive,
+        directive: &Directive,
         location: &Location,
         position: &SourcePosition,
     ) -> Option<ProxyPass> {
-        let [word] = self.args(one, 1, 1)? else {
+        let [word] = self.args(directive, 1, 1)? else {
             return None;
         };
         if word.text.starts_with("https://") {
-            self.refuse(word, "https: targets speak AJP or frames, without TLS");
+            self.reject(word, "https: targets speak AJP or frames, without TLS");
             return None;
         }
-        let Some(rest) = word.text.strip_prefix("http://") else {
+        let Some(authority_and_uri) = word.text.strip_prefix("http://") else {
             self.error(word, format!("{:?} does not begin with http://", word.text));
             return None;
         };
-        let (host, uri) = match rest.find('/') {
-            Some(at) => (&rest[..at], Some(rest[at..].to_owned())),
-            None => (rest, None),
+        let (host, uri) = match authority_and_uri.find('/') {
+            Some(slash) => (
+                &authority_and_uri[..slash],
+                Some(authority_and_uri[slash..].to_owned()),
+            ),
+            None => (authority_and_uri, None),
         };
-        self.template(word);
+        self.check_template(word);
         if uri.is_some()
             && (location.match_kind.is_regex() || location.match_kind == MatchKind::Named)
             && !word.text.contains('$')
@@ -448,7 +475,7 @@
             if !host.starts_with('$')
                 || host[1..].contains(|c: char| !c.is_ascii_alphanumeric() && c != '_')
             {
-                self.refuse(word, "the host is one variable or none");
+                self.reject(word, "the host is one variable or none");
                 return None;
             }
             return Some(ProxyPass {
@@ -457,12 +484,13 @@
             });
         }
         if host.starts_with("unix:") {
-            self.refuse(word, "targets are reached over TCP only");
+            self.reject(word, "targets are reached over TCP only");
             return None;
         }
-        // Whether it names a pool is known once all of the file was read; an address is one of its own.
+        // Whether a name is that of a pool is known only after the whole file was read. An address
+        // becomes a pool of its own.
         if host.contains([':', '.', '[']) && !self.routes.pools.contains_key(host) {
-            let address = self.address(word, host)?;
+            let address = self.parse_address(word, host)?;
             let target = Target {
                 max_fails: 0,
                 ..Target::new(position.clone(), address.clone())
--- a/crates/routes/src/import/values.rs
+++ b/crates/routes/src/import/values.rs
@@ -1,7 +1,8 @@
-//! Values as nginx writes them.
+//! Parses times and shares in nginx's notation.
 
-/// nginx's times: a number of seconds, or numbers with units from the largest to the smallest.
-pub(super) fn milliseconds(text: &str) -> Option<u64> {
+/// Parses a time in nginx's notation: a number of seconds, or numbers with units, the largest unit
+/// first.
+pub(super) fn parse_milliseconds(text: &str) -> Option<u64> {
     if let Ok(seconds) = text.parse::<u64>() {
         return seconds.checked_mul(1_000);
     }
@@ -15,34 +16,34 @@
         ("s", 1_000),
         ("ms", 1),
     ];
-    let (mut rest, mut sum, mut from) = (text, 0_u64, 0);
-    while !rest.is_empty() {
-        let digits = rest.find(|c: char| !c.is_ascii_digit())?;
-        let number: u64 = rest[..digits].parse().ok()?;
-        rest = &rest[digits..];
-        let length = if rest.starts_with("ms") { 2 } else { 1 };
-        let unit = rest.get(..length)?;
-        let at = UNITS.iter().position(|(name, _)| *name == unit)?;
-        if at < from {
+    let (mut remaining, mut sum, mut next_unit) = (text, 0_u64, 0);
+    while !remaining.is_empty() {
+        let digits = remaining.find(|c: char| !c.is_ascii_digit())?;
+        let number: u64 = remaining[..digits].parse().ok()?;
+        remaining = &remaining[digits..];
+        let unit_length = if remaining.starts_with("ms") { 2 } else { 1 };
+        let unit = remaining.get(..unit_length)?;
+        let index = UNITS.iter().position(|(name, _)| *name == unit)?;
+        if index < next_unit {
             return None;
         }
-        from = at + 1;
-        sum = sum.checked_add(number.checked_mul(UNITS[at].1)?)?;
-        rest = rest[length..].trim_start_matches(' ');
+        next_unit = index + 1;
+        sum = sum.checked_add(number.checked_mul(UNITS[index].1)?)?;
+        remaining = remaining[unit_length..].trim_start_matches(' ');
     }
     (!text.is_empty()).then_some(sum)
 }
 
-/// A share in hundredths of a percent, above 0.
-pub(super) fn share(text: &str) -> Option<u32> {
+/// Parses a percentage above 0 and returns it in hundredths of a percent.
+pub(super) fn parse_share(text: &str) -> Option<u32> {
     let number = text.strip_suffix('%')?;
-    let (whole, rest) = number.split_once('.').unwrap_or((number, ""));
-    if rest.len() > 2 || !rest.chars().all(|c| c.is_ascii_digit()) {
+    let (whole, decimals) = number.split_once('.').unwrap_or((number, ""));
+    if decimals.len() > 2 || !decimals.chars().all(|c| c.is_ascii_digit()) {
         return None;
     }
     let whole: u32 = whole.parse().ok().filter(|whole| *whole <= 100)?;
-    let rest: u32 = format!("{rest:0<2}").parse().ok()?;
-    Some(whole * 100 + rest).filter(|share| *share > 0)
+    let decimals: u32 = format!("{decimals:0<2}").parse().ok()?;
+    Some(whole * 100 + decimals).filter(|share| *share > 0)
 }
 
 #[cfg(test)]
@@ -50,14 +51,14 @@
     use super::*;
 
     #[test]
-    fn times_and_shares_are_read_as_nginx_reads_them() {
+    fn times_and_shares_are_parsed_as_in_nginx() {
         let times = [
             ("10", Some(10_000)),
             ("1m30s", Some(90_000)),
             ("250ms", Some(250)),
             ("1h 5m", Some(3_900_000)),
         ];
-        let wrong = [
+        let invalid_times = [
             ("", None),
             ("5x", None),
             ("10s1m", None),
@@ -65,8 +66,8 @@
             ("1.5s", None),
             ("99999999999999999999", None),
         ];
-        for (text, expected) in times.into_iter().chain(wrong) {
-            assert_eq!(milliseconds(text), expected, "{text}");
+        for (text, expected) in times.into_iter().chain(invalid_times) {
+            assert_eq!(parse_milliseconds(text), expected, "{text}");
         }
         let shares = [
             ("50%", Some(5_000)),
@@ -78,7 +79,7 @@
             ("5", None),
         ];
         for (text, expected) in shares {
-            assert_eq!(share(text), expected, "{text}");
+            assert_eq!(parse_share(text), expected, "{text}");
         }
     }
 }
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -448,7 +448,8 @@
             _ => {
                 // The request may have arrived at any of these addresses; a wildcard address decides.
                 let wildcard = self.virtual_hosts.get_key_value(&format!("*:{port}"));
-                wildcard.map(|(address, virtual_hosts)| (address.as_str(), virtual_hosts))
+                wildcard
+                    .map(|(address, virtual_hosts)| (address.as_str(), virtual_hosts))
                     .ok_or_else(|| {
                         format!("several addresses have port {port}: name the one it came to")
                     })
--- a/crates/routes/src/syntax.rs
+++ b/crates/routes/src/syntax.rs
@@ -1,152 +1,161 @@
-//! The language of nginx's files: tokens that cover every byte, and a tree of directives. Nothing is known here of
-//! what a directive means. All faults of a file are found in one pass.
+//! The syntax of nginx's configuration files: a lexer whose tokens cover every byte, and a parser
+//! that makes a tree of directives. Directives have no meaning here. One pass reports all syntax
+//! errors of a file.
 
 use crate::diagnostic::{Diagnostic, Severity, SourcePosition};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::Arc;
 
-/// Blocks within blocks; guards against a file that would end the program by the depth of its tree.
-const DEEPEST: usize = 64;
-/// Files within files.
-const FILES_DEEP: usize = 32;
-/// nginx reads into a buffer of this size, and a word has to fit.
-const LONGEST: usize = 4_096;
-/// Faults of one file that are told; a file that is no configuration at all has one on each line.
-const TOLD: usize = 100;
+/// Maximum depth of nested blocks. A deeper tree could overflow the stack.
+const MAX_BLOCK_DEPTH: usize = 64;
+/// Maximum depth of nested includes.
+const MAX_INCLUDE_DEPTH: usize = 32;
+/// Maximum length of a word: it has to fit into nginx's read buffer.
+const MAX_WORD_BYTES: usize = 4_096;
+/// Maximum number of reported syntax errors per file. A file that is not a configuration at all has
+/// one on each line.
+const MAX_ERRORS_PER_FILE: usize = 100;
 
-/// What a token is.
+/// Kind of a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Space, line ends, and a byte order mark.
-    Space,
-    /// From a number sign to the end of the line.
+pub enum TokenKind {
+    /// Spaces, line ends, or a byte order mark.
+    Whitespace,
+    /// A comment, from the number sign to the end of the line.
     Comment,
-    /// A word, with its quotes.
+    /// A word, including its quotes.
     Word,
     /// `;`
-    End,
+    Semicolon,
     /// `{`
-    Open,
+    OpenBrace,
     /// `}`
-    Close,
+    CloseBrace,
 }
 
-/// A token: the tokens of a file cover it without gaps.
+/// A token. The tokens of a file cover it without gaps.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Token {
-    /// What it is.
-    pub kind: Kind,
-    /// Its bytes.
+    /// Kind.
+    pub kind: TokenKind,
+    /// Range of its bytes.
     pub span: Range<usize>,
 }
 
-/// A fault of a text, by the bytes that it concerns.
-pub type Spot = (Range<usize>, String);
+/// A syntax error: the range of bytes in question, and a message.
+pub type SpannedError = (Range<usize>, String);
 
-/// Splits a text into tokens; text that is not understood is part of a word, and told of.
+/// Splits a text into tokens. Invalid text becomes part of a word and is reported.
 #[must_use]
-pub fn tokens(text: &[u8]) -> (Vec<Token>, Vec<Spot>) {
-    let (mut found, mut faults) = (Vec::new(), Vec::new());
-    let mut at = 0;
+pub fn tokenize(text: &[u8]) -> (Vec<Token>, Vec<SpannedError>) {
+    let (mut tokens, mut errors) = (Vec::new(), Vec::new());
+    let mut offset = 0;
     if text.starts_with(b"\xef\xbb\xbf") {
-        found.push(Token {
-            kind: Kind::Space,
+        tokens.push(Token {
+            kind: TokenKind::Whitespace,
             span: 0..3,
         });
-        at = 3;
+        offset = 3;
     }
     let is_space = |byte: u8| matches!(byte, b' ' | b'\t' | b'\r' | b'\n');
-    while at < text.len() {
-        let start = at;
-        let kind = match text[at] {
-            b';' => Kind::End,
-            b'{' => Kind::Open,
-            b'}' => Kind::Close,
+    while offset < text.len() {
+        let start = offset;
+        let kind = match text[offset] {
+            b';' => TokenKind::Semicolon,
+            b'{' => TokenKind::OpenBrace,
+            b'}' => TokenKind::CloseBrace,
             b'#' => {
-                at += text[at..]
+                offset += text[offset..]
                     .iter()
                     .position(|byte| *byte == b'\n')
-                    .unwrap_or(text.len() - at);
-                found.push(Token {
-                    kind: Kind::Comment,
-                    span: start..at,
+                    .unwrap_or(text.len() - offset);
+                tokens.push(Token {
+                    kind: TokenKind::Comment,
+                    span: start..offset,
                 });
                 continue;
             }
             byte if is_space(byte) => {
-                at += text[at..]
+                offset += text[offset..]
                     .iter()
                     .position(|byte| !is_space(*byte))
-                    .unwrap_or(text.len() - at);
-                found.push(Token {
-                    kind: Kind::Space,
-                    span: start..at,
+                    .unwrap_or(text.len() - offset);
+                tokens.push(Token {
+                    kind: TokenKind::Whitespace,
+                    span: start..offset,
                 });
                 continue;
             }
             _ => {
-                at = word(text, at, &mut faults);
-                if at - start > LONGEST {
-                    let what = format!("a word of {} bytes; nginx takes {LONGEST}", at - start);
-                    faults.push((start..start + 1, what));
+                offset = word_end(text, offset, &mut errors);
+                if offset - start > MAX_WORD_BYTES {
+                    let message = format!(
+                        "a word of {} bytes; nginx takes {MAX_WORD_BYTES}",
+                        offset - start
+                    );
+                    errors.push((start..start + 1, message));
                 }
-                found.push(Token {
-                    kind: Kind::Word,
-                    span: start..at,
+                tokens.push(Token {
+                    kind: TokenKind::Word,
+                    span: start..offset,
                 });
                 continue;
             }
         };
-        at += 1;
-        found.push(Token {
+        offset += 1;
+        tokens.push(Token {
             kind,
-            span: start..at,
+            span: start..offset,
         });
     }
-    (found, faults)
+    (tokens, errors)
 }
 
-/// The end of a word that begins here.
-fn word(text: &[u8], start: usize, faults: &mut Vec<Spot>) -> usize {
-    let mut at = start;
-    if let quote @ (b'"' | b'\'') = text[at] {
-        at += 1;
-        while at < text.len() && text[at] != quote {
-            at += if text[at] == b'\\' { 2 } else { 1 };
+/// Returns the end of the word that begins at `start`.
+fn word_end(text: &[u8], start: usize, errors: &mut Vec<SpannedError>) -> usize {
+    let mut offset = start;
+    if let quote @ (b'"' | b'\'') = text[offset] {
+        offset += 1;
+        while offset < text.len() && text[offset] != quote {
+            offset += if text[offset] == b'\\' { 2 } else { 1 };
         }
-        if at >= text.len() {
-            faults.push((start..start + 1, "a quote that is never closed".to_owned()));
+        if offset >= text.len() {
+            errors.push((start..start + 1, "a quote that is never closed".to_owned()));
             return text.len();
         }
-        at += 1;
-        // A closing parenthesis begins a new word; anything else has to wait for a space.
-        match text.get(at) {
+        offset += 1;
+        // A closing parenthesis begins a new word; any other text has to be separated by a space.
+        match text.get(offset) {
             None | Some(b' ' | b'\t' | b'\r' | b'\n' | b';' | b'{' | b')') => {}
-            Some(_) => faults.push((at..at + 1, "unexpected text right after a quote".to_owned())),
+            Some(_) => errors.push((
+                offset..offset + 1,
+                "unexpected text right after a quote".to_owned(),
+            )),
         }
-        return at;
+        return offset;
     }
-    let mut variable = false;
-    while at < text.len() {
-        match text[at] {
+    let mut after_dollar = false;
+    while offset < text.len() {
+        match text[offset] {
             b' ' | b'\t' | b'\r' | b'\n' | b';' => break,
-            // Only `${` does not open a block.
-            b'{' if !variable => break,
+            // A brace opens a block, except in `${`.
+            b'{' if !after_dollar => break,
             b'\\' => {
-                at += 1;
-                variable = false;
+                offset += 1;
+                after_dollar = false;
             }
-            byte => variable = byte == b'$',
+            byte => after_dollar = byte == b'$',
         }
-        at += 1;
+        offset += 1;
     }
-    at.min(text.len())
+    offset.min(text.len())
 }
 
-/// What a word says: without quotes, and with nginx's few escapes resolved. Others stay as they are.
+/// Returns the value of a word: without quotes, and with nginx's few escape sequences resolved. Other
+/// escape sequences stay.
 #[must_use]
-pub fn value(raw: &[u8]) -> Vec<u8> {
+pub fn unquote(raw: &[u8]) -> Vec<u8> {
     let inner = match raw {
         [quote @ (b'"' | b'\''), inner @ .., end] if quote == end => inner,
         _ => raw,
@@ -169,34 +178,35 @@
 /// A word of a directive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Word {
-    /// What it says.
+    /// Value, without quotes.
     pub text: String,
-    /// Where it stands.
+    /// Position of its first byte.
     pub position: SourcePosition,
-    /// Its length in the file.
-    pub length: usize,
+    /// Length in the file, in bytes.
+    pub byte_length: usize,
 }
 
-/// A directive, with a block or without.
+/// A directive, with or without a block.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Directive {
-    /// Its name.
+    /// Name.
     pub name: Word,
-    /// What follows the name.
+    /// Arguments.
     pub args: Vec<Word>,
-    /// What stands in its braces.
+    /// Directives of the block.
     pub block: Option<Vec<Directive>>,
 }
 
-/// Where files come from; nothing here reads any.
+/// Access to configuration files; this crate does no I/O.
 pub trait FileSource {
-    /// The bytes of a file.
+    /// Reads a file.
     ///
     /// # Errors
-    /// Why there are none.
+    /// Why it can't be read.
     fn read(&self, name: &str) -> Result<Vec<u8>, String>;
 
-    /// The files that a pattern names, in order; a pattern without wildcards names itself.
+    /// Returns the names of the files that match a pattern, in order. A pattern without wildcards is a
+    /// file name.
     ///
     /// # Errors
     /// What is wrong with the pattern.
@@ -227,32 +237,32 @@
     }
 }
 
-/// A whole configuration as it was read.
+/// A parsed configuration.
 #[derive(Debug, Default)]
 pub struct ConfigTree {
-    /// The directives, with those of included files in place of each `include`.
+    /// Directives, with those of included files in place of each `include`.
     pub directives: Vec<Directive>,
-    /// What was found.
+    /// Diagnostics.
     pub diagnostics: Vec<Diagnostic>,
-    /// Findings beyond those.
+    /// Number of diagnostics beyond the maximum, which are left out.
     pub omitted_diagnostics: usize,
-    /// The texts, by file.
-    pub texts: BTreeMap<Arc<str>, Vec<u8>>,
+    /// Texts of the files, by name.
+    pub sources: BTreeMap<Arc<str>, Vec<u8>>,
 }
 
 impl ConfigTree {
-    /// Reads a file and those that it includes.
+    /// Reads a file and the files that it includes.
     #[must_use]
     pub fn read(files: &dyn FileSource, name: &str) -> Self {
         let mut tree = Self::default();
         match files.read(name) {
             Ok(text) => {
-                let mut reader = Reader {
+                let mut parser = Parser {
                     files,
                     tree: &mut tree,
-                    open: Vec::new(),
+                    open_files: Vec::new(),
                 };
-                let directives = reader.file(&Arc::from(name), text, 0);
+                let directives = parser.parse_file(&Arc::from(name), text, 0);
                 tree.directives = directives;
             }
             Err(e) => {
@@ -273,117 +283,120 @@
         tree
     }
 
-    /// Notes something about words of this tree.
-    pub fn note(&mut self, word: &Word, severity: Severity, what: impl Into<String>) {
-        // Each is shown with its line, which takes a look through the text.
-        if self.diagnostics.len() >= 10 * TOLD {
+    /// Adds a diagnostic on a word of this tree.
+    pub fn report(&mut self, word: &Word, severity: Severity, message: impl Into<String>) {
+        // Bounds the work: finding the line of each diagnostic takes a scan of the file.
+        if self.diagnostics.len() >= 10 * MAX_ERRORS_PER_FILE {
             self.omitted_diagnostics += 1;
             return;
         }
-        let text = self
-            .texts
+        let source = self
+            .sources
             .get(&word.position.file)
-            .map_or(&b""[..], |text| text);
+            .map_or(&b""[..], |source| source);
         self.diagnostics.push(Diagnostic::new(
             word.position.clone(),
             severity,
-            what,
-            text,
-            word.length,
+            message,
+            source,
+            word.byte_length,
         ));
     }
 }
 
-/// Line starts of a text, to tell places by offsets.
-struct Lines(Vec<usize>);
+/// Offsets of the line starts of a text, to find positions by offset.
+struct LineIndex(Vec<usize>);
 
-impl Lines {
-    fn of(text: &[u8]) -> Self {
-        let ends = text
+impl LineIndex {
+    fn new(text: &[u8]) -> Self {
+        let line_starts = text
             .iter()
             .enumerate()
             .filter(|(_, byte)| **byte == b'\n')
-            .map(|(at, _)| at + 1);
-        Self(std::iter::once(0).chain(ends).collect())
+            .map(|(offset, _)| offset + 1);
+        Self(std::iter::once(0).chain(line_starts).collect())
     }
 
-    fn position(&self, file: &Arc<str>, at: usize) -> SourcePosition {
-        let line = self.0.partition_point(|start| *start <= at);
+    fn position(&self, file: &Arc<str>, offset: usize) -> SourcePosition {
+        let line = self.0.partition_point(|start| *start <= offset);
         SourcePosition {
             file: file.clone(),
             line,
-            column: at - self.0[line - 1] + 1,
+            column: offset - self.0[line - 1] + 1,
         }
     }
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     files: &'a dyn FileSource,
     tree: &'a mut ConfigTree,
-    /// Files that are being read, the outermost first.
-    open: Vec<Arc<str>>,
+    /// Names of the files that are being read, the outermost first.
+    open_files: Vec<Arc<str>>,
 }
 
-/// A block that is not closed yet.
-struct Frame {
+/// A block whose closing brace was not read yet. The file itself, and a block without a name, have no
+/// directive.
+struct OpenBlock {
     directive: Option<Directive>,
-    inside: Vec<Directive>,
-    opened: usize,
+    directives: Vec<Directive>,
+    opened_at: usize,
 }
 
-impl Reader<'_> {
-    fn file(&mut self, file: &Arc<str>, text: Vec<u8>, depth: usize) -> Vec<Directive> {
-        self.open.push(file.clone());
-        let lines = Lines::of(&text);
-        let (tokens, mut faults) = tokens(&text);
-        let mut stack = vec![Frame {
+impl Parser<'_> {
+    fn parse_file(&mut self, file: &Arc<str>, text: Vec<u8>, depth: usize) -> Vec<Directive> {
+        self.open_files.push(file.clone());
+        let line_index = LineIndex::new(&text);
+        let (tokens, mut errors) = tokenize(&text);
+        let mut stack = vec![OpenBlock {
             directive: None,
-            inside: Vec::new(),
-            opened: 0,
+            directives: Vec::new(),
+            opened_at: 0,
         }];
         let mut words: Vec<Word> = Vec::new();
         for Token { kind, span } in tokens {
-            let top = stack.len() - 1;
+            let innermost = stack.len() - 1;
             match kind {
-                Kind::Space | Kind::Comment => {}
-                Kind::Word => {
-                    let text = match String::from_utf8(value(&text[span.clone()])) {
+                TokenKind::Whitespace | TokenKind::Comment => {}
+                TokenKind::Word => {
+                    let text = match String::from_utf8(unquote(&text[span.clone()])) {
                         Ok(text) => text,
                         Err(e) => {
-                            faults.push((span.clone(), "text that is not UTF-8".to_owned()));
+                            errors.push((span.clone(), "text that is not UTF-8".to_owned()));
                             String::from_utf8_lossy(e.as_bytes()).into_owned()
                         }
                     };
                     words.push(Word {
                         text,
-                        position: lines.position(file, span.start),
-                        length: span.len(),
+                        position: line_index.position(file, span.start),
+                        byte_length: span.len(),
                     });
                 }
-                Kind::End if words.is_empty() => faults.push((span, "unexpected \";\"".to_owned())),
-                Kind::End => {
+                TokenKind::Semicolon if words.is_empty() => {
+                    errors.push((span, "unexpected \";\"".to_owned()));
+                }
+                TokenKind::Semicolon => {
                     let mut args = std::mem::take(&mut words);
                     let name = args.remove(0);
                     if name.text == "include" {
-                        let read = self.include(&name, &args, depth + top);
-                        stack[top].inside.extend(read);
+                        let included = self.parse_include(&name, &args, depth + innermost);
+                        stack[innermost].directives.extend(included);
                     } else {
-                        stack[top].inside.push(Directive {
+                        stack[innermost].directives.push(Directive {
                             name,
                             args,
                             block: None,
                         });
                     }
                 }
-                Kind::Open => {
+                TokenKind::OpenBrace => {
                     let mut args = std::mem::take(&mut words);
                     if args.is_empty() {
-                        faults.push((span.clone(), "unexpected \"{\"".to_owned()));
+                        errors.push((span.clone(), "unexpected \"{\"".to_owned()));
                     }
-                    if top + depth >= DEEPEST {
-                        faults.push((
+                    if innermost + depth >= MAX_BLOCK_DEPTH {
+                        errors.push((
                             span.clone(),
-                            format!("blocks nested more than {DEEPEST} deep"),
+                            format!("blocks nested more than {MAX_BLOCK_DEPTH} deep"),
                         ));
                         break;
                     }
@@ -395,133 +408,141 @@
                             block: None,
                         }
                     });
-                    stack.push(Frame {
+                    stack.push(OpenBlock {
                         directive,
-                        inside: Vec::new(),
-                        opened: span.start,
+                        directives: Vec::new(),
+                        opened_at: span.start,
                     });
                 }
-                Kind::Close => {
+                TokenKind::CloseBrace => {
                     if let Some(word) = words.first() {
-                        let what = format!("{:?} is not ended by \";\" before \"}}\"", word.text);
-                        faults.push((span.clone(), what));
+                        let message =
+                            format!("{:?} is not ended by \";\" before \"}}\"", word.text);
+                        errors.push((span.clone(), message));
                         words.clear();
                     }
-                    if top == 0 {
-                        faults.push((span, "unexpected \"}\"".to_owned()));
-                    } else if let Some(frame) = stack.pop() {
-                        if let Some(directive) = frame.directive {
-                            let block = Some(frame.inside);
-                            stack[top - 1].inside.push(Directive { block, ..directive });
+                    if innermost == 0 {
+                        errors.push((span, "unexpected \"}\"".to_owned()));
+                    } else if let Some(block) = stack.pop() {
+                        if let Some(directive) = block.directive {
+                            let block = Some(block.directives);
+                            stack[innermost - 1]
+                                .directives
+                                .push(Directive { block, ..directive });
                         }
                     }
                 }
             }
         }
         if let Some(word) = words.first() {
-            let what = format!(
+            let message = format!(
                 "the file ends within {:?}: expecting \";\" or \"}}\"",
                 word.text
             );
-            faults.push((text.len().saturating_sub(1)..text.len(), what));
+            errors.push((text.len().saturating_sub(1)..text.len(), message));
         }
-        for frame in &stack[1..] {
-            faults.push((
-                frame.opened..frame.opened + 1,
+        for block in &stack[1..] {
+            errors.push((
+                block.opened_at..block.opened_at + 1,
                 "a block that is never closed".to_owned(),
             ));
         }
-        // What was read up to there is looked at all the same, so that all faults are told at once.
+        // Unclosed blocks are kept, so that the importer reports their errors at the same time.
         while stack.len() > 1 {
-            let Some(frame) = stack.pop() else { break };
-            let Some(directive) = frame.directive else {
+            let Some(block) = stack.pop() else { break };
+            let Some(directive) = block.directive else {
                 continue;
             };
-            if let Some(below) = stack.last_mut() {
-                below.inside.push(Directive {
-                    block: Some(frame.inside),
+            if let Some(parent) = stack.last_mut() {
+                parent.directives.push(Directive {
+                    block: Some(block.directives),
                     ..directive
                 });
             }
         }
-        for (span, what) in faults.into_iter().take(TOLD) {
-            let position = lines.position(file, span.start);
+        for (span, message) in errors.into_iter().take(MAX_ERRORS_PER_FILE) {
+            let position = line_index.position(file, span.start);
             self.tree.diagnostics.push(Diagnostic::new(
                 position,
                 Severity::Error,
-                what,
+                message,
                 &text,
                 span.len(),
             ));
         }
-        self.tree.texts.insert(file.clone(), text);
-        self.open.pop();
-        stack.pop().map(|frame| frame.inside).unwrap_or_default()
+        self.tree.sources.insert(file.clone(), text);
+        self.open_files.pop();
+        stack
+            .pop()
+            .map(|block| block.directives)
+            .unwrap_or_default()
     }
 
-    fn fault(&mut self, at: &Word, what: String) {
-        // The text of the file that is being read is not in the tree yet.
-        let text = self.files.read(&at.position.file).unwrap_or_default();
+    fn add_error(&mut self, word: &Word, message: String) {
+        // The text of the current file is not in the tree yet.
+        let source = self.files.read(&word.position.file).unwrap_or_default();
         self.tree.diagnostics.push(Diagnostic::new(
-            at.position.clone(),
+            word.position.clone(),
             Severity::Error,
-            what,
-            &text,
-            at.length,
+            message,
+            &source,
+            word.byte_length,
         ));
     }
 
-    fn include(&mut self, name: &Word, args: &[Word], depth: usize) -> Vec<Directive> {
+    fn parse_include(&mut self, name: &Word, args: &[Word], depth: usize) -> Vec<Directive> {
         let [pattern] = args else {
-            self.fault(
+            self.add_error(
                 name,
                 format!("include takes one argument, and has {}", args.len()),
             );
             return Vec::new();
         };
-        // Relative names are relative to the folder of the first file, as in nginx.
-        let first = self.open.first().map_or("", |first| first);
-        let folder = first.rfind('/').map_or("", |end| &first[..=end]);
+        // Relative names are relative to the directory of the main file, as in nginx.
+        let main_file = self.open_files.first().map_or("", |main_file| main_file);
+        let directory = main_file.rfind('/').map_or("", |end| &main_file[..=end]);
         let path = if pattern.text.starts_with('/') {
             pattern.text.clone()
         } else {
-            format!("{folder}{}", pattern.text)
+            format!("{directory}{}", pattern.text)
         };
-        let names = match self.files.expand_glob(&path) {
-            Ok(names) => names,
+        let file_names = match self.files.expand_glob(&path) {
+            Ok(file_names) => file_names,
             Err(e) => {
-                self.fault(pattern, format!("{path}: {e}"));
+                self.add_error(pattern, format!("{path}: {e}"));
                 return Vec::new();
             }
         };
-        let mut read = Vec::new();
-        for file in names {
-            if self.open.iter().any(|open| **open == *file) {
-                let way: Vec<_> = self
-                    .open
+        let mut directives = Vec::new();
+        for file in file_names {
+            if self.open_files.iter().any(|open_file| **open_file == *file) {
+                let include_chain: Vec<_> = self
+                    .open_files
                     .iter()
-                    .map(|open| &**open)
+                    .map(|open_file| &**open_file)
                     .chain([file.as_str()])
                     .collect();
-                self.fault(
+                self.add_error(
                     pattern,
-                    format!("files include each other: {}", way.join(" -> ")),
+                    format!("files include each other: {}", include_chain.join(" -> ")),
                 );
                 continue;
             }
-            if self.open.len() >= FILES_DEEP {
-                self.fault(
+            if self.open_files.len() >= MAX_INCLUDE_DEPTH {
+                self.add_error(
                     pattern,
-                    format!("files include each other more than {FILES_DEEP} deep"),
+                    format!("files include each other more than {MAX_INCLUDE_DEPTH} deep"),
                 );
                 continue;
             }
             match self.files.read(&file) {
-                Ok(text) => read.extend(self.file(&Arc::from(file.as_str()), text, depth)),
-                Err(e) => self.fault(pattern, format!("{file}: {e}")),
+                Ok(text) => {
+                    directives.extend(self.parse_file(&Arc::from(file.as_str()), text, depth));
+                }
+                Err(e) => self.add_error(pattern, format!("{file}: {e}")),
             }
         }
-        read
+        directives
     }
 }
 
@@ -530,16 +551,16 @@
     use super::*;
 
     fn words(text: &str) -> Vec<String> {
-        let (found, faults) = tokens(text.as_bytes());
-        assert_eq!(faults, []);
-        let words = found.iter().filter(|token| token.kind == Kind::Word);
+        let (tokens, errors) = tokenize(text.as_bytes());
+        assert_eq!(errors, []);
+        let words = tokens.iter().filter(|token| token.kind == TokenKind::Word);
         words
-            .map(|token| String::from_utf8(value(&text.as_bytes()[token.span.clone()])).unwrap())
+            .map(|token| String::from_utf8(unquote(&text.as_bytes()[token.span.clone()])).unwrap())
             .collect()
     }
 
     #[test]
-    fn quotes_escapes_and_variables_are_read_as_nginx_reads_them() {
+    fn words_with_quotes_escapes_and_variables_are_split_as_in_nginx() {
         let text = r#"a 'b c' "d\"e" f\ g ${h}i \"j "k\.l" m#n "x;y" 'p{q'; # "r"
 s"#;
         let expected = [
@@ -547,11 +568,11 @@
         ];
         assert_eq!(words(text), expected);
         assert_eq!(
-            tokens(b"a \"b\"c;").1,
+            tokenize(b"a \"b\"c;").1,
             [(5..6, "unexpected text right after a quote".to_owned())]
         );
         assert_eq!(
-            tokens(b"a 'b").1,
+            tokenize(b"a 'b").1,
             [(2..3, "a quote that is never closed".to_owned())]
         );
     }
@@ -562,13 +583,13 @@
             b"a", b" ", b"\\", b"\"", b"'", b"{", b"}", b";", b"#", b"\n", b"$", b"\xff",
         ];
         // All texts of up to five of these pieces.
-        for number in 0..12_usize.pow(5) {
+        for index in 0..12_usize.pow(5) {
             let text: Vec<u8> = (0..5)
-                .flat_map(|i| pieces[number / 12_usize.pow(i) % 12])
+                .flat_map(|i| pieces[index / 12_usize.pow(i) % 12])
                 .copied()
                 .collect();
             let mut end = 0;
-            for token in tokens(&text).0 {
+            for token in tokenize(&text).0 {
                 assert!(token.span.start == end && token.span.end > end, "{text:?}");
                 end = token.span.end;
             }
