--- a/crates/routes/tests/files.rs
+++ b/crates/routes/tests/import_cases.rs
@@ -1,8 +1,9 @@
-//! Hand-written files with their expected tables, line for line, refusals included, and what becomes of requests.
+//! Compares hand-written configurations with their recorded diagnostics, tables and requests, line by
+//! line.
 //!
-//! A case is one file: `=== NAME` before each file of the configuration, the first of them the one that is read; after
-//! `--- findings`, `--- table` and `--- requests` what is expected. A request is a line `METHOD URL [header: value]...`
-//! and after `=>` what becomes of it.
+//! A case is one file. `=== NAME` begins each file of the configuration; the first one is the main
+//! file. `--- findings`, `--- table` and `--- requests` begin the expected results. A request is a
+//! line `METHOD URL [++ header: value]...`, followed by `=>` and how it is routed.
 
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::router::{RouteDecision, RouteRequest, Router};
@@ -10,37 +11,37 @@
 use std::path::Path;
 
 struct Case {
-    first: String,
+    main_file: String,
     files: BTreeMap<String, Vec<u8>>,
-    /// By section.
-    expected: BTreeMap<String, Vec<String>>,
+    /// Expected lines, by section.
+    expected_sections: BTreeMap<String, Vec<String>>,
     source: String,
 }
 
-fn read(text: &str) -> Case {
+fn parse_case(text: &str) -> Case {
     let mut case = Case {
-        first: String::new(),
+        main_file: String::new(),
         files: BTreeMap::new(),
-        expected: BTreeMap::new(),
+        expected_sections: BTreeMap::new(),
         source: String::new(),
     };
     let (mut file, mut section) = (None, None);
     for line in text.lines() {
         if let Some(name) = line.strip_prefix("=== ") {
-            if case.first.is_empty() {
-                case.first = name.to_owned();
+            if case.main_file.is_empty() {
+                case.main_file = name.to_owned();
             }
             file = Some(name.to_owned());
         } else if let Some(name) = line.strip_prefix("--- ") {
             (file, section) = (None, Some(name.to_owned()));
-            case.expected.entry(name.to_owned()).or_default();
+            case.expected_sections.entry(name.to_owned()).or_default();
             continue;
         } else if let Some(name) = &file {
             let text = case.files.entry(name.clone()).or_default();
             text.extend_from_slice(line.as_bytes());
             text.push(b'\n');
         } else if let Some(name) = &section {
-            case.expected
+            case.expected_sections
                 .entry(name.clone())
                 .or_default()
                 .push(line.to_owned());
@@ -52,7 +53,7 @@
     case
 }
 
-fn ask(table: &Router, line: &str) -> String {
+fn describe_route(router: &Router, line: &str) -> String {
     let request = line.split(" => ").next().unwrap_or_default();
     let (method, rest) = request.split_once(' ').expect("a method and a URL");
     let mut parts = rest.split(" ++ ");
@@ -65,9 +66,9 @@
         .map(|part| part.split_once(": ").expect("a header"))
         .map(|(a, b)| (a.to_owned(), b.to_owned()))
         .collect();
-    let at = url.find('/').unwrap_or(url.len());
-    let (host, target) = url.split_at(at);
-    let asked = RouteRequest {
+    let path_start = url.find('/').unwrap_or(url.len());
+    let (host, target) = url.split_at(path_start);
+    let route_request = RouteRequest {
         listen_address: None,
         host,
         method,
@@ -75,7 +76,7 @@
         headers: &headers,
         caller_address: "192.0.2.1",
     };
-    let found = match table.route(&asked) {
+    let description = match router.route(&route_request) {
         Ok(RouteDecision::Forward {
             server,
             location,
@@ -83,86 +84,90 @@
             uri,
             class,
         }) => {
-            let site = table.location(server, location).expect("a location");
+            let location = router.location(server, location).expect("a location");
             let class = class
                 .map(|class| format!(" class {class}"))
                 .unwrap_or_default();
             format!(
                 "{} {} -> {pool} {uri}{class}",
-                site.position.line, site.name
+                location.position.line, location.name
             )
         }
         Ok(RouteDecision::Respond {
-            status: code,
+            status,
             text,
-            reason: by,
-        }) => format!("{code} {text:?} {by}"),
-        Err(what) => format!("error: {what}"),
+            reason,
+        }) => format!("{status} {text:?} {reason}"),
+        Err(error) => format!("error: {error}"),
     };
-    format!("{request} => {found}")
+    format!("{request} => {description}")
 }
 
 #[test]
-fn hand_written_files_come_to_their_tables_line_for_line() {
+fn cases_match_their_recorded_diagnostics_tables_and_requests() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/files");
-    let mut names: Vec<_> = std::fs::read_dir(&folder)
+    let mut paths: Vec<_> = std::fs::read_dir(&folder)
         .expect("the folder")
         .map(|entry| entry.expect("an entry").path())
         .collect();
-    names.sort();
-    let (mut count, mut wrong) = (0, Vec::new());
-    for name in names {
-        let text = std::fs::read_to_string(&name).expect("a case");
-        let case = read(&text);
-        let import = Import::read(&case.files, &case.first);
-        let mut found = BTreeMap::new();
+    paths.sort();
+    let (mut count, mut failed_cases) = (0, Vec::new());
+    for path in paths {
+        let text = std::fs::read_to_string(&path).expect("a case");
+        let case = parse_case(&text);
+        let import = Import::read(&case.files, &case.main_file);
+        let mut sections = BTreeMap::new();
         let diagnostics: Vec<_> = import
             .diagnostics
             .iter()
-            .flat_map(|one| {
-                one.render()
+            .flat_map(|diagnostic| {
+                diagnostic
+                    .render()
                     .lines()
                     .map(|line| line.trim_end().to_owned())
                     .collect::<Vec<_>>()
             })
             .collect();
-        found.insert("findings".to_owned(), diagnostics);
-        let whole = import.is_complete();
-        found.insert(
+        sections.insert("findings".to_owned(), diagnostics);
+        let is_complete = import.is_complete();
+        sections.insert(
             "table".to_owned(),
-            if whole {
+            if is_complete {
                 import.routes.to_lines()
             } else {
                 Vec::new()
             },
         );
         let empty = Vec::new();
-        let requests = case.expected.get("requests").unwrap_or(&empty);
-        let table = Router::new(&import.routes);
-        if whole {
-            let table = table.expect("what was imported can be prepared");
-            found.insert(
+        let requests = case.expected_sections.get("requests").unwrap_or(&empty);
+        let router = Router::new(&import.routes);
+        if is_complete {
+            let router = router.expect("what was imported can be prepared");
+            sections.insert(
                 "requests".to_owned(),
-                requests.iter().map(|line| ask(&table, line)).collect(),
+                requests
+                    .iter()
+                    .map(|line| describe_route(&router, line))
+                    .collect(),
             );
-            // What is written out as JSON is the same table.
+            // The table survives a round trip through JSON.
             let json = serde_json::to_string(&import.routes).expect("it can be written");
-            let read: cleatpulley_routes::model::Routes =
+            let reloaded: cleatpulley_routes::model::Routes =
                 serde_json::from_str(&json).expect("it can be read");
-            assert_eq!(read.to_lines(), import.routes.to_lines());
+            assert_eq!(reloaded.to_lines(), import.routes.to_lines());
         } else if std::env::var_os("WRITE_EXPECTED").is_none() {
             assert!(
                 requests.is_empty(),
-                "{}: requests of a refused file",
-                name.display()
+                "{}: requests of a rejected file",
+                path.display()
             );
         }
-        found.retain(|_, lines| !lines.is_empty());
-        let mut expected = case.expected.clone();
+        sections.retain(|_, lines| !lines.is_empty());
+        let mut expected = case.expected_sections.clone();
         expected.retain(|_, lines| !lines.is_empty());
-        if found != expected {
-            wrong.push(
-                name.file_name()
+        if sections != expected {
+            failed_cases.push(
+                path.file_name()
                     .expect("a name")
                     .to_string_lossy()
                     .into_owned(),
@@ -170,23 +175,26 @@
             if std::env::var_os("WRITE_EXPECTED").is_some() {
                 let mut out = case.source.clone();
                 for section in ["findings", "table", "requests"] {
-                    if let Some(lines) = found.get(section) {
+                    if let Some(lines) = sections.get(section) {
                         out.push_str(&format!("--- {section}\n{}\n", lines.join("\n")));
                     }
                 }
-                std::fs::write(&name, out).expect("written");
+                std::fs::write(&path, out).expect("written");
             } else {
-                eprintln!("{}: found {found:#?}", name.display());
+                eprintln!("{}: found {sections:#?}", path.display());
             }
         }
         count += 1;
     }
-    assert!(wrong.is_empty(), "of {count} cases these differ: {wrong:?}");
+    assert!(
+        failed_cases.is_empty(),
+        "of {count} cases these differ: {failed_cases:?}"
+    );
     assert!(count >= 25, "{count} cases");
 }
 
 #[test]
-fn a_file_cut_at_every_byte_is_an_error_with_a_place_or_a_smaller_file() {
+fn every_truncation_of_a_file_is_reported_with_a_position_or_is_a_valid_file() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/files");
     for name in [
         "01-plain.txt",
@@ -195,26 +203,27 @@
         "12-maps.txt",
         "15-limits.txt",
     ] {
-        let case = read(&std::fs::read_to_string(folder.join(name)).expect("a case"));
-        let whole = &case.files[&case.first];
+        let case = parse_case(&std::fs::read_to_string(folder.join(name)).expect("a case"));
+        let whole = &case.files[&case.main_file];
         let mut errors = 0;
-        for cut in 0..whole.len() {
-            let files = BTreeMap::from([("cut".to_owned(), whole[..cut].to_vec())]);
+        for length in 0..whole.len() {
+            let files = BTreeMap::from([("cut".to_owned(), whole[..length].to_vec())]);
             let import = Import::read(&files, "cut");
-            let lines = whole[..cut].split(|byte| *byte == b'\n').count();
-            for finding in &import.diagnostics {
+            let lines = whole[..length].split(|byte| *byte == b'\n').count();
+            for diagnostic in &import.diagnostics {
                 assert!(
-                    (1..=lines).contains(&finding.position.line) && finding.position.column > 0,
-                    "{name} at {cut}: {finding}"
+                    (1..=lines).contains(&diagnostic.position.line)
+                        && diagnostic.position.column > 0,
+                    "{name} at {length}: {diagnostic}"
                 );
-                assert!(!finding.render().is_empty());
+                assert!(!diagnostic.render().is_empty());
             }
             errors += usize::from(!import.is_complete());
             if import.is_complete() {
-                assert!(Router::new(&import.routes).is_ok(), "{name} at {cut}");
+                assert!(Router::new(&import.routes).is_ok(), "{name} at {length}");
             }
         }
-        // All but cuts between blocks of the outermost level.
+        // Only cuts between blocks of the outermost level leave a valid file.
         assert!(
             errors * 10 > whole.len() * 9,
             "{name}: {errors} of {}",
@@ -224,15 +233,20 @@
 }
 
 #[test]
-fn blocks_without_end_and_files_of_noise_are_refused_and_do_no_harm() {
+fn endless_nesting_include_chains_and_noise_are_rejected() {
     let deep = "a {".repeat(50_000);
     let includes: BTreeMap<String, Vec<u8>> = (0..50)
-        .map(|n| (n.to_string(), format!("include {};", n + 1).into_bytes()))
+        .map(|number| {
+            (
+                number.to_string(),
+                format!("include {};", number + 1).into_bytes(),
+            )
+        })
         .collect();
     let noise: Vec<u8> = (0..500_000_u32)
-        .map(|n| b"a{};\n\"' #$"[(n.wrapping_mul(2_654_435_761) >> 28) as usize % 10])
+        .map(|number| b"a{};\n\"' #$"[(number.wrapping_mul(2_654_435_761) >> 28) as usize % 10])
         .collect();
-    for (files, name, what) in [
+    for (files, name, expected_message) in [
         (
             BTreeMap::from([("f".to_owned(), deep.into_bytes())]),
             "f",
@@ -248,8 +262,8 @@
             import
                 .diagnostics
                 .iter()
-                .any(|finding| finding.message.contains(what)),
-            "{what}: {:?}",
+                .any(|diagnostic| diagnostic.message.contains(expected_message)),
+            "{expected_message}: {:?}",
             import.diagnostics.first()
         );
     }
