--- a/crates/routes/src/import/mod.rs
+++ b/crates/routes/src/import/mod.rs
@@ -78,7 +78,7 @@
             && self
                 .diagnostics
                 .iter()
-                .all(|finding| finding.severity == Severity::Difference)
+                .all(|diagnostic| diagnostic.severity == Severity::Difference)
     }
 }
 
--- a/crates/routes/src/import/servers.rs
+++ b/crates/routes/src/import/servers.rs
@@ -136,11 +136,11 @@
             return server.names.push(name.to_owned());
         }
         let name = name.to_lowercase();
-        let core = name
+        let fixed_part = name
             .strip_prefix("*.")
             .or_else(|| name.strip_suffix(".*"))
             .unwrap_or(&name);
-        if core.contains('*') || core.contains('$') {
+        if fixed_part.contains('*') || fixed_part.contains('$') {
             return self.error(
                 word,
                 format!(
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -63,6 +63,7 @@
 #[derive(Debug)]
 enum CompiledStep {
     Set(String, Template),
+    /// Regular expression, new path, whether the query string is dropped, and flag.
     Rewrite(Regex, Template, bool, RewriteFlag),
     Return(u16, Option<Template>),
     Break,
--- a/crates/routes/src/syntax.rs
+++ b/crates/routes/src/syntax.rs
@@ -338,7 +338,7 @@
 /// directive.
 struct OpenBlock {
     directive: Option<Directive>,
-    directives: Vec<Directive>,
+    children: Vec<Directive>,
     opened_at: usize,
 }
 
@@ -349,7 +349,7 @@
         let (tokens, mut errors) = tokenize(&text);
         let mut stack = vec![OpenBlock {
             directive: None,
-            directives: Vec::new(),
+            children: Vec::new(),
             opened_at: 0,
         }];
         let mut words: Vec<Word> = Vec::new();
@@ -379,9 +379,9 @@
                     let name = args.remove(0);
                     if name.text == "include" {
                         let included = self.parse_include(&name, &args, depth + innermost);
-                        stack[innermost].directives.extend(included);
+                        stack[innermost].children.extend(included);
                     } else {
-                        stack[innermost].directives.push(Directive {
+                        stack[innermost].children.push(Directive {
                             name,
                             args,
                             block: None,
@@ -410,7 +410,7 @@
                     });
                     stack.push(OpenBlock {
                         directive,
-                        directives: Vec::new(),
+                        children: Vec::new(),
                         opened_at: span.start,
                     });
                 }
@@ -425,9 +425,9 @@
                         errors.push((span, "unexpected \"}\"".to_owned()));
                     } else if let Some(block) = stack.pop() {
                         if let Some(directive) = block.directive {
-                            let block = Some(block.directives);
+                            let block = Some(block.children);
                             stack[innermost - 1]
-                                .directives
+                                .children
                                 .push(Directive { block, ..directive });
                         }
                     }
@@ -454,8 +454,8 @@
                 continue;
             };
             if let Some(parent) = stack.last_mut() {
-                parent.directives.push(Directive {
-                    block: Some(block.directives),
+                parent.children.push(Directive {
+                    block: Some(block.children),
                     ..directive
                 });
             }
@@ -472,10 +472,7 @@
         }
         self.tree.sources.insert(file.clone(), text);
         self.open_files.pop();
-        stack
-            .pop()
-            .map(|block| block.directives)
-            .unwrap_or_default()
+        stack.pop().map(|block| block.children).unwrap_or_default()
     }
 
     fn add_error(&mut self, word: &Word, message: String) {
