--- a/crates/routes/src/expectations.rs
+++ b/crates/routes/src/expectations.rs
@@ -368,10 +368,10 @@
             *server_name == name
                 || server_name
                     .strip_prefix('*')
-                    .is_some_and(|end| name.ends_with(end))
+                    .is_some_and(|suffix| name.ends_with(suffix))
                 || server_name
                     .strip_suffix('*')
-                    .is_some_and(|start| name.starts_with(start))
+                    .is_some_and(|prefix| name.starts_with(prefix))
                 || regex.is_some_and(|regex| regex.is_match(name.as_bytes()))
                 || server_name.is_empty() && checker.routes.servers.len() == 1
         });
--- a/crates/routes/src/location_index.rs
+++ b/crates/routes/src/location_index.rs
@@ -361,8 +361,8 @@
                 path,
                 pass
             )),
-            regex.prop_map(|(any, text, pass)| (
-                if any {
+            regex.prop_map(|(case_insensitive, text, pass)| (
+                if case_insensitive {
                     MatchKind::RegexCaseInsensitive
                 } else {
                     MatchKind::Regex
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -369,12 +369,12 @@
         let mut retries = 0;
         for _ in 0..10_000 {
             budget.record_first_attempt();
-            let mut tries = 1;
+            let mut attempts = 1;
             while budget
                 .decide(
                     0,
                     &RetryContext {
-                        attempts: tries,
+                        attempts,
                         ..context(false)
                     },
                     AttemptFailure::NotSent,
@@ -384,7 +384,7 @@
                 .0
                 == RetryDecision::Retry
             {
-                (retries, tries) = (retries + 1, tries + 1);
+                (retries, attempts) = (retries + 1, attempts + 1);
             }
         }
         assert!(
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -787,42 +787,42 @@
 impl VirtualHosts {
     /// Returns the index of the server for a host name, and why it was chosen.
     fn choose(&self, name: &str) -> (usize, String) {
-        if let Some(number) = self.exact.get(name).filter(|_| !name.is_empty()) {
-            return (*number, "the whole name".to_owned());
+        if let Some(server_index) = self.exact.get(name).filter(|_| !name.is_empty()) {
+            return (*server_index, "the whole name".to_owned());
         }
         // `*.x` matches names below x, but not x itself.
-        if let Some((suffix, number)) = self
+        if let Some((suffix, server_index)) = self
             .leading_wildcards
             .iter()
             .find(|(suffix, _)| name.len() > suffix.len() && name.ends_with(suffix))
         {
             return (
-                *number,
+                *server_index,
                 format!("the longest name with a star before, *{suffix}"),
             );
         }
-        if let Some((prefix, number)) = self
+        if let Some((prefix, server_index)) = self
             .trailing_wildcards
             .iter()
             .find(|(prefix, _)| name.len() > prefix.len() && name.starts_with(prefix))
         {
             return (
-                *number,
+                *server_index,
                 format!("the longest name with a star after, {prefix}*"),
             );
         }
-        if let Some((regex, number)) = self
+        if let Some((regex, server_index)) = self
             .regexes
             .iter()
             .find(|(regex, _)| regex.is_match(name.as_bytes()))
         {
             return (
-                *number,
+                *server_index,
                 format!("the first regular expression that matches, {regex}"),
             );
         }
-        if let Some(number) = self.exact.get("").filter(|_| name.is_empty()) {
-            return (*number, "the server without a name".to_owned());
+        if let Some(server_index) = self.exact.get("").filter(|_| name.is_empty()) {
+            return (*server_index, "the server without a name".to_owned());
         }
         (
             self.default.unwrap_or_default(),
