--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -6,12 +6,16 @@
 
 use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_routes::limits::Limits;
-use cleatpulley_routes::model::{Limit, Next, Pool as PoolModel, Routes, Times, Way};
-use cleatpulley_routes::pool::{Balancer, End};
-use cleatpulley_routes::retry::{Asked as Between, Budget, Stopped, Try, Verdict};
-use cleatpulley_routes::table::{Asked, Decision, Table};
-use cleatpulley_routes::text::Template;
+use cleatpulley_routes::balancer::{AttemptOutcome, Balancer};
+use cleatpulley_routes::limits::RequestLimiter;
+use cleatpulley_routes::model::{
+    BalancingMethod, Limit, Pool as PoolModel, ProxyTimeouts, RetryPolicy, Routes,
+};
+use cleatpulley_routes::retry::{
+    AttemptFailure, RetryBudget, RetryContext as Between, RetryDecision, RetryDenial,
+};
+use cleatpulley_routes::router::{RouteDecision, RouteRequest, Router};
+use cleatpulley_routes::template::Template;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -33,14 +37,14 @@
 
 /// A request as routes look at it, which came to this `address:port` of theirs.
 #[must_use]
-pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> Asked<'a> {
-    Asked {
-        listen,
+pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> RouteRequest<'a> {
+    RouteRequest {
+        listen_address: listen,
         host: &head.host,
         method: &head.method,
-        target: &head.target,
+        request_target: &head.target,
         headers: &head.headers,
-        remote: &head.remote_address,
+        caller_address: &head.remote_address,
     }
 }
 
@@ -71,7 +75,7 @@
     /// The target's own answer, which goes on: served, or at fault.
     Answered(Response),
     /// It came to nothing.
-    Nothing(Try),
+    Nothing(AttemptFailure),
     /// The target said so, and how many requests it wishes to have open.
     Advised(u32),
 }
@@ -82,7 +86,7 @@
     addresses: Vec<Arc<str>>,
     key: Option<Template>,
     by_address: bool,
-    budget: Budget,
+    budget: RetryBudget,
     /// Latency of what was answered, smoothed: a try that has less time left than a part of it comes to nothing.
     latency: f64,
 }
@@ -107,12 +111,12 @@
                 .iter()
                 .map(|target| Arc::from(target.address.as_str()))
                 .collect(),
-            key: match &pool.way {
-                Way::Hash { key, .. } => Some(Template::read(key)?),
+            key: match &pool.method {
+                BalancingMethod::Hash { key, .. } => Some(Template::parse(key)?),
                 _ => None,
             },
-            by_address: pool.way == Way::AddressHash,
-            budget: Budget::new(share, SAVED),
+            by_address: pool.method == BalancingMethod::AddressHash,
+            budget: RetryBudget::new(share, SAVED),
             latency: 0.0,
         })
     }
@@ -126,8 +130,8 @@
     due: Micros,
     pool: Arc<str>,
     /// What its location says of further tries and times; a reload changes neither for it.
-    next: Next,
-    times: Times,
+    next: RetryPolicy,
+    times: ProxyTimeouts,
     uri: String,
     limits: Vec<(Limit, String)>,
     /// Bytes that it holds.
@@ -159,17 +163,17 @@
     /// Answered by a route, or at fault.
     pub returned: u64,
     /// Why no further try was made.
-    pub stopped: BTreeMap<Stopped, u64>,
+    pub stopped: BTreeMap<RetryDenial, u64>,
 }
 
 /// The core of a gateway.
 #[derive(Debug)]
 pub struct Core {
-    table: Table,
+    table: Router,
     classes: Vec<Class>,
     listen: Option<String>,
     pools: HashMap<Arc<str>, Pool>,
-    limits: Limits,
+    limits: RequestLimiter,
     open: BTreeMap<Number, Open>,
     origins: BTreeSet<(u64, u32, Number)>,
     timers: BTreeSet<(Micros, Number)>,
@@ -205,7 +209,7 @@
     /// # Errors
     /// Where the routes can't be prepared.
     pub fn new(settings: &Settings) -> Result<Self, String> {
-        let table = Table::new(&settings.routes)?;
+        let table = Router::new(&settings.routes)?;
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
@@ -219,7 +223,7 @@
             classes: settings.classes.clone(),
             listen: settings.listen.clone(),
             pools,
-            limits: Limits::default(),
+            limits: RequestLimiter::default(),
             open: BTreeMap::new(),
             origins: BTreeSet::new(),
             timers: BTreeSet::new(),
@@ -240,7 +244,7 @@
         if settings.classes != self.classes {
             return Err("the classes differ, which takes a new start".to_owned());
         }
-        let table = Table::new(&settings.routes)?;
+        let table = Router::new(&settings.routes)?;
         let mut pools = HashMap::new();
         for (number, (name, pool)) in settings.routes.pools.iter().enumerate() {
             let seed = settings.seed.wrapping_add(number as u64);
@@ -339,7 +343,7 @@
                     .get(&number)
                     .and_then(|open| self.pools.get_mut(&open.pool))
                 {
-                    pool.budget.first();
+                    pool.budget.record_first_attempt();
                 }
                 return self.try_next(now, number, orders);
             }
@@ -369,17 +373,19 @@
         };
         let decision = self
             .table
-            .decide(&asked)
+            .route(&asked)
             .map_err(|what| returned(404, what))?;
         let (server, location, pool, uri, class) = match decision {
-            Decision::Pass {
+            RouteDecision::Forward {
                 server,
                 location,
                 pool,
                 uri,
                 class,
             } => (server, location, pool, uri, class),
-            Decision::Answer { code, text, .. } => return Err(returned(code, text)),
+            RouteDecision::Respond {
+                status: code, text, ..
+            } => return Err(returned(code, text)),
         };
         // A frame brings its class along; what a route says of it has to be the same.
         let by_route = class
@@ -404,21 +410,21 @@
         if self.closed_at.is_some_and(|at| now >= at) || now + SLACK >= due {
             return Err(refuse(0));
         }
-        let Some(site) = self.table.site(server, location) else {
+        let Some(site) = self.table.location(server, location) else {
             return Err(Response::Failed);
         };
         let limits: Vec<_> = site
             .limits
             .iter()
-            .map(|(key, limit)| (limit.clone(), self.table.text(key, &asked)))
+            .map(|(key, limit)| (limit.clone(), self.table.expand(key, &asked)))
             .collect();
         let entering: Vec<_> = limits
             .iter()
             .map(|(limit, key)| (limit, key.clone()))
             .collect();
-        if let Err(over) = self.limits.enter(now, &entering) {
+        if let Err(over) = self.limits.try_acquire(now, &entering) {
             return Err(match over.status {
-                429 | 503 => refuse(over.later),
+                429 | 503 => refuse(over.retry_after),
                 status => returned(status, "a limit is reached".to_owned()),
             });
         }
@@ -433,8 +439,8 @@
             came: now,
             due,
             pool,
-            next: site.next.clone(),
-            times: site.times,
+            next: site.retry_policy.clone(),
+            times: site.timeouts,
             uri,
             limits,
             size: 0,
@@ -457,7 +463,7 @@
         let key = match (&pool.key, &open.arrival.head) {
             (Some(key), Some(head)) => {
                 let asked = asked(self.listen.as_deref(), head);
-                self.table.text(key, &asked)
+                self.table.expand(key, &asked)
             }
             (None, Some(head)) if pool.by_address => {
                 // As in nginx, the first three numbers of an address count.
@@ -472,7 +478,7 @@
                 open.tries.push(target);
                 open.at = Some((Some(target), now));
                 let to = pool.addresses[target].clone();
-                let first = open.times.connect.min(open.times.read) * 1_000;
+                let first = open.times.connect_ms.min(open.times.read_ms) * 1_000;
                 let timer = (now + first).min(open.due - SLACK);
                 let uri = open.uri.clone();
                 if open.tries.len() as u32 + open.gone == 1 {
@@ -484,7 +490,9 @@
                 orders.push(Order::Send { number, to, uri });
             }
             Err(nobody) => {
-                let later = nobody.until.map_or(0, |until| until.saturating_sub(now));
+                let later = nobody
+                    .available_at
+                    .map_or(0, |until| until.saturating_sub(now));
                 let answer = if open.ran {
                     Response::Failed
                 } else {
@@ -524,13 +532,16 @@
         };
         let what = match reply {
             Reply::Advised(most) => {
-                return tell(&mut |pool, target| pool.balancer.advise(target, most))
+                return tell(&mut |pool, target| {
+                    pool.balancer.set_advised_concurrency(target, most);
+                })
             }
             Reply::Answered(answer) => {
                 open.at = None;
                 let took = now.saturating_sub(since) as f64;
                 tell(&mut |pool, target| {
-                    pool.balancer.ended(now, target, End::Answered);
+                    pool.balancer
+                        .record_outcome(now, target, AttemptOutcome::Responded);
                     pool.latency = if pool.latency == 0.0 {
                         took
                     } else {
@@ -545,23 +556,28 @@
         };
         open.at = None;
         let end = match what {
-            Try::Refused { .. } | Try::Failed => End::Answered,
-            Try::Unsent | Try::Lost | Try::TimedOut => End::Failed,
+            AttemptFailure::Rejected { .. } | AttemptFailure::Failed => AttemptOutcome::Responded,
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost | AttemptFailure::TimedOut => {
+                AttemptOutcome::Failed
+            }
         };
         tell(&mut |pool, target| {
-            pool.balancer.ended(now, target, end);
-            if let Try::Refused { later, .. } = what {
+            pool.balancer.record_outcome(now, target, end);
+            if let AttemptFailure::Rejected {
+                retry_after: later, ..
+            } = what
+            {
                 if later > 0 {
-                    pool.balancer.leave_alone(target, now + later);
+                    pool.balancer.back_off_until(target, now + later);
                 }
             }
         });
         let between = Between {
-            effect: open.effect,
-            ran: open.ran,
-            came: open.came,
-            due: open.due - SLACK,
-            tries: open.tries.len() as u32 + open.gone,
+            has_effect: open.effect,
+            may_have_run: open.ran,
+            received_at: open.came,
+            deadline: open.due - SLACK,
+            attempts: open.tries.len() as u32 + open.gone,
         };
         open.ran |= what.may_have_run();
         let (verdict, stopped) = match pool {
@@ -571,16 +587,22 @@
                     .decide(now, &between, what, &open.next, shortest)
             }
             // Its pool is gone, and nobody else is asked.
-            None if open.ran => (Verdict::Fail, None),
-            None => (Verdict::Refuse(0), None),
+            None if open.ran => (RetryDecision::Fail, None),
+            None => (RetryDecision::Reject(0), None),
         };
         if let Some(why) = stopped {
             *self.counts.stopped.entry(why).or_default() += 1;
         }
-        let last = matches!(what, Try::Refused { last: true, .. });
+        let last = matches!(
+            what,
+            AttemptFailure::Rejected {
+                no_failover: true,
+                ..
+            }
+        );
         match verdict {
-            Verdict::Again => self.try_next(now, number, orders),
-            Verdict::Refuse(later) => self.finish(
+            RetryDecision::Retry => self.try_next(now, number, orders),
+            RetryDecision::Reject(later) => self.finish(
                 number,
                 Response::Rejected {
                     retry_after: later,
@@ -588,10 +610,10 @@
                 },
                 orders,
             ),
-            Verdict::Fail if now + SLACK >= between.due => {
+            RetryDecision::Fail if now + SLACK >= between.deadline => {
                 self.finish(number, Response::Expired, orders);
             }
-            Verdict::Fail => self.finish(number, Response::Failed, orders),
+            RetryDecision::Fail => self.finish(number, Response::Failed, orders),
         }
     }
 
@@ -614,13 +636,17 @@
         };
         let Some((_, since)) = open.at else { return };
         let last = open.due - SLACK;
-        let read = open.times.read * 1_000;
+        let read = open.times.read_ms * 1_000;
         let until = (since + read).min(last);
         if written && now < until {
             return self.set_timer(number, until);
         }
         orders.push(Order::Abandon(number));
-        let what = if written { Try::TimedOut } else { Try::Unsent };
+        let what = if written {
+            AttemptFailure::TimedOut
+        } else {
+            AttemptFailure::NotSent
+        };
         self.ended(now, number, Reply::Nothing(what), orders);
     }
 
@@ -636,7 +662,8 @@
             if let Some(open) = self.open.get(&number) {
                 if let Some((target, _)) = open.at {
                     if let (Some(target), Some(pool)) = (target, self.pools.get_mut(&open.pool)) {
-                        pool.balancer.ended(now, target, End::Left);
+                        pool.balancer
+                            .record_outcome(now, target, AttemptOutcome::Abandoned);
                     }
                     orders.push(Order::Abandon(number));
                 }
@@ -656,7 +683,7 @@
             .iter()
             .map(|(limit, key)| (limit, key.clone()))
             .collect();
-        self.limits.leave(&left);
+        self.limits.release(&left);
         Some(open)
     }
 
@@ -681,7 +708,7 @@
     pub fn out(&self) -> usize {
         let of = |pool: &Pool| {
             (0..pool.addresses.len())
-                .map(|at| pool.balancer.open(at) as usize)
+                .map(|at| pool.balancer.open_requests(at) as usize)
                 .sum::<usize>()
         };
         self.pools.values().map(of).sum()
--- a/crates/routes/src/import/references.rs
+++ b/crates/routes/src/import/references.rs
@@ -1,56 +1,57 @@
-//! What can be said only when all was read: names of pools and variables.
+//! Checks references to pools and variables, which is possible only after the whole configuration was
+//! read.
 
-use super::{locations, Reader};
-use crate::model::{Location, Pass, Routes, Server, Step, Variable};
+use super::{visit_locations, Importer};
+use crate::model::{Location, ProxyPass, RewriteStep, Routes, Server, Variable};
 use crate::pattern;
 use crate::syntax::Word;
-use crate::text::Template;
+use crate::template::Template;
 use std::collections::BTreeSet;
 
-impl Reader {
-    /// What can be said only when all was read: names of pools and variables.
-    pub(super) fn references(&mut self) {
+impl Importer {
+    /// Reports references to unknown pools and variables.
+    pub(super) fn check_references(&mut self) {
         let routes = std::mem::take(&mut self.routes);
         for server in &routes.servers {
-            let mut known = BTreeSet::new();
-            collect_set(&server.steps, &mut known);
-            locations(&server.locations, &mut |location| {
-                collect_set(&location.steps, &mut known);
-                if location.how.is_regex() {
-                    known.extend(pattern::names(&location.pattern));
+            let mut set_variables = BTreeSet::new();
+            collect_set_variables(&server.steps, &mut set_variables);
+            visit_locations(&server.locations, &mut |location| {
+                collect_set_variables(&location.steps, &mut set_variables);
+                if location.match_kind.is_regex() {
+                    set_variables.extend(pattern::capture_names(&location.pattern));
                 }
             });
-            let mut faults = Vec::new();
-            locations(&server.locations, &mut |location| {
-                if let Some(pass) = &location.pass {
-                    faults.extend(
-                        pool_fault(&routes, server, pass)
-                            .map(|what| (location.place.clone(), what)),
+            let mut errors = Vec::new();
+            visit_locations(&server.locations, &mut |location| {
+                if let Some(proxy_pass) = &location.proxy_pass {
+                    errors.extend(
+                        pool_error(&routes, server, proxy_pass)
+                            .map(|message| (location.position.clone(), message)),
                     );
                 }
-                for text in texts(location) {
-                    faults.extend(
-                        variable_fault(&routes, &known, &text)
-                            .map(|what| (location.place.clone(), what)),
+                for text in location_texts(location) {
+                    errors.extend(
+                        variable_error(&routes, &set_variables, &text)
+                            .map(|message| (location.position.clone(), message)),
                     );
                 }
             });
             for step in &server.steps {
                 for text in step_texts(step) {
-                    faults.extend(
-                        variable_fault(&routes, &known, &text)
-                            .map(|what| (server.place.clone(), what)),
+                    errors.extend(
+                        variable_error(&routes, &set_variables, &text)
+                            .map(|message| (server.position.clone(), message)),
                     );
                 }
             }
-            for (place, what) in faults {
-                self.refuse(
+            for (position, message) in errors {
+                self.reject(
                     &Word {
                         text: String::new(),
-                        place,
-                        length: 8,
+                        position,
+                        byte_length: 8,
                     },
-                    what,
+                    message,
                 );
             }
         }
@@ -68,54 +69,59 @@
                     .collect(),
                 Variable::Split { key, .. } => vec![key],
             };
-            let known = BTreeSet::new();
-            let fault = texts
+            let set_variables = BTreeSet::new();
+            let error = texts
                 .into_iter()
-                .find_map(|text| variable_fault(&routes, &known, text));
-            if let Some((what, word)) = fault.zip(self.made.get(name).cloned()) {
-                self.refuse(&word, what);
+                .find_map(|text| variable_error(&routes, &set_variables, text));
+            if let Some((message, word)) = error.zip(self.variable_definitions.get(name).cloned()) {
+                self.reject(&word, message);
             }
         }
         self.routes = routes;
     }
 }
 
-fn collect_set(steps: &[Step], into: &mut BTreeSet<String>) {
+fn collect_set_variables(steps: &[RewriteStep], variables: &mut BTreeSet<String>) {
     for step in steps {
         match step {
-            Step::Set { variable, .. } => {
-                into.insert(variable.clone());
+            RewriteStep::Set { variable, .. } => {
+                variables.insert(variable.clone());
             }
-            Step::Rewrite { regex, .. } => into.extend(pattern::names(regex)),
+            RewriteStep::Rewrite { regex, .. } => variables.extend(pattern::capture_names(regex)),
             _ => {}
         }
     }
 }
 
-fn step_texts(step: &Step) -> Vec<String> {
+fn step_texts(step: &RewriteStep) -> Vec<String> {
     match step {
-        Step::Set { value, .. } => vec![value.clone()],
-        Step::Rewrite { replacement, .. } => vec![replacement.clone()],
-        Step::Return { text, .. } => text.iter().cloned().collect(),
-        Step::Break => Vec::new(),
+        RewriteStep::Set { value, .. } => vec![value.clone()],
+        RewriteStep::Rewrite { replacement, .. } => vec![replacement.clone()],
+        RewriteStep::Return { text, .. } => text.iter().cloned().collect(),
+        RewriteStep::Break => Vec::new(),
     }
 }
 
-fn texts(location: &Location) -> Vec<String> {
-    let mut found: Vec<String> = location.steps.iter().flat_map(step_texts).collect();
-    found.extend(location.limits.iter().map(|limit| limit.key.clone()));
-    found.extend(location.pass.iter().filter_map(|pass| pass.uri.clone()));
-    found
+fn location_texts(location: &Location) -> Vec<String> {
+    let mut texts: Vec<String> = location.steps.iter().flat_map(step_texts).collect();
+    texts.extend(location.limits.iter().map(|limit| limit.key.clone()));
+    texts.extend(
+        location
+            .proxy_pass
+            .iter()
+            .filter_map(|pass| pass.uri.clone()),
+    );
+    texts
 }
 
-/// What is wrong with the pool that a location passes to.
-fn pool_fault(routes: &Routes, server: &Server, pass: &Pass) -> Option<String> {
-    let missing = |pool: &str| {
+/// Returns what is wrong with the pool that a location forwards to.
+fn pool_error(routes: &Routes, server: &Server, proxy_pass: &ProxyPass) -> Option<String> {
+    let missing_pool = |pool: &str| {
         (!routes.pools.contains_key(pool))
             .then(|| format!("no upstream is called {pool:?}, and names are not looked up"))
     };
-    let Some(variable) = pass.pool.strip_prefix('$') else {
-        return missing(&pass.pool);
+    let Some(variable) = proxy_pass.pool.strip_prefix('$') else {
+        return missing_pool(&proxy_pass.pool);
     };
     let mut values: Vec<&str> = Vec::new();
     match routes.variables.get(variable) {
@@ -132,23 +138,23 @@
             }
         }
         None => {
-            let collect = |steps: &'_ [Step]| {
+            let sets_variable = |steps: &'_ [RewriteStep]| {
                 steps.iter().any(
-                    |step| matches!(step, Step::Set { variable: name, .. } if name == variable),
+                    |step| matches!(step, RewriteStep::Set { variable: name, .. } if name == variable),
                 )
             };
-            let mut found = collect(&server.steps);
-            locations(&server.locations, &mut |location| {
-                found |= collect(&location.steps);
+            let mut found = sets_variable(&server.steps);
+            visit_locations(&server.locations, &mut |location| {
+                found |= sets_variable(&location.steps);
             });
             if !found {
                 return Some(format!(
                     "the pool is ${variable}, which no map, split_clients or set makes"
                 ));
             }
-            let set = |steps: &[Step]| {
+            let unknown_pool = |steps: &[RewriteStep]| {
                 for step in steps {
-                    if let Step::Set {
+                    if let RewriteStep::Set {
                         variable: name,
                         value,
                     } = step
@@ -160,29 +166,31 @@
                 }
                 None
             };
-            let mut bad = set(&server.steps);
-            locations(&server.locations, &mut |location| {
-                if bad.is_none() {
-                    bad = set(&location.steps);
+            let mut unknown = unknown_pool(&server.steps);
+            visit_locations(&server.locations, &mut |location| {
+                if unknown.is_none() {
+                    unknown = unknown_pool(&location.steps);
                 }
             });
-            return bad.map(|value| {
+            return unknown.map(|value| {
                 format!("${variable} may be {value:?}, and no upstream is called that")
             });
         }
     }
-    let bad = values
+    let unknown = values
         .into_iter()
         .find(|value| !routes.pools.contains_key(*value))?;
     Some(format!(
-        "${variable} may be {bad:?}, and no upstream is called that"
+        "${variable} may be {unknown:?}, and no upstream is called that"
     ))
 }
 
-fn variable_fault(routes: &Routes, known: &BTreeSet<String>, text: &str) -> Option<String> {
-    let template = Template::read(text).ok()?;
+fn variable_error(routes: &Routes, set_variables: &BTreeSet<String>, text: &str) -> Option<String> {
+    let template = Template::parse(text).ok()?;
     let is_known = |name: &str| {
-        routes.variables.contains_key(name) || known.contains(name) || crate::text::is_given(name)
+        routes.variables.contains_key(name)
+            || set_variables.contains(name)
+            || crate::template::is_request_variable(name)
     };
     let unknown = template.variables().find(|name| !is_known(name))?;
     Some(format!("${unknown} is a variable that nothing here sets"))
--- a/crates/routes/src/retry.rs
+++ b/crates/routes/src/retry.rs
@@ -1,167 +1,185 @@
-//! Whether a request whose try came to nothing is tried again elsewhere. Decisions alone.
+//! Decides whether a request whose attempt failed is retried at another target. No I/O and no
+//! clock.
 //!
-//! - What may have run of a class with an effect is never tried again, whatever the configuration says.
-//! - No try begins that could not be answered by the due time.
-//! - Further tries are a share of first tries: when many targets fail, the load does not multiply.
+//! - A request of a class with an effect is never retried once it may have run, whatever the
+//!   configuration says.
+//! - No attempt begins that can't be completed by the deadline.
+//! - Retries are limited to a share of first attempts, so that the load does not multiply when many
+//!   targets fail.
 
-use crate::model::Next;
-use crate::pool::Micros;
+use crate::balancer::Micros;
+use crate::model::RetryPolicy;
 
-/// What a try came to.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Try {
-    /// Turned away: it never ran. The target may ask to be left alone, and that nobody else is asked.
-    Refused {
-        /// For so long.
-        later: Micros,
-        /// Nobody else should be asked.
-        last: bool,
+pub enum AttemptFailure {
+    /// The target rejected the request, which never ran. The target may ask for a backoff, and for
+    /// no attempt at another target.
+    Rejected {
+        /// Time for which the target asks not to be used.
+        retry_after: Micros,
+        /// The request should not be sent to another target.
+        no_failover: bool,
     },
-    /// No connection, or a connection that was closed before anything of it was read: it never ran.
-    Unsent,
-    /// The connection broke after it was sent: it may have run.
-    Lost,
-    /// No answer within its time: it may run still.
+    /// There was no connection, or it was closed before the target read any of the request, which
+    /// never ran.
+    NotSent,
+    /// The connection broke after the request was sent: it may have run.
+    ConnectionLost,
+    /// There was no response in time: the request may still run.
     TimedOut,
-    /// The target answered that it failed: it may have run.
+    /// The target responded that the request failed: it may have run.
     Failed,
 }
 
-impl Try {
-    /// Whether it may have run.
+impl AttemptFailure {
+    /// Whether the request may have run.
     #[must_use]
     pub fn may_have_run(self) -> bool {
-        matches!(self, Self::Lost | Self::TimedOut | Self::Failed)
+        matches!(self, Self::ConnectionLost | Self::TimedOut | Self::Failed)
     }
 }
 
-/// A request between two tries.
+/// State of a request after an attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
-    /// It has an effect.
-    pub effect: bool,
-    /// Any of its tries so far may have run.
-    pub ran: bool,
-    /// When it came.
-    pub came: Micros,
-    /// When it has to be answered.
-    pub due: Micros,
-    /// Tries so far.
-    pub tries: u32,
+pub struct RetryContext {
+    /// The class of the request has an effect.
+    pub has_effect: bool,
+    /// Any earlier attempt may have run.
+    pub may_have_run: bool,
+    /// Time at which the request was received.
+    pub received_at: Micros,
+    /// Time by which the response is due.
+    pub deadline: Micros,
+    /// Number of attempts so far.
+    pub attempts: u32,
 }
 
-/// What becomes of it.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Another target is tried.
-    Again,
-    /// It is turned away: nothing of it ran. The caller may come back after this time.
-    Refuse(Micros),
-    /// It failed: something of it may have run.
+pub enum RetryDecision {
+    /// Send the request to another target.
+    Retry,
+    /// Reject the request: no attempt ran. The caller may retry after this time.
+    Reject(Micros),
+    /// Respond that the request failed: an attempt may have run.
     Fail,
 }
 
-/// Why no further try was made, for counters.
+/// Reason for which a request is not retried, as a key of counters. The names of the variants appear
+/// in a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stopped {
-    /// It may have run, and has an effect.
+pub enum RetryDenial {
+    /// The request may have run, and has an effect.
     Effect,
-    /// The configuration says so.
+    /// The configuration does not retry this kind of failure.
     Configured,
-    /// No more tries for it.
+    /// The maximum number of attempts is reached.
     Tries,
-    /// No time.
+    /// The timeout for all attempts is over, or the deadline is too close for another one.
     Time,
-    /// The budget is spent.
+    /// The retry budget is spent.
     Budget,
-    /// The target asked that nobody else be tried.
+    /// The target asked for no attempt at another target.
     Told,
 }
 
-/// The budget of further tries, for one pool.
+/// Retry budget of one pool: a token bucket that first attempts fill and retries drain.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    /// Further tries for each first try.
-    share: f64,
-    /// Further tries that are saved at most.
-    most: f64,
-    saved: f64,
+pub struct RetryBudget {
+    /// Tokens earned by each first attempt; a retry costs one token.
+    retry_ratio: f64,
+    /// Maximum number of saved tokens.
+    max_tokens: f64,
+    tokens: f64,
 }
 
-impl Budget {
-    /// A budget of this share of first tries, of which so many further tries can be saved; it begins with those.
+impl RetryBudget {
+    /// Creates a full budget of `max_tokens` retries, to which each first attempt adds
+    /// `retry_ratio`.
     #[must_use]
-    pub fn new(share: f64, most: f64) -> Self {
+    pub fn new(retry_ratio: f64, max_tokens: f64) -> Self {
         Self {
-            share,
-            most,
-            saved: most,
+            retry_ratio,
+            max_tokens,
+            tokens: max_tokens,
         }
     }
 
-    /// A request made its first try.
-    pub fn first(&mut self) {
-        self.saved = (self.saved + self.share).min(self.most);
+    /// Records that a request makes its first attempt.
+    pub fn record_first_attempt(&mut self) {
+        self.tokens = (self.tokens + self.retry_ratio).min(self.max_tokens);
     }
 
-    fn take(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        self.saved -= f64::from(u8::from(enough));
-        enough
+    fn try_consume(&mut self) -> bool {
+        let is_available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_available));
+        is_available
     }
 
-    /// Decides what becomes of a request after a try; takes from the budget where it is tried again.
+    /// Decides what to do after a failed attempt, and takes a token from the budget for a retry. No
+    /// retry begins unless `shortest_attempt` is left before the deadline.
     pub fn decide(
         &mut self,
         now: Micros,
-        asked: &Asked,
-        what: Try,
-        next: &Next,
-        shortest: Micros,
-    ) -> (Verdict, Option<Stopped>) {
-        let stopped = self.stopped(now, asked, what, next, shortest);
-        let verdict = match (stopped, what) {
-            (None, _) => Verdict::Again,
-            // Nothing of it ran anywhere, so that it can be said so.
-            (_, Try::Refused { later, .. }) if !asked.ran => Verdict::Refuse(later),
-            (_, Try::Unsent) if !asked.ran => Verdict::Refuse(0),
-            _ => Verdict::Fail,
+        context: &RetryContext,
+        failure: AttemptFailure,
+        policy: &RetryPolicy,
+        shortest_attempt: Micros,
+    ) -> (RetryDecision, Option<RetryDenial>) {
+        let denial = self.denial(now, context, failure, policy, shortest_attempt);
+        let decision = match (denial, failure) {
+            (None, _) => RetryDecision::Retry,
+            // No attempt ran, so the caller may be told so.
+            (_, AttemptFailure::Rejected { retry_after, .. }) if !context.may_have_run => {
+                RetryDecision::Reject(retry_after)
+            }
+            (_, AttemptFailure::NotSent) if !context.may_have_run => RetryDecision::Reject(0),
+            _ => RetryDecision::Fail,
         };
-        (verdict, stopped)
+        (decision, denial)
     }
 
-    fn stopped(
+    fn denial(
         &mut self,
         now: Micros,
-        asked: &Asked,
-        what: Try,
-        next: &Next,
-        shortest: Micros,
-    ) -> Option<Stopped> {
-        if asked.effect && (asked.ran || what.may_have_run()) {
-            return Some(Stopped::Effect);
+        context: &RetryContext,
+        failure: AttemptFailure,
+        policy: &RetryPolicy,
+        shortest_attempt: Micros,
+    ) -> Option<RetryDenial> {
+        if context.has_effect && (context.may_have_run || failure.may_have_run()) {
+            return Some(RetryDenial::Effect);
         }
-        if let Try::Refused { last: true, .. } = what {
-            return Some(Stopped::Told);
+        if let AttemptFailure::Rejected {
+            no_failover: true, ..
+        } = failure
+        {
+            return Some(RetryDenial::Told);
         }
-        let says = |statuses: &[u16]| statuses.iter().any(|status| next.statuses.contains(status));
-        let configured = match what {
-            Try::Refused { .. } => says(&[503, 429]),
-            Try::Unsent | Try::Lost => next.error,
-            Try::TimedOut => next.timeout,
-            Try::Failed => says(&[500, 502, 504]),
+        let retries_any_of = |statuses: &[u16]| {
+            statuses
+                .iter()
+                .any(|status| policy.on_statuses.contains(status))
+        };
+        let is_configured = match failure {
+            AttemptFailure::Rejected { .. } => retries_any_of(&[503, 429]),
+            AttemptFailure::NotSent | AttemptFailure::ConnectionLost => policy.on_error,
+            AttemptFailure::TimedOut => policy.on_timeout,
+            AttemptFailure::Failed => retries_any_of(&[500, 502, 504]),
         };
-        if !configured {
-            return Some(Stopped::Configured);
+        if !is_configured {
+            return Some(RetryDenial::Configured);
         }
-        if next.tries > 0 && asked.tries >= next.tries {
-            return Some(Stopped::Tries);
+        if policy.max_attempts > 0 && context.attempts >= policy.max_attempts {
+            return Some(RetryDenial::Tries);
         }
-        let over = next.timeout_ms > 0 && now >= asked.came + next.timeout_ms * 1_000;
-        if over || now + shortest >= asked.due {
-            return Some(Stopped::Time);
+        let is_past_timeout =
+            policy.timeout_ms > 0 && now >= context.received_at + policy.timeout_ms * 1_000;
+        if is_past_timeout || now + shortest_attempt >= context.deadline {
+            return Some(RetryDenial::Time);
         }
-        (!self.take()).then_some(Stopped::Budget)
+        (!self.try_consume()).then_some(RetryDenial::Budget)
     }
 }
 
@@ -169,170 +187,209 @@
 mod tests {
     use super::*;
 
-    fn next(statuses: &[u16], tries: u32, timeout_ms: u64) -> Next {
-        Next {
-            error: true,
-            timeout: true,
-            statuses: statuses.to_vec(),
-            tries,
+    fn policy(statuses: &[u16], max_attempts: u32, timeout_ms: u64) -> RetryPolicy {
+        RetryPolicy {
+            on_error: true,
+            on_timeout: true,
+            on_statuses: statuses.to_vec(),
+            max_attempts,
             timeout_ms,
         }
     }
 
-    fn asked(effect: bool) -> Asked {
-        Asked {
-            effect,
-            ran: false,
-            came: 0,
-            due: 1_000_000,
-            tries: 1,
+    fn context(has_effect: bool) -> RetryContext {
+        RetryContext {
+            has_effect,
+            may_have_run: false,
+            received_at: 0,
+            deadline: 1_000_000,
+            attempts: 1,
         }
     }
 
-    const REFUSED: Try = Try::Refused {
-        later: 500,
-        last: false,
+    const REJECTED: AttemptFailure = AttemptFailure::Rejected {
+        retry_after: 500,
+        no_failover: false,
     };
 
     #[test]
-    fn what_may_have_run_with_an_effect_is_never_tried_again() {
-        let all = next(&[403, 404, 429, 500, 502, 503, 504], 0, 0);
-        let mut budget = Budget::new(1.0, 100.0);
-        for what in [Try::Lost, Try::TimedOut, Try::Failed] {
+    fn a_request_with_an_effect_that_may_have_run_is_never_retried() {
+        let retry_all = policy(&[403, 404, 429, 500, 502, 503, 504], 0, 0);
+        let mut budget = RetryBudget::new(1.0, 100.0);
+        for failure in [
+            AttemptFailure::ConnectionLost,
+            AttemptFailure::TimedOut,
+            AttemptFailure::Failed,
+        ] {
             assert_eq!(
-                budget.decide(0, &asked(true), what, &all, 0),
-                (Verdict::Fail, Some(Stopped::Effect)),
-                "{what:?}"
+                budget.decide(0, &context(true), failure, &retry_all, 0),
+                (RetryDecision::Fail, Some(RetryDenial::Effect)),
+                "{failure:?}"
             );
             assert_eq!(
-                budget.decide(0, &asked(false), what, &all, 0),
-                (Verdict::Again, None),
-                "{what:?}"
+                budget.decide(0, &context(false), failure, &retry_all, 0),
+                (RetryDecision::Retry, None),
+                "{failure:?}"
             );
         }
-        for what in [Try::Unsent, REFUSED] {
+        for failure in [AttemptFailure::NotSent, REJECTED] {
             assert_eq!(
-                budget.decide(0, &asked(true), what, &all, 0),
-                (Verdict::Again, None),
-                "{what:?}"
+                budget.decide(0, &context(true), failure, &retry_all, 0),
+                (RetryDecision::Retry, None),
+                "{failure:?}"
             );
-            // Nor after a try before that may have run.
-            let before = Asked {
-                ran: true,
-                ..asked(true)
+            // An earlier attempt may have run.
+            let after_earlier_attempt = RetryContext {
+                may_have_run: true,
+                ..context(true)
             };
             assert_eq!(
-                budget.decide(0, &before, what, &all, 0),
-                (Verdict::Fail, Some(Stopped::Effect)),
-                "{what:?}"
+                budget.decide(0, &after_earlier_attempt, failure, &retry_all, 0),
+                (RetryDecision::Fail, Some(RetryDenial::Effect)),
+                "{failure:?}"
             );
         }
     }
 
     #[test]
-    fn a_refusal_is_passed_on_only_where_nothing_ran() {
-        let none = Next {
-            error: false,
-            timeout: false,
-            ..next(&[], 0, 0)
+    fn a_rejection_is_passed_on_only_if_no_attempt_ran() {
+        let retry_none = RetryPolicy {
+            on_error: false,
+            on_timeout: false,
+            ..policy(&[], 0, 0)
         };
-        let mut budget = Budget::new(1.0, 100.0);
+        let mut budget = RetryBudget::new(1.0, 100.0);
         assert_eq!(
-            budget.decide(0, &asked(true), REFUSED, &none, 0).0,
-            Verdict::Refuse(500)
+            budget.decide(0, &context(true), REJECTED, &retry_none, 0).0,
+            RetryDecision::Reject(500)
         );
         assert_eq!(
-            budget.decide(0, &asked(true), Try::Unsent, &none, 0).0,
-            Verdict::Refuse(0)
+            budget
+                .decide(0, &context(true), AttemptFailure::NotSent, &retry_none, 0)
+                .0,
+            RetryDecision::Reject(0)
         );
-        let ran = Asked {
-            ran: true,
-            ..asked(false)
+        let after_earlier_attempt = RetryContext {
+            may_have_run: true,
+            ..context(false)
         };
-        assert_eq!(budget.decide(0, &ran, REFUSED, &none, 0).0, Verdict::Fail);
         assert_eq!(
-            budget.decide(0, &asked(false), Try::Lost, &none, 0).0,
-            Verdict::Fail
+            budget
+                .decide(0, &after_earlier_attempt, REJECTED, &retry_none, 0)
+                .0,
+            RetryDecision::Fail
+        );
+        assert_eq!(
+            budget
+                .decide(
+                    0,
+                    &context(false),
+                    AttemptFailure::ConnectionLost,
+                    &retry_none,
+                    0
+                )
+                .0,
+            RetryDecision::Fail
         );
     }
 
     #[test]
-    fn tries_times_and_words_of_the_target_end_it() {
-        let mut budget = Budget::new(1.0, 100.0);
-        let all = next(&[503], 2, 300);
+    fn attempts_timeouts_deadline_and_no_failover_stop_retries() {
+        let mut budget = RetryBudget::new(1.0, 100.0);
+        let retry_all = policy(&[503], 2, 300);
         let table = [
             (
                 0,
-                Asked {
-                    tries: 1,
-                    ..asked(false)
+                RetryContext {
+                    attempts: 1,
+                    ..context(false)
                 },
-                REFUSED,
+                REJECTED,
                 0,
                 None,
             ),
             (
                 0,
-                Asked {
-                    tries: 2,
-                    ..asked(false)
+                RetryContext {
+                    attempts: 2,
+                    ..context(false)
                 },
-                REFUSED,
+                REJECTED,
+                0,
+                Some(RetryDenial::Tries),
+            ),
+            (
+                300_000,
+                context(false),
+                REJECTED,
                 0,
-                Some(Stopped::Tries),
+                Some(RetryDenial::Time),
+            ),
+            (
+                200_000,
+                context(false),
+                REJECTED,
+                800_000,
+                Some(RetryDenial::Time),
             ),
-            (300_000, asked(false), REFUSED, 0, Some(Stopped::Time)),
-            (200_000, asked(false), REFUSED, 800_000, Some(Stopped::Time)),
-            (200_000, asked(false), REFUSED, 799_999, None),
+            (200_000, context(false), REJECTED, 799_999, None),
             (
                 0,
-                asked(false),
-                Try::Refused {
-                    later: 0,
-                    last: true,
+                context(false),
+                AttemptFailure::Rejected {
+                    retry_after: 0,
+                    no_failover: true,
                 },
                 0,
-                Some(Stopped::Told),
+                Some(RetryDenial::Told),
+            ),
+            (
+                0,
+                context(false),
+                AttemptFailure::Failed,
+                0,
+                Some(RetryDenial::Configured),
             ),
-            (0, asked(false), Try::Failed, 0, Some(Stopped::Configured)),
         ];
-        for (now, asked, what, shortest, stopped) in table {
+        for (now, context, failure, shortest_attempt, denial) in table {
             assert_eq!(
-                budget.decide(now, &asked, what, &all, shortest).1,
-                stopped,
-                "{asked:?} {what:?}"
+                budget
+                    .decide(now, &context, failure, &retry_all, shortest_attempt)
+                    .1,
+                denial,
+                "{context:?} {failure:?}"
             );
         }
     }
 
     #[test]
-    fn further_tries_stay_a_share_of_first_tries_when_all_fail() {
-        let mut budget = Budget::new(0.2, 10.0);
-        let all = next(&[503], 0, 0);
-        let mut again = 0;
+    fn retries_stay_a_share_of_first_attempts_when_all_fail() {
+        let mut budget = RetryBudget::new(0.2, 10.0);
+        let retry_all = policy(&[503], 0, 0);
+        let mut retries = 0;
         for _ in 0..10_000 {
-            budget.first();
-            let mut tries = 1;
+            budget.record_first_attempt();
+            let mut attempts = 1;
             while budget
                 .decide(
                     0,
-                    &Asked {
-                        tries,
-                        ..asked(false)
+                    &RetryContext {
+                        attempts,
+                        ..context(false)
                     },
-                    Try::Unsent,
-                    &all,
+                    AttemptFailure::NotSent,
+                    &retry_all,
                     0,
                 )
                 .0
-                == Verdict::Again
+                == RetryDecision::Retry
             {
-                (again, tries) = (again + 1, tries + 1);
+                (retries, attempts) = (retries + 1, attempts + 1);
             }
         }
         assert!(
-            (1_990..=2_010).contains(&again),
-            "{again} further tries of 10000"
+            (1_990..=2_010).contains(&retries),
+            "{retries} retries of 10000 requests"
         );
     }
 }
