--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -40,13 +40,13 @@
             dispatcher: Dispatcher::new(settings, 7),
             now: START,
         };
-        harness.handle(Event::RuntimeReady(SECOND));
+        harness.handle_event(Event::RuntimeReady(SECOND));
         harness
     }
 
     /// Passes an event to the dispatcher, and polls it one tick later so that the controller can
     /// act.
-    fn handle(&mut self, event: Event) -> Vec<Command> {
+    fn handle_event(&mut self, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.dispatcher.handle_event(self.now, event, &mut commands);
         self.now += 4 * MS;
@@ -74,11 +74,11 @@
 
     fn arrive(&mut self, id: RequestId, class: usize) -> Vec<Command> {
         let received_at = self.now;
-        self.handle(Event::RequestRead(incoming_request(id, class, received_at)))
+        self.handle_event(Event::RequestRead(incoming_request(id, class, received_at)))
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) -> Vec<Command> {
-        self.handle(Event::RunEnded {
+    fn end_run(&mut self, id: RequestId, outcome: Outcome) -> Vec<Command> {
+        self.handle_event(Event::RunEnded {
             id,
             outcome,
             elapsed: 5 * MS,
@@ -132,10 +132,10 @@
     let mut harness = Harness::new(|_| {});
     assert_eq!(harness.arrive(1, 0), [start_command(1, 0)]);
     assert_eq!(
-        harness.end(1, Outcome::Success),
+        harness.end_run(1, Outcome::Success),
         [response_to(1, Response::Served(vec![7]))]
     );
-    assert!(harness.end(1, Outcome::Success).is_empty());
+    assert!(harness.end_run(1, Outcome::Success).is_empty());
     assert!(harness.advance(10 * SECOND).is_empty());
 }
 
@@ -143,7 +143,7 @@
 fn makes_a_call_with_the_body_of_the_run_and_returns_its_reply() {
     let mut harness = Harness::new(|_| {});
     harness.arrive(1, 1);
-    let calls = harness.handle(Event::CallRequested {
+    let calls = harness.handle_event(Event::CallRequested {
         id: 1,
         notice: 9,
         body: vec![1, 2],
@@ -159,14 +159,14 @@
         reply: vec![3],
     };
     assert_eq!(
-        harness.handle(reply(Outcome::Success)),
+        harness.handle_event(reply(Outcome::Success)),
         [Command::ResumeWithReply {
             id: 1,
             body: vec![3]
         }]
     );
     assert!(
-        harness.handle(reply(Outcome::Success)).is_empty(),
+        harness.handle_event(reply(Outcome::Success)).is_empty(),
         "a call ends once"
     );
 }
@@ -177,7 +177,7 @@
     let received_at = harness.now - 3 * SECOND;
     assert_eq!(
         harness
-            .handle(Event::RequestRead(incoming_request(1, 1, received_at)))
+            .handle_event(Event::RequestRead(incoming_request(1, 1, received_at)))
             .len(),
         1
     );
@@ -187,7 +187,7 @@
         [response_to(1, Response::Expired)]
     );
     assert!(harness.now <= received_at + 8 * SECOND + 60 * MS);
-    assert!(harness.end(1, Outcome::Success).is_empty());
+    assert!(harness.end_run(1, Outcome::Success).is_empty());
 }
 
 #[test]
@@ -207,7 +207,7 @@
     let mut harness = Harness::new(|_| {});
     let future_time = harness.now + 3_600 * SECOND;
     assert_eq!(
-        harness.handle(Event::RequestRead(incoming_request(1, 1, future_time))),
+        harness.handle_event(Event::RequestRead(incoming_request(1, 1, future_time))),
         [start_command(1, 1)]
     );
     assert_eq!(
@@ -215,7 +215,7 @@
         [response_to(1, Response::Expired)],
         "a receipt time in the future counts as now"
     );
-    let commands = harness.handle(Event::RequestRead(incoming_request(2, 0, 0)));
+    let commands = harness.handle_event(Event::RequestRead(incoming_request(2, 0, 0)));
     assert!(
         matches!(
             &commands[..],
@@ -244,9 +244,9 @@
         client,
         response: Response::Failed,
     }];
-    assert_eq!(harness.handle(Event::RequestRead(duplicate)), failed);
+    assert_eq!(harness.handle_event(Event::RequestRead(duplicate)), failed);
     assert_eq!(
-        harness.end(1, Outcome::Success),
+        harness.end_run(1, Outcome::Success),
         [response_to(1, Response::Served(vec![7]))]
     );
 }
@@ -255,7 +255,7 @@
 fn lost_connection_removes_queued_requests_and_abandons_calls_but_not_runs() {
     let mut harness = Harness::new(|settings| settings.cores = 1);
     harness.arrive(1, 0);
-    harness.handle(Event::CallRequested {
+    harness.handle_event(Event::CallRequested {
         id: 1,
         notice: 1,
         body: Vec::new(),
@@ -267,15 +267,15 @@
     );
     assert!(harness.arrive(3, 0).is_empty(), "the request is queued");
     assert_eq!(
-        harness.handle(Event::ConnectionLost(1)),
+        harness.handle_event(Event::ConnectionLost(1)),
         [Command::AbandonCall(1)]
     );
     assert_eq!(harness.dispatcher.pending_count(), 0);
     assert!(
-        harness.end(2, Outcome::Success).is_empty(),
+        harness.end_run(2, Outcome::Success).is_empty(),
         "an abandoned request gets no response"
     );
-    assert!(harness.end(1, Outcome::Cancelled).is_empty());
+    assert!(harness.end_run(1, Outcome::Cancelled).is_empty());
     assert!(harness.advance(10 * SECOND).is_empty());
 }
 
@@ -284,7 +284,10 @@
     for outcome in [Outcome::Failure, Outcome::Cancelled, Outcome::NotStarted] {
         let mut harness = Harness::new(|_| {});
         harness.arrive(1, 1);
-        assert_eq!(harness.end(1, outcome), [response_to(1, Response::Failed)]);
+        assert_eq!(
+            harness.end_run(1, outcome),
+            [response_to(1, Response::Failed)]
+        );
     }
 }
 
@@ -309,12 +312,12 @@
         let mut harness = Harness::new(|_| {});
         harness.arrive(1, class);
         if command != RuntimeCommand::Start {
-            harness.handle(Event::CallRequested {
+            harness.handle_event(Event::CallRequested {
                 id: 1,
                 notice: 9,
                 body: Vec::new(),
             });
-            harness.handle(Event::CallEnded {
+            harness.handle_event(Event::CallEnded {
                 id: 1,
                 outcome: Outcome::Success,
                 elapsed: MS,
@@ -322,7 +325,7 @@
             });
         }
         assert_eq!(
-            harness.handle(command_uncertain(command)),
+            harness.handle_event(command_uncertain(command)),
             expected,
             "class {class}, {command:?}"
         );
@@ -331,7 +334,7 @@
     let mut harness = Harness::new(|settings| settings.cores = 1);
     harness.arrive(1, 1);
     assert!(harness
-        .handle(command_uncertain(RuntimeCommand::Start))
+        .handle_event(command_uncertain(RuntimeCommand::Start))
         .is_empty());
     assert_eq!(
         harness.advance(8 * SECOND),
@@ -341,13 +344,13 @@
     // A start is certain once the run has requested a call.
     let mut harness = Harness::new(|_| {});
     harness.arrive(1, 0);
-    harness.handle(Event::CallRequested {
+    harness.handle_event(Event::CallRequested {
         id: 1,
         notice: 9,
         body: Vec::new(),
     });
     assert!(harness
-        .handle(command_uncertain(RuntimeCommand::Start))
+        .handle_event(command_uncertain(RuntimeCommand::Start))
         .is_empty());
 }
 
@@ -419,7 +422,7 @@
         (1..=4).for_each(|id| drop(harness.arrive(id, 0)));
         let mut started_count = 0;
         for _ in 0..200 {
-            let mut commands = harness.handle(Event::Gauges(Gauges {
+            let mut commands = harness.handle_event(Event::Gauges(Gauges {
                 runnable,
                 memory: None,
             }));
@@ -438,7 +441,7 @@
 fn fails_started_requests_and_rejects_with_retry_after_while_draining() {
     let mut harness = Harness::new(|settings| settings.drain_grace = 0);
     harness.arrive(1, 0);
-    harness.handle(Event::DrainStarted {
+    harness.handle_event(Event::DrainStarted {
         stop_at: harness.now + 2 * SECOND,
     });
     harness.now += 10 * MS;
@@ -512,8 +515,8 @@
         ..settings.classes[1].clone()
     };
     harness.dispatcher = Dispatcher::with_keys(settings, 7, keys);
-    harness.handle(Event::RuntimeReady(SECOND));
-    harness.handle(Event::KeysRecovered(Box::new(RecoveredKeys::new(1))));
+    harness.handle_event(Event::RuntimeReady(SECOND));
+    harness.handle_event(Event::KeysRecovered(Box::new(RecoveredKeys::new(1))));
     let request_memory_kb = memory_kb / 200.0;
     let send_request = |harness: &mut Harness, id: RequestId, key: &[u8]| {
         let incoming_request = IncomingRequest {
@@ -521,7 +524,7 @@
             memory_kb: request_memory_kb,
             ..incoming_request(id, 1, harness.now)
         };
-        harness.handle(Event::RequestRead(IncomingRequest {
+        harness.handle_event(Event::RequestRead(IncomingRequest {
             body: vec![1],
             ..incoming_request
         }))
@@ -536,14 +539,14 @@
     // Key a has its result. Key b runs, and the attempts that wait for it need more than a tenth of
     // the memory.
     let intent_ticket = written_ticket(&send_request(&mut harness, 1, b"a"));
-    harness.handle(Event::KeysDurable(intent_ticket));
-    let result_ticket = written_ticket(&harness.end(1, Outcome::Success));
+    harness.handle_event(Event::KeysDurable(intent_ticket));
+    let result_ticket = written_ticket(&harness.end_run(1, Outcome::Success));
     assert_eq!(
-        harness.handle(Event::KeysDurable(result_ticket)),
+        harness.handle_event(Event::KeysDurable(result_ticket)),
         [response_to(1, Response::Served(vec![7]))]
     );
     let intent_ticket = written_ticket(&send_request(&mut harness, 2, b"b"));
-    harness.handle(Event::KeysDurable(intent_ticket));
+    harness.handle_event(Event::KeysDurable(intent_ticket));
     for id in 3..33 {
         assert_eq!(send_request(&mut harness, id, b"b"), []);
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -579,7 +579,7 @@
 }
 
 #[test]
-fn random_events_never_exceed_a_small_survivable_concurrency() {
+fn random_events_never_exceed_a_low_overload_concurrency() {
     let mut low_overload_concurrency = Settings {
         overload_concurrency_per_core: 2.0,
         dependency: DependencyLimit::NoDependency,
