--- a/crates/dispatcher/src/arrivals.rs
+++ b/crates/dispatcher/src/arrivals.rs
@@ -103,8 +103,14 @@
         };
         let requests = &self.requests;
         let limit_kb = UNCONTROLLED_MEMORY_SHARE * self.settings.memory_kb;
-        let fits = |more_kb| requests.uncontrolled_memory_kb() + more_kb <= limit_kb;
-        keys.on_request(now, request, incoming.key.as_deref(), &incoming.body, fits)
+        let has_memory_for = |more_kb| requests.uncontrolled_memory_kb() + more_kb <= limit_kb;
+        keys.on_request(
+            now,
+            request,
+            incoming.key.as_deref(),
+            &incoming.body,
+            has_memory_for,
+        )
     }
 
     /// Responds to a request that is not in the table.
--- a/crates/dispatcher/src/idempotency_keys.rs
+++ b/crates/dispatcher/src/idempotency_keys.rs
@@ -88,15 +88,15 @@
     }
 
     /// Decides on a request that was read, with or without a key, and sets its fields for the
-    /// controller. `fits` returns whether a request of this memory may wait without being accounted
-    /// for by the controller.
+    /// controller. `has_memory_for` returns whether a request of this memory may wait without being
+    /// accounted for by the controller.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
         request: &mut Request,
         key: Option<&[u8]>,
         body: &[u8],
-        fits: impl Fn(f64) -> bool,
+        has_memory_for: impl Fn(f64) -> bool,
     ) -> KeyDecision {
         if !self.caches_results(request.class) {
             return KeyDecision::Admit;
@@ -115,7 +115,7 @@
         };
         let key = ScopedKey::new(owner, class, key);
         let digest = request_digest(class, body);
-        self.decide(now, request, key, digest, fits)
+        self.decide(now, request, key, digest, has_memory_for)
     }
 
     /// Decides on a request by its scoped key and the digest of its body.
@@ -125,7 +125,7 @@
         request: &mut Request,
         key: ScopedKey,
         digest: u128,
-        fits: impl Fn(f64) -> bool,
+        has_memory_for: impl Fn(f64) -> bool,
     ) -> KeyDecision {
         match self.table.on_attempt(now, request.id, &key, digest) {
             KeyStatus::First => {
@@ -146,7 +146,9 @@
             }
             // The request fails, since a rejection would guarantee that it never ran, which is
             // false or unknown.
-            KeyStatus::Completed | KeyStatus::NotRecovered if !fits(request.memory_kb) => {
+            KeyStatus::Completed | KeyStatus::NotRecovered
+                if !has_memory_for(request.memory_kb) =>
+            {
                 KeyDecision::Respond(Response::Failed)
             }
             KeyStatus::Completed => {
--- a/crates/dispatcher/tests/crash_recovery.rs
+++ b/crates/dispatcher/tests/crash_recovery.rs
@@ -19,7 +19,7 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const WINDOW: Micros = 3_600 * SECOND;
+const DEDUPLICATION_WINDOW: Micros = 3_600 * SECOND;
 
 fn settings() -> Settings {
     let class = |effect| Class {
@@ -112,11 +112,11 @@
 }
 
 impl Simulation {
-    fn start(&mut self) -> Process {
+    fn start_process(&mut self) -> Process {
         let capacity = Capacity {
             entries: 500,
             result_bytes: 100_000,
-            deduplication_window: WINDOW,
+            deduplication_window: DEDUPLICATION_WINDOW,
             stall_timeout: 40 * MS,
             hash_seed: 5,
         };
@@ -145,7 +145,7 @@
         process
             .dispatcher
             .handle_event(self.now, event, &mut commands);
-        self.carry_out(process, commands);
+        self.execute_commands(process, commands);
     }
 
     fn advance(&mut self, process: &mut Process, duration: Micros) {
@@ -158,7 +158,7 @@
             self.now = self.now.max(next_deadline.unwrap_or(end));
             let mut commands = Vec::new();
             process.dispatcher.poll(self.now, &mut commands);
-            self.carry_out(process, commands);
+            self.execute_commands(process, commands);
             if next_deadline.is_none() {
                 break;
             }
@@ -174,7 +174,7 @@
         );
     }
 
-    fn carry_out(&mut self, process: &mut Process, commands: Vec<Command>) {
+    fn execute_commands(&mut self, process: &mut Process, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Respond { client, response } => {
@@ -467,7 +467,7 @@
         occurrences: std::mem::take(occurrences),
     };
     for process_number in 0..5_u64 {
-        let mut process = simulation.start();
+        let mut process = simulation.start_process();
         simulation.disk_failed = true;
         let fault_at = simulation.random.random_range(5..90);
         let fault = match simulation.random.random_range(0..5) {
@@ -488,8 +488,8 @@
         }
         simulation.occurrences.crashes += 1;
         simulation.disk = simulation.disk.after_crash(seed ^ process_number);
-        // The runs of the runtime are lost with the process, and the clock may step back or
-        // forward.
+        // The runtime stops with the process, or its runs continue unobserved. The clock may step
+        // back or forward.
         simulation.running.clear();
         match simulation.random.random_range(0..4) {
             0 => simulation.now -= 3_000 * SECOND / 10,
@@ -541,7 +541,7 @@
     let capacity = Capacity {
         entries: 1_000,
         result_bytes: 1_000_000,
-        deduplication_window: WINDOW,
+        deduplication_window: DEDUPLICATION_WINDOW,
         stall_timeout: SECOND,
         hash_seed: 1,
     };
