--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -154,7 +154,7 @@
     PredecessorUsage(ResourceUsage),
     /// The keys that were recovered at startup.
     KeysRecovered(Box<RecoveredKeys>),
-    /// Everything written under this ticket and earlier ones is durable.
+    /// Everything written with this sequence number or an earlier one is durable.
     KeysDurable(u64),
     /// Whether keys can currently be persisted. While they can't, only durable writes count as
     /// written.
--- a/crates/dispatcher/tests/crash_recovery.rs
+++ b/crates/dispatcher/tests/crash_recovery.rs
@@ -4,7 +4,7 @@
 //! rejected after a run, the results of a key never differ, no reported result is lost, and each
 //! attempt gets one response by its deadline unless its process crashed.
 
-use cleatpulley_dispatcher::key_table::{Capacity, KeyTable};
+use cleatpulley_dispatcher::key_table::{KeyTable, KeyTableOptions};
 use cleatpulley_dispatcher::{
     ClientStream, Command, Dispatcher, Event, IdempotencyKeys, IncomingRequest, KeyScope, Response,
     RuntimeCommand,
@@ -113,9 +113,9 @@
 
 impl Simulation {
     fn start_process(&mut self) -> Process {
-        let capacity = Capacity {
-            entries: 500,
-            result_bytes: 100_000,
+        let options = KeyTableOptions {
+            max_entries: 500,
+            max_result_bytes: 100_000,
             deduplication_window: DEDUPLICATION_WINDOW,
             stall_timeout: 40 * MS,
             hash_seed: 5,
@@ -124,7 +124,7 @@
             vec![false, true],
             false,
             KeyScope::PerCaller,
-            KeyTable::new(capacity),
+            KeyTable::new(options),
         );
         let dispatcher = Dispatcher::with_keys(settings(), 7, keys);
         let (jobs, start_commands, pending) = (VecDeque::new(), VecDeque::new(), BTreeMap::new());
@@ -320,7 +320,7 @@
         if let Some(journal) = &mut process.journal {
             if journal.has_unsynced_writes() {
                 match journal.sync() {
-                    Ok(ticket) => self.handle(process, Event::KeysDurable(ticket)),
+                    Ok(sequence) => self.handle(process, Event::KeysDurable(sequence)),
                     Err(_) => self.lose_journal(process),
                 }
             }
@@ -538,9 +538,9 @@
 /// rest, and requests that waited for loads from a slow disk could use any amount.
 #[test]
 fn requests_that_wait_for_recovery_stay_within_their_share_of_memory() {
-    let capacity = Capacity {
-        entries: 1_000,
-        result_bytes: 1_000_000,
+    let options = KeyTableOptions {
+        max_entries: 1_000,
+        max_result_bytes: 1_000_000,
         deduplication_window: DEDUPLICATION_WINDOW,
         stall_timeout: SECOND,
         hash_seed: 1,
@@ -549,7 +549,7 @@
         vec![false, true],
         false,
         KeyScope::PerCaller,
-        KeyTable::new(capacity),
+        KeyTable::new(options),
     );
     let mut dispatcher = Dispatcher::with_keys(settings(), 7, keys);
     let mut commands = Vec::new();
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use cleatpulley::dispatcher::key_table::{Capacity, KeyCommand, KeyTable, RecoveredKeys};
+use cleatpulley::dispatcher::key_table::{KeyCommand, KeyTable, KeyTableOptions, RecoveredKeys};
 use cleatpulley::dispatcher::{
     ClientStream, Command, DependencyCall, Dispatcher, Event, IdempotencyKeys, IncomingRequest,
     KeyScope, Response, RuntimeCommand,
@@ -495,9 +495,9 @@
 fn attempts_that_share_a_run_leave_memory_for_loads_of_cached_results() {
     let mut harness = Harness::new(|_| {});
     let memory_kb = settings().memory_kb;
-    let capacity = Capacity {
-        entries: 500,
-        result_bytes: 100_000,
+    let options = KeyTableOptions {
+        max_entries: 500,
+        max_result_bytes: 100_000,
         deduplication_window: 3_600 * SECOND,
         stall_timeout: SECOND,
         hash_seed: 5,
@@ -506,7 +506,7 @@
         vec![false, true],
         false,
         KeyScope::Global,
-        KeyTable::new(capacity),
+        KeyTable::new(options),
     );
     let mut settings = settings();
     settings.classes.truncate(2);
@@ -529,24 +529,24 @@
             ..incoming_request
         }))
     };
-    let written_ticket = |commands: &[Command]| {
+    let written_sequence = |commands: &[Command]| {
         let found = commands.iter().find_map(|command| match command {
-            Command::PersistKey(KeyCommand::Write { ticket, .. }) => Some(*ticket),
+            Command::PersistKey(KeyCommand::Write { sequence, .. }) => Some(*sequence),
             _ => None,
         });
         found.expect("the key is written")
     };
     // Key a has its result. Key b runs, and the attempts that wait for it need more than a tenth of
     // the memory.
-    let intent_ticket = written_ticket(&send_request(&mut harness, 1, b"a"));
-    harness.handle_event(Event::KeysDurable(intent_ticket));
-    let result_ticket = written_ticket(&harness.end_run(1, Outcome::Success));
+    let intent_sequence = written_sequence(&send_request(&mut harness, 1, b"a"));
+    harness.handle_event(Event::KeysDurable(intent_sequence));
+    let result_sequence = written_sequence(&harness.end_run(1, Outcome::Success));
     assert_eq!(
-        harness.handle_event(Event::KeysDurable(result_ticket)),
+        harness.handle_event(Event::KeysDurable(result_sequence)),
         [response_to(1, Response::Served(vec![7]))]
     );
-    let intent_ticket = written_ticket(&send_request(&mut harness, 2, b"b"));
-    harness.handle_event(Event::KeysDurable(intent_ticket));
+    let intent_sequence = written_sequence(&send_request(&mut harness, 2, b"b"));
+    harness.handle_event(Event::KeysDurable(intent_sequence));
     for id in 3..33 {
         assert_eq!(send_request(&mut harness, id, b"b"), []);
     }
