--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -114,7 +114,7 @@
         };
         let host: Rc<str> = Rc::from(options.host.as_str());
         for address in options.frames {
-            let address = listen(address, ClientProtocol::Relayed(Rc::clone(&host)))?;
+            let address = listen(address, ClientProtocol::GatewayFrames(Rc::clone(&host)))?;
             tracing::info!("{} listens on {address}", options.name);
         }
         if let Some((addresses, settings, trusted)) = options.ajp {
@@ -306,10 +306,10 @@
     fn status(&self) -> Status {
         Status {
             served: self.core.counts.served,
-            refused: self.core.counts.refused,
+            rejected: self.core.counts.refused,
             failed: self.core.counts.failed,
-            held: self.core.unanswered(),
-            drains: self.stop_at.is_some(),
+            pending: self.core.unanswered(),
+            is_draining: self.stop_at.is_some(),
             warmth: 1.0,
             ..Status::default()
         }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -254,7 +254,7 @@
         let here = || {
             own.iter()
                 .filter_map(|number| Some((number, self.lines.get(number)?)))
-                .filter(|(_, line)| !line.conn.ended)
+                .filter(|(_, line)| !line.conn.is_read_closed)
         };
         let best = here()
             .filter_map(|(number, line)| Some((free(line)?, *number)))
@@ -328,7 +328,7 @@
             Kind::Frames { .. } => line.up,
             // The connection ends with the request: what was not handed to the system never arrives.
             Kind::Ajp { client, .. } => {
-                line.up && client.fate(line.conn.unsent()) == Fate::MayHaveRun
+                line.up && client.fate(line.conn.unsent_bytes()) == Fate::MayHaveRun
             }
         })
     }
@@ -425,7 +425,7 @@
                 asked: Some(asked),
             } => {
                 self.at.remove(&asked);
-                let unread = !line.up || client.fate(line.conn.unsent()) == Fate::NeverRan;
+                let unread = !line.up || client.fate(line.conn.unsent_bytes()) == Fate::NeverRan;
                 replies.push((
                     asked,
                     Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
@@ -566,7 +566,7 @@
                         ));
                     }
                     if !response.reuse {
-                        self.conn.ended = true;
+                        self.conn.is_read_closed = true;
                     }
                 }
                 Ok(used)
@@ -579,7 +579,7 @@
             Kind::Frames { open, gone, .. } => *gone && open.is_empty(),
             Kind::Ajp { .. } => false,
         };
-        self.conn.ended || idle
+        self.conn.is_read_closed || idle
     }
 }
 
--- a/crates/server/src/buffered_connection.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -38,7 +38,7 @@
     /// Bytes sent in all.
     sent_total: u64,
     /// The peer sends no more.
-    pub ended: bool,
+    pub is_read_closed: bool,
     /// None where no TLS is spoken.
     tls: Option<Box<TlsStream>>,
 }
@@ -55,7 +55,7 @@
             output: Vec::new(),
             sent: 0,
             sent_total: 0,
-            ended: false,
+            is_read_closed: false,
             tls: None,
         }
     }
@@ -90,7 +90,7 @@
     /// Where what was received breaks the protocol.
     pub fn begin_handshake(&mut self, config: Arc<ServerConfig>) -> io::Result<()> {
         if let Some(tls) = &mut self.tls {
-            self.ended |= tls.layer.begin(config, &mut self.input, &mut self.output)?;
+            self.is_read_closed |= tls.layer.begin(config, &mut self.input, &mut self.output)?;
         }
         Ok(())
     }
@@ -123,7 +123,7 @@
     /// # Errors
     /// Why the connection broke.
     pub fn read(&mut self, limit: usize) -> io::Result<bool> {
-        while self.readable && !self.ended {
+        while self.readable && !self.is_read_closed {
             if self.input.len() >= limit {
                 return Ok(true);
             }
@@ -159,8 +159,8 @@
             return Err(error);
         }
         match read {
-            Ok(0) => self.ended = true,
-            Ok(_) => self.ended |= received.unwrap_or(false),
+            Ok(0) => self.is_read_closed = true,
+            Ok(_) => self.is_read_closed |= received.unwrap_or(false),
             Err(error) if error.kind() == ErrorKind::WouldBlock => self.readable = false,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
@@ -190,7 +190,7 @@
 
     /// Returns the number of bytes that were not sent yet.
     #[must_use]
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         let plain = self.tls.as_ref().map_or(0, |tls| tls.plain_output.len());
         self.output.len() - self.sent + plain
     }
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -271,7 +271,9 @@
         // loses nothing.
         let has_pending = |connection: &ClientConnection<H>| {
             let is_unread = !connection.is_lingering() && !connection.stream.is_drained();
-            connection.machine.status().open > 0 || connection.stream.unsent() > 0 || is_unread
+            connection.machine.status().open > 0
+                || connection.stream.unsent_bytes() > 0
+                || is_unread
         };
         let oldest = self
             .connections
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -98,7 +98,7 @@
     ) -> io::Result<NextAction> {
         let mut has_more = false;
         self.stream.flush()?;
-        if self.stream.unsent() < MAX_UNSENT_BYTES {
+        if self.stream.unsent_bytes() < MAX_UNSENT_BYTES {
             has_more = self.stream.read(READ_LIMIT)?;
             self.receive(context, arrivals);
         }
@@ -109,7 +109,7 @@
             self.lingering_since = Some(now);
         }
         if let Some(since) = self.lingering_since {
-            if self.stream.ended || now >= since + LINGER_TIME {
+            if self.stream.is_read_closed || now >= since + LINGER_TIME {
                 return Ok(NextAction::Close);
             }
         }
@@ -181,16 +181,16 @@
     pub(super) fn is_finished(&self, now: Micros) -> bool {
         let status = self.machine.status();
         let may_receive = match status.standing {
-            Standing::Open => !self.stream.ended,
+            Standing::Open => !self.stream.is_read_closed,
             Standing::Parting(since) if self.is_rejected => {
-                !self.stream.ended && now < since + REJECTED_LINGER_TIME
+                !self.stream.is_read_closed && now < since + REJECTED_LINGER_TIME
             }
             // A message of which a part had arrived by then has the machine's time to be complete.
             Standing::Parting(since) => {
-                !self.stream.ended && (now < since + PARTING || self.has_partial_message())
+                !self.stream.is_read_closed && (now < since + PARTING || self.has_partial_message())
             }
             Standing::Lost => false,
         };
-        !self.is_lingering() && !may_receive && status.open == 0 && self.stream.unsent() == 0
+        !self.is_lingering() && !may_receive && status.open == 0 && self.stream.unsent_bytes() == 0
     }
 }
--- a/crates/server/src/client_listener/client_protocol.rs
+++ b/crates/server/src/client_listener/client_protocol.rs
@@ -13,7 +13,7 @@
     /// The frames of clients.
     Frames(Rc<frame::connection::Terms>),
     /// The frames of clients of a gateway, whose routes look for this host.
-    Relayed(Rc<str>),
+    GatewayFrames(Rc<str>),
     /// AJP/1.3, and the addresses of the proxies whose time of receipt of a request is trusted.
     Ajp(Rc<ajp::server::Settings>, Rc<Vec<IpAddr>>),
 }
@@ -25,7 +25,7 @@
             Self::Frames(terms) => {
                 ProtocolMachine::Frames(frame::connection::Connection::new(now, Rc::clone(terms)))
             }
-            Self::Relayed(host) => {
+            Self::GatewayFrames(host) => {
                 let connection = frame::connection::Connection::new(now, Rc::default());
                 ProtocolMachine::Frames(connection.relaying(Rc::clone(host)))
             }
--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -301,9 +301,9 @@
     connection.lingering_since = Some(3);
     listener.notify_stop(4);
     listener.yield_to_successor(4);
-    assert_eq!(listener.connections[&1].stream.unsent(), 0);
+    assert_eq!(listener.connections[&1].stream.unsent_bytes(), 0);
     listener.sweep(4 + 3 * SECOND, &mut events);
-    assert_eq!(listener.connections[&1].stream.unsent(), 0);
+    assert_eq!(listener.connections[&1].stream.unsent_bytes(), 0);
     drop(listener);
     let bytes = rest(&mut ends[0]).expect("no reset");
     assert!(bytes.ends_with(b"done"), "{bytes:?}");
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn is_enabled_for(&self, protocol: &ClientProtocol) -> bool {
         match protocol {
-            ClientProtocol::Frames(_) | ClientProtocol::Relayed(_) => self.options().frames,
+            ClientProtocol::Frames(_) | ClientProtocol::GatewayFrames(_) => self.options().frames,
             ClientProtocol::Ajp(..) => self.options().ajp,
         }
     }
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -128,7 +128,7 @@
         if self.call.is_some() {
             if let Some(reply) = self.take_reply(now)? {
                 // A failure shows again with the next use.
-                self.stream.ended |= sent.is_err() || read.is_err();
+                self.stream.is_read_closed |= sent.is_err() || read.is_err();
                 return Ok(Some(reply));
             }
         }
@@ -148,13 +148,13 @@
 
     /// Returns true where no reply can follow: it was closed, or has sent what belongs to no call.
     pub(super) fn is_unusable(&self) -> bool {
-        self.stream.ended || (self.call.is_none() && !self.stream.input.is_empty())
+        self.stream.is_read_closed || (self.call.is_none() && !self.stream.input.is_empty())
     }
 
     /// Returns true where another call may follow. Bytes after a reply belong to no call: what came
     /// before the next reply would be unknown.
     pub(super) fn is_reusable(&self) -> bool {
-        !self.stream.ended && self.stream.input.is_empty()
+        !self.stream.is_read_closed && self.stream.input.is_empty()
     }
 
     /// Returns true where the dependency may have closed it while it was idle: then the call most
@@ -168,7 +168,7 @@
     pub(super) fn has_call_never_run(&self) -> bool {
         match &self.protocol {
             ProtocolState::Http => false,
-            ProtocolState::Ajp(client) => client.fate(self.stream.unsent()) == Fate::NeverRan,
+            ProtocolState::Ajp(client) => client.fate(self.stream.unsent_bytes()) == Fate::NeverRan,
         }
     }
 }
@@ -176,7 +176,7 @@
 fn take_http_reply<H: Host>(
     stream: &mut BufferedConnection<H>,
 ) -> Result<Option<http::Reply>, MalformedReply> {
-    let reply = http::parse(&stream.input, stream.ended).map_err(MalformedReply)?;
+    let reply = http::parse(&stream.input, stream.is_read_closed).map_err(MalformedReply)?;
     if let Some(reply) = &reply {
         stream.input.drain(..reply.size);
     }
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -188,7 +188,7 @@
     fn share_status(&mut self, now: Micros, status: &Status) {
         let status = SharedStatus {
             warmth: status.warmth,
-            is_draining: status.drains,
+            is_draining: status.is_draining,
         };
         let earlier = self.shared_status;
         if earlier.is_some_and(|earlier| !status.differs_from(earlier)) {
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -224,7 +224,7 @@
             return false;
         }
         let eviction_order = |(number, connection): (&u64, &OperatorConnection<H>)| {
-            let is_done = connection.protocol.answered() && connection.stream.unsent() == 0;
+            let is_done = connection.protocol.answered() && connection.stream.unsent_bytes() == 0;
             let is_evictable = is_done || now >= connection.protocol.since() + MIN_SLOT_TIME;
             is_evictable.then_some((!is_done, *number))
         };
@@ -258,13 +258,13 @@
         if self.stream.flush().is_err() {
             return ControlFlow::Break(());
         }
-        let is_sent = self.stream.unsent() == 0;
+        let is_sent = self.stream.unsent_bytes() == 0;
         let is_answered = self.protocol.answered();
         if is_answered && is_sent && !std::mem::replace(&mut self.is_finished, true) {
             self.stream.shutdown_write();
         }
         // A client that closed its side before its request was complete asks for nothing any more.
-        if self.stream.ended && (!is_answered || is_sent) {
+        if self.stream.is_read_closed && (!is_answered || is_sent) {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -29,7 +29,7 @@
     /// The addresses that proxies connect to.
     pub listen: Vec<SocketAddr>,
     /// Proxies whose time of receipt of a request is trusted.
-    pub trusted: Vec<IpAddr>,
+    pub trusted_proxies: Vec<IpAddr>,
     /// Settings of all its connections.
     pub settings: ajp::server::Settings,
 }
--- a/crates/server/src/os_host/serve.rs
+++ b/crates/server/src/os_host/serve.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// Those of the system.
-    pub fn hold() -> io::Result<Self> {
+    pub fn block() -> io::Result<Self> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
         signals.map(Self).map_err(io::Error::other)
     }
@@ -93,9 +93,9 @@
     /// [`serve_with`].
     pub signals: Option<BlockedSignals>,
     /// The supervisor's socket for status reports.
-    pub link: Option<FleetLink>,
+    pub fleet_link: Option<FleetLink>,
     /// A listening socket that all instances share.
-    pub listener: Option<TcpListener>,
+    pub inherited_listener: Option<TcpListener>,
     /// Other processes of this program may listen on the same addresses.
     pub shares_addresses: bool,
 }
@@ -124,17 +124,17 @@
     let handle = event_loop.handle();
     let signals = match host_options.signals {
         Some(signals) => signals,
-        None => BlockedSignals::hold()?,
+        None => BlockedSignals::block()?,
     };
     handle_signals(&handle, signals)?;
     let host = OsHost::new(handle.clone()).sharing_addresses(host_options.shares_addresses);
     let shared_listener = host_options
-        .listener
+        .inherited_listener
         .as_ref()
         .map(TcpListener::try_clone)
         .transpose()?;
-    host.set_inherited_listener(host_options.listener);
-    if let Some(link) = host_options.link {
+    host.set_inherited_listener(host_options.inherited_listener);
+    if let Some(link) = host_options.fleet_link {
         report_status(&handle, StatusReporter::new(link, shared_listener))?;
     }
     run(&mut event_loop, create(host)?)
--- a/crates/server/src/persistence_thread.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -87,7 +87,7 @@
     }
 
     fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.submit(PersistenceJob::Recall(now, id, number, key));
+        self.submit(PersistenceJob::LoadResult(now, id, number, key));
     }
 
     fn release(&mut self) {
--- a/crates/server/src/persistence_thread/inline_persistence.rs
+++ b/crates/server/src/persistence_thread/inline_persistence.rs
@@ -51,7 +51,8 @@
         if self.is_released {
             return;
         }
-        self.store.work(&mut std::iter::once(job), &mut self.events);
+        self.store
+            .execute(&mut std::iter::once(job), &mut self.events);
         self.store.sync(&mut self.events);
         self.next_deadline = self.next_deadline.or(Some(0));
     }
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -27,7 +27,7 @@
     Write(KeyCommand),
     /// Read the cached result of a key as of a time, for a request, under a number that the
     /// dispatcher gave.
-    Recall(Micros, RequestId, u64, ScopedKey),
+    LoadResult(Micros, RequestId, u64, ScopedKey),
 }
 
 /// The journal, and what has become of it: it is opened, written, synced and read here, and each
@@ -129,7 +129,7 @@
 
     /// Executes all jobs. Writes are durable only after a [`sync`](Self::sync); loaded results are
     /// reported before it. While the journal is not open, nothing is written and no result found.
-    pub fn work(
+    pub fn execute(
         &mut self,
         jobs: &mut dyn Iterator<Item = PersistenceJob>,
         events: &mut Vec<Event>,
@@ -137,7 +137,7 @@
         for job in jobs {
             match job {
                 PersistenceJob::Write(command) => self.write(&command, events),
-                PersistenceJob::Recall(now, id, number, key) => {
+                PersistenceJob::LoadResult(now, id, number, key) => {
                     let outcome = self.load_outcome(now, &key);
                     events.push(Event::CachedResultLoaded {
                         id,
--- a/crates/server/src/persistence_thread/worker.rs
+++ b/crates/server/src/persistence_thread/worker.rs
@@ -91,7 +91,7 @@
     fn execute(&mut self, first_job: PersistenceJob, jobs: &Receiver<PersistenceJob>) {
         let waiting_jobs = std::iter::from_fn(|| jobs.try_recv().ok());
         let mut all_jobs = std::iter::once(first_job).chain(waiting_jobs);
-        self.store.work(&mut all_jobs, &mut self.events);
+        self.store.execute(&mut all_jobs, &mut self.events);
         // Loaded results do not wait for the sync: on a slow disk they would pile up behind it.
         self.send_events();
         self.store.sync(&mut self.events);
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -257,12 +257,13 @@
         stream.flush()?;
         stream.read(READ_LIMIT)?;
         if connection.report == ReportState::Idle {
-            return Ok(!stream.ended && stream.input.is_empty());
+            return Ok(!stream.is_read_closed && stream.input.is_empty());
         }
-        let response = http::parse(&stream.input, stream.ended).map_err(ReportError::Malformed)?;
+        let response =
+            http::parse(&stream.input, stream.is_read_closed).map_err(ReportError::Malformed)?;
         match response {
             Some(response) => self.on_response(index, &response),
-            None if stream.ended => Err(ReportError::Closed),
+            None if stream.is_read_closed => Err(ReportError::Closed),
             None => Ok(true),
         }
     }
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -216,7 +216,7 @@
             return false;
         };
         let read = link.stream.read(READ_LIMIT);
-        let has_ended = link.stream.ended;
+        let has_ended = link.stream.is_read_closed;
         self.read_lines(events);
         let sent = self.send();
         if self.has_departed(now) {
@@ -259,7 +259,7 @@
                 stream
                     .output()
                     .extend_from_slice(&line::sync(self.last_notice));
-                self.outgoing.on_connected(stream.unsent() as u64);
+                self.outgoing.on_connected(stream.unsent_bytes() as u64);
                 self.link = Some(Link {
                     stream,
                     state: LinkState::Syncing,
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -195,10 +195,10 @@
     }];
     if let Some(ajp) = options.ajp.take() {
         let settings = Rc::new(ajp.settings);
-        let trusted = Rc::new(ajp.trusted);
+        let trusted_proxies = Rc::new(ajp.trusted_proxies);
         addresses.extend(ajp.listen.into_iter().map(|address| ClientAddress {
             address,
-            protocol: ClientProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted)),
+            protocol: ClientProtocol::Ajp(Rc::clone(&settings), Rc::clone(&trusted_proxies)),
         }));
     }
     addresses
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -55,11 +55,11 @@
         };
         Status {
             warmth,
-            held: self.dispatcher.pending_count(),
-            drains: self.shutdown.has_begun(),
+            pending: self.dispatcher.pending_count(),
+            is_draining: self.shutdown.has_begun(),
             served: total.served,
-            late: total.expired,
-            refused: total.rejected,
+            expired: total.expired,
+            rejected: total.rejected,
             failed: total.server_failures(),
         }
     }
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -22,15 +22,19 @@
     /// Requests served since the start.
     pub served: u64,
     /// Requests that expired before they could get another response.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub expired: u64,
     /// Requests that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Requests whose response is pending.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub pending: usize,
     /// It shuts down.
-    pub drains: bool,
+    #[serde(rename = "drains")]
+    pub is_draining: bool,
 }
 
 /// Returns the metrics for operators, as a line of JSON.
--- a/crates/server/tests/wire_format.rs
+++ b/crates/server/tests/wire_format.rs
@@ -23,17 +23,17 @@
     let status = Status {
         warmth: 0.75,
         served: 11,
-        late: 2,
-        refused: 3,
+        expired: 2,
+        rejected: 3,
         failed: 4,
-        held: 5,
-        drains: false,
+        pending: 5,
+        is_draining: false,
     };
     reporter.report(&status);
     reporter.report(&Status {
         warmth: 1.0,
-        held: 0,
-        drains: true,
+        pending: 0,
+        is_draining: true,
         ..status
     });
     drop(reporter);
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -180,7 +180,7 @@
             let opened = Journal::open(self.disk.clone(), options, now);
             self.core.open(opened, facts);
         }
-        self.core.work(&mut self.jobs.drain(..), facts);
+        self.core.execute(&mut self.jobs.drain(..), facts);
         self.core.sync(facts);
         self.core.maintain(now, 4_096, facts);
         if self.core.is_open() {
@@ -317,7 +317,7 @@
     }
 
     fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.push(PersistenceJob::Recall(now, id, number, key));
+        self.push(PersistenceJob::LoadResult(now, id, number, key));
     }
 
     fn release(&mut self) {
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -631,7 +631,7 @@
             settings,
             ajp: Some(AjpOptions {
                 listen: vec![machine.ajp],
-                trusted: vec![self.net.borrow().address()],
+                trusted_proxies: vec![self.net.borrow().address()],
                 settings: ajp,
             }),
             dependency_protocol: DependencyProtocol::Http,
--- a/src/main.rs
+++ b/src/main.rs
@@ -209,7 +209,7 @@
 
 /// The signals that a process which serves hears, held back while it reads its configuration.
 fn hold_signals() -> Result<Option<BlockedSignals>, String> {
-    BlockedSignals::hold()
+    BlockedSignals::block()
         .map(Some)
         .map_err(|e| format!("signals: {e}"))
 }
@@ -357,8 +357,8 @@
             };
             let hosted = HostOptions {
                 signals,
-                link,
-                listener,
+                fleet_link: link,
+                inherited_listener: listener,
                 shares_addresses,
             };
             serve_with(hosted, |world| {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -657,7 +657,7 @@
         };
         Ok(AjpOptions {
             listen,
-            trusted,
+            trusted_proxies: trusted,
             settings,
         })
     }
