--- a/src/operator.rs
+++ b/src/operator.rs
@@ -659,7 +659,7 @@
         };
         Ok(AjpOptions {
             listen,
-            trusted,
+            trusted_proxies: trusted,
             settings,
         })
     }
