--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -30,14 +30,14 @@
     /// Its name.
     pub name: String,
     /// It is not safe to repeat.
-    pub effect: bool,
+    pub has_effect: bool,
     /// A final answer is owed within this time.
     pub deadline: Micros,
 }
 
 /// A request as routes look at it, which came to this `address:port` of theirs.
 #[must_use]
-pub fn asked<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> RouteRequest<'a> {
+pub fn route_request<'a>(listen: Option<&'a str>, head: &'a RequestHead) -> RouteRequest<'a> {
     RouteRequest {
         listen_address: listen,
         host: &head.host,
@@ -194,13 +194,13 @@
     /// The classes.
     pub classes: Vec<Class>,
     /// The `address:port` of the table that requests come to.
-    pub listen: Option<String>,
+    pub listen_address: Option<String>,
     /// Further tries for each first try.
-    pub share: f64,
+    pub retry_share: f64,
     /// For random choices.
     pub seed: u64,
     /// Bytes of open requests that are held at most; what comes beyond is turned away.
-    pub most_held: usize,
+    pub max_held_bytes: usize,
 }
 
 impl Core {
@@ -215,13 +215,13 @@
             let seed = settings.seed.wrapping_add(number as u64);
             pools.insert(
                 Arc::from(name.as_str()),
-                Pool::new(pool, settings.share, seed)?,
+                Pool::new(pool, settings.retry_share, seed)?,
             );
         }
         Ok(Self {
             table,
             classes: settings.classes.clone(),
-            listen: settings.listen.clone(),
+            listen: settings.listen_address.clone(),
             pools,
             limits: RequestLimiter::default(),
             open: BTreeMap::new(),
@@ -229,7 +229,7 @@
             timers: BTreeSet::new(),
             next: 1,
             held: 0,
-            most_held: settings.most_held,
+            most_held: settings.max_held_bytes,
             closed_at: None,
             counts: Counts::default(),
         })
@@ -250,7 +250,7 @@
             let seed = settings.seed.wrapping_add(number as u64);
             pools.insert(
                 Arc::<str>::from(name.as_str()),
-                Pool::new(pool, settings.share, seed)?,
+                Pool::new(pool, settings.retry_share, seed)?,
             );
         }
         // By pool: the new numbers of its targets, by the old ones.
@@ -281,7 +281,7 @@
             open.gone -= open.tries.len() as u32;
         }
         (self.table, self.pools) = (table, pools);
-        self.listen.clone_from(&settings.listen);
+        self.listen.clone_from(&settings.listen_address);
         Ok(())
     }
 
@@ -366,7 +366,7 @@
         };
         // Guards against clocks that differ: nothing came later than now.
         let came = arrival.received_at.min(now);
-        let asked = asked(self.listen.as_deref(), head);
+        let asked = route_request(self.listen.as_deref(), head);
         let returned = |status: u16, body: String| Response::Direct {
             status,
             body: body.into_bytes(),
@@ -404,7 +404,9 @@
         };
         arrival.class = class;
         let Class {
-            effect, deadline, ..
+            has_effect: effect,
+            deadline,
+            ..
         } = self.classes[class];
         let due = came + deadline;
         if self.closed_at.is_some_and(|at| now >= at) || now + SLACK >= due {
@@ -462,7 +464,7 @@
         };
         let key = match (&pool.key, &open.arrival.head) {
             (Some(key), Some(head)) => {
-                let asked = asked(self.listen.as_deref(), head);
+                let asked = route_request(self.listen.as_deref(), head);
                 self.table.expand(key, &asked)
             }
             (None, Some(head)) if pool.by_address => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -49,29 +49,29 @@
     /// Its name.
     pub name: String,
     /// Where callers connect by frames, and the host that their routes look for.
-    pub frames: Vec<SocketAddr>,
+    pub frame_addresses: Vec<SocketAddr>,
     /// That host.
-    pub host: String,
+    pub frames_host: String,
     /// Where callers connect by AJP, and what those connections share.
     pub ajp: Option<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>)>,
     /// What it decides by.
     pub settings: Settings,
     /// What targets speak.
-    pub speaks: upstream::Speaks,
+    pub target_protocol: upstream::TargetProtocol,
     /// Headers of figures.
-    pub names: upstream::Names,
+    pub header_names: upstream::HeaderNames,
     /// Where targets' addresses lead.
-    pub addresses: HashMap<Arc<str>, SocketAddr>,
+    pub target_addresses: HashMap<Arc<str>, SocketAddr>,
     /// Connections to one target at most.
-    pub connections: usize,
+    pub max_connections_per_target: usize,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Time between the notice to leave and the stop, and how long after the notice requests are sent on.
-    pub stop: Micros,
+    pub shutdown_time: Micros,
     /// That time.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// TLS to the targets, where it is spoken.
-    pub tls: Option<upstream::Links>,
+    pub tls: Option<upstream::TargetTls>,
 }
 
 /// Reads its options again, for the routes and addresses in them.
@@ -106,14 +106,14 @@
             .iter()
             .map(|class| class.name.clone())
             .collect();
-        let most = (options.sockets.saturating_sub(SPARE) / 2).max(1);
+        let most = (options.max_descriptors.saturating_sub(SPARE) / 2).max(1);
         let mut front = ClientListener::new(world.clone(), classes.clone(), most);
         let mut listen = |address, speaks| {
             let listened = front.listen(address, speaks);
             listened.map_err(|e| io::Error::new(e.kind(), format!("listen: {address}: {e}")))
         };
-        let host: Rc<str> = Rc::from(options.host.as_str());
-        for address in options.frames {
+        let host: Rc<str> = Rc::from(options.frames_host.as_str());
+        for address in options.frame_addresses {
             let address = listen(address, ClientProtocol::Relayed(Rc::clone(&host)))?;
             tracing::info!("{} listens on {address}", options.name);
         }
@@ -130,20 +130,20 @@
         front.set_idle_timeout(30_000_000);
         let core = Core::new(&options.settings).map_err(io::Error::other)?;
         let Options {
-            speaks,
-            names,
-            addresses,
-            connections,
+            target_protocol,
+            header_names,
+            target_addresses,
+            max_connections_per_target,
             tls,
             ..
         } = options;
         let mut upstream = upstream::Upstream::new(
             world.clone(),
-            speaks,
-            names,
+            target_protocol,
+            header_names,
             classes,
-            addresses,
-            connections,
+            target_addresses,
+            max_connections_per_target,
         );
         if let Some(links) = tls {
             upstream.set_tls(links);
@@ -157,8 +157,8 @@
             orders: Vec::new(),
             replies: Vec::new(),
             sweep_at: 0,
-            stop: options.stop,
-            grace: options.grace,
+            stop: options.shutdown_time,
+            grace: options.drain_grace,
             stop_at: None,
             told: Counts::default(),
             reload,
@@ -225,7 +225,7 @@
     fn reload(&mut self) {
         let taken = (self.reload)().and_then(|options| {
             self.core.reload(&options.settings)?;
-            self.upstream.set_addresses(options.addresses);
+            self.upstream.set_addresses(options.target_addresses);
             Ok(())
         });
         match taken {
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -28,7 +28,7 @@
 
 /// What targets speak.
 #[derive(Debug, Clone)]
-pub enum Speaks {
+pub enum TargetProtocol {
     /// Frames.
     Frames,
     /// AJP.
@@ -37,7 +37,7 @@
 
 /// Headers that carry a request's figures to and from AJP.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct HeaderNames {
     /// The id.
     pub id: String,
     /// The work, in ms.
@@ -52,7 +52,7 @@
     pub subject: String,
 }
 
-impl Default for Names {
+impl Default for HeaderNames {
     fn default() -> Self {
         let name = str::to_owned;
         Self {
@@ -94,8 +94,8 @@
 /// The connections.
 pub struct Upstream<W: Host> {
     world: W,
-    speaks: Speaks,
-    names: Names,
+    speaks: TargetProtocol,
+    names: HeaderNames,
     classes: Vec<String>,
     /// Where each target's address leads.
     addresses: HashMap<Arc<str>, SocketAddr>,
@@ -111,13 +111,13 @@
     /// The connection that a request is on.
     at: HashMap<Number, (u64, u32)>,
     /// TLS to the targets, where it is spoken.
-    tls: Option<Links>,
+    tls: Option<TargetTls>,
 }
 
 /// TLS on the links to targets: what they share, the name that their certificates are to hold where it is not the
 /// target's own host, and the clock that certificates are judged by.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct TargetTls {
     /// What the sessions share.
     pub config: std::sync::Arc<cleatpulley_tls::rustls::ClientConfig>,
     /// The name asked for of every target; none: the host of the target's name.
@@ -141,8 +141,8 @@
     #[must_use]
     pub fn new(
         world: W,
-        speaks: Speaks,
-        names: Names,
+        speaks: TargetProtocol,
+        names: HeaderNames,
         classes: Vec<String>,
         addresses: HashMap<Arc<str>, SocketAddr>,
         most: usize,
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Speaks TLS to the targets from now on.
-    pub fn set_tls(&mut self, links: Links) {
+    /// TargetProtocol TLS to the targets from now on.
+    pub fn set_tls(&mut self, links: TargetTls) {
         self.tls = Some(links);
     }
 
@@ -274,12 +274,12 @@
         let number = self.next;
         self.next += 1;
         let kind = match &self.speaks {
-            Speaks::Frames => Kind::Frames {
+            TargetProtocol::Frames => Kind::Frames {
                 open: BTreeMap::new(),
                 streams: 0,
                 gone: false,
             },
-            Speaks::Ajp(options) => Kind::Ajp {
+            TargetProtocol::Ajp(options) => Kind::Ajp {
                 client: Box::new(Client::new(options.clone(), now)),
                 asked: None,
             },
--- a/crates/gateway/src/upstream/asking.rs
+++ b/crates/gateway/src/upstream/asking.rs
@@ -1,6 +1,6 @@
 //! A request as it is sent on, by frames or by AJP.
 
-use super::Names;
+use super::HeaderNames;
 use cleatpulley_dispatcher::{IncomingRequest, RequestHead};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Request};
@@ -11,7 +11,7 @@
     stream: u32,
     arrival: &IncomingRequest,
     classes: &[String],
-    names: &Names,
+    names: &HeaderNames,
 ) {
     if let Some(payload) = arrival.head.as_ref().and_then(|head| head.frame.as_ref()) {
         return codec::push_request(out, stream, payload);
@@ -59,7 +59,7 @@
     client: &mut Client,
     uri: &str,
     arrival: &IncomingRequest,
-    names: &Names,
+    names: &HeaderNames,
 ) -> bool {
     let empty = RequestHead::default();
     let head = arrival.head.as_deref().unwrap_or(&empty);
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -151,8 +151,8 @@
     (
         Upstream::new(
             fake.clone(),
-            Speaks::Frames,
-            Names::default(),
+            TargetProtocol::Frames,
+            HeaderNames::default(),
             classes,
             addresses,
             1,
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -41,17 +41,17 @@
     assert!(import.is_complete(), "{:?}", import.diagnostics);
     let class = |name: &str, effect| Class {
         name: name.to_owned(),
-        effect,
+        has_effect: effect,
         deadline: 1_000 * MS,
     };
     let classes = vec![class("seat", true), class("view", false)];
     Settings {
         routes: import.routes,
         classes,
-        listen: None,
-        share,
+        listen_address: None,
+        retry_share: share,
         seed,
-        most_held: 50_000,
+        max_held_bytes: 50_000,
     }
 }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -11,7 +11,7 @@
 
 use crate::config::Config;
 use cleatpulley_dispatcher::RequestHead;
-use cleatpulley_gateway::core::asked;
+use cleatpulley_gateway::core::route_request;
 use cleatpulley_policy::interface::{Effect, Micros};
 use cleatpulley_protocol::ajp::client;
 use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZES};
@@ -427,7 +427,7 @@
 
 impl Lookup for Imported {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
-        let asked = asked(self.listen.as_deref(), head);
+        let asked = route_request(self.listen.as_deref(), head);
         match self.table.route(&asked).map_err(|what| (404, what))? {
             RouteDecision::Forward {
                 class: Some(class), ..
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -4,7 +4,7 @@
 use super::{addresses, packet_size, wrong, Fault, Wrong};
 use crate::nginx;
 use cleatpulley_gateway::core::{Class, Settings};
-use cleatpulley_gateway::upstream::{Names, Speaks};
+use cleatpulley_gateway::upstream::{HeaderNames, TargetProtocol};
 use cleatpulley_gateway::{AnyPath, Options};
 use cleatpulley_protocol::ajp::client;
 use cleatpulley_protocol::ajp::server::{self, Defaults, Figures, Source};
@@ -132,7 +132,7 @@
 }
 
 impl LinksSection {
-    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, Wrong> {
+    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
         use cleatpulley_tls::pair::{certificates, Pair};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
@@ -170,7 +170,7 @@
             &clock,
         );
         let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
-        Ok(cleatpulley_gateway::upstream::Links {
+        Ok(cleatpulley_gateway::upstream::TargetTls {
             config,
             server_name: self.server_name,
             clock,
@@ -209,7 +209,7 @@
             longest = longest.max(class.deadline_ms);
             classes.push(Class {
                 name: name.clone(),
-                effect: class.effect,
+                has_effect: class.effect,
                 deadline: class.deadline_ms * MS,
             });
         }
@@ -255,8 +255,8 @@
             None | Some("frames") if self.targets.secret.is_some() => {
                 return wrong("targets.secret", "frames know no secret")
             }
-            None | Some("frames") => Speaks::Frames,
-            Some("ajp") => Speaks::Ajp(client::Options {
+            None | Some("frames") => TargetProtocol::Frames,
+            Some("ajp") => TargetProtocol::Ajp(client::Options {
                 packet_size: packet_size("targets", None)?,
                 secret: self.targets.secret.clone(),
                 server: (self.name.clone(), 0),
@@ -277,24 +277,24 @@
         let ajp = self.ajp.map(|ajp| ajp.check(self.seed)).transpose()?;
         Ok(Options {
             name: self.name,
-            frames,
-            host: self.frames_host,
+            frame_addresses: frames,
+            frames_host: self.frames_host,
             ajp,
             settings: Settings {
                 routes,
                 classes,
-                listen: self.routes_listen,
-                most_held: self.memory_mb * 1_000_000,
-                share: self.retry_share,
+                listen_address: self.routes_listen,
+                max_held_bytes: self.memory_mb * 1_000_000,
+                retry_share: self.retry_share,
                 seed: self.seed,
             },
-            speaks,
-            names: Names::default(),
-            addresses: resolved,
-            connections: self.targets.connections.unwrap_or(8),
-            sockets: self.sockets,
-            stop: self.stop_ms * MS,
-            grace: self.drain_grace_ms * MS,
+            target_protocol: speaks,
+            header_names: HeaderNames::default(),
+            target_addresses: resolved,
+            max_connections_per_target: self.targets.connections.unwrap_or(8),
+            max_descriptors: self.sockets,
+            shutdown_time: self.stop_ms * MS,
+            drain_grace: self.drain_grace_ms * MS,
             tls,
         })
     }
@@ -361,7 +361,7 @@
             );
         }
         let header = |name: &str| Some(Source::Header(name.to_owned()));
-        let names = Names::default();
+        let names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("ajp.packet_size", self.packet_size)?,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -303,7 +303,11 @@
     assert!(fleet.planner_input.is_none());
     let options = gateway::load(&file).expect("good");
     assert_eq!(
-        (options.name.as_str(), options.connections, options.sockets),
+        (
+            options.name.as_str(),
+            options.max_connections_per_target,
+            options.max_descriptors
+        ),
         ("gateway", 8, 1_024)
     );
     assert!(options.ajp.is_none() && options.tls.is_none());
@@ -314,21 +318,27 @@
     let folder = installed("operator");
     let options = gateway::load(&folder.path().join("operator.jsonnet")).expect("good");
     assert_eq!(
-        (options.name.as_str(), options.host.as_str()),
+        (options.name.as_str(), options.frames_host.as_str()),
         ("gateway-1", "match.example.org")
     );
-    assert_eq!((options.connections, options.sockets), (9, 2_048));
-    assert_eq!((options.stop, options.grace), (11_000_000, 2_600_000));
+    assert_eq!(
+        (options.max_connections_per_target, options.max_descriptors),
+        (9, 2_048)
+    );
+    assert_eq!(
+        (options.shutdown_time, options.drain_grace),
+        (11_000_000, 2_600_000)
+    );
     let settings = &options.settings;
     assert_eq!(
-        (settings.share, settings.seed, settings.most_held),
+        (settings.retry_share, settings.seed, settings.max_held_bytes),
         (0.2, 77, 65_000_000)
     );
-    assert_eq!(settings.listen.as_deref(), Some("*:80"));
+    assert_eq!(settings.listen_address.as_deref(), Some("*:80"));
     let classes: Vec<_> = settings
         .classes
         .iter()
-        .map(|class| (class.name.as_str(), class.deadline, class.effect))
+        .map(|class| (class.name.as_str(), class.deadline, class.has_effect))
         .collect();
     assert_eq!(
         classes,
@@ -350,7 +360,7 @@
         (4_097, Some(Source::Header("X-Came".to_owned())))
     );
     assert_eq!(
-        options.addresses.get("m1.example.org:7001"),
+        options.target_addresses.get("m1.example.org:7001"),
         Some(&([127, 0, 0, 1], 7_001).into())
     );
     let tls = options.tls.expect("targets are called over TLS");
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -195,7 +195,7 @@
         std::fs::write(&file, text).expect("written");
         cleatpulley::operator::gateway::load(&file).map_err(|fault| fault.to_string())
     };
-    assert_eq!(load("{}").expect("it is good").addresses.len(), 1);
+    assert_eq!(load("{}").expect("it is good").target_addresses.len(), 1);
     let faults = [
         ("{ frames: [] }", "gateway.frames: no address"),
         (
@@ -249,7 +249,7 @@
     assert_eq!(
         cleatpulley::operator::gateway::load(&example)
             .expect("the example")
-            .addresses
+            .target_addresses
             .len(),
         5
     );
