--- a/crates/emulators/src/callers.rs
+++ b/crates/emulators/src/callers.rs
@@ -5,9 +5,9 @@
 use crate::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request, Response};
-use cleatpulley_protocol::ajp::codec::{Fault, PACKET_SIZE};
-use cleatpulley_protocol::ajp::server::RETRY_AFTER_MS;
-use cleatpulley_protocol::frame::codec::{self, Parsed};
+use cleatpulley_protocol::ajp::codec::{DecodeError, PACKET_SIZE};
+use cleatpulley_protocol::ajp::server::RETRY_AFTER_MS_HEADER;
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -579,7 +579,7 @@
     now: Micros,
     link: Link,
     out: &mut Vec<Effect>,
-) -> Result<Option<Response>, Fault> {
+) -> Result<Option<Response>, DecodeError> {
     input.extend_from_slice(bytes);
     let mut more = Vec::new();
     let taken = client.receive(now, input, &mut more);
@@ -588,7 +588,7 @@
     }
     let used = taken.inspect_err(|_| out.push(Effect::Reset(link)))?;
     input.drain(..used);
-    let response = client.take();
+    let response = client.take_response();
     if response.as_ref().is_some_and(|response| !response.reuse) {
         out.push(Effect::Close(link));
     }
@@ -602,7 +602,7 @@
         200 => Said::Served(response.body.clone()),
         503 if response.not_run() => Said::Refused(
             response
-                .header(RETRY_AFTER_MS)
+                .header(RETRY_AFTER_MS_HEADER)
                 .and_then(|ms| ms.parse().ok())
                 .unwrap_or(0),
         ),
@@ -628,21 +628,21 @@
     gone: &mut bool,
 ) -> (Vec<(T, Option<Said>)>, u64) {
     let (mut used, mut answers, mut stray) = (0, Vec::new(), 0);
-    while let Parsed::Frame {
+    while let ParsedFrame::Frame {
         kind,
         stream,
         payload,
-    } = codec::parse(&input[used..])
+    } = codec::parse_frame(&input[used..])
     {
         let end = payload.end;
         let payload = &input[used..][payload];
         used += end;
         match kind {
-            codec::ANSWER => match open.remove(&stream) {
+            codec::RESPONSE => match open.remove(&stream) {
                 Some(asked) => answers.push((asked, said(payload))),
                 None => stray += 1,
             },
-            codec::GOODBYE => *gone = true,
+            codec::GO_AWAY => *gone = true,
             _ => stray += 1,
         }
     }
--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -324,7 +324,8 @@
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
-        let reply = cleatpulley_protocol::http::parse(&bytes, true).map_err(io::Error::other)?;
+        let reply =
+            cleatpulley_protocol::http::parse_response(&bytes, true).map_err(io::Error::other)?;
         reply
             .map(|reply| (reply.status, reply.body))
             .ok_or_else(|| io::Error::other("no whole answer"))
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -4,9 +4,9 @@
 use crate::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{
-    self, kind, Forward, Way, MOST_HEADERS, NO_HEADER, PACKET_SIZE,
+    self, packet_type, Direction, ForwardRequest, EMPTY_HEADER, MAX_HEADERS, PACKET_SIZE,
 };
-use cleatpulley_protocol::ajp::server::NOT_RUN;
+use cleatpulley_protocol::ajp::server::NOT_RUN_HEADER;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap};
@@ -235,7 +235,7 @@
 }
 
 fn read_ajp(caller: &mut Caller) -> Result<Read, ()> {
-    let payload = match codec::packet(&caller.input, Way::ToServer, PACKET_SIZE) {
+    let payload = match codec::parse_packet(&caller.input, Direction::ToServer, PACKET_SIZE) {
         Ok(Some(payload)) => payload,
         Ok(None) => return Ok(Read::Short),
         Err(_) => return Err(()),
@@ -243,7 +243,7 @@
     let end = payload.end;
     let bytes = &caller.input[payload];
     let read = if caller.body_left > 0 {
-        let data = codec::body(bytes).map_err(|_| ())?.len();
+        let data = codec::decode_body(bytes).map_err(|_| ())?.len();
         caller.body_left = caller.body_left.checked_sub(data).ok_or(())?;
         if caller.body_left == 0 {
             Read::Call
@@ -255,13 +255,13 @@
             );
             Read::Passed(ask)
         }
-    } else if bytes == [kind::CPING] {
+    } else if bytes == [packet_type::CPING] {
         let mut pong = Vec::new();
         codec::push_cpong(&mut pong);
         Read::Passed(pong)
     } else {
-        let mut headers = [NO_HEADER; MOST_HEADERS];
-        let request = Forward::decode(bytes, &mut headers).map_err(|_| ())?;
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let request = ForwardRequest::decode(bytes, &mut headers).map_err(|_| ())?;
         let length = request
             .header("content-length")
             .map(|value| std::str::from_utf8(value).unwrap_or("x"));
@@ -285,14 +285,14 @@
     let length = body.len().to_string();
     let mut headers = vec![("Content-Length", length.as_str())];
     if fate == Fate::Refused {
-        headers.push((NOT_RUN, "1"));
+        headers.push((NOT_RUN_HEADER, "1"));
     }
     let mut out = Vec::new();
     if ajp {
         // So little fits into any packet.
         let _ = codec::push_send_headers(&mut out, status, message, &headers, PACKET_SIZE);
-        codec::push_chunks(&mut out, body, PACKET_SIZE);
-        codec::push_end(&mut out, true);
+        codec::push_body_chunks(&mut out, body, PACKET_SIZE);
+        codec::push_end_response(&mut out, true);
     } else {
         out.extend_from_slice(format!("HTTP/1.1 {status} {message}\r\n").as_bytes());
         for (name, value) in headers {
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -6,7 +6,7 @@
 use crate::{Effect, Link, Service};
 use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::frame::codec::{self, Parsed, Request};
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame, Request};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -96,7 +96,7 @@
 
     fn answer(&self, link: Link, stream: u32, answer: &Response, out: &mut Vec<Effect>) {
         let mut bytes = Vec::new();
-        codec::push_answer(&mut bytes, stream, answer, None);
+        codec::push_response(&mut bytes, stream, answer, None);
         if self.links.contains_key(&link) {
             out.push(Effect::Send(link, bytes));
         }
@@ -150,7 +150,7 @@
             Held {
                 link,
                 stream,
-                id: request.txn,
+                id: request.id,
             },
         );
         self.queue.push_back((self.next, now));
@@ -164,11 +164,11 @@
         self.links.insert(link, Vec::new());
         input.extend_from_slice(bytes);
         let mut used = 0;
-        while let Parsed::Frame {
+        while let ParsedFrame::Frame {
             kind,
             stream,
             payload,
-        } = codec::parse(&input[used..])
+        } = codec::parse_frame(&input[used..])
         {
             let payload = used + payload.start..used + payload.end;
             if kind == codec::REQUEST {
@@ -187,7 +187,7 @@
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.draining && !std::mem::replace(&mut self.told, true) {
             let mut goodbye = Vec::new();
-            codec::push_goodbye(&mut goodbye);
+            codec::push_go_away(&mut goodbye);
             out.extend(
                 self.links
                     .keys()
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -33,12 +33,12 @@
 #[derive(Debug)]
 pub struct AnyPath;
 
-impl server::Lookup for AnyPath {
+impl server::ClassLookup for AnyPath {
     fn find(&self, _: &RequestHead) -> Result<usize, (u16, String)> {
         Ok(0)
     }
 
-    fn relays(&self) -> bool {
+    fn forwards_requests(&self) -> bool {
         true
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -6,9 +6,9 @@
 use asking::{push_ajp, push_frame};
 use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::client::{Client, Fate, Options};
-use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
-use cleatpulley_protocol::frame::codec::{self, Parsed};
+use cleatpulley_protocol::ajp::client::{Client, ExecutionState, Options};
+use cleatpulley_protocol::ajp::server::{FEEDBACK_HEADER, NO_RETRY_HEADER, RETRY_AFTER_MS_HEADER};
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame};
 use cleatpulley_routes::retry::Try;
 use cleatpulley_server::buffered_connection::BufferedConnection;
 use cleatpulley_server::host::{Host, Readiness};
@@ -328,7 +328,7 @@
             Kind::Frames { .. } => line.up,
             // The connection ends with the request: what was not handed to the system never arrives.
             Kind::Ajp { client, .. } => {
-                line.up && client.fate(line.conn.unsent()) == Fate::MayHaveRun
+                line.up && client.execution_state(line.conn.unsent()) == ExecutionState::MayHaveRun
             }
         })
     }
@@ -425,7 +425,8 @@
                 asked: Some(asked),
             } => {
                 self.at.remove(&asked);
-                let unread = !line.up || client.fate(line.conn.unsent()) == Fate::NeverRan;
+                let unread = !line.up
+                    || client.execution_state(line.conn.unsent()) == ExecutionState::NeverRan;
                 replies.push((
                     asked,
                     Reply::Nothing(if unread { Try::Unsent } else { Try::Lost }),
@@ -499,9 +500,9 @@
         let mut used = 0;
         match &mut self.kind {
             Kind::Frames { open, gone, .. } => loop {
-                match codec::parse(&input[used..]) {
-                    Parsed::Short => return Ok(used),
-                    Parsed::Frame {
+                match codec::parse_frame(&input[used..]) {
+                    ParsedFrame::Incomplete => return Ok(used),
+                    ParsedFrame::Frame {
                         kind,
                         stream,
                         payload,
@@ -510,8 +511,8 @@
                         used += payload.end;
                         self.used = now;
                         match kind {
-                            codec::GOODBYE => *gone = true,
-                            codec::ANSWER => {
+                            codec::GO_AWAY => *gone = true,
+                            codec::RESPONSE => {
                                 let Some((asked, _)) = open.remove(&stream) else {
                                     return Err(format!(
                                         "an answer on stream {stream}, which is not open"
@@ -527,7 +528,7 @@
                             _ => {}
                         }
                     }
-                    Parsed::Large { .. } | Parsed::Lost(_) => {
+                    ParsedFrame::Oversized { .. } | ParsedFrame::InvalidLength(_) => {
                         return Err("a frame that can't be read".to_owned())
                     }
                 }
@@ -538,7 +539,7 @@
                     .receive(now, input, self.conn.output())
                     .map_err(|e| e.to_string())?;
                 self.pushed += (self.conn.output().len() - before) as u64;
-                if let Some(response) = client.take() {
+                if let Some(response) = client.take_response() {
                     self.used = now;
                     let number = |name: &str| {
                         response
@@ -547,10 +548,11 @@
                     };
                     if let Some(asked) = asked.take() {
                         replies.extend(
-                            number(FEEDBACK).map(|most| (asked, Reply::Advised(most as u32))),
+                            number(FEEDBACK_HEADER)
+                                .map(|most| (asked, Reply::Advised(most as u32))),
                         );
-                        let later = number(RETRY_AFTER_MS).unwrap_or(0.0) as Micros * 1_000;
-                        let last = response.header(NO_RETRY) == Some("1");
+                        let later = number(RETRY_AFTER_MS_HEADER).unwrap_or(0.0) as Micros * 1_000;
+                        let last = response.header(NO_RETRY_HEADER) == Some("1");
                         let never = response.not_run();
                         replies.push((
                             asked,
@@ -587,7 +589,7 @@
 fn read_answer(payload: &[u8]) -> Result<(Reply, Option<u32>), String> {
     let broken = || "an answer that can't be read".to_owned();
     let (code, rest) = payload.split_first().ok_or_else(broken)?;
-    let (fields, body) = codec::fields(rest).ok_or_else(broken)?;
+    let (fields, body) = codec::parse_fields(rest).ok_or_else(broken)?;
     let find = |name: &str| {
         fields
             .iter()
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -246,12 +246,12 @@
     upstream.note(1, READY);
     upstream.turn(0, &mut replies);
     let mut said = Vec::new();
-    codec::push_goodbye(&mut said);
+    codec::push_go_away(&mut said);
     let refused = Response::Rejected {
         retry_after: 70_000,
         no_failover: true,
     };
-    codec::push_answer(&mut said, 2, &refused, Some(3.0));
+    codec::push_response(&mut said, 2, &refused, Some(3.0));
     *fake.sends.borrow_mut() = said;
     fake.ended.set(true);
     upstream.note(1, READY);
--- a/crates/protocol/src/ajp/table.rs
+++ b/crates/protocol/src/ajp/class_table.rs
@@ -4,7 +4,7 @@
 
 /// One entry: a path, or with a `/*` at its end all paths below it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct ClassRoute {
     /// The path or pattern.
     pub path: String,
     /// Methods that it takes.
@@ -15,29 +15,29 @@
 
 /// Where a request goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found<'a> {
+pub enum ClassMatch<'a> {
     /// To this class.
     Class(usize),
     /// Nowhere with this method; these would do.
-    OtherMethods(&'a [String]),
+    MethodNotAllowed(&'a [String]),
     /// Nowhere.
-    Nothing,
+    NotFound,
 }
 
 /// The table. A whole path comes before a pattern, a longer pattern before a shorter one.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
-    exact: HashMap<String, Entry>,
+pub struct ClassTable {
+    exact: HashMap<String, ClassRoute>,
     /// Patterns without their `*`, the longest first.
-    below: Vec<(String, Entry)>,
+    below: Vec<(String, ClassRoute)>,
 }
 
-impl Table {
+impl ClassTable {
     /// Builds the table.
     ///
     /// # Errors
     /// The index of the faulty entry and what is wrong with it.
-    pub fn new(entries: Vec<Entry>) -> Result<Self, (usize, String)> {
+    pub fn new(entries: Vec<ClassRoute>) -> Result<Self, (usize, String)> {
         let mut table = Self::default();
         for (place, entry) in entries.into_iter().enumerate() {
             if !entry.path.starts_with('/') {
@@ -91,9 +91,9 @@
     /// Finds the class of a request. Paths are compared as they came: nothing is decoded or resolved, so that no
     /// two readings of one path exist.
     #[must_use]
-    pub fn find(&self, method: &[u8], path: &[u8]) -> Found<'_> {
+    pub fn find(&self, method: &[u8], path: &[u8]) -> ClassMatch<'_> {
         let Ok(path) = std::str::from_utf8(path) else {
-            return Found::Nothing;
+            return ClassMatch::NotFound;
         };
         let below = || {
             let plain = !path.contains('%') && !path.split('/').any(|part| part == "..");
@@ -104,10 +104,10 @@
         };
         match self.exact.get(path).or_else(below) {
             Some(entry) if entry.methods.iter().any(|m| m.as_bytes() == method) => {
-                Found::Class(entry.class)
+                ClassMatch::Class(entry.class)
             }
-            Some(entry) => Found::OtherMethods(&entry.methods),
-            None => Found::Nothing,
+            Some(entry) => ClassMatch::MethodNotAllowed(&entry.methods),
+            None => ClassMatch::NotFound,
         }
     }
 }
@@ -116,8 +116,8 @@
 mod tests {
     use super::*;
 
-    fn entry(path: &str, class: usize) -> Entry {
-        Entry {
+    fn entry(path: &str, class: usize) -> ClassRoute {
+        ClassRoute {
             path: path.to_owned(),
             methods: vec!["POST".to_owned()],
             class,
@@ -126,7 +126,7 @@
 
     #[test]
     fn a_whole_path_comes_first_and_then_the_longest_pattern() {
-        let table = Table::new(vec![
+        let table = ClassTable::new(vec![
             entry("/a/*", 0),
             entry("/a/b/*", 1),
             entry("/a/b/c", 2),
@@ -135,35 +135,35 @@
         for (path, class) in [("/a/x", 0), ("/a/b/x", 1), ("/a/b/c", 2), ("/a/b/c/d", 1)] {
             assert_eq!(
                 table.find(b"POST", path.as_bytes()),
-                Found::Class(class),
+                ClassMatch::Class(class),
                 "{path}"
             );
         }
         assert_eq!(
             table.find(b"GET", b"/a/x"),
-            Found::OtherMethods(&["POST".to_owned()])
+            ClassMatch::MethodNotAllowed(&["POST".to_owned()])
         );
         for path in ["/a", "/ab", "/", "", "/b", "/a/../b", "/a/%2e%2e/x"] {
             assert_eq!(
                 table.find(b"POST", path.as_bytes()),
-                Found::Nothing,
+                ClassMatch::NotFound,
                 "{path}"
             );
         }
-        assert_eq!(table.find(b"POST", b"/a/\xff"), Found::Nothing);
+        assert_eq!(table.find(b"POST", b"/a/\xff"), ClassMatch::NotFound);
     }
 
     #[test]
     fn faulty_entries_are_named() {
         for path in ["a", "/a*", "/*/b", "/a?", "/a/../b/*"] {
             assert_eq!(
-                Table::new(vec![entry("/ok", 0), entry(path, 0)])
+                ClassTable::new(vec![entry("/ok", 0), entry(path, 0)])
                     .expect_err(path)
                     .0,
                 1
             );
         }
-        assert!(Table::new(vec![entry("/a", 0), entry("/a", 1)]).is_err());
-        assert!(Table::new(vec![entry("/a/*", 0), entry("/a/*", 1)]).is_err());
+        assert!(ClassTable::new(vec![entry("/a", 0), entry("/a", 1)]).is_err());
+        assert!(ClassTable::new(vec![entry("/a/*", 0), entry("/a/*", 1)]).is_err());
     }
 }
--- a/crates/protocol/src/ajp/client.rs
+++ b/crates/protocol/src/ajp/client.rs
@@ -2,13 +2,14 @@
 //! for a sign of life before an old connection is trusted with a request.
 
 use super::codec::{
-    self, Fault, Outgoing, Reply, TooLarge, Way, BODY_OVERHEAD, MOST_HEADERS, NO_HEADER,
+    self, DecodeError, Direction, OutgoingRequest, PacketTooLarge, ServerPacket, BODY_OVERHEAD,
+    EMPTY_HEADER, MAX_HEADERS,
 };
-use super::server::NOT_RUN;
+use super::server::NOT_RUN_HEADER;
 use cleatpulley_policy::interface::Micros;
 
 /// A connection idle for longer is pinged before it carries a request: the server may have closed or forgotten it.
-pub const PING_AFTER: Micros = 1_000_000;
+pub const MIN_IDLE_BEFORE_PING: Micros = 1_000_000;
 /// No reply's body is larger.
 const LARGEST_BODY: usize = 1_048_576;
 
@@ -52,13 +53,13 @@
     /// It says that nothing ran.
     #[must_use]
     pub fn not_run(&self) -> bool {
-        self.header(NOT_RUN) == Some("1")
+        self.header(NOT_RUN_HEADER) == Some("1")
     }
 }
 
 /// What is known of a request whose connection ended without a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum ExecutionState {
     /// The server can't have read all of it: it never ran, and anybody may send it again.
     NeverRan,
     /// It may have run: only what is safe to repeat may be sent again.
@@ -139,7 +140,7 @@
         now: Micros,
         request: &Request,
         out: &mut Vec<u8>,
-    ) -> Result<(), TooLarge> {
+    ) -> Result<(), PacketTooLarge> {
         let length = request.body.len().to_string();
         let (uri, query) = request
             .uri
@@ -147,7 +148,7 @@
             .map_or((request.uri, None), |(uri, query)| (uri, Some(query)));
         let mut headers = request.headers.to_vec();
         headers.push(("Content-Length", &length));
-        let forward = Outgoing {
+        let forward = OutgoingRequest {
             method: request.method,
             uri,
             remote_addr: "127.0.0.1",
@@ -159,12 +160,12 @@
             attributes: &[],
         };
         self.held.clear();
-        codec::push_forward(&mut self.held, &forward, self.options.packet_size)?;
+        codec::push_forward_request(&mut self.held, &forward, self.options.packet_size)?;
         self.body.clear();
         self.body.extend_from_slice(request.body);
         self.written = 0;
         (self.response, self.headed, self.done) = (Response::default(), false, false);
-        if !self.fresh && now >= self.used + PING_AFTER {
+        if !self.fresh && now >= self.used + MIN_IDLE_BEFORE_PING {
             codec::push_cping(out);
             self.stage = Stage::Ping;
         } else {
@@ -204,7 +205,7 @@
     }
 
     /// Takes what is whole from the front of the bytes read and returns how many it used up. A reply that became
-    /// whole is there for [`take`](Self::take).
+    /// whole is there for [`take_response`](Self::take_response).
     ///
     /// # Errors
     /// What can't be read; the connection is of no further use.
@@ -213,31 +214,31 @@
         now: Micros,
         input: &[u8],
         out: &mut Vec<u8>,
-    ) -> Result<usize, Fault> {
+    ) -> Result<usize, DecodeError> {
         let mut used = 0;
         while let Some(payload) =
-            codec::packet(&input[used..], Way::ToProxy, self.options.packet_size)?
+            codec::parse_packet(&input[used..], Direction::ToProxy, self.options.packet_size)?
         {
             let packet = &input[used..used + payload.end];
             used += payload.end;
             self.used = now;
-            let mut headers = [NO_HEADER; MOST_HEADERS];
-            let reply = Reply::decode(&packet[payload], &mut headers)?;
-            self.take_reply(reply, out).map_err(|what| Fault {
-                at: codec::HEAD,
-                what,
+            let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+            let reply = ServerPacket::decode(&packet[payload], &mut headers)?;
+            self.take_reply(reply, out).map_err(|what| DecodeError {
+                offset: codec::HEADER_BYTES,
+                reason: what,
             })?;
         }
         Ok(used)
     }
 
-    fn take_reply(&mut self, reply: Reply, out: &mut Vec<u8>) -> Result<(), &'static str> {
+    fn take_reply(&mut self, reply: ServerPacket, out: &mut Vec<u8>) -> Result<(), &'static str> {
         match (&self.stage, reply) {
-            (Stage::Ping, Reply::Pong) => self.send(out),
-            (Stage::Idle, Reply::Pong) => self.pong = true,
+            (Stage::Ping, ServerPacket::CPong) => self.send(out),
+            (Stage::Idle, ServerPacket::CPong) => self.pong = true,
             (
                 Stage::Asked,
-                Reply::Headers {
+                ServerPacket::SendHeaders {
                     status, headers, ..
                 },
             ) if !self.headed => {
@@ -249,14 +250,16 @@
                     .map(|(name, value)| (text(name), text(value)))
                     .collect();
             }
-            (Stage::Asked, Reply::Chunk(data)) if self.headed => {
+            (Stage::Asked, ServerPacket::SendBodyChunk(data)) if self.headed => {
                 if self.response.body.len() + data.len() > LARGEST_BODY {
                     return Err("the reply is too long");
                 }
                 self.response.body.extend_from_slice(data);
             }
-            (Stage::Asked, Reply::GetBody(wanted)) if !self.headed => self.send_body(wanted, out),
-            (Stage::Asked, Reply::End(reuse)) if self.headed => {
+            (Stage::Asked, ServerPacket::GetBodyChunk(wanted)) if !self.headed => {
+                self.send_body(wanted, out);
+            }
+            (Stage::Asked, ServerPacket::EndResponse(reuse)) if self.headed => {
                 // Guards against a part of a reply that is taken for the whole.
                 if let Some(told) = self.response.header("Content-Length") {
                     if told.trim().parse() != Ok(self.response.body.len()) {
@@ -274,19 +277,19 @@
     }
 
     /// The reply, once it is whole.
-    pub fn take(&mut self) -> Option<Response> {
+    pub fn take_response(&mut self) -> Option<Response> {
         std::mem::take(&mut self.done).then(|| std::mem::take(&mut self.response))
     }
 
     /// What is known of the request, if the connection ended now with so many bytes never handed to the system.
     #[must_use]
-    pub fn fate(&self, unsent: usize) -> Fate {
+    pub fn execution_state(&self, unsent: usize) -> ExecutionState {
         let whole =
             matches!(self.stage, Stage::Asked) && self.written == self.body.len() && unsent == 0;
         if whole {
-            Fate::MayHaveRun
+            ExecutionState::MayHaveRun
         } else {
-            Fate::NeverRan
+            ExecutionState::NeverRan
         }
     }
 }
--- a/crates/protocol/src/ajp/codec.rs
+++ b/crates/protocol/src/ajp/codec.rs
@@ -7,21 +7,21 @@
 /// The packet size that both sides assume unless they are set otherwise.
 pub const PACKET_SIZE: usize = 8_192;
 /// No side may be set to less, or to more.
-pub const PACKET_SIZES: std::ops::RangeInclusive<usize> = PACKET_SIZE..=65_536;
+pub const PACKET_SIZE_RANGE: std::ops::RangeInclusive<usize> = PACKET_SIZE..=65_536;
 /// Magic and length.
-pub const HEAD: usize = 4;
+pub const HEADER_BYTES: usize = 4;
 /// Headers of one message; a message with more is refused.
-pub const MOST_HEADERS: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 /// What a body packet of the proxy holds beside its data: head and length.
-pub const BODY_OVERHEAD: usize = HEAD + 2;
+pub const BODY_OVERHEAD: usize = HEADER_BYTES + 2;
 /// What a body chunk of the server holds beside its data: head, type, length and a closing zero.
-pub const CHUNK_OVERHEAD: usize = HEAD + 4;
+pub const CHUNK_OVERHEAD: usize = HEADER_BYTES + 4;
 
 const TO_SERVER: [u8; 2] = [0x12, 0x34];
 const TO_PROXY: [u8; 2] = *b"AB";
 
 /// Types of packets, as the first byte of their payload.
-pub mod kind {
+pub mod packet_type {
     /// Proxy: a request.
     pub const FORWARD_REQUEST: u8 = 2;
     /// Server: a piece of the body.
@@ -42,7 +42,7 @@
 
 /// Which way a packet goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the proxy to the server.
     ToServer,
     /// From the server to the proxy.
@@ -51,16 +51,19 @@
 
 /// What can't be read, and at which byte of the packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("byte {at}: {what}")]
-pub struct Fault {
+#[error("byte {offset}: {reason}")]
+pub struct DecodeError {
     /// Offset in the packet, its magic included.
-    pub at: usize,
+    pub offset: usize,
     /// What is wrong there.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
 
-fn fault<T>(at: usize, what: &'static str) -> Result<T, Fault> {
-    Err(Fault { at, what })
+fn fault<T>(at: usize, what: &'static str) -> Result<T, DecodeError> {
+    Err(DecodeError {
+        offset: at,
+        reason: what,
+    })
 }
 
 /// Looks at the front of the bytes: the place of a whole packet's payload, or none where more has to come. A packet
@@ -68,8 +71,12 @@
 ///
 /// # Errors
 /// On a wrong magic or a length beyond the packet size: nothing after it can be read.
-pub fn packet(bytes: &[u8], way: Way, most: usize) -> Result<Option<Range<usize>>, Fault> {
-    let magic = if way == Way::ToServer {
+pub fn parse_packet(
+    bytes: &[u8],
+    way: Direction,
+    most: usize,
+) -> Result<Option<Range<usize>>, DecodeError> {
+    let magic = if way == Direction::ToServer {
         TO_SERVER
     } else {
         TO_PROXY
@@ -81,14 +88,17 @@
             Some(_) => {}
         }
     }
-    let Some(length) = bytes.get(2..HEAD).and_then(|b| b.first_chunk::<2>()) else {
+    let Some(length) = bytes
+        .get(2..HEADER_BYTES)
+        .and_then(|b| b.first_chunk::<2>())
+    else {
         return Ok(None);
     };
-    let whole = HEAD + usize::from(u16::from_be_bytes(*length));
+    let whole = HEADER_BYTES + usize::from(u16::from_be_bytes(*length));
     if whole > most {
         return fault(2, "the packet is larger than the packet size");
     }
-    Ok((bytes.len() >= whole).then_some(HEAD..whole))
+    Ok((bytes.len() >= whole).then_some(HEADER_BYTES..whole))
 }
 
 /// Reads a payload from its front.
@@ -103,11 +113,11 @@
     }
 
     fn place(&self) -> usize {
-        HEAD + self.at
+        HEADER_BYTES + self.at
     }
 
     #[inline]
-    fn byte(&mut self) -> Result<u8, Fault> {
+    fn byte(&mut self) -> Result<u8, DecodeError> {
         let Some(&byte) = self.bytes.get(self.at) else {
             return fault(self.place(), "the packet ends where a byte is needed");
         };
@@ -116,7 +126,7 @@
     }
 
     #[inline]
-    fn int(&mut self) -> Result<u16, Fault> {
+    fn int(&mut self) -> Result<u16, DecodeError> {
         let Some(pair) = self
             .bytes
             .get(self.at..)
@@ -130,7 +140,7 @@
 
     /// A string; none where its length says so.
     #[inline]
-    fn string(&mut self) -> Result<Option<&'a [u8]>, Fault> {
+    fn string(&mut self) -> Result<Option<&'a [u8]>, DecodeError> {
         let length = self.int()?;
         if length == 0xFFFF {
             return Ok(None);
@@ -139,7 +149,7 @@
     }
 
     #[inline]
-    fn text(&mut self, length: usize) -> Result<&'a [u8], Fault> {
+    fn text(&mut self, length: usize) -> Result<&'a [u8], DecodeError> {
         let Some(text) = self.bytes.get(self.at..self.at + length) else {
             return fault(self.place(), "a string goes on past its packet");
         };
@@ -158,7 +168,7 @@
         &mut self,
         places: &'h mut [Header<'a>],
         known: fn(u16) -> Option<&'static [u8]>,
-    ) -> Result<&'h [Header<'a>], Fault> {
+    ) -> Result<&'h [Header<'a>], DecodeError> {
         let at = self.place();
         let number = usize::from(self.int()?);
         let Some(places) = places.get_mut(..number) else {
@@ -168,9 +178,9 @@
             let at = self.place();
             let length = self.int()?;
             let name = if length & 0xFF00 == names::CODED {
-                known(length).ok_or(Fault {
-                    at,
-                    what: "an unknown header code",
+                known(length).ok_or(DecodeError {
+                    offset: at,
+                    reason: "an unknown header code",
                 })?
             } else {
                 self.text(usize::from(length))?
@@ -183,9 +193,12 @@
         Ok(places)
     }
 
-    fn needed(&mut self, what: &'static str) -> Result<&'a [u8], Fault> {
+    fn needed(&mut self, what: &'static str) -> Result<&'a [u8], DecodeError> {
         let at = self.place();
-        self.string()?.ok_or(Fault { at, what })
+        self.string()?.ok_or(DecodeError {
+            offset: at,
+            reason: what,
+        })
     }
 }
 
@@ -193,11 +206,11 @@
 pub type Header<'a> = (&'a [u8], &'a [u8]);
 
 /// An empty place for a header.
-pub const NO_HEADER: Header<'static> = (&[], &[]);
+pub const EMPTY_HEADER: Header<'static> = (&[], &[]);
 
 /// A forward request as it stands in its packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Forward<'a, 'h> {
+pub struct ForwardRequest<'a, 'h> {
     /// The method, also where it came as an attribute.
     pub method: &'a [u8],
     /// Such as `HTTP/1.1`.
@@ -245,7 +258,7 @@
 const STORED_METHOD: u8 = 13;
 const END: u8 = 0xFF;
 
-fn attribute<'a>(reader: &mut Reader<'a>) -> Result<Option<Attribute<'a>>, Fault> {
+fn attribute<'a>(reader: &mut Reader<'a>) -> Result<Option<Attribute<'a>>, DecodeError> {
     let at = reader.place();
     Ok(Some(match reader.byte()? {
         END => return Ok(None),
@@ -261,14 +274,14 @@
     }))
 }
 
-impl<'a, 'h> Forward<'a, 'h> {
+impl<'a, 'h> ForwardRequest<'a, 'h> {
     /// Reads the payload of a forward request, its type included. The places for headers are the caller's.
     ///
     /// # Errors
     /// What can't be read and where. All of the payload has to be used up.
-    pub fn decode(payload: &'a [u8], headers: &'h mut [Header<'a>]) -> Result<Self, Fault> {
-        if payload.first() != Some(&kind::FORWARD_REQUEST) {
-            return fault(HEAD, "not a forward request");
+    pub fn decode(payload: &'a [u8], headers: &'h mut [Header<'a>]) -> Result<Self, DecodeError> {
+        if payload.first() != Some(&packet_type::FORWARD_REQUEST) {
+            return fault(HEADER_BYTES, "not a forward request");
         }
         let mut reader = Reader::new(payload, 1);
         let code = reader.byte()?;
@@ -302,7 +315,7 @@
             return fault(reader.place(), "bytes after the end of the request");
         }
         if method.is_empty() {
-            return fault(HEAD + 1, "a request without a method");
+            return fault(HEADER_BYTES + 1, "a request without a method");
         }
         Ok(Self {
             method,
@@ -340,9 +353,9 @@
 
 /// What the server sends, read from a payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reply<'a, 'h> {
+pub enum ServerPacket<'a, 'h> {
     /// Status, its message, and headers.
-    Headers {
+    SendHeaders {
         /// The status.
         status: u16,
         /// Its message.
@@ -351,34 +364,34 @@
         headers: &'h [Header<'a>],
     },
     /// A piece of the body.
-    Chunk(&'a [u8]),
+    SendBodyChunk(&'a [u8]),
     /// The end; true where the connection may be used again.
-    End(bool),
+    EndResponse(bool),
     /// So much more of the request's body is asked for.
-    GetBody(usize),
+    GetBodyChunk(usize),
     /// The answer to a ping.
-    Pong,
+    CPong,
 }
 
-impl<'a, 'h> Reply<'a, 'h> {
+impl<'a, 'h> ServerPacket<'a, 'h> {
     /// Reads the payload of a server's packet.
     ///
     /// # Errors
     /// What can't be read and where.
-    pub fn decode(payload: &'a [u8], headers: &'h mut [Header<'a>]) -> Result<Self, Fault> {
+    pub fn decode(payload: &'a [u8], headers: &'h mut [Header<'a>]) -> Result<Self, DecodeError> {
         let mut reader = Reader::new(payload, 0);
         let reply = match reader.byte()? {
-            kind::SEND_HEADERS => {
+            packet_type::SEND_HEADERS => {
                 let status = reader.int()?;
                 let message = reader.string()?.unwrap_or_default();
                 let headers = reader.headers(headers, names::response_header)?;
-                Reply::Headers {
+                ServerPacket::SendHeaders {
                     status,
                     message,
                     headers,
                 }
             }
-            kind::SEND_BODY_CHUNK => {
+            packet_type::SEND_BODY_CHUNK => {
                 let length = usize::from(reader.int()?);
                 let Some(data) = payload.get(reader.at..reader.at + length) else {
                     return fault(reader.place(), "a body chunk goes on past its packet");
@@ -388,12 +401,12 @@
                 if payload.get(reader.at) == Some(&0) {
                     reader.at += 1;
                 }
-                Reply::Chunk(data)
+                ServerPacket::SendBodyChunk(data)
             }
-            kind::END_RESPONSE => Reply::End(reader.byte()? == 1),
-            kind::GET_BODY_CHUNK => Reply::GetBody(usize::from(reader.int()?)),
-            kind::CPONG => Reply::Pong,
-            _ => return fault(HEAD, "an unknown type of packet"),
+            packet_type::END_RESPONSE => ServerPacket::EndResponse(reader.byte()? == 1),
+            packet_type::GET_BODY_CHUNK => ServerPacket::GetBodyChunk(usize::from(reader.int()?)),
+            packet_type::CPONG => ServerPacket::CPong,
+            _ => return fault(HEADER_BYTES, "an unknown type of packet"),
         };
         if reader.at != payload.len() {
             return fault(
@@ -409,7 +422,7 @@
 ///
 /// # Errors
 /// Where the length that it tells is not that of its data.
-pub fn body(payload: &[u8]) -> Result<&[u8], Fault> {
+pub fn decode_body(payload: &[u8]) -> Result<&[u8], DecodeError> {
     if payload.is_empty() {
         return Ok(payload);
     }
@@ -417,18 +430,21 @@
     let length = usize::from(reader.int()?);
     match payload.get(2..) {
         Some(data) if data.len() == length => Ok(data),
-        _ => fault(HEAD, "the length of a body packet is not that of its data"),
+        _ => fault(
+            HEADER_BYTES,
+            "the length of a body packet is not that of its data",
+        ),
     }
 }
 
 /// What is to be sent does not fit into a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0} bytes do not fit into one packet")]
-pub struct TooLarge(pub usize);
+pub struct PacketTooLarge(pub usize);
 
-fn open(out: &mut Vec<u8>, way: Way) -> usize {
+fn open(out: &mut Vec<u8>, way: Direction) -> usize {
     let start = out.len();
-    out.extend_from_slice(if way == Way::ToServer {
+    out.extend_from_slice(if way == Direction::ToServer {
         &TO_SERVER
     } else {
         &TO_PROXY
@@ -438,13 +454,16 @@
 }
 
 /// Writes the length of the packet that begins at `start`, or takes it back where it is too large.
-fn close(out: &mut Vec<u8>, start: usize, most: usize) -> Result<(), TooLarge> {
+fn close(out: &mut Vec<u8>, start: usize, most: usize) -> Result<(), PacketTooLarge> {
     let size = out.len() - start;
-    let Some(length) = u16::try_from(size - HEAD).ok().filter(|_| size <= most) else {
+    let Some(length) = u16::try_from(size - HEADER_BYTES)
+        .ok()
+        .filter(|_| size <= most)
+    else {
         out.truncate(start);
-        return Err(TooLarge(size));
+        return Err(PacketTooLarge(size));
     };
-    out[start + 2..start + HEAD].copy_from_slice(&length.to_be_bytes());
+    out[start + 2..start + HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
     Ok(())
 }
 
@@ -464,7 +483,7 @@
 
 /// A request to be sent.
 #[derive(Debug, Clone, Default)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The path.
@@ -489,10 +508,14 @@
 ///
 /// # Errors
 /// Where it does not fit into a packet; nothing is appended then.
-pub fn push_forward(out: &mut Vec<u8>, request: &Outgoing, most: usize) -> Result<(), TooLarge> {
-    let start = open(out, Way::ToServer);
+pub fn push_forward_request(
+    out: &mut Vec<u8>,
+    request: &OutgoingRequest,
+    most: usize,
+) -> Result<(), PacketTooLarge> {
+    let start = open(out, Direction::ToServer);
     let code = names::method_code(request.method.as_bytes());
-    out.extend_from_slice(&[kind::FORWARD_REQUEST, code.unwrap_or(END)]);
+    out.extend_from_slice(&[packet_type::FORWARD_REQUEST, code.unwrap_or(END)]);
     push_string(out, Some(b"HTTP/1.1"));
     push_string(out, Some(request.uri.as_bytes()));
     push_string(out, Some(request.remote_addr.as_bytes()));
@@ -529,9 +552,9 @@
     out: &mut Vec<u8>,
     headers: &[(&str, &str)],
     code: fn(&[u8]) -> Option<u16>,
-) -> Result<(), TooLarge> {
-    if headers.len() > MOST_HEADERS {
-        return Err(TooLarge(headers.len()));
+) -> Result<(), PacketTooLarge> {
+    if headers.len() > MAX_HEADERS {
+        return Err(PacketTooLarge(headers.len()));
     }
     push_int(out, headers.len() as u16);
     for (name, value) in headers {
@@ -548,8 +571,8 @@
 ///
 /// # Errors
 /// Where the data do not fit into a packet.
-pub fn push_body(out: &mut Vec<u8>, data: &[u8], most: usize) -> Result<(), TooLarge> {
-    let start = open(out, Way::ToServer);
+pub fn push_body(out: &mut Vec<u8>, data: &[u8], most: usize) -> Result<(), PacketTooLarge> {
+    let start = open(out, Direction::ToServer);
     if !data.is_empty() {
         push_int(out, data.len().min(0xFFFF) as u16);
         out.extend_from_slice(data);
@@ -559,12 +582,12 @@
 
 /// Appends a ping.
 pub fn push_cping(out: &mut Vec<u8>) {
-    out.extend_from_slice(&[0x12, 0x34, 0, 1, kind::CPING]);
+    out.extend_from_slice(&[0x12, 0x34, 0, 1, packet_type::CPING]);
 }
 
 /// Appends the answer to a ping.
 pub fn push_cpong(out: &mut Vec<u8>) {
-    out.extend_from_slice(&[b'A', b'B', 0, 1, kind::CPONG]);
+    out.extend_from_slice(&[b'A', b'B', 0, 1, packet_type::CPONG]);
 }
 
 /// Appends status and headers.
@@ -577,9 +600,9 @@
     message: &str,
     headers: &[(&str, &str)],
     most: usize,
-) -> Result<(), TooLarge> {
-    let start = open(out, Way::ToProxy);
-    out.push(kind::SEND_HEADERS);
+) -> Result<(), PacketTooLarge> {
+    let start = open(out, Direction::ToProxy);
+    out.push(packet_type::SEND_HEADERS);
     push_int(out, status);
     push_string(out, Some(message.as_bytes()));
     if let Err(e) = push_headers(out, headers, names::response_header_code) {
@@ -590,10 +613,10 @@
 }
 
 /// Appends a body in as many chunks as it needs; an empty one needs none.
-pub fn push_chunks(out: &mut Vec<u8>, data: &[u8], most: usize) {
-    for piece in data.chunks(most.min(0xFFFF + HEAD) - CHUNK_OVERHEAD) {
-        let start = open(out, Way::ToProxy);
-        out.push(kind::SEND_BODY_CHUNK);
+pub fn push_body_chunks(out: &mut Vec<u8>, data: &[u8], most: usize) {
+    for piece in data.chunks(most.min(0xFFFF + HEADER_BYTES) - CHUNK_OVERHEAD) {
+        let start = open(out, Direction::ToProxy);
+        out.push(packet_type::SEND_BODY_CHUNK);
         push_int(out, piece.len() as u16);
         out.extend_from_slice(piece);
         out.push(0);
@@ -603,12 +626,12 @@
 }
 
 /// Appends the end of a response.
-pub fn push_end(out: &mut Vec<u8>, reuse: bool) {
-    out.extend_from_slice(&[b'A', b'B', 0, 2, kind::END_RESPONSE, u8::from(reuse)]);
+pub fn push_end_response(out: &mut Vec<u8>, reuse: bool) {
+    out.extend_from_slice(&[b'A', b'B', 0, 2, packet_type::END_RESPONSE, u8::from(reuse)]);
 }
 
 /// Appends the wish for so much more of a body.
 pub fn push_get_body(out: &mut Vec<u8>, length: usize) {
-    out.extend_from_slice(&[b'A', b'B', 0, 3, kind::GET_BODY_CHUNK]);
+    out.extend_from_slice(&[b'A', b'B', 0, 3, packet_type::GET_BODY_CHUNK]);
     push_int(out, length.min(0xFFFF) as u16);
 }
--- a/crates/protocol/src/ajp/server/settings.rs
+++ b/crates/protocol/src/ajp/server/settings.rs
@@ -1,13 +1,13 @@
 //! What the connections of one AJP front share: limits, from paths to classes, and where a request's figures stand.
 
-use crate::ajp::table::Table;
+use crate::ajp::class_table::ClassTable;
 use cleatpulley_dispatcher::RequestHead;
 use cleatpulley_policy::interface::Micros;
 use std::sync::Arc;
 
 /// Where a figure of a request stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Source {
+pub enum ParameterSource {
     /// In the header of this name.
     Header(String),
     /// In the request attribute of this name; all others are passed over.
@@ -16,30 +16,30 @@
 
 /// Where the figures of a request stand, each where it was given a place.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct ParameterSources {
     /// The id, one for each try.
-    pub id: Option<Source>,
+    pub id: Option<ParameterSource>,
     /// When it came to the machine, in Unix milliseconds; believed of trusted proxies only.
-    pub door: Option<Source>,
+    pub received_at_ms: Option<ParameterSource>,
     /// Work to expect, in milliseconds on one core.
-    pub work_ms: Option<Source>,
+    pub work_ms: Option<ParameterSource>,
     /// Memory while held, in KB.
-    pub memory_kb: Option<Source>,
+    pub memory_kb: Option<ParameterSource>,
     /// The rank, from 0 to under 1.
-    pub rank: Option<Source>,
+    pub rank: Option<ParameterSource>,
     /// The caller's number.
-    pub caller: Option<Source>,
+    pub caller: Option<ParameterSource>,
     /// What it is about.
-    pub subject: Option<Source>,
+    pub subject: Option<ParameterSource>,
     /// What all tries of one request share.
-    pub key: Option<Source>,
+    pub key: Option<ParameterSource>,
 }
 
 /// The figures of a class's requests that nobody tells.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Defaults {
+pub struct ParameterDefaults {
     /// Work in microseconds; 0 for unknown.
-    pub work: Micros,
+    pub expected_work: Micros,
     /// Memory in KB.
     pub memory_kb: f64,
     /// The rank.
@@ -47,11 +47,11 @@
     /// The caller's number.
     pub caller: u64,
     /// A request without an id is not taken: a proxy that sends it again could not be told from a new one.
-    pub needs_id: bool,
+    pub requires_id: bool,
 }
 
 /// What finds the class of a request by more than its path.
-pub trait Lookup: std::fmt::Debug + Send + Sync {
+pub trait ClassLookup: std::fmt::Debug + Send + Sync {
     /// The class.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)>;
 
     /// Requests are to be sent on, with their heads.
-    fn relays(&self) -> bool;
+    fn forwards_requests(&self) -> bool;
 }
 
 /// What the connections of one front share.
@@ -70,21 +70,21 @@
     /// Bytes of the largest packet, both ways.
     pub packet_size: usize,
     /// Bytes of the largest body.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// A connection's first packet, and every packet that began, has to be whole after this time.
-    pub first_packet: Micros,
+    pub packet_timeout: Micros,
     /// The next piece of a body has to come within this time.
-    pub body: Micros,
+    pub body_timeout: Micros,
     /// A connection without a request is closed after this time.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// From paths to classes.
-    pub table: Table,
+    pub class_table: ClassTable,
     /// What finds classes instead of the table, where there is one.
-    pub lookup: Option<Arc<dyn Lookup>>,
+    pub class_lookup: Option<Arc<dyn ClassLookup>>,
     /// Where the figures stand.
-    pub figures: Figures,
+    pub parameter_sources: ParameterSources,
     /// What holds where they don't, by class.
-    pub defaults: Vec<Defaults>,
+    pub parameter_defaults: Vec<ParameterDefaults>,
     /// Mixed into the ids of requests that bring none.
-    pub seed: u64,
+    pub id_seed: u64,
 }
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -7,15 +7,15 @@
 /// A request, and its answer.
 pub const REQUEST: u8 = 0;
 /// The answer to a request, or an error that belongs to none.
-pub const ANSWER: u8 = 1;
+pub const RESPONSE: u8 = 1;
 /// Nobody waits for this stream any more.
 pub const CANCEL: u8 = 2;
 /// A health check.
-pub const CHECK: u8 = 6;
+pub const HEALTH_CHECK: u8 = 6;
 /// The answer to a health check.
-pub const HEALTH: u8 = 7;
+pub const HEALTH_RESPONSE: u8 = 7;
 /// No new request on this connection.
-pub const GOODBYE: u8 = 9;
+pub const GO_AWAY: u8 = 9;
 
 const SERVED: u8 = 0;
 const REFUSED: u8 = 1;
@@ -30,15 +30,15 @@
 const LARGEST_BODY: usize = 2_048;
 const LARGEST_RESULT: usize = 4_096;
 /// A key is no longer than this.
-pub const LONGEST_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// Memory booked for a request stays under this many KB.
 const MOST_MEMORY: f64 = 2_000.0;
 
 /// What stands at the front of the bytes read.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Parsed {
+pub enum ParsedFrame {
     /// Not all of it has come.
-    Short,
+    Incomplete,
     /// A whole frame of so many bytes.
     Frame {
         /// Its type.
@@ -49,43 +49,43 @@
         payload: Range<usize>,
     },
     /// The head of a frame with too large a payload.
-    Large {
+    Oversized {
         /// Its type.
         kind: u8,
         /// Its stream.
         stream: u32,
         /// Bytes of the whole frame.
-        whole: usize,
+        frame_bytes: usize,
     },
     /// A length that no frame has; nothing after it can be read.
-    Lost(usize),
+    InvalidLength(usize),
 }
 
 /// Looks at the front of the bytes.
 #[must_use]
-pub fn parse(bytes: &[u8]) -> Parsed {
+pub fn parse_frame(bytes: &[u8]) -> ParsedFrame {
     let Some(length) = bytes.first_chunk().map(|b| u32::from_be_bytes(*b) as usize) else {
-        return Parsed::Short;
+        return ParsedFrame::Incomplete;
     };
     if !LENGTHS.contains(&length) {
-        return Parsed::Lost(length);
+        return ParsedFrame::InvalidLength(length);
     }
     let (Some(&kind), Some(stream)) = (bytes.get(4), bytes.get(5..).and_then(|b| b.first_chunk()))
     else {
-        return Parsed::Short;
+        return ParsedFrame::Incomplete;
     };
     let (stream, whole) = (u32::from_be_bytes(*stream), 4 + length);
     if length - HEAD > LARGEST {
-        return Parsed::Large {
+        return ParsedFrame::Oversized {
             kind,
             stream,
-            whole,
+            frame_bytes: whole,
         };
     }
     if bytes.len() < whole {
-        return Parsed::Short;
+        return ParsedFrame::Incomplete;
     }
-    Parsed::Frame {
+    ParsedFrame::Frame {
         kind,
         stream,
         payload: 4 + HEAD..whole,
@@ -96,23 +96,23 @@
 #[derive(Debug, PartialEq)]
 pub struct Request<'a> {
     /// The class's name.
-    pub verb: &'a str,
+    pub class: &'a str,
     /// The id.
-    pub txn: RequestId,
+    pub id: RequestId,
     /// Arrival at the machine, on the Unix clock.
-    pub door: Micros,
+    pub received_at: Micros,
     /// The front end.
-    pub lb: u64,
+    pub caller: u64,
     /// Expected work.
-    pub cpu: Micros,
+    pub expected_work: Micros,
     /// Memory in KB.
-    pub ram: f64,
+    pub memory_kb: f64,
     /// Rank.
-    pub standing: f64,
+    pub rank: f64,
     /// A further try, or a second copy.
-    pub second: bool,
+    pub is_retry: bool,
     /// It names what it is about.
-    pub has_item: bool,
+    pub has_subject: bool,
     /// What all its tries share, where a field was named for it.
     pub key: Option<&'a [u8]>,
     /// The body.
@@ -124,7 +124,7 @@
 
 /// Takes the fields and the body apart.
 #[must_use]
-pub fn fields(payload: &[u8]) -> Option<(Fields<'_>, &[u8])> {
+pub fn parse_fields(payload: &[u8]) -> Option<(Fields<'_>, &[u8])> {
     let (&count, mut rest) = payload.split_first()?;
     let mut fields = Vec::with_capacity(usize::from(count));
     for _ in 0..count {
@@ -143,8 +143,8 @@
 
 /// Whether a payload begins with whole fields, of which none is needed.
 #[must_use]
-pub fn is_fields(payload: &[u8]) -> bool {
-    fields(payload).is_some()
+pub fn has_complete_fields(payload: &[u8]) -> bool {
+    parse_fields(payload).is_some()
 }
 
 impl<'a> Request<'a> {
@@ -153,7 +153,7 @@
     /// # Errors
     /// What is wrong with it, naming the field.
     pub fn decode(payload: &'a [u8], key_field: Option<&str>) -> Result<Self, String> {
-        let (fields, body) = fields(payload).ok_or("the payload ends within its fields")?;
+        let (fields, body) = parse_fields(payload).ok_or("the payload ends within its fields")?;
         // Guards against two values, of which the sender might mean the other.
         let twice = fields
             .iter()
@@ -205,23 +205,23 @@
             return Err("field `ram` is out of place: it must be above 0".to_owned());
         }
         let key = key_field.and_then(find);
-        if let Some(key) = key.filter(|key| key.is_empty() || key.len() > LONGEST_KEY) {
+        if let Some(key) = key.filter(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
             let name = key_field.unwrap_or_default();
             return Err(format!(
-                "field `{name}`: the key has {} bytes and not 1 to {LONGEST_KEY}",
+                "field `{name}`: the key has {} bytes and not 1 to {MAX_KEY_BYTES}",
                 key.len()
             ));
         }
         Ok(Self {
-            verb: need("verb")?,
-            txn: id.ok_or_else(|| format!("field `txn` is not 16 hex digits: {txn:?}"))?,
-            door: whole("door")?.saturating_mul(1_000),
-            lb: whole("lb")?,
-            cpu: (number("cpu", 1e9)? * 1_000.0) as Micros,
-            ram,
-            standing: number("standing", 1.0)?,
-            second,
-            has_item: find("item").is_some(),
+            class: need("verb")?,
+            id: id.ok_or_else(|| format!("field `txn` is not 16 hex digits: {txn:?}"))?,
+            received_at: whole("door")?.saturating_mul(1_000),
+            caller: whole("lb")?,
+            expected_work: (number("cpu", 1e9)? * 1_000.0) as Micros,
+            memory_kb: ram,
+            rank: number("standing", 1.0)?,
+            is_retry: second,
+            has_subject: find("item").is_some(),
             key: key.map(str::as_bytes),
             body,
         })
@@ -276,11 +276,11 @@
 }
 
 /// Appends the answer to a request. A result too large to be read is no answer: it becomes a failure.
-pub fn push_answer(out: &mut Vec<u8>, stream: u32, answer: &Response, value: Option<f64>) {
+pub fn push_response(out: &mut Vec<u8>, stream: u32, answer: &Response, value: Option<f64>) {
     let mut fields = feedback(value);
     match answer {
         Response::Served(body) if body.len() <= LARGEST_RESULT => {
-            push(out, ANSWER, stream, Some(SERVED), &fields, body);
+            push(out, RESPONSE, stream, Some(SERVED), &fields, body);
         }
         Response::Rejected {
             retry_after: later,
@@ -292,16 +292,16 @@
             if *last {
                 fields.push(("giveup", "1".to_owned()));
             }
-            push(out, ANSWER, stream, Some(REFUSED), &fields, &[]);
+            push(out, RESPONSE, stream, Some(REFUSED), &fields, &[]);
         }
         Response::Direct { body, .. } => {
             let body = &body[..body.len().min(LARGEST_RESULT)];
-            push(out, ANSWER, stream, Some(FAILED), &fields, body);
+            push(out, RESPONSE, stream, Some(FAILED), &fields, body);
         }
         Response::Invalid(fault) => {
             push(
                 out,
-                ANSWER,
+                RESPONSE,
                 stream,
                 Some(FAILED),
                 &fields,
@@ -309,21 +309,21 @@
             );
         }
         Response::Served(_) | Response::Failed | Response::Expired => {
-            push(out, ANSWER, stream, Some(FAILED), &fields, &[]);
+            push(out, RESPONSE, stream, Some(FAILED), &fields, &[]);
         }
     }
 }
 
 /// Appends an error that belongs to no request.
 pub fn push_error(out: &mut Vec<u8>, what: &str) {
-    push(out, ANSWER, 0, Some(FAILED), &[], what.as_bytes());
+    push(out, RESPONSE, 0, Some(FAILED), &[], what.as_bytes());
 }
 
 /// Appends the answer to a health check.
-pub fn push_health(out: &mut Vec<u8>, stream: u32, good: bool, value: Option<f64>) {
+pub fn push_health_response(out: &mut Vec<u8>, stream: u32, good: bool, value: Option<f64>) {
     push(
         out,
-        HEALTH,
+        HEALTH_RESPONSE,
         stream,
         Some(u8::from(!good)),
         &feedback(value),
@@ -332,8 +332,8 @@
 }
 
 /// Appends the word that no new request may come.
-pub fn push_goodbye(out: &mut Vec<u8>) {
-    push(out, GOODBYE, 0, None, &[], &[]);
+pub fn push_go_away(out: &mut Vec<u8>) {
+    push(out, GO_AWAY, 0, None, &[], &[]);
 }
 
 #[cfg(test)]
@@ -368,12 +368,15 @@
         let payload = with(&GOOD, &[0, 255, 10]);
         let request = Request::decode(&payload, None).expect("good");
         assert_eq!(
-            (request.verb, request.txn, request.lb),
+            (request.class, request.id, request.caller),
             ("checkout", 0x9b1f_03aa_5c7e_2d41, 4)
         );
-        assert_eq!((request.door, request.cpu), (1_764_576_000_123_000, 12_500));
         assert_eq!(
-            (request.ram, request.standing, request.has_item),
+            (request.received_at, request.expected_work),
+            (1_764_576_000_123_000, 12_500)
+        );
+        assert_eq!(
+            (request.memory_kb, request.rank, request.has_subject),
             (24.5, 0.625, true)
         );
         assert_eq!(request.body, [0, 255, 10]);
@@ -381,7 +384,7 @@
 
     #[test]
     fn a_key_is_read_from_the_field_that_was_named_for_it() {
-        let long = "k".repeat(LONGEST_KEY + 1);
+        let long = "k".repeat(MAX_KEY_BYTES + 1);
         for (key, good) in [("seat-7", true), ("", false), (long.as_str(), false)] {
             let mut fields = GOOD.to_vec();
             fields.push(("once", key));
@@ -404,9 +407,9 @@
             fields.remove(i);
             match Request::decode(&with(&fields, b""), None) {
                 Ok(request) => match *name {
-                    "item" => assert!(!request.has_item),
-                    "cpu" => assert_eq!(request.cpu, 0),
-                    name => assert_eq!((name, request.standing), ("standing", 0.0)),
+                    "item" => assert!(!request.has_subject),
+                    "cpu" => assert_eq!(request.expected_work, 0),
+                    name => assert_eq!((name, request.rank), ("standing", 0.0)),
                 },
                 Err(fault) => assert!(fault.contains(name), "{fault}"),
             }
@@ -426,14 +429,14 @@
             fields.push(("second", value));
             let payload = with(&fields, b"");
             match Request::decode(&payload, None) {
-                Ok(request) => assert!(good && request.second),
+                Ok(request) => assert!(good && request.is_retry),
                 Err(fault) => assert!(!good && fault.contains("`second`"), "{fault}"),
             }
         }
         assert!(
             !Request::decode(&with(&GOOD, b""), None)
                 .expect("good")
-                .second,
+                .is_retry,
             "absent means first"
         );
     }
@@ -478,14 +481,14 @@
         whole.extend_from_slice(&[REQUEST, 0, 0, 0, 9]);
         whole.extend_from_slice(&payload);
         for cut in 0..whole.len() {
-            assert_eq!(parse(&whole[..cut]), Parsed::Short);
+            assert_eq!(parse_frame(&whole[..cut]), ParsedFrame::Incomplete);
         }
-        let frame = Parsed::Frame {
+        let frame = ParsedFrame::Frame {
             kind: REQUEST,
             stream: 9,
             payload: 9..whole.len(),
         };
-        assert_eq!(parse(&[&whole[..], &[1, 2, 3]].concat()), frame);
+        assert_eq!(parse_frame(&[&whole[..], &[1, 2, 3]].concat()), frame);
         for cut in 0..payload.len() - 4 {
             assert!(Request::decode(&payload[..cut], None).is_err());
         }
@@ -494,30 +497,33 @@
     #[test]
     fn lengths_at_the_bounds() {
         let head = |length: u32| [&length.to_be_bytes()[..], &[6, 0, 0, 0, 1]].concat();
-        assert_eq!(parse(&head(4)), Parsed::Lost(4));
+        assert_eq!(parse_frame(&head(4)), ParsedFrame::InvalidLength(4));
         assert_eq!(
-            parse(&head(5)),
-            Parsed::Frame {
-                kind: CHECK,
+            parse_frame(&head(5)),
+            ParsedFrame::Frame {
+                kind: HEALTH_CHECK,
                 stream: 1,
                 payload: 9..9
             }
         );
         assert_eq!(
-            parse(&head(262_144)),
-            Parsed::Large {
-                kind: CHECK,
+            parse_frame(&head(262_144)),
+            ParsedFrame::Oversized {
+                kind: HEALTH_CHECK,
                 stream: 1,
-                whole: 262_148
+                frame_bytes: 262_148
             }
         );
-        assert_eq!(parse(&head(262_145)), Parsed::Lost(262_145));
+        assert_eq!(
+            parse_frame(&head(262_145)),
+            ParsedFrame::InvalidLength(262_145)
+        );
     }
 
     #[test]
     fn answers_carry_advice_and_the_free_value() {
         let mut out = Vec::new();
-        push_answer(
+        push_response(
             &mut out,
             3,
             &Response::Rejected {
@@ -530,15 +536,15 @@
             &[("feedback", "0.2500"), ("later", "2"), ("giveup", "1")],
             b"",
         );
-        assert_eq!(out[4..10], [ANSWER, 0, 0, 0, 3, REFUSED]);
+        assert_eq!(out[4..10], [RESPONSE, 0, 0, 0, 3, REFUSED]);
         assert_eq!(out[10..], fields);
         assert_eq!(out[..4], ((out.len() - 4) as u32).to_be_bytes());
         out.clear();
-        push_health(&mut out, 0, false, Some(3.0));
+        push_health_response(&mut out, 0, false, Some(3.0));
         assert_eq!(
             out[4..],
             [
-                &[HEALTH, 0, 0, 0, 0, 1][..],
+                &[HEALTH_RESPONSE, 0, 0, 0, 0, 1][..],
                 &with(&[("feedback", "3.0000")], b"")
             ]
             .concat()
--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -1,7 +1,7 @@
 //! A front end's connection that speaks frames: many requests open at once, told apart by their streams.
 
-use super::codec::{self, Parsed, Request};
-use crate::machine::{Context, Machine, Standing, Status};
+use super::codec::{self, ParsedFrame, Request};
+use crate::state_machine::{ConnectionState, ConnectionStateMachine, ConnectionStatus, Context};
 use cleatpulley_dispatcher::{ClientStream, IncomingRequest, RequestHead, Response};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
@@ -13,17 +13,17 @@
 /// A frame that began, or the first one of a connection, has to be whole after this time.
 const SILENCE: Micros = 2_000_000;
 /// After the word that no new request may come, the front end is left this long to close.
-pub const PARTING: Micros = 1_000_000;
+pub const DRAIN_TIMEOUT: Micros = 1_000_000;
 /// Runs of used streams that are remembered for each connection.
 const RUNS: usize = 64;
 
 /// What frames may say at a deployment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct FrameOptions {
     /// The field that keys stand in, if any.
     pub key_field: Option<String>,
     /// Front ends tell where nobody waits any more.
-    pub cancels: bool,
+    pub supports_cancel: bool,
 }
 
 /// The streams used on a connection, as runs of numbers: mostly one run.
@@ -59,14 +59,14 @@
 /// The connection.
 #[derive(Debug)]
 pub struct Connection {
-    status: Status,
+    status: ConnectionStatus,
     streams: Streams,
     open: BTreeSet<u32>,
     /// When the frame began of which a part is here.
     began: Option<Micros>,
     /// Bytes of a frame that is passed over.
     skip: usize,
-    terms: Rc<Terms>,
+    terms: Rc<FrameOptions>,
     /// Streams that nobody waits for any more, which is still to be told.
     cancelled: Vec<u32>,
     /// Requests are to be sent on: they are handed over as they came.
@@ -76,8 +76,12 @@
 impl Connection {
     /// One accepted now.
     #[must_use]
-    pub fn new(now: Micros, terms: Rc<Terms>) -> Self {
-        let (status, streams, open) = (Status::new(now), Streams::default(), BTreeSet::new());
+    pub fn new(now: Micros, terms: Rc<FrameOptions>) -> Self {
+        let (status, streams, open) = (
+            ConnectionStatus::new(now),
+            Streams::default(),
+            BTreeSet::new(),
+        );
         Self {
             status,
             streams,
@@ -92,7 +96,7 @@
 
     /// The same for a gateway, whose routes look for this host.
     #[must_use]
-    pub fn relaying(self, host: Rc<str>) -> Self {
+    pub fn with_relay_host(self, host: Rc<str>) -> Self {
         Self {
             relays: Some(host),
             ..self
@@ -115,7 +119,7 @@
                 self.fault(context, 0, &format!("stream {stream} was used before"), out);
             }
             // Guards against a client that goes on as if it had not been told to stop; one that writes slowly began before.
-            codec::REQUEST if matches!(self.status.standing, Standing::Parting(since) if began >= since + PARTING) =>
+            codec::REQUEST if matches!(self.status.state, ConnectionState::Draining(since) if began >= since + DRAIN_TIMEOUT) =>
             {
                 self.fault(
                     context,
@@ -132,11 +136,11 @@
                     match arrival(payload, stream, self.terms.key_field.as_deref(), context) {
                         Ok(mut arrival) => {
                             if let Some(host) = &self.relays {
-                                arrival.head = codec::fields(payload)
+                                arrival.head = codec::parse_fields(payload)
                                     .map(|(fields, _)| Box::new(head(host, &fields, payload)));
                             }
                             self.open.insert(stream);
-                            self.status.open += 1;
+                            self.status.open_requests += 1;
                             arrivals.push(arrival);
                         }
                         Err(what) => self.fault(context, stream, &what, out),
@@ -144,22 +148,22 @@
                 }
                 Err(what) => self.fault(context, stream, &what, out),
             },
-            codec::CANCEL if self.terms.cancels && stream == 0 => {
+            codec::CANCEL if self.terms.supports_cancel && stream == 0 => {
                 self.fault(context, 0, "nobody can have waited for stream 0", out);
             }
             // One whose answer crossed it, or that was never asked for, is nothing any more.
-            codec::CANCEL if self.terms.cancels => {
+            codec::CANCEL if self.terms.supports_cancel => {
                 if self.open.remove(&stream) {
-                    self.status.open -= 1;
+                    self.status.open_requests -= 1;
                     self.cancelled.push(stream);
                 }
                 if payload.is_none_or(|payload| !payload.is_empty()) {
                     self.fault(context, 0, "a word that nobody waits has no payload", out);
                 }
             }
-            codec::CHECK => {
-                codec::push_health(out, stream, context.good, context.feedback);
-                if !payload.is_some_and(codec::is_fields) {
+            codec::HEALTH_CHECK => {
+                codec::push_health_response(out, stream, context.is_healthy, context.feedback);
+                if !payload.is_some_and(codec::has_complete_fields) {
                     self.fault(context, 0, "a health check without fields", out);
                 }
             }
@@ -171,30 +175,30 @@
     /// nothing more is read from it. It is closed when its other requests are answered.
     fn fault(&mut self, context: &Context, stream: u32, what: &str, out: &mut Vec<u8>) {
         // Once a connection: the next faults come as fast as they can be sent.
-        if self.status.standing == Standing::Open {
-            tracing::warn!("front end connection {}: {what}", context.number);
+        if self.status.state == ConnectionState::Open {
+            tracing::warn!("front end connection {}: {what}", context.connection_id);
         }
         if stream == 0 {
             self.give_up(what, out);
         } else {
-            codec::push_answer(out, stream, &Response::Failed, None);
-            self.part(context, out);
+            codec::push_response(out, stream, &Response::Failed, None);
+            self.stop_accepting_requests(context, out);
         }
     }
 
     /// Nothing more is read; what is open is still answered.
     fn give_up(&mut self, what: &str, out: &mut Vec<u8>) {
         codec::push_error(out, what);
-        self.status.standing = Standing::Lost;
+        self.status.state = ConnectionState::Closing;
     }
 }
 
-impl Machine for Connection {
-    fn status(&self) -> &Status {
+impl ConnectionStateMachine for Connection {
+    fn status(&self) -> &ConnectionStatus {
         &self.status
     }
 
-    fn status_mut(&mut self) -> &mut Status {
+    fn status_mut(&mut self) -> &mut ConnectionStatus {
         &mut self.status
     }
 
@@ -209,7 +213,7 @@
         let mut whole = false;
         while used < input.len() {
             let rest = &input[used..];
-            if self.status.standing == Standing::Lost {
+            if self.status.state == ConnectionState::Closing {
                 used = input.len();
             } else if self.skip > 0 {
                 let passed = self.skip.min(rest.len());
@@ -219,9 +223,9 @@
                     (whole, self.began) = (true, None);
                 }
             } else {
-                match codec::parse(rest) {
-                    Parsed::Short => break,
-                    Parsed::Frame {
+                match codec::parse_frame(rest) {
+                    ParsedFrame::Incomplete => break,
+                    ParsedFrame::Frame {
                         kind,
                         stream,
                         payload,
@@ -236,15 +240,15 @@
                             arrivals,
                         );
                     }
-                    Parsed::Large {
+                    ParsedFrame::Oversized {
                         kind,
                         stream,
-                        whole,
+                        frame_bytes: whole,
                     } => {
                         self.skip = whole;
                         self.take_frame((kind, stream), None, context, out, arrivals);
                     }
-                    Parsed::Lost(length) => {
+                    ParsedFrame::InvalidLength(length) => {
                         self.fault(
                             context,
                             0,
@@ -256,18 +260,18 @@
             }
         }
         if whole {
-            self.status.spoken = true;
-            self.status.used = context.now;
-            self.status.waits = None;
+            self.status.has_received_message = true;
+            self.status.last_activity_at = context.now;
+            self.status.waiting_since = None;
         }
         if used < input.len() || self.skip > 0 {
-            self.status.waits = self.status.waits.or(Some(context.now));
+            self.status.waiting_since = self.status.waiting_since.or(Some(context.now));
             self.began = self.began.or(Some(context.now));
         }
         used
     }
 
-    fn answer(
+    fn respond(
         &mut self,
         context: &Context,
         stream: u32,
@@ -277,48 +281,48 @@
         if !self.open.remove(&stream) {
             return false;
         }
-        codec::push_answer(out, stream, answer, context.feedback);
+        codec::push_response(out, stream, answer, context.feedback);
         let refused = matches!(answer, Response::Rejected { .. });
         if refused && is_bug_injected(InjectedBug::ResponseSentTwice) {
-            codec::push_answer(out, stream, answer, context.feedback);
+            codec::push_response(out, stream, answer, context.feedback);
         }
-        self.status.open -=
+        self.status.open_requests -=
             usize::from(!(refused && is_bug_injected(InjectedBug::ConnectionSlotLeaked)));
-        self.status.used = context.now;
+        self.status.last_activity_at = context.now;
         true
     }
 
-    fn take_cancelled(&mut self) -> Vec<u32> {
+    fn take_cancelled_streams(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.cancelled)
     }
 
     fn deadline(&self) -> Option<Micros> {
-        let ends = self.status.standing == Standing::Lost;
+        let ends = self.status.state == ConnectionState::Closing;
         self.status
-            .waits
+            .waiting_since
             .filter(|_| !ends)
             .map(|since| since + SILENCE)
     }
 
-    fn expire(&mut self, context: &Context, out: &mut Vec<u8>) {
+    fn handle_timeout(&mut self, context: &Context, out: &mut Vec<u8>) {
         tracing::debug!(
             "front end connection {}: no whole frame in time",
-            context.number
+            context.connection_id
         );
         // One that was told to part knows that it is to end.
-        if self.status.standing == Standing::Open {
+        if self.status.state == ConnectionState::Open {
             self.give_up("no whole frame in time", out);
         }
-        self.status.standing = Standing::Lost;
+        self.status.state = ConnectionState::Closing;
     }
 
     /// Front ends learn it from the directory and from health checks; their requests are answered as before.
-    fn leave(&mut self, _: &Context, _: &mut Vec<u8>) {}
+    fn begin_shutdown(&mut self, _: &Context, _: &mut Vec<u8>) {}
 
-    fn part(&mut self, context: &Context, out: &mut Vec<u8>) {
-        if self.status.standing == Standing::Open {
-            codec::push_goodbye(out);
-            self.status.standing = Standing::Parting(context.now);
+    fn stop_accepting_requests(&mut self, context: &Context, out: &mut Vec<u8>) {
+        if self.status.state == ConnectionState::Open {
+            codec::push_go_away(out);
+            self.status.state = ConnectionState::Draining(context.now);
         }
     }
 }
@@ -351,21 +355,24 @@
     context: &Context,
 ) -> Result<IncomingRequest, String> {
     let request = Request::decode(payload, key_field)?;
-    let class = context.classes.iter().position(|name| name == request.verb);
+    let class = context
+        .class_names
+        .iter()
+        .position(|name| name == request.class);
     Ok(IncomingRequest {
         client: ClientStream {
-            connection: context.number,
+            connection: context.connection_id,
             stream,
         },
-        id: request.txn,
-        class: class.ok_or_else(|| format!("field `verb` names no class: {:?}", request.verb))?,
-        caller: request.lb,
-        received_at: request.door,
-        expected_work: request.cpu,
-        memory_kb: request.ram,
-        rank: request.standing,
-        is_retry: request.second,
-        has_subject: request.has_item,
+        id: request.id,
+        class: class.ok_or_else(|| format!("field `verb` names no class: {:?}", request.class))?,
+        caller: request.caller,
+        received_at: request.received_at,
+        expected_work: request.expected_work,
+        memory_kb: request.memory_kb,
+        rank: request.rank,
+        is_retry: request.is_retry,
+        has_subject: request.has_subject,
         key: request.key.map(Box::from),
         body: request.body.to_vec(),
         head: None,
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -8,17 +8,17 @@
 
 /// A whole reply.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// It says that nothing ran.
     pub not_run: bool,
     /// The connection ends with it.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// The body.
     pub body: Vec<u8>,
     /// Bytes it took.
-    pub size: usize,
+    pub length: usize,
 }
 
 /// Appends a request.
@@ -44,14 +44,14 @@
 ///
 /// # Errors
 /// Where no reply can be read.
-pub fn parse(bytes: &[u8], ended: bool) -> Result<Option<Reply>, String> {
+pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<Response>, String> {
     let mut passed = 0;
     loop {
         match parse_one(&bytes[passed..], ended)? {
-            Some(reply) if reply.status < 200 => passed += reply.size,
+            Some(reply) if reply.status < 200 => passed += reply.length,
             reply => {
-                return Ok(reply.map(|reply| Reply {
-                    size: passed + reply.size,
+                return Ok(reply.map(|reply| Response {
+                    length: passed + reply.length,
                     ..reply
                 }))
             }
@@ -62,7 +62,7 @@
     }
 }
 
-fn parse_one(bytes: &[u8], ended: bool) -> Result<Option<Reply>, String> {
+fn parse_one(bytes: &[u8], ended: bool) -> Result<Option<Response>, String> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let head = match response
@@ -102,12 +102,12 @@
         || response.version == Some(0)
         || find("Connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
     let not_run = find("X-Not-Run") == Some("1");
-    Ok(Some(Reply {
+    Ok(Some(Response {
         status,
         not_run,
-        closes,
+        closes_connection: closes,
         body: rest[..length].to_vec(),
-        size: head + length,
+        length: head + length,
     }))
 }
 
@@ -156,29 +156,29 @@
         let text = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 3\r\n\r\nabcHTTP";
         let whole = text.len() - 4;
         for cut in 0..whole {
-            assert_eq!(parse(&text[..cut], false), Ok(None));
+            assert_eq!(parse_response(&text[..cut], false), Ok(None));
         }
-        let reply = Reply {
+        let reply = Response {
             status: 503,
             not_run: true,
-            closes: false,
+            closes_connection: false,
             body: b"abc".to_vec(),
-            size: whole,
+            length: whole,
         };
-        assert_eq!(parse(text, false), Ok(Some(reply)));
+        assert_eq!(parse_response(text, false), Ok(Some(reply)));
     }
 
     #[test]
     fn without_a_length_the_body_ends_with_the_connection() {
         let text = b"HTTP/1.1 200 OK\r\n\r\nabc";
-        assert_eq!(parse(text, false), Ok(None));
-        let reply = parse(text, true).expect("a reply").expect("whole");
-        assert!(reply.closes && reply.body == b"abc");
+        assert_eq!(parse_response(text, false), Ok(None));
+        let reply = parse_response(text, true).expect("a reply").expect("whole");
+        assert!(reply.closes_connection && reply.body == b"abc");
         assert_eq!(
-            parse(b"HTTP/1.1 204 No\r\n\r\n", false)
+            parse_response(b"HTTP/1.1 204 No\r\n\r\n", false)
                 .expect("a reply")
                 .expect("whole")
-                .size,
+                .length,
             19
         );
     }
@@ -188,15 +188,17 @@
         let text = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n\
             HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         for cut in 0..text.len() {
-            assert_eq!(parse(&text[..cut], false), Ok(None), "{cut}");
+            assert_eq!(parse_response(&text[..cut], false), Ok(None), "{cut}");
         }
-        let reply = parse(text, false).expect("a reply").expect("whole");
+        let reply = parse_response(text, false)
+            .expect("a reply")
+            .expect("whole");
         assert_eq!(
-            (reply.status, &reply.body[..], reply.size),
+            (reply.status, &reply.body[..], reply.length),
             (200, &b"ok"[..], text.len())
         );
         let endless = b"HTTP/1.1 102 Processing\r\n\r\n".repeat(LARGEST_HEAD / 16);
-        assert!(parse(&endless, false).is_err());
+        assert!(parse_response(&endless, false).is_err());
     }
 
     #[test]
@@ -209,9 +211,13 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
             b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
         ] {
-            assert!(parse(text, true).is_err(), "{}", text.escape_ascii());
+            assert!(
+                parse_response(text, true).is_err(),
+                "{}",
+                text.escape_ascii()
+            );
         }
         let endless = [&b"HTTP/1.1 200 OK\r\nA: "[..], &[b'a'; LARGEST_HEAD]].concat();
-        assert!(parse(&endless, false).is_err());
+        assert!(parse_response(&endless, false).is_err());
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,6 +7,6 @@
 pub mod ajp;
 pub mod frame;
 pub mod http;
-pub mod line;
-pub mod machine;
-pub mod mgmt;
+pub mod management;
+pub mod runtime_line;
+pub mod state_machine;
--- a/crates/protocol/src/mgmt.rs
+++ b/crates/protocol/src/management.rs
@@ -5,30 +5,30 @@
 use std::io::Write;
 
 /// A call is whole within this time, or answered 408.
-pub const PATIENCE: Micros = 5_000_000;
+pub const REQUEST_TIMEOUT: Micros = 5_000_000;
 /// After the answer, what the caller still sends is read away for so long: closing over unread bytes would take back
 /// an answer on its way.
 const LINGER: Micros = 1_000_000;
 /// The longest head of a call.
-pub const LONGEST_HEAD: usize = 8_192;
+pub const MAX_HEAD_BYTES: usize = 8_192;
 const MOST_HEADERS: usize = 64;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
+pub enum Endpoint {
     /// Whether the process takes clients.
-    Ready,
+    Readiness,
     /// The figures.
-    Vars,
+    Variables,
 }
 
 /// What a process answers.
-pub trait Answers {
+pub trait ManagementData {
     /// It takes clients.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
 
     /// The figures, as JSON.
-    fn vars(&self) -> Vec<u8>;
+    fn variables_json(&self) -> Vec<u8>;
 }
 
 /// A caller's connection.
@@ -54,13 +54,13 @@
 
     /// Its one call has its answer.
     #[must_use]
-    pub fn answered(&self) -> bool {
+    pub fn has_responded(&self) -> bool {
         self.answered.is_some()
     }
 
     /// When it was accepted.
     #[must_use]
-    pub fn since(&self) -> Micros {
+    pub fn accepted_at(&self) -> Micros {
         self.since
     }
 
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn deadline(&self) -> Micros {
         self.answered
-            .map_or(self.since + PATIENCE, |at| at + LINGER)
+            .map_or(self.since + REQUEST_TIMEOUT, |at| at + LINGER)
     }
 
     /// Takes the bytes read so far and returns how many are used up. Whatever follows the call is thrown away.
@@ -77,9 +77,9 @@
         now: Micros,
         input: &[u8],
         out: &mut Vec<u8>,
-        answers: &dyn Answers,
+        answers: &dyn ManagementData,
     ) -> usize {
-        if self.answered() {
+        if self.has_responded() {
             return input.len();
         }
         // Guards against a head that comes byte by byte and is looked at whole for each.
@@ -88,13 +88,13 @@
         let blank = |bytes: &[u8]| {
             bytes.windows(2).any(|w| w == b"\n\n") || bytes.windows(3).any(|w| w == b"\n\r\n")
         };
-        if !blank(&input[from.min(input.len())..]) && input.len() <= LONGEST_HEAD {
+        if !blank(&input[from.min(input.len())..]) && input.len() <= MAX_HEAD_BYTES {
             return 0;
         }
         let (status, body) = match parse(input) {
-            Ok(Call::Ready) if answers.ready() => (200, b"{\"ready\":true}\n".to_vec()),
-            Ok(Call::Ready) => (503, b"{\"ready\":false}\n".to_vec()),
-            Ok(Call::Vars) => (200, answers.vars()),
+            Ok(Endpoint::Readiness) if answers.is_ready() => (200, b"{\"ready\":true}\n".to_vec()),
+            Ok(Endpoint::Readiness) => (503, b"{\"ready\":false}\n".to_vec()),
+            Ok(Endpoint::Variables) => (200, answers.variables_json()),
             Err((status, what)) => (status, format!("{what}\n").into_bytes()),
         };
         push_reply(out, status, &body, input.starts_with(b"HEAD "));
@@ -104,7 +104,7 @@
 
     /// Its time has passed: true where the connection is to be closed, and not to be read from any longer.
     pub fn expire(&mut self, now: Micros, out: &mut Vec<u8>) -> bool {
-        if !self.answered() {
+        if !self.has_responded() {
             push_reply(out, 408, b"no whole call came in time\n", false);
             self.answered = Some(now);
             return false;
@@ -114,18 +114,18 @@
 }
 
 /// The call that these bytes are; a fault is a status and what is wrong.
-fn parse(bytes: &[u8]) -> Result<Call, (u16, &'static str)> {
+fn parse(bytes: &[u8]) -> Result<Endpoint, (u16, &'static str)> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) if head <= LONGEST_HEAD => {}
+        Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => {}
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err((431, "the head is too long")),
         Err(_) => return Err((400, "this is no HTTP/1.1 request")),
     }
     let path = request.path.unwrap_or("").split('?').next().unwrap_or("");
     let call = match path {
-        "/_ready" => Call::Ready,
-        "/_vars" => Call::Vars,
+        "/_ready" => Endpoint::Readiness,
+        "/_vars" => Endpoint::Variables,
         _ => return Err((404, "there are /_ready and /_vars")),
     };
     match request.method {
@@ -162,12 +162,12 @@
 
     struct Fixed(bool);
 
-    impl Answers for Fixed {
-        fn ready(&self) -> bool {
+    impl ManagementData for Fixed {
+        fn is_ready(&self) -> bool {
             self.0
         }
 
-        fn vars(&self) -> Vec<u8> {
+        fn variables_json(&self) -> Vec<u8> {
             b"{}".to_vec()
         }
     }
@@ -192,7 +192,7 @@
                 0,
                 "{cut}"
             );
-            assert!(out.is_empty() && !connection.answered());
+            assert!(out.is_empty() && !connection.has_responded());
             assert_eq!(
                 connection.receive(2, text, &mut out, &Fixed(true)),
                 text.len()
@@ -220,7 +220,7 @@
             .contains("Allow: GET, HEAD"));
         assert_eq!(status(b"\x16\x03\x01\n\n"), "400");
         assert_eq!(
-            status(&[&b"GET /_vars HTTP/1.1\r\nA: "[..], &[b'a'; LONGEST_HEAD]].concat()),
+            status(&[&b"GET /_vars HTTP/1.1\r\nA: "[..], &[b'a'; MAX_HEAD_BYTES]].concat()),
             "431"
         );
         let headers = b"A: b\r\n".repeat(MOST_HEADERS + 1);
@@ -236,9 +236,9 @@
     #[test]
     fn a_call_that_does_not_come_is_given_up() {
         let (mut out, mut connection) = (Vec::new(), Connection::new(7));
-        assert_eq!(connection.deadline(), 7 + PATIENCE);
-        assert!(!connection.expire(7 + PATIENCE, &mut out));
+        assert_eq!(connection.deadline(), 7 + REQUEST_TIMEOUT);
+        assert!(!connection.expire(7 + REQUEST_TIMEOUT, &mut out));
         assert!(out.starts_with(b"HTTP/1.1 408 "));
-        assert!(connection.expire(7 + PATIENCE + LINGER, &mut out));
+        assert!(connection.expire(7 + REQUEST_TIMEOUT + LINGER, &mut out));
     }
 }
--- a/crates/protocol/src/line.rs
+++ b/crates/protocol/src/runtime_line.rs
@@ -9,37 +9,39 @@
 
 /// Writes the line of a start.
 #[must_use]
-pub fn start(id: RequestId, route: &str, body: &[u8]) -> Vec<u8> {
-    line(&json!({"t": "start", "rid": rid(id), "route": route, "b64": STANDARD.encode(body)}))
+pub fn encode_start(id: RequestId, route: &str, body: &[u8]) -> Vec<u8> {
+    line(
+        &json!({"t": "start", "rid": format_request_id(id), "route": route, "b64": STANDARD.encode(body)}),
+    )
 }
 
 /// Writes the line that hands over the reply to a call.
 #[must_use]
-pub fn give(id: RequestId, body: &[u8]) -> Vec<u8> {
-    line(&json!({"t": "give", "rid": rid(id), "b64": STANDARD.encode(body)}))
+pub fn encode_call_reply(id: RequestId, body: &[u8]) -> Vec<u8> {
+    line(&json!({"t": "give", "rid": format_request_id(id), "b64": STANDARD.encode(body)}))
 }
 
 /// Writes the line that leaves out a call.
 #[must_use]
-pub fn omit(id: RequestId, notice: u64) -> Vec<u8> {
-    line(&json!({"t": "omit", "rid": rid(id), "no": notice}))
+pub fn encode_call_omission(id: RequestId, notice: u64) -> Vec<u8> {
+    line(&json!({"t": "omit", "rid": format_request_id(id), "no": notice}))
 }
 
 /// Stops a run.
 #[must_use]
-pub fn stop(id: RequestId) -> Vec<u8> {
-    line(&json!({"t": "stop", "rid": rid(id)}))
+pub fn encode_stop(id: RequestId) -> Vec<u8> {
+    line(&json!({"t": "stop", "rid": format_request_id(id)}))
 }
 
 /// Writes the first line of a link.
 #[must_use]
-pub fn sync(notice: u64) -> Vec<u8> {
+pub fn encode_sync(notice: u64) -> Vec<u8> {
     line(&json!({"t": "sync", "no": notice}))
 }
 
 /// Writes the line that asks for the gauges.
 #[must_use]
-pub fn gauges(mark: u64) -> Vec<u8> {
+pub fn encode_gauges_request(mark: u64) -> Vec<u8> {
     line(&json!({"t": "gauges", "mark": mark.to_string()}))
 }
 
@@ -51,7 +53,7 @@
 
 /// An id as it stands on the sockets.
 #[must_use]
-pub fn rid(id: RequestId) -> String {
+pub fn format_request_id(id: RequestId) -> String {
     format!("{id:016x}")
 }
 
@@ -59,10 +61,11 @@
 #[derive(Debug, Deserialize)]
 pub struct Notice<'a> {
     /// Its kind.
-    #[serde(borrow)]
-    pub t: Cow<'a, str>,
+    #[serde(rename = "t", borrow)]
+    pub kind: Cow<'a, str>,
     /// Its number, where it has one.
-    pub no: Option<u64>,
+    #[serde(rename = "no")]
+    pub number: Option<u64>,
     #[serde(borrow)]
     rid: Option<Cow<'a, str>>,
     /// A state, an end or a command.
@@ -75,8 +78,8 @@
     #[serde(borrow)]
     mark: Option<Cow<'a, str>>,
     /// The gauges.
-    #[serde(default)]
-    pub v: Vec<f64>,
+    #[serde(rename = "v", default)]
+    pub gauges: Vec<f64>,
 }
 
 impl<'a> Notice<'a> {
@@ -92,7 +95,7 @@
     ///
     /// # Errors
     /// Where there is none.
-    pub fn request(&self) -> Result<RequestId, String> {
+    pub fn request_id(&self) -> Result<RequestId, String> {
         let text = self.rid.as_deref().unwrap_or_default();
         RequestId::from_str_radix(text, 16).map_err(|_| format!("rid {text:?} is no id"))
     }
@@ -109,13 +112,13 @@
 
     /// The time it tells.
     #[must_use]
-    pub fn time(&self) -> Micros {
+    pub fn duration(&self) -> Micros {
         (self.time_ms.max(0.0) * 1_000.0) as Micros
     }
 
     /// The mark of the gauges that it answers.
     #[must_use]
-    pub fn mark(&self) -> Option<u64> {
+    pub fn gauges_mark(&self) -> Option<u64> {
         self.mark.as_deref().and_then(|mark| mark.parse().ok())
     }
 }
--- a/crates/protocol/src/machine.rs
+++ b/crates/protocol/src/state_machine.rs
@@ -7,47 +7,50 @@
 
 /// How far a connection has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum ConnectionState {
     /// Requests are read.
     Open,
     /// No new request may come, which the peer was told at this time; it closes when all is answered, or we do.
-    Parting(Micros),
+    Draining(Micros),
     /// Nothing more can be read; it is closed when all is answered.
-    Lost,
+    Closing,
 }
 
 /// What the matcher has to know of a connection, whatever it speaks.
 #[derive(Debug, Clone)]
-pub struct Status {
+pub struct ConnectionStatus {
     /// How far it has come.
-    pub standing: Standing,
+    pub state: ConnectionState,
     /// Requests that were handed over and owe an answer.
-    pub open: usize,
+    pub open_requests: usize,
     /// When something whole last came or went.
-    pub used: Micros,
+    pub last_activity_at: Micros,
     /// Since when the rest of something is waited for, or the first message.
-    pub waits: Option<Micros>,
+    pub waiting_since: Option<Micros>,
     /// A whole message has come.
-    pub spoken: bool,
+    pub has_received_message: bool,
 }
 
-impl Status {
+impl ConnectionStatus {
     /// That of a connection accepted now.
     #[must_use]
     pub fn new(now: Micros) -> Self {
         Self {
-            standing: Standing::Open,
-            open: 0,
-            used: now,
-            waits: Some(now),
-            spoken: false,
+            state: ConnectionState::Open,
+            open_requests: 0,
+            last_activity_at: now,
+            waiting_since: Some(now),
+            has_received_message: false,
         }
     }
 
     /// Nothing is open on it and nothing on its way, though it has been used.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.standing == Standing::Open && self.spoken && self.waits.is_none() && self.open == 0
+        self.state == ConnectionState::Open
+            && self.has_received_message
+            && self.waiting_since.is_none()
+            && self.open_requests == 0
     }
 }
 
@@ -57,22 +60,22 @@
     /// The time.
     pub now: Micros,
     /// The number of the connection; never used again.
-    pub number: u64,
+    pub connection_id: u64,
     /// Names of the classes, by index.
-    pub classes: &'a [String],
+    pub class_names: &'a [String],
     /// Health checks are answered good.
-    pub good: bool,
+    pub is_healthy: bool,
     /// The free value that answers carry.
     pub feedback: Option<f64>,
 }
 
 /// A connection of the client side.
-pub trait Machine {
+pub trait ConnectionStateMachine {
     /// What the matcher has to know.
-    fn status(&self) -> &Status;
+    fn status(&self) -> &ConnectionStatus;
 
     /// The same, for the matcher's own bookkeeping: a pause of the machine is no silence of the peer.
-    fn status_mut(&mut self) -> &mut Status;
+    fn status_mut(&mut self) -> &mut ConnectionStatus;
 
     /// Takes what is whole from the front of the bytes read and returns how many it used up; the rest comes again
     /// with what follows it. Requests are handed over, answers that need none of them are appended to `out`.
@@ -85,28 +88,28 @@
     ) -> usize;
 
     /// Answers a request; false where the connection owes no answer on this stream.
-    fn answer(
+    fn respond(
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Response,
+        response: &Response,
         out: &mut Vec<u8>,
     ) -> bool;
 
     /// Streams on which requests were handed over and that nobody waits for any more, each told once: no answer is owed.
-    fn take_cancelled(&mut self) -> Vec<u32> {
+    fn take_cancelled_streams(&mut self) -> Vec<u32> {
         Vec::new()
     }
 
-    /// When [`expire`](Self::expire) is due, if nothing happens before.
+    /// When [`handle_timeout`](Self::handle_timeout) is due, if nothing happens before.
     fn deadline(&self) -> Option<Micros>;
 
     /// The deadline has passed: gives up what was waited for.
-    fn expire(&mut self, context: &Context, out: &mut Vec<u8>);
+    fn handle_timeout(&mut self, context: &Context, out: &mut Vec<u8>);
 
     /// The notice to leave has come: requests are still read, but the peer should go elsewhere.
-    fn leave(&mut self, context: &Context, out: &mut Vec<u8>);
+    fn begin_shutdown(&mut self, context: &Context, out: &mut Vec<u8>);
 
     /// No new request is taken from here on.
-    fn part(&mut self, context: &Context, out: &mut Vec<u8>);
+    fn stop_accepting_requests(&mut self, context: &Context, out: &mut Vec<u8>);
 }
--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -1,52 +1,54 @@
 //! The AJP codec and connections, driven by bytes and time alone.
 
 use cleatpulley_dispatcher::{IncomingRequest, Response};
+use cleatpulley_protocol::ajp::class_table::{ClassRoute, ClassTable};
 use cleatpulley_protocol::ajp::client::{
-    Client, Fate, Options, Request, Response as ClientResponse, PING_AFTER,
+    Client, ExecutionState, Options, Request, Response as ClientResponse, MIN_IDLE_BEFORE_PING,
 };
 use cleatpulley_protocol::ajp::codec::{self, *};
-use cleatpulley_protocol::ajp::server::{id_of, Connection, Defaults, Figures, Settings, Source};
-use cleatpulley_protocol::ajp::table::{Entry, Table};
-use cleatpulley_protocol::machine::{Context, Machine, Standing};
+use cleatpulley_protocol::ajp::server::{
+    parse_request_id, Connection, ParameterDefaults, ParameterSource, ParameterSources, Settings,
+};
+use cleatpulley_protocol::state_machine::{ConnectionState, ConnectionStateMachine, Context};
 use std::rc::Rc;
 
 const SECOND: u64 = 1_000_000;
 
 fn settings() -> Settings {
-    let header = |name: &str| Some(Source::Header(name.to_owned()));
-    let entry = |path: &str, class| Entry {
+    let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
+    let entry = |path: &str, class| ClassRoute {
         path: path.to_owned(),
         methods: vec!["POST".to_owned()],
         class,
     };
-    let defaults = |needs_id| Defaults {
-        work: 9_000,
+    let defaults = |needs_id| ParameterDefaults {
+        expected_work: 9_000,
         memory_kb: 30.0,
         rank: 0.5,
         caller: 7,
-        needs_id,
+        requires_id: needs_id,
     };
     Settings {
         secret: Some(b"pulley".to_vec()),
         packet_size: PACKET_SIZE,
-        max_body: 2_048,
-        first_packet: 2 * SECOND,
-        body: 2 * SECOND,
-        idle: 30 * SECOND,
-        table: Table::new(vec![entry("/look", 0), entry("/seat", 1)]).expect("good"),
-        lookup: None,
-        figures: Figures {
+        max_body_bytes: 2_048,
+        packet_timeout: 2 * SECOND,
+        body_timeout: 2 * SECOND,
+        idle_timeout: 30 * SECOND,
+        class_table: ClassTable::new(vec![entry("/look", 0), entry("/seat", 1)]).expect("good"),
+        class_lookup: None,
+        parameter_sources: ParameterSources {
             id: header("X-Id"),
-            door: header("X-Door"),
+            received_at_ms: header("X-Door"),
             work_ms: header("X-Work"),
             memory_kb: None,
-            rank: Some(Source::Attribute("rank".to_owned())),
+            rank: Some(ParameterSource::Attribute("rank".to_owned())),
             caller: header("X-Caller"),
             subject: header("X-Subject"),
             key: header("X-Key"),
         },
-        defaults: vec![defaults(false), defaults(true)],
-        seed: 5,
+        parameter_defaults: vec![defaults(false), defaults(true)],
+        id_seed: 5,
     }
 }
 
@@ -84,9 +86,9 @@
     fn tell<T>(&mut self, tell: impl FnOnce(&mut Connection, &Context, &mut Vec<u8>) -> T) -> T {
         let context = Context {
             now: self.now,
-            number: 3,
-            classes: &self.classes,
-            good: true,
+            connection_id: 3,
+            class_names: &self.classes,
+            is_healthy: true,
             feedback: self.feedback,
         };
         tell(&mut self.connection, &context, &mut self.out)
@@ -108,7 +110,7 @@
 
     fn answer(&mut self, answer: &Response) -> bool {
         let stream = self.arrivals.last().expect("a request").client.stream;
-        self.tell(|connection, context, out| connection.answer(context, stream, answer, out))
+        self.tell(|connection, context, out| connection.respond(context, stream, answer, out))
     }
 
     /// The answers sent so far, read by the client's side.
@@ -118,13 +120,13 @@
         let mut at = 0;
         let mut current = ClientResponse::default();
         while let Some(payload) =
-            codec::packet(&out[at..], Way::ToProxy, PACKET_SIZE).expect("a packet")
+            codec::parse_packet(&out[at..], Direction::ToProxy, PACKET_SIZE).expect("a packet")
         {
             let packet = &out[at..at + payload.end];
             at += payload.end;
-            let mut headers = [NO_HEADER; MOST_HEADERS];
-            match Reply::decode(&packet[payload], &mut headers).expect("a reply") {
-                Reply::Headers {
+            let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+            match ServerPacket::decode(&packet[payload], &mut headers).expect("a reply") {
+                ServerPacket::SendHeaders {
                     status, headers, ..
                 } => {
                     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
@@ -138,12 +140,12 @@
                         ..ClientResponse::default()
                     };
                 }
-                Reply::Chunk(data) => current.body.extend_from_slice(data),
-                Reply::End(reuse) => responses.push(ClientResponse {
+                ServerPacket::SendBodyChunk(data) => current.body.extend_from_slice(data),
+                ServerPacket::EndResponse(reuse) => responses.push(ClientResponse {
                     reuse,
                     ..std::mem::take(&mut current)
                 }),
-                Reply::GetBody(_) | Reply::Pong => {}
+                ServerPacket::GetBodyChunk(_) | ServerPacket::CPong => {}
             }
         }
         assert_eq!(at, out.len(), "nothing but whole packets is sent");
@@ -158,7 +160,7 @@
 }
 
 fn forward(uri: &str, headers: &[(&str, &str)]) -> Vec<u8> {
-    let request = Outgoing {
+    let request = OutgoingRequest {
         method: "POST",
         uri,
         remote_addr: "10.1.2.3",
@@ -166,10 +168,10 @@
         server_port: 80,
         secret: Some("pulley"),
         headers,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut out = Vec::new();
-    push_forward(&mut out, &request, PACKET_SIZE).expect("it fits");
+    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
     out
 }
 
@@ -205,14 +207,14 @@
     string(&mut packet, "name");
     string(&mut packet, "own");
     packet.extend_from_slice(&[11, 1, 0, 0xFF]);
-    let length = (packet.len() - HEAD) as u16;
+    let length = (packet.len() - HEADER_BYTES) as u16;
     packet[2..4].copy_from_slice(&length.to_be_bytes());
 
-    let payload = codec::packet(&packet, Way::ToServer, PACKET_SIZE)
+    let payload = codec::parse_packet(&packet, Direction::ToServer, PACKET_SIZE)
         .expect("good")
         .expect("whole");
-    let mut headers = [NO_HEADER; MOST_HEADERS];
-    let request = Forward::decode(&packet[payload], &mut headers).expect("good");
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+    let request = ForwardRequest::decode(&packet[payload], &mut headers).expect("good");
     assert_eq!(
         (request.method, request.uri),
         (&b"GET"[..], &b"/examples/numguess"[..])
@@ -235,22 +237,23 @@
     // Cut anywhere, and with any one byte changed: read or refused, never a panic.
     for cut in 0..packet.len() {
         assert_eq!(
-            codec::packet(&packet[..cut], Way::ToServer, PACKET_SIZE),
+            codec::parse_packet(&packet[..cut], Direction::ToServer, PACKET_SIZE),
             Ok(None),
             "{cut}"
         );
-        let mut headers = [NO_HEADER; MOST_HEADERS];
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         assert!(
-            cut <= HEAD || Forward::decode(&packet[HEAD..cut], &mut headers).is_err(),
+            cut <= HEADER_BYTES
+                || ForwardRequest::decode(&packet[HEADER_BYTES..cut], &mut headers).is_err(),
             "{cut}"
         );
     }
-    for at in HEAD..packet.len() {
+    for at in HEADER_BYTES..packet.len() {
         for value in [0, 1, 0x7F, 0xA0, 0xFE, 0xFF] {
             let mut changed = packet.clone();
             changed[at] = value;
-            let mut headers = [NO_HEADER; MOST_HEADERS];
-            let _ = Forward::decode(&changed[HEAD..], &mut headers);
+            let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+            let _ = ForwardRequest::decode(&changed[HEADER_BYTES..], &mut headers);
         }
     }
 }
@@ -258,74 +261,77 @@
 #[test]
 fn what_is_no_packet_is_refused_at_its_byte() {
     assert_eq!(
-        codec::packet(b"GET / HTTP", Way::ToServer, PACKET_SIZE)
+        codec::parse_packet(b"GET / HTTP", Direction::ToServer, PACKET_SIZE)
             .expect_err("http")
-            .at,
+            .offset,
         0
     );
     assert_eq!(
-        codec::packet(&[0x12, 0x35], Way::ToServer, PACKET_SIZE)
+        codec::parse_packet(&[0x12, 0x35], Direction::ToServer, PACKET_SIZE)
             .expect_err("magic")
-            .at,
+            .offset,
         1
     );
     assert_eq!(
-        codec::packet(b"AB\x00\x01\x09", Way::ToServer, PACKET_SIZE)
+        codec::parse_packet(b"AB\x00\x01\x09", Direction::ToServer, PACKET_SIZE)
             .expect_err("way")
-            .at,
+            .offset,
         0
     );
     let most = [0x12, 0x34, 0x1F, 0xFC];
-    assert_eq!(codec::packet(&most, Way::ToServer, PACKET_SIZE), Ok(None));
     assert_eq!(
-        codec::packet(&[0x12, 0x34, 0x1F, 0xFD], Way::ToServer, PACKET_SIZE)
+        codec::parse_packet(&most, Direction::ToServer, PACKET_SIZE),
+        Ok(None)
+    );
+    assert_eq!(
+        codec::parse_packet(&[0x12, 0x34, 0x1F, 0xFD], Direction::ToServer, PACKET_SIZE)
             .expect_err("size")
-            .at,
+            .offset,
         2
     );
     // A null path, a string without its zero, one past the packet, and more headers than are taken.
     let good = forward("/look", &[]);
     let place = good.windows(5).position(|w| w == b"/look").expect("there");
-    let mut headers = [NO_HEADER; MOST_HEADERS];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut null = good.clone();
     null[place - 2..place].copy_from_slice(&[0xFF, 0xFF]);
     assert_eq!(
-        Forward::decode(&null[HEAD..], &mut headers)
+        ForwardRequest::decode(&null[HEADER_BYTES..], &mut headers)
             .expect_err("null")
-            .what,
+            .reason,
         "a request without a path"
     );
     let mut open = good.clone();
     open[place + 5] = b'x';
-    let fault = Forward::decode(&open[HEAD..], &mut headers).expect_err("no zero");
+    let fault = ForwardRequest::decode(&open[HEADER_BYTES..], &mut headers).expect_err("no zero");
     assert_eq!(
-        (fault.at, fault.what),
+        (fault.offset, fault.reason),
         (place + 5, "a string without its closing zero")
     );
     let mut long = good;
     long[place - 2..place].copy_from_slice(&[0x7F, 0xFF]);
     assert_eq!(
-        Forward::decode(&long[HEAD..], &mut headers)
+        ForwardRequest::decode(&long[HEADER_BYTES..], &mut headers)
             .expect_err("past")
-            .what,
+            .reason,
         "a string goes on past its packet"
     );
-    let many: Vec<_> = (0..=MOST_HEADERS).map(|_| ("a", "b")).collect();
-    let request = Outgoing {
+    let many: Vec<_> = (0..=MAX_HEADERS).map(|_| ("a", "b")).collect();
+    let request = OutgoingRequest {
         method: "POST",
         uri: "/look",
         headers: &many,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut out = Vec::new();
-    assert!(push_forward(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
+    assert!(push_forward_request(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
     let big = "x".repeat(PACKET_SIZE);
-    let request = Outgoing {
+    let request = OutgoingRequest {
         method: "POST",
         uri: &big,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
-    assert!(push_forward(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
+    assert!(push_forward_request(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
 }
 
 #[test]
@@ -432,25 +438,25 @@
     let id = ("X-Id", "a");
     let with = |headers: &[(&str, &str)]| forward("/look", headers);
     let wrong_method = {
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "GET",
             uri: "/look",
             secret: Some("pulley"),
-            ..Outgoing::default()
+            ..OutgoingRequest::default()
         };
         let mut out = Vec::new();
-        push_forward(&mut out, &request, PACKET_SIZE).expect("it fits");
+        push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
         out
     };
     let secret = |secret: Option<&str>| {
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             uri: "/look",
             secret,
-            ..Outgoing::default()
+            ..OutgoingRequest::default()
         };
         let mut out = Vec::new();
-        push_forward(&mut out, &request, PACKET_SIZE).expect("it fits");
+        push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
         out
     };
     for (bytes, status) in [
@@ -503,7 +509,9 @@
         assert_eq!(responses.len(), 1, "{}", bytes.escape_ascii());
         assert_eq!(responses[0].status, status, "{}", bytes.escape_ascii());
         assert!(responses[0].not_run() && !responses[0].reuse);
-        assert!(peer.arrivals.is_empty() && peer.connection.status().standing == Standing::Lost);
+        assert!(
+            peer.arrivals.is_empty() && peer.connection.status().state == ConnectionState::Closing
+        );
         assert!(status != 405 || responses[0].header("Allow") == Some("POST"));
         // Nothing that follows is read as a request.
         peer.send(&with(&[]));
@@ -519,7 +527,7 @@
     ] {
         let mut peer = Peer::new();
         peer.send(bytes);
-        assert!(peer.out.is_empty() && peer.connection.status().standing == Standing::Lost);
+        assert!(peer.out.is_empty() && peer.connection.status().state == ConnectionState::Closing);
     }
 }
 
@@ -531,16 +539,16 @@
         ("X-Id", "b"),
         ("rank", "0.25"),
     ];
-    let request = Outgoing {
+    let request = OutgoingRequest {
         method: "POST",
         uri: "/look",
         secret: Some("pulley"),
         headers: &[("X-Id", "00000000000000a1")],
         attributes: &attributes,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut out = Vec::new();
-    push_forward(&mut out, &request, PACKET_SIZE).expect("it fits");
+    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
     let mut peer = Peer::new();
     peer.send(&out);
     assert_eq!((peer.arrivals[0].id, peer.arrivals[0].rank), (0xa1, 0.25));
@@ -572,44 +580,52 @@
     peer.send(&[0x12]);
     assert_eq!(peer.connection.deadline(), Some(since + 2 * SECOND));
     peer.now += SECOND;
-    peer.tell(cleatpulley_protocol::machine::Machine::expire);
+    peer.tell(cleatpulley_protocol::state_machine::ConnectionStateMachine::handle_timeout);
     assert_eq!(peer.status(), 408);
     assert_eq!(
         (
-            peer.connection.status().standing,
-            peer.connection.status().open
+            peer.connection.status().state,
+            peer.connection.status().open_requests
         ),
-        (Standing::Lost, 0)
+        (ConnectionState::Closing, 0)
     );
 }
 
 #[test]
 fn leaving_closes_idle_connections_answers_open_ones_and_leaves_pings_alone() {
-    let leave = |peer: &mut Peer| peer.tell(cleatpulley_protocol::machine::Machine::leave);
-    let part = |peer: &mut Peer| peer.tell(cleatpulley_protocol::machine::Machine::part);
+    let leave = |peer: &mut Peer| {
+        peer.tell(cleatpulley_protocol::state_machine::ConnectionStateMachine::begin_shutdown);
+    };
+    let part = |peer: &mut Peer| {
+        peer.tell(
+            cleatpulley_protocol::state_machine::ConnectionStateMachine::stop_accepting_requests,
+        );
+    };
     let ping = [0x12, 0x34, 0, 1, 10];
     // Idle: pinged before, closed now.
     let mut peer = Peer::new();
     peer.send(&ping);
     assert_eq!(std::mem::take(&mut peer.out), [b'A', b'B', 0, 1, 9]);
     leave(&mut peer);
-    assert_eq!(peer.connection.status().standing, Standing::Lost);
+    assert_eq!(peer.connection.status().state, ConnectionState::Closing);
     // New: a ping goes unanswered, a request is answered as the last.
     let mut peer = Peer::new();
     leave(&mut peer);
     peer.send(&ping);
-    assert!(peer.out.is_empty() && peer.connection.status().standing == Standing::Lost);
+    assert!(peer.out.is_empty() && peer.connection.status().state == ConnectionState::Closing);
     let mut peer = Peer::new();
     leave(&mut peer);
     peer.send(&forward("/look", &[]));
     part(&mut peer);
     assert!(peer.answer(&Response::Served(Vec::new())));
-    assert!(!peer.responses()[0].reuse && peer.connection.status().standing == Standing::Lost);
+    assert!(
+        !peer.responses()[0].reuse && peer.connection.status().state == ConnectionState::Closing
+    );
     // Half a body: read on until the end is near, then told that it never ran.
     let mut peer = Peer::new();
     peer.send(&forward("/look", &[("Content-Length", "9")]));
     leave(&mut peer);
-    assert_eq!(peer.connection.status().standing, Standing::Open);
+    assert_eq!(peer.connection.status().state, ConnectionState::Open);
     part(&mut peer);
     let response = peer.responses().remove(0);
     assert!(
@@ -625,7 +641,7 @@
     assert!(peer.answer(&Response::Served(b"1".to_vec())));
     let responses = peer.responses();
     assert!(responses.len() == 1 && !responses[0].reuse);
-    assert_eq!(peer.connection.status().standing, Standing::Lost);
+    assert_eq!(peer.connection.status().state, ConnectionState::Closing);
 }
 
 /// A recorded conversation of three requests, cut at every byte: what was whole before is handed over, in its order,
@@ -664,7 +680,7 @@
             handed_at.iter().filter(|end| **end <= cut).count(),
             "{cut}"
         );
-        assert_eq!(peer.connection.status().open, 0);
+        assert_eq!(peer.connection.status().open_requests, 0);
         assert!(
             peer.connection.deadline().is_some(),
             "it is given up in time"
@@ -674,9 +690,15 @@
 
 #[test]
 fn ids_are_hex_or_hashed() {
-    assert_eq!(id_of(b"9b1f03aa5c7e2d41"), 0x9b1f_03aa_5c7e_2d41);
-    assert_ne!(id_of(b"+b1f03aa5c7e2d41"), id_of(b"-b1f03aa5c7e2d41"));
-    assert_eq!(id_of(b"b8f6-uuid"), id_of(b"b8f6-uuid"));
+    assert_eq!(parse_request_id(b"9b1f03aa5c7e2d41"), 0x9b1f_03aa_5c7e_2d41);
+    assert_ne!(
+        parse_request_id(b"+b1f03aa5c7e2d41"),
+        parse_request_id(b"-b1f03aa5c7e2d41")
+    );
+    assert_eq!(
+        parse_request_id(b"b8f6-uuid"),
+        parse_request_id(b"b8f6-uuid")
+    );
 }
 
 #[test]
@@ -696,15 +718,19 @@
     };
     let mut out = Vec::new();
     client.request(0, &request, &mut out).expect("it fits");
-    assert_eq!(client.fate(1), Fate::NeverRan, "a byte of it is still here");
-    assert_eq!(client.fate(0), Fate::MayHaveRun);
+    assert_eq!(
+        client.execution_state(1),
+        ExecutionState::NeverRan,
+        "a byte of it is still here"
+    );
+    assert_eq!(client.execution_state(0), ExecutionState::MayHaveRun);
     peer.send(&out);
     assert_eq!(peer.arrivals[0].body, request.body);
     assert!(peer.answer(&Response::Served(vec![7; 20_000])));
     let reply = std::mem::take(&mut peer.out);
     let mut more = Vec::new();
     for cut in [1, 9_000, reply.len()] {
-        assert!(client.take().is_none());
+        assert!(client.take_response().is_none());
         let used = client.receive(0, &reply[..cut], &mut more).expect("good");
         if cut < reply.len() {
             // What was used up stays so: begin anew with a client that saw nothing.
@@ -722,7 +748,7 @@
                 .expect("it fits");
         }
     }
-    let response = client.take().expect("whole");
+    let response = client.take_response().expect("whole");
     assert!(
         response.status == 200
             && response.body == vec![7; 20_000]
@@ -732,15 +758,15 @@
     // Old: first a ping; until the pong nothing can have run.
     out.clear();
     client
-        .request(PING_AFTER, &request, &mut out)
+        .request(MIN_IDLE_BEFORE_PING, &request, &mut out)
         .expect("it fits");
     assert_eq!(out, [0x12, 0x34, 0, 1, 10]);
-    assert_eq!(client.fate(0), Fate::NeverRan);
+    assert_eq!(client.execution_state(0), ExecutionState::NeverRan);
     let mut sent = Vec::new();
     client
-        .receive(PING_AFTER, &[b'A', b'B', 0, 1, 9], &mut sent)
+        .receive(MIN_IDLE_BEFORE_PING, &[b'A', b'B', 0, 1, 9], &mut sent)
         .expect("a pong");
-    assert!(sent.len() > 2_000 && client.fate(0) == Fate::MayHaveRun);
+    assert!(sent.len() > 2_000 && client.execution_state(0) == ExecutionState::MayHaveRun);
     // A reply that ends short of what it told, and one where none is due.
     let mut short = Vec::new();
     push_send_headers(
@@ -751,9 +777,11 @@
         PACKET_SIZE,
     )
     .expect("it fits");
-    push_chunks(&mut short, b"eight by", PACKET_SIZE);
-    push_end(&mut short, true);
-    assert!(client.receive(PING_AFTER, &short, &mut sent).is_err());
+    push_body_chunks(&mut short, b"eight by", PACKET_SIZE);
+    push_end_response(&mut short, true);
+    assert!(client
+        .receive(MIN_IDLE_BEFORE_PING, &short, &mut sent)
+        .is_err());
     let mut idle = Client::new(
         Options {
             packet_size: PACKET_SIZE,
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -1,7 +1,8 @@
 //! The connections of clients and proxies. Accepting, connection slots, idle timeouts, overload,
 //! draining and lingering are the same for every protocol and live here; what the bytes mean is
 //! known to the
-//! [`Machine`](cleatpulley_protocol::machine::Machine) of each connection.
+//! [`ConnectionStateMachine`](cleatpulley_protocol::state_machine::ConnectionStateMachine) of each
+//! connection.
 //!
 //! | module | what it holds |
 //! | --- | --- |
@@ -208,7 +209,7 @@
                 .count(),
             connections: self.connections.len(),
             open_requests: connections
-                .map(|connection| connection.machine.status().open)
+                .map(|connection| connection.machine.status().open_requests)
                 .sum(),
         }
     }
@@ -265,7 +266,7 @@
         let output = connection.stream.output();
         let is_responded = connection
             .machine
-            .answer(&context, client.stream, response, output);
+            .respond(&context, client.stream, response, output);
         if !is_responded {
             return;
         }
@@ -306,7 +307,7 @@
         };
         let context = self.context.at(now, number);
         let next_action = connection.serve(&context, &mut self.arrivals);
-        if connection.machine.status().spoken {
+        if connection.machine.status().has_received_message {
             if let Some(admission) = &mut self.acceptor.admission {
                 admission.on_first_message(number);
             }
@@ -334,7 +335,7 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let cancelled = connection.machine.take_cancelled().into_iter();
+        let cancelled = connection.machine.take_cancelled_streams().into_iter();
         events.extend(cancelled.map(|stream| {
             Event::RequestCancelled(ClientStream {
                 connection: number,
@@ -384,7 +385,7 @@
             return;
         };
         self.acceptor.on_closed(number, connection.is_rejected);
-        if connection.machine.status().open > 0 {
+        if connection.machine.status().open_requests > 0 {
             events.push(Event::ConnectionLost(number));
         }
         self.tls.on_closed(number);
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -223,10 +223,10 @@
         }
         let context = self.context.at(now, number);
         if self.shutdown.has_begun {
-            machine.leave(&context, stream.output());
+            machine.begin_shutdown(&context, stream.output());
         }
         if self.shutdown.is_stop_near {
-            machine.part(&context, stream.output());
+            machine.stop_accepting_requests(&context, stream.output());
         }
         let connection = ClientConnection::new(stream, machine, known, false);
         self.connections.insert(number, connection);
@@ -245,7 +245,7 @@
         let AcceptedConnection {
             number, mut stream, ..
         } = accepted;
-        machine.part(&self.context.at(now, number), stream.output());
+        machine.stop_accepting_requests(&self.context.at(now, number), stream.output());
         if (accepted.is_short_of_descriptors || is_stuck) && known == TrustLevel::Unknown {
             // Nothing is read of it: its requests have failed, and are not rejected. For a known
             // client the reserved descriptor is worth having.
@@ -271,7 +271,9 @@
         // loses nothing.
         let has_pending = |connection: &ClientConnection<H>| {
             let is_unread = !connection.is_lingering() && !connection.stream.is_drained();
-            connection.machine.status().open > 0 || connection.stream.unsent() > 0 || is_unread
+            connection.machine.status().open_requests > 0
+                || connection.stream.unsent() > 0
+                || is_unread
         };
         let oldest = self
             .connections
@@ -302,9 +304,10 @@
             let connection = connections.get(&number);
             connection.is_some_and(|connection| {
                 let status = connection.machine.status();
-                let is_unused =
-                    connection.is_lingering() || !status.spoken || status.waits.is_none();
-                status.open == 0 && is_unused
+                let is_unused = connection.is_lingering()
+                    || !status.has_received_message
+                    || status.waiting_since.is_none();
+                status.open_requests == 0 && is_unused
             })
         };
         match admission.decide(now, address, slot_count, may_lose_slot) {
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -6,8 +6,8 @@
 use cleatpulley_connection_admission::decision::TrustLevel;
 use cleatpulley_dispatcher::IncomingRequest;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::frame::connection::PARTING;
-use cleatpulley_protocol::machine::{Context, Standing};
+use cleatpulley_protocol::frame::connection::DRAIN_TIMEOUT;
+use cleatpulley_protocol::state_machine::{ConnectionState, Context};
 use std::io;
 
 /// Bytes read from a connection in one iteration, so that a busy client blocks nobody.
@@ -135,43 +135,45 @@
     /// Asks the client to close where no request is on its way. Guards a request that is being
     /// written: the client could only send it again.
     pub(super) fn send_away(&mut self, context: &Context) {
-        let has_request_on_its_way = self.machine.status().waits.is_some();
+        let has_request_on_its_way = self.machine.status().waiting_since.is_some();
         if self.is_open_and_used() && !has_request_on_its_way && !self.is_lingering() {
-            self.machine.part(context, self.stream.output());
+            self.machine
+                .stop_accepting_requests(context, self.stream.output());
         }
     }
 
     /// Returns true where the connection was used and not asked to close yet.
     pub(super) fn is_open_and_used(&self) -> bool {
         let status = self.machine.status();
-        status.standing == Standing::Open && status.spoken
+        status.state == ConnectionState::Open && status.has_received_message
     }
 
     /// Returns true where the connection stays: it was not asked to close, nor is it lost.
     pub(super) fn is_open(&self) -> bool {
-        !self.is_lingering() && self.machine.status().standing == Standing::Open
+        !self.is_lingering() && self.machine.status().state == ConnectionState::Open
     }
 
     /// Returns true where a part of a message has arrived.
     fn has_partial_message(&self) -> bool {
         let status = self.machine.status();
-        status.waits.is_some() && (status.spoken || !self.stream.input.is_empty())
+        status.waiting_since.is_some()
+            && (status.has_received_message || !self.stream.input.is_empty())
     }
 
     /// Returns when the connection may give up its slot; none where it may not.
     pub(super) fn eviction_order(&self, now: Micros) -> Option<EvictionOrder> {
         let status = self.machine.status();
-        if status.open > 0 {
+        if status.open_requests > 0 {
             return None;
         }
-        let (rank, since) = match (self.lingering_since, status.standing) {
+        let (rank, since) = match (self.lingering_since, status.state) {
             (Some(since), _) => (EvictionRank::Lingering, since),
-            (None, Standing::Parting(since)) => (EvictionRank::Closing, since),
-            (None, Standing::Lost) => (EvictionRank::Closing, status.used),
-            (None, Standing::Open) if !status.spoken => {
-                (EvictionRank::Silent, status.waits.unwrap_or(now))
+            (None, ConnectionState::Draining(since)) => (EvictionRank::Closing, since),
+            (None, ConnectionState::Closing) => (EvictionRank::Closing, status.last_activity_at),
+            (None, ConnectionState::Open) if !status.has_received_message => {
+                (EvictionRank::Silent, status.waiting_since.unwrap_or(now))
             }
-            (None, Standing::Open) => return None,
+            (None, ConnectionState::Open) => return None,
         };
         (now >= since + MIN_SLOT_TIME).then_some(EvictionOrder { rank, since })
     }
@@ -180,17 +182,20 @@
     /// write side is to be closed.
     pub(super) fn is_finished(&self, now: Micros) -> bool {
         let status = self.machine.status();
-        let may_receive = match status.standing {
-            Standing::Open => !self.stream.ended,
-            Standing::Parting(since) if self.is_rejected => {
+        let may_receive = match status.state {
+            ConnectionState::Open => !self.stream.ended,
+            ConnectionState::Draining(since) if self.is_rejected => {
                 !self.stream.ended && now < since + REJECTED_LINGER_TIME
             }
             // A message of which a part had arrived by then has the machine's time to be complete.
-            Standing::Parting(since) => {
-                !self.stream.ended && (now < since + PARTING || self.has_partial_message())
+            ConnectionState::Draining(since) => {
+                !self.stream.ended && (now < since + DRAIN_TIMEOUT || self.has_partial_message())
             }
-            Standing::Lost => false,
+            ConnectionState::Closing => false,
         };
-        !self.is_lingering() && !may_receive && status.open == 0 && self.stream.unsent() == 0
+        !self.is_lingering()
+            && !may_receive
+            && status.open_requests == 0
+            && self.stream.unsent() == 0
     }
 }
--- a/crates/server/src/client_listener/client_protocol.rs
+++ b/crates/server/src/client_listener/client_protocol.rs
@@ -1,7 +1,7 @@
 //! The protocol spoken on a listening address, and the state machine of a connection there.
 
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::Machine;
+use cleatpulley_protocol::state_machine::ConnectionStateMachine;
 use cleatpulley_protocol::{ajp, frame};
 use std::net::IpAddr;
 use std::ops::{Deref, DerefMut};
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 pub enum ClientProtocol {
     /// The frames of clients.
-    Frames(Rc<frame::connection::Terms>),
+    Frames(Rc<frame::connection::FrameOptions>),
     /// The frames of clients of a gateway, whose routes look for this host.
     Relayed(Rc<str>),
     /// AJP/1.3, and the addresses of the proxies whose time of receipt of a request is trusted.
@@ -27,7 +27,7 @@
             }
             Self::Relayed(host) => {
                 let connection = frame::connection::Connection::new(now, Rc::default());
-                ProtocolMachine::Frames(connection.relaying(Rc::clone(host)))
+                ProtocolMachine::Frames(connection.with_relay_host(Rc::clone(host)))
             }
             Self::Ajp(settings, trusted) => ProtocolMachine::Ajp(ajp::server::Connection::new(
                 Rc::clone(settings),
@@ -45,7 +45,7 @@
 }
 
 impl Deref for ProtocolMachine {
-    type Target = dyn Machine;
+    type Target = dyn ConnectionStateMachine;
 
     fn deref(&self) -> &Self::Target {
         match self {
--- a/crates/server/src/client_listener/draining.rs
+++ b/crates/server/src/client_listener/draining.rs
@@ -4,7 +4,7 @@
 use super::ClientListener;
 use crate::host::Host;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::{Context, Machine};
+use cleatpulley_protocol::state_machine::{ConnectionStateMachine, Context};
 
 impl<H: Host> ClientListener<H> {
     /// Lets another process accept from here on: clients are asked to close their connections, each
@@ -43,7 +43,7 @@
             return;
         }
         self.notify_all(now, |machine, context, output| {
-            machine.leave(context, output);
+            machine.begin_shutdown(context, output);
         });
     }
 
@@ -54,7 +54,7 @@
             return;
         }
         self.notify_all(now, |machine, context, output| {
-            machine.part(context, output);
+            machine.stop_accepting_requests(context, output);
         });
         self.set_all_acceptable();
     }
@@ -62,7 +62,7 @@
     fn notify_all(
         &mut self,
         now: Micros,
-        notify: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>),
+        notify: impl Fn(&mut dyn ConnectionStateMachine, &Context, &mut Vec<u8>),
     ) {
         for (&number, connection) in &mut self.connections {
             // Guards the last response on a connection whose write side is closed: one more message
--- a/crates/server/src/client_listener/eviction.rs
+++ b/crates/server/src/client_listener/eviction.rs
@@ -73,17 +73,18 @@
             let context = self.context.at(now, number);
             let machine = &mut *connection.machine;
             let output = connection.stream.output();
-            if was_paused && machine.status().waits.is_some() {
-                machine.status_mut().waits = Some(now);
+            if was_paused && machine.status().waiting_since.is_some() {
+                machine.status_mut().waiting_since = Some(now);
             }
             if machine.deadline().is_some_and(|deadline| now >= deadline) {
-                machine.expire(&context, output);
+                machine.handle_timeout(&context, output);
             }
             let status = machine.status();
             let idle_timeout = self.sweeper.idle_timeout;
-            let is_timed_out = idle_timeout.is_some_and(|timeout| now >= status.used + timeout);
+            let is_timed_out =
+                idle_timeout.is_some_and(|timeout| now >= status.last_activity_at + timeout);
             if status.is_idle() && is_timed_out {
-                machine.part(&context, output);
+                machine.stop_accepting_requests(&context, output);
             }
             if !connection.is_open() {
                 self.ready.push(number);
@@ -108,7 +109,7 @@
                 let context = self.context.at(now, number);
                 connection
                     .machine
-                    .part(&context, connection.stream.output());
+                    .stop_accepting_requests(&context, connection.stream.output());
             }
             self.ready.push(number);
         }
@@ -119,7 +120,8 @@
         let last_use_of_idle = |(number, connection): (&u64, &ClientConnection<H>)| {
             let status = connection.machine.status();
             let is_idle = !connection.is_lingering() && status.is_idle();
-            (is_idle && now >= status.used + RECENT_USE).then_some((status.used, *number))
+            (is_idle && now >= status.last_activity_at + RECENT_USE)
+                .then_some((status.last_activity_at, *number))
         };
         let mut idle: Vec<_> = self
             .connections
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -88,7 +88,7 @@
         let context = self.context.at(now, number);
         connection
             .machine
-            .part(&context, connection.stream.output());
+            .stop_accepting_requests(&context, connection.stream.output());
     }
 
     /// Forwards the requests that were read from a connection; those that the names of its
@@ -124,7 +124,7 @@
         for number in overdue {
             // Before its handshake has ended no request can be open on a connection.
             let connection = self.connections.get(&number);
-            if connection.is_some_and(|connection| connection.machine.status().open == 0) {
+            if connection.is_some_and(|connection| connection.machine.status().open_requests == 0) {
                 tracing::debug!("front end connection {number}: the handshake did not end in time");
                 self.close(number, events);
             }
--- a/crates/server/src/client_listener/machine_context.rs
+++ b/crates/server/src/client_listener/machine_context.rs
@@ -1,7 +1,7 @@
 //! What is passed to the machines of all connections.
 
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::machine::Context;
+use cleatpulley_protocol::state_machine::Context;
 
 /// What is passed to the machines of all connections.
 pub(super) struct MachineContext {
@@ -17,9 +17,9 @@
     pub(super) fn at(&self, now: Micros, number: u64) -> Context<'_> {
         Context {
             now,
-            number,
-            classes: &self.class_names,
-            good: self.is_healthy,
+            connection_id: number,
+            class_names: &self.class_names,
+            is_healthy: self.is_healthy,
             feedback: self.feedback,
         }
     }
--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -7,8 +7,8 @@
 use super::*;
 use crate::os_host::OsHost;
 use cleatpulley_protocol::frame;
-use cleatpulley_protocol::frame::connection::PARTING;
-use cleatpulley_protocol::machine::Standing;
+use cleatpulley_protocol::frame::connection::DRAIN_TIMEOUT;
+use cleatpulley_protocol::state_machine::ConnectionState;
 use std::net::TcpStream;
 
 const SECOND: Micros = 1_000_000;
@@ -66,7 +66,7 @@
 fn status(
     listener: &mut ClientListener<OsHost>,
     number: u64,
-) -> &mut cleatpulley_protocol::machine::Status {
+) -> &mut cleatpulley_protocol::state_machine::ConnectionStatus {
     listener
         .connections
         .get_mut(&number)
@@ -76,7 +76,8 @@
 }
 
 fn is_open(connection: &ClientConnection<OsHost>) -> bool {
-    connection.lingering_since.is_none() && connection.machine.status().standing == Standing::Open
+    connection.lingering_since.is_none()
+        && connection.machine.status().state == ConnectionState::Open
 }
 
 /// Guards against clients that take all slots and send nothing.
@@ -88,11 +89,11 @@
         [1, 2],
         "what was accepted just now keeps its place"
     );
-    status(&mut listener, 1).spoken = true;
+    status(&mut listener, 1).has_received_message = true;
     listener.poll(1 + ACCEPT_PAUSE, &mut Vec::new());
     assert_eq!(numbers(&listener), [1, 3]);
     // A request that is open is never given up for a place.
-    status(&mut listener, 3).open = 1;
+    status(&mut listener, 3).open_requests = 1;
     let _end = TcpStream::connect(_ends[0].peer_addr().expect("an address")).expect("it listens");
     listener.on_acceptable(0);
     listener.poll(SECOND, &mut Vec::new());
@@ -106,9 +107,13 @@
     let (_event_loop, mut listener, _ends) = connect_clients(9, 8);
     for (number, connection) in &mut listener.connections {
         let status = connection.machine.status_mut();
-        (status.spoken, status.waits, status.used) = (true, None, *number);
+        (
+            status.has_received_message,
+            status.waiting_since,
+            status.last_activity_at,
+        ) = (true, None, *number);
     }
-    status(&mut listener, 1).open = 1;
+    status(&mut listener, 1).open_requests = 1;
     listener.poll(SECOND, &mut Vec::new());
     let parting = |listener: &ClientListener<OsHost>| {
         let mut parting: Vec<_> = listener
@@ -229,7 +234,7 @@
     listener.poll(2, &mut events);
     listener.notify_stop(3);
     listener.poll(3, &mut events);
-    let late = 3 + PARTING + SWEEP_INTERVAL;
+    let late = 3 + DRAIN_TIMEOUT + SWEEP_INTERVAL;
     listener.poll(late, &mut events);
     listener.poll(late + 1, &mut events);
     assert!(
@@ -339,7 +344,7 @@
     );
     listener.flush(4, &mut events);
     let mut goodbye = Vec::new();
-    frame::codec::push_goodbye(&mut goodbye);
+    frame::codec::push_go_away(&mut goodbye);
     let mut got = vec![0; goodbye.len()];
     std::io::Read::read_exact(&mut end, &mut got).expect("a word");
     assert_eq!(got, goodbye);
@@ -351,8 +356,8 @@
 fn request_that_crosses_the_notice_to_close_is_accepted() {
     for before in [true, false] {
         let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
-        status(&mut listener, 1).spoken = true;
-        status(&mut listener, 1).waits = None;
+        status(&mut listener, 1).has_received_message = true;
+        status(&mut listener, 1).waiting_since = None;
         listener.set_idle_timeout(SECOND);
         let mut events = Vec::new();
         let idle = 1 + 2 * SECOND;
@@ -372,7 +377,7 @@
             listener.poll(idle + MIN_SLOT_TIME, &mut events);
         }
         assert_eq!(arrived(&events), [4]);
-        listener.poll(idle + 2 * PARTING, &mut events);
+        listener.poll(idle + 2 * DRAIN_TIMEOUT, &mut events);
         assert!(
             listener.connections[&1].lingering_since.is_none(),
             "an answer is owed"
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -284,7 +284,13 @@
         }
     }
 
-    fn on_reply(&mut self, now: Micros, number: u64, reply: http::Reply, events: &mut Vec<Event>) {
+    fn on_reply(
+        &mut self,
+        now: Micros,
+        number: u64,
+        reply: http::Response,
+        events: &mut Vec<Event>,
+    ) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -299,7 +305,7 @@
             (504, _) => Outcome::TimedOut,
             _ => Outcome::Failure,
         };
-        let is_reusable = !reply.closes
+        let is_reusable = !reply.closes_connection
             && connection.is_reusable()
             && connection.address == self.address
             && self.idle.len() < MAX_IDLE_CONNECTIONS;
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -6,8 +6,8 @@
 use crate::host::Host;
 use crate::socket_owner::SocketOwner;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::client::{self, Client, Fate};
-use cleatpulley_protocol::{http, line};
+use cleatpulley_protocol::ajp::client::{self, Client, ExecutionState};
+use cleatpulley_protocol::{http, runtime_line};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
@@ -86,7 +86,7 @@
     /// [`send_and_receive`](Self::send_and_receive).
     pub(super) fn start_call(&mut self, now: Micros, call: PendingCall) {
         let headers = [
-            ("X-For-Request", line::rid(call.id)),
+            ("X-For-Request", runtime_line::format_request_id(call.id)),
             ("X-Wait-Ms", call.remaining_millis(now).to_string()),
         ];
         let output = self.stream.output();
@@ -118,7 +118,7 @@
     /// # Errors
     /// Why the connection broke; [`InvalidData`](ErrorKind::InvalidData) where the reply is
     /// malformed.
-    pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+    pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Response>> {
         if !self.has_sent {
             self.stream.take_error()?;
         }
@@ -138,7 +138,7 @@
     }
 
     /// Takes the reply from what was read, once it is complete.
-    fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+    fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Response>> {
         let reply = match &mut self.protocol {
             ProtocolState::Http => take_http_reply(&mut self.stream),
             ProtocolState::Ajp(client) => take_ajp_reply(client, &mut self.stream, now),
@@ -168,17 +168,19 @@
     pub(super) fn has_call_never_run(&self) -> bool {
         match &self.protocol {
             ProtocolState::Http => false,
-            ProtocolState::Ajp(client) => client.fate(self.stream.unsent()) == Fate::NeverRan,
+            ProtocolState::Ajp(client) => {
+                client.execution_state(self.stream.unsent()) == ExecutionState::NeverRan
+            }
         }
     }
 }
 
 fn take_http_reply<H: Host>(
     stream: &mut BufferedConnection<H>,
-) -> Result<Option<http::Reply>, MalformedReply> {
-    let reply = http::parse(&stream.input, stream.ended).map_err(MalformedReply)?;
+) -> Result<Option<http::Response>, MalformedReply> {
+    let reply = http::parse_response(&stream.input, stream.ended).map_err(MalformedReply)?;
     if let Some(reply) = &reply {
-        stream.input.drain(..reply.size);
+        stream.input.drain(..reply.length);
     }
     Ok(reply)
 }
@@ -188,18 +190,18 @@
     client: &mut Client,
     stream: &mut BufferedConnection<H>,
     now: Micros,
-) -> Result<Option<http::Reply>, MalformedReply> {
+) -> Result<Option<http::Response>, MalformedReply> {
     let input = std::mem::take(&mut stream.input);
     let used = client.receive(now, &input, stream.output());
     stream.input = input;
     stream.consume(used.map_err(|error| MalformedReply(error.to_string()))?);
     // A connection that broke shows with the next use.
     let _ = stream.flush();
-    Ok(client.take().map(|reply| http::Reply {
+    Ok(client.take_response().map(|reply| http::Response {
         status: reply.status,
         not_run: reply.not_run(),
-        closes: !reply.reuse,
+        closes_connection: !reply.reuse,
         body: reply.body,
-        size: 0,
+        length: 0,
     }))
 }
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -9,7 +9,7 @@
 use crate::tls_layer::{TlsLayer, TlsState};
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::mgmt::{Answers, Connection};
+use cleatpulley_protocol::management::{Connection, ManagementData};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -112,7 +112,7 @@
     }
 
     /// Responds to requests, accepts, and closes. Returns true where there is more to do at once.
-    pub fn poll(&mut self, now: Micros, answers: &dyn Answers) -> bool {
+    pub fn poll(&mut self, now: Micros, answers: &dyn ManagementData) -> bool {
         for number in std::mem::take(&mut self.ready) {
             self.serve(now, number, answers);
         }
@@ -123,7 +123,7 @@
         self.is_acceptable && now >= self.accept_at
     }
 
-    fn expire(&mut self, now: Micros, answers: &dyn Answers) {
+    fn expire(&mut self, now: Micros, answers: &dyn ManagementData) {
         let expired: Vec<_> = self
             .connections
             .iter()
@@ -152,7 +152,7 @@
         deadlines.chain(is_delayed.then_some(self.accept_at)).min()
     }
 
-    fn accept(&mut self, now: Micros, answers: &dyn Answers) {
+    fn accept(&mut self, now: Micros, answers: &dyn ManagementData) {
         for _ in 0..MAX_ACCEPTS {
             if self.accept_next(now, answers).is_break() {
                 return;
@@ -160,7 +160,7 @@
         }
     }
 
-    fn accept_next(&mut self, now: Micros, answers: &dyn Answers) -> ControlFlow<()> {
+    fn accept_next(&mut self, now: Micros, answers: &dyn ManagementData) -> ControlFlow<()> {
         if !self.is_acceptable || now < self.accept_at {
             return ControlFlow::Break(());
         }
@@ -224,8 +224,8 @@
             return false;
         }
         let eviction_order = |(number, connection): (&u64, &OperatorConnection<H>)| {
-            let is_done = connection.protocol.answered() && connection.stream.unsent() == 0;
-            let is_evictable = is_done || now >= connection.protocol.since() + MIN_SLOT_TIME;
+            let is_done = connection.protocol.has_responded() && connection.stream.unsent() == 0;
+            let is_evictable = is_done || now >= connection.protocol.accepted_at() + MIN_SLOT_TIME;
             is_evictable.then_some((!is_done, *number))
         };
         let evictable = self.connections.iter().filter_map(eviction_order);
@@ -235,7 +235,7 @@
         self.connections.remove(&number).is_some()
     }
 
-    fn serve(&mut self, now: Micros, number: u64, answers: &dyn Answers) {
+    fn serve(&mut self, now: Micros, number: u64, answers: &dyn ManagementData) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -251,7 +251,7 @@
     fn serve(
         &mut self,
         now: Micros,
-        answers: &dyn Answers,
+        answers: &dyn ManagementData,
         tls: Option<&TlsState>,
     ) -> ControlFlow<()> {
         self.read(now, answers, tls)?;
@@ -259,7 +259,7 @@
             return ControlFlow::Break(());
         }
         let is_sent = self.stream.unsent() == 0;
-        let is_answered = self.protocol.answered();
+        let is_answered = self.protocol.has_responded();
         if is_answered && is_sent && !std::mem::replace(&mut self.is_finished, true) {
             self.stream.shutdown_write();
         }
@@ -274,7 +274,7 @@
     fn read(
         &mut self,
         now: Micros,
-        answers: &dyn Answers,
+        answers: &dyn ManagementData,
         tls: Option<&TlsState>,
     ) -> ControlFlow<()> {
         loop {
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -259,7 +259,8 @@
         if connection.report == ReportState::Idle {
             return Ok(!stream.ended && stream.input.is_empty());
         }
-        let response = http::parse(&stream.input, stream.ended).map_err(ReportError::Malformed)?;
+        let response =
+            http::parse_response(&stream.input, stream.ended).map_err(ReportError::Malformed)?;
         match response {
             Some(response) => self.on_response(index, &response),
             None if stream.ended => Err(ReportError::Closed),
@@ -267,16 +268,20 @@
         }
     }
 
-    fn on_response(&mut self, index: usize, response: &http::Reply) -> Result<bool, ReportError> {
+    fn on_response(
+        &mut self,
+        index: usize,
+        response: &http::Response,
+    ) -> Result<bool, ReportError> {
         let connection = &mut self.connections[index];
-        connection.stream.input.drain(..response.size);
+        connection.stream.input.drain(..response.length);
         let was_late = matches!(connection.report, ReportState::Late { .. });
         connection.report = ReportState::Idle;
         if response.status != NO_CONTENT {
             return Err(ReportError::Status(response.status));
         }
         // Bytes after a response belong to no report.
-        let is_spent = response.closes || !connection.stream.input.is_empty();
+        let is_spent = response.closes_connection || !connection.stream.input.is_empty();
         if !self.is_healthy && !was_late {
             tracing::info!("registry: reports count again");
             self.is_healthy = true;
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -13,7 +13,7 @@
 use crate::socket_owner::SocketOwner;
 use cleatpulley_dispatcher::{Event, RuntimeCommand};
 use cleatpulley_policy::interface::{Micros, RequestId};
-use cleatpulley_protocol::line;
+use cleatpulley_protocol::runtime_line;
 use outgoing::{OutgoingLine, OutgoingLines, SentCommand};
 use std::io;
 use std::net::SocketAddr;
@@ -157,25 +157,25 @@
     /// Starts a run.
     pub fn start(&mut self, id: RequestId, class: usize, body: &[u8]) {
         let class_name = self.class_names.get(class).map_or("", String::as_str);
-        let line = line::start(id, class_name, body);
+        let line = runtime_line::encode_start(id, class_name, body);
         self.push_command(line, id, RuntimeCommand::Start);
     }
 
     /// Resumes a run with the reply to its call.
     pub fn resume_with_reply(&mut self, id: RequestId, body: &[u8]) {
-        let line = line::give(id, body);
+        let line = runtime_line::encode_call_reply(id, body);
         self.push_command(line, id, RuntimeCommand::ResumeWithReply);
     }
 
     /// Resumes a run without making its call, which the runtime asked for with this notice.
     pub fn resume_without_call(&mut self, id: RequestId, notice: u64) {
-        let line = line::omit(id, notice);
+        let line = runtime_line::encode_call_omission(id, notice);
         self.push_command(line, id, RuntimeCommand::ResumeWithoutCall);
     }
 
     /// Stops a run.
     pub fn stop(&mut self, id: RequestId) {
-        self.push_command(line::stop(id), id, RuntimeCommand::Stop);
+        self.push_command(runtime_line::encode_stop(id), id, RuntimeCommand::Stop);
     }
 
     fn push_command(&mut self, line: Vec<u8>, id: RequestId, command: RuntimeCommand) {
@@ -192,7 +192,7 @@
         if self.is_ready() && self.outgoing.in_flight_count() < MAX_UNREAD_LINES {
             self.marks.last_sent += 1;
             self.outgoing.push(OutgoingLine {
-                line: line::gauges(self.marks.last_sent),
+                line: runtime_line::encode_gauges_request(self.marks.last_sent),
                 command: None,
                 mark: Some(self.marks.last_sent),
             });
@@ -258,7 +258,7 @@
             Ok(mut stream) => {
                 stream
                     .output()
-                    .extend_from_slice(&line::sync(self.last_notice));
+                    .extend_from_slice(&runtime_line::encode_sync(self.last_notice));
                 self.outgoing.on_connected(stream.unsent() as u64);
                 self.link = Some(Link {
                     stream,
--- a/crates/server/src/runtime_link/notices.rs
+++ b/crates/server/src/runtime_link/notices.rs
@@ -4,7 +4,7 @@
 use crate::host::Host;
 use cleatpulley_dispatcher::{Event, RuntimeCommand};
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome};
-use cleatpulley_protocol::line::{self, Notice};
+use cleatpulley_protocol::runtime_line::{self, Notice};
 
 /// A runtime whose uptime is smaller than before by more than this was restarted; a smaller
 /// difference is one of the clock.
@@ -61,14 +61,14 @@
 
     fn read_line(&mut self, line: &[u8], events: &mut Vec<Event>) -> Result<(), NoticeError> {
         let notice = Notice::decode(line)?;
-        if let Some(number) = notice.no {
+        if let Some(number) = notice.number {
             // A new link repeats notices that the old one may have carried.
             if number <= self.last_notice {
                 return Ok(());
             }
             self.last_notice = number;
         }
-        match &*notice.t {
+        match &*notice.kind {
             "ready" => self.on_ready(&notice, events),
             "end" => self.on_run_ended(&notice, events)?,
             "wants" => self.on_call_requested(&notice, events)?,
@@ -82,7 +82,7 @@
 
     /// The runtime is up and has answered `sync`.
     fn on_ready(&mut self, notice: &Notice, events: &mut Vec<Event>) {
-        let uptime = notice.time();
+        let uptime = notice.duration();
         tracing::info!("runtime: {}, up for {} ms", notice.status, uptime / 1_000);
         let previous_uptime = std::mem::replace(&mut self.uptime, uptime);
         if previous_uptime > uptime + RESTART_MARGIN {
@@ -109,7 +109,7 @@
         notice: &Notice,
         events: &mut Vec<Event>,
     ) -> Result<(), NoticeError> {
-        let id = notice.request()?;
+        let id = notice.request_id()?;
         let mut outcome = match &*notice.status {
             "fine" => Outcome::Success,
             "fault" => Outcome::Failure,
@@ -122,7 +122,7 @@
         };
         // A result that can't be read must reach no client, but the run is over all the same.
         let result = notice.body().unwrap_or_else(|error| {
-            tracing::warn!(request = %line::rid(id), %error, "runtime: a result is lost");
+            tracing::warn!(request = %runtime_line::format_request_id(id), %error, "runtime: a result is lost");
             outcome = Outcome::Failure;
             Vec::new()
         });
@@ -130,7 +130,7 @@
         events.push(Event::RunEnded {
             id,
             outcome,
-            elapsed: notice.time(),
+            elapsed: notice.duration(),
             result,
         });
         Ok(())
@@ -141,8 +141,8 @@
         notice: &Notice,
         events: &mut Vec<Event>,
     ) -> Result<(), NoticeError> {
-        let id = notice.request()?;
-        let number = notice.no.ok_or(NoticeError::CallWithoutNumber)?;
+        let id = notice.request_id()?;
+        let number = notice.number.ok_or(NoticeError::CallWithoutNumber)?;
         self.uncertain_commands.retain(|command| command.id != id);
         events.push(Event::CallRequested {
             id,
@@ -155,13 +155,13 @@
     fn on_gauges(&mut self, notice: &Notice, events: &mut Vec<Event>) {
         let find_gauge = |name: &str| {
             let index = self.gauge_names.iter().position(|gauge| gauge == name)?;
-            notice.v.get(index).copied()
+            notice.gauges.get(index).copied()
         };
         events.push(Event::Gauges(Gauges {
             runnable: find_gauge("runnable"),
             memory: find_gauge("mem_used"),
         }));
-        if let Some(mark) = notice.mark() {
+        if let Some(mark) = notice.gauges_mark() {
             self.confirm(mark, events);
         }
     }
@@ -185,7 +185,7 @@
 }
 
 fn on_command_rejected(notice: &Notice, events: &mut Vec<Event>) -> Result<(), NoticeError> {
-    let id = notice.request()?;
+    let id = notice.request_id()?;
     let command = match &*notice.status {
         "start" => RuntimeCommand::Start,
         "give" => RuntimeCommand::ResumeWithReply,
@@ -194,7 +194,7 @@
         other => return Err(NoticeError::UnknownCommand(other.to_owned())),
     };
     let name = &*notice.status;
-    tracing::warn!(command = name, request = %line::rid(id), "runtime: a command is rejected");
+    tracing::warn!(command = name, request = %runtime_line::format_request_id(id), "runtime: a command is rejected");
     events.push(Event::CommandRejected { id, command });
     Ok(())
 }
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -19,7 +19,7 @@
 use cleatpulley_dispatcher::key_table::KeyTable;
 use cleatpulley_dispatcher::{Dispatcher, IdempotencyKeys};
 use cleatpulley_policy::interface::Settings;
-use cleatpulley_protocol::frame::connection::Terms;
+use cleatpulley_protocol::frame::connection::FrameOptions;
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -185,9 +185,9 @@
 /// Returns the addresses that clients and proxies connect to, the one for frames first.
 fn client_addresses(options: &mut Options) -> Vec<ClientAddress> {
     let idempotency = options.idempotency.as_ref();
-    let terms = Terms {
+    let terms = FrameOptions {
         key_field: idempotency.and_then(|idempotency| idempotency.key_frame_field.clone()),
-        cancels: options.settings.reports_abandonment,
+        supports_cancel: options.settings.reports_abandonment,
     };
     let mut addresses = vec![ClientAddress {
         address: options.listen,
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -8,7 +8,7 @@
 use crate::tls_layer::TlsState;
 use cleatpulley_connection_admission::handshake::HandshakeScheduler;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::mgmt;
+use cleatpulley_protocol::management;
 
 impl<H: Host> Server<H> {
     /// Returns what it holds at this moment.
@@ -65,12 +65,12 @@
     }
 }
 
-impl<H: Host> mgmt::Answers for Server<H> {
-    fn ready(&self) -> bool {
+impl<H: Host> management::ManagementData for Server<H> {
+    fn is_ready(&self) -> bool {
         self.accepts_clients()
     }
 
-    fn vars(&self) -> Vec<u8> {
+    fn variables_json(&self) -> Vec<u8> {
         let client_listener = &self.adapters.client_listener;
         let admission = client_listener.admission();
         let tls_metrics = self
--- a/crates/simulator/src/inspector.rs
+++ b/crates/simulator/src/inspector.rs
@@ -50,7 +50,7 @@
             return;
         };
         call.input.extend_from_slice(bytes);
-        let reply = http::parse(&call.input, false);
+        let reply = http::parse_response(&call.input, false);
         if matches!(reply, Ok(None)) {
             return;
         }
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -18,8 +18,10 @@
 use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_policy::interface::{Effect as ClassEffect, Micros};
 use cleatpulley_policy::settings::SettingsDocument;
-use cleatpulley_protocol::ajp::server::{Defaults, Figures, Settings as AjpSettings, Source};
-use cleatpulley_protocol::ajp::table::{Entry, Table};
+use cleatpulley_protocol::ajp::class_table::{ClassRoute, ClassTable};
+use cleatpulley_protocol::ajp::server::{
+    ParameterDefaults, ParameterSource, ParameterSources, Settings as AjpSettings,
+};
 use cleatpulley_server::{
     dependency_pool::DependencyProtocol, AjpOptions, IdempotencyOptions, Options, Server,
     ServiceAddresses,
@@ -573,41 +575,41 @@
             .iter()
             .map(|class| class.effect != ClassEffect::Idempotent)
             .collect();
-        let route = |(class, name): (usize, &String)| Entry {
+        let route = |(class, name): (usize, &String)| ClassRoute {
             path: format!("/{name}"),
             methods: vec!["POST".to_owned()],
             class,
         };
-        let table = Table::new(class_names.iter().enumerate().map(route).collect());
-        let header = |name: &str| Some(Source::Header(name.to_owned()));
-        let default = |once: &bool| Defaults {
-            work: 0,
+        let table = ClassTable::new(class_names.iter().enumerate().map(route).collect());
+        let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
+        let default = |once: &bool| ParameterDefaults {
+            expected_work: 0,
             memory_kb: 20.0,
             rank: 0.5,
             caller: 0,
-            needs_id: *once,
+            requires_id: *once,
         };
         let ajp = AjpSettings {
             secret: None,
             packet_size: 8_192,
-            max_body: 2_048,
-            first_packet: 2 * SECOND,
-            body: 1_500 * MS,
-            idle: 30 * SECOND,
+            max_body_bytes: 2_048,
+            packet_timeout: 2 * SECOND,
+            body_timeout: 1_500 * MS,
+            idle_timeout: 30 * SECOND,
             // The paths are plain and differ.
-            table: table.unwrap_or_else(|(_, what)| panic!("routes: {what}")),
-            lookup: None,
-            figures: Figures {
+            class_table: table.unwrap_or_else(|(_, what)| panic!("routes: {what}")),
+            class_lookup: None,
+            parameter_sources: ParameterSources {
                 id: header("X-Request-Id"),
-                door: header("X-Door"),
+                received_at_ms: header("X-Door"),
                 work_ms: header("X-Work-Ms"),
                 rank: header("X-Rank"),
                 caller: header("X-Caller"),
                 key: header("Idempotency-Key"),
-                ..Figures::default()
+                ..ParameterSources::default()
             },
-            defaults: once.iter().map(default).collect(),
-            seed: self.plan.seed,
+            parameter_defaults: once.iter().map(default).collect(),
+            id_seed: self.plan.seed,
         };
         let bounds = KeyTableOptions {
             max_entries: if machine.renewed { 300 } else { 20_000 },
--- a/crates/simulator/src/rude.rs
+++ b/crates/simulator/src/rude.rs
@@ -4,8 +4,8 @@
 use crate::crowd::Refused;
 use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::codec::{push_forward, Outgoing, PACKET_SIZE};
-use cleatpulley_protocol::frame::codec::{self as frames, Parsed};
+use cleatpulley_protocol::ajp::codec::{push_forward_request, OutgoingRequest, PACKET_SIZE};
+use cleatpulley_protocol::frame::codec::{self as frames, ParsedFrame};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -122,15 +122,15 @@
             ("X-Request-Id", "00000000000000ff"),
             ("X-Door", "1"),
         ];
-        let request = Outgoing {
+        let request = OutgoingRequest {
             method: "POST",
             uri: "/claim-seat",
             headers: &headers,
-            ..Outgoing::default()
+            ..OutgoingRequest::default()
         };
         let mut bytes = Vec::new();
         // So few headers fit.
-        let _ = push_forward(&mut bytes, &request, PACKET_SIZE);
+        let _ = push_forward_request(&mut bytes, &request, PACKET_SIZE);
         bytes.extend_from_slice(&[0x12, 0x34, 0x01, 0xF6, 0x01, 0xF4]);
         bytes.extend_from_slice(&[b'.'; 300]);
         self.wanted.push(Wanted {
@@ -164,12 +164,12 @@
             return;
         };
         stranger.input.extend_from_slice(bytes);
-        let Parsed::Frame { kind, .. } = frames::parse(&stranger.input) else {
+        let ParsedFrame::Frame { kind, .. } = frames::parse_frame(&stranger.input) else {
             return;
         };
         stranger.told = true;
         let (matcher, lone) = (stranger.matcher, stranger.from == LONE);
-        if kind == frames::GOODBYE {
+        if kind == frames::GO_AWAY {
             stranger.back = None;
             if lone {
                 self.refused.push(Refused {
--- a/src/commands/ajp.rs
+++ b/src/commands/ajp.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley ajp`: asks a server by hand.
 
 use clap::{Args, Subcommand};
-use cleatpulley::protocol::ajp::client::{Client, Fate, Options, Request, Response};
+use cleatpulley::protocol::ajp::client::{Client, ExecutionState, Options, Request, Response};
 use cleatpulley::protocol::ajp::codec::PACKET_SIZE;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -161,13 +161,13 @@
     let mut input = Vec::new();
     let mut sent = line.stream.write_all(&out).map_err(|e| e.to_string());
     let response = loop {
-        if let Some(response) = line.client.take() {
+        if let Some(response) = line.client.take_response() {
             break response;
         }
         if let Err(fault) = sent.and_then(|()| line.read(&mut input)) {
-            let (word, code) = match line.client.fate(0) {
-                Fate::NeverRan => ("it never ran", NEVER_RAN),
-                Fate::MayHaveRun => ("it may have run", MAY_HAVE_RUN),
+            let (word, code) = match line.client.execution_state(0) {
+                ExecutionState::NeverRan => ("it never ran", NEVER_RAN),
+                ExecutionState::MayHaveRun => ("it may have run", MAY_HAVE_RUN),
             };
             eprintln!("cleatpulley: {fault}: {word}");
             return Ok(ExitCode::from(code));
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -2,8 +2,8 @@
 
 use clap::Subcommand;
 use cleatpulley::protocol::ajp::codec::{
-    push_chunks, push_end, push_forward, push_send_headers, Forward, Outgoing, HEAD, MOST_HEADERS,
-    NO_HEADER, PACKET_SIZE,
+    push_body_chunks, push_end_response, push_forward_request, push_send_headers, ForwardRequest,
+    OutgoingRequest, EMPTY_HEADER, HEADER_BYTES, MAX_HEADERS, PACKET_SIZE,
 };
 use cleatpulley_emulators::callers::{Front, Tally};
 use cleatpulley_emulators::matcher::Matcher;
@@ -111,18 +111,18 @@
 ];
 
 fn codec(short: &mut Vec<String>) {
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: "POST",
         uri: "/claim-seat",
         remote_addr: "127.0.0.1",
         server_name: "matcher.portmore.example.org",
         server_port: 80,
         headers: &HEADERS,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut packet = Vec::new();
     // The request is far smaller than a packet.
-    let _ = push_forward(&mut packet, &outgoing, PACKET_SIZE);
+    let _ = push_forward_request(&mut packet, &outgoing, PACKET_SIZE);
     let write_http = |out: &mut Vec<u8>| {
         let _ = out.write_all(b"POST /claim-seat HTTP/1.1\r\n");
         for (name, value) in HEADERS {
@@ -134,12 +134,12 @@
     write_http(&mut text);
     let (rounds, times) = (15, 40_000);
     let decode = best(rounds, times, || {
-        let mut headers = [NO_HEADER; MOST_HEADERS];
-        let request = Forward::decode(black_box(&packet[HEAD..]), &mut headers);
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let request = ForwardRequest::decode(black_box(&packet[HEADER_BYTES..]), &mut headers);
         black_box(request.map(|request| request.headers.len()).ok());
     });
     let parse = best(rounds, times, || {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let _ = black_box(request.parse(black_box(&text)));
         black_box(request.headers.len());
@@ -147,7 +147,7 @@
     let mut out = Vec::with_capacity(4_096);
     let encode = best(rounds, times, || {
         out.clear();
-        let _ = push_forward(black_box(&mut out), &outgoing, PACKET_SIZE);
+        let _ = push_forward_request(black_box(&mut out), &outgoing, PACKET_SIZE);
     });
     let write = best(rounds, times, || {
         out.clear();
@@ -160,8 +160,8 @@
             ("Content-Length", "25"),
         ];
         let _ = push_send_headers(black_box(&mut out), 200, "OK", &headers, PACKET_SIZE);
-        push_chunks(&mut out, b"grid of 9b1f03aa5c7e2d41.", PACKET_SIZE);
-        push_end(&mut out, true);
+        push_body_chunks(&mut out, b"grid of 9b1f03aa5c7e2d41.", PACKET_SIZE);
+        push_end_response(&mut out, true);
     });
     say!("codec, a request of 12 headers, best of {rounds} rounds of {times}:");
     say!(
@@ -287,14 +287,14 @@
         ("Content-Length", "2000"),
         ("X-Request-Id", "9b1f03aa5c7e2d41"),
     ];
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: "POST",
         uri: "/find-race",
         headers: &headers,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut half = Vec::new();
-    let _ = push_forward(&mut half, &outgoing, PACKET_SIZE);
+    let _ = push_forward_request(&mut half, &outgoing, PACKET_SIZE);
     let body = [&[0x12, 0x34, 0x03, 0xE8, 0x03, 0xE6][..], &[b'.'; 700]].concat();
     half.extend_from_slice(&body);
     let stalled = hold(to, 300, &half)?;
--- a/src/commands/upgrade.rs
+++ b/src/commands/upgrade.rs
@@ -184,7 +184,7 @@
     stream.write_all(&bytes)?;
     bytes.clear();
     stream.read_to_end(&mut bytes)?;
-    let reply = http::parse(&bytes, true).map_err(io::Error::other)?;
+    let reply = http::parse_response(&bytes, true).map_err(io::Error::other)?;
     reply
         .map(|reply| reply.status)
         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -13,10 +13,12 @@
 use cleatpulley_dispatcher::RequestHead;
 use cleatpulley_gateway::core::asked;
 use cleatpulley_policy::interface::{Effect, Micros};
+use cleatpulley_protocol::ajp::class_table::{ClassRoute, ClassTable};
 use cleatpulley_protocol::ajp::client;
-use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZES};
-use cleatpulley_protocol::ajp::server::{Defaults, Figures, Lookup, Settings, Source};
-use cleatpulley_protocol::ajp::table::{Entry, Table};
+use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZE_RANGE};
+use cleatpulley_protocol::ajp::server::{
+    ClassLookup, ParameterDefaults, ParameterSource, ParameterSources, Settings,
+};
 use cleatpulley_routes::table::Decision;
 use cleatpulley_server::{dependency_pool, AjpOptions, IdempotencyOptions};
 use jrsonnet_evaluator::error::Error as EvaluationError;
@@ -262,7 +264,7 @@
             .transpose()?;
         let ajp_key = ajp
             .as_ref()
-            .is_some_and(|ajp| ajp.settings.figures.key.is_some());
+            .is_some_and(|ajp| ajp.settings.parameter_sources.key.is_some());
         let admission = file
             .admission
             .map(|section| section.check(&config.name, folder))
@@ -404,13 +406,13 @@
 
 fn packet_size(key: &str, size: Option<usize>) -> Result<usize, Wrong> {
     let size = size.unwrap_or(PACKET_SIZE);
-    if !PACKET_SIZES.contains(&size) {
+    if !PACKET_SIZE_RANGE.contains(&size) {
         return wrong(
             key,
             format!(
                 "{size} is not within {} to {}",
-                PACKET_SIZES.start(),
-                PACKET_SIZES.end()
+                PACKET_SIZE_RANGE.start(),
+                PACKET_SIZE_RANGE.end()
             ),
         );
     }
@@ -425,7 +427,7 @@
     classes: Vec<String>,
 }
 
-impl Lookup for Imported {
+impl ClassLookup for Imported {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
         match self.table.decide(&asked).map_err(|what| (404, what))? {
@@ -440,7 +442,7 @@
         }
     }
 
-    fn relays(&self) -> bool {
+    fn forwards_requests(&self) -> bool {
         false
     }
 }
@@ -449,7 +451,7 @@
     file: &Path,
     listen: Option<String>,
     config: &Config,
-) -> Result<Arc<dyn Lookup>, Wrong> {
+) -> Result<Arc<dyn ClassLookup>, Wrong> {
     let fault = |what| ("routes_from".to_owned(), what);
     let routes = crate::nginx::load(file).map_err(fault)?;
     let table = cleatpulley_routes::table::Table::new(&routes).map_err(fault)?;
@@ -461,12 +463,13 @@
 }
 
 /// A header's name, or `attribute:` and the name of a request attribute.
-fn source(key: &str, text: Option<&String>) -> Result<Option<Source>, Wrong> {
+fn source(key: &str, text: Option<&String>) -> Result<Option<ParameterSource>, Wrong> {
     let Some(text) = text else { return Ok(None) };
-    let (name, source): (&str, fn(String) -> Source) = match text.strip_prefix("attribute:") {
-        Some(name) => (name, Source::Attribute),
-        None => (text, Source::Header),
-    };
+    let (name, source): (&str, fn(String) -> ParameterSource) =
+        match text.strip_prefix("attribute:") {
+            Some(name) => (name, ParameterSource::Attribute),
+            None => (text, ParameterSource::Header),
+        };
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || !name.chars().all(plain) {
         return wrong(
@@ -573,7 +576,7 @@
         let mut entries = Vec::new();
         for (i, route) in self.routes.into_iter().enumerate() {
             let class = class_of(&format!("routes[{i}].class"), &route.class)?;
-            entries.push(Entry {
+            entries.push(ClassRoute {
                 path: route.path,
                 methods: route.methods,
                 class,
@@ -587,7 +590,8 @@
             None if entries.is_empty() => return wrong("routes", "no path leads to a class"),
             None => None,
         };
-        let table = Table::new(entries).map_err(|(i, what)| (format!("routes[{i}].path"), what))?;
+        let table =
+            ClassTable::new(entries).map_err(|(i, what)| (format!("routes[{i}].path"), what))?;
         for name in self.classes.keys() {
             class_of(&format!("classes.{name}"), name)?;
         }
@@ -595,12 +599,13 @@
         for (name, class) in config.class_names.iter().zip(&config.settings.classes) {
             let own = self.classes.get(name).cloned().unwrap_or_default();
             let all = &self.defaults;
-            let found = Defaults {
-                work: (own.work_ms.or(all.work_ms).unwrap_or(0.0).max(0.0) * 1_000.0) as Micros,
+            let found = ParameterDefaults {
+                expected_work: (own.work_ms.or(all.work_ms).unwrap_or(0.0).max(0.0) * 1_000.0)
+                    as Micros,
                 memory_kb: own.memory_kb.or(all.memory_kb).unwrap_or(30.0),
                 rank: own.rank.or(all.rank).unwrap_or(0.5),
                 caller: own.caller.or(all.caller).unwrap_or(0),
-                needs_id: own
+                requires_id: own
                     .needs_id
                     .or(all.needs_id)
                     .unwrap_or(class.effect != Effect::Idempotent),
@@ -624,7 +629,7 @@
                     format!("{} is not from 0 to under 1", found.rank),
                 );
             }
-            if found.needs_id && self.figures.id.is_none() {
+            if found.requires_id && self.figures.id.is_none() {
                 let what = format!(
                     "class {name:?} has an effect and needs ids, but no header is named for them"
                 );
@@ -636,15 +641,15 @@
         let settings = Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("packet_size", self.packet_size)?,
-            max_body,
-            first_packet: time("first_packet", self.timeouts_ms.first_packet)?,
-            body,
-            idle: time("idle", self.timeouts_ms.idle)?,
-            table,
-            lookup,
-            figures: Figures {
+            max_body_bytes: max_body,
+            packet_timeout: time("first_packet", self.timeouts_ms.first_packet)?,
+            body_timeout: body,
+            idle_timeout: time("idle", self.timeouts_ms.idle)?,
+            class_table: table,
+            class_lookup: lookup,
+            parameter_sources: ParameterSources {
                 id: source("id", figures.id.as_ref())?,
-                door: source("door", figures.door.as_ref())?,
+                received_at_ms: source("door", figures.door.as_ref())?,
                 work_ms: source("work_ms", figures.work_ms.as_ref())?,
                 memory_kb: source("memory_kb", figures.memory_kb.as_ref())?,
                 rank: source("rank", figures.rank.as_ref())?,
@@ -652,8 +657,8 @@
                 subject: source("subject", figures.subject.as_ref())?,
                 key: source("key", figures.key.as_ref())?,
             },
-            defaults,
-            seed: config.seed,
+            parameter_defaults: defaults,
+            id_seed: config.seed,
         };
         Ok(AjpOptions {
             listen,
@@ -697,10 +702,10 @@
                     listen.join(", "),
                     if settings.secret.is_some() { "asked for" } else { "none" },
                     settings.packet_size,
-                    settings.max_body,
-                    ms(settings.first_packet),
-                    ms(settings.body),
-                    ms(settings.idle),
+                    settings.max_body_bytes,
+                    ms(settings.packet_timeout),
+                    ms(settings.body_timeout),
+                    ms(settings.idle_timeout),
                 )?;
             }
         }
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -6,9 +6,11 @@
 use cleatpulley_gateway::core::{Class, Settings};
 use cleatpulley_gateway::upstream::{Names, Speaks};
 use cleatpulley_gateway::{AnyPath, Options};
+use cleatpulley_protocol::ajp::class_table::ClassTable;
 use cleatpulley_protocol::ajp::client;
-use cleatpulley_protocol::ajp::server::{self, Defaults, Figures, Source};
-use cleatpulley_protocol::ajp::table::Table;
+use cleatpulley_protocol::ajp::server::{
+    self, ParameterDefaults, ParameterSource, ParameterSources,
+};
 use cleatpulley_routes::model::{Location, Routes, Step, CLASS};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -360,20 +362,20 @@
                 format!("{} is no loopback address, which takes a secret", listen[i]),
             );
         }
-        let header = |name: &str| Some(Source::Header(name.to_owned()));
+        let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
         let names = Names::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("ajp.packet_size", self.packet_size)?,
-            max_body: self.max_body,
-            first_packet: 2_000 * MS,
-            body: 2_000 * MS,
-            idle: 30_000 * MS,
-            table: Table::default(),
-            lookup: Some(Arc::new(AnyPath)),
-            figures: Figures {
+            max_body_bytes: self.max_body,
+            packet_timeout: 2_000 * MS,
+            body_timeout: 2_000 * MS,
+            idle_timeout: 30_000 * MS,
+            class_table: ClassTable::default(),
+            class_lookup: Some(Arc::new(AnyPath)),
+            parameter_sources: ParameterSources {
                 id: header(&names.id),
-                door: header(&self.door_header),
+                received_at_ms: header(&self.door_header),
                 work_ms: header(&names.work_ms),
                 memory_kb: header(&names.memory_kb),
                 rank: header(&names.rank),
@@ -381,14 +383,14 @@
                 subject: header(&names.subject),
                 key: None,
             },
-            defaults: vec![Defaults {
-                work: 0,
+            parameter_defaults: vec![ParameterDefaults {
+                expected_work: 0,
                 memory_kb: 30.0,
                 rank: 0.5,
                 caller: 0,
-                needs_id: false,
+                requires_id: false,
             }],
-            seed,
+            id_seed: seed,
         };
         Ok((listen, settings, self.trusted_proxies))
     }
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -1,8 +1,10 @@
 //! The AJP front of the program itself, against the stand-ins: what the rules ask when callers stall, cut, resend,
 //! and when the matcher has to leave. Judged from the stand-ins' books, not the matcher's.
 
-use cleatpulley::protocol::ajp::client::{Client, Fate, Options, Request, Response};
-use cleatpulley::protocol::ajp::codec::{push_body, push_forward, Outgoing, PACKET_SIZE};
+use cleatpulley::protocol::ajp::client::{Client, ExecutionState, Options, Request, Response};
+use cleatpulley::protocol::ajp::codec::{
+    push_body, push_forward_request, OutgoingRequest, PACKET_SIZE,
+};
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::host::look;
 use cleatpulley_emulators::matcher::Matcher;
@@ -83,7 +85,7 @@
         let mut input = Vec::new();
         let mut buffer = [0; 4_096];
         loop {
-            if let Some(response) = self.client.take() {
+            if let Some(response) = self.client.take_response() {
                 return Some(response);
             }
             match self.stream.read(&mut buffer) {
@@ -104,14 +106,14 @@
 }
 
 fn forward(path: &str, headers: &[(&str, &str)]) -> Vec<u8> {
-    let request = Outgoing {
+    let request = OutgoingRequest {
         method: "POST",
         uri: path,
         headers,
-        ..Outgoing::default()
+        ..OutgoingRequest::default()
     };
     let mut out = Vec::new();
-    push_forward(&mut out, &request, PACKET_SIZE).expect("it fits");
+    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
     out
 }
 
@@ -237,7 +239,7 @@
     first.send("/claim-seat", "00000000000000d1", b"seat");
     wait_until("it runs", || starts(&site) == 1);
     let Caller { stream, client } = first;
-    assert_eq!(client.fate(0), Fate::MayHaveRun);
+    assert_eq!(client.execution_state(0), ExecutionState::MayHaveRun);
     drop(stream);
     let mut second = Caller::connect(to);
     second.send("/claim-seat", "00000000000000d1", b"seat");
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,8 +10,8 @@
 use cleatpulley::dispatcher::KeyScope;
 use cleatpulley::interface::{DependencyLimit, Effect, FeedbackKind, Preemption};
 use cleatpulley::operator::{evaluate, fleet::Fleet, gateway, Operator};
-use cleatpulley::protocol::ajp::server::Source;
-use cleatpulley::protocol::mgmt::{Answers, Connection};
+use cleatpulley::protocol::ajp::server::ParameterSource;
+use cleatpulley::protocol::management::{Connection, ManagementData};
 use cleatpulley::server::dependency_pool::DependencyProtocol;
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
@@ -182,10 +182,10 @@
     assert_eq!(sections, BTreeSet::from(all));
     let operator = Operator::load(&file, &config()).expect("good");
     let ajp = operator.ajp.as_ref().expect("it is on");
-    let figures = &ajp.settings.figures;
-    let header = |name: &str| Some(Source::Header(name.to_owned()));
+    let figures = &ajp.settings.parameter_sources;
+    let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
     assert_eq!(
-        (&figures.id, &figures.door),
+        (&figures.id, &figures.received_at_ms),
         (&header("X-Request-Id"), &header("X-Door"))
     );
     assert_eq!(
@@ -196,12 +196,15 @@
         (&figures.rank, &figures.subject),
         (&header("X-Rank"), &header("X-Subject"))
     );
-    assert_eq!(figures.caller, Some(Source::Attribute("caller".to_owned())));
+    assert_eq!(
+        figures.caller,
+        Some(ParameterSource::Attribute("caller".to_owned()))
+    );
     assert_eq!(figures.key, header("Idempotency-Key"));
-    let defaults = &ajp.settings.defaults;
+    let defaults = &ajp.settings.parameter_defaults;
     let of = |class: usize| {
         (
-            defaults[class].work,
+            defaults[class].expected_work,
             defaults[class].memory_kb,
             defaults[class].rank,
         )
@@ -211,7 +214,11 @@
         ((300_000, 31.0, 0.25), (180_000, 32.0, 0.75))
     );
     assert_eq!(
-        (defaults[0].caller, defaults[3].caller, defaults[0].needs_id),
+        (
+            defaults[0].caller,
+            defaults[3].caller,
+            defaults[0].requires_id
+        ),
         (5, 6, true)
     );
     assert_eq!(ajp.settings.secret.as_deref(), Some(&b"a secret"[..]));
@@ -275,7 +282,7 @@
     assert!(
         operator
             .ajp
-            .is_some_and(|ajp| ajp.settings.lookup.is_some()),
+            .is_some_and(|ajp| ajp.settings.class_lookup.is_some()),
         "routes are imported"
     );
     assert!(matches!(operator.store, DependencyProtocol::Http));
@@ -336,8 +343,8 @@
         )
     );
     assert_eq!(
-        (ajp.max_body, ajp.figures.door),
-        (4_097, Some(Source::Header("X-Came".to_owned())))
+        (ajp.max_body_bytes, ajp.parameter_sources.received_at_ms),
+        (4_097, Some(ParameterSource::Header("X-Came".to_owned())))
     );
     assert_eq!(
         options.addresses.get("m1.example.org:7001"),
@@ -514,12 +521,12 @@
 
 struct Fixed(bool);
 
-impl Answers for Fixed {
-    fn ready(&self) -> bool {
+impl ManagementData for Fixed {
+    fn is_ready(&self) -> bool {
         self.0
     }
 
-    fn vars(&self) -> Vec<u8> {
+    fn variables_json(&self) -> Vec<u8> {
         b"{}\n".to_vec()
     }
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -2,7 +2,7 @@
 
 use cleatpulley::config::{Config, Sources};
 use cleatpulley::operator::Operator;
-use cleatpulley::protocol::ajp::table::Found;
+use cleatpulley::protocol::ajp::class_table::ClassMatch;
 use serde_json::json;
 use std::path::Path;
 
@@ -39,11 +39,14 @@
     let operator = Operator::load(Path::new("deploy/operator.jsonnet"), &config()).expect("good");
     let front = operator.ajp.as_ref().expect("it is on");
     assert_eq!(
-        front.settings.table.find(b"POST", b"/claim-seat"),
-        Found::Class(3)
+        front.settings.class_table.find(b"POST", b"/claim-seat"),
+        ClassMatch::Class(3)
+    );
+    assert_eq!(front.settings.parameter_defaults[3].expected_work, 180_000);
+    assert!(
+        front.settings.parameter_defaults[3].requires_id
+            && !front.settings.parameter_defaults[0].requires_id
     );
-    assert_eq!(front.settings.defaults[3].work, 180_000);
-    assert!(front.settings.defaults[3].needs_id && !front.settings.defaults[0].needs_id);
     let results = operator.results.as_ref().expect("it is on");
     assert_eq!(results.classes, [false, false, false, true]);
     assert_eq!(results.capacity.deduplication_window, 600_000_000);
