--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -37,7 +37,7 @@
         };
         layer.mark_decided();
         let kind = HandshakeKind {
-            is_resumption: offer.resumes,
+            is_resumption: offer.offers_resumption,
             trust_level: connection.known,
         };
         match self.tls.decide(now, number, kind) {
--- a/crates/server/src/tls_layer/layer.rs
+++ b/crates/server/src/tls_layer/layer.rs
@@ -1,6 +1,6 @@
 //! The TLS of one connection, between the bytes of its socket and its protocol.
 
-use cleatpulley_tls::hello::{self, Offer, HEAD, LONGEST_RECORD};
+use cleatpulley_tls::client_hello::{self, ClientHello, MAX_RECORD_BYTES, RECORD_HEADER_BYTES};
 use cleatpulley_tls::rustls::ServerConfig;
 use cleatpulley_tls::session::Session;
 use std::io;
@@ -44,7 +44,7 @@
         /// The bytes received so far.
         bytes: Vec<u8>,
         /// What the client offers.
-        offer: Offer,
+        offer: ClientHello,
         /// It was decided when the handshake runs.
         is_decided: bool,
     },
@@ -102,9 +102,9 @@
                 Ok(false)
             }
             Self::Open { session, .. } => {
-                let opened = session.open(bytes, plain);
-                session.output(output);
-                Ok(opened.map_err(protocol_error)?.closed)
+                let opened = session.decrypt(bytes, plain);
+                session.take_output(output);
+                Ok(opened.map_err(protocol_error)?.peer_closed)
             }
         }
     }
@@ -113,7 +113,7 @@
         let Self::Hello(held) = self else {
             return Ok(());
         };
-        match hello::peek(held) {
+        match client_hello::parse_client_hello(held) {
             Ok(Some(offer)) => {
                 *self = Self::Offered {
                     bytes: std::mem::take(held),
@@ -122,7 +122,7 @@
                 };
                 Ok(())
             }
-            Ok(None) if held.len() <= HEAD + LONGEST_RECORD => Ok(()),
+            Ok(None) if held.len() <= RECORD_HEADER_BYTES + MAX_RECORD_BYTES => Ok(()),
             Ok(None) => Err(TlsError::FirstRecordTooLong),
             Err(error) => Err(TlsError::Protocol(format!("tls: {error}"))),
         }
@@ -149,7 +149,7 @@
 
     /// Returns what the client offers, while it was not decided when its handshake runs.
     #[must_use]
-    pub fn offer(&self) -> Option<Offer> {
+    pub fn offer(&self) -> Option<ClientHello> {
         match self {
             Self::Offered {
                 offer,
@@ -177,18 +177,18 @@
     pub fn seal(&mut self, plain: &mut Vec<u8>, output: &mut Vec<u8>) {
         if let Self::Open { session, .. } = self {
             if !plain.is_empty() {
-                session.seal(plain);
+                session.encrypt(plain);
                 plain.clear();
             }
-            session.output(output);
+            session.take_output(output);
         }
     }
 
     /// Announces that nothing more is sent.
     pub fn close(&mut self, output: &mut Vec<u8>) {
         if let Self::Open { session, .. } = self {
-            session.close();
-            session.output(output);
+            session.send_close_notify();
+            session.take_output(output);
         }
     }
 
--- a/crates/server/src/tls_layer/options.rs
+++ b/crates/server/src/tls_layer/options.rs
@@ -3,7 +3,7 @@
 use crate::error::CertificateError;
 use cleatpulley_connection_admission::{handshake, identity};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_tls::pair::Facts;
+use cleatpulley_tls::certificate::CertificateInfo;
 use cleatpulley_tls::rustls::ServerConfig;
 use cleatpulley_tls::Clock;
 use std::fmt;
@@ -15,7 +15,7 @@
     /// The configuration of a session with it.
     pub config: Arc<ServerConfig>,
     /// What the certificate says.
-    pub facts: Facts,
+    pub facts: CertificateInfo,
 }
 
 /// Where the certificate comes from: files, or the memory of a test.
--- a/crates/server/src/tls_layer/state.rs
+++ b/crates/server/src/tls_layer/state.rs
@@ -3,7 +3,7 @@
 use super::options::{LoadedCertificate, TlsOptions};
 use crate::error::CertificateError;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_tls::pair::Facts;
+use cleatpulley_tls::certificate::CertificateInfo;
 use cleatpulley_tls::rustls::ServerConfig;
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -72,7 +72,7 @@
 
     /// Returns what the certificate in use says.
     #[must_use]
-    pub fn certificate_facts(&self) -> Facts {
+    pub fn certificate_facts(&self) -> CertificateInfo {
         self.certificate.borrow().facts.clone()
     }
 
@@ -127,7 +127,9 @@
     #[must_use]
     pub fn seconds_left(&self, now: Micros) -> i64 {
         let certificate = self.certificate.borrow();
-        certificate.facts.left(now / MICROS_PER_SECOND)
+        certificate
+            .facts
+            .seconds_until_expiry(now / MICROS_PER_SECOND)
     }
 
     fn warn_of_expiry(&mut self, now: Micros) {
@@ -147,7 +149,7 @@
     }
 }
 
-fn log_certificate(facts: &Facts) {
+fn log_certificate(facts: &CertificateInfo) {
     tracing::info!(
         "tls: certificate {} of {} in use, valid until {} (Unix seconds)",
         facts.serial,
--- a/crates/tls/src/authority.rs
+++ b/crates/tls/src/authority.rs
@@ -10,33 +10,37 @@
 
 /// What can go wrong in making a certificate.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum AuthorityError {
     /// A name that can't stand in a certificate, or a time out of range.
     #[error("{0}")]
-    Input(String),
+    InvalidInput(String),
     /// What the library said.
     #[error("{0}")]
-    Made(#[from] rcgen::Error),
+    Generation(#[from] rcgen::Error),
 }
 
 /// A certificate and its private key, both as PEM.
-pub struct Made {
+pub struct IssuedCertificate {
     /// The certificate.
     pub certificate: String,
     /// The private key: to be written 0600, never printed.
     pub key: String,
 }
 
-fn at(seconds: i64) -> Result<OffsetDateTime, Fault> {
+fn at(seconds: i64) -> Result<OffsetDateTime, AuthorityError> {
     OffsetDateTime::from_unix_timestamp(seconds)
-        .map_err(|e| Fault::Input(format!("time {seconds}: {e}")))
+        .map_err(|e| AuthorityError::InvalidInput(format!("time {seconds}: {e}")))
 }
 
 /// A new authority of this name, valid from `now` for so many days.
 ///
 /// # Errors
 /// Where the name or the times can't stand in a certificate.
-pub fn init(name: &str, now: i64, days: i64) -> Result<Made, Fault> {
+pub fn create_authority(
+    name: &str,
+    now: i64,
+    days: i64,
+) -> Result<IssuedCertificate, AuthorityError> {
     let key = KeyPair::generate()?;
     let mut params = CertificateParams::new(Vec::<String>::new())?;
     params.distinguished_name.push(DnType::CommonName, name);
@@ -50,7 +54,7 @@
     params.not_before = at(now - 60)?;
     params.not_after = at(now + days * 86_400)?;
     let certificate = params.self_signed(&key)?;
-    Ok(Made {
+    Ok(IssuedCertificate {
         certificate: certificate.pem(),
         key: key.serialize_pem(),
     })
@@ -61,15 +65,17 @@
 ///
 /// # Errors
 /// Where a name can't stand in a certificate, a key or the authority can't be read, or the times are out of range.
-pub fn issue(
+pub fn issue_certificate(
     authority: (&str, &str),
     names: &[String],
     key: Option<&str>,
     now: i64,
     days: i64,
-) -> Result<Made, Fault> {
+) -> Result<IssuedCertificate, AuthorityError> {
     let Some(first) = names.first() else {
-        return Err(Fault::Input("a certificate needs a name".to_owned()));
+        return Err(AuthorityError::InvalidInput(
+            "a certificate needs a name".to_owned(),
+        ));
     };
     let (authority_pem, authority_key) = authority;
     let authority_key = KeyPair::from_pem(authority_key)?;
@@ -92,7 +98,7 @@
     params.not_after = at(now + days * 86_400)?;
     params.use_authority_key_identifier_extension = true;
     let certificate = params.signed_by(&key, &issuer)?;
-    Ok(Made {
+    Ok(IssuedCertificate {
         certificate: certificate.pem(),
         key: key.serialize_pem(),
     })
--- a/crates/tls/src/pair.rs
+++ b/crates/tls/src/certificate.rs
@@ -13,24 +13,24 @@
 
 /// What is wrong with a pair, and in which file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{}: {what}", file.display())]
-pub struct Fault {
+#[error("{}: {reason}", file.display())]
+pub struct CertificateError {
     /// The file.
     pub file: PathBuf,
     /// What is wrong.
-    pub what: String,
+    pub reason: String,
 }
 
-fn fault<T>(file: &Path, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault {
+fn fault<T>(file: &Path, what: impl Into<String>) -> Result<T, CertificateError> {
+    Err(CertificateError {
         file: file.to_owned(),
-        what: what.into(),
+        reason: what.into(),
     })
 }
 
 /// What a certificate says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Facts {
+pub struct CertificateInfo {
     /// Its subject, as text.
     pub subject: String,
     /// Who issued it.
@@ -42,19 +42,19 @@
     /// Unix seconds until which it holds.
     pub not_after: i64,
     /// It may issue certificates.
-    pub authority: bool,
+    pub is_ca: bool,
     /// SHA-256 of the whole certificate, in hex.
     pub fingerprint: String,
     /// Its serial number, in hex.
     pub serial: String,
 }
 
-impl Facts {
+impl CertificateInfo {
     /// Reads them from a certificate.
     ///
     /// # Errors
     /// Where it is no certificate that can be read.
-    pub fn of(certificate: &CertificateDer<'_>) -> Result<Self, String> {
+    pub fn from_der(certificate: &CertificateDer<'_>) -> Result<Self, String> {
         let (_, parsed) = X509Certificate::from_der(certificate)
             .map_err(|e| format!("not a certificate: {e}"))?;
         let fingerprint = digest::digest(&digest::SHA256, certificate);
@@ -64,7 +64,7 @@
             names: names_of(&parsed),
             not_before: parsed.validity().not_before.timestamp(),
             not_after: parsed.validity().not_after.timestamp(),
-            authority: parsed.is_ca(),
+            is_ca: parsed.is_ca(),
             fingerprint: hex(fingerprint.as_ref()),
             serial: parsed.raw_serial_as_string().replace(':', ""),
         })
@@ -72,12 +72,12 @@
 
     /// Seconds until it no longer holds; below 0 where it has expired.
     #[must_use]
-    pub fn left(&self, now_seconds: u64) -> i64 {
+    pub fn seconds_until_expiry(&self, now_seconds: u64) -> i64 {
         self.not_after - now_seconds as i64
     }
 }
 
-impl fmt::Display for Facts {
+impl fmt::Display for CertificateInfo {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "subject      {}", self.subject)?;
         writeln!(f, "issuer       {}", self.issuer)?;
@@ -95,11 +95,7 @@
             "valid        {} to {} (Unix seconds)",
             self.not_before, self.not_after
         )?;
-        writeln!(
-            f,
-            "authority    {}",
-            if self.authority { "yes" } else { "no" }
-        )?;
+        writeln!(f, "authority    {}", if self.is_ca { "yes" } else { "no" })?;
         writeln!(f, "serial       {}", self.serial)?;
         write!(f, "sha-256      {}", self.fingerprint)
     }
@@ -142,7 +138,7 @@
 
 /// The names a certificate was issued for; none where it can't be read.
 #[must_use]
-pub fn names(certificate: &CertificateDer<'_>) -> Vec<String> {
+pub fn certificate_names(certificate: &CertificateDer<'_>) -> Vec<String> {
     X509Certificate::from_der(certificate)
         .map(|(_, parsed)| names_of(&parsed))
         .unwrap_or_default()
@@ -152,7 +148,10 @@
 ///
 /// # Errors
 /// Where the file can't be read or holds none.
-pub fn certificates(file: &Path, bytes: &[u8]) -> Result<Vec<CertificateDer<'static>>, Fault> {
+pub fn parse_certificates(
+    file: &Path,
+    bytes: &[u8],
+) -> Result<Vec<CertificateDer<'static>>, CertificateError> {
     let mut chain = Vec::new();
     for (i, certificate) in CertificateDer::pem_slice_iter(bytes).enumerate() {
         match certificate {
@@ -168,31 +167,31 @@
 
 /// A chain and its key that belong together.
 #[derive(Clone)]
-pub struct Pair {
+pub struct CertificateWithKey {
     /// The chain, its own certificate first.
     pub chain: Vec<CertificateDer<'static>>,
     /// What the first certificate says.
-    pub facts: Facts,
+    pub info: CertificateInfo,
     /// The chain and the key as rustls signs with them.
-    pub certified: Arc<CertifiedKey>,
+    pub certified_key: Arc<CertifiedKey>,
 }
 
-impl fmt::Debug for Pair {
+impl fmt::Debug for CertificateWithKey {
     // The key is never shown, not even by accident.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Pair")
-            .field("facts", &self.facts)
+            .field("facts", &self.info)
             .field("chain", &self.chain.len())
             .finish()
     }
 }
 
-impl Pair {
+impl CertificateWithKey {
     /// Reads both files.
     ///
     /// # Errors
     /// The file that can't be read or does not fit, and why.
-    pub fn load(certificate: &Path, key: &Path) -> Result<Self, Fault> {
+    pub fn load(certificate: &Path, key: &Path) -> Result<Self, CertificateError> {
         let read = |file: &Path| std::fs::read(file).or_else(|e| fault(file, e.to_string()));
         Self::from_pem(certificate, &read(certificate)?, key, &read(key)?)
     }
@@ -206,9 +205,10 @@
         chain: &[u8],
         key_file: &Path,
         key: &[u8],
-    ) -> Result<Self, Fault> {
-        let chain = certificates(certificate, chain)?;
-        let facts = Facts::of(&chain[0]).or_else(|what| fault(certificate, what))?;
+    ) -> Result<Self, CertificateError> {
+        let chain = parse_certificates(certificate, chain)?;
+        let facts =
+            CertificateInfo::from_der(&chain[0]).or_else(|what| fault(certificate, what))?;
         // The error would tell of the file's shape only, never of the key's bytes.
         let Ok(key) = PrivateKeyDer::from_pem_slice(key) else {
             return fault(
@@ -216,7 +216,7 @@
                 "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)",
             );
         };
-        let provider = crate::provider();
+        let provider = crate::crypto_provider();
         let signing = provider.key_provider.load_private_key(key);
         let signing =
             signing.or_else(|e| fault(key_file, format!("the key can't be used: {e}")))?;
@@ -227,8 +227,8 @@
         }
         Ok(Self {
             chain,
-            facts,
-            certified: Arc::new(certified),
+            info: facts,
+            certified_key: Arc::new(certified),
         })
     }
 }
--- a/crates/tls/src/hello.rs
+++ b/crates/tls/src/client_hello.rs
@@ -6,9 +6,9 @@
 //! beyond the bounds it was read within.
 
 /// Bytes of a record's head: type, version and length.
-pub const HEAD: usize = 5;
+pub const RECORD_HEADER_BYTES: usize = 5;
 /// The longest record that a peer may send: 2^14 bytes and the expansion that RFC 8446 section 5.2 allows.
-pub const LONGEST_RECORD: usize = 16_384 + 256;
+pub const MAX_RECORD_BYTES: usize = 16_384 + 256;
 
 const HANDSHAKE: u8 = 22;
 const CLIENT_HELLO: u8 = 1;
@@ -18,39 +18,39 @@
 
 /// What the first record told.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Offer {
+pub struct ClientHello {
     /// The name it asks for (SNI), where it names one.
     pub server_name: Option<String>,
     /// It offers a ticket or a key of an earlier session.
-    pub resumes: bool,
+    pub offers_resumption: bool,
     /// Bytes that the record takes, its head among them.
-    pub length: usize,
+    pub record_bytes: usize,
 }
 
 /// What is wrong with the first bytes, and at which byte.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum ClientHelloError {
     /// Not a record of a handshake: no TLS client begins so.
-    #[error("byte {at}: not the record of a TLS handshake")]
+    #[error("byte {offset}: not the record of a TLS handshake")]
     NotTls {
         /// Where.
-        at: usize,
+        offset: usize,
     },
     /// A length that does not fit where it stands.
-    #[error("byte {at}: a length of {length} does not fit")]
-    Length {
+    #[error("byte {offset}: a length of {length} does not fit")]
+    InvalidLength {
         /// Where.
-        at: usize,
+        offset: usize,
         /// What it said.
         length: usize,
     },
     /// A handshake message other than the client's first.
-    #[error("byte {at}: a handshake of type {kind} where the ClientHello belongs")]
-    NotHello {
+    #[error("byte {offset}: a handshake of type {message_type} where the ClientHello belongs")]
+    NotClientHello {
         /// Where.
-        at: usize,
+        offset: usize,
         /// Its type.
-        kind: u8,
+        message_type: u8,
     },
 }
 
@@ -58,29 +58,29 @@
 ///
 /// # Errors
 /// Where the bytes are not those of a TLS client, with the byte at fault.
-pub fn peek(bytes: &[u8]) -> Result<Option<Offer>, Wrong> {
+pub fn parse_client_hello(bytes: &[u8]) -> Result<Option<ClientHello>, ClientHelloError> {
     if let Some(&kind) = bytes.first() {
         if kind != HANDSHAKE {
-            return Err(Wrong::NotTls { at: 0 });
+            return Err(ClientHelloError::NotTls { offset: 0 });
         }
     }
     if let Some(&major) = bytes.get(1) {
         if major != 3 {
-            return Err(Wrong::NotTls { at: 1 });
+            return Err(ClientHelloError::NotTls { offset: 1 });
         }
     }
-    if bytes.len() < HEAD {
+    if bytes.len() < RECORD_HEADER_BYTES {
         return Ok(None);
     }
     let length = usize::from(u16::from_be_bytes([bytes[3], bytes[4]]));
-    if length == 0 || length > LONGEST_RECORD {
-        return Err(Wrong::Length { at: 3, length });
+    if length == 0 || length > MAX_RECORD_BYTES {
+        return Err(ClientHelloError::InvalidLength { offset: 3, length });
     }
-    let Some(fragment) = bytes.get(HEAD..HEAD + length) else {
+    let Some(fragment) = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length) else {
         return Ok(None);
     };
     let mut offer = hello(fragment)?;
-    offer.length = HEAD + length;
+    offer.record_bytes = RECORD_HEADER_BYTES + length;
     Ok(Some(offer))
 }
 
@@ -93,17 +93,17 @@
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Wrong> {
+    fn take(&mut self, n: usize) -> Result<&'a [u8], ClientHelloError> {
         let taken = self.bytes.get(self.at..self.at + n);
-        let taken = taken.ok_or(Wrong::Length {
-            at: self.base + self.at,
+        let taken = taken.ok_or(ClientHelloError::InvalidLength {
+            offset: self.base + self.at,
             length: n,
         })?;
         self.at += n;
         Ok(taken)
     }
 
-    fn number(&mut self, n: usize) -> Result<usize, Wrong> {
+    fn number(&mut self, n: usize) -> Result<usize, ClientHelloError> {
         Ok(self
             .take(n)?
             .iter()
@@ -111,16 +111,16 @@
     }
 
     /// The part that a length of `n` bytes in front of it tells.
-    fn part(&mut self, n: usize) -> Result<Reader<'a>, Wrong> {
-        let at = self.base + self.at;
+    fn part(&mut self, n: usize) -> Result<Reader<'a>, ClientHelloError> {
+        let offset = self.base + self.at;
         let length = self.number(n)?;
         let bytes = self
             .take(length)
-            .map_err(|_| Wrong::Length { at, length })?;
+            .map_err(|_| ClientHelloError::InvalidLength { offset, length })?;
         Ok(Reader {
             bytes,
             at: 0,
-            base: at + n,
+            base: offset + n,
         })
     }
 
@@ -131,15 +131,18 @@
 
 /// The ClientHello in a record's fragment. A hello longer than its first record is read as far as it goes: what lies
 /// beyond is not offered.
-fn hello(fragment: &[u8]) -> Result<Offer, Wrong> {
+fn hello(fragment: &[u8]) -> Result<ClientHello, ClientHelloError> {
     let mut record = Reader {
         bytes: fragment,
         at: 0,
-        base: HEAD,
+        base: RECORD_HEADER_BYTES,
     };
-    let kind = record.number(1)? as u8;
-    if kind != CLIENT_HELLO {
-        return Err(Wrong::NotHello { at: HEAD, kind });
+    let message_type = record.number(1)? as u8;
+    if message_type != CLIENT_HELLO {
+        return Err(ClientHelloError::NotClientHello {
+            offset: RECORD_HEADER_BYTES,
+            message_type,
+        });
     }
     let length = record.number(3)?;
     let body = &fragment[4..];
@@ -147,9 +150,9 @@
     let mut hello = Reader {
         bytes: body,
         at: 0,
-        base: HEAD + 4,
+        base: RECORD_HEADER_BYTES + 4,
     };
-    let mut offer = Offer::default();
+    let mut offer = ClientHello::default();
     let (Ok(_version), Ok(_random)) = (hello.take(2), hello.take(32)) else {
         return Ok(offer);
     };
@@ -168,8 +171,8 @@
         };
         match kind as u16 {
             SERVER_NAME => offer.server_name = server_name(&mut data),
-            SESSION_TICKET => offer.resumes |= !data.bytes.is_empty(),
-            PRE_SHARED_KEY => offer.resumes = true,
+            SESSION_TICKET => offer.offers_resumption |= !data.bytes.is_empty(),
+            PRE_SHARED_KEY => offer.offers_resumption = true,
             _ => {}
         }
     }
@@ -237,22 +240,22 @@
             (SERVER_NAME, name("N1.Example")),
             (PRE_SHARED_KEY, vec![0, 0]),
         ]);
-        let offer = peek(&bytes).expect("a hello").expect("whole");
+        let offer = parse_client_hello(&bytes).expect("a hello").expect("whole");
         assert_eq!(offer.server_name.as_deref(), Some("n1.example"));
-        assert!(offer.resumes);
-        assert_eq!(offer.length, bytes.len());
-        let fresh = peek(&record(&[(SESSION_TICKET, Vec::new())]))
+        assert!(offer.offers_resumption);
+        assert_eq!(offer.record_bytes, bytes.len());
+        let fresh = parse_client_hello(&record(&[(SESSION_TICKET, Vec::new())]))
             .expect("a hello")
             .expect("whole");
         assert!(
-            !fresh.resumes,
+            !fresh.offers_resumption,
             "an empty ticket asks for one and offers none"
         );
         assert!(
-            peek(&record(&[(SESSION_TICKET, vec![1; 40])]))
+            parse_client_hello(&record(&[(SESSION_TICKET, vec![1; 40])]))
                 .unwrap()
                 .unwrap()
-                .resumes
+                .offers_resumption
         );
     }
 
@@ -260,26 +263,38 @@
     fn a_record_that_has_not_come_whole_waits() {
         let bytes = record(&[(SERVER_NAME, name("n1"))]);
         for cut in 0..bytes.len() {
-            assert_eq!(peek(&bytes[..cut]), Ok(None), "cut at {cut}");
+            assert_eq!(parse_client_hello(&bytes[..cut]), Ok(None), "cut at {cut}");
         }
     }
 
     /// Guards against taking a plain client's bytes, or an HTTP request, for a handshake.
     #[test]
     fn what_is_no_handshake_is_told_with_its_byte() {
-        assert_eq!(peek(b"GET / HTTP/1.1\r\n"), Err(Wrong::NotTls { at: 0 }));
-        assert_eq!(peek(&[HANDSHAKE, 2, 0]), Err(Wrong::NotTls { at: 1 }));
+        assert_eq!(
+            parse_client_hello(b"GET / HTTP/1.1\r\n"),
+            Err(ClientHelloError::NotTls { offset: 0 })
+        );
+        assert_eq!(
+            parse_client_hello(&[HANDSHAKE, 2, 0]),
+            Err(ClientHelloError::NotTls { offset: 1 })
+        );
         let long = [HANDSHAKE, 3, 1, 0x48, 0x01];
         assert_eq!(
-            peek(&long),
-            Err(Wrong::Length {
-                at: 3,
+            parse_client_hello(&long),
+            Err(ClientHelloError::InvalidLength {
+                offset: 3,
                 length: 0x4801
             })
         );
         let mut server = record(&[]);
-        server[HEAD] = 2;
-        assert_eq!(peek(&server), Err(Wrong::NotHello { at: HEAD, kind: 2 }));
+        server[RECORD_HEADER_BYTES] = 2;
+        assert_eq!(
+            parse_client_hello(&server),
+            Err(ClientHelloError::NotClientHello {
+                offset: RECORD_HEADER_BYTES,
+                message_type: 2
+            })
+        );
     }
 
     proptest! {
@@ -287,14 +302,14 @@
         #[test]
         fn any_bytes_are_read_within_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..600), head in any::<bool>()) {
             let mut bytes = bytes;
-            if head && bytes.len() > HEAD {
+            if head && bytes.len() > RECORD_HEADER_BYTES {
                 bytes[0] = HANDSHAKE;
                 bytes[1] = 3;
-                let length = (bytes.len() - HEAD) as u16;
+                let length = (bytes.len() - RECORD_HEADER_BYTES) as u16;
                 bytes[3..5].copy_from_slice(&length.to_be_bytes());
-                bytes[HEAD] = CLIENT_HELLO;
+                bytes[RECORD_HEADER_BYTES] = CLIENT_HELLO;
             }
-            let _ = peek(&bytes);
+            let _ = parse_client_hello(&bytes);
         }
 
         #[test]
@@ -302,9 +317,9 @@
             let mut bytes = record(&[(SERVER_NAME, name("n7.example")), (PRE_SHARED_KEY, vec![0; 9])]);
             let end = bytes.len() - cut;
             bytes.truncate(end);
-            let length = (end - HEAD) as u16;
+            let length = (end - RECORD_HEADER_BYTES) as u16;
             bytes[3..5].copy_from_slice(&length.to_be_bytes());
-            prop_assert!(peek(&bytes).is_ok());
+            prop_assert!(parse_client_hello(&bytes).is_ok());
         }
     }
 }
--- a/crates/tls/src/setup.rs
+++ b/crates/tls/src/config.rs
@@ -1,7 +1,7 @@
 //! What the sessions of one front, or of one gateway's links, share: built once from a pair, roots and options, and
 //! built again when the files change. Nothing here reads a clock: the [`Clock`] that is passed in is.
 
-use crate::pair::Pair;
+use crate::certificate::CertificateWithKey;
 use crate::Clock;
 use rustls::client::ResolvesClientCert;
 use rustls::pki_types::CertificateDer;
@@ -19,7 +19,7 @@
 
 /// Which versions are spoken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Versions {
+pub enum ProtocolVersions {
     /// 1.3 and 1.2.
     #[default]
     Both,
@@ -29,7 +29,7 @@
     Only12,
 }
 
-impl Versions {
+impl ProtocolVersions {
     fn list(self) -> &'static [&'static SupportedProtocolVersion] {
         static BOTH: [&SupportedProtocolVersion; 2] =
             [&rustls::version::TLS13, &rustls::version::TLS12];
@@ -43,7 +43,7 @@
 
 /// Clients that are to show a certificate.
 #[derive(Debug, Clone)]
-pub struct Clients {
+pub struct ClientAuthentication {
     /// Authorities whose certificates are believed.
     pub roots: Vec<CertificateDer<'static>>,
     /// A client without one is turned away; otherwise it is let in unknown.
@@ -83,14 +83,14 @@
 ///
 /// # Errors
 /// Where the roots can't be used, or the versions and keys don't go together.
-pub fn server(
-    pair: &Pair,
-    clients: Option<&Clients>,
-    versions: Versions,
+pub fn server_config(
+    pair: &CertificateWithKey,
+    clients: Option<&ClientAuthentication>,
+    versions: ProtocolVersions,
     tickets: Option<Arc<dyn rustls::server::ProducesTickets>>,
     clock: &Clock,
 ) -> Result<Arc<ServerConfig>, String> {
-    let provider = crate::provider();
+    let provider = crate::crypto_provider();
     let builder =
         ServerConfig::builder_with_details(Arc::clone(&provider), Arc::new(clock.clone()))
             .with_protocol_versions(versions.list())
@@ -110,7 +110,7 @@
             builder.with_client_cert_verifier(verifier.build().map_err(|e| e.to_string())?)
         }
     };
-    let mut config = builder.with_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified))));
+    let mut config = builder.with_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified_key))));
     config.session_storage = ServerSessionMemoryCache::new(SESSIONS);
     if let Some(tickets) = tickets {
         config.ticketer = tickets;
@@ -123,19 +123,22 @@
 ///
 /// # Errors
 /// Where the roots can't be used.
-pub fn client(
+pub fn client_config(
     roots_of: &[CertificateDer<'static>],
-    own: Option<&Pair>,
-    versions: Versions,
+    own: Option<&CertificateWithKey>,
+    versions: ProtocolVersions,
     clock: &Clock,
 ) -> Result<Arc<ClientConfig>, String> {
-    let builder = ClientConfig::builder_with_details(crate::provider(), Arc::new(clock.clone()))
-        .with_protocol_versions(versions.list())
-        .map_err(|e| e.to_string())?
-        .with_root_certificates(roots(roots_of)?);
+    let builder =
+        ClientConfig::builder_with_details(crate::crypto_provider(), Arc::new(clock.clone()))
+            .with_protocol_versions(versions.list())
+            .map_err(|e| e.to_string())?
+            .with_root_certificates(roots(roots_of)?);
     let config = match own {
         None => builder.with_no_client_auth(),
-        Some(pair) => builder.with_client_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified)))),
+        Some(pair) => {
+            builder.with_client_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified_key))))
+        }
     };
     Ok(Arc::new(config))
 }
--- a/crates/tls/src/session.rs
+++ b/crates/tls/src/session.rs
@@ -9,35 +9,35 @@
 use std::sync::Arc;
 
 /// Bytes that a handshake may take from the peer: a chain of a few certificates and a large hello.
-pub const HANDSHAKE_BYTES: usize = 65_536;
+pub const MAX_HANDSHAKE_BYTES: usize = 65_536;
 /// Bytes of records that carry nothing for us (empty ones, key updates, warnings, a refused renegotiation) that are
 /// taken in a row after the handshake; one more closes the connection.
-pub const USELESS_BYTES: usize = 32_768;
+pub const MAX_BYTES_WITHOUT_DATA: usize = 32_768;
 
-/// Why a session ends on the peer's account. Where the protocol has an alert, it waits in [`Session::output`].
+/// Why a session ends on the peer's account. Where the protocol has an alert, it waits in [`Session::take_output`].
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum SessionError {
     /// What rustls found.
     #[error("tls: {0}")]
     Protocol(#[from] rustls::Error),
     /// The handshake took more bytes than it may.
-    #[error("tls: the handshake took more than {HANDSHAKE_BYTES} bytes")]
-    LongHandshake,
+    #[error("tls: the handshake took more than {MAX_HANDSHAKE_BYTES} bytes")]
+    HandshakeTooLong,
     /// Records that carry nothing came on and on.
-    #[error("tls: {USELESS_BYTES} bytes of records that carry nothing")]
-    Useless,
+    #[error("tls: {MAX_BYTES_WITHOUT_DATA} bytes of records that carry nothing")]
+    TooManyBytesWithoutData,
     /// The name to connect to is none.
     #[error("tls: {0:?} is no name to connect to")]
-    Name(String),
+    InvalidServerName(String),
 }
 
-/// What [`open`](Session::open) came to.
+/// What [`decrypt`](Session::decrypt) came to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Opened {
+pub struct DecryptOutcome {
     /// The peer has said that it sends no more (close_notify).
-    pub closed: bool,
+    pub peer_closed: bool,
     /// The handshake ended with these bytes.
-    pub established: bool,
+    pub handshake_completed: bool,
 }
 
 /// One side of a connection.
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// Where rustls can't make one with what it shares.
-    pub fn accept(config: Arc<ServerConfig>) -> Result<Self, Fault> {
+    pub fn accept(config: Arc<ServerConfig>) -> Result<Self, SessionError> {
         Ok(Self::new(Connection::Server(ServerConnection::new(
             config,
         )?)))
@@ -64,9 +64,9 @@
     ///
     /// # Errors
     /// Where the name is none, or rustls can't make one.
-    pub fn connect(config: Arc<ClientConfig>, name: &str) -> Result<Self, Fault> {
-        let server =
-            ServerName::try_from(name.to_owned()).map_err(|_| Fault::Name(name.to_owned()))?;
+    pub fn connect(config: Arc<ClientConfig>, name: &str) -> Result<Self, SessionError> {
+        let server = ServerName::try_from(name.to_owned())
+            .map_err(|_| SessionError::InvalidServerName(name.to_owned()))?;
         Ok(Self::new(Connection::Client(ClientConnection::new(
             config, server,
         )?)))
@@ -82,13 +82,17 @@
         }
     }
 
-    /// Takes what came from the peer and appends what it carried. Whatever comes of it, [`output`](Self::output) may
+    /// Takes what came from the peer and appends what it carried. Whatever comes of it, [`take_output`](Self::take_output) may
     /// have bytes to send: the handshake's, or an alert.
     ///
     /// # Errors
     /// Where the peer broke the protocol or the bounds; the session is over then.
-    pub fn open(&mut self, mut cipher: &[u8], plain: &mut Vec<u8>) -> Result<Opened, Fault> {
-        let mut opened = Opened::default();
+    pub fn decrypt(
+        &mut self,
+        mut cipher: &[u8],
+        plain: &mut Vec<u8>,
+    ) -> Result<DecryptOutcome, SessionError> {
+        let mut opened = DecryptOutcome::default();
         let handshaking = self.inner.is_handshaking();
         while !cipher.is_empty() {
             let before = cipher.len();
@@ -96,14 +100,18 @@
                 Ok(_) => {}
                 // Its buffer is full of what it has not handed out; that is done below.
                 Err(e) if e.kind() == io::ErrorKind::Other && before == cipher.len() => {}
-                Err(e) => return Err(Fault::Protocol(rustls::Error::General(e.to_string()))),
+                Err(e) => {
+                    return Err(SessionError::Protocol(rustls::Error::General(
+                        e.to_string(),
+                    )))
+                }
             }
             let taken = before - cipher.len();
             let state = self.inner.process_new_packets()?;
             if self.inner.is_handshaking() {
                 self.handshake += taken;
-                if self.handshake > HANDSHAKE_BYTES {
-                    return Err(Fault::LongHandshake);
+                if self.handshake > MAX_HANDSHAKE_BYTES {
+                    return Err(SessionError::HandshakeTooLong);
                 }
             }
             let came = state.plaintext_bytes_to_read();
@@ -114,39 +122,39 @@
                 plain.truncate(start + read);
             }
             if state.peer_has_closed() {
-                opened.closed = true;
+                opened.peer_closed = true;
             }
             if plain.len() > start {
                 self.useless = 0;
             } else if !self.inner.is_handshaking() && !handshaking {
                 self.useless += taken;
-                if self.useless > USELESS_BYTES {
-                    return Err(Fault::Useless);
+                if self.useless > MAX_BYTES_WITHOUT_DATA {
+                    return Err(SessionError::TooManyBytesWithoutData);
                 }
             }
             if taken == 0 && came == 0 {
-                if opened.closed {
+                if opened.peer_closed {
                     // What comes after the peer's last word is nobody's.
                     break;
                 }
                 // Nothing moves: rustls takes no more until it is read, and nothing is there to read.
-                return Err(Fault::Protocol(rustls::Error::General(
+                return Err(SessionError::Protocol(rustls::Error::General(
                     "no progress".to_owned(),
                 )));
             }
         }
-        opened.established = handshaking && !self.inner.is_handshaking();
+        opened.handshake_completed = handshaking && !self.inner.is_handshaking();
         Ok(opened)
     }
 
     /// Sends this; before the end of the handshake it waits for it.
-    pub fn seal(&mut self, plain: &[u8]) {
+    pub fn encrypt(&mut self, plain: &[u8]) {
         // Without a limit on the buffer, writing takes everything.
         let _ = self.inner.writer().write_all(plain);
     }
 
     /// Appends what is to be sent to the peer.
-    pub fn output(&mut self, cipher: &mut Vec<u8>) {
+    pub fn take_output(&mut self, cipher: &mut Vec<u8>) {
         while self.inner.wants_write() {
             match self.inner.write_tls(cipher) {
                 Ok(0) | Err(_) => break,
@@ -155,14 +163,14 @@
         }
     }
 
-    /// Whether there is something for [`output`](Self::output).
+    /// Whether there is something for [`take_output`](Self::take_output).
     #[must_use]
-    pub fn wants_output(&self) -> bool {
+    pub fn has_output(&self) -> bool {
         self.inner.wants_write()
     }
 
-    /// Says that nothing more is sent (close_notify); it goes out with the next [`output`](Self::output).
-    pub fn close(&mut self) {
+    /// Says that nothing more is sent (close_notify); it goes out with the next [`take_output`](Self::take_output).
+    pub fn send_close_notify(&mut self) {
         self.inner.send_close_notify();
     }
 
@@ -180,7 +188,7 @@
 
     /// The version agreed on, as `1.2` or `1.3`.
     #[must_use]
-    pub fn version(&self) -> Option<&'static str> {
+    pub fn protocol_version(&self) -> Option<&'static str> {
         self.inner.protocol_version().map(|version| match version {
             rustls::ProtocolVersion::TLSv1_3 => "1.3",
             rustls::ProtocolVersion::TLSv1_2 => "1.2",
@@ -194,7 +202,7 @@
         let chain = self.inner.peer_certificates();
         chain
             .and_then(|chain| chain.first())
-            .map(|end| crate::pair::names(end))
+            .map(|end| crate::certificate::certificate_names(end))
             .unwrap_or_default()
     }
 }
--- a/crates/tls/src/session/tests.rs
+++ b/crates/tls/src/session/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::authority::{self, Made};
-use crate::pair::Pair;
-use crate::setup::{self, Clients, Versions};
-use crate::tickets::{Tickets, SECRET};
+use crate::authority::{self, IssuedCertificate};
+use crate::certificate::CertificateWithKey;
+use crate::config::{self, ClientAuthentication, ProtocolVersions};
+use crate::ticket_keys::{TicketKeys, SECRET_BYTES};
 use crate::Clock;
 use std::path::Path;
 
@@ -10,14 +10,14 @@
 const DAY: u64 = 86_400 * 1_000_000;
 
 struct Site {
-    authority: Made,
-    server: Pair,
-    client: Pair,
+    authority: IssuedCertificate,
+    server: CertificateWithKey,
+    client: CertificateWithKey,
     clock: Clock,
 }
 
-fn pair(made: &Made) -> Pair {
-    Pair::from_pem(
+fn pair(made: &IssuedCertificate) -> CertificateWithKey {
+    CertificateWithKey::from_pem(
         Path::new("cert.pem"),
         made.certificate.as_bytes(),
         Path::new("key.pem"),
@@ -26,8 +26,8 @@
     .expect("a pair")
 }
 
-fn issue(authority: &Made, name: &str, from: i64, days: i64) -> Pair {
-    let made = authority::issue(
+fn issue(authority: &IssuedCertificate, name: &str, from: i64, days: i64) -> CertificateWithKey {
+    let made = authority::issue_certificate(
         (&authority.certificate, &authority.key),
         &[name.to_owned()],
         None,
@@ -38,19 +38,21 @@
 }
 
 fn site() -> Site {
-    let authority = authority::init("test authority", NOW, 3_650).expect("an authority");
+    let authority =
+        authority::create_authority("test authority", NOW, 3_650).expect("an authority");
     let server = issue(&authority, "n1.example", NOW, 30);
     let client = issue(&authority, "fe-1", NOW, 30);
     Site {
         authority,
         server,
         client,
-        clock: Clock::at(NOW as u64 * 1_000_000 + 3_600_000_000),
+        clock: Clock::from_unix_micros(NOW as u64 * 1_000_000 + 3_600_000_000),
     }
 }
 
-fn roots(made: &Made) -> Vec<rustls::pki_types::CertificateDer<'static>> {
-    crate::pair::certificates(Path::new("ca.pem"), made.certificate.as_bytes()).expect("roots")
+fn roots(made: &IssuedCertificate) -> Vec<rustls::pki_types::CertificateDer<'static>> {
+    crate::certificate::parse_certificates(Path::new("ca.pem"), made.certificate.as_bytes())
+        .expect("roots")
 }
 
 /// Moves bytes both ways until neither has any; the first fault of either side ends it.
@@ -58,18 +60,18 @@
     client: &mut Session,
     server: &mut Session,
     plain: &mut (Vec<u8>, Vec<u8>),
-) -> Result<(), Fault> {
+) -> Result<(), SessionError> {
     for _ in 0..20 {
         let (mut to_server, mut to_client) = (Vec::new(), Vec::new());
-        client.output(&mut to_server);
-        let opened = server.open(&to_server, &mut plain.1);
-        server.output(&mut to_client);
+        client.take_output(&mut to_server);
+        let opened = server.decrypt(&to_server, &mut plain.1);
+        server.take_output(&mut to_client);
         opened?;
-        client.open(&to_client, &mut plain.0)?;
+        client.decrypt(&to_client, &mut plain.0)?;
         if to_server.is_empty()
             && to_client.is_empty()
-            && !client.wants_output()
-            && !server.wants_output()
+            && !client.has_output()
+            && !server.has_output()
         {
             return Ok(());
         }
@@ -79,44 +81,60 @@
 
 fn server_config(
     site: &Site,
-    clients: Option<&Clients>,
-    tickets: Option<Arc<Tickets>>,
+    clients: Option<&ClientAuthentication>,
+    tickets: Option<Arc<TicketKeys>>,
 ) -> Arc<ServerConfig> {
     let tickets = tickets.map(|t| t as Arc<dyn rustls::server::ProducesTickets>);
-    setup::server(&site.server, clients, Versions::Both, tickets, &site.clock)
-        .expect("a server's setup")
+    config::server_config(
+        &site.server,
+        clients,
+        ProtocolVersions::Both,
+        tickets,
+        &site.clock,
+    )
+    .expect("a server's setup")
 }
 
-fn client_config(site: &Site, own: Option<&Pair>, versions: Versions) -> Arc<ClientConfig> {
-    setup::client(&roots(&site.authority), own, versions, &site.clock).expect("a client's setup")
+fn client_config(
+    site: &Site,
+    own: Option<&CertificateWithKey>,
+    versions: ProtocolVersions,
+) -> Arc<ClientConfig> {
+    config::client_config(&roots(&site.authority), own, versions, &site.clock)
+        .expect("a client's setup")
 }
 
 #[test]
 fn requests_and_answers_go_through_both_versions() {
     let site = site();
-    for versions in [Versions::Only13, Versions::Only12] {
+    for versions in [ProtocolVersions::Only13, ProtocolVersions::Only12] {
         let mut server = Session::accept(server_config(&site, None, None)).expect("a session");
         let mut client = Session::connect(client_config(&site, None, versions), "n1.example")
             .expect("a session");
         let mut plain = (Vec::new(), Vec::new());
-        client.seal(b"a request");
+        client.encrypt(b"a request");
         pump(&mut client, &mut server, &mut plain).expect("a handshake");
         assert_eq!(plain.1, b"a request");
-        server.seal(b"its answer");
+        server.encrypt(b"its answer");
         pump(&mut client, &mut server, &mut plain).expect("an answer");
         assert_eq!(plain.0, b"its answer");
         assert_eq!(
-            server.version(),
-            Some(if versions == Versions::Only13 {
+            server.protocol_version(),
+            Some(if versions == ProtocolVersions::Only13 {
                 "1.3"
             } else {
                 "1.2"
             })
         );
-        client.close();
+        client.send_close_notify();
         let mut closing = Vec::new();
-        client.output(&mut closing);
-        assert!(server.open(&closing, &mut plain.1).expect("a close").closed);
+        client.take_output(&mut closing);
+        assert!(
+            server
+                .decrypt(&closing, &mut plain.1)
+                .expect("a close")
+                .peer_closed
+        );
     }
 }
 
@@ -125,21 +143,24 @@
 fn a_handshake_a_byte_at_a_time_ends_like_any_other() {
     let site = site();
     let mut server = Session::accept(server_config(&site, None, None)).expect("a session");
-    let mut client = Session::connect(client_config(&site, None, Versions::Both), "n1.example")
-        .expect("a session");
+    let mut client = Session::connect(
+        client_config(&site, None, ProtocolVersions::Both),
+        "n1.example",
+    )
+    .expect("a session");
     let mut plain = Vec::new();
     for _ in 0..10 {
         let mut to_server = Vec::new();
-        client.output(&mut to_server);
+        client.take_output(&mut to_server);
         for byte in &to_server {
             server
-                .open(std::slice::from_ref(byte), &mut plain)
+                .decrypt(std::slice::from_ref(byte), &mut plain)
                 .expect("a byte");
         }
         let mut to_client = Vec::new();
-        server.output(&mut to_client);
+        server.take_output(&mut to_client);
         client
-            .open(&to_client, &mut Vec::new())
+            .decrypt(&to_client, &mut Vec::new())
             .expect("the server's part");
     }
     assert!(!server.is_handshaking());
@@ -148,22 +169,28 @@
 #[test]
 fn a_ticket_of_one_instance_resumes_with_another_of_the_same_secret() {
     let site = site();
-    let tickets = || Arc::new(Tickets::new(&[3; SECRET], 3_600, site.clock.clone()));
+    let tickets = || {
+        Arc::new(TicketKeys::new(
+            &[3; SECRET_BYTES],
+            3_600,
+            site.clock.clone(),
+        ))
+    };
     let (first, second) = (
         server_config(&site, None, Some(tickets())),
         server_config(&site, None, Some(tickets())),
     );
-    let config = client_config(&site, None, Versions::Only13);
+    let config = client_config(&site, None, ProtocolVersions::Only13);
     let mut plain = (Vec::new(), Vec::new());
     let mut server = Session::accept(first).expect("a session");
     let mut client = Session::connect(Arc::clone(&config), "n1.example").expect("a session");
-    client.seal(b"x");
-    server.seal(b"y");
+    client.encrypt(b"x");
+    server.encrypt(b"y");
     pump(&mut client, &mut server, &mut plain).expect("a handshake");
     assert!(!server.is_resumed());
     let mut server = Session::accept(second).expect("a session");
     let mut client = Session::connect(config, "n1.example").expect("a session");
-    client.seal(b"x");
+    client.encrypt(b"x");
     pump(&mut client, &mut server, &mut plain).expect("a resumed handshake");
     assert!(
         server.is_resumed(),
@@ -171,18 +198,22 @@
     );
 }
 
-fn mutual(site: &Site, client_pair: Option<&Pair>, roots_of: &Made) -> Result<Vec<String>, String> {
-    let clients = Clients {
+fn mutual(
+    site: &Site,
+    client_pair: Option<&CertificateWithKey>,
+    roots_of: &IssuedCertificate,
+) -> Result<Vec<String>, String> {
+    let clients = ClientAuthentication {
         roots: roots(roots_of),
         required: true,
     };
     let mut server = Session::accept(server_config(site, Some(&clients), None)).expect("a session");
     let mut client = Session::connect(
-        client_config(site, client_pair, Versions::Only13),
+        client_config(site, client_pair, ProtocolVersions::Only13),
         "n1.example",
     )
     .expect("a session");
-    client.seal(b"hello");
+    client.encrypt(b"hello");
     let mut plain = (Vec::new(), Vec::new());
     match pump(&mut client, &mut server, &mut plain) {
         Ok(()) if plain.1 == b"hello" => Ok(server.peer_names()),
@@ -205,7 +236,8 @@
     let expired = issue(&site.authority, "fe-2", NOW - 40 * 86_400, 30);
     let e = mutual(&site, Some(&expired), &site.authority).expect_err("expired");
     assert!(e.contains("xpired"), "{e}");
-    let stranger = authority::init("another authority", NOW, 3_650).expect("an authority");
+    let stranger =
+        authority::create_authority("another authority", NOW, 3_650).expect("an authority");
     let theirs = issue(&stranger, "fe-3", NOW, 30);
     let e = mutual(&site, Some(&theirs), &site.authority).expect_err("of another authority");
     assert!(e.contains("UnknownIssuer") || e.contains("issuer"), "{e}");
@@ -229,9 +261,12 @@
 
 fn established(site: &Site) -> (Session, Session) {
     let mut server = Session::accept(server_config(site, None, None)).expect("a session");
-    let mut client = Session::connect(client_config(site, None, Versions::Only13), "n1.example")
-        .expect("a session");
-    client.seal(b"x");
+    let mut client = Session::connect(
+        client_config(site, None, ProtocolVersions::Only13),
+        "n1.example",
+    )
+    .expect("a session");
+    client.encrypt(b"x");
     pump(&mut client, &mut server, &mut (Vec::new(), Vec::new())).expect("a handshake");
     (client, server)
 }
@@ -241,16 +276,20 @@
     let site = site();
     let (_client, mut server) = established(&site);
     let mut record = vec![23, 3, 3];
-    record.extend(((crate::hello::LONGEST_RECORD + 1) as u16).to_be_bytes());
-    record.extend(vec![0; crate::hello::LONGEST_RECORD + 1]);
-    let fault = server.open(&record, &mut Vec::new()).expect_err("too long");
-    assert!(matches!(fault, Fault::Protocol(_)), "{fault}");
+    record.extend(((crate::client_hello::MAX_RECORD_BYTES + 1) as u16).to_be_bytes());
+    record.extend(vec![0; crate::client_hello::MAX_RECORD_BYTES + 1]);
+    let fault = server
+        .decrypt(&record, &mut Vec::new())
+        .expect_err("too long");
+    assert!(matches!(fault, SessionError::Protocol(_)), "{fault}");
     let mut alert = Vec::new();
-    server.output(&mut alert);
+    server.take_output(&mut alert);
     // After a handshake of 1.3 the alert goes out sealed, as a record of application data.
     assert!(alert.len() > 5, "an alert goes out: {alert:?}");
     assert!(
-        server.open(&[23, 3, 3, 0, 1, 0], &mut Vec::new()).is_err(),
+        server
+            .decrypt(&[23, 3, 3, 0, 1, 0], &mut Vec::new())
+            .is_err(),
         "nothing is taken after it"
     );
 }
@@ -265,26 +304,31 @@
     for _ in 0..5_000 {
         client.inner.refresh_traffic_keys().expect("a key update");
         let mut bytes = Vec::new();
-        client.output(&mut bytes);
+        client.take_output(&mut bytes);
         fed += bytes.len();
-        if let Err(e) = server.open(&bytes, &mut plain) {
+        if let Err(e) = server.decrypt(&bytes, &mut plain) {
             fault = Some(e);
             break;
         }
         let mut back = Vec::new();
-        server.output(&mut back);
-        let _ = client.open(&back, &mut Vec::new());
+        server.take_output(&mut back);
+        let _ = client.decrypt(&back, &mut Vec::new());
     }
     // rustls has a bound of its own on key updates; whichever comes first ends it.
     let fault = fault.expect("ended");
-    assert!(fed <= USELESS_BYTES + 1_024, "{fed} bytes before {fault}");
+    assert!(
+        fed <= MAX_BYTES_WITHOUT_DATA + 1_024,
+        "{fed} bytes before {fault}"
+    );
     // Something that carries a byte sets the count back.
     let (mut client, mut server) = established(&site);
     for _ in 0..3_000 {
-        client.seal(b"z");
+        client.encrypt(b"z");
         let mut bytes = Vec::new();
-        client.output(&mut bytes);
-        server.open(&bytes, &mut plain).expect("a byte is of use");
+        client.take_output(&mut bytes);
+        server
+            .decrypt(&bytes, &mut plain)
+            .expect("a byte is of use");
     }
 }
 
@@ -295,17 +339,20 @@
     // Records of a handshake whose message never ends: 17 of 4 KB say a ClientHello of 16 MB is coming.
     let mut bytes = vec![22, 3, 1, 0x10, 0x00, 1, 0xff, 0xff, 0xff];
     bytes.resize(5 + 4_096, 0);
-    let fault = server.open(&bytes, &mut Vec::new());
+    let fault = server.decrypt(&bytes, &mut Vec::new());
     let mut more = Vec::new();
     for _ in 0..20 {
         more.extend([22, 3, 1, 0x10, 0x00]);
         more.extend(vec![0; 4_096]);
     }
     let fault = fault
-        .and_then(|_| server.open(&more, &mut Vec::new()))
+        .and_then(|_| server.decrypt(&more, &mut Vec::new()))
         .expect_err("bounded");
     assert!(
-        matches!(fault, Fault::LongHandshake | Fault::Protocol(_)),
+        matches!(
+            fault,
+            SessionError::HandshakeTooLong | SessionError::Protocol(_)
+        ),
         "{fault}"
     );
 }
--- a/crates/tls/src/tickets.rs
+++ b/crates/tls/src/ticket_keys.rs
@@ -13,18 +13,18 @@
 use std::path::Path;
 
 /// Bytes of the shared secret.
-pub const SECRET: usize = 32;
+pub const SECRET_BYTES: usize = 32;
 const LABEL: &[u8] = b"cleatpulley ticket key";
 
 /// The keys of all periods.
-pub struct Tickets {
+pub struct TicketKeys {
     secret: hmac::Key,
     period: u64,
     clock: Clock,
     random: SystemRandom,
 }
 
-impl fmt::Debug for Tickets {
+impl fmt::Debug for TicketKeys {
     // The secret is never shown.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Tickets")
@@ -33,10 +33,10 @@
     }
 }
 
-impl Tickets {
+impl TicketKeys {
     /// Keys from this secret, each for so many seconds.
     #[must_use]
-    pub fn new(secret: &[u8; SECRET], period_seconds: u64, clock: Clock) -> Self {
+    pub fn new(secret: &[u8; SECRET_BYTES], period_seconds: u64, clock: Clock) -> Self {
         let secret = hmac::Key::new(hmac::HMAC_SHA256, secret);
         Self {
             secret,
@@ -54,10 +54,10 @@
         file: &Path,
         period_seconds: u64,
         clock: Clock,
-    ) -> Result<Self, crate::pair::Fault> {
-        let fault = |what: String| crate::pair::Fault {
+    ) -> Result<Self, crate::certificate::CertificateError> {
+        let fault = |what: String| crate::certificate::CertificateError {
             file: file.to_owned(),
-            what,
+            reason: what,
         };
         let text = std::fs::read_to_string(file).map_err(|e| fault(e.to_string()))?;
         let text = text.trim();
@@ -65,12 +65,13 @@
             text.get(2 * i..2 * i + 2)
                 .and_then(|pair| u8::from_str_radix(pair, 16).ok())
         };
-        let mut secret = [0; SECRET];
+        let mut secret = [0; SECRET_BYTES];
         for (i, byte) in secret.iter_mut().enumerate() {
-            *byte = digits(i).ok_or_else(|| fault(format!("not {} hex digits", 2 * SECRET)))?;
+            *byte =
+                digits(i).ok_or_else(|| fault(format!("not {} hex digits", 2 * SECRET_BYTES)))?;
         }
-        if text.len() != 2 * SECRET {
-            return Err(fault(format!("not {} hex digits", 2 * SECRET)));
+        if text.len() != 2 * SECRET_BYTES {
+            return Err(fault(format!("not {} hex digits", 2 * SECRET_BYTES)));
         }
         Ok(Self::new(&secret, period_seconds, clock))
     }
@@ -86,11 +87,11 @@
     }
 
     fn number(&self) -> u64 {
-        self.clock.seconds() / self.period
+        self.clock.unix_seconds() / self.period
     }
 }
 
-impl rustls::server::ProducesTickets for Tickets {
+impl rustls::server::ProducesTickets for TicketKeys {
     fn enabled(&self) -> bool {
         true
     }
@@ -135,8 +136,8 @@
 ///
 /// # Errors
 /// Where the system gives no random bytes.
-pub fn new_secret() -> Result<String, String> {
-    let mut secret = [0; SECRET];
+pub fn generate_secret() -> Result<String, String> {
+    let mut secret = [0; SECRET_BYTES];
     SystemRandom::new()
         .fill(&mut secret)
         .map_err(|_| "no random bytes from the system".to_owned())?;
@@ -150,19 +151,19 @@
 
     #[test]
     fn a_ticket_holds_for_its_period_and_the_next_and_on_any_instance_of_the_secret() {
-        let clock = Clock::at(1_000_000 * 3_600 * 100);
-        let ours = Tickets::new(&[7; SECRET], 3_600, clock.clone());
-        let theirs = Tickets::new(&[7; SECRET], 3_600, clock.clone());
-        let stranger = Tickets::new(&[8; SECRET], 3_600, clock.clone());
+        let clock = Clock::from_unix_micros(1_000_000 * 3_600 * 100);
+        let ours = TicketKeys::new(&[7; SECRET_BYTES], 3_600, clock.clone());
+        let theirs = TicketKeys::new(&[7; SECRET_BYTES], 3_600, clock.clone());
+        let stranger = TicketKeys::new(&[8; SECRET_BYTES], 3_600, clock.clone());
         let ticket = ours.encrypt(b"state").expect("sealed");
         assert_eq!(theirs.decrypt(&ticket).as_deref(), Some(&b"state"[..]));
         assert_eq!(stranger.decrypt(&ticket), None);
-        clock.set(clock.micros() + 3_600 * 1_000_000);
+        clock.set(clock.unix_micros() + 3_600 * 1_000_000);
         assert!(
             theirs.decrypt(&ticket).is_some(),
             "the period before is taken"
         );
-        clock.set(clock.micros() + 3_600 * 1_000_000);
+        clock.set(clock.unix_micros() + 3_600 * 1_000_000);
         assert_eq!(theirs.decrypt(&ticket), None, "two periods on it is stale");
         let mut spoilt = ours.encrypt(b"state").expect("sealed");
         let last = spoilt.len() - 1;
--- a/crates/tls/src/verdict.rs
+++ b/crates/tls/src/verification.rs
@@ -1,7 +1,7 @@
 //! What a client would refuse in a certificate, and why: the verdict of the same verifier that sessions use, at a time
 //! that is given, for a name that is given, as a server and as a client.
 
-use crate::pair::{certificates, Facts};
+use crate::certificate::{parse_certificates, CertificateInfo};
 use rustls::client::danger::ServerCertVerifier;
 use rustls::client::WebPkiServerVerifier;
 use rustls::pki_types::{CertificateDer, ServerName, UnixTime};
@@ -13,20 +13,20 @@
 
 /// What was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Verdict {
+pub struct VerificationReport {
     /// What the certificate says.
-    pub facts: Facts,
+    pub certificate: CertificateInfo,
     /// Refused as a server of the name, and why.
-    pub as_server: Option<String>,
+    pub server_error: Option<String>,
     /// Refused as a client, and why.
-    pub as_client: Option<String>,
+    pub client_error: Option<String>,
 }
 
-impl Verdict {
+impl VerificationReport {
     /// Nobody refuses it.
     #[must_use]
-    pub fn is_good(&self) -> bool {
-        self.as_server.is_none() && self.as_client.is_none()
+    pub fn is_accepted(&self) -> bool {
+        self.server_error.is_none() && self.client_error.is_none()
     }
 }
 
@@ -34,31 +34,31 @@
 ///
 /// # Errors
 /// Where a file holds no certificate, or the roots can't be used.
-pub fn judge(
+pub fn verify_files(
     chain: (&Path, &[u8]),
     roots: (&Path, &[u8]),
     name: &str,
     now_seconds: u64,
-) -> Result<Verdict, String> {
-    let chain = certificates(chain.0, chain.1).map_err(|e| e.to_string())?;
-    let roots = certificates(roots.0, roots.1).map_err(|e| e.to_string())?;
-    judge_chain(&chain, &roots, name, now_seconds)
+) -> Result<VerificationReport, String> {
+    let chain = parse_certificates(chain.0, chain.1).map_err(|e| e.to_string())?;
+    let roots = parse_certificates(roots.0, roots.1).map_err(|e| e.to_string())?;
+    verify_chain(&chain, &roots, name, now_seconds)
 }
 
 /// The same, for certificates that were read.
 ///
 /// # Errors
 /// Where the roots can't be used.
-pub fn judge_chain(
+pub fn verify_chain(
     chain: &[CertificateDer<'static>],
     roots: &[CertificateDer<'static>],
     name: &str,
     now_seconds: u64,
-) -> Result<Verdict, String> {
+) -> Result<VerificationReport, String> {
     let Some((end, between)) = chain.split_first() else {
         return Err("no certificate".to_owned());
     };
-    let facts = Facts::of(end)?;
+    let facts = CertificateInfo::from_der(end)?;
     let mut store = RootCertStore::empty();
     for (i, root) in roots.iter().enumerate() {
         store
@@ -67,7 +67,7 @@
     }
     let store = Arc::new(store);
     let now = UnixTime::since_unix_epoch(Duration::from_secs(now_seconds));
-    let provider = crate::provider();
+    let provider = crate::crypto_provider();
     let server =
         WebPkiServerVerifier::builder_with_provider(Arc::clone(&store), Arc::clone(&provider));
     let server = server.build().map_err(|e| e.to_string())?;
@@ -85,9 +85,9 @@
         .verify_client_cert(end, between, now)
         .err()
         .map(|e| e.to_string());
-    Ok(Verdict {
-        facts,
-        as_server,
-        as_client,
+    Ok(VerificationReport {
+        certificate: facts,
+        server_error: as_server,
+        client_error: as_client,
     })
 }
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -5,12 +5,12 @@
 use cleatpulley_emulators::callers::{request_frame, said, Said};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_tls::authority::{self, Made};
-use cleatpulley_tls::pair::{certificates, Pair};
+use cleatpulley_tls::authority::{self, IssuedCertificate};
+use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
+use cleatpulley_tls::config::{self, ProtocolVersions};
 use cleatpulley_tls::rustls::{ClientConfig, ClientConnection, ServerConfig, StreamOwned};
 use cleatpulley_tls::session::Session;
-use cleatpulley_tls::setup::{self, Versions};
-use cleatpulley_tls::tickets::{Tickets, SECRET};
+use cleatpulley_tls::ticket_keys::{TicketKeys, SECRET_BYTES};
 use cleatpulley_tls::Clock;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,16 +37,17 @@
 
 struct Files {
     dir: tempfile::TempDir,
-    authority: Made,
+    authority: IssuedCertificate,
     clock: Clock,
 }
 
 impl Files {
     fn new() -> Result<Self, String> {
         let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let authority = authority::init("bench authority", now(), 2).map_err(|e| e.to_string())?;
+        let authority =
+            authority::create_authority("bench authority", now(), 2).map_err(|e| e.to_string())?;
         let names = ["n1".to_owned(), "127.0.0.1".to_owned()];
-        let made = authority::issue(
+        let made = authority::issue_certificate(
             (&authority.certificate, &authority.key),
             &names,
             None,
@@ -59,11 +60,11 @@
         };
         write("n1.pem", &made.certificate)?;
         write("n1.key", &made.key)?;
-        write("tickets.key", &"5a".repeat(SECRET))?;
+        write("tickets.key", &"5a".repeat(SECRET_BYTES))?;
         Ok(Self {
             dir,
             authority,
-            clock: Clock::at(now() as u64 * 1_000_000),
+            clock: Clock::from_unix_micros(now() as u64 * 1_000_000),
         })
     }
 
@@ -78,23 +79,33 @@
     }
 
     fn client(&self) -> Result<Arc<ClientConfig>, String> {
-        self.client_of(Versions::Both)
+        self.client_of(ProtocolVersions::Both)
     }
 
-    fn client_of(&self, versions: Versions) -> Result<Arc<ClientConfig>, String> {
-        let roots = certificates(Path::new("ca.pem"), self.authority.certificate.as_bytes())
+    fn client_of(&self, versions: ProtocolVersions) -> Result<Arc<ClientConfig>, String> {
+        let roots = parse_certificates(Path::new("ca.pem"), self.authority.certificate.as_bytes())
             .map_err(|e| e.to_string())?;
-        setup::client(&roots, None, versions, &self.clock)
+        config::client_config(&roots, None, versions, &self.clock)
     }
 
     fn server(&self) -> Result<Arc<ServerConfig>, String> {
-        let pair = Pair::load(
+        let pair = CertificateWithKey::load(
             &self.dir.path().join("n1.pem"),
             &self.dir.path().join("n1.key"),
         )
         .map_err(|e| e.to_string())?;
-        let tickets = Arc::new(Tickets::new(&[0x5a; SECRET], 21_600, self.clock.clone()));
-        setup::server(&pair, None, Versions::Both, Some(tickets), &self.clock)
+        let tickets = Arc::new(TicketKeys::new(
+            &[0x5a; SECRET_BYTES],
+            21_600,
+            self.clock.clone(),
+        ));
+        config::server_config(
+            &pair,
+            None,
+            ProtocolVersions::Both,
+            Some(tickets),
+            &self.clock,
+        )
     }
 }
 
@@ -115,10 +126,10 @@
                 .map_err(|e| e.to_string())?;
         }
         let begun = Instant::now();
-        ours.open(&to_server, &mut plain)
+        ours.decrypt(&to_server, &mut plain)
             .map_err(|e| e.to_string())?;
         let mut to_client = Vec::new();
-        ours.output(&mut to_client);
+        ours.take_output(&mut to_client);
         spent += begun.elapsed();
         let mut cursor = &to_client[..];
         while !cursor.is_empty() {
@@ -128,7 +139,7 @@
         if !ours.is_handshaking()
             && !theirs.is_handshaking()
             && !theirs.wants_write()
-            && !ours.wants_output()
+            && !ours.has_output()
         {
             break;
         }
@@ -145,7 +156,7 @@
 }
 
 /// Microseconds of a full and of a resumed handshake of a version, the median of many.
-fn handshakes(files: &Files, versions: Versions) -> Result<(f64, f64), String> {
+fn handshakes(files: &Files, versions: ProtocolVersions) -> Result<(f64, f64), String> {
     let server = files.server()?;
     let (mut full, mut resumed) = (Vec::new(), Vec::new());
     let remembers = files.client_of(versions)?;
@@ -405,8 +416,8 @@
 /// Where something can't be started.
 pub fn run(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
     let files = Files::new()?;
-    let (full, resumed) = handshakes(&files, Versions::Only13)?;
-    let (full12, resumed12) = handshakes(&files, Versions::Only12)?;
+    let (full, resumed) = handshakes(&files, ProtocolVersions::Only13)?;
+    let (full12, resumed12) = handshakes(&files, ProtocolVersions::Only12)?;
     say!(
         "TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
          1.2 full {full12:.0} us ({:.0}), resumed {resumed12:.0} us ({:.0})",
--- a/src/commands/certs.rs
+++ b/src/commands/certs.rs
@@ -2,9 +2,9 @@
 //! never printed; a file that is there already is not written over, but by `renew`, which replaces it whole.
 
 use clap::{Args, Subcommand};
-use cleatpulley_tls::authority::{self, Made};
-use cleatpulley_tls::pair::{certificates, Facts, Pair};
-use cleatpulley_tls::{tickets, verdict};
+use cleatpulley_tls::authority::{self, IssuedCertificate};
+use cleatpulley_tls::certificate::{parse_certificates, CertificateInfo, CertificateWithKey};
+use cleatpulley_tls::{ticket_keys, verification};
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
@@ -140,14 +140,14 @@
     ))
 }
 
-fn told(made: &Made, certificate: &Path, key: &Path) -> Result<(), String> {
-    let pair = Pair::from_pem(
+fn told(made: &IssuedCertificate, certificate: &Path, key: &Path) -> Result<(), String> {
+    let pair = CertificateWithKey::from_pem(
         certificate,
         made.certificate.as_bytes(),
         key,
         made.key.as_bytes(),
     );
-    let facts = pair.map_err(|e| e.to_string())?.facts;
+    let facts = pair.map_err(|e| e.to_string())?.info;
     say!(
         "{} for {}, valid until {} (Unix seconds)",
         certificate.display(),
@@ -166,7 +166,8 @@
     match certs {
         Certs::Init { dir, name, days } => {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-            let made = authority::init(name, now(), *days).map_err(|e| e.to_string())?;
+            let made =
+                authority::create_authority(name, now(), *days).map_err(|e| e.to_string())?;
             let (certificate, key, secret) = (
                 dir.join("ca.pem"),
                 dir.join("ca.key"),
@@ -174,7 +175,11 @@
             );
             create(&key, &made.key, 0o600)?;
             create(&certificate, &made.certificate, 0o644)?;
-            create(&secret, &format!("{}\n", tickets::new_secret()?), 0o600)?;
+            create(
+                &secret,
+                &format!("{}\n", ticket_keys::generate_secret()?),
+                0o600,
+            )?;
             say!("{}: the authority {name:?}", certificate.display());
             say!("{} (mode 0600)", key.display());
             say!(
@@ -188,20 +193,26 @@
                 .chain(also.iter().cloned())
                 .collect();
             let (ca, ca_key) = authority(&issued.dir)?;
-            let made = authority::issue((&ca, &ca_key), &names, None, now(), issued.days)
-                .map_err(|e| e.to_string())?;
+            let made =
+                authority::issue_certificate((&ca, &ca_key), &names, None, now(), issued.days)
+                    .map_err(|e| e.to_string())?;
             create(&key, &made.key, 0o600)?;
             create(&certificate, &made.certificate, 0o644)?;
             told(&made, &certificate, &key)?;
         }
         Certs::Renew { issued, new_key } => {
             let (certificate, key) = files(issued)?;
-            let old = Pair::load(&certificate, &key).map_err(|e| e.to_string())?;
+            let old = CertificateWithKey::load(&certificate, &key).map_err(|e| e.to_string())?;
             let (ca, ca_key) = authority(&issued.dir)?;
             let kept = if *new_key { None } else { Some(read(&key)?) };
-            let names = old.facts.names;
-            let made =
-                authority::issue((&ca, &ca_key), &names, kept.as_deref(), now(), issued.days);
+            let names = old.info.names;
+            let made = authority::issue_certificate(
+                (&ca, &ca_key),
+                &names,
+                kept.as_deref(),
+                now(),
+                issued.days,
+            );
             let made = made.map_err(|e| e.to_string())?;
             if *new_key {
                 // The key first: a server that reads between the two sees a pair that does not fit and keeps its own.
@@ -212,9 +223,9 @@
         }
         Certs::Show { file } => {
             let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let chain = certificates(file, &bytes).map_err(|e| e.to_string())?;
+            let chain = parse_certificates(file, &bytes).map_err(|e| e.to_string())?;
             for (i, certificate) in chain.iter().enumerate() {
-                let facts = Facts::of(certificate)
+                let facts = CertificateInfo::from_der(certificate)
                     .map_err(|what| format!("{}: certificate {}: {what}", file.display(), i + 1))?;
                 if i > 0 {
                     say!();
@@ -222,7 +233,7 @@
                 say!("{facts}");
                 say!(
                     "days left    {}",
-                    facts.left(now() as u64).div_euclid(86_400)
+                    facts.seconds_until_expiry(now() as u64).div_euclid(86_400)
                 );
             }
         }
@@ -246,31 +257,32 @@
 ) -> Result<ExitCode, String> {
     let chain = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let trusted = std::fs::read(roots).map_err(|e| format!("{}: {e}", roots.display()))?;
-    let first = certificates(file, &chain).map_err(|e| e.to_string())?;
-    let facts = Facts::of(&first[0]).map_err(|what| format!("{}: {what}", file.display()))?;
+    let first = parse_certificates(file, &chain).map_err(|e| e.to_string())?;
+    let facts = CertificateInfo::from_der(&first[0])
+        .map_err(|what| format!("{}: {what}", file.display()))?;
     let name = name
         .map(str::to_owned)
         .or_else(|| facts.names.first().cloned())
         .unwrap_or_default();
     let at = at.unwrap_or(now() as u64);
-    let verdict = verdict::judge((file, &chain), (roots, &trusted), &name, at)?;
-    let mut good = verdict.is_good();
+    let verdict = verification::verify_files((file, &chain), (roots, &trusted), &name, at)?;
+    let mut good = verdict.is_accepted();
     say!(
         "as the server {name:?}: {}",
         verdict
-            .as_server
+            .server_error
             .as_deref()
             .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
     say!(
         "as a client: {}",
         verdict
-            .as_client
+            .client_error
             .as_deref()
             .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
     if let Some(key) = key {
-        match Pair::from_pem(
+        match CertificateWithKey::from_pem(
             file,
             &chain,
             key,
@@ -283,7 +295,7 @@
             }
         }
     }
-    let left = facts.left(at);
+    let left = facts.seconds_until_expiry(at);
     say!("expires in {} days ({left} s)", left.div_euclid(86_400));
     Ok(if good {
         ExitCode::SUCCESS
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -135,7 +135,7 @@
 
 impl LinksSection {
     fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, Wrong> {
-        use cleatpulley_tls::pair::{certificates, Pair};
+        use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
             (
@@ -143,12 +143,12 @@
                 format!("{}: {e}", roots_file.display()),
             )
         })?;
-        let roots = certificates(&roots_file, &bytes)
+        let roots = parse_certificates(&roots_file, &bytes)
             .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
         let own = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
-                let pair = Pair::load(&folder.join(certificate), &folder.join(key));
+                let pair = CertificateWithKey::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
             (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
@@ -165,10 +165,10 @@
             }
         }
         let clock = cleatpulley_tls::Clock::default();
-        let config = cleatpulley_tls::setup::client(
+        let config = cleatpulley_tls::config::client_config(
             &roots,
             own.as_ref(),
-            cleatpulley_tls::setup::Versions::Both,
+            cleatpulley_tls::config::ProtocolVersions::Both,
             &clock,
         );
         let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -6,9 +6,9 @@
 use cleatpulley_connection_admission::handshake::Settings as Handshaking;
 use cleatpulley_server::error::CertificateError;
 use cleatpulley_server::tls_layer::{CertificateSource, LoadedCertificate, TlsOptions};
-use cleatpulley_tls::pair::{self, Pair};
-use cleatpulley_tls::setup::{self, Clients, Versions};
-use cleatpulley_tls::tickets::Tickets;
+use cleatpulley_tls::certificate::{self, CertificateWithKey};
+use cleatpulley_tls::config::{self, ClientAuthentication, ProtocolVersions};
+use cleatpulley_tls::ticket_keys::TicketKeys;
 use cleatpulley_tls::Clock;
 use serde::Deserialize;
 use std::fmt;
@@ -157,7 +157,7 @@
     key: PathBuf,
     roots: Option<(PathBuf, bool)>,
     tickets: Option<(PathBuf, u64)>,
-    versions: Versions,
+    versions: ProtocolVersions,
     clock: Clock,
 }
 
@@ -207,13 +207,15 @@
     }
 
     fn load(&self) -> Result<LoadedCertificate, CertificateError> {
-        let pair = Pair::load(&self.certificate, &self.key).map_err(|e| e.to_string())?;
+        let pair =
+            CertificateWithKey::load(&self.certificate, &self.key).map_err(|e| e.to_string())?;
         let clients = match &self.roots {
             None => None,
             Some((file, required)) => {
                 let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-                let roots = pair::certificates(file, &bytes).map_err(|e| e.to_string())?;
-                Some(Clients {
+                let roots =
+                    certificate::parse_certificates(file, &bytes).map_err(|e| e.to_string())?;
+                Some(ClientAuthentication {
                     roots,
                     required: *required,
                 })
@@ -222,16 +224,17 @@
         let tickets = match &self.tickets {
             None => None,
             Some((file, period)) => {
-                let tickets =
-                    Tickets::load(file, *period, self.clock.clone()).map_err(|e| e.to_string())?;
+                let tickets = TicketKeys::load(file, *period, self.clock.clone())
+                    .map_err(|e| e.to_string())?;
                 Some(Arc::new(tickets) as Arc<dyn cleatpulley_tls::rustls::server::ProducesTickets>)
             }
         };
-        let config = setup::server(&pair, clients.as_ref(), self.versions, tickets, &self.clock);
+        let config =
+            config::server_config(&pair, clients.as_ref(), self.versions, tickets, &self.clock);
         let config = config.map_err(|e| format!("{}: {e}", self.certificate.display()))?;
         Ok(LoadedCertificate {
             config,
-            facts: pair.facts,
+            facts: pair.info,
         })
     }
 }
@@ -303,9 +306,9 @@
     pub(super) fn check(self, config: &Config, folder: &Path) -> Result<TlsOptions, Wrong> {
         let path = |text: &str| folder.join(text);
         let versions = match self.versions.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-            ["1.3", "1.2"] | ["1.2", "1.3"] => Versions::Both,
-            ["1.3"] => Versions::Only13,
-            ["1.2"] => Versions::Only12,
+            ["1.3", "1.2"] | ["1.2", "1.3"] => ProtocolVersions::Both,
+            ["1.3"] => ProtocolVersions::Only13,
+            ["1.2"] => ProtocolVersions::Only12,
             _ => {
                 return wrong(
                     "tls.versions",
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -16,7 +16,7 @@
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority;
-use cleatpulley_tls::pair::Pair;
+use cleatpulley_tls::certificate::CertificateWithKey;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fs;
@@ -56,8 +56,8 @@
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
         .as_secs() as i64;
-    let ca = authority::init("test authority", now, 30).expect("an authority");
-    let made = authority::issue(
+    let ca = authority::create_authority("test authority", now, 30).expect("an authority");
+    let made = authority::issue_certificate(
         (&ca.certificate, &ca.key),
         &["n3".to_owned()],
         None,
@@ -92,10 +92,11 @@
         .expect("it runs");
     let complaint = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{arguments:?}: {complaint}");
-    let pair = Pair::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("a pair");
+    let pair =
+        CertificateWithKey::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("a pair");
     let said = String::from_utf8(output.stdout).expect("text");
-    said.replace(&pair.facts.serial, "SERIAL")
-        .replace(&pair.facts.not_after.to_string(), "UNTIL")
+    said.replace(&pair.info.serial, "SERIAL")
+        .replace(&pair.info.not_after.to_string(), "UNTIL")
 }
 
 fn config() -> Config {
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -4,10 +4,10 @@
 use cleatpulley_emulators::callers::{request_frame, said, Said};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_tls::authority::{self, Made};
-use cleatpulley_tls::pair::{certificates, Facts, Pair};
+use cleatpulley_tls::authority::{self, IssuedCertificate};
+use cleatpulley_tls::certificate::{parse_certificates, CertificateInfo, CertificateWithKey};
+use cleatpulley_tls::config::{self, ProtocolVersions};
 use cleatpulley_tls::rustls::{ClientConnection, StreamOwned};
-use cleatpulley_tls::setup::{self, Versions};
 use cleatpulley_tls::Clock;
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -28,13 +28,14 @@
 /// An authority, the matcher's certificate and two callers' in a folder.
 struct Files {
     dir: tempfile::TempDir,
-    authority: Made,
+    authority: IssuedCertificate,
 }
 
 impl Files {
     fn new() -> Self {
         let dir = tempfile::tempdir().expect("a folder");
-        let authority = authority::init("test authority", now(), 30).expect("an authority");
+        let authority =
+            authority::create_authority("test authority", now(), 30).expect("an authority");
         std::fs::write(dir.path().join("ca.pem"), &authority.certificate).expect("written");
         let files = Self { dir, authority };
         for name in ["n1", "fe-1", "fe-2"] {
@@ -50,7 +51,7 @@
 
     fn issue(&self, name: &str, days: i64) {
         let names = [name.to_owned(), "127.0.0.1".to_owned()];
-        let made = authority::issue(
+        let made = authority::issue_certificate(
             (&self.authority.certificate, &self.authority.key),
             &names,
             None,
@@ -68,8 +69,8 @@
         }
     }
 
-    fn pair(&self, name: &str) -> Pair {
-        Pair::load(
+    fn pair(&self, name: &str) -> CertificateWithKey {
+        CertificateWithKey::load(
             &self.path(&format!("{name}.pem")),
             &self.path(&format!("{name}.key")),
         )
@@ -92,12 +93,12 @@
 type Tls = StreamOwned<ClientConnection, TcpStream>;
 
 fn connect(files: &Files, to: SocketAddr, own: Option<&str>) -> std::io::Result<Tls> {
-    let roots =
-        certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes()).expect("roots");
+    let roots = parse_certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes())
+        .expect("roots");
     let own = own.map(|name| files.pair(name));
-    let clock = Clock::at(now() as u64 * 1_000_000);
-    let config =
-        setup::client(&roots, own.as_ref(), Versions::Both, &clock).expect("a client's setup");
+    let clock = Clock::from_unix_micros(now() as u64 * 1_000_000);
+    let config = config::client_config(&roots, own.as_ref(), ProtocolVersions::Both, &clock)
+        .expect("a client's setup");
     let name = "127.0.0.1".try_into().expect("a name");
     let tcp = TcpStream::connect(to)?;
     tcp.set_read_timeout(Some(Duration::from_secs(5)))?;
@@ -151,7 +152,7 @@
 
 fn serial(tls: &Tls) -> String {
     let chain = tls.conn.peer_certificates().expect("a certificate");
-    Facts::of(&chain[0]).expect("facts").serial
+    CertificateInfo::from_der(&chain[0]).expect("facts").serial
 }
 
 fn start(files: &Files, more: &str) -> (Site, Matcher) {
@@ -255,12 +256,13 @@
 /// A client's first flight, from a loopback address of its own, and nothing after it: a handshake begun and left.
 fn begun_and_left(files: &Files, to: SocketAddr, number: u32) -> Option<socket2::Socket> {
     use socket2::{Domain, SockAddr, Socket, Type};
-    let roots = certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes()).ok()?;
-    let config = setup::client(
+    let roots =
+        parse_certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes()).ok()?;
+    let config = config::client_config(
         &roots,
         None,
-        Versions::Both,
-        &Clock::at(now() as u64 * 1_000_000),
+        ProtocolVersions::Both,
+        &Clock::from_unix_micros(now() as u64 * 1_000_000),
     )
     .ok()?;
     let mut session = ClientConnection::new(config, "127.0.0.1".try_into().ok()?).ok()?;
