--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,13 +10,13 @@
 use cleatpulley::dispatcher::KeyScope;
 use cleatpulley::interface::{DependencyLimit, Effect, FeedbackKind, Preemption};
 use cleatpulley::operator::{evaluate, fleet::FleetConfig, gateway, Operator};
-use cleatpulley::protocol::ajp::server::Source;
-use cleatpulley::protocol::mgmt::{Answers, Connection};
+use cleatpulley::protocol::ajp::server::ParameterSource;
+use cleatpulley::protocol::management::{Connection, ManagementData};
 use cleatpulley::server::dependency_pool::DependencyProtocol;
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority;
-use cleatpulley_tls::pair::Pair;
+use cleatpulley_tls::certificate::CertificateWithKey;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fs;
@@ -56,8 +56,8 @@
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
         .as_secs() as i64;
-    let ca = authority::init("test authority", now, 30).expect("an authority");
-    let made = authority::issue(
+    let ca = authority::create_authority("test authority", now, 30).expect("an authority");
+    let made = authority::issue_certificate(
         (&ca.certificate, &ca.key),
         &["n3".to_owned()],
         None,
@@ -92,10 +92,11 @@
         .expect("it runs");
     let complaint = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{arguments:?}: {complaint}");
-    let pair = Pair::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("a pair");
+    let pair =
+        CertificateWithKey::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("a pair");
     let said = String::from_utf8(output.stdout).expect("text");
-    said.replace(&pair.facts.serial, "SERIAL")
-        .replace(&pair.facts.not_after.to_string(), "UNTIL")
+    said.replace(&pair.info.serial, "SERIAL")
+        .replace(&pair.info.not_after.to_string(), "UNTIL")
 }
 
 fn config() -> Config {
@@ -182,10 +183,10 @@
     assert_eq!(sections, BTreeSet::from(all));
     let operator = Operator::load(&file, &config()).expect("good");
     let ajp = operator.ajp.as_ref().expect("it is on");
-    let figures = &ajp.settings.figures;
-    let header = |name: &str| Some(Source::Header(name.to_owned()));
+    let figures = &ajp.settings.parameter_sources;
+    let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
     assert_eq!(
-        (&figures.id, &figures.door),
+        (&figures.id, &figures.received_at_ms),
         (&header("X-Request-Id"), &header("X-Door"))
     );
     assert_eq!(
@@ -196,12 +197,15 @@
         (&figures.rank, &figures.subject),
         (&header("X-Rank"), &header("X-Subject"))
     );
-    assert_eq!(figures.caller, Some(Source::Attribute("caller".to_owned())));
+    assert_eq!(
+        figures.caller,
+        Some(ParameterSource::Attribute("caller".to_owned()))
+    );
     assert_eq!(figures.key, header("Idempotency-Key"));
-    let defaults = &ajp.settings.defaults;
+    let defaults = &ajp.settings.parameter_defaults;
     let of = |class: usize| {
         (
-            defaults[class].work,
+            defaults[class].expected_work,
             defaults[class].memory_kb,
             defaults[class].rank,
         )
@@ -211,7 +215,11 @@
         ((300_000, 31.0, 0.25), (180_000, 32.0, 0.75))
     );
     assert_eq!(
-        (defaults[0].caller, defaults[3].caller, defaults[0].needs_id),
+        (
+            defaults[0].caller,
+            defaults[3].caller,
+            defaults[0].requires_id
+        ),
         (5, 6, true)
     );
     assert_eq!(ajp.settings.secret.as_deref(), Some(&b"a secret"[..]));
@@ -248,11 +256,11 @@
         Some(Path::new("/etc/cleatpulley/{place}.jsonnet"))
     );
     let expected = json!({
-        "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
-        "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
-        "crashes": 4,
-        "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
-        "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
+    "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
+    "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
+    "crashes": 4,
+    "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
+    "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
     });
     assert_eq!(
         serde_json::to_value(fleet.settings).expect("JSON"),
@@ -260,8 +268,8 @@
     );
     let planner_input = fleet.planner_input.expect("a host is described");
     let host = json!({
-        "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
-        "warm_after": 4_000_000, "drain": 3_000_000,
+    "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
+    "warm_after": 4_000_000, "drain": 3_000_000,
     });
     assert_eq!(
         serde_json::to_value(planner_input.host).expect("JSON"),
@@ -281,7 +289,7 @@
     assert!(
         operator
             .ajp
-            .is_some_and(|ajp| ajp.settings.lookup.is_some()),
+            .is_some_and(|ajp| ajp.settings.class_lookup.is_some()),
         "routes are imported"
     );
     assert!(matches!(operator.store, DependencyProtocol::Http));
@@ -356,8 +364,8 @@
         )
     );
     assert_eq!(
-        (ajp.max_body, ajp.figures.door),
-        (4_097, Some(Source::Header("X-Came".to_owned())))
+        (ajp.max_body_bytes, ajp.parameter_sources.received_at_ms),
+        (4_097, Some(ParameterSource::Header("X-Came".to_owned())))
     );
     assert_eq!(
         options.target_addresses.get("m1.example.org:7001"),
@@ -534,12 +542,12 @@
 
 struct Fixed(bool);
 
-impl Answers for Fixed {
-    fn ready(&self) -> bool {
+impl ManagementData for Fixed {
+    fn is_ready(&self) -> bool {
         self.0
     }
 
-    fn vars(&self) -> Vec<u8> {
+    fn variables_json(&self) -> Vec<u8> {
         b"{}\n".to_vec()
     }
 }
@@ -581,11 +589,11 @@
     let site = Site::start(Setup::default()).expect("a site");
     let at = |name: &str| folder.path().join(name).display().to_string();
     let operator = format!(
-        "{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
+"{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
          handshakes: {{ per_second: 100 }} }} }}",
-        at("n3.pem"),
-        at("n3.key")
-    );
+at("n3.pem"),
+at("n3.key")
+);
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher = Matcher::start(program, &site.config, Some(&operator)).expect("it starts");
     let (status, body) = matcher.ask("/_ready").expect("an answer");
