--- a/crates/server/src/buffered_connection.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -13,14 +13,14 @@
 use tls_stream::TlsStream;
 
 /// Bytes that are read from a socket at once. So many sent bytes may stay in the output.
-const CHUNK_BYTES: usize = 16_384;
+const READ_CHUNK_BYTES: usize = 16_384;
 /// The capacity that an empty buffer keeps.
-const KEPT_CAPACITY: usize = 4_096;
+const MAX_IDLE_CAPACITY_BYTES: usize = 4_096;
 
 thread_local! {
     /// Bytes on their way from a socket to the input of a connection. There is one for all
     /// connections, since clearing one for each read took longer than the rest of it.
-    static READ_CHUNK: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK_BYTES]);
+    static READ_CHUNK: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK_BYTES]);
 }
 
 /// A connection with its buffers. The event loop reports its readiness once, which is therefore
@@ -34,9 +34,9 @@
     /// Bytes for the socket; over TLS, records.
     output: Vec<u8>,
     /// Bytes at the front of `output` that were sent already.
-    sent: usize,
+    sent_bytes: usize,
     /// Bytes sent in all.
-    sent_total: u64,
+    total_sent_bytes: u64,
     /// The peer sends no more.
     pub is_read_closed: bool,
     /// None where no TLS is spoken.
@@ -53,8 +53,8 @@
             writable: false,
             input: Vec::new(),
             output: Vec::new(),
-            sent: 0,
-            sent_total: 0,
+            sent_bytes: 0,
+            total_sent_bytes: 0,
             is_read_closed: false,
             tls: None,
         }
@@ -75,12 +75,12 @@
 
     /// Returns its TLS layer, where it speaks TLS.
     #[must_use]
-    pub fn layer(&self) -> Option<&TlsLayer> {
+    pub fn tls_layer(&self) -> Option<&TlsLayer> {
         self.tls.as_ref().map(|tls| &tls.layer)
     }
 
     /// Returns its TLS layer to change it, where it speaks TLS.
-    pub fn layer_mut(&mut self) -> Option<&mut TlsLayer> {
+    pub fn tls_layer_mut(&mut self) -> Option<&mut TlsLayer> {
         self.tls.as_mut().map(|tls| &mut tls.layer)
     }
 
@@ -127,7 +127,7 @@
             if self.input.len() >= limit {
                 return Ok(true);
             }
-            if self.layer().is_some_and(TlsLayer::holds_back) {
+            if self.tls_layer().is_some_and(TlsLayer::is_reading_paused) {
                 // What arrives before the handshake may begin stays with the system.
                 return Ok(false);
             }
@@ -177,7 +177,7 @@
     /// Drops so many bytes from the front of `input`.
     pub fn consume(&mut self, used: usize) {
         self.input.drain(..used);
-        trim(&mut self.input);
+        shrink_if_empty(&mut self.input);
     }
 
     /// Returns the buffer of bytes to be sent with the next [`flush`](Self::flush).
@@ -192,7 +192,7 @@
     #[must_use]
     pub fn unsent_bytes(&self) -> usize {
         let plain = self.tls.as_ref().map_or(0, |tls| tls.plain_output.len());
-        self.output.len() - self.sent + plain
+        self.output.len() - self.sent_bytes + plain
     }
 
     /// Sends what the system takes. Returns how many bytes that were; over TLS, how many plain
@@ -201,41 +201,41 @@
     /// # Errors
     /// Why the connection broke.
     pub fn flush(&mut self) -> io::Result<usize> {
-        let unsent_start = self.sent_total - self.sent as u64;
+        let unsent_start = self.total_sent_bytes - self.sent_bytes as u64;
         let Some(tls) = &mut self.tls else {
             return self.send();
         };
         tls.seal(&mut self.output, unsent_start);
-        trim(&mut tls.plain_output);
+        shrink_if_empty(&mut tls.plain_output);
         let sent = self.send();
-        let plain_sent = match &mut self.tls {
-            Some(tls) => tls.on_sent(self.sent_total),
+        let plain_sent_bytes = match &mut self.tls {
+            Some(tls) => tls.on_sent(self.total_sent_bytes),
             None => 0,
         };
         sent?;
-        Ok(plain_sent)
+        Ok(plain_sent_bytes)
     }
 
     fn send(&mut self) -> io::Result<usize> {
-        let sent_before = self.sent;
+        let sent_before = self.sent_bytes;
         // Plain bytes that wait for a TLS session are not among these.
-        while self.writable && self.output.len() > self.sent {
-            match self.stream.write(&self.output[self.sent..]) {
-                Ok(length) => self.sent += length,
+        while self.writable && self.output.len() > self.sent_bytes {
+            match self.stream.write(&self.output[self.sent_bytes..]) {
+                Ok(length) => self.sent_bytes += length,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.writable = false,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
         }
-        let sent = self.sent - sent_before;
-        self.sent_total += sent as u64;
-        if self.output.len() == self.sent {
+        let sent = self.sent_bytes - sent_before;
+        self.total_sent_bytes += sent as u64;
+        if self.output.len() == self.sent_bytes {
             self.output.clear();
-            trim(&mut self.output);
-            self.sent = 0;
-        } else if self.sent > CHUNK_BYTES {
-            self.output.drain(..self.sent);
-            self.sent = 0;
+            shrink_if_empty(&mut self.output);
+            self.sent_bytes = 0;
+        } else if self.sent_bytes > READ_CHUNK_BYTES {
+            self.output.drain(..self.sent_bytes);
+            self.sent_bytes = 0;
         }
         Ok(sent)
     }
@@ -253,9 +253,9 @@
 
 /// Gives back the capacity that an empty buffer has grown to. Guards against connections that each
 /// hold, for as long as they last, what their largest burst took.
-fn trim(buffer: &mut Vec<u8>) {
-    if buffer.is_empty() && buffer.capacity() > KEPT_CAPACITY {
-        buffer.shrink_to(KEPT_CAPACITY);
+fn shrink_if_empty(buffer: &mut Vec<u8>) {
+    if buffer.is_empty() && buffer.capacity() > MAX_IDLE_CAPACITY_BYTES {
+        buffer.shrink_to(MAX_IDLE_CAPACITY_BYTES);
     }
 }
 
--- a/crates/server/src/buffered_connection/tests.rs
+++ b/crates/server/src/buffered_connection/tests.rs
@@ -18,10 +18,10 @@
     connection.consume(65_535);
     assert_eq!(connection.input.len(), 1);
     connection.consume(1);
-    assert!(connection.input.capacity() <= KEPT_CAPACITY);
+    assert!(connection.input.capacity() <= MAX_IDLE_CAPACITY_BYTES);
     connection.output().extend_from_slice(&[0; 65_536]);
-    connection.sent = 65_536;
-    connection.sent_total = 65_536;
+    connection.sent_bytes = 65_536;
+    connection.total_sent_bytes = 65_536;
     connection.flush().expect("nothing to send");
-    assert!(connection.output.capacity() <= KEPT_CAPACITY);
+    assert!(connection.output.capacity() <= MAX_IDLE_CAPACITY_BYTES);
 }
--- a/crates/server/src/buffered_connection/tls_stream.rs
+++ b/crates/server/src/buffered_connection/tls_stream.rs
@@ -18,9 +18,9 @@
     /// Plain bytes that are not sealed yet.
     pub(super) plain_output: Vec<u8>,
     /// Ranges whose records were not sent completely.
-    sealed: VecDeque<SealedRange>,
-    plain_sealed: u64,
-    plain_sent: u64,
+    unsent_ranges: VecDeque<SealedRange>,
+    plain_sealed_bytes: u64,
+    plain_sent_bytes: u64,
 }
 
 impl TlsStream {
@@ -28,37 +28,37 @@
         Self {
             layer,
             plain_output: Vec::new(),
-            sealed: VecDeque::new(),
-            plain_sealed: 0,
-            plain_sent: 0,
+            unsent_ranges: VecDeque::new(),
+            plain_sealed_bytes: 0,
+            plain_sent_bytes: 0,
         }
     }
 
     /// Seals the plain bytes into `output`, which begins at `output_start` of the bytes sent by the
     /// connection.
     pub(super) fn seal(&mut self, output: &mut Vec<u8>, output_start: u64) {
-        let sealing = self.plain_output.len() as u64;
+        let sealing_bytes = self.plain_output.len() as u64;
         self.layer.seal(&mut self.plain_output, output);
-        if sealing > 0 && self.plain_output.is_empty() {
-            self.plain_sealed += sealing;
-            self.sealed.push_back(SealedRange {
+        if sealing_bytes > 0 && self.plain_output.is_empty() {
+            self.plain_sealed_bytes += sealing_bytes;
+            self.unsent_ranges.push_back(SealedRange {
                 record_end: output_start + output.len() as u64,
-                plain_end: self.plain_sealed,
+                plain_end: self.plain_sealed_bytes,
             });
         }
     }
 
     /// The connection has sent so many bytes in all. Returns how many more plain bytes are thereby
     /// sent completely.
-    pub(super) fn on_sent(&mut self, sent_total: u64) -> usize {
-        let plain_sent_before = self.plain_sent;
-        while let Some(range) = self.sealed.front() {
-            if range.record_end > sent_total {
+    pub(super) fn on_sent(&mut self, total_sent_bytes: u64) -> usize {
+        let plain_sent_before = self.plain_sent_bytes;
+        while let Some(range) = self.unsent_ranges.front() {
+            if range.record_end > total_sent_bytes {
                 break;
             }
-            self.plain_sent = range.plain_end;
-            self.sealed.pop_front();
+            self.plain_sent_bytes = range.plain_end;
+            self.unsent_ranges.pop_front();
         }
-        usize::try_from(self.plain_sent - plain_sent_before).unwrap_or(usize::MAX)
+        usize::try_from(self.plain_sent_bytes - plain_sent_before).unwrap_or(usize::MAX)
     }
 }
--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -261,7 +261,7 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let context = self.context.at(now, number);
+        let context = self.context.for_connection(now, number);
         let output = connection.stream.output();
         let is_responded = connection
             .machine
@@ -304,7 +304,7 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let context = self.context.at(now, number);
+        let context = self.context.for_connection(now, number);
         let next_action = connection.serve(&context, &mut self.arrivals);
         if connection.machine.status().spoken {
             if let Some(admission) = &mut self.acceptor.admission {
@@ -312,7 +312,7 @@
             }
         }
         if self.acceptor.is_yielding() {
-            connection.send_away(&context);
+            connection.request_close(&context);
             self.ready.push(number);
         }
         self.poll_handshake(now, number, events);
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -19,7 +19,7 @@
 use std::ops::ControlFlow;
 
 /// Connections accepted in one iteration on each listener.
-const MAX_ACCEPTS: usize = 128;
+const MAX_ACCEPTS_PER_POLL: usize = 128;
 /// Wait after the system had no descriptor for a new connection.
 pub(super) const ACCEPT_PAUSE: Micros = 50_000;
 /// Wait while rejected clients that are known take up all the room for rejected connections.
@@ -35,9 +35,9 @@
 }
 
 /// Whether a client gets a connection slot, and how its address is known.
-enum Admitted {
-    Yes(TrustLevel),
-    No(TrustLevel),
+enum SlotDecision {
+    Granted(TrustLevel),
+    Denied(TrustLevel),
 }
 
 impl<H: Host> ClientListener<H> {
@@ -59,13 +59,17 @@
         // them can be closed, all have pending responses. Unknown clients are then closed unread; a
         // known one is held beyond the limit, and while one is, new connections wait with the
         // system.
-        let is_stuck = self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events);
-        if is_stuck && self.acceptor.rejected_count > self.acceptor.max_rejected() {
+        let has_no_room_for_rejected =
+            self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events);
+        if has_no_room_for_rejected && self.acceptor.rejected_count > self.acceptor.max_rejected() {
             self.acceptor.accept_at = now + REJECTED_PAUSE;
             return;
         }
-        for _ in 0..MAX_ACCEPTS {
-            if self.accept_next(index, now, is_stuck, events).is_break() {
+        for _ in 0..MAX_ACCEPTS_PER_POLL {
+            if self
+                .accept_next(index, now, has_no_room_for_rejected, events)
+                .is_break()
+            {
                 return;
             }
         }
@@ -75,7 +79,7 @@
         &mut self,
         index: usize,
         now: Micros,
-        is_stuck: bool,
+        has_no_room_for_rejected: bool,
         events: &mut Vec<Event>,
     ) -> ControlFlow<()> {
         if !self.addresses[index].is_acceptable {
@@ -89,14 +93,17 @@
             return ControlFlow::Break(());
         }
         // Rejected connections of this iteration are read first.
-        if !is_stuck && self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events) {
+        if !has_no_room_for_rejected
+            && self.acceptor.is_rejected_full()
+            && !self.close_oldest_rejected(events)
+        {
             return ControlFlow::Break(());
         }
         let Some(accepted) = self.accept_connection(index, now, events)? else {
             return ControlFlow::Continue(());
         };
         let is_short_of_descriptors = accepted.is_short_of_descriptors;
-        self.assign_slot(index, now, accepted, is_stuck, events);
+        self.assign_slot(index, now, accepted, has_no_room_for_rejected, events);
         if is_short_of_descriptors {
             self.acceptor.reserve_descriptor(&self.host);
         }
@@ -182,21 +189,29 @@
         index: usize,
         now: Micros,
         accepted: AcceptedConnection<H>,
-        is_stuck: bool,
+        has_no_room_for_rejected: bool,
         events: &mut Vec<Event>,
     ) {
         let entry = &self.addresses[index];
         let machine = entry.protocol.create_machine(now, accepted.address);
         let is_secure = entry.is_secure;
         match self.admit(now, &accepted, events) {
-            Admitted::Yes(known) => self.add_connection(now, accepted, machine, known, is_secure),
+            SlotDecision::Granted(trust_level) => {
+                self.add_connection(now, accepted, machine, trust_level, is_secure);
+            }
             // Before a handshake there are no requests: the alert is all that can be sent.
-            Admitted::No(_) if is_secure => {
+            SlotDecision::Denied(_) if is_secure => {
                 let mut stream = accepted.stream;
                 stream.output().extend_from_slice(&BUSY_ALERT);
                 flush_unread(&mut stream);
             }
-            Admitted::No(known) => self.reject(now, accepted, machine, known, is_stuck),
+            SlotDecision::Denied(trust_level) => self.reject(
+                now,
+                accepted,
+                machine,
+                trust_level,
+                has_no_room_for_rejected,
+            ),
         }
     }
 
@@ -205,7 +220,7 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: TrustLevel,
+        trust_level: TrustLevel,
         is_secure: bool,
     ) {
         let AcceptedConnection {
@@ -219,16 +234,16 @@
             self.tls.on_accepted(now, number);
         }
         if let Some(admission) = &mut self.acceptor.admission {
-            admission.on_admitted(now, number, address, known);
+            admission.on_admitted(now, number, address, trust_level);
         }
-        let context = self.context.at(now, number);
+        let context = self.context.for_connection(now, number);
         if self.shutdown.has_begun {
             machine.leave(&context, stream.output());
         }
         if self.shutdown.is_stop_near {
             machine.part(&context, stream.output());
         }
-        let connection = ClientConnection::new(stream, machine, known, false);
+        let connection = ClientConnection::new(stream, machine, trust_level, false);
         self.connections.insert(number, connection);
     }
 
@@ -239,14 +254,16 @@
         now: Micros,
         accepted: AcceptedConnection<H>,
         mut machine: ProtocolMachine,
-        known: TrustLevel,
-        is_stuck: bool,
+        trust_level: TrustLevel,
+        has_no_room_for_rejected: bool,
     ) {
         let AcceptedConnection {
             number, mut stream, ..
         } = accepted;
-        machine.part(&self.context.at(now, number), stream.output());
-        if (accepted.is_short_of_descriptors || is_stuck) && known == TrustLevel::Unknown {
+        machine.part(&self.context.for_connection(now, number), stream.output());
+        if (accepted.is_short_of_descriptors || has_no_room_for_rejected)
+            && trust_level == TrustLevel::Unknown
+        {
             // Nothing is read of it: its requests have failed, and are not rejected. For a known
             // client the reserved descriptor is worth having.
             return flush_unread(&mut stream);
@@ -257,7 +274,7 @@
             readable: true,
             writable: true,
         });
-        let connection = ClientConnection::new(stream, machine, known, true);
+        let connection = ClientConnection::new(stream, machine, trust_level, true);
         self.connections.insert(number, connection);
         self.acceptor.rejected_count += 1;
         self.ready.push(number);
@@ -293,11 +310,11 @@
         now: Micros,
         accepted: &AcceptedConnection<H>,
         events: &mut Vec<Event>,
-    ) -> Admitted {
+    ) -> SlotDecision {
         let address = accepted.address;
         let slot_count = self.acceptor.slot_count(accepted.is_short_of_descriptors);
         let Some(admission) = &mut self.acceptor.admission else {
-            return Admitted::Yes(TrustLevel::Unknown);
+            return SlotDecision::Granted(TrustLevel::Unknown);
         };
         let connections = &self.connections;
         let may_lose_slot = |number: u64| {
@@ -310,18 +327,18 @@
             })
         };
         match admission.decide(now, address, slot_count, may_lose_slot) {
-            Decision::Admit(known) => Admitted::Yes(known),
+            Decision::Admit(trust_level) => SlotDecision::Granted(trust_level),
             Decision::EvictAndAdmit {
                 victim: number,
-                trust_level: known,
+                trust_level,
             } => {
                 self.close(number, events);
-                Admitted::Yes(known)
+                SlotDecision::Granted(trust_level)
             }
             Decision::Reject(reason) => {
-                let known = admission.trust_level(now, address);
+                let trust_level = admission.trust_level(now, address);
                 tracing::debug!(%address, ?reason, "a connection gets no slot");
-                Admitted::No(known)
+                SlotDecision::Denied(trust_level)
             }
         }
     }
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -11,7 +11,7 @@
 use std::io;
 
 /// Bytes read from a connection in one iteration, so that a busy client blocks nobody.
-const READ_LIMIT: usize = 65_536;
+const READ_LIMIT_BYTES: usize = 65_536;
 /// A client that leaves so many bytes unread is not read from: its responses would pile up here.
 /// The responses to its open requests come on top.
 const MAX_UNSENT_BYTES: usize = 32_768;
@@ -32,7 +32,7 @@
     /// Since when the write side is closed; what still arrives is discarded.
     pub(super) lingering_since: Option<Micros>,
     /// How its address is known.
-    pub(super) known: TrustLevel,
+    pub(super) trust_level: TrustLevel,
     /// The names of its certificate, where it spoke TLS.
     pub(super) certificate_names: Vec<String>,
     /// It got no connection slot, or its name has too many: it is asked to close, and closed soon
@@ -70,14 +70,14 @@
     pub(super) fn new(
         stream: BufferedConnection<H>,
         machine: ProtocolMachine,
-        known: TrustLevel,
+        trust_level: TrustLevel,
         is_rejected: bool,
     ) -> Self {
         Self {
             stream,
             machine,
             lingering_since: None,
-            known,
+            trust_level,
             certificate_names: Vec::new(),
             is_rejected,
         }
@@ -99,7 +99,7 @@
         let mut has_more = false;
         self.stream.flush()?;
         if self.stream.unsent_bytes() < MAX_UNSENT_BYTES {
-            has_more = self.stream.read(READ_LIMIT)?;
+            has_more = self.stream.read(READ_LIMIT_BYTES)?;
             self.receive(context, arrivals);
         }
         self.stream.flush()?;
@@ -134,9 +134,9 @@
 
     /// Asks the client to close where no request is on its way. Guards a request that is being
     /// written: the client could only send it again.
-    pub(super) fn send_away(&mut self, context: &Context) {
-        let has_request_on_its_way = self.machine.status().waits.is_some();
-        if self.is_open_and_used() && !has_request_on_its_way && !self.is_lingering() {
+    pub(super) fn request_close(&mut self, context: &Context) {
+        let has_incoming_request = self.machine.status().waits.is_some();
+        if self.is_open_and_used() && !has_incoming_request && !self.is_lingering() {
             self.machine.part(context, self.stream.output());
         }
     }
--- a/crates/server/src/client_listener/draining.rs
+++ b/crates/server/src/client_listener/draining.rs
@@ -11,21 +11,21 @@
     /// as soon as no request is on its way.
     pub fn yield_to_successor(&mut self, now: Micros) {
         self.acceptor.begin_yield();
-        self.send_away(now);
+        self.request_close(now);
     }
 
     /// Returns true once all connections that were ever used have been asked to close.
     #[must_use]
-    pub fn are_connections_sent_away(&self) -> bool {
+    pub fn is_close_requested_on_all(&self) -> bool {
         !self
             .connections
             .values()
             .any(ClientConnection::is_open_and_used)
     }
 
-    pub(super) fn send_away(&mut self, now: Micros) {
+    pub(super) fn request_close(&mut self, now: Micros) {
         for (&number, connection) in &mut self.connections {
-            connection.send_away(&self.context.at(now, number));
+            connection.request_close(&self.context.for_connection(now, number));
             self.ready.push(number);
         }
     }
@@ -70,7 +70,7 @@
             if connection.is_lingering() {
                 continue;
             }
-            let context = self.context.at(now, number);
+            let context = self.context.for_connection(now, number);
             let output = connection.stream.output();
             notify(&mut *connection.machine, &context, output);
             self.ready.push(number);
--- a/crates/server/src/client_listener/eviction.rs
+++ b/crates/server/src/client_listener/eviction.rs
@@ -12,7 +12,7 @@
 /// clients.
 const PAUSE_THRESHOLD: Micros = 1_000_000;
 /// Beyond this share of the slots, idle connections are asked to close, the longest idle first.
-const SHORTAGE_SHARE: f64 = 0.75;
+const SCARCITY_SHARE: f64 = 0.75;
 /// An idle connection that was used within this time is not asked to: its client may be about to
 /// use it.
 const RECENT_USE: Micros = 300_000;
@@ -56,12 +56,12 @@
         // Connections that could not be closed yet when the limit was lowered.
         self.set_connection_limit(now, self.acceptor.max_connections, events);
         if self.acceptor.is_yielding() {
-            self.send_away(now);
+            self.request_close(now);
         }
         let was_paused = now >= self.sweeper.sweep_at + PAUSE_THRESHOLD;
         self.sweeper.sweep_at = now + SWEEP_INTERVAL;
         self.expire_connections(now, was_paused);
-        self.close_idle_in_shortage(now);
+        self.close_idle_when_slots_are_scarce(now);
     }
 
     fn expire_connections(&mut self, now: Micros, was_paused: bool) {
@@ -70,7 +70,7 @@
                 self.ready.push(number);
                 continue;
             }
-            let context = self.context.at(now, number);
+            let context = self.context.for_connection(now, number);
             let machine = &mut *connection.machine;
             let output = connection.stream.output();
             if was_paused && machine.status().waits.is_some() {
@@ -92,8 +92,8 @@
     }
 
     /// Asks idle connections to close while slots run short.
-    fn close_idle_in_shortage(&mut self, now: Micros) {
-        let max_open = (SHORTAGE_SHARE * self.acceptor.max_connections as f64) as usize;
+    fn close_idle_when_slots_are_scarce(&mut self, now: Micros) {
+        let max_open = (SCARCITY_SHARE * self.acceptor.max_connections as f64) as usize;
         let open_count = self
             .connections
             .values()
@@ -105,7 +105,7 @@
         }
         for number in self.longest_idle(now, excess) {
             if let Some(connection) = self.connections.get_mut(&number) {
-                let context = self.context.at(now, number);
+                let context = self.context.for_connection(now, number);
                 connection
                     .machine
                     .part(&context, connection.stream.output());
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -19,8 +19,8 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let layer = connection.stream.layer_mut();
-        if layer.is_some_and(TlsLayer::take_established) {
+        let layer = connection.stream.tls_layer_mut();
+        if layer.is_some_and(TlsLayer::take_handshake_completion) {
             self.on_handshake_finished(now, number);
         }
     }
@@ -29,16 +29,16 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let Some(layer) = connection.stream.layer_mut() else {
+        let Some(layer) = connection.stream.tls_layer_mut() else {
             return;
         };
         let Some(offer) = layer.offer() else {
             return;
         };
-        layer.mark_decided();
+        layer.mark_offer_decided();
         let kind = HandshakeKind {
             is_resumption: offer.resumes,
-            trust_level: connection.known,
+            trust_level: connection.trust_level,
         };
         match self.tls.decide(now, number, kind) {
             HandshakeDecision::Begin => self.begin_handshake(number, events),
@@ -54,7 +54,7 @@
         if let Some(handshakes) = &mut self.tls.handshakes {
             handshakes.on_ended(number);
         }
-        let session = connection.stream.layer().and_then(TlsLayer::session);
+        let session = connection.stream.tls_layer().and_then(TlsLayer::session);
         connection.certificate_names = session
             .map(cleatpulley_tls::session::Session::peer_names)
             .unwrap_or_default();
@@ -63,19 +63,19 @@
         };
         match identities.admit(now, number, &connection.certificate_names) {
             Ok(true) => {
-                connection.known = TrustLevel::Allowlisted;
+                connection.trust_level = TrustLevel::Allowlisted;
                 if let Some(admission) = &mut self.acceptor.admission {
                     admission.on_allowlisted(number);
                 }
             }
             Ok(false) => {}
-            Err(reason) => self.reject_name(now, number, &reason),
+            Err(reason) => self.reject_over_identity_limit(now, number, &reason),
         }
     }
 
     /// Asks a client to close whose name has too many connections. Requests that it sent already
     /// are served, since one with an idempotency key may have run before.
-    fn reject_name(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
+    fn reject_over_identity_limit(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -85,7 +85,7 @@
         );
         connection.is_rejected = true;
         self.acceptor.rejected_count += 1;
-        let context = self.context.at(now, number);
+        let context = self.context.for_connection(now, number);
         connection
             .machine
             .part(&context, connection.stream.output());
@@ -97,7 +97,7 @@
         let secure_connection = self
             .connections
             .get(&number)
-            .filter(|connection| connection.stream.layer().is_some());
+            .filter(|connection| connection.stream.tls_layer().is_some());
         for arrival in self.arrivals.drain(..) {
             let is_permitted = secure_connection.is_none_or(|connection| {
                 self.tls
@@ -116,12 +116,12 @@
         let Some(handshakes) = &mut self.tls.handshakes else {
             return;
         };
-        let begun = handshakes.begin_queued(now);
-        let overdue = handshakes.take_expired(now);
-        for number in begun {
+        let startable = handshakes.begin_queued(now);
+        let expired = handshakes.take_expired(now);
+        for number in startable {
             self.begin_handshake(number, events);
         }
-        for number in overdue {
+        for number in expired {
             // Before its handshake has ended no request can be open on a connection.
             let connection = self.connections.get(&number);
             if connection.is_some_and(|connection| connection.machine.status().open == 0) {
--- a/crates/server/src/client_listener/listen.rs
+++ b/crates/server/src/client_listener/listen.rs
@@ -17,7 +17,7 @@
             address,
             is_acceptable: listener.is_some(),
             listener,
-            is_secure: self.tls.is_spoken(&protocol),
+            is_secure: self.tls.is_enabled_for(&protocol),
             protocol,
         });
     }
--- a/crates/server/src/client_listener/machine_context.rs
+++ b/crates/server/src/client_listener/machine_context.rs
@@ -14,7 +14,7 @@
 }
 
 impl MachineContext {
-    pub(super) fn at(&self, now: Micros, number: u64) -> Context<'_> {
+    pub(super) fn for_connection(&self, now: Micros, number: u64) -> Context<'_> {
         Context {
             now,
             number,
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -23,7 +23,7 @@
 
 impl TlsHandshakes {
     /// Returns true where TLS is spoken on addresses of this protocol.
-    pub(super) fn is_spoken(&self, protocol: &ClientProtocol) -> bool {
+    pub(super) fn is_enabled_for(&self, protocol: &ClientProtocol) -> bool {
         let state = self.state.as_ref();
         state.is_some_and(|state| state.borrow().is_enabled_for(protocol))
     }
--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -92,11 +92,11 @@
     /// Makes a call. The call that the request had before is abandoned.
     pub fn call(&mut self, now: Micros, call: DependencyCall, events: &mut Vec<Event>) {
         self.abandon(call.id);
-        self.assign(now, PendingCall::new(now, call), events);
+        self.assign_connection(now, PendingCall::new(now, call), events);
     }
 
     /// Gives the call a connection, or lets it wait for one.
-    fn assign(&mut self, now: Micros, call: PendingCall, events: &mut Vec<Event>) {
+    fn assign_connection(&mut self, now: Micros, call: PendingCall, events: &mut Vec<Event>) {
         let number = match self.find_connection(now, &call) {
             Ok(Some(number)) => number,
             Ok(None) => {
@@ -169,17 +169,20 @@
         for connection in self.connections.values_mut() {
             connection.is_reused = true;
         }
-        for number in self.numbers_where(|connection| !connection.has_sent) {
+        for number in self.connection_numbers_where(|connection| !connection.has_sent) {
             let connection = self.connections.remove(&number);
             let Some(call) = connection.and_then(|connection| connection.call) else {
                 continue;
             };
             self.busy.remove(&call.id);
-            self.assign(now, call, events);
+            self.assign_connection(now, call, events);
         }
     }
 
-    fn numbers_where(&self, predicate: impl Fn(&DependencyConnection<H>) -> bool) -> Vec<u64> {
+    fn connection_numbers_where(
+        &self,
+        predicate: impl Fn(&DependencyConnection<H>) -> bool,
+    ) -> Vec<u64> {
         self.connections
             .iter()
             .filter(|(_, connection)| predicate(connection))
@@ -198,7 +201,7 @@
     /// Reads replies, sends calls, and fails those that are past their deadline.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.serve_ready(now, events);
-        self.fail_late_calls(now, events);
+        self.fail_expired_calls(now, events);
         self.assign_waiting(now, events);
         self.close_idle(now);
         // Calls that were assigned just now are sent at once.
@@ -211,14 +214,15 @@
         }
     }
 
-    fn fail_late_calls(&mut self, now: Micros, events: &mut Vec<Event>) {
-        let is_late = |call: &PendingCall| now >= call.deadline;
-        for number in self.numbers_where(|connection| connection.call.as_ref().is_some_and(is_late))
+    fn fail_expired_calls(&mut self, now: Micros, events: &mut Vec<Event>) {
+        let is_expired = |call: &PendingCall| now >= call.deadline;
+        for number in self
+            .connection_numbers_where(|connection| connection.call.as_ref().is_some_and(is_expired))
         {
             self.fail(now, number, Outcome::TimedOut, events);
         }
         while let Some(call) = self.waiting.pop_front() {
-            if !is_late(&call) {
+            if !is_expired(&call) {
                 self.waiting.push_front(call);
                 break;
             }
@@ -231,7 +235,7 @@
             let Some(call) = self.waiting.pop_front() else {
                 return;
             };
-            self.assign(now, call, events);
+            self.assign_connection(now, call, events);
         }
     }
 
@@ -326,7 +330,7 @@
         };
         self.idle.retain(|idle| *idle != number);
         let is_stale = outcome == Outcome::Interrupted && connection.may_be_stale();
-        let never_ran = connection.has_call_never_run();
+        let is_proven_not_run = connection.is_call_proven_not_run();
         let Some(call) = connection.call else { return };
         self.busy.remove(&call.id);
         if is_stale && call.is_repeatable && now < call.deadline {
@@ -335,10 +339,10 @@
                 is_repeatable: false,
                 ..call
             };
-            return self.assign(now, call, events);
+            return self.assign_connection(now, call, events);
         }
         let outcome = match outcome {
-            Outcome::Interrupted if never_ran => Outcome::Unreachable,
+            Outcome::Interrupted if is_proven_not_run => Outcome::Unreachable,
             outcome => outcome,
         };
         events.push(call.into_failure(now, outcome));
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// Bytes of a reply that are read at once.
-const READ_LIMIT: usize = 2_097_152;
+const READ_LIMIT_BYTES: usize = 2_097_152;
 /// Method and path of each call.
 const METHOD: &str = "POST";
 const PATH: &str = "/query";
@@ -124,7 +124,7 @@
         }
         let sent = self.stream.flush();
         self.has_sent |= sent.as_ref().is_ok_and(|sent| *sent > 0);
-        let read = self.stream.read(READ_LIMIT);
+        let read = self.stream.read(READ_LIMIT_BYTES);
         if self.call.is_some() {
             if let Some(reply) = self.take_reply(now)? {
                 // A failure shows again with the next use.
@@ -165,7 +165,7 @@
 
     /// Returns true where the protocol proves that the call did not run: AJP shows that the
     /// dependency can't have read all of it.
-    pub(super) fn has_call_never_run(&self) -> bool {
+    pub(super) fn is_call_proven_not_run(&self) -> bool {
         match &self.protocol {
             ProtocolState::Http => false,
             ProtocolState::Ajp(client) => client.fate(self.stream.unsent_bytes()) == Fate::NeverRan,
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -13,11 +13,11 @@
 use std::path::PathBuf;
 
 /// Datagrams read in one iteration. Guards the requests: whoever has the key could fill one.
-const MAX_DATAGRAMS: usize = 64;
+const MAX_DATAGRAMS_PER_POLL: usize = 64;
 /// Larger datagrams are none of ours.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// Interval at which the status is shared, where it has changed.
-const STATUS_INTERVAL: Micros = 200_000;
+const STATUS_PUBLISH_INTERVAL: Micros = 200_000;
 /// The warmth is shared again where it has changed by this much.
 const WARMTH_STEP: f64 = 0.05;
 
@@ -45,12 +45,12 @@
 
 /// The status that was shared last.
 #[derive(Clone, Copy)]
-struct SharedStatus {
+struct PublishedStatus {
     warmth: f64,
     is_draining: bool,
 }
 
-impl SharedStatus {
+impl PublishedStatus {
     /// Returns true where the change is large enough to be shared.
     fn differs_from(self, earlier: Self) -> bool {
         (self.warmth - earlier.warmth).abs() >= WARMTH_STEP
@@ -69,7 +69,7 @@
     /// Datagrams may have arrived.
     is_readable: bool,
     /// None before the status was shared.
-    shared_status: Option<SharedStatus>,
+    published_status: Option<PublishedStatus>,
     next_status_at: Micros,
 }
 
@@ -87,15 +87,15 @@
             mut keys,
             folder,
         } = options;
-        let incarnations = incarnation_store::begin(&folder)?;
+        let incarnations = incarnation_store::reserve_incarnations(&folder)?;
         let (socket, address) = host.bind_datagram_socket(listen, LISTENER_NUMBER)?;
         if identity.address.port() == 0 {
             identity.address.set_port(address.port());
         }
         identity.boot_id = host.random();
         let seed = host.random();
-        let key = keys().map_err(io::Error::other)?;
-        let mut membership = Membership::new(identity, incarnations, settings, key, seed)
+        let key_ring = keys().map_err(io::Error::other)?;
+        let mut membership = Membership::new(identity, incarnations, settings, key_ring, seed)
             .map_err(|error| io::Error::new(ErrorKind::InvalidInput, error.to_string()))?;
         membership.join(contacts);
         tracing::info!("cluster: {} hears on {address}", membership.identity());
@@ -106,7 +106,7 @@
             keys,
             folder,
             is_readable: true,
-            shared_status: None,
+            published_status: None,
             next_status_at: 0,
         })
     }
@@ -134,7 +134,7 @@
     }
 
     /// Shares the status with the next [`poll`](Self::poll).
-    pub fn share_status_now(&mut self) {
+    pub fn publish_status_now(&mut self) {
         self.next_status_at = 0;
     }
 
@@ -143,8 +143,8 @@
     pub fn poll(&mut self, now: Micros, status: impl Fn() -> Status) -> Micros {
         let has_more = self.read(now);
         if now >= self.next_status_at {
-            self.next_status_at = now + STATUS_INTERVAL;
-            self.share_status(now, &status());
+            self.next_status_at = now + STATUS_PUBLISH_INTERVAL;
+            self.publish_status(now, &status());
         }
         self.membership.poll(now);
         self.send(now);
@@ -167,7 +167,7 @@
     /// Reads what has arrived; returns true where there may be more.
     fn read(&mut self, now: Micros) -> bool {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        for _ in 0..MAX_DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_POLL {
             if !self.is_readable {
                 return false;
             }
@@ -185,16 +185,16 @@
         self.is_readable
     }
 
-    fn share_status(&mut self, now: Micros, status: &Status) {
-        let status = SharedStatus {
+    fn publish_status(&mut self, now: Micros, status: &Status) {
+        let status = PublishedStatus {
             warmth: status.warmth,
             is_draining: status.is_draining,
         };
-        let earlier = self.shared_status;
+        let earlier = self.published_status;
         if earlier.is_some_and(|earlier| !status.differs_from(earlier)) {
             return;
         }
-        self.shared_status = Some(status);
+        self.published_status = Some(status);
         let warmth = status.warmth.to_le_bytes().to_vec();
         self.membership.publish(now, MetricKind::WarmUp, warmth);
         let is_draining = f64::from(u8::from(status.is_draining));
@@ -215,13 +215,13 @@
     fn handle_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::Up(peer) => {
-                self.log_step(now, format_args!("sees {} come <- {peer}", peer.name));
+                self.log_timeline_event(now, format_args!("sees {} come <- {peer}", peer.name));
             }
             Event::Down(peer) => {
-                self.log_step(now, format_args!("sees {} go <- {peer}", peer.name));
+                self.log_timeline_event(now, format_args!("sees {} go <- {peer}", peer.name));
             }
             Event::Rejoined(incarnation) => {
-                self.log_step(now, format_args!("comes back <- as {incarnation}"));
+                self.log_timeline_event(now, format_args!("comes back <- as {incarnation}"));
             }
             Event::Superseded(peer) => {
                 let name = &self.membership.identity().name;
@@ -229,10 +229,10 @@
                     "cluster: another process has the name {name} by a later incarnation: {peer}; \
                      this one stays out"
                 );
-                self.log_step(now, format_args!("is superseded <- {peer}"));
+                self.log_timeline_event(now, format_args!("is superseded <- {peer}"));
             }
             Event::PersistMark(mark) => {
-                if let Err(error) = incarnation_store::write(&self.folder, *mark) {
+                if let Err(error) = incarnation_store::write_mark(&self.folder, *mark) {
                     tracing::error!(
                         folder = %self.folder.display(),
                         %error,
@@ -247,8 +247,8 @@
     }
 
     /// Logs a step of the timeline, in the one format that drawings, tests and checks read.
-    fn log_step(&self, now: Micros, step: fmt::Arguments<'_>) {
+    fn log_timeline_event(&self, now: Micros, event: fmt::Arguments<'_>) {
         let name = &self.membership.identity().name;
-        tracing::info!(target: "timeline", "@ {now} {name} {step}");
+        tracing::info!(target: "timeline", "@ {now} {name} {event}");
     }
 }
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 
 /// The key of the mark.
-const KEY: &[u8] = b"incarnation";
+const MARK_KEY: &[u8] = b"incarnation";
 
 /// The folder holds something else than a mark.
 #[derive(Debug, thiserror::Error)]
@@ -22,20 +22,20 @@
 }
 
 /// Returns the incarnations of a process that starts. Their mark is durable by then.
-pub(super) fn begin(folder: &Path) -> io::Result<Incarnations> {
-    let mut store = open(folder)?;
-    let mark = read(&store, folder)?;
+pub(super) fn reserve_incarnations(folder: &Path) -> io::Result<Incarnations> {
+    let mut store = open_store(folder)?;
+    let mark = read_mark(&store, folder)?;
     let (incarnations, mark) = Incarnations::start_after(mark).map_err(io::Error::other)?;
-    put(&mut store, mark)?;
+    write_mark_synced(&mut store, mark)?;
     Ok(incarnations)
 }
 
 /// Makes a mark durable.
-pub(super) fn write(folder: &Path, mark: IncarnationMark) -> io::Result<()> {
-    put(&mut open(folder)?, mark)
+pub(super) fn write_mark(folder: &Path, mark: IncarnationMark) -> io::Result<()> {
+    write_mark_synced(&mut open_store(folder)?, mark)
 }
 
-fn open(folder: &Path) -> io::Result<Store<OsFolder>> {
+fn open_store(folder: &Path) -> io::Result<Store<OsFolder>> {
     let (store, report) =
         Store::open(OsFolder::new(folder, true)?, Options::default()).map_err(io::Error::other)?;
     tracing::debug!(folder = %folder.display(), %report, "cluster: the store is open");
@@ -43,8 +43,8 @@
 }
 
 /// Returns the mark, 0 where there is none yet.
-fn read(store: &Store<OsFolder>, folder: &Path) -> io::Result<u64> {
-    let Some(bytes) = store.get(0, KEY).map_err(io::Error::other)? else {
+fn read_mark(store: &Store<OsFolder>, folder: &Path) -> io::Result<u64> {
+    let Some(bytes) = store.get(0, MARK_KEY).map_err(io::Error::other)? else {
         return Ok(0);
     };
     let bytes = <[u8; 8]>::try_from(bytes).map_err(|bytes| {
@@ -56,9 +56,9 @@
     Ok(u64::from_le_bytes(bytes))
 }
 
-fn put(store: &mut Store<OsFolder>, mark: IncarnationMark) -> io::Result<()> {
+fn write_mark_synced(store: &mut Store<OsFolder>, mark: IncarnationMark) -> io::Result<()> {
     store
-        .write(Batch::default().put(KEY, &mark.0.to_le_bytes(), None))
+        .write(Batch::default().put(MARK_KEY, &mark.0.to_le_bytes(), None))
         .map_err(io::Error::other)?;
     store.sync().map_err(io::Error::other)
 }
--- a/crates/server/src/gossip/incarnation_store/stored_format.rs
+++ b/crates/server/src/gossip/incarnation_store/stored_format.rs
@@ -2,7 +2,7 @@
 //!
 //! `tests/fixtures/incarnation` is the store of a process in its second life.
 
-use super::{begin, open, write, KEY};
+use super::{open_store, reserve_incarnations, write_mark, MARK_KEY};
 use cleatpulley_membership::incarnation::{IncarnationMark, INCARNATION_BLOCK_SIZE};
 use std::fs;
 use std::path::Path;
@@ -21,7 +21,7 @@
 }
 
 fn stored(folder: &Path) -> Option<Vec<u8>> {
-    open(folder)
+    open_store(folder)
         .expect("it opens")
         .get(0, b"incarnation")
         .expect("it is read")
@@ -30,10 +30,12 @@
 #[test]
 fn goes_on_after_the_mark_written_by_release_0_2() {
     let copy = copy_of("incarnation");
-    assert_eq!(KEY, b"incarnation");
+    assert_eq!(MARK_KEY, b"incarnation");
     assert_eq!(stored(copy.path()), Some(vec![0, 0, 2, 0, 0, 0, 0, 0]));
     assert_eq!(
-        begin(copy.path()).expect("a folder").current(),
+        reserve_incarnations(copy.path())
+            .expect("a folder")
+            .current(),
         2 * 65_536 + 1
     );
     assert_eq!(stored(copy.path()), Some(vec![0, 0, 3, 0, 0, 0, 0, 0]));
@@ -42,7 +44,7 @@
 #[test]
 fn writes_the_mark_as_release_0_2_does() {
     let folder = tempfile::tempdir().expect("a folder");
-    write(folder.path(), IncarnationMark(0x0102_0304_0506_0708)).expect("a folder");
+    write_mark(folder.path(), IncarnationMark(0x0102_0304_0506_0708)).expect("a folder");
     assert_eq!(stored(folder.path()), Some(vec![8, 7, 6, 5, 4, 3, 2, 1]));
     assert_eq!(INCARNATION_BLOCK_SIZE, 65_536);
 }
--- a/crates/server/src/gossip/service.rs
+++ b/crates/server/src/gossip/service.rs
@@ -47,7 +47,7 @@
     fn begin_shutdown(&mut self) {
         self.service.begin_shutdown();
         // Others learn of the drain in this iteration.
-        self.gossip.share_status_now();
+        self.gossip.publish_status_now();
     }
 
     fn reload(&mut self) {
--- a/crates/server/src/handover_channel.rs
+++ b/crates/server/src/handover_channel.rs
@@ -20,32 +20,32 @@
 use std::rc::Rc;
 
 /// Sockets that come along with one message at most.
-const MAX_SOCKETS: usize = 16;
+const MAX_SOCKETS_PER_MESSAGE: usize = 16;
 /// Successors that may wait to be accepted.
-const BACKLOG: i32 = 4;
+const SUCCESSOR_BACKLOG: i32 = 4;
 /// Access rights of the socket's file: only the same user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
 /// Why a socket or a process at the other end of the channel is not accepted.
 #[derive(Debug, thiserror::Error)]
-enum RejectedPeer {
-    #[error("a socket was handed over that is no stream socket")]
-    NoStreamSocket,
-    #[error("a socket was handed over that does not listen")]
+enum HandoverError {
+    #[error("received socket is not a stream socket")]
+    NotStreamSocket,
+    #[error("received socket is not listening")]
     NotListening,
-    #[error("a socket that listens on {actual} was handed over for {expected}")]
-    OtherAddress {
+    #[error("received socket listens on {actual}, expected {expected}")]
+    AddressMismatch {
         actual: SocketAddr,
         expected: SocketAddr,
     },
-    #[error("process {process} of user {user} is not ours")]
-    OtherUser { process: i32, user: u32 },
+    #[error("process {process} belongs to another user, {user}")]
+    UserMismatch { process: i32, user: u32 },
 }
 
-impl From<RejectedPeer> for io::Error {
-    fn from(error: RejectedPeer) -> Self {
+impl From<HandoverError> for io::Error {
+    fn from(error: HandoverError) -> Self {
         let kind = match error {
-            RejectedPeer::OtherUser { .. } => io::ErrorKind::PermissionDenied,
+            HandoverError::UserMismatch { .. } => io::ErrorKind::PermissionDenied,
             _ => io::ErrorKind::InvalidData,
         };
         Self::new(kind, error)
@@ -77,17 +77,17 @@
     /// What else it is.
     pub(crate) fn into_listener(self, address: SocketAddr) -> io::Result<TcpListener> {
         if sockopt::socket_type(&self.0)? != SocketType::STREAM {
-            return Err(RejectedPeer::NoStreamSocket.into());
+            return Err(HandoverError::NotStreamSocket.into());
         }
         if !sockopt::socket_acceptconn(&self.0)? {
-            return Err(RejectedPeer::NotListening.into());
+            return Err(HandoverError::NotListening.into());
         }
         let listener = TcpListener::from(self.0);
         let actual = listener.local_addr()?;
-        let has_port = address.port() == 0 || actual.port() == address.port();
-        if actual.ip() != address.ip() || !has_port {
+        let is_port_matching = address.port() == 0 || actual.port() == address.port();
+        if actual.ip() != address.ip() || !is_port_matching {
             let expected = address;
-            return Err(RejectedPeer::OtherAddress { actual, expected }.into());
+            return Err(HandoverError::AddressMismatch { actual, expected }.into());
         }
         Ok(listener)
     }
@@ -100,11 +100,12 @@
     fn send(&self, message: &[u8], listeners: &[&Self::Listener]) -> io::Result<()> {
         let sockets: Vec<_> = listeners
             .iter()
-            .take(MAX_SOCKETS)
+            .take(MAX_SOCKETS_PER_MESSAGE)
             .map(|listener| listener.socket().as_fd())
             .collect();
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
+        let mut control_space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+        let mut control = SendAncillaryBuffer::new(&mut control_space);
         if !sockets.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(&sockets));
         }
@@ -119,8 +120,9 @@
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<ReceivedSocket>)> {
         // One byte more than any message has: a longer one is noticed, and not cut silently.
         let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut control_space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+        let mut control = RecvAncillaryBuffer::new(&mut control_space);
         let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
         let received = recvmsg(
             &*self.socket,
@@ -163,12 +165,12 @@
     let socket = create_socket()?;
     // The path may belong to a process that is gone, or to the predecessor: the new socket is
     // created under a name of its own, and takes the path over once it listens.
-    let own_path = path.with_extension(std::process::id().to_string());
-    let _ = fs::remove_file(&own_path);
-    socket.bind(&SockAddr::unix(&own_path)?)?;
-    fs::set_permissions(&own_path, fs::Permissions::from_mode(SOCKET_MODE))?;
-    socket.listen(BACKLOG)?;
-    fs::rename(&own_path, &path)?;
+    let temporary_path = path.with_extension(std::process::id().to_string());
+    let _ = fs::remove_file(&temporary_path);
+    socket.bind(&SockAddr::unix(&temporary_path)?)?;
+    fs::set_permissions(&temporary_path, fs::Permissions::from_mode(SOCKET_MODE))?;
+    socket.listen(SUCCESSOR_BACKLOG)?;
+    fs::rename(&temporary_path, &path)?;
     Ok(socket)
 }
 
@@ -194,7 +196,7 @@
     if peer.uid == rustix::process::geteuid() {
         return Ok(());
     }
-    let error = RejectedPeer::OtherUser {
+    let error = HandoverError::UserMismatch {
         process: peer.pid.as_raw_pid(),
         user: peer.uid.as_raw(),
     };
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -88,7 +88,7 @@
             .host
             .connect_to_predecessor(&self.handover_address, SocketOwner::Predecessor);
         match connected {
-            Ok(channel) => self.greet_predecessor(channel, listen_addresses),
+            Ok(channel) => self.begin_takeover(channel, listen_addresses),
             Err(error)
                 if matches!(
                     error.kind(),
@@ -101,7 +101,7 @@
         }
     }
 
-    fn greet_predecessor(&mut self, channel: H::HandoverChannel, listen_addresses: &[SocketAddr]) {
+    fn begin_takeover(&mut self, channel: H::HandoverChannel, listen_addresses: &[SocketAddr]) {
         tracing::info!(
             "upgrade: takes the place of the process that serves {}",
             self.handover_address.address
@@ -185,12 +185,12 @@
     }
 
     /// Reads the messages of all other processes and lets time pass; appends the steps that the
-    /// server is to take. `is_up` says that this process can serve requests, `usage` what it uses
+    /// server is to take. `can_serve` says that this process can serve requests, `usage` what it uses
     /// of the machine.
     pub fn poll(
         &mut self,
         now: Micros,
-        is_up: bool,
+        can_serve: bool,
         listeners: &[ListenerEntry<'_, H>],
         usage: impl Fn() -> ProcessUsage,
         steps: &mut Vec<HotRestartStep<H>>,
@@ -204,7 +204,7 @@
             // The predecessor is asked for the clients only once all listeners could be adopted.
             return;
         }
-        self.poll_predecessor(now, is_up, steps);
+        self.poll_predecessor(now, can_serve, steps);
         self.accept_successors(now, steps);
         if self.successor.protocol.can_accept_peer() {
             self.successor_listener.reserve_descriptor(&self.host, now);
@@ -217,7 +217,7 @@
         self.read_successor(now, listeners, steps);
         let effects = self.successor.protocol.poll(now, &usage);
         if effects.contains(&predecessor::Effect::FindServingProcess) {
-            return self.find_next_successor(now, listeners, usage, steps);
+            return self.find_serving_process(now, listeners, usage, steps);
         }
         self.apply_predecessor_effects(now, effects, listeners, steps);
     }
@@ -237,15 +237,15 @@
 
     /// Gives the listeners back that could not all be adopted for want of descriptors. Returns true
     /// where the predecessor is asked for them again later, and nothing is to be done until then.
-    pub fn retreat(&mut self, now: Micros) -> bool {
+    pub fn on_adoption_failed(&mut self, now: Micros) -> bool {
         let Some(predecessor) = &mut self.predecessor else {
             return false;
         };
         let effects = predecessor.protocol.on_adoption_failed(now);
-        let asks_again = !effects.is_empty();
+        let will_retry = !effects.is_empty();
         // The only effect is that the channel is closed, which can't fail.
         let _ = self.execute_successor_effects(effects, &mut Vec::new());
-        asks_again
+        will_retry
     }
 
     /// Notifies the successor that the connections are its own now, with what was learned of them.
--- a/crates/server/src/hot_restart/connections.rs
+++ b/crates/server/src/hot_restart/connections.rs
@@ -124,8 +124,8 @@
     /// Reserves a descriptor. Guards against client connections that hold all descriptors when a
     /// successor comes, which would then listen in parallel to this process.
     pub(super) fn reserve_descriptor(&mut self, host: &H, now: Micros) {
-        let is_wanted = self.socket.is_some() && self.reserved_descriptor.is_none();
-        if is_wanted && now >= self.reserve_at {
+        let is_needed = self.socket.is_some() && self.reserved_descriptor.is_none();
+        if is_needed && now >= self.reserve_at {
             self.reserved_descriptor = host.reserve_descriptor().ok();
             self.reserve_at = now + LISTEN_RETRY_INTERVAL;
         }
--- a/crates/server/src/hot_restart/earlier_predecessors.rs
+++ b/crates/server/src/hot_restart/earlier_predecessors.rs
@@ -17,7 +17,7 @@
 /// The processes, and what is left of those that are gone.
 pub(super) struct EarlierPredecessors<H: Host> {
     connected: Vec<ConnectedProcess<H>>,
-    remainders: Vec<Remainder>,
+    residuals: Vec<ResidualUsage>,
 }
 
 /// A process that is still there.
@@ -28,8 +28,8 @@
 }
 
 /// What a process that is gone has left in use.
-struct Remainder {
-    free_at: Micros,
+struct ResidualUsage {
+    freed_at: Micros,
     usage: ProcessUsage,
 }
 
@@ -37,7 +37,7 @@
     fn default() -> Self {
         Self {
             connected: Vec::new(),
-            remainders: Vec::new(),
+            residuals: Vec::new(),
         }
     }
 }
@@ -51,9 +51,9 @@
     /// Returns what all of them use of the machine.
     pub(super) fn usage(&self) -> ProcessUsage {
         let connected = self.connected.iter().map(|process| process.usage);
-        let remainders = self.remainders.iter().map(|remainder| remainder.usage);
+        let residuals = self.residuals.iter().map(|residual| residual.usage);
         connected
-            .chain(remainders)
+            .chain(residuals)
             .fold(ProcessUsage::default(), sum)
     }
 
@@ -63,8 +63,8 @@
 
     /// A process is gone that used this much.
     pub(super) fn on_process_lost(&mut self, now: Micros, usage: ProcessUsage) {
-        self.remainders.push(Remainder {
-            free_at: now + PREDECESSOR_SEARCH_TIME,
+        self.residuals.push(ResidualUsage {
+            freed_at: now + PREDECESSOR_SEARCH_TIME,
             usage: ProcessUsage {
                 dependency_calls: usage.dependency_calls,
                 descriptors: usage.descriptors,
@@ -72,8 +72,8 @@
             },
         });
         if usage.running_requests > 0 {
-            self.remainders.push(Remainder {
-                free_at: now + ORPHANED_RUN_TIME,
+            self.residuals.push(ResidualUsage {
+                freed_at: now + ORPHANED_RUN_TIME,
                 usage: ProcessUsage {
                     running_requests: usage.running_requests,
                     memory_kb: usage.memory_kb,
@@ -85,16 +85,16 @@
 
     /// Returns when something that a process has left in use becomes free.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
-        let deadlines = self.remainders.iter().map(|remainder| remainder.free_at);
+        let deadlines = self.residuals.iter().map(|residual| residual.freed_at);
         deadlines.min()
     }
 
     /// Reads the messages of all of them and drops what is free by now. Returns true where the
     /// usage has changed.
     pub(super) fn poll(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) -> bool {
-        let remainder_count = self.remainders.len();
-        self.remainders.retain(|remainder| now < remainder.free_at);
-        let mut has_changed = self.remainders.len() != remainder_count;
+        let residual_count = self.residuals.len();
+        self.residuals.retain(|residual| now < residual.freed_at);
+        let mut has_changed = self.residuals.len() != residual_count;
         let mut lost_usages = Vec::new();
         self.connected.retain_mut(|process| {
             let result = process.read_messages(steps);
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -20,9 +20,9 @@
             let effects = match receive_message(channel) {
                 Ok(None) => return,
                 Ok(Some(ReceivedMessage { message, sockets })) => {
-                    if let Message::Rejected { reason: why } = &message {
+                    if let Message::Rejected { reason } = &message {
                         tracing::warn!(
-                            reason = %why,
+                            reason = %reason,
                             "upgrade: the process that serves hands nothing over yet"
                         );
                     }
@@ -50,11 +50,11 @@
     pub(super) fn poll_predecessor(
         &mut self,
         now: Micros,
-        is_up: bool,
+        can_serve: bool,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
         if let Some(predecessor) = &mut self.predecessor {
-            let effects = predecessor.protocol.poll(now, is_up);
+            let effects = predecessor.protocol.poll(now, can_serve);
             self.apply_successor_effects(now, effects, steps);
         }
     }
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -50,9 +50,9 @@
             self.successor.channel = Some(channel);
             return;
         }
-        let why = "another successor is here".to_owned();
+        let reason = "another successor is here".to_owned();
         // The process may be gone already.
-        let _ = channel.send(&Message::Rejected { reason: why }.encode(), &[]);
+        let _ = channel.send(&Message::Rejected { reason }.encode(), &[]);
     }
 
     /// Reads all messages that have arrived from the successor.
@@ -82,7 +82,7 @@
 
     /// The successor died: looks for another process that has taken over from it, and tells that
     /// one what this process still uses.
-    pub(super) fn find_next_successor(
+    pub(super) fn find_serving_process(
         &mut self,
         now: Micros,
         listeners: &[ListenerEntry<'_, H>],
@@ -166,17 +166,14 @@
         message: &Message,
         listeners: &[ListenerEntry<'_, H>],
     ) -> io::Result<()> {
-        let Message::ListenerOffer {
-            addresses: listen, ..
-        } = message
-        else {
+        let Message::ListenerOffer { addresses, .. } = message else {
             return Ok(());
         };
         let find_listener = |offered: &SocketAddr| {
             let entry = listeners.iter().find(|(address, _)| address == offered);
             entry.and_then(|(_, listener)| *listener)
         };
-        let offered_listeners: Vec<_> = listen.iter().filter_map(find_listener).collect();
+        let offered_listeners: Vec<_> = addresses.iter().filter_map(find_listener).collect();
         self.successor
             .channel()?
             .send(&message.encode(), &offered_listeners)
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -23,11 +23,11 @@
 /// request.
 pub const MAX_CONNECTIONS: usize = 16;
 /// Connections accepted in one iteration: a flood here may not keep the clients waiting.
-const MAX_ACCEPTS: usize = 128;
+const MAX_ACCEPTS_PER_POLL: usize = 128;
 /// Wait after the system had no descriptor for a new connection.
 const ACCEPT_PAUSE: Micros = 50_000;
 /// Bytes read from a connection at once.
-const READ_LIMIT: usize = 16_384;
+const READ_LIMIT_BYTES: usize = 16_384;
 /// A connection that was accepted within this time is not closed for the next.
 const MIN_SLOT_TIME: Micros = 500;
 
@@ -153,7 +153,7 @@
     }
 
     fn accept(&mut self, now: Micros, answers: &dyn Answers) {
-        for _ in 0..MAX_ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_POLL {
             if self.accept_next(now, answers).is_break() {
                 return;
             }
@@ -278,10 +278,10 @@
         tls: Option<&TlsState>,
     ) -> ControlFlow<()> {
         loop {
-            let Ok(mut has_more) = self.stream.read(READ_LIMIT) else {
+            let Ok(mut has_more) = self.stream.read(READ_LIMIT_BYTES) else {
                 return ControlFlow::Break(());
             };
-            let has_offer = self.stream.layer().and_then(TlsLayer::offer).is_some();
+            let has_offer = self.stream.tls_layer().and_then(TlsLayer::offer).is_some();
             if let Some(tls) = tls.filter(|_| has_offer) {
                 if self.stream.begin_handshake(tls.config()).is_err() {
                     return ControlFlow::Break(());
--- a/crates/server/src/os_host/event_loop.rs
+++ b/crates/server/src/os_host/event_loop.rs
@@ -84,10 +84,10 @@
         owner: SocketOwner,
     ) -> io::Result<Self> {
         let source = Generic::new(socket, Interest::BOTH, Mode::Edge);
-        let registered = handle.insert_source(source, move |seen, _, service| {
+        let registered = handle.insert_source(source, move |event, _, service| {
             let readiness = Readiness {
-                readable: seen.readable || seen.error,
-                writable: seen.writable || seen.error,
+                readable: event.readable || event.error,
+                writable: event.writable || event.error,
             };
             service.on_readiness(owner, readiness);
             Ok(PostAction::Continue)
--- a/crates/server/src/os_host/host.rs
+++ b/crates/server/src/os_host/host.rs
@@ -47,7 +47,7 @@
     /// (SO_REUSEPORT), so that a successor can listen in parallel to its predecessor where no
     /// socket is handed over.
     #[must_use]
-    pub fn sharing_addresses(self, shares_addresses: bool) -> Self {
+    pub fn with_shared_addresses(self, shares_addresses: bool) -> Self {
         Self {
             shares_addresses,
             ..self
--- a/crates/server/src/os_host/serve.rs
+++ b/crates/server/src/os_host/serve.rs
@@ -127,7 +127,7 @@
         None => BlockedSignals::block()?,
     };
     handle_signals(&handle, signals)?;
-    let host = OsHost::new(handle.clone()).sharing_addresses(host_options.shares_addresses);
+    let host = OsHost::new(handle.clone()).with_shared_addresses(host_options.shares_addresses);
     let shared_listener = host_options
         .inherited_listener
         .as_ref()
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -92,7 +92,7 @@
         let OpenedJournal {
             mut journal,
             recovered,
-            recovery_report: found,
+            recovery_report: report,
         } = opened;
         if !self.is_recovered {
             tracing::info!(
@@ -100,8 +100,8 @@
                 recovered.len(),
                 recovered.unknown
             );
-            if !found.damaged_ranges.is_empty() || !found.quarantined.is_empty() {
-                tracing::error!(%found, "results: the store was damaged");
+            if !report.damaged_ranges.is_empty() || !report.quarantined.is_empty() {
+                tracing::error!(%report, "results: the store was damaged");
             }
             self.is_recovered = true;
             events.push(Event::KeysRecovered(Box::new(recovered)));
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -17,7 +17,7 @@
 /// Limit of connections: as many as reports are due before the first is abandoned.
 const MAX_CONNECTIONS: usize = (ENTRY_LIFETIME / REPORT_INTERVAL + 1) as usize;
 /// Bytes read from a connection at once.
-const READ_LIMIT: usize = 65_536;
+const READ_LIMIT_BYTES: usize = 65_536;
 /// The status of a response to a report that was accepted.
 const NO_CONTENT: u16 = 204;
 
@@ -34,7 +34,7 @@
     #[error("closed by the registry")]
     Closed,
     #[error("no answer in time, which is waited for")]
-    Late,
+    Overdue,
 }
 
 /// The report on a connection.
@@ -46,7 +46,7 @@
         since: Micros,
     },
     /// The same after [`RESPONSE_TIMEOUT`].
-    Late {
+    Overdue {
         since: Micros,
     },
 }
@@ -56,7 +56,7 @@
     fn since(self) -> Option<Micros> {
         match self {
             Self::Idle => None,
-            Self::Pending { since } | Self::Late { since } => Some(since),
+            Self::Pending { since } | Self::Overdue { since } => Some(since),
         }
     }
 
@@ -65,7 +65,7 @@
         match self {
             Self::Idle => None,
             Self::Pending { since } => Some(since + RESPONSE_TIMEOUT),
-            Self::Late { since } => Some(since + ENTRY_LIFETIME),
+            Self::Overdue { since } => Some(since + ENTRY_LIFETIME),
         }
     }
 }
@@ -90,11 +90,11 @@
     last_number: u64,
     next_report_at: Micros,
     /// What the last report said.
-    reported_open: bool,
+    is_reported_open: bool,
     /// No failure was logged since a report last had its response in time.
     is_healthy: bool,
     /// Another process reports.
-    is_silent: bool,
+    is_paused: bool,
 }
 
 impl<H: Host> RegistryClient<H> {
@@ -108,9 +108,9 @@
             connections: Vec::new(),
             last_number: 0,
             next_report_at: 0,
-            reported_open: false,
+            is_reported_open: false,
             is_healthy: true,
-            is_silent: false,
+            is_paused: false,
         }
     }
 
@@ -140,19 +140,19 @@
     /// clients; with none, another process reports. A change is reported at once where no report is
     /// pending, which it could overtake.
     pub fn poll(&mut self, now: Micros, is_open: Option<bool>) {
-        self.is_silent = is_open.is_none();
-        let is_open = is_open.unwrap_or(self.reported_open);
-        if is_open != self.reported_open && !self.has_pending_report() {
+        self.is_paused = is_open.is_none();
+        let is_open = is_open.unwrap_or(self.is_reported_open);
+        if is_open != self.is_reported_open && !self.has_pending_report() {
             self.next_report_at = now;
         }
-        self.mark_late(now);
+        self.mark_overdue(now);
         self.connections.retain(|connection| {
             let since = connection.report.since();
             since.is_none_or(|since| now < since + ENTRY_LIFETIME)
         });
-        if now >= self.next_report_at && !self.is_silent {
+        if now >= self.next_report_at && !self.is_paused {
             self.next_report_at = now + REPORT_INTERVAL;
-            self.reported_open = is_open;
+            self.is_reported_open = is_open;
             if let Err(error) = self.report(now) {
                 self.on_failure(&error.into());
             }
@@ -165,18 +165,18 @@
         connections.any(|connection| connection.report != ReportState::Idle)
     }
 
-    fn mark_late(&mut self, now: Micros) {
-        let mut is_any_late = false;
+    fn mark_overdue(&mut self, now: Micros) {
+        let mut is_any_overdue = false;
         for connection in &mut self.connections {
             if let ReportState::Pending { since } = connection.report {
                 if now >= since + RESPONSE_TIMEOUT {
-                    connection.report = ReportState::Late { since };
-                    is_any_late = true;
+                    connection.report = ReportState::Overdue { since };
+                    is_any_overdue = true;
                 }
             }
         }
-        if is_any_late {
-            self.on_failure(&ReportError::Late);
+        if is_any_overdue {
+            self.on_failure(&ReportError::Overdue);
         }
     }
 
@@ -199,7 +199,7 @@
     /// Returns when the next report is due, or one is late or abandoned.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
-        let next_report_at = if self.is_silent {
+        let next_report_at = if self.is_paused {
             Micros::MAX
         } else {
             self.next_report_at
@@ -214,7 +214,7 @@
         let Some(index) = self.find_connection()? else {
             return Ok(());
         };
-        let body = if self.reported_open {
+        let body = if self.is_reported_open {
             &br#"{"mode":"open"}"#[..]
         } else {
             br#"{"mode":"closed"}"#
@@ -255,7 +255,7 @@
         let connection = &mut self.connections[index];
         let stream = &mut connection.stream;
         stream.flush()?;
-        stream.read(READ_LIMIT)?;
+        stream.read(READ_LIMIT_BYTES)?;
         if connection.report == ReportState::Idle {
             return Ok(!stream.is_read_closed && stream.input.is_empty());
         }
@@ -271,21 +271,21 @@
     fn on_response(&mut self, index: usize, response: &http::Reply) -> Result<bool, ReportError> {
         let connection = &mut self.connections[index];
         connection.stream.input.drain(..response.size);
-        let was_late = matches!(connection.report, ReportState::Late { .. });
+        let was_overdue = matches!(connection.report, ReportState::Overdue { .. });
         connection.report = ReportState::Idle;
         if response.status != NO_CONTENT {
             return Err(ReportError::Status(response.status));
         }
         // Bytes after a response belong to no report.
-        let is_spent = response.closes || !connection.stream.input.is_empty();
-        if !self.is_healthy && !was_late {
+        let is_unusable = response.closes || !connection.stream.input.is_empty();
+        if !self.is_healthy && !was_overdue {
             tracing::info!("registry: reports count again");
             self.is_healthy = true;
         }
         // Connections that slow responses were waited for on are more than one report needs.
         let connections = self.connections.iter();
         let idle = connections.filter(|connection| connection.report == ReportState::Idle);
-        Ok(!is_spent && idle.count() == 1)
+        Ok(!is_unusable && idle.count() == 1)
     }
 
     /// Logs the first failure since reports last counted; the next report tries again.
--- a/crates/server/src/reputation_store.rs
+++ b/crates/server/src/reputation_store.rs
@@ -24,7 +24,7 @@
 /// Bytes of a segment of the store.
 const SEGMENT_BYTES: u64 = 1 << 20;
 /// The store may take up so many segments, and room for its addresses on top.
-const SEGMENTS: u64 = 4;
+const BASE_SEGMENTS: u64 = 4;
 /// Bytes that an address may take up in all segments: earlier versions of its entry wait there for
 /// compaction.
 const BYTES_PER_ADDRESS: u64 = 512;
@@ -32,7 +32,7 @@
 /// Returns the options of a store of at most `max_addresses` addresses.
 #[must_use]
 pub fn options(max_addresses: usize, seed: u64) -> Options {
-    let max_total_bytes = SEGMENTS * SEGMENT_BYTES + max_addresses as u64 * BYTES_PER_ADDRESS;
+    let max_total_bytes = BASE_SEGMENTS * SEGMENT_BYTES + max_addresses as u64 * BYTES_PER_ADDRESS;
     Options {
         segment_bytes: SEGMENT_BYTES,
         max_total_bytes: Some(max_total_bytes),
@@ -96,14 +96,14 @@
     jobs: &Receiver<Vec<StoredReputation>>,
     entry_sender: &channel::Sender<Vec<StoredReputation>>,
 ) {
-    let mut book: ReputationDatabase<OsFolder> = ReputationDatabase::new(max_addresses);
+    let mut database: ReputationDatabase<OsFolder> = ReputationDatabase::new(max_addresses);
     let mut has_more_work = true;
     let mut open_at = Instant::now();
     loop {
-        if !book.is_open() && Instant::now() >= open_at {
-            open_at = open(&mut book, folder, max_addresses, entry_sender);
+        if !database.is_open() && Instant::now() >= open_at {
+            open_at = open(&mut database, folder, max_addresses, entry_sender);
         }
-        let wait = if !book.is_open() {
+        let wait = if !database.is_open() {
             open_at.saturating_duration_since(Instant::now())
         } else if has_more_work {
             Duration::ZERO
@@ -111,18 +111,18 @@
             MAINTENANCE_INTERVAL
         };
         match jobs.recv_timeout(wait) {
-            Ok(entries) => book.enqueue(entries),
+            Ok(entries) => database.enqueue(entries),
             Err(RecvTimeoutError::Timeout) => {}
-            Err(RecvTimeoutError::Disconnected) => return book.close(unix_time()),
+            Err(RecvTimeoutError::Disconnected) => return database.close(unix_time()),
         }
-        has_more_work = book.flush(unix_time());
+        has_more_work = database.flush(unix_time());
     }
 }
 
 /// Opens the store and sends the entries that it holds. Returns when to open it again, should that
 /// be needed.
 fn open(
-    book: &mut ReputationDatabase<OsFolder>,
+    database: &mut ReputationDatabase<OsFolder>,
     folder: &Path,
     max_addresses: usize,
     entry_sender: &channel::Sender<Vec<StoredReputation>>,
@@ -136,7 +136,7 @@
         REOPEN_INTERVAL
     };
     let open_at = Instant::now() + interval;
-    let entries = book.open(opened, unix_time()).unwrap_or_default();
+    let entries = database.open(opened, unix_time()).unwrap_or_default();
     if !entries.is_empty() {
         // The event loop is gone only where the program ends.
         let _ = entry_sender.send(entries);
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -20,13 +20,13 @@
 
 /// After a change of address the old link is closed after this time, even where the runtime has not
 /// proved that it read all commands.
-const DEPARTURE_TIMEOUT: Micros = 500_000;
+const DRAIN_TIMEOUT: Micros = 500_000;
 /// Wait before a link is tried again.
 const RECONNECT_INTERVAL: Micros = 50_000;
 /// A longer line can't be told apart from what follows it.
 const MAX_LINE_BYTES: usize = 262_144;
 /// Bytes read in one iteration, so that a full link blocks nobody.
-const READ_LIMIT: usize = 262_144;
+const READ_LIMIT_BYTES: usize = 262_144;
 /// While the runtime leaves more lines unread than this, no gauges are asked for.
 const MAX_UNREAD_LINES: usize = 4_096;
 
@@ -39,7 +39,7 @@
     Ready,
     /// The runtime has another address by now: no more lines are sent. The link is closed once the
     /// gauges with this mark have come back, or at the deadline.
-    Departing { mark: u64, deadline: Micros },
+    Draining { mark: u64, deadline: Micros },
 }
 
 /// A connection to the runtime.
@@ -133,23 +133,23 @@
         }
         self.reconnect_at = now;
         match self.state() {
-            Some(LinkState::Ready) => self.begin_departure(now),
+            Some(LinkState::Ready) => self.begin_drain(now),
             // It keeps the mark that it departs with: nothing more is sent on it, so that a later
             // mark would never come back.
-            Some(LinkState::Departing { .. }) => {}
+            Some(LinkState::Draining { .. }) => {}
             Some(LinkState::Syncing) | None => self.link = None,
         }
     }
 
-    fn begin_departure(&mut self, now: Micros) {
+    fn begin_drain(&mut self, now: Micros) {
         self.read_gauges();
         if let Err(error) = self.send() {
             return self.on_link_lost(now, &error);
         }
         if let Some(link) = &mut self.link {
-            link.state = LinkState::Departing {
+            link.state = LinkState::Draining {
                 mark: self.marks.last_sent,
-                deadline: now + DEPARTURE_TIMEOUT,
+                deadline: now + DRAIN_TIMEOUT,
             };
         }
     }
@@ -215,11 +215,11 @@
         let Some(link) = &mut self.link else {
             return false;
         };
-        let read = link.stream.read(READ_LIMIT);
+        let read = link.stream.read(READ_LIMIT_BYTES);
         let has_ended = link.stream.is_read_closed;
         self.read_lines(events);
         let sent = self.send();
-        if self.has_departed(now) {
+        if self.is_drained(now) {
             tracing::info!(address = %self.address, "runtime: moves to another address");
             self.is_healthy = false;
             self.on_link_lost(now, &"it has moved");
@@ -234,9 +234,9 @@
         false
     }
 
-    fn has_departed(&self, now: Micros) -> bool {
+    fn is_drained(&self, now: Micros) -> bool {
         match self.state() {
-            Some(LinkState::Departing { mark, deadline }) => {
+            Some(LinkState::Draining { mark, deadline }) => {
                 mark <= self.marks.last_confirmed || now >= deadline
             }
             Some(LinkState::Syncing | LinkState::Ready) | None => false,
@@ -248,7 +248,7 @@
     pub fn next_deadline(&self) -> Option<Micros> {
         match self.state() {
             None => Some(self.reconnect_at),
-            Some(LinkState::Departing { deadline, .. }) => Some(deadline),
+            Some(LinkState::Draining { deadline, .. }) => Some(deadline),
             Some(LinkState::Syncing | LinkState::Ready) => None,
         }
     }
--- a/crates/server/src/runtime_link/tests.rs
+++ b/crates/server/src/runtime_link/tests.rs
@@ -24,19 +24,16 @@
     runtime.connect(0);
     runtime.link.as_mut().expect("it connects").state = LinkState::Ready;
     runtime.relocate(1_000, addresses[1]);
-    let departing = runtime.state();
+    let draining = runtime.state();
     assert_eq!(
-        departing,
-        Some(LinkState::Departing {
+        draining,
+        Some(LinkState::Draining {
             mark: 1,
-            deadline: 1_000 + DEPARTURE_TIMEOUT
+            deadline: 1_000 + DRAIN_TIMEOUT
         })
     );
     runtime.relocate(2_000, addresses[2]);
-    assert_eq!(
-        (runtime.state(), runtime.address),
-        (departing, addresses[2])
-    );
+    assert_eq!((runtime.state(), runtime.address), (draining, addresses[2]));
     let mut events = Vec::new();
     runtime.confirm(1, &mut events);
     assert!(
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -146,7 +146,7 @@
         let mut has_more = self.poll_management(now);
         self.poll_hot_restart(now);
         self.retry_listen(now);
-        self.stop_accepting_late(now);
+        self.stop_accepting_near_stop(now);
         has_more |= self.read_events(now);
         self.dispatch_events(now);
         self.release_keys(now);
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -30,7 +30,7 @@
 /// calls is far smaller, and clients may open connections for half of the descriptors.
 const DESCRIPTORS_PER_DEPENDENCY_CONNECTION: usize = 16;
 /// Bounds of the limit of connections to the dependency.
-const DEPENDENCY_CONNECTIONS: RangeInclusive<usize> = 8..=64;
+const DEPENDENCY_CONNECTION_RANGE: RangeInclusive<usize> = 8..=64;
 
 /// The limits of connections that follow from the limit of descriptors.
 struct ConnectionLimits {
@@ -42,8 +42,8 @@
     fn new(options: &Options) -> Self {
         let dependency_connections =
             (options.max_descriptors / DESCRIPTORS_PER_DEPENDENCY_CONNECTION).clamp(
-                *DEPENDENCY_CONNECTIONS.start(),
-                *DEPENDENCY_CONNECTIONS.end(),
+                *DEPENDENCY_CONNECTION_RANGE.start(),
+                *DEPENDENCY_CONNECTION_RANGE.end(),
             );
         let management_connections = match options.management {
             Some(_) => management_endpoint::MAX_CONNECTIONS + 1,
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -31,14 +31,15 @@
             let mut steps = Vec::new();
             let listeners: Vec<_> = self.adapters.client_listener.listeners().collect();
             // A process that does not listen yet has nothing to take clients with.
-            let is_up = self.adapters.runtime.is_ready() && self.handover.retry_listen_at.is_none();
+            let can_serve =
+                self.adapters.runtime.is_ready() && self.handover.retry_listen_at.is_none();
             let usage = || self.combined_usage();
-            hot_restart.poll(now, is_up, &listeners, usage, &mut steps);
+            hot_restart.poll(now, can_serve, &listeners, usage, &mut steps);
             let adopts_listeners = steps
                 .iter()
                 .any(|step| matches!(step, HotRestartStep::AdoptListeners(_)));
             for step in steps {
-                self.take_step(now, step, &mut hot_restart);
+                self.execute_step(now, step, &mut hot_restart);
             }
             if !adopts_listeners {
                 break;
@@ -47,7 +48,12 @@
         self.handover.hot_restart = Some(hot_restart);
     }
 
-    fn take_step(&mut self, now: Micros, step: HotRestartStep<H>, hot_restart: &mut HotRestart<H>) {
+    fn execute_step(
+        &mut self,
+        now: Micros,
+        step: HotRestartStep<H>,
+        hot_restart: &mut HotRestart<H>,
+    ) {
         match step {
             HotRestartStep::AdoptListeners(listeners) => {
                 self.adopt_listeners(now, listeners, hot_restart);
@@ -92,7 +98,7 @@
             is_short_of_descriptors |= self.adopt_listener(listener);
         }
         // Connections that wait in a queue that is not adopted would be lost with the predecessor.
-        if is_short_of_descriptors && hot_restart.retreat(now) {
+        if is_short_of_descriptors && hot_restart.on_adoption_failed(now) {
             return;
         }
         self.listen();
@@ -244,15 +250,15 @@
         ) {
             return;
         }
-        if !self.adapters.client_listener.are_connections_sent_away() {
+        if !self.adapters.client_listener.is_close_requested_on_all() {
             self.handover.yield_state = YieldState::ConnectionsYielded { since: now };
             return;
         }
-        let has_crossing_requests = self.handover.yield_state.next_deadline(now).is_some();
+        let may_have_in_flight_requests = self.handover.yield_state.next_deadline(now).is_some();
         let Some(storage) = &mut self.key_persistence.storage else {
             return;
         };
-        if has_crossing_requests || !self.dispatcher.release_keys() {
+        if may_have_in_flight_requests || !self.dispatcher.release_keys() {
             return;
         }
         tracing::info!("upgrade: the successor has the idempotency keys from here on");
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -100,7 +100,7 @@
         "certificate": {
             "names": certificate.names,
             "serial": certificate.serial,
-            "expires_in_s": tls.seconds_left(now),
+            "expires_in_s": tls.seconds_until_expiry(now),
         },
         "renewed": renewals.accepted,
         "renewals_refused": renewals.rejected,
--- a/crates/server/src/server/shutdown.rs
+++ b/crates/server/src/server/shutdown.rs
@@ -9,14 +9,14 @@
 
 /// Within this time before the stop no connection is accepted any more: its requests would be read
 /// and not responded to.
-const LAST_ACCEPT_BEFORE_STOP: Micros = 5_000;
+const ACCEPT_CUTOFF_BEFORE_STOP: Micros = 5_000;
 /// This long before the stop, clients are asked to send no more, while there is time to respond to
 /// what is on its way.
 const STOP_NOTICE: Micros = 400_000;
 /// A process whose successor serves stops this long after the longest client timeout.
-const STOP_AFTER_LAST_CLIENT: Micros = 700_000;
+const REPLACED_STOP_MARGIN: Micros = 700_000;
 /// Of the longest client timeout no more than this counts there.
-const MAX_CLIENT_TIMEOUT: Micros = 3_000_000;
+const MAX_REPLACED_CLIENT_TIMEOUT: Micros = 3_000_000;
 
 impl<H: Host> Server<H> {
     /// Begins the graceful shutdown. Only the first call has an effect.
@@ -51,11 +51,14 @@
     /// Begins the shutdown of a process whose successor serves: clients are not sent to other
     /// servers, and each request that was read gets its response.
     fn begin_shutdown_replaced(&mut self, now: Micros) {
-        let client_timeout = self.shutdown.max_client_timeout.min(MAX_CLIENT_TIMEOUT);
+        let client_timeout = self
+            .shutdown
+            .max_client_timeout
+            .min(MAX_REPLACED_CLIENT_TIMEOUT);
         let duration = self
             .shutdown
             .duration
-            .min(client_timeout + STOP_AFTER_LAST_CLIENT);
+            .min(client_timeout + REPLACED_STOP_MARGIN);
         tracing::info!("leaving within {} ms, to its successor", duration / 1_000);
         let stop_at = now + duration;
         self.shutdown.begin_replaced(stop_at);
@@ -66,7 +69,7 @@
 
     /// Asks clients to send no more, once the stop is near.
     pub(super) fn notify_stop(&mut self, now: Micros) {
-        if !self.shutdown.is_within(now, STOP_NOTICE) {
+        if !self.shutdown.is_stop_within(now, STOP_NOTICE) {
             return;
         }
         self.adapters.client_listener.notify_stop(now);
@@ -76,8 +79,8 @@
     }
 
     /// Accepts no connection any more, once it would get no response.
-    pub(super) fn stop_accepting_late(&mut self, now: Micros) {
-        if self.shutdown.is_within(now, LAST_ACCEPT_BEFORE_STOP) {
+    pub(super) fn stop_accepting_near_stop(&mut self, now: Micros) {
+        if self.shutdown.is_stop_within(now, ACCEPT_CUTOFF_BEFORE_STOP) {
             self.adapters.client_listener.pause_accepting();
         }
     }
@@ -91,13 +94,13 @@
         };
         let now = self.host.now();
         now >= stop_at
-            || (self.is_quiet()
+            || (self.is_idle()
                 && ((self.shutdown.is_replaced() && !self.is_needed_for_handover())
                     || now + STOP_NOTICE / 2 >= stop_at))
     }
 
     /// Returns true where no request is pending and no client is connected.
-    fn is_quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let has_requests = self.dispatcher.pending_count() > 0;
         let has_connections = self.adapters.client_listener.connection_count() > 0;
         (!has_requests && !has_connections)
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -20,7 +20,7 @@
 
 /// Requests that clients sent before they learned of the handover may arrive for this long after
 /// it.
-const HANDOVER_CROSSING_TIME: Micros = 60_000;
+const HANDOVER_IN_FLIGHT_TIME: Micros = 60_000;
 /// Interval between writes of the reputation that was earned; a crash loses no more than that.
 const REPUTATION_WRITE_INTERVAL: Micros = 1_000_000;
 
@@ -106,7 +106,7 @@
     }
 
     /// Returns true where the process stops within `duration`.
-    pub(super) fn is_within(&self, now: Micros, duration: Micros) -> bool {
+    pub(super) fn is_stop_within(&self, now: Micros, duration: Micros) -> bool {
         self.stop_at()
             .is_some_and(|stop_at| now + duration >= stop_at)
     }
@@ -168,7 +168,7 @@
     pub(super) fn next_deadline(self, now: Micros) -> Option<Micros> {
         match self {
             Self::ConnectionsYielded { since } => {
-                Some(since + HANDOVER_CROSSING_TIME).filter(|deadline| now < *deadline)
+                Some(since + HANDOVER_IN_FLIGHT_TIME).filter(|deadline| now < *deadline)
             }
             Self::Serving | Self::KeysReleased => None,
         }
--- a/crates/server/src/tls_layer/layer.rs
+++ b/crates/server/src/tls_layer/layer.rs
@@ -11,7 +11,7 @@
 /// believe that its offer was at fault.
 pub const BUSY_ALERT: [u8; 7] = [21, 3, 3, 0, 2, 2, 80];
 /// Bytes that a client may send while its handshake waits for its turn.
-const MAX_HELD_BYTES: usize = 65_536;
+const MAX_BUFFERED_BYTES: usize = 65_536;
 
 /// Why a connection breaks in its TLS.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +19,7 @@
     #[error("tls: the first record is too long")]
     FirstRecordTooLong,
     #[error("tls: too much sent before the handshake could begin")]
-    TooMuchHeld,
+    TooMuchBuffered,
     /// What the hello or the session reports.
     #[error("{0}")]
     Protocol(String),
@@ -53,7 +53,7 @@
         /// The session.
         session: Box<Session>,
         /// The end of the handshake was reported.
-        is_reported: bool,
+        is_completion_reported: bool,
     },
 }
 
@@ -73,7 +73,7 @@
     fn open(session: Session) -> Self {
         Self::Open {
             session: Box::new(session),
-            is_reported: false,
+            is_completion_reported: false,
         }
     }
 
@@ -89,15 +89,17 @@
         output: &mut Vec<u8>,
     ) -> io::Result<bool> {
         match self {
-            Self::Hello(held) => {
-                held.extend_from_slice(bytes);
-                self.parse_hello()?;
+            Self::Hello(buffered) => {
+                buffered.extend_from_slice(bytes);
+                self.parse_client_hello()?;
                 Ok(false)
             }
-            Self::Offered { bytes: held, .. } => {
-                held.extend_from_slice(bytes);
-                if held.len() > MAX_HELD_BYTES {
-                    return Err(TlsError::TooMuchHeld.into());
+            Self::Offered {
+                bytes: buffered, ..
+            } => {
+                buffered.extend_from_slice(bytes);
+                if buffered.len() > MAX_BUFFERED_BYTES {
+                    return Err(TlsError::TooMuchBuffered.into());
                 }
                 Ok(false)
             }
@@ -109,20 +111,20 @@
         }
     }
 
-    fn parse_hello(&mut self) -> Result<(), TlsError> {
-        let Self::Hello(held) = self else {
+    fn parse_client_hello(&mut self) -> Result<(), TlsError> {
+        let Self::Hello(buffered) = self else {
             return Ok(());
         };
-        match hello::peek(held) {
+        match hello::peek(buffered) {
             Ok(Some(offer)) => {
                 *self = Self::Offered {
-                    bytes: std::mem::take(held),
+                    bytes: std::mem::take(buffered),
                     offer,
                     is_decided: false,
                 };
                 Ok(())
             }
-            Ok(None) if held.len() <= HEAD + LONGEST_RECORD => Ok(()),
+            Ok(None) if buffered.len() <= HEAD + LONGEST_RECORD => Ok(()),
             Ok(None) => Err(TlsError::FirstRecordTooLong),
             Err(error) => Err(TlsError::Protocol(format!("tls: {error}"))),
         }
@@ -161,7 +163,7 @@
     }
 
     /// It was decided when the handshake runs: [`offer`](Self::offer) returns none from here on.
-    pub fn mark_decided(&mut self) {
+    pub fn mark_offer_decided(&mut self) {
         if let Self::Offered { is_decided, .. } = self {
             *is_decided = true;
         }
@@ -169,7 +171,7 @@
 
     /// Returns true where nothing more is read until the handshake begins.
     #[must_use]
-    pub fn holds_back(&self) -> bool {
+    pub fn is_reading_paused(&self) -> bool {
         matches!(self, Self::Offered { .. })
     }
 
@@ -202,13 +204,13 @@
     }
 
     /// Returns true once, when the handshake has ended.
-    pub fn take_established(&mut self) -> bool {
+    pub fn take_handshake_completion(&mut self) -> bool {
         match self {
             Self::Open {
                 session,
-                is_reported,
-            } if !*is_reported && !session.is_handshaking() => {
-                *is_reported = true;
+                is_completion_reported,
+            } if !*is_completion_reported && !session.is_handshaking() => {
+                *is_completion_reported = true;
                 true
             }
             _ => false,
--- a/crates/server/src/tls_layer/state.rs
+++ b/crates/server/src/tls_layer/state.rs
@@ -32,7 +32,7 @@
     stamp: u64,
     next_check_at: Micros,
     /// When the expiry was logged last.
-    warned_at: Option<Micros>,
+    last_warning_at: Option<Micros>,
     renewals: RenewalCounts,
 }
 
@@ -51,7 +51,7 @@
             certificate: RefCell::new(certificate),
             stamp,
             next_check_at: now + CERTIFICATE_CHECK_INTERVAL,
-            warned_at: None,
+            last_warning_at: None,
             renewals: RenewalCounts::default(),
         };
         state.warn_of_expiry(now);
@@ -114,7 +114,7 @@
                 log_certificate(&certificate.facts);
                 *self.certificate.borrow_mut() = certificate;
                 self.renewals.accepted += 1;
-                self.warned_at = None;
+                self.last_warning_at = None;
             }
             Err(error) => {
                 tracing::error!("tls: the certificate in use stays: {error}");
@@ -125,23 +125,23 @@
 
     /// Returns the seconds until the certificate in use expires.
     #[must_use]
-    pub fn seconds_left(&self, now: Micros) -> i64 {
+    pub fn seconds_until_expiry(&self, now: Micros) -> i64 {
         let certificate = self.certificate.borrow();
         certificate.facts.left(now / MICROS_PER_SECOND)
     }
 
     fn warn_of_expiry(&mut self, now: Micros) {
-        let seconds_left = self.seconds_left(now);
-        let micros_left = seconds_left * MICROS_PER_SECOND as i64;
-        if micros_left >= self.options.warn_before as i64 {
+        let seconds_until_expiry = self.seconds_until_expiry(now);
+        let micros_until_expiry = seconds_until_expiry * MICROS_PER_SECOND as i64;
+        if micros_until_expiry >= self.options.warn_before as i64 {
             return;
         }
-        let last_warning = self.warned_at;
+        let last_warning = self.last_warning_at;
         if last_warning.is_none_or(|at| now >= at + EXPIRY_WARNING_INTERVAL) {
-            self.warned_at = Some(now);
+            self.last_warning_at = Some(now);
             tracing::warn!(
-                "tls: the certificate in use expires in {} days ({seconds_left} s)",
-                seconds_left.div_euclid(SECONDS_PER_DAY)
+                "tls: the certificate in use expires in {} days ({seconds_until_expiry} s)",
+                seconds_until_expiry.div_euclid(SECONDS_PER_DAY)
             );
         }
     }
