--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -1,49 +1,49 @@
-//! Why a server can't be started, or what it reads again can't be used.
+//! Errors of starting a server and of reloading its configuration, keys or certificate.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a server can't be started.
+/// Error of starting a server.
 ///
-/// It is passed on as an [`io::Error`] of the kind of its cause, with this error inside.
+/// Converts into an [`io::Error`] that wraps this error and has the kind of its cause.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The listening socket of an address for clients can't be had.
+    /// The listening socket for clients could not be created.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// Listening address.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Another process listens on the address and is not one to take over from.
+    /// Another process listens on the address and does not support a handover.
     #[error("listen: {address}: another process listens there and hands nothing over")]
     AddressInUse {
-        /// The address.
+        /// Listening address.
         address: SocketAddr,
     },
-    /// The listening socket of the management endpoint can't be had.
+    /// The listening socket of the management endpoint could not be created.
     #[error("mgmt: {address}: {source}")]
     ManagementListen {
-        /// The address.
+        /// Listening address.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The certificate of the listeners can't be used.
+    /// The certificate of the listeners is unusable.
     #[error(transparent)]
     Certificate(#[from] CertificateError),
 }
 
-/// Why a certificate and its key can't be used.
+/// Error of loading a certificate and its key.
 #[derive(Debug, thiserror::Error)]
 #[error("{reason}")]
 pub struct CertificateError {
-    /// The file at fault and what is wrong with it, as its source reports it.
+    /// The faulty file and the error in it, as reported by the certificate source.
     pub reason: String,
 }
 
-/// Why a configuration or keys could not be read again. The cause names file and key.
+/// Error of reloading the configuration or keys. The cause names file and key.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct ReloadError(#[from] Box<dyn std::error::Error + Send + Sync>);
--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -1,6 +1,6 @@
-//! The interface to the operating system. All that a server asks of its host goes through these
-//! traits, and nothing of it knows which host that is: [`os_host`](crate::os_host) has the one of
-//! calloop and std, a simulator brings another.
+//! The interface to the operating system. A server accesses its host only through these traits:
+//! [`os_host`](crate::os_host) implements them with calloop and std, the simulator with simulated
+//! devices.
 
 use crate::socket_owner::SocketOwner;
 use cleatpulley_connection_admission::reputation_database::StoredReputation;
@@ -12,74 +12,77 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// What the event loop saw on a socket.
+/// Readiness of a socket, as reported by the event loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Readiness {
-    /// It may be read from, also where it was closed or broke.
+    /// The socket is readable, or was closed by the peer, or has failed.
     pub readable: bool,
-    /// It may be written to, also where it broke.
+    /// The socket is writable, or has failed.
     pub writable: bool,
 }
 
-/// A stream socket, open until it is dropped. No call blocks: what can't be done now is
-/// [`WouldBlock`](io::ErrorKind::WouldBlock), and the readiness is reported to the owner later.
+/// A stream socket, open until it is dropped. No call blocks: operations that can't proceed return
+/// [`WouldBlock`](io::ErrorKind::WouldBlock), and the owner is notified of the readiness later.
 pub trait Stream {
-    /// Reads some of the bytes that have arrived; returns 0 where the peer sends no more.
+    /// Reads available bytes; returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn read(&self, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes some of the bytes; returns how many.
+    /// Writes as many bytes as the socket accepts; returns their number.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn write(&self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Closes the write side; what the peer still sends can be read.
+    /// Closes the write side; the read side stays open.
     fn shutdown_write(&self);
 
-    /// Returns the error that the socket holds, such as that of a failed attempt to connect.
+    /// Returns the pending socket error (SO_ERROR), such as that of a failed connection attempt.
     ///
     /// # Errors
-    /// That error.
+    /// The pending socket error.
     fn take_error(&self) -> io::Result<()>;
 }
 
-/// A connection to the other process of a hot restart, open until it is dropped. Messages arrive
-/// complete, and listening sockets come along with them. No call blocks.
+/// A connection to the other process of a hot restart, open until it is dropped. Message boundaries
+/// are preserved, and messages carry listening sockets. No call blocks.
 pub trait HandoverChannel {
     /// A listening socket.
     type Listener;
-    /// A socket that was handed over and is not watched by the event loop yet.
+    /// A received socket that is not registered with the event loop yet.
     type ReceivedSocket;
 
-    /// Sends a message, with these sockets along.
+    /// Sends a message together with these listening sockets.
     ///
     /// # Errors
-    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where the peer does not read.
+    /// Errors of the operating system; [`WouldBlock`](io::ErrorKind::WouldBlock) if the peer does
+    /// not read.
     fn send(&self, message: &[u8], listeners: &[&Self::Listener]) -> io::Result<()>;
 
-    /// Returns the next message and the sockets that came along; an empty message is the end.
+    /// Receives the next message and its sockets; an empty message means that the peer closed the
+    /// channel.
     ///
     /// # Errors
-    /// Those of the system; [`WouldBlock`](io::ErrorKind::WouldBlock) where none has arrived.
+    /// Errors of the operating system; [`WouldBlock`](io::ErrorKind::WouldBlock) if no message has
+    /// arrived.
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<Self::ReceivedSocket>)>;
 }
 
-/// Where the processes of a hot restart meet: by the folder, the name of the server, and the first
-/// address that it listens on.
+/// Rendezvous of the processes of a hot restart: the folder, the name of the server, and its first
+/// listening address.
 #[derive(Debug, Clone)]
 pub struct HandoverAddress {
-    /// A folder that both processes share, and no other user.
+    /// Folder shared by both processes and inaccessible to other users.
     pub folder: PathBuf,
-    /// The name of the server.
+    /// Name of the server.
     pub name: String,
-    /// The address.
+    /// First listening address of the server.
     pub address: SocketAddr,
 }
 
-/// Persists idempotency keys and cached results. Its events go to
+/// Persists idempotency keys and cached results. Its events are passed to
 /// [`Server::on_persistence_event`](crate::Server::on_persistence_event).
 pub trait ResultPersistence {
     /// Writes a change of the key table.
@@ -88,13 +91,15 @@
     /// Loads the cached result of a key, as of `now`.
     fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
 
-    /// Lets it write what it has and close in its own time. It is given nothing more.
+    /// Begins to close the storage: pending writes are completed in the background, and no further
+    /// calls may follow.
     fn release(&mut self);
 
-    /// Waits until it is closed, for a limited time.
+    /// Closes the storage and waits for a limited time until it is closed.
     fn stop(self);
 
-    /// Does the same where no process follows this one: what is not durable is removed.
+    /// Does the same as [`stop`](Self::stop) if no successor process follows, and removes data that
+    /// is not durable.
     fn discard(self)
     where
         Self: Sized,
@@ -102,90 +107,92 @@
         self.stop();
     }
 
-    /// Maintains its files and returns its events, where it has no thread for that.
+    /// Maintains the files and returns pending events, for implementations without a thread.
     fn poll(&mut self, _now: Micros, _events: &mut Vec<Event>) {}
 
-    /// Returns when [`poll`](Self::poll) has something to do.
+    /// Returns when [`poll`](Self::poll) is to be called next.
     fn next_deadline(&self) -> Option<Micros> {
         None
     }
 }
 
-/// Persists the reputation of client addresses. What it loads goes to
+/// Persists the reputation of client addresses. Loaded entries are passed to
 /// [`Server::on_reputation_loaded`](crate::Server::on_reputation_loaded).
 pub trait ReputationStorage {
-    /// Writes changed entries, in its own time.
+    /// Writes changed entries in the background.
     fn write(&self, entries: Vec<StoredReputation>);
 
-    /// Lets it write what it has and close in its own time. It is given nothing more.
+    /// Begins to close the storage: pending writes are completed in the background, and no further
+    /// calls may follow.
     fn release(&mut self);
 
-    /// Waits until it is closed, for a limited time.
+    /// Closes the storage and waits for a limited time until it is closed.
     fn stop(self);
 }
 
-/// The host of a server.
+/// The operating system or simulation under a server.
 pub trait Host: Clone + 'static {
     /// A stream socket.
     type Stream: Stream;
-    /// A listening socket; it listens until it is dropped.
+    /// A listening socket, closed when it is dropped.
     type Listener;
-    /// The persistence of idempotency keys.
+    /// Persistence of idempotency keys.
     type ResultPersistence: ResultPersistence;
-    /// The persistence of the reputation of client addresses.
+    /// Persistence of the reputation of client addresses.
     type ReputationStorage: ReputationStorage;
-    /// The socket on which successors connect; they may until it is dropped.
+    /// The socket on which successors connect, closed when it is dropped.
     type SuccessorListener;
-    /// A descriptor in reserve, free once this is dropped.
+    /// A reserved file descriptor, freed when this is dropped.
     type ReservedDescriptor;
     /// A connection to the other process of a hot restart.
     type HandoverChannel: HandoverChannel<Listener = Self::Listener>;
 
-    /// Returns the time: microseconds of the Unix clock at the start, and monotonic from there on.
+    /// Returns the time in microseconds: the Unix time at the start, advanced by a monotonic clock.
     fn now(&self) -> Micros;
 
-    /// Listens on an address. New connections are reported with this number. Returns the listener,
-    /// and the address with the port that the system chose.
+    /// Listens on an address. The event loop reports pending connections under the listener number
+    /// `number`. Returns the listener and its address, with the port that the system chose.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn listen(
         &self,
         address: SocketAddr,
         number: usize,
     ) -> io::Result<(Self::Listener, SocketAddr)>;
 
-    /// Returns true where another process listens on an address that [`listen`](Self::listen) would
+    /// Returns true if another process listens on an address that [`listen`](Self::listen) would
     /// share with it.
     fn is_address_in_use(&self, address: SocketAddr) -> bool;
 
-    /// Accepts a connection that waits; returns it with the address of its client.
+    /// Accepts a pending connection; returns it with the address of its client.
     ///
     /// # Errors
-    /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
+    /// [`WouldBlock`](io::ErrorKind::WouldBlock) if none is pending, and errors of the operating
+    /// system.
     fn accept(
         &self,
         listener: &Self::Listener,
         owner: SocketOwner,
     ) -> io::Result<(Self::Stream, IpAddr)>;
 
-    /// Reserves a descriptor, so that a connection can be accepted when no other is left.
+    /// Reserves a file descriptor, so that a connection can be accepted when all others are in use.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn reserve_descriptor(&self) -> io::Result<Self::ReservedDescriptor>;
 
-    /// Begins to connect; the first readiness reports how that went.
+    /// Begins to connect; the first readiness event signals success or failure.
     ///
     /// # Errors
-    /// Those of the system; a refusal may come at once.
+    /// Errors of the operating system; the connection may be refused immediately.
     fn connect(&self, address: SocketAddr, owner: SocketOwner) -> io::Result<Self::Stream>;
 
-    /// Adopts a socket that another process has handed over, where it listens on this address,
-    /// whose port may be 0.
+    /// Adopts a listening socket received from another process, if it listens on `address`. Port 0
+    /// matches any port.
     ///
     /// # Errors
-    /// Where it does not, and those of the system.
+    /// If the socket does not listen on `address`, and errors of the operating system.
     fn adopt_listener(
         &self,
         received: <Self::HandoverChannel as HandoverChannel>::ReceivedSocket,
@@ -193,31 +200,32 @@
         number: usize,
     ) -> io::Result<Self::Listener>;
 
-    /// Lets successors find this process from now on. They are reported with this number, as new
-    /// connections are.
+    /// Listens for successors. The event loop reports pending successors under the listener number
+    /// `number`.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn listen_for_successors(
         &self,
         address: &HandoverAddress,
         number: usize,
     ) -> io::Result<Self::SuccessorListener>;
 
-    /// Accepts a successor that waits, where it belongs to the same user.
+    /// Accepts a pending successor, if it belongs to the same user.
     ///
     /// # Errors
-    /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none waits, and those of the system.
+    /// [`WouldBlock`](io::ErrorKind::WouldBlock) if none is pending, and errors of the operating
+    /// system.
     fn accept_successor(
         &self,
         listener: &Self::SuccessorListener,
         owner: SocketOwner,
     ) -> io::Result<Self::HandoverChannel>;
 
-    /// Connects to the process to take over from.
+    /// Connects to the process to take over from, the predecessor.
     ///
     /// # Errors
-    /// Where there is none, and those of the system.
+    /// If there is no predecessor, and errors of the operating system.
     fn connect_to_predecessor(
         &self,
         address: &HandoverAddress,
@@ -227,18 +235,18 @@
     /// Opens the persistence of the reputation of at most `max_addresses` addresses.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn open_reputation_storage(
         &self,
         folder: PathBuf,
         max_addresses: usize,
     ) -> io::Result<Self::ReputationStorage>;
 
-    /// Opens the persistence of idempotency keys in a folder. One that is not durable outlives its
-    /// process, for the next one of the same server, and not the machine.
+    /// Opens the persistence of idempotency keys in a folder. If it is not durable, the keys
+    /// survive the process, for the next process of the same server, but not the machine.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn open_result_persistence(
         &self,
         folder: PathBuf,
@@ -252,26 +260,27 @@
     /// Sends a datagram.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn send(&self, address: SocketAddr, datagram: &[u8]) -> io::Result<()>;
 
     /// Receives the next datagram; returns its length and its sender.
     ///
     /// # Errors
-    /// [`WouldBlock`](io::ErrorKind::WouldBlock) where none has arrived, and those of the system.
+    /// [`WouldBlock`](io::ErrorKind::WouldBlock) if none has arrived, and errors of the operating
+    /// system.
     fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 }
 
-/// A host on which processes gossip.
+/// A host that supports the gossip of the membership.
 pub trait GossipHost: Host {
     /// A datagram socket.
     type DatagramSocket: DatagramSocket;
 
-    /// Binds a datagram socket, whose readiness is reported with this number, as new connections
-    /// are. Returns it with the address that the system chose.
+    /// Binds a datagram socket. The event loop reports received datagrams under the listener number
+    /// `number`. Returns the socket and its address, with the port that the system chose.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     fn bind_datagram_socket(
         &self,
         address: SocketAddr,
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,22 +1,22 @@
 //! The server process: one event loop, and the adapters around the [`Dispatcher`].
 //!
-//! Each adapter owns the sockets of one kind of peer and translates between bytes and the events
-//! and commands of the dispatcher. All adapters reach the operating system through the traits in
+//! Each adapter owns the sockets of one kind of peer and translates between bytes and the
+//! dispatcher's events and commands. All adapters reach the operating system through the traits in
 //! [`host`], so that the simulator can replace the system under the whole server.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`server`] | the [`Server`]: its parts, and one iteration of its event loop |
-//! | [`options`], [`error`] | what a server is constructed from, and why that may fail |
-//! | [`socket_owner`] | which adapter a socket belongs to |
+//! | [`server`] | the [`Server`]: its components, and one iteration of its event loop |
+//! | [`options`], [`error`] | construction options of a server, and its error types |
+//! | [`socket_owner`] | the adapter that owns a socket |
 //! | [`host`], [`os_host`] | the interface to the operating system, and its real implementation |
 //! | [`buffered_connection`], [`tls_layer`] | a stream with its buffers, optionally over TLS |
-//! | [`client_listener`] | connections of clients and proxies |
-//! | [`runtime_link`] | the connection to the runtime that runs requests |
-//! | [`dependency_pool`] | the connections to the dependency that runs call |
+//! | [`client_listener`] | listeners for clients and proxies, and their connections |
+//! | [`runtime_link`] | connection to the runtime that executes requests |
+//! | [`dependency_pool`] | connection pool to the dependency that runs call |
 //! | [`registry_client`] | periodic reports to the service registry |
 //! | [`management_endpoint`], [`status_report`] | readiness, metrics, supervisor reports |
-//! | [`hot_restart`], `handover_channel` | taking over, and handing over to a successor |
+//! | [`hot_restart`], `handover_channel` | handover from a predecessor and to a successor |
 //! | [`persistence_thread`] | durable idempotency keys and cached results |
 //! | [`reputation_store`] | durable reputation of client addresses |
 //! | [`gossip`] | membership among the processes of an installation |
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,4 +1,4 @@
-//! What a server is constructed from, which services it connects to, and what it holds.
+//! Construction options of a server, the services that it connects to, and its resource usage.
 
 use crate::dependency_pool::DependencyProtocol;
 use crate::error::ReloadError;
@@ -12,70 +12,71 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// Addresses of the services that the server connects to. They may change while it serves.
+/// Addresses of the services that the server connects to. A reload may change them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceAddresses {
-    /// The runtime.
+    /// Address of the runtime.
     pub runtime: SocketAddr,
-    /// The dependency that runs call.
+    /// Address of the dependency that runs call.
     pub dependency: SocketAddr,
-    /// The service registry.
+    /// Address of the service registry.
     pub registry: SocketAddr,
 }
 
-/// The addresses on which AJP is spoken.
+/// AJP listeners and their settings.
 #[derive(Debug, Clone)]
 pub struct AjpOptions {
-    /// The addresses that proxies connect to.
+    /// Listening addresses for proxies.
     pub listen: Vec<SocketAddr>,
-    /// Proxies whose time of receipt of a request is trusted.
+    /// Proxies that are trusted to state when they received a request.
     pub trusted_proxies: Vec<IpAddr>,
-    /// Settings of all its connections.
+    /// Settings of all AJP connections.
     pub settings: ajp::server::Settings,
 }
 
-/// Idempotency keys and cached results.
+/// Options of idempotency keys and cached results.
 #[derive(Debug, Clone)]
 pub struct IdempotencyOptions {
-    /// The folder that they are persisted in.
+    /// Folder in which keys and results are persisted.
     pub folder: PathBuf,
-    /// They outlive the machine, and not only the process.
+    /// Keys and results survive a crash of the machine, not only of the process.
     pub is_durable: bool,
-    /// By request class: whether its requests may have a key.
+    /// Whether requests of a class may have a key, indexed by request class.
     pub classes: Vec<bool>,
-    /// Requests of these classes without a key are rejected.
+    /// Rejects requests of these classes that have no key.
     pub required: bool,
-    /// Among which requests a key is unique.
+    /// Scope within which a key is unique.
     pub scope: KeyScope,
-    /// How many keys and results are kept, and for how long.
+    /// Maximum number and lifetime of keys and results.
     pub capacity: KeyTableOptions,
-    /// Memory that one key counts for, in KB.
+    /// Memory charged for one key, in KB.
     pub key_entry_kb: f64,
-    /// The field of frames that carries the key, where frames may carry one.
+    /// Name of the frame field that carries the key; `None` if frames carry no key.
     pub key_frame_field: Option<String>,
 }
 
-/// The options of a server. The program reads them from its configuration.
+/// Options of a server, read from the configuration.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The name of the server.
+    /// Name of the server.
     pub name: String,
-    /// The address that clients connect to.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// Other processes accept connections there too, and go on when this one shuts down.
+    /// Other processes accept connections on the same address and continue when this one shuts
+    /// down.
     pub shares_listener: bool,
-    /// The folder in which the processes of a hot restart meet; without one there is no hot
-    /// restart.
+    /// Folder of the sockets by which the processes of a hot restart find each other; `None`
+    /// disables hot restart.
     pub handover_folder: Option<PathBuf>,
-    /// The address of the management endpoint, if there is one.
+    /// Address of the management endpoint, if enabled.
     pub management: Option<SocketAddr>,
-    /// The services that it connects to.
+    /// Addresses of the services that the server connects to.
     pub services: ServiceAddresses,
-    /// The seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Time between the request to shut down and the stop, in microseconds.
+    /// Time between the shutdown request and the stop, in microseconds.
     pub shutdown_time: Micros,
-    /// Limit of descriptors of the process.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
     /// Names of the request classes, by index.
     pub class_names: Vec<String>,
@@ -83,44 +84,44 @@
     pub gauge_names: Vec<String>,
     /// Settings of the overload controller.
     pub settings: Settings,
-    /// Where AJP is spoken, if anywhere.
+    /// AJP listeners, if any.
     pub ajp: Option<AjpOptions>,
-    /// The protocol spoken with the dependency.
+    /// Protocol of the connections to the dependency.
     pub dependency_protocol: DependencyProtocol,
-    /// Idempotency keys, where requests may have them.
+    /// Options of idempotency keys; `None` if requests have no keys.
     pub idempotency: Option<IdempotencyOptions>,
-    /// Who gets a connection slot; without it they go to whoever comes first.
+    /// Admission of connections; without it, connection slots are assigned first come, first
+    /// served.
     pub connection_admission: Option<ConnectionAdmission>,
-    /// The folder that the reputation of client addresses is persisted in, if it is.
+    /// Folder in which the reputation of client addresses is persisted, if enabled.
     pub reputation_folder: Option<PathBuf>,
-    /// TLS, where it is spoken.
+    /// TLS options, if any listener uses TLS.
     pub tls: Option<TlsOptions>,
 }
 
-/// Reads the configuration again: returns the addresses of the services from now on, or what is
-/// wrong with it.
+/// Reloads the configuration: returns the new service addresses, or the error in the configuration.
 pub type Reload = Box<dyn FnMut() -> Result<ServiceAddresses, ReloadError>>;
 
-/// What a server holds.
+/// Resources that a server holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerUsage {
-    /// Requests, those among them that have their response while their run goes on.
+    /// Requests, including those that have their response while their run continues.
     pub requests: usize,
-    /// Requests whose response is pending.
+    /// Requests without a response yet.
     pub pending: usize,
-    /// Runs of requests with an idempotency key whose result is not persisted.
+    /// Runs of requests with an idempotency key whose result is not persisted yet.
     pub active_key_runs: usize,
-    /// Requests that the connections count as open.
+    /// Open requests, as counted by the connections.
     pub open_requests: usize,
-    /// Calls of the dependency, those that wait for a connection among them.
+    /// Calls of the dependency, including those that wait for a connection.
     pub calls: usize,
-    /// Descriptors in use: listeners, connections, and those reserved.
+    /// File descriptors in use: listeners, connections and reserved descriptors.
     pub descriptors: usize,
-    /// Connections of clients among them.
+    /// Client connections, included in `descriptors`.
     pub client_connections: usize,
-    /// Connections to the dependency among them.
+    /// Connections to the dependency, included in `descriptors`.
     pub dependency_connections: usize,
-    /// Connections of operators among them, with their listener.
+    /// Connections of operators and their listener, included in `descriptors`.
     pub management_connections: usize,
 }
 
--- a/crates/server/src/socket_owner.rs
+++ b/crates/server/src/socket_owner.rs
@@ -1,6 +1,7 @@
-//! Which part of the server a socket belongs to.
+//! The adapter that a socket belongs to.
 
-/// The part of the server that a socket belongs to.
+/// The adapter that a socket belongs to, with the connection's number where the adapter has
+/// several.
 #[derive(Debug, Clone, Copy)]
 pub enum SocketOwner {
     /// A connection of a client or proxy, by its number.
