--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,12 +1,12 @@
 //! The [`Server`], and one iteration of its event loop.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `state` | the parts of a server that have a state of their own |
-//! | `construction` | a server from its options |
-//! | `command_execution` | the commands of the dispatcher, carried out by the adapters |
+//! | `state` | the components of a server |
+//! | `construction` | construction of a server from its options |
+//! | `command_execution` | execution of the dispatcher's commands by the adapters |
 //! | `handover` | the steps of a hot restart, as successor and as predecessor |
-//! | `shutdown` | draining, the end, and releasing what is persisted |
+//! | `shutdown` | draining, stopping, and closing the persistence |
 //! | `management_view` | usage, status and metrics |
 
 mod command_execution;
@@ -30,20 +30,21 @@
 };
 use std::io;
 
-/// Descriptors that belong neither to clients nor to the dependency: those of the event loop, the
-/// listener, the runtime link, the registry and the log, and some in reserve.
+/// File descriptors kept for the event loop, the listener, the runtime link, the registry and the
+/// log, with some in reserve. Clients and the dependency can't use them.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// A server on its host: the dispatcher, its adapters, and the state around them.
+/// A server: the dispatcher, the adapters around it, and the state of shutdown, handover and
+/// persistence.
 pub struct Server<H: Host> {
     host: H,
     identity: ServerIdentity,
     reload: Reload,
     dispatcher: Dispatcher,
     adapters: Adapters<H>,
-    /// Events that the dispatcher has not handled yet.
+    /// Events not yet handled by the dispatcher.
     events: Vec<Event>,
-    /// Commands of the dispatcher that are not carried out yet.
+    /// Commands of the dispatcher that are not executed yet.
     commands: Vec<Command>,
     shutdown: Shutdown,
     handover: Handover<H>,
@@ -53,13 +54,13 @@
 }
 
 impl<H: Host> Server<H> {
-    /// Returns the time of its host, in microseconds of the Unix clock.
+    /// Returns the current time of the host, in microseconds of the Unix clock.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.host.now()
     }
 
-    /// Notes that a socket has become readable or writable.
+    /// Records that a socket has become readable or writable.
     pub fn on_readiness(&mut self, owner: SocketOwner, readiness: Readiness) {
         let adapters = &mut self.adapters;
         match owner {
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Takes an event of the persistence of idempotency keys.
+    /// Handles an event of the persistence of idempotency keys.
     pub fn on_persistence_event(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// Takes the persisted reputation of client addresses, once it is loaded.
+    /// Handles the persisted reputation of client addresses once it is loaded.
     pub fn on_reputation_loaded(&mut self, entries: &[StoredReputation]) {
         let now = self.now();
         if let Some(admission) = self.adapters.client_listener.admission_mut() {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Notes that connections may wait to be accepted on a listener.
+    /// Records that connections may be pending on a listener.
     pub fn on_acceptable(&mut self, listener: usize) {
         match (
             &mut self.adapters.management,
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Reads the configuration again and applies the service addresses in it; the rest of it takes
-    /// effect with the next start. A faulty configuration changes nothing.
+    /// Reloads the configuration and applies its service addresses; other settings take effect at
+    /// the next start. A faulty configuration changes nothing.
     pub fn reload(&mut self) {
         let ServiceAddresses {
             runtime,
@@ -136,13 +137,14 @@
         self.adapters.registry.relocate(now, registry);
     }
 
-    /// Runs one iteration: passes what the adapters have read to the dispatcher, and carries out
-    /// what it decides. Returns the time until which there is nothing to do but wait.
+    /// Runs one iteration: passes the events of the adapters to the dispatcher and executes its
+    /// commands. Returns the time of the next iteration if no socket becomes ready before.
     pub fn poll(&mut self) -> Micros {
         let now = self.host.now();
         self.notify_stop(now);
         self.poll_tls(now);
-        // First, so that what operators see does not depend on how many clients there are.
+        // The management endpoint is served first, so that its latency does not depend on the
+        // number of clients.
         let mut has_more = self.poll_management(now);
         self.poll_hot_restart(now);
         self.retry_listen(now);
@@ -231,7 +233,7 @@
         self.adapters.registry.poll(now, reports.then_some(is_open));
     }
 
-    /// Returns when something is to be done though no socket becomes ready.
+    /// Returns the earliest deadline of all components.
     fn next_deadline(&self, now: Micros) -> Micros {
         let adapters = &self.adapters;
         let management = adapters.management.as_ref();
@@ -263,7 +265,8 @@
             .unwrap_or(0)
     }
 
-    /// Returns true while new clients are accepted. Without its runtime a server accepts none.
+    /// Returns true while new clients are accepted. A server accepts none while its runtime is not
+    /// ready.
     #[must_use]
     pub fn accepts_clients(&self) -> bool {
         self.adapters.runtime.is_ready()
@@ -272,13 +275,13 @@
             && self.handover.is_serving()
     }
 
-    /// Returns true where it goes on with the state that its predecessor had learned.
+    /// Returns true if this process continues with the state learned by its predecessor.
     #[must_use]
     pub fn has_restored_learned_state(&self) -> bool {
         self.handover.has_restored_learned_state
     }
 
-    /// Returns the failure that it can't go on after, once.
+    /// Takes the fatal error that the process has to end with, if any.
     pub fn take_error(&mut self) -> Option<io::Error> {
         self.handover.listen_error.take()
     }
--- a/crates/server/src/server/command_execution.rs
+++ b/crates/server/src/server/command_execution.rs
@@ -1,4 +1,4 @@
-//! The commands of the dispatcher, carried out by the adapters.
+//! Execution of the dispatcher's commands by the adapters.
 
 use super::Server;
 use crate::host::{Host, ResultPersistence as _};
@@ -6,7 +6,7 @@
 use cleatpulley_policy::interface::Micros;
 
 impl<H: Host> Server<H> {
-    /// Carries out all commands that the dispatcher has given.
+    /// Executes all pending commands of the dispatcher.
     pub(super) fn execute_commands(&mut self, now: Micros) {
         for command in std::mem::take(&mut self.commands) {
             self.execute(now, command);
--- a/crates/server/src/server/construction.rs
+++ b/crates/server/src/server/construction.rs
@@ -1,4 +1,5 @@
-//! A server from its options: the listeners, the predecessor, and the parts of the server.
+//! Construction of a server from its options: listeners, connection to a predecessor, and
+//! components.
 
 use super::state::{
     Adapters, Handover, KeyPersistence, KeyPersistenceSettings, ReputationPersistence,
@@ -26,13 +27,13 @@
 use std::ops::RangeInclusive;
 use std::rc::Rc;
 
-/// One in so many descriptors is for a connection to the dependency. The share of a server in all
-/// calls is far smaller, and clients may open connections for half of the descriptors.
+/// Descriptors of the process per connection to the dependency. The server's share of all calls is
+/// far smaller, and clients may open connections for half of the descriptors.
 const DESCRIPTORS_PER_DEPENDENCY_CONNECTION: usize = 16;
-/// Bounds of the limit of connections to the dependency.
+/// Range of the connection limit to the dependency.
 const DEPENDENCY_CONNECTION_RANGE: RangeInclusive<usize> = 8..=64;
 
-/// The limits of connections that follow from the limit of descriptors.
+/// Connection limits derived from the descriptor limit.
 struct ConnectionLimits {
     client_connections: usize,
     dependency_connections: usize,
@@ -57,22 +58,23 @@
     }
 }
 
-/// An address that clients or proxies connect to, and the protocol spoken there.
+/// A listening address for clients or proxies, and its protocol.
 struct ClientAddress {
     address: SocketAddr,
     protocol: ClientProtocol,
 }
 
 impl<H: Host> Server<H> {
-    /// Creates a server that listens, or that waits for the listeners of its predecessor.
+    /// Creates a server that listens, or that expects the listeners of its predecessor.
     ///
     /// # Errors
-    /// A [`StartError`] inside of an [`io::Error`] where a listening socket or the certificate
-    /// can't be had, and the error of the system where the persistence of idempotency keys can't
-    /// be started.
+    /// A [`StartError`] wrapped in an [`io::Error`] if a listening socket can't be created or the
+    /// certificate is unusable, and the error of the operating system if the persistence of
+    /// idempotency keys can't be started.
     pub fn new(host: H, mut options: Options, reload: Reload) -> io::Result<Self> {
         let limits = ConnectionLimits::new(&options);
-        // Before the settings of the admission move to the client listener.
+        // Created first, because the client listener takes the admission settings out of the
+        // options.
         let reputation = ReputationPersistence::new(&options);
         let mut client_listener = create_client_listener(&host, &mut options, &limits);
         let tls = load_tls(&host, options.tls.take(), &mut client_listener)?;
@@ -117,7 +119,7 @@
     }
 }
 
-/// Opens the persistence of idempotency keys, unless a predecessor has to release it first.
+/// Opens the persistence of idempotency keys unless a predecessor has to release it first.
 fn create_key_persistence<H: Host>(
     host: &H,
     options: &Options,
@@ -168,7 +170,7 @@
     client_listener
 }
 
-/// Loads the certificate, where TLS is spoken.
+/// Loads the certificate if TLS is enabled.
 fn load_tls<H: Host>(
     host: &H,
     options: Option<TlsOptions>,
@@ -182,7 +184,7 @@
     Ok(Some(tls))
 }
 
-/// Returns the addresses that clients and proxies connect to, the one for frames first.
+/// Returns the listening addresses for clients and proxies, beginning with the one for frames.
 fn client_addresses(options: &mut Options) -> Vec<ClientAddress> {
     let idempotency = options.idempotency.as_ref();
     let terms = Terms {
@@ -204,7 +206,7 @@
     addresses
 }
 
-/// Connects to the process to take over from, where there is one; none without a handover folder.
+/// Connects to the predecessor, if there is one; returns `None` without a handover folder.
 fn find_predecessor<H: Host>(
     host: &H,
     options: &Options,
@@ -219,7 +221,7 @@
     Some(HotRestart::new(host.clone(), handover_address, &addresses))
 }
 
-/// Listens on all addresses, or expects their listeners from the predecessor.
+/// Listens on all addresses, or expects the listeners of the predecessor.
 fn listen<H: Host>(
     host: &H,
     name: &str,
@@ -251,8 +253,8 @@
     Ok(())
 }
 
-/// Guards against sharing the address with an unrelated process: a predecessor would have been
-/// found.
+/// Rejects an address that an unrelated process listens on, which SO_REUSEPORT would share: a
+/// predecessor would have been found before.
 fn check_address_is_free<H: Host>(
     host: &H,
     address: SocketAddr,
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -1,5 +1,5 @@
-//! The steps of a hot restart, as successor and as predecessor: what the server does when its
-//! [`HotRestart`] decides that it is time for it.
+//! Execution of the steps that a [`HotRestart`] requests from the server, as successor and as
+//! predecessor.
 
 use super::state::YieldState;
 use super::{Server, RESERVED_DESCRIPTORS};
@@ -16,13 +16,13 @@
 use std::io;
 use std::net::IpAddr;
 
-/// A process has at least so many client connections, however many its predecessor holds.
+/// Minimum limit of client connections, regardless of the connections of the predecessor.
 const MIN_CLIENT_CONNECTIONS: usize = 8;
-/// Wait before listening is tried again, after no descriptor was left for a listening socket.
+/// Delay before listening is retried after a shortage of file descriptors.
 const LISTEN_RETRY_INTERVAL: Micros = 20_000;
 
 impl<H: Host> Server<H> {
-    /// Goes on with taking over from a predecessor, and with handing over to a successor.
+    /// Advances the handover from a predecessor and to a successor.
     pub(super) fn poll_hot_restart(&mut self, now: Micros) {
         let Some(mut hot_restart) = self.handover.hot_restart.take() else {
             return;
@@ -30,7 +30,7 @@
         loop {
             let mut steps = Vec::new();
             let listeners: Vec<_> = self.adapters.client_listener.listeners().collect();
-            // A process that does not listen yet has nothing to take clients with.
+            // A process that does not listen yet can't accept clients.
             let can_serve =
                 self.adapters.runtime.is_ready() && self.handover.retry_listen_at.is_none();
             let usage = || self.combined_usage();
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Takes the listeners of the predecessor over, and listens on what it did not hand over.
+    /// Adopts the listeners of the predecessor, and listens on the addresses that were not handed
+    /// over.
     fn adopt_listeners(
         &mut self,
         now: Micros,
@@ -97,14 +98,14 @@
         for listener in listeners {
             is_short_of_descriptors |= self.adopt_listener(listener);
         }
-        // Connections that wait in a queue that is not adopted would be lost with the predecessor.
+        // Connections pending on a listener that is not adopted would be lost with the predecessor.
         if is_short_of_descriptors && hot_restart.on_adoption_failed(now) {
             return;
         }
         self.listen();
     }
 
-    /// Adopts one listener; returns true where no descriptor is left for it.
+    /// Adopts one listener; returns true if no file descriptor is left for it.
     fn adopt_listener(&mut self, listener: InheritedListener<H>) -> bool {
         let InheritedListener { address, socket } = listener;
         let host = &self.host;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Hands the clients over to the successor, with what was learned of them.
+    /// Hands the clients over to the successor, with the learned state and the reputation.
     fn yield_connections(&mut self, now: Micros, hot_restart: &mut HotRestart<H>) {
         tracing::info!("upgrade: a successor takes clients from here on");
         self.handover.yield_state = YieldState::ConnectionsYielded { since: now };
@@ -199,7 +200,7 @@
         hot_restart.on_connections_yielded(self.combined_usage(), snapshot, reputation);
     }
 
-    /// Serves again, after the successor is gone.
+    /// Resumes serving after the successor was lost.
     fn resume_serving(&mut self, now: Micros, hot_restart: &mut HotRestart<H>) {
         self.reclaim_keys();
         self.adapters.client_listener.resume_accepting();
@@ -208,19 +209,19 @@
         match self.shutdown.on_successor_lost() {
             Some(stop_at) => {
                 tracing::error!("upgrade: the successor is gone, and this process leaves as well");
-                // From here on it drains as one without a successor: clients are sent to other
+                // Without a successor the process drains: clients are notified to use other
                 // servers.
                 self.events.push(Event::DrainStarted { stop_at });
                 self.adapters.client_listener.begin_shutdown(now);
             }
             None => tracing::warn!("upgrade: the successor is gone; takes clients again"),
         }
-        // A process that drains can be found as well: a new successor gets its listeners, with the
-        // connections that wait there.
+        // A draining process also listens for successors: a new one gets its listeners with the
+        // pending connections.
         self.listen_for_successors(hot_restart);
     }
 
-    /// Takes the idempotency keys back that a successor had, which is gone.
+    /// Takes back the idempotency keys after the successor that owned them was lost.
     fn reclaim_keys(&mut self) {
         let yield_state = std::mem::replace(&mut self.handover.yield_state, YieldState::Serving);
         let (YieldState::KeysReleased, Some(settings)) =
@@ -241,8 +242,9 @@
         }
     }
 
-    /// Releases the idempotency keys to the successor, once all requests that crossed the handover
-    /// have arrived and no run of a key is active: one process owns the keys at a time.
+    /// Releases the idempotency keys to the successor once all requests in flight during the
+    /// handover have arrived and no run with a key is active: only one process owns the keys at a
+    /// time.
     pub(super) fn release_keys(&mut self, now: Micros) {
         if !matches!(
             self.handover.yield_state,
@@ -269,8 +271,8 @@
         }
     }
 
-    /// Limits the connections so that all processes of this server together hold no more
-    /// descriptors than one may.
+    /// Limits the connections so that all processes of this server together stay within the
+    /// descriptor limit of one.
     fn share_descriptors(&mut self, now: Micros) {
         let limits = self.shared_limits();
         let client_listener = &mut self.adapters.client_listener;
@@ -285,7 +287,7 @@
         let predecessor_descriptors = self.handover.predecessor_usage.descriptors;
         let has_predecessor = predecessor_descriptors > 0;
         let available = if has_predecessor {
-            // Each process needs some descriptors for itself.
+            // Each process needs some descriptors of its own.
             let taken = predecessor_descriptors + RESERVED_DESCRIPTORS / 2;
             max_client_connections.saturating_sub(taken)
         } else {
@@ -297,7 +299,7 @@
         } else {
             available
         };
-        // Where hardly anything is left, operators give up connections as well.
+        // If few descriptors are left, the limit of operators' connections is reduced as well.
         let is_scarce = available < 2 * MIN_CLIENT_CONNECTIONS;
         let management_connections = if has_yielded || (has_predecessor && is_scarce) {
             management_endpoint::MAX_CONNECTIONS / 4
@@ -313,8 +315,9 @@
         }
     }
 
-    /// Listens where no listener was handed over. Guards against ending for want of a descriptor,
-    /// which may be free a moment later: nobody else would serve the connections that wait.
+    /// Listens on all addresses without a listener. A shortage of descriptors does not end the
+    /// process but is retried: a descriptor may become free soon, and no other process would serve
+    /// the pending connections.
     pub(super) fn listen(&mut self) {
         self.handover.retry_listen_at = None;
         match self.adapters.client_listener.listen_expected() {
@@ -339,8 +342,8 @@
         }
     }
 
-    /// Returns what this process and its predecessors use of the machine: a successor learns of
-    /// those only through this process.
+    /// Returns the machine resources used by this process and its predecessors: a successor learns
+    /// the usage of the predecessors only through this process.
     pub(super) fn combined_usage(&self) -> ProcessUsage {
         let own_usage = self.dispatcher.resource_usage();
         let predecessor_usage = self.handover.predecessor_usage;
@@ -353,7 +356,7 @@
     }
 }
 
-/// Limits of connections while several processes of this server share the descriptors of one.
+/// Connection limits while several processes of this server share the descriptor limit of one.
 struct SharedLimits {
     client_connections: usize,
     management_connections: usize,
@@ -363,7 +366,7 @@
     tracing::warn!(%error, "upgrade: what the predecessor had learned is not restored");
 }
 
-/// Returns true where no descriptor is left, in this process or on the whole machine.
+/// Returns true if no file descriptor is left, in this process or on the whole machine.
 fn is_descriptor_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -1,4 +1,4 @@
-//! What a server shows of itself: usage, status and metrics.
+//! Usage, status and metrics of a server.
 
 use super::Server;
 use crate::host::Host;
@@ -11,7 +11,7 @@
 use cleatpulley_protocol::mgmt;
 
 impl<H: Host> Server<H> {
-    /// Returns what it holds at this moment.
+    /// Returns the resources that the server holds.
     #[must_use]
     pub fn usage(&self) -> ServerUsage {
         let clients = self.adapters.client_listener.usage();
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Returns its status, for the supervisor and for its peers.
+    /// Returns the status of the server, for the supervisor and for gossip.
     #[must_use]
     pub fn status(&self) -> Status {
         let total = self.dispatcher.counters().total();
         let warmth = if self.adapters.runtime.is_ready() {
             self.warm_up.warmth(self.now())
         } else {
-            // Without its runtime it serves nothing.
+            // A server without its runtime serves nothing.
             0.0
         };
         Status {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the metrics of TLS: the certificate's expiry, its renewals, and handshakes.
+/// Returns the TLS metrics: expiry and renewals of the certificate, and handshakes.
 fn tls_metrics(
     tls: &TlsState,
     handshakes: Option<&HandshakeScheduler>,
--- a/crates/server/src/server/shutdown.rs
+++ b/crates/server/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown of a server: draining, the end, and releasing what is persisted.
+//! Shutdown of a server: draining, stopping, and closing the persistence.
 
 use super::Server;
 use crate::host::{Host, ResultPersistence as _};
@@ -7,15 +7,15 @@
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 
-/// Within this time before the stop no connection is accepted any more: its requests would be read
-/// and not responded to.
+/// No connection is accepted within this time before the stop: its requests would be read but get
+/// no response.
 const ACCEPT_CUTOFF_BEFORE_STOP: Micros = 5_000;
-/// This long before the stop, clients are asked to send no more, while there is time to respond to
-/// what is on its way.
+/// Time before the stop at which clients are notified to send no more requests, so that requests in
+/// flight still get their response.
 const STOP_NOTICE: Micros = 400_000;
-/// A process whose successor serves stops this long after the longest client timeout.
+/// A replaced process stops this long after the longest client timeout.
 const REPLACED_STOP_MARGIN: Micros = 700_000;
-/// Of the longest client timeout no more than this counts there.
+/// Upper bound of the client timeout that is used for the stop of a replaced process.
 const MAX_REPLACED_CLIENT_TIMEOUT: Micros = 3_000_000;
 
 impl<H: Host> Server<H> {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Begins the shutdown of a process whose successor serves: clients are not sent to other
-    /// servers, and each request that was read gets its response.
+    /// Begins the shutdown of a process whose successor serves: clients are not notified to use
+    /// other servers, and each request that was read gets its response.
     fn begin_shutdown_replaced(&mut self, now: Micros) {
         let client_timeout = self
             .shutdown
@@ -62,12 +62,12 @@
         tracing::info!("leaving within {} ms, to its successor", duration / 1_000);
         let stop_at = now + duration;
         self.shutdown.begin_replaced(stop_at);
-        // The listeners stay, in case the successor dies: nothing is accepted from them before
+        // The listeners stay open in case the successor dies; nothing is accepted on them before
         // that.
         self.events.push(Event::Replaced { stop_at });
     }
 
-    /// Asks clients to send no more, once the stop is near.
+    /// Notifies clients to send no more requests once the stop is near.
     pub(super) fn notify_stop(&mut self, now: Micros) {
         if !self.shutdown.is_stop_within(now, STOP_NOTICE) {
             return;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Accepts no connection any more, once it would get no response.
+    /// Stops accepting once requests on a new connection would get no response.
     pub(super) fn stop_accepting_near_stop(&mut self, now: Micros) {
         if self.shutdown.is_stop_within(now, ACCEPT_CUTOFF_BEFORE_STOP) {
             self.adapters.client_listener.pause_accepting();
@@ -86,7 +86,7 @@
     }
 
     /// Returns true once the process may end: no request is pending and none can arrive, or the
-    /// time of the stop has come.
+    /// stop time has passed.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         let Some(stop_at) = self.shutdown.stop_at() else {
@@ -99,7 +99,7 @@
                     || now + STOP_NOTICE / 2 >= stop_at))
     }
 
-    /// Returns true where no request is pending and no client is connected.
+    /// Returns true if no request is pending and no client is connected.
     fn is_idle(&self) -> bool {
         let has_requests = self.dispatcher.pending_count() > 0;
         let has_connections = self.adapters.client_listener.connection_count() > 0;
@@ -108,16 +108,16 @@
             || (self.shutdown.is_replaced() && is_bug_injected(InjectedBug::PredecessorExitsEarly))
     }
 
-    /// Returns true where the other processes of a handover still need this one.
+    /// Returns true if other processes of a handover still need this one.
     fn is_needed_for_handover(&self) -> bool {
-        // A predecessor that is still there would take the end of this process for a crash, and its
-        // successor learns of the predecessor's usage only here.
+        // A predecessor that is still running would treat the end of this process as a crash, and
+        // the successor learns the predecessor's usage only through this process.
         let waits_for_process = self
             .handover
             .hot_restart
             .as_ref()
             .is_some_and(|hot_restart| hot_restart.has_predecessor() || hot_restart.is_orphaned());
-        // Repeated requests with the key of an active run get their response from this process.
+        // Retries with the key of an active run get their response from this process.
         let has_active_keys = self
             .dispatcher
             .key_table()
@@ -125,14 +125,14 @@
         waits_for_process || has_active_keys
     }
 
-    /// Closes what is persisted. Nothing may be served after this.
+    /// Closes the persistence. No request may be served afterwards.
     pub fn close(&mut self) {
         let usage = self.combined_usage();
         if let Some(hot_restart) = &mut self.handover.hot_restart {
             hot_restart.shutdown(usage);
         }
         match self.key_persistence.storage.take() {
-            // Another process of this server may use its keys.
+            // Another process of this server may use the keys.
             Some(storage) if self.handover.hot_restart.is_some() => storage.stop(),
             Some(storage) => storage.discard(),
             None => {}
--- a/crates/server/src/server/state.rs
+++ b/crates/server/src/server/state.rs
@@ -1,4 +1,4 @@
-//! The parts of a [`Server`](super::Server) that have a state of their own.
+//! The components of a [`Server`](super::Server) and their state.
 
 use crate::client_listener::ClientListener;
 use crate::dependency_pool::DependencyPool;
@@ -18,10 +18,10 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Requests that clients sent before they learned of the handover may arrive for this long after
-/// it.
+/// Time after a handover during which requests may arrive that clients sent before they were
+/// notified of it.
 const HANDOVER_IN_FLIGHT_TIME: Micros = 60_000;
-/// Interval between writes of the reputation that was earned; a crash loses no more than that.
+/// Interval between writes of earned reputation: a crash loses at most the reputation earned in it.
 const REPUTATION_WRITE_INTERVAL: Micros = 1_000_000;
 
 /// The name of the server and of its request classes.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the number that learned state is bound to: only a process of the same name and
+    /// Returns the digest that learned state is bound to: only a process with the same name and
     /// classes may restore it.
     pub(super) fn snapshot_site(&self) -> u64 {
         snapshot::site_digest(&self.name, &self.class_names)
@@ -53,16 +53,16 @@
     pub(super) runtime: RuntimeLink<H>,
     pub(super) dependency_pool: DependencyPool<H>,
     pub(super) registry: RegistryClient<H>,
-    /// Shared by the listeners; none without TLS.
+    /// TLS state shared by the listeners; `None` without TLS.
     pub(super) tls: Option<Rc<RefCell<TlsState>>>,
 }
 
-/// How far the shutdown of the process has come.
+/// Phase of the shutdown of the process.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ShutdownPhase {
-    /// No shutdown was requested.
+    /// No shutdown has been requested.
     Running,
-    /// Clients are sent to other servers; the process stops at `stop_at`.
+    /// Clients are notified to use other servers; the process stops at `stop_at`.
     Draining { stop_at: Micros },
     /// A successor serves the clients; the process stops at `stop_at`.
     Replaced { stop_at: Micros },
@@ -71,11 +71,11 @@
 /// The shutdown of the process.
 pub(super) struct Shutdown {
     phase: ShutdownPhase,
-    /// Time between the request to shut down and the stop.
+    /// Time between the shutdown request and the stop.
     pub(super) duration: Micros,
-    /// The longest that a client of any class waits for a response.
+    /// The longest client timeout of all classes.
     pub(super) max_client_timeout: Micros,
-    /// Other processes accept connections on the first listener too.
+    /// Other processes accept connections on the address of the first listener too.
     pub(super) shares_listener: bool,
 }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns when the process stops, once a shutdown was requested.
+    /// Returns when the process stops, once a shutdown has been requested.
     pub(super) fn stop_at(&self) -> Option<Micros> {
         match self.phase {
             ShutdownPhase::Running => None,
@@ -105,13 +105,13 @@
         self.stop_at().is_some()
     }
 
-    /// Returns true where the process stops within `duration`.
+    /// Returns true if the process stops within `duration`.
     pub(super) fn is_stop_within(&self, now: Micros, duration: Micros) -> bool {
         self.stop_at()
             .is_some_and(|stop_at| now + duration >= stop_at)
     }
 
-    /// Returns true where a successor serves the clients of a process that shuts down.
+    /// Returns true if this process shuts down while a successor serves its clients.
     pub(super) fn is_replaced(&self) -> bool {
         matches!(self.phase, ShutdownPhase::Replaced { .. })
     }
@@ -124,16 +124,16 @@
         self.phase = ShutdownPhase::Replaced { stop_at };
     }
 
-    /// A successor has taken the clients over: a process that was draining has one again, and ends
-    /// once it has responded.
+    /// Handles that a successor has taken over the clients: a process that was draining now counts
+    /// as replaced, and ends once all requests have their response.
     pub(super) fn on_yield(&mut self) {
         if let ShutdownPhase::Draining { stop_at } = self.phase {
             self.begin_replaced(stop_at);
         }
     }
 
-    /// The successor is gone: a process that it replaced drains on its own from here on. Returns
-    /// when that one stops.
+    /// Handles the loss of the successor: a process that was replaced drains from now on. Returns
+    /// the stop time of that process.
     pub(super) fn on_successor_lost(&mut self) -> Option<Micros> {
         let ShutdownPhase::Replaced { stop_at } = self.phase else {
             return None;
@@ -143,18 +143,18 @@
     }
 }
 
-/// What of this process a successor has taken over.
+/// What a successor has taken over from this process.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum YieldState {
     /// This process serves the clients.
     Serving,
-    /// A successor accepts connections; the keys stay here until the requests that crossed the
-    /// handover have arrived and no run of a key is active.
+    /// A successor accepts connections. This process keeps the idempotency keys until the requests
+    /// that were in flight during the handover have arrived and no run with a key is active.
     ConnectionsYielded {
-        /// Since when all connections have been asked to close.
+        /// Time since which all connections have been notified to close.
         since: Micros,
     },
-    /// The successor has the idempotency keys as well.
+    /// The successor also owns the idempotency keys.
     KeysReleased,
 }
 
@@ -163,8 +163,8 @@
         !matches!(self, Self::Serving)
     }
 
-    /// Returns when the last request that crossed the handover may have arrived, where that time
-    /// is still to come.
+    /// Returns the time by which all requests in flight during the handover have arrived, if it is
+    /// in the future.
     pub(super) fn next_deadline(self, now: Micros) -> Option<Micros> {
         match self {
             Self::ConnectionsYielded { since } => {
@@ -175,19 +175,19 @@
     }
 }
 
-/// The handover from a predecessor, and to a successor.
+/// State of the handover from a predecessor and to a successor.
 pub(super) struct Handover<H: Host> {
-    /// None without a handover folder.
+    /// `None` without a handover folder.
     pub(super) hot_restart: Option<HotRestart<H>>,
-    /// When listening is tried again, after no descriptor was left for it.
+    /// When listening is retried after a shortage of file descriptors.
     pub(super) retry_listen_at: Option<Micros>,
-    /// Why the process can't listen and has to end.
+    /// Fatal error of listening; the process has to end.
     pub(super) listen_error: Option<io::Error>,
     pub(super) yield_state: YieldState,
-    /// What the predecessors still use of the machine.
+    /// Machine resources that the predecessors still use.
     pub(super) predecessor_usage: ProcessUsage,
     pub(super) has_restored_learned_state: bool,
-    /// Limit of client connections while no other process of this server holds any.
+    /// Maximum number of client connections while no other process of this server holds any.
     pub(super) max_client_connections: usize,
 }
 
@@ -204,19 +204,19 @@
         }
     }
 
-    /// Returns true where clients are accepted by this process, and neither by a predecessor nor
-    /// by a successor.
+    /// Returns true if this process accepts the clients, and neither a predecessor nor a successor
+    /// does.
     pub(super) fn is_serving(&self) -> bool {
         self.hot_restart.as_ref().is_none_or(HotRestart::is_serving)
     }
 }
 
-/// Where idempotency keys are persisted, and how many.
+/// Folder, capacity and durability of the persisted idempotency keys.
 #[derive(Clone)]
 pub(super) struct KeyPersistenceSettings {
     pub(super) folder: PathBuf,
     pub(super) capacity: KeyTableOptions,
-    /// The keys outlive the machine, and not only the process.
+    /// The keys survive a crash of the machine, not only of the process.
     pub(super) is_durable: bool,
 }
 
@@ -230,11 +230,11 @@
     }
 }
 
-/// The persistence of idempotency keys and cached results, which one process has open at a time.
+/// The persistence of idempotency keys and cached results, opened by one process at a time.
 pub(super) struct KeyPersistence<H: Host> {
-    /// None where no keys are persisted.
+    /// `None` if no keys are persisted.
     pub(super) settings: Option<KeyPersistenceSettings>,
-    /// None while it is not open.
+    /// `None` while it is not open.
     pub(super) storage: Option<H::ResultPersistence>,
 }
 
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Opens the storage, where there is one and it is not open.
+    /// Opens the storage if it is configured and not open.
     pub(super) fn open(&mut self, host: &H) -> io::Result<()> {
         let Some(settings) = self.settings.clone().filter(|_| self.storage.is_none()) else {
             return Ok(());
@@ -261,11 +261,11 @@
     }
 }
 
-/// The persistence of the reputation of client addresses, which one process has open at a time.
+/// The persistence of the reputation of client addresses, opened by one process at a time.
 pub(super) struct ReputationPersistence<H: Host> {
-    /// None where no reputation is persisted.
+    /// `None` if no reputation is persisted.
     settings: Option<ReputationSettings>,
-    /// None while it is not open.
+    /// `None` while it is not open.
     storage: Option<H::ReputationStorage>,
     next_write_at: Micros,
 }
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Opens the storage, where there is one and it is not open.
+    /// Opens the storage if it is configured and not open.
     pub(super) fn open(&mut self, host: &H) {
         let Some(settings) = self.settings.clone().filter(|_| self.storage.is_none()) else {
             return;
@@ -306,7 +306,7 @@
         self.storage.is_some() && now >= self.next_write_at
     }
 
-    /// Writes the reputation that was earned since the last write.
+    /// Writes the reputation earned since the last write.
     pub(super) fn write(&mut self, now: Micros, admission: Option<&mut Admission>) {
         self.next_write_at = now + REPUTATION_WRITE_INTERVAL;
         let (Some(admission), Some(storage)) = (admission, &self.storage) else {
@@ -318,14 +318,14 @@
         }
     }
 
-    /// Lets the storage close in its own time, for the successor to open it.
+    /// Begins to close the storage in the background, so that the successor can open it.
     pub(super) fn release(&mut self) {
         if let Some(mut storage) = self.storage.take() {
             storage.release();
         }
     }
 
-    /// Waits until the storage is closed, for a limited time.
+    /// Closes the storage and waits for a limited time until it is closed.
     pub(super) fn stop(&mut self) {
         if let Some(storage) = self.storage.take() {
             storage.stop();
@@ -333,13 +333,13 @@
     }
 }
 
-/// The warm-up of the runtime, as far as the server knows of it.
+/// Warm-up progress of the runtime.
 pub(super) struct WarmUp {
-    /// Speed of a cold runtime, as a share of the speed of a warm one.
+    /// Speed of a cold runtime, as a fraction of the speed of a warm one.
     cold_start_speed: f64,
-    /// Time after which a runtime is warm.
+    /// Time from start until a runtime is warm.
     duration: Micros,
-    /// When the runtime came up, as it reported last.
+    /// Start time of the runtime, from its last report.
     runtime_up_since: Option<Micros>,
 }
 
@@ -352,13 +352,13 @@
         }
     }
 
-    /// The runtime has reported that it has been up for `uptime`.
+    /// Handles the runtime's report of its uptime.
     pub(super) fn on_runtime_ready(&mut self, now: Micros, uptime: Micros) {
         self.runtime_up_since = Some(now.saturating_sub(uptime));
     }
 
-    /// Returns the present speed of the runtime, as a share of the speed of a warm one; 0 before
-    /// the runtime has reported.
+    /// Returns the current speed of the runtime, as a fraction of the speed of a warm one; 0 before
+    /// the runtime has reported its uptime.
     pub(super) fn warmth(&self, now: Micros) -> f64 {
         let Some(up_since) = self.runtime_up_since else {
             return 0.0;
