--- a/crates/server/src/handover_channel.rs
+++ b/crates/server/src/handover_channel.rs
@@ -1,5 +1,5 @@
-//! The handover channel of the real host: a Unix socket of whole packets in a private folder, over
-//! which the two processes of a hot restart send messages and listening sockets.
+//! The handover channel on the operating system: a Unix SEQPACKET socket in a private folder, over
+//! which the two processes of a hot restart exchange messages and listening sockets.
 
 use crate::host::{self, HandoverAddress};
 use crate::os_host::event_loop::Watch;
@@ -19,14 +19,14 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Sockets that come along with one message at most.
+/// Maximum number of sockets that one message carries.
 const MAX_SOCKETS_PER_MESSAGE: usize = 16;
-/// Successors that may wait to be accepted.
+/// Maximum number of pending successors.
 const SUCCESSOR_BACKLOG: i32 = 4;
-/// Access rights of the socket's file: only the same user may connect.
+/// File mode of the socket: only the same user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Why a socket or a process at the other end of the channel is not accepted.
+/// Error of a received socket or of the process at the other end of the channel.
 #[derive(Debug, thiserror::Error)]
 enum HandoverError {
     #[error("received socket is not a stream socket")]
@@ -67,14 +67,14 @@
     }
 }
 
-/// A socket as it was handed over.
+/// A received socket.
 pub struct ReceivedSocket(OwnedFd);
 
 impl ReceivedSocket {
-    /// Returns the socket, where it is a stream socket that listens on this address.
+    /// Returns the socket if it is a stream socket that listens on this address.
     ///
     /// # Errors
-    /// What else it is.
+    /// If the socket is not a stream socket, does not listen, or has another address.
     pub(crate) fn into_listener(self, address: SocketAddr) -> io::Result<TcpListener> {
         if sockopt::socket_type(&self.0)? != SocketType::STREAM {
             return Err(HandoverError::NotStreamSocket.into());
@@ -118,7 +118,8 @@
     }
 
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<ReceivedSocket>)> {
-        // One byte more than any message has: a longer one is noticed, and not cut silently.
+        // One byte more than the longest message, so that a longer one is detected and not silently
+        // truncated.
         let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
         let mut control_space =
             [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
@@ -143,12 +144,12 @@
 
 fn create_socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None)?;
-    // Guards the event loop against a process that does not accept.
+    // A process that does not accept must not block the event loop.
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// Returns the path of the socket that the processes of this address meet at.
+/// Returns the path of the socket for this address.
 fn socket_path(handover_address: &HandoverAddress) -> PathBuf {
     let HandoverAddress {
         folder,
@@ -159,12 +160,12 @@
     folder.join(format!("{name}@{address}.upgrade"))
 }
 
-/// Listens for successors. A process that listened there before keeps the connections it has.
+/// Listens for successors. A process that listened on the path before keeps its connections.
 pub(crate) fn listen(handover_address: &HandoverAddress) -> io::Result<Socket> {
     let path = socket_path(handover_address);
     let socket = create_socket()?;
-    // The path may belong to a process that is gone, or to the predecessor: the new socket is
-    // created under a name of its own, and takes the path over once it listens.
+    // The path may belong to an ended process or to the predecessor: the new socket is created
+    // under a temporary path and renamed to the final one once it listens.
     let temporary_path = path.with_extension(std::process::id().to_string());
     let _ = fs::remove_file(&temporary_path);
     socket.bind(&SockAddr::unix(&temporary_path)?)?;
@@ -174,7 +175,7 @@
     Ok(socket)
 }
 
-/// Accepts a successor that waits. One of another user is closed before it is read from.
+/// Accepts a pending successor. A connection of another user is closed without reading from it.
 pub(crate) fn accept(listener: &Socket) -> io::Result<Socket> {
     let (socket, _) = listener.accept()?;
     socket.set_nonblocking(true)?;
@@ -182,7 +183,7 @@
     Ok(socket)
 }
 
-/// Connects to the process that serves, if there is one.
+/// Connects to the serving process, if there is one.
 pub(crate) fn connect(handover_address: &HandoverAddress) -> io::Result<Socket> {
     let socket = create_socket()?;
     socket.connect(&SockAddr::unix(socket_path(handover_address))?)?;
@@ -190,7 +191,7 @@
     Ok(socket)
 }
 
-/// Guards against a process of another user: it must neither get our sockets nor give us its own.
+/// Rejects a process of another user: it must neither receive our sockets nor pass its own to us.
 fn check_user(socket: &Socket) -> io::Result<()> {
     let peer = sockopt::socket_peercred(socket)?;
     if peer.uid == rustix::process::geteuid() {
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -1,17 +1,17 @@
-//! Hot restart: the connections to the process that this one takes over from (its predecessor) and
-//! to the process that takes over from this one (its successor).
+//! Hot restart: the connections to the predecessor, which this process takes over from, and to the
+//! successor, which takes over from this process.
 //!
-//! What each side decides lies in `cleatpulley_hot_restart`; this module does the I/O for it and
-//! returns [`HotRestartStep`]s that the server is to take.
+//! The state machines of both sides are in `cleatpulley_hot_restart`; this module does their I/O
+//! and returns the [`HotRestartStep`]s that the server has to execute.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `step` | the steps that the server is asked to take |
-//! | `connections` | the connections, and the socket on which successors find this process |
-//! | `channel_message` | reading the messages of a channel |
-//! | `predecessor_messages` | messages of the predecessor, and a successor's effects |
-//! | `successor_messages` | messages of the successor, and a predecessor's effects |
-//! | `earlier_predecessors` | processes that came before the predecessor |
+//! | `step` | the steps that the server has to execute |
+//! | `connections` | the connections, and the listening socket for successors |
+//! | `channel_message` | receiving messages on a handover channel |
+//! | `predecessor_messages` | messages of the predecessor, and the successor's effects |
+//! | `successor_messages` | messages of the successor, and the predecessor's effects |
+//! | `earlier_predecessors` | processes that preceded the predecessor |
 
 mod channel_message;
 mod connections;
@@ -36,27 +36,27 @@
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
 
-/// A listening address of this process, with its socket where it has one.
+/// A listening address of this process, with its socket if there is one.
 pub type ListenerEntry<'a, H> = (SocketAddr, Option<&'a <H as Host>::Listener>);
 
-/// The hot restart of a process, as successor and as predecessor.
+/// Hot restart of a process, as successor and as predecessor.
 pub struct HotRestart<H: Host> {
     host: H,
     handover_address: HandoverAddress,
-    /// None where there was no process to take over from.
+    /// `None` if there was no process to take over from.
     predecessor: Option<PredecessorConnection<H>>,
-    /// What the predecessor uses of the machine.
+    /// Machine resources that the predecessor uses.
     predecessor_usage: ProcessUsage,
     earlier_predecessors: EarlierPredecessors<H>,
     successor: SuccessorConnection<H>,
     successor_listener: SuccessorListener<H>,
-    /// Whether there is a process to take over from could not be found out.
+    /// The search for a predecessor failed, so that one may exist.
     is_predecessor_unknown: bool,
 }
 
 impl<H: Host> HotRestart<H> {
-    /// Looks for a process to take over from, and offers to take these listeners over. The first of
-    /// the addresses is the one that the processes meet by.
+    /// Connects to the process to take over from, if there is one, and requests the listeners of
+    /// these addresses. The first address identifies the server among the processes.
     #[must_use]
     pub fn new(
         host: H,
@@ -76,7 +76,7 @@
             successor_listener: SuccessorListener::default(),
             is_predecessor_unknown: false,
         };
-        // Where the system chooses the port, no process can have it already.
+        // If the system chooses the port, no other process can have it already.
         if hot_restart.handover_address.address.port() != 0 {
             hot_restart.find_predecessor(listen_addresses);
         }
@@ -114,11 +114,11 @@
             channel: Some(channel),
             received_sockets: Vec::new(),
         });
-        // This only sends a greeting; where that fails, the first poll finds the channel closed.
+        // Only the hello message is sent; if that fails, the first poll finds the channel closed.
         let _ = self.execute_successor_effects(effects, &mut Vec::new());
     }
 
-    /// Returns true where this process accepts clients, and no other process has its listeners.
+    /// Returns true if this process accepts clients, and no other process does.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         let predecessor = self.predecessor.as_ref();
@@ -126,32 +126,33 @@
             && !self.has_yielded()
     }
 
-    /// Returns true where it could not be found out whether there is a predecessor: this process
-    /// may listen in parallel to one.
+    /// Returns true if the search for a predecessor failed: this process may listen in parallel to
+    /// one.
     #[must_use]
     pub fn is_predecessor_unknown(&self) -> bool {
         self.is_predecessor_unknown
     }
 
-    /// Returns true where a successor serves the clients.
+    /// Returns true if a successor serves the clients.
     #[must_use]
     pub fn has_yielded(&self) -> bool {
         self.successor.protocol.has_handed_over()
     }
 
-    /// Returns true where the successor died and it is not known yet whether another process has
-    /// taken over from it: the connections that wait may be this process's to accept.
+    /// Returns true if the successor died and it is not known yet whether another process has taken
+    /// over from it: this process may have to accept the pending connections.
     #[must_use]
     pub fn is_orphaned(&self) -> bool {
         self.successor.protocol.is_orphaned()
     }
 
-    /// Ends the search for a process that took over from the successor: the stop is near.
+    /// Ends the search for a process that took over from the lost successor, because this process
+    /// stops soon.
     pub fn stop_successor_search(&mut self, now: Micros) {
         self.successor.protocol.end_search(now);
     }
 
-    /// Returns true while a process that this one has taken over from is still there.
+    /// Returns true while a predecessor or an earlier one is still running.
     #[must_use]
     pub fn has_predecessor(&self) -> bool {
         self.has_predecessor_channel() || self.earlier_predecessors.connected_count() > 0
@@ -162,8 +163,8 @@
         predecessor.is_some_and(|predecessor| predecessor.channel.is_some())
     }
 
-    /// Returns the number of descriptors in use: channels, the socket for successors, and the
-    /// descriptor reserved for one.
+    /// Returns the number of file descriptors in use: channels, the listening socket for
+    /// successors, and the descriptor reserved for a successor.
     #[must_use]
     pub fn descriptor_count(&self) -> usize {
         usize::from(self.has_predecessor_channel())
@@ -172,21 +173,21 @@
             + self.earlier_predecessors.connected_count()
     }
 
-    /// Lets successors find this process from now on, by this address.
+    /// Listens for successors, which find this process by this address.
     pub fn listen_for_successors(&mut self, address: SocketAddr) {
         self.handover_address.address = address;
         self.successor_listener
             .listen(&self.host, &self.handover_address);
     }
 
-    /// Notes that a successor may wait to be accepted.
+    /// Records that a successor may be pending.
     pub fn on_acceptable(&mut self) {
         self.successor_listener.is_acceptable = true;
     }
 
-    /// Reads the messages of all other processes and lets time pass; appends the steps that the
-    /// server is to take. `can_serve` says that this process can serve requests, `usage` what it uses
-    /// of the machine.
+    /// Handles the messages of all other processes and expired deadlines; appends the steps that
+    /// the server has to execute. `can_serve` tells whether this process can serve requests,
+    /// `usage` returns the machine resources that it uses.
     pub fn poll(
         &mut self,
         now: Micros,
@@ -201,7 +202,8 @@
             .iter()
             .any(|step| matches!(step, HotRestartStep::AdoptListeners(_)))
         {
-            // The predecessor is asked for the clients only once all listeners could be adopted.
+            // The clients are requested from the predecessor only after all listeners have been
+            // adopted.
             return;
         }
         self.poll_predecessor(now, can_serve, steps);
@@ -230,25 +232,26 @@
         }
     }
 
-    /// Returns what all processes use of the machine that came before this one.
+    /// Returns the machine resources used by all processes that preceded this one.
     fn total_predecessor_usage(&self) -> ProcessUsage {
         earlier_predecessors::sum(self.predecessor_usage, self.earlier_predecessors.usage())
     }
 
-    /// Gives the listeners back that could not all be adopted for want of descriptors. Returns true
-    /// where the predecessor is asked for them again later, and nothing is to be done until then.
+    /// Handles that not all listeners could be adopted for lack of file descriptors. Returns true
+    /// if the handover is retried later and the server has nothing to do until then.
     pub fn on_adoption_failed(&mut self, now: Micros) -> bool {
         let Some(predecessor) = &mut self.predecessor else {
             return false;
         };
         let effects = predecessor.protocol.on_adoption_failed(now);
         let will_retry = !effects.is_empty();
-        // The only effect is that the channel is closed, which can't fail.
+        // The only effect closes the channel, which can't fail.
         let _ = self.execute_successor_effects(effects, &mut Vec::new());
         will_retry
     }
 
-    /// Notifies the successor that the connections are its own now, with what was learned of them.
+    /// Notifies the successor that it owns the connections now, and sends the learned state and the
+    /// reputation.
     pub fn on_connections_yielded(
         &mut self,
         usage: ProcessUsage,
@@ -263,7 +266,7 @@
         });
     }
 
-    /// Notifies the successor that this process ends, and what it leaves in use.
+    /// Notifies the successor of the resources that this process leaves in use when it ends.
     pub fn shutdown(&mut self, usage: ProcessUsage) {
         if self.successor.channel.is_some() && self.has_yielded() {
             self.send_to_successor(Message::UsageReport(usage));
@@ -275,13 +278,13 @@
         self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
 
-    /// Notifies the successor that the persistence of idempotency keys is released.
+    /// Notifies the successor that the persistence of idempotency keys has been released.
     pub fn on_key_persistence_released(&mut self) {
         let effects = self.successor.protocol.on_store_released();
         self.apply_predecessor_effects(self.host.now(), effects, &[], &mut Vec::new());
     }
 
-    /// Returns when [`poll`](Self::poll) has something to do though no message arrives.
+    /// Returns when [`poll`](Self::poll) is to be called next if no message arrives.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         let predecessor = self.predecessor.as_ref();
--- a/crates/server/src/hot_restart/channel_message.rs
+++ b/crates/server/src/hot_restart/channel_message.rs
@@ -1,17 +1,17 @@
-//! Reading the messages of a handover channel.
+//! Receiving messages on a handover channel.
 
 use crate::host::HandoverChannel;
 use cleatpulley_hot_restart::message::DecodeError;
 use cleatpulley_hot_restart::Message;
 use std::io::{self, ErrorKind};
 
-/// A message, and the listening sockets that came along with it.
+/// A message and the listening sockets received with it.
 pub(super) struct ReceivedMessage<S> {
     pub(super) message: Message,
     pub(super) sockets: Vec<S>,
 }
 
-/// Why no more messages come over a channel.
+/// Error that ends a handover channel.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ChannelError {
     #[error("it ended")]
@@ -22,10 +22,10 @@
     Io(#[from] io::Error),
 }
 
-/// Returns the next message, or none where none has arrived yet.
+/// Returns the next message, or `None` if none has arrived yet.
 ///
 /// # Errors
-/// Why no more messages come.
+/// If the channel was closed, a message is malformed, or the socket failed.
 pub(super) fn receive_message<C: HandoverChannel>(
     channel: &C,
 ) -> Result<Option<ReceivedMessage<C::ReceivedSocket>>, ChannelError> {
--- a/crates/server/src/hot_restart/connections.rs
+++ b/crates/server/src/hot_restart/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to the predecessor and to the successor, and where successors connect.
+//! The connections to the predecessor and to the successor, and the listening socket for
+//! successors.
 
 use super::step::{InheritedListener, ReceivedSocket};
 use crate::host::{HandoverAddress, HandoverChannel as _, Host};
@@ -9,22 +10,22 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// The number by which the event loop reports that a successor may wait. Listeners for clients have
-/// smaller ones.
+/// Listener number under which the event loop reports pending successors. Listeners for clients
+/// have smaller numbers.
 pub const LISTENER_NUMBER: usize = (1 << 16) + 1;
 
-/// Wait before a successor is accepted, after no descriptor was left for it.
+/// Delay before a successor is accepted after a shortage of file descriptors.
 pub(crate) const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
-/// Wait before listening for successors, or reserving a descriptor for one, is tried again.
+/// Delay before listening for successors, or reserving a descriptor for one, is retried.
 const LISTEN_RETRY_INTERVAL: Micros = 500_000;
 
-/// The connection to the process that this one takes over from, as its successor.
+/// The connection to the predecessor, which this process takes over from.
 pub(super) struct PredecessorConnection<H: Host> {
-    /// What a successor decides.
+    /// State machine of the successor's side.
     pub(super) protocol: Successor,
-    /// None once the predecessor is gone.
+    /// `None` once the predecessor is lost.
     pub(super) channel: Option<H::HandoverChannel>,
-    /// The sockets that came along with the message that is being handled.
+    /// Sockets received with the message that is being handled.
     pub(super) received_sockets: Vec<ReceivedSocket<H>>,
 }
 
@@ -34,7 +35,7 @@
         channel.send(&message.encode(), &[])
     }
 
-    /// Takes the sockets that came along with a message, as those of these addresses.
+    /// Takes the sockets received with the current message and pairs them with these addresses.
     pub(super) fn take_listeners(
         &mut self,
         addresses: Vec<SocketAddr>,
@@ -48,11 +49,11 @@
     }
 }
 
-/// The connection to the process that takes over from this one, its predecessor.
+/// The connection to the successor, which takes over from this process.
 pub(super) struct SuccessorConnection<H: Host> {
-    /// What a predecessor decides.
+    /// State machine of the predecessor's side.
     pub(super) protocol: Predecessor,
-    /// None while there is no successor.
+    /// `None` while there is no successor.
     pub(super) channel: Option<H::HandoverChannel>,
 }
 
@@ -62,8 +63,8 @@
         channel.ok_or_else(|| ErrorKind::NotConnected.into())
     }
 
-    /// Sends a message. A usage report that the successor has no room for is left out, since the
-    /// next follows soon.
+    /// Sends a message. A usage report is dropped if the channel is full, since the next one
+    /// follows soon.
     pub(super) fn send(&self, message: &Message) -> io::Result<()> {
         match self.channel()?.send(&message.encode(), &[]) {
             Err(error)
@@ -77,18 +78,18 @@
     }
 }
 
-/// The socket on which successors find this process.
+/// The socket on which this process listens for successors.
 pub(super) struct SuccessorListener<H: Host> {
     pub(super) socket: Option<H::SuccessorListener>,
-    /// When listening is tried again, after it failed.
+    /// When listening is retried after a failure.
     pub(super) retry_listen_at: Option<Micros>,
-    /// A successor may wait to be accepted.
+    /// A successor may be pending.
     pub(super) is_acceptable: bool,
-    /// No successor is accepted before this.
+    /// No successor is accepted before this time.
     pub(super) accept_at: Micros,
-    /// A descriptor for a successor that comes when no other is left.
+    /// File descriptor reserved for a successor that connects when all others are in use.
     pub(super) reserved_descriptor: Option<H::ReservedDescriptor>,
-    /// A descriptor is reserved no earlier than this, after the last was used.
+    /// Earliest time to reserve the next descriptor.
     reserve_at: Micros,
 }
 
@@ -107,7 +108,7 @@
 
 impl<H: Host> SuccessorListener<H> {
     pub(super) fn listen(&mut self, host: &H, address: &HandoverAddress) {
-        // The previous socket is closed first, since the new one takes its name.
+        // The previous socket is closed first, since the new one takes over its path.
         self.socket = None;
         match host.listen_for_successors(address, LISTENER_NUMBER) {
             Ok(socket) => {
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Reserves a descriptor. Guards against client connections that hold all descriptors when a
-    /// successor comes, which would then listen in parallel to this process.
+    /// Reserves a file descriptor. If client connections held all of them when a successor
+    /// connects, the successor would listen in parallel to this process.
     pub(super) fn reserve_descriptor(&mut self, host: &H, now: Micros) {
         let is_needed = self.socket.is_some() && self.reserved_descriptor.is_none();
         if is_needed && now >= self.reserve_at {
--- a/crates/server/src/hot_restart/earlier_predecessors.rs
+++ b/crates/server/src/hot_restart/earlier_predecessors.rs
@@ -1,5 +1,5 @@
-//! The processes of this server that came before its predecessor: those that are still there
-//! because their own successor died, and what the ones that are gone have left in use.
+//! The processes of this server that preceded its predecessor: those that are still running because
+//! their own successor died, and the resources that ended processes have left in use.
 
 use super::channel_message::{receive_message, ReceivedMessage};
 use super::step::HotRestartStep;
@@ -7,27 +7,27 @@
 use cleatpulley_hot_restart::{Message, ProcessUsage};
 use cleatpulley_policy::interface::Micros;
 
-/// What a process that died had in use may have belonged to one before it, which is found within
-/// this time.
+/// Connections and descriptors of a process that died count for this time: they may belong to an
+/// earlier process, which reconnects within it.
 const PREDECESSOR_SEARCH_TIME: Micros = 200_000;
-/// Running work can't be stopped: it goes on for this long after the process that started it is
-/// gone. Guards the cores and the memory against as much again on top of it.
+/// Runs can't be stopped when the process that started them ends, and count for this time
+/// afterwards. Otherwise cores and memory would be assigned a second time.
 const ORPHANED_RUN_TIME: Micros = 3_000_000;
 
-/// The processes, and what is left of those that are gone.
+/// Earlier processes, and the resources left in use by ended ones.
 pub(super) struct EarlierPredecessors<H: Host> {
     connected: Vec<ConnectedProcess<H>>,
     residuals: Vec<ResidualUsage>,
 }
 
-/// A process that is still there.
+/// A process that is still running.
 struct ConnectedProcess<H: Host> {
     channel: H::HandoverChannel,
-    /// What it reported last.
+    /// Usage that the process reported last.
     usage: ProcessUsage,
 }
 
-/// What a process that is gone has left in use.
+/// Resources that an ended process has left in use.
 struct ResidualUsage {
     freed_at: Micros,
     usage: ProcessUsage,
@@ -43,12 +43,12 @@
 }
 
 impl<H: Host> EarlierPredecessors<H> {
-    /// Returns the number of processes that are still there.
+    /// Returns the number of processes that are still running.
     pub(super) fn connected_count(&self) -> usize {
         self.connected.len()
     }
 
-    /// Returns what all of them use of the machine.
+    /// Returns the machine resources used by all earlier processes.
     pub(super) fn usage(&self) -> ProcessUsage {
         let connected = self.connected.iter().map(|process| process.usage);
         let residuals = self.residuals.iter().map(|residual| residual.usage);
@@ -61,7 +61,7 @@
         self.connected.push(ConnectedProcess { channel, usage });
     }
 
-    /// A process is gone that used this much.
+    /// Handles the loss of a process with this usage.
     pub(super) fn on_process_lost(&mut self, now: Micros, usage: ProcessUsage) {
         self.residuals.push(ResidualUsage {
             freed_at: now + PREDECESSOR_SEARCH_TIME,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Returns when something that a process has left in use becomes free.
+    /// Returns when the next resources of an ended process are freed.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         let deadlines = self.residuals.iter().map(|residual| residual.freed_at);
         deadlines.min()
     }
 
-    /// Reads the messages of all of them and drops what is free by now. Returns true where the
+    /// Reads the messages of all processes and drops resources freed by now. Returns true if the
     /// usage has changed.
     pub(super) fn poll(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) -> bool {
         let residual_count = self.residuals.len();
@@ -112,7 +112,7 @@
     }
 }
 
-/// What the messages of a process have changed.
+/// Result of reading the messages of a process.
 enum ReadResult {
     Unchanged,
     UsageChanged,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Returns what two processes use together.
+/// Returns the sum of two usages.
 pub(super) fn sum(first: ProcessUsage, second: ProcessUsage) -> ProcessUsage {
     ProcessUsage {
         running_requests: first.running_requests + second.running_requests,
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the predecessor, and the effects of what this process decides as its successor.
+//! Messages of the predecessor, and execution of the effects of this process's successor side.
 
 use super::channel_message::{receive_message, ReceivedMessage};
 use super::step::HotRestartStep;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Lets time pass for the successor's side.
+    /// Handles expired deadlines of the successor's side.
     pub(super) fn poll_predecessor(
         &mut self,
         now: Micros,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Executes what was decided; where that fails, what is decided then.
+    /// Executes effects; if that fails, executes the effects of the disconnection.
     fn apply_successor_effects(
         &mut self,
         now: Micros,
@@ -75,7 +75,7 @@
         tracing::info!(%error, "upgrade: the predecessor is gone");
         if let Some(predecessor) = &mut self.predecessor {
             let effects = predecessor.protocol.on_disconnected(now);
-            // Nothing is sent to a process that is gone, so that this can't fail.
+            // Nothing is sent to a lost process, so this can't fail.
             let _ = self.execute_successor_effects(effects, steps);
         }
     }
@@ -145,7 +145,7 @@
                     self.total_predecessor_usage(),
                 ));
             }
-            // The caller connects once all effects are executed.
+            // The caller connects after all effects have been executed.
             Effect::Reconnect => {}
         }
         Ok(())
--- a/crates/server/src/hot_restart/step.rs
+++ b/crates/server/src/hot_restart/step.rs
@@ -1,22 +1,22 @@
-//! What a hot restart asks the server to do.
+//! Steps that a hot restart requests from the server.
 
 use crate::host::{HandoverChannel, Host};
 use cleatpulley_hot_restart::ProcessUsage;
 use std::net::{IpAddr, SocketAddr};
 
-/// A listening socket as it came over the handover channel.
+/// A listening socket received over the handover channel.
 pub(super) type ReceivedSocket<H> =
     <<H as Host>::HandoverChannel as HandoverChannel>::ReceivedSocket;
 
 /// A listening socket that the predecessor has handed over.
 pub struct InheritedListener<H: Host> {
-    /// The address that it listens on, as the predecessor says.
+    /// Address that the socket listens on, as stated by the predecessor.
     pub address: SocketAddr,
-    /// The socket.
+    /// The received socket.
     pub socket: ReceivedSocket<H>,
 }
 
-/// A step that the server is to take.
+/// A step that the server has to execute.
 pub enum HotRestartStep<H: Host> {
     /// Adopt the listeners of the predecessor.
     AdoptListeners(Vec<InheritedListener<H>>),
@@ -24,19 +24,19 @@
     Listen,
     /// Accept connections from here on.
     Serve,
-    /// Open the persistence of idempotency keys: the predecessor has released it, or is gone.
+    /// Open the persistence of idempotency keys: the predecessor has released it or was lost.
     OpenKeyPersistence,
-    /// All predecessors together use this much of the machine.
+    /// Set the machine resources that all predecessors use together.
     SetPredecessorUsage(ProcessUsage),
-    /// Restore the state that the predecessor had learned, as the text of its snapshot.
+    /// Restore the learned state of the predecessor from the text of its snapshot.
     RestoreLearnedState(String),
-    /// Import the reputation that addresses earned with the predecessor, in its points.
+    /// Import the reputation that addresses earned with the predecessor, in points.
     ImportReputation(Vec<(IpAddr, f64)>),
-    /// Accept no more, ask clients to close their connections, and then call
+    /// Stop accepting, notify clients to close their connections, and then call
     /// [`on_connections_yielded`](super::HotRestart::on_connections_yielded).
     YieldConnections,
-    /// Serve again: the successor is gone.
+    /// Resume serving: the successor was lost.
     ResumeServing,
-    /// Close a connection without pending requests: no descriptor is left for a successor.
+    /// Close a connection without open requests to free a file descriptor for a successor.
     FreeDescriptor,
 }
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -1,5 +1,5 @@
-//! Accepting successors, their messages, and the effects of what this process decides as a
-//! predecessor.
+//! Accepting successors, their messages, and execution of the effects of this process's predecessor
+//! side.
 
 use super::channel_message::{receive_message, ReceivedMessage};
 use super::connections::ACCEPT_RETRY_INTERVAL;
@@ -14,8 +14,8 @@
 use std::net::SocketAddr;
 
 impl<H: Host> HotRestart<H> {
-    /// Accepts the successors that wait: the first where there is none, while the others are
-    /// refused.
+    /// Accepts pending successors: the first one if there is none yet, while the others are
+    /// rejected.
     pub(super) fn accept_successors(&mut self, now: Micros, steps: &mut Vec<HotRestartStep<H>>) {
         while now >= self.successor_listener.accept_at
             && std::mem::take(&mut self.successor_listener.is_acceptable)
@@ -27,14 +27,15 @@
             match accepted {
                 Ok(channel) => self.on_successor_accepted(now, channel),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // That process belongs to another user; the next may wait after it.
+                // The process belongs to another user; another one may be pending after it.
                 Err(error) if error.kind() == ErrorKind::PermissionDenied => {
                     tracing::warn!(%error, "upgrade: a process was not let in");
                 }
-                // The descriptor that was reserved is free for the successor now.
+                // The reserved descriptor has been freed for the successor, and accepting is
+                // retried.
                 Err(_) if self.successor_listener.reserved_descriptor.take().is_some() => {}
                 Err(error) => {
-                    // Guards against a loop at full speed while descriptors are short.
+                    // The delay prevents a busy loop while file descriptors are short.
                     tracing::warn!(%error, "upgrade: a successor is not let in yet");
                     self.successor_listener.accept_at = now + ACCEPT_RETRY_INTERVAL;
                     steps.push(HotRestartStep::FreeDescriptor);
@@ -51,7 +52,7 @@
             return;
         }
         let reason = "another successor is here".to_owned();
-        // The process may be gone already.
+        // The process may have ended already.
         let _ = channel.send(&Message::Rejected { reason }.encode(), &[]);
     }
 
@@ -80,8 +81,8 @@
         }
     }
 
-    /// The successor died: looks for another process that has taken over from it, and tells that
-    /// one what this process still uses.
+    /// Handles the death of the successor: connects to a process that has taken over from it, if
+    /// there is one, and reports the usage of this process to it.
     pub(super) fn find_serving_process(
         &mut self,
         now: Micros,
@@ -89,12 +90,12 @@
         usage: impl Fn() -> ProcessUsage,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
-        // The name may still lead to this process itself.
+        // The path may still belong to this process itself.
         self.successor_listener.socket = None;
         let connected = self
             .host
             .connect_to_predecessor(&self.handover_address, SocketOwner::Successor);
-        // Where there is none, it is tried again until the time for that is over.
+        // If there is none, the attempt is repeated until the search times out.
         let Ok(channel) = connected else { return };
         tracing::info!("upgrade: another process has the place of the successor that is gone");
         self.successor.channel = Some(channel);
@@ -105,7 +106,7 @@
         self.apply_predecessor_effects(now, effects, listeners, steps);
     }
 
-    /// Executes what was decided; where that fails, what is decided then.
+    /// Executes effects; if that fails, executes the effects of the disconnection.
     pub(super) fn apply_predecessor_effects(
         &mut self,
         now: Micros,
@@ -116,7 +117,7 @@
         if let Err(error) = self.execute_predecessor_effects(effects, listeners, steps) {
             tracing::info!(%error, "upgrade: the successor is gone");
             let effects = self.successor.protocol.on_disconnected(now);
-            // Nothing is sent to a process that is gone, so that this can't fail.
+            // Nothing is sent to a lost process, so this can't fail.
             let _ = self.execute_predecessor_effects(effects, listeners, steps);
         }
     }
@@ -154,13 +155,13 @@
                     self.total_predecessor_usage(),
                 ));
             }
-            // The caller looks before it executes the other effects.
+            // The caller searches before it executes the other effects.
             Effect::FindServingProcess => {}
         }
         Ok(())
     }
 
-    /// Sends an offer, with the listeners of its addresses along.
+    /// Sends an offer together with the listeners of its addresses.
     fn hand_over_listeners(
         &self,
         message: &Message,
