--- a/crates/server/src/buffered_connection.rs
+++ b/crates/server/src/buffered_connection.rs
@@ -1,4 +1,4 @@
-//! A stream socket with its bytes on the way in and out, optionally over TLS.
+//! A stream socket with input and output buffers, optionally over TLS.
 
 mod tls_stream;
 
@@ -12,34 +12,35 @@
 use std::sync::Arc;
 use tls_stream::TlsStream;
 
-/// Bytes that are read from a socket at once. So many sent bytes may stay in the output.
+/// Number of bytes of one read from a socket. The output buffer is compacted once it holds more
+/// sent bytes than this.
 const READ_CHUNK_BYTES: usize = 16_384;
-/// The capacity that an empty buffer keeps.
+/// Maximum capacity of an empty buffer.
 const MAX_IDLE_CAPACITY_BYTES: usize = 4_096;
 
 thread_local! {
-    /// Bytes on their way from a socket to the input of a connection. There is one for all
-    /// connections, since clearing one for each read took longer than the rest of it.
+    /// Buffer between a socket and the input of a connection. All connections share it, since
+    /// zeroing a buffer for each read took longer than the rest of the read.
     static READ_CHUNK: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK_BYTES]);
 }
 
-/// A connection with its buffers. The event loop reports its readiness once, which is therefore
-/// remembered here until a read or write uses it up.
+/// A connection with its buffers. The event loop reports readiness by edges, so it is stored here
+/// until a read or write would block.
 pub struct BufferedConnection<H: Host> {
     stream: H::Stream,
     readable: bool,
     writable: bool,
-    /// Bytes that were read and not consumed yet; over TLS, plain bytes.
+    /// Received bytes that are not consumed yet; plaintext over TLS.
     pub input: Vec<u8>,
-    /// Bytes for the socket; over TLS, records.
+    /// Bytes for the socket; TLS records over TLS.
     output: Vec<u8>,
-    /// Bytes at the front of `output` that were sent already.
+    /// Number of bytes at the front of `output` that have been sent.
     sent_bytes: usize,
-    /// Bytes sent in all.
+    /// Total number of bytes sent.
     total_sent_bytes: u64,
-    /// The peer sends no more.
+    /// The peer has closed its write side.
     pub is_read_closed: bool,
-    /// None where no TLS is spoken.
+    /// `None` without TLS.
     tls: Option<Box<TlsStream>>,
 }
 
@@ -60,34 +61,34 @@
         }
     }
 
-    /// Begins to connect; the first readiness reports how that went.
+    /// Begins to connect; the first readiness event signals success or failure.
     ///
     /// # Errors
-    /// Those of the system; a refusal may come at once.
+    /// Errors of the operating system; the connection may be refused immediately.
     pub fn connect(host: &H, address: SocketAddr, owner: SocketOwner) -> io::Result<Self> {
         host.connect(address, owner).map(Self::new)
     }
 
-    /// Speaks TLS from here on.
+    /// Enables TLS on the connection.
     pub fn set_tls(&mut self, layer: TlsLayer) {
         self.tls = Some(Box::new(TlsStream::new(layer)));
     }
 
-    /// Returns its TLS layer, where it speaks TLS.
+    /// Returns the TLS layer, if TLS is enabled.
     #[must_use]
     pub fn tls_layer(&self) -> Option<&TlsLayer> {
         self.tls.as_ref().map(|tls| &tls.layer)
     }
 
-    /// Returns its TLS layer to change it, where it speaks TLS.
+    /// Returns the mutable TLS layer, if TLS is enabled.
     pub fn tls_layer_mut(&mut self) -> Option<&mut TlsLayer> {
         self.tls.as_mut().map(|tls| &mut tls.layer)
     }
 
-    /// Begins the handshake that waited for its turn, with this configuration.
+    /// Begins the queued handshake with this configuration.
     ///
     /// # Errors
-    /// Where what was received breaks the protocol.
+    /// If the received bytes violate the protocol.
     pub fn begin_handshake(&mut self, config: Arc<ServerConfig>) -> io::Result<()> {
         if let Some(tls) = &mut self.tls {
             self.is_read_closed |= tls.layer.begin(config, &mut self.input, &mut self.output)?;
@@ -95,40 +96,41 @@
         Ok(())
     }
 
-    /// Sends a client whose handshake does not begin an alert in plain, as far as the system takes
-    /// it at once.
+    /// Sends an unencrypted alert to a client whose handshake is rejected, as far as the socket
+    /// accepts it without blocking.
     pub fn reject_handshake(&mut self) {
         self.output.extend_from_slice(&BUSY_ALERT);
         self.writable = true;
         let _ = self.flush();
     }
 
-    /// Notes what the event loop saw.
+    /// Records the readiness reported by the event loop.
     pub fn on_readiness(&mut self, readiness: Readiness) {
         self.readable |= readiness.readable;
         self.writable |= readiness.writable;
     }
 
-    /// Returns the error that the socket holds, such as that of a failed attempt to connect.
+    /// Returns the pending socket error (SO_ERROR), such as that of a failed connection attempt.
     ///
     /// # Errors
-    /// That error.
+    /// The pending socket error.
     pub fn take_error(&self) -> io::Result<()> {
         self.stream.take_error()
     }
 
-    /// Reads until `input` holds `limit` bytes or nothing more has arrived. Returns true where more
-    /// may be there.
+    /// Reads until `input` holds `limit` bytes or no more bytes are available. Returns true if more
+    /// may be available.
     ///
     /// # Errors
-    /// Why the connection broke.
+    /// The error that broke the connection.
     pub fn read(&mut self, limit: usize) -> io::Result<bool> {
         while self.readable && !self.is_read_closed {
             if self.input.len() >= limit {
                 return Ok(true);
             }
             if self.tls_layer().is_some_and(TlsLayer::is_reading_paused) {
-                // What arrives before the handshake may begin stays with the system.
+                // Bytes that arrive before the handshake may begin stay in the socket's receive
+                // buffer.
                 return Ok(false);
             }
             self.read_chunk()?;
@@ -153,7 +155,7 @@
             read
         });
         if let Err(error) = received {
-            // An alert is sent where that is possible.
+            // Sends the alert if possible.
             self.writable = true;
             let _ = self.flush();
             return Err(error);
@@ -168,19 +170,19 @@
         Ok(())
     }
 
-    /// Returns true where nothing is known to wait unread and no partial message is held.
+    /// Returns true if the socket is not known to be readable and no partial message is buffered.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         !self.readable && self.input.is_empty()
     }
 
-    /// Drops so many bytes from the front of `input`.
+    /// Removes `used` bytes from the front of `input`.
     pub fn consume(&mut self, used: usize) {
         self.input.drain(..used);
         shrink_if_empty(&mut self.input);
     }
 
-    /// Returns the buffer of bytes to be sent with the next [`flush`](Self::flush).
+    /// Returns the buffer of the bytes to send with the next [`flush`](Self::flush).
     pub fn output(&mut self) -> &mut Vec<u8> {
         match &mut self.tls {
             None => &mut self.output,
@@ -188,18 +190,18 @@
         }
     }
 
-    /// Returns the number of bytes that were not sent yet.
+    /// Returns the number of bytes not sent yet.
     #[must_use]
     pub fn unsent_bytes(&self) -> usize {
         let plain = self.tls.as_ref().map_or(0, |tls| tls.plain_output.len());
         self.output.len() - self.sent_bytes + plain
     }
 
-    /// Sends what the system takes. Returns how many bytes that were; over TLS, how many plain
-    /// bytes were sent completely.
+    /// Sends as many bytes as the socket accepts. Returns the number of bytes sent; over TLS, the
+    /// number of plaintext bytes whose records were sent completely.
     ///
     /// # Errors
-    /// Why the connection broke.
+    /// The error that broke the connection.
     pub fn flush(&mut self) -> io::Result<usize> {
         let unsent_start = self.total_sent_bytes - self.sent_bytes as u64;
         let Some(tls) = &mut self.tls else {
@@ -218,7 +220,7 @@
 
     fn send(&mut self) -> io::Result<usize> {
         let sent_before = self.sent_bytes;
-        // Plain bytes that wait for a TLS session are not among these.
+        // Plaintext that waits for a TLS session is not in `output`.
         while self.writable && self.output.len() > self.sent_bytes {
             match self.stream.write(&self.output[self.sent_bytes..]) {
                 Ok(length) => self.sent_bytes += length,
@@ -240,8 +242,8 @@
         Ok(sent)
     }
 
-    /// Closes the write side; what the peer still sends can be read. Over TLS the peer is notified
-    /// first, as far as the system takes that at once.
+    /// Closes the write side; the read side stays open. Over TLS a close alert is sent first, as
+    /// far as the socket accepts it without blocking.
     pub fn shutdown_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.layer.close(&mut self.output);
@@ -251,8 +253,8 @@
     }
 }
 
-/// Gives back the capacity that an empty buffer has grown to. Guards against connections that each
-/// hold, for as long as they last, what their largest burst took.
+/// Shrinks an empty buffer that has grown. Otherwise each connection would keep the memory of its
+/// largest burst until it closes.
 fn shrink_if_empty(buffer: &mut Vec<u8>) {
     if buffer.is_empty() && buffer.capacity() > MAX_IDLE_CAPACITY_BYTES {
         buffer.shrink_to(MAX_IDLE_CAPACITY_BYTES);
--- a/crates/server/src/buffered_connection/tls_stream.rs
+++ b/crates/server/src/buffered_connection/tls_stream.rs
@@ -1,23 +1,23 @@
-//! The TLS of a connection, and how far its plain bytes were sent.
+//! The TLS layer of a connection, and the number of its plaintext bytes that were sent.
 
 use crate::tls_layer::TlsLayer;
 use std::collections::VecDeque;
 
-/// Plain bytes that were sealed together.
+/// A range of plaintext bytes that were sealed together.
 struct SealedRange {
-    /// Where their records end, in the bytes sent by the connection.
+    /// End offset of the records, in the bytes sent by the connection.
     record_end: u64,
-    /// Where they end, in the plain bytes of the connection.
+    /// End offset of the range, in the plaintext of the connection.
     plain_end: u64,
 }
 
-/// The TLS of a connection. A caller that asks whether a request may have arrived means its plain
-/// bytes, so that those are what counts as sent.
+/// The TLS layer of a connection. Whether a request may have arrived depends on its plaintext, so
+/// sent bytes are counted in plaintext.
 pub(super) struct TlsStream {
     pub(super) layer: TlsLayer,
-    /// Plain bytes that are not sealed yet.
+    /// Plaintext that is not sealed yet.
     pub(super) plain_output: Vec<u8>,
-    /// Ranges whose records were not sent completely.
+    /// Ranges whose records have not been sent completely.
     unsent_ranges: VecDeque<SealedRange>,
     plain_sealed_bytes: u64,
     plain_sent_bytes: u64,
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Seals the plain bytes into `output`, which begins at `output_start` of the bytes sent by the
-    /// connection.
+    /// Seals the plaintext into `output`, which begins at offset `output_start` of the bytes sent
+    /// by the connection.
     pub(super) fn seal(&mut self, output: &mut Vec<u8>, output_start: u64) {
         let sealing_bytes = self.plain_output.len() as u64;
         self.layer.seal(&mut self.plain_output, output);
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The connection has sent so many bytes in all. Returns how many more plain bytes are thereby
-    /// sent completely.
+    /// Handles that the connection has sent `total_sent_bytes` in total. Returns the number of
+    /// plaintext bytes whose records are now sent completely.
     pub(super) fn on_sent(&mut self, total_sent_bytes: u64) -> usize {
         let plain_sent_before = self.plain_sent_bytes;
         while let Some(range) = self.unsent_ranges.front() {
--- a/crates/server/src/tls_layer.rs
+++ b/crates/server/src/tls_layer.rs
@@ -1,13 +1,13 @@
 //! TLS on the connections of clients and operators.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `layer` | the TLS of one connection, between the bytes of its socket and its protocol |
-//! | `options` | where TLS is spoken, and with which certificate |
-//! | `state` | what all connections share: the certificate in use, which is renewed in place |
+//! | `layer` | the TLS layer of one connection, between its socket and its protocol |
+//! | `options` | where TLS is enabled, and with which certificate |
+//! | `state` | state shared by all connections: the certificate in use and its renewal |
 //!
-//! Which handshakes run is decided by `cleatpulley_connection_admission::handshake`; the session is
-//! that of `cleatpulley_tls`.
+//! `cleatpulley_connection_admission::handshake` schedules the handshakes; `cleatpulley_tls`
+//! implements the session.
 
 mod layer;
 mod options;
--- a/crates/server/src/tls_layer/layer.rs
+++ b/crates/server/src/tls_layer/layer.rs
@@ -1,4 +1,4 @@
-//! The TLS of one connection, between the bytes of its socket and its protocol.
+//! The TLS layer of one connection, between its socket and its protocol.
 
 use cleatpulley_tls::hello::{self, Offer, HEAD, LONGEST_RECORD};
 use cleatpulley_tls::rustls::ServerConfig;
@@ -6,21 +6,21 @@
 use std::io;
 use std::sync::Arc;
 
-/// A fatal alert (internal_error, RFC 8446 section 6.2), in plain: a client that gets no handshake
-/// is sent it before its connection closes. TLS has no alert for "busy"; this one makes no client
-/// believe that its offer was at fault.
+/// Unencrypted fatal alert (internal_error, RFC 8446 section 6.2), sent to a client whose handshake
+/// is rejected before its connection closes. TLS has no alert for "busy"; this one does not blame
+/// the client's offer.
 pub const BUSY_ALERT: [u8; 7] = [21, 3, 3, 0, 2, 2, 80];
-/// Bytes that a client may send while its handshake waits for its turn.
+/// Maximum number of bytes buffered while a handshake is queued.
 const MAX_BUFFERED_BYTES: usize = 65_536;
 
-/// Why a connection breaks in its TLS.
+/// Error of the TLS layer that breaks the connection.
 #[derive(Debug, thiserror::Error)]
 enum TlsError {
     #[error("tls: the first record is too long")]
     FirstRecordTooLong,
     #[error("tls: too much sent before the handshake could begin")]
     TooMuchBuffered,
-    /// What the hello or the session reports.
+    /// Error of parsing the client hello or of the session.
     #[error("{0}")]
     Protocol(String),
 }
@@ -35,36 +35,36 @@
     TlsError::Protocol(error.to_string())
 }
 
-/// How far the TLS of a connection has come.
+/// State of the TLS layer of a connection.
 pub enum TlsLayer {
-    /// The first record arrives.
+    /// The first record is incomplete.
     Hello(Vec<u8>),
-    /// The first record is complete; the handshake waits for its turn.
+    /// The first record is complete; the handshake is queued.
     Offered {
-        /// The bytes received so far.
+        /// Bytes received so far.
         bytes: Vec<u8>,
-        /// What the client offers.
+        /// Offer of the client.
         offer: Offer,
-        /// It was decided when the handshake runs.
+        /// The handshake was scheduled.
         is_decided: bool,
     },
-    /// The handshake runs or has ended.
+    /// The handshake is running or has ended.
     Open {
-        /// The session.
+        /// TLS session.
         session: Box<Session>,
-        /// The end of the handshake was reported.
+        /// The completion of the handshake was reported.
         is_completion_reported: bool,
     },
 }
 
 impl TlsLayer {
-    /// Creates the layer of a connection that was accepted.
+    /// Creates the layer of an accepted connection.
     #[must_use]
     pub fn new() -> Self {
         Self::Hello(Vec::new())
     }
 
-    /// Creates the layer of a connection that this side makes.
+    /// Creates the layer of an outgoing connection.
     #[must_use]
     pub fn client(session: Session) -> Self {
         Self::open(session)
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Takes bytes that were received: what they carry is appended to `plain`, what is to be sent
-    /// to `output`. Returns true where the peer has announced that it sends no more.
+    /// Handles received bytes: appends the plaintext to `plain` and the bytes to send to `output`.
+    /// Returns true if the peer has sent a close alert.
     ///
     /// # Errors
-    /// Where the peer broke the protocol; `output` may hold an alert then.
+    /// If the peer violated the protocol; `output` may then hold an alert.
     pub fn receive(
         &mut self,
         bytes: &[u8],
@@ -130,11 +130,11 @@
         }
     }
 
-    /// Begins the handshake, with the bytes received so far. Returns true where the peer has
-    /// announced that it sends no more.
+    /// Begins the handshake with the bytes received so far. Returns true if the peer has sent a
+    /// close alert.
     ///
     /// # Errors
-    /// Where no session can be created, or the bytes break the protocol.
+    /// If no session can be created, or the bytes violate the protocol.
     pub fn begin(
         &mut self,
         config: Arc<ServerConfig>,
@@ -149,7 +149,7 @@
         self.receive(&bytes, plain, output)
     }
 
-    /// Returns what the client offers, while it was not decided when its handshake runs.
+    /// Returns the offer of the client while its handshake is not scheduled yet.
     #[must_use]
     pub fn offer(&self) -> Option<Offer> {
         match self {
@@ -162,20 +162,20 @@
         }
     }
 
-    /// It was decided when the handshake runs: [`offer`](Self::offer) returns none from here on.
+    /// Records that the handshake was scheduled: [`offer`](Self::offer) returns `None` from now on.
     pub fn mark_offer_decided(&mut self) {
         if let Self::Offered { is_decided, .. } = self {
             *is_decided = true;
         }
     }
 
-    /// Returns true where nothing more is read until the handshake begins.
+    /// Returns true if nothing more is read until the handshake begins.
     #[must_use]
     pub fn is_reading_paused(&self) -> bool {
         matches!(self, Self::Offered { .. })
     }
 
-    /// Seals the plain bytes, where there is a session; otherwise they wait.
+    /// Seals the plaintext if there is a session; otherwise it stays in `plain`.
     pub fn seal(&mut self, plain: &mut Vec<u8>, output: &mut Vec<u8>) {
         if let Self::Open { session, .. } = self {
             if !plain.is_empty() {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Announces that nothing more is sent.
+    /// Appends a close alert to `output`.
     pub fn close(&mut self, output: &mut Vec<u8>) {
         if let Self::Open { session, .. } = self {
             session.close();
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Returns the session, once there is one.
+    /// Returns the session, if there is one yet.
     #[must_use]
     pub fn session(&self) -> Option<&Session> {
         match self {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Returns true once, when the handshake has ended.
+    /// Returns true once, after the handshake has completed.
     pub fn take_handshake_completion(&mut self) -> bool {
         match self {
             Self::Open {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Returns true while the handshake has not ended.
+    /// Returns true while the handshake has not completed.
     #[must_use]
     pub fn is_handshaking(&self) -> bool {
         self.session().is_none_or(Session::is_handshaking)
--- a/crates/server/src/tls_layer/options.rs
+++ b/crates/server/src/tls_layer/options.rs
@@ -1,4 +1,4 @@
-//! Where TLS is spoken, and with which certificate.
+//! Options of TLS: where it is enabled, and with which certificate.
 
 use crate::error::CertificateError;
 use cleatpulley_connection_admission::{handshake, identity};
@@ -9,47 +9,48 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A certificate with its key, ready for use.
+/// A loaded certificate with its key.
 #[derive(Debug, Clone)]
 pub struct LoadedCertificate {
-    /// The configuration of a session with it.
+    /// Session configuration with the certificate.
     pub config: Arc<ServerConfig>,
-    /// What the certificate says.
+    /// Names, serial number and validity of the certificate.
     pub facts: Facts,
 }
 
-/// Where the certificate comes from: files, or the memory of a test.
+/// Source of the certificate: files, or memory in tests.
 pub trait CertificateSource {
-    /// Returns a value that changes when a file does, such as one of their times and lengths.
+    /// Returns a value that changes when a file does, derived for example from modification times
+    /// and lengths.
     fn stamp(&self) -> u64;
 
     /// Reads the certificate and its key.
     ///
     /// # Errors
-    /// The file at fault and why.
+    /// The faulty file and the error in it.
     fn load(&self) -> Result<LoadedCertificate, CertificateError>;
 }
 
-/// TLS on the listeners of a server.
+/// TLS options of the listeners of a server.
 #[derive(Clone)]
 pub struct TlsOptions {
-    /// Where the certificate comes from.
+    /// Source of the certificate.
     pub certificates: Arc<dyn CertificateSource>,
-    /// Whether it is spoken where clients send frames.
+    /// Enables TLS on listeners for frames.
     pub frames: bool,
-    /// Whether it is spoken where proxies send AJP.
+    /// Enables TLS on listeners for AJP.
     pub ajp: bool,
-    /// Whether it is spoken at the management endpoint.
+    /// Enables TLS on the management endpoint.
     pub mgmt: bool,
-    /// By request class: the certificate names that may use it; none where all may.
+    /// Certificate names that may use a request class, indexed by class; `None` permits all.
     pub permits: Vec<Option<Vec<String>>>,
-    /// Which handshakes run, and when; without it each begins at once.
+    /// Settings of handshake scheduling; without it each handshake begins immediately.
     pub handshakes: Option<handshake::Settings>,
-    /// Clients known by their certificate names, and limits by name.
+    /// Settings of known clients and limits by certificate name.
     pub identities: Option<identity::Settings>,
-    /// An expiry within this time is warned of, in microseconds.
+    /// Time before the certificate's expiry from which a warning is logged, in microseconds.
     pub warn_before: Micros,
-    /// The clock that certificates are checked by, which the server sets.
+    /// Clock for checking certificates, set by the server.
     pub clock: Clock,
 }
 
--- a/crates/server/src/tls_layer/state.rs
+++ b/crates/server/src/tls_layer/state.rs
@@ -1,4 +1,4 @@
-//! What all TLS connections share: the certificate in use, which is renewed in place.
+//! State shared by all TLS connections: the certificate in use and its renewal.
 
 use super::options::{LoadedCertificate, TlsOptions};
 use crate::error::CertificateError;
@@ -8,30 +8,30 @@
 use std::cell::RefCell;
 use std::sync::Arc;
 
-/// Interval at which the files of the certificate are checked for changes.
+/// Interval between checks of the certificate's files for changes.
 pub const CERTIFICATE_CHECK_INTERVAL: Micros = 1_000_000;
-/// Interval at which an expiry that comes near is logged again: a day.
+/// Interval between warnings of a near expiry: one day.
 const EXPIRY_WARNING_INTERVAL: Micros = 86_400_000_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const SECONDS_PER_DAY: i64 = 86_400;
 
-/// How often the certificate was renewed since the start.
+/// Number of certificate renewals since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RenewalCounts {
-    /// New certificates in use.
+    /// Number of new certificates taken into use.
     pub accepted: u64,
-    /// Faulty ones, which changed nothing.
+    /// Number of faulty certificates, which were ignored.
     pub rejected: u64,
 }
 
-/// The certificate in use, and the watch over its files.
+/// The certificate in use, and the state of checking its files.
 pub struct TlsState {
     options: TlsOptions,
     certificate: RefCell<LoadedCertificate>,
-    /// The stamp of the files when they were read last.
+    /// Stamp of the files when they were read last.
     stamp: u64,
     next_check_at: Micros,
-    /// When the expiry was logged last.
+    /// Time of the last expiry warning.
     last_warning_at: Option<Micros>,
     renewals: RenewalCounts,
 }
@@ -40,7 +40,7 @@
     /// Loads the certificate for the first time.
     ///
     /// # Errors
-    /// What is wrong with it: without it, no TLS can be spoken.
+    /// If the certificate can't be loaded.
     pub fn new(options: TlsOptions, now: Micros) -> Result<Self, CertificateError> {
         options.clock.set(now);
         let stamp = options.certificates.stamp();
@@ -58,31 +58,31 @@
         Ok(state)
     }
 
-    /// Returns the options that it was created with.
+    /// Returns the TLS options.
     #[must_use]
     pub fn options(&self) -> &TlsOptions {
         &self.options
     }
 
-    /// Returns the configuration for a handshake that begins now.
+    /// Returns the configuration of new handshakes.
     #[must_use]
     pub fn config(&self) -> Arc<ServerConfig> {
         Arc::clone(&self.certificate.borrow().config)
     }
 
-    /// Returns what the certificate in use says.
+    /// Returns names, serial number and validity of the certificate in use.
     #[must_use]
     pub fn certificate_facts(&self) -> Facts {
         self.certificate.borrow().facts.clone()
     }
 
-    /// Returns how often the certificate was renewed.
+    /// Returns the number of certificate renewals.
     #[must_use]
     pub fn renewals(&self) -> RenewalCounts {
         self.renewals
     }
 
-    /// Returns true where a client with these certificate names may use this request class.
+    /// Returns true if a client with these certificate names may use this request class.
     #[must_use]
     pub fn permits(&self, class: usize, certificate_names: &[String]) -> bool {
         match self.options.permits.get(class) {
@@ -91,9 +91,8 @@
         }
     }
 
-    /// Sets the clock, and loads the certificate again where its files have changed or `is_reload`
-    /// demands it. A faulty certificate changes nothing; established connections keep the one that
-    /// they have.
+    /// Sets the clock, and reloads the certificate if its files have changed or `is_reload` is set.
+    /// A faulty certificate changes nothing; established connections keep their certificate.
     pub fn poll(&mut self, now: Micros, is_reload: bool) {
         self.options.clock.set(now);
         if !is_reload && now < self.next_check_at {
