--- a/crates/server/src/client_listener.rs
+++ b/crates/server/src/client_listener.rs
@@ -1,19 +1,18 @@
 //! The connections of clients and proxies. Accepting, connection slots, idle timeouts, overload,
-//! draining and lingering are the same for every protocol and live here; what the bytes mean is
-//! known to the
-//! [`Machine`](cleatpulley_protocol::machine::Machine) of each connection.
+//! draining and lingering are the same for every protocol and are handled here; the
+//! [`Machine`](cleatpulley_protocol::machine::Machine) of each connection implements its protocol.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `client_protocol` | the protocol spoken on an address |
-//! | `listening_address` | an address, with its listening socket |
-//! | `client_connection` | a connection: its bytes, its machine, and when it is over |
-//! | `machine_context` | what is passed to all machines |
+//! | `client_protocol` | the protocol of a listening address |
+//! | `listening_address` | a listening address with its socket |
+//! | `client_connection` | a connection: its buffers, its state machine, and its end |
+//! | `machine_context` | context shared by all state machines |
 //! | `listen` | listening on addresses |
-//! | `acceptor`, `accept` | who gets a connection slot, and what becomes of those who get none |
-//! | `sweeper`, `eviction` | giving up connection slots, idle timeouts |
-//! | `tls_handshakes`, `handshakes` | handshakes, and what the names of certificates permit |
-//! | `draining` | what clients are notified of: a successor or a shutdown |
+//! | `acceptor`, `accept` | assignment of connection slots, and rejected connections |
+//! | `sweeper`, `eviction` | eviction of connections, idle timeouts |
+//! | `tls_handshakes`, `handshakes` | TLS handshakes, and permissions by certificate names |
+//! | `draining` | notices to clients about a successor or a shutdown |
 
 mod accept;
 mod acceptor;
@@ -49,41 +48,41 @@
 use sweeper::Sweeper;
 use tls_handshakes::TlsHandshakes;
 
-/// What a [`ClientListener`] holds.
+/// Resources that a [`ClientListener`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientListenerUsage {
-    /// Listening sockets.
+    /// Number of listening sockets.
     pub listeners: usize,
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// Requests that are open on the connections.
+    /// Number of open requests on the connections.
     pub open_requests: usize,
 }
 
-/// Why an address can't be listened on.
+/// Error of listening on an address.
 #[derive(Debug)]
 pub struct ListenFailure {
-    /// The address.
+    /// Listening address.
     pub address: SocketAddr,
-    /// What the system reported.
+    /// Error of the operating system.
     pub error: io::Error,
 }
 
-/// What clients were notified of the shutdown. The stop may come without a drain before it, and a drain
-/// may follow after its notice.
+/// Notices of the shutdown that clients have received. A stop notice may come without a drain
+/// notice, and a drain notice may follow a stop notice.
 #[derive(Default)]
 struct ShutdownNotices {
-    /// They are to use other servers.
+    /// Clients were notified to use other servers.
     has_begun: bool,
-    /// The stop is near: no new request is accepted.
+    /// Clients were notified that the stop is near; no new request is accepted.
     is_stop_near: bool,
 }
 
-/// The listeners and their connections.
+/// The listeners for clients and their connections.
 pub struct ClientListener<H: Host> {
     host: H,
     addresses: Vec<ListeningAddress<H>>,
-    /// Ordered by number, so that what is done to all of them is done alike in every run.
+    /// Ordered by number, so that iteration is deterministic.
     connections: BTreeMap<u64, ClientConnection<H>>,
     last_number: u64,
     context: MachineContext,
@@ -91,17 +90,17 @@
     sweeper: Sweeper,
     tls: TlsHandshakes,
     shutdown: ShutdownNotices,
-    /// Numbers of connections that may have something to read or to send.
+    /// Numbers of connections that may have bytes to read or to send.
     ready: Vec<u64>,
-    /// Numbers of connections with more to read than one iteration reads: no edge will report that
-    /// again.
+    /// Numbers of connections with more to read than one iteration reads: no further edge reports
+    /// them.
     has_more: Vec<u64>,
-    /// Requests of the connection that is being read.
+    /// Requests received on the connection that is being read.
     arrivals: Vec<IncomingRequest>,
 }
 
 impl<H: Host> ClientListener<H> {
-    /// Creates a listener without addresses, for at most so many connections.
+    /// Creates a listener without addresses, for at most `max_connections` connections.
     #[must_use]
     pub fn new(host: H, class_names: Vec<String>, max_connections: usize) -> Self {
         Self {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Speaks TLS on the addresses that it is configured for, later ones among them.
+    /// Enables TLS on the addresses that it is configured for, including addresses added later.
     pub fn set_tls(&mut self, now: Micros, tls: Rc<RefCell<TlsState>>) {
         let handshakes = tls.borrow().options().handshakes;
         let identities = tls.borrow().options().identities.clone();
@@ -138,32 +137,31 @@
         };
     }
 
-    /// Returns the admission of handshakes, where there is one.
+    /// Returns the handshake scheduler, if there is one.
     #[must_use]
     pub fn handshakes(&self) -> Option<&HandshakeScheduler> {
         self.tls.handshakes.as_ref()
     }
 
-    /// Lets this admission decide who gets a connection slot. Without one, connections beyond the
-    /// limit wait with the system.
+    /// Sets the admission that assigns connection slots. Without one, connections beyond the limit
+    /// wait in the accept queue of the system.
     pub fn set_admission(&mut self, admission: Admission) {
         self.acceptor.admission = Some(admission);
         self.acceptor.reserve_descriptor(&self.host);
     }
 
-    /// Returns the admission of connections, where there is one.
+    /// Returns the connection admission, if there is one.
     #[must_use]
     pub fn admission(&self) -> Option<&Admission> {
         self.acceptor.admission.as_ref()
     }
 
-    /// Returns the admission of connections, to import what another process has learned.
+    /// Returns the mutable connection admission, if there is one.
     pub fn admission_mut(&mut self) -> Option<&mut Admission> {
         self.acceptor.admission.as_mut()
     }
 
-    /// Holds so many connections from now on. Those above the limit are closed where they have no
-    /// open request.
+    /// Sets the connection limit. Connections above it are closed if they have no open request.
     pub fn set_connection_limit(
         &mut self,
         now: Micros,
@@ -176,20 +174,20 @@
         {}
     }
 
-    /// Closes a connection without open requests, if there is one, because no descriptor is left.
-    /// Nothing is accepted until `reserved_until`. Guards against the next connection that waits,
-    /// which would get the descriptor before the process that it is meant for.
+    /// Closes a connection without open requests, if there is one, to free a file descriptor.
+    /// Nothing is accepted until `reserved_until`: otherwise a pending connection would get the
+    /// descriptor before the process that it is meant for.
     pub fn free_slot(&mut self, now: Micros, reserved_until: Micros, events: &mut Vec<Event>) {
         self.free_connection_slot(now, events);
         self.acceptor.accept_at = self.acceptor.accept_at.max(reserved_until);
     }
 
-    /// Accepts nothing until [`resume_accepting`](Self::resume_accepting) is called.
+    /// Stops accepting until [`resume_accepting`](Self::resume_accepting) is called.
     pub fn pause_accepting(&mut self) {
         self.acceptor.pause();
     }
 
-    /// Accepts connections, again or for the first time.
+    /// Starts or resumes accepting.
     pub fn resume_accepting(&mut self) {
         self.acceptor.resume();
         for address in &mut self.addresses {
@@ -213,7 +211,7 @@
         }
     }
 
-    /// Returns the number of descriptors that are reserved.
+    /// Returns the number of reserved file descriptors.
     #[must_use]
     pub fn reserved_descriptors(&self) -> usize {
         usize::from(self.acceptor.reserved_descriptor.is_some())
@@ -225,14 +223,14 @@
         self.connections.len()
     }
 
-    /// Notes that connections may wait to be accepted on a listener.
+    /// Records that connections may be pending on a listener.
     pub fn on_acceptable(&mut self, index: usize) {
         if let Some(address) = self.addresses.get_mut(index) {
             address.is_acceptable = true;
         }
     }
 
-    /// Notes that a connection has become readable or writable.
+    /// Records that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.stream.on_readiness(readiness);
@@ -240,22 +238,22 @@
         }
     }
 
-    /// Sets the value that all responses carry from now on.
+    /// Sets the feedback value that all later responses carry.
     pub fn set_feedback(&mut self, value: f64) {
         self.context.feedback = Some(value);
     }
 
-    /// Sets how health checks are answered from now on.
+    /// Sets the result of later health checks.
     pub fn set_health(&mut self, is_healthy: bool) {
         self.context.is_healthy = is_healthy;
     }
 
-    /// Closes connections that are idle for this time, in microseconds, from now on.
+    /// Sets the idle timeout of connections, in microseconds.
     pub fn set_idle_timeout(&mut self, idle_timeout: Micros) {
         self.sweeper.idle_timeout = Some(idle_timeout);
     }
 
-    /// Responds to a request. A connection that is gone needs no response.
+    /// Responds to a request. The response is dropped if the connection has closed.
     pub fn respond(&mut self, now: Micros, client: ClientStream, response: &Response) {
         let number = client.connection;
         let Some(connection) = self.connections.get_mut(&number) else {
@@ -281,7 +279,7 @@
         }
     }
 
-    /// Accepts, reads, sends and closes. Returns true where more can be read at once.
+    /// Accepts connections, reads, sends and closes. Returns true if more can be read immediately.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
         self.accept(now, events);
         self.poll_handshakes(now, events);
@@ -292,14 +290,15 @@
         for number in ready {
             self.serve(now, number, events);
         }
-        // After reading: a pause of the machine is no silence of the clients.
+        // Swept after reading, so that a pause of the machine does not count as idle time of
+        // clients.
         if self.sweeper.is_due(now) {
             self.sweep(now, events);
         }
         !self.has_more.is_empty() || (self.is_acceptable() && now >= self.acceptor.accept_at)
     }
 
-    /// Reads and sends on a connection, and closes it where it is over.
+    /// Reads and sends on a connection, and closes it if it has ended.
     fn serve(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -329,7 +328,7 @@
         }
     }
 
-    /// Reports the requests that the client has cancelled, after those that came with them.
+    /// Reports the requests that the client has cancelled, after the requests received with them.
     fn report_cancelled(&mut self, number: u64, events: &mut Vec<Event>) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -360,7 +359,7 @@
         }
     }
 
-    /// Returns when something is to be done though no socket becomes ready.
+    /// Returns when [`poll`](Self::poll) is to be called next if no socket becomes ready.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
         let accept_at = self.acceptor.accept_at;
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -1,6 +1,6 @@
-//! Accepting: who gets a connection slot, and what becomes of those who get none. With an
-//! admission, `cleatpulley_connection_admission` decides; without one, connections beyond the limit
-//! wait with the system.
+//! Accepting connections and assigning connection slots. With an admission,
+//! `cleatpulley_connection_admission` decides; without one, connections beyond the limit wait in
+//! the accept queue of the system.
 
 use super::client_connection::ClientConnection;
 use super::client_protocol::ProtocolMachine;
@@ -18,30 +18,31 @@
 use std::net::IpAddr;
 use std::ops::ControlFlow;
 
-/// Connections accepted in one iteration on each listener.
+/// Maximum number of connections accepted in one iteration on each listener.
 const MAX_ACCEPTS_PER_POLL: usize = 128;
-/// Wait after the system had no descriptor for a new connection.
+/// Delay before accepting is retried after a shortage of file descriptors.
 pub(super) const ACCEPT_PAUSE: Micros = 50_000;
-/// Wait while rejected clients that are known take up all the room for rejected connections.
+/// Delay before accepting is retried while rejected connections of known clients are at their
+/// maximum.
 const REJECTED_PAUSE: Micros = 2_000;
 
-/// A connection as it was accepted.
+/// A newly accepted connection.
 struct AcceptedConnection<H: Host> {
     number: u64,
     stream: BufferedConnection<H>,
     address: IpAddr,
-    /// The reserved descriptor was freed for it: no other is left.
+    /// The connection uses the reserved file descriptor: no other is left.
     is_short_of_descriptors: bool,
 }
 
-/// Whether a client gets a connection slot, and how its address is known.
+/// Decision whether a client gets a connection slot, with the trust level of its address.
 enum SlotDecision {
     Granted(TrustLevel),
     Denied(TrustLevel),
 }
 
 impl<H: Host> ClientListener<H> {
-    /// Accepts the connections that wait on all listeners.
+    /// Accepts the pending connections of all listeners.
     pub(super) fn accept(&mut self, now: Micros, events: &mut Vec<Event>) {
         for index in 0..self.addresses.len() {
             if now < self.acceptor.accept_at || !self.acceptor.is_accepting() {
@@ -55,10 +56,10 @@
     }
 
     fn accept_on(&mut self, index: usize, now: Micros, events: &mut Vec<Event>) {
-        // Rejected connections have been read since the iteration that accepted them: where none of
-        // them can be closed, all have pending responses. Unknown clients are then closed unread; a
-        // known one is held beyond the limit, and while one is, new connections wait with the
-        // system.
+        // Rejected connections have been read since the iteration that accepted them: if none of
+        // them can be closed, all have pending responses. Connections of unknown clients are then
+        // closed without reading; one of a known client is kept beyond the limit, and meanwhile new
+        // connections wait in the accept queue of the system.
         let has_no_room_for_rejected =
             self.acceptor.is_rejected_full() && !self.close_oldest_rejected(events);
         if has_no_room_for_rejected && self.acceptor.rejected_count > self.acceptor.max_rejected() {
@@ -85,14 +86,15 @@
         if !self.addresses[index].is_acceptable {
             return ControlFlow::Break(());
         }
-        // Connections beyond the limit wait with the system, where they cost nothing; but where it
-        // matters who comes, a known client may wait behind them, and only accepting shows that.
+        // Connections beyond the limit wait in the accept queue of the system, where they cost
+        // nothing. With an admission they are accepted, since a known client may wait behind
+        // unknown ones.
         let is_full = self.connections.len() >= self.acceptor.max_connections;
         if is_full && self.acceptor.admission.is_none() && !self.free_connection_slot(now, events) {
             self.acceptor.accept_at = now + ACCEPT_PAUSE;
             return ControlFlow::Break(());
         }
-        // Rejected connections of this iteration are read first.
+        // Rejected connections of this iteration have to be read first.
         if !has_no_room_for_rejected
             && self.acceptor.is_rejected_full()
             && !self.close_oldest_rejected(events)
@@ -113,7 +115,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Accepts one connection; none where its client is gone already.
+    /// Accepts one connection; returns `None` if its client has disconnected already.
     fn accept_connection(
         &mut self,
         index: usize,
@@ -131,8 +133,8 @@
         let is_failed = accepted.as_ref().is_err_and(|error| !is_transient(error));
         let is_short_of_descriptors = is_failed && self.acceptor.free_reserved_descriptor();
         if is_short_of_descriptors {
-            // The client may be known or not, and only accepting shows that. The system reports
-            // that it has no descriptor also where nobody waits.
+            // Only accepting shows whether the client is known. The system reports a shortage of
+            // descriptors even if no connection is pending.
             accepted = self.host.accept(listener, owner);
         }
         match accepted {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Breaks where nothing more is to be accepted on the listener.
+    /// Handles an accept error; breaks if nothing more can be accepted on the listener.
     fn on_accept_failed(
         &mut self,
         index: usize,
@@ -172,7 +174,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Guards against a loop at full speed while descriptors are short.
+    /// Pauses accepting, to prevent a busy loop while file descriptors are short.
     fn pause_after_failure(&mut self, now: Micros, error: &io::Error, events: &mut Vec<Event>) {
         tracing::warn!(%error, "no connection accepted for a while");
         self.free_connection_slot(now, events);
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Gives a connection its slot, or rejects it.
+    /// Assigns a slot to a connection, or rejects it.
     fn assign_slot(
         &mut self,
         index: usize,
@@ -199,7 +201,7 @@
             SlotDecision::Granted(trust_level) => {
                 self.add_connection(now, accepted, machine, trust_level, is_secure);
             }
-            // Before a handshake there are no requests: the alert is all that can be sent.
+            // There are no requests before the handshake, so only the alert can be sent.
             SlotDecision::Denied(_) if is_secure => {
                 let mut stream = accepted.stream;
                 stream.output().extend_from_slice(&BUSY_ALERT);
@@ -247,8 +249,8 @@
         self.connections.insert(number, connection);
     }
 
-    /// Asks a connection without a slot to close, where its protocol can, and holds it until what
-    /// came on it has its response.
+    /// Notifies a client without a slot to close, if its protocol allows, and keeps the connection
+    /// until its requests have their responses.
     fn reject(
         &mut self,
         now: Micros,
@@ -264,12 +266,12 @@
         if (accepted.is_short_of_descriptors || has_no_room_for_rejected)
             && trust_level == TrustLevel::Unknown
         {
-            // Nothing is read of it: its requests have failed, and are not rejected. For a known
-            // client the reserved descriptor is worth having.
+            // Nothing is read from the connection, so its requests fail without being rejected.
+            // Only a known client may keep the reserved descriptor.
             return flush_unread(&mut stream);
         }
-        // What came with the connection is read and gets its response: closing would lose it, and a
-        // request with an idempotency key among it may have run before.
+        // Requests that arrived with the connection are read and get their responses: closing would
+        // lose them, and one with an idempotency key may have run before.
         stream.on_readiness(Readiness {
             readable: true,
             writable: true,
@@ -280,12 +282,12 @@
         self.ready.push(number);
     }
 
-    /// Closes the oldest rejected connection without a pending response; returns false where there
-    /// is none. Guards against a flood that holds its connections, which would keep them for as
-    /// long as what they sent is read away, while nothing is accepted.
+    /// Closes the oldest rejected connection without a pending response; returns false if there is
+    /// none. Otherwise a flood of clients that keep their connections open would block accepting
+    /// for the linger time.
     fn close_oldest_rejected(&mut self, events: &mut Vec<Event>) -> bool {
-        // What came on it has its response, or is discarded once the write side is closed: closing
-        // loses nothing.
+        // Closing loses nothing: all requests have their responses, or are discarded because the
+        // write side is closed.
         let has_pending = |connection: &ClientConnection<H>| {
             let is_unread = !connection.is_lingering() && !connection.stream.is_drained();
             connection.machine.status().open > 0
@@ -304,7 +306,7 @@
         true
     }
 
-    /// Decides whether a client gets a connection slot; another may lose its own to it.
+    /// Decides whether a client gets a connection slot; another connection may be evicted for it.
     fn admit(
         &mut self,
         now: Micros,
@@ -344,7 +346,8 @@
     }
 }
 
-/// Returns true where no descriptor is short: nobody waits, or the client that waited is gone.
+/// Returns true if the error is not a shortage of descriptors: no connection is pending, or its
+/// client has disconnected.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -352,7 +355,7 @@
     )
 }
 
-/// Sends the output as far as the system takes it at once; nothing is read.
+/// Sends the output as far as the socket accepts it without blocking; nothing is read.
 fn flush_unread<H: Host>(stream: &mut BufferedConnection<H>) {
     stream.on_readiness(Readiness {
         readable: false,
--- a/crates/server/src/client_listener/acceptor.rs
+++ b/crates/server/src/client_listener/acceptor.rs
@@ -1,36 +1,37 @@
-//! What is decided on with every new connection: limits, pauses and the reserved descriptor.
+//! State of accepting: limits, pauses and the reserved file descriptor.
 
 use crate::host::Host;
 use cleatpulley_connection_admission::Admission;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::Micros;
 
-/// Rejected connections that are held at once until what came on them has its response.
+/// Maximum number of rejected connections kept open until their requests have responses.
 const MAX_REJECTED: usize = 16;
-/// Of all connections, one in so many may be a rejected one.
+/// Connections per rejected connection, at the connection limit.
 const CONNECTIONS_PER_REJECTED: usize = 8;
 
 /// Whether connections are accepted.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AcceptState {
     Accepting,
-    /// Nothing is accepted; the connections stay.
+    /// Nothing is accepted; existing connections stay open.
     Paused,
-    /// Another process accepts, and the connections are sent to it.
+    /// Another process accepts, and clients are notified to reconnect to it.
     Yielding,
 }
 
-/// What is decided on with every new connection.
+/// State that decides whether and how connections are accepted.
 pub(super) struct Acceptor<H: Host> {
     pub(super) max_connections: usize,
     state: AcceptState,
     /// Nothing is accepted before this time.
     pub(super) accept_at: Micros,
-    /// None where slots go to whoever comes first.
+    /// `None` if slots are assigned first come, first served.
     pub(super) admission: Option<Admission>,
-    /// Connections that are rejected and not closed yet.
+    /// Number of rejected connections that are not closed yet.
     pub(super) rejected_count: usize,
-    /// A descriptor for the moment at which no other is left, where it matters who comes then.
+    /// File descriptor reserved for accepting when all others are in use, needed only with an
+    /// admission.
     pub(super) reserved_descriptor: Option<H::ReservedDescriptor>,
 }
 
@@ -75,14 +76,14 @@
         }
     }
 
-    /// Reserves a descriptor for the moment at which no other is left.
+    /// Reserves a file descriptor for accepting when all others are in use.
     pub(super) fn reserve_descriptor(&mut self, host: &H) {
         if self.reserved_descriptor.is_none() && self.admission.is_some() {
             self.reserved_descriptor = host.reserve_descriptor().ok();
         }
     }
 
-    /// Frees the reserved descriptor; returns false where there was none.
+    /// Frees the reserved descriptor; returns false if there was none.
     pub(super) fn free_reserved_descriptor(&mut self) -> bool {
         let reserved = self.reserved_descriptor.take();
         let was_reserved = reserved.is_some();
@@ -92,8 +93,8 @@
         was_reserved
     }
 
-    /// Returns how many rejected connections are held at once: a part of the limit, so that they
-    /// take no descriptor beyond it.
+    /// Returns the maximum number of rejected connections. They count towards the connection limit,
+    /// so that they use no descriptor beyond it.
     pub(super) fn max_rejected(&self) -> usize {
         MAX_REJECTED
             .min(self.max_connections / CONNECTIONS_PER_REJECTED)
@@ -104,12 +105,12 @@
         self.rejected_count >= self.max_rejected()
     }
 
-    /// Returns how many connections may have a slot.
+    /// Returns the number of connection slots.
     pub(super) fn slot_count(&self, is_short_of_descriptors: bool) -> usize {
         let reserved = self.max_rejected().min(self.max_connections - 1);
         let slot_count = self.max_connections - reserved;
         match &self.admission {
-            // Where no descriptor is left, all slots there are are taken.
+            // If no descriptor is left, all available slots are taken.
             Some(admission) if is_short_of_descriptors => admission.len().min(slot_count),
             _ => slot_count,
         }
--- a/crates/server/src/client_listener/client_connection.rs
+++ b/crates/server/src/client_listener/client_connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a client: its bytes, its state machine, and when it is over.
+//! A connection of a client: its buffers, its state machine, and its end.
 
 use super::client_protocol::ProtocolMachine;
 use crate::buffered_connection::BufferedConnection;
@@ -10,37 +10,38 @@
 use cleatpulley_protocol::machine::{Context, Standing};
 use std::io;
 
-/// Bytes read from a connection in one iteration, so that a busy client blocks nobody.
+/// Maximum number of bytes read from a connection in one iteration, so that a busy client does not
+/// delay others.
 const READ_LIMIT_BYTES: usize = 65_536;
-/// A client that leaves so many bytes unread is not read from: its responses would pile up here.
-/// The responses to its open requests come on top.
+/// Nothing is read from a client while this many bytes to it are unsent, so that its responses do
+/// not accumulate. The responses to its open requests come on top.
 const MAX_UNSENT_BYTES: usize = 32_768;
-/// After the write side is closed, what the client sent before is read away for this time: closing
-/// over unread bytes would take back responses on their way.
+/// After the write side is closed, received bytes are read and discarded for this time: closing
+/// with unread bytes would reset the connection and lose responses in flight.
 const LINGER_TIME: Micros = 2_000_000;
-/// A rejected connection is closed after this time, once what came on it has its response: twice
-/// the time within which a client repeats what crossed the notice to close.
+/// A rejected connection whose requests have their responses is closed after this time: twice the
+/// time within which a client resends requests that crossed the close notice.
 const REJECTED_LINGER_TIME: Micros = 100_000;
-/// Where no connection slot is left, a connection that was accepted or asked to close within this
-/// time keeps its slot: what it sent may be on its way.
+/// A connection that was accepted or notified to close within this time is not evicted when no slot
+/// is left: its request may be in flight.
 pub(super) const MIN_SLOT_TIME: Micros = 50_000;
 
 /// A connection of a client.
 pub(super) struct ClientConnection<H: Host> {
     pub(super) stream: BufferedConnection<H>,
     pub(super) machine: ProtocolMachine,
-    /// Since when the write side is closed; what still arrives is discarded.
+    /// Time at which the write side was closed; bytes received since are discarded.
     pub(super) lingering_since: Option<Micros>,
-    /// How its address is known.
+    /// Trust level of the client's address.
     pub(super) trust_level: TrustLevel,
-    /// The names of its certificate, where it spoke TLS.
+    /// Names in the client's certificate, if it uses TLS.
     pub(super) certificate_names: Vec<String>,
-    /// It got no connection slot, or its name has too many: it is asked to close, and closed soon
-    /// after what came on it has its response.
+    /// The client got no connection slot, or its certificate name has too many: it is notified to
+    /// close, and the connection is closed soon after its requests have their responses.
     pub(super) is_rejected: bool,
 }
 
-/// What is to be done with a connection that was served.
+/// Next action on a connection after it was served.
 #[derive(PartialEq)]
 pub(super) enum NextAction {
     Wait,
@@ -48,18 +49,18 @@
     Close,
 }
 
-/// In which order connections give up their slots.
+/// Order in which connections are evicted.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionRank {
-    /// Its write side is closed.
+    /// The write side is closed.
     Lingering,
-    /// It was asked to close, or is lost.
+    /// The client was notified to close, or the connection is lost.
     Closing,
-    /// It never sent a complete message.
+    /// The client has not sent a complete message yet.
     Silent,
 }
 
-/// When a connection may give up its slot for another.
+/// Position of a connection in the eviction order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionOrder {
     rank: EvictionRank,
@@ -87,10 +88,10 @@
         self.lingering_since.is_some()
     }
 
-    /// Sends and reads. Requests that are complete are appended to `arrivals`.
+    /// Sends and reads. Complete requests are appended to `arrivals`.
     ///
     /// # Errors
-    /// Why the connection broke.
+    /// The error that broke the connection.
     pub(super) fn serve(
         &mut self,
         context: &Context,
@@ -132,8 +133,8 @@
         self.stream.consume(used);
     }
 
-    /// Asks the client to close where no request is on its way. Guards a request that is being
-    /// written: the client could only send it again.
+    /// Notifies the client to close unless a request is partly received: the client would have to
+    /// resend that request.
     pub(super) fn request_close(&mut self, context: &Context) {
         let has_incoming_request = self.machine.status().waits.is_some();
         if self.is_open_and_used() && !has_incoming_request && !self.is_lingering() {
@@ -141,24 +142,25 @@
         }
     }
 
-    /// Returns true where the connection was used and not asked to close yet.
+    /// Returns true if the connection was used and its client not notified to close yet.
     pub(super) fn is_open_and_used(&self) -> bool {
         let status = self.machine.status();
         status.standing == Standing::Open && status.spoken
     }
 
-    /// Returns true where the connection stays: it was not asked to close, nor is it lost.
+    /// Returns true if the connection stays open: its client was not notified to close, and it is
+    /// not lost.
     pub(super) fn is_open(&self) -> bool {
         !self.is_lingering() && self.machine.status().standing == Standing::Open
     }
 
-    /// Returns true where a part of a message has arrived.
+    /// Returns true if a message is partly received.
     fn has_partial_message(&self) -> bool {
         let status = self.machine.status();
         status.waits.is_some() && (status.spoken || !self.stream.input.is_empty())
     }
 
-    /// Returns when the connection may give up its slot; none where it may not.
+    /// Returns the eviction order of the connection, or `None` if it must not be evicted.
     pub(super) fn eviction_order(&self, now: Micros) -> Option<EvictionOrder> {
         let status = self.machine.status();
         if status.open > 0 {
@@ -176,8 +178,8 @@
         (now >= since + MIN_SLOT_TIME).then_some(EvictionOrder { rank, since })
     }
 
-    /// Returns true where no response is pending and no request may arrive any more, so that the
-    /// write side is to be closed.
+    /// Returns true if no response is pending and no further request may arrive, so that the write
+    /// side can be closed.
     pub(super) fn is_finished(&self, now: Micros) -> bool {
         let status = self.machine.status();
         let may_receive = match status.standing {
@@ -185,7 +187,8 @@
             Standing::Parting(since) if self.is_rejected => {
                 !self.stream.is_read_closed && now < since + REJECTED_LINGER_TIME
             }
-            // A message of which a part had arrived by then has the machine's time to be complete.
+            // A partly received message has the message timeout of the state machine to become
+            // complete.
             Standing::Parting(since) => {
                 !self.stream.is_read_closed && (now < since + PARTING || self.has_partial_message())
             }
--- a/crates/server/src/client_listener/client_protocol.rs
+++ b/crates/server/src/client_listener/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol spoken on a listening address, and the state machine of a connection there.
+//! The protocol of a listening address, and the state machine of its connections.
 
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Machine;
@@ -7,19 +7,20 @@
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// The protocol spoken on a listening address.
+/// The protocol of a listening address.
 #[derive(Debug, Clone)]
 pub enum ClientProtocol {
-    /// The frames of clients.
+    /// Frames of clients.
     Frames(Rc<frame::connection::Terms>),
-    /// The frames of clients of a gateway, whose routes look for this host.
+    /// Frames of clients of a gateway, routed by this host name.
     GatewayFrames(Rc<str>),
-    /// AJP/1.3, and the addresses of the proxies whose time of receipt of a request is trusted.
+    /// AJP/1.3, with the addresses of the proxies that are trusted to state when they received a
+    /// request.
     Ajp(Rc<ajp::server::Settings>, Rc<Vec<IpAddr>>),
 }
 
 impl ClientProtocol {
-    /// Creates the state machine of a connection that was accepted from this address.
+    /// Creates the state machine of a connection accepted from this client address.
     pub(super) fn create_machine(&self, now: Micros, address: IpAddr) -> ProtocolMachine {
         match self {
             Self::Frames(terms) => {
@@ -38,7 +39,7 @@
     }
 }
 
-/// The state machine of a connection, by its protocol.
+/// The state machine of a connection, by protocol.
 pub(super) enum ProtocolMachine {
     Frames(frame::connection::Connection),
     Ajp(ajp::server::Connection),
--- a/crates/server/src/client_listener/draining.rs
+++ b/crates/server/src/client_listener/draining.rs
@@ -1,4 +1,4 @@
-//! Draining: what clients are notified of when another process accepts, or this one shuts down.
+//! Draining: notices to clients when another process accepts or this one shuts down.
 
 use super::client_connection::ClientConnection;
 use super::ClientListener;
@@ -7,14 +7,14 @@
 use cleatpulley_protocol::machine::{Context, Machine};
 
 impl<H: Host> ClientListener<H> {
-    /// Lets another process accept from here on: clients are asked to close their connections, each
-    /// as soon as no request is on its way.
+    /// Stops accepting in favour of another process: each client is notified to close its
+    /// connection as soon as it has no partly received request.
     pub fn yield_to_successor(&mut self, now: Micros) {
         self.acceptor.begin_yield();
         self.request_close(now);
     }
 
-    /// Returns true once all connections that were ever used have been asked to close.
+    /// Returns true once the clients of all used connections have been notified to close.
     #[must_use]
     pub fn is_close_requested_on_all(&self) -> bool {
         !self
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Closes the first listener: other processes share its address and accept there from now on.
+    /// Closes the first listener: other processes share its address and accept new connections.
     pub fn close_listeners(&mut self) {
         if let Some(address) = self.addresses.first_mut() {
             address.listener = None;
         }
     }
 
-    /// Asks clients to use other servers. Only the first call has an effect.
+    /// Notifies clients to use other servers. Only the first call has an effect.
     pub fn begin_shutdown(&mut self, now: Micros) {
         if std::mem::replace(&mut self.shutdown.has_begun, true) {
             return;
@@ -47,8 +47,8 @@
         });
     }
 
-    /// Notifies clients that the stop is near: no new request is accepted, and no new connection after
-    /// those that wait. Only the first call has an effect.
+    /// Notifies clients that the stop is near: no new request is accepted, and no new connection
+    /// except those already pending. Only the first call has an effect.
     pub fn notify_stop(&mut self, now: Micros) {
         if std::mem::replace(&mut self.shutdown.is_stop_near, true) {
             return;
@@ -65,8 +65,8 @@
         notify: impl Fn(&mut dyn Machine, &Context, &mut Vec<u8>),
     ) {
         for (&number, connection) in &mut self.connections {
-            // Guards the last response on a connection whose write side is closed: one more message
-            // would break it.
+            // A connection whose write side is closed can carry no further message; sending one
+            // would lose its last response.
             if connection.is_lingering() {
                 continue;
             }
--- a/crates/server/src/client_listener/eviction.rs
+++ b/crates/server/src/client_listener/eviction.rs
@@ -1,4 +1,4 @@
-//! Giving up connection slots: for new connections, by idle timeouts, and while slots run short.
+//! Eviction of connections: for new ones, by idle timeouts, and while connection slots are scarce.
 
 use super::client_connection::ClientConnection;
 use super::ClientListener;
@@ -6,24 +6,24 @@
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 
-/// Interval at which idle and closing connections are looked for.
+/// Interval between sweeps for idle and closing connections.
 pub(super) const SWEEP_INTERVAL: Micros = 100_000;
-/// A sweep that is late by this time follows a pause of the machine, which is no silence of the
-/// clients.
+/// A sweep that is late by this time follows a pause of the machine, which must not count as idle
+/// time of clients.
 const PAUSE_THRESHOLD: Micros = 1_000_000;
-/// Beyond this share of the slots, idle connections are asked to close, the longest idle first.
+/// Fraction of the slots beyond which clients of idle connections are notified to close, the
+/// longest idle first.
 const SCARCITY_SHARE: f64 = 0.75;
-/// An idle connection that was used within this time is not asked to: its client may be about to
-/// use it.
+/// An idle connection used within this time is spared: its client may be about to use it.
 const RECENT_USE: Micros = 300_000;
 
 impl<H: Host> ClientListener<H> {
-    /// Closes a connection without open requests, if there is one: first those that only wait for
-    /// their end, then those that never sent a complete message, the oldest first. Guards against
-    /// clients that take all slots and send nothing, while others wait to be accepted.
+    /// Closes a connection without open requests, if there is one: first those that are closing,
+    /// then those that never sent a complete message, the oldest first. Otherwise clients that send
+    /// nothing could take all slots while others wait to be accepted.
     pub(super) fn free_connection_slot(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
         while let Some(number) = self.next_evictable(now) {
-            // What it sent may have arrived since it was last read: closing would lose that.
+            // A request may have arrived since the connection was last read: closing would lose it.
             if let Some(connection) = self.connections.get_mut(&number) {
                 connection.stream.on_readiness(Readiness {
                     readable: true,
@@ -50,10 +50,10 @@
         evictable.min().map(|(_, number)| number)
     }
 
-    /// Looks after all connections: deadlines, idle timeouts, and the limit of connections.
+    /// Checks all connections for deadlines, idle timeouts and the connection limit.
     pub(super) fn sweep(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.acceptor.reserve_descriptor(&self.host);
-        // Connections that could not be closed yet when the limit was lowered.
+        // Closes connections that could not be closed yet when the limit was lowered.
         self.set_connection_limit(now, self.acceptor.max_connections, events);
         if self.acceptor.is_yielding() {
             self.request_close(now);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Asks idle connections to close while slots run short.
+    /// Notifies clients of idle connections to close while slots are scarce.
     fn close_idle_when_slots_are_scarce(&mut self, now: Micros) {
         let max_open = (SCARCITY_SHARE * self.acceptor.max_connections as f64) as usize;
         let open_count = self
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the numbers of the connections that are idle longest, without those used recently.
+    /// Returns the numbers of the longest idle connections, except recently used ones.
     fn longest_idle(&self, now: Micros, count: usize) -> Vec<u64> {
         let last_use_of_idle = |(number, connection): (&u64, &ClientConnection<H>)| {
             let status = connection.machine.status();
--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -1,6 +1,5 @@
-//! The handshakes of connections: each begins when
-//! [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides so, and its end shows the names
-//! of the client.
+//! TLS handshakes of connections: [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides
+//! when each begins, and a completed one yields the names in the client's certificate.
 
 use super::ClientListener;
 use crate::host::Host;
@@ -12,8 +11,8 @@
 use cleatpulley_policy::interface::Micros;
 
 impl<H: Host> ClientListener<H> {
-    /// Goes on with the handshake of a connection that was served: its offer is decided on, and its
-    /// end noted.
+    /// Advances the handshake of a connection that was served: schedules it after the client hello,
+    /// and handles its completion.
     pub(super) fn poll_handshake(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
         self.decide_offer(now, number, events);
         let Some(connection) = self.connections.get_mut(&number) else {
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Asks a client to close whose name has too many connections. Requests that it sent already
-    /// are served, since one with an idempotency key may have run before.
+    /// Notifies a client to close whose certificate name has too many connections. Requests that it
+    /// has already sent are served, since one with an idempotency key may have run before.
     fn reject_over_identity_limit(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -91,8 +90,8 @@
             .part(&context, connection.stream.output());
     }
 
-    /// Forwards the requests that were read from a connection; those that the names of its
-    /// certificate do not permit are forwarded as forbidden.
+    /// Forwards the requests read from a connection; those that its certificate names do not permit
+    /// are forwarded as forbidden.
     pub(super) fn forward_arrivals(&mut self, number: u64, events: &mut Vec<Event>) {
         let secure_connection = self
             .connections
@@ -111,7 +110,8 @@
         }
     }
 
-    /// Begins handshakes that waited and may begin now, and closes those past their deadline.
+    /// Begins queued handshakes that may begin now, and closes connections whose handshake is past
+    /// its deadline.
     pub(super) fn poll_handshakes(&mut self, now: Micros, events: &mut Vec<Event>) {
         let Some(handshakes) = &mut self.tls.handshakes else {
             return;
@@ -122,7 +122,7 @@
             self.begin_handshake(number, events);
         }
         for number in expired {
-            // Before its handshake has ended no request can be open on a connection.
+            // No request can be open on a connection before its handshake has ended.
             let connection = self.connections.get(&number);
             if connection.is_some_and(|connection| connection.machine.status().open == 0) {
                 tracing::debug!("front end connection {number}: the handshake did not end in time");
@@ -138,7 +138,7 @@
         };
         let config = tls.borrow().config();
         match connection.stream.begin_handshake(config) {
-            // What came with the first record is read now, and the reply is sent.
+            // The bytes received with the first record are processed now, and the reply is sent.
             Ok(()) => self.ready.push(number),
             Err(error) => {
                 tracing::debug!(%error, "front end connection {number}: no handshake");
--- a/crates/server/src/client_listener/listen.rs
+++ b/crates/server/src/client_listener/listen.rs
@@ -1,4 +1,4 @@
-//! Listening on addresses, at once or with sockets that follow later.
+//! Listening on addresses, immediately or with sockets that are adopted later.
 
 use super::listening_address::ListeningAddress;
 use super::{ClientListener, ClientProtocol, ListenFailure};
@@ -22,15 +22,15 @@
         });
     }
 
-    /// Adds an address whose listening socket follows later.
+    /// Adds an address whose listening socket is adopted later.
     pub fn add_expected_listener(&mut self, address: SocketAddr, protocol: ClientProtocol) {
         self.add_address(address, protocol, None);
     }
 
-    /// Listens on one more address; returns it with the port that the system chose.
+    /// Listens on an additional address; returns it with the port that the system chose.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// Errors of the operating system.
     pub fn listen(
         &mut self,
         address: SocketAddr,
@@ -41,11 +41,11 @@
         Ok(address)
     }
 
-    /// Adopts a listening socket for an address that one is expected for. `create` is given the
-    /// number of the listener. Returns false where none is expected.
+    /// Adopts a listening socket for an address that expects one. `create` receives the listener
+    /// number. Returns false if no socket is expected for the address.
     ///
     /// # Errors
-    /// Those of `create`.
+    /// Errors of `create`.
     pub fn adopt(
         &mut self,
         address: SocketAddr,
@@ -57,7 +57,7 @@
             return Ok(false);
         };
         self.addresses[index].listener = Some(create(index)?);
-        // Connections may wait there already.
+        // Connections may already be pending.
         self.addresses[index].is_acceptable = true;
         Ok(true)
     }
@@ -65,7 +65,7 @@
     /// Listens on all addresses that have no listening socket yet; returns them.
     ///
     /// # Errors
-    /// The first address that can't be listened on.
+    /// The first address that can't be listened on, with the error.
     pub fn listen_expected(&mut self) -> Result<Vec<SocketAddr>, ListenFailure> {
         let mut addresses = Vec::new();
         for (index, entry) in self.addresses.iter_mut().enumerate() {
@@ -85,7 +85,7 @@
         Ok(addresses)
     }
 
-    /// Returns all addresses, each with its listening socket where it has one.
+    /// Returns all addresses, each with its listening socket if it has one.
     pub fn listeners(&self) -> impl Iterator<Item = (SocketAddr, Option<&H::Listener>)> {
         self.addresses
             .iter()
--- a/crates/server/src/client_listener/machine_context.rs
+++ b/crates/server/src/client_listener/machine_context.rs
@@ -1,15 +1,15 @@
-//! What is passed to the machines of all connections.
+//! Context shared by the state machines of all connections.
 
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::machine::Context;
 
-/// What is passed to the machines of all connections.
+/// Context shared by the state machines of all connections.
 pub(super) struct MachineContext {
     /// Names of the request classes, by index.
     pub(super) class_names: Vec<String>,
-    /// How health checks are answered.
+    /// Result of health checks.
     pub(super) is_healthy: bool,
-    /// The value that all responses carry.
+    /// Feedback value that all responses carry.
     pub(super) feedback: Option<f64>,
 }
 
--- a/crates/server/src/client_listener/sweeper.rs
+++ b/crates/server/src/client_listener/sweeper.rs
@@ -1,12 +1,12 @@
-//! When connections are swept.
+//! Schedule of connection sweeps.
 
 use cleatpulley_policy::interface::Micros;
 
-/// When connections are swept, and which of them count as idle.
+/// Time of the next sweep, and the idle timeout.
 #[derive(Default)]
 pub(super) struct Sweeper {
     pub(super) sweep_at: Micros,
-    /// None while idle connections are kept.
+    /// `None` if idle connections are kept open.
     pub(super) idle_timeout: Option<Micros>,
 }
 
--- a/crates/server/src/client_listener/tls_handshakes.rs
+++ b/crates/server/src/client_listener/tls_handshakes.rs
@@ -1,5 +1,4 @@
-//! What the connections need for TLS: which handshake runs when, and what the names of a
-//! certificate permit.
+//! TLS of client connections: scheduling of handshakes, and permissions by certificate names.
 
 use super::client_protocol::ClientProtocol;
 use crate::tls_layer::TlsState;
@@ -11,18 +10,18 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What the connections need for TLS; all of it is absent without TLS.
+/// TLS state of the client connections; all fields are `None` without TLS.
 #[derive(Default)]
 pub(super) struct TlsHandshakes {
     pub(super) state: Option<Rc<RefCell<TlsState>>>,
-    /// Decides which handshakes run; without it each begins at once.
+    /// Schedules handshakes; without it each begins immediately.
     pub(super) handshakes: Option<HandshakeScheduler>,
-    /// Knows clients by the names of their certificates.
+    /// Limits clients by the names in their certificates.
     pub(super) identities: Option<IdentityLimiter>,
 }
 
 impl TlsHandshakes {
-    /// Returns true where TLS is spoken on addresses of this protocol.
+    /// Returns true if TLS is enabled on addresses of this protocol.
     pub(super) fn is_enabled_for(&self, protocol: &ClientProtocol) -> bool {
         let state = self.state.as_ref();
         state.is_some_and(|state| state.borrow().is_enabled_for(protocol))
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Returns true where a client with these certificate names may use this request class.
+    /// Returns true if a client with these certificate names may use this request class.
     pub(super) fn is_permitted(&self, class: usize, certificate_names: &[String]) -> bool {
         let state = self.state.as_ref();
         state.is_none_or(|state| state.borrow().permits(class, certificate_names))
@@ -63,7 +62,7 @@
 }
 
 impl TlsState {
-    /// Returns true where TLS is spoken on addresses of this protocol.
+    /// Returns true if TLS is enabled on addresses of this protocol.
     #[must_use]
     pub fn is_enabled_for(&self, protocol: &ClientProtocol) -> bool {
         match protocol {
