--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -1,6 +1,5 @@
-//! The management endpoint: operators ask for readiness and metrics, each on a connection of its
-//! own. It is served before clients in each iteration, with connection slots that no client can
-//! take.
+//! The management endpoint: readiness and metrics for operators, one request per connection. It is
+//! served before clients in each iteration, and has connection slots of its own.
 
 use crate::buffered_connection::BufferedConnection;
 use crate::error::StartError;
@@ -17,42 +16,42 @@
 use std::ops::ControlFlow;
 use std::rc::Rc;
 
-/// The number of this listener. Listeners for clients have smaller ones.
+/// Listener number of the management endpoint. Listeners for clients have smaller numbers.
 pub const LISTENER_NUMBER: usize = 1 << 16;
-/// Limit of connections. One more closes the connection that has waited longest without a complete
-/// request.
+/// Maximum number of connections. A new one beyond it evicts the connection that has waited longest
+/// without a complete request.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Connections accepted in one iteration: a flood here may not keep the clients waiting.
+/// Maximum number of connections accepted in one iteration, so that a flood does not delay clients.
 const MAX_ACCEPTS_PER_POLL: usize = 128;
-/// Wait after the system had no descriptor for a new connection.
+/// Delay before accepting is retried after a shortage of file descriptors.
 const ACCEPT_PAUSE: Micros = 50_000;
-/// Bytes read from a connection at once.
+/// Maximum number of bytes that one read leaves in the input of a connection.
 const READ_LIMIT_BYTES: usize = 16_384;
-/// A connection that was accepted within this time is not closed for the next.
+/// A connection accepted within this time is not evicted.
 const MIN_SLOT_TIME: Micros = 500;
 
 /// A connection of an operator.
 struct OperatorConnection<H: Host> {
     stream: BufferedConnection<H>,
     protocol: Connection,
-    /// The write side is closed.
+    /// The response was sent and the write side closed.
     is_finished: bool,
 }
 
-/// The listener and its connections.
+/// The listener for operators and its connections.
 pub struct ManagementEndpoint<H: Host> {
     host: H,
     listener: H::Listener,
     is_acceptable: bool,
     /// Nothing is accepted before this time.
     accept_at: Micros,
-    /// By number, so that the oldest is the first.
+    /// Ordered by number, so that the oldest comes first.
     connections: BTreeMap<u64, OperatorConnection<H>>,
     max_connections: usize,
     last_number: u64,
-    /// Numbers of connections that may have something to read or to send.
+    /// Numbers of connections that may have bytes to read or to send.
     ready: Vec<u64>,
-    /// None without TLS. Each handshake begins at once.
+    /// `None` without TLS. Handshakes are not scheduled but begin immediately.
     tls: Option<Rc<RefCell<TlsState>>>,
 }
 
@@ -60,7 +59,7 @@
     /// Listens for operators.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// If the address can't be listened on.
     pub fn listen(host: H, address: SocketAddr) -> Result<Self, StartError> {
         let (listener, address) = host
             .listen(address, LISTENER_NUMBER)
@@ -79,12 +78,12 @@
         })
     }
 
-    /// Speaks TLS on connections that are accepted from now on.
+    /// Enables TLS on connections accepted from now on.
     pub fn set_tls(&mut self, tls: Rc<RefCell<TlsState>>) {
         self.tls = Some(tls);
     }
 
-    /// Holds so many connections from now on; the oldest above the limit are closed.
+    /// Sets the connection limit; the oldest connections above it are closed.
     pub fn set_connection_limit(&mut self, max_connections: usize) {
         self.max_connections = max_connections.max(1);
         while self.connections.len() > self.max_connections {
@@ -98,12 +97,12 @@
         self.connections.len()
     }
 
-    /// Notes that connections may wait to be accepted.
+    /// Records that connections may be pending.
     pub fn on_acceptable(&mut self) {
         self.is_acceptable = true;
     }
 
-    /// Notes that a connection has become readable or writable.
+    /// Records that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.stream.on_readiness(readiness);
@@ -111,13 +110,13 @@
         }
     }
 
-    /// Responds to requests, accepts, and closes. Returns true where there is more to do at once.
+    /// Responds to requests, accepts and closes. Returns true if there is more to do immediately.
     pub fn poll(&mut self, now: Micros, answers: &dyn Answers) -> bool {
         for number in std::mem::take(&mut self.ready) {
             self.serve(now, number, answers);
         }
-        // Connections that are served already come first: the next may close one without a complete
-        // request.
+        // Existing connections are served first: a new one may evict a connection without a
+        // complete request.
         self.accept(now, answers);
         self.expire(now, answers);
         self.is_acceptable && now >= self.accept_at
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Returns when something is to be done though no socket becomes ready.
+    /// Returns when [`poll`](Self::poll) is to be called next if no socket becomes ready.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         let connections = self.connections.values();
@@ -189,7 +188,7 @@
             }
             ErrorKind::Interrupted | ErrorKind::ConnectionAborted => ControlFlow::Continue(()),
             _ => {
-                // Guards against a loop at full speed while descriptors are short.
+                // The delay prevents a busy loop while file descriptors are short.
                 tracing::warn!(%error, "no operator's connection accepted for a while");
                 self.free_connection_slot(now);
                 self.accept_at = now + ACCEPT_PAUSE;
@@ -199,8 +198,8 @@
     }
 
     fn add_connection(&mut self, now: Micros, number: u64, mut stream: BufferedConnection<H>) {
-        // A request that came with its connection gets its response before the next connection can
-        // close this one.
+        // A request that arrived with its connection gets its response before a new connection can
+        // evict this one.
         stream.on_readiness(Readiness {
             readable: true,
             writable: true,
@@ -216,9 +215,9 @@
         self.connections.insert(number, connection);
     }
 
-    /// Closes a connection that has its response, or the one that waits longest without a complete
-    /// request. Returns false where there is none. Guards against operators that take all slots and
-    /// ask for nothing.
+    /// Closes a connection whose response was sent, or the one that has waited longest without a
+    /// complete request. Returns false if there is none. Otherwise peers that send no request could
+    /// take all slots.
     fn free_connection_slot(&mut self, now: Micros) -> bool {
         if is_bug_injected(InjectedBug::ManagementStarved) {
             return false;
@@ -247,7 +246,7 @@
 }
 
 impl<H: Host> OperatorConnection<H> {
-    /// Reads, responds and sends; breaks where the connection is over.
+    /// Reads, responds and sends; breaks if the connection has ended.
     fn serve(
         &mut self,
         now: Micros,
@@ -263,14 +262,15 @@
         if is_answered && is_sent && !std::mem::replace(&mut self.is_finished, true) {
             self.stream.shutdown_write();
         }
-        // A client that closed its side before its request was complete asks for nothing any more.
+        // A client that closed its write side before its request was complete gets no response.
         if self.stream.is_read_closed && (!is_answered || is_sent) {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
     }
 
-    /// Reads all there is; what follows a request is discarded, since an edge reports it once.
+    /// Reads until the socket would block, since readiness is edge-triggered; bytes after a request
+    /// are discarded.
     fn read(
         &mut self,
         now: Micros,
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -1,4 +1,4 @@
-//! Reports to the service registry, so that clients find this server.
+//! Client of the service registry: reports this server, so that clients find it.
 
 use crate::buffered_connection::BufferedConnection;
 use crate::host::{Host, Readiness};
@@ -8,25 +8,26 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Interval between reports: three may fail before the entry lapses.
+/// Interval between reports: three may fail before the entry expires.
 const REPORT_INTERVAL: Micros = 700_000;
-/// A report without a response for this time holds up no other: the next uses another connection.
+/// Time after which a report without a response no longer delays others: the next one uses another
+/// connection.
 const RESPONSE_TIMEOUT: Micros = 600_000;
-/// The protocol's time after which an entry lapses: a later response is of no use.
+/// Lifetime of an entry, as defined by the protocol: a later response is useless.
 const ENTRY_LIFETIME: Micros = 3_000_000;
-/// Limit of connections: as many as reports are due before the first is abandoned.
+/// Maximum number of connections: the number of reports due before the first one is abandoned.
 const MAX_CONNECTIONS: usize = (ENTRY_LIFETIME / REPORT_INTERVAL + 1) as usize;
-/// Bytes read from a connection at once.
+/// Maximum number of bytes that one read leaves in the input of a connection.
 const READ_LIMIT_BYTES: usize = 65_536;
-/// The status of a response to a report that was accepted.
+/// HTTP status of an accepted report.
 const NO_CONTENT: u16 = 204;
 
-/// Why a report counts as failed.
+/// Error of a report.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response can't be decoded; the codec says why.
+    /// The response can't be decoded; contains the error of the codec.
     #[error("{0}")]
     Malformed(String),
     #[error("status {0}")]
@@ -37,22 +38,22 @@
     Overdue,
 }
 
-/// The report on a connection.
+/// State of the report on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportState {
     Idle,
-    /// The response is waited for.
+    /// The report waits for its response.
     Pending {
         since: Micros,
     },
-    /// The same after [`RESPONSE_TIMEOUT`].
+    /// The report has waited for its response for longer than [`RESPONSE_TIMEOUT`].
     Overdue {
         since: Micros,
     },
 }
 
 impl ReportState {
-    /// Returns since when the response is waited for.
+    /// Returns when the report that waits for its response was sent.
     fn since(self) -> Option<Micros> {
         match self {
             Self::Idle => None,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns when the response is late, or of no use any more.
+    /// Returns when the response becomes overdue, or useless.
     fn deadline(self) -> Option<Micros> {
         match self {
             Self::Idle => None,
@@ -77,28 +78,27 @@
     report: ReportState,
 }
 
-/// The client of the registry. A registry that responds late is reported to all the same: a report
-/// counts once it has its response, so that its connection is kept for that while the next report
-/// uses another one.
+/// The client of the registry. Reports to a slow registry continue: a report takes effect once its
+/// response arrives, so its connection is kept open while the next report uses another one.
 pub struct RegistryClient<H: Host> {
     host: H,
     address: SocketAddr,
-    /// The path of this server's entry.
+    /// Path of this server's entry.
     path: String,
-    /// The oldest first.
+    /// Connections, the oldest first.
     connections: Vec<RegistryConnection<H>>,
     last_number: u64,
     next_report_at: Micros,
-    /// What the last report said.
+    /// State of the last report: whether the server accepts clients.
     is_reported_open: bool,
-    /// No failure was logged since a report last had its response in time.
+    /// No failure has been logged since the last response in time.
     is_healthy: bool,
-    /// Another process reports.
+    /// Another process reports this server.
     is_paused: bool,
 }
 
 impl<H: Host> RegistryClient<H> {
-    /// Creates the client of the server of this name.
+    /// Creates the client for the server of this name.
     #[must_use]
     pub fn new(host: H, address: SocketAddr, name: &str) -> Self {
         Self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Changes the address of the registry, and reports there at once.
+    /// Changes the address of the registry, and reports to it immediately.
     pub fn relocate(&mut self, now: Micros, address: SocketAddr) {
         if std::mem::replace(&mut self.address, address) != address {
             self.connections.clear();
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Returns the number of connections, those that are being made among them.
+    /// Returns the number of connections, including connection attempts.
     #[must_use]
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Notes that a connection has become readable or writable.
+    /// Records that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         let mut connections = self.connections.iter_mut();
         if let Some(connection) = connections.find(|connection| connection.number == number) {
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Reads responses, and reports when that is due: `is_open` says whether this server accepts
-    /// clients; with none, another process reports. A change is reported at once where no report is
-    /// pending, which it could overtake.
+    /// Reads responses, and sends a report when it is due. `is_open` tells whether this server
+    /// accepts clients; `None` means that another process reports. A change is reported immediately
+    /// unless a report is pending, which it could overtake.
     pub fn poll(&mut self, now: Micros, is_open: Option<bool>) {
         self.is_paused = is_open.is_none();
         let is_open = is_open.unwrap_or(self.is_reported_open);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Returns when the next report is due, or one is late or abandoned.
+    /// Returns when the next report is due, or a pending one becomes overdue or is abandoned.
     #[must_use]
     pub fn next_deadline(&self) -> Micros {
         let next_report_at = if self.is_paused {
@@ -228,8 +228,9 @@
         Ok(())
     }
 
-    /// Returns the index of an idle connection, or of a new one. None where all connections there
-    /// may be wait for a response: guards the descriptors against a registry that never responds.
+    /// Returns the index of an idle or new connection. Returns `None` if the maximum number of
+    /// connections waits for responses: a registry that never responds must not exhaust the
+    /// descriptors.
     fn find_connection(&mut self) -> io::Result<Option<usize>> {
         let mut connections = self.connections.iter();
         let idle = connections.position(|connection| connection.report == ReportState::Idle);
@@ -250,7 +251,7 @@
         Ok(Some(self.connections.len() - 1))
     }
 
-    /// Sends and reads on a connection; returns false where it is of no more use.
+    /// Sends and reads on a connection; returns false if it can't be used again.
     fn serve(&mut self, index: usize) -> Result<bool, ReportError> {
         let connection = &mut self.connections[index];
         let stream = &mut connection.stream;
@@ -276,19 +277,19 @@
         if response.status != NO_CONTENT {
             return Err(ReportError::Status(response.status));
         }
-        // Bytes after a response belong to no report.
+        // Bytes after a response belong to no report, so the connection is unusable.
         let is_unusable = response.closes || !connection.stream.input.is_empty();
         if !self.is_healthy && !was_overdue {
             tracing::info!("registry: reports count again");
             self.is_healthy = true;
         }
-        // Connections that slow responses were waited for on are more than one report needs.
+        // Only one idle connection is kept; further ones were opened while responses were slow.
         let connections = self.connections.iter();
         let idle = connections.filter(|connection| connection.report == ReportState::Idle);
         Ok(!is_unusable && idle.count() == 1)
     }
 
-    /// Logs the first failure since reports last counted; the next report tries again.
+    /// Logs the first failure since the last accepted report; the next report is a new attempt.
     fn on_failure(&mut self, error: &ReportError) {
         if self.is_healthy {
             tracing::warn!(%error, "registry: report failed");
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -1,6 +1,6 @@
-//! The status of a server, for operators as metrics in JSON and for the supervisor on the same host
-//! as one line a report. The server decides nothing by the supervisor, and one that is away or slow
-//! costs it nothing.
+//! The status of a server: metrics in JSON for operators, and reports of one line each to the
+//! supervisor on the same host. The server does not depend on the supervisor, and an absent or slow
+//! one does not delay it.
 
 use cleatpulley_connection_admission::decision::Counters as AdmissionCounts;
 use cleatpulley_dispatcher::{ClassCounters, Counters};
@@ -14,30 +14,30 @@
 use std::os::fd::AsFd;
 use std::path::PathBuf;
 
-/// The status of a server, as it is reported to the supervisor.
+/// The status of a server, as reported to the supervisor.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Status {
-    /// Its speed, as a share of the speed of a warm one.
+    /// Speed of the runtime, as a fraction of the speed of a warm one.
     pub warmth: f64,
-    /// Requests served since the start.
+    /// Number of requests served since the start.
     pub served: u64,
-    /// Requests that expired before they could get another response.
+    /// Number of requests that expired without another response since the start.
     #[serde(rename = "late")]
     pub expired: u64,
-    /// Requests that were rejected.
+    /// Number of requests rejected since the start.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests failed since the start.
     pub failed: u64,
-    /// Requests whose response is pending.
+    /// Number of requests without a response yet.
     #[serde(rename = "held")]
     pub pending: usize,
-    /// It shuts down.
+    /// The server is shutting down.
     #[serde(rename = "drains")]
     pub is_draining: bool,
 }
 
-/// Returns the metrics for operators, as a line of JSON.
+/// Returns the metrics for operators as a line of JSON.
 #[must_use]
 pub fn metrics_json(
     class_names: &[String],
@@ -82,14 +82,14 @@
     })
 }
 
-/// The supervisor's socket, and what identifies this instance there.
+/// The supervisor's socket, and the identity of this instance.
 #[derive(Debug, Clone)]
 pub struct FleetLink {
-    /// The path of the socket.
+    /// Path of the socket.
     pub socket: PathBuf,
-    /// The number of the instance.
+    /// Incarnation number of the instance.
     pub incarnation: u64,
-    /// The token that proves the number.
+    /// Token that authenticates the instance.
     pub token: String,
 }
 
@@ -104,9 +104,9 @@
 /// Reports the status to the supervisor.
 pub struct StatusReporter {
     link: FleetLink,
-    /// None while there is no connection.
+    /// `None` while there is no connection.
     socket: Option<Socket>,
-    /// The listener that all instances share: a supervisor that follows another gets it from them.
+    /// The listener that all instances share: a restarted supervisor gets it back from them.
     listener: Option<TcpListener>,
 }
 
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Reports the status. Where nobody listens or reads, the report is dropped, and the next one
-    /// connects again.
+    /// Reports the status. If the supervisor does not accept or read, the report is dropped, and
+    /// the next one reconnects.
     pub fn report(&mut self, status: &Status) {
         if self.socket.is_none() {
             self.socket = self.connect().ok();
@@ -135,7 +135,7 @@
 
     fn connect(&self) -> io::Result<Socket> {
         let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
-        // Guards the event loop against a supervisor that does not accept.
+        // A supervisor that does not accept must not block the event loop.
         socket.set_nonblocking(true)?;
         socket.connect(&SockAddr::unix(&self.link.socket)?)?;
         let bytes = to_line(&Hello {
@@ -162,7 +162,7 @@
     Ok(bytes)
 }
 
-/// A line is sent completely or not at all: after a part of one the connection is of no use.
+/// Fails if a line was sent only in part: the connection can't be used afterwards.
 fn check_complete(sent: usize, bytes: &[u8]) -> io::Result<()> {
     if sent == bytes.len() {
         return Ok(());
