--- a/crates/server/src/dependency_pool.rs
+++ b/crates/server/src/dependency_pool.rs
@@ -1,10 +1,10 @@
-//! The pool of connections to the dependency: one call at a time on each, over HTTP or AJP.
+//! Connection pool to the dependency. Each connection carries one call at a time, over HTTP or AJP.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `protocol` | the protocols spoken with the dependency |
-//! | `pending_call` | a call without a reply yet |
-//! | `dependency_connection` | a connection, and what differs between the two protocols |
+//! | `protocol` | the protocols of the connections |
+//! | `pending_call` | a call without a reply |
+//! | `dependency_connection` | a connection, and the differences between the two protocols |
 
 mod dependency_connection;
 mod pending_call;
@@ -23,18 +23,18 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// An idle connection is closed well before the dependency closes it: when a call breaks on one
-/// that is being closed, that proves nothing.
+/// Idle time after which a connection is closed. It is well below the dependency's own timeout: a
+/// call that breaks because the dependency closes its connection may or may not have run.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// Limit of idle connections: calls of writes leave more of them behind than those of reads use.
+/// Maximum number of idle connections: writes leave behind more idle connections than reads use.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// What a [`DependencyPool`] holds.
+/// Resources that a [`DependencyPool`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DependencyPoolUsage {
-    /// Calls, those that wait for a connection among them.
+    /// Number of calls, including those that wait for a connection.
     pub calls: usize,
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
 }
 
@@ -44,15 +44,15 @@
     address: SocketAddr,
     protocol: DependencyProtocol,
     max_connections: usize,
-    /// Ordered by number, so that what is done to all of them is done alike in every run.
+    /// Ordered by number, so that iteration is deterministic.
     connections: BTreeMap<u64, DependencyConnection<H>>,
-    /// Numbers of idle connections; the one used last is the last.
+    /// Numbers of idle connections; the most recently used one is last.
     idle: Vec<u64>,
-    /// The connection that carries the call of a request.
+    /// Number of the connection that carries the call of a request.
     busy: HashMap<RequestId, u64>,
     /// Calls that wait for a connection.
     waiting: VecDeque<PendingCall>,
-    /// Numbers of connections that may have something to read or to send.
+    /// Numbers of connections that may have bytes to read or to send.
     ready: Vec<u64>,
     last_number: u64,
 }
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Makes a call. The call that the request had before is abandoned.
+    /// Makes a call. A previous call of the same request is abandoned.
     pub fn call(&mut self, now: Micros, call: DependencyCall, events: &mut Vec<Event>) {
         self.abandon(call.id);
         self.assign_connection(now, PendingCall::new(now, call), events);
     }
 
-    /// Gives the call a connection, or lets it wait for one.
+    /// Assigns a connection to the call, or queues the call.
     fn assign_connection(&mut self, now: Micros, call: PendingCall, events: &mut Vec<Event>) {
         let number = match self.find_connection(now, &call) {
             Ok(Some(number)) => number,
@@ -116,10 +116,11 @@
         self.ready.push(number);
     }
 
-    /// Returns a connection for a call; none where all of them carry calls.
+    /// Returns a connection for a call, or `None` if all connections carry calls.
     fn find_connection(&mut self, now: Micros, call: &PendingCall) -> io::Result<Option<u64>> {
-        // Guards against a connection that the dependency has closed unnoticed: its reset does not
-        // tell whether the call ran, so that a call which must not be repeated takes a fresh one.
+        // The dependency may have closed an idle connection without this side noticing, and the
+        // reset does not show whether a call ran. A call that must not be repeated therefore gets a
+        // new connection.
         if call.is_repeatable {
             if let Some(number) = self.idle.pop() {
                 return Ok(Some(number));
@@ -128,8 +129,8 @@
         self.connect(now)
     }
 
-    /// Returns a fresh connection, in place of an idle one if need be; none where all of them carry
-    /// calls.
+    /// Returns a new connection, replacing an idle one if the limit is reached; returns `None` if
+    /// all connections carry calls.
     fn connect(&mut self, now: Micros) -> io::Result<Option<u64>> {
         if self.connections.len() >= self.max_connections {
             if self.idle.is_empty() {
@@ -158,7 +159,7 @@
     }
 
     /// Changes the address of the dependency. Calls in flight may still get their reply from the
-    /// old one; those that no byte was sent of are made at the new one.
+    /// old address; calls without any byte sent are made at the new one.
     pub fn relocate(&mut self, now: Micros, address: SocketAddr, events: &mut Vec<Event>) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
@@ -190,7 +191,7 @@
             .collect()
     }
 
-    /// Notes that a connection has become readable or writable.
+    /// Records that a connection has become readable or writable.
     pub fn on_readiness(&mut self, number: u64, readiness: Readiness) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.stream.on_readiness(readiness);
@@ -198,13 +199,13 @@
         }
     }
 
-    /// Reads replies, sends calls, and fails those that are past their deadline.
+    /// Reads replies, sends calls, and fails calls past their deadline.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.serve_ready(now, events);
         self.fail_expired_calls(now, events);
         self.assign_waiting(now, events);
         self.close_idle(now);
-        // Calls that were assigned just now are sent at once.
+        // Newly assigned calls are sent immediately.
         self.serve_ready(now, events);
     }
 
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Returns when a call is late or an idle connection is to be closed.
+    /// Returns the earliest deadline of a call or idle timeout of a connection.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         let calls = self.connections.values();
@@ -278,7 +279,7 @@
             Ok(None) => {}
             Err(error) => {
                 let outcome = match error.kind() {
-                    // The dependency did reply: this says nothing about its load.
+                    // The dependency did reply, so the failure does not indicate overload.
                     ErrorKind::InvalidData => Outcome::Failure,
                     _ if connection.has_sent => Outcome::Interrupted,
                     _ => connect_outcome(&error),
@@ -322,8 +323,8 @@
         });
     }
 
-    /// Closes a connection. The call on it ends with this outcome, or is made again where the
-    /// failure is due to the connection.
+    /// Closes a connection. Its call ends with this outcome, or is retried if the failure is due to
+    /// a stale connection.
     fn fail(&mut self, now: Micros, number: u64, outcome: Outcome, events: &mut Vec<Event>) {
         let Some(connection) = self.connections.remove(&number) else {
             return;
@@ -334,7 +335,7 @@
         let Some(call) = connection.call else { return };
         self.busy.remove(&call.id);
         if is_stale && call.is_repeatable && now < call.deadline {
-            // Only once: the next connection is a fresh one.
+            // The call is retried only once, on a new connection.
             let call = PendingCall {
                 is_repeatable: false,
                 ..call
@@ -349,8 +350,8 @@
     }
 }
 
-/// Returns the outcome of a call that had no connection. Only a refused connection proves that the
-/// call did not run.
+/// Returns the outcome of a call whose connection attempt failed. Only a refused connection
+/// (ECONNREFUSED) proves that the call did not run.
 fn connect_outcome(error: &io::Error) -> Outcome {
     if error.kind() == ErrorKind::ConnectionRefused {
         Outcome::Unreachable
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the dependency, and what differs between the two protocols.
+//! A connection to the dependency, and the differences between the two protocols.
 
 use super::pending_call::PendingCall;
 use super::protocol::DependencyProtocol;
@@ -11,13 +11,13 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Bytes of a reply that are read at once.
+/// Maximum number of bytes that one read leaves in the input of a connection.
 const READ_LIMIT_BYTES: usize = 2_097_152;
-/// Method and path of each call.
+/// HTTP method of each call.
 const METHOD: &str = "POST";
 const PATH: &str = "/query";
 
-/// The state of the protocol spoken on a connection.
+/// Protocol state of a connection.
 enum ProtocolState {
     Http,
     Ajp(Box<Client>),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A reply that can't be decoded; the codec says why.
+/// A reply that can't be decoded, with the error of the codec.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 struct MalformedReply(String);
@@ -48,13 +48,13 @@
     pub(super) stream: BufferedConnection<H>,
     protocol: ProtocolState,
     pub(super) address: SocketAddr,
-    /// None while it is idle.
+    /// `None` while the connection is idle.
     pub(super) call: Option<PendingCall>,
     pub(super) idle_since: Micros,
     /// Bytes of a call may have reached the dependency.
     pub(super) has_sent: bool,
-    /// It carried an earlier call, or leads to an address that the dependency has left: its end
-    /// says nothing about the call.
+    /// The connection carried an earlier call, or leads to a former address of the dependency: its
+    /// end says nothing about the call.
     pub(super) is_reused: bool,
 }
 
@@ -62,7 +62,7 @@
     /// Begins to connect.
     ///
     /// # Errors
-    /// Those of the system; a refusal may come at once.
+    /// Errors of the operating system; the connection may be refused immediately.
     pub(super) fn connect(
         host: &H,
         now: Micros,
@@ -105,18 +105,18 @@
                     headers: &headers,
                     body: &call.body,
                 };
-                // These few headers fit into the smallest packet.
+                // These few headers fit into the smallest AJP packet.
                 let _ = client.request(now, &request, output);
             }
         }
         self.call = Some(call);
     }
 
-    /// Sends what waits and reads the reply, which counts once it is complete, even if the
-    /// connection broke after it.
+    /// Sends pending bytes and reads the reply. A complete reply counts even if the connection
+    /// broke after it.
     ///
     /// # Errors
-    /// Why the connection broke; [`InvalidData`](ErrorKind::InvalidData) where the reply is
+    /// The error that broke the connection; [`InvalidData`](ErrorKind::InvalidData) if the reply is
     /// malformed.
     pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
         if !self.has_sent {
@@ -127,7 +127,7 @@
         let read = self.stream.read(READ_LIMIT_BYTES);
         if self.call.is_some() {
             if let Some(reply) = self.take_reply(now)? {
-                // A failure shows again with the next use.
+                // The failure shows again with the next use.
                 self.stream.is_read_closed |= sent.is_err() || read.is_err();
                 return Ok(Some(reply));
             }
@@ -137,7 +137,7 @@
         Ok(None)
     }
 
-    /// Takes the reply from what was read, once it is complete.
+    /// Takes a complete reply from the input.
     fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
         let reply = match &mut self.protocol {
             ProtocolState::Http => take_http_reply(&mut self.stream),
@@ -146,25 +146,26 @@
         reply.map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
     }
 
-    /// Returns true where no reply can follow: it was closed, or has sent what belongs to no call.
+    /// Returns true if no reply can follow: the connection was closed, or has received bytes that
+    /// belong to no call.
     pub(super) fn is_unusable(&self) -> bool {
         self.stream.is_read_closed || (self.call.is_none() && !self.stream.input.is_empty())
     }
 
-    /// Returns true where another call may follow. Bytes after a reply belong to no call: what came
-    /// before the next reply would be unknown.
+    /// Returns true if the connection can carry another call. Bytes after a reply belong to no call
+    /// and would corrupt the next reply.
     pub(super) fn is_reusable(&self) -> bool {
         !self.stream.is_read_closed && self.stream.input.is_empty()
     }
 
-    /// Returns true where the dependency may have closed it while it was idle: then the call most
-    /// likely never ran, and its failure is no sign of a dependency at fault.
+    /// Returns true if the dependency may have closed the connection while it was idle: then the
+    /// call most likely never ran, and its failure does not indicate a fault of the dependency.
     pub(super) fn may_be_stale(&self) -> bool {
         self.is_reused && self.stream.input.is_empty()
     }
 
-    /// Returns true where the protocol proves that the call did not run: AJP shows that the
-    /// dependency can't have read all of it.
+    /// Returns true if the protocol proves that the call did not run: with AJP, if the dependency
+    /// can't have read all of the call.
     pub(super) fn is_call_proven_not_run(&self) -> bool {
         match &self.protocol {
             ProtocolState::Http => false,
@@ -183,7 +184,8 @@
     Ok(reply)
 }
 
-/// Reads on in an AJP reply, and sends the part of the call that the dependency asks for.
+/// Continues to read an AJP reply, and sends the part of the request body that the dependency
+/// requests.
 fn take_ajp_reply<H: Host>(
     client: &mut Client,
     stream: &mut BufferedConnection<H>,
@@ -193,7 +195,7 @@
     let used = client.receive(now, &input, stream.output());
     stream.input = input;
     stream.consume(used.map_err(|error| MalformedReply(error.to_string()))?);
-    // A connection that broke shows with the next use.
+    // A broken connection shows with the next use.
     let _ = stream.flush();
     Ok(client.take().map(|reply| http::Reply {
         status: reply.status,
--- a/crates/server/src/dependency_pool/pending_call.rs
+++ b/crates/server/src/dependency_pool/pending_call.rs
@@ -1,4 +1,4 @@
-//! A call of the dependency that has no reply yet.
+//! A call of the dependency without a reply.
 
 use cleatpulley_dispatcher::{DependencyCall, Event};
 use cleatpulley_policy::interface::{Micros, Outcome, RequestId};
@@ -9,7 +9,7 @@
     pub(super) started_at: Micros,
     pub(super) deadline: Micros,
     pub(super) body: Vec<u8>,
-    /// It may run twice, and was not repeated yet.
+    /// The call may run twice and has not been retried yet.
     pub(super) is_repeatable: bool,
 }
 
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Returns the milliseconds until its deadline, at least 1.
+    /// Returns the milliseconds until the deadline, at least 1.
     pub(super) fn remaining_millis(&self, now: Micros) -> Micros {
         self.deadline.saturating_sub(now).div_ceil(1_000).max(1)
     }
 
-    /// Returns the event that it has ended without a reply.
+    /// Returns the event of a call that ended without a reply.
     pub(super) fn into_failure(self, now: Micros, outcome: Outcome) -> Event {
         Event::CallEnded {
             id: self.id,
--- a/crates/server/src/dependency_pool/protocol.rs
+++ b/crates/server/src/dependency_pool/protocol.rs
@@ -1,8 +1,8 @@
-//! The protocols spoken with the dependency.
+//! The protocols of connections to the dependency.
 
 use cleatpulley_protocol::ajp::client;
 
-/// The protocol spoken with the dependency.
+/// The protocol of connections to the dependency.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum DependencyProtocol {
     /// HTTP/1.1.
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -1,9 +1,10 @@
-//! The link to the runtime: commands out, notices in, and recovery after the link broke.
+//! The link to the runtime: outgoing commands, incoming notices, and recovery after a lost
+//! connection.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `outgoing` | lines on their way, and which of them the runtime has read for certain |
-//! | `notices` | the notices of the runtime, as events |
+//! | `outgoing` | outgoing lines, and tracking of which the runtime has read |
+//! | `notices` | decoding of the runtime's notices into events |
 
 mod notices;
 mod outgoing;
@@ -18,27 +19,27 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// After a change of address the old link is closed after this time, even where the runtime has not
-/// proved that it read all commands.
+/// Time after an address change at which the old link is closed even if the runtime has not
+/// confirmed that it read all commands.
 const DRAIN_TIMEOUT: Micros = 500_000;
-/// Wait before a link is tried again.
+/// Delay between connection attempts.
 const RECONNECT_INTERVAL: Micros = 50_000;
-/// A longer line can't be told apart from what follows it.
+/// Maximum length of a line. Longer input without a line end is discarded.
 const MAX_LINE_BYTES: usize = 262_144;
-/// Bytes read in one iteration, so that a full link blocks nobody.
+/// Maximum number of bytes read in one iteration, so that a busy link does not delay others.
 const READ_LIMIT_BYTES: usize = 262_144;
-/// While the runtime leaves more lines unread than this, no gauges are asked for.
+/// Maximum number of lines that the runtime has not confirmed; beyond it, no gauges are requested.
 const MAX_UNREAD_LINES: usize = 4_096;
 
-/// How far a link has come.
+/// State of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LinkState {
-    /// The runtime has not answered `sync` yet; no other line is sent before that.
+    /// The runtime has not responded to `sync` yet; no other line is sent before it does.
     Syncing,
-    /// The runtime is up and takes commands.
+    /// The runtime is up and accepts commands.
     Ready,
-    /// The runtime has another address by now: no more lines are sent. The link is closed once the
-    /// gauges with this mark have come back, or at the deadline.
+    /// The address of the runtime has changed: no more lines are sent. The link is closed once the
+    /// gauges with this mark have been received, or at the deadline.
     Draining { mark: u64, deadline: Micros },
 }
 
@@ -48,17 +49,18 @@
     state: LinkState,
 }
 
-/// Marks of the requests for gauges, which come back with the gauges. They prove that the runtime
-/// has read all lines before them.
+/// Marks of the requests for gauges, which the runtime echoes with the gauges. An echoed mark
+/// proves that the runtime has read all lines before its request.
 #[derive(Debug, Default)]
 struct Marks {
     last_sent: u64,
     last_confirmed: u64,
-    /// The gauges with this mark follow all notices that the runtime had when the link began.
+    /// The gauges with this mark follow all notices that the runtime had pending when the link was
+    /// established.
     barrier: u64,
 }
 
-/// The link to the runtime, and what it remembers when a connection breaks.
+/// The link to the runtime, with the state that outlives a lost connection.
 pub struct RuntimeLink<H: Host> {
     host: H,
     address: SocketAddr,
@@ -67,23 +69,23 @@
     /// Names of the gauges, in the order in which the runtime sends them.
     gauge_names: Vec<String>,
     link: Option<Link<H>>,
-    /// When a connection is tried next, while there is none.
+    /// Time of the next connection attempt, while there is no connection.
     reconnect_at: Micros,
-    /// No failure was logged since a link was last ready.
+    /// No failure has been logged since a link was last ready.
     is_healthy: bool,
-    /// How long the runtime had been up when it answered `sync` last.
+    /// Uptime of the runtime at its last response to `sync`.
     uptime: Micros,
-    /// The number of the last notice that was read.
+    /// Number of the last notice read.
     last_notice: u64,
-    /// Commands of earlier connections that the runtime may have read or not. They are settled once
-    /// the mark of the barrier has come back.
+    /// Commands of earlier connections that the runtime may or may not have read. They are reported
+    /// once the barrier mark has been received.
     uncertain_commands: Vec<SentCommand>,
     marks: Marks,
     outgoing: OutgoingLines,
 }
 
 impl<H: Host> RuntimeLink<H> {
-    /// Creates a link that is connected with the first [`poll`](Self::poll).
+    /// Creates a link that connects with the first [`poll`](Self::poll).
     #[must_use]
     pub fn new(
         host: H,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Returns true while there is a connection, or one is being made.
+    /// Returns true while there is a connection or a connection attempt.
     #[must_use]
     pub fn is_connected(&self) -> bool {
         self.link.is_some()
@@ -124,9 +126,9 @@
         self.link.as_ref().map(|link| link.state)
     }
 
-    /// Changes the address of the runtime. A link that is ready is closed once the runtime is
-    /// proved to have read all commands on it, so that none of them is uncertain; later commands
-    /// wait for the next link.
+    /// Changes the address of the runtime. A ready link is closed once the runtime has confirmed
+    /// that it read all commands on it, so that none of them is uncertain; later commands wait for
+    /// the next link.
     pub fn relocate(&mut self, now: Micros, address: SocketAddr) {
         if std::mem::replace(&mut self.address, address) == address {
             return;
@@ -134,8 +136,8 @@
         self.reconnect_at = now;
         match self.state() {
             Some(LinkState::Ready) => self.begin_drain(now),
-            // It keeps the mark that it departs with: nothing more is sent on it, so that a later
-            // mark would never come back.
+            // The link keeps its mark: nothing more is sent on it, so a later mark would never be
+            // received.
             Some(LinkState::Draining { .. }) => {}
             Some(LinkState::Syncing) | None => self.link = None,
         }
@@ -167,7 +169,7 @@
         self.push_command(line, id, RuntimeCommand::ResumeWithReply);
     }
 
-    /// Resumes a run without making its call, which the runtime asked for with this notice.
+    /// Resumes a run without making the call that the runtime requested with this notice.
     pub fn resume_without_call(&mut self, id: RequestId, notice: u64) {
         let line = line::omit(id, notice);
         self.push_command(line, id, RuntimeCommand::ResumeWithoutCall);
@@ -186,9 +188,9 @@
         });
     }
 
-    /// Asks for the gauges; without effect while the link is not ready.
+    /// Requests the gauges; has no effect while the link is not ready.
     pub fn read_gauges(&mut self) {
-        // A runtime that does not answer is not asked without end.
+        // Limits the unconfirmed requests to a runtime that does not respond.
         if self.is_ready() && self.outgoing.in_flight_count() < MAX_UNREAD_LINES {
             self.marks.last_sent += 1;
             self.outgoing.push(OutgoingLine {
@@ -199,15 +201,15 @@
         }
     }
 
-    /// Notes that the connection has become readable or writable.
+    /// Records that the connection has become readable or writable.
     pub fn on_readiness(&mut self, readiness: Readiness) {
         if let Some(link) = &mut self.link {
             link.stream.on_readiness(readiness);
         }
     }
 
-    /// Reads what has arrived, sends what waits, and connects again where that is due. Returns true
-    /// where there is more to read.
+    /// Reads available bytes, sends pending lines, and reconnects if due. Returns true if there is
+    /// more to read.
     pub fn poll(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
         if self.link.is_none() && now >= self.reconnect_at {
             self.connect(now);
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Returns when a connection is tried again, or the old one is closed.
+    /// Returns when the next connection attempt is due, or a draining link is closed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Micros> {
         match self.state() {
@@ -269,10 +271,10 @@
         }
     }
 
-    /// Sorts the commands of a link that broke: those that were not sent go to the next link, the
-    /// others are uncertain until the notices up to then are read.
+    /// Handles a lost link: unsent commands go to the next link, the others are uncertain until all
+    /// pending notices have been read.
     fn on_link_lost(&mut self, now: Micros, reason: &dyn std::fmt::Display) {
-        // Logged once, since the next attempts follow each other fast.
+        // Logged once, since the next attempts follow in short intervals.
         if self.is_healthy {
             tracing::warn!(%reason, "runtime: no link, trying again");
         }
@@ -283,7 +285,7 @@
         self.uncertain_commands.extend(uncertain_commands);
     }
 
-    /// Sends the lines that wait, as far as the system takes them.
+    /// Sends the queued lines as far as the socket accepts them.
     fn send(&mut self) -> io::Result<()> {
         let Some(link) = &mut self.link else {
             return Ok(());
--- a/crates/server/src/runtime_link/notices.rs
+++ b/crates/server/src/runtime_link/notices.rs
@@ -1,4 +1,4 @@
-//! The notices of the runtime, as events.
+//! Decoding of the runtime's notices into events.
 
 use super::{LinkState, RuntimeLink, MAX_LINE_BYTES};
 use crate::host::Host;
@@ -6,14 +6,14 @@
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome};
 use cleatpulley_protocol::line::{self, Notice};
 
-/// A runtime whose uptime is smaller than before by more than this was restarted; a smaller
-/// difference is one of the clock.
+/// A runtime whose uptime has decreased by more than this was restarted; a smaller difference is
+/// clock error.
 const RESTART_MARGIN: Micros = 1_000_000;
 
-/// Why a line of the runtime is skipped.
+/// Error of a line of the runtime that is skipped.
 #[derive(Debug, thiserror::Error)]
 enum NoticeError {
-    /// It can't be decoded; the codec says why.
+    /// The line can't be decoded; contains the error of the codec.
     #[error("{0}")]
     Malformed(String),
     #[error("a call without a number")]
@@ -31,7 +31,7 @@
 }
 
 impl<H: Host> RuntimeLink<H> {
-    /// Takes all complete lines from what was read.
+    /// Handles all complete lines of the input.
     pub(super) fn read_lines(&mut self, events: &mut Vec<Event>) {
         let Some(link) = &mut self.link else { return };
         let mut input = std::mem::take(&mut link.stream.input);
@@ -62,7 +62,7 @@
     fn read_line(&mut self, line: &[u8], events: &mut Vec<Event>) -> Result<(), NoticeError> {
         let notice = Notice::decode(line)?;
         if let Some(number) = notice.no {
-            // A new link repeats notices that the old one may have carried.
+            // A new link repeats notices that may have arrived on the old one.
             if number <= self.last_notice {
                 return Ok(());
             }
@@ -80,13 +80,14 @@
         Ok(())
     }
 
-    /// The runtime is up and has answered `sync`.
+    /// Handles the runtime's response to `sync`.
     fn on_ready(&mut self, notice: &Notice, events: &mut Vec<Event>) {
         let uptime = notice.time();
         tracing::info!("runtime: {}, up for {} ms", notice.status, uptime / 1_000);
         let previous_uptime = std::mem::replace(&mut self.uptime, uptime);
         if previous_uptime > uptime + RESTART_MARGIN {
-            // Another process: what ran there is gone, with the notices of it.
+            // The runtime is another process: the runs of the previous one are lost, with their
+            // notices.
             tracing::warn!("runtime: it was started again; what ran there has no end");
             self.last_notice = 0;
             self.uncertain_commands.clear();
@@ -99,7 +100,7 @@
         }
         self.is_healthy = true;
         events.push(Event::RuntimeReady(uptime));
-        // The gauges follow all notices that the runtime had for this process.
+        // The gauges follow all notices that the runtime had pending for this process.
         self.read_gauges();
         self.marks.barrier = self.marks.last_sent;
     }
@@ -120,7 +121,8 @@
                 Outcome::Failure
             }
         };
-        // A result that can't be read must reach no client, but the run is over all the same.
+        // A result that can't be decoded must not reach a client, but the run has ended
+        // nevertheless.
         let result = notice.body().unwrap_or_else(|error| {
             tracing::warn!(request = %line::rid(id), %error, "runtime: a result is lost");
             outcome = Outcome::Failure;
@@ -166,7 +168,8 @@
         }
     }
 
-    /// The runtime has read all lines up to the request for gauges with this mark.
+    /// Handles the confirmation that the runtime has read all lines up to the gauge request with
+    /// this mark.
     pub(super) fn confirm(&mut self, mark: u64, events: &mut Vec<Event>) {
         self.marks.last_confirmed = self.marks.last_confirmed.max(mark);
         self.outgoing.confirm(mark);
--- a/crates/server/src/runtime_link/outgoing.rs
+++ b/crates/server/src/runtime_link/outgoing.rs
@@ -1,42 +1,42 @@
-//! Lines on their way to the runtime, and which of them it has read for certain.
+//! Outgoing lines to the runtime, and tracking of which it has read.
 
 use cleatpulley_dispatcher::RuntimeCommand;
 use cleatpulley_policy::bug_injection::{is_bug_injected, InjectedBug};
 use cleatpulley_policy::interface::RequestId;
 use std::collections::VecDeque;
 
-/// A command that may have to be settled after a connection broke.
+/// A command whose delivery may be uncertain after a lost connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentCommand {
     pub(super) id: RequestId,
     pub(super) command: RuntimeCommand,
 }
 
-/// A line for the runtime.
+/// A line to send to the runtime.
 pub(super) struct OutgoingLine {
     pub(super) line: Vec<u8>,
-    /// The command that it carries, if any.
+    /// Command in the line, if any.
     pub(super) command: Option<SentCommand>,
-    /// The mark of a request for gauges.
+    /// Mark of a gauge request.
     pub(super) mark: Option<u64>,
 }
 
-/// A line that was written to the connection, until the runtime is proved to have read it.
+/// A line that was written to the connection and not confirmed by the runtime yet.
 struct InFlightLine {
-    /// Where the line ends in the bytes of the connection.
+    /// End offset of the line in the bytes of the connection.
     end: u64,
     line: OutgoingLine,
 }
 
-/// The lines, in their order.
+/// Outgoing lines in order.
 #[derive(Default)]
 pub(super) struct OutgoingLines {
-    /// Lines that no byte was sent of, which another connection may carry.
+    /// Lines without any byte sent; the next connection may send them.
     queue: VecDeque<OutgoingLine>,
     in_flight: VecDeque<InFlightLine>,
-    /// Bytes written to the output of the connection so far.
+    /// Number of bytes written to the output of the connection.
     written_bytes: u64,
-    /// Bytes of the connection that the system has taken so far.
+    /// Number of bytes that the socket has accepted.
     sent_bytes: u64,
 }
 
@@ -45,18 +45,18 @@
         self.queue.push_back(line);
     }
 
-    /// Returns the number of lines that the runtime may not have read yet.
+    /// Returns the number of lines that the runtime has not confirmed yet.
     pub(super) fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Begins with a new connection, whose output holds this many bytes already.
+    /// Handles a new connection, whose output already holds `written_bytes` bytes.
     pub(super) fn on_connected(&mut self, written_bytes: u64) {
         self.written_bytes = written_bytes;
         self.sent_bytes = 0;
     }
 
-    /// Writes all lines of the queue to the output of the connection.
+    /// Writes all queued lines to the output of the connection.
     pub(super) fn write_all(&mut self, output: &mut Vec<u8>) {
         for line in self.queue.drain(..) {
             output.extend_from_slice(&line.line);
@@ -68,12 +68,13 @@
         }
     }
 
-    /// The system has taken more bytes of the output.
+    /// Handles that the socket has accepted more bytes of the output.
     pub(super) fn on_sent(&mut self, sent_bytes: u64) {
         self.sent_bytes += sent_bytes;
     }
 
-    /// The runtime has read all lines up to the request for gauges with this mark.
+    /// Handles the confirmation that the runtime has read all lines up to the gauge request with
+    /// this mark.
     pub(super) fn confirm(&mut self, mark: u64) {
         let confirmed = self
             .in_flight
@@ -84,8 +85,9 @@
         }
     }
 
-    /// The connection broke: lines that no byte was sent of go back to the queue, without requests
-    /// for gauges. Returns the commands that the runtime may have read or not, the last one first.
+    /// Handles a lost connection: lines without any byte sent go back to the queue, except gauge
+    /// requests. Returns the commands that the runtime may or may not have read, the last one
+    /// first.
     pub(super) fn on_connection_lost(&mut self) -> Vec<SentCommand> {
         let mut uncertain_commands = Vec::new();
         for InFlightLine { end, line } in std::mem::take(&mut self.in_flight).into_iter().rev() {
