--- a/crates/server/src/background_thread.rs
+++ b/crates/server/src/background_thread.rs
@@ -1,14 +1,14 @@
-//! A thread that works off jobs, so that the event loop never waits for the disk.
+//! A background thread that executes jobs, so that the event loop never waits for the disk.
 
 use cleatpulley_policy::interface::Micros;
 use std::io;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A thread and the channel of its jobs. The thread ends once this is released or dropped, after
-/// the jobs that it has.
+/// Handle of a thread and its job channel. The thread ends after its queued jobs once this is
+/// released or dropped.
 pub(crate) struct BackgroundThread<J> {
-    /// None once it was released.
+    /// `None` once the thread was released.
     jobs: Option<Sender<J>>,
     /// Receives a message when the thread has ended.
     finished: Receiver<()>,
@@ -18,7 +18,7 @@
     /// Starts a thread that runs `work` on the receiver of its jobs.
     ///
     /// # Errors
-    /// Where the system gives no thread.
+    /// If the system can't create the thread.
     pub(crate) fn spawn(
         name: &str,
         work: impl FnOnce(&Receiver<J>) + Send + 'static,
@@ -29,7 +29,7 @@
             .name(name.to_owned())
             .spawn(move || {
                 work(&job_receiver);
-                // Nobody may wait for it any more.
+                // The receiver may have been dropped.
                 let _ = finished_sender.send(());
             })?;
         Ok(Self {
@@ -38,15 +38,15 @@
         })
     }
 
-    /// Gives the thread a job; without effect once the thread was released or has ended.
+    /// Sends a job to the thread; has no effect once the thread was released or has ended.
     pub(crate) fn send(&self, job: J) {
         if let Some(jobs) = &self.jobs {
-            // A thread that has ended has reported why.
+            // A thread that has ended has logged the reason.
             let _ = jobs.send(job);
         }
     }
 
-    /// Lets the thread end once it has done its jobs.
+    /// Lets the thread end after its queued jobs.
     pub(crate) fn release(&mut self) {
         self.jobs = None;
     }
@@ -54,13 +54,13 @@
     /// Waits until the thread has ended.
     ///
     /// # Errors
-    /// Where it has not within `timeout`.
+    /// If the thread has not ended within `timeout`.
     pub(crate) fn wait(&self, timeout: Duration) -> Result<(), RecvTimeoutError> {
         self.finished.recv_timeout(timeout)
     }
 }
 
-/// Returns the time in microseconds of the Unix clock.
+/// Returns the Unix time in microseconds.
 pub(crate) fn unix_time() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/server/src/persistence_thread.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -1,14 +1,14 @@
-//! The persistence of idempotency keys and cached results.
+//! Persistence of idempotency keys and cached results.
 //!
 //! A thread owns the journal, so that the event loop never waits for a write, sync or read of the
-//! disk. One sync covers all writes that arrived while the sync before it ran. Where the journal
-//! need not survive the machine, no call of it waits for the disk, and it is used without a thread.
+//! disk. One sync covers all writes that arrived while the sync before it ran. If the journal need
+//! not survive the machine, no call waits for the disk, and it is used without a thread.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `result_store` | what is done with the journal, on any file system and thread |
+//! | `result_store` | operations on the journal, independent of file system and thread |
 //! | `worker` | the thread |
-//! | `inline_persistence` | the same without a thread |
+//! | `inline_persistence` | the persistence without a thread |
 
 mod inline_persistence;
 mod result_store;
@@ -30,34 +30,34 @@
 use std::time::Duration;
 use worker::Worker;
 
-/// At the end of the process, the thread is waited for this long.
+/// Maximum wait for the thread when the process ends.
 const STOP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Access to the persistence; a thread of its own ends when this is dropped.
+/// Handle of the persistence; its thread, if any, ends when this is dropped.
 pub struct PersistenceThread(Mode);
 
 enum Mode {
-    /// Durable, with a thread of its own.
+    /// Durable, with its own thread.
     Threaded(BackgroundThread<PersistenceJob>),
-    /// Its files need not reach the disk, so that no call waits for it.
+    /// Not durable: the files need not reach the disk, so no call waits for it.
     Inline(Box<InlinePersistence>),
 }
 
 impl PersistenceThread {
-    /// Creates a persistence that does each job at once, on files that outlive the process and not
-    /// the machine. Its events are returned by
+    /// Creates a persistence that executes each job immediately, on files that survive the process
+    /// but not the machine. Its events are returned by
     /// [`poll`](crate::host::ResultPersistence::poll).
     #[must_use]
     pub fn inline(folder: PathBuf, seed: u64) -> Self {
         Self(Mode::Inline(Box::new(InlinePersistence::new(folder, seed))))
     }
 
-    /// Starts the thread. Its events go to
+    /// Starts the thread. Its events are passed to
     /// [`Service::on_persistence_event`](crate::os_host::Service::on_persistence_event): first the
-    /// keys that it has recovered, which may take a while; until then nothing can be persisted.
+    /// recovered keys, which may take some time; until then nothing can be persisted.
     ///
     /// # Errors
-    /// Where the system gives no thread or channel.
+    /// If the system can't create the thread or the channel.
     pub fn start(handle: &EventLoopHandle, folder: PathBuf, seed: u64) -> io::Result<Self> {
         let (event_sender, event_receiver) = channel::channel();
         handle
@@ -115,7 +115,7 @@
         };
         self.stop();
         if let Some(folder) = folder {
-            // A folder that can't be removed disturbs no other process.
+            // A folder that can't be removed does not affect other processes.
             let _ = std::fs::remove_dir_all(folder);
         }
     }
--- a/crates/server/src/persistence_thread/inline_persistence.rs
+++ b/crates/server/src/persistence_thread/inline_persistence.rs
@@ -1,4 +1,4 @@
-//! The persistence without a thread, on files that need not reach the disk.
+//! Persistence without a thread, on files that need not reach the disk.
 
 use super::result_store::{
     PersistenceJob, ResultStore, LOCK_RETRY_INTERVAL, MAINTENANCE_BYTES, MAINTENANCE_INTERVAL,
@@ -11,19 +11,20 @@
 use cleatpulley_policy::interface::Micros;
 use std::path::{Path, PathBuf};
 
-/// Bytes of a segment: small, since the files count as memory and dead entries are to go soon.
+/// Segment size in bytes: small, since the files count as memory and dead entries should be removed
+/// soon.
 const SEGMENT_BYTES: u64 = 1_048_576;
 
-/// A persistence that does each job at once.
+/// A persistence that executes each job immediately.
 pub struct InlinePersistence {
     folder: PathBuf,
     seed: u64,
     store: ResultStore<OsFolder>,
-    /// Events that were not returned yet.
+    /// Events not returned yet.
     events: Vec<Event>,
-    /// When the journal is opened or maintained next.
+    /// Time at which the journal is opened or maintained next.
     next_deadline: Option<Micros>,
-    /// Another process has the journal.
+    /// The journal has been released to another process.
     is_released: bool,
 }
 
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -1,4 +1,4 @@
-//! What is done with the journal of idempotency keys, on any file system and thread.
+//! Operations on the journal of idempotency keys, independent of file system and thread.
 
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event;
@@ -9,15 +9,15 @@
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::time::Duration;
 
-/// A journal that failed is opened again after this time.
+/// Delay before a failed journal is reopened.
 pub(super) const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// A journal that another process has open is opened again after this time.
+/// Delay before opening a journal locked by another process is retried.
 pub(super) const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// After so many attempts, a journal that another process has open counts as failed.
+/// Number of attempts after which a journal locked by another process counts as failed.
 const MAX_LOCK_ATTEMPTS: u32 = 200;
-/// Bytes of maintenance between two checks for new jobs.
+/// Maintenance budget in bytes between two checks for new jobs.
 pub(super) const MAINTENANCE_BYTES: usize = 65_536;
-/// Without jobs, the journal is maintained at this interval.
+/// Interval between maintenance of the journal while there are no jobs.
 pub(super) const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A job of the persistence.
@@ -25,23 +25,23 @@
 pub enum PersistenceJob {
     /// Write a change of the key table.
     Write(KeyCommand),
-    /// Read the cached result of a key as of a time, for a request, under a number that the
-    /// dispatcher gave.
+    /// Read the cached result of a key at a time, for a request, with the load number of the
+    /// dispatcher.
     LoadResult(Micros, RequestId, u64, ScopedKey),
 }
 
-/// The journal, and what has become of it: it is opened, written, synced and read here, and each
-/// outcome is reported as an event. After a failure the owner opens it again.
+/// The journal and its state: it is opened, written, synced and read here, and each outcome is
+/// reported as an event. After a failure the owner reopens it.
 pub struct ResultStore<F: FileSystem> {
-    /// None while it is not open.
+    /// `None` while it is not open.
     journal: Option<Journal<F>>,
-    /// The keys that it held were reported once.
+    /// The recovered keys have been reported.
     is_recovered: bool,
-    /// No failure was reported since it was last available.
+    /// No failure has been reported since the journal was last available.
     is_available: bool,
-    /// How often another process had the journal open since it was last open here.
+    /// Number of attempts that found the journal locked since it was last open here.
     lock_attempts: u32,
-    /// Results written since the start.
+    /// Number of results written since the start.
     result_count: u64,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl<F: FileSystem> ResultStore<F> {
-    /// Returns true where another process had the journal open at the last attempt.
+    /// Returns true if the journal was locked by another process at the last attempt.
     #[must_use]
     pub fn is_locked(&self) -> bool {
         self.lock_attempts > 0
@@ -70,7 +70,7 @@
         self.journal.is_some()
     }
 
-    /// Takes the outcome of opening the journal. The keys that the first one holds are reported.
+    /// Handles the result of opening the journal. The first time, the recovered keys are reported.
     pub fn open(&mut self, opened: Result<OpenedJournal<F>, Error>, events: &mut Vec<Event>) {
         match opened {
             Ok(opened) => self.on_opened(opened, events),
@@ -79,8 +79,8 @@
         }
     }
 
-    /// A predecessor has the journal open until its last run has ended. Until then no key is known,
-    /// and requests with a key wait.
+    /// Handles a locked journal: a predecessor keeps it open until its last run has ended. Until
+    /// then no key is known, and requests with a key wait.
     fn on_locked(&mut self) {
         if self.lock_attempts == 0 {
             tracing::info!("results: another process has the store open; waits for it");
@@ -118,7 +118,7 @@
         self.journal = Some(journal);
     }
 
-    /// Closes the journal after a failure, and reports the first one since it was available.
+    /// Closes the journal after a failure, and reports the first failure since it was available.
     fn fail(&mut self, error: &Error, events: &mut Vec<Event>) {
         self.journal = None;
         if std::mem::replace(&mut self.is_available, false) {
@@ -128,7 +128,8 @@
     }
 
     /// Executes all jobs. Writes are durable only after a [`sync`](Self::sync); loaded results are
-    /// reported before it. While the journal is not open, nothing is written and no result found.
+    /// reported before it. While the journal is not open, nothing is written and no result is
+    /// found.
     pub fn execute(
         &mut self,
         jobs: &mut dyn Iterator<Item = PersistenceJob>,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Does about `budget` bytes of maintenance; returns true where there is more to do.
+    /// Performs about `budget` bytes of maintenance; returns true if there is more to do.
     pub fn maintain(&mut self, now: Micros, budget: usize, events: &mut Vec<Event>) -> bool {
         let Some(journal) = &mut self.journal else {
             return false;
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Closes the journal, so that the next start need not recover it.
+    /// Closes the journal cleanly, so that the next start need not recover it.
     pub fn close(&mut self) {
         let Some(journal) = self.journal.take() else {
             return;
@@ -217,7 +218,7 @@
     }
 }
 
-/// Returns true where the command writes the result of a completed run.
+/// Returns true if the command writes the result of a completed run.
 fn has_result(command: &KeyCommand) -> bool {
     matches!(
         command,
--- a/crates/server/src/persistence_thread/worker.rs
+++ b/crates/server/src/persistence_thread/worker.rs
@@ -20,11 +20,11 @@
     seed: u64,
     event_sender: channel::Sender<Event>,
     store: ResultStore<OsFolder>,
-    /// Events that were not sent yet.
+    /// Events not sent yet.
     events: Vec<Event>,
-    /// When the journal is opened next, while it is not open.
+    /// Time at which the journal is opened next, while it is not open.
     open_at: Instant,
-    /// The last piece of maintenance has left more to do.
+    /// The last maintenance step has left more to do.
     has_more_maintenance: bool,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Works until the sender of the jobs is dropped, then closes the journal.
+    /// Executes jobs until their sender is dropped, then closes the journal.
     pub(super) fn run(mut self, jobs: &Receiver<PersistenceJob>) {
         loop {
             self.open_when_due();
@@ -49,7 +49,7 @@
             self.send_events();
             match jobs.recv_timeout(wait) {
                 Ok(job) => self.execute(job, jobs),
-                // A piece at a time, where there is nothing else to do.
+                // Maintenance runs in small steps while there are no jobs.
                 Err(RecvTimeoutError::Timeout) => self.maintain(),
                 Err(RecvTimeoutError::Disconnected) => return self.store.close(),
             }
@@ -76,7 +76,7 @@
         self.open_at = Instant::now() + interval;
     }
 
-    /// Returns how long to wait for a job.
+    /// Returns the maximum wait for a job.
     fn wait_time(&self) -> Duration {
         if !self.store.is_open() {
             self.open_at.saturating_duration_since(Instant::now())
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Executes a job and all others that wait, with one sync.
+    /// Executes a job and all queued ones with one sync.
     fn execute(&mut self, first_job: PersistenceJob, jobs: &Receiver<PersistenceJob>) {
         let waiting_jobs = std::iter::from_fn(|| jobs.try_recv().ok());
         let mut all_jobs = std::iter::once(first_job).chain(waiting_jobs);
         self.store.execute(&mut all_jobs, &mut self.events);
-        // Loaded results do not wait for the sync: on a slow disk they would pile up behind it.
+        // Loaded results are sent before the sync: on a slow disk they would accumulate behind it.
         self.send_events();
         self.store.sync(&mut self.events);
         self.has_more_maintenance = false;
@@ -106,7 +106,7 @@
 
     fn send_events(&mut self) {
         for event in self.events.drain(..) {
-            // The event loop is gone only where the program ends.
+            // The receiver is dropped only when the program ends.
             let _ = self.event_sender.send(event);
         }
     }
--- a/crates/server/src/reputation_store.rs
+++ b/crates/server/src/reputation_store.rs
@@ -1,5 +1,5 @@
-//! The persistence of the reputation of client addresses: a thread that owns the store, so that
-//! the event loop never waits for a read, write or sync of the disk.
+//! Persistence of the reputation of client addresses: a thread owns the store, so that the event
+//! loop never waits for a read, write or sync of the disk.
 
 use crate::background_thread::{unix_time, BackgroundThread};
 use crate::host;
@@ -13,23 +13,23 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// A store that failed is opened again after this time.
+/// Delay before a failed store is reopened.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// A store that another process has open is opened again after this time.
+/// Delay before opening a store locked by another process is retried.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Without jobs, the store is maintained at this interval.
+/// Interval between maintenance of the store while there are no jobs.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
-/// At the end of the process, the thread is waited for this long.
+/// Maximum wait for the thread when the process ends.
 const STOP_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes of a segment of the store.
+/// Segment size of the store in bytes.
 const SEGMENT_BYTES: u64 = 1 << 20;
-/// The store may take up so many segments, and room for its addresses on top.
+/// Number of segments in the size limit of the store, in addition to the space for its addresses.
 const BASE_SEGMENTS: u64 = 4;
-/// Bytes that an address may take up in all segments: earlier versions of its entry wait there for
+/// Space per address in all segments, in bytes: earlier versions of its entry remain until
 /// compaction.
 const BYTES_PER_ADDRESS: u64 = 512;
 
-/// Returns the options of a store of at most `max_addresses` addresses.
+/// Returns the options of a store for at most `max_addresses` addresses.
 #[must_use]
 pub fn options(max_addresses: usize, seed: u64) -> Options {
     let max_total_bytes = BASE_SEGMENTS * SEGMENT_BYTES + max_addresses as u64 * BYTES_PER_ADDRESS;
@@ -41,15 +41,15 @@
     }
 }
 
-/// Access to the thread, which ends when this is dropped.
+/// Handle of the thread, which ends when this is dropped.
 pub struct ReputationStorage(BackgroundThread<Vec<StoredReputation>>);
 
 impl ReputationStorage {
-    /// Starts the thread. The entries that it loads go to
+    /// Starts the thread. Loaded entries are passed to
     /// [`Service::on_reputation_loaded`](crate::os_host::Service::on_reputation_loaded).
     ///
     /// # Errors
-    /// Where the system gives no thread or channel.
+    /// If the system can't create the thread or the channel.
     pub fn start(
         handle: &EventLoopHandle,
         folder: PathBuf,
@@ -119,8 +119,7 @@
     }
 }
 
-/// Opens the store and sends the entries that it holds. Returns when to open it again, should that
-/// be needed.
+/// Opens the store and sends its entries. Returns when to retry if the store is not open then.
 fn open(
     database: &mut ReputationDatabase<OsFolder>,
     folder: &Path,
@@ -138,7 +137,7 @@
     let open_at = Instant::now() + interval;
     let entries = database.open(opened, unix_time()).unwrap_or_default();
     if !entries.is_empty() {
-        // The event loop is gone only where the program ends.
+        // The receiver is dropped only when the program ends.
         let _ = entry_sender.send(entries);
     }
     open_at
