--- a/crates/server/src/gossip.rs
+++ b/crates/server/src/gossip.rs
@@ -1,12 +1,12 @@
 //! Gossip with the other processes of an installation: the socket under a
-//! [`Membership`](cleatpulley_membership::Membership), and the status that is shared with them. All
-//! of it is off without its section in the operator file.
+//! [`Membership`](cleatpulley_membership::Membership), and the status shared with them. Gossip is
+//! disabled unless the operator file has a section for it.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
 //! | `endpoint` | the socket, and the membership over it |
-//! | `incarnation_store` | the incarnations that the process has used, on the disk |
-//! | `service` | a service that gossips |
+//! | `incarnation_store` | the persisted mark of used incarnations |
+//! | `service` | a service combined with gossip |
 
 mod endpoint;
 mod incarnation_store;
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -1,4 +1,4 @@
-//! The socket, and the membership over it.
+//! The gossip socket, and the membership on top of it.
 
 use super::incarnation_store;
 use crate::error::ReloadError;
@@ -12,38 +12,40 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Datagrams read in one iteration. Guards the requests: whoever has the key could fill one.
+/// Maximum number of datagrams read in one iteration. Otherwise a sender with the key could delay
+/// the requests by a flood of datagrams.
 const MAX_DATAGRAMS_PER_POLL: usize = 64;
-/// Larger datagrams are none of ours.
+/// Maximum datagram size; peers send no larger ones.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Interval at which the status is shared, where it has changed.
+/// Interval at which a changed status is published.
 const STATUS_PUBLISH_INTERVAL: Micros = 200_000;
-/// The warmth is shared again where it has changed by this much.
+/// Minimum change of the warmth that is published.
 const WARMTH_STEP: f64 = 0.05;
 
-/// The number that the event loop knows the socket by. Listeners for clients have smaller ones.
+/// Listener number under which the event loop reports the socket. Listeners for clients have
+/// smaller numbers.
 pub const LISTENER_NUMBER: usize = (1 << 16) + 2;
 
-/// Reads the keys again.
+/// Loads the keys.
 pub type ReloadKeys = Box<dyn FnMut() -> Result<KeyRing, ReloadError>>;
 
-/// What gossip is created from.
+/// Options of gossip.
 pub struct Options {
-    /// The identity of this process; its incarnation follows from the folder.
+    /// Identity of this process; its incarnation is derived from the folder.
     pub identity: Identity,
-    /// Where it listens. Others may reach that by the identity's address.
+    /// Listening address. Other processes may reach it by the address in the identity.
     pub listen: SocketAddr,
-    /// Processes that are asked for the others.
+    /// Processes that are contacted to join the membership.
     pub contacts: Vec<SocketAddr>,
     /// Intervals and timeouts.
     pub settings: Settings,
-    /// Reads the keys, now and after SIGHUP.
+    /// Loads the keys, at the start and after SIGHUP.
     pub keys: ReloadKeys,
-    /// What outlives the process.
+    /// Folder of the persisted mark of used incarnations.
     pub folder: PathBuf,
 }
 
-/// The status that was shared last.
+/// The status published last.
 #[derive(Clone, Copy)]
 struct PublishedStatus {
     warmth: f64,
@@ -51,7 +53,7 @@
 }
 
 impl PublishedStatus {
-    /// Returns true where the change is large enough to be shared.
+    /// Returns true if the change is large enough to be published.
     fn differs_from(self, earlier: Self) -> bool {
         (self.warmth - earlier.warmth).abs() >= WARMTH_STEP
             || self.is_draining != earlier.is_draining
@@ -59,7 +61,7 @@
     }
 }
 
-/// The socket and the membership over it.
+/// The gossip socket, and the membership on top of it.
 pub struct Gossip<H: GossipHost> {
     host: H,
     socket: H::DatagramSocket,
@@ -68,16 +70,16 @@
     folder: PathBuf,
     /// Datagrams may have arrived.
     is_readable: bool,
-    /// None before the status was shared.
+    /// `None` before the first status is published.
     published_status: Option<PublishedStatus>,
     next_status_at: Micros,
 }
 
 impl<H: GossipHost> Gossip<H> {
-    /// Listens, with an incarnation that no process of this folder had before.
+    /// Listens, with an incarnation that no earlier process of this folder has used.
     ///
     /// # Errors
-    /// Where the address, the keys or the folder can't be used.
+    /// If the address, the keys or the folder can't be used.
     pub fn new(host: H, options: Options) -> io::Result<Self> {
         let Options {
             mut identity,
@@ -111,18 +113,18 @@
         })
     }
 
-    /// Notes that datagrams may have arrived.
+    /// Records that datagrams may have arrived.
     pub fn on_readiness(&mut self) {
         self.is_readable = true;
     }
 
-    /// Returns the membership: which other processes there are.
+    /// Returns the membership.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Reads the keys again.
+    /// Reloads the keys.
     pub fn reload(&mut self) {
         match (self.keys)() {
             Ok(keys) => {
@@ -133,13 +135,12 @@
         }
     }
 
-    /// Shares the status with the next [`poll`](Self::poll).
+    /// Publishes the status with the next [`poll`](Self::poll).
     pub fn publish_status_now(&mut self) {
         self.next_status_at = 0;
     }
 
-    /// Reads datagrams, lets time pass, and sends; returns the time until which there is nothing to
-    /// do.
+    /// Handles datagrams and expired deadlines, and sends; returns the next deadline.
     pub fn poll(&mut self, now: Micros, status: impl Fn() -> Status) -> Micros {
         let has_more = self.read(now);
         if now >= self.next_status_at {
@@ -157,14 +158,14 @@
         self.membership.next_deadline().min(self.next_status_at)
     }
 
-    /// Notifies the others that this process leaves.
+    /// Notifies the other processes that this one leaves.
     pub fn leave(&mut self) {
         let now = self.host.now();
         self.membership.leave(now);
         self.send(now);
     }
 
-    /// Reads what has arrived; returns true where there may be more.
+    /// Reads pending datagrams; returns true if there may be more.
     fn read(&mut self, now: Micros) -> bool {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_POLL {
@@ -178,7 +179,7 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.is_readable = false,
-                // This follows a datagram to a process that is gone, of which gossip tells more.
+                // The error follows a datagram to an ended process, which gossip detects anyway.
                 Err(error) => tracing::trace!(%error, "cluster: receiving failed"),
             }
         }
@@ -205,7 +206,7 @@
 
     fn send(&mut self, now: Micros) {
         for (address, datagram) in self.membership.take_outgoing() {
-            // A datagram that can't be sent counts as one that got lost.
+            // A datagram that can't be sent counts as lost.
             if let Err(error) = self.socket.send(address, &datagram) {
                 tracing::trace!(now, %address, %error, "cluster: sending failed");
             }
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Logs a step of the timeline, in the one format that drawings, tests and checks read.
+    /// Logs a timeline event in the format that the timeline drawings, tests and checks parse.
     fn log_timeline_event(&self, now: Micros, event: fmt::Arguments<'_>) {
         let name = &self.membership.identity().name;
         tracing::info!(target: "timeline", "@ {now} {name} {event}");
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -1,5 +1,5 @@
-//! The mark of used incarnations on the disk, in an embedded store that is open only while it is
-//! read or written.
+//! The persisted mark of used incarnations, in an embedded store that is open only while it is read
+//! or written.
 
 #[cfg(test)]
 mod stored_format;
@@ -10,10 +10,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The key of the mark.
+/// Key of the mark in the store.
 const MARK_KEY: &[u8] = b"incarnation";
 
-/// The folder holds something else than a mark.
+/// The value in the store is not a mark.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: the mark has {length} bytes, and no number of 8", folder.display())]
 struct MalformedMark {
@@ -21,7 +21,7 @@
     length: usize,
 }
 
-/// Returns the incarnations of a process that starts. Their mark is durable by then.
+/// Reserves the incarnations of a starting process. Their mark is durable on return.
 pub(super) fn reserve_incarnations(folder: &Path) -> io::Result<Incarnations> {
     let mut store = open_store(folder)?;
     let mark = read_mark(&store, folder)?;
@@ -30,7 +30,7 @@
     Ok(incarnations)
 }
 
-/// Makes a mark durable.
+/// Writes a mark durably.
 pub(super) fn write_mark(folder: &Path, mark: IncarnationMark) -> io::Result<()> {
     write_mark_synced(&mut open_store(folder)?, mark)
 }
@@ -42,7 +42,7 @@
     Ok(store)
 }
 
-/// Returns the mark, 0 where there is none yet.
+/// Returns the mark, or 0 if there is none yet.
 fn read_mark(store: &Store<OsFolder>, folder: &Path) -> io::Result<u64> {
     let Some(bytes) = store.get(0, MARK_KEY).map_err(io::Error::other)? else {
         return Ok(0);
--- a/crates/server/src/gossip/incarnation_store/stored_format.rs
+++ b/crates/server/src/gossip/incarnation_store/stored_format.rs
@@ -1,6 +1,7 @@
-//! The mark of used incarnations keeps its place and bytes: a start goes on after the mark that release 0.2 wrote.
+//! The mark of used incarnations keeps its key and encoding: a process continues after the mark
+//! that release 0.2 wrote.
 //!
-//! `tests/fixtures/incarnation` is the store of a process in its second life.
+//! `tests/fixtures/incarnation` is the store of a process after its second start.
 
 use super::{open_store, reserve_incarnations, write_mark, MARK_KEY};
 use cleatpulley_membership::incarnation::{IncarnationMark, INCARNATION_BLOCK_SIZE};
--- a/crates/server/src/gossip/incarnation_store/tests.rs
+++ b/crates/server/src/gossip/incarnation_store/tests.rs
@@ -1,4 +1,4 @@
-//! The mark in a folder of the system.
+//! The mark in a folder of the real file system.
 
 use super::*;
 use cleatpulley_membership::incarnation::INCARNATION_BLOCK_SIZE;
--- a/crates/server/src/gossip/service.rs
+++ b/crates/server/src/gossip/service.rs
@@ -1,4 +1,4 @@
-//! A service that gossips.
+//! A service combined with gossip.
 
 use super::endpoint::{Gossip, LISTENER_NUMBER};
 use crate::host::Readiness;
@@ -10,14 +10,14 @@
 use cleatpulley_policy::interface::Micros;
 use std::io;
 
-/// A service, and its gossip with the other processes.
+/// A service, combined with gossip with the other processes.
 pub struct ServiceWithGossip {
     service: Box<dyn Service>,
     gossip: Gossip<OsHost>,
 }
 
 impl ServiceWithGossip {
-    /// Combines the two.
+    /// Combines a service with gossip.
     #[must_use]
     pub fn new(service: Box<dyn Service>, gossip: Gossip<OsHost>) -> Self {
         Self { service, gossip }
@@ -46,7 +46,7 @@
 
     fn begin_shutdown(&mut self) {
         self.service.begin_shutdown();
-        // Others learn of the drain in this iteration.
+        // Other processes are notified of the drain in this iteration.
         self.gossip.publish_status_now();
     }
 
--- a/crates/server/src/os_host.rs
+++ b/crates/server/src/os_host.rs
@@ -1,13 +1,13 @@
 //! The real implementation of [`Host`](crate::host::Host): calloop's event loop, the sockets and
 //! clocks of the system, and threads for the disk.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `event_loop` | what an event loop serves, and how a socket is watched |
-//! | `clock` | the clock of all events |
+//! | `event_loop` | the service that an event loop drives, and registration of sockets |
+//! | `clock` | the clock |
 //! | `sockets` | streams, listeners and datagram sockets |
-//! | `host` | the host itself |
-//! | `serve` | a process that serves: signals, the event loop, status reports |
+//! | `host` | the implementation of the host |
+//! | `serve` | the main loop of a process: signals, the event loop, status reports |
 
 mod clock;
 pub(crate) mod event_loop;
--- a/crates/server/src/os_host/clock.rs
+++ b/crates/server/src/os_host/clock.rs
@@ -1,9 +1,9 @@
-//! The clock of all events.
+//! The clock of the host.
 
 use cleatpulley_policy::interface::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds of the Unix clock at the start, and monotonic from there on.
+/// Clock in microseconds: the Unix time at the start, advanced by a monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Clock {
     unix_at_start: Micros,
--- a/crates/server/src/os_host/event_loop.rs
+++ b/crates/server/src/os_host/event_loop.rs
@@ -1,4 +1,4 @@
-//! What an event loop serves, and how it watches a socket.
+//! The service that an event loop drives, and registration of sockets.
 
 use crate::host::Readiness;
 use crate::socket_owner::SocketOwner;
@@ -12,58 +12,58 @@
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
-/// Access to the event loop.
+/// Handle of the event loop.
 pub type EventLoopHandle = LoopHandle<'static, Box<dyn Service>>;
 
-/// What an event loop serves: a server, or a gateway.
+/// A service that an event loop drives: a server or a gateway.
 pub trait Service {
-    /// Notes that a socket has become readable or writable.
+    /// Records that a socket has become readable or writable.
     fn on_readiness(&mut self, owner: SocketOwner, readiness: Readiness);
 
-    /// Notes that connections may wait to be accepted on a listener.
+    /// Records that connections may be pending on a listener.
     fn on_acceptable(&mut self, listener: usize);
 
-    /// Takes an event of the persistence of idempotency keys.
+    /// Handles an event of the persistence of idempotency keys.
     fn on_persistence_event(&mut self, _event: Event) {}
 
-    /// Takes the persisted reputation of client addresses, once it is loaded.
+    /// Handles the persisted reputation of client addresses once it is loaded.
     fn on_reputation_loaded(&mut self, _entries: Vec<StoredReputation>) {}
 
     /// Begins the graceful shutdown.
     fn begin_shutdown(&mut self);
 
-    /// Reads the configuration again.
+    /// Reloads the configuration.
     fn reload(&mut self);
 
-    /// Does all there is to do; returns the time until which there is nothing but to wait.
+    /// Runs one iteration; returns the next deadline.
     fn poll(&mut self) -> Micros;
 
     /// Returns true once the process may end.
     fn is_finished(&self) -> bool;
 
-    /// Returns the failure that it can't go on after, once.
+    /// Takes the fatal error that the process has to end with, if any.
     fn take_error(&mut self) -> Option<io::Error> {
         None
     }
 
-    /// Closes what is persisted.
+    /// Closes the persistence.
     fn close(&mut self) {}
 
-    /// Returns the status, for the supervisor and for peers.
+    /// Returns the status, for the supervisor and for gossip.
     fn status(&self) -> Status;
 
-    /// Returns the time of its host, in microseconds of the Unix clock.
+    /// Returns the current time of the host, in microseconds of the Unix clock.
     fn now(&self) -> Micros;
 }
 
-/// A registration with the event loop, which ends when this is dropped.
+/// A registration with the event loop, removed when this is dropped.
 pub struct Watch {
     handle: EventLoopHandle,
     token: RegistrationToken,
 }
 
 impl Watch {
-    /// Watches a socket that is only read from or accepted on.
+    /// Registers a socket that is only read from or accepted on.
     pub(crate) fn readable<S: AsFd + 'static>(
         handle: &EventLoopHandle,
         socket: Rc<S>,
@@ -77,7 +77,7 @@
         Self::new(handle, registered.map_err(|failure| failure.error))
     }
 
-    /// Watches a socket that is read from and written to.
+    /// Registers a socket that is read from and written to.
     pub(crate) fn readable_and_writable<S: AsFd + 'static>(
         handle: &EventLoopHandle,
         socket: Rc<S>,
--- a/crates/server/src/os_host/host.rs
+++ b/crates/server/src/os_host/host.rs
@@ -1,4 +1,4 @@
-//! The host of the real system.
+//! Implementation of the host on the operating system.
 
 use super::clock::Clock;
 use super::event_loop::{EventLoopHandle, Watch};
@@ -18,15 +18,15 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Connections that may wait to be accepted on a listener.
+/// Maximum number of pending connections of a listener.
 const LISTEN_BACKLOG: i32 = 1_024;
 
-/// The real system, as one event loop sees it.
+/// The operating system, accessed through one event loop.
 #[derive(Clone)]
 pub struct OsHost {
     handle: EventLoopHandle,
     clock: Clock,
-    /// A listening socket that the process was started with; it becomes the first listener.
+    /// Listening socket inherited from the parent process; it becomes the first listener.
     inherited_listener: Rc<RefCell<Option<TcpListener>>>,
     shares_addresses: bool,
 }
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Lets listening sockets share their addresses with those of other processes that do likewise
-    /// (SO_REUSEPORT), so that a successor can listen in parallel to its predecessor where no
-    /// socket is handed over.
+    /// Sets whether listening sockets share their addresses with those of other processes
+    /// (SO_REUSEPORT), so that a successor can listen in parallel to its predecessor if no socket
+    /// is handed over.
     #[must_use]
     pub fn with_shared_addresses(self, shares_addresses: bool) -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Uses a socket that the process was started with as its first listener.
+    /// Sets the inherited listening socket that becomes the first listener.
     pub(super) fn set_inherited_listener(&self, listener: Option<TcpListener>) {
         *self.inherited_listener.borrow_mut() = listener;
     }
@@ -266,7 +266,7 @@
     }
 
     fn random(&self) -> u64 {
-        // The system's random numbers, as std draws them for its hash maps.
+        // Random number of the operating system, as std uses for the seeds of hash maps.
         RandomState::new().hash_one(self.clock.unix_at_start())
     }
 }
--- a/crates/server/src/os_host/serve.rs
+++ b/crates/server/src/os_host/serve.rs
@@ -1,4 +1,4 @@
-//! A process that serves: its signals, its event loop, and its reports to the supervisor.
+//! Main loop of a process: signals, event loop, and reports to the supervisor.
 
 use super::event_loop::{EventLoopHandle, Service};
 use super::host::OsHost;
@@ -17,7 +17,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// Interval of the status reports to the supervisor.
+/// Interval between status reports to the supervisor.
 const STATUS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Service for Server<OsHost> {
@@ -70,51 +70,50 @@
     }
 }
 
-/// The signals that a process handles: SIGTERM, SIGINT and SIGHUP. They are blocked from the moment
-/// this is created, and handled once the process serves. Guards against a request to shut down or
-/// reload in the first moments of a process, where the default action would kill it.
+/// The signals that a process handles: SIGTERM, SIGINT and SIGHUP. They are blocked when this is
+/// created, and handled once the process serves. Otherwise a request to shut down or reload right
+/// after the start would kill the process by the default action.
 pub struct BlockedSignals(Signals);
 
 impl BlockedSignals {
-    /// Blocks the signals for this thread and those that it starts later.
+    /// Blocks the signals for this thread and threads that it starts later.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the operating system.
     pub fn block() -> io::Result<Self> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
         signals.map(Self).map_err(io::Error::other)
     }
 }
 
-/// What a process was started with, and what it holds from its first moments.
+/// Options of a process from its environment: signals, supervisor and inherited sockets.
 #[derive(Default)]
 pub struct HostOptions {
-    /// Signals that are blocked already; where there are none, they are blocked by
-    /// [`serve_with`].
+    /// Signals that are already blocked; if `None`, [`serve_with`] blocks them.
     pub signals: Option<BlockedSignals>,
     /// The supervisor's socket for status reports.
     pub fleet_link: Option<FleetLink>,
-    /// A listening socket that all instances share.
+    /// Inherited listening socket, shared by all instances.
     pub inherited_listener: Option<TcpListener>,
     /// Other processes of this program may listen on the same addresses.
     pub shares_addresses: bool,
 }
 
-/// Runs a server until it has shut down: SIGTERM and SIGINT begin that, SIGHUP reads the
-/// configuration again. Its status is reported to the supervisor, where there is one.
+/// Runs a server until it has shut down: SIGTERM and SIGINT begin the shutdown, SIGHUP reloads the
+/// configuration. The status is reported to the supervisor, if there is one.
 ///
 /// # Errors
-/// Where the event loop can't be created, the server can't be started, or it can't go on.
+/// If the event loop can't be created, the server can't be started, or it fails.
 pub fn serve(options: Options, reload: Reload, host_options: HostOptions) -> io::Result<()> {
     serve_with(host_options, |host| {
         Ok(Box::new(Server::new(host, options, reload)?))
     })
 }
 
-/// Runs a service that is created on the real host, as [`serve`] does.
+/// Runs a service on the operating system, as [`serve`] does.
 ///
 /// # Errors
-/// Where the event loop or the service can't be created, or the service can't go on.
+/// If the event loop or the service can't be created, or the service fails.
 pub fn serve_with(
     host_options: HostOptions,
     create: impl FnOnce(OsHost) -> io::Result<Box<dyn Service>>,
--- a/crates/server/src/os_host/sockets.rs
+++ b/crates/server/src/os_host/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of the system. Each is watched by the event loop until it is dropped.
+//! Sockets of the operating system, registered with the event loop until they are dropped.
 
 use super::event_loop::Watch;
 use crate::host::{DatagramSocket, Stream};
@@ -7,7 +7,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::rc::Rc;
 
-/// A stream socket, watched for edges.
+/// A stream socket, registered edge-triggered.
 pub struct OsStream {
     pub(super) socket: Rc<TcpStream>,
     pub(super) _watch: Watch,
@@ -23,7 +23,7 @@
     }
 
     fn shutdown_write(&self) {
-        // A peer that is gone already is no failure.
+        // A peer that has already disconnected is not an error.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// The socket on which successors connect.
+/// The listening socket for successors.
 pub struct SuccessorListener {
     pub(super) socket: Rc<Socket>,
     pub(super) _watch: Watch,
 }
 
-/// A datagram socket, watched for edges.
+/// A datagram socket, registered edge-triggered.
 pub struct OsDatagramSocket {
     pub(super) socket: Rc<UdpSocket>,
     pub(super) _watch: Watch,
