--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -67,7 +67,7 @@
             matcher.ajp = Some(matcher.wait_for_address("speaks AJP on ")?);
         }
         if config.get("mgmt").is_some() {
-            matcher.mgmt = Some(matcher.wait_for_address("operators are answered on ")?);
+            matcher.mgmt = Some(matcher.wait_for_address("management endpoint serves on ")?);
         }
         matcher.wait_for("runtime: running")?;
         Ok(matcher)
@@ -103,7 +103,7 @@
     pub fn wait_ready(&mut self, patience: Duration) -> io::Result<Duration> {
         let since = Instant::now();
         if self.mgmt.is_none() {
-            self.mgmt = Some(self.wait_for_address("operators are answered on ")?);
+            self.mgmt = Some(self.wait_for_address("management endpoint serves on ")?);
         }
         while !matches!(self.ask("/_ready"), Ok((200, _))) {
             if since.elapsed() > patience || !self.is_alive() {
--- a/crates/server/src/client_listener/accept.rs
+++ b/crates/server/src/client_listener/accept.rs
@@ -339,7 +339,7 @@
             }
             Decision::Reject(reason) => {
                 let trust_level = admission.trust_level(now, address);
-                tracing::debug!(%address, ?reason, "a connection gets no slot");
+                tracing::debug!(%address, ?reason, "connection rejected without a slot");
                 SlotDecision::Denied(trust_level)
             }
         }
--- a/crates/server/src/gossip/endpoint.rs
+++ b/crates/server/src/gossip/endpoint.rs
@@ -128,10 +128,10 @@
     pub fn reload(&mut self) {
         match (self.keys)() {
             Ok(keys) => {
-                tracing::info!(?keys, "cluster: keys read again");
+                tracing::info!(?keys, "cluster: keys reloaded");
                 self.membership.set_keys(keys);
             }
-            Err(error) => tracing::error!(%error, "cluster: the keys stay as they were"),
+            Err(error) => tracing::error!(%error, "cluster: key reload failed; keys unchanged"),
         }
     }
 
@@ -175,7 +175,7 @@
             match self.socket.receive(&mut buffer) {
                 Ok((length, sender)) => {
                     if let Err(error) = self.membership.handle_datagram(now, &buffer[..length]) {
-                        tracing::debug!(%sender, %error, "cluster: a datagram is dropped");
+                        tracing::debug!(%sender, %error, "cluster: datagram dropped");
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.is_readable = false,
@@ -227,8 +227,8 @@
             Event::Superseded(peer) => {
                 let name = &self.membership.identity().name;
                 tracing::error!(
-                    "cluster: another process has the name {name} by a later incarnation: {peer}; \
-                     this one stays out"
+                    "cluster: another process has the name {name} and a later incarnation: {peer}; \
+                     this process does not rejoin"
                 );
                 self.log_timeline_event(now, format_args!("is superseded <- {peer}"));
             }
@@ -237,12 +237,12 @@
                     tracing::error!(
                         folder = %self.folder.display(),
                         %error,
-                        "cluster: a restart may come back under a number it had"
+                        "cluster: failed to persist the incarnation mark; a restart may reuse an incarnation"
                     );
                 }
             }
             Event::IncarnationsExhausted => {
-                tracing::error!("cluster: no incarnation is left; this process stays out");
+                tracing::error!("cluster: incarnations exhausted; this process does not rejoin");
             }
         }
     }
--- a/crates/server/src/gossip/incarnation_store.rs
+++ b/crates/server/src/gossip/incarnation_store.rs
@@ -15,7 +15,7 @@
 
 /// The value in the store is not a mark.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: the mark has {length} bytes, and no number of 8", folder.display())]
+#[error("{}: the incarnation mark has {length} bytes instead of 8", folder.display())]
 struct MalformedMark {
     folder: PathBuf,
     length: usize,
@@ -38,7 +38,7 @@
 fn open_store(folder: &Path) -> io::Result<Store<OsFolder>> {
     let (store, report) =
         Store::open(OsFolder::new(folder, true)?, Options::default()).map_err(io::Error::other)?;
-    tracing::debug!(folder = %folder.display(), %report, "cluster: the store is open");
+    tracing::debug!(folder = %folder.display(), %report, "cluster: opened the incarnation store");
     Ok(store)
 }
 
--- a/crates/server/src/hot_restart.rs
+++ b/crates/server/src/hot_restart.rs
@@ -95,7 +95,7 @@
                     ErrorKind::NotFound | ErrorKind::ConnectionRefused
                 ) => {}
             Err(error) => {
-                tracing::warn!(%error, "upgrade: the process that serves can't be met");
+                tracing::warn!(%error, "upgrade: failed to connect to the serving process");
                 self.is_predecessor_unknown = true;
             }
         }
@@ -103,7 +103,7 @@
 
     fn begin_takeover(&mut self, channel: H::HandoverChannel, listen_addresses: &[SocketAddr]) {
         tracing::info!(
-            "upgrade: takes the place of the process that serves {}",
+            "upgrade: taking over from the process that serves {}",
             self.handover_address.address
         );
         let now = self.host.now();
--- a/crates/server/src/hot_restart/channel_message.rs
+++ b/crates/server/src/hot_restart/channel_message.rs
@@ -14,7 +14,7 @@
 /// Error that ends a handover channel.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ChannelError {
-    #[error("it ended")]
+    #[error("channel closed by the peer")]
     Closed,
     #[error(transparent)]
     Malformed(#[from] DecodeError),
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -23,7 +23,7 @@
                     if let Message::Rejected { reason } = &message {
                         tracing::warn!(
                             reason = %reason,
-                            "upgrade: the process that serves hands nothing over yet"
+                            "upgrade: the serving process rejected the handover"
                         );
                     }
                     let socket_count = sockets.len();
--- a/crates/server/src/hot_restart/successor_messages.rs
+++ b/crates/server/src/hot_restart/successor_messages.rs
@@ -29,14 +29,14 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 // The process belongs to another user; another one may be pending after it.
                 Err(error) if error.kind() == ErrorKind::PermissionDenied => {
-                    tracing::warn!(%error, "upgrade: a process was not let in");
+                    tracing::warn!(%error, "upgrade: rejected a process of another user");
                 }
                 // The reserved descriptor has been freed for the successor, and accepting is
                 // retried.
                 Err(_) if self.successor_listener.reserved_descriptor.take().is_some() => {}
                 Err(error) => {
                     // The delay prevents a busy loop while file descriptors are short.
-                    tracing::warn!(%error, "upgrade: a successor is not let in yet");
+                    tracing::warn!(%error, "upgrade: failed to accept a successor; retrying");
                     self.successor_listener.accept_at = now + ACCEPT_RETRY_INTERVAL;
                     steps.push(HotRestartStep::FreeDescriptor);
                 }
@@ -97,7 +97,7 @@
             .connect_to_predecessor(&self.handover_address, SocketOwner::Successor);
         // If there is none, the attempt is repeated until the search times out.
         let Ok(channel) = connected else { return };
-        tracing::info!("upgrade: another process has the place of the successor that is gone");
+        tracing::info!("upgrade: connected to the process that took over from the lost successor");
         self.successor.channel = Some(channel);
         let effects = self
             .successor
@@ -147,7 +147,9 @@
             Effect::ResumeAccepting => steps.push(HotRestartStep::ResumeServing),
             Effect::Close => self.successor.channel = None,
             Effect::AttachEarlierPredecessor(usage) => {
-                tracing::info!("upgrade: a process whose successor is gone comes before this one");
+                tracing::info!(
+                    "upgrade: connected to an earlier predecessor whose successor is gone"
+                );
                 if let Some(channel) = self.successor.channel.take() {
                     self.earlier_predecessors.add(channel, usage);
                 }
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -64,7 +64,7 @@
         let (listener, address) = host
             .listen(address, LISTENER_NUMBER)
             .map_err(|source| StartError::ManagementListen { address, source })?;
-        tracing::info!("operators are answered on {address}");
+        tracing::info!("management endpoint serves on {address}");
         Ok(Self {
             host,
             listener,
@@ -189,7 +189,7 @@
             ErrorKind::Interrupted | ErrorKind::ConnectionAborted => ControlFlow::Continue(()),
             _ => {
                 // The delay prevents a busy loop while file descriptors are short.
-                tracing::warn!(%error, "no operator's connection accepted for a while");
+                tracing::warn!(%error, "failed to accept a management connection; pausing");
                 self.free_connection_slot(now);
                 self.accept_at = now + ACCEPT_PAUSE;
                 ControlFlow::Break(())
--- a/crates/server/src/os_host/host.rs
+++ b/crates/server/src/os_host/host.rs
@@ -197,7 +197,7 @@
     fn accept(&self, listener: &Listener, owner: SocketOwner) -> io::Result<(OsStream, IpAddr)> {
         let (socket, address) = listener.socket.accept()?;
         let stream = self.watch_stream(socket, owner).map_err(|error| {
-            tracing::warn!(%error, "a connection can't be watched");
+            tracing::warn!(%error, "failed to register a connection with the event loop");
             io::Error::from(ErrorKind::ConnectionAborted)
         })?;
         Ok((stream, address.ip()))
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -83,7 +83,7 @@
     /// then no key is known, and requests with a key wait.
     fn on_locked(&mut self) {
         if self.lock_attempts == 0 {
-            tracing::info!("results: another process has the store open; waits for it");
+            tracing::info!("results: another process has the store open; waiting for it");
         }
         self.lock_attempts += 1;
     }
@@ -96,7 +96,7 @@
         } = opened;
         if !self.is_recovered {
             tracing::info!(
-                "results: {} keys, {} of them may have run without an end known",
+                "results: {} keys recovered, {} of them with an unknown outcome",
                 recovered.len(),
                 recovered.unknown
             );
@@ -213,7 +213,7 @@
             stats.syncs,
         );
         if let Err(error) = journal.close() {
-            tracing::error!(%error, "results: the store could not be closed well");
+            tracing::error!(%error, "results: failed to close the store");
         }
     }
 }
--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -222,9 +222,9 @@
         self.read_lines(events);
         let sent = self.send();
         if self.is_drained(now) {
-            tracing::info!(address = %self.address, "runtime: moves to another address");
+            tracing::info!(address = %self.address, "runtime: reconnecting to a new address");
             self.is_healthy = false;
-            self.on_link_lost(now, &"it has moved");
+            self.on_link_lost(now, &"address changed");
             self.reconnect_at = now;
             return true;
         }
--- a/crates/server/src/runtime_link/notices.rs
+++ b/crates/server/src/runtime_link/notices.rs
@@ -16,11 +16,11 @@
     /// The line can't be decoded; contains the error of the codec.
     #[error("{0}")]
     Malformed(String),
-    #[error("a call without a number")]
+    #[error("call request without a notice number")]
     CallWithoutNumber,
-    #[error("nack of {0:?}")]
+    #[error("nack of unknown command {0:?}")]
     UnknownCommand(String),
-    #[error("unknown kind {0:?}")]
+    #[error("unknown notice kind {0:?}")]
     UnknownKind(String),
 }
 
@@ -50,7 +50,7 @@
         if input.len() > MAX_LINE_BYTES {
             tracing::warn!(
                 bytes = input.len(),
-                "runtime: a line without an end skipped"
+                "runtime: line beyond the maximum length skipped"
             );
             input.clear();
         }
@@ -88,7 +88,7 @@
         if previous_uptime > uptime + RESTART_MARGIN {
             // The runtime is another process: the runs of the previous one are lost, with their
             // notices.
-            tracing::warn!("runtime: it was started again; what ran there has no end");
+            tracing::warn!("runtime: restarted; its previous runs are lost");
             self.last_notice = 0;
             self.uncertain_commands.clear();
             events.push(Event::RuntimeReplaced);
@@ -117,14 +117,17 @@
             "broken_off" => Outcome::Cancelled,
             "late" => Outcome::NotStarted,
             other => {
-                tracing::warn!(status = other, "runtime: unknown end taken for a failure");
+                tracing::warn!(
+                    status = other,
+                    "runtime: unknown run status counts as a failure"
+                );
                 Outcome::Failure
             }
         };
         // A result that can't be decoded must not reach a client, but the run has ended
         // nevertheless.
         let result = notice.body().unwrap_or_else(|error| {
-            tracing::warn!(request = %line::rid(id), %error, "runtime: a result is lost");
+            tracing::warn!(request = %line::rid(id), %error, "runtime: malformed result; the run counts as a failure");
             outcome = Outcome::Failure;
             Vec::new()
         });
@@ -197,7 +200,7 @@
         other => return Err(NoticeError::UnknownCommand(other.to_owned())),
     };
     let name = &*notice.status;
-    tracing::warn!(command = name, request = %line::rid(id), "runtime: a command is rejected");
+    tracing::warn!(command = name, request = %line::rid(id), "runtime: command rejected");
     events.push(Event::CommandRejected { id, command });
     Ok(())
 }
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -60,7 +60,7 @@
             }
             HotRestartStep::Listen => {
                 tracing::warn!(
-                    "upgrade: nothing was passed on; listens in parallel to the process that serves"
+                    "upgrade: no listener was handed over; listening in parallel to the serving process"
                 );
                 self.listen();
             }
@@ -121,11 +121,11 @@
             }
             Ok(false) => false,
             Err(error) if is_descriptor_shortage(&error) => {
-                tracing::warn!(%address, %error, "upgrade: an inherited listener is not adopted");
+                tracing::warn!(%address, %error, "upgrade: no descriptor is left to adopt an inherited listener");
                 true
             }
             Err(error) => {
-                tracing::warn!(%address, %error, "upgrade: an address is listened on anew");
+                tracing::warn!(%address, %error, "upgrade: an inherited listener is unusable; opening a new one");
                 false
             }
         }
@@ -149,7 +149,7 @@
         if let Some(admission) = self.adapters.client_listener.admission_mut() {
             tracing::info!(
                 addresses = reputation.len(),
-                "upgrade: reputation is taken over"
+                "upgrade: imported the reputation earned with the predecessor"
             );
             admission.import_reputation(now, reputation);
         }
@@ -208,13 +208,13 @@
         self.share_descriptors(now);
         match self.shutdown.on_successor_lost() {
             Some(stop_at) => {
-                tracing::error!("upgrade: the successor is gone, and this process leaves as well");
+                tracing::error!("upgrade: the successor is gone; draining without a successor");
                 // Without a successor the process drains: clients are notified to use other
                 // servers.
                 self.events.push(Event::DrainStarted { stop_at });
                 self.adapters.client_listener.begin_shutdown(now);
             }
-            None => tracing::warn!("upgrade: the successor is gone; takes clients again"),
+            None => tracing::warn!("upgrade: the successor is gone; accepting clients again"),
         }
         // A draining process also listens for successors: a new one gets its listeners with the
         // pending connections.
@@ -263,7 +263,7 @@
         if may_have_in_flight_requests || !self.dispatcher.release_keys() {
             return;
         }
-        tracing::info!("upgrade: the successor has the idempotency keys from here on");
+        tracing::info!("upgrade: released the idempotency keys to the successor");
         self.handover.yield_state = YieldState::KeysReleased;
         storage.release();
         if let Some(hot_restart) = &mut self.handover.hot_restart {
@@ -328,7 +328,7 @@
             }
             Err(failure) if is_descriptor_shortage(&failure.error) => {
                 let ListenFailure { address, error } = failure;
-                tracing::warn!(%address, %error, "upgrade: does not listen yet");
+                tracing::warn!(%address, %error, "upgrade: no descriptor is left to listen; retrying");
                 let retry_listen_at = self.host.now() + LISTEN_RETRY_INTERVAL;
                 self.handover.retry_listen_at = Some(retry_listen_at);
             }
@@ -363,7 +363,7 @@
 }
 
 fn reject_learned_state(error: &impl std::fmt::Display) {
-    tracing::warn!(%error, "upgrade: what the predecessor had learned is not restored");
+    tracing::warn!(%error, "upgrade: failed to restore the learned state of the predecessor");
 }
 
 /// Returns true if no file descriptor is left, in this process or on the whole machine.
--- a/crates/server/src/tls_layer/layer.rs
+++ b/crates/server/src/tls_layer/layer.rs
@@ -18,7 +18,7 @@
 enum TlsError {
     #[error("tls: the first record is too long")]
     FirstRecordTooLong,
-    #[error("tls: too much sent before the handshake could begin")]
+    #[error("tls: too many bytes received before the handshake could begin")]
     TooMuchBuffered,
     /// Error of parsing the client hello or of the session.
     #[error("{0}")]
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -353,7 +353,7 @@
         "one run for each key"
     );
     assert!(
-        new.wait_for("results: 1 keys, 0 of them may have run")
+        new.wait_for("results: 1 keys recovered, 0 of them with an unknown outcome")
             .is_ok(),
         "{}",
         new.log().join("\n")
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -78,7 +78,7 @@
     })
     .expect("a site");
     let matcher = Matcher::start(&program(), &site.config, None).expect("it starts");
-    let mgmt = matcher.mgmt.expect("operators are answered");
+    let mgmt = matcher.mgmt.expect("the management endpoint serves");
     let mut crowd: Vec<TcpStream> = Vec::new();
     for n in 0..600 {
         let to = if n % 2 == 0 { mgmt } else { matcher.frames };
@@ -185,9 +185,14 @@
     let trial = under_load(0.5, 6.0, 12, 12);
     let mut going = trial.start(&program()).expect("it starts");
     // Before it listens, while it asks, and after it has taken over, when what it read dies with it.
-    for (number, words) in ["", "operators are answered", "listens on", "takes clients"]
-        .iter()
-        .enumerate()
+    for (number, words) in [
+        "",
+        "management endpoint serves",
+        "listens on",
+        "takes clients",
+    ]
+    .iter()
+    .enumerate()
     {
         let mut new = going
             .begin_upgrade(&program(), number + 1)
@@ -267,7 +272,9 @@
     second.kill();
     // Where the first had answered all by then, there is nobody to go behind.
     if first.is_alive() {
-        let _ = going.matcher.wait_for("comes before this one");
+        let _ = going
+            .matcher
+            .wait_for("connected to an earlier predecessor");
     }
     assert!(first
         .wait(Duration::from_secs(4))
