--- a/crates/server/src/client_listener/tests.rs
+++ b/crates/server/src/client_listener/tests.rs
@@ -1,5 +1,5 @@
-//! The listener on loopback sockets, on a clock of the test: nothing is read before the test says
-//! so.
+//! Tests of the listener on loopback sockets with a simulated clock: nothing is read unless the
+//! test polls.
 
 use super::accept::ACCEPT_PAUSE;
 use super::client_connection::MIN_SLOT_TIME;
@@ -13,25 +13,26 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Guards against a loop at full speed between the notice of the stop and the stop.
+/// Guards against a busy loop between the stop notice and the stop.
 #[test]
-fn accepts_nothing_once_it_no_longer_listens() {
-    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+fn accepts_nothing_after_listeners_are_closed() {
+    let event_loop = calloop::EventLoop::try_new().expect("event loop is created");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut listener = ClientListener::new(OsHost::new(event_loop.handle()), Vec::new(), 8);
     listener
         .listen(address, ClientProtocol::Frames(Rc::default()))
-        .expect("a port");
+        .expect("socket is bound");
     let mut events = Vec::new();
     listener.notify_stop(1);
     listener.poll(1, &mut events);
     assert!(listener.addresses.is_empty());
-    // A connection that closes leaves room for another.
+    // A closed connection frees a slot.
     listener.on_acceptable(0);
     assert!(!listener.poll(2, &mut events));
 }
 
-/// A listener with a limit of connections, that many accepted connections, and their other ends.
+/// Returns a listener with a connection limit, after `count` clients have connected, and the
+/// clients' sockets.
 fn connect_clients(
     max_connections: usize,
     count: usize,
@@ -40,7 +41,7 @@
     ClientListener<OsHost>,
     Vec<TcpStream>,
 ) {
-    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+    let event_loop = calloop::EventLoop::try_new().expect("event loop is created");
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut listener = ClientListener::new(
         OsHost::new(event_loop.handle()),
@@ -49,12 +50,12 @@
     );
     let address = listener
         .listen(address, ClientProtocol::Frames(Rc::default()))
-        .expect("a port");
-    let ends = (0..count)
-        .map(|_| TcpStream::connect(address).expect("it listens"))
+        .expect("socket is bound");
+    let clients = (0..count)
+        .map(|_| TcpStream::connect(address).expect("listener accepts connections"))
         .collect();
     listener.poll(1, &mut Vec::new());
-    (event_loop, listener, ends)
+    (event_loop, listener, clients)
 }
 
 fn numbers(listener: &ClientListener<OsHost>) -> Vec<u64> {
@@ -70,7 +71,7 @@
     listener
         .connections
         .get_mut(&number)
-        .expect("it stands")
+        .expect("connection is open")
         .machine
         .status_mut()
 }
@@ -79,75 +80,76 @@
     connection.lingering_since.is_none() && connection.machine.status().standing == Standing::Open
 }
 
-/// Guards against clients that take all slots and send nothing.
+/// Guards against clients that occupy all slots and send nothing.
 #[test]
-fn longest_silent_connection_gives_up_its_slot() {
-    let (_event_loop, mut listener, _ends) = connect_clients(2, 3);
+fn longest_silent_connection_is_evicted() {
+    let (_event_loop, mut listener, _clients) = connect_clients(2, 3);
     assert_eq!(
         numbers(&listener),
         [1, 2],
-        "what was accepted just now keeps its place"
+        "newly accepted connections keep their slots"
     );
     status(&mut listener, 1).spoken = true;
     listener.poll(1 + ACCEPT_PAUSE, &mut Vec::new());
     assert_eq!(numbers(&listener), [1, 3]);
-    // A request that is open is never given up for a place.
+    // A connection with an open request is never evicted.
     status(&mut listener, 3).open = 1;
-    let _end = TcpStream::connect(_ends[0].peer_addr().expect("an address")).expect("it listens");
+    let _client = TcpStream::connect(_clients[0].peer_addr().expect("socket has an address"))
+        .expect("listener accepts connections");
     listener.on_acceptable(0);
     listener.poll(SECOND, &mut Vec::new());
     assert_eq!(numbers(&listener), [1, 3]);
 }
 
-/// Guards against clients that send one request and keep their connection for good; connections in
-/// use are not affected.
+/// Guards against clients that send one request and keep their connection open; connections in use
+/// are not affected.
 #[test]
-fn longest_idle_connections_are_asked_to_close_while_slots_run_short() {
-    let (_event_loop, mut listener, _ends) = connect_clients(9, 8);
+fn longest_idle_connections_are_notified_to_close_while_slots_are_scarce() {
+    let (_event_loop, mut listener, _clients) = connect_clients(9, 8);
     for (number, connection) in &mut listener.connections {
         let status = connection.machine.status_mut();
         (status.spoken, status.waits, status.used) = (true, None, *number);
     }
     status(&mut listener, 1).open = 1;
     listener.poll(SECOND, &mut Vec::new());
-    let parting = |listener: &ClientListener<OsHost>| {
-        let mut parting: Vec<_> = listener
+    let closing_numbers = |listener: &ClientListener<OsHost>| {
+        let mut closing_numbers: Vec<_> = listener
             .connections
             .iter()
             .filter(|(_, connection)| !is_open(connection))
-            .map(|(n, _)| *n)
+            .map(|(number, _)| *number)
             .collect();
-        parting.sort_unstable();
-        parting
+        closing_numbers.sort_unstable();
+        closing_numbers
     };
-    assert_eq!(parting(&listener), [2, 3]);
+    assert_eq!(closing_numbers(&listener), [2, 3]);
     listener.poll(SECOND + SWEEP_INTERVAL, &mut Vec::new());
     assert_eq!(
-        parting(&listener),
+        closing_numbers(&listener),
         [2, 3],
-        "six of nine places are no crowd"
+        "six of nine slots are no shortage"
     );
 }
 
-/// Guards against taking a pause of the machine for silence.
+/// Guards against counting a pause of the machine as idle time of the clients.
 #[test]
-fn pause_of_the_machine_is_no_silence_of_the_clients() {
-    let (_event_loop, mut listener, _ends) = connect_clients(8, 2);
+fn machine_pause_does_not_count_as_idle_time_of_clients() {
+    let (_event_loop, mut listener, _clients) = connect_clients(8, 2);
     listener.poll(9 * SECOND, &mut Vec::new());
     assert!(listener.connections.values().all(is_open));
-    for turn in 1..=20 {
-        listener.poll(9 * SECOND + turn * SWEEP_INTERVAL, &mut Vec::new());
+    for iteration in 1..=20 {
+        listener.poll(9 * SECOND + iteration * SWEEP_INTERVAL, &mut Vec::new());
     }
     assert!(!listener.connections.values().any(is_open));
 }
 
-/// What the event loop reports of a connection on which bytes have arrived.
+/// Readiness of a connection on which bytes have arrived.
 const READABLE: Readiness = Readiness {
     readable: true,
     writable: true,
 };
 
-/// A request of this id, as a frame on stream 1.
+/// Returns a request with this id, as a frame on stream 1.
 fn request(id: u64) -> Vec<u8> {
     let fields = [
         ("verb", "look"),
@@ -168,7 +170,7 @@
     frame
 }
 
-/// The same with one request class.
+/// Does the same as [`connect_clients`], with one request class.
 fn connect_clients_of_class(
     max_connections: usize,
     count: usize,
@@ -177,12 +179,12 @@
     ClientListener<OsHost>,
     Vec<TcpStream>,
 ) {
-    let (event_loop, mut listener, ends) = connect_clients(max_connections, count);
+    let (event_loop, mut listener, clients) = connect_clients(max_connections, count);
     listener.context.class_names = vec!["look".to_owned()];
-    (event_loop, listener, ends)
+    (event_loop, listener, clients)
 }
 
-fn arrived(events: &[Event]) -> Vec<u64> {
+fn read_request_ids(events: &[Event]) -> Vec<u64> {
     let id = |event: &Event| match event {
         Event::RequestRead(arrival) => Some(arrival.id),
         _ => None,
@@ -190,100 +192,101 @@
     events.iter().filter_map(id).collect()
 }
 
-/// The bytes that the peer finds up to the end of the connection; a reset is an error.
-fn rest(end: &mut TcpStream) -> std::io::Result<Vec<u8>> {
-    end.set_read_timeout(Some(std::time::Duration::from_secs(10)))
-        .expect("a time-out");
+/// Returns the bytes that the peer reads until the connection closes; a reset is an error.
+fn read_until_close(client: &mut TcpStream) -> std::io::Result<Vec<u8>> {
+    client
+        .set_read_timeout(Some(std::time::Duration::from_secs(10)))
+        .expect("timeout is set");
     let mut bytes = Vec::new();
-    std::io::Read::read_to_end(end, &mut bytes).map(|_| bytes)
+    std::io::Read::read_to_end(client, &mut bytes).map(|_| bytes)
 }
 
-/// A request was written before its connection's slot is wanted, and was not reported yet. The
-/// other order, where the slot is wanted first and there is no request: that connection is closed.
+/// A request arrives before its connection is considered for eviction, but its readiness was not
+/// reported yet: the connection stays. In the other order, without a request, the connection is
+/// closed.
 #[test]
-fn slot_is_not_taken_from_a_connection_with_an_unread_request() {
-    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(2, 3);
+fn connection_with_an_unread_request_is_not_evicted() {
+    let (_event_loop, mut listener, mut clients) = connect_clients_of_class(2, 3);
     assert_eq!(numbers(&listener), [1, 2]);
-    std::io::Write::write_all(&mut ends[0], &request(7)).expect("it is taken");
+    std::io::Write::write_all(&mut clients[0], &request(7)).expect("bytes are sent");
     let mut events = Vec::new();
     listener.poll(1 + ACCEPT_PAUSE, &mut events);
-    assert_eq!(arrived(&events), [7], "the silent longest was not silent");
     assert_eq!(
-        numbers(&listener),
-        [1, 3],
-        "the place was taken from the next"
+        read_request_ids(&events),
+        [7],
+        "the longest silent connection has a request"
     );
+    assert_eq!(numbers(&listener), [1, 3], "the next connection is evicted");
 }
 
-/// Half a request arrives before the notice of the stop, the other half after the time for it: the
-/// request is accepted. A connection with nothing before the notice is closed.
+/// The first part of a request arrives before the stop notice, the second part after the parting
+/// time: the request is accepted. A connection without any bytes before the notice is closed.
 #[test]
 fn partial_request_keeps_its_connection_until_it_is_complete() {
-    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 2);
-    let whole = request(9);
-    let (before, after) = whole.split_at(20);
-    std::io::Write::write_all(&mut ends[0], before).expect("it is taken");
+    let (_event_loop, mut listener, mut clients) = connect_clients_of_class(8, 2);
+    let frame = request(9);
+    let (first_part, second_part) = frame.split_at(20);
+    std::io::Write::write_all(&mut clients[0], first_part).expect("bytes are sent");
     let mut events = Vec::new();
     listener.on_readiness(1, READABLE);
     listener.on_readiness(2, READABLE);
     listener.poll(2, &mut events);
     listener.notify_stop(3);
     listener.poll(3, &mut events);
-    let late = 3 + PARTING + SWEEP_INTERVAL;
-    listener.poll(late, &mut events);
-    listener.poll(late + 1, &mut events);
+    let after_parting = 3 + PARTING + SWEEP_INTERVAL;
+    listener.poll(after_parting, &mut events);
+    listener.poll(after_parting + 1, &mut events);
     assert!(
         listener.connections[&1].lingering_since.is_none(),
-        "half a request is on its way"
+        "the request is incomplete"
     );
     assert!(
         listener.connections[&2].lingering_since.is_some(),
-        "nothing came on this one"
+        "no request has arrived"
     );
-    std::io::Write::write_all(&mut ends[0], after).expect("it is taken");
+    std::io::Write::write_all(&mut clients[0], second_part).expect("bytes are sent");
     listener.on_readiness(1, READABLE);
-    listener.poll(late + 2, &mut events);
-    assert_eq!(arrived(&events), [9]);
+    listener.poll(after_parting + 2, &mut events);
+    assert_eq!(read_request_ids(&events), [9]);
     listener.respond(
-        late + 3,
+        after_parting + 3,
         ClientStream {
             connection: 1,
             stream: 1,
         },
         &Response::Failed,
     );
-    listener.flush(late + 3, &mut events);
-    listener.poll(late + 4, &mut events);
+    listener.flush(after_parting + 3, &mut events);
+    listener.poll(after_parting + 4, &mut events);
     assert!(
         listener.connections[&1].lingering_since.is_some(),
-        "and then nothing holds it"
+        "the request has its response"
     );
 }
 
-/// The other half never arrives.
+/// The second part of a request never arrives.
 #[test]
-fn partial_request_does_not_keep_its_connection_for_ever() {
-    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
-    std::io::Write::write_all(&mut ends[0], &request(9)[..20]).expect("it is taken");
+fn partial_request_keeps_its_connection_for_a_limited_time() {
+    let (_event_loop, mut listener, mut clients) = connect_clients_of_class(8, 1);
+    std::io::Write::write_all(&mut clients[0], &request(9)[..20]).expect("bytes are sent");
     listener.on_readiness(1, READABLE);
     listener.poll(2, &mut Vec::new());
     listener.notify_stop(3);
-    for turn in 1..=25 {
-        listener.poll(3 + turn * SWEEP_INTERVAL, &mut Vec::new());
+    for iteration in 1..=25 {
+        listener.poll(3 + iteration * SWEEP_INTERVAL, &mut Vec::new());
     }
     assert!(listener.connections[&1].lingering_since.is_some());
 }
 
-/// A response was sent and the write side closed; the client has not read it yet when a notice for
-/// all connections follows. Any further byte would be answered by a reset, which takes the response
-/// back.
+/// A response was sent and the write side closed; the client has not read it yet when a notice to
+/// all connections follows. Any further byte would cause a reset, which loses the response.
 #[test]
 fn sends_nothing_more_once_the_write_side_is_closed() {
-    let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
-    std::io::Write::write_all(&mut ends[0], &request(5)).expect("it is taken");
-    ends[0]
+    let (_event_loop, mut listener, mut clients) = connect_clients_of_class(8, 1);
+    std::io::Write::write_all(&mut clients[0], &request(5)).expect("bytes are sent");
+    clients[0]
         .shutdown(std::net::Shutdown::Write)
-        .expect("a half close");
+        .expect("write side is closed");
     let mut events = Vec::new();
     listener.on_readiness(1, READABLE);
     listener.poll(2, &mut events);
@@ -296,7 +299,10 @@
         &Response::Served(b"done".to_vec()),
     );
     listener.flush(3, &mut events);
-    let connection = listener.connections.get_mut(&1).expect("it stands");
+    let connection = listener
+        .connections
+        .get_mut(&1)
+        .expect("connection is open");
     connection.stream.shutdown_write();
     connection.lingering_since = Some(3);
     listener.notify_stop(4);
@@ -305,30 +311,30 @@
     listener.sweep(4 + 3 * SECOND, &mut events);
     assert_eq!(listener.connections[&1].stream.unsent_bytes(), 0);
     drop(listener);
-    let bytes = rest(&mut ends[0]).expect("no reset");
+    let bytes = read_until_close(&mut clients[0]).expect("connection was not reset");
     assert!(bytes.ends_with(b"done"), "{bytes:?}");
 }
 
-/// A connection waits in the queue, with its request, when the stop is announced: it is accepted,
-/// given the notice, and its request accepted. The other order: a connection after the queue is
-/// closed is refused, which proves that nothing ran.
+/// A connection with a request is pending in the accept queue at the stop notice: it is accepted
+/// and notified, and its request is accepted. In the other order, a connection after the listener
+/// is closed is refused, which proves that nothing ran.
 #[test]
-fn connection_that_waits_when_the_stop_is_near_gets_its_response() {
-    let (_event_loop, mut listener, ends) = connect_clients_of_class(8, 1);
-    let address = ends[0].peer_addr().expect("an address");
-    let mut end = TcpStream::connect(address).expect("it listens");
-    std::io::Write::write_all(&mut end, &request(3)).expect("it is taken");
+fn connection_pending_at_the_stop_notice_gets_its_response() {
+    let (_event_loop, mut listener, clients) = connect_clients_of_class(8, 1);
+    let address = clients[0].peer_addr().expect("socket has an address");
+    let mut client = TcpStream::connect(address).expect("listener accepts connections");
+    std::io::Write::write_all(&mut client, &request(3)).expect("bytes are sent");
     listener.notify_stop(2);
     let mut events = Vec::new();
     listener.poll(2, &mut events);
     assert!(
         TcpStream::connect(address).is_err(),
-        "nobody waits there unseen"
+        "the listener is closed"
     );
     assert_eq!(numbers(&listener), [1, 2]);
     listener.on_readiness(2, READABLE);
     listener.poll(3, &mut events);
-    assert_eq!(arrived(&events), [3]);
+    assert_eq!(read_request_ids(&events), [3]);
     listener.respond(
         4,
         ClientStream {
@@ -340,54 +346,58 @@
     listener.flush(4, &mut events);
     let mut goodbye = Vec::new();
     frame::codec::push_goodbye(&mut goodbye);
-    let mut got = vec![0; goodbye.len()];
-    std::io::Read::read_exact(&mut end, &mut got).expect("a word");
-    assert_eq!(got, goodbye);
+    let mut received = vec![0; goodbye.len()];
+    std::io::Read::read_exact(&mut client, &mut received).expect("goodbye has arrived");
+    assert_eq!(received, goodbye);
 }
 
-/// A request arrives on an idle connection when that one is asked to close: both orders end with
-/// the request accepted, and the write side closed no sooner than it has its response.
+/// A request arrives on an idle connection while its client is notified to close: in both orders
+/// the request is accepted, and the write side is not closed before the response was sent.
 #[test]
-fn request_that_crosses_the_notice_to_close_is_accepted() {
-    for before in [true, false] {
-        let (_event_loop, mut listener, mut ends) = connect_clients_of_class(8, 1);
+fn request_that_crosses_the_close_notice_is_accepted() {
+    for arrives_before_notice in [true, false] {
+        let (_event_loop, mut listener, mut clients) = connect_clients_of_class(8, 1);
         status(&mut listener, 1).spoken = true;
         status(&mut listener, 1).waits = None;
         listener.set_idle_timeout(SECOND);
         let mut events = Vec::new();
-        let idle = 1 + 2 * SECOND;
-        if before {
-            std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
+        let idle_timeout_at = 1 + 2 * SECOND;
+        if arrives_before_notice {
+            std::io::Write::write_all(&mut clients[0], &request(4)).expect("bytes are sent");
             listener.on_readiness(1, READABLE);
         }
-        listener.poll(idle, &mut events);
+        listener.poll(idle_timeout_at, &mut events);
         assert_eq!(
             is_open(&listener.connections[&1]),
-            before,
-            "what has come is read before silence is judged"
+            arrives_before_notice,
+            "received bytes are read before the idle check"
         );
-        if !before {
-            std::io::Write::write_all(&mut ends[0], &request(4)).expect("it is taken");
+        if !arrives_before_notice {
+            std::io::Write::write_all(&mut clients[0], &request(4)).expect("bytes are sent");
             listener.on_readiness(1, READABLE);
-            listener.poll(idle + MIN_SLOT_TIME, &mut events);
+            listener.poll(idle_timeout_at + MIN_SLOT_TIME, &mut events);
         }
-        assert_eq!(arrived(&events), [4]);
-        listener.poll(idle + 2 * PARTING, &mut events);
+        assert_eq!(read_request_ids(&events), [4]);
+        listener.poll(idle_timeout_at + 2 * PARTING, &mut events);
         assert!(
             listener.connections[&1].lingering_since.is_none(),
-            "an answer is owed"
+            "a response is pending"
         );
     }
 }
 
-/// The limit was lowered when connections had just been accepted, which keep their slots for a
-/// moment: they are closed after it, and not before.
+/// The limit is lowered right after connections were accepted: they are closed after the minimum
+/// slot time, and not before.
 #[test]
-fn connections_above_a_lowered_limit_are_closed_once_they_may() {
-    let (_event_loop, mut listener, _ends) = connect_clients(8, 6);
+fn connections_above_a_lowered_limit_are_closed_after_the_minimum_slot_time() {
+    let (_event_loop, mut listener, _clients) = connect_clients(8, 6);
     let mut events = Vec::new();
     listener.set_connection_limit(2, 3, &mut events);
     assert_eq!(listener.connection_count(), 6);
     listener.poll(1 + SWEEP_INTERVAL, &mut events);
-    assert_eq!(numbers(&listener), [4, 5, 6], "the silent longest first");
+    assert_eq!(
+        numbers(&listener),
+        [4, 5, 6],
+        "the longest silent ones are closed first"
+    );
 }
--- a/crates/server/src/dependency_pool/tests.rs
+++ b/crates/server/src/dependency_pool/tests.rs
@@ -1,17 +1,16 @@
-//! The pool on loopback sockets that are never served, on a clock of the test.
+//! Tests of the pool on loopback sockets that are never accepted, with a simulated clock.
 
 use super::*;
 use crate::os_host::OsHost;
 
-/// Guards against more connections than the pool may hold; calls that wait too long get no reply
-/// either.
+/// Guards against exceeding the connection limit; queued calls time out as well.
 #[test]
 fn calls_beyond_the_connection_limit_wait_and_time_out() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("socket is bound");
+    let event_loop = calloop::EventLoop::try_new().expect("event loop is created");
     let mut pool = DependencyPool::new(
         OsHost::new(event_loop.handle()),
-        listener.local_addr().expect("an address"),
+        listener.local_addr().expect("socket has an address"),
         DependencyProtocol::Http,
         2,
     );
@@ -45,28 +44,28 @@
     assert_eq!(
         (pool.connections.len(), pool.waiting.len()),
         (2, 0),
-        "the next call has the connection"
+        "the next call gets the connection"
     );
     events.clear();
     pool.poll(4_000, &mut events);
-    let mut ends = ended_calls(&events);
-    ends.sort_by_key(|end| end.0);
+    let mut ended = ended_calls(&events);
+    ended.sort_by_key(|end| end.0);
     assert_eq!(
-        ends,
+        ended,
         [(2, Outcome::TimedOut, 4_000), (4, Outcome::TimedOut, 4_000)]
     );
     assert_eq!((pool.connections.len(), pool.busy.len()), (0, 0));
 }
 
-/// Guards against connections that the dependency closed while they were idle: a call that may be
-/// repeated is made again on a fresh one, unnoticed by the run and the controller.
+/// Guards against connections that the dependency closed while they were idle: an idempotent call
+/// is retried on a new connection, and neither the run nor the controller notices.
 #[test]
 fn repeats_a_call_on_a_stale_connection_once() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("socket is bound");
+    let event_loop = calloop::EventLoop::try_new().expect("event loop is created");
     let mut pool = DependencyPool::new(
         OsHost::new(event_loop.handle()),
-        listener.local_addr().expect("an address"),
+        listener.local_addr().expect("socket has an address"),
         DependencyProtocol::Http,
         2,
     );
@@ -89,7 +88,7 @@
     assert_eq!(
         pool.next_deadline(),
         Some(9_000),
-        "the time left is the same"
+        "the deadline is unchanged"
     );
     pool.connections
         .values_mut()
--- a/crates/server/src/handover_channel/tests.rs
+++ b/crates/server/src/handover_channel/tests.rs
@@ -1,75 +1,91 @@
 use super::*;
 use std::net::TcpStream;
 
-/// Guards against a peer that passes what it should not: nothing is accepted from it.
+/// Guards against a peer that passes a socket other than the expected listener: it is rejected.
 #[test]
 fn adopts_only_a_socket_that_listens_on_the_address() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
-    let passed = |fd: OwnedFd| ReceivedSocket(fd);
-    let copy = listener.try_clone().expect("a descriptor");
-    assert!(passed(copy.into()).into_listener(at).is_ok());
-    let copy = listener.try_clone().expect("a descriptor");
-    let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("socket is bound");
+    let address = listener.local_addr().expect("socket has an address");
+    let received = |fd: OwnedFd| ReceivedSocket(fd);
+    let duplicate = listener.try_clone().expect("descriptor is duplicated");
+    assert!(received(duplicate.into()).into_listener(address).is_ok());
+    let duplicate = listener.try_clone().expect("descriptor is duplicated");
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     assert!(
-        passed(copy.into()).into_listener(anywhere).is_ok(),
+        received(duplicate.into()).into_listener(any_port).is_ok(),
         "the system chose the port"
     );
-    let copy = listener.try_clone().expect("a descriptor");
-    let other = SocketAddr::from(([127, 0, 0, 1], at.port() ^ 1));
+    let duplicate = listener.try_clone().expect("descriptor is duplicated");
+    let other_address = SocketAddr::from(([127, 0, 0, 1], address.port() ^ 1));
     assert!(
-        passed(copy.into()).into_listener(other).is_err(),
-        "it listens elsewhere"
+        received(duplicate.into())
+            .into_listener(other_address)
+            .is_err(),
+        "other address"
     );
-    let connection = TcpStream::connect(at).expect("it listens");
+    let connection = TcpStream::connect(address).expect("listener accepts connections");
     assert!(
-        passed(connection.into()).into_listener(at).is_err(),
-        "a connection"
+        received(connection.into()).into_listener(address).is_err(),
+        "connected socket"
     );
-    let datagrams = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let own = datagrams.local_addr().expect("an address");
+    let datagrams = std::net::UdpSocket::bind("127.0.0.1:0").expect("socket is bound");
+    let datagram_address = datagrams.local_addr().expect("socket has an address");
     assert!(
-        passed(datagrams.into()).into_listener(own).is_err(),
-        "no stream"
+        received(datagrams.into())
+            .into_listener(datagram_address)
+            .is_err(),
+        "datagram socket"
+    );
+    let file = std::fs::File::open("/dev/null").expect("file opens");
+    assert!(
+        received(file.into()).into_listener(address).is_err(),
+        "not a socket"
     );
-    let file = std::fs::File::open("/dev/null").expect("it is there");
-    assert!(passed(file.into()).into_listener(at).is_err(), "no socket");
 }
 
 #[test]
-fn processes_meet_by_folder_name_and_address_and_a_dead_one_is_not_found() {
+fn processes_find_each_other_by_folder_name_and_address_while_the_listener_is_alive() {
     let folder = std::env::temp_dir().join(format!("cleatpulley-meet-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let meeting = HandoverAddress {
+    std::fs::create_dir_all(&folder).expect("folder is usable");
+    let handover_address = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 5_050)),
     };
-    let nobody = |meeting: &HandoverAddress| {
-        connect(meeting)
+    let connect_error_kind = |handover_address: &HandoverAddress| {
+        connect(handover_address)
             .map(drop)
-            .expect_err("nobody is there")
+            .expect_err("no process is listening")
             .kind()
     };
-    assert_eq!(nobody(&meeting), io::ErrorKind::NotFound);
-    let first = listen(&meeting).expect("a socket");
-    let _visitor = connect(&meeting).expect("it is there");
+    assert_eq!(
+        connect_error_kind(&handover_address),
+        io::ErrorKind::NotFound
+    );
+    let first = listen(&handover_address).expect("socket is listening");
+    let _client = connect(&handover_address).expect("peer is listening");
     assert!(accept(&first).is_ok());
     assert_eq!(
-        accept(&first).map(drop).expect_err("nobody waits").kind(),
+        accept(&first)
+            .map(drop)
+            .expect_err("no connection is pending")
+            .kind(),
         io::ErrorKind::WouldBlock
     );
-    // Its successor takes the name; the first one's end takes nothing away.
-    let second = listen(&meeting).expect("a socket");
+    // The second process takes over the path; closing the first listener does not remove it.
+    let second = listen(&handover_address).expect("socket is listening");
     drop(first);
-    let _visitor = connect(&meeting).expect("the second is there");
+    let _client = connect(&handover_address).expect("second process is listening");
     assert!(accept(&second).is_ok());
     drop(second);
-    assert_eq!(nobody(&meeting), io::ErrorKind::ConnectionRefused);
-    let elsewhere = HandoverAddress {
+    assert_eq!(
+        connect_error_kind(&handover_address),
+        io::ErrorKind::ConnectionRefused
+    );
+    let other_server = HandoverAddress {
         name: "n2".to_owned(),
-        ..meeting
+        ..handover_address
     };
-    assert_eq!(nobody(&elsewhere), io::ErrorKind::NotFound);
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    assert_eq!(connect_error_kind(&other_server), io::ErrorKind::NotFound);
+    std::fs::remove_dir_all(&folder).expect("folder is removed");
 }
--- a/crates/server/src/hot_restart/tests.rs
+++ b/crates/server/src/hot_restart/tests.rs
@@ -1,4 +1,4 @@
-//! Hot restart between two and three processes over real sockets.
+//! Tests of hot restart between two and three processes over real sockets.
 
 use super::*;
 use crate::host::HandoverChannel as _;
@@ -12,38 +12,38 @@
     listeners: &[(SocketAddr, Option<&crate::os_host::Listener>)],
 ) -> Vec<HotRestartStep<OsHost>> {
     let mut steps = Vec::new();
-    // Edges are seen by an event loop that does not run here.
+    // The event loop that reports readiness does not run in this test.
     hot_restart.on_acceptable();
     hot_restart.poll(now, true, listeners, ProcessUsage::default, &mut steps);
     steps
 }
 
-/// Guards the process that serves against whoever else connects to its socket: it goes on, and the
+/// Guards the serving process against malformed peers on its socket: it continues to serve, and the
 /// next successor gets the listener.
 #[test]
-fn malformed_peers_change_nothing_for_the_next_successor() {
+fn malformed_peers_do_not_affect_the_next_successor() {
     let event_loop: EventLoop<'static, Box<dyn Service>> =
-        EventLoop::try_new().expect("an event loop");
+        EventLoop::try_new().expect("event loop is created");
     let host = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-visit-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("folder is usable");
     let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
-        .expect("a listening socket");
+        .expect("listener is created");
     let handover_address = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
-    let fresh = HandoverAddress {
+    let unbound_address = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         ..handover_address.clone()
     };
-    let mut old = HotRestart::new(host.clone(), fresh, &[]);
-    assert!(old.is_serving());
-    old.listen_for_successors(address);
+    let mut predecessor_process = HotRestart::new(host.clone(), unbound_address, &[]);
+    assert!(predecessor_process.is_serving());
+    predecessor_process.listen_for_successors(address);
     let listeners = [(address, Some(&listener))];
-    let hello = |name: &str| Message::Hello {
+    let hello_message = |name: &str| Message::Hello {
         version: PROTOCOL_VERSION,
         name: name.into(),
         addresses: vec![address],
@@ -52,101 +52,105 @@
     for malformed in [
         b"GET / HTTP/1.1".to_vec(),
         vec![0xFF; 70_000],
-        hello("n2").encode(),
+        hello_message("n2").encode(),
         Message::HandoverRequest {}.encode(),
     ] {
         let peer = host
             .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
-            .expect("it is there");
-        peer.send(&malformed, &[]).expect("it is taken");
-        assert!(poll(&mut old, now, &listeners).is_empty());
+            .expect("peer is listening");
+        peer.send(&malformed, &[]).expect("bytes are sent");
+        assert!(poll(&mut predecessor_process, now, &listeners).is_empty());
         assert!(
-            old.is_serving() && old.successor.protocol.can_accept_peer(),
+            predecessor_process.is_serving()
+                && predecessor_process.successor.protocol.can_accept_peer(),
             "{}",
             malformed.escape_ascii()
         );
     }
-    // A peer that sends nothing keeps others out for a limited time.
-    let silent = host
+    // A peer that sends nothing blocks others for a limited time.
+    let silent_peer = host
         .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
-        .expect("it is there");
-    poll(&mut old, now, &listeners);
+        .expect("peer is listening");
+    poll(&mut predecessor_process, now, &listeners);
     let second = host
         .connect_to_predecessor(&handover_address, SocketOwner::Predecessor)
-        .expect("it is there");
-    poll(&mut old, now, &listeners);
-    let (bytes, _) = second.receive().expect("an answer");
+        .expect("peer is listening");
+    poll(&mut predecessor_process, now, &listeners);
+    let (bytes, _) = second.receive().expect("response has arrived");
     assert!(matches!(
         Message::decode(&bytes),
         Ok(Message::Rejected { .. })
     ));
     now += predecessor::HANDOVER_TIMEOUT;
-    poll(&mut old, now, &listeners);
-    assert!(old.successor.protocol.can_accept_peer());
-    drop(silent);
-    let mut new = HotRestart::new(host.clone(), handover_address, &[address]);
-    assert!(!new.is_serving());
-    poll(&mut old, now, &listeners);
-    let steps = poll(&mut new, now, &[]);
-    let adopts = |step: &HotRestartStep<OsHost>| matches!(step, HotRestartStep::AdoptListeners(listeners) if listeners.len() == 1);
-    assert!(steps.iter().any(adopts), "the socket came");
-    poll(&mut new, now, &[]);
-    let steps = poll(&mut old, now, &listeners);
+    poll(&mut predecessor_process, now, &listeners);
+    assert!(predecessor_process.successor.protocol.can_accept_peer());
+    drop(silent_peer);
+    let mut successor_process = HotRestart::new(host.clone(), handover_address, &[address]);
+    assert!(!successor_process.is_serving());
+    poll(&mut predecessor_process, now, &listeners);
+    let steps = poll(&mut successor_process, now, &[]);
+    let adopts_one_listener = |step: &HotRestartStep<OsHost>| matches!(step, HotRestartStep::AdoptListeners(listeners) if listeners.len() == 1);
+    assert!(
+        steps.iter().any(adopts_one_listener),
+        "the socket was received"
+    );
+    poll(&mut successor_process, now, &[]);
+    let steps = poll(&mut predecessor_process, now, &listeners);
     assert!(
         steps
             .iter()
             .any(|step| matches!(step, HotRestartStep::YieldConnections))
-            && old.has_yielded()
+            && predecessor_process.has_yielded()
     );
-    old.on_connections_yielded(ProcessUsage::default(), String::new(), Vec::new());
-    let steps = poll(&mut new, now, &[]);
+    predecessor_process.on_connections_yielded(ProcessUsage::default(), String::new(), Vec::new());
+    let steps = poll(&mut successor_process, now, &[]);
     assert!(
         steps
             .iter()
             .any(|step| matches!(step, HotRestartStep::Serve))
-            && new.is_serving()
+            && successor_process.is_serving()
     );
-    drop(new);
-    let steps = poll(&mut old, now, &listeners);
+    drop(successor_process);
+    let steps = poll(&mut predecessor_process, now, &listeners);
     assert!(
-        steps.is_empty() && old.is_orphaned(),
-        "another may have the place"
+        steps.is_empty() && predecessor_process.is_orphaned(),
+        "another process may have taken over"
     );
     now += predecessor::ORPHAN_SEARCH_TIME;
-    let steps = poll(&mut old, now, &listeners);
+    let steps = poll(&mut predecessor_process, now, &listeners);
     assert!(
         steps
             .iter()
             .any(|step| matches!(step, HotRestartStep::ResumeServing))
-            && old.is_serving(),
-        "it takes clients again"
+            && predecessor_process.is_serving(),
+        "accepts clients again"
     );
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    std::fs::remove_dir_all(&folder).expect("folder is removed");
 }
 
-/// Guards the cores and the descriptors against two processes that use the same share: the first of
-/// three processes connects to the third once the one between them died, and what the first uses
-/// counts there until it is free.
+/// Guards against two processes that use the same share of cores and descriptors: the first of
+/// three processes connects to the third after the second died, and the usage of the first counts
+/// there until it is freed.
 #[test]
-fn process_whose_successor_died_counts_in_the_next_successors_usage() {
+fn usage_of_a_process_whose_successor_died_counts_for_the_next_successor() {
     let event_loop: EventLoop<'static, Box<dyn Service>> =
-        EventLoop::try_new().expect("an event loop");
+        EventLoop::try_new().expect("event loop is created");
     let host = OsHost::new(event_loop.handle());
     let folder = std::env::temp_dir().join(format!("cleatpulley-chain-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("folder is usable");
     let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
-        .expect("a listening socket");
+        .expect("listener is created");
     let handover_address = HandoverAddress {
         folder: folder.clone(),
         name: "n1".to_owned(),
         address,
     };
-    let fresh = HandoverAddress {
+    let unbound_address = HandoverAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         ..handover_address.clone()
     };
-    let mut first = HotRestart::new(host.clone(), fresh.clone(), &[]);
+    let mut first = HotRestart::new(host.clone(), unbound_address.clone(), &[]);
     first.listen_for_successors(address);
     let listeners = [(address, Some(&listener))];
     let mut second = HotRestart::new(host.clone(), handover_address, &[address]);
@@ -159,20 +163,20 @@
     first.on_connections_yielded(ProcessUsage::default(), String::new(), Vec::new());
     poll(&mut second, now, &[]);
     assert!(second.is_serving());
-    let mut third = HotRestart::new(host.clone(), fresh, &[]);
+    let mut third = HotRestart::new(host.clone(), unbound_address, &[]);
     third.listen_for_successors(address);
     drop(second);
-    let left = ProcessUsage {
+    let remaining_usage = ProcessUsage {
         running_requests: 3,
         memory_kb: 40.0,
         dependency_calls: 2,
         descriptors: 9,
     };
     let mut steps = Vec::new();
-    first.poll(now, true, &listeners, || left, &mut steps);
+    first.poll(now, true, &listeners, || remaining_usage, &mut steps);
     assert!(
         steps.is_empty() && first.has_yielded() && !first.is_orphaned(),
-        "it takes no clients again"
+        "does not accept clients again"
     );
     let last_usage = |steps: &[HotRestartStep<OsHost>]| {
         let usage = |step: &HotRestartStep<OsHost>| match step {
@@ -181,21 +185,31 @@
         };
         steps.iter().filter_map(usage).next_back()
     };
-    assert_eq!(last_usage(&poll(&mut third, now, &listeners)), Some(left));
-    assert!(third.has_predecessor(), "and is waited for");
+    assert_eq!(
+        last_usage(&poll(&mut third, now, &listeners)),
+        Some(remaining_usage)
+    );
+    assert!(
+        third.has_predecessor(),
+        "the first process is still connected"
+    );
     drop(first);
     let steps = poll(&mut third, now, &listeners);
-    assert_eq!(last_usage(&steps), Some(left), "what runs can't be stopped");
+    assert_eq!(
+        last_usage(&steps),
+        Some(remaining_usage),
+        "runs continue after the process ended"
+    );
     now += 1_000_000;
-    let runs = ProcessUsage {
+    let run_usage = ProcessUsage {
         running_requests: 3,
         memory_kb: 40.0,
         ..ProcessUsage::default()
     };
     assert_eq!(
         last_usage(&poll(&mut third, now, &listeners)),
-        Some(runs),
-        "its connections are gone"
+        Some(run_usage),
+        "its connections are closed"
     );
     now += 3_000_000;
     assert_eq!(
@@ -203,5 +217,5 @@
         Some(ProcessUsage::default())
     );
     assert!(!third.has_predecessor());
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    std::fs::remove_dir_all(&folder).expect("folder is removed");
 }
--- a/crates/server/src/os_host/tests.rs
+++ b/crates/server/src/os_host/tests.rs
@@ -1,4 +1,4 @@
-//! Options of the sockets that the host creates.
+//! Tests of the socket options that the host sets.
 
 use super::*;
 use crate::host::Host as _;
@@ -6,22 +6,22 @@
 use calloop::EventLoop;
 use std::net::SocketAddr;
 
-/// Guards against small writes that the system holds back: a close over unread bytes would take
-/// them back.
+/// Guards against small writes delayed by Nagle's algorithm: a close with unread bytes would lose
+/// them.
 #[test]
 fn streams_of_both_sides_send_small_writes_at_once() {
-    let event_loop = EventLoop::try_new().expect("an event loop");
+    let event_loop = EventLoop::try_new().expect("event loop is created");
     let host = OsHost::new(event_loop.handle());
     let (listener, address) = host
         .listen(SocketAddr::from(([127, 0, 0, 1], 0)), 0)
-        .expect("a port");
+        .expect("socket is bound");
     let connected = host
         .connect(address, SocketOwner::Runtime)
-        .expect("it listens");
+        .expect("listener accepts connections");
     let (accepted, _) = host
         .accept(&listener, SocketOwner::ClientConnection(1))
-        .expect("it waits");
+        .expect("connection is pending");
     for stream in [connected, accepted] {
-        assert!(stream.socket.nodelay().expect("an option"));
+        assert!(stream.socket.nodelay().expect("socket option is readable"));
     }
 }
--- a/crates/server/src/runtime_link/tests.rs
+++ b/crates/server/src/runtime_link/tests.rs
@@ -1,19 +1,19 @@
-//! The link on loopback sockets, on a clock of the test.
+//! Tests of the link on loopback sockets with a simulated clock.
 
 use super::*;
 use crate::os_host::OsHost;
 
-/// A second change of address while the link departs from the first. Guards against a mark that is
-/// never sent: the link would be closed only at its deadline, and no command go out until then.
+/// The address changes a second time while the link drains. Guards against waiting for a mark that
+/// is never sent: the link would be closed only at its deadline, and no command sent until then.
 #[test]
-fn departing_link_is_closed_by_its_first_mark_after_a_second_move() {
-    let event_loop = calloop::EventLoop::try_new().expect("an event loop");
+fn draining_link_is_closed_by_its_first_mark_after_a_second_address_change() {
+    let event_loop = calloop::EventLoop::try_new().expect("event loop is created");
     let listeners: Vec<_> = (0..3)
-        .map(|_| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"))
+        .map(|_| std::net::TcpListener::bind("127.0.0.1:0").expect("socket is bound"))
         .collect();
     let addresses: Vec<_> = listeners
         .iter()
-        .map(|listener| listener.local_addr().expect("an address"))
+        .map(|listener| listener.local_addr().expect("socket has an address"))
         .collect();
     let mut runtime = RuntimeLink::new(
         OsHost::new(event_loop.handle()),
@@ -22,7 +22,7 @@
         Vec::new(),
     );
     runtime.connect(0);
-    runtime.link.as_mut().expect("it connects").state = LinkState::Ready;
+    runtime.link.as_mut().expect("link is connecting").state = LinkState::Ready;
     runtime.relocate(1_000, addresses[1]);
     let draining = runtime.state();
     assert_eq!(
@@ -38,8 +38,11 @@
     runtime.confirm(1, &mut events);
     assert!(
         runtime.poll(3_000, &mut events) && !runtime.is_connected(),
-        "proved, and closed at once"
+        "the mark is confirmed and the link closed"
     );
     runtime.poll(3_000, &mut events);
-    assert!(listeners[2].accept().is_ok(), "and the next is the newest");
+    assert!(
+        listeners[2].accept().is_ok(),
+        "the next link uses the latest address"
+    );
 }
--- a/crates/server/tests/wire_format.rs
+++ b/crates/server/tests/wire_format.rs
@@ -1,16 +1,16 @@
-//! What an instance says to its fleet's daemon keeps its bytes: the daemon may be of release 0.2.
+//! The status reports of an instance keep their format: the fleet's daemon may be of release 0.2.
 //!
-//! `fixtures/instance.jsonl` is what release 0.2 says, with 77 in the place of the process id.
+//! `fixtures/instance.jsonl` holds the reports of release 0.2, with the process id replaced by 77.
 
 use cleatpulley_server::status_report::{FleetLink, Status, StatusReporter};
 use std::io::Read;
 use std::os::unix::net::UnixListener;
 
 #[test]
-fn says_to_the_daemon_what_release_0_2_says() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn reports_the_status_in_the_format_of_release_0_2() {
+    let folder = tempfile::tempdir().expect("folder is usable");
     let socket = folder.path().join("status.sock");
-    let listener = UnixListener::bind(&socket).expect("it listens");
+    let listener = UnixListener::bind(&socket).expect("listener accepts connections");
     let token = "0123456789abcdef0123456789abcdef".to_owned();
     let mut reporter = StatusReporter::new(
         FleetLink {
@@ -37,16 +37,16 @@
         ..status
     });
     drop(reporter);
-    let mut said = String::new();
+    let mut report = String::new();
     listener
         .accept()
-        .expect("it came")
+        .expect("reporter has connected")
         .0
-        .read_to_string(&mut said)
-        .expect("text");
+        .read_to_string(&mut report)
+        .expect("reports are UTF-8");
     let process = format!("\"pid\":{}}}", std::process::id());
     assert_eq!(
-        said.replace(&process, "\"pid\":77}"),
+        report.replace(&process, "\"pid\":77}"),
         include_str!("fixtures/instance.jsonl")
     );
 }
