--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -4,11 +4,11 @@
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::relay::{Act, Relay, Report};
 use cleatpulley_emulators::target::Setup;
-use cleatpulley_routes::expect::{check, Came, File};
+use cleatpulley_routes::balancer::Balancer;
+use cleatpulley_routes::expectations::{check_expectations, ExpectationFile, Outcome};
 use cleatpulley_routes::import::Import;
-use cleatpulley_routes::locate::{Locator, Taken};
+use cleatpulley_routes::location_index::{LocationIndex, LocationMatch};
 use cleatpulley_routes::model::{Pool, Routes};
-use cleatpulley_routes::pool::Balancer;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -45,11 +45,11 @@
 
 fn routes(text: String) -> Result<Routes, String> {
     let import = Import::read(&BTreeMap::from([("f".to_owned(), text.into_bytes())]), "f");
-    if import.is_whole() {
+    if import.is_complete() {
         return Ok(import.routes);
     }
     Err(import
-        .findings
+        .diagnostics
         .first()
         .map_or("not imported".to_owned(), ToString::to_string))
 }
@@ -92,7 +92,7 @@
             .map(|prefix| format!("location {prefix} {{ return 200; }}\n"))
             .collect();
         let routes = routes(format!("server {{\n{text}}}\n"))?;
-        let locator = Locator::new(&routes.servers[0].locations)?;
+        let locator = LocationIndex::new(&routes.servers[0].locations)?;
         let mut random = SmallRng::seed_from_u64(5);
         let paths: Vec<String> = (0..4_096)
             .map(|_| format!("{}grid/7", prefixes[random.random_range(0..count)]))
@@ -105,7 +105,9 @@
             let found = by_each
                 .max_by_key(|(_, prefix)| prefix.len())
                 .map(|(number, _)| number as u32);
-            if locator.find(path.as_bytes()) != found.map_or(Taken::Nobody, Taken::By) {
+            if locator.find(path.as_bytes())
+                != found.map_or(LocationMatch::NotFound, LocationMatch::Found)
+            {
                 short.push(format!("{path}: the trie and a look at each prefix differ"));
             }
         }
@@ -166,9 +168,9 @@
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
         took.as_secs_f64() * 1e3,
-        import.directives
+        import.directive_count
     );
-    if took > Duration::from_secs(1) || !import.is_whole() {
+    if took > Duration::from_secs(1) || !import.is_complete() {
         short.push(format!(
             "an import of {lines} lines takes {:.1} s",
             took.as_secs_f64()
@@ -182,7 +184,7 @@
     let import = Import::read(&files, "f");
     say!(
         "10 MB of noise: refused with {} findings after {:.0} ms",
-        import.findings.len(),
+        import.diagnostics.len(),
         begun.elapsed().as_secs_f64() * 1e3
     );
 }
@@ -212,18 +214,18 @@
             { "name": "few move", "requests": [seat], "moves": { "from": "before", "at_most": 0.07 } },
         ],
     });
-    let file_of: File = serde_json::from_value(expected).map_err(|e| e.to_string())?;
+    let file_of: ExpectationFile = serde_json::from_value(expected).map_err(|e| e.to_string())?;
     let (now, before) = (routes(file(15))?, routes(file(16))?);
     let begun = Instant::now();
-    let reports = check(&now, &file_of, &|_| Ok(before.clone()))?;
+    let reports = check_expectations(&now, &file_of, &|_| Ok(before.clone()))?;
     let took = begun.elapsed().as_secs_f64();
-    let tried: usize = reports.iter().map(|report| report.tried).sum();
+    let tried: usize = reports.iter().map(|report| report.requests_checked).sum();
     let held = reports.iter().filter(|report| report.holds()).count();
     say!("expectations over 30,000 subjects: {took:.2} s for {tried} requests; {held} of 4 hold");
     // One popular subject is on its own in another cell, which two of them have to find.
     let broken = reports
         .iter()
-        .filter(|report| matches!(report.came, Came::Broken { .. }))
+        .filter(|report| matches!(report.outcome, Outcome::Broken { .. }))
         .count();
     if took > 5.0 || held != 2 || broken != 2 {
         short.push(format!(
@@ -245,7 +247,7 @@
     let (before, after) = (Balancer::new(&whole, 1), Balancer::new(&less, 1));
     let address = |balancer: &Balancer, key: &str| {
         balancer
-            .home(key.as_bytes())
+            .preferred_target(key.as_bytes())
             .and_then(|at| balancer.addresses().nth(at).map(str::to_owned))
     };
     let (mut counts, mut moved, mut needless) = (BTreeMap::new(), 0, 0);
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -2,7 +2,7 @@
 
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::model::Routes;
-use cleatpulley_routes::syntax::Files;
+use cleatpulley_routes::syntax::FileSource;
 use std::path::Path;
 
 /// A file that is larger is no configuration.
@@ -11,7 +11,7 @@
 /// The files of this machine.
 pub struct Disk;
 
-impl Files for Disk {
+impl FileSource for Disk {
     fn read(&self, name: &str) -> Result<Vec<u8>, String> {
         let about = std::fs::metadata(name).map_err(|e| e.to_string())?;
         if !about.is_file() {
@@ -26,7 +26,7 @@
         std::fs::read(name).map_err(|e| e.to_string())
     }
 
-    fn matching(&self, pattern: &str) -> Result<Vec<String>, String> {
+    fn expand_glob(&self, pattern: &str) -> Result<Vec<String>, String> {
         if !pattern.contains(['*', '?', '[']) {
             return Ok(vec![pattern.to_owned()]);
         }
@@ -56,26 +56,27 @@
     if file.extension().is_some_and(|end| end == "json") {
         let text = Disk.read(name).map_err(|e| format!("{name}: {e}"))?;
         let routes: Routes = serde_json::from_slice(&text).map_err(|e| format!("{name}: {e}"))?;
-        if let Some((location, pool)) = routes.without_pool() {
+        if let Some((location, pool)) = routes.find_missing_pool() {
             return Err(format!(
                 "{name}: location {}{}: there is no pool {pool:?}",
-                location.how.sign(),
+                location.match_kind.modifier(),
                 location.pattern
             ));
         }
-        cleatpulley_routes::table::Table::new(&routes).map_err(|what| format!("{name}: {what}"))?;
+        cleatpulley_routes::router::Router::new(&routes)
+            .map_err(|what| format!("{name}: {what}"))?;
         return Ok(routes);
     }
     let import = Import::read(&Disk, name);
-    if import.is_whole() {
+    if import.is_complete() {
         return Ok(import.routes);
     }
     let faults = import
-        .findings
+        .diagnostics
         .iter()
-        .filter(|one| one.gravity != cleatpulley_routes::place::Gravity::Differs);
+        .filter(|one| one.severity != cleatpulley_routes::diagnostic::Severity::Difference);
     let told: Vec<_> = faults
-        .map(cleatpulley_routes::place::Finding::pointed)
+        .map(cleatpulley_routes::diagnostic::Diagnostic::render)
         .collect();
     Err(told.join("\n"))
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -19,7 +19,7 @@
 use cleatpulley_protocol::ajp::server::{
     ClassLookup, ParameterDefaults, ParameterSource, ParameterSources, Settings,
 };
-use cleatpulley_routes::table::Decision;
+use cleatpulley_routes::router::RouteDecision;
 use cleatpulley_server::{dependency_pool, AjpOptions, IdempotencyOptions};
 use jrsonnet_evaluator::error::Error as EvaluationError;
 use jrsonnet_evaluator::{EvaluationState, FileImportResolver};
@@ -90,7 +90,7 @@
     results: Option<results::ResultsSection>,
     admission: Option<admission::AdmissionSection>,
     tls: Option<tls::TlsSection>,
-    /// Read by [`fleet::Fleet::load`]: it concerns the daemon alone.
+    /// Read by [`fleet::FleetConfig::load`]: it concerns the daemon alone.
     #[serde(rename = "fleet")]
     _fleet: Option<serde::de::IgnoredAny>,
     /// Read by [`gateway::load`]: a gateway is a process of its own.
@@ -422,7 +422,7 @@
 /// Classes of an imported table: a route has to name one, and where it leads is another's affair.
 #[derive(Debug)]
 struct Imported {
-    table: cleatpulley_routes::table::Table,
+    table: cleatpulley_routes::router::Router,
     listen: Option<String>,
     classes: Vec<String>,
 }
@@ -430,15 +430,17 @@
 impl ClassLookup for Imported {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
         let asked = asked(self.listen.as_deref(), head);
-        match self.table.decide(&asked).map_err(|what| (404, what))? {
-            Decision::Pass {
+        match self.table.route(&asked).map_err(|what| (404, what))? {
+            RouteDecision::Forward {
                 class: Some(class), ..
             } => {
                 let found = self.classes.iter().position(|known| *known == class);
                 found.ok_or_else(|| (404, format!("{class:?} is no class")))
             }
-            Decision::Pass { .. } => Err((404, "this route has no class".to_owned())),
-            Decision::Answer { code, text, .. } => Err((code, text)),
+            RouteDecision::Forward { .. } => Err((404, "this route has no class".to_owned())),
+            RouteDecision::Respond {
+                status: code, text, ..
+            } => Err((code, text)),
         }
     }
 
@@ -454,7 +456,7 @@
 ) -> Result<Arc<dyn ClassLookup>, Wrong> {
     let fault = |what| ("routes_from".to_owned(), what);
     let routes = crate::nginx::load(file).map_err(fault)?;
-    let table = cleatpulley_routes::table::Table::new(&routes).map_err(fault)?;
+    let table = cleatpulley_routes::router::Router::new(&routes).map_err(fault)?;
     Ok(Arc::new(Imported {
         table,
         listen,
