--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,6 @@
-//! Codecs and connection state machines: frames and AJP on the client side, the runtime's lines, and the HTTP that
-//! is spoken with store, directory and operators. Bytes and time in; requests, bytes and a deadline out; no sockets.
+//! Codecs and connection state machines: frames and AJP for clients, JSON lines for the runtime,
+//! and HTTP for the store, the directory and operators. They take bytes and the time, and return
+//! requests, bytes to send and a deadline; sockets are the caller's.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/protocol/src/state_machine.rs
+++ b/crates/protocol/src/state_machine.rs
@@ -1,38 +1,40 @@
-//! What every protocol's connection is to the matcher: a state machine that takes bytes and time, and returns
-//! requests, bytes to send and a deadline. The matcher accepts, reads, sends, closes and counts places the same
-//! way for all of them.
+//! The interface of a client connection, the same for every protocol: a state machine that takes
+//! bytes and the time, and returns requests, bytes to send and a deadline. Accepting, reading,
+//! sending, closing and counting connection slots are the matcher's and don't depend on the
+//! protocol.
 
 use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
 
-/// How far a connection has come.
+/// Whether a connection still takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
     /// Requests are read.
     Open,
-    /// No new request may come, which the peer was told at this time; it closes when all is answered, or we do.
+    /// The peer was told at this time that no new request is accepted. One of the two sides closes
+    /// the connection once all requests have their responses.
     Draining(Micros),
-    /// Nothing more can be read; it is closed when all is answered.
+    /// Nothing more is read; the connection is closed once all requests have their responses.
     Closing,
 }
 
-/// What the matcher has to know of a connection, whatever it speaks.
+/// The state of a connection that the matcher needs, independent of the protocol.
 #[derive(Debug, Clone)]
 pub struct ConnectionStatus {
-    /// How far it has come.
+    /// Whether the connection still takes requests.
     pub state: ConnectionState,
-    /// Requests that were handed over and owe an answer.
+    /// Number of requests that were handed over and have no response yet.
     pub open_requests: usize,
-    /// When something whole last came or went.
+    /// When the last complete message was received or sent.
     pub last_activity_at: Micros,
-    /// Since when the rest of something is waited for, or the first message.
+    /// Since when the first message, or the rest of an incomplete message, is awaited.
     pub waiting_since: Option<Micros>,
-    /// A whole message has come.
+    /// Whether a complete message has been received.
     pub has_received_message: bool,
 }
 
 impl ConnectionStatus {
-    /// That of a connection accepted now.
+    /// Returns the status of a connection accepted at `now`.
     #[must_use]
     pub fn new(now: Micros) -> Self {
         Self {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Nothing is open on it and nothing on its way, though it has been used.
+    /// Returns whether the connection has been used, and has neither an open request nor an
+    /// incomplete message.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.state == ConnectionState::Open
@@ -54,62 +57,66 @@
     }
 }
 
-/// What a state machine is told with every input.
+/// What is passed to a state machine with every input.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The time.
+    /// The current time.
     pub now: Micros,
-    /// The number of the connection; never used again.
+    /// Unique number of the connection; never reused.
     pub connection_id: u64,
-    /// Names of the classes, by index.
+    /// Names of the request classes, by index.
     pub class_names: &'a [String],
-    /// Health checks are answered good.
+    /// Whether health checks are answered as healthy.
     pub is_healthy: bool,
-    /// The free value that answers carry.
+    /// The feedback value that responses carry.
     pub feedback: Option<f64>,
 }
 
-/// A connection of the client side.
+/// The state machine of a client connection.
 pub trait ConnectionStateMachine {
-    /// What the matcher has to know.
+    /// Returns the status of the connection.
     fn status(&self) -> &ConnectionStatus;
 
-    /// The same, for the matcher's own bookkeeping: a pause of the machine is no silence of the peer.
+    /// Returns the status for the matcher to adjust: a pause of the host must not count as silence
+    /// of the peer.
     fn status_mut(&mut self) -> &mut ConnectionStatus;
 
-    /// Takes what is whole from the front of the bytes read and returns how many it used up; the rest comes again
-    /// with what follows it. Requests are handed over, answers that need none of them are appended to `out`.
+    /// Reads the complete messages at the front of `input` and returns the number of bytes
+    /// consumed; the caller passes the rest again with the bytes that follow. Appends complete
+    /// requests to `requests`, and to `output` the responses that need no request.
     fn receive(
         &mut self,
         context: &Context,
         input: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) -> usize;
 
-    /// Answers a request; false where the connection owes no answer on this stream.
+    /// Sends the response to the request on this stream. Returns false if no request is open there.
     fn respond(
         &mut self,
         context: &Context,
         stream: u32,
         response: &Response,
-        out: &mut Vec<u8>,
+        output: &mut Vec<u8>,
     ) -> bool;
 
-    /// Streams on which requests were handed over and that nobody waits for any more, each told once: no answer is owed.
+    /// Returns the streams whose requests the client has cancelled, each one once. No response is
+    /// sent for them.
     fn take_cancelled_streams(&mut self) -> Vec<u32> {
         Vec::new()
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due, if nothing happens before.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) is to be called, if there is no input
+    /// before.
     fn deadline(&self) -> Option<Micros>;
 
-    /// The deadline has passed: gives up what was waited for.
-    fn handle_timeout(&mut self, context: &Context, out: &mut Vec<u8>);
+    /// Handles a passed deadline: gives up on what was awaited.
+    fn handle_timeout(&mut self, context: &Context, output: &mut Vec<u8>);
 
-    /// The notice to leave has come: requests are still read, but the peer should go elsewhere.
-    fn begin_shutdown(&mut self, context: &Context, out: &mut Vec<u8>);
+    /// Begins the shutdown: requests are still read, but the peer should use another server.
+    fn begin_shutdown(&mut self, context: &Context, output: &mut Vec<u8>);
 
-    /// No new request is taken from here on.
-    fn stop_accepting_requests(&mut self, context: &Context, out: &mut Vec<u8>);
+    /// Stops accepting new requests.
+    fn stop_accepting_requests(&mut self, context: &Context, output: &mut Vec<u8>);
 }
