--- a/crates/server/src/runtime_link.rs
+++ b/crates/server/src/runtime_link.rs
@@ -163,13 +163,13 @@
 
     /// Resumes a run with the reply to its call.
     pub fn resume_with_reply(&mut self, id: RequestId, body: &[u8]) {
-        let line = runtime_line::encode_call_reply(id, body);
+        let line = runtime_line::encode_resume_with_reply(id, body);
         self.push_command(line, id, RuntimeCommand::ResumeWithReply);
     }
 
     /// Resumes a run without making its call, which the runtime asked for with this notice.
     pub fn resume_without_call(&mut self, id: RequestId, notice: u64) {
-        let line = runtime_line::encode_call_omission(id, notice);
+        let line = runtime_line::encode_resume_without_call(id, notice);
         self.push_command(line, id, RuntimeCommand::ResumeWithoutCall);
     }
 
