--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -135,7 +135,7 @@
                 continue;
             };
             let output = connection.stream.output();
-            if connection.protocol.expire(now, output) {
+            if connection.protocol.handle_timeout(now, output) {
                 self.connections.remove(&number);
             } else {
                 self.serve(now, number, answers);
