--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -1,165 +1,168 @@
-//! The codec of front end frames: bytes to frames and requests, answers to bytes. No sockets here.
+//! The codec of front end frames: decodes frames and requests, encodes responses. No sockets here.
 
 use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::{Micros, RequestId};
 use std::ops::Range;
 
-/// A request, and its answer.
+/// Frame type: a request.
 pub const REQUEST: u8 = 0;
-/// The answer to a request, or an error that belongs to none.
+/// Frame type: the response to a request, or an error that belongs to no request.
 pub const RESPONSE: u8 = 1;
-/// Nobody waits for this stream any more.
+/// Frame type: the client cancels the request on this stream.
 pub const CANCEL: u8 = 2;
-/// A health check.
+/// Frame type: a health check.
 pub const HEALTH_CHECK: u8 = 6;
-/// The answer to a health check.
+/// Frame type: the response to a health check.
 pub const HEALTH_RESPONSE: u8 = 7;
-/// No new request on this connection.
+/// Frame type: no new request is accepted on this connection.
 pub const GO_AWAY: u8 = 9;
 
-const SERVED: u8 = 0;
-const REFUSED: u8 = 1;
-const FAILED: u8 = 2;
+const STATUS_SERVED: u8 = 0;
+const STATUS_REJECTED: u8 = 1;
+const STATUS_FAILED: u8 = 2;
 
-/// Type and stream, which the length counts too.
-const HEAD: usize = 5;
-const LENGTHS: Range<usize> = HEAD..262_145;
-/// No good frame has a larger payload: its fields take less than half of this, its body at most 2 KiB. What
-/// is larger is passed over as it comes, so that no peer makes us hold a quarter of a megabyte.
-const LARGEST: usize = 16_384;
-const LARGEST_BODY: usize = 2_048;
-const LARGEST_RESULT: usize = 4_096;
-/// A key is no longer than this.
+/// Bytes of the type and the stream, which the length field includes.
+const HEADER_BYTES: usize = 5;
+const VALID_LENGTHS: Range<usize> = HEADER_BYTES..262_145;
+/// No valid frame has a larger payload: its fields take less than half of this, and its body at
+/// most 2 KiB. A larger payload is skipped as it arrives, so that no peer makes us buffer a quarter
+/// of a megabyte.
+const MAX_PAYLOAD_BYTES: usize = 16_384;
+const MAX_BODY_BYTES: usize = 2_048;
+const MAX_RESULT_BYTES: usize = 4_096;
+/// Maximum length of an idempotency key.
 pub const MAX_KEY_BYTES: usize = 256;
-/// Memory booked for a request stays under this many KB.
-const MOST_MEMORY: f64 = 2_000.0;
+/// The memory reserved for a request is below this, in KB.
+const MEMORY_LIMIT_KB: f64 = 2_000.0;
 
-/// What stands at the front of the bytes read.
+/// What is at the front of the bytes received.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ParsedFrame {
-    /// Not all of it has come.
+    /// The frame is incomplete.
     Incomplete,
-    /// A whole frame of so many bytes.
+    /// A complete frame.
     Frame {
-        /// Its type.
+        /// The type of the frame.
         kind: u8,
-        /// Its stream.
+        /// The stream of the frame.
         stream: u32,
-        /// Where its payload stands.
+        /// Range of the payload in the input.
         payload: Range<usize>,
     },
-    /// The head of a frame with too large a payload.
+    /// The head of a frame whose payload is too large.
     Oversized {
-        /// Its type.
+        /// The type of the frame.
         kind: u8,
-        /// Its stream.
+        /// The stream of the frame.
         stream: u32,
-        /// Bytes of the whole frame.
+        /// Number of bytes of the whole frame.
         frame_bytes: usize,
     },
-    /// A length that no frame has; nothing after it can be read.
+    /// An invalid length: nothing after it can be read.
     InvalidLength(usize),
 }
 
-/// Looks at the front of the bytes.
+/// Parses the head of the frame at the front of the bytes.
 #[must_use]
 pub fn parse_frame(bytes: &[u8]) -> ParsedFrame {
     let Some(length) = bytes.first_chunk().map(|b| u32::from_be_bytes(*b) as usize) else {
         return ParsedFrame::Incomplete;
     };
-    if !LENGTHS.contains(&length) {
+    if !VALID_LENGTHS.contains(&length) {
         return ParsedFrame::InvalidLength(length);
     }
     let (Some(&kind), Some(stream)) = (bytes.get(4), bytes.get(5..).and_then(|b| b.first_chunk()))
     else {
         return ParsedFrame::Incomplete;
     };
-    let (stream, whole) = (u32::from_be_bytes(*stream), 4 + length);
-    if length - HEAD > LARGEST {
+    let (stream, frame_bytes) = (u32::from_be_bytes(*stream), 4 + length);
+    if length - HEADER_BYTES > MAX_PAYLOAD_BYTES {
         return ParsedFrame::Oversized {
             kind,
             stream,
-            frame_bytes: whole,
+            frame_bytes,
         };
     }
-    if bytes.len() < whole {
+    if bytes.len() < frame_bytes {
         return ParsedFrame::Incomplete;
     }
     ParsedFrame::Frame {
         kind,
         stream,
-        payload: 4 + HEAD..whole,
+        payload: 4 + HEADER_BYTES..frame_bytes,
     }
 }
 
-/// A request as it stands in its frame.
+/// A request as encoded in its frame.
 #[derive(Debug, PartialEq)]
 pub struct Request<'a> {
-    /// The class's name.
+    /// Name of the request class.
     pub class: &'a str,
-    /// The id.
+    /// Request id.
     pub id: RequestId,
-    /// Arrival at the machine, on the Unix clock.
+    /// When the request arrived at the host, in Unix microseconds.
     pub received_at: Micros,
-    /// The front end.
+    /// Number of the front end.
     pub caller: u64,
-    /// Expected work.
+    /// Expected work, in microseconds.
     pub expected_work: Micros,
     /// Memory in KB.
     pub memory_kb: f64,
-    /// Rank.
+    /// Rank, from 0 to below 1.
     pub rank: f64,
-    /// A further try, or a second copy.
+    /// Whether this is a retry or a second copy of a request.
     pub is_retry: bool,
-    /// It names what it is about.
+    /// Whether the request names its subject.
     pub has_subject: bool,
-    /// What all its tries share, where a field was named for it.
+    /// The idempotency key, shared by all attempts, if a field is configured for it.
     pub key: Option<&'a [u8]>,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Names and values.
+/// Names and values of fields.
 pub type Fields<'a> = Vec<(&'a str, &'a str)>;
 
-/// Takes the fields and the body apart.
+/// Splits a payload into its fields and the body.
 #[must_use]
 pub fn parse_fields(payload: &[u8]) -> Option<(Fields<'_>, &[u8])> {
     let (&count, mut rest) = payload.split_first()?;
     let mut fields = Vec::with_capacity(usize::from(count));
     for _ in 0..count {
-        let (&size, after) = rest.split_first()?;
-        let (name, after) = after.split_at_checked(usize::from(size))?;
-        let (size, after) = after.split_first_chunk()?;
-        let (value, after) = after.split_at_checked(usize::from(u16::from_be_bytes(*size)))?;
+        let (&size, remaining) = rest.split_first()?;
+        let (name, remaining) = remaining.split_at_checked(usize::from(size))?;
+        let (size, remaining) = remaining.split_first_chunk()?;
+        let (value, remaining) =
+            remaining.split_at_checked(usize::from(u16::from_be_bytes(*size)))?;
         fields.push((
             std::str::from_utf8(name).ok()?,
             std::str::from_utf8(value).ok()?,
         ));
-        rest = after;
+        rest = remaining;
     }
     Some((fields, rest))
 }
 
-/// Whether a payload begins with whole fields, of which none is needed.
+/// Returns whether a payload begins with complete fields; there may be none.
 #[must_use]
 pub fn has_complete_fields(payload: &[u8]) -> bool {
     parse_fields(payload).is_some()
 }
 
 impl<'a> Request<'a> {
-    /// Reads a request's payload; its key stands in the field of this name, if any.
+    /// Decodes the payload of a request; `key_field` is the name of the field with the idempotency
+    /// key.
     ///
     /// # Errors
-    /// What is wrong with it, naming the field.
+    /// Returns what is wrong, with the name of the field.
     pub fn decode(payload: &'a [u8], key_field: Option<&str>) -> Result<Self, String> {
         let (fields, body) = parse_fields(payload).ok_or("the payload ends within its fields")?;
-        // Guards against two values, of which the sender might mean the other.
-        let twice = fields
+        // Rejects a repeated field: the sender might mean the other value.
+        let repeated = fields
             .iter()
             .enumerate()
             .find(|(n, field)| fields[..*n].iter().any(|f| f.0 == field.0));
-        if let Some((_, (name, _))) = twice {
+        if let Some((_, (name, _))) = repeated {
             return Err(format!("field `{name}` is repeated"));
         }
         let find = |name: &str| {
@@ -168,40 +171,42 @@
                 .find(|field| field.0 == name)
                 .map(|field| field.1)
         };
-        let need = |name: &str| find(name).ok_or_else(|| format!("field `{name}` is missing"));
-        let parse = |name: &str, value: &str, most: f64| {
+        let find_required =
+            |name: &str| find(name).ok_or_else(|| format!("field `{name}` is missing"));
+        let parse_number = |name: &str, value: &str, limit: f64| {
             let number = value
                 .parse::<f64>()
                 .ok()
-                .filter(|n| (0.0..most).contains(n));
+                .filter(|n| (0.0..limit).contains(n));
             number.ok_or_else(|| format!("field `{name}` is out of place: {value:?}"))
         };
-        // Some deployments give no hints and no ranks.
-        let number =
-            |name: &str, most: f64| find(name).map_or(Ok(0.0), |value| parse(name, value, most));
-        if body.len() > LARGEST_BODY {
+        // Some deployments send no expected work and no rank.
+        let parse_optional = |name: &str, limit: f64| {
+            find(name).map_or(Ok(0.0), |value| parse_number(name, value, limit))
+        };
+        if body.len() > MAX_BODY_BYTES {
             return Err(format!("the body has {} bytes", body.len()));
         }
-        let txn = need("txn")?;
-        let hex = txn.len() == 16 && txn.bytes().all(|b| b.is_ascii_hexdigit());
-        let id = if hex {
-            RequestId::from_str_radix(txn, 16).ok()
+        let id_text = find_required("txn")?;
+        let is_hex = id_text.len() == 16 && id_text.bytes().all(|b| b.is_ascii_hexdigit());
+        let id = if is_hex {
+            RequestId::from_str_radix(id_text, 16).ok()
         } else {
             None
         };
-        let whole = |name: &str| -> Result<u64, String> {
-            let value = need(name)?;
+        let parse_integer = |name: &str| -> Result<u64, String> {
+            let value = find_required(name)?;
             value
                 .parse()
                 .map_err(|_| format!("field `{name}` is out of place: {value:?}"))
         };
-        let ram = parse("ram", need("ram")?, MOST_MEMORY)?;
-        let second = match find("second") {
+        let memory_kb = parse_number("ram", find_required("ram")?, MEMORY_LIMIT_KB)?;
+        let is_retry = match find("second") {
             None => false,
             Some("1") => true,
             Some(other) => return Err(format!("field `second` is out of place: {other:?}")),
         };
-        if ram <= 0.0 {
+        if memory_kb <= 0.0 {
             return Err("field `ram` is out of place: it must be above 0".to_owned());
         }
         let key = key_field.and_then(find);
@@ -213,14 +218,14 @@
             ));
         }
         Ok(Self {
-            class: need("verb")?,
-            id: id.ok_or_else(|| format!("field `txn` is not 16 hex digits: {txn:?}"))?,
-            received_at: whole("door")?.saturating_mul(1_000),
-            caller: whole("lb")?,
-            expected_work: (number("cpu", 1e9)? * 1_000.0) as Micros,
-            memory_kb: ram,
-            rank: number("standing", 1.0)?,
-            is_retry: second,
+            class: find_required("verb")?,
+            id: id.ok_or_else(|| format!("field `txn` is not 16 hex digits: {id_text:?}"))?,
+            received_at: parse_integer("door")?.saturating_mul(1_000),
+            caller: parse_integer("lb")?,
+            expected_work: (parse_optional("cpu", 1e9)? * 1_000.0) as Micros,
+            memory_kb,
+            rank: parse_optional("standing", 1.0)?,
+            is_retry,
             has_subject: find("item").is_some(),
             key: key.map(str::as_bytes),
             body,
@@ -228,119 +233,140 @@
     }
 }
 
-fn push(
-    out: &mut Vec<u8>,
+fn push_frame(
+    output: &mut Vec<u8>,
     kind: u8,
     stream: u32,
     code: Option<u8>,
     fields: &[(&str, String)],
     body: &[u8],
 ) {
-    let start = out.len();
-    out.extend_from_slice(&[0; 4]);
-    out.push(kind);
-    out.extend_from_slice(&stream.to_be_bytes());
+    let start = output.len();
+    output.extend_from_slice(&[0; 4]);
+    output.push(kind);
+    output.extend_from_slice(&stream.to_be_bytes());
     if let Some(code) = code {
-        out.push(code);
-        push_fields(out, fields);
-        out.extend_from_slice(body);
+        output.push(code);
+        push_fields(output, fields);
+        output.extend_from_slice(body);
     }
-    let length = (out.len() - start - 4) as u32;
-    out[start..start + 4].copy_from_slice(&length.to_be_bytes());
+    let length = (output.len() - start - 4) as u32;
+    output[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-fn feedback(value: Option<f64>) -> Vec<(&'static str, String)> {
+fn feedback_field(value: Option<f64>) -> Vec<(&'static str, String)> {
     value
         .map(|value| ("feedback", format!("{value:.4}")))
         .into_iter()
         .collect()
 }
 
-/// Appends fields, as requests and answers begin with; names and values are shorter than their sizes can tell.
-pub fn push_fields(out: &mut Vec<u8>, fields: &[(&str, String)]) {
-    out.push(fields.len() as u8);
+/// Appends the fields that requests and responses begin with; names and values must fit their
+/// length fields.
+pub fn push_fields(output: &mut Vec<u8>, fields: &[(&str, String)]) {
+    output.push(fields.len() as u8);
     for (name, value) in fields {
-        out.push(name.len() as u8);
-        out.extend_from_slice(name.as_bytes());
-        out.extend_from_slice(&(value.len() as u16).to_be_bytes());
-        out.extend_from_slice(value.as_bytes());
+        output.push(name.len() as u8);
+        output.extend_from_slice(name.as_bytes());
+        output.extend_from_slice(&(value.len() as u16).to_be_bytes());
+        output.extend_from_slice(value.as_bytes());
     }
 }
 
-/// Appends a request with this payload: fields, then the body.
-pub fn push_request(out: &mut Vec<u8>, stream: u32, payload: &[u8]) {
-    out.extend_from_slice(&((payload.len() + HEAD) as u32).to_be_bytes());
-    out.push(REQUEST);
-    out.extend_from_slice(&stream.to_be_bytes());
-    out.extend_from_slice(payload);
+/// Appends a request frame with this payload: fields, then the body.
+pub fn push_request(output: &mut Vec<u8>, stream: u32, payload: &[u8]) {
+    output.extend_from_slice(&((payload.len() + HEADER_BYTES) as u32).to_be_bytes());
+    output.push(REQUEST);
+    output.extend_from_slice(&stream.to_be_bytes());
+    output.extend_from_slice(payload);
 }
 
-/// Appends the answer to a request. A result too large to be read is no answer: it becomes a failure.
-pub fn push_response(out: &mut Vec<u8>, stream: u32, answer: &Response, value: Option<f64>) {
-    let mut fields = feedback(value);
-    match answer {
-        Response::Served(body) if body.len() <= LARGEST_RESULT => {
-            push(out, RESPONSE, stream, Some(SERVED), &fields, body);
+/// Appends the response to a request. A result that is too large for the client is sent as a
+/// failure.
+pub fn push_response(output: &mut Vec<u8>, stream: u32, response: &Response, value: Option<f64>) {
+    let mut fields = feedback_field(value);
+    match response {
+        Response::Served(body) if body.len() <= MAX_RESULT_BYTES => {
+            push_frame(output, RESPONSE, stream, Some(STATUS_SERVED), &fields, body);
         }
         Response::Rejected {
-            retry_after: later,
-            no_failover: last,
+            retry_after,
+            no_failover,
         } => {
-            if *later > 0 {
-                fields.push(("later", later.div_ceil(1_000).to_string()));
+            if *retry_after > 0 {
+                fields.push(("later", retry_after.div_ceil(1_000).to_string()));
             }
-            if *last {
+            if *no_failover {
                 fields.push(("giveup", "1".to_owned()));
             }
-            push(out, RESPONSE, stream, Some(REFUSED), &fields, &[]);
+            push_frame(
+                output,
+                RESPONSE,
+                stream,
+                Some(STATUS_REJECTED),
+                &fields,
+                &[],
+            );
         }
         Response::Direct { body, .. } => {
-            let body = &body[..body.len().min(LARGEST_RESULT)];
-            push(out, RESPONSE, stream, Some(FAILED), &fields, body);
+            let body = &body[..body.len().min(MAX_RESULT_BYTES)];
+            push_frame(output, RESPONSE, stream, Some(STATUS_FAILED), &fields, body);
         }
-        Response::Invalid(fault) => {
-            push(
-                out,
+        Response::Invalid(error) => {
+            push_frame(
+                output,
                 RESPONSE,
                 stream,
-                Some(FAILED),
+                Some(STATUS_FAILED),
                 &fields,
-                fault.message().as_bytes(),
+                error.message().as_bytes(),
             );
         }
         Response::Served(_) | Response::Failed | Response::Expired => {
-            push(out, RESPONSE, stream, Some(FAILED), &fields, &[]);
+            push_frame(output, RESPONSE, stream, Some(STATUS_FAILED), &fields, &[]);
         }
     }
 }
 
 /// Appends an error that belongs to no request.
-pub fn push_error(out: &mut Vec<u8>, what: &str) {
-    push(out, RESPONSE, 0, Some(FAILED), &[], what.as_bytes());
+pub fn push_error(output: &mut Vec<u8>, message: &str) {
+    push_frame(
+        output,
+        RESPONSE,
+        0,
+        Some(STATUS_FAILED),
+        &[],
+        message.as_bytes(),
+    );
 }
 
-/// Appends the answer to a health check.
-pub fn push_health_response(out: &mut Vec<u8>, stream: u32, good: bool, value: Option<f64>) {
-    push(
-        out,
+/// Appends the response to a health check.
+pub fn push_health_response(
+    output: &mut Vec<u8>,
+    stream: u32,
+    is_healthy: bool,
+    value: Option<f64>,
+) {
+    push_frame(
+        output,
         HEALTH_RESPONSE,
         stream,
-        Some(u8::from(!good)),
-        &feedback(value),
+        Some(u8::from(!is_healthy)),
+        &feedback_field(value),
         &[],
     );
 }
 
-/// Appends the word that no new request may come.
-pub fn push_go_away(out: &mut Vec<u8>) {
-    push(out, GO_AWAY, 0, None, &[], &[]);
+/// Appends the frame that no new request is accepted.
+pub fn push_go_away(output: &mut Vec<u8>) {
+    push_frame(output, GO_AWAY, 0, None, &[], &[]);
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn with(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    fn payload_with(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
         let mut payload = vec![fields.len() as u8];
         for (name, value) in fields {
             payload.push(name.len() as u8);
@@ -352,7 +378,7 @@
         payload
     }
 
-    const GOOD: [(&str, &str); 8] = [
+    const VALID_FIELDS: [(&str, &str); 8] = [
         ("verb", "checkout"),
         ("txn", "9b1f03aa5c7e2d41"),
         ("door", "1764576000123"),
@@ -364,9 +390,9 @@
     ];
 
     #[test]
-    fn a_request_is_read_with_its_body_as_it_came() {
-        let payload = with(&GOOD, &[0, 255, 10]);
-        let request = Request::decode(&payload, None).expect("good");
+    fn request_is_decoded_with_its_body_unchanged() {
+        let payload = payload_with(&VALID_FIELDS, &[0, 255, 10]);
+        let request = Request::decode(&payload, None).expect("a valid request");
         assert_eq!(
             (request.class, request.id, request.caller),
             ("checkout", 0x9b1f_03aa_5c7e_2d41, 4)
@@ -383,79 +409,79 @@
     }
 
     #[test]
-    fn a_key_is_read_from_the_field_that_was_named_for_it() {
+    fn key_is_read_from_the_configured_field() {
         let long = "k".repeat(MAX_KEY_BYTES + 1);
-        for (key, good) in [("seat-7", true), ("", false), (long.as_str(), false)] {
-            let mut fields = GOOD.to_vec();
+        for (key, is_valid) in [("seat-7", true), ("", false), (long.as_str(), false)] {
+            let mut fields = VALID_FIELDS.to_vec();
             fields.push(("once", key));
-            let payload = with(&fields, b"");
+            let payload = payload_with(&fields, b"");
             assert_eq!(
                 Request::decode(&payload, None).map(|request| request.key),
                 Ok(None)
             );
             match Request::decode(&payload, Some("once")) {
-                Ok(request) => assert!(good && request.key == Some(key.as_bytes())),
-                Err(fault) => assert!(!good && fault.contains("key"), "{fault}"),
+                Ok(request) => assert!(is_valid && request.key == Some(key.as_bytes())),
+                Err(error) => assert!(!is_valid && error.contains("key"), "{error}"),
             }
         }
     }
 
     #[test]
-    fn each_field_is_needed_but_subject_hint_and_rank() {
-        for (i, (name, _)) in GOOD.iter().enumerate() {
-            let mut fields = GOOD.to_vec();
+    fn all_fields_but_subject_work_and_rank_are_required() {
+        for (i, (name, _)) in VALID_FIELDS.iter().enumerate() {
+            let mut fields = VALID_FIELDS.to_vec();
             fields.remove(i);
-            match Request::decode(&with(&fields, b""), None) {
+            match Request::decode(&payload_with(&fields, b""), None) {
                 Ok(request) => match *name {
                     "item" => assert!(!request.has_subject),
                     "cpu" => assert_eq!(request.expected_work, 0),
                     name => assert_eq!((name, request.rank), ("standing", 0.0)),
                 },
-                Err(fault) => assert!(fault.contains(name), "{fault}"),
+                Err(error) => assert!(error.contains(name), "{error}"),
             }
         }
     }
 
     #[test]
-    fn a_further_try_is_marked_by_one_and_nothing_else() {
-        for (value, good) in [
+    fn only_the_value_1_marks_a_retry() {
+        for (value, is_valid) in [
             ("1", true),
             ("0", false),
             ("", false),
             ("true", false),
             ("11", false),
         ] {
-            let mut fields = GOOD.to_vec();
+            let mut fields = VALID_FIELDS.to_vec();
             fields.push(("second", value));
-            let payload = with(&fields, b"");
+            let payload = payload_with(&fields, b"");
             match Request::decode(&payload, None) {
-                Ok(request) => assert!(good && request.is_retry),
-                Err(fault) => assert!(!good && fault.contains("`second`"), "{fault}"),
+                Ok(request) => assert!(is_valid && request.is_retry),
+                Err(error) => assert!(!is_valid && error.contains("`second`"), "{error}"),
             }
         }
         assert!(
-            !Request::decode(&with(&GOOD, b""), None)
-                .expect("good")
+            !Request::decode(&payload_with(&VALID_FIELDS, b""), None)
+                .expect("a valid request")
                 .is_retry,
-            "absent means first"
+            "an absent field means a first attempt"
         );
     }
 
     #[test]
-    fn a_field_that_comes_twice_is_named() {
-        for (name, value) in GOOD {
-            let mut fields = GOOD.to_vec();
+    fn repeated_field_is_named_in_the_error() {
+        for (name, value) in VALID_FIELDS {
+            let mut fields = VALID_FIELDS.to_vec();
             fields.push((name, value));
-            let fault = Request::decode(&with(&fields, b""), None).expect_err(name);
+            let error = Request::decode(&payload_with(&fields, b""), None).expect_err(name);
             assert!(
-                fault.contains(name) && fault.contains("repeated"),
-                "{fault}"
+                error.contains(name) && error.contains("repeated"),
+                "{error}"
             );
         }
     }
 
     #[test]
-    fn values_out_of_place_are_named() {
+    fn field_with_invalid_value_is_named_in_the_error() {
         for (place, value) in [
             (1, "9b1f"),
             (1, "+b1f03aa5c7e2d41"),
@@ -466,16 +492,16 @@
             (5, "2000"),
             (6, "-0.1"),
         ] {
-            let mut fields = GOOD;
+            let mut fields = VALID_FIELDS;
             fields[place].1 = value;
-            let fault = Request::decode(&with(&fields, b""), None).expect_err(value);
-            assert!(fault.contains(GOOD[place].0), "{fault}");
+            let error = Request::decode(&payload_with(&fields, b""), None).expect_err(value);
+            assert!(error.contains(VALID_FIELDS[place].0), "{error}");
         }
     }
 
     #[test]
-    fn no_cut_of_a_frame_is_read_as_a_whole_and_none_panics() {
-        let payload = with(&GOOD, b"body");
+    fn truncated_frame_is_incomplete_and_truncated_payload_is_an_error() {
+        let payload = payload_with(&VALID_FIELDS, b"body");
         let mut whole = Vec::new();
         whole.extend_from_slice(&(payload.len() as u32 + 5).to_be_bytes());
         whole.extend_from_slice(&[REQUEST, 0, 0, 0, 9]);
@@ -495,7 +521,7 @@
     }
 
     #[test]
-    fn lengths_at_the_bounds() {
+    fn lengths_at_the_limits() {
         let head = |length: u32| [&length.to_be_bytes()[..], &[6, 0, 0, 0, 1]].concat();
         assert_eq!(parse_frame(&head(4)), ParsedFrame::InvalidLength(4));
         assert_eq!(
@@ -521,10 +547,10 @@
     }
 
     #[test]
-    fn answers_carry_advice_and_the_free_value() {
-        let mut out = Vec::new();
+    fn responses_carry_retry_advice_and_feedback() {
+        let mut output = Vec::new();
         push_response(
-            &mut out,
+            &mut output,
             3,
             &Response::Rejected {
                 retry_after: 1_001,
@@ -532,20 +558,20 @@
             },
             Some(0.25),
         );
-        let fields = with(
+        let fields = payload_with(
             &[("feedback", "0.2500"), ("later", "2"), ("giveup", "1")],
             b"",
         );
-        assert_eq!(out[4..10], [RESPONSE, 0, 0, 0, 3, REFUSED]);
-        assert_eq!(out[10..], fields);
-        assert_eq!(out[..4], ((out.len() - 4) as u32).to_be_bytes());
-        out.clear();
-        push_health_response(&mut out, 0, false, Some(3.0));
+        assert_eq!(output[4..10], [RESPONSE, 0, 0, 0, 3, STATUS_REJECTED]);
+        assert_eq!(output[10..], fields);
+        assert_eq!(output[..4], ((output.len() - 4) as u32).to_be_bytes());
+        output.clear();
+        push_health_response(&mut output, 0, false, Some(3.0));
         assert_eq!(
-            out[4..],
+            output[4..],
             [
                 &[HEALTH_RESPONSE, 0, 0, 0, 0, 1][..],
-                &with(&[("feedback", "3.0000")], b"")
+                &payload_with(&[("feedback", "3.0000")], b"")
             ]
             .concat()
         );
--- a/crates/protocol/src/frame/mod.rs
+++ b/crates/protocol/src/frame/mod.rs
@@ -1,4 +1,5 @@
-//! The length-prefixed frames of front ends: their codec and a connection that speaks them.
+//! The length-prefixed frames exchanged with front ends: the codec and the connection state
+//! machine.
 
 pub mod codec;
 pub mod connection;
