--- a/crates/protocol/src/frame/connection.rs
+++ b/crates/protocol/src/frame/connection.rs
@@ -1,4 +1,5 @@
-//! A front end's connection that speaks frames: many requests open at once, told apart by their streams.
+//! The state machine of a front end's connection: several requests may be open at once, each on its
+//! own stream.
 
 use super::codec::{self, ParsedFrame, Request};
 use crate::state_machine::{ConnectionState, ConnectionStateMachine, ConnectionStatus, Context};
@@ -8,187 +9,216 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Requests that may be open on a connection.
-const OPEN: usize = 32;
-/// A frame that began, or the first one of a connection, has to be whole after this time.
-const SILENCE: Micros = 2_000_000;
-/// After the word that no new request may come, the front end is left this long to close.
+/// Maximum number of open requests per connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// The first frame of a connection, and every frame that has begun, must be complete after this
+/// time.
+const FRAME_TIMEOUT: Micros = 2_000_000;
+/// Time that a front end has to close its connection after it was told to send no new request.
 pub const DRAIN_TIMEOUT: Micros = 1_000_000;
-/// Runs of used streams that are remembered for each connection.
-const RUNS: usize = 64;
+/// Maximum number of ranges of used streams that are stored per connection.
+const MAX_STREAM_RANGES: usize = 64;
 
-/// What frames may say at a deployment.
+/// Options of the frame protocol, which differ between deployments.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FrameOptions {
-    /// The field that keys stand in, if any.
+    /// Name of the field with the idempotency key, if any.
     pub key_field: Option<String>,
-    /// Front ends tell where nobody waits any more.
+    /// Whether front ends cancel requests that their callers no longer wait for.
     pub supports_cancel: bool,
 }
 
-/// The streams used on a connection, as runs of numbers: mostly one run.
+/// The streams used on a connection, as ranges of numbers; mostly a single one.
 #[derive(Debug, Default)]
-struct Streams(Vec<(u32, u32)>);
+struct UsedStreams(Vec<(u32, u32)>);
 
-impl Streams {
-    /// Marks a stream as used; false when it was.
-    fn take(&mut self, stream: u32) -> bool {
-        let place = self.0.partition_point(|run| run.1 < stream);
-        if self.0.get(place).is_some_and(|run| run.0 <= stream) {
+impl UsedStreams {
+    /// Marks a stream as used. Returns false if it already was.
+    fn mark_used(&mut self, stream: u32) -> bool {
+        let index = self.0.partition_point(|range| range.1 < stream);
+        if self.0.get(index).is_some_and(|range| range.0 <= stream) {
             return false;
         }
-        self.0.insert(place, (stream, stream));
+        self.0.insert(index, (stream, stream));
         if self
             .0
-            .get(place + 1)
+            .get(index + 1)
             .is_some_and(|next| next.0 - 1 == stream)
         {
-            self.0[place].1 = self.0.remove(place + 1).1;
+            self.0[index].1 = self.0.remove(index + 1).1;
         }
-        if place > 0 && self.0[place - 1].1 + 1 == stream {
-            self.0[place - 1].1 = self.0.remove(place).1;
+        if index > 0 && self.0[index - 1].1 + 1 == stream {
+            self.0[index - 1].1 = self.0.remove(index).1;
         }
-        if self.0.len() > RUNS {
-            // What lies between the two oldest runs counts as used.
+        if self.0.len() > MAX_STREAM_RANGES {
+            // The streams between the two lowest ranges count as used from here on.
             self.0[0].1 = self.0.remove(1).1;
         }
         true
     }
 }
 
-/// The connection.
+/// The state of a front end's connection.
 #[derive(Debug)]
 pub struct Connection {
     status: ConnectionStatus,
-    streams: Streams,
-    open: BTreeSet<u32>,
-    /// When the frame began of which a part is here.
-    began: Option<Micros>,
-    /// Bytes of a frame that is passed over.
-    skip: usize,
-    terms: Rc<FrameOptions>,
-    /// Streams that nobody waits for any more, which is still to be told.
+    used_streams: UsedStreams,
+    open_streams: BTreeSet<u32>,
+    /// When the first byte of the incomplete frame arrived.
+    frame_began_at: Option<Micros>,
+    /// Remaining bytes of an oversized frame that is skipped.
+    skip_bytes: usize,
+    options: Rc<FrameOptions>,
+    /// Cancelled streams that have not been reported yet.
     cancelled: Vec<u32>,
-    /// Requests are to be sent on: they are handed over as they came.
-    relays: Option<Rc<str>>,
+    /// The host that routes match, if requests are forwarded; they are handed over with their
+    /// frames then.
+    relay_host: Option<Rc<str>>,
 }
 
 impl Connection {
-    /// One accepted now.
+    /// Creates the state of a connection accepted at `now`.
     #[must_use]
-    pub fn new(now: Micros, terms: Rc<FrameOptions>) -> Self {
-        let (status, streams, open) = (
+    pub fn new(now: Micros, options: Rc<FrameOptions>) -> Self {
+        let (status, used_streams, open_streams) = (
             ConnectionStatus::new(now),
-            Streams::default(),
+            UsedStreams::default(),
             BTreeSet::new(),
         );
         Self {
             status,
-            streams,
-            open,
-            began: None,
-            skip: 0,
-            terms,
+            used_streams,
+            open_streams,
+            frame_began_at: None,
+            skip_bytes: 0,
+            options,
             cancelled: Vec::new(),
-            relays: None,
+            relay_host: None,
         }
     }
 
-    /// The same for a gateway, whose routes look for this host.
+    /// Forwards requests, as a gateway does; its routes match this host.
     #[must_use]
     pub fn with_relay_host(self, host: Rc<str>) -> Self {
         Self {
-            relays: Some(host),
+            relay_host: Some(host),
             ..self
         }
     }
 
-    /// Takes one frame; one too large comes without its payload.
-    fn take_frame(
+    /// Handles a frame; an oversized one has no payload here.
+    fn handle_frame(
         &mut self,
         (kind, stream): (u8, u32),
         payload: Option<&[u8]>,
         context: &Context,
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) {
-        let began = self.began.take().unwrap_or(context.now);
+        let frame_began_at = self.frame_began_at.take().unwrap_or(context.now);
         match kind {
-            codec::REQUEST if stream == 0 => self.fault(context, 0, "a request on stream 0", out),
-            codec::REQUEST if !self.streams.take(stream) => {
-                self.fault(context, 0, &format!("stream {stream} was used before"), out);
+            codec::REQUEST if stream == 0 => {
+                self.report_error(context, 0, "a request on stream 0", output);
             }
-            // Guards against a client that goes on as if it had not been told to stop; one that writes slowly began before.
-            codec::REQUEST if matches!(self.status.state, ConnectionState::Draining(since) if began >= since + DRAIN_TIMEOUT) =>
+            codec::REQUEST if !self.used_streams.mark_used(stream) => {
+                self.report_error(
+                    context,
+                    0,
+                    &format!("stream {stream} was used before"),
+                    output,
+                );
+            }
+            // Rejects a client that goes on as if it had not been told to stop. A frame that
+            // arrives slowly counts from its first byte.
+            codec::REQUEST if matches!(self.status.state, ConnectionState::Draining(since) if frame_began_at >= since + DRAIN_TIMEOUT) =>
             {
-                self.fault(
+                self.report_error(
                     context,
                     0,
                     "a request long after the word that none may come",
-                    out,
+                    output,
                 );
             }
-            codec::REQUEST if self.open.len() >= OPEN => {
-                self.fault(context, stream, "too many open requests", out);
+            codec::REQUEST if self.open_streams.len() >= MAX_OPEN_REQUESTS => {
+                self.report_error(context, stream, "too many open requests", output);
             }
             codec::REQUEST => match payload.ok_or("the frame is too large".to_owned()) {
                 Ok(payload) => {
-                    match arrival(payload, stream, self.terms.key_field.as_deref(), context) {
-                        Ok(mut arrival) => {
-                            if let Some(host) = &self.relays {
-                                arrival.head = codec::parse_fields(payload)
-                                    .map(|(fields, _)| Box::new(head(host, &fields, payload)));
+                    match decode_request(
+                        payload,
+                        stream,
+                        self.options.key_field.as_deref(),
+                        context,
+                    ) {
+                        Ok(mut request) => {
+                            if let Some(host) = &self.relay_host {
+                                request.head = codec::parse_fields(payload).map(|(fields, _)| {
+                                    Box::new(request_head(host, &fields, payload))
+                                });
                             }
-                            self.open.insert(stream);
+                            self.open_streams.insert(stream);
                             self.status.open_requests += 1;
-                            arrivals.push(arrival);
+                            requests.push(request);
                         }
-                        Err(what) => self.fault(context, stream, &what, out),
+                        Err(message) => self.report_error(context, stream, &message, output),
                     }
                 }
-                Err(what) => self.fault(context, stream, &what, out),
+                Err(message) => self.report_error(context, stream, &message, output),
             },
-            codec::CANCEL if self.terms.supports_cancel && stream == 0 => {
-                self.fault(context, 0, "nobody can have waited for stream 0", out);
+            codec::CANCEL if self.options.supports_cancel && stream == 0 => {
+                self.report_error(context, 0, "nobody can have waited for stream 0", output);
             }
-            // One whose answer crossed it, or that was never asked for, is nothing any more.
-            codec::CANCEL if self.terms.supports_cancel => {
-                if self.open.remove(&stream) {
+            // A cancellation that crossed its response, or of a stream without a request, has no
+            // effect.
+            codec::CANCEL if self.options.supports_cancel => {
+                if self.open_streams.remove(&stream) {
                     self.status.open_requests -= 1;
                     self.cancelled.push(stream);
                 }
                 if payload.is_none_or(|payload| !payload.is_empty()) {
-                    self.fault(context, 0, "a word that nobody waits has no payload", out);
+                    self.report_error(
+                        context,
+                        0,
+                        "a word that nobody waits has no payload",
+                        output,
+                    );
                 }
             }
             codec::HEALTH_CHECK => {
-                codec::push_health_response(out, stream, context.is_healthy, context.feedback);
+                codec::push_health_response(output, stream, context.is_healthy, context.feedback);
                 if !payload.is_some_and(codec::has_complete_fields) {
-                    self.fault(context, 0, "a health check without fields", out);
+                    self.report_error(context, 0, "a health check without fields", output);
                 }
             }
-            other => self.fault(context, 0, &format!("a frame of type {other}"), out),
+            other => self.report_error(context, 0, &format!("a frame of type {other}"), output),
         }
     }
 
-    /// Answers what can't be served: the request where there is one, and the connection gets no new ones; else
-    /// nothing more is read from it. It is closed when its other requests are answered.
-    fn fault(&mut self, context: &Context, stream: u32, what: &str, out: &mut Vec<u8>) {
-        // Once a connection: the next faults come as fast as they can be sent.
+    /// Responds to a protocol error. On a stream, the request fails and the connection accepts no
+    /// new ones; on stream 0, nothing more is read from the connection. It is closed once its other
+    /// requests have their responses.
+    fn report_error(
+        &mut self,
+        context: &Context,
+        stream: u32,
+        message: &str,
+        output: &mut Vec<u8>,
+    ) {
+        // Logged once per connection: the peer can cause more errors as fast as it can send.
         if self.status.state == ConnectionState::Open {
-            tracing::warn!("front end connection {}: {what}", context.connection_id);
+            tracing::warn!("front end connection {}: {message}", context.connection_id);
         }
         if stream == 0 {
-            self.give_up(what, out);
+            self.stop_reading(message, output);
         } else {
-            codec::push_response(out, stream, &Response::Failed, None);
-            self.stop_accepting_requests(context, out);
+            codec::push_response(output, stream, &Response::Failed, None);
+            self.stop_accepting_requests(context, output);
         }
     }
 
-    /// Nothing more is read; what is open is still answered.
-    fn give_up(&mut self, what: &str, out: &mut Vec<u8>) {
-        codec::push_error(out, what);
+    /// Reports an error and stops reading; open requests still get their responses.
+    fn stop_reading(&mut self, message: &str, output: &mut Vec<u8>) {
+        codec::push_error(output, message);
         self.status.state = ConnectionState::Closing;
     }
 }
@@ -206,21 +236,21 @@
         &mut self,
         context: &Context,
         input: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) -> usize {
-        let mut used = 0;
-        let mut whole = false;
-        while used < input.len() {
-            let rest = &input[used..];
+        let mut consumed = 0;
+        let mut has_complete_frame = false;
+        while consumed < input.len() {
+            let rest = &input[consumed..];
             if self.status.state == ConnectionState::Closing {
-                used = input.len();
-            } else if self.skip > 0 {
-                let passed = self.skip.min(rest.len());
-                self.skip -= passed;
-                used += passed;
-                if self.skip == 0 {
-                    (whole, self.began) = (true, None);
+                consumed = input.len();
+            } else if self.skip_bytes > 0 {
+                let skipped = self.skip_bytes.min(rest.len());
+                self.skip_bytes -= skipped;
+                consumed += skipped;
+                if self.skip_bytes == 0 {
+                    (has_complete_frame, self.frame_began_at) = (true, None);
                 }
             } else {
                 match codec::parse_frame(rest) {
@@ -230,64 +260,64 @@
                         stream,
                         payload,
                     } => {
-                        used += payload.end;
-                        whole = true;
-                        self.take_frame(
+                        consumed += payload.end;
+                        has_complete_frame = true;
+                        self.handle_frame(
                             (kind, stream),
                             Some(&rest[payload]),
                             context,
-                            out,
-                            arrivals,
+                            output,
+                            requests,
                         );
                     }
                     ParsedFrame::Oversized {
                         kind,
                         stream,
-                        frame_bytes: whole,
+                        frame_bytes: has_complete_frame,
                     } => {
-                        self.skip = whole;
-                        self.take_frame((kind, stream), None, context, out, arrivals);
+                        self.skip_bytes = has_complete_frame;
+                        self.handle_frame((kind, stream), None, context, output, requests);
                     }
                     ParsedFrame::InvalidLength(length) => {
-                        self.fault(
+                        self.report_error(
                             context,
                             0,
                             &format!("no frame has the length {length}"),
-                            out,
+                            output,
                         );
                     }
                 }
             }
         }
-        if whole {
+        if has_complete_frame {
             self.status.has_received_message = true;
             self.status.last_activity_at = context.now;
             self.status.waiting_since = None;
         }
-        if used < input.len() || self.skip > 0 {
+        if consumed < input.len() || self.skip_bytes > 0 {
             self.status.waiting_since = self.status.waiting_since.or(Some(context.now));
-            self.began = self.began.or(Some(context.now));
+            self.frame_began_at = self.frame_began_at.or(Some(context.now));
         }
-        used
+        consumed
     }
 
     fn respond(
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Response,
-        out: &mut Vec<u8>,
+        response: &Response,
+        output: &mut Vec<u8>,
     ) -> bool {
-        if !self.open.remove(&stream) {
+        if !self.open_streams.remove(&stream) {
             return false;
         }
-        codec::push_response(out, stream, answer, context.feedback);
-        let refused = matches!(answer, Response::Rejected { .. });
-        if refused && is_bug_injected(InjectedBug::ResponseSentTwice) {
-            codec::push_response(out, stream, answer, context.feedback);
+        codec::push_response(output, stream, response, context.feedback);
+        let is_rejected = matches!(response, Response::Rejected { .. });
+        if is_rejected && is_bug_injected(InjectedBug::ResponseSentTwice) {
+            codec::push_response(output, stream, response, context.feedback);
         }
         self.status.open_requests -=
-            usize::from(!(refused && is_bug_injected(InjectedBug::ConnectionSlotLeaked)));
+            usize::from(!(is_rejected && is_bug_injected(InjectedBug::ConnectionSlotLeaked)));
         self.status.last_activity_at = context.now;
         true
     }
@@ -297,42 +327,44 @@
     }
 
     fn deadline(&self) -> Option<Micros> {
-        let ends = self.status.state == ConnectionState::Closing;
+        let is_closing = self.status.state == ConnectionState::Closing;
         self.status
             .waiting_since
-            .filter(|_| !ends)
-            .map(|since| since + SILENCE)
+            .filter(|_| !is_closing)
+            .map(|since| since + FRAME_TIMEOUT)
     }
 
-    fn handle_timeout(&mut self, context: &Context, out: &mut Vec<u8>) {
+    fn handle_timeout(&mut self, context: &Context, output: &mut Vec<u8>) {
         tracing::debug!(
             "front end connection {}: no whole frame in time",
             context.connection_id
         );
-        // One that was told to part knows that it is to end.
+        // A peer that was told to send no new request needs no further message.
         if self.status.state == ConnectionState::Open {
-            self.give_up("no whole frame in time", out);
+            self.stop_reading("no whole frame in time", output);
         }
         self.status.state = ConnectionState::Closing;
     }
 
-    /// Front ends learn it from the directory and from health checks; their requests are answered as before.
+    /// Front ends learn of the shutdown from the directory and from health checks; their requests
+    /// are served as before.
     fn begin_shutdown(&mut self, _: &Context, _: &mut Vec<u8>) {}
 
-    fn stop_accepting_requests(&mut self, context: &Context, out: &mut Vec<u8>) {
+    fn stop_accepting_requests(&mut self, context: &Context, output: &mut Vec<u8>) {
         if self.status.state == ConnectionState::Open {
-            codec::push_go_away(out);
+            codec::push_go_away(output);
             self.status.state = ConnectionState::Draining(context.now);
         }
     }
 }
 
-/// A frame names no path: its class is one.
-fn head(host: &str, fields: &[(&str, &str)], payload: &[u8]) -> RequestHead {
-    let value = |wanted: &str| {
+/// Returns the request as HTTP would describe it. A frame has no path; the name of its class serves
+/// as one.
+fn request_head(host: &str, fields: &[(&str, &str)], payload: &[u8]) -> RequestHead {
+    let value = |wanted_name: &str| {
         fields
             .iter()
-            .find(|(name, _)| *name == wanted)
+            .find(|(name, _)| *name == wanted_name)
             .map_or("", |(_, value)| value)
     };
     RequestHead {
@@ -348,7 +380,7 @@
     }
 }
 
-fn arrival(
+fn decode_request(
     payload: &[u8],
     stream: u32,
     key_field: Option<&str>,
@@ -384,22 +416,25 @@
     use super::*;
 
     #[test]
-    fn each_stream_is_taken_once_in_any_order() {
-        let mut streams = Streams::default();
+    fn each_stream_can_be_used_once_in_any_order() {
+        let mut used_streams = UsedStreams::default();
         for stream in [1, 2, 3, 7, 5, 6, 4, u32::MAX, 9] {
-            assert!(streams.take(stream), "{stream}");
-            assert!(!streams.take(stream), "{stream}");
+            assert!(used_streams.mark_used(stream), "{stream}");
+            assert!(!used_streams.mark_used(stream), "{stream}");
         }
-        assert_eq!(streams.0, [(1, 7), (9, 9), (u32::MAX, u32::MAX)]);
+        assert_eq!(used_streams.0, [(1, 7), (9, 9), (u32::MAX, u32::MAX)]);
     }
 
     #[test]
-    fn the_memory_of_used_streams_is_bounded() {
-        let mut streams = Streams::default();
+    fn stored_stream_ranges_are_bounded() {
+        let mut used_streams = UsedStreams::default();
         for n in 1..1_000 {
-            assert!(streams.take(2 * n));
+            assert!(used_streams.mark_used(2 * n));
         }
-        assert_eq!(streams.0.len(), RUNS);
-        assert!(!streams.take(2), "what was forgotten counts as used");
+        assert_eq!(used_streams.0.len(), MAX_STREAM_RANGES);
+        assert!(
+            !used_streams.mark_used(2),
+            "a stream between merged ranges counts as used"
+        );
     }
 }
