--- a/crates/protocol/src/ajp/class_table.rs
+++ b/crates/protocol/src/ajp/class_table.rs
@@ -1,61 +1,62 @@
-//! From method and path to a class, and what a request's figures are where nobody tells them.
+//! The table that maps the method and path of a request to its class.
 
 use std::collections::HashMap;
 
-/// One entry: a path, or with a `/*` at its end all paths below it.
+/// An entry: a path, or all paths below it if it ends with `/*`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassRoute {
     /// The path or pattern.
     pub path: String,
-    /// Methods that it takes.
+    /// Methods that the path accepts.
     pub methods: Vec<String>,
-    /// Index of the class.
+    /// Index of the request class.
     pub class: usize,
 }
 
-/// Where a request goes.
+/// The result of a lookup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassMatch<'a> {
-    /// To this class.
+    /// The request belongs to the class with this index.
     Class(usize),
-    /// Nowhere with this method; these would do.
+    /// The path accepts only these other methods.
     MethodNotAllowed(&'a [String]),
-    /// Nowhere.
+    /// No entry has the path.
     NotFound,
 }
 
-/// The table. A whole path comes before a pattern, a longer pattern before a shorter one.
+/// The table. An exact path takes precedence over a pattern, and a longer pattern over a shorter
+/// one.
 #[derive(Debug, Clone, Default)]
 pub struct ClassTable {
     exact: HashMap<String, ClassRoute>,
-    /// Patterns without their `*`, the longest first.
-    below: Vec<(String, ClassRoute)>,
+    /// Patterns without their `*`, longest first.
+    patterns: Vec<(String, ClassRoute)>,
 }
 
 impl ClassTable {
     /// Builds the table.
     ///
     /// # Errors
-    /// The index of the faulty entry and what is wrong with it.
+    /// Returns the index of the invalid entry and what is wrong with it.
     pub fn new(entries: Vec<ClassRoute>) -> Result<Self, (usize, String)> {
         let mut table = Self::default();
-        for (place, entry) in entries.into_iter().enumerate() {
+        for (index, entry) in entries.into_iter().enumerate() {
             if !entry.path.starts_with('/') {
                 return Err((
-                    place,
+                    index,
                     format!("the path {:?} does not begin with a slash", entry.path),
                 ));
             }
-            let (before, star) = match entry.path.strip_suffix("/*") {
-                Some(before) => (before.to_owned() + "/", true),
+            let (prefix, is_pattern) = match entry.path.strip_suffix("/*") {
+                Some(prefix) => (prefix.to_owned() + "/", true),
                 None => (entry.path.clone(), false),
             };
-            // Guards against a pattern that looks as if it meant more than is understood here.
-            if before.contains(['*', '?', '#', ';', '%'])
-                || before.split('/').any(|part| part == "..")
+            // Rejects characters that look like syntax which is not supported here.
+            if prefix.contains(['*', '?', '#', ';', '%'])
+                || prefix.split('/').any(|segment| segment == "..")
             {
                 return Err((
-                    place,
+                    index,
                     format!(
                         "the path {:?} is neither plain nor plain with a /* at its end",
                         entry.path
@@ -63,46 +64,46 @@
                 ));
             }
             if entry.methods.is_empty() {
-                return Err((place, format!("the path {:?} takes no method", entry.path)));
+                return Err((index, format!("the path {:?} takes no method", entry.path)));
             }
-            let taken = if star {
-                table.below.iter().any(|(other, _)| *other == before)
+            let is_duplicate = if is_pattern {
+                table.patterns.iter().any(|(other, _)| *other == prefix)
             } else {
-                table.exact.contains_key(&before)
+                table.exact.contains_key(&prefix)
             };
-            if taken {
+            if is_duplicate {
                 return Err((
-                    place,
+                    index,
                     format!("the path {:?} has an entry already", entry.path),
                 ));
             }
-            if star {
-                table.below.push((before, entry));
+            if is_pattern {
+                table.patterns.push((prefix, entry));
             } else {
-                table.exact.insert(before, entry);
+                table.exact.insert(prefix, entry);
             }
         }
         table
-            .below
+            .patterns
             .sort_by(|a, b| b.0.len().cmp(&a.0.len()).then_with(|| a.0.cmp(&b.0)));
         Ok(table)
     }
 
-    /// Finds the class of a request. Paths are compared as they came: nothing is decoded or resolved, so that no
-    /// two readings of one path exist.
+    /// Finds the class of a request. Paths are compared as received, without decoding or resolving
+    /// anything, so that a path has only one interpretation.
     #[must_use]
     pub fn find(&self, method: &[u8], path: &[u8]) -> ClassMatch<'_> {
         let Ok(path) = std::str::from_utf8(path) else {
             return ClassMatch::NotFound;
         };
-        let below = || {
-            let plain = !path.contains('%') && !path.split('/').any(|part| part == "..");
-            self.below
+        let patterns = || {
+            let is_plain = !path.contains('%') && !path.split('/').any(|segment| segment == "..");
+            self.patterns
                 .iter()
-                .find(|(before, _)| plain && path.starts_with(before))
+                .find(|(prefix, _)| is_plain && path.starts_with(prefix))
                 .map(|(_, entry)| entry)
         };
-        match self.exact.get(path).or_else(below) {
+        match self.exact.get(path).or_else(patterns) {
             Some(entry) if entry.methods.iter().any(|m| m.as_bytes() == method) => {
                 ClassMatch::Class(entry.class)
             }
@@ -125,13 +126,13 @@
     }
 
     #[test]
-    fn a_whole_path_comes_first_and_then_the_longest_pattern() {
+    fn exact_path_precedes_the_longest_matching_pattern() {
         let table = ClassTable::new(vec![
             entry("/a/*", 0),
             entry("/a/b/*", 1),
             entry("/a/b/c", 2),
         ])
-        .expect("good");
+        .expect("a valid table");
         for (path, class) in [("/a/x", 0), ("/a/b/x", 1), ("/a/b/c", 2), ("/a/b/c/d", 1)] {
             assert_eq!(
                 table.find(b"POST", path.as_bytes()),
@@ -154,7 +155,7 @@
     }
 
     #[test]
-    fn faulty_entries_are_named() {
+    fn invalid_entry_is_reported_by_index() {
         for path in ["a", "/a*", "/*/b", "/a?", "/a/../b/*"] {
             assert_eq!(
                 ClassTable::new(vec![entry("/ok", 0), entry(path, 0)])
--- a/crates/protocol/src/ajp/mod.rs
+++ b/crates/protocol/src/ajp/mod.rs
@@ -1,4 +1,5 @@
-//! AJP/1.3: the codec, a server's connection, a client's connection, and the table from paths to classes.
+//! AJP/1.3: the codec, the state machines of a server's and a client's connection, and the table
+//! that maps paths to request classes.
 
 pub mod class_table;
 pub mod client;
--- a/crates/protocol/src/ajp/names.rs
+++ b/crates/protocol/src/ajp/names.rs
@@ -1,7 +1,7 @@
-//! The code tables of AJP/1.3: methods, and the headers that go as a number.
+//! The code tables of AJP/1.3: methods, and headers that are sent as a number.
 
-/// The high byte of a header name that goes as a code.
-pub const CODED: u16 = 0xA000;
+/// The high byte of a header name that is sent as a code.
+pub const CODED_HEADER: u16 = 0xA000;
 
 const METHODS: [&str; 27] = [
     "OPTIONS",
@@ -64,50 +64,50 @@
     "WWW-Authenticate",
 ];
 
-/// The method of a code.
+/// Returns the method with this code.
 pub fn method(code: u8) -> Option<&'static [u8]> {
     METHODS
         .get(usize::from(code).checked_sub(1)?)
         .map(|name| name.as_bytes())
 }
 
-/// The code of a method; methods are told apart by case.
+/// Returns the code of a method; methods are case-sensitive.
 pub fn method_code(name: &[u8]) -> Option<u8> {
     METHODS
         .iter()
         .position(|known| known.as_bytes() == name)
-        .map(|place| place as u8 + 1)
+        .map(|index| index as u8 + 1)
 }
 
-fn by_code(table: &[&'static str], code: u16) -> Option<&'static [u8]> {
+fn name_of_code(table: &[&'static str], code: u16) -> Option<&'static [u8]> {
     table
         .get(usize::from(code & 0xFF).checked_sub(1)?)
         .map(|name| name.as_bytes())
 }
 
 fn code_of(table: &[&str], name: &[u8]) -> Option<u16> {
-    let place = table
+    let index = table
         .iter()
         .position(|known| known.as_bytes().eq_ignore_ascii_case(name))?;
-    Some(CODED + 1 + place as u16)
+    Some(CODED_HEADER + 1 + index as u16)
 }
 
-/// The name of a request header's code.
+/// Returns the name of the request header with this code.
 pub fn request_header(code: u16) -> Option<&'static [u8]> {
-    by_code(&REQUEST_HEADERS, code)
+    name_of_code(&REQUEST_HEADERS, code)
 }
 
-/// The code of a request header.
+/// Returns the code of a request header.
 pub fn request_header_code(name: &[u8]) -> Option<u16> {
     code_of(&REQUEST_HEADERS, name)
 }
 
-/// The name of a response header's code.
+/// Returns the name of the response header with this code.
 pub fn response_header(code: u16) -> Option<&'static [u8]> {
-    by_code(&RESPONSE_HEADERS, code)
+    name_of_code(&RESPONSE_HEADERS, code)
 }
 
-/// The code of a response header.
+/// Returns the code of a response header.
 pub fn response_header_code(name: &[u8]) -> Option<u16> {
     code_of(&RESPONSE_HEADERS, name)
 }
@@ -117,7 +117,7 @@
     use super::*;
 
     #[test]
-    fn codes_are_those_of_the_published_tables() {
+    fn codes_match_the_published_tables() {
         for (code, name) in [
             (1, "OPTIONS"),
             (2, "GET"),
