--- a/crates/protocol/src/ajp/client.rs
+++ b/crates/protocol/src/ajp/client.rs
@@ -1,5 +1,5 @@
-//! A connection to an AJP server, seen from the client: one request at a time, kept alive between them, and asked
-//! for a sign of life before an old connection is trusted with a request.
+//! The client side of a connection to an AJP server: one request at a time, kept alive between
+//! requests, and pinged before a connection that was idle carries a request.
 
 use super::codec::{
     self, DecodeError, Direction, OutgoingRequest, PacketTooLarge, ServerPacket, BODY_OVERHEAD,
@@ -8,17 +8,18 @@
 use super::server::NOT_RUN_HEADER;
 use cleatpulley_policy::interface::Micros;
 
-/// A connection idle for longer is pinged before it carries a request: the server may have closed or forgotten it.
+/// A connection idle for at least this time is pinged before it carries a request: the server may
+/// have closed or forgotten it.
 pub const MIN_IDLE_BEFORE_PING: Micros = 1_000_000;
-/// No reply's body is larger.
-const LARGEST_BODY: usize = 1_048_576;
+/// Maximum number of bytes of a response's body.
+const MAX_BODY_BYTES: usize = 1_048_576;
 
-/// A request to be made.
+/// A request to be sent.
 #[derive(Debug, Clone, Default)]
 pub struct Request<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path, with its arguments.
+    /// The path, with its query.
     pub uri: &'a str,
     /// Headers; `Content-Length` is added.
     pub headers: &'a [(&'a str, &'a str)],
@@ -26,120 +27,120 @@
     pub body: &'a [u8],
 }
 
-/// A whole reply.
+/// A complete response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The headers, in their order.
+    /// The headers, in the order received.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// The connection may be used again.
+    /// Whether the connection may be reused.
     pub reuse: bool,
 }
 
 impl Response {
-    /// The value of the first header of this name, in any case.
+    /// Returns the value of the first header with this name, ignoring case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self
+        let header = self
             .headers
             .iter()
             .find(|header| header.0.eq_ignore_ascii_case(name));
-        found.map(|header| header.1.as_str())
+        header.map(|header| header.1.as_str())
     }
 
-    /// It says that nothing ran.
+    /// Returns whether the server states that the request never ran.
     #[must_use]
     pub fn not_run(&self) -> bool {
         self.header(NOT_RUN_HEADER) == Some("1")
     }
 }
 
-/// What is known of a request whose connection ended without a reply.
+/// What is known of a request whose connection ended without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionState {
-    /// The server can't have read all of it: it never ran, and anybody may send it again.
+    /// The server can't have read all of the request: it never ran, and may always be repeated.
     NeverRan,
-    /// It may have run: only what is safe to repeat may be sent again.
+    /// The request may have run: it may only be repeated if that is safe.
     MayHaveRun,
 }
 
-/// What a client is set to.
+/// Options of a client.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Bytes of the largest packet.
+    /// Maximum packet size in bytes.
     pub packet_size: usize,
-    /// The secret that the server asks for.
+    /// The secret that the server requires, if any.
     pub secret: Option<String>,
-    /// The server's name and port, as requests tell them.
+    /// The server's name and port, as sent with requests.
     pub server: (String, u16),
 }
 
 #[derive(Debug)]
 enum Stage {
     Idle,
-    /// A pong is waited for; then the request is sent.
+    /// The pong is awaited; the request is sent after it.
     Ping,
-    /// The request is on its way or at the server.
-    Asked,
+    /// The request has been sent.
+    Sent,
 }
 
-/// The connection.
+/// The state of a connection to a server.
 #[derive(Debug)]
 pub struct Client {
     options: Options,
     stage: Stage,
-    used: Micros,
-    fresh: bool,
-    /// The forward request, while a pong is waited for.
-    held: Vec<u8>,
+    last_activity_at: Micros,
+    is_unused: bool,
+    /// The encoded forward request, until it is sent.
+    pending_request: Vec<u8>,
     body: Vec<u8>,
-    /// Bytes of the body that were written.
-    written: usize,
-    /// The packet that ends the body was written where one was asked for.
+    /// Number of bytes of the body that were written.
+    written_bytes: usize,
+    /// The response as far as it has been received.
     response: Response,
-    headed: bool,
-    done: bool,
-    pong: bool,
+    has_headers: bool,
+    is_complete: bool,
+    has_pong: bool,
 }
 
 impl Client {
-    /// A connection that was just made.
+    /// Creates the state of a new connection.
     #[must_use]
     pub fn new(options: Options, now: Micros) -> Self {
         Self {
             options,
             stage: Stage::Idle,
-            used: now,
-            fresh: true,
-            held: Vec::new(),
+            last_activity_at: now,
+            is_unused: true,
+            pending_request: Vec::new(),
             body: Vec::new(),
-            written: 0,
+            written_bytes: 0,
             response: Response::default(),
-            headed: false,
-            done: false,
-            pong: false,
+            has_headers: false,
+            is_complete: false,
+            has_pong: false,
         }
     }
 
-    /// Nothing is asked on it.
+    /// Returns whether no request is open.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::Idle)
     }
 
-    /// Sends a request, or first a ping where the connection is an old one. The body goes along as far as one packet
-    /// takes it.
+    /// Sends a request, after a ping if the connection was idle. The first body packet is sent with
+    /// it.
     ///
     /// # Errors
-    /// Where its head does not fit into a packet; nothing is sent then.
+    /// Returns an error, and sends nothing, if the head does not fit into a packet.
     pub fn request(
         &mut self,
         now: Micros,
         request: &Request,
-        out: &mut Vec<u8>,
+        output: &mut Vec<u8>,
     ) -> Result<(), PacketTooLarge> {
         let length = request.body.len().to_string();
         let (uri, query) = request
@@ -159,90 +160,106 @@
             headers: &headers,
             attributes: &[],
         };
-        self.held.clear();
-        codec::push_forward_request(&mut self.held, &forward, self.options.packet_size)?;
+        self.pending_request.clear();
+        codec::push_forward_request(
+            &mut self.pending_request,
+            &forward,
+            self.options.packet_size,
+        )?;
         self.body.clear();
         self.body.extend_from_slice(request.body);
-        self.written = 0;
-        (self.response, self.headed, self.done) = (Response::default(), false, false);
-        if !self.fresh && now >= self.used + MIN_IDLE_BEFORE_PING {
-            codec::push_cping(out);
+        self.written_bytes = 0;
+        (self.response, self.has_headers, self.is_complete) = (Response::default(), false, false);
+        if !self.is_unused && now >= self.last_activity_at + MIN_IDLE_BEFORE_PING {
+            codec::push_cping(output);
             self.stage = Stage::Ping;
         } else {
-            self.send(out);
+            self.send_request(output);
         }
-        self.fresh = false;
-        self.used = now;
+        self.is_unused = false;
+        self.last_activity_at = now;
         Ok(())
     }
 
-    /// Asks for a sign of life on an idle connection; [`take_pong`](Self::take_pong) tells that it came.
-    pub fn ping(&mut self, out: &mut Vec<u8>) {
-        codec::push_cping(out);
+    /// Pings the server on an idle connection; [`take_pong`](Self::take_pong) returns whether it
+    /// replied.
+    pub fn ping(&mut self, output: &mut Vec<u8>) {
+        codec::push_cping(output);
     }
 
-    /// A pong came since this was last asked.
+    /// Returns whether a pong was received since the last call.
     pub fn take_pong(&mut self) -> bool {
-        std::mem::take(&mut self.pong)
+        std::mem::take(&mut self.has_pong)
     }
 
-    fn send(&mut self, out: &mut Vec<u8>) {
-        self.stage = Stage::Asked;
-        out.append(&mut self.held);
+    fn send_request(&mut self, output: &mut Vec<u8>) {
+        self.stage = Stage::Sent;
+        output.append(&mut self.pending_request);
         if !self.body.is_empty() {
-            self.send_body(usize::MAX, out);
+            self.send_body_packet(usize::MAX, output);
         }
     }
 
-    fn send_body(&mut self, wanted: usize, out: &mut Vec<u8>) {
-        let most = self.options.packet_size;
-        let size = (self.body.len() - self.written)
-            .min(wanted)
-            .min(most - BODY_OVERHEAD);
-        // A piece is cut to fit.
-        let _ = codec::push_body(out, &self.body[self.written..self.written + size], most);
-        self.written += size;
+    fn send_body_packet(&mut self, wanted_bytes: usize, output: &mut Vec<u8>) {
+        let packet_size = self.options.packet_size;
+        let size = (self.body.len() - self.written_bytes)
+            .min(wanted_bytes)
+            .min(packet_size - BODY_OVERHEAD);
+        // Can't fail: the data are cut to fit.
+        let _ = codec::push_body(
+            output,
+            &self.body[self.written_bytes..self.written_bytes + size],
+            packet_size,
+        );
+        self.written_bytes += size;
     }
 
-    /// Takes what is whole from the front of the bytes read and returns how many it used up. A reply that became
-    /// whole is there for [`take_response`](Self::take_response).
+    /// Reads the complete packets at the front of `input` and returns the number of bytes consumed.
+    /// A response that became complete is returned by [`take_response`](Self::take_response).
     ///
     /// # Errors
-    /// What can't be read; the connection is of no further use.
+    /// Returns what is invalid; the connection can't be used any longer.
     pub fn receive(
         &mut self,
         now: Micros,
         input: &[u8],
-        out: &mut Vec<u8>,
+        output: &mut Vec<u8>,
     ) -> Result<usize, DecodeError> {
-        let mut used = 0;
-        while let Some(payload) =
-            codec::parse_packet(&input[used..], Direction::ToProxy, self.options.packet_size)?
-        {
-            let packet = &input[used..used + payload.end];
-            used += payload.end;
-            self.used = now;
+        let mut consumed = 0;
+        while let Some(payload) = codec::parse_packet(
+            &input[consumed..],
+            Direction::ToProxy,
+            self.options.packet_size,
+        )? {
+            let bytes = &input[consumed..consumed + payload.end];
+            consumed += payload.end;
+            self.last_activity_at = now;
             let mut headers = [EMPTY_HEADER; MAX_HEADERS];
-            let reply = ServerPacket::decode(&packet[payload], &mut headers)?;
-            self.take_reply(reply, out).map_err(|what| DecodeError {
-                offset: codec::HEADER_BYTES,
-                reason: what,
-            })?;
+            let packet = ServerPacket::decode(&bytes[payload], &mut headers)?;
+            self.handle_packet(packet, output)
+                .map_err(|reason| DecodeError {
+                    offset: codec::HEADER_BYTES,
+                    reason,
+                })?;
         }
-        Ok(used)
+        Ok(consumed)
     }
 
-    fn take_reply(&mut self, reply: ServerPacket, out: &mut Vec<u8>) -> Result<(), &'static str> {
-        match (&self.stage, reply) {
-            (Stage::Ping, ServerPacket::CPong) => self.send(out),
-            (Stage::Idle, ServerPacket::CPong) => self.pong = true,
+    fn handle_packet(
+        &mut self,
+        packet: ServerPacket,
+        output: &mut Vec<u8>,
+    ) -> Result<(), &'static str> {
+        match (&self.stage, packet) {
+            (Stage::Ping, ServerPacket::CPong) => self.send_request(output),
+            (Stage::Idle, ServerPacket::CPong) => self.has_pong = true,
             (
-                Stage::Asked,
+                Stage::Sent,
                 ServerPacket::SendHeaders {
                     status, headers, ..
                 },
-            ) if !self.headed => {
-                self.headed = true;
+            ) if !self.has_headers => {
+                self.has_headers = true;
                 self.response.status = status;
                 let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
                 self.response.headers = headers
@@ -250,43 +267,46 @@
                     .map(|(name, value)| (text(name), text(value)))
                     .collect();
             }
-            (Stage::Asked, ServerPacket::SendBodyChunk(data)) if self.headed => {
-                if self.response.body.len() + data.len() > LARGEST_BODY {
-                    return Err("the reply is too long");
+            (Stage::Sent, ServerPacket::SendBodyChunk(data)) if self.has_headers => {
+                if self.response.body.len() + data.len() > MAX_BODY_BYTES {
+                    return Err("the body of the response is too long");
                 }
                 self.response.body.extend_from_slice(data);
             }
-            (Stage::Asked, ServerPacket::GetBodyChunk(wanted)) if !self.headed => {
-                self.send_body(wanted, out);
+            (Stage::Sent, ServerPacket::GetBodyChunk(wanted_bytes)) if !self.has_headers => {
+                self.send_body_packet(wanted_bytes, output);
             }
-            (Stage::Asked, ServerPacket::EndResponse(reuse)) if self.headed => {
-                // Guards against a part of a reply that is taken for the whole.
-                if let Some(told) = self.response.header("Content-Length") {
-                    if told.trim().parse() != Ok(self.response.body.len()) {
-                        return Err("the reply's body has another length than was told");
+            (Stage::Sent, ServerPacket::EndResponse(reuse)) if self.has_headers => {
+                // A truncated response must not be taken for a complete one.
+                if let Some(declared_length) = self.response.header("Content-Length") {
+                    if declared_length.trim().parse() != Ok(self.response.body.len()) {
+                        return Err("the length of the body differs from Content-Length");
                     }
                 }
-                // What the server did not read of the body is still on its way: it would be taken for a request.
-                self.response.reuse = reuse && self.written == self.body.len();
+                // The rest of a body that was not sent completely would be taken for the next
+                // request.
+                self.response.reuse = reuse && self.written_bytes == self.body.len();
                 self.stage = Stage::Idle;
-                self.done = true;
+                self.is_complete = true;
             }
-            _ => return Err("a packet that has no place here"),
+            _ => return Err("unexpected type of packet in this state"),
         }
         Ok(())
     }
 
-    /// The reply, once it is whole.
+    /// Returns the response, once it is complete.
     pub fn take_response(&mut self) -> Option<Response> {
-        std::mem::take(&mut self.done).then(|| std::mem::take(&mut self.response))
+        std::mem::take(&mut self.is_complete).then(|| std::mem::take(&mut self.response))
     }
 
-    /// What is known of the request, if the connection ended now with so many bytes never handed to the system.
+    /// Returns what is known of the request if the connection ended now, with this many bytes not
+    /// yet passed to the system.
     #[must_use]
-    pub fn execution_state(&self, unsent: usize) -> ExecutionState {
-        let whole =
-            matches!(self.stage, Stage::Asked) && self.written == self.body.len() && unsent == 0;
-        if whole {
+    pub fn execution_state(&self, unsent_bytes: usize) -> ExecutionState {
+        let may_have_run = matches!(self.stage, Stage::Sent)
+            && self.written_bytes == self.body.len()
+            && unsent_bytes == 0;
+        if may_have_run {
             ExecutionState::MayHaveRun
         } else {
             ExecutionState::NeverRan
