--- a/crates/protocol/src/ajp/server/settings.rs
+++ b/crates/protocol/src/ajp/server/settings.rs
@@ -1,44 +1,45 @@
-//! What the connections of one AJP front share: limits, from paths to classes, and where a request's figures stand.
+//! The settings that the connections of an AJP listener share: limits, the table of classes, and
+//! the sources of request parameters.
 
 use crate::ajp::class_table::ClassTable;
 use cleatpulley_dispatcher::RequestHead;
 use cleatpulley_policy::interface::Micros;
 use std::sync::Arc;
 
-/// Where a figure of a request stands.
+/// The source of a request parameter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ParameterSource {
-    /// In the header of this name.
+    /// The header with this name.
     Header(String),
-    /// In the request attribute of this name; all others are passed over.
+    /// The request attribute with this name; all other attributes are ignored.
     Attribute(String),
 }
 
-/// Where the figures of a request stand, each where it was given a place.
+/// The sources of the request parameters; a parameter without a source has its default.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ParameterSources {
-    /// The id, one for each try.
+    /// The request id, which differs between attempts.
     pub id: Option<ParameterSource>,
-    /// When it came to the machine, in Unix milliseconds; believed of trusted proxies only.
+    /// When the request arrived at the host, in Unix milliseconds; only trusted proxies may set it.
     pub received_at_ms: Option<ParameterSource>,
-    /// Work to expect, in milliseconds on one core.
+    /// Expected work, in milliseconds on one core.
     pub work_ms: Option<ParameterSource>,
-    /// Memory while held, in KB.
+    /// Memory that the request occupies, in KB.
     pub memory_kb: Option<ParameterSource>,
-    /// The rank, from 0 to under 1.
+    /// The rank, from 0 to below 1.
     pub rank: Option<ParameterSource>,
     /// The caller's number.
     pub caller: Option<ParameterSource>,
-    /// What it is about.
+    /// The subject of the request.
     pub subject: Option<ParameterSource>,
-    /// What all tries of one request share.
+    /// The idempotency key, shared by all attempts.
     pub key: Option<ParameterSource>,
 }
 
-/// The figures of a class's requests that nobody tells.
+/// The parameters of a class's requests that are not sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ParameterDefaults {
-    /// Work in microseconds; 0 for unknown.
+    /// Expected work, in microseconds; 0 if unknown.
     pub expected_work: Micros,
     /// Memory in KB.
     pub memory_kb: f64,
@@ -46,45 +47,47 @@
     pub rank: f64,
     /// The caller's number.
     pub caller: u64,
-    /// A request without an id is not taken: a proxy that sends it again could not be told from a new one.
+    /// Whether a request without an id is rejected: a repetition by a proxy could not be told from
+    /// a new request.
     pub requires_id: bool,
 }
 
-/// What finds the class of a request by more than its path.
+/// Finds the class of a request by more than its method and path.
 pub trait ClassLookup: std::fmt::Debug + Send + Sync {
-    /// The class.
+    /// Returns the class of the request.
     ///
     /// # Errors
-    /// A status and words, where it has none.
+    /// Returns a status and a message if the request has no class.
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)>;
 
-    /// Requests are to be sent on, with their heads.
+    /// Returns whether requests are forwarded, and need their heads.
     fn forwards_requests(&self) -> bool;
 }
 
-/// What the connections of one front share.
+/// The settings that the connections of a listener share.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What a proxy has to tell; without one nothing is asked.
+    /// The secret that a proxy must send; without one, none is required.
     pub secret: Option<Vec<u8>>,
-    /// Bytes of the largest packet, both ways.
+    /// Maximum packet size in bytes, in both directions.
     pub packet_size: usize,
-    /// Bytes of the largest body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// A connection's first packet, and every packet that began, has to be whole after this time.
+    /// A connection's first packet, and every packet that has begun, must be complete after this
+    /// time.
     pub packet_timeout: Micros,
-    /// The next piece of a body has to come within this time.
+    /// The next packet of a body must arrive within this time.
     pub body_timeout: Micros,
     /// A connection without a request is closed after this time.
     pub idle_timeout: Micros,
-    /// From paths to classes.
+    /// The table of request classes by method and path.
     pub class_table: ClassTable,
-    /// What finds classes instead of the table, where there is one.
+    /// Finds classes in place of the table, if set.
     pub class_lookup: Option<Arc<dyn ClassLookup>>,
-    /// Where the figures stand.
+    /// The sources of the request parameters.
     pub parameter_sources: ParameterSources,
-    /// What holds where they don't, by class.
+    /// Defaults of the request parameters, by class.
     pub parameter_defaults: Vec<ParameterDefaults>,
-    /// Mixed into the ids of requests that bring none.
+    /// Seed of the ids generated for requests without one.
     pub id_seed: u64,
 }
