--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -1,7 +1,8 @@
-//! A proxy's connection, seen from the server: one request at a time, read whole, answered once.
+//! The server side of a proxy's connection: one request at a time, read completely, with one
+//! response.
 //!
-//! A request is handed over when the last byte of its body has come. Until then it is this state machine's: what is
-//! wrong with it, or missing, is answered here, and such a request never ran.
+//! A request is handed over when the last byte of its body has arrived. Until then this state
+//! machine responds to whatever is wrong with it or missing, and such a request never runs.
 
 use super::class_table::ClassMatch;
 use super::codec::{
@@ -19,63 +20,66 @@
 
 pub use settings::{ClassLookup, ParameterDefaults, ParameterSource, ParameterSources, Settings};
 
-/// Says on an answer that this try never ran.
+/// Response header: this attempt never ran.
 pub const NOT_RUN_HEADER: &str = "X-Not-Run";
-/// On a refusal: milliseconds to stay away, beside the whole seconds of `Retry-After`.
+/// Header of a rejection: milliseconds to wait before a retry, in addition to the whole seconds of
+/// `Retry-After`.
 pub const RETRY_AFTER_MS_HEADER: &str = "X-Retry-After-Ms";
-/// The wish that no other matcher be tried.
+/// Response header: the request should not be sent to another matcher.
 pub const NO_RETRY_HEADER: &str = "X-No-Retry";
-/// The free value.
+/// Response header: the feedback value.
 pub const FEEDBACK_HEADER: &str = "X-Feedback";
 
-/// Memory booked for a request stays under this many KB, work under this many ms.
-const MOST_MEMORY: f64 = 2_000.0;
-const MOST_WORK: f64 = 1e9;
-const LONGEST_ID: usize = 256;
+/// The memory reserved for a request is below this, in KB.
+const MEMORY_LIMIT_KB: f64 = 2_000.0;
+/// The expected work of a request is below this, in milliseconds on one core.
+const WORK_LIMIT_MS: f64 = 1e9;
+/// Maximum length of a request id that is sent as text.
+const MAX_ID_BYTES: usize = 256;
 
 #[derive(Debug)]
 enum Stage {
-    /// The next packet begins something new.
-    Ready,
-    /// A request's body is being read.
-    Body {
-        arrival: Box<IncomingRequest>,
-        /// The length that was told; none where the body ends with an empty packet.
-        told: Option<usize>,
+    /// No request is open.
+    Idle,
+    /// The body of a request is being read.
+    ReadingBody {
+        incoming: Box<IncomingRequest>,
+        /// The declared length; `None` if the body ends with an empty packet.
+        declared_length: Option<usize>,
     },
-    /// The exchange has the request on this stream.
-    Handed(u32),
+    /// The request on this stream was handed over and has no response yet.
+    AwaitingResponse(u32),
 }
 
-/// The connection.
+/// The state of a proxy's connection.
 #[derive(Debug)]
 pub struct Connection {
     settings: Rc<Settings>,
     status: ConnectionStatus,
     stage: Stage,
-    streams: u32,
-    /// When the first byte of the packet that is being read came.
-    began: Option<Micros>,
-    trusted: bool,
-    leaving: bool,
+    last_stream: u32,
+    /// When the first byte of the incomplete packet arrived.
+    packet_began_at: Option<Micros>,
+    is_trusted: bool,
+    is_shutting_down: bool,
 }
 
-/// An answer that is given here, before the exchange hears of the request.
-struct Refusal {
+/// A response to a request that is not handed over.
+struct Rejection {
     status: u16,
-    what: String,
-    allow: Option<String>,
+    message: String,
+    allowed_methods: Option<String>,
 }
 
-fn refusal<T>(status: u16, what: impl Into<String>) -> Result<T, Refusal> {
-    Err(Refusal {
+fn rejection<T>(status: u16, message: impl Into<String>) -> Result<T, Rejection> {
+    Err(Rejection {
         status,
-        what: what.into(),
-        allow: None,
+        message: message.into(),
+        allowed_methods: None,
     })
 }
 
-fn message(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -92,51 +96,61 @@
 }
 
 impl Connection {
-    /// One accepted now; a trusted proxy's word on when a request came is believed.
+    /// Creates the state of a connection accepted at `now`. A trusted proxy may set the time of
+    /// arrival of a request.
     #[must_use]
-    pub fn new(settings: Rc<Settings>, now: Micros, trusted: bool) -> Self {
-        let (status, stage) = (ConnectionStatus::new(now), Stage::Ready);
+    pub fn new(settings: Rc<Settings>, now: Micros, is_trusted: bool) -> Self {
+        let (status, stage) = (ConnectionStatus::new(now), Stage::Idle);
         Self {
             settings,
             status,
             stage,
-            streams: 0,
-            began: None,
-            trusted,
-            leaving: false,
+            last_stream: 0,
+            packet_began_at: None,
+            is_trusted,
+            is_shutting_down: false,
         }
     }
 
-    /// Takes one packet from the front of the bytes; none where it is not whole.
-    fn take_packet(
+    /// Handles the packet at the front of the bytes and returns its length; `None` if it is
+    /// incomplete.
+    fn handle_packet(
         &mut self,
         context: &Context,
         input: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) -> Option<usize> {
         let payload =
             match codec::parse_packet(input, Direction::ToServer, self.settings.packet_size) {
                 Ok(payload) => payload?,
-                Err(fault) => {
-                    self.lose(context, &format!("{fault}"), out);
+                Err(error) => {
+                    self.fail_connection(context, &format!("{error}"), output);
                     return Some(input.len());
                 }
             };
         let end = payload.end;
         let payload = &input[payload];
-        let began = self.began.take().unwrap_or(context.now);
+        let packet_began_at = self.packet_began_at.take().unwrap_or(context.now);
         self.status.waiting_since = None;
         self.status.last_activity_at = context.now;
-        match std::mem::replace(&mut self.stage, Stage::Ready) {
-            Stage::Ready => self.take_first(context, began, payload, out, arrivals),
-            Stage::Body { arrival, told } => match codec::decode_body(payload) {
-                Ok(data) => self.take_body(context, arrival, told, data, out, arrivals),
-                Err(fault) => self.refuse(context, 400, &fault.to_string(), None, out),
+        match std::mem::replace(&mut self.stage, Stage::Idle) {
+            Stage::Idle => {
+                self.handle_first_packet(context, packet_began_at, payload, output, requests);
+            }
+            Stage::ReadingBody {
+                incoming,
+                declared_length,
+            } => match codec::decode_body(payload) {
+                Ok(data) => {
+                    self.handle_body(context, incoming, declared_length, data, output, requests);
+                }
+                Err(error) => self.reject(context, 400, &error.to_string(), None, output),
             },
-            // Nothing may come before the answer; the answer still goes out, as the last on this connection.
-            Stage::Handed(stream) => {
-                self.stage = Stage::Handed(stream);
+            // A packet before the response is an error; the response is still sent, as the last one
+            // on this connection.
+            Stage::AwaitingResponse(stream) => {
+                self.stage = Stage::AwaitingResponse(stream);
                 self.warn(context, "a packet came while a request was open");
                 self.status.state = ConnectionState::Closing;
             }
@@ -144,105 +158,123 @@
         Some(end)
     }
 
-    fn take_first(
+    fn handle_first_packet(
         &mut self,
         context: &Context,
-        began: Micros,
+        packet_began_at: Micros,
         payload: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) {
         match payload.first() {
-            Some(&packet_type::FORWARD_REQUEST) => match self.begin(context, began, payload) {
-                Ok((arrival, told)) => {
-                    self.status.has_received_message = true;
-                    if told == Some(0) {
-                        self.hand_over(*arrival, arrivals);
-                        return;
+            Some(&packet_type::FORWARD_REQUEST) => {
+                match self.decode_request(context, packet_began_at, payload) {
+                    Ok((incoming, declared_length)) => {
+                        self.status.has_received_message = true;
+                        if declared_length == Some(0) {
+                            self.hand_over(*incoming, requests);
+                            return;
+                        }
+                        // A body of declared length is sent without a request for it; one without must
+                        // be requested.
+                        if declared_length.is_none() {
+                            self.push_body_request(self.settings.max_body_bytes + 1, output);
+                        }
+                        self.status.waiting_since = Some(context.now);
+                        self.stage = Stage::ReadingBody {
+                            incoming,
+                            declared_length,
+                        };
                     }
-                    // A body of a told length begins unasked, one without is asked for.
-                    if told.is_none() {
-                        self.ask(self.settings.max_body_bytes + 1, out);
+                    Err(Rejection {
+                        status,
+                        message,
+                        allowed_methods,
+                    }) => {
+                        self.reject(
+                            context,
+                            status,
+                            &message,
+                            allowed_methods.as_deref(),
+                            output,
+                        );
                     }
-                    self.status.waiting_since = Some(context.now);
-                    self.stage = Stage::Body { arrival, told };
-                }
-                Err(Refusal {
-                    status,
-                    what,
-                    allow,
-                }) => {
-                    self.refuse(context, status, &what, allow.as_deref(), out);
                 }
-            },
-            // A leaving server does not answer: the proxy takes its next connection elsewhere.
-            Some(&packet_type::CPING) if payload.len() == 1 && self.leaving => {
+            }
+            // During the shutdown a ping gets no response, so that the proxy uses another server.
+            Some(&packet_type::CPING) if payload.len() == 1 && self.is_shutting_down => {
                 self.status.state = ConnectionState::Closing;
             }
             Some(&packet_type::CPING) if payload.len() == 1 => {
                 self.status.has_received_message = true;
-                codec::push_cpong(out);
+                codec::push_cpong(output);
             }
             Some(&packet_type::SHUTDOWN) => {
-                self.lose(context, "a wish to shut down is not obeyed", out);
+                self.fail_connection(context, "a wish to shut down is not obeyed", output);
             }
-            Some(_) => self.lose(
+            Some(_) => self.fail_connection(
                 context,
                 "a packet of an unknown type, or a body that was not asked for",
-                out,
+                output,
             ),
-            None => self.lose(context, "an empty packet that belongs to no body", out),
+            None => {
+                self.fail_connection(context, "an empty packet that belongs to no body", output);
+            }
         }
     }
 
-    /// Reads a forward request: what is handed over once its body is whole, and the length that was told.
-    fn begin(
+    /// Decodes a forward request. Returns the request to be handed over once its body is complete,
+    /// and the declared length.
+    fn decode_request(
         &self,
         context: &Context,
-        began: Micros,
+        packet_began_at: Micros,
         payload: &[u8],
-    ) -> Result<(Box<IncomingRequest>, Option<usize>), Refusal> {
+    ) -> Result<(Box<IncomingRequest>, Option<usize>), Rejection> {
         let settings = &self.settings;
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let request = ForwardRequest::decode(payload, &mut headers)
-            .or_else(|e| refusal(400, e.to_string()))?;
+            .or_else(|e| rejection(400, e.to_string()))?;
         if let Some(secret) = &settings.secret {
-            // Guards against a guess byte by byte: the comparison takes as long wherever they differ.
+            // Constant-time comparison: a secret can't be guessed byte by byte.
             if !bool::from(request.secret.unwrap_or_default().ct_eq(secret)) {
-                return refusal(403, "no secret, or a wrong one");
+                return rejection(403, "no secret, or a wrong one");
             }
         }
-        let head = settings.class_lookup.as_ref().map(|_| head(&request));
+        let request_head = settings
+            .class_lookup
+            .as_ref()
+            .map(|_| request_head(&request));
         let found = settings
             .class_lookup
             .as_ref()
-            .zip(head.as_ref())
-            .map(|(lookup, head)| lookup.find(head));
+            .zip(request_head.as_ref())
+            .map(|(lookup, request_head)| lookup.find(request_head));
         let class = match found {
-            Some(found) => found.or_else(|(status, what)| refusal(status, what))?,
+            Some(found) => found.or_else(|(status, message)| rejection(status, message))?,
             None => match settings.class_table.find(request.method, request.uri) {
                 ClassMatch::Class(class) => class,
                 ClassMatch::MethodNotAllowed(methods) => {
-                    let (status, what) = (405, "this path does not take the method".to_owned());
-                    return Err(Refusal {
+                    let (status, message) = (405, "this path does not take the method".to_owned());
+                    return Err(Rejection {
                         status,
-                        what,
-                        allow: Some(methods.join(", ")),
+                        message,
+                        allowed_methods: Some(methods.join(", ")),
                     });
                 }
-                ClassMatch::NotFound => return refusal(404, "no class has this path"),
+                ClassMatch::NotFound => return rejection(404, "no class has this path"),
             },
         };
-        let told = self.told_length(&request)?;
-        if told.is_some_and(|length| length > settings.max_body_bytes) {
-            return refusal(
+        let declared_length = self.parse_body_length(&request)?;
+        if declared_length.is_some_and(|length| length > settings.max_body_bytes) {
+            return rejection(
                 413,
                 format!("a body may have {} bytes", settings.max_body_bytes),
             );
         }
-        let mut arrival = self.figures(context, class, began, &request)?;
-        arrival.body.reserve_exact(told.unwrap_or(0));
-        arrival.head = head
+        let mut incoming = self.read_parameters(context, class, packet_began_at, &request)?;
+        incoming.body.reserve_exact(declared_length.unwrap_or(0));
+        incoming.head = request_head
             .filter(|_| {
                 settings
                     .class_lookup
@@ -250,66 +282,71 @@
                     .is_some_and(|lookup| lookup.forwards_requests())
             })
             .map(Box::new);
-        Ok((Box::new(arrival), told))
+        Ok((Box::new(incoming), declared_length))
     }
 
-    /// The length of the body; none where it comes in chunks.
-    fn told_length(&self, request: &ForwardRequest) -> Result<Option<usize>, Refusal> {
-        let mut told: Option<usize> = None;
-        let mut chunked = false;
+    /// Returns the declared length of the body; `None` if the body is chunked.
+    fn parse_body_length(&self, request: &ForwardRequest) -> Result<Option<usize>, Rejection> {
+        let mut declared_length: Option<usize> = None;
+        let mut is_chunked = false;
         for (name, value) in request.headers {
             if name.eq_ignore_ascii_case(b"content-length") {
-                let digits =
+                let is_number =
                     !value.is_empty() && value.len() < 16 && value.iter().all(u8::is_ascii_digit);
                 let length = std::str::from_utf8(value)
                     .ok()
-                    .filter(|_| digits)
+                    .filter(|_| is_number)
                     .and_then(|v| v.parse().ok());
-                // Guards against two lengths, of which proxy and server might each believe another.
+                // Rejects two different lengths: proxy and server might each use another one.
                 match length {
-                    Some(length) if told.is_none_or(|other| other == length) => told = Some(length),
+                    Some(length) if declared_length.is_none_or(|other| other == length) => {
+                        declared_length = Some(length);
+                    }
                     _ => {
-                        return refusal(400, "header content-length: no length, or two that differ")
+                        return rejection(
+                            400,
+                            "header content-length: no length, or two that differ",
+                        )
                     }
                 }
             } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-                chunked = value.eq_ignore_ascii_case(b"chunked");
-                if !chunked {
-                    return refusal(400, "header transfer-encoding: only chunked is known");
+                is_chunked = value.eq_ignore_ascii_case(b"chunked");
+                if !is_chunked {
+                    return rejection(400, "header transfer-encoding: only chunked is known");
                 }
             }
         }
-        match (told, chunked) {
-            (Some(_), true) => refusal(400, "header content-length: the body is chunked as well"),
+        match (declared_length, is_chunked) {
+            (Some(_), true) => rejection(400, "header content-length: the body is chunked as well"),
             (None, true) => Ok(None),
-            (told, false) => Ok(Some(told.unwrap_or(0))),
+            (declared_length, false) => Ok(Some(declared_length.unwrap_or(0))),
         }
     }
 
-    fn figures(
+    fn read_parameters(
         &self,
         context: &Context,
         class: usize,
-        began: Micros,
+        packet_began_at: Micros,
         request: &ForwardRequest,
-    ) -> Result<IncomingRequest, Refusal> {
-        let places = &self.settings.parameter_sources;
+    ) -> Result<IncomingRequest, Rejection> {
+        let sources = &self.settings.parameter_sources;
         let Some(defaults) = self.settings.parameter_defaults.get(class) else {
-            return refusal(500, "a class without defaults");
+            return rejection(500, "a class without defaults");
         };
-        let number = |name: &str,
-                      place: &Option<ParameterSource>,
-                      most: f64|
-         -> Result<Option<f64>, Refusal> {
-            let Some(text) = find(request, place.as_ref()) else {
+        let parse_number = |name: &str,
+                            source: &Option<ParameterSource>,
+                            limit: f64|
+         -> Result<Option<f64>, Rejection> {
+            let Some(text) = find_parameter(request, source.as_ref()) else {
                 return Ok(None);
             };
             let value = std::str::from_utf8(text)
                 .ok()
                 .and_then(|text| text.trim().parse::<f64>().ok());
-            match value.filter(|value| (0.0..most).contains(value)) {
+            match value.filter(|value| (0.0..limit).contains(value)) {
                 Some(value) => Ok(Some(value)),
-                None => refusal(
+                None => rejection(
                     400,
                     format!(
                         "figure {name}: {:?} is out of place",
@@ -318,56 +355,59 @@
                 ),
             }
         };
-        let whole = |name: &str, place: &Option<ParameterSource>| -> Result<Option<u64>, Refusal> {
-            let Some(text) = find(request, place.as_ref()) else {
-                return Ok(None);
-            };
-            match std::str::from_utf8(text)
-                .ok()
-                .and_then(|text| text.trim().parse().ok())
-            {
-                Some(value) => Ok(Some(value)),
-                None => refusal(
-                    400,
-                    format!(
-                        "figure {name}: {:?} is out of place",
-                        text.escape_ascii().to_string()
+        let parse_integer =
+            |name: &str, source: &Option<ParameterSource>| -> Result<Option<u64>, Rejection> {
+                let Some(text) = find_parameter(request, source.as_ref()) else {
+                    return Ok(None);
+                };
+                match std::str::from_utf8(text)
+                    .ok()
+                    .and_then(|text| text.trim().parse().ok())
+                {
+                    Some(value) => Ok(Some(value)),
+                    None => rejection(
+                        400,
+                        format!(
+                            "figure {name}: {:?} is out of place",
+                            text.escape_ascii().to_string()
+                        ),
                     ),
-                ),
-            }
-        };
-        let stream = self.streams.wrapping_add(1);
-        let id = match find(request, places.id.as_ref()) {
-            Some(text) if text.is_empty() || text.len() > LONGEST_ID => {
-                return refusal(400, format!("figure id: {} bytes are no id", text.len()))
+                }
+            };
+        let stream = self.last_stream.wrapping_add(1);
+        let id = match find_parameter(request, sources.id.as_ref()) {
+            Some(text) if text.is_empty() || text.len() > MAX_ID_BYTES => {
+                return rejection(400, format!("figure id: {} bytes are no id", text.len()))
             }
             Some(text) => parse_request_id(text),
-            None if defaults.requires_id => return refusal(400, "figure id: this class needs one"),
+            None if defaults.requires_id => {
+                return rejection(400, "figure id: this class needs one")
+            }
             None => {
-                let mut own = [0; 12];
-                own[..8].copy_from_slice(&context.connection_id.to_be_bytes());
-                own[8..].copy_from_slice(&stream.to_be_bytes());
-                xxhash_rust::xxh3::xxh3_64_with_seed(&own, self.settings.id_seed)
+                let mut id_input = [0; 12];
+                id_input[..8].copy_from_slice(&context.connection_id.to_be_bytes());
+                id_input[8..].copy_from_slice(&stream.to_be_bytes());
+                xxhash_rust::xxh3::xxh3_64_with_seed(&id_input, self.settings.id_seed)
             }
         };
-        let told = if self.trusted {
-            whole("door", &places.received_at_ms)?
+        let received_at_ms = if self.is_trusted {
+            parse_integer("door", &sources.received_at_ms)?
         } else {
             None
         };
-        let memory_kb =
-            number("memory_kb", &places.memory_kb, MOST_MEMORY)?.unwrap_or(defaults.memory_kb);
+        let memory_kb = parse_number("memory_kb", &sources.memory_kb, MEMORY_LIMIT_KB)?
+            .unwrap_or(defaults.memory_kb);
         if memory_kb <= 0.0 {
-            return refusal(400, "figure memory_kb: it must be above 0");
+            return rejection(400, "figure memory_kb: it must be above 0");
         }
-        let key = find(request, places.key.as_ref());
+        let key = find_parameter(request, sources.key.as_ref());
         if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
-            return refusal(
+            return rejection(
                 400,
                 format!("figure key: not within 1 to {MAX_KEY_BYTES} bytes"),
             );
         }
-        let work = number("work_ms", &places.work_ms, MOST_WORK)?;
+        let work = parse_number("work_ms", &sources.work_ms, WORK_LIMIT_MS)?;
         Ok(IncomingRequest {
             client: ClientStream {
                 connection: context.connection_id,
@@ -375,131 +415,149 @@
             },
             id,
             class,
-            caller: whole("caller", &places.caller)?.unwrap_or(defaults.caller),
-            received_at: told.map_or(began, |ms| ms.saturating_mul(1_000).min(began)),
+            caller: parse_integer("caller", &sources.caller)?.unwrap_or(defaults.caller),
+            received_at: received_at_ms.map_or(packet_began_at, |ms| {
+                ms.saturating_mul(1_000).min(packet_began_at)
+            }),
             expected_work: work.map_or(defaults.expected_work, |ms| (ms * 1_000.0) as Micros),
             memory_kb,
-            rank: number("rank", &places.rank, 1.0)?.unwrap_or(defaults.rank),
+            rank: parse_number("rank", &sources.rank, 1.0)?.unwrap_or(defaults.rank),
             is_retry: false,
-            has_subject: find(request, places.subject.as_ref()).is_some(),
+            has_subject: find_parameter(request, sources.subject.as_ref()).is_some(),
             key: key.map(Box::from),
             body: Vec::new(),
             head: None,
         })
     }
 
-    fn take_body(
+    fn handle_body(
         &mut self,
         context: &Context,
-        mut arrival: Box<IncomingRequest>,
-        told: Option<usize>,
+        mut incoming: Box<IncomingRequest>,
+        declared_length: Option<usize>,
         data: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) {
-        let have = arrival.body.len() + data.len();
-        match told {
-            Some(length) if data.is_empty() || have > length => {
-                let what = format!("a body of {have} bytes where {length} were told");
-                return self.refuse(context, 400, &what, None, out);
+        let received_bytes = incoming.body.len() + data.len();
+        match declared_length {
+            Some(length) if data.is_empty() || received_bytes > length => {
+                let message = format!("a body of {received_bytes} bytes where {length} were told");
+                return self.reject(context, 400, &message, None, output);
             }
-            None if have > self.settings.max_body_bytes => {
-                let what = format!("a body may have {} bytes", self.settings.max_body_bytes);
-                return self.refuse(context, 413, &what, None, out);
+            None if received_bytes > self.settings.max_body_bytes => {
+                let message = format!("a body may have {} bytes", self.settings.max_body_bytes);
+                return self.reject(context, 413, &message, None, output);
             }
             _ => {}
         }
-        arrival.body.extend_from_slice(data);
-        if told == Some(have) || (told.is_none() && data.is_empty()) {
-            return self.hand_over(*arrival, arrivals);
+        incoming.body.extend_from_slice(data);
+        if declared_length == Some(received_bytes) || (declared_length.is_none() && data.is_empty())
+        {
+            return self.hand_over(*incoming, requests);
         }
-        self.ask(told.unwrap_or(self.settings.max_body_bytes + 1) - have, out);
+        self.push_body_request(
+            declared_length.unwrap_or(self.settings.max_body_bytes + 1) - received_bytes,
+            output,
+        );
         self.status.waiting_since = Some(context.now);
-        self.stage = Stage::Body { arrival, told };
+        self.stage = Stage::ReadingBody {
+            incoming,
+            declared_length,
+        };
     }
 
-    fn ask(&self, length: usize, out: &mut Vec<u8>) {
-        codec::push_get_body(out, length.min(self.settings.packet_size - BODY_OVERHEAD));
+    fn push_body_request(&self, length: usize, output: &mut Vec<u8>) {
+        codec::push_get_body(
+            output,
+            length.min(self.settings.packet_size - BODY_OVERHEAD),
+        );
     }
 
-    fn hand_over(&mut self, arrival: IncomingRequest, arrivals: &mut Vec<IncomingRequest>) {
-        self.streams = arrival.client.stream;
+    fn hand_over(&mut self, incoming: IncomingRequest, requests: &mut Vec<IncomingRequest>) {
+        self.last_stream = incoming.client.stream;
         self.status.open_requests = 1;
-        self.stage = Stage::Handed(self.streams);
-        arrivals.push(arrival);
+        self.stage = Stage::AwaitingResponse(self.last_stream);
+        requests.push(incoming);
     }
 
-    fn warn(&self, context: &Context, what: &str) {
-        // Once a connection: the next faults come as fast as they can be sent.
+    fn warn(&self, context: &Context, message: &str) {
+        // Logged once per connection: the peer can cause more errors as fast as it can send.
         if self.status.state == ConnectionState::Open {
-            tracing::warn!("AJP connection {}: {what}", context.connection_id);
+            tracing::warn!("AJP connection {}: {message}", context.connection_id);
         }
     }
 
-    /// What came can't be read: no answer would reach the right request.
-    fn lose(&mut self, context: &Context, what: &str, out: &mut Vec<u8>) {
-        // A body that was being read has a request that is owed an answer.
-        if matches!(self.stage, Stage::Body { .. }) {
-            return self.refuse(context, 400, what, None, out);
+    /// Handles invalid input: a response could be taken for that of another request.
+    fn fail_connection(&mut self, context: &Context, message: &str, output: &mut Vec<u8>) {
+        // A request whose body is being read gets a response.
+        if matches!(self.stage, Stage::ReadingBody { .. }) {
+            return self.reject(context, 400, message, None, output);
         }
-        self.warn(context, what);
+        self.warn(context, message);
         self.status.state = ConnectionState::Closing;
     }
 
-    /// Answers a request that the exchange never hears of. The rest of its body may be on its way and would be
-    /// taken for the next request, so that it is the last on this connection.
-    fn refuse(
+    /// Responds to a request that is not handed over. The rest of its body may be on its way and
+    /// would be taken for the next request, so it is the last one on this connection.
+    fn reject(
         &mut self,
         context: &Context,
         status: u16,
-        what: &str,
-        allow: Option<&str>,
-        out: &mut Vec<u8>,
+        message: &str,
+        allowed_methods: Option<&str>,
+        output: &mut Vec<u8>,
     ) {
-        self.warn(context, &format!("{status}, {what}"));
+        self.warn(context, &format!("{status}, {message}"));
         let mut headers = vec![(NOT_RUN_HEADER, "1")];
-        headers.extend(allow.map(|methods| ("Allow", methods)));
+        headers.extend(allowed_methods.map(|methods| ("Allow", methods)));
         if status == 503 {
             headers.push(("Retry-After", "1"));
         }
-        self.push_response_packets(out, status, &headers, what.as_bytes(), false);
-        self.stage = Stage::Ready;
+        self.send_response(output, status, &headers, message.as_bytes(), false);
+        self.stage = Stage::Idle;
         self.status.waiting_since = None;
         self.status.state = ConnectionState::Closing;
     }
 
-    fn push_response_packets(
+    fn send_response(
         &self,
-        out: &mut Vec<u8>,
+        output: &mut Vec<u8>,
         status: u16,
         headers: &[(&str, &str)],
         body: &[u8],
         reuse: bool,
     ) {
         let length = body.len().to_string();
-        let kind = if status == 200 {
+        let content_type = if status == 200 {
             "application/octet-stream"
         } else {
             "text/plain"
         };
-        let mut all = vec![("Content-Type", kind), ("Content-Length", length.as_str())];
-        all.extend_from_slice(headers);
-        // Names and values are our own and short: they fit into the smallest packet.
+        let mut all_headers = vec![
+            ("Content-Type", content_type),
+            ("Content-Length", length.as_str()),
+        ];
+        all_headers.extend_from_slice(headers);
+        // Can't fail: names and values are set here and fit into the smallest packet.
         let _ = codec::push_send_headers(
-            out,
+            output,
             status,
-            message(status),
-            &all,
+            reason_phrase(status),
+            &all_headers,
             self.settings.packet_size,
         );
-        codec::push_body_chunks(out, body, self.settings.packet_size);
-        codec::push_end_response(out, reuse);
+        codec::push_body_chunks(output, body, self.settings.packet_size);
+        codec::push_end_response(output, reuse);
     }
 }
 
-/// Finds a figure where it has a place.
-fn find<'a>(request: &ForwardRequest<'a, '_>, place: Option<&ParameterSource>) -> Option<&'a [u8]> {
-    match place? {
+/// Finds a request parameter, if it has a source.
+fn find_parameter<'a>(
+    request: &ForwardRequest<'a, '_>,
+    source: Option<&ParameterSource>,
+) -> Option<&'a [u8]> {
+    match source? {
         ParameterSource::Header(name) => request.header(name),
         ParameterSource::Attribute(name) => {
             request.attributes().find_map(|attribute| match attribute {
@@ -510,14 +568,14 @@
     }
 }
 
-/// How a request was asked for.
-fn head(request: &ForwardRequest) -> RequestHead {
+/// Returns the head of a request.
+fn request_head(request: &ForwardRequest) -> RequestHead {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let mut target = text(request.uri);
     if let Some(query) = request.query.filter(|query| !query.is_empty()) {
         target = target + "?" + &text(query);
     }
-    // The proxy may tell the host apart from the headers.
+    // The proxy may send the host outside of the headers.
     let host = request
         .header("host")
         .or(request.server_name)
@@ -537,13 +595,13 @@
     }
 }
 
-/// The id of a request: 16 hex digits are taken as they are, other text by its hash.
+/// Returns the id of a request: the value of 16 hex digits, or the hash of other text.
 #[must_use]
 pub fn parse_request_id(text: &[u8]) -> RequestId {
-    let hex = text.len() == 16 && text.iter().all(u8::is_ascii_hexdigit);
-    let plain = std::str::from_utf8(text).ok().filter(|_| hex);
-    let plain = plain.and_then(|text| RequestId::from_str_radix(text, 16).ok());
-    plain.unwrap_or_else(|| xxhash_rust::xxh3::xxh3_64(text))
+    let is_hex = text.len() == 16 && text.iter().all(u8::is_ascii_hexdigit);
+    let parsed = std::str::from_utf8(text).ok().filter(|_| is_hex);
+    let parsed = parsed.and_then(|text| RequestId::from_str_radix(text, 16).ok());
+    parsed.unwrap_or_else(|| xxhash_rust::xxh3::xxh3_64(text))
 }
 
 impl ConnectionStateMachine for Connection {
@@ -559,93 +617,87 @@
         &mut self,
         context: &Context,
         input: &[u8],
-        out: &mut Vec<u8>,
-        arrivals: &mut Vec<IncomingRequest>,
+        output: &mut Vec<u8>,
+        requests: &mut Vec<IncomingRequest>,
     ) -> usize {
-        let mut used = 0;
-        while used < input.len() {
+        let mut consumed = 0;
+        while consumed < input.len() {
             if self.status.state == ConnectionState::Closing {
                 return input.len();
             }
-            self.began = self.began.or(Some(context.now));
-            match self.take_packet(context, &input[used..], out, arrivals) {
-                Some(size) => used += size,
+            self.packet_began_at = self.packet_began_at.or(Some(context.now));
+            match self.handle_packet(context, &input[consumed..], output, requests) {
+                Some(size) => consumed += size,
                 None => {
                     self.status.waiting_since = self.status.waiting_since.or(Some(context.now));
                     break;
                 }
             }
         }
-        used
+        consumed
     }
 
     fn respond(
         &mut self,
         context: &Context,
         stream: u32,
-        answer: &Response,
-        out: &mut Vec<u8>,
+        response: &Response,
+        output: &mut Vec<u8>,
     ) -> bool {
-        if !matches!(self.stage, Stage::Handed(open) if open == stream) {
+        if !matches!(self.stage, Stage::AwaitingResponse(open) if open == stream) {
             return false;
         }
-        self.stage = Stage::Ready;
+        self.stage = Stage::Idle;
         self.status.open_requests = 0;
         self.status.last_activity_at = context.now;
-        let reuse = self.status.state == ConnectionState::Open && !self.leaving;
+        let reuse = self.status.state == ConnectionState::Open && !self.is_shutting_down;
         let feedback = context.feedback.map(|value| format!("{value:.4}"));
         let mut headers = Vec::with_capacity(5);
         headers.extend(feedback.as_deref().map(|value| (FEEDBACK_HEADER, value)));
-        match answer {
-            Response::Served(body) => self.push_response_packets(out, 200, &headers, body, reuse),
+        match response {
+            Response::Served(body) => self.send_response(output, 200, &headers, body, reuse),
             Response::Rejected {
-                retry_after: later,
-                no_failover: last,
+                retry_after,
+                no_failover,
             } => {
                 let (seconds, ms) = (
-                    later.div_ceil(1_000_000).to_string(),
-                    later.div_ceil(1_000).to_string(),
+                    retry_after.div_ceil(1_000_000).to_string(),
+                    retry_after.div_ceil(1_000).to_string(),
                 );
                 headers.push((NOT_RUN_HEADER, "1"));
-                if *later > 0 {
+                if *retry_after > 0 {
                     headers.extend([
                         ("Retry-After", seconds.as_str()),
                         (RETRY_AFTER_MS_HEADER, ms.as_str()),
                     ]);
                 }
-                if *last {
+                if *no_failover {
                     headers.push((NO_RETRY_HEADER, "1"));
                 }
-                self.push_response_packets(out, 503, &headers, b"turned away\n", reuse);
+                self.send_response(output, 503, &headers, b"turned away\n", reuse);
             }
             Response::Failed => {
-                self.push_response_packets(out, 500, &headers, b"failed; it may have run\n", reuse);
+                self.send_response(output, 500, &headers, b"failed; it may have run\n", reuse);
             }
-            Response::Invalid(fault) => {
+            Response::Invalid(error) => {
                 headers.push((NOT_RUN_HEADER, "1"));
-                let status = match fault {
+                let status = match error {
                     RequestError::KeyReused => 422,
                     RequestError::Forbidden => 403,
                     RequestError::KeyMissing => 400,
                 };
-                self.push_response_packets(
-                    out,
-                    status,
-                    &headers,
-                    fault.message().as_bytes(),
-                    reuse,
-                );
+                self.send_response(output, status, &headers, error.message().as_bytes(), reuse);
             }
             Response::Direct { status, body } => {
                 headers.push((NOT_RUN_HEADER, "1"));
-                let leads = String::from_utf8_lossy(body).into_owned();
+                let location = String::from_utf8_lossy(body).into_owned();
                 if matches!(status, 301 | 302 | 303 | 307 | 308) {
-                    headers.push(("Location", &leads));
+                    headers.push(("Location", &location));
                 }
-                self.push_response_packets(out, *status, &headers, body, reuse);
+                self.send_response(output, *status, &headers, body, reuse);
             }
-            Response::Expired => self.push_response_packets(
-                out,
+            Response::Expired => self.send_response(
+                output,
                 504,
                 &headers,
                 b"not done in time; it may have run\n",
@@ -663,7 +715,7 @@
             return None;
         }
         let limit = match self.stage {
-            Stage::Body { .. } => self.settings.body_timeout,
+            Stage::ReadingBody { .. } => self.settings.body_timeout,
             _ => self.settings.packet_timeout,
         };
         Some(match self.status.waiting_since {
@@ -672,40 +724,44 @@
         })
     }
 
-    fn handle_timeout(&mut self, context: &Context, out: &mut Vec<u8>) {
+    fn handle_timeout(&mut self, context: &Context, output: &mut Vec<u8>) {
         match self.stage {
-            Stage::Body { .. } => self.refuse(
+            Stage::ReadingBody { .. } => self.reject(
                 context,
                 408,
                 "the rest of the body did not come in time",
                 None,
-                out,
+                output,
             ),
-            // An idle connection, or one whose first packet did not come: nobody is owed a word.
+            // The connection is idle, or its first packet did not arrive: no request needs a
+            // response.
             _ => self.status.state = ConnectionState::Closing,
         }
     }
 
-    /// Idle connections are closed at once and others after their answer; a new one still gets an answer.
+    /// Idle connections are closed at once, others after their response. A new connection may still
+    /// send a request.
     fn begin_shutdown(&mut self, _: &Context, _: &mut Vec<u8>) {
-        self.leaving = true;
+        self.is_shutting_down = true;
         if self.status.is_idle() {
             self.status.state = ConnectionState::Closing;
         }
     }
 
-    fn stop_accepting_requests(&mut self, context: &Context, out: &mut Vec<u8>) {
+    fn stop_accepting_requests(&mut self, context: &Context, output: &mut Vec<u8>) {
         if self.status.state != ConnectionState::Open {
             return;
         }
         match self.stage {
-            Stage::Body { .. } => self.refuse(context, 503, "this server leaves", None, out),
-            // A request in the hands of the exchange is answered, and is the last.
-            Stage::Handed(_) => self.leaving = true,
-            Stage::Ready if self.status.is_idle() => self.status.state = ConnectionState::Closing,
-            // A new connection: what it was opened for may be on its way.
-            Stage::Ready => {
-                self.leaving = true;
+            Stage::ReadingBody { .. } => {
+                self.reject(context, 503, "this server leaves", None, output);
+            }
+            // A request that was handed over gets its response and is the last one.
+            Stage::AwaitingResponse(_) => self.is_shutting_down = true,
+            Stage::Idle if self.status.is_idle() => self.status.state = ConnectionState::Closing,
+            // On a new connection, the first request may be on its way.
+            Stage::Idle => {
+                self.is_shutting_down = true;
                 self.status.state = ConnectionState::Draining(context.now);
             }
         }
