--- a/src/operator.rs
+++ b/src/operator.rs
@@ -234,9 +234,9 @@
                 .is_none_or(|results| results.classes[i]);
             if class.effect == Effect::Deduplicated && !kept {
                 return Err(format!(
-"settings.classes[{i}].effect: further tries can't be told without kept results of {:?}",
-config.class_names[i]
-));
+                    "settings.classes[{i}].effect: further tries can't be told without kept results of {:?}",
+                    config.class_names[i]
+                ));
             }
         }
         Ok(())
@@ -699,16 +699,16 @@
                 let settings = &front.settings;
                 let ms = |micros: Micros| micros / 1_000;
                 writeln!(
-f,
-"ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
-listen.join(", "),
-if settings.secret.is_some() { "asked for" } else { "none" },
-settings.packet_size,
-settings.max_body_bytes,
-ms(settings.packet_timeout),
-ms(settings.body_timeout),
-ms(settings.idle_timeout),
-)?;
+                    f,
+                    "ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
+                    listen.join(", "),
+                    if settings.secret.is_some() { "asked for" } else { "none" },
+                    settings.packet_size,
+                    settings.max_body_bytes,
+                    ms(settings.packet_timeout),
+                    ms(settings.body_timeout),
+                    ms(settings.idle_timeout),
+                )?;
             }
         }
         let speaks = match &self.store {
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -220,9 +220,9 @@
         }
         if self.stop_ms < self.drain_grace_ms + longest {
             let what = format!(
-"{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
-self.stop_ms, self.drain_grace_ms
-);
+                "{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
+                self.stop_ms, self.drain_grace_ms
+            );
             return wrong("stop_ms", what);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -256,11 +256,11 @@
         Some(Path::new("/etc/cleatpulley/{place}.jsonnet"))
     );
     let expected = json!({
-    "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
-    "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
-    "crashes": 4,
-    "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
-    "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
+        "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
+        "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
+        "crashes": 4,
+        "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
+        "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
     });
     assert_eq!(
         serde_json::to_value(fleet.settings).expect("JSON"),
@@ -268,8 +268,8 @@
     );
     let planner_input = fleet.planner_input.expect("a host is described");
     let host = json!({
-    "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
-    "warm_after": 4_000_000, "drain": 3_000_000,
+        "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
+        "warm_after": 4_000_000, "drain": 3_000_000,
     });
     assert_eq!(
         serde_json::to_value(planner_input.host).expect("JSON"),
@@ -589,11 +589,11 @@
     let site = Site::start(Setup::default()).expect("a site");
     let at = |name: &str| folder.path().join(name).display().to_string();
     let operator = format!(
-"{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
+        "{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
          handshakes: {{ per_second: 100 }} }} }}",
-at("n3.pem"),
-at("n3.key")
-);
+        at("n3.pem"),
+        at("n3.key")
+    );
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher = Matcher::start(program, &site.config, Some(&operator)).expect("it starts");
     let (status, body) = matcher.ask("/_ready").expect("an answer");
