--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -1,4 +1,4 @@
-//! The section on a gateway: where callers come, which routes hold, where targets are.
+//! The `gateway` section of an operator file: listening addresses, routes, classes and targets of a gateway.
 
 use super::section::read_section;
 use super::{addresses, packet_size, wrong, Fault, Wrong};
@@ -19,14 +19,14 @@
 const MS: u64 = 1_000;
 
 #[derive(Deserialize)]
-struct File {
-    gateway: Section,
+struct OperatorFile {
+    gateway: GatewaySection,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Section {
-    #[serde(default = "name")]
+struct GatewaySection {
+    #[serde(default = "default_name")]
     name: String,
     #[serde(default)]
     frames: Vec<String>,
@@ -38,42 +38,42 @@
     routes_listen: Option<String>,
     classes: BTreeMap<String, ClassSection>,
     #[serde(default)]
-    targets: Targets,
-    #[serde(default = "share")]
+    targets: TargetsSection,
+    #[serde(default = "default_retry_share")]
     retry_share: f64,
-    #[serde(default = "sockets")]
+    #[serde(default = "default_max_descriptors")]
     sockets: usize,
-    #[serde(default = "stop")]
+    #[serde(default = "default_stop_ms")]
     stop_ms: u64,
-    #[serde(default = "grace")]
+    #[serde(default = "default_drain_grace_ms")]
     drain_grace_ms: u64,
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
     #[serde(default)]
     seed: u64,
 }
 
-fn memory() -> usize {
+fn default_memory_mb() -> usize {
     64
 }
 
-fn name() -> String {
+fn default_name() -> String {
     "gateway".to_owned()
 }
 
-fn share() -> f64 {
+fn default_retry_share() -> f64 {
     0.1
 }
 
-fn sockets() -> usize {
+fn default_max_descriptors() -> usize {
     1_024
 }
 
-fn stop() -> u64 {
+fn default_stop_ms() -> u64 {
     10_000
 }
 
-fn grace() -> u64 {
+fn default_drain_grace_ms() -> u64 {
     2_500
 }
 
@@ -85,19 +85,19 @@
     secret: Option<String>,
     #[serde(default)]
     packet_size: Option<usize>,
-    #[serde(default = "body")]
+    #[serde(default = "default_max_body")]
     max_body: usize,
     #[serde(default)]
     trusted_proxies: Vec<IpAddr>,
-    #[serde(default = "door")]
+    #[serde(default = "default_door_header")]
     door_header: String,
 }
 
-fn body() -> usize {
+fn default_max_body() -> usize {
     2_048
 }
 
-fn door() -> String {
+fn default_door_header() -> String {
     "X-Door".to_owned()
 }
 
@@ -110,18 +110,18 @@
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct Targets {
+struct TargetsSection {
     protocol: Option<String>,
     secret: Option<String>,
     connections: Option<usize>,
-    /// Where names lead: they are not looked up.
+    /// Socket addresses of targets that the routes give by name: names are not looked up.
     names: BTreeMap<String, String>,
-    tls: Option<LinksSection>,
+    tls: Option<TargetTlsSection>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LinksSection {
+struct TargetTlsSection {
     roots: String,
     #[serde(default)]
     certificate: Option<String>,
@@ -131,7 +131,7 @@
     server_name: Option<String>,
 }
 
-impl LinksSection {
+impl TargetTlsSection {
     fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
         use cleatpulley_tls::pair::{certificates, Pair};
         let roots_file = folder.join(&self.roots);
@@ -143,7 +143,7 @@
         })?;
         let roots = certificates(&roots_file, &bytes)
             .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
-        let own = match (self.certificate, self.key) {
+        let client_pair = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
                 let pair = Pair::load(&folder.join(certificate), &folder.join(key));
@@ -158,18 +158,18 @@
             if cleatpulley_tls::rustls::pki_types::ServerName::try_from(name.as_str()).is_err() {
                 return wrong(
                     "targets.tls.server_name",
-                    format!("{name:?} is no host's name or address"),
+                    format!("{name:?} is not a host name or address"),
                 );
             }
         }
         let clock = cleatpulley_tls::Clock::default();
         let config = cleatpulley_tls::setup::client(
             &roots,
-            own.as_ref(),
+            client_pair.as_ref(),
             cleatpulley_tls::setup::Versions::Both,
             &clock,
         );
-        let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
+        let config = config.map_err(|message| ("targets.tls.roots".to_owned(), message))?;
         Ok(cleatpulley_gateway::upstream::TargetTls {
             config,
             server_name: self.server_name,
@@ -181,24 +181,27 @@
 /// Reads the gateway's section of an operator file.
 ///
 /// # Errors
-/// File, line where it is known, key, and what is wrong there.
+/// Returns the file, the line where it is known, the key, and what is wrong there.
 pub fn load(file: &Path) -> Result<Options, Fault> {
-    read_section(file, |file: File, folder| {
+    read_section(file, |file: OperatorFile, folder| {
         file.gateway
             .check(folder)
-            .map_err(|(key, what)| (format!("gateway.{key}"), what))
+            .map_err(|(key, message)| (format!("gateway.{key}"), message))
     })
 }
 
-impl Section {
+impl GatewaySection {
     fn check(self, folder: &Path) -> Result<Options, Wrong> {
-        let routes =
-            nginx::load(&folder.join(&self.routes)).map_err(|what| ("routes".to_owned(), what))?;
-        let frames = addresses("frames", &self.frames)?;
-        if frames.is_empty() && self.ajp.is_none() {
-            return wrong("frames", "no address, and no AJP either: nobody could come");
+        let routes = nginx::load(&folder.join(&self.routes))
+            .map_err(|message| ("routes".to_owned(), message))?;
+        let frame_addresses = addresses("frames", &self.frames)?;
+        if frame_addresses.is_empty() && self.ajp.is_none() {
+            return wrong(
+                "frames",
+                "no address, and no AJP section: no caller could connect",
+            );
         }
-        let (mut classes, mut longest) = (Vec::new(), 0);
+        let (mut classes, mut longest_deadline_ms) = (Vec::new(), 0);
         for (name, class) in &self.classes {
             if !(1..=600_000).contains(&class.deadline_ms) {
                 return wrong(
@@ -206,7 +209,7 @@
                     format!("{} is not within 1 to 600000", class.deadline_ms),
                 );
             }
-            longest = longest.max(class.deadline_ms);
+            longest_deadline_ms = longest_deadline_ms.max(class.deadline_ms);
             classes.push(Class {
                 name: name.clone(),
                 has_effect: class.effect,
@@ -214,14 +217,14 @@
             });
         }
         if classes.is_empty() {
-            return wrong("classes", "there is none");
+            return wrong("classes", "no class is defined");
         }
-        if self.stop_ms < self.drain_grace_ms + longest {
-            let what = format!(
-                "{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
+        if self.stop_ms < self.drain_grace_ms + longest_deadline_ms {
+            let message = format!(
+                "{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
                 self.stop_ms, self.drain_grace_ms
             );
-            return wrong("stop_ms", what);
+            return wrong("stop_ms", message);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
             return wrong(
@@ -236,24 +239,24 @@
             );
         }
         for server in &routes.servers {
-            classes_known(&server.locations, &server.steps, &self.classes)?;
+            check_location_classes(&server.locations, &server.steps, &self.classes)?;
         }
-        if let Some(at) = &self.routes_listen {
+        if let Some(address) = &self.routes_listen {
             if !routes
                 .servers
                 .iter()
                 .flat_map(|server| &server.listen_addresses)
-                .any(|(known, _)| known == at)
+                .any(|(known, _)| known == address)
             {
                 return wrong(
                     "routes_listen",
-                    format!("no server of the routes listens on {at}"),
+                    format!("no server of the routes listens on {address}"),
                 );
             }
         }
-        let speaks = match self.targets.protocol.as_deref() {
+        let target_protocol = match self.targets.protocol.as_deref() {
             None | Some("frames") if self.targets.secret.is_some() => {
-                return wrong("targets.secret", "frames know no secret")
+                return wrong("targets.secret", "the frames protocol has no secret")
             }
             None | Some("frames") => TargetProtocol::Frames,
             Some("ajp") => TargetProtocol::Ajp(client::Options {
@@ -268,16 +271,12 @@
                 )
             }
         };
-        let resolved = resolve(&routes, &self.targets.names)?;
-        let tls = self
-            .targets
-            .tls
-            .map(|links| links.check(folder))
-            .transpose()?;
+        let target_addresses = resolve_targets(&routes, &self.targets.names)?;
+        let tls = self.targets.tls.map(|tls| tls.check(folder)).transpose()?;
         let ajp = self.ajp.map(|ajp| ajp.check(self.seed)).transpose()?;
         Ok(Options {
             name: self.name,
-            frame_addresses: frames,
+            frame_addresses,
             frames_host: self.frames_host,
             ajp,
             settings: Settings {
@@ -288,9 +287,9 @@
                 retry_share: self.retry_share,
                 seed: self.seed,
             },
-            target_protocol: speaks,
+            target_protocol,
             header_names: HeaderNames::default(),
-            target_addresses: resolved,
+            target_addresses,
             max_connections_per_target: self.targets.connections.unwrap_or(8),
             max_descriptors: self.sockets,
             shutdown_time: self.stop_ms * MS,
@@ -300,14 +299,14 @@
     }
 }
 
-/// Each location that passes on has to know its class, where it stands there in plain text.
-fn classes_known(
+/// Checks that each class a location sets in plain text is defined in the section.
+fn check_location_classes(
     locations: &[Location],
-    above: &[RewriteStep],
+    server_steps: &[RewriteStep],
     classes: &BTreeMap<String, ClassSection>,
 ) -> Result<(), Wrong> {
     for location in locations {
-        for step in above.iter().chain(&location.steps) {
+        for step in server_steps.iter().chain(&location.steps) {
             let RewriteStep::Set { variable, value } = step else {
                 continue;
             };
@@ -316,52 +315,55 @@
                 && !value.is_empty()
                 && !classes.contains_key(value)
             {
-                let what = format!(
+                let message = format!(
                     "{}: {value:?} is no class; there are {}",
                     location.position,
                     classes.keys().cloned().collect::<Vec<_>>().join(", ")
                 );
-                return wrong("routes", what);
+                return wrong("routes", message);
             }
         }
-        classes_known(&location.nested, above, classes)?;
+        check_location_classes(&location.nested, server_steps, classes)?;
     }
     Ok(())
 }
 
-fn resolve(
+fn resolve_targets(
     routes: &Routes,
     names: &BTreeMap<String, String>,
 ) -> Result<HashMap<Arc<str>, SocketAddr>, Wrong> {
-    let mut found = HashMap::new();
+    let mut addresses = HashMap::new();
     for target in routes.pools.values().flat_map(|pool| &pool.targets) {
         let text = names.get(&target.address).unwrap_or(&target.address);
         let Ok(address) = text.parse() else {
-            let what = format!(
-                "{}: where {} leads is not told, and names are not looked up",
+            let message = format!(
+                "{}: no address is given for {}, and names are not looked up",
                 target.position, target.address
             );
-            return wrong("targets.names", what);
+            return wrong("targets.names", message);
         };
-        found.insert(Arc::from(target.address.as_str()), address);
+        addresses.insert(Arc::from(target.address.as_str()), address);
     }
-    Ok(found)
+    Ok(addresses)
 }
 
 impl AjpSection {
     fn check(self, seed: u64) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), Wrong> {
         let listen = addresses("ajp.listen", &self.listen)?;
-        if let Some(i) = listen
+        if let Some(index) = listen
             .iter()
-            .position(|at| !at.ip().is_loopback() && self.secret.is_none())
+            .position(|address| !address.ip().is_loopback() && self.secret.is_none())
         {
             return wrong(
-                format!("ajp.listen[{i}]"),
-                format!("{} is no loopback address, which takes a secret", listen[i]),
+                format!("ajp.listen[{index}]"),
+                format!(
+                    "{} is no loopback address, which takes a secret",
+                    listen[index]
+                ),
             );
         }
         let header = |name: &str| Some(Source::Header(name.to_owned()));
-        let names = HeaderNames::default();
+        let header_names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("ajp.packet_size", self.packet_size)?,
@@ -372,13 +374,13 @@
             table: Table::default(),
             lookup: Some(Arc::new(AnyPath)),
             figures: Figures {
-                id: header(&names.id),
+                id: header(&header_names.id),
                 door: header(&self.door_header),
-                work_ms: header(&names.work_ms),
-                memory_kb: header(&names.memory_kb),
-                rank: header(&names.rank),
-                caller: header(&names.caller),
-                subject: header(&names.subject),
+                work_ms: header(&header_names.work_ms),
+                memory_kb: header(&header_names.memory_kb),
+                rank: header(&header_names.rank),
+                caller: header(&header_names.caller),
+                subject: header(&header_names.subject),
                 key: None,
             },
             defaults: vec![Defaults {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! A gateway as a process before targets that die, drain, slow down and fail; and before a real matcher that speaks AJP.
+//! Runs a gateway process in front of emulated targets that die, drain, slow down and fail, and in front of a real matcher
+//! that speaks AJP.
 
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::matcher::Matcher;
@@ -42,20 +43,21 @@
     relay
 }
 
-/// Trials under load come one after the other: beside each other they would crowd a small machine's cores.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serializes the trials under load: in parallel they would overload the cores of a small machine.
+static LOAD_TRIAL: Mutex<()> = Mutex::new(());
 
-fn play(relay: &Relay) -> Report {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let report = relay.play(&program()).expect("it plays");
+fn run_trial(relay: &Relay) -> Report {
+    let _guard = LOAD_TRIAL.lock().unwrap_or_else(PoisonError::into_inner);
+    let report = relay.play(&program()).expect("the trial runs");
     assert_eq!(report.broken, Vec::<String>::new(), "{report:#?}");
     report
 }
 
-/// At 90% of what the targets can do: one dies and returns, one drains and returns, one is five times slower for a while.
-/// Each request is answered once and in time, none with an effect runs twice, and none is turned away that has run.
+/// At 90% of the targets' capacity one target dies and restarts, one drains and resumes, and one is five times slower for a
+/// while. Guards against requests that are answered twice or late, requests with an effect that run twice, and requests that
+/// are rejected after they have run.
 #[test]
-fn targets_that_die_drain_and_slow_down_break_no_rule() {
+fn each_request_is_answered_once_while_targets_die_drain_and_slow_down() {
     let mut relay = relay(0.9, 4);
     relay.acts = vec![
         (700 * MS, 0, Act::Kill),
@@ -66,9 +68,9 @@
         (3_200 * MS, 2, Act::Slow(1.0)),
         (3_300 * MS, 3, Act::Kill),
     ];
-    let report = play(&relay);
+    let report = run_trial(&relay);
     let total = report.total();
-    // Nobody should trust a trial in which nothing went wrong, or nothing was served.
+    // Guards against a trial in which nothing fails, or nothing is served.
     assert!(
         total.in_time * 2 > total.asked && total.asked > 1_000,
         "{report:#?}"
@@ -79,24 +81,24 @@
     );
 }
 
-/// Half of the targets fail all that they run: tries stay within first tries and the budget's share.
+/// Half of the targets fail every request: the attempts stay within the first attempts and the retry budget.
 #[test]
-fn a_storm_of_further_tries_is_held_to_its_budget() {
+fn retries_stay_within_the_budget_while_targets_fail() {
     let mut relay = relay(0.5, 3);
     relay.acts = vec![(0, 0, Act::Faults(1_000)), (0, 1, Act::Faults(1_000))];
-    let report = play(&relay);
+    let report = run_trial(&relay);
     let total = report.total();
-    // The budget's share, and what it saves at the start.
-    let most = 1.2 + 12.0 / total.asked as f64;
+    // The retry share, and the retries that the budget begins with.
+    let max_attempts = 1.2 + 12.0 / total.asked as f64;
     assert!(
-        report.tries > 1.02 && report.tries <= most,
-        "{} tries for each request",
+        report.tries > 1.02 && report.tries <= max_attempts,
+        "{} attempts for each request",
         report.tries
     );
     assert!(total.failed > 0);
-    // Without a budget to speak of there are none but the first ones.
+    // With a retry share of zero there are no retries beyond those that the budget begins with.
     relay.retry_share = 0.0;
-    let report = play(&relay);
+    let report = run_trial(&relay);
     assert!(
         report.tries <= 1.0 + 12.0 / report.total().asked as f64,
         "{}",
@@ -104,12 +106,12 @@
     );
 }
 
-/// A new table under load, with half of the targets: what is open goes on, and those that left get nothing more.
+/// A reload under load removes half of the targets. Requests in flight go on, and the removed targets get no new ones.
 #[test]
-fn routes_are_read_again_under_load() {
+fn reload_under_load_fails_no_request() {
     let mut relay = relay(0.35, 3);
     relay.reroute_at = Some((1_200 * MS, 2));
-    let report = play(&relay);
+    let report = run_trial(&relay);
     let total = report.total();
     assert!(
         total.failed == 0 && total.in_time * 10 > total.asked * 8,
@@ -122,36 +124,36 @@
     );
 }
 
-/// The gateway's own drain under load: what it has read is answered, and it leaves well.
+/// A gateway that shuts down under load answers the requests that it has read, and exits cleanly.
 #[test]
-fn a_gateway_that_leaves_answers_what_it_has_read() {
+fn shutdown_under_load_answers_the_requests_that_were_read() {
     let mut relay = relay(0.6, 3);
     relay.leave_at = Some(1_500 * MS);
-    let report = play(&relay);
+    let report = run_trial(&relay);
     assert!(report.total().in_time > 500, "{report:#?}");
 }
 
-/// Frames and AJP through a gateway that speaks AJP to a real matcher.
+/// Requests by AJP go through a gateway that speaks AJP to a real matcher.
 #[test]
-fn a_real_matcher_behind_a_gateway_serves_over_ajp() {
+fn real_matcher_behind_a_gateway_serves_over_ajp() {
     let site = Site::start(SiteSetup::default()).expect("a site");
-    let matcher =
-        Matcher::start(&program(), &site.config, Some(&site.operator("", ""))).expect("it starts");
-    let at = matcher.ajp.expect("it speaks AJP");
+    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator("", "")))
+        .expect("the process starts");
+    let at = matcher.ajp.expect("an AJP address");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n    location /lobby-view { set $matcher_class lobby-view; proxy_pass http://m; }\n    location /old { return 301 /seats; }\n}\n";
     let operator = format!(
         "{{ gateway: {{ frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, routes: 'nginx.conf', \
          targets: {{ protocol: 'ajp', names: {{ 'm7.portmore.example.org:9000': '{at}' }} }}, \
          classes: {{ 'claim-seat': {{ deadline_ms: 3900, effect: true }}, 'lobby-view': {{ deadline_ms: 6500, effect: false }} }} }} }}"
     );
-    let gateway = Matcher::gateway(&program(), routes, &operator).expect("it starts");
-    let to = gateway.ajp.expect("it speaks AJP").to_string();
-    let ask = |path: &str, id: &str| {
+    let gateway = Matcher::gateway(&program(), routes, &operator).expect("the process starts");
+    let gateway_address = gateway.ajp.expect("an AJP address").to_string();
+    let request = |path: &str, id: &str| {
         let id = format!("X-Request-Id:{id}");
         let args = [
             "ajp",
             "request",
-            to.as_str(),
+            gateway_address.as_str(),
             path,
             "-H",
             &id,
@@ -163,46 +165,46 @@
         let output = Command::new(program())
             .args(args)
             .output()
-            .expect("it runs");
+            .expect("the command runs");
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    let served = ask("/seats", "00000000000000aa");
+    let served = request("/seats", "00000000000000aa");
     assert!(
         served.starts_with("200") && served.contains("grid of 00000000000000aa"),
         "{served}"
     );
-    let served = ask("/lobby-view", "00000000000000ab");
+    let served = request("/lobby-view", "00000000000000ab");
     assert!(served.contains("grid of 00000000000000ab"), "{served}");
-    assert!(ask("/old", "00000000000000ac").starts_with("301"));
-    assert!(ask("/nowhere", "00000000000000ad").starts_with("404"));
-    assert!(ask("/%", "00000000000000ae").starts_with("400"));
+    assert!(request("/old", "00000000000000ac").starts_with("301"));
+    assert!(request("/nowhere", "00000000000000ad").starts_with("404"));
+    assert!(request("/%", "00000000000000ae").starts_with("400"));
 }
 
-/// What is wrong with a gateway's section is told with its key, and what its example says is good.
+/// Each fault of the gateway section is reported with its key, and the example file of the deployment loads.
 #[test]
-fn faults_of_the_section_are_named() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn faults_of_the_gateway_section_are_reported_with_their_keys() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver { location / { set $matcher_class a; proxy_pass http://m; } }\n";
-    std::fs::write(folder.path().join("nginx.conf"), routes).expect("written");
+    std::fs::write(folder.path().join("nginx.conf"), routes).expect("file is written");
     std::fs::write(
         folder.path().join("bad.conf"),
         "server { location / { root /x; } }\n",
     )
-    .expect("written");
+    .expect("file is written");
     let load = |section: &str| {
         let file = folder.path().join("operator.jsonnet");
         let text = format!("{{\n  gateway: {{ frames: ['127.0.0.1:0'], routes: 'nginx.conf', classes: {{ a: {{ deadline_ms: 1000, effect: true }} }},\n    targets: {{ names: {{ 'm7.portmore.example.org:9000': '127.0.0.1:9' }} }} }} + {section},\n}}\n");
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("file is written");
         cleatpulley::operator::gateway::load(&file).map_err(|fault| fault.to_string())
     };
-    assert_eq!(load("{}").expect("it is good").target_addresses.len(), 1);
+    assert_eq!(load("{}").expect("valid section").target_addresses.len(), 1);
     let faults = [
         ("{ frames: [] }", "gateway.frames: no address"),
         (
             "{ frames: ['x'] }",
             "gateway.frames[0]: \"x\" is not an address",
         ),
-        ("{ classes: {} }", "gateway.classes: there is none"),
+        ("{ classes: {} }", "gateway.classes: no class is defined"),
         (
             "{ classes: { b: { deadline_ms: 1, effect: true } } }",
             "\"a\" is no class",
@@ -218,7 +220,7 @@
         ),
         (
             "{ targets+: { secret: 'x' } }",
-            "gateway.targets.secret: frames know no secret",
+            "gateway.targets.secret: the frames protocol has no secret",
         ),
         ("{ routes: 'none.conf' }", "gateway.routes: "),
         ("{ routes: 'bad.conf' }", "bad.conf:1:23: refused: root"),
@@ -241,34 +243,35 @@
             "gateway.ajp.listen[0]: 192.0.2.1:1 is no loopback address",
         ),
     ];
-    for (section, what) in faults {
+    for (section, expected) in faults {
         let fault = load(section).expect_err(section);
-        assert!(fault.contains(what), "{section}: {fault}");
+        assert!(fault.contains(expected), "{section}: {fault}");
     }
     let example = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/gateway.jsonnet");
     assert_eq!(
         cleatpulley::operator::gateway::load(&example)
-            .expect("the example")
+            .expect("valid example")
             .target_addresses
             .len(),
         5
     );
 }
 
-/// A matcher's AJP front takes its classes from an imported file.
+/// The AJP front end of a matcher takes its classes from an imported nginx configuration.
 #[test]
-fn an_imported_file_gives_a_matcher_its_classes() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn matcher_takes_its_classes_from_an_imported_nginx_file() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("nginx.conf");
     let text = "upstream here { server 127.0.0.1:1; }\nserver {\n    location ~ ^/v\\d+/seats$ { set $matcher_class claim-seat; proxy_pass http://here; }\n    location /v1 { proxy_pass http://here; }\n    location /shut { return 403 shut; }\n}\n";
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("file is written");
     let site = Site::start(SiteSetup::default()).expect("a site");
     let operator = format!(
         "{{ ajp: {{ listen: ['127.0.0.1:0'], routes_from: '{}', figures: {{ id: 'X-Request-Id' }} }} }}",
         file.display()
     );
-    let matcher = Matcher::start(&program(), &site.config, Some(&operator)).expect("it starts");
-    let at = matcher.ajp.expect("it speaks AJP").to_string();
+    let matcher =
+        Matcher::start(&program(), &site.config, Some(&operator)).expect("the process starts");
+    let at = matcher.ajp.expect("an AJP address").to_string();
     for (path, status) in [
         ("/v12/seats", "200"),
         ("/v1/seats?x", "200"),
@@ -292,8 +295,8 @@
         let output = Command::new(program())
             .args(args)
             .output()
-            .expect("it runs");
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert!(said.starts_with(status), "{path}: {said}");
+            .expect("the command runs");
+        let response = String::from_utf8_lossy(&output.stdout).into_owned();
+        assert!(response.starts_with(status), "{path}: {response}");
     }
 }
