--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -1,5 +1,5 @@
-//! `cleatpulley check routes`: look-ups beside other ways, imports, expectations, the consistent hash, and a gateway's
-//! service before targets of which one is slow or half of them fail.
+//! `cleatpulley check routes`: measures location look-ups, imports, expectations, the consistent hash, and a gateway whose
+//! targets die, drain, slow down or fail.
 
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::relay::{Act, Relay, Report};
@@ -18,32 +18,32 @@
 use std::time::{Duration, Instant};
 
 const MS: u64 = 1_000;
-/// Look-ups a second that 1,000 prefixes should allow.
-const LOOKUPS: f64 = 5e6;
-/// How often the trie was quicker than a look at each of 1,000 prefixes when the package was last changed, and the share of
-/// that which it must keep: machines differ.
-const RECORDED: f64 = 38.0;
-const KEPT: f64 = 0.6;
-/// And 100,000 may take so many times as long as 1,000: what grows with more of them is what does not fit into the
-/// caches.
-const GROWTH: f64 = 4.0;
+/// Minimum number of look-ups a second among 1,000 prefixes.
+const MIN_LOOKUPS_PER_S: f64 = 5e6;
+/// Recorded speedup of the trie over a linear search among 1,000 prefixes.
+const RECORDED_SPEEDUP: f64 = 38.0;
+/// Share of the recorded speedup that has to be reached, as machines differ.
+const REQUIRED_SPEEDUP_SHARE: f64 = 0.6;
+/// Maximum ratio of the look-up times among 100,000 and 1,000 prefixes. The time grows with the part of the trie that does
+/// not fit into the caches.
+const MAX_LOOKUP_TIME_RATIO: f64 = 4.0;
 
-/// Measures; returns what falls short.
+/// Runs all measurements. Returns a message for each requirement that is not met.
 ///
 /// # Errors
-/// Where something can't be started.
+/// Where a measurement can't be started.
 pub fn run(program: &Path) -> Result<Vec<String>, String> {
-    let mut short = Vec::new();
-    lookups(&mut short)?;
-    imports(&mut short);
-    expectations(&mut short)?;
-    ring(&mut short)?;
-    ways(program, &mut short)?;
-    troubles(program, &mut short)?;
-    Ok(short)
+    let mut shortfalls = Vec::new();
+    lookups(&mut shortfalls)?;
+    imports(&mut shortfalls);
+    expectations(&mut shortfalls)?;
+    consistent_hash(&mut shortfalls)?;
+    balancing_methods(program, &mut shortfalls)?;
+    gateway_loads(program, &mut shortfalls)?;
+    Ok(shortfalls)
 }
 
-fn routes(text: String) -> Result<Routes, String> {
+fn import_routes(text: String) -> Result<Routes, String> {
     let import = Import::read(&BTreeMap::from([("f".to_owned(), text.into_bytes())]), "f");
     if import.is_complete() {
         return Ok(import.routes);
@@ -54,7 +54,7 @@
         .map_or("not imported".to_owned(), ToString::to_string))
 }
 
-/// Prefixes as an installation has them: services, versions, tenants.
+/// Returns location prefixes of services, versions and tenants, as a production configuration has them.
 fn prefixes(count: usize) -> Vec<String> {
     let names = [
         "seat",
@@ -71,19 +71,19 @@
         .collect()
 }
 
-/// The time of one call, the best of several rounds.
-fn each(times: usize, mut call: impl FnMut(usize)) -> f64 {
+/// Returns the time of one call in seconds, the best of nine rounds.
+fn time_per_call(call_count: usize, mut call: impl FnMut(usize)) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..9 {
-        let begun = Instant::now();
-        (0..times).for_each(&mut call);
-        best = best.min(begun.elapsed().as_secs_f64() / times as f64);
+        let started = Instant::now();
+        (0..call_count).for_each(&mut call);
+        best = best.min(started.elapsed().as_secs_f64() / call_count as f64);
     }
     best
 }
 
-fn lookups(short: &mut Vec<String>) -> Result<(), String> {
-    say!("look-ups a second, by locations: the trie, and a look at each prefix");
+fn lookups(shortfalls: &mut Vec<String>) -> Result<(), String> {
+    say!("look-ups a second, by locations: the trie, and a linear search");
     let mut rates = Vec::new();
     for count in [10, 1_000, 100_000] {
         let prefixes = prefixes(count);
@@ -91,30 +91,30 @@
             .iter()
             .map(|prefix| format!("location {prefix} {{ return 200; }}\n"))
             .collect();
-        let routes = routes(format!("server {{\n{text}}}\n"))?;
-        let locator = LocationIndex::new(&routes.servers[0].locations)?;
+        let routes = import_routes(format!("server {{\n{text}}}\n"))?;
+        let index = LocationIndex::new(&routes.servers[0].locations)?;
         let mut random = SmallRng::seed_from_u64(5);
         let paths: Vec<String> = (0..4_096)
             .map(|_| format!("{}grid/7", prefixes[random.random_range(0..count)]))
             .collect();
         for path in &paths[..4_096.min(40_000_000 / count)] {
-            let by_each = prefixes
+            let matching = prefixes
                 .iter()
                 .enumerate()
                 .filter(|(_, prefix)| path.starts_with(prefix.as_str()));
-            let found = by_each
+            let longest = matching
                 .max_by_key(|(_, prefix)| prefix.len())
                 .map(|(number, _)| number as u32);
-            if locator.find(path.as_bytes())
-                != found.map_or(LocationMatch::NotFound, LocationMatch::Found)
+            if index.find(path.as_bytes())
+                != longest.map_or(LocationMatch::NotFound, LocationMatch::Found)
             {
-                short.push(format!("{path}: the trie and a look at each prefix differ"));
+                shortfalls.push(format!("{path}: the trie and a linear search differ"));
             }
         }
-        let trie = each(200_000, |n| {
-            black_box(locator.find(black_box(paths[n % 4_096].as_bytes())));
+        let trie = time_per_call(200_000, |n| {
+            black_box(index.find(black_box(paths[n % 4_096].as_bytes())));
         });
-        let linear = each(2_000_000 / count.max(100), |n| {
+        let linear = time_per_call(2_000_000 / count.max(100), |n| {
             let path = black_box(&paths[n % 4_096]);
             black_box(
                 prefixes
@@ -129,22 +129,22 @@
             1e-6 / linear,
             linear / trie
         );
-        if count == 1_000 && linear / trie < KEPT * RECORDED {
+        if count == 1_000 && linear / trie < REQUIRED_SPEEDUP_SHARE * RECORDED_SPEEDUP {
             let ratio = linear / trie;
-            short.push(format!(
-                "{ratio:.0} times a look at each of 1,000 prefixes, {RECORDED} when last changed"
+            shortfalls.push(format!(
+                "{ratio:.0} times as fast as a linear search among 1,000 prefixes, recorded {RECORDED_SPEEDUP}"
             ));
         }
         rates.push(1.0 / trie);
     }
-    if rates[1] < LOOKUPS {
-        short.push(format!(
-            "{:.1} million look-ups a second at 1,000 prefixes, and not 5",
+    if rates[1] < MIN_LOOKUPS_PER_S {
+        shortfalls.push(format!(
+            "{:.1} million look-ups a second among 1,000 prefixes, required 5",
             rates[1] / 1e6
         ));
     }
-    if rates[1] / rates[2] > GROWTH {
-        short.push(format!(
+    if rates[1] / rates[2] > MAX_LOOKUP_TIME_RATIO {
+        shortfalls.push(format!(
             "100,000 prefixes take {:.1} times as long as 1,000",
             rates[1] / rates[2]
         ));
@@ -152,8 +152,8 @@
     Ok(())
 }
 
-fn imports(short: &mut Vec<String>) {
-    // Four lines a location, as people write them.
+fn imports(shortfalls: &mut Vec<String>) {
+    // Four lines for each location, as in hand-written configurations.
     let location = |prefix: &String| {
         format!("    location {prefix} {{\n        set $matcher_class find-race;\n        proxy_pass http://fleet;\n    }}\n")
     };
@@ -161,9 +161,9 @@
     let text = format!("upstream fleet {{ server 127.0.0.1:9000; }}\nserver {{\n{text}}}\n");
     let (lines, bytes) = (text.lines().count(), text.len());
     let files = BTreeMap::from([("f".to_owned(), text.into_bytes())]);
-    let begun = Instant::now();
+    let started = Instant::now();
     let import = Import::read(&files, "f");
-    let took = begun.elapsed();
+    let took = started.elapsed();
     say!(
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
@@ -171,7 +171,7 @@
         import.directive_count
     );
     if took > Duration::from_secs(1) || !import.is_complete() {
-        short.push(format!(
+        shortfalls.push(format!(
             "an import of {lines} lines takes {:.1} s",
             took.as_secs_f64()
         ));
@@ -180,27 +180,27 @@
         .map(|n| b"a{};\n\"' #$"[(n.wrapping_mul(2_654_435_761) >> 28) as usize % 10])
         .collect();
     let files = BTreeMap::from([("f".to_owned(), noise)]);
-    let begun = Instant::now();
+    let started = Instant::now();
     let import = Import::read(&files, "f");
     say!(
-        "10 MB of noise: refused with {} findings after {:.0} ms",
+        "10 MB of noise: rejected with {} diagnostics after {:.0} ms",
         import.diagnostics.len(),
-        begun.elapsed().as_secs_f64() * 1e3
+        started.elapsed().as_secs_f64() * 1e3
     );
 }
 
-fn fleet(count: usize) -> String {
+fn upstream_block(count: usize) -> String {
     let servers: String = (0..count)
         .map(|n| format!(" server m{n}.example.org:9000;"))
         .collect();
     format!("upstream fleet {{ hash $http_x_subject consistent;{servers} }}\n")
 }
 
-fn expectations(short: &mut Vec<String>) -> Result<(), String> {
-    let file = |count: usize| {
+fn expectations(shortfalls: &mut Vec<String>) -> Result<(), String> {
+    let configuration = |count: usize| {
         format!(
             "{}upstream cell_b {{ server m99.example.org:9000; }}\nmap $http_x_subject $cell {{ default fleet; racer-7 cell_b; }}\nserver {{ server_name h;\n location /claim-seat {{ set $matcher_class claim-seat; proxy_pass http://fleet; }}\n location /lobby {{ proxy_pass http://$cell; }}\n}}\n",
-            fleet(count)
+            upstream_block(count)
         )
     };
     let seat = json!({ "host": "h", "path": "/claim-seat" });
@@ -214,60 +214,69 @@
             { "name": "few move", "requests": [seat], "moves": { "from": "before", "at_most": 0.07 } },
         ],
     });
-    let file_of: ExpectationFile = serde_json::from_value(expected).map_err(|e| e.to_string())?;
-    let (now, before) = (routes(file(15))?, routes(file(16))?);
-    let begun = Instant::now();
-    let reports = check_expectations(&now, &file_of, &|_| Ok(before.clone()))?;
-    let took = begun.elapsed().as_secs_f64();
-    let tried: usize = reports.iter().map(|report| report.requests_checked).sum();
-    let held = reports.iter().filter(|report| report.holds()).count();
-    say!("expectations over 30,000 subjects: {took:.2} s for {tried} requests; {held} of 4 hold");
-    // One popular subject is on its own in another cell, which two of them have to find.
-    let broken = reports
+    let expectation_file: ExpectationFile =
+        serde_json::from_value(expected).map_err(|e| e.to_string())?;
+    let (now, before) = (
+        import_routes(configuration(15))?,
+        import_routes(configuration(16))?,
+    );
+    let started = Instant::now();
+    let reports = check_expectations(&now, &expectation_file, &|_| Ok(before.clone()))?;
+    let took = started.elapsed().as_secs_f64();
+    let request_count: usize = reports.iter().map(|report| report.requests_checked).sum();
+    let held_count = reports.iter().filter(|report| report.holds()).count();
+    say!("expectations over 30,000 subjects: {took:.2} s for {request_count} requests; {held_count} of 4 hold");
+    // The map sends one popular subject to another cell, which two of the expectations have to find.
+    let broken_count = reports
         .iter()
         .filter(|report| matches!(report.outcome, Outcome::Broken { .. }))
         .count();
-    if took > 5.0 || held != 2 || broken != 2 {
-        short.push(format!(
-            "expectations: {took:.1} s, {held} hold and {broken} are broken where two are each: {reports:?}"
+    if took > 5.0 || held_count != 2 || broken_count != 2 {
+        shortfalls.push(format!(
+            "expectations: {took:.1} s, {held_count} hold and {broken_count} are broken, expected two each: {reports:?}"
         ));
     }
     Ok(())
 }
 
-fn ring(short: &mut Vec<String>) -> Result<(), String> {
+fn consistent_hash(shortfalls: &mut Vec<String>) -> Result<(), String> {
     let pool = |count: usize| -> Result<Pool, String> {
-        routes(fleet(count) + "server { location / { proxy_pass http://fleet; } }\n")?
-            .pools
-            .remove("fleet")
-            .ok_or("no pool".to_owned())
+        import_routes(
+            upstream_block(count) + "server { location / { proxy_pass http://fleet; } }\n",
+        )?
+        .pools
+        .remove("fleet")
+        .ok_or("no pool".to_owned())
     };
-    let (whole, mut less) = (pool(16)?, pool(16)?);
-    less.targets.remove(5);
-    let (before, after) = (Balancer::new(&whole, 1), Balancer::new(&less, 1));
+    let (full_pool, mut reduced_pool) = (pool(16)?, pool(16)?);
+    reduced_pool.targets.remove(5);
+    let (before, after) = (
+        Balancer::new(&full_pool, 1),
+        Balancer::new(&reduced_pool, 1),
+    );
     let address = |balancer: &Balancer, key: &str| {
         balancer
             .preferred_target(key.as_bytes())
-            .and_then(|at| balancer.addresses().nth(at).map(str::to_owned))
+            .and_then(|target| balancer.addresses().nth(target).map(str::to_owned))
     };
-    let (mut counts, mut moved, mut needless) = (BTreeMap::new(), 0, 0);
+    let (mut counts, mut moved, mut needlessly_moved) = (BTreeMap::new(), 0, 0);
     for number in 0..32_000 {
         let key = format!("racer-{number}");
-        let (was, is) = (address(&before, &key), address(&after, &key));
-        if was != is {
+        let (old_target, new_target) = (address(&before, &key), address(&after, &key));
+        if old_target != new_target {
             moved += 1;
-            needless += u32::from(was.as_deref() != Some("m5.example.org:9000"));
+            needlessly_moved += u32::from(old_target.as_deref() != Some("m5.example.org:9000"));
         }
-        *counts.entry(was).or_insert(0_u32) += 1;
+        *counts.entry(old_target).or_insert(0_u32) += 1;
     }
-    let most = counts.values().copied().max().unwrap_or(0);
-    let unevenness = f64::from(most) / 2_000.0;
-    let share = f64::from(moved) / 32_000.0;
-    say!("consistent hash, 16 targets, 32,000 subjects: the fullest has {unevenness:.2} times its share; {:.1}% move when one goes, {needless} of them needlessly", share * 100.0);
-    if needless > 0 || unevenness > 1.25 || share > 1.5 / 16.0 {
-        short.push(format!(
-            "consistent hash: {unevenness:.2} times its share, {:.1}% move, {needless} needlessly",
-            share * 100.0
+    let max_count = counts.values().copied().max().unwrap_or(0);
+    let max_load_ratio = f64::from(max_count) / 2_000.0;
+    let moved_share = f64::from(moved) / 32_000.0;
+    say!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
+    if needlessly_moved > 0 || max_load_ratio > 1.25 || moved_share > 1.5 / 16.0 {
+        shortfalls.push(format!(
+            "consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
+            moved_share * 100.0
         ));
     }
     Ok(())
@@ -300,21 +309,25 @@
     relay
 }
 
-fn play(relay: &Relay, program: &Path, short: &mut Vec<String>) -> Result<Report, String> {
+fn run_trial(
+    relay: &Relay,
+    program: &Path,
+    shortfalls: &mut Vec<String>,
+) -> Result<Report, String> {
     let report = relay.play(program).map_err(|e| e.to_string())?;
-    short.extend(
+    shortfalls.extend(
         report
             .broken
             .iter()
-            .map(|what| format!("rule broken at the gateway: {what}")),
+            .map(|rule| format!("rule broken at the gateway: {rule}")),
     );
     Ok(report)
 }
 
-fn ways(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
-    say!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow one");
+fn balancing_methods(program: &Path, shortfalls: &mut Vec<String>) -> Result<(), String> {
+    say!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow target");
     let mut shares = BTreeMap::new();
-    for (name, way) in [
+    for (name, directive) in [
         ("round robin", ""),
         ("least connections", "least_conn;"),
         ("random two", "random two;"),
@@ -324,11 +337,11 @@
         ),
     ] {
         let mut relay = relay(0.65, 3.0);
-        relay.way = way.to_owned();
-        // Refusals are passed on, so that the choice alone is seen.
+        relay.way = directive.to_owned();
+        // Rejections are not retried, so that the result shows the balancing method alone.
         relay.next = "error".to_owned();
         relay.acts = vec![(0, 0, Act::Slow(4.0))];
-        let report = play(&relay, program, short)?;
+        let report = run_trial(&relay, program, shortfalls)?;
         say!(
             "  {name:18} {:5.1}%  {:4.0} ms  {:4.1}%",
             report.in_time() * 100.0,
@@ -339,21 +352,21 @@
     }
     for name in ["least connections", "random two"] {
         if shares[name] <= shares["round robin"] {
-            short.push(format!(
-                "{name} serves no more than round robin before a slow target"
+            shortfalls.push(format!(
+                "{name} serves no more than round robin with a slow target"
             ));
         }
     }
     Ok(())
 }
 
-fn troubles(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
+fn gateway_loads(program: &Path, shortfalls: &mut Vec<String>) -> Result<(), String> {
     let calm = Relay {
         way: "least_conn;".to_owned(),
         ..relay(0.9, 5.0)
     };
-    let mut troubled = calm.clone();
-    troubled.acts = vec![
+    let mut with_faults = calm.clone();
+    with_faults.acts = vec![
         (500 * MS, 0, Act::Kill),
         (1_500 * MS, 0, Act::Revive),
         (2_000 * MS, 1, Act::Drain(true)),
@@ -361,16 +374,16 @@
         (3_200 * MS, 2, Act::Slow(4.0)),
         (4_000 * MS, 2, Act::Slow(1.0)),
     ];
-    say!("90% load, five targets: in time, turned away, failed, tries for each request, gateway's CPU a request and memory");
+    say!("90% load, five targets: in time, rejected, failed, attempts per request, gateway's CPU a request and memory");
     for (name, relay) in [
         ("calm", &calm),
-        ("one dies, one drains, one slows", &troubled),
+        ("one dies, one drains, one slows", &with_faults),
     ] {
-        let report = play(relay, program, short)?;
+        let report = run_trial(relay, program, shortfalls)?;
         let total = report.total();
-        let refused = total.refused_bare + total.refused_with_time;
+        let rejected = total.refused_bare + total.refused_with_time;
         say!(
-            "  {name:32} {:5.1}%  {refused:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
+            "  {name:32} {:5.1}%  {rejected:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
             report.in_time() * 100.0,
             total.failed,
             report.tries,
@@ -388,7 +401,7 @@
             ..relay.setup
         };
         relay.rates = vec![(front, 8_000.0)];
-        let report = play(&relay, program, short)?;
+        let report = run_trial(&relay, program, shortfalls)?;
         let (in_time, p99) = (report.in_time() * 100.0, report.latency_ms.1);
         say!(
             "  {front:8} {in_time:5.1}%  {p99:.1} ms  {:.1} us  {:.1} MB",
@@ -396,32 +409,32 @@
             report.memory_kb as f64 / 1e3
         );
         if report.in_time() < 0.99 {
-            short.push(format!(
+            shortfalls.push(format!(
                 "{in_time:.1}% in time by {front} at 8,000 a second"
             ));
         }
     }
-    say!("half of the targets fail all they run, half load: tries for each request, by the budget's share");
-    for share in [0.0, 0.1, 0.3] {
+    say!("half of the targets fail all requests, half load: attempts per request, by the retry share");
+    for retry_share in [0.0, 0.1, 0.3] {
         let mut relay = relay(0.5, 2.0);
         relay.next = "error timeout http_503 http_500".to_owned();
-        relay.retry_share = share;
+        relay.retry_share = retry_share;
         relay.acts = vec![
             (0, 0, Act::Faults(1_000)),
             (0, 1, Act::Faults(1_000)),
             (0, 2, Act::Faults(1_000)),
         ];
-        let report = play(&relay, program, short)?;
+        let report = run_trial(&relay, program, shortfalls)?;
         let total = report.total();
-        let most = 1.0 + share + 12.0 / total.asked.max(1) as f64;
+        let max_attempts = 1.0 + retry_share + 12.0 / total.asked.max(1) as f64;
         say!(
-            "  share {share:.1}: {:.3} of at most {most:.3}; {:.1}% in time",
+            "  share {retry_share:.1}: {:.3} of at most {max_attempts:.3}; {:.1}% in time",
             report.tries,
             report.in_time() * 100.0
         );
-        if report.tries > most {
-            short.push(format!(
-                "{:.3} tries for each request where the budget allows {most:.3}",
+        if report.tries > max_attempts {
+            shortfalls.push(format!(
+                "{:.3} attempts per request where the budget allows {max_attempts:.3}",
                 report.tries
             ));
         }
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -1,4 +1,4 @@
-//! `cleatpulley routes`: what an nginx configuration means here, and whether it does what is expected.
+//! `cleatpulley routes`: imports nginx configurations, explains and compares their routing, and checks expectations on it.
 
 use clap::Subcommand;
 use cleatpulley::nginx::{load, Disk};
@@ -11,32 +11,32 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Status where something was refused, differs or does not hold.
-const NOT_SO: u8 = 3;
+/// Exit status where a configuration is not imported, routing differs or an expectation does not hold.
+const NEGATIVE_RESULT_STATUS: u8 = 3;
 
-/// What is done.
+/// The subcommands of `routes`.
 #[derive(Subcommand)]
-pub enum Routes {
-    /// Read upstream, server and location blocks and print the routing they mean; ends with 3 where anything is refused
+pub enum RoutesCommand {
+    /// Import upstream, server and location blocks and print the routes; ends with 3 where anything is not supported
     Import {
         /// The configuration
         file: PathBuf,
-        /// Print the table as JSON, which is read wherever a configuration is
+        /// Print the routes as JSON, which is accepted wherever a configuration is
         #[arg(long)]
         json: bool,
     },
-    /// Say where a request goes, which block takes it, and why the others do not
+    /// Explain where a request goes, which block matches it, and why the others do not
     Explain {
-        /// The configuration, or a table as JSON
+        /// The configuration, or routes as JSON
         file: PathBuf,
         /// The method
         method: String,
         /// The URL, such as http://match.example.org/claim-seat?x=1
         url: String,
         /// A header, as NAME: VALUE
-        #[arg(short = 'H', long = "header", value_parser = header)]
+        #[arg(short = 'H', long = "header", value_parser = parse_header)]
         headers: Vec<(String, String)>,
-        /// The address:port that the request came to, where several have its port
+        /// The address:port that received the request, where several have its port
         #[arg(long)]
         listen: Option<String>,
         /// The caller's address
@@ -46,17 +46,17 @@
         #[arg(long)]
         json: bool,
     },
-    /// Say what goes elsewhere under another configuration, with examples; ends with 3 where anything does
+    /// Show which requests another configuration routes elsewhere, with examples; ends with 3 where there are any
     Diff {
-        /// The configuration before
+        /// The old configuration
         old: PathBuf,
-        /// The configuration now
+        /// The new configuration
         new: PathBuf,
         /// As JSON
         #[arg(long)]
         json: bool,
     },
-    /// Check expectations on routing without traffic; ends with 3 where one does not hold
+    /// Check expectations on the routing without traffic; ends with 3 where one does not hold
     Check {
         /// The configuration
         file: PathBuf,
@@ -66,25 +66,25 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print what becomes of each directive that is known
+    /// Print how far each known directive is supported
     Directives,
 }
 
-fn header(text: &str) -> Result<(String, String), String> {
+fn parse_header(text: &str) -> Result<(String, String), String> {
     let parts = text
         .split_once(':')
         .map(|(name, value)| (name.trim().to_owned(), value.trim().to_owned()));
-    parts.ok_or_else(|| "not a name, a colon and a value".to_owned())
+    parts.ok_or_else(|| "not of the form NAME: VALUE".to_owned())
 }
 
-/// Runs it.
+/// Runs the command.
 ///
 /// # Errors
-/// What can't be read.
-pub fn run(routes: &Routes) -> Result<ExitCode, String> {
-    match routes {
-        Routes::Import { file, json } => import(file, *json),
-        Routes::Explain {
+/// Where a file or an argument can't be read.
+pub fn run(command: &RoutesCommand) -> Result<ExitCode, String> {
+    match command {
+        RoutesCommand::Import { file, json } => import(file, *json),
+        RoutesCommand::Explain {
             file,
             method,
             url,
@@ -96,7 +96,8 @@
             let rest = url
                 .strip_prefix("http://")
                 .or_else(|| url.strip_prefix("https://"));
-            let rest = rest.ok_or_else(|| format!("{url:?} does not begin with http://"))?;
+            let rest =
+                rest.ok_or_else(|| format!("{url:?} does not begin with http:// or https://"))?;
             let (host, target) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
             let target = if target.is_empty() { "/" } else { target };
             let listen = listen.as_deref();
@@ -113,23 +114,23 @@
                 *json,
             )
         }
-        Routes::Diff { old, new, json } => differ(old, new, *json),
-        Routes::Check {
+        RoutesCommand::Diff { old, new, json } => diff(old, new, *json),
+        RoutesCommand::Check {
             file,
             expectations,
             json,
-        } => expect(file, expectations, *json),
-        Routes::Directives => {
-            for (name, contexts, fate) in known_directives() {
-                let (what, why) = match fate {
+        } => check(file, expectations, *json),
+        RoutesCommand::Directives => {
+            for (name, contexts, support) in known_directives() {
+                let (label, reason) = match support {
                     DirectiveSupport::Full => ("taken over", ""),
-                    DirectiveSupport::Partial(why) => ("differs", *why),
+                    DirectiveSupport::Partial(reason) => ("differs", *reason),
                     DirectiveSupport::Ignored => ("passed over", ""),
-                    DirectiveSupport::Unsupported(why) => ("refused", *why),
+                    DirectiveSupport::Unsupported(reason) => ("refused", *reason),
                 };
                 say!(
                     "{}",
-                    format!("{name:32} {contexts:5} {what:12} {why}").trim_end()
+                    format!("{name:32} {contexts:5} {label:12} {reason}").trim_end()
                 );
             }
             Ok(ExitCode::SUCCESS)
@@ -149,38 +150,44 @@
         }
         Ok(ExitCode::SUCCESS)
     };
-    if file.extension().is_some_and(|end| end == "json") {
+    if file
+        .extension()
+        .is_some_and(|extension| extension == "json")
+    {
         return show(&load(file)?);
     }
-    let name = file.to_str().ok_or("the file's name is no text")?;
+    let name = file.to_str().ok_or("the file name is not valid UTF-8")?;
     let import = Import::read(&Disk, name);
-    for finding in &import.diagnostics {
-        eprintln!("{}", finding.render());
+    for diagnostic in &import.diagnostics {
+        eprintln!("{}", diagnostic.render());
     }
     if import.omitted_diagnostics > 0 {
-        eprintln!("{} more findings are not told", import.omitted_diagnostics);
+        eprintln!(
+            "{} more diagnostics are not shown",
+            import.omitted_diagnostics
+        );
     }
     if !import.is_complete() {
         eprintln!("{name}: not imported");
-        return Ok(ExitCode::from(NOT_SO));
+        return Ok(ExitCode::from(NEGATIVE_RESULT_STATUS));
     }
     show(&import.routes)
 }
 
-fn explain(file: &Path, asked: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
-    let table = Router::new(&load(file)?)?;
-    let (decision, said) = table.explain(asked)?;
-    let comes_to = describe_decision(&Ok(decision));
+fn explain(file: &Path, request: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
+    let router = Router::new(&load(file)?)?;
+    let (decision, steps) = router.explain(request)?;
+    let destination = describe_decision(&Ok(decision));
     if as_json {
-        say!("{}", json!({ "weighed": said, "comes_to": comes_to }));
+        say!("{}", json!({ "weighed": steps, "comes_to": destination }));
     } else {
-        said.iter().for_each(|line| say!("{line}"));
-        say!("comes to: {comes_to}");
+        steps.iter().for_each(|line| say!("{line}"));
+        say!("comes to: {destination}");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn differ(old: &Path, new: &Path, as_json: bool) -> Result<ExitCode, String> {
+fn diff(old: &Path, new: &Path, as_json: bool) -> Result<ExitCode, String> {
     let difference = diff_routes(&load(old)?, &load(new)?)?;
     if as_json {
         say!(
@@ -188,13 +195,13 @@
             serde_json::to_string(&difference).map_err(|e| e.to_string())?
         );
     } else {
-        for moved in &difference.rerouted {
-            say!("- {}", moved.before);
-            say!("+ {}", moved.after);
+        for change in &difference.rerouted {
+            say!("- {}", change.before);
+            say!("+ {}", change.after);
             say!(
                 "    such as {} ({} of those tried)",
-                moved.example,
-                moved.count
+                change.example,
+                change.count
             );
         }
         difference.pools.iter().for_each(|line| say!("pool {line}"));
@@ -203,29 +210,30 @@
     Ok(if difference.is_empty() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(NOT_SO)
+        ExitCode::from(NEGATIVE_RESULT_STATUS)
     })
 }
 
-fn expect(file: &Path, expectations: &Path, as_json: bool) -> Result<ExitCode, String> {
+fn check(file: &Path, expectations: &Path, as_json: bool) -> Result<ExitCode, String> {
     let routes = load(file)?;
     let text = operator::evaluate(expectations).map_err(|e| e.to_string())?;
     let mut reader = serde_json::Deserializer::from_str(&text);
-    let read: ExpectationFile = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-        let what = e.inner().to_string();
-        let what = what
-            .split(" at line ")
-            .next()
-            .unwrap_or_default()
-            .to_owned();
-        format!("{}: {}: {what}", expectations.display(), e.path())
-    })?;
-    // Files that are compared with stand beside the expectations.
+    let expectation_file: ExpectationFile =
+        serde_path_to_error::deserialize(&mut reader).map_err(|e| {
+            let message = e.inner().to_string();
+            let message = message
+                .split(" at line ")
+                .next()
+                .unwrap_or_default()
+                .to_owned();
+            format!("{}: {}: {message}", expectations.display(), e.path())
+        })?;
+    // Paths of configurations to compare with are relative to the expectations file.
     let folder = expectations
         .parent()
         .map(Path::to_owned)
         .unwrap_or_default();
-    let reports = check_expectations(&routes, &read, &|name| load(&folder.join(name)))?;
+    let reports = check_expectations(&routes, &expectation_file, &|name| load(&folder.join(name)))?;
     for report in &reports {
         if as_json {
             say!(
@@ -234,27 +242,27 @@
             );
             continue;
         }
-        let tried = report.requests_checked;
+        let request_count = report.requests_checked;
         match &report.outcome {
             Outcome::Holds(Coverage::Proven) => say!("holds    {}: proven", report.name),
             Outcome::Holds(Coverage::Sampled) => {
                 say!(
-                    "holds    {}: for {tried} requests that were tried",
+                    "holds    {}: for {request_count} requests that were tried",
                     report.name
                 )
             }
             Outcome::Broken { example, count } => {
                 say!("broken   {}: {example} ({count} found)", report.name)
             }
-            Outcome::Vacuous(why) => say!("vacuous  {}: {why}", report.name),
+            Outcome::Vacuous(reason) => say!("vacuous  {}: {reason}", report.name),
         }
     }
-    let all = reports
+    let all_hold = reports
         .iter()
         .all(cleatpulley_routes::expectations::ExpectationReport::holds);
-    Ok(if all {
+    Ok(if all_hold {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(NOT_SO)
+        ExitCode::from(NEGATIVE_RESULT_STATUS)
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -87,7 +87,7 @@
     },
     /// Read nginx's upstream and location blocks as routing, compare them, and check expectations
     #[command(subcommand)]
-    Routes(commands::routes::Routes),
+    Routes(commands::routes::RoutesCommand),
     /// Play whole matchers on a virtual clock with faults from seeds, and check the rules after each step
     #[command(subcommand, alias = "seeds")]
     Simulator(commands::simulator::Simulator),
