--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -34,12 +34,12 @@
 #[derive(Debug)]
 pub struct AnyPath;
 
-impl server::Lookup for AnyPath {
+impl server::ClassLookup for AnyPath {
     fn find(&self, _: &RequestHead) -> Result<usize, (u16, String)> {
         Ok(0)
     }
 
-    fn relays(&self) -> bool {
+    fn forwards_requests(&self) -> bool {
         true
     }
 }
@@ -117,7 +117,10 @@
         };
         let frames_host: Rc<str> = Rc::from(options.frames_host.as_str());
         for address in options.frame_addresses {
-            let address = listen(address, ClientProtocol::Relayed(Rc::clone(&frames_host)))?;
+            let address = listen(
+                address,
+                ClientProtocol::GatewayFrames(Rc::clone(&frames_host)),
+            )?;
             tracing::info!("{} listens on {address}", options.name);
         }
         if let Some((addresses, settings, trusted)) = options.ajp {
@@ -328,17 +331,17 @@
             ..
         } = &self.core.counts;
         tracing::info!(
-            "{requests} requests: {served} served, {refused} rejected, {failed} failed, {returned} answered by routes; {first} first attempts and {again} retries"
-        );
+"{requests} requests: {served} served, {refused} rejected, {failed} failed, {returned} answered by routes; {first} first attempts and {again} retries"
+);
     }
 
     fn status(&self) -> Status {
         Status {
             served: self.core.counts.served,
-            refused: self.core.counts.refused,
+            rejected: self.core.counts.refused,
             failed: self.core.counts.failed,
-            held: self.core.pending_count(),
-            drains: self.stop_at.is_some(),
+            pending: self.core.pending_count(),
+            is_draining: self.stop_at.is_some(),
             warmth: 1.0,
             ..Status::default()
         }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -5,9 +5,9 @@
 use super::core::{AttemptEvent, RequestNumber};
 use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::client::{Client, Fate, Options};
-use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
-use cleatpulley_protocol::frame::codec::{self, Parsed};
+use cleatpulley_protocol::ajp::client::{Client, ExecutionState, Options};
+use cleatpulley_protocol::ajp::server::{FEEDBACK_HEADER, NO_RETRY_HEADER, RETRY_AFTER_MS_HEADER};
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame};
 use cleatpulley_routes::retry::AttemptFailure;
 use cleatpulley_server::buffered_connection::BufferedConnection;
 use cleatpulley_server::host::{Host, Readiness};
@@ -285,7 +285,7 @@
             numbers
                 .iter()
                 .filter_map(|number| Some((number, self.connections.get(number)?)))
-                .filter(|(_, connection)| !connection.conn.ended)
+                .filter(|(_, connection)| !connection.conn.is_read_closed)
         };
         let least_loaded = connections()
             .filter_map(|(number, connection)| Some((available(connection)?, *number)))
@@ -375,7 +375,8 @@
                 // The connection is closed with the request, so bytes that the system has not taken never arrive.
                 ProtocolState::Ajp { client, .. } => {
                     connection.is_established
-                        && client.fate(connection.conn.unsent()) == Fate::MayHaveRun
+                        && client.execution_state(connection.conn.unsent_bytes())
+                            == ExecutionState::MayHaveRun
                 }
             })
     }
@@ -481,7 +482,8 @@
             } => {
                 self.by_request.remove(&request);
                 let never_ran = !connection.is_established
-                    || client.fate(connection.conn.unsent()) == Fate::NeverRan;
+                    || client.execution_state(connection.conn.unsent_bytes())
+                        == ExecutionState::NeverRan;
                 events.push((
                     request,
                     AttemptEvent::Failed(if never_ran {
@@ -567,9 +569,9 @@
                 received_goodbye,
                 ..
             } => loop {
-                match codec::parse(&input[consumed..]) {
-                    Parsed::Short => return Ok(consumed),
-                    Parsed::Frame {
+                match codec::parse_frame(&input[consumed..]) {
+                    ParsedFrame::Incomplete => return Ok(consumed),
+                    ParsedFrame::Frame {
                         kind,
                         stream,
                         payload,
@@ -578,8 +580,8 @@
                         consumed += payload.end;
                         self.last_used = now;
                         match kind {
-                            codec::GOODBYE => *received_goodbye = true,
-                            codec::ANSWER => {
+                            codec::GO_AWAY => *received_goodbye = true,
+                            codec::RESPONSE => {
                                 let Some((request, _)) = open.remove(&stream) else {
                                     return Err(format!(
                                         "response on stream {stream}, which is not open"
@@ -596,7 +598,7 @@
                             _ => {}
                         }
                     }
-                    Parsed::Large { .. } | Parsed::Lost(_) => {
+                    ParsedFrame::Oversized { .. } | ParsedFrame::InvalidLength(_) => {
                         return Err("malformed frame".to_owned())
                     }
                 }
@@ -607,7 +609,7 @@
                     .receive(now, input, self.conn.output())
                     .map_err(|e| e.to_string())?;
                 self.queued_bytes += (self.conn.output().len() - before) as u64;
-                if let Some(response) = client.take() {
+                if let Some(response) = client.take_response() {
                     self.last_used = now;
                     let numeric_header = |name: &str| {
                         response
@@ -615,15 +617,15 @@
                             .and_then(|text| text.parse::<f64>().ok())
                     };
                     if let Some(request) = in_flight.take() {
-                        events.extend(numeric_header(FEEDBACK).map(|max_concurrency| {
+                        events.extend(numeric_header(FEEDBACK_HEADER).map(|max_concurrency| {
                             (
                                 request,
                                 AttemptEvent::AdvisedConcurrency(max_concurrency as u32),
                             )
                         }));
                         let retry_after =
-                            numeric_header(RETRY_AFTER_MS).unwrap_or(0.0) as Micros * 1_000;
-                        let no_failover = response.header(NO_RETRY) == Some("1");
+                            numeric_header(RETRY_AFTER_MS_HEADER).unwrap_or(0.0) as Micros * 1_000;
+                        let no_failover = response.header(NO_RETRY_HEADER) == Some("1");
                         let never_ran = response.not_run();
                         events.push((
                             request,
@@ -644,7 +646,7 @@
                         ));
                     }
                     if !response.reuse {
-                        self.conn.ended = true;
+                        self.conn.is_read_closed = true;
                     }
                 }
                 Ok(consumed)
@@ -662,7 +664,7 @@
             } => *received_goodbye && open.is_empty(),
             ProtocolState::Ajp { .. } => false,
         };
-        self.conn.ended || is_drained
+        self.conn.is_read_closed || is_drained
     }
 }
 
@@ -670,7 +672,7 @@
 fn decode_response(payload: &[u8]) -> Result<(AttemptEvent, Option<u32>), String> {
     let malformed = || "malformed response".to_owned();
     let (code, rest) = payload.split_first().ok_or_else(malformed)?;
-    let (fields, body) = codec::fields(rest).ok_or_else(malformed)?;
+    let (fields, body) = codec::parse_fields(rest).ok_or_else(malformed)?;
     let field = |name: &str| {
         fields
             .iter()
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -252,12 +252,12 @@
     upstream.on_readiness(1, READY);
     upstream.poll(0, &mut events);
     let mut response_bytes = Vec::new();
-    codec::push_goodbye(&mut response_bytes);
+    codec::push_go_away(&mut response_bytes);
     let rejected = Response::Rejected {
         retry_after: 70_000,
         no_failover: true,
     };
-    codec::push_answer(&mut response_bytes, 2, &rejected, Some(3.0));
+    codec::push_response(&mut response_bytes, 2, &rejected, Some(3.0));
     *host.sent.borrow_mut() = response_bytes;
     host.ended.set(true);
     upstream.on_readiness(1, READY);
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -6,9 +6,11 @@
 use cleatpulley_gateway::core::{Class, Settings};
 use cleatpulley_gateway::upstream::{HeaderNames, TargetProtocol};
 use cleatpulley_gateway::{AnyPath, Options};
+use cleatpulley_protocol::ajp::class_table::ClassTable;
 use cleatpulley_protocol::ajp::client;
-use cleatpulley_protocol::ajp::server::{self, Defaults, Figures, Source};
-use cleatpulley_protocol::ajp::table::Table;
+use cleatpulley_protocol::ajp::server::{
+    self, ParameterDefaults, ParameterSource, ParameterSources,
+};
 use cleatpulley_routes::model::{Location, RewriteStep, Routes, CLASS_VARIABLE};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -133,7 +135,7 @@
 
 impl TargetTlsSection {
     fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
-        use cleatpulley_tls::pair::{certificates, Pair};
+        use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
             (
@@ -141,12 +143,12 @@
                 format!("{}: {e}", roots_file.display()),
             )
         })?;
-        let roots = certificates(&roots_file, &bytes)
+        let roots = parse_certificates(&roots_file, &bytes)
             .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
         let client_pair = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
-                let pair = Pair::load(&folder.join(certificate), &folder.join(key));
+                let pair = CertificateWithKey::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
             (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
@@ -163,10 +165,10 @@
             }
         }
         let clock = cleatpulley_tls::Clock::default();
-        let config = cleatpulley_tls::setup::client(
+        let config = cleatpulley_tls::config::client_config(
             &roots,
             client_pair.as_ref(),
-            cleatpulley_tls::setup::Versions::Both,
+            cleatpulley_tls::config::ProtocolVersions::Both,
             &clock,
         );
         let config = config.map_err(|message| ("targets.tls.roots".to_owned(), message))?;
@@ -221,9 +223,9 @@
         }
         if self.stop_ms < self.drain_grace_ms + longest_deadline_ms {
             let message = format!(
-                "{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
-                self.stop_ms, self.drain_grace_ms
-            );
+"{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
+self.stop_ms, self.drain_grace_ms
+);
             return wrong("stop_ms", message);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
@@ -362,20 +364,20 @@
                 ),
             );
         }
-        let header = |name: &str| Some(Source::Header(name.to_owned()));
+        let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
         let header_names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("ajp.packet_size", self.packet_size)?,
-            max_body: self.max_body,
-            first_packet: 2_000 * MS,
-            body: 2_000 * MS,
-            idle: 30_000 * MS,
-            table: Table::default(),
-            lookup: Some(Arc::new(AnyPath)),
-            figures: Figures {
+            max_body_bytes: self.max_body,
+            packet_timeout: 2_000 * MS,
+            body_timeout: 2_000 * MS,
+            idle_timeout: 30_000 * MS,
+            class_table: ClassTable::default(),
+            class_lookup: Some(Arc::new(AnyPath)),
+            parameter_sources: ParameterSources {
                 id: header(&header_names.id),
-                door: header(&self.door_header),
+                received_at_ms: header(&self.door_header),
                 work_ms: header(&header_names.work_ms),
                 memory_kb: header(&header_names.memory_kb),
                 rank: header(&header_names.rank),
@@ -383,14 +385,14 @@
                 subject: header(&header_names.subject),
                 key: None,
             },
-            defaults: vec![Defaults {
-                work: 0,
+            parameter_defaults: vec![ParameterDefaults {
+                expected_work: 0,
                 memory_kb: 30.0,
                 rank: 0.5,
                 caller: 0,
-                needs_id: false,
+                requires_id: false,
             }],
-            seed,
+            id_seed: seed,
         };
         Ok((listen, settings, self.trusted_proxies))
     }
