--- a/crates/timeline/src/draw.rs
+++ b/crates/timeline/src/draw.rs
@@ -1,48 +1,48 @@
-//! Drawing.
+//! Draws a timeline as text.
 
 use super::Timeline;
 use std::fmt::Write as _;
 
-/// What stands in a column in which nothing happens in a row.
-pub(crate) const NOTHING: &str = ".";
-/// Between columns.
-pub(crate) const GAP: &str = "  ";
+/// Cell of a node without a step in a row.
+pub(crate) const EMPTY_CELL: &str = ".";
+/// Separator of columns.
+pub(crate) const COLUMN_SEPARATOR: &str = "  ";
 
-/// Draws it with these nodes' columns, and a mark before one row.
-pub(crate) fn draw(timeline: &Timeline, nodes: &[&str], marked: Option<usize>) -> String {
+/// Draws a timeline with one column for each of these nodes, and a mark at the start of one row.
+pub(crate) fn draw(timeline: &Timeline, nodes: &[&str], marked_step: Option<usize>) -> String {
     let steps = timeline.steps();
-    let text = |at: usize| match &steps[at].cause {
-        Some(cause) => format!("{} <- {cause}", steps[at].what),
-        None => steps[at].what.clone(),
+    let cell_text = |index: usize| match &steps[index].cause {
+        Some(cause) => format!("{} <- {cause}", steps[index].action),
+        None => steps[index].action.clone(),
     };
-    let width = |node: &str| {
+    let column_width = |node: &str| {
         let texts = (0..steps.len())
-            .filter(|&at| steps[at].node == node)
-            .map(|at| text(at).chars().count());
+            .filter(|&index| steps[index].node == node)
+            .map(|index| cell_text(index).chars().count());
         texts.max().unwrap_or(0).max(node.chars().count())
     };
-    let widths: Vec<usize> = nodes.iter().map(|node| width(node)).collect();
+    let widths: Vec<usize> = nodes.iter().map(|node| column_width(node)).collect();
     let mut drawn = format!("{:>7}", "ms");
     for (node, width) in nodes.iter().zip(&widths) {
-        let _ = write!(drawn, "{GAP}{node:<width$}");
+        let _ = write!(drawn, "{COLUMN_SEPARATOR}{node:<width$}");
     }
     drawn.push('\n');
-    let first = steps.first().map_or(0, |step| step.at);
-    for (at, step) in steps
+    let start_us = steps.first().map_or(0, |step| step.time_us);
+    for (index, step) in steps
         .iter()
         .enumerate()
         .filter(|(_, step)| nodes.contains(&step.node.as_str()))
     {
-        let mark = if marked == Some(at) { '>' } else { ' ' };
-        let ms = (step.at - first) as f64 / 1e3;
+        let mark = if marked_step == Some(index) { '>' } else { ' ' };
+        let ms = (step.time_us - start_us) as f64 / 1e3;
         let _ = write!(drawn, "{mark}{ms:>6.1}");
         for (node, width) in nodes.iter().zip(&widths) {
             let cell = if *node == step.node {
-                text(at)
+                cell_text(index)
             } else {
-                NOTHING.to_owned()
+                EMPTY_CELL.to_owned()
             };
-            let _ = write!(drawn, "{GAP}{cell:<width$}");
+            let _ = write!(drawn, "{COLUMN_SEPARATOR}{cell:<width$}");
         }
         drawn.push('\n');
     }
--- a/crates/timeline/src/drawing.rs
+++ b/crates/timeline/src/drawing.rs
@@ -1,6 +1,6 @@
-//! Drawn files, and how a timeline is compared with one.
+//! Drawings, which are expected timelines in text files, and the comparison of a timeline with one.
 //!
-//! A drawing has a row of column names, then rows with text in one column each:
+//! A drawing has a row with the names of the nodes, then rows with text in one column each:
 //!
 //! ```text
 //! g1              | g2              | m1
@@ -13,17 +13,17 @@
 //!                 | sees m1 go      |
 //! ```
 //!
-//! The rows of one column come in this order. Between columns nothing is said, but a line of dashes ties them: all above it
-//! came before all below it. A cell `...` stands for any steps of its node, also none. Empty lines and those that begin with
-//! `#` count for nothing. A drawing says nothing of nodes without a column.
+//! The steps of a node have to follow in the order of its column. Steps of different columns may come in any order, except
+//! across a line of dashes: all steps above it come before all below it. A cell `...` matches any number of steps of its
+//! node, including none. Empty lines and lines that begin with `#` are ignored. Nodes without a column are not compared.
 
 use super::{draw, Step, Timeline};
 use std::fmt;
 
-/// Any steps of its node.
-const ANY: &str = "...";
+/// Cell that matches any number of steps of its node.
+const WILDCARD: &str = "...";
 
-/// A drawn file.
+/// A parsed drawing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drawing {
     nodes: Vec<String>,
@@ -34,62 +34,62 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Row {
     line: usize,
-    /// Ties above it.
+    /// Number of lines of dashes above the row.
     block: usize,
     column: usize,
-    what: String,
+    action: String,
 }
 
-/// Why a text is no drawing.
+/// Reason for which a text is not a valid drawing.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoDrawing {
-    /// It has no row of names.
+pub enum DrawingError {
+    /// There is no row with the names of the nodes.
     #[error("there is no row with the names of the nodes")]
-    Names,
-    /// A name stands twice, or is empty.
+    MissingNames,
+    /// A name is empty or appears twice.
     #[error("line {0}: the names of the columns have to differ and not be empty")]
-    Name(usize),
-    /// A row has no text, or more than one.
+    InvalidName(usize),
+    /// A row has text in no column, or in more than one.
     #[error("line {0}: a row has text in one of {1} columns")]
-    Row(usize, usize),
+    InvalidRow(usize, usize),
 }
 
-/// A timeline and a drawing differ.
+/// The first difference between a timeline and a drawing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Differs {
-    /// The line of the drawing that does not fit; none where more happened than is drawn.
+pub struct TimelineMismatch {
+    /// Line of the drawing that does not match; `None` where the timeline has a step that is not drawn.
     pub line: Option<usize>,
-    /// Why.
-    pub why: String,
-    shown: String,
+    /// Description of the difference.
+    pub message: String,
+    comparison: String,
 }
 
-impl fmt::Display for Differs {
+impl fmt::Display for TimelineMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}\n{}", self.why, self.shown)
+        write!(f, "{}\n{}", self.message, self.comparison)
     }
 }
 
-impl std::error::Error for Differs {}
+impl std::error::Error for TimelineMismatch {}
 
 impl Drawing {
-    /// Reads a drawing.
+    /// Parses a drawing.
     ///
     /// # Errors
-    /// The first line that does not fit.
-    pub fn read(text: &str) -> Result<Self, NoDrawing> {
+    /// Returns the first invalid line.
+    pub fn parse(text: &str) -> Result<Self, DrawingError> {
         let lines = text
             .lines()
             .enumerate()
-            .map(|(at, line)| (at + 1, line.trim_end()));
+            .map(|(index, line)| (index + 1, line.trim_end()));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-        let (line, names) = lines.next().ok_or(NoDrawing::Names)?;
+        let (line, names) = lines.next().ok_or(DrawingError::MissingNames)?;
         let nodes: Vec<String> = cells(names).map(str::to_owned).collect();
-        let twice = |node: &String| {
+        let is_invalid = |node: &String| {
             node.is_empty() || nodes.iter().filter(|other| *other == node).count() > 1
         };
-        if nodes.iter().any(twice) {
-            return Err(NoDrawing::Name(line));
+        if nodes.iter().any(is_invalid) {
+            return Err(DrawingError::InvalidName(line));
         }
         let (mut rows, mut block) = (Vec::new(), 0);
         for (line, text) in lines {
@@ -99,15 +99,15 @@
             }
             let mut filled = cells(text).enumerate().filter(|(_, cell)| !cell.is_empty());
             match (filled.next(), filled.next()) {
-                (Some((column, what)), None) if column < nodes.len() => {
+                (Some((column, action)), None) if column < nodes.len() => {
                     rows.push(Row {
                         line,
                         block,
                         column,
-                        what: what.to_owned(),
+                        action: action.to_owned(),
                     });
                 }
-                _ => return Err(NoDrawing::Row(line, nodes.len())),
+                _ => return Err(DrawingError::InvalidRow(line, nodes.len())),
             }
         }
         Ok(Self {
@@ -117,37 +117,37 @@
         })
     }
 
-    /// Draws a timeline in this form, tied where all that came before a moment lies a while before all that came after: to
-    /// begin a file with.
+    /// Draws a timeline in the format of drawings, as a first version of a file. A line of dashes separates steps that are
+    /// more than `min_gap_us` microseconds apart.
     #[must_use]
-    pub fn sketch(timeline: &Timeline, while_us: u64) -> String {
+    pub fn from_timeline(timeline: &Timeline, min_gap_us: u64) -> String {
         let nodes = timeline.nodes();
-        let width = |node: &&str| {
-            let of = timeline
+        let column_width = |node: &&str| {
+            let lengths = timeline
                 .steps()
                 .iter()
                 .filter(|step| step.node == *node)
-                .map(|step| step.what.len());
-            of.max().unwrap_or(0).max(node.len())
+                .map(|step| step.action.len());
+            lengths.max().unwrap_or(0).max(node.len())
         };
-        let widths: Vec<usize> = nodes.iter().map(width).collect();
-        let row = |filled: &dyn Fn(usize) -> String| {
+        let widths: Vec<usize> = nodes.iter().map(column_width).collect();
+        let row = |cell: &dyn Fn(usize) -> String| {
             let cells = widths
                 .iter()
                 .enumerate()
-                .map(|(at, width)| format!("{:<width$}", filled(at)));
+                .map(|(column, width)| format!("{:<width$}", cell(column)));
             cells.collect::<Vec<_>>().join(" | ").trim_end().to_owned() + "\n"
         };
-        let mut drawn = row(&|at| nodes[at].to_owned());
-        let mut before = None;
+        let mut drawn = row(&|column| nodes[column].to_owned());
+        let mut previous_us = None;
         for step in timeline.steps() {
-            if before.is_some_and(|before| step.at > before + while_us) {
+            if previous_us.is_some_and(|previous_us| step.time_us > previous_us + min_gap_us) {
                 drawn.push_str("----\n");
             }
-            before = Some(step.at);
-            drawn += &row(&|at| {
-                if nodes[at] == step.node {
-                    step.what.clone()
+            previous_us = Some(step.time_us);
+            drawn += &row(&|column| {
+                if nodes[column] == step.node {
+                    step.action.clone()
                 } else {
                     String::new()
                 }
@@ -156,49 +156,50 @@
         drawn
     }
 
-    /// Compares.
+    /// Compares a timeline with the drawing.
     ///
     /// # Errors
-    /// The first difference.
-    pub fn check(&self, timeline: &Timeline) -> Result<(), Differs> {
-        // By row: the place of the step that it stands for, and the times of all of them.
+    /// Returns the first difference.
+    pub fn check(&self, timeline: &Timeline) -> Result<(), TimelineMismatch> {
+        // For each row, the times of the first and the last step that it matches.
         let mut times: Vec<Option<(u64, u64)>> = vec![None; self.rows.len()];
         for (column, node) in self.nodes.iter().enumerate() {
             self.check_column(timeline, column, node, &mut times)?;
         }
         let mut latest: Option<(usize, u64)> = None;
         for block in 0..=self.rows.last().map_or(0, |row| row.block) {
-            let of_block = || {
+            let rows_of_block = || {
                 self.rows
                     .iter()
                     .zip(&times)
                     .filter(move |(row, _)| row.block == block)
             };
-            for (row, time) in of_block() {
+            for (row, time) in rows_of_block() {
                 if let (Some((line, before)), Some((first, _))) = (latest, *time) {
                     if first < before {
-                        let why = format!(
+                        let message = format!(
                             "line {}: comes before what is drawn above it in line {line}",
                             row.line
                         );
-                        return Err(self.differs(timeline, Some(row.line), why, Some(first)));
+                        return Err(self.mismatch(timeline, Some(row.line), message, Some(first)));
                     }
                 }
             }
-            let last = of_block().filter_map(|(row, time)| time.map(|(_, last)| (row.line, last)));
-            latest = last.max_by_key(|(_, last)| *last).or(latest);
+            let last_times =
+                rows_of_block().filter_map(|(row, time)| time.map(|(_, last)| (row.line, last)));
+            latest = last_times.max_by_key(|(_, last)| *last).or(latest);
         }
         Ok(())
     }
 
-    /// The rows of one column, in their order.
+    /// Compares the steps of one node with the rows of its column, and sets the times of the rows.
     fn check_column(
         &self,
         timeline: &Timeline,
         column: usize,
         node: &str,
         times: &mut [Option<(u64, u64)>],
-    ) -> Result<(), Differs> {
+    ) -> Result<(), TimelineMismatch> {
         let mut steps = timeline
             .steps()
             .iter()
@@ -207,61 +208,74 @@
         let rows: Vec<usize> = (0..self.rows.len())
             .filter(|&row| self.rows[row].column == column)
             .collect();
-        let mut any = false;
+        let mut after_wildcard = false;
         for row in rows {
-            let Row { line, what, .. } = &self.rows[row];
-            if what == ANY {
-                any = true;
+            let Row { line, action, .. } = &self.rows[row];
+            if action == WILDCARD {
+                after_wildcard = true;
                 continue;
             }
-            let step = if any {
-                steps.by_ref().find(|step| step.what == *what)
+            let step = if after_wildcard {
+                steps.by_ref().find(|step| step.action == *action)
             } else {
                 steps.next()
             };
-            any = false;
+            after_wildcard = false;
             match step {
-                Some(step) if step.what == *what => times[row] = Some((step.at, step.at)),
+                Some(step) if step.action == *action => {
+                    times[row] = Some((step.time_us, step.time_us));
+                }
                 Some(step) => {
-                    let why = format!(
-                        "line {line}: {node} {}, where the drawing has: {what}",
-                        step.what
+                    let message = format!(
+                        "line {line}: {node} {}, where the drawing has: {action}",
+                        step.action
                     );
-                    return Err(self.differs(timeline, Some(*line), why, Some(step.at)));
+                    return Err(self.mismatch(timeline, Some(*line), message, Some(step.time_us)));
                 }
                 None => {
-                    let why = format!("line {line}: {node} did not: {what}");
-                    return Err(self.differs(timeline, Some(*line), why, None));
+                    let message = format!("line {line}: {node} did not: {action}");
+                    return Err(self.mismatch(timeline, Some(*line), message, None));
                 }
             }
         }
         match steps.next() {
-            Some(Step { what, at, .. }) if !any => {
-                let why = format!("{node} {what}, which is not drawn");
-                Err(self.differs(timeline, None, why, Some(*at)))
+            Some(Step {
+                action, time_us, ..
+            }) if !after_wildcard => {
+                let message = format!("{node} {action}, which is not drawn");
+                Err(self.mismatch(timeline, None, message, Some(*time_us)))
             }
             _ => Ok(()),
         }
     }
 
-    fn differs(
+    fn mismatch(
         &self,
         timeline: &Timeline,
         line: Option<usize>,
-        why: String,
-        at: Option<u64>,
-    ) -> Differs {
-        let marked = at.and_then(|at| timeline.steps().iter().position(|step| step.at == at));
-        let came = draw::draw(timeline, &timeline.nodes(), marked);
+        message: String,
+        time_us: Option<u64>,
+    ) -> TimelineMismatch {
+        let marked_step = time_us.and_then(|time_us| {
+            timeline
+                .steps()
+                .iter()
+                .position(|step| step.time_us == time_us)
+        });
+        let actual = draw::draw(timeline, &timeline.nodes(), marked_step);
         let expected = self.text.lines().enumerate().map(|(number, text)| {
             let mark = if line == Some(number + 1) { '>' } else { ' ' };
             format!("{mark}{text}\n")
         });
-        let shown = format!(
-            "as it came:\n{came}\nas it is drawn:\n{}",
+        let comparison = format!(
+            "actual:\n{actual}\nexpected:\n{}",
             expected.collect::<String>()
         );
-        Differs { line, why, shown }
+        TimelineMismatch {
+            line,
+            message,
+            comparison,
+        }
     }
 }
 
@@ -273,41 +287,42 @@
 mod tests {
     use super::*;
 
-    const DRAWN: &str =
+    const DRAWING: &str =
         "# two nodes\na     | b\nfirst |\n      | one\n----\nends  |\n      | ...\n      | two\n";
 
-    fn steps(of: &[(u64, &str, &str)]) -> Timeline {
-        Timeline::of(
-            of.iter()
-                .map(|(at, node, what)| Step::new(*at, node, *what))
+    fn timeline_of(steps: &[(u64, &str, &str)]) -> Timeline {
+        Timeline::from_steps(
+            steps
+                .iter()
+                .map(|(time_us, node, action)| Step::new(*time_us, node, *action))
                 .collect(),
         )
     }
 
     #[test]
-    fn columns_are_in_order_and_ties_count_between_them() {
-        let drawing = Drawing::read(DRAWN).expect("a drawing");
-        for fits in [
-            steps(&[
+    fn compares_order_within_columns_and_across_lines_of_dashes() {
+        let drawing = Drawing::parse(DRAWING).expect("a drawing");
+        for matching in [
+            timeline_of(&[
                 (1, "a", "first"),
                 (2, "b", "one"),
                 (3, "a", "ends"),
                 (4, "b", "two"),
             ]),
-            steps(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "two"),
                 (4, "a", "ends"),
             ]),
-            steps(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "else"),
                 (4, "b", "two"),
                 (9, "a", "ends"),
             ]),
-            steps(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (1, "c", "not drawn"),
                 (2, "a", "first"),
@@ -315,41 +330,41 @@
                 (4, "a", "ends"),
             ]),
         ] {
-            assert_eq!(fits.check(&drawing), Ok(()), "{}", fits.draw());
+            assert_eq!(matching.check(&drawing), Ok(()), "{}", matching.draw());
         }
     }
 
     #[test]
-    fn the_first_difference_is_marked() {
-        let drawing = Drawing::read(DRAWN).expect("a drawing");
-        let tied = steps(&[
+    fn marks_the_first_difference() {
+        let drawing = Drawing::parse(DRAWING).expect("a drawing");
+        let wrong_order = timeline_of(&[
             (1, "a", "first"),
             (2, "a", "ends"),
             (3, "b", "one"),
             (4, "b", "two"),
         ]);
-        let differs = tied.check(&drawing).expect_err("one came too late");
+        let mismatch = wrong_order.check(&drawing).expect_err("a step is too late");
         assert_eq!(
-            (differs.line, differs.why.as_str()),
+            (mismatch.line, mismatch.message.as_str()),
             (
                 Some(6),
                 "line 6: comes before what is drawn above it in line 4"
             )
         );
-        let other = steps(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
-        let differs = other.check(&drawing).expect_err("another step");
-        assert_eq!(differs.line, Some(4));
+        let other = timeline_of(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
+        let mismatch = other.check(&drawing).expect_err("another step");
+        assert_eq!(mismatch.line, Some(4));
         assert!(
-            differs.to_string().contains("\n>   0.0  .      none\n")
-                && differs.to_string().contains("\n>      | one\n"),
-            "{differs}"
+            mismatch.to_string().contains("\n>   0.0  .      none\n")
+                && mismatch.to_string().contains("\n>      | one\n"),
+            "{mismatch}"
         );
-        let fewer = steps(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
+        let fewer = timeline_of(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
         assert_eq!(
-            fewer.check(&drawing).expect_err("too few").why,
+            fewer.check(&drawing).expect_err("too few").message,
             "line 8: b did not: two"
         );
-        let more = steps(&[
+        let more = timeline_of(&[
             (1, "a", "first"),
             (2, "b", "one"),
             (3, "a", "ends"),
@@ -357,29 +372,35 @@
             (5, "a", "more"),
         ]);
         assert_eq!(
-            more.check(&drawing).expect_err("too many").why,
+            more.check(&drawing).expect_err("too many").message,
             "a more, which is not drawn"
         );
     }
 
     #[test]
-    fn a_faulty_drawing_is_told_by_its_line() {
-        assert_eq!(Drawing::read("# nothing\n"), Err(NoDrawing::Names));
-        assert_eq!(Drawing::read("a | a\n"), Err(NoDrawing::Name(1)));
-        assert_eq!(Drawing::read("a | b\nx | y\n"), Err(NoDrawing::Row(2, 2)));
+    fn reports_the_line_of_an_invalid_drawing() {
+        assert_eq!(
+            Drawing::parse("# nothing\n"),
+            Err(DrawingError::MissingNames)
+        );
+        assert_eq!(Drawing::parse("a | a\n"), Err(DrawingError::InvalidName(1)));
+        assert_eq!(
+            Drawing::parse("a | b\nx | y\n"),
+            Err(DrawingError::InvalidRow(2, 2))
+        );
         assert_eq!(
-            Drawing::read("a | b\n\n  |  | c\n"),
-            Err(NoDrawing::Row(3, 2))
+            Drawing::parse("a | b\n\n  |  | c\n"),
+            Err(DrawingError::InvalidRow(3, 2))
         );
     }
 
     #[test]
-    fn a_sketch_is_a_drawing_of_its_timeline() {
-        let timeline = steps(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
-        let sketch = Drawing::sketch(&timeline, 100);
-        assert_eq!(sketch, "a     | b\nfirst |\n      | one\n----\nends  |\n");
+    fn drawing_made_from_a_timeline_matches_it() {
+        let timeline = timeline_of(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
+        let text = Drawing::from_timeline(&timeline, 100);
+        assert_eq!(text, "a     | b\nfirst |\n      | one\n----\nends  |\n");
         assert_eq!(
-            timeline.check(&Drawing::read(&sketch).expect("a drawing")),
+            timeline.check(&Drawing::parse(&text).expect("a drawing")),
             Ok(())
         );
     }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,9 +1,9 @@
-//! What several processes did, told as steps and drawn as text.
+//! Timelines of several processes: parses the steps that they log, draws them as text and compares them with drawings.
 //!
-//! Every party writes a [`Step`] a line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in microseconds, the
-//! node, what it did, and after `<-` why, where that is known. Other lines are no steps, so that steps may stand in any log. A
-//! [`Timeline`] reads them, sorts them and draws a column for each node; [`drawing`] compares it with a drawn file, in which
-//! the order of one column counts, and the order between columns only where a line across ties them.
+//! Every process writes one [`Step`] on a line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in
+//! microseconds, the node, what it did, and its cause after `<-`, where that is known. Other lines are ignored, so any log may
+//! contain steps. A [`Timeline`] sorts the steps by time and draws one column for each node. [`drawing`] compares it with a
+//! drawing, which gives the order of the steps in each column; a line of dashes gives an order across columns.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,59 +11,61 @@
 mod draw;
 pub mod drawing;
 
-pub use drawing::{Differs, Drawing};
+pub use drawing::{Drawing, TimelineMismatch};
 
 use std::fmt;
 
-/// What stands before a step in the log of a process.
-const LOGGED: &str = " timeline: @ ";
+/// Text before a step in the log of a process.
+const LOG_PREFIX: &str = " timeline: @ ";
 
 /// One step of one node.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
-    /// When, in microseconds.
-    pub at: u64,
-    /// Who.
+    /// Time, in microseconds.
+    pub time_us: u64,
+    /// Name of the node.
     pub node: String,
-    /// What it did.
-    pub what: String,
-    /// Why, where that is known.
+    /// What the node did.
+    pub action: String,
+    /// Cause of the step, where it is known.
     pub cause: Option<String>,
 }
 
 impl Step {
-    /// A step without a cause.
+    /// Creates a step without a cause.
     #[must_use]
-    pub fn new(at: u64, node: &str, what: impl Into<String>) -> Self {
+    pub fn new(time_us: u64, node: &str, action: impl Into<String>) -> Self {
         Self {
-            at,
+            time_us,
             node: node.to_owned(),
-            what: what.into(),
+            action: action.into(),
             cause: None,
         }
     }
 
-    /// Reads a line; none where it is no step.
+    /// Parses a line. Returns `None` where it contains no step.
     ///
     /// # Errors
-    /// Where it begins like one and is none.
-    pub fn read(line: &str) -> Result<Option<Self>, NoStep> {
+    /// Where the line begins like a step, but is malformed.
+    pub fn parse(line: &str) -> Result<Option<Self>, StepError> {
         let line = line.trim();
-        let in_log = line.split_once(LOGGED).map(|(_, step)| step);
+        let in_log = line.split_once(LOG_PREFIX).map(|(_, step)| step);
         let Some(rest) = in_log.or(line.strip_prefix("@ ")) else {
             return Ok(None);
         };
-        let (at, rest) = rest.split_once(' ').ok_or(NoStep::Short)?;
-        let at = at.parse().map_err(|_| NoStep::Time(at.to_owned()))?;
-        let (node, what) = rest.split_once(' ').ok_or(NoStep::Short)?;
-        let (what, cause) = match what.split_once(" <- ") {
-            Some((what, cause)) => (what, Some(cause.to_owned())),
-            None => (what, None),
+        let (time_us, rest) = rest.split_once(' ').ok_or(StepError::MissingPart)?;
+        let time_us = time_us
+            .parse()
+            .map_err(|_| StepError::InvalidTime(time_us.to_owned()))?;
+        let (node, action) = rest.split_once(' ').ok_or(StepError::MissingPart)?;
+        let (action, cause) = match action.split_once(" <- ") {
+            Some((action, cause)) => (action, Some(cause.to_owned())),
+            None => (action, None),
         };
         Ok(Some(Self {
-            at,
+            time_us,
             node: node.to_owned(),
-            what: what.to_owned(),
+            action: action.to_owned(),
             cause,
         }))
     }
@@ -71,22 +73,22 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "@ {} {} {}", self.at, self.node, self.what)?;
+        write!(f, "@ {} {} {}", self.time_us, self.node, self.action)?;
         self.cause
             .iter()
             .try_for_each(|cause| write!(f, " <- {cause}"))
     }
 }
 
-/// Why a line that begins like a step is none.
+/// Reason for which a line that begins like a step is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoStep {
-    /// A part is missing.
-    #[error("a step is `@`, a time in microseconds, a node and what it did")]
-    Short,
-    /// The time is none.
-    #[error("`{0}` is no time in microseconds")]
-    Time(String),
+pub enum StepError {
+    /// The time, the node or the action is missing.
+    #[error("a step is `@`, a time in microseconds, a node and its action")]
+    MissingPart,
+    /// The time is not a number.
+    #[error("`{0}` is not a time in microseconds")]
+    InvalidTime(String),
 }
 
 /// Steps of several nodes, in the order of their times.
@@ -96,31 +98,34 @@
 }
 
 impl Timeline {
-    /// Of these steps. Those of one time and one node keep their order.
+    /// Creates a timeline of these steps. Steps at the same time keep their order.
     #[must_use]
-    pub fn of(mut steps: Vec<Step>) -> Self {
-        steps.sort_by_key(|step| step.at);
+    pub fn from_steps(mut steps: Vec<Step>) -> Self {
+        steps.sort_by_key(|step| step.time_us);
         Self { steps }
     }
 
-    /// The steps in the lines of a text.
+    /// Parses the steps in the lines of a text.
     ///
     /// # Errors
-    /// The number of the first line that begins like a step and is none, and why.
-    pub fn read(text: &str) -> Result<Self, (usize, NoStep)> {
+    /// Returns the number of the first malformed line, and the reason.
+    pub fn parse(text: &str) -> Result<Self, (usize, StepError)> {
         let lines = text.lines().enumerate();
-        let steps = lines
-            .filter_map(|(at, line)| Step::read(line).map_err(|why| (at + 1, why)).transpose());
-        Ok(Self::of(steps.collect::<Result<_, _>>()?))
+        let steps = lines.filter_map(|(index, line)| {
+            Step::parse(line)
+                .map_err(|error| (index + 1, error))
+                .transpose()
+        });
+        Ok(Self::from_steps(steps.collect::<Result<_, _>>()?))
     }
 
-    /// All of them.
+    /// Returns the steps, sorted by time.
     #[must_use]
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// The nodes, in the order in which they first did something.
+    /// Returns the names of the nodes, in the order of their first steps.
     #[must_use]
     pub fn nodes(&self) -> Vec<&str> {
         let mut nodes: Vec<&str> = Vec::new();
@@ -132,17 +137,17 @@
         nodes
     }
 
-    /// Draws a column for each node, times from the first step on in milliseconds.
+    /// Draws one column for each node, with the times since the first step in milliseconds.
     #[must_use]
     pub fn draw(&self) -> String {
         draw::draw(self, &self.nodes(), None)
     }
 
-    /// Compares with a drawing.
+    /// Compares the timeline with a drawing.
     ///
     /// # Errors
-    /// The first difference, with both drawn.
-    pub fn check(&self, drawing: &Drawing) -> Result<(), Differs> {
+    /// Returns the first difference, with the timeline and the drawing.
+    pub fn check(&self, drawing: &Drawing) -> Result<(), TimelineMismatch> {
         drawing.check(self)
     }
 }
@@ -152,39 +157,39 @@
     use super::*;
 
     #[test]
-    fn steps_are_read_as_they_are_written_from_any_log() {
+    fn parses_the_steps_of_any_log() {
         let step = Step {
             cause: Some("no answer".into()),
             ..Step::new(1_500_000, "g1", "sees m2 go")
         };
         assert_eq!(step.to_string(), "@ 1500000 g1 sees m2 go <- no answer");
-        assert_eq!(Step::read(&step.to_string()), Ok(Some(step)));
-        assert_eq!(Step::read("2026 INFO something else"), Ok(None));
+        assert_eq!(Step::parse(&step.to_string()), Ok(Some(step)));
+        assert_eq!(Step::parse("2026 INFO something else"), Ok(None));
         assert_eq!(
-            Step::read("2026-12-02T00:00:00Z  INFO timeline: @ 7 g1 starts"),
+            Step::parse("2026-12-02T00:00:00Z  INFO timeline: @ 7 g1 starts"),
             Ok(Some(Step::new(7, "g1", "starts")))
         );
         assert_eq!(
-            Step::read("@ soon g1 goes"),
-            Err(NoStep::Time("soon".into()))
+            Step::parse("@ soon g1 goes"),
+            Err(StepError::InvalidTime("soon".into()))
         );
         let log = "INFO begins\n@ 2 b second\n  @ 1 a first\nINFO ends\n";
-        let timeline = Timeline::read(log).expect("two steps");
+        let timeline = Timeline::parse(log).expect("two valid steps");
         assert_eq!(timeline.nodes(), ["a", "b"]);
         assert_eq!(
-            Timeline::read("\n@ 1 a").expect_err("short"),
-            (2, NoStep::Short)
+            Timeline::parse("\n@ 1 a").expect_err("the action is missing"),
+            (2, StepError::MissingPart)
         );
     }
 
     #[test]
-    fn a_column_stands_for_each_node() {
+    fn draws_one_column_for_each_node() {
         let steps = vec![
             Step::new(1_000, "g1", "asks"),
             Step::new(2_500, "m-long", "answers"),
             Step::new(2_500, "g1", "ends"),
         ];
-        let drawn = Timeline::of(steps).draw();
+        let drawn = Timeline::from_steps(steps).draw();
         let expected = "     ms  g1    m-long \n    0.0  asks  .      \n    1.5  .     answers\n    1.5  ends  .      \n";
         assert_eq!(drawn, expected, "\n{drawn}");
     }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -39,7 +39,7 @@
 fn compare(cluster: &Cluster, name: &str) {
     let file = format!("{}/tests/timelines/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let drawing =
-        Drawing::read(&std::fs::read_to_string(file).expect("a drawing")).expect("a drawing");
+        Drawing::parse(&std::fs::read_to_string(file).expect("a drawing")).expect("a drawing");
     if let Err(differs) = cluster.timeline().check(&drawing) {
         panic!("{name}: {differs}");
     }
