--- a/crates/emulators/src/callers.rs
+++ b/crates/emulators/src/callers.rs
@@ -2,7 +2,7 @@
 //! their own, apart from the matcher's, from which the rules are judged.
 
 use crate::runtime::result_of;
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request, Response};
 use cleatpulley_protocol::ajp::codec::{Fault, PACKET_SIZE};
@@ -18,14 +18,14 @@
 
 /// What callers speak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Front {
+pub enum Protocol {
     /// Frames, many requests on a connection.
     Frames,
     /// AJP, one request at a time on a connection.
     Ajp,
 }
 
-impl std::fmt::Display for Front {
+impl std::fmt::Display for Protocol {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.pad(match self {
             Self::Frames => "frames",
@@ -36,7 +36,7 @@
 
 /// A class as its callers see it.
 #[derive(Debug, Clone)]
-pub struct Kind {
+pub struct CallerClass {
     /// Its name; by AJP its path is a slash and this.
     pub name: String,
     /// Share of the requests.
@@ -44,36 +44,36 @@
     /// The hint of its work, in microseconds.
     pub work: Micros,
     /// An answer is wanted within this time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// A final answer is owed within this time.
     pub deadline: Micros,
 }
 
 /// What callers do.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct LoadPlan {
     /// What they speak.
-    pub front: Front,
+    pub protocol: Protocol,
     /// Where the matcher listens for it.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// Connections at most.
     pub connections: usize,
     /// Requests a second, each until this time after the beginning.
     pub rates: Vec<(Micros, f64)>,
     /// The classes.
-    pub kinds: Vec<Kind>,
+    pub classes: Vec<CallerClass>,
     /// Bytes of a body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// A secret, for AJP.
     pub secret: Option<String>,
     /// Numbers of callers.
-    pub callers: std::ops::Range<u64>,
+    pub caller_numbers: std::ops::Range<u64>,
     /// An answer may come so much later than it is owed.
-    pub slack: Micros,
+    pub deadline_slack: Micros,
     /// Each request brings a key of its own: in this field of frames, or in the header `Idempotency-Key`.
     pub key_field: Option<String>,
     /// Gaps between requests are drawn, and not even.
-    pub random_gaps: bool,
+    pub random_intervals: bool,
     /// For random numbers; two plans of one run need two seeds.
     pub seed: u64,
 }
@@ -82,50 +82,50 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Sent.
-    pub asked: u64,
+    pub issued: u64,
     /// Served within the wanted time.
-    pub in_time: u64,
+    pub on_time: u64,
     /// Served later.
     pub late: u64,
     /// Turned away, with the time to come back.
-    pub refused_with_time: u64,
+    pub rejected_with_retry_after: u64,
     /// Turned away without.
-    pub refused_bare: u64,
+    pub rejected_without_retry_after: u64,
     /// Refused within a tenth of the wanted time.
-    pub refused_early: u64,
+    pub rejected_early: u64,
     /// Failed.
     pub failed: u64,
     /// Not answered, though their connection stood or was accepted.
-    pub lost: u64,
+    pub unanswered: u64,
     /// Their connection was refused: nothing ran.
-    pub unreachable: u64,
+    pub not_sent: u64,
     /// Answered after the time that an answer is owed in.
     pub overdue: u64,
     /// Served with something that no run made for them.
-    pub wrong: u64,
+    pub wrong_result: u64,
 }
 
 impl Tally {
     /// Requests that have come to an end, whichever.
     #[must_use]
     pub fn ended(&self) -> u64 {
-        let refused = self.refused_with_time + self.refused_bare;
-        self.in_time + self.late + refused + self.failed + self.lost + self.unreachable
+        let refused = self.rejected_with_retry_after + self.rejected_without_retry_after;
+        self.on_time + self.late + refused + self.failed + self.unanswered + self.not_sent
     }
 
     /// Adds another's figures.
     pub fn add(&mut self, other: &Self) {
-        self.asked += other.asked;
-        self.in_time += other.in_time;
+        self.issued += other.issued;
+        self.on_time += other.on_time;
         self.late += other.late;
-        self.refused_with_time += other.refused_with_time;
-        self.refused_bare += other.refused_bare;
-        self.refused_early += other.refused_early;
+        self.rejected_with_retry_after += other.rejected_with_retry_after;
+        self.rejected_without_retry_after += other.rejected_without_retry_after;
+        self.rejected_early += other.rejected_early;
         self.failed += other.failed;
-        self.lost += other.lost;
-        self.unreachable += other.unreachable;
+        self.unanswered += other.unanswered;
+        self.not_sent += other.not_sent;
         self.overdue += other.overdue;
-        self.wrong += other.wrong;
+        self.wrong_result += other.wrong_result;
     }
 }
 
@@ -160,7 +160,7 @@
 
 /// The callers.
 pub struct Callers {
-    plan: Plan,
+    plan: LoadPlan,
     begin: Micros,
     next_at: Option<Micros>,
     /// Of the rate, so much is sent.
@@ -168,23 +168,23 @@
     /// At the next time nothing is sent: it is only looked at again.
     looks: bool,
     random: SmallRng,
-    links: Link,
-    frames: BTreeMap<Link, FrameLink>,
-    ajp: HashMap<Link, AjpLink>,
-    idle: Vec<Link>,
+    links: ConnectionId,
+    frames: BTreeMap<ConnectionId, FrameLink>,
+    ajp: HashMap<ConnectionId, AjpLink>,
+    idle: Vec<ConnectionId>,
     queue: VecDeque<Asked>,
     /// By class.
     pub tallies: Vec<Tally>,
     /// Answers that belong to no open request.
-    pub stray: u64,
+    pub unmatched_responses: u64,
     /// Latencies of what was served, by class, from the time it was meant to be sent.
     pub latencies: Vec<Vec<Micros>>,
     /// Ids turned away, which must never have run.
-    pub refused: Vec<u64>,
+    pub rejected_ids: Vec<u64>,
     /// Ids without an answer whose connection had stood.
-    pub lost: Vec<u64>,
+    pub unanswered_ids: Vec<u64>,
     /// All ids, and when they were meant to be sent.
-    pub sent: Vec<(u64, Micros)>,
+    pub sent_requests: Vec<(u64, Micros)>,
     /// Ids of the first class.
     firsts: Vec<u64>,
     over: bool,
@@ -193,9 +193,9 @@
 impl Callers {
     /// Callers that begin at this time.
     #[must_use]
-    pub fn new(plan: Plan, begin: Micros) -> Self {
-        let tallies = vec![Tally::default(); plan.kinds.len()];
-        let latencies = vec![Vec::new(); plan.kinds.len()];
+    pub fn new(plan: LoadPlan, begin: Micros) -> Self {
+        let tallies = vec![Tally::default(); plan.classes.len()];
+        let latencies = vec![Vec::new(); plan.classes.len()];
         let random = SmallRng::seed_from_u64(plan.seed);
         Self {
             plan,
@@ -210,11 +210,11 @@
             idle: Vec::new(),
             queue: VecDeque::new(),
             tallies,
-            stray: 0,
+            unmatched_responses: 0,
             latencies,
-            refused: Vec::new(),
-            lost: Vec::new(),
-            sent: Vec::new(),
+            rejected_ids: Vec::new(),
+            unanswered_ids: Vec::new(),
+            sent_requests: Vec::new(),
             firsts: Vec::new(),
             over: false,
         }
@@ -222,12 +222,12 @@
 
     /// What they do.
     #[must_use]
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &LoadPlan {
         &self.plan
     }
 
     /// From now on so much of the rate is sent; it may be more than all. Gaps have to be random.
-    pub fn set_share(&mut self, share: f64) {
+    pub fn set_rate_share(&mut self, share: f64) {
         self.share = share.max(0.0);
         self.looks |= self.share == 0.0;
     }
@@ -235,12 +235,12 @@
     /// Nothing more is sent, and nothing is waited for.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.next_at.is_none() && self.open() == 0
+        self.next_at.is_none() && self.open_requests() == 0
     }
 
     /// Requests without an answer so far.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         let frames: usize = self.frames.values().map(|link| link.open.len()).sum();
         frames
             + self
@@ -253,7 +253,7 @@
 
     /// Ids of the first class, which in trials of a gateway has an effect.
     #[must_use]
-    pub fn seats(&self) -> &[u64] {
+    pub fn first_class_ids(&self) -> &[u64] {
         &self.firsts
     }
 
@@ -274,8 +274,8 @@
             .flat_map(|link| std::mem::take(&mut link.open).into_values());
         let ajp = self.ajp.values_mut().filter_map(|link| link.asked.take());
         for asked in frames.chain(ajp).chain(self.queue.drain(..)) {
-            self.tallies[asked.kind].lost += 1;
-            self.lost.push(asked.id);
+            self.tallies[asked.kind].unanswered += 1;
+            self.unanswered_ids.push(asked.id);
         }
     }
 
@@ -299,9 +299,9 @@
     fn ask(&mut self, now: Micros, at: Micros, out: &mut Vec<Effect>) {
         let mut place = self
             .random
-            .random_range(0.0..self.plan.kinds.iter().map(|kind| kind.share).sum());
+            .random_range(0.0..self.plan.classes.iter().map(|kind| kind.share).sum());
         let mut kind = 0;
-        for (i, other) in self.plan.kinds.iter().enumerate() {
+        for (i, other) in self.plan.classes.iter().enumerate() {
             kind = i;
             place -= other.share;
             if place < 0.0 {
@@ -314,14 +314,14 @@
             at,
             again: false,
         };
-        self.tallies[kind].asked += 1;
-        self.sent.push((asked.id, at));
+        self.tallies[kind].issued += 1;
+        self.sent_requests.push((asked.id, at));
         if kind == 0 {
             self.firsts.push(asked.id);
         }
-        match self.plan.front {
-            Front::Frames => self.ask_by_frames(asked, out),
-            Front::Ajp => {
+        match self.plan.protocol {
+            Protocol::Frames => self.ask_by_frames(asked, out),
+            Protocol::Ajp => {
                 self.queue.push_back(asked);
                 self.ask_by_ajp(now, out);
             }
@@ -342,7 +342,7 @@
             Some((link, open)) if open == 0 || number >= self.plan.connections => link,
             _ if number < self.plan.connections => {
                 self.links += 2;
-                out.push(Effect::Dial(self.links, self.plan.to));
+                out.push(Effect::Connect(self.links, self.plan.address));
                 let fresh = FrameLink {
                     up: false,
                     gone: false,
@@ -356,12 +356,12 @@
             }
             // No place: this request is never sent, as a front end would do.
             _ => {
-                self.tallies[asked.kind].unreachable += 1;
+                self.tallies[asked.kind].not_sent += 1;
                 return;
             }
         };
-        let kind = &self.plan.kinds[asked.kind];
-        let caller = self.random.random_range(self.plan.callers.clone());
+        let kind = &self.plan.classes[asked.kind];
+        let caller = self.random.random_range(self.plan.caller_numbers.clone());
         let rank: f64 = self.random.random_range(0.0..0.99);
         let Some(line) = self.frames.get_mut(&link) else {
             return;
@@ -382,9 +382,9 @@
                 .as_deref()
                 .map(|field| (field, format!("{:016x}", asked.id))),
         );
-        let frame = request_frame(line.streams, &fields, &vec![b'.'; self.plan.body]);
+        let frame = request_frame(line.streams, &fields, &vec![b'.'; self.plan.body_bytes]);
         line.open.insert(line.streams, asked);
-        send(link, line.up, &mut line.waiting, frame, out);
+        send_or_buffer(link, line.up, &mut line.waiting, frame, out);
     }
 
     fn ask_by_ajp(&mut self, now: Micros, out: &mut Vec<Effect>) {
@@ -394,11 +394,11 @@
                 Some(link) => link,
                 None if self.ajp.len() < self.plan.connections => {
                     self.links += 2;
-                    out.push(Effect::Dial(self.links, self.plan.to));
+                    out.push(Effect::Connect(self.links, self.plan.address));
                     let options = Options {
                         packet_size: PACKET_SIZE,
                         secret: self.plan.secret.clone(),
-                        server: ("matcher".to_owned(), self.plan.to.port()),
+                        server: ("matcher".to_owned(), self.plan.address.port()),
                     };
                     let client = Client::new(options, now);
                     let (input, waiting) = (Vec::new(), Vec::new());
@@ -418,10 +418,10 @@
                     return;
                 }
             };
-            let kind = &self.plan.kinds[asked.kind];
+            let kind = &self.plan.classes[asked.kind];
             let caller = self
                 .random
-                .random_range(self.plan.callers.clone())
+                .random_range(self.plan.caller_numbers.clone())
                 .to_string();
             let rank = format!("{:.4}", self.random.random_range(0.0..0.99));
             let (id, work) = (
@@ -431,7 +431,7 @@
             let (door, uri, body) = (
                 (asked.at / 1_000).to_string(),
                 format!("/{}", kind.name),
-                vec![b'.'; self.plan.body],
+                vec![b'.'; self.plan.body_bytes],
             );
             let mut headers = vec![
                 ("X-Request-Id", id.as_str()),
@@ -459,50 +459,56 @@
             let _ = line.client.request(now, &request, &mut bytes);
             line.asked = Some(asked);
             line.reused_at = idle.map(|_| now);
-            send(link, line.up, &mut line.waiting, bytes, out);
+            send_or_buffer(link, line.up, &mut line.waiting, bytes, out);
         }
     }
 
-    fn answered(&mut self, now: Micros, asked: &Asked, answer: Said) {
-        let kind = &self.plan.kinds[asked.kind];
+    fn answered(&mut self, now: Micros, asked: &Asked, answer: ResponseOutcome) {
+        let kind = &self.plan.classes[asked.kind];
         let tally = &mut self.tallies[asked.kind];
         let latency = now.saturating_sub(asked.at);
-        if latency > kind.deadline + self.plan.slack {
+        if latency > kind.deadline + self.plan.deadline_slack {
             tally.overdue += 1;
         }
         match answer {
-            Said::Served(result) => {
+            ResponseOutcome::Served(result) => {
                 if result != result_of(asked.id) {
-                    tally.wrong += 1;
-                } else if latency <= kind.aim {
-                    tally.in_time += 1;
+                    tally.wrong_result += 1;
+                } else if latency <= kind.latency_objective {
+                    tally.on_time += 1;
                 } else {
                     tally.late += 1;
                 }
                 self.latencies[asked.kind].push(latency);
             }
-            Said::Refused(later) => {
+            ResponseOutcome::Refused(later) => {
                 if later > 0 {
-                    tally.refused_with_time += 1;
+                    tally.rejected_with_retry_after += 1;
                 } else {
-                    tally.refused_bare += 1;
+                    tally.rejected_without_retry_after += 1;
                 }
-                if latency * 10 <= kind.aim {
-                    tally.refused_early += 1;
+                if latency * 10 <= kind.latency_objective {
+                    tally.rejected_early += 1;
                 }
-                self.refused.push(asked.id);
+                self.rejected_ids.push(asked.id);
             }
-            Said::Failed => tally.failed += 1,
+            ResponseOutcome::Failed => tally.failed += 1,
         }
     }
 
-    fn frames_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn frames_came(
+        &mut self,
+        now: Micros,
+        link: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         let Some(line) = self.frames.get_mut(&link) else {
             return;
         };
         line.input.extend_from_slice(bytes);
-        let (answers, stray) = read_answers(&mut line.input, &mut line.open, &mut line.gone);
-        self.stray += stray;
+        let (answers, stray) = read_responses(&mut line.input, &mut line.open, &mut line.gone);
+        self.unmatched_responses += stray;
         if line.gone && line.open.is_empty() {
             self.frames.remove(&link);
             out.push(Effect::Close(link));
@@ -510,19 +516,19 @@
         for (asked, said) in answers {
             match said {
                 Some(said) => self.answered(now, &asked, said),
-                None => self.tallies[asked.kind].wrong += 1,
+                None => self.tallies[asked.kind].wrong_result += 1,
             }
         }
     }
 
-    fn ajp_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn ajp_came(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(line) = self.ajp.get_mut(&link) else {
             return;
         };
         let Ok(response) = read_response(&mut line.client, &mut line.input, bytes, now, link, out)
         else {
-            self.stray += 1;
-            self.closed(now, link, out);
+            self.unmatched_responses += 1;
+            self.on_close(now, link, out);
             return;
         };
         if let Some(response) = response {
@@ -534,10 +540,10 @@
             }
             match asked {
                 Some(asked) => {
-                    let said = said_by_ajp(&response);
+                    let said = ajp_response_outcome(&response);
                     self.answered(now, &asked, said);
                 }
-                None => self.stray += 1,
+                None => self.unmatched_responses += 1,
             }
             self.ask_by_ajp(now, out);
         }
@@ -549,7 +555,7 @@
 
 /// What an answer says.
 #[derive(Debug)]
-pub enum Said {
+pub enum ResponseOutcome {
     /// Served with this.
     Served(Vec<u8>),
     /// With so many milliseconds to stay away.
@@ -559,7 +565,13 @@
 }
 
 /// Sends, or keeps it until the connection stands.
-pub fn send(link: Link, up: bool, waiting: &mut Vec<u8>, bytes: Vec<u8>, out: &mut Vec<Effect>) {
+pub fn send_or_buffer(
+    link: ConnectionId,
+    up: bool,
+    waiting: &mut Vec<u8>,
+    bytes: Vec<u8>,
+    out: &mut Vec<Effect>,
+) {
     if up {
         out.push(Effect::Send(link, bytes));
     } else {
@@ -577,7 +589,7 @@
     input: &mut Vec<u8>,
     bytes: &[u8],
     now: Micros,
-    link: Link,
+    link: ConnectionId,
     out: &mut Vec<Effect>,
 ) -> Result<Option<Response>, Fault> {
     input.extend_from_slice(bytes);
@@ -597,16 +609,16 @@
 
 /// What an AJP response says.
 #[must_use]
-pub fn said_by_ajp(response: &Response) -> Said {
+pub fn ajp_response_outcome(response: &Response) -> ResponseOutcome {
     match response.status {
-        200 => Said::Served(response.body.clone()),
-        503 if response.not_run() => Said::Refused(
+        200 => ResponseOutcome::Served(response.body.clone()),
+        503 if response.not_run() => ResponseOutcome::Refused(
             response
                 .header(RETRY_AFTER_MS)
                 .and_then(|ms| ms.parse().ok())
                 .unwrap_or(0),
         ),
-        _ => Said::Failed,
+        _ => ResponseOutcome::Failed,
     }
 }
 
@@ -622,11 +634,11 @@
 
 /// Takes whole frames from the front of what a front end's connection has read: the answers to what is open on it, and
 /// how many belong to nothing. It notes the word that no new request may come.
-pub fn read_answers<T>(
+pub fn read_responses<T>(
     input: &mut Vec<u8>,
     open: &mut BTreeMap<u32, T>,
     gone: &mut bool,
-) -> (Vec<(T, Option<Said>)>, u64) {
+) -> (Vec<(T, Option<ResponseOutcome>)>, u64) {
     let (mut used, mut answers, mut stray) = (0, Vec::new(), 0);
     while let Parsed::Frame {
         kind,
@@ -639,7 +651,7 @@
         used += end;
         match kind {
             codec::ANSWER => match open.remove(&stream) {
-                Some(asked) => answers.push((asked, said(payload))),
+                Some(asked) => answers.push((asked, decode_response(payload))),
                 None => stray += 1,
             },
             codec::GOODBYE => *gone = true,
@@ -652,7 +664,7 @@
 
 /// Reads the payload of an answer frame.
 #[must_use]
-pub fn said(payload: &[u8]) -> Option<Said> {
+pub fn decode_response(payload: &[u8]) -> Option<ResponseOutcome> {
     let (&code, mut rest) = payload.split_first()?;
     let (&count, after) = rest.split_first()?;
     rest = after;
@@ -668,15 +680,15 @@
         rest = after;
     }
     match code {
-        0 => Some(Said::Served(rest.to_vec())),
-        1 => Some(Said::Refused(later)),
-        2 => Some(Said::Failed),
+        0 => Some(ResponseOutcome::Served(rest.to_vec())),
+        1 => Some(ResponseOutcome::Refused(later)),
+        2 => Some(ResponseOutcome::Failed),
         _ => None,
     }
 }
 
 impl Service for Callers {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         let waiting = if let Some(line) = self.frames.get_mut(&link) {
             line.up = true;
             std::mem::take(&mut line.waiting)
@@ -689,14 +701,14 @@
         out.push(Effect::Send(link, waiting));
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
-        match self.plan.front {
-            Front::Frames => self.frames_came(now, link, bytes, out),
-            Front::Ajp => self.ajp_came(now, link, bytes, out),
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
+        match self.plan.protocol {
+            Protocol::Frames => self.frames_came(now, link, bytes, out),
+            Protocol::Ajp => self.ajp_came(now, link, bytes, out),
         }
     }
 
-    fn closed(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_close(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         self.idle.retain(|idle| *idle != link);
         let mut lost = Vec::new();
         let mut up = true;
@@ -722,13 +734,13 @@
         for asked in lost {
             let tally = &mut self.tallies[asked.kind];
             if up {
-                tally.lost += 1;
-                self.lost.push(asked.id);
+                tally.unanswered += 1;
+                self.unanswered_ids.push(asked.id);
             } else {
-                tally.unreachable += 1;
+                tally.not_sent += 1;
             }
         }
-        if self.plan.front == Front::Ajp {
+        if self.plan.protocol == Protocol::Ajp {
             self.ask_by_ajp(now, out);
         }
     }
@@ -744,7 +756,7 @@
             }
             let mean = 1e6 / (rate * self.share).max(0.001);
             let draw: f64 = self.random.random_range(1e-9..1.0);
-            let gap = if self.plan.random_gaps {
+            let gap = if self.plan.random_intervals {
                 -draw.ln() * mean
             } else {
                 mean
@@ -756,7 +768,7 @@
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         self.next_at
     }
 }
--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -1,8 +1,8 @@
 //! Several processes of the program that hear of each other, with folders as hosts and [`Wires`] between them: started,
 //! killed, stopped for a while, cut off and restarted by a test, and told as one timeline.
 
+use crate::datagram_proxy::DatagramProxies;
 use crate::matcher::Matcher;
-use crate::wires::Wires;
 use cleatpulley_timeline::{Step, Timeline};
 use std::collections::BTreeMap;
 use std::io;
@@ -25,7 +25,7 @@
 pub struct Cluster {
     program: PathBuf,
     /// What lies between them.
-    pub wires: Wires,
+    pub network: DatagramProxies,
     nodes: BTreeMap<String, Node>,
     folder: PathBuf,
     /// Added to the section of each, such as `probe_ms: 100`.
@@ -59,7 +59,7 @@
         )?;
         Ok(Self {
             program: program.to_owned(),
-            wires: Wires::new(seed),
+            network: DatagramProxies::new(seed),
             nodes: BTreeMap::new(),
             folder,
             section: section.to_owned(),
@@ -74,7 +74,7 @@
     pub fn start_gateways(&mut self, count: usize) -> io::Result<Vec<String>> {
         let names: Vec<String> = (1..=count).map(|number| format!("g{number}")).collect();
         for name in &names {
-            let (reached, folder) = (self.wires.lead_to(name)?, self.folder.join(name));
+            let (reached, folder) = (self.network.start_proxy(name)?, self.folder.join(name));
             std::fs::create_dir_all(&folder)?;
             let node = Node {
                 process: None,
@@ -95,7 +95,7 @@
     /// # Errors
     /// Where it does not start; its log is part of what is told.
     pub fn start(&mut self, name: &str) -> io::Result<()> {
-        self.note(name, "starts");
+        self.add_step(name, "starts");
         let contacts: Vec<String> = self
             .nodes
             .values()
@@ -117,13 +117,13 @@
             node.folder.display(),
             self.section,
         );
-        let mut process = Matcher::gateway(&self.program, ROUTES, &operator)?;
-        let line = process.wait_for("hears on ")?;
+        let mut process = Matcher::start_gateway(&self.program, ROUTES, &operator)?;
+        let line = process.wait_for_log("hears on ")?;
         let at = line
             .split("hears on ")
             .nth(1)
             .and_then(|at| at.trim().parse().ok());
-        self.wires.is_at(
+        self.network.set_address(
             name,
             at.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))?,
         );
@@ -142,19 +142,19 @@
     }
 
     /// Writes a step of the test's own.
-    pub fn note(&mut self, node: &str, what: &str) {
+    pub fn add_step(&mut self, node: &str, what: &str) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |t| t.as_micros() as u64);
         self.steps.push(Step::new(now, node, what));
     }
 
-    /// Kills it.
+    /// KillTrial it.
     ///
     /// # Errors
     /// Where it does not run.
     pub fn kill(&mut self, name: &str) -> io::Result<()> {
-        self.note(name, "dies");
+        self.add_step(name, "dies");
         self.process(name)?.kill();
         let node = self
             .nodes
@@ -171,7 +171,7 @@
     /// # Errors
     /// Where it does not run.
     pub fn pause(&mut self, name: &str) -> io::Result<()> {
-        self.note(name, "stands still");
+        self.add_step(name, "stands still");
         self.process(name)?.pause()
     }
 
@@ -180,7 +180,7 @@
     /// # Errors
     /// Where it does not run.
     pub fn resume(&mut self, name: &str) -> io::Result<()> {
-        self.note(name, "goes on");
+        self.add_step(name, "goes on");
         self.process(name)?.resume()
     }
 
@@ -189,14 +189,14 @@
     /// # Errors
     /// Where it does not run.
     pub fn terminate(&mut self, name: &str) -> io::Result<()> {
-        self.note(name, "is told to leave");
+        self.add_step(name, "is told to leave");
         self.process(name)?.terminate();
         Ok(())
     }
 
     /// How often a step stands in the log of a process, in all its lives.
     #[must_use]
-    pub fn count(&self, name: &str, what: &str) -> usize {
+    pub fn count_steps(&self, name: &str, what: &str) -> usize {
         let steps = self.steps_of(name);
         steps.iter().filter(|step| step.what == what).count()
     }
@@ -213,7 +213,10 @@
         patience: Duration,
     ) -> io::Result<()> {
         let since = std::time::Instant::now();
-        while !names.iter().all(|name| self.count(name, what) >= times) {
+        while !names
+            .iter()
+            .all(|name| self.count_steps(name, what) >= times)
+        {
             if since.elapsed() > patience {
                 return Err(io::Error::other(format!(
                     "not all did {what:?} {times} times:\n{}",
--- a/crates/emulators/src/wires.rs
+++ b/crates/emulators/src/datagram_proxy.rs
@@ -16,13 +16,13 @@
 
 /// How datagrams fare.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Lost, of a thousand.
-    pub lost: u32,
+    pub lost_per_mille: u32,
     /// Sent twice, of a thousand.
-    pub doubled: u32,
+    pub duplicated_per_mille: u32,
     /// The longest way.
-    pub slow: Duration,
+    pub max_delay: Duration,
 }
 
 #[derive(Default)]
@@ -30,7 +30,7 @@
     /// Where processes listen, and where they are.
     real: BTreeMap<String, SocketAddr>,
     cut: BTreeSet<(String, String)>,
-    weather: Weather,
+    weather: NetworkConditions,
     passed: u64,
     stopped: u64,
 }
@@ -45,14 +45,14 @@
 }
 
 /// All ways.
-pub struct Wires {
+pub struct DatagramProxies {
     rules: Arc<Mutex<Rules>>,
     over: Arc<AtomicBool>,
     seed: u64,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Wires {
+impl DatagramProxies {
     /// None yet.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// Where no socket can be had.
-    pub fn lead_to(&mut self, name: &str) -> io::Result<SocketAddr> {
+    pub fn start_proxy(&mut self, name: &str) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let at = socket.local_addr()?;
         let (rules, over) = (Arc::clone(&self.rules), Arc::clone(&self.over));
@@ -85,17 +85,17 @@
     }
 
     /// A process listens there.
-    pub fn is_at(&self, name: &str, address: SocketAddr) {
+    pub fn set_address(&self, name: &str, address: SocketAddr) {
         self.rules().real.insert(name.to_owned(), address);
     }
 
     /// Nothing that the first sends comes to the second.
-    pub fn cut(&self, from: &str, to: &str) {
+    pub fn block(&self, from: &str, to: &str) {
         self.rules().cut.insert((from.to_owned(), to.to_owned()));
     }
 
     /// One hears nobody, and nobody hears it.
-    pub fn cut_off(&self, name: &str) {
+    pub fn isolate(&self, name: &str) {
         let mut rules = self.rules();
         let others: Vec<String> = rules
             .real
@@ -110,17 +110,17 @@
     }
 
     /// What others send to this one arrives again; what it sends stays cut.
-    pub fn heal_towards(&self, name: &str) {
+    pub fn unblock_incoming(&self, name: &str) {
         self.rules().cut.retain(|(_, to)| to != name);
     }
 
     /// Nothing is cut any more.
-    pub fn heal(&self) {
+    pub fn unblock_all(&self) {
         self.rules().cut.clear();
     }
 
     /// How datagrams fare from now on.
-    pub fn set_weather(&self, weather: Weather) {
+    pub fn set_conditions(&self, weather: NetworkConditions) {
         self.rules().weather = weather;
     }
 
@@ -132,7 +132,7 @@
     }
 }
 
-impl Drop for Wires {
+impl Drop for DatagramProxies {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
@@ -163,10 +163,10 @@
         match socket.recv_from(&mut buffer) {
             Ok((length, from)) => {
                 let mut rules = rules.lock().unwrap_or_else(PoisonError::into_inner);
-                let Weather {
-                    lost,
-                    doubled,
-                    slow,
+                let NetworkConditions {
+                    lost_per_mille: lost,
+                    duplicated_per_mille: doubled,
+                    max_delay: slow,
                 } = rules.weather;
                 let way = rules
                     .name_of(from)
--- a/crates/emulators/src/flood.rs
+++ b/crates/emulators/src/flood.rs
@@ -14,15 +14,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Flood {
     /// Where to.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// Addresses that it comes from, in 127.66.0.0/16.
-    pub sources: u32,
+    pub source_addresses: u32,
     /// Connections a second.
     pub per_second: u32,
     /// Connections held at a time; the oldest goes first.
-    pub hold: usize,
+    pub max_open: usize,
     /// Each begins with a whole health check by frames, so that it does not pass for silent.
-    pub speaks: bool,
+    pub sends_health_check: bool,
 }
 
 impl Flood {
@@ -40,7 +40,7 @@
                 };
                 opened.fetch_add(1, Ordering::Relaxed);
                 held.push_back(socket);
-                if held.len() > self.hold {
+                if held.len() > self.max_open {
                     held.pop_front();
                 }
             }
@@ -49,7 +49,7 @@
     }
 
     fn open(&self, number: u64) -> Option<Socket> {
-        let source = (number % u64::from(self.sources.max(1))) as u32;
+        let source = (number % u64::from(self.source_addresses.max(1))) as u32;
         let from = Ipv4Addr::from(0x7F42_0001 + source / 250 * 256 + source % 250);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).ok()?;
         socket.set_nonblocking(true).ok()?;
@@ -59,8 +59,8 @@
             .bind(&SockAddr::from(SocketAddr::from((from, 0))))
             .ok()?;
         // It is on its way; how it ends is nobody's concern.
-        let _ = socket.connect(&SockAddr::from(self.to));
-        if self.speaks {
+        let _ = socket.connect(&SockAddr::from(self.address));
+        if self.sends_health_check {
             // On loopback it stands by now, or the queue is full.
             let _ = socket.send(&HEALTH);
         }
@@ -70,7 +70,7 @@
 
 /// How long it takes to connect and to have a health check answered, by frames; none where that takes longer than this.
 #[must_use]
-pub fn knock(to: SocketAddr, patience: Duration) -> Option<Duration> {
+pub fn measure_health_check(to: SocketAddr, patience: Duration) -> Option<Duration> {
     let begun = Instant::now();
     let mut stream = TcpStream::connect_timeout(&to, patience).ok()?;
     stream.set_read_timeout(Some(patience)).ok()?;
--- a/crates/emulators/src/relay.rs
+++ b/crates/emulators/src/gateway_trial.rs
@@ -1,10 +1,10 @@
 //! A trial of a gateway: targets that die, drain, slow down and fail before it, callers by frames and AJP, and the rules
 //! judged from the books of targets and callers alone.
 
-use crate::callers::{Callers, Front, Kind, Plan, Tally};
-use crate::host::{look, shared, Clock, Host};
+use crate::callers::{CallerClass, Callers, LoadPlan, Protocol, Tally};
+use crate::host::{shared, with_lock, Clock, Host};
 use crate::matcher::Matcher;
-use crate::target::{Placed, Setup};
+use crate::target::{Setup, TargetServer};
 use cleatpulley_policy::interface::Micros;
 use std::collections::HashMap;
 use std::io;
@@ -15,44 +15,44 @@
 
 /// What happens to a target.
 #[derive(Debug, Clone, Copy)]
-pub enum Act {
+pub enum TargetEvent {
     /// It dies.
     Kill,
     /// It comes back.
-    Revive,
+    Restart,
     /// It drains, or takes requests again.
-    Drain(bool),
+    SetDraining(bool),
     /// Its runs take so many times longer.
-    Slow(f64),
+    SetSlowdown(f64),
     /// Of a thousand runs so many fail.
-    Faults(u32),
+    SetFailures(u32),
 }
 
 /// A trial.
 #[derive(Debug, Clone)]
-pub struct Relay {
+pub struct GatewayTrial {
     /// Targets.
     pub targets: usize,
     /// How each works.
     pub setup: Setup,
     /// Added to the upstream block, such as `least_conn;`.
-    pub way: String,
+    pub balancing: String,
     /// Added to each target's line, such as `max_fails=2`.
-    pub words: String,
+    pub server_options: String,
     /// Outcomes after which another target is tried.
-    pub next: String,
+    pub next_upstream: String,
     /// Further tries for each first try.
     pub retry_share: f64,
     /// Requests a second by each front.
-    pub rates: Vec<(Front, f64)>,
+    pub rates: Vec<(Protocol, f64)>,
     /// For so long.
-    pub time: Micros,
+    pub duration: Micros,
     /// What happens, when and to which target.
-    pub acts: Vec<(Micros, usize, Act)>,
+    pub events: Vec<(Micros, usize, TargetEvent)>,
     /// The gateway gets a table of the first so many targets alone.
-    pub reroute_at: Option<(Micros, usize)>,
+    pub reload_at: Option<(Micros, usize)>,
     /// The notice to leave comes to the gateway this long after the beginning.
-    pub leave_at: Option<Micros>,
+    pub terminate_at: Option<Micros>,
     /// For random numbers.
     pub seed: u64,
 }
@@ -61,17 +61,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     /// By front.
-    pub tallies: Vec<(Front, Tally)>,
+    pub tallies: Vec<(Protocol, Tally)>,
     /// Rules that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests that came to targets, for each that was asked.
-    pub tries: f64,
+    pub attempts_per_request: f64,
     /// The share that each target ran, of all runs.
     pub shares: Vec<f64>,
     /// Latency of what was served, at the middle and at 99 of 100, in ms.
     pub latency_ms: (f64, f64),
     /// CPU of the gateway for each request, in microseconds.
-    pub cpu: f64,
+    pub cpu_per_request: f64,
     /// Its memory at the peak, in KB.
     pub memory_kb: u64,
     /// The last lines of its log.
@@ -81,9 +81,9 @@
 impl Report {
     /// Share served in time, of what was asked.
     #[must_use]
-    pub fn in_time(&self) -> f64 {
+    pub fn on_time_share(&self) -> f64 {
         let total = self.total();
-        total.in_time as f64 / total.asked.max(1) as f64
+        total.on_time as f64 / total.issued.max(1) as f64
     }
 
     /// All fronts together.
@@ -96,37 +96,37 @@
 }
 
 /// The classes: one with an effect, and one that is safe.
-fn kinds() -> Vec<Kind> {
-    let kind = |name: &str, share| Kind {
+fn kinds() -> Vec<CallerClass> {
+    let kind = |name: &str, share| CallerClass {
         name: name.to_owned(),
         share,
         work: 20 * MS,
-        aim: 400 * MS,
+        latency_objective: 400 * MS,
         deadline: 1_500 * MS,
     };
     vec![kind("claim-seat", 0.4), kind("lobby-view", 0.6)]
 }
 
-impl Relay {
+impl GatewayTrial {
     /// Requests a second that all targets can do.
     #[must_use]
     pub fn capacity(&self) -> f64 {
-        let mean = (self.setup.work.0 + self.setup.work.1) as f64 / 2.0;
+        let mean = (self.setup.run_time.0 + self.setup.run_time.1) as f64 / 2.0;
         self.targets as f64 * self.setup.workers as f64 * 1e6 / mean
     }
 
-    fn routes(&self, targets: &[Placed], version: usize) -> String {
+    fn routes(&self, targets: &[TargetServer], version: usize) -> String {
         let servers: String = targets
             .iter()
-            .map(|target| format!("    server {} {};\n", target.at, self.words))
+            .map(|target| format!("    server {} {};\n", target.address, self.server_options))
             .collect();
         let location = |name: &str| {
             format!("    location = /{name} {{ set $matcher_class {name}; proxy_pass http://fleet; }}\n")
         };
         format!(
             "# {version}\nupstream fleet {{\n    {}\n{servers}}}\nserver {{\n    proxy_next_upstream {};\n    proxy_connect_timeout 300ms;\n{}{}    location / {{ return 404; }}\n}}\n",
-            self.way,
-            self.next,
+            self.balancing,
+            self.next_upstream,
             location("claim-seat"),
             location("lobby-view"),
         )
@@ -145,10 +145,10 @@
     ///
     /// # Errors
     /// Where something does not start.
-    pub fn play(&self, program: &Path) -> io::Result<Report> {
+    pub fn run(&self, program: &Path) -> io::Result<Report> {
         let clock = Clock::default();
         let place = |number: usize| {
-            Placed::start(
+            TargetServer::start(
                 Setup {
                     seed: self.seed + number as u64,
                     ..self.setup.clone()
@@ -159,28 +159,29 @@
         let mut targets = (0..self.targets)
             .map(place)
             .collect::<io::Result<Vec<_>>>()?;
-        let mut gateway = Matcher::gateway(program, &self.routes(&targets, 0), &self.operator())?;
+        let mut gateway =
+            Matcher::start_gateway(program, &self.routes(&targets, 0), &self.operator())?;
         let begin = clock.now() + 50 * MS;
         let (mut host, mut all) = (Host::default(), Vec::new());
         for (number, (front, rate)) in self.rates.iter().enumerate() {
             let to = match front {
-                Front::Frames => gateway.frames,
-                Front::Ajp => gateway
+                Protocol::Frames => gateway.frames,
+                Protocol::Ajp => gateway
                     .ajp
                     .ok_or_else(|| io::Error::other("the gateway speaks no AJP"))?,
             };
-            let plan = Plan {
-                front: *front,
-                to,
+            let plan = LoadPlan {
+                protocol: *front,
+                address: to,
                 connections: 128,
-                rates: vec![(self.time, *rate)],
-                kinds: kinds(),
-                body: 64,
+                rates: vec![(self.duration, *rate)],
+                classes: kinds(),
+                body_bytes: 64,
                 secret: None,
-                callers: 1..5,
-                slack: 110 * MS,
+                caller_numbers: 1..5,
+                deadline_slack: 110 * MS,
                 key_field: None,
-                random_gaps: true,
+                random_intervals: true,
                 seed: self.seed * 100 + number as u64,
             };
             let callers = shared(Callers::new(plan, begin));
@@ -188,7 +189,7 @@
             all.push(callers);
         }
         let host = host.start(clock)?;
-        let mut acts = self.acts.clone();
+        let mut acts = self.events.clone();
         acts.sort_by_key(|(at, ..)| *at);
         let mut acts = acts.into_iter().peekable();
         let (mut left, mut used) = (false, (0, 0));
@@ -197,39 +198,43 @@
             let now = clock.now().saturating_sub(begin);
             while let Some((_, target, act)) = acts.next_if(|(at, ..)| *at <= now) {
                 match act {
-                    Act::Kill => targets[target].kill(),
-                    Act::Revive => targets[target].revive()?,
-                    Act::Drain(draining) => look(&targets[target].target, |target| {
-                        target.set_draining(draining);
-                    }),
-                    Act::Slow(slowness) => {
-                        look(&targets[target].target, |target| target.slowness = slowness);
+                    TargetEvent::Kill => targets[target].kill(),
+                    TargetEvent::Restart => targets[target].restart()?,
+                    TargetEvent::SetDraining(draining) => {
+                        with_lock(&targets[target].target, |target| {
+                            target.set_draining(draining);
+                        });
                     }
-                    Act::Faults(faults) => {
-                        look(&targets[target].target, |target| target.faults = faults);
+                    TargetEvent::SetSlowdown(slowness) => {
+                        with_lock(&targets[target].target, |target| target.slowdown = slowness);
+                    }
+                    TargetEvent::SetFailures(faults) => {
+                        with_lock(&targets[target].target, |target| {
+                            target.failed_per_mille = faults;
+                        });
                     }
                 }
             }
-            if let Some((_, first)) = self.reroute_at.filter(|(at, _)| !rerouted && now >= *at) {
+            if let Some((_, first)) = self.reload_at.filter(|(at, _)| !rerouted && now >= *at) {
                 rerouted = true;
-                gateway.reroute(&self.routes(&targets[..first], 1))?;
-                gateway.wait_for("routes read again")?;
+                gateway.reload_routes(&self.routes(&targets[..first], 1))?;
+                gateway.wait_for_log("routes read again")?;
                 came_at = targets
                     .iter()
-                    .map(|target| look(&target.target, |target| target.came))
+                    .map(|target| with_lock(&target.target, |target| target.received))
                     .collect();
             }
-            if !left && self.leave_at.is_some_and(|at| now >= at) {
+            if !left && self.terminate_at.is_some_and(|at| now >= at) {
                 left = true;
                 gateway.terminate();
             }
-            if let (Some((_, peak)), Some(cpu)) = (gateway.memory_kb(), gateway.cpu()) {
+            if let (Some((_, peak)), Some(cpu)) = (gateway.memory_kb(), gateway.cpu_micros()) {
                 used = (peak.max(used.0), cpu.max(used.1));
             }
             let done = all
                 .iter()
-                .all(|callers| look(callers, |callers| callers.is_done()));
-            if now >= self.time && done || now >= self.time + 3_000 * MS {
+                .all(|callers| with_lock(callers, |callers| callers.is_done()));
+            if now >= self.duration && done || now >= self.duration + 3_000 * MS {
                 break;
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -240,11 +245,11 @@
         };
         let mut broken = |number: u64, what: &str| {
             if number > 0 {
-                report.broken.push(format!("{number} {what}"));
+                report.violations.push(format!("{number} {what}"));
             }
         };
         if left {
-            let status = gateway.wait(Duration::from_secs(6));
+            let status = gateway.wait_for_exit(Duration::from_secs(6));
             broken(
                 u64::from(!status.is_ok_and(|status| status.success())),
                 "gateway did not leave well",
@@ -257,18 +262,18 @@
         let mut own = Vec::new();
         let mut came = 0;
         for target in &targets {
-            look(&target.target, |target| {
-                came += target.came;
+            with_lock(&target.target, |target| {
+                came += target.received;
                 own.push(target.runs.values().sum::<u32>());
                 for (id, count) in &target.runs {
                     *runs.entry(*id).or_default() += count;
                 }
             });
         }
-        if let Some((_, first)) = self.reroute_at {
+        if let Some((_, first)) = self.reload_at {
             // What was on its way as the table changed may still have come.
-            let after = |(target, came): (&Placed, &u64)| {
-                look(&target.target, |target| target.came) > came + 2
+            let after = |(target, came): (&TargetServer, &u64)| {
+                with_lock(&target.target, |target| target.received) > came + 2
             };
             let still = targets
                 .iter()
@@ -283,14 +288,14 @@
         }
         let mut latencies = Vec::new();
         for callers in &all {
-            look(callers, |callers| {
+            with_lock(callers, |callers| {
                 callers.finish();
-                let (total, front) = (callers.total(), callers.plan().front);
+                let (total, front) = (callers.total(), callers.plan().protocol);
                 // What crosses the end of an idle connection at a notice to leave may be lost by AJP, and never ran.
-                let crossed = |id: &&u64| left && front == Front::Ajp && !runs.contains_key(id);
-                let crossed = callers.lost.iter().filter(crossed).count() as u64;
+                let crossed = |id: &&u64| left && front == Protocol::Ajp && !runs.contains_key(id);
+                let crossed = callers.unanswered_ids.iter().filter(crossed).count() as u64;
                 broken(
-                    total.lost - crossed,
+                    total.unanswered - crossed,
                     &format!("requests by {front} without an answer"),
                 );
                 broken(
@@ -298,15 +303,15 @@
                     &format!("answers by {front} after the due time"),
                 );
                 broken(
-                    total.wrong,
+                    total.wrong_result,
                     &format!("results by {front} that no run made for the request"),
                 );
                 broken(
-                    callers.stray,
+                    callers.unmatched_responses,
                     &format!("answers by {front} that nobody asked for"),
                 );
                 let ran = callers
-                    .refused
+                    .rejected_ids
                     .iter()
                     .filter(|id| runs.contains_key(id))
                     .count();
@@ -315,7 +320,7 @@
                     &format!("requests by {front} turned away that had run"),
                 );
                 let twice = callers
-                    .seats()
+                    .first_class_ids()
                     .iter()
                     .filter(|id| runs.get(id).is_some_and(|runs| *runs > 1))
                     .count();
@@ -334,9 +339,9 @@
                 .map_or(0.0, |us| *us as f64 / 1e3)
         };
         report.latency_ms = (at(0.5), at(0.99));
-        let asked = report.total().asked.max(1) as f64;
-        report.tries = came as f64 / asked;
-        report.cpu = used.1 as f64 / asked;
+        let asked = report.total().issued.max(1) as f64;
+        report.attempts_per_request = came as f64 / asked;
+        report.cpu_per_request = used.1 as f64 / asked;
         let all_runs: u32 = own.iter().sum();
         report.shares = own
             .iter()
--- a/crates/emulators/src/host.rs
+++ b/crates/emulators/src/host.rs
@@ -1,6 +1,6 @@
 //! Services on loopback sockets: one thread, one poller.
 
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -21,7 +21,7 @@
 }
 
 /// Looks at a shared service.
-pub fn look<S: ?Sized, T>(shared: &Mutex<S>, with: impl FnOnce(&mut S) -> T) -> T {
+pub fn with_lock<S: ?Sized, T>(shared: &Mutex<S>, with: impl FnOnce(&mut S) -> T) -> T {
     with(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
@@ -63,7 +63,7 @@
 struct Wire {
     stream: TcpStream,
     port: usize,
-    link: Link,
+    link: ConnectionId,
     out: Vec<u8>,
     sent: usize,
     connected: bool,
@@ -175,9 +175,9 @@
     ports: Vec<Port>,
     doors: Vec<(TcpListener, usize, usize)>,
     wires: HashMap<usize, Wire>,
-    keys: HashMap<(usize, Link), usize>,
+    keys: HashMap<(usize, ConnectionId), usize>,
     next_key: usize,
-    accepted: Link,
+    accepted: ConnectionId,
     clock: Clock,
     buffer: Vec<u8>,
     effects: Vec<Effect>,
@@ -189,7 +189,7 @@
         let next = self
             .ports
             .iter()
-            .filter_map(|port| look(&port.service, |service| service.next()))
+            .filter_map(|port| with_lock(&port.service, |service| service.next_deadline()))
             .min();
         let wait = next.map_or(BREATH, |at| at.saturating_sub(now)).min(BREATH);
         match self.poll.poll(events, Some(Duration::from_micros(wait))) {
@@ -206,8 +206,10 @@
             }
         }
         for place in 0..self.ports.len() {
-            let due = look(&self.ports[place].service, |service| service.next())
-                .is_some_and(|at| at <= now);
+            let due = with_lock(&self.ports[place].service, |service| {
+                service.next_deadline()
+            })
+            .is_some_and(|at| at <= now);
             if due {
                 self.tell(place, |service, effects| service.advance(now, effects));
             }
@@ -218,7 +220,7 @@
     /// Tells a service something, and carries out what it wants done.
     fn tell(&mut self, place: usize, what: impl FnOnce(&mut dyn Service, &mut Vec<Effect>)) {
         let mut effects = std::mem::take(&mut self.effects);
-        look(&self.ports[place].service, |service| {
+        with_lock(&self.ports[place].service, |service| {
             what(service, &mut effects);
         });
         while !effects.is_empty() {
@@ -228,8 +230,8 @@
             }
             let now = self.clock.now();
             for link in lost {
-                look(&self.ports[place].service, |service| {
-                    service.closed(now, link, &mut effects);
+                with_lock(&self.ports[place].service, |service| {
+                    service.on_close(now, link, &mut effects);
                 });
             }
         }
@@ -237,7 +239,7 @@
     }
 
     /// Does what a service wants; returns a link that could not be made or broke.
-    fn carry_out(&mut self, place: usize, effect: Effect) -> Option<Link> {
+    fn carry_out(&mut self, place: usize, effect: Effect) -> Option<ConnectionId> {
         match effect {
             Effect::Send(link, bytes) => {
                 let key = *self.keys.get(&(place, link))?;
@@ -266,14 +268,14 @@
                 self.drop_wire(key);
                 None
             }
-            Effect::Dial(link, address) => match TcpStream::connect(address) {
+            Effect::Connect(link, address) => match TcpStream::connect(address) {
                 Ok(stream) => self
                     .add(place, link, stream, false)
                     .is_none()
                     .then_some(link),
                 Err(_) => Some(link),
             },
-            Effect::DialFrom(link, address, from) => match dial_from(address, from) {
+            Effect::ConnectFrom(link, address, from) => match dial_from(address, from) {
                 Ok(stream) => self
                     .add(place, link, stream, false)
                     .is_none()
@@ -286,7 +288,7 @@
     fn add(
         &mut self,
         port: usize,
-        link: Link,
+        link: ConnectionId,
         mut stream: TcpStream,
         connected: bool,
     ) -> Option<usize> {
@@ -326,7 +328,7 @@
             let link = self.accepted;
             if self.add(place, link, stream, true).is_some() {
                 self.tell(place, |service, effects| {
-                    service.opened_at(now, link, door, effects);
+                    service.on_accept(now, link, door, effects);
                 });
             }
         }
@@ -346,7 +348,9 @@
                 return;
             }
             wire.connected = true;
-            self.tell(place, |service, effects| service.opened(now, link, effects));
+            self.tell(place, |service, effects| {
+                service.on_open(now, link, effects);
+            });
         }
         let Some(wire) = self.wires.get_mut(&key) else {
             return;
@@ -367,7 +371,7 @@
                     break;
                 }
                 Ok(n) => self.tell(place, |service, effects| {
-                    service.received(now, link, &buffer[..n], effects);
+                    service.on_data(now, link, &buffer[..n], effects);
                 }),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
@@ -382,9 +386,11 @@
         self.buffer = buffer;
     }
 
-    fn lose(&mut self, now: Micros, key: usize, place: usize, link: Link) {
+    fn lose(&mut self, now: Micros, key: usize, place: usize, link: ConnectionId) {
         self.drop_wire(key);
-        self.tell(place, |service, effects| service.closed(now, link, effects));
+        self.tell(place, |service, effects| {
+            service.on_close(now, link, effects);
+        });
     }
 }
 
--- a/crates/emulators/src/keyed.rs
+++ b/crates/emulators/src/keyed_retries.rs
@@ -1,12 +1,12 @@
 //! Callers that send the same keyed request again and again, without limit, while the matcher is killed and started
 //! again; and the judgement of what became of each key, from the books of the runtime and of these callers alone.
 
-use crate::callers::{read_answers, request_frame, Said};
-use crate::host::{look, shared, Host};
+use crate::callers::{read_responses, request_frame, ResponseOutcome};
+use crate::host::{shared, with_lock, Host};
 use crate::matcher::Matcher;
 use crate::runtime::result_of;
 use crate::site::{Class, Setup, Site};
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
 
 const MS: Micros = 1_000;
 /// The field of frames that keys stand in.
-pub const FIELD: &str = "once";
+pub const KEY_FIELD: &str = "once";
 const CLASS: &str = "claim-seat";
 /// Requests open on one connection.
 const OPEN: usize = 32;
@@ -68,29 +68,29 @@
 
 /// What was seen.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Tries that were sent.
-    pub asked: u64,
+    pub sent: u64,
     /// Served.
     pub served: u64,
     /// Served with a result that had been told before.
-    pub repeated: u64,
+    pub served_repeats: u64,
     /// Failed: it may have run.
     pub unknown: u64,
     /// Turned away.
-    pub refused: u64,
+    pub rejected: u64,
     /// Rules that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// The callers.
-pub struct Again {
+pub struct RetryingCallers {
     to: Option<SocketAddr>,
     random: SmallRng,
-    links: Link,
-    lines: BTreeMap<Link, Line>,
+    links: ConnectionId,
+    lines: BTreeMap<ConnectionId, Line>,
     /// Connections to close.
-    spent: Vec<Link>,
+    spent: Vec<ConnectionId>,
     seats: BTreeMap<u64, Seat>,
     /// Those in use.
     active: Vec<u64>,
@@ -100,10 +100,10 @@
     /// The last kill is over: only results that were told are asked for, until each has come again.
     confirming: bool,
     /// What was seen.
-    pub seen: Seen,
+    pub stats: Stats,
 }
 
-impl Again {
+impl RetryingCallers {
     fn new(seed: u64, now: Micros, deadline: Micros) -> Self {
         Self {
             to: None,
@@ -117,7 +117,7 @@
             next_at: now,
             deadline,
             confirming: false,
-            seen: Seen::default(),
+            stats: Stats::default(),
         }
     }
 
@@ -131,8 +131,8 @@
     }
 
     fn break_rule(&mut self, what: String) {
-        if self.seen.broken.len() < 20 {
-            self.seen.broken.push(what);
+        if self.stats.violations.len() < 20 {
+            self.stats.violations.push(what);
         }
     }
 
@@ -198,7 +198,7 @@
                 Some((open, link)) if open == 0 || self.lines.len() >= CONNECTIONS => link,
                 _ if self.lines.len() < CONNECTIONS => {
                     self.links += 2;
-                    out.push(Effect::Dial(self.links, to));
+                    out.push(Effect::Connect(self.links, to));
                     self.lines.insert(self.links, Line::default());
                     self.links
                 }
@@ -221,7 +221,7 @@
                 ("cpu", "2.0".to_owned()),
                 ("ram", "10".to_owned()),
                 ("standing", "0.5".to_owned()),
-                (FIELD, format!("seat {number}")),
+                (KEY_FIELD, format!("seat {number}")),
             ];
             let frame = request_frame(line.streams, &fields, format!("claim {number}").as_bytes());
             line.open.insert(
@@ -231,7 +231,7 @@
                     at: now,
                 },
             );
-            self.seen.asked += 1;
+            self.stats.sent += 1;
             if line.up {
                 out.push(Effect::Send(link, frame));
             } else {
@@ -240,7 +240,7 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, asked: &Asked, said: Option<Said>) {
+    fn answered(&mut self, now: Micros, asked: &Asked, said: Option<ResponseOutcome>) {
         if now > asked.at + self.deadline + 200 * MS {
             self.break_rule(format!("seat {}: answered after its due time", asked.seat));
         }
@@ -249,26 +249,26 @@
         };
         let mut broken = None;
         match said {
-            Some(Said::Served(result)) => {
-                self.seen.served += 1;
+            Some(ResponseOutcome::Served(result)) => {
+                self.stats.served += 1;
                 seat.served += 1;
                 seat.failures = 0;
                 seat.confirmed = self.confirming;
                 match &seat.told {
                     Some(told) if *told != result => broken = Some("two results that differ"),
-                    Some(_) => self.seen.repeated += 1,
+                    Some(_) => self.stats.served_repeats += 1,
                     None => seat.told = Some(result),
                 }
                 if seat.served >= ENOUGH && !self.confirming {
                     self.active.retain(|other| *other != asked.seat);
                 }
             }
-            Some(Said::Refused(_)) => {
-                self.seen.refused += 1;
+            Some(ResponseOutcome::Refused(_)) => {
+                self.stats.rejected += 1;
                 seat.refused.push(now);
             }
-            Some(Said::Failed) => {
-                self.seen.unknown += 1;
+            Some(ResponseOutcome::Failed) => {
+                self.stats.unknown += 1;
                 seat.unknown += 1;
                 seat.failures += u32::from(seat.told.is_some());
                 if self.confirming && seat.failures >= FORGOTTEN && !seat.confirmed {
@@ -319,20 +319,20 @@
     }
 }
 
-impl Service for Again {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+impl Service for RetryingCallers {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         if let Some(line) = self.lines.get_mut(&link) {
             line.up = true;
             out.push(Effect::Send(link, std::mem::take(&mut line.waiting)));
         }
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(line) = self.lines.get_mut(&link) else {
             return;
         };
         line.input.extend_from_slice(bytes);
-        let (answers, stray) = read_answers(&mut line.input, &mut line.open, &mut line.gone);
+        let (answers, stray) = read_responses(&mut line.input, &mut line.open, &mut line.gone);
         if line.gone && line.open.is_empty() {
             self.lines.remove(&link);
             out.push(Effect::Close(link));
@@ -345,7 +345,7 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         // A process that was killed owes nothing; that it did not end by itself is seen where it was started.
         self.lines.remove(&link);
     }
@@ -356,31 +356,31 @@
         self.ask(now, out);
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         Some(self.next_at)
     }
 }
 
 /// A matcher with kept results that is killed again and again.
 #[derive(Debug, Clone)]
-pub struct Kills {
+pub struct KillTrial {
     /// How often.
     pub kills: u32,
     /// For random numbers.
     pub seed: u64,
 }
 
-impl Kills {
+impl KillTrial {
     /// A site whose only class has an effect.
     #[must_use]
     pub fn site(seed: u64) -> Setup {
         let class = Class {
             name: CLASS,
-            once: true,
+            at_most_once: true,
             share: 1.0,
             work: (MS, 6 * MS),
             calls: (0, 0),
-            aim: 1_000 * MS,
+            latency_objective: 1_000 * MS,
             deadline: 2_500 * MS,
             worth: 1.0,
             skip_worth: 0.0,
@@ -395,9 +395,9 @@
 
     /// The section of the operator file that keeps its results in this folder.
     #[must_use]
-    pub fn section(folder: &Path) -> String {
+    pub fn operator_section(folder: &Path) -> String {
         format!(
-            "results: {{ folder: '{}', classes: ['{CLASS}'], window_ms: 600000, frame_field: '{FIELD}' }}",
+            "results: {{ folder: '{}', classes: ['{CLASS}'], window_ms: 600000, frame_field: '{KEY_FIELD}' }}",
             folder.display()
         )
     }
@@ -406,25 +406,29 @@
     ///
     /// # Errors
     /// Where something can't be started, or the matcher ends by itself.
-    pub fn play(&self, program: &Path, folder: &Path) -> io::Result<(Seen, usize)> {
+    pub fn run(&self, program: &Path, folder: &Path) -> io::Result<(Stats, usize)> {
         let site = Site::start(Self::site(self.seed))?;
-        let operator = format!("{{ {} }}", Self::section(folder));
-        let callers = shared(Again::new(self.seed, site.clock.now(), 2_500 * MS));
+        let operator = format!("{{ {} }}", Self::operator_section(folder));
+        let callers = shared(RetryingCallers::new(
+            self.seed,
+            site.clock.now(),
+            2_500 * MS,
+        ));
         let mut host = Host::default();
         host.add(callers.clone());
         let running = host.start(site.clock)?;
         let mut random = SmallRng::seed_from_u64(!self.seed);
         for kill in 0..=self.kills {
             let mut matcher = Matcher::start(program, &site.config, Some(&operator))?;
-            look(&callers, |callers| callers.set_target(Some(matcher.frames)));
+            with_lock(&callers, |callers| callers.set_target(Some(matcher.frames)));
             if kill < self.kills {
                 std::thread::sleep(Duration::from_micros(random.random_range(0..60_000)));
             } else {
                 // What is open is answered within its deadline, and then each result that was told is to come again.
                 std::thread::sleep(Duration::from_millis(600));
-                look(&callers, Again::confirm);
+                with_lock(&callers, RetryingCallers::confirm);
                 let until = Instant::now() + PATIENCE;
-                while !look(&callers, |callers| callers.is_settled()) {
+                while !with_lock(&callers, |callers| callers.is_settled()) {
                     if Instant::now() > until {
                         return Err(io::Error::other(
                             "results that were told did not come again in time",
@@ -440,13 +444,13 @@
                 )));
             }
             drop(matcher);
-            look(&callers, |callers| callers.set_target(None));
+            with_lock(&callers, |callers| callers.set_target(None));
         }
         drop(running);
-        let starts = look(&site.runtime, |runtime| runtime.seen.starts.clone());
-        Ok(look(&callers, |callers| {
+        let starts = with_lock(&site.runtime, |runtime| runtime.stats.starts.clone());
+        Ok(with_lock(&callers, |callers| {
             callers.judge(&starts);
-            (callers.seen.clone(), callers.keys())
+            (callers.stats.clone(), callers.keys())
         }))
     }
 }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -9,60 +9,60 @@
 
 pub mod callers;
 pub mod cluster;
-pub mod directory;
+pub mod datagram_proxy;
 pub mod flood;
+pub mod gateway_trial;
 pub mod host;
-pub mod keyed;
+pub mod keyed_retries;
 pub mod matcher;
-pub mod relay;
+pub mod registry;
 pub mod runtime;
 pub mod site;
 pub mod store;
 pub mod target;
 pub mod trial;
-pub mod wires;
 
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
 /// A connection of a service, by a number that is never used again: even where it was accepted, odd where the
 /// service dialled it.
-pub type Link = u64;
+pub type ConnectionId = u64;
 
 /// What a service wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send these bytes.
-    Send(Link, Vec<u8>),
+    Send(ConnectionId, Vec<u8>),
     /// Close, after all has been sent.
-    Close(Link),
+    Close(ConnectionId),
     /// Reset at once, with what was not sent.
-    Reset(Link),
+    Reset(ConnectionId),
     /// Open a connection; the service chose an odd number for it.
-    Dial(Link, SocketAddr),
+    Connect(ConnectionId, SocketAddr),
     /// The same, from this address of the host's.
-    DialFrom(Link, SocketAddr, std::net::IpAddr),
+    ConnectFrom(ConnectionId, SocketAddr, std::net::IpAddr),
 }
 
 /// A party as a state machine.
 pub trait Service: Send {
     /// A connection stands.
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Vec<Effect>) {}
+    fn on_open(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Vec<Effect>) {}
 
     /// A connection stands that came to this of the service's doors, counted from 0.
-    fn opened_at(&mut self, now: Micros, link: Link, _door: usize, out: &mut Vec<Effect>) {
-        self.opened(now, link, out);
+    fn on_accept(&mut self, now: Micros, link: ConnectionId, _door: usize, out: &mut Vec<Effect>) {
+        self.on_open(now, link, out);
     }
 
     /// Bytes came.
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>);
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>);
 
     /// A connection is over, or could not be made.
-    fn closed(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>);
+    fn on_close(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>);
 
     /// Time has passed.
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>);
 
     /// When [`advance`](Self::advance) has something to do next.
-    fn next(&self) -> Option<Micros>;
+    fn next_deadline(&self) -> Option<Micros>;
 }
--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -69,7 +69,7 @@
         if config.get("mgmt").is_some() {
             matcher.mgmt = Some(matcher.wait_for_address("operators are answered on ")?);
         }
-        matcher.wait_for("runtime: running")?;
+        matcher.wait_for_log("runtime: running")?;
         Ok(matcher)
     }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// Where the system refuses.
-    pub fn begin_successor(&self, program: &Path, config: &Value) -> io::Result<Self> {
+    pub fn start_successor(&self, program: &Path, config: &Value) -> io::Result<Self> {
         let mut config = config.clone();
         config["listen"] = self.frames.to_string().into();
         let anywhere = "listen: ['127.0.0.1:0']";
@@ -105,7 +105,7 @@
         if self.mgmt.is_none() {
             self.mgmt = Some(self.wait_for_address("operators are answered on ")?);
         }
-        while !matches!(self.ask("/_ready"), Ok((200, _))) {
+        while !matches!(self.get("/_ready"), Ok((200, _))) {
             if since.elapsed() > patience || !self.is_alive() {
                 std::thread::sleep(Duration::from_millis(50));
                 return Err(io::Error::other(format!(
@@ -118,7 +118,7 @@
         Ok(since.elapsed())
     }
 
-    /// Kills it.
+    /// KillTrial it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// Where it does not; its log is part of what is told.
-    pub fn gateway(program: &Path, routes: &str, operator: &str) -> io::Result<Self> {
+    pub fn start_gateway(program: &Path, routes: &str, operator: &str) -> io::Result<Self> {
         let folder = Self::folder()?;
         std::fs::write(folder.join("nginx.conf"), routes)?;
         let file = folder.join("operator.jsonnet");
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// Where they can't be written.
-    pub fn reroute(&self, routes: &str) -> io::Result<()> {
+    pub fn reload_routes(&self, routes: &str) -> io::Result<()> {
         std::fs::write(self.folder.join("nginx.conf"), routes)?;
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
             kill_process(pid, Signal::HUP)?;
@@ -235,7 +235,7 @@
     ///
     /// # Errors
     /// Where it does not come, with the log.
-    pub fn wait_for(&mut self, text: &str) -> io::Result<String> {
+    pub fn wait_for_log(&mut self, text: &str) -> io::Result<String> {
         let since = Instant::now();
         loop {
             // The thread that reads the log drops its handle after the last line of a process that ended.
@@ -254,7 +254,7 @@
     }
 
     fn wait_for_address(&mut self, text: &str) -> io::Result<SocketAddr> {
-        let line = self.wait_for(text)?;
+        let line = self.wait_for_log(text)?;
         let address = line
             .split(text)
             .nth(1)
@@ -298,7 +298,7 @@
     ///
     /// # Errors
     /// Where it does not end in this time.
-    pub fn wait(&mut self, patience: Duration) -> io::Result<ExitStatus> {
+    pub fn wait_for_exit(&mut self, patience: Duration) -> io::Result<ExitStatus> {
         let since = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
@@ -315,7 +315,7 @@
     ///
     /// # Errors
     /// Where it answers nobody there, or not whole.
-    pub fn ask(&self, path: &str) -> io::Result<(u16, Vec<u8>)> {
+    pub fn get(&self, path: &str) -> io::Result<(u16, Vec<u8>)> {
         let at = self
             .mgmt
             .ok_or_else(|| io::Error::other("it answers no operators"))?;
@@ -352,7 +352,7 @@
 
     /// CPU that it used, in microseconds, where the system tells.
     #[must_use]
-    pub fn cpu(&self) -> Option<u64> {
+    pub fn cpu_micros(&self) -> Option<u64> {
         // In nanoseconds, and exact, where the system keeps it.
         let stat = self.stat("schedstat")?;
         stat.split_whitespace()
@@ -376,7 +376,7 @@
 
     /// Descriptors that it holds, where the system tells.
     #[must_use]
-    pub fn descriptors(&self) -> Option<usize> {
+    pub fn descriptor_count(&self) -> Option<usize> {
         Some(
             std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
                 .ok()?
--- a/crates/emulators/src/directory.rs
+++ b/crates/emulators/src/registry.rs
@@ -1,6 +1,6 @@
 //! The directory's stand-in: takes reports, and says who is on the list.
 
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use std::collections::HashMap;
 
@@ -9,18 +9,18 @@
 
 /// The stand-in.
 #[derive(Default)]
-pub struct Directory {
-    inputs: HashMap<Link, Vec<u8>>,
+pub struct ServiceRegistry {
+    inputs: HashMap<ConnectionId, Vec<u8>>,
     /// When each matcher last reported, and whether it was open.
     reports: HashMap<String, (Micros, bool)>,
     /// Reports that came.
-    pub number: u64,
+    pub report_count: u64,
 }
 
-impl Directory {
+impl ServiceRegistry {
     /// Whether this matcher is on the list.
     #[must_use]
-    pub fn lists(&self, now: Micros, name: &str) -> bool {
+    pub fn is_listed(&self, now: Micros, name: &str) -> bool {
         self.reports
             .get(name)
             .is_some_and(|report| now < report.0 + LAPSE)
@@ -28,13 +28,13 @@
 
     /// Whether this matcher's last report said that it is open.
     #[must_use]
-    pub fn is_open(&self, name: &str) -> bool {
+    pub fn is_reported_open(&self, name: &str) -> bool {
         self.reports.get(name).is_some_and(|report| report.1)
     }
 }
 
-impl Service for Directory {
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+impl Service for ServiceRegistry {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let input = self.inputs.entry(link).or_default();
         input.extend_from_slice(bytes);
         loop {
@@ -67,7 +67,7 @@
                 .windows(6)
                 .any(|part| part == b"\"open\"");
             input.drain(..whole);
-            self.number += 1;
+            self.report_count += 1;
             let status = if let Some(name) = name {
                 self.reports.insert(name, (now, open));
                 "204 No Content"
@@ -79,13 +79,13 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.inputs.remove(&link);
     }
 
     fn advance(&mut self, _: Micros, _: &mut Vec<Effect>) {}
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         None
     }
 }
--- a/crates/emulators/src/runtime.rs
+++ b/crates/emulators/src/runtime.rs
@@ -1,7 +1,7 @@
 //! The runtime's stand-in: cores shared by what runs, cold starts, calls, gauges, and notices that are kept and
 //! told again on a new link.
 
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use cleatpulley_policy::interface::Micros;
@@ -16,7 +16,7 @@
 
 /// What the runs of a class are like.
 #[derive(Debug, Clone)]
-pub struct Kind {
+pub struct RunClass {
     /// The class's name.
     pub name: String,
     /// Work on one core of speed 1, from and to.
@@ -24,14 +24,14 @@
     /// Calls of a run, from and to.
     pub calls: (u32, u32),
     /// It must not run twice.
-    pub once: bool,
+    pub at_most_once: bool,
 }
 
 /// How a runtime is set up.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The classes.
-    pub kinds: Vec<Kind>,
+    pub classes: Vec<RunClass>,
     /// Cores.
     pub cores: f64,
     /// Speed of a warm core.
@@ -41,7 +41,7 @@
     /// A cold core is warm after this time.
     pub warm_after: Micros,
     /// Runs end in the step that starts them; nothing is simulated.
-    pub instant: bool,
+    pub instant_runs: bool,
     /// Of a thousand results, so many are faults.
     pub faults_per_mille: u32,
     /// For random numbers.
@@ -59,7 +59,7 @@
 /// One address of the runtime.
 #[derive(Debug, Default)]
 struct Channel {
-    link: Option<Link>,
+    link: Option<ConnectionId>,
     input: Vec<u8>,
     notices: VecDeque<(u64, String)>,
     number: u64,
@@ -80,17 +80,17 @@
 
 /// What was seen, for whoever checks the rules.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Starts of each request, by id: class, how often, and when last.
     pub starts: HashMap<u64, (usize, u32, Micros)>,
     /// Their ids, in the order of the starts.
-    pub order: Vec<u64>,
+    pub start_order: Vec<u64>,
     /// Most runs at once.
-    pub most_running: usize,
+    pub peak_running: usize,
     /// Runs that ended well.
-    pub fine: u64,
+    pub succeeded: u64,
     /// Commands that could not be read.
-    pub unreadable: u64,
+    pub malformed_commands: u64,
 }
 
 /// The stand-in.
@@ -107,16 +107,16 @@
     /// No link is taken and none stands, until this time.
     down_until: Option<Micros>,
     /// What was seen.
-    pub seen: Seen,
+    pub stats: Stats,
     /// Times slower than usual.
-    pub slowing: f64,
+    pub slowdown: f64,
     /// Of a thousand notices, so many are followed by an earlier one, told once more under its number; a new link hears
     /// some again that were confirmed.
-    pub repeats: u32,
+    pub repeated_notices_per_mille: u32,
     /// It is cold whenever a matcher comes that has heard nothing of it yet.
-    pub cold_with_new: bool,
+    pub cold_for_new_matcher: bool,
     /// The next notice breaks off halfway, and the link ends.
-    pub tears: bool,
+    pub truncate_next_notice: bool,
     /// Requests that have their answers: their runs end at the next call.
     over: HashSet<u64>,
 }
@@ -155,11 +155,11 @@
             working: BTreeSet::new(),
             channels: vec![Channel::default()],
             down_until: None,
-            seen: Seen::default(),
-            slowing: 1.0,
-            repeats: 0,
-            cold_with_new: false,
-            tears: false,
+            stats: Stats::default(),
+            slowdown: 1.0,
+            repeated_notices_per_mille: 0,
+            cold_for_new_matcher: false,
+            truncate_next_notice: false,
             over: HashSet::new(),
         }
     }
@@ -174,14 +174,14 @@
     }
 
     /// A request has its answer, or nobody waits for one: where its run stands at a call, or comes to one, it ends.
-    pub fn request_over(&mut self, now: Micros, id: u64, out: &mut Vec<Effect>) {
+    pub fn end_request(&mut self, now: Micros, id: u64, out: &mut Vec<Effect>) {
         match self.runs.get(&id).map(|run| run.stage) {
             Some(Stage::Waiting(_)) => self.break_off(now, id, out),
             Some(Stage::Working(_)) => {
                 self.over.insert(id);
             }
             // One that was not started yet is not to be.
-            None if !self.seen.starts.contains_key(&id) => {
+            None if !self.stats.starts.contains_key(&id) => {
                 self.over.insert(id);
             }
             None => {}
@@ -200,19 +200,19 @@
 
     /// Requests that run or wait for a call.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.runs.len()
     }
 
     /// A request runs or waits for a call.
     #[must_use]
-    pub fn runs(&self, id: u64) -> bool {
+    pub fn is_running(&self, id: u64) -> bool {
         self.runs.contains_key(&id)
     }
 
     /// The ids of what runs or waits for a call.
     #[must_use]
-    pub fn ids(&self) -> Vec<u64> {
+    pub fn running_ids(&self) -> Vec<u64> {
         let mut ids: Vec<_> = self.runs.keys().copied().collect();
         ids.sort_unstable();
         ids
@@ -220,7 +220,7 @@
 
     /// Runs on the cores.
     #[must_use]
-    pub fn on_cores(&self) -> usize {
+    pub fn runs_on_cores(&self) -> usize {
         self.working.len()
     }
 
@@ -233,7 +233,7 @@
         let age = self.at.saturating_sub(self.since) as f64 / self.setup.warm_after.max(1) as f64;
         let warmth = (self.setup.cold_from + (1.0 - self.setup.cold_from) * age).min(1.0);
         let share = (self.setup.cores / running).min(1.0);
-        share * self.setup.speed * warmth / self.slowing.max(0.01)
+        share * self.setup.speed * warmth / self.slowdown.max(0.01)
     }
 
     fn pass(&mut self, now: Micros) {
@@ -256,7 +256,7 @@
         mut value: serde_json::Value,
         out: &mut Vec<Effect>,
     ) -> u64 {
-        let tears = &mut self.tears;
+        let tears = &mut self.truncate_next_notice;
         let Some(channel) = self.channels.get_mut(channel) else {
             return 0;
         };
@@ -277,7 +277,8 @@
                     .notices
                     .iter()
                     .nth_back((channel.number % 7) as usize);
-                let repeats = channel.number.wrapping_mul(7_919) % 1_000 < u64::from(self.repeats);
+                let repeats = channel.number.wrapping_mul(7_919) % 1_000
+                    < u64::from(self.repeated_notices_per_mille);
                 if let Some((_, earlier)) = earlier.filter(|_| repeats) {
                     out.push(Effect::Send(link, earlier.clone().into_bytes()));
                 }
@@ -302,14 +303,14 @@
             self.notice(run.channel, notice, out);
             return;
         }
-        self.seen.fine += 1;
+        self.stats.succeeded += 1;
         let b64 = STANDARD.encode(result_of(id));
         let notice = json!({"t": "end", "rid": format!("{id:016x}"), "status": "fine", "time_ms": ms, "b64": b64});
         self.notice(run.channel, notice, out);
     }
 
-    fn unreadable(&mut self, channel: usize, link: Link, out: &mut Vec<Effect>) {
-        self.seen.unreadable += 1;
+    fn unreadable(&mut self, channel: usize, link: ConnectionId, out: &mut Vec<Effect>) {
+        self.stats.malformed_commands += 1;
         out.push(Effect::Close(link));
         (self.channels[channel].link, self.channels[channel].synced) = (None, false);
     }
@@ -318,7 +319,7 @@
         &mut self,
         now: Micros,
         channel: usize,
-        link: Link,
+        link: ConnectionId,
         line: &[u8],
         out: &mut Vec<Effect>,
     ) {
@@ -337,7 +338,7 @@
         };
         match command.t.as_str() {
             "sync" => {
-                if self.cold_with_new && command.no == 0 {
+                if self.cold_for_new_matcher && command.no == 0 {
                     self.since = now;
                 }
                 let ms = now.saturating_sub(self.since) as f64 / 1_000.0;
@@ -345,7 +346,11 @@
                 let mut text = format!("{ready}\n");
                 let known = command
                     .no
-                    .saturating_sub(if self.repeats > 0 { 9 } else { 0 });
+                    .saturating_sub(if self.repeated_notices_per_mille > 0 {
+                        9
+                    } else {
+                        0
+                    });
                 let channel = &mut self.channels[channel];
                 channel
                     .notices
@@ -358,7 +363,7 @@
             "start" => {
                 let kind = self
                     .setup
-                    .kinds
+                    .classes
                     .iter()
                     .position(|kind| kind.name == command.route);
                 let body = STANDARD.decode(&command.b64);
@@ -376,7 +381,7 @@
                     }
                     Some(_) => {}
                     // A run that is over needs nothing any more.
-                    None if self.seen.starts.contains_key(&id) => {}
+                    None if self.stats.starts.contains_key(&id) => {}
                     None => out.push(nack(&command.t)),
                 }
             }
@@ -400,12 +405,12 @@
             self.notice(channel, notice, out);
             return;
         }
-        let seen = self.seen.starts.entry(id).or_insert((kind, 0, now));
+        let seen = self.stats.starts.entry(id).or_insert((kind, 0, now));
         seen.1 += 1;
         seen.2 = now;
-        self.seen.order.push(id);
+        self.stats.start_order.push(id);
         let mut random = SmallRng::seed_from_u64(self.setup.seed ^ id);
-        let of = &self.setup.kinds[kind];
+        let of = &self.setup.classes[kind];
         let work = random.random_range(of.work.0..=of.work.1) as f64;
         let calls = random.random_range(of.calls.0..=of.calls.1);
         let piece = work / f64::from(calls + 1);
@@ -420,8 +425,8 @@
                 calls,
             },
         );
-        self.seen.most_running = self.seen.most_running.max(self.runs.len());
-        if self.setup.instant {
+        self.stats.peak_running = self.stats.peak_running.max(self.runs.len());
+        if self.setup.instant_runs {
             self.end(now, id, out);
         } else {
             self.work_on(id);
@@ -430,9 +435,10 @@
 
     /// Ids of requests that must not run twice and did.
     #[must_use]
-    pub fn run_twice(&self) -> Vec<u64> {
-        let twice = |seen: &&(usize, u32, Micros)| seen.1 > 1 && self.setup.kinds[seen.0].once;
-        self.seen
+    pub fn ids_run_twice(&self) -> Vec<u64> {
+        let twice =
+            |seen: &&(usize, u32, Micros)| seen.1 > 1 && self.setup.classes[seen.0].at_most_once;
+        self.stats
             .starts
             .iter()
             .filter(|(_, seen)| twice(seen))
@@ -442,11 +448,11 @@
 }
 
 impl Service for Runtime {
-    fn opened(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>) {
-        self.opened_at(now, link, 0, out);
+    fn on_open(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
+        self.on_accept(now, link, 0, out);
     }
 
-    fn opened_at(&mut self, now: Micros, link: Link, door: usize, out: &mut Vec<Effect>) {
+    fn on_accept(&mut self, now: Micros, link: ConnectionId, door: usize, out: &mut Vec<Effect>) {
         if self.down_until.is_some_and(|until| now < until) {
             out.push(Effect::Reset(link));
             return;
@@ -461,7 +467,7 @@
         channel.input.clear();
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(channel) = self
             .channels
             .iter()
@@ -484,7 +490,7 @@
         self.channels[channel].input = input;
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         for channel in self
             .channels
             .iter_mut()
@@ -515,7 +521,7 @@
             }
             run.calls -= 1;
             let (kind, channel) = (run.kind, run.channel);
-            let call = STANDARD.encode(format!("call of {}", self.setup.kinds[kind].name));
+            let call = STANDARD.encode(format!("call of {}", self.setup.classes[kind].name));
             let notice = json!({"t": "wants", "rid": format!("{id:016x}"), "b64": call});
             let number = self.notice(channel, notice, out);
             if let Some(run) = self.runs.get_mut(&id) {
@@ -524,7 +530,7 @@
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         let &(until, _) = self.working.first()?;
         let wait = (f64::from_bits(until) - self.done).max(0.0) / self.rate().max(1e-9);
         // A core that warms gets faster meanwhile.
--- a/crates/emulators/src/site.rs
+++ b/crates/emulators/src/site.rs
@@ -1,8 +1,8 @@
 //! A small site: runtime, store and directory on loopback, and the configuration of a matcher that goes with them.
 
 use crate::callers;
-use crate::directory::Directory;
 use crate::host::{shared, Clock, Host, Running, Shared};
+use crate::registry::ServiceRegistry;
 use crate::runtime::{self, Runtime};
 use crate::store::{self, Store};
 use cleatpulley_policy::interface::Micros;
@@ -18,7 +18,7 @@
     /// Its name.
     pub name: &'static str,
     /// It must never run twice.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Share of the requests.
     pub share: f64,
     /// Work on one core, from and to.
@@ -26,7 +26,7 @@
     /// Calls to the store, from and to.
     pub calls: (u32, u32),
     /// Wanted within.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Owed within.
     pub deadline: Micros,
     /// Worth of an answer in time.
@@ -42,11 +42,11 @@
         |name, once, share, work: (u64, u64), calls, aim: u64, deadline: u64, worth, skip_worth| {
             Class {
                 name,
-                once,
+                at_most_once: once,
                 share,
                 work: (work.0 * MS, work.1 * MS),
                 calls,
-                aim: aim * MS,
+                latency_objective: aim * MS,
                 deadline: deadline * MS,
                 worth,
                 skip_worth,
@@ -108,23 +108,23 @@
     /// Cores of the runtime.
     pub cores: u32,
     /// Runs end at once.
-    pub instant: bool,
+    pub instant_runs: bool,
     /// The runtime has been up for so long: a cold one is slower at first.
-    pub up_for: Micros,
+    pub runtime_uptime: Micros,
     /// The store.
     pub store: store::Setup,
     /// Descriptors of the matcher.
     pub sockets: usize,
     /// Time from the notice to leave to the stop, and how long after it new requests may run.
-    pub stop: Micros,
+    pub stop_timeout: Micros,
     /// The grace of a drain.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// For random numbers.
     pub seed: u64,
     /// Where runtime, store and directory listen; port 0 lets the system choose.
     pub ports: [u16; 3],
     /// Addresses of the runtime: each process that takes another's place needs one of its own.
-    pub processes: usize,
+    pub runtime_address_count: usize,
 }
 
 impl Default for Setup {
@@ -132,15 +132,15 @@
         Self {
             classes: classes(),
             cores: 6,
-            instant: false,
-            up_for: 3_600_000_000,
+            instant_runs: false,
+            runtime_uptime: 3_600_000_000,
             store: store::Setup::default(),
             sockets: 1_024,
-            stop: 3_200_000,
-            grace: 2_500_000,
+            stop_timeout: 3_200_000,
+            drain_grace: 2_500_000,
             seed: 1,
             ports: [0; 3],
-            processes: 1,
+            runtime_address_count: 1,
         }
     }
 }
@@ -158,12 +158,12 @@
 
     /// The classes as callers see them.
     #[must_use]
-    pub fn kinds(&self) -> Vec<callers::Kind> {
-        let kind = |class: &Class| callers::Kind {
+    pub fn caller_classes(&self) -> Vec<callers::CallerClass> {
+        let kind = |class: &Class| callers::CallerClass {
             name: class.name.to_owned(),
             share: class.share,
             work: (class.work.0 + class.work.1) / 2,
-            aim: class.aim,
+            latency_objective: class.latency_objective,
             deadline: class.deadline,
         };
         self.classes.iter().map(kind).collect()
@@ -172,19 +172,19 @@
     /// A runtime of this site that is up since then.
     #[must_use]
     pub fn runtime(&self, seed: u64, since: Micros) -> Runtime {
-        let kind = |class: &Class| runtime::Kind {
+        let kind = |class: &Class| runtime::RunClass {
             name: class.name.to_owned(),
             work: class.work,
             calls: class.calls,
-            once: class.once,
+            at_most_once: class.at_most_once,
         };
         let setup = runtime::Setup {
-            kinds: self.classes.iter().map(kind).collect(),
+            classes: self.classes.iter().map(kind).collect(),
             cores: f64::from(self.cores),
             speed: 1.0,
             cold_from: 0.25,
             warm_after: 4_000_000,
-            instant: self.instant,
+            instant_runs: self.instant_runs,
             faults_per_mille: 0,
             seed,
         };
@@ -197,8 +197,8 @@
         let classes = self.classes.iter().map(|class| {
             json!({
                 "name": class.name,
-                "effect": if class.once { "at_most_once" } else { "idempotent" },
-                "give_up": class.deadline, "on_time": class.aim, "value": class.worth,
+                "effect": if class.at_most_once { "at_most_once" } else { "idempotent" },
+                "give_up": class.deadline, "on_time": class.latency_objective, "value": class.worth,
             })
         });
         let calls: Vec<_> = self.classes.iter().map(|class| class.calls.1 > 0).collect();
@@ -206,7 +206,7 @@
         json!({
             "classes": classes.collect::<Vec<_>>(),
             "limits": {"retry_after": true, "max_retry_after": 2_000_000},
-            "rules": {"answer_slack": 60_000, "cold_from": 0.25, "drain_grace": self.grace, "fall_multiple": 6.0,
+            "rules": {"answer_slack": 60_000, "cold_from": 0.25, "drain_grace": self.drain_grace, "fall_multiple": 6.0,
                       "ramp_time": 4_000_000},
             "servers": 1, "tick": 2_000, "worth_by": "work",
             "specifics": {"advert": "allowance", "below": "one_for_all", "callers": 4, "calls_out": self.store.slots,
@@ -225,11 +225,11 @@
     /// The runtime.
     pub runtime: Shared<Runtime>,
     /// Where it is, for each process of a matcher.
-    pub runtimes: Vec<SocketAddr>,
+    pub runtime_addresses: Vec<SocketAddr>,
     /// The store.
     pub store: Shared<Store>,
     /// The directory.
-    pub directory: Shared<Directory>,
+    pub registry: Shared<ServiceRegistry>,
     /// A matcher's configuration; it listens on a port that the system chooses.
     pub config: Value,
     /// How it is set up.
@@ -250,12 +250,13 @@
     /// Where the system gives no port or poller.
     pub fn start(setup: Setup) -> io::Result<Self> {
         let clock = Clock::default();
-        let runtime = shared(setup.runtime(setup.seed, clock.now().saturating_sub(setup.up_for)));
+        let runtime =
+            shared(setup.runtime(setup.seed, clock.now().saturating_sub(setup.runtime_uptime)));
         let store = shared(Store::new(setup.store.clone()));
-        let directory = shared(Directory::default());
+        let directory = shared(ServiceRegistry::default());
         let mut host = Host::default();
         let mut doors = vec![local(setup.ports[0])];
-        doors.resize(setup.processes.max(1), local(0));
+        doors.resize(setup.runtime_address_count.max(1), local(0));
         let runtimes = host.listen_at(&doors, runtime.clone())?;
         let runtime_at = runtimes[0];
         let store_at = host.listen(local(setup.ports[1]), store.clone())?;
@@ -263,7 +264,7 @@
         let config = json!({
             "name": "n1", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "seed": format!("{:x}", setup.seed),
             "runtime": runtime_at.to_string(), "store": store_at.to_string(), "lookup": lookup_at.to_string(),
-            "stop_ms": setup.stop / MS,
+            "stop_ms": setup.stop_timeout / MS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": setup.sockets},
             "settings": setup.settings(),
         });
@@ -271,9 +272,9 @@
         Ok(Self {
             clock,
             runtime,
-            runtimes,
+            runtime_addresses: runtimes,
             store,
-            directory,
+            registry: directory,
             config,
             setup,
             _running: running,
@@ -283,7 +284,7 @@
     /// The text of an operator file that switches AJP on, on a port that the system chooses; `rest` is added to its
     /// `ajp` section, `outside` stands beside it.
     #[must_use]
-    pub fn operator(&self, rest: &str, outside: &str) -> String {
+    pub fn operator_file(&self, rest: &str, outside: &str) -> String {
         let routes: Vec<_> = self
             .setup
             .classes
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -1,7 +1,7 @@
 //! The store's stand-in: calls over HTTP or AJP, whichever a connection begins with; slots, a line, slowing when
 //! crowded, and replies that are lost, refused or cut off.
 
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{
     self, kind, Forward, Way, MOST_HEADERS, NO_HEADER, PACKET_SIZE,
@@ -17,19 +17,19 @@
     /// Calls that it works on at once without slowing.
     pub slots: usize,
     /// Time of a call while it is not crowded.
-    pub time: Micros,
+    pub call_time: Micros,
     /// Each further call beyond the slots makes all slower by this share.
     pub thrash: f64,
     /// Of a thousand calls, so many are turned away unseen.
-    pub refused_per_mille: u32,
+    pub rejected_per_mille: u32,
     /// Of a thousand calls, so many run and get no reply.
-    pub lost_per_mille: u32,
+    pub unanswered_per_mille: u32,
     /// Of a thousand calls, so many run and end in a reset.
     pub reset_per_mille: u32,
     /// Of a thousand calls, so many fail.
     pub failed_per_mille: u32,
     /// Of a thousand calls, so many run and get a reply that nobody can read, or that breaks off.
-    pub spoilt_per_mille: u32,
+    pub malformed_per_mille: u32,
     /// For random numbers.
     pub seed: u64,
 }
@@ -38,13 +38,13 @@
     fn default() -> Self {
         Self {
             slots: 64,
-            time: 10_000,
+            call_time: 10_000,
             thrash: 0.02,
-            refused_per_mille: 0,
-            lost_per_mille: 0,
+            rejected_per_mille: 0,
+            unanswered_per_mille: 0,
             reset_per_mille: 0,
             failed_per_mille: 0,
-            spoilt_per_mille: 0,
+            malformed_per_mille: 0,
             seed: 1,
         }
     }
@@ -52,13 +52,13 @@
 
 /// What was seen.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Calls read.
     pub calls: u64,
     /// Those that came over AJP.
     pub ajp_calls: u64,
     /// Most calls at once.
-    pub most: usize,
+    pub peak_calls: usize,
     /// Connections accepted.
     pub connections: u64,
 }
@@ -87,14 +87,14 @@
 /// The stand-in.
 pub struct Store {
     setup: Setup,
-    callers: HashMap<Link, Caller>,
-    ends: BTreeSet<(Micros, Link)>,
-    fates: HashMap<Link, (Micros, Fate)>,
+    callers: HashMap<ConnectionId, Caller>,
+    ends: BTreeSet<(Micros, ConnectionId)>,
+    fates: HashMap<ConnectionId, (Micros, Fate)>,
     random: SmallRng,
     /// What was seen.
-    pub seen: Seen,
+    pub stats: Stats,
     /// Times slower than usual.
-    pub slowing: f64,
+    pub slowdown: f64,
 }
 
 impl Store {
@@ -108,35 +108,35 @@
             ends: BTreeSet::new(),
             fates: HashMap::new(),
             random,
-            seen: Seen::default(),
-            slowing: 1.0,
+            stats: Stats::default(),
+            slowdown: 1.0,
         }
     }
 
     /// From now on so many of a thousand calls are refused, lost, reset and failed, each.
-    pub fn trouble(&mut self, per_mille: u32) {
+    pub fn set_fault_rate(&mut self, per_mille: u32) {
         let of = &mut self.setup;
-        (of.refused_per_mille, of.lost_per_mille) = (per_mille / 4, per_mille / 4);
+        (of.rejected_per_mille, of.unanswered_per_mille) = (per_mille / 4, per_mille / 4);
         (of.reset_per_mille, of.failed_per_mille) = (per_mille / 4, per_mille / 4);
     }
 
     /// From now on so many of a thousand replies are spoilt.
-    pub fn spoil(&mut self, per_mille: u32) {
-        self.setup.spoilt_per_mille = per_mille;
+    pub fn set_malformed_rate(&mut self, per_mille: u32) {
+        self.setup.malformed_per_mille = per_mille;
     }
 
-    fn begin(&mut self, now: Micros, link: Link) {
-        self.seen.calls += 1;
+    fn begin(&mut self, now: Micros, link: ConnectionId) {
+        self.stats.calls += 1;
         let at = self.random.random_range(0..1_000);
         let setup = &self.setup;
         let mut bound = 0;
         let mut fate = Fate::Served;
         for (share, other) in [
-            (setup.refused_per_mille, Fate::Refused),
-            (setup.lost_per_mille, Fate::Lost),
+            (setup.rejected_per_mille, Fate::Refused),
+            (setup.unanswered_per_mille, Fate::Lost),
             (setup.reset_per_mille, Fate::Reset),
             (setup.failed_per_mille, Fate::Failed),
-            (setup.spoilt_per_mille, Fate::Spoilt),
+            (setup.malformed_per_mille, Fate::Spoilt),
         ] {
             if at >= bound && at < bound + share {
                 fate = other;
@@ -144,7 +144,7 @@
             bound += share;
         }
         let crowd = (self.ends.len() + 1).saturating_sub(setup.slots) as f64;
-        let time = setup.time as f64 * (1.0 + setup.thrash * crowd) * self.slowing;
+        let time = setup.call_time as f64 * (1.0 + setup.thrash * crowd) * self.slowdown;
         let end = now
             + if fate == Fate::Refused {
                 0
@@ -152,7 +152,7 @@
                 time as Micros
             };
         self.ends.insert((end, link));
-        self.seen.most = self.seen.most.max(self.ends.len());
+        self.stats.peak_calls = self.stats.peak_calls.max(self.ends.len());
         self.fates.insert(link, (end, fate));
         if let Some(caller) = self.callers.get_mut(&link) {
             caller.busy = true;
@@ -160,7 +160,7 @@
     }
 
     /// Reads what is whole of a caller's bytes; one call at a time.
-    fn read(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn read(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         loop {
             let Some(caller) = self.callers.get_mut(&link) else {
                 return;
@@ -185,7 +185,7 @@
                     }
                 }
                 Ok(Read::Call) => {
-                    self.seen.ajp_calls += u64::from(ajp);
+                    self.stats.ajp_calls += u64::from(ajp);
                     self.begin(now, link);
                 }
                 Err(()) => {
@@ -197,7 +197,7 @@
         }
     }
 
-    fn forget(&mut self, link: Link) {
+    fn forget(&mut self, link: ConnectionId) {
         self.callers.remove(&link);
         if let Some((end, _)) = self.fates.remove(&link) {
             self.ends.remove(&(end, link));
@@ -329,19 +329,19 @@
 }
 
 impl Service for Store {
-    fn opened(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
-        self.seen.connections += 1;
+    fn on_open(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
+        self.stats.connections += 1;
         self.callers.insert(link, Caller::default());
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         if let Some(caller) = self.callers.get_mut(&link) {
             caller.input.extend_from_slice(bytes);
             self.read(now, link, out);
         }
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         // Closing the connection gives up the call.
         self.forget(link);
     }
@@ -366,7 +366,7 @@
                     out.push(Effect::Reset(link));
                 }
                 Fate::Spoilt => {
-                    let (bytes, ends) = spoilt(caller.ajp == Some(true), self.seen.calls);
+                    let (bytes, ends) = spoilt(caller.ajp == Some(true), self.stats.calls);
                     out.push(Effect::Send(link, bytes));
                     if ends {
                         self.callers.remove(&link);
@@ -381,7 +381,7 @@
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         self.ends.first().map(|&(end, _)| end)
     }
 }
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -1,9 +1,9 @@
 //! A matcher's stand-in behind a gateway: it takes requests by frames, works on them with a few workers, turns away what
 //! would wait too long, and keeps books of what it ran. It can be slowed, told to drain, made to fail and killed.
 
-use crate::host::{look, shared, Clock, Host, Running, Shared};
+use crate::host::{shared, with_lock, Clock, Host, Running, Shared};
 use crate::runtime::result_of;
-use crate::{Effect, Link, Service};
+use crate::{ConnectionId, Effect, Service};
 use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::frame::codec::{self, Parsed, Request};
@@ -19,17 +19,17 @@
     /// Requests that run at a time.
     pub workers: usize,
     /// A run takes as long as this, evenly spread.
-    pub work: (Micros, Micros),
+    pub run_time: (Micros, Micros),
     /// A request that would wait for longer is turned away.
-    pub patience: Micros,
+    pub max_wait: Micros,
     /// Told with a refusal.
-    pub later: Micros,
+    pub retry_after: Micros,
     /// For random numbers.
     pub seed: u64,
 }
 
 struct Held {
-    link: Link,
+    link: ConnectionId,
     stream: u32,
     id: u64,
 }
@@ -38,14 +38,14 @@
 pub struct Target {
     setup: Setup,
     /// Runs take so many times longer.
-    pub slowness: f64,
+    pub slowdown: f64,
     /// Of a thousand runs so many fail after they have run.
-    pub faults: u32,
+    pub failed_per_mille: u32,
     /// Requests are turned away, and connections told that no more may come.
     draining: bool,
     told: bool,
     random: SmallRng,
-    links: HashMap<Link, Vec<u8>>,
+    links: HashMap<ConnectionId, Vec<u8>>,
     running: BTreeSet<(Micros, u64)>,
     at: HashMap<u64, Held>,
     queue: VecDeque<(u64, Micros)>,
@@ -53,9 +53,9 @@
     /// How often each request ran, by id.
     pub runs: HashMap<u64, u32>,
     /// Requests that came.
-    pub came: u64,
+    pub received: u64,
     /// Those that came after the word to drain.
-    pub came_draining: u64,
+    pub received_while_draining: u64,
 }
 
 impl Target {
@@ -65,8 +65,8 @@
         let random = SmallRng::seed_from_u64(setup.seed);
         Self {
             setup,
-            slowness: 1.0,
-            faults: 0,
+            slowdown: 1.0,
+            failed_per_mille: 0,
             draining: false,
             told: false,
             random,
@@ -76,8 +76,8 @@
             queue: VecDeque::new(),
             next: 0,
             runs: HashMap::new(),
-            came: 0,
-            came_draining: 0,
+            received: 0,
+            received_while_draining: 0,
         }
     }
 
@@ -87,14 +87,14 @@
     }
 
     /// Forgets what it holds, as a process does that dies; what it ran has run.
-    pub fn die(&mut self) {
+    pub fn discard_open_requests(&mut self) {
         self.links.clear();
         self.running.clear();
         self.at.clear();
         self.queue.clear();
     }
 
-    fn answer(&self, link: Link, stream: u32, answer: &Response, out: &mut Vec<Effect>) {
+    fn answer(&self, link: ConnectionId, stream: u32, answer: &Response, out: &mut Vec<Effect>) {
         let mut bytes = Vec::new();
         codec::push_answer(&mut bytes, stream, answer, None);
         if self.links.contains_key(&link) {
@@ -113,8 +113,9 @@
             *self.runs.entry(held.id).or_default() += 1;
             let work = self
                 .random
-                .random_range(self.setup.work.0..=self.setup.work.1) as f64
-                * self.slowness;
+                .random_range(self.setup.run_time.0..=self.setup.run_time.1)
+                as f64
+                * self.slowdown;
             self.running.insert((now + work as Micros, number));
         }
     }
@@ -122,26 +123,26 @@
     fn request(
         &mut self,
         now: Micros,
-        link: Link,
+        link: ConnectionId,
         stream: u32,
         payload: &[u8],
         out: &mut Vec<Effect>,
     ) {
-        self.came += 1;
+        self.received += 1;
         let refused = Response::Rejected {
-            retry_after: self.setup.later,
+            retry_after: self.setup.retry_after,
             no_failover: false,
         };
         if self.draining {
-            self.came_draining += 1;
+            self.received_while_draining += 1;
             return self.answer(link, stream, &refused, out);
         }
         let Ok(request) = Request::decode(payload, None) else {
             return self.answer(link, stream, &Response::Failed, out);
         };
-        let mean = (self.setup.work.0 + self.setup.work.1) as f64 / 2.0 * self.slowness;
+        let mean = (self.setup.run_time.0 + self.setup.run_time.1) as f64 / 2.0 * self.slowdown;
         let wait = mean * self.queue.len() as f64 / self.setup.workers as f64;
-        if wait > self.setup.patience as f64 {
+        if wait > self.setup.max_wait as f64 {
             return self.answer(link, stream, &refused, out);
         }
         self.next += 1;
@@ -159,7 +160,7 @@
 }
 
 impl Service for Target {
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let mut input = self.links.remove(&link).unwrap_or_default();
         self.links.insert(link, Vec::new());
         input.extend_from_slice(bytes);
@@ -180,7 +181,7 @@
         self.links.insert(link, input);
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.links.remove(&link);
     }
 
@@ -199,7 +200,7 @@
             let Some(held) = self.at.remove(&number) else {
                 continue;
             };
-            let fails = self.random.random_range(0..1_000) < self.faults;
+            let fails = self.random.random_range(0..1_000) < self.failed_per_mille;
             let served = Response::Served(result_of(held.id));
             let answer = if fails { Response::Failed } else { served };
             self.answer(held.link, held.stream, &answer, out);
@@ -207,23 +208,23 @@
         self.begin(now);
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         let told = (self.draining && !self.told).then_some(0);
         told.or_else(|| self.running.first().map(|(at, _)| *at))
     }
 }
 
 /// A target on a port of its own, which can be killed and started again there.
-pub struct Placed {
+pub struct TargetServer {
     /// The target.
     pub target: Shared<Target>,
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     clock: Clock,
     running: Option<Running>,
 }
 
-impl Placed {
+impl TargetServer {
     /// Starts one.
     ///
     /// # Errors
@@ -234,7 +235,7 @@
         let at = host.listen(([127, 0, 0, 1], 0).into(), target.clone())?;
         Ok(Self {
             target,
-            at,
+            address: at,
             clock,
             running: Some(host.start(clock)?),
         })
@@ -243,16 +244,16 @@
     /// It dies: its connections break, and new ones are refused.
     pub fn kill(&mut self) {
         self.running = None;
-        look(&self.target, Target::die);
+        with_lock(&self.target, Target::discard_open_requests);
     }
 
     /// It comes back.
     ///
     /// # Errors
     /// Where its port is taken.
-    pub fn revive(&mut self) -> io::Result<()> {
+    pub fn restart(&mut self) -> io::Result<()> {
         let mut host = Host::default();
-        host.listen(self.at, self.target.clone())?;
+        host.listen(self.address, self.target.clone())?;
         self.running = Some(host.start(self.clock)?);
         Ok(())
     }
--- a/crates/emulators/src/trial.rs
+++ b/crates/emulators/src/trial.rs
@@ -1,8 +1,8 @@
 //! A trial: the stand-ins, a matcher as a child process, callers on both fronts, and the rules judged from the books
 //! of the stand-ins and callers alone.
 
-use crate::callers::{Callers, Front, Plan, Tally};
-use crate::host::{look, shared, Host, Running, Shared};
+use crate::callers::{Callers, LoadPlan, Protocol, Tally};
+use crate::host::{shared, with_lock, Host, Running, Shared};
 use crate::matcher::Matcher;
 use crate::site::{Setup, Site};
 use cleatpulley_policy::interface::Micros;
@@ -20,13 +20,13 @@
 #[derive(Debug, Clone)]
 pub struct Load {
     /// The front.
-    pub front: Front,
+    pub protocol: Protocol,
     /// Requests a second, each until this time after the beginning.
     pub rates: Vec<(Micros, f64)>,
     /// Connections at most.
     pub connections: usize,
     /// Bytes of a body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// The field of frames for keys, where each request brings one.
     pub key_field: Option<String>,
 }
@@ -39,15 +39,15 @@
     /// What is sent.
     pub loads: Vec<Load>,
     /// Added to the `ajp` section of the operator file.
-    pub ajp: String,
+    pub ajp_options: String,
     /// Added beside it.
-    pub outside: String,
+    pub operator_sections: String,
     /// The notice to leave comes this long after the beginning.
-    pub leave_at: Option<Micros>,
+    pub terminate_at: Option<Micros>,
 }
 
 /// A trial under way.
-pub struct Going {
+pub struct RunningTrial {
     /// The site.
     pub site: Site,
     /// The matcher.
@@ -66,11 +66,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     /// By front and class.
-    pub tallies: Vec<(Front, String, Tally)>,
+    pub tallies: Vec<(Protocol, String, Tally)>,
     /// Rules that were broken, each with how often; none where all held.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Most requests that ran at once.
-    pub most_running: usize,
+    pub peak_running: usize,
     /// Calls to the store, and most at once.
     pub calls: (u64, usize),
     /// The matcher's memory at its peak, in KB.
@@ -78,9 +78,9 @@
     /// The matcher's CPU, in microseconds.
     pub cpu: u64,
     /// Latency of what was served, at the middle and at 99 of 100, in milliseconds, by front.
-    pub latency_ms: Vec<(Front, f64, f64)>,
+    pub latency_ms: Vec<(Protocol, f64, f64)>,
     /// The same by class.
-    pub class_latency_ms: Vec<(Front, String, f64, f64)>,
+    pub class_latency_ms: Vec<(Protocol, String, f64, f64)>,
     /// The last lines of the matcher's log.
     pub log: Vec<String>,
 }
@@ -90,35 +90,35 @@
     ///
     /// # Errors
     /// Where a port can't be had or the matcher does not start.
-    pub fn start(&self, program: &Path) -> io::Result<Going> {
+    pub fn start(&self, program: &Path) -> io::Result<RunningTrial> {
         let site = Site::start(self.site.clone())?;
-        let ajp = self.loads.iter().any(|load| load.front == Front::Ajp);
-        let operator =
-            (ajp || !self.outside.is_empty()).then(|| site.operator(&self.ajp, &self.outside));
+        let ajp = self.loads.iter().any(|load| load.protocol == Protocol::Ajp);
+        let operator = (ajp || !self.operator_sections.is_empty())
+            .then(|| site.operator_file(&self.ajp_options, &self.operator_sections));
         let matcher = Matcher::start(program, &site.config, operator.as_deref())?;
         let begin = site.clock.now() + 50_000;
         let mut host = Host::default();
         let mut callers = Vec::new();
         for (i, load) in self.loads.iter().enumerate() {
-            let to = match load.front {
-                Front::Frames => matcher.frames,
-                Front::Ajp => matcher
+            let to = match load.protocol {
+                Protocol::Frames => matcher.frames,
+                Protocol::Ajp => matcher
                     .ajp
                     .ok_or_else(|| io::Error::other("the matcher speaks no AJP"))?,
             };
-            let plan = Plan {
-                front: load.front,
-                to,
+            let plan = LoadPlan {
+                protocol: load.protocol,
+                address: to,
                 connections: load.connections,
                 rates: load.rates.clone(),
-                kinds: self.site.kinds(),
-                body: load.body,
+                classes: self.site.caller_classes(),
+                body_bytes: load.body_bytes,
                 secret: None,
-                callers: (2 * i as u64 + 1)..(2 * i as u64 + 3),
+                caller_numbers: (2 * i as u64 + 1)..(2 * i as u64 + 3),
                 // What the rules allow on sockets beyond the slack.
-                slack: 110_000,
+                deadline_slack: 110_000,
                 key_field: load.key_field.clone(),
-                random_gaps: true,
+                random_intervals: true,
                 seed: self.site.seed.wrapping_mul(1_000).wrapping_add(i as u64),
             };
             let one = shared(Callers::new(plan, begin));
@@ -126,7 +126,7 @@
             callers.push(one);
         }
         let host = host.start(site.clock)?;
-        Ok(Going {
+        Ok(RunningTrial {
             site,
             matcher,
             callers,
@@ -141,10 +141,10 @@
     ///
     /// # Errors
     /// As [`start`](Self::start).
-    pub fn play(
+    pub fn run(
         &self,
         program: &Path,
-        mut progress: impl FnMut(&Going, f64),
+        mut progress: impl FnMut(&RunningTrial, f64),
     ) -> io::Result<Report> {
         let mut going = self.start(program)?;
         let sends = self
@@ -163,15 +163,15 @@
             .unwrap_or(0);
         loop {
             let now = going.site.clock.now().saturating_sub(going.begin);
-            if going.left_at.is_none() && self.leave_at.is_some_and(|at| now >= at) {
-                going.leave();
+            if going.left_at.is_none() && self.terminate_at.is_some_and(|at| now >= at) {
+                going.terminate();
             }
             let done = going
                 .callers
                 .iter()
-                .all(|callers| look(callers, |callers| callers.is_done()));
-            let left =
-                self.leave_at.is_none() || (going.left_at.is_some() && !going.matcher.is_alive());
+                .all(|callers| with_lock(callers, |callers| callers.is_done()));
+            let left = self.terminate_at.is_none()
+                || (going.left_at.is_some() && !going.matcher.is_alive());
             if now >= sends && ((done && left) || now >= sends + longest + 1_000_000) {
                 break;
             }
@@ -183,9 +183,9 @@
     }
 }
 
-impl Going {
+impl RunningTrial {
     /// Gives the matcher the notice to leave.
-    pub fn leave(&mut self) {
+    pub fn terminate(&mut self) {
         self.left_at = Some(self.site.clock.now());
         self.matcher.terminate();
     }
@@ -201,7 +201,7 @@
         let mut old = std::mem::replace(&mut self.matcher, next);
         let since = std::time::Instant::now();
         old.terminate();
-        let status = old.wait(STOP_WITHIN);
+        let status = old.wait_for_exit(STOP_WITHIN);
         if !status.as_ref().is_ok_and(std::process::ExitStatus::success) {
             return Err(io::Error::other(format!(
                 "the old process: {status:?}\n{}",
@@ -217,16 +217,17 @@
     /// Where it does not start.
     pub fn begin_upgrade(&self, program: &Path, number: usize) -> io::Result<Matcher> {
         let mut config = self.site.config.clone();
-        let runtime = self.site.runtimes.get(number);
+        let runtime = self.site.runtime_addresses.get(number);
         config["runtime"] = runtime
             .ok_or_else(|| io::Error::other("the runtime has no address left"))?
             .to_string()
             .into();
-        self.matcher.begin_successor(program, &config)
+        self.matcher.start_successor(program, &config)
     }
 
     fn measure(&mut self) {
-        if let (Some((_, peak)), Some(cpu)) = (self.matcher.memory_kb(), self.matcher.cpu()) {
+        if let (Some((_, peak)), Some(cpu)) = (self.matcher.memory_kb(), self.matcher.cpu_micros())
+        {
             self.used = (self.used.0.max(peak), self.used.1.max(cpu));
         }
     }
@@ -238,7 +239,7 @@
         (report.memory_kb, report.cpu) = self.used;
         let mut broken = |number: u64, what: &str| {
             if number > 0 {
-                report.broken.push(format!("{number} {what}"));
+                report.violations.push(format!("{number} {what}"));
             }
         };
         match self.left_at {
@@ -247,39 +248,41 @@
                 "matcher ended by itself",
             ),
             Some(_) => {
-                let status = self
-                    .matcher
-                    .wait(Duration::from_micros(self.site.setup.stop) + Duration::from_secs(1));
+                let status = self.matcher.wait_for_exit(
+                    Duration::from_micros(self.site.setup.stop_timeout) + Duration::from_secs(1),
+                );
                 broken(
                     u64::from(!status.is_ok_and(|status| status.success())),
                     "matcher did not leave well",
                 );
             }
         }
-        let (starts, twice) = look(&self.site.runtime, |runtime| {
-            report.most_running = runtime.seen.most_running;
+        let (starts, twice) = with_lock(&self.site.runtime, |runtime| {
+            report.peak_running = runtime.stats.peak_running;
             broken(
-                runtime.seen.unreadable,
+                runtime.stats.malformed_commands,
                 "commands that the runtime can't read",
             );
             let starts: Vec<_> = runtime
-                .seen
+                .stats
                 .starts
                 .iter()
                 .map(|(id, seen)| (*id, seen.2))
                 .collect();
-            (starts, runtime.run_twice().len() as u64)
+            (starts, runtime.ids_run_twice().len() as u64)
         });
         broken(twice, "requests with an effect that ran twice");
         let started: HashSet<u64> = starts.iter().map(|start| start.0).collect();
-        let until = self.left_at.map(|at| at + self.site.setup.grace + 50_000);
+        let until = self
+            .left_at
+            .map(|at| at + self.site.setup.drain_grace + 50_000);
         for callers in &self.callers {
-            look(callers, |callers| {
+            with_lock(callers, |callers| {
                 callers.finish();
                 let total = callers.total();
-                let front = callers.plan().front;
+                let front = callers.plan().protocol;
                 broken(
-                    total.lost,
+                    total.unanswered,
                     &format!("requests by {front} without an answer"),
                 );
                 broken(
@@ -287,15 +290,15 @@
                     &format!("answers by {front} after the due time"),
                 );
                 broken(
-                    total.wrong,
+                    total.wrong_result,
                     &format!("results by {front} that no run made for the request"),
                 );
                 broken(
-                    callers.stray,
+                    callers.unmatched_responses,
                     &format!("answers by {front} that nobody asked for"),
                 );
                 let ran = callers
-                    .refused
+                    .rejected_ids
                     .iter()
                     .filter(|id| started.contains(id))
                     .count();
@@ -306,12 +309,12 @@
                 let late = |(id, at): &&(u64, Micros)| {
                     until.is_some_and(|until| *at > until) && started.contains(id)
                 };
-                let late = callers.sent.iter().filter(late).count();
+                let late = callers.sent_requests.iter().filter(late).count();
                 broken(
                     late as u64,
                     &format!("runs of requests by {front} from after the grace"),
                 );
-                for (kind, tally) in callers.plan().kinds.iter().zip(&callers.tallies) {
+                for (kind, tally) in callers.plan().classes.iter().zip(&callers.tallies) {
                     report
                         .tallies
                         .push((front, kind.name.clone(), tally.clone()));
@@ -324,7 +327,7 @@
                     .latencies
                     .iter_mut()
                     .for_each(|latencies| latencies.sort_unstable());
-                for (kind, own) in callers.plan().kinds.iter().zip(&callers.latencies) {
+                for (kind, own) in callers.plan().classes.iter().zip(&callers.latencies) {
                     report.class_latency_ms.push((
                         front,
                         kind.name.clone(),
@@ -339,8 +342,8 @@
                     .push((front, at(&all, 0.5), at(&all, 0.99)));
             });
         }
-        let (calls, most) = look(&self.site.store, |store| {
-            (store.seen.calls, store.seen.most)
+        let (calls, most) = with_lock(&self.site.store, |store| {
+            (store.stats.calls, store.stats.peak_calls)
         });
         broken(
             u64::from(most > 5 * self.site.setup.store.slots),
@@ -349,7 +352,7 @@
         report.calls = (calls, most);
         if self.left_at.is_some() {
             // What it said last may still be on its way here.
-            let _ = self.matcher.wait_for("left");
+            let _ = self.matcher.wait_for_log("left");
         }
         report.log = self.matcher.log();
         report
@@ -363,8 +366,8 @@
         for ((.., tally), (.., more)) in self.tallies.iter_mut().zip(&other.tallies) {
             tally.add(more);
         }
-        self.broken.extend(other.broken);
-        self.most_running = self.most_running.max(other.most_running);
+        self.violations.extend(other.violations);
+        self.peak_running = self.peak_running.max(other.peak_running);
         self.calls = (
             self.calls.0 + other.calls.0,
             self.calls.1.max(other.calls.1),
@@ -375,7 +378,7 @@
 
     /// The figures of one front, all classes together.
     #[must_use]
-    pub fn total(&self, front: Front) -> Tally {
+    pub fn total(&self, front: Protocol) -> Tally {
         let mut total = Tally::default();
         self.tallies
             .iter()
@@ -386,15 +389,15 @@
 
     /// Share served in time, of what was asked, by class: frames and AJP.
     #[must_use]
-    pub fn shares(&self) -> Vec<(String, f64, f64)> {
-        let share = |tally: &Tally| tally.in_time as f64 / tally.asked.max(1) as f64;
-        let of = |front: Front| {
+    pub fn on_time_shares(&self) -> Vec<(String, f64, f64)> {
+        let share = |tally: &Tally| tally.on_time as f64 / tally.issued.max(1) as f64;
+        let of = |front: Protocol| {
             self.tallies
                 .iter()
                 .filter(move |(other, ..)| *other == front)
         };
-        of(Front::Frames)
-            .zip(of(Front::Ajp))
+        of(Protocol::Frames)
+            .zip(of(Protocol::Ajp))
             .map(|(frames, ajp)| (frames.1.clone(), share(&frames.2), share(&ajp.2)))
             .collect()
     }
@@ -419,19 +422,19 @@
             writeln!(
                 f,
                 "{front:<8} {class:<12} {:>7} {:>8} {:>6} {:>16} {:>8} {:>7} {:>6}",
-                tally.asked,
-                tally.in_time,
+                tally.issued,
+                tally.on_time,
                 tally.late,
-                tally.refused_with_time,
-                tally.refused_bare,
+                tally.rejected_with_retry_after,
+                tally.rejected_without_retry_after,
                 tally.failed,
-                tally.lost
+                tally.unanswered
             )
         };
         for (front, class, tally) in &self.tallies {
             line(&front.to_string(), class, tally)?;
         }
-        let fronts: std::collections::BTreeSet<Front> =
+        let fronts: std::collections::BTreeSet<Protocol> =
             self.tallies.iter().map(|(front, ..)| *front).collect();
         for front in fronts {
             line(&front.to_string(), "all", &self.total(front))?;
@@ -447,14 +450,14 @@
             "{} calls to the store, {} at once at most; {} runs at once at most; matcher: {:.1} MB at its peak, {:.0} ms of CPU",
             self.calls.0,
             self.calls.1,
-            self.most_running,
+            self.peak_running,
             self.memory_kb as f64 / 1e3,
             self.cpu as f64 / 1e3
         )?;
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             writeln!(f, "rules: all held")
         } else {
-            writeln!(f, "rules broken: {}", self.broken.join("; "))
+            writeln!(f, "rules broken: {}", self.violations.join("; "))
         }
     }
 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -23,7 +23,7 @@
         self.note_flood(m, planned.fault, ends);
         match planned.fault {
             Fault::Crash { down, runtime } => self.crash(m, down, runtime),
-            Fault::Slow(factor) => self.machines[m].runtime.slowing = factor,
+            Fault::Slow(factor) => self.machines[m].runtime.slowdown = factor,
             Fault::Pause => self.machines[m].paused = self.machines[m].paused.or(Some(now)),
             Fault::BreakLink => {
                 if now < self.machines[m].reloaded_at + 1_500 * MS {
@@ -44,7 +44,7 @@
                 }
                 return;
             }
-            Fault::Store(per_mille) => self.store.trouble(per_mille),
+            Fault::Store(per_mille) => self.store.set_fault_rate(per_mille),
             Fault::Resets(number) => self.reset(number),
             Fault::Directory => {
                 self.net.borrow_mut().unlisten(at(1, 7_946));
@@ -70,9 +70,11 @@
                 self.machines[m].renewed = true;
                 self.drain(m);
             }
-            Fault::Repeats(per_mille) => self.machines[m].runtime.repeats = per_mille,
-            Fault::Tear => self.machines[m].runtime.tears = true,
-            Fault::Spoilt(per_mille) => self.store.spoil(per_mille),
+            Fault::Repeats(per_mille) => {
+                self.machines[m].runtime.repeated_notices_per_mille = per_mille;
+            }
+            Fault::Tear => self.machines[m].runtime.truncate_next_notice = true,
+            Fault::Spoilt(per_mille) => self.store.set_malformed_rate(per_mille),
             Fault::Reload => self.reload(m),
             Fault::Burst(factor) => {
                 self.fronts
@@ -141,7 +143,7 @@
         let planned = self.plan.faults[i];
         let m = planned.matcher.min(self.machines.len() - 1);
         match planned.fault {
-            Fault::Slow(_) => self.machines[m].runtime.slowing = 1.0,
+            Fault::Slow(_) => self.machines[m].runtime.slowdown = 1.0,
             Fault::Pause => {
                 if let Some(since) = self.machines[m].paused.take() {
                     self.machines[m].resumed_at = now;
@@ -162,9 +164,9 @@
                         .limit(process.process, self.plan.sockets);
                 }
             }
-            Fault::Store(_) => self.store.trouble(0),
-            Fault::Spoilt(_) => self.store.spoil(0),
-            Fault::Repeats(_) => self.machines[m].runtime.repeats = 0,
+            Fault::Store(_) => self.store.set_fault_rate(0),
+            Fault::Spoilt(_) => self.store.set_malformed_rate(0),
+            Fault::Repeats(_) => self.machines[m].runtime.repeated_notices_per_mille = 0,
             Fault::Directory => {
                 self.places[DIRECTORY].listen(at(1, 7_946));
             }
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -3,9 +3,10 @@
 
 use crate::crowd::Refused;
 use cleatpulley_emulators::callers::{
-    read_answers, read_response, request_frame, said_by_ajp, send, Kind, Said,
+    ajp_response_outcome, read_response, read_responses, request_frame, send_or_buffer,
+    CallerClass, ResponseOutcome,
 };
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request};
 use cleatpulley_protocol::ajp::codec::PACKET_SIZE;
@@ -64,7 +65,7 @@
     /// When its answer is due, pauses of the machine counted in.
     pub due: Micros,
     /// On which connection.
-    pub link: Link,
+    pub link: ConnectionId,
     ask: usize,
 }
 
@@ -129,7 +130,7 @@
     /// Its habit.
     pub habit: Habit,
     number: usize,
-    kinds: Vec<Kind>,
+    kinds: Vec<CallerClass>,
     /// Where matchers listen: for frames and for AJP.
     matchers: Vec<(SocketAddr, SocketAddr)>,
     /// Requests a second, now.
@@ -137,9 +138,9 @@
     until: Micros,
     next_at: Option<Micros>,
     random: SmallRng,
-    links: Link,
-    lines: BTreeMap<Link, Line>,
-    ajp: BTreeMap<Link, AjpLine>,
+    links: ConnectionId,
+    lines: BTreeMap<ConnectionId, Line>,
+    ajp: BTreeMap<ConnectionId, AjpLine>,
     asks: Vec<Ask>,
     timers: BTreeSet<(Micros, Timer)>,
     avoid: Vec<Micros>,
@@ -150,7 +151,7 @@
     /// All tries.
     pub sent: HashMap<u64, Sent>,
     /// What became of tries, until it is judged.
-    pub fates: Vec<(u64, Link, Fate)>,
+    pub fates: Vec<(u64, ConnectionId, Fate)>,
     /// Answers that nobody asked for.
     pub stray: u64,
     /// Tries that were sent since this was last looked at, where that is wanted.
@@ -162,9 +163,9 @@
     /// Connections that were told to part before anything came of them, to be judged.
     pub(crate) parted: Vec<Refused>,
     /// All of those.
-    refused_links: HashSet<Link>,
+    refused_links: HashSet<ConnectionId>,
     /// Connections that were broken on purpose.
-    pub excused: HashSet<Link>,
+    pub excused: HashSet<ConnectionId>,
     /// Asked, served and refused, tries and repeats among them.
     pub counts: [u64; 5],
 }
@@ -175,7 +176,7 @@
     pub fn new(
         number: usize,
         habit: Habit,
-        kinds: Vec<Kind>,
+        kinds: Vec<CallerClass>,
         matchers: Vec<(SocketAddr, SocketAddr)>,
         rate: f64,
         (now, until): (Micros, Micros),
@@ -240,13 +241,13 @@
     }
 
     /// This connection was told to part before anything came of it.
-    pub(crate) fn was_refused(&self, link: Link) -> bool {
+    pub(crate) fn was_refused(&self, link: ConnectionId) -> bool {
         self.refused_links.contains(&link)
     }
 
     /// Connections to a matcher.
     #[must_use]
-    pub fn links(&self, matcher: usize) -> Vec<Link> {
+    pub fn links(&self, matcher: usize) -> Vec<ConnectionId> {
         let lines = self
             .lines
             .iter()
@@ -401,7 +402,7 @@
         key: Option<u64>,
         body: &[u8],
         out: &mut Vec<Effect>,
-    ) -> Option<Link> {
+    ) -> Option<ConnectionId> {
         let lines = self
             .lines
             .iter()
@@ -415,7 +416,7 @@
             Some((open, link)) if open == 0 || number >= self.habit.connections => link,
             _ if number < self.habit.connections => {
                 self.links += 2;
-                out.push(Effect::Dial(self.links, self.matchers[matcher].0));
+                out.push(Effect::Connect(self.links, self.matchers[matcher].0));
                 let (input, waiting, open) = (Vec::new(), Vec::new(), BTreeMap::new());
                 let line = Line {
                     matcher,
@@ -447,7 +448,7 @@
         line.streams += 1;
         line.open.insert(line.streams, id);
         let frame = request_frame(line.streams, &fields, body);
-        send(link, line.up, &mut line.waiting, frame, out);
+        send_or_buffer(link, line.up, &mut line.waiting, frame, out);
         Some(link)
     }
 
@@ -461,7 +462,7 @@
         key: Option<u64>,
         body: &[u8],
         out: &mut Vec<Effect>,
-    ) -> Option<Link> {
+    ) -> Option<ConnectionId> {
         let lines = self.ajp.iter().filter(|(_, line)| line.matcher == matcher);
         let number = lines.clone().count();
         let idle = lines
@@ -472,7 +473,7 @@
             Some(link) => link,
             None if number < self.habit.connections * 12 => {
                 self.links += 2;
-                out.push(Effect::Dial(self.links, self.matchers[matcher].1));
+                out.push(Effect::Connect(self.links, self.matchers[matcher].1));
                 let options = Options {
                     packet_size: PACKET_SIZE,
                     secret: None,
@@ -514,12 +515,12 @@
         // So few headers fit.
         let _ = line.client.request(now, &request, &mut bytes);
         line.open = Some(id);
-        send(link, line.up, &mut line.waiting, bytes, out);
+        send_or_buffer(link, line.up, &mut line.waiting, bytes, out);
         Some(link)
     }
 
     /// A try has its answer, or never will have one.
-    fn settled(&mut self, now: Micros, id: u64, said: Option<Said>) {
+    fn settled(&mut self, now: Micros, id: u64, said: Option<ResponseOutcome>) {
         let Some(one) = self.open.remove(&id) else {
             // One that was given up in the backlog may still be accepted, and is answered then.
             self.stray += u64::from(!self.forgotten.remove(&id));
@@ -527,9 +528,9 @@
         };
         self.dues.remove(&(one.due, id));
         let fate = match &said {
-            Some(Said::Served(result)) => Fate::Served(result.clone()),
-            Some(Said::Refused(_)) => Fate::Refused,
-            Some(Said::Failed) => Fate::Failed,
+            Some(ResponseOutcome::Served(result)) => Fate::Served(result.clone()),
+            Some(ResponseOutcome::Refused(_)) => Fate::Refused,
+            Some(ResponseOutcome::Failed) => Fate::Failed,
             None => Fate::Lost,
         };
         self.fates.push((id, one.link, fate));
@@ -537,19 +538,19 @@
         let ask = &mut self.asks[one.ask];
         let effect = self.kinds[ask.kind].name == "claim-seat";
         match said {
-            Some(Said::Served(_)) => {
+            Some(ResponseOutcome::Served(_)) => {
                 self.counts[1] += 1;
                 ask.done = !(ask.key.is_some() && ask.tried < 6 && self.habit.retries);
                 ask.bound = ask.key.map(|_| one.matcher);
             }
-            Some(Said::Refused(later)) => {
+            Some(ResponseOutcome::Refused(later)) => {
                 self.counts[2] += 1;
                 if self.habit.heeds {
                     self.avoid[one.matcher] = self.avoid[one.matcher].max(now + later * MS);
                 }
             }
             // What may have run comes again only there, and only under its key.
-            Some(Said::Failed) | None => {
+            Some(ResponseOutcome::Failed) | None => {
                 self.counts[3] += 1;
                 if said.is_none() {
                     self.avoid[one.matcher] = now + 300 * MS;
@@ -602,13 +603,19 @@
         }
     }
 
-    fn frames_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn frames_came(
+        &mut self,
+        now: Micros,
+        link: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         let Some(line) = self.lines.get_mut(&link) else {
             return;
         };
         line.input.extend_from_slice(bytes);
         let gone = line.gone;
-        let (answers, stray) = read_answers(&mut line.input, &mut line.open, &mut line.gone);
+        let (answers, stray) = read_responses(&mut line.input, &mut line.open, &mut line.gone);
         self.stray += stray;
         if line.gone && !gone && line.fresh {
             self.parted.push(Refused {
@@ -631,14 +638,14 @@
         }
     }
 
-    fn ajp_came(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn ajp_came(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(line) = self.ajp.get_mut(&link) else {
             return;
         };
         let Ok(response) = read_response(&mut line.client, &mut line.input, bytes, now, link, out)
         else {
             self.stray += 1;
-            self.closed(now, link, out);
+            self.on_close(now, link, out);
             return;
         };
         if let Some(response) = response {
@@ -647,7 +654,7 @@
                 self.ajp.remove(&link);
             }
             match open {
-                Some(id) => self.settled(now, id, Some(said_by_ajp(&response))),
+                Some(id) => self.settled(now, id, Some(ajp_response_outcome(&response))),
                 None => self.stray += 1,
             }
         }
@@ -655,7 +662,7 @@
 }
 
 impl Service for FrontEnd {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         let waiting = if let Some(line) = self.lines.get_mut(&link) {
             line.up = true;
             std::mem::take(&mut line.waiting)
@@ -668,7 +675,7 @@
         out.push(Effect::Send(link, waiting));
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         if self.habit.ajp {
             self.ajp_came(now, link, bytes, out);
         } else {
@@ -676,7 +683,7 @@
         }
     }
 
-    fn closed(&mut self, now: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, now: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         let (mut lost, mut up) = (Vec::new(), true);
         if let Some(line) = self.lines.remove(&link) {
             up = line.up;
@@ -714,7 +721,7 @@
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         let timer = self.timers.first().map(|(at, _)| *at);
         [self.next_at, timer].into_iter().flatten().min()
     }
--- a/crates/simulator/src/inspector.rs
+++ b/crates/simulator/src/inspector.rs
@@ -1,6 +1,6 @@
 //! Operators in the virtual world: each process is asked for its figures now and then, and answers in time.
 
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
 /// Those who ask.
 #[derive(Debug, Default)]
 pub(crate) struct Inspector {
-    links: Link,
-    pub calls: BTreeMap<Link, Call>,
+    links: ConnectionId,
+    pub calls: BTreeMap<ConnectionId, Call>,
     wanted: Vec<(usize, u64, SocketAddr)>,
     /// Connections that ended without a whole answer, until that is judged.
     pub unanswered: Vec<Call>,
@@ -37,7 +37,7 @@
 }
 
 impl Service for Inspector {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         if let Some(call) = self.calls.get(&link) {
             let mut bytes = Vec::new();
             http::push_request(&mut bytes, "GET", "/_vars", &call.to.to_string(), &[], b"");
@@ -45,7 +45,7 @@
         }
     }
 
-    fn received(&mut self, _: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, _: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(call) = self.calls.get_mut(&link) else {
             return;
         };
@@ -69,7 +69,7 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.unanswered.extend(self.calls.remove(&link));
     }
 
@@ -87,11 +87,11 @@
                     input: Vec::new(),
                 },
             );
-            out.push(Effect::Dial(link, to));
+            out.push(Effect::Connect(link, to));
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         (!self.wanted.is_empty()).then_some(0)
     }
 }
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -435,7 +435,7 @@
         let mut runtime = self
             .setup
             .runtime(self.plan.seed ^ m as u64 ^ machine.life << 20, since);
-        runtime.seen = std::mem::take(&mut machine.runtime.seen);
+        runtime.stats = std::mem::take(&mut machine.runtime.stats);
         runtime
     }
 
@@ -513,7 +513,7 @@
     /// The matcher is told to leave, without a successor.
     pub(crate) fn drain(&mut self, m: usize) {
         let now = self.now();
-        let slow = self.machines[m].runtime.slowing > 2.0;
+        let slow = self.machines[m].runtime.slowdown > 2.0;
         let stalled = self.rude.stalled.values().any(|on| *on == m);
         let machine = &mut self.machines[m];
         // A process that stands still hears of nothing: the notice would come with its next turn.
--- a/crates/simulator/src/parties.rs
+++ b/crates/simulator/src/parties.rs
@@ -2,7 +2,7 @@
 
 use crate::host::{Event, Owner, Shared};
 use crate::net::EndId;
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -22,10 +22,10 @@
     net: Shared,
     number: usize,
     process: usize,
-    wires: BTreeMap<Link, Wire>,
-    accepted: Link,
+    wires: BTreeMap<ConnectionId, Wire>,
+    accepted: ConnectionId,
     /// Links that ended before the other side took them.
-    pub unaccepted: BTreeSet<Link>,
+    pub unaccepted: BTreeSet<ConnectionId>,
     /// When it was last said to want something done.
     wake: Micros,
     /// Nothing is told or done: its machine stands still.
@@ -82,13 +82,13 @@
                 },
             );
             self.tell(service, |service, now, out| {
-                service.opened_at(now, link, door, out);
+                service.on_accept(now, link, door, out);
             });
         }
     }
 
     /// Something happened on a link.
-    pub fn ready<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
+    pub fn ready<S: Service + ?Sized>(&mut self, service: &mut S, link: ConnectionId) {
         let Some(wire) = self.wires.get_mut(&link) else {
             return;
         };
@@ -102,7 +102,7 @@
                 return;
             }
             wire.up = true;
-            self.tell(service, |service, now, out| service.opened(now, link, out));
+            self.tell(service, |service, now, out| service.on_open(now, link, out));
         }
         self.flush(link);
         let mut buffer = std::mem::take(&mut self.buffer);
@@ -114,7 +114,7 @@
                     break;
                 }
                 Ok(n) => self.tell(service, |service, now, out| {
-                    service.received(now, link, &buffer[..n], out);
+                    service.on_data(now, link, &buffer[..n], out);
                 }),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
@@ -126,21 +126,23 @@
         self.buffer = buffer;
     }
 
-    fn lose<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
+    fn lose<S: Service + ?Sized>(&mut self, service: &mut S, link: ConnectionId) {
         if self.wires.get(&link).is_some_and(|wire| wire.dialled) && self.accepted(link).is_none() {
             self.unaccepted.insert(link);
         }
         self.drop_wire(link);
-        self.tell(service, |service, now, out| service.closed(now, link, out));
+        self.tell(service, |service, now, out| {
+            service.on_close(now, link, out);
+        });
     }
 
-    fn drop_wire(&mut self, link: Link) {
+    fn drop_wire(&mut self, link: ConnectionId) {
         if let Some(wire) = self.wires.remove(&link) {
             self.net.borrow_mut().close(wire.end);
         }
     }
 
-    fn flush(&mut self, link: Link) {
+    fn flush(&mut self, link: ConnectionId) {
         let Some(wire) = self.wires.get_mut(&link) else {
             return;
         };
@@ -166,7 +168,7 @@
             return;
         }
         self.wake = Micros::MAX;
-        if service.next().is_some_and(|at| at <= now) {
+        if service.next_deadline().is_some_and(|at| at <= now) {
             self.tell(service, cleatpulley_emulators::Service::advance);
         } else {
             self.schedule(service);
@@ -175,7 +177,9 @@
 
     /// Says when the service wants something done.
     pub fn schedule<S: Service + ?Sized>(&mut self, service: &S) {
-        let Some(next) = service.next() else { return };
+        let Some(next) = service.next_deadline() else {
+            return;
+        };
         let mut net = self.net.borrow_mut();
         let next = next.max(net.now);
         if next < self.wake {
@@ -220,12 +224,12 @@
                     self.drop_wire(link);
                 }
             }
-            Effect::Dial(link, to) => self.dial(link, to, None),
-            Effect::DialFrom(link, to, from) => self.dial(link, to, Some(from)),
+            Effect::Connect(link, to) => self.dial(link, to, None),
+            Effect::ConnectFrom(link, to, from) => self.dial(link, to, Some(from)),
         }
     }
 
-    fn dial(&mut self, link: Link, to: SocketAddr, from: Option<IpAddr>) {
+    fn dial(&mut self, link: ConnectionId, to: SocketAddr, from: Option<IpAddr>) {
         let owner = Owner::Service(self.number, link).encode();
         let mut net = self.net.borrow_mut();
         let from = from.unwrap_or_else(|| net.address());
@@ -243,7 +247,7 @@
 
     /// Connections that it has dialled and that stand.
     #[must_use]
-    pub fn dialled(&self) -> Vec<(Link, EndId)> {
+    pub fn dialled(&self) -> Vec<(ConnectionId, EndId)> {
         let mine = self
             .wires
             .iter()
@@ -253,7 +257,7 @@
 
     /// Whose the other side of a link is, where it was accepted.
     #[must_use]
-    pub fn peer(&self, link: Link) -> Option<u64> {
+    pub fn peer(&self, link: ConnectionId) -> Option<u64> {
         self.wires
             .get(&link)
             .and_then(|wire| self.net.borrow().peer_owner(wire.end))
@@ -261,7 +265,7 @@
 
     /// When the other side of a link has accepted it.
     #[must_use]
-    pub fn accepted(&self, link: Link) -> Option<Micros> {
+    pub fn accepted(&self, link: ConnectionId) -> Option<Micros> {
         self.wires
             .get(&link)
             .and_then(|wire| self.net.borrow().accepted(wire.end))
--- a/crates/simulator/src/rude.rs
+++ b/crates/simulator/src/rude.rs
@@ -2,7 +2,7 @@
 //! thousand from addresses that nobody knows.
 
 use crate::crowd::Refused;
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{push_forward, Outgoing, PACKET_SIZE};
 use cleatpulley_protocol::frame::codec::{self as frames, Parsed};
@@ -55,22 +55,22 @@
 /// The clients.
 #[derive(Default)]
 pub struct Rude {
-    links: Link,
+    links: ConnectionId,
     /// What is sent once a connection stands.
-    lines: BTreeMap<Link, (usize, Vec<u8>)>,
+    lines: BTreeMap<ConnectionId, (usize, Vec<u8>)>,
     wanted: Vec<Wanted>,
     floods: u64,
     /// Strangers that come back, and when.
     backs: Vec<(Micros, Wanted)>,
     knocks: Vec<Knocks>,
     /// Those of floods whose connections stand.
-    pub(crate) strangers: BTreeMap<Link, Stranger>,
+    pub(crate) strangers: BTreeMap<ConnectionId, Stranger>,
     /// Those that got a place, at whose matcher, and when; to be judged.
     pub(crate) placed: Vec<(usize, IpAddr, Micros)>,
     /// Lone ones that got none.
     pub(crate) refused: Vec<Refused>,
     /// Connections that have sent half of a request, by matcher, as long as they stand.
-    pub stalled: BTreeMap<Link, usize>,
+    pub stalled: BTreeMap<ConnectionId, usize>,
 }
 
 impl Rude {
@@ -143,7 +143,7 @@
 }
 
 impl Service for Rude {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         if let Some((matcher, bytes)) = self.lines.get_mut(&link).filter(|line| !line.1.is_empty())
         {
             // A flood's health check is whole: nothing of it stalls.
@@ -154,7 +154,7 @@
         }
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         self.stalled.remove(&link);
         let Some(stranger) = self
             .strangers
@@ -184,11 +184,11 @@
         }
         if lone {
             out.push(Effect::Close(link));
-            self.closed(now, link, out);
+            self.on_close(now, link, out);
         }
     }
 
-    fn closed(&mut self, now: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, now: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.lines.remove(&link);
         self.stalled.remove(&link);
         let Some(Stranger {
@@ -255,14 +255,14 @@
                             back,
                         },
                     );
-                    Effect::DialFrom(link, to, from)
+                    Effect::ConnectFrom(link, to, from)
                 }
-                None => Effect::Dial(link, to),
+                None => Effect::Connect(link, to),
             });
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         if !self.wanted.is_empty() {
             return Some(0);
         }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -121,7 +121,7 @@
         for what in self.crowd.check(sim) {
             self.wrong(sim, what);
         }
-        let most = sim.store.seen.most;
+        let most = sim.store.stats.peak_calls;
         if most > 5 * self.slots {
             self.wrong(
                 sim,
@@ -176,8 +176,8 @@
     fn check_starts(&mut self, sim: &Sim) {
         self.starts.resize(sim.machines.len(), 0);
         for (m, machine) in sim.machines.iter().enumerate() {
-            let seen = &machine.runtime.seen;
-            while let Some(&id) = seen.order.get(self.starts[m]) {
+            let seen = &machine.runtime.stats;
+            while let Some(&id) = seen.start_order.get(self.starts[m]) {
                 self.starts[m] += 1;
                 self.say(|| format!("m{m} runs {id:016x}"));
                 let Some(sent) = sim
@@ -242,7 +242,7 @@
                 };
                 let m = sent.matcher;
                 sim.request_over(m, id);
-                let ran = sim.machines[m].runtime.seen.starts.contains_key(&id);
+                let ran = sim.machines[m].runtime.stats.starts.contains_key(&id);
                 self.say(|| {
                     let told = match &fate {
                         Fate::Served(_) => "served",
@@ -495,7 +495,7 @@
         self.crowded_since.resize(sim.machines.len(), None);
         let now = sim.clock();
         for (m, machine) in sim.machines.iter().enumerate() {
-            if machine.runtime.on_cores() > 6 * self.cores {
+            if machine.runtime.runs_on_cores() > 6 * self.cores {
                 let since = *self.crowded_since[m].get_or_insert(now);
                 if now > since + 2_000 * MS {
                     self.wrong(sim, format!("m{m}: the cores are jammed"));
@@ -514,7 +514,7 @@
         }
         self.weighed_at = now;
         for (m, machine) in sim.machines.iter().enumerate() {
-            let runs = machine.runtime.running();
+            let runs = machine.runtime.running_count();
             let mut held = 0;
             for (n, front) in sim.fronts.iter().enumerate() {
                 let place = sim.place_of_front(n);
@@ -525,7 +525,7 @@
                         && place
                             .accepted(one.link)
                             .is_some_and(|at| at + CROSSING < now)
-                        && !machine.runtime.runs(*id)
+                        && !machine.runtime.is_running(*id)
                 };
                 held += front.open.iter().filter(|(id, one)| read(id, one)).count();
             }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -11,7 +11,7 @@
 use crate::rollout::Rollout;
 use crate::rude::Rude;
 use crate::rules::Rules;
-use cleatpulley_emulators::directory::Directory;
+use cleatpulley_emulators::registry::ServiceRegistry;
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::store::Store;
 use cleatpulley_emulators::Service;
@@ -51,7 +51,7 @@
     pub(crate) machines: Vec<Machine>,
     pub(crate) fronts: Vec<FrontEnd>,
     pub(crate) store: Store,
-    directory: Directory,
+    directory: ServiceRegistry,
     pub(crate) rude: Rude,
     pub(crate) inspector: Inspector,
     pub(crate) rollouts: Vec<Rollout>,
@@ -110,8 +110,8 @@
         let setup = Setup {
             cores: plan.cores,
             seed: plan.seed,
-            stop: STOP,
-            grace: GRACE,
+            stop_timeout: STOP,
+            drain_grace: GRACE,
             ..Setup::default()
         };
         let mut net = Net::new(BEGIN, plan.seed, Event::Net);
@@ -143,7 +143,15 @@
         let span = (BEGIN + 200 * MS, BEGIN + plan.asks);
         let front = |(n, habit): (usize, &crate::front::Habit)| {
             let seed = plan.seed.wrapping_mul(31).wrapping_add(n as u64);
-            FrontEnd::new(n, habit.clone(), setup.kinds(), to.clone(), all, span, seed)
+            FrontEnd::new(
+                n,
+                habit.clone(),
+                setup.caller_classes(),
+                to.clone(),
+                all,
+                span,
+                seed,
+            )
         };
         let fronts: Vec<_> = plan.habits.iter().enumerate().map(front).collect();
         let rates = fronts.iter().map(|front| front.rate).collect();
@@ -155,7 +163,7 @@
         let mut sim = Self {
             random: SmallRng::seed_from_u64(plan.seed ^ 0xFA17),
             store: Store::new(setup.store.clone()),
-            directory: Directory::default(),
+            directory: ServiceRegistry::default(),
             rude: Rude::default(),
             inspector: Inspector::default(),
             rollouts: Vec::new(),
@@ -442,7 +450,7 @@
             };
             let census = process.node.usage();
             let (held, known) = (self.net.borrow().held(process.process), census.descriptors);
-            let running = self.machines[m].runtime.running();
+            let running = self.machines[m].runtime.running_count();
             let left = [
                 (census.requests, "requests are known"),
                 (census.pending, "answers are owed"),
@@ -461,7 +469,7 @@
             if running > 0 {
                 let ids: Vec<_> = self.machines[m]
                     .runtime
-                    .ids()
+                    .running_ids()
                     .iter()
                     .map(|id| format!("{id:016x}"))
                     .collect();
@@ -482,7 +490,7 @@
     pub(crate) fn request_over(&mut self, m: usize, id: u64) {
         let machine = &mut self.machines[m];
         self.places[RUNTIMES + m].tell(&mut machine.runtime, |runtime, now, out| {
-            runtime.request_over(now, id, out);
+            runtime.end_request(now, id, out);
         });
     }
 
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -5,7 +5,7 @@
     push_chunks, push_end, push_forward, push_send_headers, Forward, Outgoing, HEAD, MOST_HEADERS,
     NO_HEADER, PACKET_SIZE,
 };
-use cleatpulley_emulators::callers::{Front, Tally};
+use cleatpulley_emulators::callers::{Protocol, Tally};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Class, Setup, Site};
 use cleatpulley_emulators::trial::{Load, Report, Trial};
@@ -191,18 +191,18 @@
 fn instant() -> Setup {
     let class = |name| Class {
         name,
-        once: false,
+        at_most_once: false,
         share: 1.0,
         work: (20, 20),
         calls: (0, 0),
-        aim: 2 * SECOND,
+        latency_objective: 2 * SECOND,
         deadline: 6 * SECOND,
         worth: 1.0,
         skip_worth: 0.0,
     };
     Setup {
         classes: vec![class("find-race")],
-        instant: true,
+        instant_runs: true,
         cores: 256,
         ..Setup::default()
     }
@@ -214,36 +214,36 @@
         "CPU a request, runtime that answers at once, {rate:.0} requests a second for {seconds} s:"
     );
     let mut micros = Vec::new();
-    for (front, connections) in [(Front::Frames, 32), (Front::Ajp, 32)] {
+    for (front, connections) in [(Protocol::Frames, 32), (Protocol::Ajp, 32)] {
         let load = Load {
-            front,
+            protocol: front,
             rates: vec![(seconds * SECOND, rate)],
             connections,
-            body: 200,
+            body_bytes: 200,
             key_field: None,
         };
         let trial = Trial {
             site: instant(),
             loads: vec![load],
-            ajp: String::new(),
-            outside: String::new(),
-            leave_at: None,
+            ajp_options: String::new(),
+            operator_sections: String::new(),
+            terminate_at: None,
         };
-        let report = trial.play(program, |_, _| ())?;
+        let report = trial.run(program, |_, _| ())?;
         let total = report.total(front);
-        let each = report.cpu as f64 / total.asked.max(1) as f64;
+        let each = report.cpu as f64 / total.issued.max(1) as f64;
         say!(
             "  {front:<7} {each:6.1} us   {:7.0} a second on one core   {} asked, {} served, {} refused, {connections} connections, {:.1} MB",
             1e6 / each,
-            total.asked,
-            total.in_time + total.late,
-            total.refused_with_time + total.refused_bare,
+            total.issued,
+            total.on_time + total.late,
+            total.rejected_with_retry_after + total.rejected_without_retry_after,
             report.memory_kb as f64 / 1e3,
         );
-        if !report.broken.is_empty() {
+        if !report.violations.is_empty() {
             short.push(format!(
                 "rules under the instant runtime by {front}: {}",
-                report.broken.join("; ")
+                report.violations.join("; ")
             ));
         }
         micros.push(each);
@@ -271,7 +271,7 @@
 
 fn memory(program: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
     let site = Site::start(Setup::default())?;
-    let matcher = Matcher::start(program, &site.config, Some(&site.operator("", "")))?;
+    let matcher = Matcher::start(program, &site.config, Some(&site.operator_file("", "")))?;
     let to = matcher.ajp.ok_or_else(|| std::io::Error::other("no AJP"))?;
     let now = || matcher.memory_kb().map_or(0, |memory| memory.0);
     // Warm: what the first connections bring along belongs to none of them.
@@ -333,19 +333,19 @@
         (9 * SECOND, 1.1 * half),
     ];
     let load = |front, connections| Load {
-        front,
+        protocol: front,
         rates: rates.clone(),
         connections,
-        body: 200,
+        body_bytes: 200,
         key_field: None,
     };
-    let loads = vec![load(Front::Frames, 8), load(Front::Ajp, 300)];
+    let loads = vec![load(Protocol::Frames, 8), load(Protocol::Ajp, 300)];
     Trial {
         site,
         loads,
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: None,
     }
 }
 
@@ -356,7 +356,7 @@
     let reports = std::thread::scope(|scope| {
         let play = |seed| {
             let program = &program;
-            scope.spawn(move || mixed_trial(seed).play(program, |_, _| ()))
+            scope.spawn(move || mixed_trial(seed).run(program, |_, _| ()))
         };
         let playing: Vec<_> = seeds.map(play).collect();
         let ended = |one: std::thread::ScopedJoinHandle<'_, std::io::Result<Report>>| {
@@ -380,25 +380,26 @@
 fn judge_mixed(report: &Report, short: &mut Vec<String>) {
     short.extend(
         report
-            .broken
+            .violations
             .iter()
             .map(|broken| format!("a rule under the mixed load: {broken}")),
     );
-    for (class, frames, ajp) in report.shares() {
+    for (class, frames, ajp) in report.on_time_shares() {
         say!(
             "  {class:<12} in time: frames {:5.1}%, AJP {:5.1}%",
             frames * 100.0,
             ajp * 100.0
         );
-        let asked = |front: Front| {
-            let of = |(other, name, _): &&(Front, String, Tally)| *other == front && *name == class;
+        let asked = |front: Protocol| {
+            let of =
+                |(other, name, _): &&(Protocol, String, Tally)| *other == front && *name == class;
             report
                 .tallies
                 .iter()
                 .find(of)
-                .map_or(1, |(.., tally)| tally.asked.max(1)) as f64
+                .map_or(1, |(.., tally)| tally.issued.max(1)) as f64
         };
-        let (one, other) = (asked(Front::Frames), asked(Front::Ajp));
+        let (one, other) = (asked(Protocol::Frames), asked(Protocol::Ajp));
         let share = (frames * one + ajp * other) / (one + other);
         let error = (share * (1.0 - share) * (1.0 / one + 1.0 / other)).sqrt();
         // So few requests differ by chance: what counts is what chance does not explain.
@@ -412,18 +413,18 @@
             ));
         }
     }
-    for front in [Front::Frames, Front::Ajp] {
+    for front in [Protocol::Frames, Protocol::Ajp] {
         let total = report.total(front);
-        let refused = total.refused_with_time + total.refused_bare;
-        let early = total.refused_early as f64 / refused.max(1) as f64;
+        let refused = total.rejected_with_retry_after + total.rejected_without_retry_after;
+        let early = total.rejected_early as f64 / refused.max(1) as f64;
         say!(
             "  refused by {front}: {refused}, {:.0}% of them within a tenth of the wanted time",
             early * 100.0
         );
-        if total.refused_bare > 0 {
+        if total.rejected_without_retry_after > 0 {
             short.push(format!(
                 "{} refusals by {front} without a time to come back",
-                total.refused_bare
+                total.rejected_without_retry_after
             ));
         }
     }
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -5,9 +5,9 @@
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
 use cleatpulley_connection_admission::{Admission, Decision, Settings};
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::flood::{knock, Flood};
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::flood::{measure_health_check, Flood};
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::trial::{Load, Trial};
 use std::collections::HashMap;
@@ -151,19 +151,19 @@
     };
     let rates = vec![(5 * SECOND, 0.7 * site.capacity())];
     let load = Load {
-        front: Front::Frames,
+        protocol: Protocol::Frames,
         rates,
         connections: 6,
-        body: 64,
+        body_bytes: 64,
         key_field: None,
     };
     let outside = section.to_owned();
     let trial = Trial {
         site,
         loads: vec![load],
-        ajp: String::new(),
-        outside,
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: outside,
+        terminate_at: None,
     };
     let mut going = trial.start(program)?;
     let to = going.matcher.frames;
@@ -172,38 +172,38 @@
     std::thread::scope(|scope| {
         if sources > 0 {
             let flood = Flood {
-                to,
-                sources,
+                address: to,
+                source_addresses: sources,
                 per_second: FLOOD,
-                hold: HELD,
-                speaks,
+                max_open: HELD,
+                sends_health_check: speaks,
             };
             let (over, opened) = (&over, &opened);
             scope.spawn(move || flood.run(over, opened));
         }
         let until = Instant::now() + Duration::from_millis(5_500);
         while Instant::now() < until {
-            match knock(to, Duration::from_secs(1)) {
+            match measure_health_check(to, Duration::from_secs(1)) {
                 Some(wait) => seen.waits.push(wait.as_secs_f64() * 1e3),
                 None => seen.vain += 1,
             }
             seen.descriptors = seen
                 .descriptors
-                .max(going.matcher.descriptors().unwrap_or(0));
+                .max(going.matcher.descriptor_count().unwrap_or(0));
             std::thread::sleep(Duration::from_millis(20));
         }
         over.store(true, Ordering::Relaxed);
     });
     let until = Instant::now() + Duration::from_secs(8);
-    while Instant::now() < until && !going.callers.iter().all(|c| look(c, |c| c.is_done())) {
+    while Instant::now() < until && !going.callers.iter().all(|c| with_lock(c, |c| c.is_done())) {
         std::thread::sleep(Duration::from_millis(10));
     }
     let report = going.judge();
-    let total = report.total(Front::Frames);
-    seen.served = 100.0 * total.in_time as f64 / total.asked.max(1) as f64;
+    let total = report.total(Protocol::Frames);
+    seen.served = 100.0 * total.on_time as f64 / total.issued.max(1) as f64;
     // Requests that a crowd kept from being let in are told by the share served; here it counts that none was lost after.
     seen.broken = report
-        .broken
+        .violations
         .iter()
         .filter(|what| !what.contains("without an answer"))
         .cloned()
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -2,8 +2,8 @@
 //! under load, and the daemon's own figures.
 
 use super::simulator::cores;
-use cleatpulley_emulators::callers::{Callers, Front, Plan, Tally};
-use cleatpulley_emulators::host::{look, shared, Clock, Host as Services, Running, Shared};
+use cleatpulley_emulators::callers::{Callers, LoadPlan, Protocol, Tally};
+use cleatpulley_emulators::host::{shared, with_lock, Clock, Host as Services, Running, Shared};
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
 use cleatpulley_fleet::daemon::send_command;
@@ -217,8 +217,8 @@
         let all = weights.iter().sum::<f64>().max(0.1);
         for (pair, weight) in self.callers.iter().zip(weights) {
             for callers in pair {
-                look(callers, |callers| {
-                    callers.set_share(weight / all * INSTANCES as f64)
+                with_lock(callers, |callers| {
+                    callers.set_rate_share(weight / all * INSTANCES as f64)
                 });
             }
         }
@@ -229,7 +229,7 @@
         self.callers
             .iter()
             .flatten()
-            .for_each(|callers| look(callers, |callers| total.add(&callers.total())));
+            .for_each(|callers| with_lock(callers, |callers| total.add(&callers.total())));
         total
     }
 
@@ -243,36 +243,36 @@
         };
         let (mut twice, mut started, mut starts) = (0, HashSet::new(), 0);
         for site in &self.sites {
-            look(&site.runtime, |runtime| {
-                twice += runtime.run_twice().len();
-                starts += runtime.seen.starts.len();
-                started.extend(runtime.seen.starts.keys().copied());
+            with_lock(&site.runtime, |runtime| {
+                twice += runtime.ids_run_twice().len();
+                starts += runtime.stats.starts.len();
+                started.extend(runtime.stats.starts.keys().copied());
             });
         }
         count(twice + starts - started.len(), "requests ran twice");
         let total = self.total();
         count(total.overdue as usize, "answers after the due time");
         count(
-            total.wrong as usize,
+            total.wrong_result as usize,
             "results that no run made for the request",
         );
-        count(
-            total.unreachable as usize,
-            "requests that found no listener",
-        );
+        count(total.not_sent as usize, "requests that found no listener");
         for callers in self.callers.iter().flatten() {
-            look(callers, |callers| {
-                count(callers.stray as usize, "answers that nobody asked for");
+            with_lock(callers, |callers| {
+                count(
+                    callers.unmatched_responses as usize,
+                    "answers that nobody asked for",
+                );
                 let ran = callers
-                    .refused
+                    .rejected_ids
                     .iter()
                     .filter(|id| started.contains(id))
                     .count();
                 count(ran, "requests turned away that had run");
                 // A proxy may send on an idle AJP connection that is closed at this moment: what never ran may come again.
-                let ajp = callers.plan().front == Front::Ajp;
+                let ajp = callers.plan().protocol == Protocol::Ajp;
                 let crossed = callers
-                    .lost
+                    .unanswered_ids
                     .iter()
                     .filter(|id| ajp && !started.contains(id))
                     .count();
@@ -281,7 +281,10 @@
                         "  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
                     );
                 }
-                count(callers.lost.len() - crossed, "requests without an answer");
+                count(
+                    callers.unanswered_ids.len() - crossed,
+                    "requests without an answer",
+                );
             });
         }
         broken
@@ -294,16 +297,16 @@
     let share = |of: fn(&Tally) -> u64| (of(later) - of(earlier)) as f64 / number.max(1) as f64;
     (
         number,
-        share(|tally| tally.in_time),
-        share(|tally| tally.refused_bare + tally.refused_with_time),
+        share(|tally| tally.on_time),
+        share(|tally| tally.rejected_without_retry_after + tally.rejected_with_retry_after),
     )
 }
 
 fn under_load(program: &Path, load: f64, short: &mut Vec<String>) -> Result<(), String> {
     let setup = |seed| Setup {
         cores: 4,
-        stop: 1_500_000,
-        grace: 1_000_000,
+        stop_timeout: 1_500_000,
+        drain_grace: 1_000_000,
         seed,
         ..Setup::default()
     };
@@ -312,10 +315,10 @@
     let ajp = ports(places).map_err(text)?;
     for (i, port) in ajp.iter().enumerate() {
         let site = Site::start(setup(i as u64)).map_err(text)?;
-        look(&site.runtime, |runtime| runtime.cold_with_new = true);
+        with_lock(&site.runtime, |runtime| runtime.cold_for_new_matcher = true);
         configs.push(site.config.to_string());
         operators.push(
-            site.operator("", "")
+            site.operator_file("", "")
                 .replace("127.0.0.1:0", &format!("{HOST}:{port}")),
         );
         sites.push(site);
@@ -336,26 +339,26 @@
     let rate = load * setup(0).capacity() / 2.0;
     for i in 0..places {
         let pair = [
-            (Front::Frames, listen[i]),
-            (Front::Ajp, SocketAddr::from((HOST, ajp[i]))),
+            (Protocol::Frames, listen[i]),
+            (Protocol::Ajp, SocketAddr::from((HOST, ajp[i]))),
         ]
         .map(|(front, to)| {
-            let plan = Plan {
-                front,
-                to,
-                connections: if front == Front::Ajp { 64 } else { 4 },
+            let plan = LoadPlan {
+                protocol: front,
+                address: to,
+                connections: if front == Protocol::Ajp { 64 } else { 4 },
                 rates: vec![(3_600 * SECOND, rate)],
-                kinds: setup(0).kinds(),
-                body: 200,
+                classes: setup(0).caller_classes(),
+                body_bytes: 200,
                 secret: None,
-                callers: 1..4,
-                slack: 110_000,
+                caller_numbers: 1..4,
+                deadline_slack: 110_000,
                 key_field: None,
-                random_gaps: true,
+                random_intervals: true,
                 seed: 1_000 * i as u64 + front as u64,
             };
             let one = shared(Callers::new(plan, clock.now()));
-            look(&one, |callers| callers.set_share(0.0));
+            with_lock(&one, |callers| callers.set_rate_share(0.0));
             services.add(one.clone());
             one
         });
@@ -400,13 +403,13 @@
         .callers
         .iter()
         .flatten()
-        .for_each(|callers| look(callers, Callers::stop));
+        .for_each(|callers| with_lock(callers, Callers::stop));
     std::thread::sleep(Duration::from_millis(2_700));
     senders
         .callers
         .iter()
         .flatten()
-        .for_each(|callers| look(callers, Callers::finish));
+        .for_each(|callers| with_lock(callers, Callers::finish));
     let (calm, change) = (since(&calm, &before), since(&after, &calm));
     let lost = 100.0 * (calm.1 - change.1);
     say!(
@@ -475,8 +478,8 @@
 /// The daemon with many instances that have nothing to do: CPU, memory, deaths, hangs, and its own death.
 fn many(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
     let site = Site::start(Setup {
-        stop: 300_000,
-        grace: 100_000,
+        stop_timeout: 300_000,
+        drain_grace: 100_000,
         ..Setup::default()
     })
     .map_err(text)?;
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley check idempotency`: what keeping the results of keyed requests costs, and what it withstands.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::keyed::{Kills, FIELD};
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::keyed_retries::{KillTrial, KEY_FIELD};
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::trial::{Load, Report, Trial};
 use cleatpulley_idempotency::expiring_table::ExpiringTable;
@@ -201,18 +201,18 @@
 fn kills(program: &Path, home: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
     let kills = 60;
     let begun = Instant::now();
-    let (seen, keys) = Kills { kills, seed: 5 }.play(program, &home.join("kills"))?;
+    let (seen, keys) = KillTrial { kills, seed: 5 }.run(program, &home.join("kills"))?;
     say!(
         "kills: {kills} in {:.1} s; {keys} keys, {} tries, {} served, {} of them with what had been told, {} unknown, {} turned away",
         begun.elapsed().as_secs_f64(),
-        seen.asked,
+        seen.sent,
         seen.served,
-        seen.repeated,
+        seen.served_repeats,
         seen.unknown,
-        seen.refused
+        seen.rejected
     );
     short.extend(
-        seen.broken
+        seen.violations
             .iter()
             .map(|what| format!("after kills: {what}")),
     );
@@ -240,19 +240,19 @@
 }
 
 fn load(rates: Vec<(u64, f64)>, connections: usize, keyed: bool) -> Load {
-    let key_field = keyed.then(|| FIELD.to_owned());
+    let key_field = keyed.then(|| KEY_FIELD.to_owned());
     Load {
-        front: Front::Frames,
+        protocol: Protocol::Frames,
         rates,
         connections,
-        body: 200,
+        body_bytes: 200,
         key_field,
     }
 }
 
 fn outside(folder: Option<PathBuf>) -> String {
     folder
-        .map(|folder| Kills::section(&folder))
+        .map(|folder| KillTrial::operator_section(&folder))
         .unwrap_or_default()
 }
 
@@ -260,31 +260,31 @@
 fn writes(program: &Path, home: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
     say!("keyed writes, a runtime that answers at once, 3 s:");
     for rate in [500.0, 4_000.0] {
-        let mut site = Kills::site(1);
-        (site.instant, site.cores) = (true, 256);
-        (site.stop, site.grace) = (SECOND, SECOND / 2);
+        let mut site = KillTrial::site(1);
+        (site.instant_runs, site.cores) = (true, 256);
+        (site.stop_timeout, site.drain_grace) = (SECOND, SECOND / 2);
         let trial = Trial {
             site,
             loads: vec![load(vec![(3 * SECOND, rate)], 32, true)],
-            ajp: String::new(),
-            outside: outside(Some(home.join(format!("writes-{rate}")))),
-            leave_at: Some(3 * SECOND + SECOND / 2),
+            ajp_options: String::new(),
+            operator_sections: outside(Some(home.join(format!("writes-{rate}")))),
+            terminate_at: Some(3 * SECOND + SECOND / 2),
         };
-        let report = trial.play(program, |_, _| ())?;
-        let total = report.total(Front::Frames);
+        let report = trial.run(program, |_, _| ())?;
+        let total = report.total(Protocol::Frames);
         let (results, syncs) = kept(&report);
-        let served = total.in_time + total.late;
+        let served = total.on_time + total.late;
         say!(
             "  asked {rate:5.0} a second: {:5.0} served a second, {:.0}% turned away, median {:.1} ms, p99 {:.1} ms, {:.1} records a sync",
             served as f64 / 3.0,
-            100.0 * (total.refused_with_time + total.refused_bare) as f64 / total.asked.max(1) as f64,
+            100.0 * (total.rejected_with_retry_after + total.rejected_without_retry_after) as f64 / total.issued.max(1) as f64,
             report.latency_ms[0].1,
             report.latency_ms[0].2,
             2.0 * results as f64 / syncs.max(1) as f64
         );
         short.extend(
             report
-                .broken
+                .violations
                 .iter()
                 .map(|broken| format!("a rule under keyed writes: {broken}")),
         );
@@ -300,8 +300,8 @@
             continue;
         };
         let each = class.worth * (class.work.0 + class.work.1) as f64;
-        served += each * tally.in_time as f64;
-        asked += each * tally.asked as f64;
+        served += each * tally.on_time as f64;
+        asked += each * tally.issued as f64;
     }
     (served, asked)
 }
@@ -321,8 +321,8 @@
                 seed,
                 cores: 24,
                 store,
-                stop: SECOND,
-                grace: SECOND / 2,
+                stop_timeout: SECOND,
+                drain_grace: SECOND / 2,
                 ..Setup::default()
             }
         };
@@ -337,14 +337,14 @@
                 let trial = Trial {
                     site,
                     loads,
-                    ajp: String::new(),
-                    outside: outside(folder),
-                    leave_at,
+                    ajp_options: String::new(),
+                    operator_sections: outside(folder),
+                    terminate_at: leave_at,
                 };
                 let program = program.to_owned();
                 (
                     on,
-                    std::thread::spawn(move || trial.play(&program, |_, _| ())),
+                    std::thread::spawn(move || trial.run(&program, |_, _| ())),
                 )
             })
             .collect();
@@ -355,7 +355,7 @@
                 .map_err(|_| std::io::Error::other("a trial panicked"))??;
             short.extend(
                 report
-                    .broken
+                    .violations
                     .iter()
                     .map(|b| format!("a rule at {:.0}%: {b}", share * 100.0)),
             );
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -1,8 +1,8 @@
 //! `cleatpulley check routes`: look-ups beside other ways, imports, expectations, the consistent hash, and a gateway's
 //! service before targets of which one is slow or half of them fail.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::relay::{Act, Relay, Report};
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::gateway_trial::{GatewayTrial, Report, TargetEvent};
 use cleatpulley_emulators::target::Setup;
 use cleatpulley_routes::balancer::Balancer;
 use cleatpulley_routes::expectations::{check_expectations, ExpectationFile, Outcome};
@@ -273,38 +273,38 @@
     Ok(())
 }
 
-fn relay(load: f64, seconds: f64) -> Relay {
+fn relay(load: f64, seconds: f64) -> GatewayTrial {
     let setup = Setup {
         workers: 4,
-        work: (10 * MS, 30 * MS),
-        patience: 120 * MS,
-        later: 50 * MS,
+        run_time: (10 * MS, 30 * MS),
+        max_wait: 120 * MS,
+        retry_after: 50 * MS,
         seed: 3,
     };
-    let mut relay = Relay {
+    let mut relay = GatewayTrial {
         targets: 5,
         setup,
-        way: String::new(),
-        words: "max_fails=2 fail_timeout=500ms".to_owned(),
-        next: "error timeout http_503".to_owned(),
+        balancing: String::new(),
+        server_options: "max_fails=2 fail_timeout=500ms".to_owned(),
+        next_upstream: "error timeout http_503".to_owned(),
         retry_share: 0.2,
         rates: Vec::new(),
-        time: (seconds * 1e6) as u64,
-        acts: Vec::new(),
-        reroute_at: None,
-        leave_at: None,
+        duration: (seconds * 1e6) as u64,
+        events: Vec::new(),
+        reload_at: None,
+        terminate_at: None,
         seed: 21,
     };
     let rate = relay.capacity() * load / 2.0;
-    relay.rates = vec![(Front::Frames, rate), (Front::Ajp, rate)];
+    relay.rates = vec![(Protocol::Frames, rate), (Protocol::Ajp, rate)];
     relay
 }
 
-fn play(relay: &Relay, program: &Path, short: &mut Vec<String>) -> Result<Report, String> {
-    let report = relay.play(program).map_err(|e| e.to_string())?;
+fn play(relay: &GatewayTrial, program: &Path, short: &mut Vec<String>) -> Result<Report, String> {
+    let report = relay.run(program).map_err(|e| e.to_string())?;
     short.extend(
         report
-            .broken
+            .violations
             .iter()
             .map(|what| format!("rule broken at the gateway: {what}")),
     );
@@ -324,18 +324,18 @@
         ),
     ] {
         let mut relay = relay(0.65, 3.0);
-        relay.way = way.to_owned();
+        relay.balancing = way.to_owned();
         // Refusals are passed on, so that the choice alone is seen.
-        relay.next = "error".to_owned();
-        relay.acts = vec![(0, 0, Act::Slow(4.0))];
+        relay.next_upstream = "error".to_owned();
+        relay.events = vec![(0, 0, TargetEvent::SetSlowdown(4.0))];
         let report = play(&relay, program, short)?;
         say!(
             "  {name:18} {:5.1}%  {:4.0} ms  {:4.1}%",
-            report.in_time() * 100.0,
+            report.on_time_share() * 100.0,
             report.latency_ms.1,
             report.shares[0] * 100.0
         );
-        shares.insert(name, report.in_time());
+        shares.insert(name, report.on_time_share());
     }
     for name in ["least connections", "random two"] {
         if shares[name] <= shares["round robin"] {
@@ -348,18 +348,18 @@
 }
 
 fn troubles(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
-    let calm = Relay {
-        way: "least_conn;".to_owned(),
+    let calm = GatewayTrial {
+        balancing: "least_conn;".to_owned(),
         ..relay(0.9, 5.0)
     };
     let mut troubled = calm.clone();
-    troubled.acts = vec![
-        (500 * MS, 0, Act::Kill),
-        (1_500 * MS, 0, Act::Revive),
-        (2_000 * MS, 1, Act::Drain(true)),
-        (2_800 * MS, 1, Act::Drain(false)),
-        (3_200 * MS, 2, Act::Slow(4.0)),
-        (4_000 * MS, 2, Act::Slow(1.0)),
+    troubled.events = vec![
+        (500 * MS, 0, TargetEvent::Kill),
+        (1_500 * MS, 0, TargetEvent::Restart),
+        (2_000 * MS, 1, TargetEvent::SetDraining(true)),
+        (2_800 * MS, 1, TargetEvent::SetDraining(false)),
+        (3_200 * MS, 2, TargetEvent::SetSlowdown(4.0)),
+        (4_000 * MS, 2, TargetEvent::SetSlowdown(1.0)),
     ];
     say!("90% load, five targets: in time, turned away, failed, tries for each request, gateway's CPU a request and memory");
     for (name, relay) in [
@@ -368,34 +368,34 @@
     ] {
         let report = play(relay, program, short)?;
         let total = report.total();
-        let refused = total.refused_bare + total.refused_with_time;
+        let refused = total.rejected_without_retry_after + total.rejected_with_retry_after;
         say!(
             "  {name:32} {:5.1}%  {refused:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
-            report.in_time() * 100.0,
+            report.on_time_share() * 100.0,
             total.failed,
-            report.tries,
-            report.cpu,
+            report.attempts_per_request,
+            report.cpu_per_request,
             report.memory_kb as f64 / 1e3
         );
     }
     say!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
-    for front in [Front::Frames, Front::Ajp] {
+    for front in [Protocol::Frames, Protocol::Ajp] {
         let mut relay = relay(0.0, 2.0);
-        relay.way = "least_conn;".to_owned();
+        relay.balancing = "least_conn;".to_owned();
         relay.setup = Setup {
             workers: 100_000,
-            work: (0, 0),
+            run_time: (0, 0),
             ..relay.setup
         };
         relay.rates = vec![(front, 8_000.0)];
         let report = play(&relay, program, short)?;
-        let (in_time, p99) = (report.in_time() * 100.0, report.latency_ms.1);
+        let (in_time, p99) = (report.on_time_share() * 100.0, report.latency_ms.1);
         say!(
             "  {front:8} {in_time:5.1}%  {p99:.1} ms  {:.1} us  {:.1} MB",
-            report.cpu,
+            report.cpu_per_request,
             report.memory_kb as f64 / 1e3
         );
-        if report.in_time() < 0.99 {
+        if report.on_time_share() < 0.99 {
             short.push(format!(
                 "{in_time:.1}% in time by {front} at 8,000 a second"
             ));
@@ -404,25 +404,25 @@
     say!("half of the targets fail all they run, half load: tries for each request, by the budget's share");
     for share in [0.0, 0.1, 0.3] {
         let mut relay = relay(0.5, 2.0);
-        relay.next = "error timeout http_503 http_500".to_owned();
+        relay.next_upstream = "error timeout http_503 http_500".to_owned();
         relay.retry_share = share;
-        relay.acts = vec![
-            (0, 0, Act::Faults(1_000)),
-            (0, 1, Act::Faults(1_000)),
-            (0, 2, Act::Faults(1_000)),
+        relay.events = vec![
+            (0, 0, TargetEvent::SetFailures(1_000)),
+            (0, 1, TargetEvent::SetFailures(1_000)),
+            (0, 2, TargetEvent::SetFailures(1_000)),
         ];
         let report = play(&relay, program, short)?;
         let total = report.total();
-        let most = 1.0 + share + 12.0 / total.asked.max(1) as f64;
+        let most = 1.0 + share + 12.0 / total.issued.max(1) as f64;
         say!(
             "  share {share:.1}: {:.3} of at most {most:.3}; {:.1}% in time",
-            report.tries,
-            report.in_time() * 100.0
+            report.attempts_per_request,
+            report.on_time_share() * 100.0
         );
-        if report.tries > most {
+        if report.attempts_per_request > most {
             short.push(format!(
                 "{:.3} tries for each request where the budget allows {most:.3}",
-                report.tries
+                report.attempts_per_request
             ));
         }
     }
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -1,10 +1,10 @@
 //! `cleatpulley check service`: operators beside crowds, upgrades under load, and the same from seeds.
 
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::site::Setup;
-use cleatpulley_emulators::trial::{Going, Load, Report, Trial};
+use cleatpulley_emulators::trial::{Load, Report, RunningTrial, Trial};
 use cleatpulley_simulator::plan::{Fault, Plan, Planned};
 use cleatpulley_simulator::seeds;
 use std::io::Write;
@@ -57,34 +57,34 @@
 fn trial(share: f64, seconds: u64, processes: usize, seed: u64) -> Trial {
     let site = Setup {
         seed,
-        processes,
+        runtime_address_count: processes,
         ..Setup::default()
     };
     let load = |front, part: f64| Load {
-        front,
+        protocol: front,
         rates: vec![(seconds * SECOND, part * share * site.capacity())],
-        connections: if front == Front::Frames { 4 } else { 64 },
-        body: 64,
+        connections: if front == Protocol::Frames { 4 } else { 64 },
+        body_bytes: 64,
         key_field: None,
     };
-    let loads = vec![load(Front::Frames, 0.7), load(Front::Ajp, 0.3)];
+    let loads = vec![load(Protocol::Frames, 0.7), load(Protocol::Ajp, 0.3)];
     Trial {
         site,
         loads,
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: None,
     }
 }
 
 /// Waits until all callers have their answers, and judges.
-fn judged(mut going: Going) -> Report {
+fn judged(mut going: RunningTrial) -> Report {
     let until = Instant::now() + Duration::from_secs(20);
-    let done = |going: &Going| {
+    let done = |going: &RunningTrial| {
         going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     };
     while !done(&going) && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(10));
@@ -95,7 +95,7 @@
 fn served(report: &Report) -> f64 {
     let (mut asked, mut in_time) = (0, 0);
     for (.., tally) in &report.tallies {
-        (asked, in_time) = (asked + tally.asked, in_time + tally.in_time);
+        (asked, in_time) = (asked + tally.issued, in_time + tally.on_time);
     }
     100.0 * in_time as f64 / asked.max(1) as f64
 }
@@ -104,7 +104,7 @@
     report
         .tallies
         .iter()
-        .map(|(.., tally)| tally.lost + tally.unreachable)
+        .map(|(.., tally)| tally.unanswered + tally.not_sent)
         .sum()
 }
 
@@ -156,7 +156,7 @@
         let begun = Instant::now();
         while begun.elapsed() < ASKED {
             let asked = Instant::now();
-            match going.matcher.ask("/_vars") {
+            match going.matcher.get("/_vars") {
                 Ok((200, _)) => times.push(asked.elapsed().as_secs_f64() * 1e3),
                 _ => failed += 1,
             }
@@ -199,12 +199,12 @@
     for (front, class, tally) in report
         .tallies
         .iter()
-        .filter(|(.., t)| t.lost + t.unreachable > 0)
+        .filter(|(.., t)| t.unanswered + t.not_sent > 0)
     {
         say!(
             "  {front} {class}: {} lost, {} refused a connection",
-            tally.lost,
-            tally.unreachable
+            tally.unanswered,
+            tally.not_sent
         );
     }
     say!(
@@ -214,9 +214,9 @@
         served(&report),
         ready.as_millis(),
         left.as_millis(),
-        if report.broken.is_empty() { "all held".to_owned() } else { report.broken.join("; ") }
+        if report.violations.is_empty() { "all held".to_owned() } else { report.violations.join("; ") }
     );
-    if door(&report) > 0 || !report.broken.is_empty() {
+    if door(&report) > 0 || !report.violations.is_empty() {
         short.push(format!(
             "{} requests ended at the door in {UPGRADES} upgrades",
             door(&report)
