--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -2,7 +2,7 @@
 //! matcher on a warm TLS connection beside a plain one; what idle connections and handshakes in flight hold; and what share
 //! of the CPU a flood of handshakes takes against the bound that was set.
 
-use cleatpulley_emulators::callers::{request_frame, said, Said};
+use cleatpulley_emulators::callers::{decode_response, request_frame, ResponseOutcome};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority::{self, Made};
@@ -210,7 +210,10 @@
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
             let mut payload = vec![0; length.saturating_sub(5)];
             stream.read_exact(&mut payload)?;
-            served += u32::from(matches!(said(&payload), Some(Said::Served(_))));
+            served += u32::from(matches!(
+                decode_response(&payload),
+                Some(ResponseOutcome::Served(_))
+            ));
         }
         id += 16;
     }
@@ -223,7 +226,7 @@
 /// A matcher of an instant runtime, with this operator file.
 fn matcher(program: &Path, operator: &str) -> Result<(Site, Matcher), String> {
     let site = Site::start(Setup {
-        instant: true,
+        instant_runs: true,
         cores: 64,
         ..Setup::default()
     })
@@ -260,7 +263,7 @@
     for (n, stream) in streams.iter_mut().enumerate() {
         rounds(stream, 1 + n as u32 * 100_000, 16).map_err(|e| e.to_string())?;
     }
-    let before = matcher.cpu().ok_or("no CPU figure")?;
+    let before = matcher.cpu_micros().ok_or("no CPU figure")?;
     let served = std::thread::scope(|scope| {
         let asking: Vec<_> = streams
             .iter_mut()
@@ -276,7 +279,7 @@
             })
             .sum::<Result<u32, String>>()
     })?;
-    let spent = matcher.cpu().ok_or("no CPU figure")? - before;
+    let spent = matcher.cpu_micros().ok_or("no CPU figure")? - before;
     Ok((spent as f64 / 16_000.0, served))
 }
 
@@ -341,9 +344,9 @@
 
 /// Microseconds of the matcher's CPU in a second while nothing comes.
 fn at_rest(matcher: &Matcher) -> Result<f64, String> {
-    let before = matcher.cpu().ok_or("no CPU figure")?;
+    let before = matcher.cpu_micros().ok_or("no CPU figure")?;
     std::thread::sleep(Duration::from_millis(500));
-    Ok((matcher.cpu().ok_or("no CPU figure")? - before) as f64 * 2.0)
+    Ok((matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64 * 2.0)
 }
 
 /// Matcher's CPU for each whole handshake, accept and close among them, where they come one at a time: microseconds.
@@ -352,11 +355,11 @@
     let fresh: Vec<_> = (0..count)
         .map(|_| files.client())
         .collect::<Result<_, _>>()?;
-    let (before, begun) = (matcher.cpu().ok_or("no CPU figure")?, Instant::now());
+    let (before, begun) = (matcher.cpu_micros().ok_or("no CPU figure")?, Instant::now());
     for config in &fresh {
         tls_to(config, matcher.frames).map_err(|e| e.to_string())?;
     }
-    let spent = (matcher.cpu().ok_or("no CPU figure")? - before) as f64
+    let spent = (matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64
         - rest * begun.elapsed().as_secs_f64();
     Ok(spent / f64::from(count))
 }
@@ -372,7 +375,7 @@
     let rest = at_rest(&matcher)?;
     let before_flood = calm(&matcher, files, rest)?;
     let (over, done) = (AtomicBool::new(false), AtomicU64::new(0));
-    let (before, begun) = (matcher.cpu().ok_or("no CPU figure")?, Instant::now());
+    let (before, begun) = (matcher.cpu_micros().ok_or("no CPU figure")?, Instant::now());
     std::thread::scope(|scope| {
         for _ in 0..FLOODERS {
             scope.spawn(|| {
@@ -389,7 +392,7 @@
         over.store(true, Ordering::Relaxed);
     });
     let elapsed = begun.elapsed().as_secs_f64();
-    let spent = (matcher.cpu().ok_or("no CPU figure")? - before) as f64 - rest * elapsed;
+    let spent = (matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64 - rest * elapsed;
     let after_flood = calm(&matcher, files, rest)?;
     let one = f64::midpoint(before_flood, after_flood);
     Ok((
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,9 +1,9 @@
 //! `cleatpulley demo`: the main job against the stand-ins, in under twenty seconds.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::site::Setup;
-use cleatpulley_emulators::trial::{Going, Load, Trial};
+use cleatpulley_emulators::trial::{Load, RunningTrial, Trial};
 use std::io::Write;
 
 const SECOND: u64 = 1_000_000;
@@ -27,24 +27,24 @@
         (14 * SECOND, rate(0.5)),
     ];
     let load = |front, connections| Load {
-        front,
+        protocol: front,
         rates: rates.clone(),
         connections,
-        body: 200,
+        body_bytes: 200,
         key_field: None,
     };
-    let loads = vec![load(Front::Frames, 8), load(Front::Ajp, 200)];
+    let loads = vec![load(Protocol::Frames, 8), load(Protocol::Ajp, 200)];
     let leave_at = Some(13 * SECOND);
     let trial = Trial {
         site,
         loads,
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: leave_at,
     };
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut shown = 0.0;
-    let progress = |going: &Going, at: f64| {
+    let progress = |going: &RunningTrial, at: f64| {
         if at >= shown + 0.5 {
             shown = at;
             let phase = match at {
@@ -56,22 +56,22 @@
             let totals = going
                 .callers
                 .iter()
-                .map(|callers| look(callers, |callers| callers.total()));
+                .map(|callers| with_lock(callers, |callers| callers.total()));
             let (asked, served, refused) = totals.fold((0, 0, 0), |sum, t| {
                 (
-                    sum.0 + t.asked,
-                    sum.1 + t.in_time + t.late,
-                    sum.2 + t.refused_with_time + t.refused_bare,
+                    sum.0 + t.issued,
+                    sum.1 + t.on_time + t.late,
+                    sum.2 + t.rejected_with_retry_after + t.rejected_without_retry_after,
                 )
             });
             eprint!("\r{at:5.1} s  {phase:<10}  asked {asked}, served {served}, turned away {refused}   ");
             let _ = std::io::stderr().flush();
         }
     };
-    let report = trial.play(&program, progress).map_err(|e| e.to_string())?;
+    let report = trial.run(&program, progress).map_err(|e| e.to_string())?;
     eprintln!();
     print!("{report}");
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         Ok(())
     } else {
         Err("a rule was broken".to_owned())
--- a/src/commands/emulators.rs
+++ b/src/commands/emulators.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley emulators`: runtime, store and directory to talk to, and the configuration that goes with them.
 
 use clap::Args;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_emulators::store;
 use serde_json::json;
@@ -43,7 +43,7 @@
 /// Where ports or the file can't be had.
 pub fn run(args: &EmulatorsArgs) -> Result<(), String> {
     let store = store::Setup {
-        time: args.store_ms * 1_000,
+        call_time: args.store_ms * 1_000,
         ..store::Setup::default()
     };
     let processes = usize::from(args.processes.max(1));
@@ -51,13 +51,13 @@
         cores: args.cores.max(1),
         store,
         seed: args.seed,
-        processes,
+        runtime_address_count: processes,
         ..Setup::default()
     };
     let site = Site::start(setup).map_err(|e| e.to_string())?;
     let mut config = site.config.clone();
     config["listen"] = json!(args.listen);
-    for (n, runtime) in site.runtimes.iter().enumerate() {
+    for (n, runtime) in site.runtime_addresses.iter().enumerate() {
         let mut file = args.write_config.clone().into_os_string();
         if n > 0 {
             file.push(format!(".{}", n + 1));
@@ -68,7 +68,7 @@
         let text = serde_json::to_string_pretty(&config).map_err(|e| e.to_string())?;
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    config["runtime"] = json!(site.runtimes[0].to_string());
+    config["runtime"] = json!(site.runtime_addresses[0].to_string());
     say!(
         "runtime {}, store {}, directory {}; about {:.0} requests a second; configuration in {}",
         config["runtime"].as_str().unwrap_or_default(),
@@ -87,9 +87,9 @@
             break;
         }
         std::thread::sleep(Duration::from_secs(1));
-        let fine = look(&site.runtime, |runtime| runtime.seen.fine);
+        let fine = with_lock(&site.runtime, |runtime| runtime.stats.succeeded);
         if fine != shown {
-            let calls = look(&site.store, |store| store.seen.calls);
+            let calls = with_lock(&site.store, |store| store.stats.calls);
             say!("{fine} runs ended well, {calls} calls to the store");
             shown = fine;
         }
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -3,8 +3,8 @@
 
 use cleatpulley::protocol::ajp::client::{Client, Fate, Options, Request, Response};
 use cleatpulley::protocol::ajp::codec::{push_body, push_forward, Outgoing, PACKET_SIZE};
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{classes, Setup, Site};
 use cleatpulley_emulators::store;
@@ -24,8 +24,8 @@
 
 fn start(setup: Setup, rest: &str) -> (Site, Matcher, SocketAddr) {
     let site = Site::start(setup).expect("the stand-ins start");
-    let matcher =
-        Matcher::start(program(), &site.config, Some(&site.operator(rest, ""))).expect("it starts");
+    let matcher = Matcher::start(program(), &site.config, Some(&site.operator_file(rest, "")))
+        .expect("it starts");
     let to = matcher.ajp.expect("it speaks AJP");
     (site, matcher, to)
 }
@@ -130,8 +130,8 @@
 }
 
 fn starts(site: &Site) -> u32 {
-    look(&site.runtime, |runtime| {
-        runtime.seen.starts.values().map(|seen| seen.1).sum()
+    with_lock(&site.runtime, |runtime| {
+        runtime.stats.starts.values().map(|seen| seen.1).sum()
     })
 }
 
@@ -141,18 +141,18 @@
 fn stalled_bodies_are_answered_and_good_callers_lose_nothing() {
     let site = steady(5);
     let load = |front| Load {
-        front,
+        protocol: front,
         rates: vec![(4 * SECOND, 60.0)],
         connections: 16,
-        body: 100,
+        body_bytes: 100,
         key_field: None,
     };
     let trial = Trial {
         site,
-        loads: vec![load(Front::Frames), load(Front::Ajp)],
-        ajp: "timeouts_ms: { body: 1500 },".to_owned(),
-        outside: String::new(),
-        leave_at: None,
+        loads: vec![load(Protocol::Frames), load(Protocol::Ajp)],
+        ajp_options: "timeouts_ms: { body: 1500 },".to_owned(),
+        operator_sections: String::new(),
+        terminate_at: None,
     };
     let mut going = trial.start(program()).expect("it starts");
     let to = going.matcher.ajp.expect("it speaks AJP");
@@ -183,13 +183,13 @@
         going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
     let report = going.judge();
-    assert!(report.broken.is_empty(), "{report}");
-    for front in [Front::Frames, Front::Ajp] {
+    assert!(report.violations.is_empty(), "{report}");
+    for front in [Protocol::Frames, Protocol::Ajp] {
         let total = report.total(front);
-        assert_eq!((total.failed, total.unreachable), (0, 0), "{report}");
+        assert_eq!((total.failed, total.not_sent), (0, 0), "{report}");
     }
 }
 
@@ -208,7 +208,7 @@
         body(b"seat"),
     ]
     .concat();
-    let before = matcher.descriptors();
+    let before = matcher.descriptor_count();
     for cut in 0..request.len() {
         let mut stream = TcpStream::connect(to).expect("it listens");
         stream.write_all(&request[..cut]).expect("it is read");
@@ -223,7 +223,7 @@
     drop(good);
     assert_eq!(starts(&site), 2, "nothing that was cut has run");
     wait_until("descriptors are given back", || {
-        matcher.descriptors() <= before
+        matcher.descriptor_count() <= before
     });
     assert!(matcher.is_alive());
 }
@@ -257,8 +257,8 @@
         rest.escape_ascii()
     );
     assert_eq!(starts(&site), 1);
-    assert!(look(&site.runtime, |runtime| runtime
-        .run_twice()
+    assert!(with_lock(&site.runtime, |runtime| runtime
+        .ids_run_twice()
         .is_empty()));
 }
 
@@ -266,25 +266,25 @@
 #[test]
 fn leaving_answers_all_that_was_read_on_both_fronts() {
     let mut setup = Setup {
-        stop: 3 * SECOND,
-        grace: SECOND,
+        stop_timeout: 3 * SECOND,
+        drain_grace: SECOND,
         ..Setup::default()
     };
     setup.classes = classes();
     let rate = setup.capacity() * 0.6;
     let load = |front| Load {
-        front,
+        protocol: front,
         rates: vec![(4 * SECOND, rate)],
         connections: 64,
-        body: 64,
+        body_bytes: 64,
         key_field: None,
     };
     let trial = Trial {
         site: setup,
-        loads: vec![load(Front::Frames), load(Front::Ajp)],
-        ajp: "timeouts_ms: { body: 2000 },".to_owned(),
-        outside: String::new(),
-        leave_at: None,
+        loads: vec![load(Protocol::Frames), load(Protocol::Ajp)],
+        ajp_options: "timeouts_ms: { body: 2000 },".to_owned(),
+        operator_sections: String::new(),
+        terminate_at: None,
     };
     let mut going = trial.start(program()).expect("it starts");
     let to = going.matcher.ajp.expect("it speaks AJP");
@@ -292,11 +292,11 @@
         going
             .callers
             .iter()
-            .map(|callers| look(callers, |callers| callers.open()))
+            .map(|callers| with_lock(callers, |callers| callers.open_requests()))
             .sum::<usize>()
     };
     wait_until("requests run and are held", || {
-        look(&going.site.runtime, |runtime| runtime.running()) >= 6 && open() >= 12
+        with_lock(&going.site.runtime, |runtime| runtime.running_count()) >= 6 && open() >= 12
     });
     let half = [
         forward("/find-race", &[("Content-Length", "900")]),
@@ -316,7 +316,7 @@
         .write_all(&[0x12, 0x34, 0, 1, 10])
         .expect("it is read");
     idle.stream.read_exact(&mut [0; 5]).expect("a pong");
-    going.leave();
+    going.terminate();
     let noticed = Instant::now();
     assert_eq!(idle.stream.read(&mut [0; 1]).expect("an end"), 0);
     assert!(
@@ -351,10 +351,10 @@
         going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
     let report = going.judge();
-    assert!(report.broken.is_empty(), "{report}");
+    assert!(report.violations.is_empty(), "{report}");
 }
 
 /// Both kinds of callers at 110% of what the cores can do, with a surge, and a store over AJP that loses, refuses,
@@ -362,8 +362,8 @@
 #[test]
 fn a_mixed_load_keeps_the_rules_for_both_kinds_alike() {
     let store = store::Setup {
-        refused_per_mille: 10,
-        lost_per_mille: 3,
+        rejected_per_mille: 10,
+        unanswered_per_mille: 3,
         reset_per_mille: 10,
         failed_per_mille: 10,
         ..store::Setup::default()
@@ -379,41 +379,41 @@
         (6 * SECOND, 1.1 * half),
     ];
     let load = |front, connections| Load {
-        front,
+        protocol: front,
         rates: rates.clone(),
         connections,
-        body: 200,
+        body_bytes: 200,
         key_field: None,
     };
     let trial = Trial {
         site,
-        loads: vec![load(Front::Frames, 8), load(Front::Ajp, 300)],
-        ajp: String::new(),
-        outside: "store: { protocol: 'ajp' },".to_owned(),
-        leave_at: None,
+        loads: vec![load(Protocol::Frames, 8), load(Protocol::Ajp, 300)],
+        ajp_options: String::new(),
+        operator_sections: "store: { protocol: 'ajp' },".to_owned(),
+        terminate_at: None,
     };
     let mut going = trial.start(program()).expect("it starts");
     wait_until("all is sent and answered", || {
         going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
     let report = going.judge();
-    assert!(report.broken.is_empty(), "{report}");
-    for front in [Front::Frames, Front::Ajp] {
+    assert!(report.violations.is_empty(), "{report}");
+    for front in [Protocol::Frames, Protocol::Ajp] {
         let total = report.total(front);
         assert!(
-            total.asked > 200 && total.in_time * 2 > total.asked,
+            total.issued > 200 && total.on_time * 2 > total.issued,
             "{report}"
         );
         assert_eq!(
-            total.refused_bare, 0,
+            total.rejected_without_retry_after, 0,
             "every refusal tells when to come back\n{report}"
         );
     }
-    let (calls, ajp) = look(&going.site.store, |store| {
-        (store.seen.calls, store.seen.ajp_calls)
+    let (calls, ajp) = with_lock(&going.site.store, |store| {
+        (store.stats.calls, store.stats.ajp_calls)
     });
     assert!(
         calls > 100 && calls == ajp,
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,7 +2,7 @@
 //! stands still, one is cut off. What each saw is compared with drawings in `tests/timelines/`.
 
 use cleatpulley_emulators::cluster::Cluster;
-use cleatpulley_emulators::wires::Weather;
+use cleatpulley_emulators::datagram_proxy::NetworkConditions;
 use cleatpulley_timeline::Drawing;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -18,10 +18,10 @@
         seed,
     )
     .expect("a folder");
-    cluster.wires.set_weather(Weather {
-        lost: 20,
-        doubled: 50,
-        slow: Duration::from_millis(4),
+    cluster.network.set_conditions(NetworkConditions {
+        lost_per_mille: 20,
+        duplicated_per_mille: 50,
+        max_delay: Duration::from_millis(4),
     });
     cluster.start_gateways(4).expect("they start");
     for name in ["g1", "g2", "g3", "g4"] {
@@ -86,8 +86,8 @@
 #[test]
 fn one_that_is_cut_off_comes_back_and_the_others_keep_their_lives() {
     let mut cluster = cluster(3);
-    cluster.note("net", "cuts g2 off");
-    cluster.wires.cut_off("g2");
+    cluster.add_step("net", "cuts g2 off");
+    cluster.network.isolate("g2");
     cluster
         .wait_for(&["g1", "g3", "g4"], "sees g2 go", 1, PATIENCE)
         .expect("all see it go");
@@ -96,14 +96,14 @@
             .wait_for(&["g2"], &format!("sees {other} go"), 1, PATIENCE)
             .expect("it sees nobody");
     }
-    cluster.note("net", "heals");
+    cluster.add_step("net", "heals");
     // Its own messages stay cut until it has heard the others. Otherwise one of theirs may say that
     // it is gone before it learns that they are there, and it comes back once for each.
-    cluster.wires.heal_towards("g2");
+    cluster.network.unblock_incoming("g2");
     cluster
         .wait_for(&["g2"], "comes back", 1, PATIENCE)
         .expect("it hears the others");
-    cluster.wires.heal();
+    cluster.network.unblock_all();
     cluster
         .wait_for(&["g1", "g3", "g4"], "sees g2 come", 2, PATIENCE)
         .expect("all see it come");
@@ -113,12 +113,12 @@
 #[test]
 fn a_way_that_is_cut_in_one_direction_costs_nobody_its_place_and_a_goodbye_is_heard_at_once() {
     let mut cluster = cluster(4);
-    cluster.wires.cut("g1", "g2");
+    cluster.network.block("g1", "g2");
     std::thread::sleep(Duration::from_secs(3));
     for name in ["g1", "g2", "g3", "g4"] {
         for other in ["g1", "g2", "g3", "g4"] {
             assert_eq!(
-                cluster.count(name, &format!("sees {other} go")),
+                cluster.count_steps(name, &format!("sees {other} go")),
                 0,
                 "{}",
                 cluster.timeline().draw()
--- a/tests/connection_admission.rs
+++ b/tests/connection_admission.rs
@@ -1,6 +1,6 @@
 //! Places for connections on a real process: a flood that speaks, and a caller that was named.
 
-use cleatpulley_emulators::flood::{knock, Flood};
+use cleatpulley_emulators::flood::{measure_health_check, Flood};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use serde_json::Value;
@@ -22,18 +22,22 @@
     })
     .expect("a site");
     let section = "admission: { named: ['127.0.0.1'], reserve: 0.1 }";
-    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator("", section)))
-        .expect("it starts");
+    let matcher = Matcher::start(
+        &program(),
+        &site.config,
+        Some(&site.operator_file("", section)),
+    )
+    .expect("it starts");
     let flood = Flood {
-        to: matcher.frames,
-        sources: 400,
+        address: matcher.frames,
+        source_addresses: 400,
         per_second: 2_000,
-        hold: 1_500,
-        speaks: true,
+        max_open: 1_500,
+        sends_health_check: true,
     };
     let (over, opened) = (AtomicBool::new(false), AtomicU64::new(0));
     let figures = |name: &str| {
-        let (_, body) = matcher.ask("/_vars").expect("figures");
+        let (_, body) = matcher.get("/_vars").expect("figures");
         let figures: Value = serde_json::from_slice(&body).expect("JSON");
         figures["connections"][name].as_u64().expect("a figure")
     };
@@ -45,7 +49,7 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         for n in 0..50 {
-            let wait = knock(matcher.frames, Duration::from_secs(5));
+            let wait = measure_health_check(matcher.frames, Duration::from_secs(5));
             assert!(
                 wait.is_some(),
                 "the {n}th time; {} were opened",
@@ -56,9 +60,9 @@
     });
     assert!(figures("refused_as_full") > 0 && figures("admitted") > 50);
     assert!(
-        matcher.descriptors().is_none_or(|held| held <= 256),
+        matcher.descriptor_count().is_none_or(|held| held <= 256),
         "{:?}",
-        matcher.descriptors()
+        matcher.descriptor_count()
     );
 }
 
@@ -68,14 +72,18 @@
 fn a_named_caller_gets_in_where_no_descriptor_is_left() {
     let site = Site::start(Setup {
         sockets: 512,
-        instant: true,
+        instant_runs: true,
         ..Setup::default()
     })
     .expect("a site");
     let section = "admission: { named: ['127.0.0.1'], reserve: 0.1 }";
-    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator("", section)))
-        .expect("it starts");
-    let held = matcher.descriptors().expect("the system tells");
+    let matcher = Matcher::start(
+        &program(),
+        &site.config,
+        Some(&site.operator_file("", section)),
+    )
+    .expect("it starts");
+    let held = matcher.descriptor_count().expect("the system tells");
     let most = held + 40;
     matcher.limit_descriptors(most).expect("a lower limit");
     // Whoever started this test may have left a descriptor of a high number open.
@@ -83,23 +91,23 @@
         .descriptors_numbered_from(most)
         .expect("the system tells");
     let flood = Flood {
-        to: matcher.frames,
-        sources: 100,
+        address: matcher.frames,
+        source_addresses: 100,
         per_second: 2_000,
-        hold: 300,
-        speaks: true,
+        max_open: 300,
+        sends_health_check: true,
     };
     let (over, opened) = (AtomicBool::new(false), AtomicU64::new(0));
     std::thread::scope(|scope| {
         scope.spawn(|| flood.run(&over, &opened));
         let begun = Instant::now();
-        while matcher.descriptors() < Some(most) && begun.elapsed() < Duration::from_secs(10) {
+        while matcher.descriptor_count() < Some(most) && begun.elapsed() < Duration::from_secs(10) {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let before = matcher.cpu().expect("the system tells");
+        let before = matcher.cpu_micros().expect("the system tells");
         let begun = Instant::now();
         for n in 0..50 {
-            let wait = knock(matcher.frames, Duration::from_secs(5));
+            let wait = measure_health_check(matcher.frames, Duration::from_secs(5));
             assert!(
                 wait.is_some(),
                 "the {n}th time; {} were opened",
@@ -107,7 +115,7 @@
             );
             std::thread::sleep(Duration::from_millis(10));
         }
-        let used = matcher.cpu().expect("the system tells") - before;
+        let used = matcher.cpu_micros().expect("the system tells") - before;
         assert!(
             used < begun.elapsed().as_micros() as u64 / 2,
             "{used} us of CPU in {:?}",
@@ -123,5 +131,5 @@
         "{:?}",
         matcher.log()
     );
-    assert!(matcher.descriptors() <= Some(most + inherited));
+    assert!(matcher.descriptor_count() <= Some(most + inherited));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -88,8 +88,8 @@
         let mut sites = Vec::new();
         for (i, port) in free_ports(instances + surge).into_iter().enumerate() {
             let site = Site::start(Setup {
-                stop: 600_000,
-                grace: 300_000,
+                stop_timeout: 600_000,
+                drain_grace: 300_000,
                 seed: i as u64,
                 ..Setup::default()
             })
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -578,12 +578,12 @@
     );
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher = Matcher::start(program, &site.config, Some(&operator)).expect("it starts");
-    let (status, body) = matcher.ask("/_ready").expect("an answer");
+    let (status, body) = matcher.get("/_ready").expect("an answer");
     assert_eq!(
         (status, String::from_utf8(body).expect("text")),
         (200, "{\"ready\":true}\n".to_owned())
     );
-    let (status, body) = matcher.ask("/_vars").expect("an answer");
+    let (status, body) = matcher.get("/_vars").expect("an answer");
     assert_eq!(status, 200);
     let mut keys = BTreeSet::new();
     list(&serde_json::from_slice(&body).expect("JSON"), "", &mut keys);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,8 +1,8 @@
 //! A gateway as a process before targets that die, drain, slow down and fail; and before a real matcher that speaks AJP.
 
-use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::gateway_trial::{GatewayTrial, Report, TargetEvent};
 use cleatpulley_emulators::matcher::Matcher;
-use cleatpulley_emulators::relay::{Act, Relay, Report};
 use cleatpulley_emulators::site::{Setup as SiteSetup, Site};
 use cleatpulley_emulators::target::Setup;
 use std::path::PathBuf;
@@ -15,40 +15,40 @@
     PathBuf::from(env!("CARGO_BIN_EXE_cleatpulley"))
 }
 
-fn relay(load: f64, seconds: u64) -> Relay {
+fn relay(load: f64, seconds: u64) -> GatewayTrial {
     let setup = Setup {
         workers: 4,
-        work: (10 * MS, 30 * MS),
-        patience: 120 * MS,
-        later: 50 * MS,
+        run_time: (10 * MS, 30 * MS),
+        max_wait: 120 * MS,
+        retry_after: 50 * MS,
         seed: 3,
     };
-    let mut relay = Relay {
+    let mut relay = GatewayTrial {
         targets: 4,
         setup,
-        way: "least_conn;".to_owned(),
-        words: "max_fails=2 fail_timeout=500ms".to_owned(),
-        next: "error timeout http_503 http_500".to_owned(),
+        balancing: "least_conn;".to_owned(),
+        server_options: "max_fails=2 fail_timeout=500ms".to_owned(),
+        next_upstream: "error timeout http_503 http_500".to_owned(),
         retry_share: 0.2,
         rates: Vec::new(),
-        time: seconds * 1_000 * MS,
-        acts: Vec::new(),
-        reroute_at: None,
-        leave_at: None,
+        duration: seconds * 1_000 * MS,
+        events: Vec::new(),
+        reload_at: None,
+        terminate_at: None,
         seed: 12,
     };
     let rate = relay.capacity() * load / 2.0;
-    relay.rates = vec![(Front::Frames, rate), (Front::Ajp, rate)];
+    relay.rates = vec![(Protocol::Frames, rate), (Protocol::Ajp, rate)];
     relay
 }
 
 /// Trials under load come one after the other: beside each other they would crowd a small machine's cores.
 static TURN: Mutex<()> = Mutex::new(());
 
-fn play(relay: &Relay) -> Report {
+fn play(relay: &GatewayTrial) -> Report {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let report = relay.play(&program()).expect("it plays");
-    assert_eq!(report.broken, Vec::<String>::new(), "{report:#?}");
+    let report = relay.run(&program()).expect("it plays");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report:#?}");
     report
 }
 
@@ -57,24 +57,24 @@
 #[test]
 fn targets_that_die_drain_and_slow_down_break_no_rule() {
     let mut relay = relay(0.9, 4);
-    relay.acts = vec![
-        (700 * MS, 0, Act::Kill),
-        (1_400 * MS, 0, Act::Revive),
-        (1_700 * MS, 1, Act::Drain(true)),
-        (2_300 * MS, 1, Act::Drain(false)),
-        (2_500 * MS, 2, Act::Slow(5.0)),
-        (3_200 * MS, 2, Act::Slow(1.0)),
-        (3_300 * MS, 3, Act::Kill),
+    relay.events = vec![
+        (700 * MS, 0, TargetEvent::Kill),
+        (1_400 * MS, 0, TargetEvent::Restart),
+        (1_700 * MS, 1, TargetEvent::SetDraining(true)),
+        (2_300 * MS, 1, TargetEvent::SetDraining(false)),
+        (2_500 * MS, 2, TargetEvent::SetSlowdown(5.0)),
+        (3_200 * MS, 2, TargetEvent::SetSlowdown(1.0)),
+        (3_300 * MS, 3, TargetEvent::Kill),
     ];
     let report = play(&relay);
     let total = report.total();
     // Nobody should trust a trial in which nothing went wrong, or nothing was served.
     assert!(
-        total.in_time * 2 > total.asked && total.asked > 1_000,
+        total.on_time * 2 > total.issued && total.issued > 1_000,
         "{report:#?}"
     );
     assert!(
-        total.refused_bare + total.refused_with_time + total.failed > 0,
+        total.rejected_without_retry_after + total.rejected_with_retry_after + total.failed > 0,
         "{report:#?}"
     );
 }
@@ -83,24 +83,27 @@
 #[test]
 fn a_storm_of_further_tries_is_held_to_its_budget() {
     let mut relay = relay(0.5, 3);
-    relay.acts = vec![(0, 0, Act::Faults(1_000)), (0, 1, Act::Faults(1_000))];
+    relay.events = vec![
+        (0, 0, TargetEvent::SetFailures(1_000)),
+        (0, 1, TargetEvent::SetFailures(1_000)),
+    ];
     let report = play(&relay);
     let total = report.total();
     // The budget's share, and what it saves at the start.
-    let most = 1.2 + 12.0 / total.asked as f64;
+    let most = 1.2 + 12.0 / total.issued as f64;
     assert!(
-        report.tries > 1.02 && report.tries <= most,
+        report.attempts_per_request > 1.02 && report.attempts_per_request <= most,
         "{} tries for each request",
-        report.tries
+        report.attempts_per_request
     );
     assert!(total.failed > 0);
     // Without a budget to speak of there are none but the first ones.
     relay.retry_share = 0.0;
     let report = play(&relay);
     assert!(
-        report.tries <= 1.0 + 12.0 / report.total().asked as f64,
+        report.attempts_per_request <= 1.0 + 12.0 / report.total().issued as f64,
         "{}",
-        report.tries
+        report.attempts_per_request
     );
 }
 
@@ -108,11 +111,11 @@
 #[test]
 fn routes_are_read_again_under_load() {
     let mut relay = relay(0.35, 3);
-    relay.reroute_at = Some((1_200 * MS, 2));
+    relay.reload_at = Some((1_200 * MS, 2));
     let report = play(&relay);
     let total = report.total();
     assert!(
-        total.failed == 0 && total.in_time * 10 > total.asked * 8,
+        total.failed == 0 && total.on_time * 10 > total.issued * 8,
         "{report:#?}"
     );
     assert!(
@@ -126,17 +129,17 @@
 #[test]
 fn a_gateway_that_leaves_answers_what_it_has_read() {
     let mut relay = relay(0.6, 3);
-    relay.leave_at = Some(1_500 * MS);
+    relay.terminate_at = Some(1_500 * MS);
     let report = play(&relay);
-    assert!(report.total().in_time > 500, "{report:#?}");
+    assert!(report.total().on_time > 500, "{report:#?}");
 }
 
 /// Frames and AJP through a gateway that speaks AJP to a real matcher.
 #[test]
 fn a_real_matcher_behind_a_gateway_serves_over_ajp() {
     let site = Site::start(SiteSetup::default()).expect("a site");
-    let matcher =
-        Matcher::start(&program(), &site.config, Some(&site.operator("", ""))).expect("it starts");
+    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator_file("", "")))
+        .expect("it starts");
     let at = matcher.ajp.expect("it speaks AJP");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n    location /lobby-view { set $matcher_class lobby-view; proxy_pass http://m; }\n    location /old { return 301 /seats; }\n}\n";
     let operator = format!(
@@ -144,7 +147,7 @@
          targets: {{ protocol: 'ajp', names: {{ 'm7.portmore.example.org:9000': '{at}' }} }}, \
          classes: {{ 'claim-seat': {{ deadline_ms: 3900, effect: true }}, 'lobby-view': {{ deadline_ms: 6500, effect: false }} }} }} }}"
     );
-    let gateway = Matcher::gateway(&program(), routes, &operator).expect("it starts");
+    let gateway = Matcher::start_gateway(&program(), routes, &operator).expect("it starts");
     let to = gateway.ajp.expect("it speaks AJP").to_string();
     let ask = |path: &str, id: &str| {
         let id = format!("X-Request-Id:{id}");
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,8 +1,8 @@
 //! Kept results on a real process, real files and real sockets.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
-use cleatpulley_emulators::keyed::{Kills, FIELD};
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
+use cleatpulley_emulators::keyed_retries::{KillTrial, KEY_FIELD};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::Site;
 use cleatpulley_emulators::trial::{Load, Trial};
@@ -20,17 +20,17 @@
 #[test]
 fn a_matcher_killed_again_and_again_runs_no_key_twice() {
     let dir = tempfile::tempdir().expect("a folder");
-    let kills = Kills {
+    let kills = KillTrial {
         kills: 120,
         seed: 11,
     };
     let (seen, keys) = kills
-        .play(&program(), &dir.path().join("kept"))
+        .run(&program(), &dir.path().join("kept"))
         .expect("it plays");
-    assert_eq!(seen.broken, Vec::<String>::new(), "{seen:?}");
+    assert_eq!(seen.violations, Vec::<String>::new(), "{seen:?}");
     // Nobody should trust kills that hit nothing.
     assert!(
-        keys > 50 && seen.repeated > 50 && seen.unknown > 10,
+        keys > 50 && seen.served_repeats > 50 && seen.unknown > 10,
         "{keys} keys, {seen:?}"
     );
 }
@@ -64,7 +64,7 @@
             ("cpu", "2.0"),
             ("ram", "10"),
             ("standing", "0.5"),
-            (FIELD, key),
+            (KEY_FIELD, key),
         ];
         let mut payload = vec![fields.len() as u8];
         for (name, value) in fields {
@@ -107,7 +107,7 @@
     format!(
         "{{ ajp: {{ listen: ['127.0.0.1:0'], routes: [{{ path: '/claim-seat', class: 'claim-seat' }}], \
          figures: {{ id: 'X-Request-Id', key: 'Idempotency-Key' }} }}, {} }}",
-        Kills::section(folder)
+        KillTrial::operator_section(folder)
     )
 }
 
@@ -141,7 +141,7 @@
 fn repeats_share_one_run_on_both_fronts_and_after_a_restart() {
     let dir = tempfile::tempdir().expect("a folder");
     let folder = dir.path().join("kept");
-    let mut setup = Kills::site(3);
+    let mut setup = KillTrial::site(3);
     setup.classes[0].work = (150_000, 150_000);
     let site = Site::start(setup).expect("a site");
     let matcher =
@@ -154,7 +154,7 @@
         line.ask(20 + n as u64, "a", "seat 7");
     }
     // The first caller leaves while it runs.
-    while look(&site.runtime, |runtime| runtime.running()) == 0 {
+    while with_lock(&site.runtime, |runtime| runtime.running_count()) == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     drop(first);
@@ -191,9 +191,11 @@
     line.ask(51, "a", "seat 7");
     assert_eq!(line.answer(), expected);
     drop(line);
-    let status = matcher.wait(Duration::from_secs(5)).expect("it ends");
+    let status = matcher
+        .wait_for_exit(Duration::from_secs(5))
+        .expect("it ends");
     assert!(status.success(), "{}", matcher.log().join("\n"));
-    let runs = look(&site.runtime, |runtime| runtime.seen.starts.len());
+    let runs = with_lock(&site.runtime, |runtime| runtime.stats.starts.len());
     assert_eq!(runs, 2, "one for each space of keys");
     results_by_hand(&folder);
 }
@@ -273,29 +275,29 @@
     // A file stands where the folder should.
     std::fs::write(&folder, "in the way").expect("written");
     let load = |front| Load {
-        front,
+        protocol: front,
         rates: vec![(2_000_000, 40.0)],
         connections: 16,
-        body: 64,
-        key_field: Some(FIELD.to_owned()),
+        body_bytes: 64,
+        key_field: Some(KEY_FIELD.to_owned()),
     };
     let trial = Trial {
         site: cleatpulley_emulators::site::Setup::default(),
-        loads: vec![load(Front::Frames), load(Front::Ajp)],
-        ajp: String::new(),
-        outside: Kills::section(&folder),
-        leave_at: None,
+        loads: vec![load(Protocol::Frames), load(Protocol::Ajp)],
+        ajp_options: String::new(),
+        operator_sections: KillTrial::operator_section(&folder),
+        terminate_at: None,
     };
-    let report = trial.play(&program(), |_, _| ()).expect("it plays");
-    assert_eq!(report.broken, Vec::<String>::new());
+    let report = trial.run(&program(), |_, _| ()).expect("it plays");
+    assert_eq!(report.violations, Vec::<String>::new());
     let mut asked = 0;
     for (front, class, tally) in &report.tallies {
         if class == "claim-seat" {
-            assert_eq!(tally.in_time + tally.late, 0, "{front} {tally:?}");
-            asked += tally.asked;
+            assert_eq!(tally.on_time + tally.late, 0, "{front} {tally:?}");
+            asked += tally.issued;
         } else {
             assert!(
-                tally.in_time * 10 > tally.asked * 8,
+                tally.on_time * 10 > tally.issued * 8,
                 "{front} {class} {tally:?}"
             );
         }
@@ -313,20 +315,20 @@
 fn a_repeat_in_an_upgrade_gets_the_first_answer() {
     let dir = tempfile::tempdir().expect("a folder");
     let folder = dir.path().join("kept");
-    let mut setup = Kills::site(4);
+    let mut setup = KillTrial::site(4);
     setup.classes[0].work = (150_000, 150_000);
-    setup.processes = 2;
+    setup.runtime_address_count = 2;
     let site = Site::start(setup).expect("a site");
     let mut old =
         Matcher::start(&program(), &site.config, Some(&operator(&folder))).expect("it starts");
     let mut first = Line::new(&old);
     first.ask(1, "a", "seat 7");
-    while look(&site.runtime, |runtime| runtime.running()) == 0 {
+    while with_lock(&site.runtime, |runtime| runtime.running_count()) == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut config = site.config.clone();
-    config["runtime"] = site.runtimes[1].to_string().into();
-    let mut new = old.begin_successor(&program(), &config).expect("it starts");
+    config["runtime"] = site.runtime_addresses[1].to_string().into();
+    let mut new = old.start_successor(&program(), &config).expect("it starts");
     new.wait_ready(Duration::from_secs(6))
         .expect("it takes clients");
     old.terminate();
@@ -343,17 +345,19 @@
     );
     drop(first);
     assert!(
-        old.wait(Duration::from_secs(5)).expect("it ends").success(),
+        old.wait_for_exit(Duration::from_secs(5))
+            .expect("it ends")
+            .success(),
         "{}",
         old.log().join("\n")
     );
     assert_eq!(
-        look(&site.runtime, |runtime| runtime.seen.starts.len()),
+        with_lock(&site.runtime, |runtime| runtime.stats.starts.len()),
         2,
         "one run for each key"
     );
     assert!(
-        new.wait_for("results: 1 keys, 0 of them may have run")
+        new.wait_for_log("results: 1 keys, 0 of them may have run")
             .is_ok(),
         "{}",
         new.log().join("\n")
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,10 +1,10 @@
 //! Daily service on real processes: the operators' address, and upgrades in place.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_emulators::trial::{Going, Load, Trial};
+use cleatpulley_emulators::trial::{Load, RunningTrial, Trial};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -16,7 +16,7 @@
 }
 
 fn vars(matcher: &Matcher) -> Value {
-    let (status, body) = matcher.ask("/_vars").expect("figures");
+    let (status, body) = matcher.get("/_vars").expect("figures");
     assert_eq!(status, 200);
     serde_json::from_slice(&body).expect("JSON")
 }
@@ -30,36 +30,36 @@
             ..Setup::default()
         },
         loads: vec![Load {
-            front: Front::Frames,
+            protocol: Protocol::Frames,
             rates: vec![(1_500_000, 1.2 * Setup::default().capacity())],
             connections: 4,
-            body: 64,
+            body_bytes: 64,
             key_field: None,
         }],
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: None,
     };
     let mut going = trial.start(&program()).expect("it starts");
-    assert_eq!(going.matcher.ask("/_ready").expect("an answer").0, 200);
+    assert_eq!(going.matcher.get("/_ready").expect("an answer").0, 200);
     let end = going.begin + 1_600_000;
     while going.site.clock.now() < end
         || !going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     {
         std::thread::sleep(Duration::from_millis(5));
     }
     let told = vars(&going.matcher);
     let report = going.judge();
-    assert_eq!(report.broken, Vec::<String>::new());
+    assert_eq!(report.violations, Vec::<String>::new());
     for (_, class, tally) in &report.tallies {
         let operation = &told["operations"][class];
-        let refused = tally.refused_with_time + tally.refused_bare;
+        let refused = tally.rejected_with_retry_after + tally.rejected_without_retry_after;
         assert_eq!(
             operation["fulfilled"],
-            tally.in_time + tally.late,
+            tally.on_time + tally.late,
             "{class}: {told}"
         );
         assert_eq!(operation["throttled"], refused, "{class}: {told}");
@@ -86,15 +86,15 @@
         stream.write_all(b"GET /_vars HT").expect("it is taken");
         crowd.push(stream);
         if n % 40 == 0 {
-            assert_eq!(matcher.ask("/_ready").expect("an answer").0, 200);
+            assert_eq!(matcher.get("/_ready").expect("an answer").0, 200);
         }
     }
-    assert_eq!(matcher.ask("/_vars").expect("an answer").0, 200);
-    assert_eq!(matcher.ask("/nothing").expect("an answer").0, 404);
+    assert_eq!(matcher.get("/_vars").expect("an answer").0, 200);
+    assert_eq!(matcher.get("/nothing").expect("an answer").0, 404);
     assert!(
-        matcher.descriptors().is_none_or(|held| held <= 256),
+        matcher.descriptor_count().is_none_or(|held| held <= 256),
         "{:?}",
-        matcher.descriptors()
+        matcher.descriptor_count()
     );
     // One call a connection, whole or in pieces.
     let mut stream = TcpStream::connect(mgmt).expect("it listens");
@@ -115,34 +115,34 @@
 fn under_load(share: f64, seconds: f64, processes: usize, seed: u64) -> Trial {
     let site = Setup {
         seed,
-        processes,
+        runtime_address_count: processes,
         ..Setup::default()
     };
     let load = |front, share: f64| Load {
-        front,
+        protocol: front,
         rates: vec![((seconds * 1e6) as u64, share * site.capacity())],
-        connections: if front == Front::Frames { 4 } else { 48 },
-        body: 64,
+        connections: if front == Protocol::Frames { 4 } else { 48 },
+        body_bytes: 64,
         key_field: None,
     };
     let loads = vec![
-        load(Front::Frames, 0.7 * share),
-        load(Front::Ajp, 0.3 * share),
+        load(Protocol::Frames, 0.7 * share),
+        load(Protocol::Ajp, 0.3 * share),
     ];
     Trial {
         site,
         loads,
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: None,
     }
 }
 
-fn all_done(going: &Going) -> bool {
+fn all_done(going: &RunningTrial) -> bool {
     going
         .callers
         .iter()
-        .all(|callers| look(callers, |callers| callers.is_done()))
+        .all(|callers| with_lock(callers, |callers| callers.is_done()))
 }
 
 /// No request is lost, refused at the door or run twice, however often the process is replaced.
@@ -167,15 +167,15 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let report = going.judge();
-    assert_eq!(report.broken, Vec::<String>::new(), "{report}");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report}");
     let unreachable: u64 = report
         .tallies
         .iter()
-        .map(|(.., tally)| tally.unreachable)
+        .map(|(.., tally)| tally.not_sent)
         .sum();
     assert_eq!(unreachable, 0, "{report}");
-    let frames = report.total(Front::Frames);
-    assert!(frames.in_time * 100 > frames.asked * 90, "{report}");
+    let frames = report.total(Protocol::Frames);
+    assert!(frames.on_time * 100 > frames.issued * 90, "{report}");
 }
 
 /// The new process dies in each step of an upgrade: the old one serves on, and the next attempt succeeds. Where the old one
@@ -193,11 +193,11 @@
             .begin_upgrade(&program(), number + 1)
             .expect("it starts");
         if !words.is_empty() {
-            new.wait_for(words).expect("it gets there");
+            new.wait_for_log(words).expect("it gets there");
         }
         new.kill();
         let begun = std::time::Instant::now();
-        while !matches!(going.matcher.ask("/_ready"), Ok((200, _))) {
+        while !matches!(going.matcher.get("/_ready"), Ok((200, _))) {
             assert!(
                 begun.elapsed() < Duration::from_secs(2),
                 "the old one serves again: {words}"
@@ -213,12 +213,16 @@
     }
     let report = going.judge();
     let broken: Vec<_> = report
-        .broken
+        .violations
         .iter()
         .filter(|what| !what.contains("without an answer"))
         .collect();
     assert!(broken.is_empty(), "{report}");
-    let lost: u64 = report.tallies.iter().map(|(.., tally)| tally.lost).sum();
+    let lost: u64 = report
+        .tallies
+        .iter()
+        .map(|(.., tally)| tally.unanswered)
+        .sum();
     assert!(
         lost < 40,
         "only what the one that took over had read is lost: {report}"
@@ -241,13 +245,16 @@
     first.terminate();
     second.terminate();
     for old in [&mut first, &mut second] {
-        assert!(old.wait(Duration::from_secs(4)).expect("it ends").success());
+        assert!(old
+            .wait_for_exit(Duration::from_secs(4))
+            .expect("it ends")
+            .success());
     }
     while !all_done(&going) {
         std::thread::sleep(Duration::from_millis(5));
     }
     let report = going.judge();
-    assert_eq!(report.broken, Vec::<String>::new(), "{report}");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report}");
 }
 
 /// The middle one of three processes is killed while the first still answers: the first goes behind the third, takes no clients
@@ -267,10 +274,10 @@
     second.kill();
     // Where the first had answered all by then, there is nobody to go behind.
     if first.is_alive() {
-        let _ = going.matcher.wait_for("comes before this one");
+        let _ = going.matcher.wait_for_log("comes before this one");
     }
     assert!(first
-        .wait(Duration::from_secs(4))
+        .wait_for_exit(Duration::from_secs(4))
         .expect("it ends")
         .success());
     while !all_done(&going) {
@@ -278,7 +285,7 @@
     }
     let report = going.judge();
     let broken: Vec<_> = report
-        .broken
+        .violations
         .iter()
         .filter(|what| !what.contains("without an answer"))
         .collect();
@@ -287,17 +294,17 @@
         report.tallies.iter().map(|(.., tally)| of(tally)).sum()
     };
     assert!(
-        total(|tally| tally.lost) < 40,
+        total(|tally| tally.unanswered) < 40,
         "only what the dead one had read: {report}"
     );
-    assert_eq!(total(|tally| tally.unreachable), 0, "{report}");
+    assert_eq!(total(|tally| tally.not_sent), 0, "{report}");
 }
 
 /// Guards against an address that is shared by mistake: a process that can't take another's place does not listen beside it.
 #[test]
 fn a_stranger_on_the_address_is_a_fault() {
     let site = Site::start(Setup {
-        processes: 2,
+        runtime_address_count: 2,
         ..Setup::default()
     })
     .expect("a site");
@@ -305,16 +312,18 @@
     let mut config = site.config.clone();
     config["name"] = "n2".into();
     let mut stranger = matcher
-        .begin_successor(&program(), &config)
+        .start_successor(&program(), &config)
         .expect("it starts");
     assert!(!stranger
-        .wait(Duration::from_secs(10))
+        .wait_for_exit(Duration::from_secs(10))
         .expect("it ends")
         .success());
     assert!(
-        stranger.wait_for("another process listens there").is_ok(),
+        stranger
+            .wait_for_log("another process listens there")
+            .is_ok(),
         "{}",
         stranger.log().join("\n")
     );
-    assert_eq!(matcher.ask("/_ready").expect("an answer").0, 200);
+    assert_eq!(matcher.get("/_ready").expect("an answer").0, 200);
 }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -1,7 +1,7 @@
 //! TLS on a real process: requests over it, names that may ask for a class, a certificate renewed in place, and a flood
 //! of handshakes that are begun and left while a named caller comes in.
 
-use cleatpulley_emulators::callers::{request_frame, said, Said};
+use cleatpulley_emulators::callers::{decode_response, request_frame, ResponseOutcome};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority::{self, Made};
@@ -127,14 +127,14 @@
     request_frame(id as u32, &fields, b"lobby")
 }
 
-fn ask(tls: &mut Tls, class: &str, id: u64) -> Option<Said> {
+fn ask(tls: &mut Tls, class: &str, id: u64) -> Option<ResponseOutcome> {
     tls.write_all(&request(class, id)).ok()?;
     let mut head = [0; 9];
     tls.read_exact(&mut head).ok()?;
     let length = u32::from_be_bytes(head[..4].try_into().ok()?) as usize;
     let mut payload = vec![0; length - 5];
     tls.read_exact(&mut payload).ok()?;
-    said(&payload)
+    decode_response(&payload)
 }
 
 /// The figures, asked for over TLS at the operators' address.
@@ -156,7 +156,7 @@
 
 fn start(files: &Files, more: &str) -> (Site, Matcher) {
     let site = Site::start(Setup {
-        instant: true,
+        instant_runs: true,
         ..Setup::default()
     })
     .expect("a site");
@@ -174,21 +174,24 @@
     let mut anyone = connect(&files, matcher.frames, None).expect("a handshake");
     assert!(matches!(
         ask(&mut anyone, "lobby-view", 1),
-        Some(Said::Served(_))
+        Some(ResponseOutcome::Served(_))
     ));
     assert!(
-        matches!(ask(&mut anyone, "set-prefs", 2), Some(Said::Failed)),
+        matches!(
+            ask(&mut anyone, "set-prefs", 2),
+            Some(ResponseOutcome::Failed)
+        ),
         "nobody's certificate: forbidden"
     );
     let mut fe2 = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
     assert!(
-        matches!(ask(&mut fe2, "set-prefs", 3), Some(Said::Failed)),
+        matches!(ask(&mut fe2, "set-prefs", 3), Some(ResponseOutcome::Failed)),
         "another name: forbidden"
     );
     let mut fe1 = connect(&files, matcher.frames, Some("fe-1")).expect("a handshake");
     assert!(matches!(
         ask(&mut fe1, "set-prefs", 4),
-        Some(Said::Served(_))
+        Some(ResponseOutcome::Served(_))
     ));
     // A plain client on a TLS port gets nothing it could take for an answer.
     let mut plain = TcpStream::connect(matcher.frames).expect("it listens");
@@ -231,13 +234,16 @@
         std::thread::sleep(Duration::from_millis(100));
     };
     assert!(
-        matches!(ask(&mut before, "lobby-view", 1), Some(Said::Served(_))),
+        matches!(
+            ask(&mut before, "lobby-view", 1),
+            Some(ResponseOutcome::Served(_))
+        ),
         "an open connection goes on"
     );
     // The key of another name: the pair does not fit, and what is in use stays.
     std::fs::copy(files.path("fe-1.key"), files.path("n1.key")).expect("copied");
     matcher
-        .wait_for("the certificate in use stays")
+        .wait_for_log("the certificate in use stays")
         .expect("told");
     let tls = connect(&files, matcher.frames, None).expect("a handshake");
     assert_eq!(serial(&tls), renewed);
@@ -307,7 +313,7 @@
         );
         assert!(matches!(
             ask(&mut tls, "lobby-view", 1),
-            Some(Said::Served(_))
+            Some(ResponseOutcome::Served(_))
         ));
         served += 1;
     }
@@ -330,7 +336,7 @@
     let mut first = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
     assert!(matches!(
         ask(&mut first, "lobby-view", 1),
-        Some(Said::Served(_))
+        Some(ResponseOutcome::Served(_))
     ));
     let mut second = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
     // Told to send nothing more on it (type 9); what it asked is answered, once, and it is closed soon after that.
@@ -356,14 +362,17 @@
     for (n, tls) in named.iter_mut().enumerate() {
         assert!(matches!(
             ask(tls, "lobby-view", 3 + n as u64),
-            Some(Said::Served(_))
+            Some(ResponseOutcome::Served(_))
         ));
     }
     drop(first);
     std::thread::sleep(Duration::from_millis(100));
     let mut again = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
     assert!(
-        matches!(ask(&mut again, "lobby-view", 9), Some(Said::Served(_))),
+        matches!(
+            ask(&mut again, "lobby-view", 9),
+            Some(ResponseOutcome::Served(_))
+        ),
         "its place is free again"
     );
 }
@@ -373,7 +382,7 @@
 fn a_gateway_reaches_a_matcher_over_tls_with_its_own_certificate() {
     let files = Files::new();
     let site = Site::start(Setup {
-        instant: true,
+        instant_runs: true,
         ..Setup::default()
     })
     .expect("a site");
@@ -384,8 +393,12 @@
         at("n1.key"),
         at("ca.pem")
     );
-    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator("", &tls)))
-        .expect("it starts");
+    let matcher = Matcher::start(
+        &program(),
+        &site.config,
+        Some(&site.operator_file("", &tls)),
+    )
+    .expect("it starts");
     let to = matcher.ajp.expect("it speaks AJP");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n}\n";
     let gateway = |own: &str| {
@@ -398,7 +411,7 @@
             at(&format!("{own}.pem")),
             at(&format!("{own}.key")),
         );
-        Matcher::gateway(&program(), routes, &operator).expect("it starts")
+        Matcher::start_gateway(&program(), routes, &operator).expect("it starts")
     };
     let ask = |gateway: &Matcher, id: &str| {
         let to = gateway.ajp.expect("it speaks AJP").to_string();
