--- a/crates/emulators/src/datagram_proxy.rs
+++ b/crates/emulators/src/datagram_proxy.rs
@@ -1,5 +1,6 @@
-//! Ways between processes that talk by datagrams: each is reached through a socket of ours, and who sent is known by where it
-//! came from. Ways can be cut in one direction, slow, lossy and doubled, all by a seed.
+//! UDP proxies between processes: each process is reached through a proxy socket, and the sender is
+//! identified by its source address. Traffic can be blocked in one direction, delayed, lost and
+//! duplicated, all from a seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,197 +12,201 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Nothing waits longer for an end.
-const BEAT: Duration = Duration::from_millis(20);
+/// Longest wait before a proxy thread checks whether it must stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How datagrams fare.
+/// Loss, duplication and delay of datagrams.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkConditions {
-    /// Lost, of a thousand.
+    /// Datagrams lost, of each thousand.
     pub lost_per_mille: u32,
-    /// Sent twice, of a thousand.
+    /// Datagrams delivered twice, of each thousand.
     pub duplicated_per_mille: u32,
-    /// The longest way.
+    /// Maximum delay of a datagram; delays are uniformly distributed.
     pub max_delay: Duration,
 }
 
 #[derive(Default)]
-struct Rules {
-    /// Where processes listen, and where they are.
-    real: BTreeMap<String, SocketAddr>,
-    cut: BTreeSet<(String, String)>,
-    weather: NetworkConditions,
-    passed: u64,
-    stopped: u64,
+struct ProxyState {
+    /// The address on which each process listens, by its name.
+    addresses: BTreeMap<String, SocketAddr>,
+    blocked: BTreeSet<(String, String)>,
+    conditions: NetworkConditions,
+    forwarded: u64,
+    dropped: u64,
 }
 
-impl Rules {
-    fn name_of(&self, from: SocketAddr) -> Option<&String> {
-        self.real
+impl ProxyState {
+    fn name_of(&self, source: SocketAddr) -> Option<&String> {
+        self.addresses
             .iter()
-            .find(|(_, at)| **at == from)
+            .find(|(_, address)| **address == source)
             .map(|(name, _)| name)
     }
 }
 
-/// All ways.
+/// A proxy for each process. The proxy threads stop when this is dropped.
 pub struct DatagramProxies {
-    rules: Arc<Mutex<Rules>>,
-    over: Arc<AtomicBool>,
+    state: Arc<Mutex<ProxyState>>,
+    stopping: Arc<AtomicBool>,
     seed: u64,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DatagramProxies {
-    /// None yet.
+    /// Creates an empty set of proxies.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            rules: Arc::default(),
-            over: Arc::default(),
+            state: Arc::default(),
+            stopping: Arc::default(),
             seed,
             threads: Vec::new(),
         }
     }
 
-    fn rules(&self) -> MutexGuard<'_, Rules> {
-        self.rules.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, ProxyState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a process is to say that it is reached.
+    /// Starts a proxy for a process; returns the address that the process is to advertise.
     ///
     /// # Errors
-    /// Where no socket can be had.
+    /// Fails when no socket can be bound.
     pub fn start_proxy(&mut self, name: &str) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        let at = socket.local_addr()?;
-        let (rules, over) = (Arc::clone(&self.rules), Arc::clone(&self.over));
+        let address = socket.local_addr()?;
+        let (state, stopping) = (Arc::clone(&self.state), Arc::clone(&self.stopping));
         self.seed = self.seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let (name, random) = (name.to_owned(), SmallRng::seed_from_u64(self.seed));
         self.threads.push(std::thread::spawn(move || {
-            pass(&name, &socket, &rules, &over, random);
+            forward(&name, &socket, &state, &stopping, random);
         }));
-        Ok(at)
+        Ok(address)
     }
 
-    /// A process listens there.
+    /// Sets the address on which a process listens.
     pub fn set_address(&self, name: &str, address: SocketAddr) {
-        self.rules().real.insert(name.to_owned(), address);
+        self.state().addresses.insert(name.to_owned(), address);
     }
 
-    /// Nothing that the first sends comes to the second.
+    /// Drops all datagrams of one process to another.
     pub fn block(&self, from: &str, to: &str) {
-        self.rules().cut.insert((from.to_owned(), to.to_owned()));
+        self.state()
+            .blocked
+            .insert((from.to_owned(), to.to_owned()));
     }
 
-    /// One hears nobody, and nobody hears it.
+    /// Blocks all traffic to and from a process.
     pub fn isolate(&self, name: &str) {
-        let mut rules = self.rules();
-        let others: Vec<String> = rules
-            .real
+        let mut state = self.state();
+        let others: Vec<String> = state
+            .addresses
             .keys()
             .filter(|other| *other != name)
             .cloned()
             .collect();
         for other in others {
-            rules.cut.insert((name.to_owned(), other.clone()));
-            rules.cut.insert((other, name.to_owned()));
+            state.blocked.insert((name.to_owned(), other.clone()));
+            state.blocked.insert((other, name.to_owned()));
         }
     }
 
-    /// What others send to this one arrives again; what it sends stays cut.
+    /// Delivers datagrams to this process again; those that it sends stay blocked.
     pub fn unblock_incoming(&self, name: &str) {
-        self.rules().cut.retain(|(_, to)| to != name);
+        self.state().blocked.retain(|(_, to)| to != name);
     }
 
-    /// Nothing is cut any more.
+    /// Delivers all traffic again.
     pub fn unblock_all(&self) {
-        self.rules().cut.clear();
+        self.state().blocked.clear();
     }
 
-    /// How datagrams fare from now on.
-    pub fn set_conditions(&self, weather: NetworkConditions) {
-        self.rules().weather = weather;
+    /// Sets loss, duplication and delay from now on.
+    pub fn set_conditions(&self, conditions: NetworkConditions) {
+        self.state().conditions = conditions;
     }
 
-    /// Datagrams that passed and that were stopped.
+    /// Returns the numbers of datagrams forwarded and dropped.
     #[must_use]
     pub fn counts(&self) -> (u64, u64) {
-        let rules = self.rules();
-        (rules.passed, rules.stopped)
+        let state = self.state();
+        (state.forwarded, state.dropped)
     }
 }
 
 impl Drop for DatagramProxies {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-fn pass(
+fn forward(
     name: &str,
     socket: &UdpSocket,
-    rules: &Mutex<Rules>,
-    over: &AtomicBool,
+    state: &Mutex<ProxyState>,
+    stopping: &AtomicBool,
     mut random: SmallRng,
 ) {
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
+    let mut delayed: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 2_048];
-    while !over.load(Ordering::Relaxed) {
+    while !stopping.load(Ordering::Relaxed) {
         let now = Instant::now();
-        let next = waiting
+        let next = delayed
             .iter()
             .map(|(at, _)| at.saturating_duration_since(now))
             .min();
-        let wait = next.unwrap_or(BEAT).clamp(Duration::from_micros(200), BEAT);
+        let wait = next
+            .unwrap_or(STOP_CHECK_INTERVAL)
+            .clamp(Duration::from_micros(200), STOP_CHECK_INTERVAL);
         if socket.set_read_timeout(Some(wait)).is_err() {
             return;
         }
         match socket.recv_from(&mut buffer) {
             Ok((length, from)) => {
-                let mut rules = rules.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
                 let NetworkConditions {
-                    lost_per_mille: lost,
-                    duplicated_per_mille: doubled,
-                    max_delay: slow,
-                } = rules.weather;
-                let way = rules
+                    lost_per_mille,
+                    duplicated_per_mille,
+                    max_delay,
+                } = state.conditions;
+                let route = state
                     .name_of(from)
                     .map(|from| (from.clone(), name.to_owned()));
-                let is_cut = way.is_none_or(|way| rules.cut.contains(&way));
-                if is_cut || random.random_range(0..1_000) < lost {
-                    rules.stopped += 1;
+                let is_blocked = route.is_none_or(|route| state.blocked.contains(&route));
+                if is_blocked || random.random_range(0..1_000) < lost_per_mille {
+                    state.dropped += 1;
                     continue;
                 }
-                rules.passed += 1;
-                let copies = if random.random_range(0..1_000) < doubled {
+                state.forwarded += 1;
+                let copies = if random.random_range(0..1_000) < duplicated_per_mille {
                     2
                 } else {
                     1
                 };
                 for _ in 0..copies {
-                    let takes = slow.mul_f64(random.random());
-                    waiting.push((Instant::now() + takes, buffer[..length].to_vec()));
+                    let delay = max_delay.mul_f64(random.random());
+                    delayed.push((Instant::now() + delay, buffer[..length].to_vec()));
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // What was passed on to one that is gone comes back so.
+            // An ICMP error for a datagram that was forwarded to a process that has ended.
             Err(_) => {}
         }
         let now = Instant::now();
-        let real = rules
+        let address = state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .real
+            .addresses
             .get(name)
             .copied();
-        let due: Vec<_> = waiting.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<_> = delayed.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, datagram) in due {
-            if let Some(real) = real {
-                let _ = socket.send_to(&datagram, real);
+            if let Some(address) = address {
+                let _ = socket.send_to(&datagram, address);
             }
         }
     }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,8 +1,10 @@
-//! Stand-ins for what a matcher talks to: the runtime, the store, the directory, and callers by frames and by AJP.
+//! Emulators of the peers of a matcher: the runtime, the store, the service registry, and callers
+//! that speak frames or AJP.
 //!
-//! Each is a state machine behind [`Service`]: bytes, connections and time in, [`Effect`]s out. [`host`] puts them
-//! on loopback sockets; a virtual clock may drive them as well. They speak the published protocols from the other
-//! side, are seeded, and can lose, delay and reset.
+//! Each is a state machine behind [`Service`]: bytes, connection events and time in, [`Effect`]s
+//! out. [`host`] runs them on loopback sockets; a simulator with a virtual clock can run them as
+//! well. They implement the peer's side of the published protocols, are seeded, and can lose, delay
+//! and reset.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -25,44 +27,56 @@
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
-/// A connection of a service, by a number that is never used again: even where it was accepted, odd where the
-/// service dialled it.
+/// Identifies a connection of a service. Ids are never reused; accepted connections have even ids,
+/// connections that the service opened have odd ones.
 pub type ConnectionId = u64;
 
-/// What a service wants done.
+/// An I/O operation that a service requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send these bytes.
+    /// Sends these bytes.
     Send(ConnectionId, Vec<u8>),
-    /// Close, after all has been sent.
+    /// Closes the connection after all pending bytes have been sent.
     Close(ConnectionId),
-    /// Reset at once, with what was not sent.
+    /// Resets the connection at once and discards unsent bytes.
     Reset(ConnectionId),
-    /// Open a connection; the service chose an odd number for it.
+    /// Opens a connection to this address, under an odd id that the service chose.
     Connect(ConnectionId, SocketAddr),
-    /// The same, from this address of the host's.
+    /// Opens a connection to this address from the given local address.
     ConnectFrom(ConnectionId, SocketAddr, std::net::IpAddr),
 }
 
-/// A party as a state machine.
+/// A network peer as a state machine.
 pub trait Service: Send {
-    /// A connection stands.
-    fn on_open(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Vec<Effect>) {}
+    /// Handles a connection that is established.
+    fn on_open(&mut self, _now: Micros, _connection: ConnectionId, _out: &mut Vec<Effect>) {}
 
-    /// A connection stands that came to this of the service's doors, counted from 0.
-    fn on_accept(&mut self, now: Micros, link: ConnectionId, _door: usize, out: &mut Vec<Effect>) {
-        self.on_open(now, link, out);
+    /// Handles a connection that was accepted on the service's listener of this index.
+    fn on_accept(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _listener: usize,
+        out: &mut Vec<Effect>,
+    ) {
+        self.on_open(now, connection, out);
     }
 
-    /// Bytes came.
-    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>);
+    /// Handles received bytes.
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    );
 
-    /// A connection is over, or could not be made.
-    fn on_close(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>);
+    /// Handles a connection that ended or could not be established.
+    fn on_close(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Effect>);
 
-    /// Time has passed.
+    /// Runs whatever is due at `now`.
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>);
 
-    /// When [`advance`](Self::advance) has something to do next.
+    /// Returns the time at which [`advance`](Self::advance) is next due.
     fn next_deadline(&self) -> Option<Micros>;
 }
