--- a/crates/simulator/src/queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -6,57 +6,57 @@
 use std::collections::BinaryHeap;
 
 /// Microseconds of a stretch, as a power of two.
-const WIDTH: u32 = 6;
+const BUCKET_BITS: u32 = 6;
 /// Stretches of the ring: a quarter of a second.
-const RING: u64 = 4_096;
+const RING_BUCKETS: u64 = 4_096;
 
-struct Far<T> {
+struct FarEvent<T> {
     key: (u64, u64),
     event: T,
 }
 
-impl<T> PartialEq for Far<T> {
+impl<T> PartialEq for FarEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key
     }
 }
 
-impl<T> Eq for Far<T> {}
+impl<T> Eq for FarEvent<T> {}
 
-impl<T> PartialOrd for Far<T> {
+impl<T> PartialOrd for FarEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Far<T> {
+impl<T> Ord for FarEvent<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key.cmp(&other.key)
     }
 }
 
 /// Events in the order of their times, and of their coming where those agree.
-pub struct Queue<T> {
+pub struct EventQueue<T> {
     /// Events by stretch, in no order.
     ring: Vec<Vec<(u64, u64, T)>>,
     /// Stretches that hold something, as bits.
-    filled: Vec<u64>,
+    occupied: Vec<u64>,
     /// The stretch whose turn it is, its events sorted with the next at the end.
     current: Vec<(u64, u64, T)>,
     /// Its number, from the beginning of time.
-    stretch: u64,
-    far: BinaryHeap<Reverse<Far<T>>>,
+    bucket: u64,
+    far: BinaryHeap<Reverse<FarEvent<T>>>,
     number: u64,
     len: usize,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
         Self {
-            ring: (0..RING).map(|_| Vec::new()).collect(),
-            filled: vec![0; (RING / 64) as usize],
+            ring: (0..RING_BUCKETS).map(|_| Vec::new()).collect(),
+            occupied: vec![0; (RING_BUCKETS / 64) as usize],
             current: Vec::new(),
-            stretch: 0,
+            bucket: 0,
             far: BinaryHeap::new(),
             number: 0,
             len: 0,
@@ -64,50 +64,50 @@
     }
 }
 
-impl<T> Queue<T> {
+impl<T> EventQueue<T> {
     /// Adds an event; one that lies before the stretch whose turn it is counts as of its begin.
     pub fn push(&mut self, at: u64, event: T) {
         self.number += 1;
         self.len += 1;
-        let at = at.max(self.stretch << WIDTH);
-        let stretch = at >> WIDTH;
-        if stretch == self.stretch {
+        let at = at.max(self.bucket << BUCKET_BITS);
+        let bucket = at >> BUCKET_BITS;
+        if bucket == self.bucket {
             let key = (at, self.number);
-            let place = self
+            let index = self
                 .current
                 .partition_point(|(at, number, _)| (*at, *number) > key);
-            self.current.insert(place, (at, self.number, event));
-        } else if stretch < self.stretch + RING {
-            self.enter(at, self.number, event);
+            self.current.insert(index, (at, self.number, event));
+        } else if bucket < self.bucket + RING_BUCKETS {
+            self.insert_near(at, self.number, event);
         } else {
-            self.far.push(Reverse(Far {
+            self.far.push(Reverse(FarEvent {
                 key: (at, self.number),
                 event,
             }));
         }
     }
 
-    fn enter(&mut self, at: u64, number: u64, event: T) {
-        let place = ((at >> WIDTH) % RING) as usize;
-        self.ring[place].push((at, number, event));
-        self.filled[place / 64] |= 1 << (place % 64);
+    fn insert_near(&mut self, at: u64, number: u64, event: T) {
+        let index = ((at >> BUCKET_BITS) % RING_BUCKETS) as usize;
+        self.ring[index].push((at, number, event));
+        self.occupied[index / 64] |= 1 << (index % 64);
     }
 
     /// The first stretch after this one that holds something in the ring.
-    fn next_filled(&self) -> Option<u64> {
-        let words = self.filled.len();
-        let from = ((self.stretch + 1) % RING) as usize;
+    fn next_occupied(&self) -> Option<u64> {
+        let words = self.occupied.len();
+        let from = ((self.bucket + 1) % RING_BUCKETS) as usize;
         for step in 0..=words {
             let word = (from / 64 + step) % words;
-            let mut bits = self.filled[word];
+            let mut bits = self.occupied[word];
             if step == 0 {
                 bits &= !0 << (from % 64);
             } else if step == words {
                 bits &= !(!0 << (from % 64));
             }
             if bits != 0 {
-                let place = (word * 64) as u64 + u64::from(bits.trailing_zeros());
-                return Some(self.stretch + 1 + (place + RING - from as u64) % RING);
+                let index = (word * 64) as u64 + u64::from(bits.trailing_zeros());
+                return Some(self.bucket + 1 + (index + RING_BUCKETS - from as u64) % RING_BUCKETS);
             }
         }
         None
@@ -116,25 +116,25 @@
     /// Takes the next event and its time.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         if self.current.is_empty() {
-            let far = self.far.peek().map(|Reverse(far)| far.key.0 >> WIDTH);
-            self.stretch = [self.next_filled(), far].into_iter().flatten().min()?;
+            let far = self.far.peek().map(|Reverse(far)| far.key.0 >> BUCKET_BITS);
+            self.bucket = [self.next_occupied(), far].into_iter().flatten().min()?;
             // What was far is near now, some of it.
             while self
                 .far
                 .peek()
-                .is_some_and(|Reverse(far)| far.key.0 >> WIDTH < self.stretch + RING)
+                .is_some_and(|Reverse(far)| far.key.0 >> BUCKET_BITS < self.bucket + RING_BUCKETS)
             {
-                if let Some(Reverse(Far {
+                if let Some(Reverse(FarEvent {
                     key: (at, number),
                     event,
                 })) = self.far.pop()
                 {
-                    self.enter(at, number, event);
+                    self.insert_near(at, number, event);
                 }
             }
-            let place = (self.stretch % RING) as usize;
-            std::mem::swap(&mut self.current, &mut self.ring[place]);
-            self.filled[place / 64] &= !(1 << (place % 64));
+            let index = (self.bucket % RING_BUCKETS) as usize;
+            std::mem::swap(&mut self.current, &mut self.ring[index]);
+            self.occupied[index / 64] &= !(1 << (index % 64));
             self.current
                 .sort_unstable_by_key(|(at, number, _)| Reverse((*at, *number)));
         }
@@ -167,7 +167,7 @@
         for (seed, span) in [(3, 50), (4, 2_000), (5, 400_000), (6, 9_000_000)] {
             let mut random = SmallRng::seed_from_u64(seed);
             let (mut queue, mut model, mut now) =
-                (Queue::default(), std::collections::BTreeSet::new(), 0);
+                (EventQueue::default(), std::collections::BTreeSet::new(), 0);
             for number in 0..20_000_u64 {
                 if random.random_range(0..5) < 3 {
                     let at = now + random.random_range(0..4) * random.random_range(0..span);
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,62 +1,66 @@
 //! What a plan's faults do, and how they end.
 
-use crate::front::FrontEnd;
+use crate::front_end::FrontEnd;
 use crate::host::Event;
-use crate::machine::at;
+use crate::machine::virtual_address;
 use crate::plan::Fault;
-use crate::sim::{Sim, DIRECTORY, MS, RUDE, RUNTIMES};
+use crate::simulation::{Simulation, DIRECTORY, FIRST_RUNTIME, MISBEHAVING_CLIENTS, MS};
 use cleatpulley_log_store::simulated_folder::Fault as DiskFault;
 use cleatpulley_policy::interface::Micros;
 use rand::Rng;
 
-impl Sim {
-    pub(crate) fn strike(&mut self, i: usize) {
+impl Simulation {
+    pub(crate) fn start_fault(&mut self, i: usize) {
         let now = self.now();
         let planned = self.plan.faults[i];
         let m = planned.matcher.min(self.machines.len() - 1);
-        self.note(|| format!("fault: {planned}"));
-        self.meet(planned.fault.name());
-        let ends = now + planned.lasts;
-        if self.machines[m].left_at.is_some() {
-            self.meet("fault within a drain");
+        self.record_trace(|| format!("fault: {planned}"));
+        self.record_coverage(planned.fault.name());
+        let ends = now + planned.duration;
+        if self.machines[m].drain_started_at.is_some() {
+            self.record_coverage("fault within a drain");
         }
         self.note_flood(m, planned.fault, ends);
         match planned.fault {
             Fault::Crash { down, runtime } => self.crash(m, down, runtime),
             Fault::Slow(factor) => self.machines[m].runtime.slowing = factor,
-            Fault::Pause => self.machines[m].paused = self.machines[m].paused.or(Some(now)),
+            Fault::Pause => {
+                self.machines[m].paused_since = self.machines[m].paused_since.or(Some(now));
+            }
             Fault::BreakLink => {
-                if now < self.machines[m].reloaded_at + 1_500 * MS {
-                    self.meet("link break while a reload is on");
+                if now < self.machines[m].reload_started_at + 1_500 * MS {
+                    self.record_coverage("link break while a reload is on");
                 }
                 self.break_link(m, ends);
             }
             Fault::BreakAtDue => {
-                let due = |front: &FrontEnd| {
-                    front
-                        .dues
+                let due = |front_end: &FrontEnd| {
+                    front_end
+                        .due_times
                         .iter()
-                        .map(|(due, id)| (*due, front.open[id].matcher))
+                        .map(|(due, id)| (*due, front_end.open[id].matcher))
                         .find(|(due, on)| *on == m && *due > now)
                 };
-                if let Some((due, _)) = self.fronts.iter().filter_map(due).min() {
-                    self.net.borrow_mut().queue.push(due, Event::Undo(i));
+                if let Some((due, _)) = self.front_ends.iter().filter_map(due).min() {
+                    self.net.borrow_mut().queue.push(due, Event::FaultEnd(i));
                 }
                 return;
             }
             Fault::Store(per_mille) => self.store.trouble(per_mille),
             Fault::Resets(number) => self.reset(number),
             Fault::Directory => {
-                self.net.borrow_mut().unlisten(at(1, 7_946));
+                self.net
+                    .borrow_mut()
+                    .stop_listening(virtual_address(1, 7_946));
             }
             Fault::DiskStall => {
-                self.machines[m].note_disk_trouble(ends);
-                for process in &self.machines[m].procs {
-                    process.desk.borrow_mut().stalled_until = ends;
+                self.machines[m].extend_disk_trouble(ends);
+                for process in &self.machines[m].processes {
+                    process.persistence.borrow_mut().stalled_until = ends;
                 }
             }
             Fault::DiskFail | Fault::DiskFull => {
-                self.machines[m].note_disk_trouble(ends);
+                self.machines[m].extend_disk_trouble(ends);
                 let after = self.random.random_range(0..20);
                 let fault = if planned.fault == Fault::DiskFail {
                     DiskFault::FailOnce(after)
@@ -67,7 +71,7 @@
             }
             Fault::Drain => self.drain(m),
             Fault::Renew => {
-                self.machines[m].renewed = true;
+                self.machines[m].has_new_settings = true;
                 self.drain(m);
             }
             Fault::Repeats(per_mille) => self.machines[m].runtime.repeats = per_mille,
@@ -75,105 +79,114 @@
             Fault::Spoilt(per_mille) => self.store.spoil(per_mille),
             Fault::Reload => self.reload(m),
             Fault::Burst(factor) => {
-                self.fronts
+                self.front_ends
                     .iter_mut()
-                    .zip(&self.rates)
-                    .for_each(|(front, rate)| front.rate = rate * factor);
+                    .zip(&self.base_rates)
+                    .for_each(|(front_end, rate)| front_end.rate = rate * factor);
             }
             Fault::Stalled(number) => {
-                let to = self.machines[m].ajp;
-                (0..number).for_each(|_| self.rude.stall(m, to));
-                self.with_service(RUDE, |place, service| place.schedule(service));
+                let to = self.machines[m].ajp_address;
+                (0..number).for_each(|_| self.misbehaving_clients.stall_request(m, to));
+                self.with_service(MISBEHAVING_CLIENTS, |endpoint, service| {
+                    endpoint.schedule(service);
+                });
             }
             Fault::Descriptors(left) => {
                 if let Some(process) = self.machines[m].newest().map(|newest| newest.process) {
                     let mut net = self.net.borrow_mut();
-                    let held = net.held(process);
-                    net.limit(process, held + left);
+                    let held = net.held_descriptors(process);
+                    net.set_descriptor_limit(process, held + left);
                 }
             }
             Fault::Upgrade(killed) => self.upgrade(m, killed),
-            Fault::Torn => self.machines[m].hall.borrow_mut().tears = true,
+            Fault::Torn => self.machines[m].handover.borrow_mut().corrupt_next_snapshot = true,
             Fault::OperatorCrowd(number) => {
-                if let Some(to) = self.machines[m].newest().map(|newest| newest.mgmt) {
-                    self.rude.crowd(m, to, number);
-                    self.with_service(RUDE, |place, service| place.schedule(service));
+                if let Some(to) = self.machines[m].newest().map(|newest| newest.management) {
+                    self.misbehaving_clients.open_silent(m, to, number);
+                    self.with_service(MISBEHAVING_CLIENTS, |endpoint, service| {
+                        endpoint.schedule(service);
+                    });
                 }
             }
             Fault::Crowd(number) => {
-                let to = self.machines[m].frames;
-                self.rude.crowd(m, to, number);
-                self.with_service(RUDE, |place, service| place.schedule(service));
+                let to = self.machines[m].frame_address;
+                self.misbehaving_clients.open_silent(m, to, number);
+                self.with_service(MISBEHAVING_CLIENTS, |endpoint, service| {
+                    endpoint.schedule(service);
+                });
             }
             Fault::Flood { sources, number } => {
-                let to = self.machines[m].frames;
-                self.rude.flood(m, to, number, sources, (now, ends));
-                self.with_service(RUDE, |place, service| place.schedule(service));
+                let to = self.machines[m].frame_address;
+                self.misbehaving_clients
+                    .start_flood(m, to, number, sources, (now, ends));
+                self.with_service(MISBEHAVING_CLIENTS, |endpoint, service| {
+                    endpoint.schedule(service);
+                });
             }
         }
-        self.net.borrow_mut().queue.push(ends, Event::Undo(i));
+        self.net.borrow_mut().queue.push(ends, Event::FaultEnd(i));
     }
 
     /// Takes note of floods that meet other troubles.
     fn note_flood(&mut self, m: usize, fault: Fault, ends: Micros) {
         let now = self.now();
         let machine = &mut self.machines[m];
-        let (flooded, short) = &mut machine.crowded;
+        let (flooded, short) = &mut machine.trouble_until;
         match fault {
             Fault::Flood { .. } => *flooded = ends.max(*flooded),
             Fault::Descriptors(_) => *short = ends.max(*short),
             _ => {}
         }
         if now < *flooded && now < *short {
-            self.meet("flood while descriptors are short");
+            self.record_coverage("flood while descriptors are short");
         }
         let (floods, machine) = (matches!(fault, Fault::Flood { .. }), &self.machines[m]);
-        if floods && machine.left_at.is_some() {
-            self.meet("flood within a drain");
+        if floods && machine.drain_started_at.is_some() {
+            self.record_coverage("flood within a drain");
         }
-        if floods && self.machines[m].procs.len() > 1 {
-            self.meet("flood within an upgrade");
+        if floods && self.machines[m].processes.len() > 1 {
+            self.record_coverage("flood within an upgrade");
         }
     }
 
-    pub(crate) fn undo(&mut self, i: usize) {
+    pub(crate) fn end_fault(&mut self, i: usize) {
         let now = self.now();
         let planned = self.plan.faults[i];
         let m = planned.matcher.min(self.machines.len() - 1);
         match planned.fault {
             Fault::Slow(_) => self.machines[m].runtime.slowing = 1.0,
             Fault::Pause => {
-                if let Some(since) = self.machines[m].paused.take() {
+                if let Some(since) = self.machines[m].paused_since.take() {
                     self.machines[m].resumed_at = now;
-                    self.fronts
+                    self.front_ends
                         .iter_mut()
-                        .for_each(|front| front.extend(m, since, now));
+                        .for_each(|front_end| front_end.extend_due_times(m, since, now));
                     self.resume(m);
                 }
             }
             Fault::BreakAtDue => {
-                self.meet("reply lost at its due time");
-                self.break_link(m, now + planned.lasts);
+                self.record_coverage("reply lost at its due time");
+                self.break_link(m, now + planned.duration);
             }
             Fault::Descriptors(_) => {
-                for process in &self.machines[m].procs {
+                for process in &self.machines[m].processes {
                     self.net
                         .borrow_mut()
-                        .limit(process.process, self.plan.sockets);
+                        .set_descriptor_limit(process.process, self.plan.max_descriptors);
                 }
             }
             Fault::Store(_) => self.store.trouble(0),
             Fault::Spoilt(_) => self.store.spoil(0),
             Fault::Repeats(_) => self.machines[m].runtime.repeats = 0,
             Fault::Directory => {
-                self.places[DIRECTORY].listen(at(1, 7_946));
+                self.endpoints[DIRECTORY].listen(virtual_address(1, 7_946));
             }
             Fault::DiskFull | Fault::DiskFail => self.machines[m].disk.set_faults(&[]),
             Fault::Burst(_) => {
-                self.fronts
+                self.front_ends
                     .iter_mut()
-                    .zip(&self.rates)
-                    .for_each(|(front, rate)| front.rate = *rate);
+                    .zip(&self.base_rates)
+                    .for_each(|(front_end, rate)| front_end.rate = *rate);
             }
             _ => {}
         }
@@ -181,21 +194,21 @@
 
     fn break_link(&mut self, m: usize, until: Micros) {
         let machine = &mut self.machines[m];
-        self.places[RUNTIMES + m].tell(&mut machine.runtime, |runtime, _, out| {
+        self.endpoints[FIRST_RUNTIME + m].call(&mut machine.runtime, |runtime, _, out| {
             runtime.break_link(until, out);
         });
     }
 
     fn reset(&mut self, number: usize) {
-        let first = RUNTIMES + self.machines.len();
+        let first = FIRST_RUNTIME + self.machines.len();
         for _ in 0..number {
-            let n = self.random.random_range(0..self.fronts.len());
-            let dialled = self.places[first + n].dialled();
+            let n = self.random.random_range(0..self.front_ends.len());
+            let dialled = self.endpoints[first + n].dialled_connections();
             if dialled.is_empty() {
                 continue;
             }
             let (link, end) = dialled[self.random.random_range(0..dialled.len())];
-            self.fronts[n].excused.insert(link);
+            self.front_ends[n].excused_links.insert(link);
             self.net.borrow_mut().reset(end);
         }
     }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,8 +1,10 @@
 //! Matchers' host in the virtual world: sockets of the virtual network, its clock, and a keeper whose disk is in memory.
 
-use crate::hall::{Hall, VirtualPassage, VirtualPassed, VirtualPost};
-use crate::net::{EndId, Net, NetEvent};
-use crate::shelf::{Shelf, VirtualStandings};
+use crate::handover::{
+    HandoverState, VirtualHandoverChannel, VirtualReceivedSocket, VirtualSuccessorListener,
+};
+use crate::network::{EndId, Network, NetworkEvent};
+use crate::reputation_storage::{ReputationWorker, VirtualReputationStorage};
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_idempotency::journal::Journal;
@@ -25,7 +27,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// On the network.
-    Net(NetEvent),
+    Network(NetworkEvent),
     /// A matcher of this life is to take a turn.
     Server(usize, u64),
     /// A service has something to do.
@@ -33,59 +35,59 @@
     /// A matcher's keeper of this life has something to do.
     ResultPersistence(usize, u64),
     /// Its book of earned standing has.
-    Shelf(usize, u64),
+    ReputationStorage(usize, u64),
     /// A fault begins.
-    Fault(usize),
+    FaultStart(usize),
     /// A fault ends.
-    Undo(usize),
+    FaultEnd(usize),
     /// A replaced matcher comes back.
-    Revive(usize, u64),
+    Restart(usize, u64),
     /// Somebody has come to a matcher's process, or something was said to it, on their way to take a place.
     HandoverChannel(usize, u64),
     /// A process is looked after that is to take another's place.
     Rollout(usize),
     /// Operators ask.
-    Inspect,
+    PollMetrics,
 }
 
 /// The network, shared by all who are on it.
-pub type Shared = Rc<RefCell<Net<Event>>>;
+pub type SharedNetwork = Rc<RefCell<Network<Event>>>;
 
 /// Who owns an end of a connection.
 #[derive(Debug, Clone, Copy)]
-pub enum Owner {
+pub enum ConnectionOwner {
     /// The party of a matcher's process, by its slot.
     Server(usize, SocketOwner),
     /// A link of a service.
     Service(usize, u64),
 }
 
-const NUMBER: u64 = (1 << 48) - 1;
+const NUMBER_MASK: u64 = (1 << 48) - 1;
 /// A store that another process has open is tried again after this time.
-const LOCKED: Micros = 50_000;
+const LOCK_RETRY_DELAY: Micros = 50_000;
 
-impl Owner {
+impl ConnectionOwner {
     /// As the network has it.
     #[must_use]
     pub fn encode(self) -> u64 {
         let (kind, index, number) = match self {
-            Self::Server(node, SocketOwner::ClientConnection(number)) => (0, node, number),
-            Self::Server(node, SocketOwner::Runtime) => (1, node, 0),
-            Self::Server(node, SocketOwner::Dependency(number)) => (2, node, number),
-            Self::Server(node, SocketOwner::Registry(number)) => (3, node, number),
-            Self::Server(node, SocketOwner::GatewayTarget(number)) => (5, node, number),
-            Self::Server(node, SocketOwner::Predecessor) => (7, node, 0),
-            Self::Server(node, SocketOwner::Successor) => (8, node, 0),
-            Self::Server(node, SocketOwner::Management(number)) => (6, node, number),
+            Self::Server(matcher, SocketOwner::ClientConnection(number)) => (0, matcher, number),
+            Self::Server(matcher, SocketOwner::Runtime) => (1, matcher, 0),
+            Self::Server(matcher, SocketOwner::Dependency(number)) => (2, matcher, number),
+            Self::Server(matcher, SocketOwner::Registry(number)) => (3, matcher, number),
+            Self::Server(matcher, SocketOwner::GatewayTarget(number)) => (5, matcher, number),
+            Self::Server(matcher, SocketOwner::Predecessor) => (7, matcher, 0),
+            Self::Server(matcher, SocketOwner::Successor) => (8, matcher, 0),
+            Self::Server(matcher, SocketOwner::Management(number)) => (6, matcher, number),
             Self::Service(service, link) => (4, service, link),
         };
-        kind << 56 | (index as u64) << 48 | number & NUMBER
+        kind << 56 | (index as u64) << 48 | number & NUMBER_MASK
     }
 
     /// From what the network has.
     #[must_use]
     pub fn decode(code: u64) -> Self {
-        let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER);
+        let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER_MASK);
         match code >> 56 {
             0 => Self::Server(index, SocketOwner::ClientConnection(number)),
             1 => Self::Server(index, SocketOwner::Runtime),
@@ -101,17 +103,17 @@
 }
 
 /// Which process has a disk's store open, by its life.
-pub type Lock = Rc<Cell<Option<u64>>>;
+pub type StoreLock = Rc<Cell<Option<u64>>>;
 
 /// A matcher's keeper, as its host has it.
-pub struct Desk {
-    lock: Lock,
-    life: u64,
+pub struct PersistenceWorker {
+    lock: StoreLock,
+    incarnation: u64,
     /// It has closed the store, and nothing more is asked of it.
-    released: bool,
+    closed: bool,
     /// What it has to do.
     pub jobs: VecDeque<PersistenceJob>,
-    core: ResultStore<SimulatedFolder>,
+    store: ResultStore<SimulatedFolder>,
     /// The disk; a crash leaves another.
     pub disk: SimulatedFolder,
     scheduled: bool,
@@ -119,17 +121,17 @@
     pub stalled_until: Micros,
 }
 
-impl Desk {
+impl PersistenceWorker {
     /// One of a process on this disk, which a process before may have left.
     #[must_use]
-    pub fn new(disk: SimulatedFolder, lock: Lock, life: u64) -> Self {
-        let (jobs, core) = (VecDeque::new(), ResultStore::default());
+    pub fn new(disk: SimulatedFolder, lock: StoreLock, incarnation: u64) -> Self {
+        let (jobs, store) = (VecDeque::new(), ResultStore::default());
         Self {
             lock,
-            life,
-            released: false,
+            incarnation,
+            closed: false,
             jobs,
-            core,
+            store,
             disk,
             scheduled: false,
             stalled_until: 0,
@@ -137,8 +139,8 @@
     }
 
     /// Its process is gone: the system opens the lock.
-    pub fn abandon(&self) {
-        if self.lock.get() == Some(self.life) {
+    pub fn unlock(&self) {
+        if self.lock.get() == Some(self.incarnation) {
             self.lock.set(None);
         }
     }
@@ -147,43 +149,46 @@
     pub fn close(&mut self, now: Micros) {
         // A disk that stands still is waited for there, as the keeper's thread does, and nothing is left for the next.
         self.stalled_until = self.stalled_until.min(now);
-        self.work(now, &mut Vec::new());
+        self.run_jobs(now, &mut Vec::new());
         self.jobs.clear();
-        self.core.close();
-        self.abandon();
-        self.released = true;
+        self.store.close();
+        self.unlock();
+        self.closed = true;
     }
 
     /// Does what there is to do; returns when it wants to go on.
-    pub fn work(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) -> Option<Micros> {
+    pub fn run_jobs(&mut self, now: Micros, events: &mut Vec<DispatcherEvent>) -> Option<Micros> {
         self.scheduled = false;
-        if self.released {
+        if self.closed {
             return None;
         }
         if now < self.stalled_until {
             self.scheduled = true;
             return Some(self.stalled_until);
         }
-        if !self.core.is_open() {
-            let taken = self.lock.get().is_some_and(|life| life != self.life);
-            if taken && !is_bug_injected(InjectedBug::LockIgnored) {
-                self.core.open(Err(Error::Locked), facts);
+        if !self.store.is_open() {
+            let is_locked = self
+                .lock
+                .get()
+                .is_some_and(|incarnation| incarnation != self.incarnation);
+            if is_locked && !is_bug_injected(InjectedBug::LockIgnored) {
+                self.store.open(Err(Error::Locked), events);
                 self.scheduled = true;
-                return Some(now + LOCKED);
+                return Some(now + LOCK_RETRY_DELAY);
             }
-            self.lock.set(Some(self.life));
+            self.lock.set(Some(self.incarnation));
             self.disk.release_lock();
             let options = Options {
                 segment_bytes: 16_384,
                 ..Options::default()
             };
             let opened = Journal::open(self.disk.clone(), options, now);
-            self.core.open(opened, facts);
+            self.store.open(opened, events);
         }
-        self.core.work(&mut self.jobs.drain(..), facts);
-        self.core.sync(facts);
-        self.core.maintain(now, 4_096, facts);
-        if self.core.is_open() {
+        self.store.work(&mut self.jobs.drain(..), events);
+        self.store.sync(events);
+        self.store.maintain(now, 4_096, events);
+        if self.store.is_open() {
             return None;
         }
         self.scheduled = true;
@@ -193,28 +198,28 @@
 
 /// The virtual world, as one matcher sees it.
 #[derive(Clone)]
-pub struct Virtual {
+pub struct VirtualHost {
     /// The network.
-    pub net: Shared,
+    pub net: SharedNetwork,
     /// Which matcher it is.
-    pub node: usize,
+    pub matcher: usize,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its number among all processes that are there at a time.
     pub slot: usize,
     /// Where the machine's processes meet.
-    pub hall: Rc<RefCell<Hall>>,
+    pub handover: Rc<RefCell<HandoverState>>,
     /// Its process, for descriptors.
     pub process: usize,
     /// Its keeper.
-    pub desk: Rc<RefCell<Desk>>,
+    pub persistence: Rc<RefCell<PersistenceWorker>>,
     /// Its book of earned standing.
-    pub shelf: Rc<RefCell<Shelf>>,
+    pub reputation: Rc<RefCell<ReputationWorker>>,
 }
 
 /// A connection.
 pub struct VirtualStream {
-    net: Shared,
+    net: SharedNetwork,
     end: EndId,
 }
 
@@ -234,17 +239,17 @@
     }
 
     fn shutdown_write(&self) {
-        self.net.borrow_mut().finish(self.end);
+        self.net.borrow_mut().shutdown_write(self.end);
     }
 
     fn take_error(&self) -> io::Result<()> {
-        self.net.borrow_mut().check(self.end)
+        self.net.borrow_mut().pending_error(self.end)
     }
 }
 
 /// A listening socket.
 pub struct VirtualListener {
-    net: Shared,
+    net: SharedNetwork,
     address: SocketAddr,
     number: u64,
     process: usize,
@@ -254,24 +259,29 @@
     fn drop(&mut self) {
         self.net
             .borrow_mut()
-            .close_door(self.address, self.number, self.process);
+            .close_listener(self.address, self.number, self.process);
     }
 }
 
 /// A descriptor that is kept for later.
-pub struct VirtualSpare {
-    net: Shared,
+pub struct VirtualReservedDescriptor {
+    net: SharedNetwork,
     process: usize,
 }
 
-impl Drop for VirtualSpare {
+impl Drop for VirtualReservedDescriptor {
     fn drop(&mut self) {
-        self.net.borrow_mut().let_go(self.process);
+        self.net.borrow_mut().release_descriptor(self.process);
     }
 }
 
 impl VirtualListener {
-    pub(crate) fn new(net: Shared, address: SocketAddr, number: u64, process: usize) -> Self {
+    pub(crate) fn new(
+        net: SharedNetwork,
+        address: SocketAddr,
+        number: u64,
+        process: usize,
+    ) -> Self {
         Self {
             net,
             address,
@@ -281,37 +291,37 @@
     }
 
     /// Where it listens, and its number there.
-    pub(crate) fn at(&self) -> (SocketAddr, u64) {
+    pub(crate) fn address_and_number(&self) -> (SocketAddr, u64) {
         (self.address, self.number)
     }
 }
 
 /// A matcher's access to its keeper.
-pub struct VirtualKeeper {
-    world: Virtual,
+pub struct VirtualResultPersistence {
+    host: VirtualHost,
 }
 
-impl VirtualKeeper {
+impl VirtualResultPersistence {
     fn push(&self, job: PersistenceJob) {
-        let mut desk = self.world.desk.borrow_mut();
+        let mut persistence = self.host.persistence.borrow_mut();
         // Nobody takes what is asked of a keeper that was let go, also not the next one.
-        if desk.released {
+        if persistence.closed {
             return;
         }
-        desk.jobs.push_back(job);
-        if !std::mem::replace(&mut desk.scheduled, true) {
-            let mut net = self.world.net.borrow_mut();
+        persistence.jobs.push_back(job);
+        if !std::mem::replace(&mut persistence.scheduled, true) {
+            let mut net = self.host.net.borrow_mut();
             // A sync takes its time, and what comes meanwhile shares the next.
             let at = net.now + 700 + (net.now / 7) % 900;
             net.queue.push(
                 at,
-                Event::ResultPersistence(self.world.node, self.world.life),
+                Event::ResultPersistence(self.host.matcher, self.host.incarnation),
             );
         }
     }
 }
 
-impl ResultPersistence for VirtualKeeper {
+impl ResultPersistence for VirtualResultPersistence {
     fn write(&mut self, effect: KeyCommand) {
         self.push(PersistenceJob::Write(effect));
     }
@@ -321,64 +331,79 @@
     }
 
     fn release(&mut self) {
-        let now = self.world.net.borrow().now;
-        self.world.desk.borrow_mut().close(now);
+        let now = self.host.net.borrow().now;
+        self.host.persistence.borrow_mut().close(now);
     }
 
     fn stop(self) {
-        let now = self.world.net.borrow().now;
-        self.world.desk.borrow_mut().work(now, &mut Vec::new());
+        let now = self.host.net.borrow().now;
+        self.host
+            .persistence
+            .borrow_mut()
+            .run_jobs(now, &mut Vec::new());
     }
 }
 
-impl Host for Virtual {
+impl Host for VirtualHost {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
-    type ResultPersistence = VirtualKeeper;
-    type SuccessorListener = VirtualPost;
-    type ReservedDescriptor = VirtualSpare;
-    type ReputationStorage = VirtualStandings;
-    type HandoverChannel = VirtualPassage;
-
-    fn reserve_descriptor(&self) -> io::Result<VirtualSpare> {
-        self.net.borrow_mut().hold(self.process)?;
-        Ok(VirtualSpare {
+    type ResultPersistence = VirtualResultPersistence;
+    type SuccessorListener = VirtualSuccessorListener;
+    type ReservedDescriptor = VirtualReservedDescriptor;
+    type ReputationStorage = VirtualReputationStorage;
+    type HandoverChannel = VirtualHandoverChannel;
+
+    fn reserve_descriptor(&self) -> io::Result<VirtualReservedDescriptor> {
+        self.net.borrow_mut().acquire_descriptor(self.process)?;
+        Ok(VirtualReservedDescriptor {
             net: Rc::clone(&self.net),
             process: self.process,
         })
     }
 
-    fn open_reputation_storage(&self, _: PathBuf, most: usize) -> io::Result<VirtualStandings> {
-        Ok(VirtualStandings::new(self, most))
+    fn open_reputation_storage(
+        &self,
+        _: PathBuf,
+        max_entries: usize,
+    ) -> io::Result<VirtualReputationStorage> {
+        Ok(VirtualReputationStorage::new(self, max_entries))
     }
 
     fn is_address_in_use(&self, address: SocketAddr) -> bool {
-        self.net.borrow().listeners(address) > 0
+        self.net.borrow().listener_count(address) > 0
     }
 
     fn adopt_listener(
         &self,
-        passed: VirtualPassed,
+        passed: VirtualReceivedSocket,
         address: SocketAddr,
         _: usize,
     ) -> io::Result<VirtualListener> {
-        passed.take_up(address, self.process)
+        passed.adopt_listener(address, self.process)
     }
 
-    fn listen_for_successors(&self, _: &HandoverAddress, _: usize) -> io::Result<VirtualPost> {
-        VirtualPost::new(self)
+    fn listen_for_successors(
+        &self,
+        _: &HandoverAddress,
+        _: usize,
+    ) -> io::Result<VirtualSuccessorListener> {
+        VirtualSuccessorListener::new(self)
     }
 
-    fn accept_successor(&self, post: &VirtualPost, _: SocketOwner) -> io::Result<VirtualPassage> {
-        post.welcome(self)
+    fn accept_successor(
+        &self,
+        listener: &VirtualSuccessorListener,
+        _: SocketOwner,
+    ) -> io::Result<VirtualHandoverChannel> {
+        listener.accept(self)
     }
 
     fn connect_to_predecessor(
         &self,
         _: &HandoverAddress,
         _: SocketOwner,
-    ) -> io::Result<VirtualPassage> {
-        VirtualPassage::visit(self)
+    ) -> io::Result<VirtualHandoverChannel> {
+        VirtualHandoverChannel::connect(self)
     }
 
     fn now(&self) -> Micros {
@@ -406,12 +431,12 @@
     fn accept(
         &self,
         listener: &VirtualListener,
-        party: SocketOwner,
+        socket_owner: SocketOwner,
     ) -> io::Result<(VirtualStream, IpAddr)> {
         let mut net = self.net.borrow_mut();
-        let owner = Owner::Server(self.slot, party).encode();
+        let owner = ConnectionOwner::Server(self.slot, socket_owner).encode();
         let end = net.accept_at(listener.address, listener.number, self.process, owner)?;
-        let address = net.address_of(end);
+        let address = net.peer_address(end);
         Ok((
             VirtualStream {
                 net: Rc::clone(&self.net),
@@ -421,8 +446,8 @@
         ))
     }
 
-    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<VirtualStream> {
-        let owner = Owner::Server(self.slot, party).encode();
+    fn connect(&self, to: SocketAddr, socket_owner: SocketOwner) -> io::Result<VirtualStream> {
+        let owner = ConnectionOwner::Server(self.slot, socket_owner).encode();
         let end = self.net.borrow_mut().connect(to, self.process, owner)?;
         Ok(VirtualStream {
             net: Rc::clone(&self.net),
@@ -435,23 +460,22 @@
         _folder: PathBuf,
         _seed: u64,
         _lasting: bool,
-    ) -> io::Result<VirtualKeeper> {
+    ) -> io::Result<VirtualResultPersistence> {
         let mut net = self.net.borrow_mut();
         let at = net.now + 3_000;
-        let mut desk = self.desk.borrow_mut();
-        desk.abandon();
-        (desk.scheduled, desk.released, desk.core) = (true, false, ResultStore::default());
+        let mut persistence = self.persistence.borrow_mut();
+        persistence.unlock();
+        (persistence.scheduled, persistence.closed, persistence.store) =
+            (true, false, ResultStore::default());
         net.queue
-            .push(at, Event::ResultPersistence(self.node, self.life));
+            .push(at, Event::ResultPersistence(self.matcher, self.incarnation));
         drop(net);
-        Ok(VirtualKeeper {
-            world: self.clone(),
-        })
+        Ok(VirtualResultPersistence { host: self.clone() })
     }
 }
 
 /// Both ways are worth a try: an end may have become readable, writable or broken.
-pub const READY: Readiness = Readiness {
+pub const ALL_READY: Readiness = Readiness {
     readable: true,
     writable: true,
 };
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -5,20 +5,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod crowd;
+mod admission_rules;
+pub mod event_queue;
 mod faults;
-pub mod front;
-pub mod hall;
+pub mod front_end;
+pub mod handover;
 pub mod host;
-mod inspector;
 mod machine;
-pub mod net;
-pub mod parties;
+mod metrics_poller;
+mod misbehaving_clients;
+pub mod network;
 pub mod plan;
-pub mod queue;
+mod reputation_storage;
 mod rollout;
-mod rude;
 mod rules;
 pub mod seeds;
-mod shelf;
-pub mod sim;
+pub mod service_endpoint;
+pub mod simulation;
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -1,19 +1,21 @@
 //! A matcher's machine: its processes, what they share, and how they come and go.
 
-use crate::crowd;
-use crate::front::FIELD;
-use crate::hall::Hall;
-use crate::host::{Desk, Event, Lock, Virtual};
-use crate::plan::Places;
-use crate::shelf::Shelf;
-use crate::sim::{Listens, Sim, BEGIN, MS, RUNTIMES, SECOND, STOP};
+use crate::admission_rules;
+use crate::front_end::KEY_FIELD;
+use crate::handover::HandoverState;
+use crate::host::{Event, PersistenceWorker, StoreLock, VirtualHost};
+use crate::plan::AdmissionMode;
+use crate::reputation_storage::ReputationWorker;
+use crate::simulation::{
+    ListenerOwner, Simulation, FIRST_RUNTIME, MS, SECOND, SHUTDOWN_TIME, START_TIME,
+};
 use cleatpulley_connection_admission::address_prefix::{AddressPrefix, PrefixLengths};
 use cleatpulley_connection_admission::rate_sketch::RateLimit;
 use cleatpulley_connection_admission::reputation::ReputationSettings;
 use cleatpulley_connection_admission::settings::ConnectionLimits;
-use cleatpulley_connection_admission::Settings as Admitting;
+use cleatpulley_connection_admission::Settings as AdmissionSettings;
 use cleatpulley_dispatcher::key_table::KeyTableOptions;
-use cleatpulley_dispatcher::KeyScope as KeyOwner;
+use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_emulators::runtime::Runtime;
 use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_policy::interface::{Effect as ClassEffect, Micros};
@@ -30,66 +32,69 @@
 use std::rc::Rc;
 
 /// So many turns at one moment are a loop at full speed.
-const SPIN: u32 = 3_000;
+const MAX_POLLS_PER_INSTANT: u32 = 3_000;
 /// Processes of a machine that are told apart at a time.
-const SLOTS: usize = 16;
+const PROCESS_SLOTS: usize = 16;
 
 /// An address of the virtual network.
-pub(crate) fn at(host: u8, port: u16) -> SocketAddr {
+pub(crate) fn virtual_address(host: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, host], port))
 }
 
-fn mgmt_of(m: usize, seat: usize) -> SocketAddr {
-    at(10 + m as u8, 9_000 + seat as u16)
+fn management_address(m: usize, address_index: usize) -> SocketAddr {
+    virtual_address(10 + m as u8, 9_000 + address_index as u16)
 }
 
 /// The runtime's addresses for the process in a seat: it moves from one to the other with each new configuration.
-fn runtimes_of(m: usize, seat: usize) -> [SocketAddr; 2] {
-    let port = 7_300 + 2 * seat as u16;
-    [at(10 + m as u8, port), at(10 + m as u8, port + 1)]
+fn runtime_addresses(m: usize, address_index: usize) -> [SocketAddr; 2] {
+    let port = 7_300 + 2 * address_index as u16;
+    [
+        virtual_address(10 + m as u8, port),
+        virtual_address(10 + m as u8, port + 1),
+    ]
 }
 
 /// A process of a matcher.
-pub(crate) struct Proc {
-    pub node: Server<Virtual>,
-    pub life: u64,
+pub(crate) struct ServerProcess {
+    pub server: Server<VirtualHost>,
+    pub incarnation: u64,
     /// Its descriptors.
     pub process: usize,
     /// Each process that takes another's place has a seat of its own, and with it an address of the runtime.
-    pub seat: usize,
-    pub mgmt: SocketAddr,
-    which: usize,
-    pub parties: Rc<RefCell<ServiceAddresses>>,
-    pub desk: Rc<RefCell<Desk>>,
-    pub shelf: Rc<RefCell<Shelf>>,
+    pub address_index: usize,
+    pub management: SocketAddr,
+    runtime_index: usize,
+    pub services: Rc<RefCell<ServiceAddresses>>,
+    pub persistence: Rc<RefCell<PersistenceWorker>>,
+    pub reputation: Rc<RefCell<ReputationWorker>>,
     /// A turn is due at once.
-    pending: bool,
-    wake: Micros,
-    turns: (Micros, u32),
+    poll_pending: bool,
+    wake_at: Micros,
+    polls: (Micros, u32),
     /// It was told to leave to its successor.
-    pub told_at: Option<Micros>,
+    pub shutdown_at: Option<Micros>,
     /// When it was started.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// A matcher's machine.
 pub(crate) struct Machine {
     number: usize,
     /// In the order of their starts.
-    pub procs: Vec<Proc>,
+    pub processes: Vec<ServerProcess>,
     /// The life of the process that was started last.
-    pub life: u64,
-    seat: usize,
-    pub frames: SocketAddr,
-    pub ajp: SocketAddr,
-    pub hall: Rc<RefCell<Hall>>,
+    pub incarnation: u64,
+    address_index: usize,
+    pub frame_address: SocketAddr,
+    pub ajp_address: SocketAddr,
+    pub handover: Rc<RefCell<HandoverState>>,
     pub disk: SimulatedFolder,
-    pub lock: Lock,
+    pub store_lock: StoreLock,
     /// The disk of the book of earned standing, and who has it open.
-    pub book: (SimulatedFolder, Lock),
-    pub paused: Option<Micros>,
+    pub reputation_disk: (SimulatedFolder, StoreLock),
+    pub paused_since: Option<Micros>,
     /// When the matcher was told to leave, without a successor.
-    pub left_at: Option<Micros>,
+    pub drain_started_at: Option<Micros>,
     /// When a process last ended other than by leaving to its successor.
     pub ended_at: Micros,
     /// Since when there is no more than one process.
@@ -98,13 +103,13 @@
     pub killed_at: Micros,
     /// When its machine last stood still no more.
     pub resumed_at: Micros,
-    pub reloaded_at: Micros,
+    pub reload_started_at: Micros,
     /// Until when its disk may fail it.
-    pub disk_trouble: Micros,
+    pub disk_trouble_until: Micros,
     /// The next life has other settings.
-    pub renewed: bool,
+    pub has_new_settings: bool,
     /// Until when a flood is on, and until when descriptors are short.
-    pub crowded: (Micros, Micros),
+    pub trouble_until: (Micros, Micros),
     /// Memory that its settings name.
     pub memory_kb: f64,
     pub runtime: Runtime,
@@ -115,424 +120,463 @@
         let host = 10 + m as u8;
         Self {
             number: m,
-            procs: Vec::new(),
-            life: 0,
-            seat: 0,
-            frames: at(host, 5_050),
-            ajp: at(host, 8_009),
-            hall: Rc::default(),
+            processes: Vec::new(),
+            incarnation: 0,
+            address_index: 0,
+            frame_address: virtual_address(host, 5_050),
+            ajp_address: virtual_address(host, 8_009),
+            handover: Rc::default(),
             disk: SimulatedFolder::default(),
-            lock: Lock::default(),
-            book: Default::default(),
-            paused: None,
-            left_at: None,
+            store_lock: StoreLock::default(),
+            reputation_disk: Default::default(),
+            paused_since: None,
+            drain_started_at: None,
             ended_at: 0,
             alone_since: 0,
             killed_at: 0,
             resumed_at: 0,
-            reloaded_at: 0,
-            disk_trouble: 0,
-            renewed: false,
-            crowded: (0, 0),
+            reload_started_at: 0,
+            disk_trouble_until: 0,
+            has_new_settings: false,
+            trouble_until: (0, 0),
             memory_kb: 0.0,
             runtime,
         }
     }
 
     /// The disk is in trouble until then, and its keeper somewhat longer.
-    pub(crate) fn note_disk_trouble(&mut self, until: Micros) {
-        self.disk_trouble = self.disk_trouble.max(until + SECOND);
+    pub(crate) fn extend_disk_trouble(&mut self, until: Micros) {
+        self.disk_trouble_until = self.disk_trouble_until.max(until + SECOND);
     }
 
-    pub(crate) fn find(&mut self, life: u64) -> Option<&mut Proc> {
-        self.procs.iter_mut().find(|process| process.life == life)
+    pub(crate) fn find(&mut self, incarnation: u64) -> Option<&mut ServerProcess> {
+        self.processes
+            .iter_mut()
+            .find(|process| process.incarnation == incarnation)
     }
 
     /// The process that was started last, where it lives.
-    pub(crate) fn newest(&mut self) -> Option<&mut Proc> {
-        self.procs.last_mut()
+    pub(crate) fn newest(&mut self) -> Option<&mut ServerProcess> {
+        self.processes.last_mut()
     }
 
-    pub(crate) fn slot(&self, life: u64) -> usize {
-        self.number * SLOTS + life as usize % SLOTS
+    pub(crate) fn slot(&self, incarnation: u64) -> usize {
+        self.number * PROCESS_SLOTS + incarnation as usize % PROCESS_SLOTS
     }
 }
 
-impl Sim {
+impl Simulation {
     /// The process in a slot.
-    pub(crate) fn in_slot(&self, slot: usize) -> Option<(usize, u64)> {
-        let machine = self.machines.get(slot / SLOTS)?;
+    pub(crate) fn process_in_slot(&self, slot: usize) -> Option<(usize, u64)> {
+        let machine = self.machines.get(slot / PROCESS_SLOTS)?;
         let process = machine
-            .procs
+            .processes
             .iter()
-            .find(|process| process.life as usize % SLOTS == slot % SLOTS)?;
-        Some((slot / SLOTS, process.life))
+            .find(|process| process.incarnation as usize % PROCESS_SLOTS == slot % PROCESS_SLOTS)?;
+        Some((slot / PROCESS_SLOTS, process.incarnation))
     }
 
     /// Tells a process something; it takes a turn then.
-    pub(crate) fn tell(&mut self, m: usize, life: u64, what: impl FnOnce(&mut Server<Virtual>)) {
-        if let Some(process) = self.machines[m].find(life) {
-            what(&mut process.node);
+    pub(crate) fn notify(
+        &mut self,
+        m: usize,
+        incarnation: u64,
+        action: impl FnOnce(&mut Server<VirtualHost>),
+    ) {
+        if let Some(process) = self.machines[m].find(incarnation) {
+            action(&mut process.server);
         }
-        self.turn_soon(m, life);
+        self.schedule_poll(m, incarnation);
     }
 
     /// The same for all processes of a machine.
-    pub(crate) fn tell_all(&mut self, m: usize, what: impl Fn(&mut Server<Virtual>)) {
-        let lives: Vec<_> = self.machines[m]
-            .procs
+    pub(crate) fn notify_all(&mut self, m: usize, action: impl Fn(&mut Server<VirtualHost>)) {
+        let incarnations: Vec<_> = self.machines[m]
+            .processes
             .iter()
-            .map(|process| process.life)
+            .map(|process| process.incarnation)
             .collect();
-        lives.into_iter().for_each(|life| self.tell(m, life, &what));
+        incarnations
+            .into_iter()
+            .for_each(|incarnation| self.notify(m, incarnation, &action));
     }
 
     /// Starts a process: in the seat of the one before it, or in one of its own where that one still serves.
     pub(crate) fn start(&mut self, m: usize) {
-        let beside = !self.machines[m].procs.is_empty();
-        let process = self.net.borrow_mut().process(self.plan.sockets);
+        let is_replacement = !self.machines[m].processes.is_empty();
+        let process = self.net.borrow_mut().add_process(self.plan.max_descriptors);
         let machine = &mut self.machines[m];
-        machine.life += 1;
-        machine.seat += usize::from(beside);
-        let (life, seat) = (machine.life, machine.seat);
-        let runtimes = runtimes_of(m, seat);
-        let mgmt = mgmt_of(m, seat);
-        let parties = ServiceAddresses {
+        machine.incarnation += 1;
+        machine.address_index += usize::from(is_replacement);
+        let (incarnation, address_index) = (machine.incarnation, machine.address_index);
+        let runtimes = runtime_addresses(m, address_index);
+        let management = management_address(m, address_index);
+        let services = ServiceAddresses {
             runtime: runtimes[0],
-            dependency: at(1, 9_042),
-            registry: at(1, 7_946),
+            dependency: virtual_address(1, 9_042),
+            registry: virtual_address(1, 7_946),
         };
-        let world = Virtual {
+        let host = VirtualHost {
             net: Rc::clone(&self.net),
-            node: m,
-            life,
-            slot: machine.slot(life),
-            hall: Rc::clone(&machine.hall),
+            matcher: m,
+            incarnation,
+            slot: machine.slot(incarnation),
+            handover: Rc::clone(&machine.handover),
             process,
-            desk: Rc::new(RefCell::new(Desk::new(
+            persistence: Rc::new(RefCell::new(PersistenceWorker::new(
                 machine.disk.clone(),
-                Rc::clone(&machine.lock),
-                life,
+                Rc::clone(&machine.store_lock),
+                incarnation,
             ))),
-            shelf: Rc::new(RefCell::new(Shelf::new(
-                machine.book.0.clone(),
-                Rc::clone(&machine.book.1),
-                life,
+            reputation: Rc::new(RefCell::new(ReputationWorker::new(
+                machine.reputation_disk.0.clone(),
+                Rc::clone(&machine.reputation_disk.1),
+                incarnation,
             ))),
         };
         for address in runtimes {
-            self.listeners
-                .insert(address, Listens::Service(RUNTIMES + m, seat));
+            self.listeners.insert(
+                address,
+                ListenerOwner::Service(FIRST_RUNTIME + m, address_index),
+            );
         }
-        self.listeners.insert(mgmt, Listens::Operators(m, life));
-        self.net.borrow_mut().unlisten(runtimes[1]);
-        self.places[RUNTIMES + m].listen(runtimes[0]);
-        let options = self.options(m, seat, parties);
+        self.listeners
+            .insert(management, ListenerOwner::Management(m, incarnation));
+        self.net.borrow_mut().stop_listening(runtimes[1]);
+        self.endpoints[FIRST_RUNTIME + m].listen(runtimes[0]);
+        let options = self.options(m, address_index, services);
         let memory_kb = options.settings.memory_kb;
-        let (desk, shelf) = (Rc::clone(&world.desk), Rc::clone(&world.shelf));
-        let parties = Rc::new(RefCell::new(parties));
-        let read = Rc::clone(&parties);
-        match Server::new(world, options, Box::new(move || Ok(*read.borrow()))) {
-            Ok(node) => {
+        let (persistence, reputation) = (Rc::clone(&host.persistence), Rc::clone(&host.reputation));
+        let services = Rc::new(RefCell::new(services));
+        let read = Rc::clone(&services);
+        match Server::new(host, options, Box::new(move || Ok(*read.borrow()))) {
+            Ok(server) => {
                 let machine = &mut self.machines[m];
-                if !beside {
-                    (machine.left_at, machine.memory_kb) = (None, memory_kb);
+                if !is_replacement {
+                    (machine.drain_started_at, machine.memory_kb) = (None, memory_kb);
                 }
-                machine.procs.push(Proc {
-                    node,
-                    life,
+                machine.processes.push(ServerProcess {
+                    server,
+                    incarnation,
                     process,
-                    seat,
-                    mgmt,
-                    which: 0,
-                    parties,
-                    desk,
-                    shelf,
-                    pending: false,
-                    wake: Micros::MAX,
-                    turns: (0, 0),
-                    told_at: None,
-                    started: self.net.borrow().now,
+                    address_index,
+                    management,
+                    runtime_index: 0,
+                    services,
+                    persistence,
+                    reputation,
+                    poll_pending: false,
+                    wake_at: Micros::MAX,
+                    polls: (0, 0),
+                    shutdown_at: None,
+                    started_at: self.net.borrow().now,
                 });
-                self.turn_soon(m, life);
-                self.note(|| format!("m{m} starts, life {life}"));
+                self.schedule_poll(m, incarnation);
+                self.record_trace(|| format!("m{m} starts, life {incarnation}"));
             }
             // One that found no way to be met ends, and the one that serves goes on.
-            Err(e) if beside && e.kind() == std::io::ErrorKind::AddrInUse => {
-                self.listeners.remove(&mgmt);
-                self.meet("a new process that met nobody ends");
+            Err(e) if is_replacement && e.kind() == std::io::ErrorKind::AddrInUse => {
+                self.listeners.remove(&management);
+                self.record_coverage("a new process that met nobody ends");
             }
-            Err(e) => self.broken.push(format!("m{m} can't start: {e}")),
+            Err(e) => self.violations.push(format!("m{m} can't start: {e}")),
         }
     }
 
     /// Who gets a place.
-    fn admission(&self) -> Option<Admitting> {
-        let (per_second, burst) = (f64::from(crowd::RATE.0), f64::from(crowd::RATE.1));
-        let (named, address, earned) = match self.plan.places {
-            Places::FirstCome => return None,
-            Places::Named => {
-                let cap = ConnectionLimits {
+    fn admission(&self) -> Option<AdmissionSettings> {
+        let (per_second, burst) = (
+            f64::from(admission_rules::ADDRESS_RATE_LIMIT.0),
+            f64::from(admission_rules::ADDRESS_RATE_LIMIT.1),
+        );
+        let (allowlist, address, reputation) = match self.plan.admission {
+            AdmissionMode::Unrestricted => return None,
+            AdmissionMode::Allowlist => {
+                let limits = ConnectionLimits {
                     slots: None,
                     rate: Some(RateLimit { per_second, burst }),
                 };
                 (
-                    vec![AddressPrefix::containing(self.net.borrow().address(), 32)],
-                    cap,
+                    vec![AddressPrefix::containing(
+                        self.net.borrow().front_end_address(),
+                        32,
+                    )],
+                    limits,
                     None,
                 )
             }
-            Places::Earned => {
-                let points = crowd::POINTS as f64;
-                let earned = ReputationSettings {
+            AdmissionMode::Reputation => {
+                let points = admission_rules::KNOWN_THRESHOLD_POINTS as f64;
+                let reputation = ReputationSettings {
                     known_threshold: points,
                     half_life: 600 * SECOND,
                     max_addresses: 100,
                     max_addresses_per_prefix: 4,
                 };
-                (Vec::new(), ConnectionLimits::default(), Some(earned))
+                (Vec::new(), ConnectionLimits::default(), Some(reputation))
             }
         };
         let prefix_lengths = PrefixLengths { ipv4: 24, ipv6: 64 };
         let seed = self.plan.seed;
-        Some(Admitting {
-            allowlist: named,
+        Some(AdmissionSettings {
+            allowlist,
             reserved_share: 0.3,
             address_limits: address,
             prefix_limits: ConnectionLimits::default(),
             prefix_lengths,
-            reputation: earned,
+            reputation,
             sketch_width: 4_096,
             seed,
         })
     }
 
-    pub(crate) fn turn_soon(&mut self, m: usize, life: u64) {
-        let Some(process) = self.machines[m].find(life) else {
+    pub(crate) fn schedule_poll(&mut self, m: usize, incarnation: u64) {
+        let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
-        if !std::mem::replace(&mut process.pending, true) {
+        if !std::mem::replace(&mut process.poll_pending, true) {
             let mut net = self.net.borrow_mut();
             let now = net.now;
-            net.queue.push(now, Event::Server(m, life));
+            net.queue.push(now, Event::Server(m, incarnation));
         }
     }
 
     /// A machine that stood still goes on.
     pub(crate) fn resume(&mut self, m: usize) {
-        let again = |process: &mut Proc| {
-            process.pending = false;
-            process.life
+        let clear_pending = |process: &mut ServerProcess| {
+            process.poll_pending = false;
+            process.incarnation
         };
-        let lives: Vec<_> = self.machines[m].procs.iter_mut().map(again).collect();
-        lives.into_iter().for_each(|life| self.turn_soon(m, life));
+        let incarnations: Vec<_> = self.machines[m]
+            .processes
+            .iter_mut()
+            .map(clear_pending)
+            .collect();
+        incarnations
+            .into_iter()
+            .for_each(|incarnation| self.schedule_poll(m, incarnation));
     }
 
-    pub(crate) fn turn(&mut self, m: usize, life: u64) {
+    pub(crate) fn poll_process(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
-        let paused = self.machines[m].paused.is_some();
-        let Some(process) = self.machines[m].find(life) else {
+        let paused_since = self.machines[m].paused_since.is_some();
+        let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
         // What was scheduled before something else came up is out of date.
-        if paused || !(process.pending || now >= process.wake) {
+        if paused_since || !(process.poll_pending || now >= process.wake_at) {
             return;
         }
-        (process.pending, process.wake) = (false, Micros::MAX);
-        process.turns = if process.turns.0 == now {
-            (now, process.turns.1 + 1)
+        (process.poll_pending, process.wake_at) = (false, Micros::MAX);
+        process.polls = if process.polls.0 == now {
+            (now, process.polls.1 + 1)
         } else {
             (now, 0)
         };
-        let told =
-            tracing::info_span!("process", m, life, at = (now - BEGIN) as f64 / 1e6).entered();
-        let next = process.node.poll();
-        drop(told);
-        if let Some(fault) = process.node.take_error() {
+        let was_told = tracing::info_span!(
+            "process",
+            m,
+            incarnation = incarnation,
+            at = (now - START_TIME) as f64 / 1e6
+        )
+        .entered();
+        let next = process.server.poll();
+        drop(was_told);
+        if let Some(fault) = process.server.take_error() {
             // A new process that can't have its sockets ends, and the one that serves goes on.
             if self
                 .rollouts
                 .iter()
-                .any(|rollout| rollout.new == life && rollout.told_at.is_none())
+                .any(|rollout| rollout.new == incarnation && rollout.shutdown_at.is_none())
             {
-                self.meet("a new process without descriptors ends");
-                return self.remove(m, life);
+                self.record_coverage("a new process without descriptors ends");
+                return self.remove(m, incarnation);
             }
-            self.broken.push(format!("m{m} can't go on: {fault}"));
+            self.violations.push(format!("m{m} can't go on: {fault}"));
             return;
         }
-        if process.node.is_finished() {
-            process.node.close();
-            self.leave(m, life);
+        if process.server.is_finished() {
+            process.server.close();
+            self.on_process_finished(m, incarnation);
             return;
         }
-        if process.turns.1 > SPIN {
-            self.broken.push(format!("m{m} loops at full speed"));
+        if process.polls.1 > MAX_POLLS_PER_INSTANT {
+            self.violations.push(format!("m{m} loops at full speed"));
             return;
         }
         let next = next.max(now);
-        (process.wake, process.pending) = (next, false);
+        (process.wake_at, process.poll_pending) = (next, false);
         self.net
             .borrow_mut()
             .queue
-            .push(next, Event::Server(m, life));
+            .push(next, Event::Server(m, incarnation));
     }
 
     /// A process is gone, with all that it held.
-    pub(crate) fn remove(&mut self, m: usize, life: u64) {
+    pub(crate) fn remove(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
         let machine = &mut self.machines[m];
-        let Some(place) = machine
-            .procs
+        let Some(index) = machine
+            .processes
             .iter()
-            .position(|process| process.life == life)
+            .position(|process| process.incarnation == incarnation)
         else {
             return;
         };
-        let process = machine.procs.remove(place);
+        let process = machine.processes.remove(index);
         machine.alone_since = now;
-        process.desk.borrow().abandon();
-        process.shelf.borrow().abandon();
-        self.listeners.remove(&process.mgmt);
+        process.persistence.borrow().unlock();
+        process.reputation.borrow().unlock();
+        self.listeners.remove(&process.management);
         // Its sockets close now, and not in the middle of anything.
         drop(process);
     }
 
     /// A process that was told to leave has ended.
-    fn leave(&mut self, m: usize, life: u64) {
+    fn on_process_finished(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
-        let told = self.machines[m]
-            .find(life)
-            .is_some_and(|process| process.told_at.is_some());
-        self.remove(m, life);
-        self.note(|| format!("m{m} has left, life {life}"));
+        let was_told = self.machines[m]
+            .find(incarnation)
+            .is_some_and(|process| process.shutdown_at.is_some());
+        self.remove(m, incarnation);
+        self.record_trace(|| format!("m{m} has left, life {incarnation}"));
         let machine = &mut self.machines[m];
-        if !machine.procs.is_empty() {
-            self.meet("left to its successor");
+        if !machine.processes.is_empty() {
+            self.record_coverage("left to its successor");
             return;
         }
         // One whose successor died after it was told leaves all the same: it will be killed.
-        if machine.left_at.is_none() && !told {
-            self.broken.push(format!(
+        if machine.drain_started_at.is_none() && !was_told {
+            self.violations.push(format!(
                 "m{m} has ended without a successor, and was not told to"
             ));
             return;
         }
         machine.ended_at = now;
-        let life = machine.life;
-        self.meet("left");
-        let runtime = self.new_runtime(m, now + 300 * MS);
+        let incarnation = machine.incarnation;
+        self.record_coverage("left");
+        let runtime = self.create_runtime(m, now + 300 * MS);
         self.machines[m].runtime = runtime;
         self.net
             .borrow_mut()
             .queue
-            .push(now + 300 * MS, Event::Revive(m, life));
+            .push(now + 300 * MS, Event::Restart(m, incarnation));
     }
 
     /// A runtime that comes up then, with the books of the one before it.
-    pub(crate) fn new_runtime(&mut self, m: usize, since: Micros) -> Runtime {
+    pub(crate) fn create_runtime(&mut self, m: usize, since: Micros) -> Runtime {
         let machine = &mut self.machines[m];
         let mut runtime = self
             .setup
-            .runtime(self.plan.seed ^ m as u64 ^ machine.life << 20, since);
+            .runtime(self.plan.seed ^ m as u64 ^ machine.incarnation << 20, since);
         runtime.seen = std::mem::take(&mut machine.runtime.seen);
         runtime
     }
 
-    pub(crate) fn keep(&mut self, m: usize, life: u64) {
+    pub(crate) fn run_persistence(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
         // What a process that is gone had asked for is not done by the next.
-        let Some(process) = self.machines[m].find(life) else {
+        let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
-        let mut facts = Vec::new();
-        let again = process.desk.borrow_mut().work(now, &mut facts);
-        facts
+        let mut events = Vec::new();
+        let next = process.persistence.borrow_mut().run_jobs(now, &mut events);
+        events
             .into_iter()
-            .for_each(|fact| process.node.on_persistence_event(fact));
-        if let Some(at) = again {
+            .for_each(|event| process.server.on_persistence_event(event));
+        if let Some(at) = next {
             self.net
                 .borrow_mut()
                 .queue
-                .push(at, Event::ResultPersistence(m, life));
+                .push(at, Event::ResultPersistence(m, incarnation));
         }
-        self.turn_soon(m, life);
+        self.schedule_poll(m, incarnation);
     }
 
     /// The book of earned standing of a process has something to do.
-    pub(crate) fn shelve(&mut self, m: usize, life: u64) {
+    pub(crate) fn run_reputation_storage(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
-        let Some(process) = self.machines[m].find(life) else {
+        let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
-        let again = process.shelf.borrow_mut().work(now);
-        let remembered = std::mem::take(&mut process.shelf.borrow_mut().remembered);
-        process.node.on_reputation_loaded(&remembered);
-        if let Some(at) = again {
-            self.net.borrow_mut().queue.push(at, Event::Shelf(m, life));
+        let next = process.reputation.borrow_mut().run_jobs(now);
+        let loaded = std::mem::take(&mut process.reputation.borrow_mut().loaded);
+        process.server.on_reputation_loaded(&loaded);
+        if let Some(at) = next {
+            self.net
+                .borrow_mut()
+                .queue
+                .push(at, Event::ReputationStorage(m, incarnation));
         }
     }
 
     /// All processes of a machine die, and its runtime with them or not.
     pub(crate) fn crash(&mut self, m: usize, down: Micros, runtime: bool) {
         let now = self.now();
-        if self.machines[m].procs.is_empty() {
+        if self.machines[m].processes.is_empty() {
             return;
         }
         if self.machines[m]
-            .procs
+            .processes
             .iter()
-            .any(|process| process.node.usage().active_key_runs > 0)
+            .any(|process| process.server.usage().active_key_runs > 0)
         {
-            self.meet("crash between intent and result");
+            self.record_coverage("crash between intent and result");
         }
-        self.fronts.iter_mut().for_each(|front| front.excuse(m));
+        self.front_ends
+            .iter_mut()
+            .for_each(|front_end| front_end.excuse_links(m));
         let seed = self.plan.seed ^ now;
-        let lives: Vec<_> = self.machines[m]
-            .procs
+        let incarnations: Vec<_> = self.machines[m]
+            .processes
             .iter()
-            .map(|process| process.life)
+            .map(|process| process.incarnation)
             .collect();
-        lives.into_iter().for_each(|life| self.remove(m, life));
+        incarnations
+            .into_iter()
+            .for_each(|incarnation| self.remove(m, incarnation));
         self.rollouts.retain(|rollout| rollout.machine != m);
         let machine = &mut self.machines[m];
-        (machine.ended_at, machine.paused) = (now, None);
+        (machine.ended_at, machine.paused_since) = (now, None);
         machine.disk = machine.disk.after_crash(seed);
-        machine.book.0 = machine.book.0.after_crash(seed);
-        let life = machine.life;
+        machine.reputation_disk.0 = machine.reputation_disk.0.after_crash(seed);
+        let incarnation = machine.incarnation;
         if runtime {
-            let fresh = self.new_runtime(m, now + down);
+            let fresh = self.create_runtime(m, now + down);
             self.machines[m].runtime = fresh;
         }
         self.net
             .borrow_mut()
             .queue
-            .push(now + down, Event::Revive(m, life));
+            .push(now + down, Event::Restart(m, incarnation));
     }
 
     /// The matcher is told to leave, without a successor.
     pub(crate) fn drain(&mut self, m: usize) {
         let now = self.now();
         let slow = self.machines[m].runtime.slowing > 2.0;
-        let stalled = self.rude.stalled.values().any(|on| *on == m);
+        let stalled = self.misbehaving_clients.stalled.values().any(|on| *on == m);
         let machine = &mut self.machines[m];
         // A process that stands still hears of nothing: the notice would come with its next turn.
-        let told = machine
-            .procs
+        let was_told = machine
+            .processes
             .last()
-            .is_some_and(|process| process.told_at.is_some());
-        if machine.procs.len() != 1 || told || machine.left_at.is_some() || machine.paused.is_some()
+            .is_some_and(|process| process.shutdown_at.is_some());
+        if machine.processes.len() != 1
+            || was_told
+            || machine.drain_started_at.is_some()
+            || machine.paused_since.is_some()
         {
             return;
         }
-        machine.left_at = Some(now);
-        let life = machine.procs[0].life;
-        self.tell(m, life, Server::begin_shutdown);
+        machine.drain_started_at = Some(now);
+        let incarnation = machine.processes[0].incarnation;
+        self.notify(m, incarnation, Server::begin_shutdown);
         if slow {
-            self.meet("told to leave while several times slower");
+            self.record_coverage("told to leave while several times slower");
         }
         if stalled {
-            self.meet("a stalled body at the drain");
+            self.record_coverage("a stalled body at the drain");
         }
     }
 
@@ -540,35 +584,35 @@
     pub(crate) fn reload(&mut self, m: usize) {
         let now = self.now();
         let machine = &mut self.machines[m];
-        machine.reloaded_at = now;
+        machine.reload_started_at = now;
         let Some(process) = machine.newest() else {
             return;
         };
-        let runtimes = runtimes_of(m, process.seat);
-        let old = runtimes[process.which];
-        process.which ^= 1;
-        let (new, life) = (runtimes[process.which], process.life);
-        process.parties.borrow_mut().runtime = new;
-        self.net.borrow_mut().unlisten(old);
-        self.places[RUNTIMES + m].listen(new);
-        self.tell(m, life, Server::reload);
+        let runtimes = runtime_addresses(m, process.address_index);
+        let old = runtimes[process.runtime_index];
+        process.runtime_index ^= 1;
+        let (new, incarnation) = (runtimes[process.runtime_index], process.incarnation);
+        process.services.borrow_mut().runtime = new;
+        self.net.borrow_mut().stop_listening(old);
+        self.endpoints[FIRST_RUNTIME + m].listen(new);
+        self.notify(m, incarnation, Server::reload);
     }
 
-    fn options(&self, m: usize, seat: usize, parties: ServiceAddresses) -> Options {
+    fn options(&self, m: usize, address_index: usize, services: ServiceAddresses) -> Options {
         let machine = &self.machines[m];
         // The stand-ins' settings are read by the program's own reader.
         let mut value = self.setup.settings();
-        if machine.renewed {
+        if machine.has_new_settings {
             // So little that memory is what bounds it.
             value["specifics"]["memory_kb"] = (f64::from(self.plan.cores) * 400.0).into();
             value["specifics"]["advert"] = "none".into();
         }
-        let boot: SettingsDocument =
+        let document: SettingsDocument =
             serde_json::from_value(value).unwrap_or_else(|e| panic!("settings: {e}"));
-        let (class_names, gauge_names) = (boot.class_names(), boot.gauge_names());
-        let mut settings = boot.into_settings();
-        settings.cold_start = machine.life > 1 && machine.procs.is_empty();
-        let once: Vec<bool> = settings
+        let (class_names, gauge_names) = (document.class_names(), document.gauge_names());
+        let mut settings = document.into_settings();
+        settings.cold_start = machine.incarnation > 1 && machine.processes.is_empty();
+        let has_effect: Vec<bool> = settings
             .classes
             .iter()
             .map(|class| class.effect != ClassEffect::Idempotent)
@@ -580,12 +624,12 @@
         };
         let table = Table::new(class_names.iter().enumerate().map(route).collect());
         let header = |name: &str| Some(Source::Header(name.to_owned()));
-        let default = |once: &bool| Defaults {
+        let default = |has_effect: &bool| Defaults {
             work: 0,
             memory_kb: 20.0,
             rank: 0.5,
             caller: 0,
-            needs_id: *once,
+            needs_id: *has_effect,
         };
         let ajp = AjpSettings {
             secret: None,
@@ -595,7 +639,7 @@
             body: 1_500 * MS,
             idle: 30 * SECOND,
             // The paths are plain and differ.
-            table: table.unwrap_or_else(|(_, what)| panic!("routes: {what}")),
+            table: table.unwrap_or_else(|(_, error)| panic!("routes: {error}")),
             lookup: None,
             figures: Figures {
                 id: header("X-Request-Id"),
@@ -606,44 +650,48 @@
                 key: header("Idempotency-Key"),
                 ..Figures::default()
             },
-            defaults: once.iter().map(default).collect(),
+            defaults: has_effect.iter().map(default).collect(),
             seed: self.plan.seed,
         };
         let bounds = KeyTableOptions {
-            max_entries: if machine.renewed { 300 } else { 20_000 },
+            max_entries: if machine.has_new_settings {
+                300
+            } else {
+                20_000
+            },
             max_result_bytes: 10_000_000,
-            deduplication_window: self.plan.window,
+            deduplication_window: self.plan.deduplication_window,
             stall_timeout: 100 * MS,
             hash_seed: self.plan.seed,
         };
         Options {
             name: format!("m{m}"),
-            listen: machine.frames,
-            management: Some(mgmt_of(m, seat)),
+            listen: machine.frame_address,
+            management: Some(management_address(m, address_index)),
             shares_listener: false,
             handover_folder: Some(PathBuf::new()),
-            services: parties,
-            seed: self.plan.seed ^ machine.life.rotate_left(32) ^ m as u64,
-            shutdown_time: STOP,
-            max_descriptors: self.plan.sockets,
+            services,
+            seed: self.plan.seed ^ machine.incarnation.rotate_left(32) ^ m as u64,
+            shutdown_time: SHUTDOWN_TIME,
+            max_descriptors: self.plan.max_descriptors,
             class_names,
             gauge_names,
             settings,
             ajp: Some(AjpOptions {
-                listen: vec![machine.ajp],
-                trusted: vec![self.net.borrow().address()],
+                listen: vec![machine.ajp_address],
+                trusted: vec![self.net.borrow().front_end_address()],
                 settings: ajp,
             }),
             dependency_protocol: DependencyProtocol::Http,
             idempotency: Some(IdempotencyOptions {
                 is_durable: true,
                 folder: PathBuf::new(),
-                classes: once,
+                classes: has_effect,
                 required: false,
-                scope: KeyOwner::PerCaller,
+                scope: KeyScope::PerCaller,
                 capacity: bounds,
                 key_entry_kb: 0.2,
-                key_frame_field: Some(FIELD.to_owned()),
+                key_frame_field: Some(KEY_FIELD.to_owned()),
             }),
             connection_admission: self.admission(),
             reputation_folder: Some(PathBuf::new()),
--- /dev/null
+++ b/crates/simulator/src/metrics_poller.rs
@@ -0,0 +1,106 @@
+//! Operators in the virtual world: each process is asked for its figures now and then, and answers in time.
+
+use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_policy::interface::Micros;
+use cleatpulley_protocol::http;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// A call without an answer.
+#[derive(Debug, Clone)]
+pub(crate) struct MetricsRequest {
+    pub matcher: usize,
+    pub incarnation: u64,
+    pub sent_at: Micros,
+    to: SocketAddr,
+    input: Vec<u8>,
+}
+
+/// Those who ask.
+#[derive(Debug, Default)]
+pub(crate) struct MetricsPoller {
+    last_link: Link,
+    pub pending: BTreeMap<Link, MetricsRequest>,
+    queued: Vec<(usize, u64, SocketAddr)>,
+    /// Connections that ended without a whole answer, until that is judged.
+    pub failed: Vec<MetricsRequest>,
+    /// Answers that are no figures, likewise.
+    pub malformed: Vec<String>,
+    pub responses: u64,
+}
+
+impl MetricsPoller {
+    /// Asks a process.
+    pub(crate) fn request(&mut self, matcher: usize, incarnation: u64, to: SocketAddr) {
+        self.queued.push((matcher, incarnation, to));
+    }
+}
+
+impl Service for MetricsPoller {
+    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+        if let Some(request) = self.pending.get(&link) {
+            let mut bytes = Vec::new();
+            http::push_request(
+                &mut bytes,
+                "GET",
+                "/_vars",
+                &request.to.to_string(),
+                &[],
+                b"",
+            );
+            out.push(Effect::Send(link, bytes));
+        }
+    }
+
+    fn received(&mut self, _: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+        let Some(request) = self.pending.get_mut(&link) else {
+            return;
+        };
+        request.input.extend_from_slice(bytes);
+        let response = http::parse(&request.input, false);
+        if matches!(response, Ok(None)) {
+            return;
+        }
+        self.pending.remove(&link);
+        out.push(Effect::Close(link));
+        self.responses += 1;
+        let response =
+            response.map(|response| response.map(|response| (response.status, response.body)));
+        match response {
+            Ok(Some((200, body))) => {
+                let metrics = serde_json::from_slice::<serde_json::Value>(&body);
+                if !metrics.is_ok_and(|metrics| metrics["open_requests"].is_u64()) {
+                    self.malformed
+                        .push(String::from_utf8_lossy(&body).into_owned());
+                }
+            }
+            other => self.malformed.push(format!("{other:?}")),
+        }
+    }
+
+    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+        self.failed.extend(self.pending.remove(&link));
+    }
+
+    fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        for (matcher, incarnation, to) in std::mem::take(&mut self.queued) {
+            self.last_link += 2;
+            let link = self.last_link + 1;
+            self.pending.insert(
+                link,
+                MetricsRequest {
+                    matcher,
+                    incarnation,
+                    sent_at: now,
+                    to,
+                    input: Vec::new(),
+                },
+            );
+            out.push(Effect::Dial(link, to));
+        }
+    }
+
+    fn next(&self) -> Option<Micros> {
+        (!self.queued.is_empty()).then_some(0)
+    }
+}
--- a/crates/simulator/src/rude.rs
+++ b/crates/simulator/src/misbehaving_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that open connections and say nothing, begin an AJP request and stop halfway through its body, or come by the
 //! thousand from addresses that nobody knows.
 
-use crate::crowd::Refused;
+use crate::admission_rules::RejectedConnection;
 use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{push_forward, Outgoing, PACKET_SIZE};
@@ -10,31 +10,31 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// A health check by frames, without fields: what a flood says so that it does not pass for silent.
-const HEALTH: [u8; 10] = [0, 0, 0, 6, 6, 0, 0, 0, 1, 0];
+const HEALTH_CHECK_FRAME: [u8; 10] = [0, 0, 0, 6, 6, 0, 0, 0, 1, 0];
 
 /// A lone stranger knocks so often during a flood, from an address whose prefix nobody else has.
-const KNOCKS: Micros = 100_000;
+const PROBE_INTERVAL: Micros = 100_000;
 /// One whose connection ended comes back after this.
-const BACK: Micros = 20_000;
-const LONE: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 99, 0, 1));
+const RECONNECT_DELAY: Micros = 20_000;
+const PROBE_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 99, 0, 1));
 
 /// One whom nobody knows.
 #[derive(Debug)]
-pub(crate) struct Stranger {
+pub(crate) struct UnknownClient {
     pub matcher: usize,
     pub from: IpAddr,
     /// When it was seen to have got a place.
-    pub placed: Option<Micros>,
+    pub admitted_at: Option<Micros>,
     input: Vec<u8>,
     /// It was told that it has none, or where it stands.
-    told: bool,
+    has_response: bool,
     /// Where it comes back to, and until when, where its connection ends before it is told to part.
-    back: Option<(SocketAddr, Micros)>,
+    reconnect: Option<(SocketAddr, Micros)>,
 }
 
 /// A connection that is to be opened.
 #[derive(Debug)]
-struct Wanted {
+struct PlannedConnection {
     matcher: usize,
     to: SocketAddr,
     /// What is said first.
@@ -45,7 +45,7 @@
 
 /// A lone stranger that knocks at a matcher from time to time.
 #[derive(Debug)]
-struct Knocks {
+struct ProbeSchedule {
     matcher: usize,
     to: SocketAddr,
     at: Micros,
@@ -54,40 +54,40 @@
 
 /// The clients.
 #[derive(Default)]
-pub struct Rude {
-    links: Link,
+pub struct MisbehavingClients {
+    last_link: Link,
     /// What is sent once a connection stands.
-    lines: BTreeMap<Link, (usize, Vec<u8>)>,
-    wanted: Vec<Wanted>,
-    floods: u64,
+    payloads: BTreeMap<Link, (usize, Vec<u8>)>,
+    planned: Vec<PlannedConnection>,
+    flood_connections: u64,
     /// Strangers that come back, and when.
-    backs: Vec<(Micros, Wanted)>,
-    knocks: Vec<Knocks>,
+    reconnects: Vec<(Micros, PlannedConnection)>,
+    probes: Vec<ProbeSchedule>,
     /// Those of floods whose connections stand.
-    pub(crate) strangers: BTreeMap<Link, Stranger>,
+    pub(crate) unknown_clients: BTreeMap<Link, UnknownClient>,
     /// Those that got a place, at whose matcher, and when; to be judged.
-    pub(crate) placed: Vec<(usize, IpAddr, Micros)>,
+    pub(crate) admitted: Vec<(usize, IpAddr, Micros)>,
     /// Lone ones that got none.
-    pub(crate) refused: Vec<Refused>,
+    pub(crate) rejected: Vec<RejectedConnection>,
     /// Connections that have sent half of a request, by matcher, as long as they stand.
     pub stalled: BTreeMap<Link, usize>,
 }
 
-impl Rude {
+impl MisbehavingClients {
     /// Opens so many connections that say nothing.
-    pub fn crowd(&mut self, matcher: usize, to: SocketAddr, number: usize) {
-        let silent = |_| Wanted {
+    pub fn open_silent(&mut self, matcher: usize, to: SocketAddr, number: usize) {
+        let silent = |_| PlannedConnection {
             matcher,
             to,
             bytes: Vec::new(),
             from: None,
         };
-        self.wanted.extend((0..number).map(silent));
+        self.planned.extend((0..number).map(silent));
     }
 
     /// Opens so many connections from so many addresses in 127.66.0.0/16, each with a health check, that stay. Meanwhile a
     /// lone stranger knocks.
-    pub fn flood(
+    pub fn start_flood(
         &mut self,
         matcher: usize,
         to: SocketAddr,
@@ -95,28 +95,28 @@
         sources: u32,
         (now, until): (Micros, Micros),
     ) {
-        self.knocks.push(Knocks {
+        self.probes.push(ProbeSchedule {
             matcher,
             to,
-            at: now + KNOCKS,
+            at: now + PROBE_INTERVAL,
             until,
         });
         for _ in 0..number {
-            self.floods += 1;
-            let source = (self.floods % u64::from(sources.max(1))) as u32;
+            self.flood_connections += 1;
+            let source = (self.flood_connections % u64::from(sources.max(1))) as u32;
             let from = Ipv4Addr::from(0x7F42_0001 + source / 250 * 256 + source % 250);
             let from = Some((IpAddr::V4(from), until));
-            self.wanted.push(Wanted {
+            self.planned.push(PlannedConnection {
                 matcher,
                 to,
-                bytes: HEALTH.to_vec(),
+                bytes: HEALTH_CHECK_FRAME.to_vec(),
                 from,
             });
         }
     }
 
     /// Begins a request and stops halfway.
-    pub fn stall(&mut self, matcher: usize, to: SocketAddr) {
+    pub fn stall_request(&mut self, matcher: usize, to: SocketAddr) {
         let headers = [
             ("Content-Length", "1000"),
             ("X-Request-Id", "00000000000000ff"),
@@ -133,7 +133,7 @@
         let _ = push_forward(&mut bytes, &request, PACKET_SIZE);
         bytes.extend_from_slice(&[0x12, 0x34, 0x01, 0xF6, 0x01, 0xF4]);
         bytes.extend_from_slice(&[b'.'; 300]);
-        self.wanted.push(Wanted {
+        self.planned.push(PlannedConnection {
             matcher,
             to,
             bytes,
@@ -142,12 +142,15 @@
     }
 }
 
-impl Service for Rude {
+impl Service for MisbehavingClients {
     fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
-        if let Some((matcher, bytes)) = self.lines.get_mut(&link).filter(|line| !line.1.is_empty())
+        if let Some((matcher, bytes)) = self
+            .payloads
+            .get_mut(&link)
+            .filter(|payload| !payload.1.is_empty())
         {
             // A flood's health check is whole: nothing of it stalls.
-            if bytes[..] != HEALTH {
+            if bytes[..] != HEALTH_CHECK_FRAME {
                 self.stalled.insert(link, *matcher);
             }
             out.push(Effect::Send(link, std::mem::take(bytes)));
@@ -156,103 +159,103 @@
 
     fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
         self.stalled.remove(&link);
-        let Some(stranger) = self
-            .strangers
+        let Some(client) = self
+            .unknown_clients
             .get_mut(&link)
-            .filter(|stranger| !stranger.told)
+            .filter(|client| !client.has_response)
         else {
             return;
         };
-        stranger.input.extend_from_slice(bytes);
-        let Parsed::Frame { kind, .. } = frames::parse(&stranger.input) else {
+        client.input.extend_from_slice(bytes);
+        let Parsed::Frame { kind, .. } = frames::parse(&client.input) else {
             return;
         };
-        stranger.told = true;
-        let (matcher, lone) = (stranger.matcher, stranger.from == LONE);
+        client.has_response = true;
+        let (matcher, is_probe) = (client.matcher, client.from == PROBE_ADDRESS);
         if kind == frames::GOODBYE {
-            stranger.back = None;
-            if lone {
-                self.refused.push(Refused {
+            client.reconnect = None;
+            if is_probe {
+                self.rejected.push(RejectedConnection {
                     matcher,
                     at: now,
-                    probe: true,
+                    is_probe: true,
                 });
             }
         } else {
-            stranger.placed = Some(now);
-            self.placed.push((matcher, stranger.from, now));
+            client.admitted_at = Some(now);
+            self.admitted.push((matcher, client.from, now));
         }
-        if lone {
+        if is_probe {
             out.push(Effect::Close(link));
             self.closed(now, link, out);
         }
     }
 
     fn closed(&mut self, now: Micros, link: Link, _: &mut Vec<Effect>) {
-        self.lines.remove(&link);
+        self.payloads.remove(&link);
         self.stalled.remove(&link);
-        let Some(Stranger {
+        let Some(UnknownClient {
             matcher,
             from,
-            back: Some((to, until)),
+            reconnect: Some((to, until)),
             ..
-        }) = self.strangers.remove(&link)
+        }) = self.unknown_clients.remove(&link)
         else {
             return;
         };
-        if now + BACK < until {
-            let wanted = Wanted {
+        if now + RECONNECT_DELAY < until {
+            let connection = PlannedConnection {
                 matcher,
                 to,
-                bytes: HEALTH.to_vec(),
+                bytes: HEALTH_CHECK_FRAME.to_vec(),
                 from: Some((from, until)),
             };
-            self.backs.push((now + BACK, wanted));
+            self.reconnects.push((now + RECONNECT_DELAY, connection));
         }
     }
 
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        for knocks in self.knocks.iter_mut().filter(|knocks| now >= knocks.at) {
-            knocks.at = now + KNOCKS;
-            let (matcher, to, from) = (knocks.matcher, knocks.to, Some((LONE, 0)));
-            self.wanted.push(Wanted {
+        for probe in self.probes.iter_mut().filter(|probe| now >= probe.at) {
+            probe.at = now + PROBE_INTERVAL;
+            let (matcher, to, from) = (probe.matcher, probe.to, Some((PROBE_ADDRESS, 0)));
+            self.planned.push(PlannedConnection {
                 matcher,
                 to,
-                bytes: HEALTH.to_vec(),
+                bytes: HEALTH_CHECK_FRAME.to_vec(),
                 from,
             });
         }
-        self.knocks.retain(|knocks| knocks.at < knocks.until);
-        let (due, backs) = std::mem::take(&mut self.backs)
+        self.probes.retain(|probe| probe.at < probe.until);
+        let (due, reconnects) = std::mem::take(&mut self.reconnects)
             .into_iter()
             .partition(|(at, _)| now >= *at);
-        self.backs = backs;
-        let due: Vec<(Micros, Wanted)> = due;
-        self.wanted
-            .extend(due.into_iter().map(|(_, wanted)| wanted));
-        for Wanted {
+        self.reconnects = reconnects;
+        let due: Vec<(Micros, PlannedConnection)> = due;
+        self.planned
+            .extend(due.into_iter().map(|(_, connection)| connection));
+        for PlannedConnection {
             matcher,
             to,
             bytes,
             from,
-        } in std::mem::take(&mut self.wanted)
+        } in std::mem::take(&mut self.planned)
         {
-            self.links += 2;
-            let link = self.links + 1;
-            self.lines.insert(link, (matcher, bytes));
+            self.last_link += 2;
+            let link = self.last_link + 1;
+            self.payloads.insert(link, (matcher, bytes));
             out.push(match from {
                 Some((from, until)) => {
-                    let (input, placed, told) = (Vec::new(), None, false);
-                    let back = (until > now).then_some((to, until));
-                    self.strangers.insert(
+                    let (input, admitted_at, has_response) = (Vec::new(), None, false);
+                    let reconnect = (until > now).then_some((to, until));
+                    self.unknown_clients.insert(
                         link,
-                        Stranger {
+                        UnknownClient {
                             matcher,
                             from,
-                            placed,
+                            admitted_at,
                             input,
-                            told,
-                            back,
+                            has_response,
+                            reconnect,
                         },
                     );
                     Effect::DialFrom(link, to, from)
@@ -263,13 +266,13 @@
     }
 
     fn next(&self) -> Option<Micros> {
-        if !self.wanted.is_empty() {
+        if !self.planned.is_empty() {
             return Some(0);
         }
-        self.knocks
+        self.probes
             .iter()
-            .map(|knocks| knocks.at)
-            .chain(self.backs.iter().map(|(at, _)| *at))
+            .map(|probe| probe.at)
+            .chain(self.reconnects.iter().map(|(at, _)| *at))
             .min()
     }
 }
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/network.rs
@@ -2,7 +2,7 @@
 //! and resets, and descriptors that are counted. It knows nobody: whoever has an end of a connection is told what
 //! happened there.
 
-use crate::queue::Queue;
+use crate::event_queue::EventQueue;
 use cleatpulley_policy::interface::Micros;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,26 +11,26 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Bytes on their way or unread that a connection holds in one direction.
-const WINDOW: usize = 65_536;
+const WINDOW_BYTES: usize = 65_536;
 /// Connections that wait to be accepted.
-const BACKLOG: usize = 1_024;
+const MAX_BACKLOG: usize = 1_024;
 /// Bytes that pass in a microsecond.
-const BANDWIDTH: usize = 100;
+const BYTES_PER_MICROSECOND: usize = 100;
 /// A process with fewer descriptors left than this is short of them: its front end keeps some for other uses.
-const SHORT: usize = 70;
+const LOW_DESCRIPTORS: usize = 70;
 /// The system's error where a process has no descriptor left.
-const NO_DESCRIPTORS: i32 = 24;
+const EMFILE: i32 = 24;
 
 /// An end of a connection.
 pub type EndId = usize;
 
 /// What passes on the network.
 #[derive(Debug)]
-pub enum NetEvent {
+pub enum NetworkEvent {
     /// A connection is asked for.
     Syn(EndId, SocketAddr),
-    /// It stands, or was refused.
-    Answered(EndId, bool),
+    /// It established, or was refused.
+    ConnectResult(EndId, bool),
     /// Bytes come.
     Deliver(EndId, Vec<u8>),
     /// The peer sends no more.
@@ -38,12 +38,12 @@
     /// The connection is over.
     Reset(EndId),
     /// There is room to write again.
-    Room(EndId),
+    Writable(EndId),
 }
 
 /// What whoever has an end, or a listener, is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Notification {
     /// A connection waits to be accepted.
     Acceptable(SocketAddr),
     /// It may be read from or written to, or is over.
@@ -58,103 +58,103 @@
     process: usize,
     inbox: VecDeque<u8>,
     /// Bytes that this end sent and the other has not read.
-    flying: usize,
+    in_flight: usize,
     /// Nothing sent is delivered before this.
-    arrives: Micros,
+    last_arrival: Micros,
     latency: Micros,
     connected: bool,
     refused: bool,
     /// The peer sends no more.
-    ended: bool,
+    peer_finished: bool,
     reset: bool,
-    finished: bool,
-    gone: bool,
-    blocked: bool,
+    write_shut: bool,
+    closed: bool,
+    write_blocked: bool,
     /// When the listener's side accepted the connection.
-    accepted: Option<Micros>,
+    accepted_at: Option<Micros>,
 }
 
 #[derive(Debug, Default)]
 struct Process {
-    held: usize,
-    most: usize,
+    held_descriptors: usize,
+    max_descriptors: usize,
     /// When it was last short of descriptors.
     short_at: Micros,
 }
 
 /// A listening socket: one queue, whoever holds it. It is there until nobody does.
 #[derive(Debug)]
-struct Door {
+struct ListeningSocket {
     number: u64,
     holders: Vec<usize>,
     backlog: VecDeque<EndId>,
 }
 
 /// Who holds a listening socket that is on its way from one process to another.
-const NOBODY: usize = usize::MAX;
+const IN_TRANSIT: usize = usize::MAX;
 
 /// The network.
-pub struct Net<E> {
+pub struct Network<E> {
     /// The time.
     pub now: Micros,
     /// All events of the world.
-    pub queue: Queue<E>,
-    wrap: fn(NetEvent) -> E,
+    pub queue: EventQueue<E>,
+    wrap_event: fn(NetworkEvent) -> E,
     random: SmallRng,
     ends: Vec<End>,
     /// Several at one address share what comes there.
-    doors: BTreeMap<SocketAddr, Vec<Door>>,
-    numbers: u64,
+    listening_sockets: BTreeMap<SocketAddr, Vec<ListeningSocket>>,
+    last_socket_number: u64,
     processes: Vec<Process>,
     /// Reads and writes are cut short now and then.
-    pub partial: bool,
+    pub partial_io: bool,
     /// Accepts and connects that found no descriptor.
-    pub exhausted: u64,
+    pub descriptor_exhaustions: u64,
     /// When a queue of connections to be accepted was last full, by its address.
-    full_at: BTreeMap<SocketAddr, Micros>,
+    backlog_full_at: BTreeMap<SocketAddr, Micros>,
     /// Ends that dialled from another address than that of front ends.
-    froms: BTreeMap<EndId, IpAddr>,
+    source_addresses: BTreeMap<EndId, IpAddr>,
 }
 
-impl<E> Net<E> {
+impl<E> Network<E> {
     /// One that begins at this time.
     #[must_use]
-    pub fn new(now: Micros, seed: u64, wrap: fn(NetEvent) -> E) -> Self {
+    pub fn new(now: Micros, seed: u64, wrap_event: fn(NetworkEvent) -> E) -> Self {
         Self {
             now,
-            queue: Queue::default(),
-            wrap,
+            queue: EventQueue::default(),
+            wrap_event,
             random: SmallRng::seed_from_u64(seed),
             ends: Vec::new(),
-            doors: BTreeMap::new(),
-            numbers: 0,
+            listening_sockets: BTreeMap::new(),
+            last_socket_number: 0,
             processes: Vec::new(),
-            full_at: BTreeMap::new(),
-            froms: BTreeMap::new(),
-            partial: false,
-            exhausted: 0,
+            backlog_full_at: BTreeMap::new(),
+            source_addresses: BTreeMap::new(),
+            partial_io: false,
+            descriptor_exhaustions: 0,
         }
     }
 
     /// A process that may hold so many descriptors.
-    pub fn process(&mut self, most: usize) -> usize {
+    pub fn add_process(&mut self, max_descriptors: usize) -> usize {
         self.processes.push(Process {
-            most,
+            max_descriptors,
             ..Process::default()
         });
         self.processes.len() - 1
     }
 
     /// Sets how many descriptors a process may hold; what it holds beyond that stays.
-    pub fn limit(&mut self, process: usize, most: usize) {
-        self.note_short(process);
-        self.processes[process].most = most;
+    pub fn set_descriptor_limit(&mut self, process: usize, max_descriptors: usize) {
+        self.record_shortage(process);
+        self.processes[process].max_descriptors = max_descriptors;
     }
 
-    fn note_short(&mut self, process: usize) {
+    fn record_shortage(&mut self, process: usize) {
         let now = self.now;
         let process = &mut self.processes[process];
-        if process.held.saturating_add(SHORT) >= process.most {
+        if process.held_descriptors.saturating_add(LOW_DESCRIPTORS) >= process.max_descriptors {
             process.short_at = now;
         }
     }
@@ -162,32 +162,32 @@
     /// When a process was last short of descriptors.
     #[must_use]
     pub fn short_at(&self, process: usize) -> Micros {
-        let one = &self.processes[process];
-        if one.held.saturating_add(SHORT) >= one.most {
+        let entry = &self.processes[process];
+        if entry.held_descriptors.saturating_add(LOW_DESCRIPTORS) >= entry.max_descriptors {
             self.now
         } else {
-            one.short_at
+            entry.short_at
         }
     }
 
     /// Descriptors that a process holds.
     #[must_use]
-    pub fn held(&self, process: usize) -> usize {
-        self.processes[process].held
+    pub fn held_descriptors(&self, process: usize) -> usize {
+        self.processes[process].held_descriptors
     }
 
-    fn push(&mut self, at: Micros, event: NetEvent) {
-        let event = (self.wrap)(event);
+    fn push(&mut self, at: Micros, event: NetworkEvent) {
+        let event = (self.wrap_event)(event);
         self.queue.push(at, event);
     }
 
     fn take_descriptor(&mut self, process: usize) -> io::Result<()> {
-        let one = &mut self.processes[process];
-        if one.held >= one.most {
-            self.exhausted += 1;
-            return Err(io::Error::from_raw_os_error(NO_DESCRIPTORS));
+        let entry = &mut self.processes[process];
+        if entry.held_descriptors >= entry.max_descriptors {
+            self.descriptor_exhaustions += 1;
+            return Err(io::Error::from_raw_os_error(EMFILE));
         }
-        one.held += 1;
+        entry.held_descriptors += 1;
         Ok(())
     }
 
@@ -195,46 +195,53 @@
     ///
     /// # Errors
     /// Where none is left.
-    pub fn hold(&mut self, process: usize) -> io::Result<()> {
+    pub fn acquire_descriptor(&mut self, process: usize) -> io::Result<()> {
         self.take_descriptor(process)
     }
 
     /// Gives such a descriptor back.
-    pub fn let_go(&mut self, process: usize) {
-        self.note_short(process);
-        self.processes[process].held -= 1;
+    pub fn release_descriptor(&mut self, process: usize) {
+        self.record_shortage(process);
+        self.processes[process].held_descriptors -= 1;
     }
 
     /// Listens; beside others only where that is meant. Returns the number of the listening socket.
     ///
     /// # Errors
     /// Where the address is taken or no descriptor is left.
-    pub fn listen(&mut self, address: SocketAddr, process: usize, beside: bool) -> io::Result<u64> {
-        if self.doors.contains_key(&address) && !beside {
+    pub fn listen(&mut self, address: SocketAddr, process: usize, shared: bool) -> io::Result<u64> {
+        if self.listening_sockets.contains_key(&address) && !shared {
             return Err(ErrorKind::AddrInUse.into());
         }
         self.take_descriptor(process)?;
-        self.numbers += 1;
-        let door = Door {
-            number: self.numbers,
+        self.last_socket_number += 1;
+        let socket = ListeningSocket {
+            number: self.last_socket_number,
             holders: vec![process],
             backlog: VecDeque::new(),
         };
-        self.doors.entry(address).or_default().push(door);
-        Ok(self.numbers)
+        self.listening_sockets
+            .entry(address)
+            .or_default()
+            .push(socket);
+        Ok(self.last_socket_number)
     }
 
-    fn door(&mut self, address: SocketAddr, number: u64) -> Option<&mut Door> {
-        self.doors
+    fn listening_socket(
+        &mut self,
+        address: SocketAddr,
+        number: u64,
+    ) -> Option<&mut ListeningSocket> {
+        self.listening_sockets
             .get_mut(&address)?
             .iter_mut()
-            .find(|door| door.number == number)
+            .find(|socket| socket.number == number)
     }
 
     /// A listening socket goes on its way to another process.
-    pub fn pass_on(&mut self, address: SocketAddr, number: u64) {
-        if let Some(door) = self.door(address, number) {
-            door.holders.push(NOBODY);
+    pub fn begin_transfer(&mut self, address: SocketAddr, number: u64) {
+        if let Some(socket) = self.listening_socket(address, number) {
+            socket.holders.push(IN_TRANSIT);
         }
     }
 
@@ -242,73 +249,87 @@
     ///
     /// # Errors
     /// Where no descriptor is left.
-    pub fn take_up(&mut self, address: SocketAddr, number: u64, process: usize) -> io::Result<()> {
+    pub fn adopt_listener(
+        &mut self,
+        address: SocketAddr,
+        number: u64,
+        process: usize,
+    ) -> io::Result<()> {
         self.take_descriptor(process)?;
-        match self.door(address, number) {
-            Some(door) => door.holders.push(process),
-            None => self.let_go(process),
+        match self.listening_socket(address, number) {
+            Some(socket) => socket.holders.push(process),
+            None => self.release_descriptor(process),
         }
         Ok(())
     }
 
     /// A listening socket that was on its way is given up, or was taken up.
-    pub fn arrived(&mut self, address: SocketAddr, number: u64) {
-        self.close_door(address, number, NOBODY);
+    pub fn end_transfer(&mut self, address: SocketAddr, number: u64) {
+        self.close_listener(address, number, IN_TRANSIT);
     }
 
     /// A process closes its listening socket. Where nobody else has it, what waits to be accepted is reset.
-    pub fn close_door(&mut self, address: SocketAddr, number: u64, process: usize) {
-        let Some(door) = self.door(address, number) else {
+    pub fn close_listener(&mut self, address: SocketAddr, number: u64, process: usize) {
+        let Some(socket) = self.listening_socket(address, number) else {
             return;
         };
-        let Some(place) = door.holders.iter().position(|holder| *holder == process) else {
+        let Some(index) = socket.holders.iter().position(|holder| *holder == process) else {
             return;
         };
-        door.holders.swap_remove(place);
-        let last = door.holders.is_empty();
-        if process != NOBODY {
-            self.let_go(process);
+        socket.holders.swap_remove(index);
+        let last = socket.holders.is_empty();
+        if process != IN_TRANSIT {
+            self.release_descriptor(process);
         }
         if last {
-            let doors = self.doors.remove(&address).unwrap_or_default();
-            for door in doors {
-                if door.number == number {
-                    self.reset_backlog(door);
+            let listening_sockets = self.listening_sockets.remove(&address).unwrap_or_default();
+            for socket in listening_sockets {
+                if socket.number == number {
+                    self.reset_backlog(socket);
                 } else {
-                    self.doors.entry(address).or_default().push(door);
+                    self.listening_sockets
+                        .entry(address)
+                        .or_default()
+                        .push(socket);
                 }
             }
         }
     }
 
-    fn reset_backlog(&mut self, door: Door) {
-        for end in door.backlog {
-            self.ends[end].gone = true;
+    fn reset_backlog(&mut self, socket: ListeningSocket) {
+        for end in socket.backlog {
+            self.ends[end].closed = true;
             let at = self.now + self.ends[end].latency;
-            self.push(at, NetEvent::Reset(end ^ 1));
+            self.push(at, NetworkEvent::Reset(end ^ 1));
         }
     }
 
     /// Nobody listens there any more; what waits to be accepted is reset.
-    pub fn unlisten(&mut self, address: SocketAddr) {
-        for door in self.doors.remove(&address).unwrap_or_default() {
-            for process in door
+    pub fn stop_listening(&mut self, address: SocketAddr) {
+        for socket in self.listening_sockets.remove(&address).unwrap_or_default() {
+            for process in socket
                 .holders
                 .iter()
                 .copied()
-                .filter(|process| *process != NOBODY)
+                .filter(|process| *process != IN_TRANSIT)
             {
-                self.let_go(process);
+                self.release_descriptor(process);
             }
-            self.reset_backlog(door);
+            self.reset_backlog(socket);
         }
     }
 
     /// Processes that hold a listening socket there.
     #[must_use]
-    pub fn listeners(&self, address: SocketAddr) -> usize {
-        let doors = self.doors.get(&address).map_or(&[][..], Vec::as_slice);
-        doors.iter().map(|door| door.holders.len()).sum()
+    pub fn listener_count(&self, address: SocketAddr) -> usize {
+        let listening_sockets = self
+            .listening_sockets
+            .get(&address)
+            .map_or(&[][..], Vec::as_slice);
+        listening_sockets
+            .iter()
+            .map(|socket| socket.holders.len())
+            .sum()
     }
 
     /// Accepts a connection that waits at the first listening socket there.
@@ -316,9 +337,12 @@
     /// # Errors
     /// As [`accept_at`](Self::accept_at).
     pub fn accept(&mut self, address: SocketAddr, owner: u64) -> io::Result<EndId> {
-        let door = self.doors.get(&address).and_then(|doors| doors.first());
-        let (number, process) = door
-            .map(|door| (door.number, door.holders[0]))
+        let socket = self
+            .listening_sockets
+            .get(&address)
+            .and_then(|listening_sockets| listening_sockets.first());
+        let (number, process) = socket
+            .map(|socket| (socket.number, socket.holders[0]))
             .ok_or(ErrorKind::NotConnected)?;
         self.accept_at(address, number, process, owner)
     }
@@ -334,23 +358,25 @@
         process: usize,
         owner: u64,
     ) -> io::Result<EndId> {
-        let door = self.door(address, number).ok_or(ErrorKind::NotConnected)?;
-        let nobody = door.backlog.is_empty();
+        let socket = self
+            .listening_socket(address, number)
+            .ok_or(ErrorKind::NotConnected)?;
+        let is_empty = socket.backlog.is_empty();
         // The system looks for a descriptor before it looks whether anybody waits.
         self.take_descriptor(process)?;
-        if nobody {
-            self.processes[process].held -= 1;
+        if is_empty {
+            self.processes[process].held_descriptors -= 1;
             return Err(ErrorKind::WouldBlock.into());
         }
         let end = self
-            .door(address, number)
-            .and_then(|door| door.backlog.pop_front());
+            .listening_socket(address, number)
+            .and_then(|socket| socket.backlog.pop_front());
         let end = end.ok_or(ErrorKind::WouldBlock)?;
         (self.ends[end].owner, self.ends[end].process) = (owner, process);
         // What came before it was accepted is there.
         let at = self.now;
-        self.ends[end].accepted = Some(at);
-        self.push(at, NetEvent::Room(end));
+        self.ends[end].accepted_at = Some(at);
+        self.push(at, NetworkEvent::Writable(end));
         Ok(end)
     }
 
@@ -359,7 +385,7 @@
     /// # Errors
     /// Where no descriptor is left.
     pub fn connect(&mut self, to: SocketAddr, process: usize, owner: u64) -> io::Result<EndId> {
-        let from = self.address();
+        let from = self.front_end_address();
         self.connect_from(to, process, owner, from)
     }
 
@@ -375,8 +401,8 @@
         from: IpAddr,
     ) -> io::Result<EndId> {
         self.take_descriptor(process)?;
-        if from != self.address() {
-            self.froms.insert(self.ends.len(), from);
+        if from != self.front_end_address() {
+            self.source_addresses.insert(self.ends.len(), from);
         }
         let latency = self.random.random_range(30..200);
         let end = self.ends.len();
@@ -394,7 +420,7 @@
             ..End::default()
         });
         let at = self.now + latency;
-        self.push(at, NetEvent::Syn(end, to));
+        self.push(at, NetworkEvent::Syn(end, to));
         Ok(end)
     }
 
@@ -412,103 +438,105 @@
 
     /// When the other side of a connection that an end dialled has accepted it.
     #[must_use]
-    pub fn accepted(&self, end: EndId) -> Option<Micros> {
-        self.ends[end ^ 1].accepted
+    pub fn accepted_at(&self, end: EndId) -> Option<Micros> {
+        self.ends[end ^ 1].accepted_at
     }
 
     /// The address that front ends and proxies have.
     #[must_use]
-    pub fn address(&self) -> IpAddr {
+    pub fn front_end_address(&self) -> IpAddr {
         IpAddr::V4(Ipv4Addr::LOCALHOST)
     }
 
     /// When the queue of an address was last full.
     #[must_use]
-    pub fn full_at(&self, address: SocketAddr) -> Micros {
-        self.full_at.get(&address).copied().unwrap_or(0)
+    pub fn backlog_full_at(&self, address: SocketAddr) -> Micros {
+        self.backlog_full_at.get(&address).copied().unwrap_or(0)
     }
 
     /// The address of the peer of an end that was accepted.
     #[must_use]
-    pub fn address_of(&self, end: EndId) -> IpAddr {
-        self.froms
+    pub fn peer_address(&self, end: EndId) -> IpAddr {
+        self.source_addresses
             .get(&(end ^ 1))
             .copied()
-            .unwrap_or_else(|| self.address())
+            .unwrap_or_else(|| self.front_end_address())
     }
 
     /// Takes note of what passed; returns who is to be told.
-    pub fn pass(&mut self, event: NetEvent) -> Option<Told> {
+    pub fn handle_event(&mut self, event: NetworkEvent) -> Option<Notification> {
         match event {
-            NetEvent::Syn(end, to) => {
+            NetworkEvent::Syn(end, to) => {
                 let at = self.now + self.ends[end].latency;
-                let doors = self.doors.get(&to).map_or(0, Vec::len);
-                let which = if doors > 1 {
-                    self.random.random_range(0..doors)
+                let listening_sockets = self.listening_sockets.get(&to).map_or(0, Vec::len);
+                let index = if listening_sockets > 1 {
+                    self.random.random_range(0..listening_sockets)
                 } else {
                     0
                 };
-                let door = self
-                    .doors
+                let socket = self
+                    .listening_sockets
                     .get_mut(&to)
-                    .and_then(|doors| doors.get_mut(which));
-                if door
+                    .and_then(|listening_sockets| listening_sockets.get_mut(index));
+                if socket
                     .as_ref()
-                    .is_some_and(|door| door.backlog.len() >= BACKLOG)
+                    .is_some_and(|socket| socket.backlog.len() >= MAX_BACKLOG)
                 {
-                    self.full_at.insert(to, self.now);
+                    self.backlog_full_at.insert(to, self.now);
                 }
-                match door.filter(|door| door.backlog.len() < BACKLOG) {
-                    Some(door) if !self.ends[end].gone => {
-                        door.backlog.push_back(end ^ 1);
-                        self.push(at, NetEvent::Answered(end, true));
-                        Some(Told::Acceptable(to))
+                match socket.filter(|socket| socket.backlog.len() < MAX_BACKLOG) {
+                    Some(socket) if !self.ends[end].closed => {
+                        socket.backlog.push_back(end ^ 1);
+                        self.push(at, NetworkEvent::ConnectResult(end, true));
+                        Some(Notification::Acceptable(to))
                     }
                     _ => {
-                        self.push(at, NetEvent::Answered(end, false));
+                        self.push(at, NetworkEvent::ConnectResult(end, false));
                         None
                     }
                 }
             }
-            NetEvent::Answered(end, stands) => {
-                self.ends[end].connected = stands;
-                self.ends[end].refused = !stands;
-                Some(Told::Ready(end))
+            NetworkEvent::ConnectResult(end, established) => {
+                self.ends[end].connected = established;
+                self.ends[end].refused = !established;
+                Some(Notification::Ready(end))
             }
-            NetEvent::Deliver(end, bytes) => {
-                if self.ends[end].gone {
+            NetworkEvent::Deliver(end, bytes) => {
+                if self.ends[end].closed {
                     // Whoever sends to nobody learns it.
                     let at = self.now + self.ends[end].latency;
-                    self.push(at, NetEvent::Reset(end ^ 1));
+                    self.push(at, NetworkEvent::Reset(end ^ 1));
                     return None;
                 }
                 if self.ends[end].reset {
                     return None;
                 }
                 self.ends[end].inbox.extend(bytes);
-                Some(Told::Ready(end))
+                Some(Notification::Ready(end))
             }
-            NetEvent::Fin(end) => {
-                self.ends[end].ended = true;
-                Some(Told::Ready(end))
+            NetworkEvent::Fin(end) => {
+                self.ends[end].peer_finished = true;
+                Some(Notification::Ready(end))
             }
-            NetEvent::Reset(end) => {
-                if self.ends[end].gone || self.ends[end].reset {
+            NetworkEvent::Reset(end) => {
+                if self.ends[end].closed || self.ends[end].reset {
                     return None;
                 }
                 self.ends[end].reset = true;
                 self.ends[end].inbox.clear();
-                Some(Told::Ready(end))
+                Some(Notification::Ready(end))
             }
-            NetEvent::Room(end) => Some(Told::Ready(end)),
+            NetworkEvent::Writable(end) => Some(Notification::Ready(end)),
         }
-        .filter(|told| match told {
-            Told::Ready(end) => !self.ends[*end].gone && self.ends[*end].owner != u64::MAX,
-            Told::Acceptable(_) => true,
+        .filter(|notification| match notification {
+            Notification::Ready(end) => {
+                !self.ends[*end].closed && self.ends[*end].owner != u64::MAX
+            }
+            Notification::Acceptable(_) => true,
         })
     }
 
-    fn broken(&mut self, end: EndId) -> io::Result<()> {
+    fn connection_error(&mut self, end: EndId) -> io::Result<()> {
         let end = &mut self.ends[end];
         if end.refused {
             return Err(ErrorKind::ConnectionRefused.into());
@@ -523,13 +551,13 @@
     ///
     /// # Errors
     /// That error.
-    pub fn check(&mut self, end: EndId) -> io::Result<()> {
-        self.broken(end)
+    pub fn pending_error(&mut self, end: EndId) -> io::Result<()> {
+        self.connection_error(end)
     }
 
-    /// It stands, as far as its end knows.
+    /// It established, as far as its end knows.
     #[must_use]
-    pub fn stands(&self, end: EndId) -> bool {
+    pub fn is_established(&self, end: EndId) -> bool {
         let end = &self.ends[end];
         end.connected && !end.reset && !end.refused
     }
@@ -539,26 +567,26 @@
     /// # Errors
     /// `WouldBlock` where nothing has; that of the connection where it broke.
     pub fn read(&mut self, end: EndId, buffer: &mut [u8]) -> io::Result<usize> {
-        self.broken(end)?;
+        self.connection_error(end)?;
         if self.ends[end].inbox.is_empty() {
-            return if self.ends[end].ended {
+            return if self.ends[end].peer_finished {
                 Ok(0)
             } else {
                 Err(ErrorKind::WouldBlock.into())
             };
         }
         let mut number = buffer.len().min(self.ends[end].inbox.len());
-        if self.partial && number > 1 && self.random.random_range(0..12) == 0 {
+        if self.partial_io && number > 1 && self.random.random_range(0..12) == 0 {
             number = self.random.random_range(1..number);
         }
-        for (place, byte) in buffer.iter_mut().zip(self.ends[end].inbox.drain(..number)) {
-            *place = byte;
+        for (target, byte) in buffer.iter_mut().zip(self.ends[end].inbox.drain(..number)) {
+            *target = byte;
         }
         let peer = &mut self.ends[end ^ 1];
-        peer.flying -= number.min(peer.flying);
-        if std::mem::take(&mut peer.blocked) {
+        peer.in_flight -= number.min(peer.in_flight);
+        if std::mem::take(&mut peer.write_blocked) {
             let at = self.now + self.ends[end].latency;
-            self.push(at, NetEvent::Room(end ^ 1));
+            self.push(at, NetworkEvent::Writable(end ^ 1));
         }
         Ok(number)
     }
@@ -568,66 +596,67 @@
     /// # Errors
     /// `WouldBlock` where there is no room; that of the connection where it broke.
     pub fn write(&mut self, end: EndId, bytes: &[u8]) -> io::Result<usize> {
-        self.broken(end)?;
-        if self.ends[end].finished {
+        self.connection_error(end)?;
+        if self.ends[end].write_shut {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        let room = WINDOW.saturating_sub(self.ends[end].flying);
+        let room = WINDOW_BYTES.saturating_sub(self.ends[end].in_flight);
         if !self.ends[end].connected || room == 0 {
-            self.ends[end].blocked = true;
+            self.ends[end].write_blocked = true;
             return Err(ErrorKind::WouldBlock.into());
         }
         let mut number = bytes.len().min(room);
-        if self.partial && number > 1 && self.random.random_range(0..12) == 0 {
+        if self.partial_io && number > 1 && self.random.random_range(0..12) == 0 {
             number = self.random.random_range(1..number);
         }
         let now = self.now;
-        let one = &mut self.ends[end];
-        one.flying += number;
-        one.arrives = one.arrives.max(now + one.latency) + (number / BANDWIDTH) as Micros;
-        let at = one.arrives;
+        let sender = &mut self.ends[end];
+        sender.in_flight += number;
+        sender.last_arrival = sender.last_arrival.max(now + sender.latency)
+            + (number / BYTES_PER_MICROSECOND) as Micros;
+        let at = sender.last_arrival;
         // A chunk may arrive in two pieces.
-        let cut = if self.partial && number > 1 && self.random.random_range(0..10) == 0 {
+        let cut = if self.partial_io && number > 1 && self.random.random_range(0..10) == 0 {
             self.random.random_range(1..number)
         } else {
             number
         };
-        self.push(at, NetEvent::Deliver(end ^ 1, bytes[..cut].to_vec()));
+        self.push(at, NetworkEvent::Deliver(end ^ 1, bytes[..cut].to_vec()));
         if cut < number {
             let later = at + self.random.random_range(1..400);
-            self.ends[end].arrives = later;
+            self.ends[end].last_arrival = later;
             self.push(
                 later,
-                NetEvent::Deliver(end ^ 1, bytes[cut..number].to_vec()),
+                NetworkEvent::Deliver(end ^ 1, bytes[cut..number].to_vec()),
             );
         }
         Ok(number)
     }
 
     /// Sends no more.
-    pub fn finish(&mut self, end: EndId) {
-        if !std::mem::replace(&mut self.ends[end].finished, true) && self.stands(end) {
+    pub fn shutdown_write(&mut self, end: EndId) {
+        if !std::mem::replace(&mut self.ends[end].write_shut, true) && self.is_established(end) {
             let at = self.ends[end]
-                .arrives
+                .last_arrival
                 .max(self.now + self.ends[end].latency);
-            self.push(at, NetEvent::Fin(end ^ 1));
+            self.push(at, NetworkEvent::Fin(end ^ 1));
         }
     }
 
     /// Closes an end; closing over bytes that were not read resets the connection.
     pub fn close(&mut self, end: EndId) {
-        if std::mem::replace(&mut self.ends[end].gone, true) {
+        if std::mem::replace(&mut self.ends[end].closed, true) {
             return;
         }
         let process = self.ends[end].process;
-        self.let_go(process);
+        self.release_descriptor(process);
         if self.ends[end].inbox.is_empty() {
-            self.finish(end);
+            self.shutdown_write(end);
         } else {
             let at = self.ends[end]
-                .arrives
+                .last_arrival
                 .max(self.now + self.ends[end].latency);
-            self.push(at, NetEvent::Reset(end ^ 1));
+            self.push(at, NetworkEvent::Reset(end ^ 1));
         }
         self.ends[end].inbox = VecDeque::new();
     }
@@ -636,15 +665,15 @@
     pub fn reset(&mut self, end: EndId) {
         let at = self.now;
         for end in [end, end ^ 1] {
-            self.push(at, NetEvent::Reset(end));
+            self.push(at, NetworkEvent::Reset(end));
         }
     }
 
     /// Ends that a process holds and whose connection stands.
     #[must_use]
-    pub fn ends_of(&self, process: usize) -> Vec<EndId> {
+    pub fn established_ends(&self, process: usize) -> Vec<EndId> {
         let mine = |(_, end): &(EndId, &End)| {
-            end.process == process && !end.gone && end.connected && !end.reset
+            end.process == process && !end.closed && end.connected && !end.reset
         };
         self.ends
             .iter()
--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a seed stands for: how many matchers and front ends there are, how they behave, and which faults come when.
 
-use crate::front::Habit;
+use crate::front_end::Habit;
 use cleatpulley_policy::interface::Micros;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -12,7 +12,7 @@
 
 /// Which process dies in an upgrade, and how long after the new one's start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Killed {
+pub enum KilledProcess {
     /// The new one.
     New(Micros),
     /// The one whose place it takes.
@@ -20,13 +20,13 @@
 }
 
 /// Kinds of faults, drawn by their numbers.
-const KINDS: u32 = 27;
+const FAULT_KINDS: u32 = 27;
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// A process takes the place of the one that serves, and one of both may die over it.
-    Upgrade(Option<Killed>),
+    Upgrade(Option<KilledProcess>),
     /// What the next process is told that its predecessor had learned is torn.
     Torn,
     /// Connections are opened at the operators' address that say nothing, so many.
@@ -124,23 +124,23 @@
 
 /// A fault and its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When it begins, from the beginning on.
     pub at: Micros,
     /// How long it lasts, where it lasts.
-    pub lasts: Micros,
+    pub duration: Micros,
     /// The matcher that it strikes.
     pub matcher: usize,
     /// What it is.
     pub fault: Fault,
 }
 
-impl fmt::Display for Planned {
+impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, lasts) = (self.at as f64 / 1e6, self.lasts as f64 / 1e6);
+        let (at, duration) = (self.at as f64 / 1e6, self.duration as f64 / 1e6);
         write!(
             f,
-            "{at:7.3} s  m{} {:?} for {lasts:.3} s",
+            "{at:7.3} s  m{} {:?} for {duration:.3} s",
             self.matcher, self.fault
         )
     }
@@ -160,39 +160,39 @@
     /// Front ends.
     pub habits: Vec<Habit>,
     /// For how long they ask.
-    pub asks: Micros,
+    pub request_duration: Micros,
     /// Descriptors of a matcher.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Reads and writes are cut short now and then.
-    pub partial: bool,
+    pub partial_io: bool,
     /// The window of kept results.
-    pub window: Micros,
+    pub deduplication_window: Micros,
     /// The faults.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     /// Who gets a place at a matcher.
-    pub places: Places,
+    pub admission: AdmissionMode,
 }
 
 /// Who gets a place at a matcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Places {
+pub enum AdmissionMode {
     /// Whoever comes first.
-    FirstCome,
+    Unrestricted,
     /// The front ends' address is known by name.
-    Named,
+    Allowlist,
     /// It can earn to be known, and what it earned outlives the process.
-    Earned,
+    Reputation,
 }
 
 impl Plan {
     /// That of a seed.
     #[must_use]
-    pub fn of(seed: u64) -> Self {
+    pub fn from_seed(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed ^ 0x5EED_5EED);
         let matchers = *[1, 1, 2, 2, 3].choose(&mut random).unwrap_or(&1);
-        let asks = random.random_range(4..10) * SECOND;
+        let request_duration = random.random_range(4..10) * SECOND;
         let habits = (0..random.random_range(2..5))
-            .map(|number| habit(&mut random, number))
+            .map(|number| draw_habit(&mut random, number))
             .collect();
         let mut plan = Self {
             seed,
@@ -200,40 +200,40 @@
             cores: *[4, 6, 8].choose(&mut random).unwrap_or(&6),
             load: random.random_range(0.3..1.25),
             habits,
-            asks,
-            sockets: *[128, 192, 512].choose(&mut random).unwrap_or(&512),
-            partial: random.random(),
-            window: 60 * SECOND,
+            request_duration,
+            max_descriptors: *[128, 192, 512].choose(&mut random).unwrap_or(&512),
+            partial_io: random.random(),
+            deduplication_window: 60 * SECOND,
             faults: Vec::new(),
-            places: Places::FirstCome,
+            admission: AdmissionMode::Unrestricted,
         };
         // A swarm: each seed has a set of its own, so that no fault hides what another would show.
-        for kind in 0..KINDS {
+        for kind in 0..FAULT_KINDS {
             if random.random_range(0..100) < 28 {
                 for _ in 0..random.random_range(1..3) {
-                    let at = random.random_range(SECOND / 2..asks);
-                    let planned = plan.draw(&mut random, kind, at);
+                    let at = random.random_range(SECOND / 2..request_duration);
+                    let planned = plan.draw_fault(&mut random, kind, at);
                     plan.faults.push(planned);
                 }
             }
         }
         if random.random_range(0..3) == 0 {
-            plan.combine(&mut random);
+            plan.add_fault_pair(&mut random);
         }
         // Drawn apart, so that what every other seed stands for stays as it was.
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xF100_D5EE);
-        plan.places = *[
-            Places::FirstCome,
-            Places::FirstCome,
-            Places::Named,
-            Places::Earned,
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xF100_D5EE);
+        plan.admission = *[
+            AdmissionMode::Unrestricted,
+            AdmissionMode::Unrestricted,
+            AdmissionMode::Allowlist,
+            AdmissionMode::Reputation,
         ]
-        .choose(&mut more)
-        .unwrap_or(&Places::Named);
+        .choose(&mut extra_random)
+        .unwrap_or(&AdmissionMode::Allowlist);
         // Without decisions on places a flood that speaks and stays takes them all, and the door turns the next away,
         // whoever they are: that is what they are for.
-        if plan.places != Places::FirstCome && more.random_range(0..2) == 0 {
-            plan.flood(&mut more);
+        if plan.admission != AdmissionMode::Unrestricted && extra_random.random_range(0..2) == 0 {
+            plan.add_floods(&mut extra_random);
         }
         plan.faults.sort_by_key(|planned| planned.at);
         plan
@@ -241,62 +241,64 @@
 
     /// One of those that decide on places, with floods: what is looked for there is met more often.
     #[must_use]
-    pub fn crowded(seed: u64) -> Self {
-        let mut plan = Self::of(seed);
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xC204_D000);
-        if plan.places == Places::FirstCome {
-            plan.places = if more.random() {
-                Places::Named
+    pub fn with_floods(seed: u64) -> Self {
+        let mut plan = Self::from_seed(seed);
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xC204_D000);
+        if plan.admission == AdmissionMode::Unrestricted {
+            plan.admission = if extra_random.random() {
+                AdmissionMode::Allowlist
             } else {
-                Places::Earned
+                AdmissionMode::Reputation
             };
         }
-        plan.flood(&mut more);
+        plan.add_floods(&mut extra_random);
         plan.faults.sort_by_key(|planned| planned.at);
         plan
     }
 
     /// One with upgrades that fall into each other, some of whose processes die, and front ends that send keys.
     #[must_use]
-    pub fn chained(seed: u64) -> Self {
-        let mut plan = Self::of(seed);
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xC4A1_4ED0);
-        plan.habits.iter_mut().for_each(|habit| habit.keyed = true);
-        for _ in 0..more.random_range(1..3) {
-            let matcher = more.random_range(0..plan.matchers);
-            let mut at = more.random_range(SECOND / 2..plan.asks);
+    pub fn with_upgrade_chains(seed: u64) -> Self {
+        let mut plan = Self::from_seed(seed);
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xC4A1_4ED0);
+        plan.habits
+            .iter_mut()
+            .for_each(|draw_habit| draw_habit.keyed = true);
+        for _ in 0..extra_random.random_range(1..3) {
+            let matcher = extra_random.random_range(0..plan.matchers);
+            let mut at = extra_random.random_range(SECOND / 2..plan.request_duration);
             // What a process has that nobody hears of counts where there is little left: of cores, or of descriptors.
-            let short = match more.random_range(0..3) {
-                0 => Some(Fault::Slow(more.random_range(4.0..9.0))),
-                1 => Some(Fault::Crowd(more.random_range(100..400))),
+            let shortage = match extra_random.random_range(0..3) {
+                0 => Some(Fault::Slow(extra_random.random_range(4.0..9.0))),
+                1 => Some(Fault::Crowd(extra_random.random_range(100..400))),
                 _ => None,
             };
-            if let Some(fault) = short {
+            if let Some(fault) = shortage {
                 let at = at.saturating_sub(300 * MS);
-                plan.faults.push(Planned {
+                plan.faults.push(PlannedFault {
                     at,
-                    lasts: 2_500 * MS,
+                    duration: 2_500 * MS,
                     matcher,
                     fault,
                 });
             }
-            for _ in 0..more.random_range(2..5) {
-                let killed = match more.random_range(0..5) {
-                    0 => Some(Killed::New(step(&mut more))),
-                    1 | 2 => Some(Killed::Old(step(&mut more))),
+            for _ in 0..extra_random.random_range(2..5) {
+                let killed = match extra_random.random_range(0..5) {
+                    0 => Some(KilledProcess::New(upgrade_step_delay(&mut extra_random))),
+                    1 | 2 => Some(KilledProcess::Old(upgrade_step_delay(&mut extra_random))),
                     _ => None,
                 };
-                plan.faults.push(Planned {
+                plan.faults.push(PlannedFault {
                     at,
-                    lasts: SECOND,
+                    duration: SECOND,
                     matcher,
                     fault: Fault::Upgrade(killed),
                 });
                 // Within the time in which the process before it still answers, and often before it has the place.
-                at += match more.random_range(0..3) {
-                    0 => more.random_range(1..40) * MS,
-                    1 => more.random_range(40..300) * MS,
-                    _ => more.random_range(300..1_500) * MS,
+                at += match extra_random.random_range(0..3) {
+                    0 => extra_random.random_range(1..40) * MS,
+                    1 => extra_random.random_range(40..300) * MS,
+                    _ => extra_random.random_range(300..1_500) * MS,
                 };
             }
         }
@@ -304,26 +306,26 @@
         plan
     }
 
-    fn flood(&mut self, random: &mut SmallRng) {
+    fn add_floods(&mut self, random: &mut SmallRng) {
         for _ in 0..random.random_range(1..3) {
-            let at = random.random_range(SECOND / 2..self.asks);
+            let at = random.random_range(SECOND / 2..self.request_duration);
             let sources = *[1, 3, 50, 5_000].choose(random).unwrap_or(&1);
             let fault = Fault::Flood {
                 sources,
                 number: random.random_range(50..1_500),
             };
-            let (lasts, matcher) = (
+            let (duration, matcher) = (
                 random.random_range(200..3_000) * MS,
                 random.random_range(0..self.matchers),
             );
-            self.faults.push(Planned {
+            self.faults.push(PlannedFault {
                 at,
-                lasts,
+                duration,
                 matcher,
                 fault,
             });
             // The limit in the middle of a drain, of an upgrade, and a known caller that comes back after a restart.
-            let beside = match random.random_range(0..6) {
+            let companion = match random.random_range(0..6) {
                 0 => Fault::Drain,
                 1 => Fault::Upgrade(None),
                 2 => Fault::Crash {
@@ -333,17 +335,17 @@
                 3 => Fault::Descriptors(random.random_range(0..4)),
                 _ => continue,
             };
-            let at = at + random.random_range(0..lasts);
-            self.faults.push(Planned {
+            let at = at + random.random_range(0..duration);
+            self.faults.push(PlannedFault {
                 at,
-                lasts: SECOND,
+                duration: SECOND,
                 matcher,
-                fault: beside,
+                fault: companion,
             });
         }
     }
 
-    fn draw(&self, random: &mut SmallRng, kind: u32, at: Micros) -> Planned {
+    fn draw_fault(&self, random: &mut SmallRng, kind: u32, at: Micros) -> PlannedFault {
         let fault = match kind {
             0 => Fault::Crash {
                 down: random.random_range(50..1_500) * MS,
@@ -370,27 +372,27 @@
             19 => Fault::Spoilt(random.random_range(20..300)),
             20 => Fault::Renew,
             21 | 22 => Fault::Upgrade(None),
-            23 => Fault::Upgrade(Some(Killed::New(step(random)))),
-            24 => Fault::Upgrade(Some(Killed::Old(step(random)))),
+            23 => Fault::Upgrade(Some(KilledProcess::New(upgrade_step_delay(random)))),
+            24 => Fault::Upgrade(Some(KilledProcess::Old(upgrade_step_delay(random)))),
             25 => Fault::Torn,
             _ => Fault::OperatorCrowd(random.random_range(5..120)),
         };
-        let lasts = match fault {
+        let duration = match fault {
             Fault::Pause => random.random_range(20..700) * MS,
             Fault::BreakLink | Fault::BreakAtDue => random.random_range(0..400) * MS,
             _ => random.random_range(200..3_000) * MS,
         };
-        Planned {
+        PlannedFault {
             at,
-            lasts,
+            duration,
             matcher: random.random_range(0..self.matchers),
             fault,
         }
     }
 
     /// Faults that are feared together, one shortly after the other on one matcher.
-    fn combine(&mut self, random: &mut SmallRng) {
-        let first = [
+    fn add_fault_pair(&mut self, random: &mut SmallRng) {
+        let pairs = [
             (1, 11),
             (14, 11),
             (12, 3),
@@ -412,19 +414,19 @@
             (26, 21),
             (16, 22),
         ];
-        let &(one, other) = first.choose(random).unwrap_or(&first[0]);
-        let at = random.random_range(SECOND / 2..self.asks);
-        let mut planned = self.draw(random, one, at);
-        planned.lasts = planned.lasts.max(SECOND);
+        let &(first_kind, second_kind) = pairs.choose(random).unwrap_or(&pairs[0]);
+        let at = random.random_range(SECOND / 2..self.request_duration);
+        let mut planned = self.draw_fault(random, first_kind, at);
+        planned.duration = planned.duration.max(SECOND);
         let later = at + random.random_range(1..300) * MS;
-        let mut second = self.draw(random, other, later);
+        let mut second = self.draw_fault(random, second_kind, later);
         second.matcher = planned.matcher;
         self.faults.extend([planned, second]);
     }
 }
 
 /// A moment in an upgrade: most of its steps lie in its first milliseconds.
-fn step(random: &mut SmallRng) -> Micros {
+fn upgrade_step_delay(random: &mut SmallRng) -> Micros {
     match random.random_range(0..3) {
         0 => random.random_range(0..2_000),
         1 => random.random_range(0..20) * MS,
@@ -432,15 +434,15 @@
     }
 }
 
-fn habit(random: &mut SmallRng, number: usize) -> Habit {
-    let some = |random: &mut SmallRng, share: u32, from: Micros, to: Micros| {
+fn draw_habit(random: &mut SmallRng, number: usize) -> Habit {
+    let maybe_duration = |random: &mut SmallRng, share: u32, from: Micros, to: Micros| {
         (random.random_range(0..100) < share).then(|| random.random_range(from..to) * MS)
     };
     Habit {
         ajp: number % 2 == 1 && random.random_range(0..3) > 0,
         retries: random.random_range(0..4) > 0,
-        hasty: some(random, 25, 150, 900),
-        copies: some(random, 25, 100, 600),
+        hasty: maybe_duration(random, 25, 150, 900),
+        copies: maybe_duration(random, 25, 100, 600),
         by_subject: random.random_range(0..3) == 0,
         heeds: random.random_range(0..5) > 0,
         keyed: random.random_range(0..3) > 0,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,9 +1,9 @@
 //! The rules, judged from the books of front ends, runtimes and the store alone, after each step.
 
-use crate::crowd::Crowd;
-use crate::front::{Fate, Try};
-use crate::inspector::Call;
-use crate::sim::{Sim, GRACE};
+use crate::admission_rules::AdmissionRules;
+use crate::front_end::{Attempt, AttemptOutcome};
+use crate::metrics_poller::MetricsRequest;
+use crate::simulation::{Simulation, DRAIN_GRACE};
 use cleatpulley_emulators::runtime::result_of;
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_policy::interface::Micros;
@@ -11,60 +11,60 @@
 
 const MS: Micros = 1_000;
 /// An answer may come so much later than it is due: the slack, what sockets add, and the way.
-const SLACK: Micros = 60 * MS + 50 * MS + MS;
+const RESPONSE_SLACK: Micros = 60 * MS + 50 * MS + MS;
 /// What was sent so shortly before a stop or a close may have crossed it.
-const CROSSING: Micros = 60 * MS;
+const IN_FLIGHT_TIME: Micros = 60 * MS;
 
 /// A store that was taken up is read in this time.
-const RECOVERS: Micros = 5 * MS;
+const STORE_RECOVERY_TIME: Micros = 5 * MS;
 
 /// One whose successor died takes no clients for so long, and what waits with them.
-const SEARCHES: Micros = 60 * MS;
+const SUCCESSOR_SEARCH_TIME: Micros = 60 * MS;
 /// A process whose successor died has found the next, or takes clients again, within this time.
-const FOUND: Micros = 400 * MS;
-/// A process without any work lets go of the store of results within this time, where another has its place.
-const LETS_GO: Micros = 500 * MS;
+const PREDECESSOR_SEARCH_TIME: Micros = 400 * MS;
+/// A process without any work lets go of the store of results within this time, where another has its endpoint.
+const STORE_RELEASE_TIME: Micros = 500 * MS;
 
 /// Operators are owed an answer within this time, and what the way takes.
-const ANSWERED: Micros = 1_000 * MS + MS;
+const METRICS_RESPONSE_TIME: Micros = 1_000 * MS + MS;
 /// How often memory is counted.
-const WEIGHED: Micros = 20 * MS;
+const MEMORY_CHECK_INTERVAL: Micros = 20 * MS;
 /// Memory that a request says it takes, and times as much that it takes while it runs.
-const MEMORY_KB: f64 = 20.0;
-const RUNS_TAKE: f64 = 4.0;
+const REQUEST_MEMORY_KB: f64 = 20.0;
+const RUNNING_MEMORY_FACTOR: f64 = 4.0;
 
 #[derive(Debug, Default)]
-struct Key {
+struct KeyHistory {
     /// The id that ran, and whether with another body than most of its tries have.
     ran: Option<(u64, bool)>,
-    told: Option<Vec<u8>>,
-    told_at: Micros,
+    response: Option<Vec<u8>>,
+    response_at: Micros,
 }
 
 /// The judge.
 #[derive(Debug, Default)]
 pub(crate) struct Rules {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// What was met.
-    pub met: BTreeMap<&'static str, u64>,
+    pub coverage: BTreeMap<&'static str, u64>,
     /// What is worth a line in a trace, where one is wanted.
     traced: bool,
-    pub said: Vec<String>,
+    pub trace_lines: Vec<String>,
     /// Starts of each runtime that were looked at.
     starts: Vec<usize>,
-    keys: HashMap<(usize, u64), Key>,
+    keys: HashMap<(usize, u64), KeyHistory>,
     cores: usize,
     slots: usize,
-    crowded_since: Vec<Option<Micros>>,
+    overloaded_since: Vec<Option<Micros>>,
     /// When memory was last counted.
-    weighed_at: Micros,
-    crowd: Crowd,
+    memory_checked_at: Micros,
+    admission_rules: AdmissionRules,
     /// By machine: when its newest process last had no store of results.
-    elsewhere: Vec<Micros>,
+    store_elsewhere_at: Vec<Micros>,
     /// By machine: which process has the store.
-    owners: Vec<Option<u64>>,
+    store_owners: Vec<Option<u64>>,
     /// By machine: since when one that has nothing to do has the store, which another waits for.
-    idle_owner: Vec<Option<Micros>>,
+    idle_owner_since: Vec<Option<Micros>>,
 }
 
 impl Rules {
@@ -77,60 +77,62 @@
         }
     }
 
-    fn say(&mut self, text: impl FnOnce() -> String) {
+    fn trace(&mut self, text: impl FnOnce() -> String) {
         if self.traced {
-            self.said.push(text());
+            self.trace_lines.push(text());
         }
     }
 
-    fn meet(&mut self, what: &'static str) {
-        *self.met.entry(what).or_default() += 1;
+    fn record_coverage(&mut self, message: &'static str) {
+        *self.coverage.entry(message).or_default() += 1;
     }
 
-    fn wrong(&mut self, sim: &Sim, what: String) {
-        self.broken
-            .push(format!("at {:.6} s: {what}", sim.since() as f64 / 1e6));
+    fn report_violation(&mut self, sim: &Simulation, message: String) {
+        self.violations
+            .push(format!("at {:.6} s: {message}", sim.elapsed() as f64 / 1e6));
     }
 
-    pub(crate) fn check(&mut self, sim: &mut Sim) {
-        self.elsewhere.resize(sim.machines.len(), 0);
-        self.owners.resize(sim.machines.len(), None);
+    pub(crate) fn check(&mut self, sim: &mut Simulation) {
+        self.store_elsewhere_at.resize(sim.machines.len(), 0);
+        self.store_owners.resize(sim.machines.len(), None);
         for (m, machine) in sim.machines.iter().enumerate() {
             let (newest, owner) = (
-                machine.procs.last().map(|process| process.life),
-                machine.lock.get(),
+                machine.processes.last().map(|process| process.incarnation),
+                machine.store_lock.get(),
             );
             if newest.is_some() && owner != newest {
-                self.elsewhere[m] = sim.clock();
+                self.store_elsewhere_at[m] = sim.clock();
             }
-            if std::mem::replace(&mut self.owners[m], owner) != owner {
-                self.say(|| match owner {
-                    Some(life) => format!("m{m}: life {life} has the store of results"),
+            if std::mem::replace(&mut self.store_owners[m], owner) != owner {
+                self.trace(|| match owner {
+                    Some(incarnation) => {
+                        format!("m{m}: life {incarnation} has the store of results")
+                    }
                     None => format!("m{m}: nobody has the store of results"),
                 });
             }
         }
         self.check_owners(sim);
         self.check_starts(sim);
-        self.check_fates(sim);
-        self.check_dues(sim);
-        self.check_crowd(sim);
+        self.check_outcomes(sim);
+        self.check_deadlines(sim);
+        self.check_overload(sim);
         self.check_memory(sim);
-        self.check_doors(sim);
-        self.check_operators(sim);
-        for what in self.crowd.check(sim) {
-            self.wrong(sim, what);
+        self.check_listeners(sim);
+        self.check_metrics_requests(sim);
+        for message in self.admission_rules.check(sim) {
+            self.report_violation(sim, message);
         }
         let most = sim.store.seen.most;
         if most > 5 * self.slots {
-            self.wrong(
+            self.report_violation(
                 sim,
                 format!("the store holds {most} calls, past five times its slots"),
             );
         }
-        for n in 0..sim.fronts.len() {
-            if sim.fronts[n].stray > 0 {
-                self.wrong(
+        for n in 0..sim.front_ends.len() {
+            if sim.front_ends[n].unexpected_responses > 0 {
+                self.report_violation(
                     sim,
                     format!("front end {n} got an answer that nobody asked for"),
                 );
@@ -139,32 +141,32 @@
     }
 
     /// Whoever has nothing to do does not keep the store of results from the process that serves.
-    fn check_owners(&mut self, sim: &Sim) {
-        self.idle_owner.resize(sim.machines.len(), None);
+    fn check_owners(&mut self, sim: &Simulation) {
+        self.idle_owner_since.resize(sim.machines.len(), None);
         let now = sim.clock();
         for (m, machine) in sim.machines.iter().enumerate() {
-            let owner = match &machine.procs[..] {
+            let owner = match &machine.processes[..] {
                 // Most of the time there is one process, and nothing to look at.
                 [] | [_] => None,
-                [older @ .., newest] if newest.node.accepts_clients() => older
+                [older @ .., newest] if newest.server.accepts_clients() => older
                     .iter()
-                    .find(|process| Some(process.life) == machine.lock.get()),
+                    .find(|process| Some(process.incarnation) == machine.store_lock.get()),
                 _ => None,
             };
             let idle = owner.filter(|owner| {
-                let census = owner.node.usage();
-                census.requests == 0 && census.client_connections == 0
+                let usage = owner.server.usage();
+                usage.requests == 0 && usage.client_connections == 0
             });
-            let well = machine.paused.is_none() && now > machine.disk_trouble;
-            match idle.filter(|_| well) {
-                None => self.idle_owner[m] = None,
+            let is_healthy = machine.paused_since.is_none() && now > machine.disk_trouble_until;
+            match idle.filter(|_| is_healthy) {
+                None => self.idle_owner_since[m] = None,
                 Some(owner) => {
-                    let since = *self.idle_owner[m].get_or_insert(now);
-                    if now > since + LETS_GO {
-                        let life = owner.life;
-                        self.wrong(
+                    let since = *self.idle_owner_since[m].get_or_insert(now);
+                    if now > since + STORE_RELEASE_TIME {
+                        let incarnation = owner.incarnation;
+                        self.report_violation(
                             sim,
-                            format!("m{m}: life {life} has nothing to do and keeps the store of results"),
+                            format!("m{m}: life {incarnation} has nothing to do and keeps the store of results"),
                         );
                     }
                 }
@@ -173,40 +175,40 @@
     }
 
     /// Nothing with an effect runs twice, and nothing that came after the grace runs.
-    fn check_starts(&mut self, sim: &Sim) {
+    fn check_starts(&mut self, sim: &Simulation) {
         self.starts.resize(sim.machines.len(), 0);
         for (m, machine) in sim.machines.iter().enumerate() {
             let seen = &machine.runtime.seen;
             while let Some(&id) = seen.order.get(self.starts[m]) {
                 self.starts[m] += 1;
-                self.say(|| format!("m{m} runs {id:016x}"));
+                self.trace(|| format!("m{m} runs {id:016x}"));
                 let Some(sent) = sim
-                    .fronts
+                    .front_ends
                     .iter()
-                    .find_map(|front| front.sent.get(&id))
+                    .find_map(|front_end| front_end.sent.get(&id))
                     .copied()
                 else {
-                    self.wrong(sim, format!("m{m} runs {id:016x}, which nobody sent"));
+                    self.report_violation(sim, format!("m{m} runs {id:016x}, which nobody sent"));
                     continue;
                 };
                 if seen.starts.get(&id).is_some_and(|start| start.1 > 1)
-                    && sim.fronts[0].effect(sent.kind)
+                    && sim.front_ends[0].has_effect(sent.kind)
                 {
-                    self.wrong(sim, format!("m{m} runs {id:016x} twice"));
+                    self.report_violation(sim, format!("m{m} runs {id:016x} twice"));
                 }
                 if machine
-                    .left_at
-                    .is_some_and(|left| sent.at > left + GRACE + 50 * MS)
+                    .drain_started_at
+                    .is_some_and(|left| sent.at > left + DRAIN_GRACE + 50 * MS)
                 {
-                    self.wrong(
+                    self.report_violation(
                         sim,
                         format!("m{m} runs {id:016x}, which came after the grace"),
                     );
                 }
                 if let Some(key) = sent.key {
                     let entry = self.keys.entry((m, key)).or_default();
-                    if let Some((before, _)) = entry.ran.replace((id, sent.other_body)) {
-                        self.wrong(
+                    if let Some((before, _)) = entry.ran.replace((id, sent.has_conflicting_body)) {
+                        self.report_violation(
                             sim,
                             format!("m{m} runs key {key:x} twice: {before:016x} and {id:016x}"),
                         );
@@ -216,51 +218,58 @@
         }
     }
 
-    fn check_fates(&mut self, sim: &mut Sim) {
-        for n in 0..sim.fronts.len() {
-            let news = sim.fronts[n]
-                .news
+    fn check_outcomes(&mut self, sim: &mut Simulation) {
+        for n in 0..sim.front_ends.len() {
+            let new_attempts = sim.front_ends[n]
+                .new_attempts
                 .as_mut()
                 .map(std::mem::take)
                 .unwrap_or_default();
-            for id in news {
-                let sent = sim.fronts[n].sent[&id];
+            for id in new_attempts {
+                let sent = sim.front_ends[n].sent[&id];
                 let key = sent
                     .key
                     .map_or(String::new(), |key| format!(" under key {key:x}"));
-                let link = sim.fronts[n].open.get(&id).map_or(0, |one| one.link);
-                self.say(|| {
+                let link = sim.front_ends[n]
+                    .open
+                    .get(&id)
+                    .map_or(0, |attempt| attempt.link);
+                self.trace(|| {
                     format!(
                         "front end {n} asks m{} for {id:016x}{key} on link {link}",
                         sent.matcher
                     )
                 });
             }
-            for (id, link, fate) in std::mem::take(&mut sim.fronts[n].fates) {
-                let Some(sent) = sim.fronts[n].sent.get(&id).copied() else {
+            for (id, link, outcome) in std::mem::take(&mut sim.front_ends[n].outcomes) {
+                let Some(sent) = sim.front_ends[n].sent.get(&id).copied() else {
                     continue;
                 };
                 let m = sent.matcher;
                 sim.request_over(m, id);
                 let ran = sim.machines[m].runtime.seen.starts.contains_key(&id);
-                self.say(|| {
-                    let told = match &fate {
-                        Fate::Served(_) => "served",
-                        Fate::Refused => "refused",
-                        Fate::Failed => "failed",
-                        Fate::Lost => "lost",
+                self.trace(|| {
+                    let description = match &outcome {
+                        AttemptOutcome::Served(_) => "served",
+                        AttemptOutcome::Rejected => "refused",
+                        AttemptOutcome::Failed => "failed",
+                        AttemptOutcome::Lost => "lost",
                     };
-                    format!("front end {n}: {id:016x} by m{m} {told}")
+                    format!("front end {n}: {id:016x} by m{m} {description}")
                 });
-                match fate {
-                    Fate::Served(result) => {
-                        self.meet("served");
-                        if !sim.fronts[n].was_refused(link) && self.crowd.served(sim, m) {
-                            self.meet("a known caller comes back after a restart within a flood");
+                match outcome {
+                    AttemptOutcome::Served(result) => {
+                        self.record_coverage("served");
+                        if !sim.front_ends[n].was_rejected(link)
+                            && self.admission_rules.on_served(sim, m)
+                        {
+                            self.record_coverage(
+                                "a known caller comes back after a restart within a flood",
+                            );
                         }
                         match sent.key {
                             None if result != result_of(id) => {
-                                self.wrong(
+                                self.report_violation(
                                     sim,
                                     format!("{id:016x} is served what no run made for it"),
                                 );
@@ -270,94 +279,106 @@
                                 let entry = self.keys.entry((m, key)).or_default();
                                 let ran = entry.ran;
                                 let repeated = ran.is_some_and(|(ran, _)| ran != id);
-                                entry.told_at = sim.clock();
-                                let (own, told) = (
+                                entry.response_at = sim.clock();
+                                let (own, earlier_response) = (
                                     ran.map(|ran| result_of(ran.0)),
-                                    entry.told.replace(result.clone()),
+                                    entry.response.replace(result.clone()),
                                 );
-                                if ran.is_some_and(|(_, other)| other != sent.other_body) {
-                                    self.wrong(
+                                if ran.is_some_and(|(_, other)| other != sent.has_conflicting_body)
+                                {
+                                    self.report_violation(
                                         sim,
                                         format!("{id:016x} is served the result of another body"),
                                     );
                                 }
                                 if repeated {
-                                    self.meet("a repeat is told the first answer");
+                                    self.record_coverage("a repeat is told the first answer");
                                 }
                                 if own.as_ref() != Some(&result) {
-                                    self.wrong(
+                                    self.report_violation(
                                         sim,
                                         format!("key {key:x} is served what no run of it made"),
                                     );
                                 }
-                                if told.is_some_and(|told| told != result) {
-                                    self.wrong(sim, format!("key {key:x} has two results"));
+                                if earlier_response.is_some_and(|response| response != result) {
+                                    self.report_violation(
+                                        sim,
+                                        format!("key {key:x} has two results"),
+                                    );
                                 }
                             }
                         }
                     }
-                    Fate::Refused => {
-                        self.meet("refused");
+                    AttemptOutcome::Rejected => {
+                        self.record_coverage("refused");
                         let key = sent.key.and_then(|key| self.keys.get(&(m, key)));
                         if ran || key.is_some_and(|key| key.ran.is_some()) {
-                            self.wrong(
+                            self.report_violation(
                                 sim,
                                 format!("{id:016x} is turned away by m{m} after it ran"),
                             );
                         }
                     }
-                    Fate::Failed => {
+                    AttemptOutcome::Failed => {
                         let key = sent.key.and_then(|key| self.keys.get(&(m, key)));
-                        let told = key.is_some_and(|key| {
-                            let own = key.ran.is_some_and(|(_, other)| other == sent.other_body);
-                            own && key.told.is_some() && key.told_at < sent.at
+                        let was_served = key.is_some_and(|key| {
+                            let own = key
+                                .ran
+                                .is_some_and(|(_, other)| other == sent.has_conflicting_body);
+                            own && key.response.is_some() && key.response_at < sent.at
                         });
                         // A disk that fails or stalls keeps a result from being read meanwhile, and takes nothing back.
                         // Until its predecessor lets go of the store, a process takes no more of such requests than fit.
-                        let waits = self.elsewhere[m] + RECOVERS >= sent.at;
+                        let waits = self.store_elsewhere_at[m] + STORE_RECOVERY_TIME >= sent.at;
                         // What came while the machine stood still, or looked for its next process, comes all at once, and no more of it may wait than fits.
                         let machine = &sim.machines[m];
-                        let waits =
-                            waits || sent.at < machine.resumed_at.max(machine.killed_at + SEARCHES);
-                        if told && !waits && sent.at > machine.disk_trouble {
-                            self.wrong(
+                        let waits = waits
+                            || sent.at
+                                < machine
+                                    .resumed_at
+                                    .max(machine.killed_at + SUCCESSOR_SEARCH_TIME);
+                        if was_served && !waits && sent.at > machine.disk_trouble_until {
+                            self.report_violation(
                                 sim,
                                 format!("{id:016x} fails, though its key's result was told before"),
                             );
                         }
-                        self.meet(if ran {
+                        self.record_coverage(if ran {
                             "failed after a start"
                         } else {
                             "failed without a start"
                         });
                     }
-                    Fate::Lost => {
+                    AttemptOutcome::Lost => {
                         let ended = sim.machines[m].ended_at;
                         // What an idle connection's end crossed, or a matcher's, never ran.
-                        let crossed = (sim.clock() < ended + 2 * CROSSING
-                            && sent.at + CROSSING > ended)
-                            || (sim.clock() < sent.at + CROSSING && !ran);
+                        let crossed = (sim.clock() < ended + 2 * IN_FLIGHT_TIME
+                            && sent.at + IN_FLIGHT_TIME > ended)
+                            || (sim.clock() < sent.at + IN_FLIGHT_TIME && !ran);
                         // A pause over the stop leaves no time for what came within it.
                         let resumed = sim.machines[m].resumed_at;
-                        let crossed =
-                            crossed || (sent.at < resumed && ended < resumed + CROSSING && !ran);
-                        let taken = !sim.place_of_front(n).unaccepted.contains(&link);
+                        let crossed = crossed
+                            || (sent.at < resumed && ended < resumed + IN_FLIGHT_TIME && !ran);
+                        let taken = !sim.front_end_endpoint(n).unaccepted.contains(&link);
                         // Whoever waited in the queue of a machine that goes on is let in.
                         let serves = sim.machines[m]
-                            .procs
+                            .processes
                             .last()
-                            .is_some_and(|process| process.told_at.is_none());
-                        let stays = ended + 2 * CROSSING < sim.clock() && serves;
-                        if !taken && stays && !sim.fronts[n].excused.contains(&link) {
-                            self.wrong(sim, format!("{id:016x}, sent to m{m}, was not let in"));
+                            .is_some_and(|process| process.shutdown_at.is_none());
+                        let stays = ended + 2 * IN_FLIGHT_TIME < sim.clock() && serves;
+                        if !taken && stays && !sim.front_ends[n].excused_links.contains(&link) {
+                            self.report_violation(
+                                sim,
+                                format!("{id:016x}, sent to m{m}, was not let in"),
+                            );
                         }
-                        if taken && !sim.fronts[n].excused.contains(&link) && !crossed {
-                            self.wrong(
+                        if taken && !sim.front_ends[n].excused_links.contains(&link) && !crossed {
+                            self.report_violation(
                                 sim,
                                 format!("{id:016x}, sent to m{m}, has lost its connection"),
                             );
                         }
-                        self.meet("lost with its connection");
+                        self.record_coverage("lost with its connection");
                     }
                 }
             }
@@ -365,63 +386,65 @@
     }
 
     /// Each request has its answer by its due time, unless its connection was never accepted.
-    fn check_dues(&mut self, sim: &mut Sim) {
+    fn check_deadlines(&mut self, sim: &mut Simulation) {
         let now = sim.clock();
-        for n in 0..sim.fronts.len() {
-            if sim.fronts[n]
-                .dues
+        for n in 0..sim.front_ends.len() {
+            if sim.front_ends[n]
+                .due_times
                 .first()
-                .is_none_or(|first| now <= first.0 + SLACK)
+                .is_none_or(|first| now <= first.0 + RESPONSE_SLACK)
             {
                 continue;
             }
-            let late: Vec<u64> = sim.fronts[n]
-                .dues
+            let late: Vec<u64> = sim.front_ends[n]
+                .due_times
                 .iter()
-                .take_while(|one| now > one.0 + SLACK)
-                .map(|one| one.1)
+                .take_while(|attempt| now > attempt.0 + RESPONSE_SLACK)
+                .map(|attempt| attempt.1)
                 .collect();
             for id in late {
-                let Some(one) = sim.fronts[n].open.get(&id).cloned() else {
+                let Some(attempt) = sim.front_ends[n].open.get(&id).cloned() else {
                     continue;
                 };
-                let accepted = sim.place_of_front(n).accepted(one.link);
+                let accepted_at = sim.front_end_endpoint(n).accepted_at(attempt.link);
                 // Where descriptors are short a connection is accepted late, and what came on it is read then.
-                if sim.machine_paused(one.matcher) || accepted.is_some_and(|at| now <= at + SLACK) {
+                if sim.is_paused(attempt.matcher)
+                    || accepted_at.is_some_and(|at| now <= at + RESPONSE_SLACK)
+                {
                     continue;
                 }
-                if accepted.is_some() || sim.has_room(one.matcher) {
-                    let held = (now - one.sent) as f64 / 1e6;
-                    let m = one.matcher;
-                    self.wrong(
+                if accepted_at.is_some() || sim.has_free_descriptors(attempt.matcher) {
+                    let held = (now - attempt.sent) as f64 / 1e6;
+                    let m = attempt.matcher;
+                    self.report_violation(
                         sim,
                         format!("{id:016x}, sent to m{m} {held:.3} s ago, has no answer in time"),
                     );
                     return;
                 }
-                self.meet("waited for its connection to be accepted until it was due");
-                sim.fronts[n].forget(id);
-                sim.request_over(one.matcher, id);
+                self.record_coverage("waited for its connection to be accepted until it was due");
+                sim.front_ends[n].abandon(id);
+                sim.request_over(attempt.matcher, id);
             }
         }
     }
 
     /// While a machine has a process that serves, nobody is refused at its door.
-    fn check_doors(&mut self, sim: &mut Sim) {
-        for n in 0..sim.fronts.len() {
-            for (m, id) in std::mem::take(&mut sim.fronts[n].refused) {
+    fn check_listeners(&mut self, sim: &mut Simulation) {
+        for n in 0..sim.front_ends.len() {
+            for (m, id) in std::mem::take(&mut sim.front_ends[n].refused_connections) {
                 let machine = &sim.machines[m];
                 let since = machine.ended_at.max(machine.killed_at);
-                let stays = machine.procs.len() > 1 && sim.clock() > since + 2 * CROSSING;
+                let stays = machine.processes.len() > 1 && sim.clock() > since + 2 * IN_FLIGHT_TIME;
                 // A machine that stood still while a flood came has a full queue.
                 let full = sim
                     .net
                     .borrow()
-                    .full_at(machine.frames)
-                    .max(sim.net.borrow().full_at(machine.ajp));
-                let stays = stays && sim.clock() > full + CROSSING;
-                if stays && machine.left_at.is_none() {
-                    self.wrong(
+                    .backlog_full_at(machine.frame_address)
+                    .max(sim.net.borrow().backlog_full_at(machine.ajp_address));
+                let stays = stays && sim.clock() > full + IN_FLIGHT_TIME;
+                if stays && machine.drain_started_at.is_none() {
+                    self.report_violation(
                         sim,
                         format!("{id:016x} was refused at m{m}'s door in an upgrade"),
                     );
@@ -432,24 +455,25 @@
             .machines
             .iter()
             .enumerate()
-            .filter(|(_, machine)| machine.procs.len() > 1)
+            .filter(|(_, machine)| machine.processes.len() > 1)
         {
             let held: usize = machine
-                .procs
+                .processes
                 .iter()
-                .map(|process| process.node.usage().descriptors)
+                .map(|process| process.server.usage().descriptors)
                 .sum();
             // Where the middle one dies, the first is found by the third within this time.
-            let told = machine.killed_at == 0 || sim.clock() > machine.killed_at + FOUND;
-            if told && held > sim.plan.sockets {
-                let most = sim.plan.sockets;
+            let has_settled =
+                machine.killed_at == 0 || sim.clock() > machine.killed_at + PREDECESSOR_SEARCH_TIME;
+            if has_settled && held > sim.plan.max_descriptors {
+                let most = sim.plan.max_descriptors;
                 let each: Vec<_> = machine
-                    .procs
+                    .processes
                     .iter()
-                    .map(|process| process.node.usage().to_string())
+                    .map(|process| process.server.usage().to_string())
                     .collect();
                 let each = each.join("; ");
-                self.wrong(
+                self.report_violation(
                     sim,
                     format!(
                         "m{m}: its processes hold {held} descriptors of {most} together ({each})"
@@ -461,28 +485,29 @@
     }
 
     /// Operators are answered within a second.
-    fn check_operators(&mut self, sim: &mut Sim) {
+    fn check_metrics_requests(&mut self, sim: &mut Simulation) {
         let now = sim.clock();
-        for odd in std::mem::take(&mut sim.inspector.odd) {
-            self.wrong(sim, format!("operators are told {odd}"));
+        for malformed in std::mem::take(&mut sim.metrics_poller.malformed) {
+            self.report_violation(sim, format!("operators are told {malformed}"));
         }
-        let late = |call: &&Call| now > call.asked + ANSWERED;
-        let mut calls = std::mem::take(&mut sim.inspector.unanswered);
-        calls.extend(sim.inspector.calls.values().filter(late).cloned());
-        for call in calls {
-            let machine = &sim.machines[call.matcher];
-            let there = machine
-                .procs
+        let late = |request: &&MetricsRequest| now > request.sent_at + METRICS_RESPONSE_TIME;
+        let mut requests = std::mem::take(&mut sim.metrics_poller.failed);
+        requests.extend(sim.metrics_poller.pending.values().filter(late).cloned());
+        for request in requests {
+            let machine = &sim.machines[request.matcher];
+            let is_running = machine
+                .processes
                 .iter()
-                .any(|process| process.life == call.life);
-            let stood = machine.paused.is_some() || machine.resumed_at + ANSWERED > now;
-            if there && !stood && sim.has_room(call.matcher) {
-                let ago = (now - call.asked) as f64 / 1e6;
-                self.wrong(
+                .any(|process| process.incarnation == request.incarnation);
+            let was_paused =
+                machine.paused_since.is_some() || machine.resumed_at + METRICS_RESPONSE_TIME > now;
+            if is_running && !was_paused && sim.has_free_descriptors(request.matcher) {
+                let ago = (now - request.sent_at) as f64 / 1e6;
+                self.report_violation(
                     sim,
                     format!(
                         "m{}: an operator asked {ago:.3} s ago in vain",
-                        call.matcher
+                        request.matcher
                     ),
                 );
                 return;
@@ -491,55 +516,59 @@
     }
 
     /// A warm server dies of more than six requests on each core, in the mean of two seconds.
-    fn check_crowd(&mut self, sim: &Sim) {
-        self.crowded_since.resize(sim.machines.len(), None);
+    fn check_overload(&mut self, sim: &Simulation) {
+        self.overloaded_since.resize(sim.machines.len(), None);
         let now = sim.clock();
         for (m, machine) in sim.machines.iter().enumerate() {
             if machine.runtime.on_cores() > 6 * self.cores {
-                let since = *self.crowded_since[m].get_or_insert(now);
+                let since = *self.overloaded_since[m].get_or_insert(now);
                 if now > since + 2_000 * MS {
-                    self.wrong(sim, format!("m{m}: the cores are jammed"));
+                    self.report_violation(sim, format!("m{m}: the cores are jammed"));
                 }
             } else {
-                self.crowded_since[m] = None;
+                self.overloaded_since[m] = None;
             }
         }
     }
 
     /// What is held and what runs stays within the memory that the settings name.
-    fn check_memory(&mut self, sim: &Sim) {
+    fn check_memory(&mut self, sim: &Simulation) {
         let now = sim.clock();
-        if now < self.weighed_at + WEIGHED {
+        if now < self.memory_checked_at + MEMORY_CHECK_INTERVAL {
             return;
         }
-        self.weighed_at = now;
+        self.memory_checked_at = now;
         for (m, machine) in sim.machines.iter().enumerate() {
             let runs = machine.runtime.running();
             let mut held = 0;
-            for (n, front) in sim.fronts.iter().enumerate() {
-                let place = sim.place_of_front(n);
+            for (n, front_end) in sim.front_ends.iter().enumerate() {
+                let endpoint = sim.front_end_endpoint(n);
                 // What was sent just now may not have been read.
-                let read = |id: &u64, one: &Try| {
-                    one.matcher == m
-                        && one.sent + CROSSING < now
-                        && place
-                            .accepted(one.link)
-                            .is_some_and(|at| at + CROSSING < now)
+                let read = |id: &u64, attempt: &Attempt| {
+                    attempt.matcher == m
+                        && attempt.sent + IN_FLIGHT_TIME < now
+                        && endpoint
+                            .accepted_at(attempt.link)
+                            .is_some_and(|at| at + IN_FLIGHT_TIME < now)
                         && !machine.runtime.runs(*id)
                 };
-                held += front.open.iter().filter(|(id, one)| read(id, one)).count();
+                held += front_end
+                    .open
+                    .iter()
+                    .filter(|(id, attempt)| read(id, attempt))
+                    .count();
             }
-            let used = MEMORY_KB * (held as f64 + RUNS_TAKE * runs as f64);
-            let reads = machine.paused.is_none() && machine.resumed_at + CROSSING < now;
-            if !machine.procs.is_empty() && reads && used > machine.memory_kb {
+            let used = REQUEST_MEMORY_KB * (held as f64 + RUNNING_MEMORY_FACTOR * runs as f64);
+            let reads = machine.paused_since.is_none() && machine.resumed_at + IN_FLIGHT_TIME < now;
+            if !machine.processes.is_empty() && reads && used > machine.memory_kb {
                 let most = machine.memory_kb;
                 let each: Vec<_> = machine
-                    .procs
+                    .processes
                     .iter()
-                    .map(|process| process.node.usage().to_string())
+                    .map(|process| process.server.usage().to_string())
                     .collect();
                 let each = each.join("; ");
-                self.wrong(
+                self.report_violation(
                     sim,
                     format!(
                         "m{m}: {held} held and {runs} running take {used} KB of {most} ({each})"
@@ -547,7 +576,7 @@
                 );
             }
             if used > machine.memory_kb / 2.0 {
-                self.meet("more than half of the memory is used");
+                self.record_coverage("more than half of the memory is used");
             }
         }
     }
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -1,7 +1,7 @@
 //! Many seeds, one seed again, and a failing seed made small.
 
 use crate::plan::Plan;
-use crate::sim::{Outcome, Sim};
+use crate::simulation::{Outcome, Simulation};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -9,13 +9,13 @@
 /// Plays one plan.
 #[must_use]
 pub fn play(plan: Plan) -> Outcome {
-    Sim::new(plan, false).play().0
+    Simulation::new(plan, false).run().0
 }
 
 /// Plays one plan and says what passed.
 #[must_use]
 pub fn replay(plan: Plan) -> (Outcome, Vec<String>) {
-    let (outcome, trace) = Sim::new(plan, true).play();
+    let (outcome, trace) = Simulation::new(plan, true).run();
     (outcome, trace.unwrap_or_default())
 }
 
@@ -33,7 +33,7 @@
     /// Tries: sent, served, refused, failed, unreachable.
     pub counts: [u64; 5],
     /// How often what was met, and in how many seeds.
-    pub met: BTreeMap<&'static str, (u64, u64)>,
+    pub coverage: BTreeMap<&'static str, (u64, u64)>,
     /// Of all digests, in the order of the seeds.
     pub digest: u64,
 }
@@ -41,11 +41,11 @@
 /// Plays seeds on so many threads, each with what `of` makes of it; `prepare` runs once on each of them. With `first` it
 /// stops at a failure.
 pub fn run(
-    of: impl Fn(u64) -> Plan + Sync,
+    make_plan: impl Fn(u64) -> Plan + Sync,
     from: u64,
     number: u64,
     jobs: usize,
-    first: bool,
+    stop_at_failure: bool,
     prepare: impl Fn() + Sync,
     progress: impl Fn(u64) + Sync,
 ) -> Summary {
@@ -55,21 +55,21 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 prepare();
-                let mut own = Vec::new();
+                let mut thread_outcomes = Vec::new();
                 while !over.load(Ordering::Relaxed) {
-                    let place = next.fetch_add(1, Ordering::Relaxed);
-                    if place >= number {
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    if index >= number {
                         break;
                     }
-                    let outcome = play(of(from + place));
-                    if first && !outcome.broken.is_empty() {
+                    let outcome = play(make_plan(from + index));
+                    if stop_at_failure && !outcome.violations.is_empty() {
                         over.store(true, Ordering::Relaxed);
                     }
-                    own.push(outcome);
-                    progress(place + 1);
+                    thread_outcomes.push(outcome);
+                    progress(index + 1);
                 }
                 if let Ok(mut outcomes) = outcomes.lock() {
-                    outcomes.append(&mut own);
+                    outcomes.append(&mut thread_outcomes);
                 }
             });
         }
@@ -86,13 +86,13 @@
             .counts
             .iter_mut()
             .zip(outcome.counts)
-            .for_each(|(sum, one)| *sum += one);
-        for (name, number) in &outcome.met {
-            let met = summary.met.entry(name).or_default();
-            *met = (met.0 + number, met.1 + 1);
+            .for_each(|(sum, count)| *sum += count);
+        for (name, number) in &outcome.coverage {
+            let coverage = summary.coverage.entry(name).or_default();
+            *coverage = (coverage.0 + number, coverage.1 + 1);
         }
         digest.update(&outcome.digest.to_le_bytes());
-        if !outcome.broken.is_empty() {
+        if !outcome.violations.is_empty() {
             summary.failed.push(outcome);
         }
     }
@@ -103,68 +103,72 @@
 /// Makes a failing plan smaller as long as it still breaks the same rule: fewer faults, fewer front ends, less time and
 /// load. Returns it and how many plans were played.
 #[must_use]
-pub fn shrink(plan: Plan, most: u32) -> (Plan, u32) {
+pub fn shrink(plan: Plan, max_plans: u32) -> (Plan, u32) {
     // Ids and times differ from plan to plan.
-    let kind = |text: &str| -> String {
+    let message_kind = |text: &str| -> String {
         let words = text
             .split_whitespace()
             .filter(|word| !word.contains(|c: char| c.is_ascii_digit()));
         words.collect::<Vec<_>>().join(" ")
     };
-    let Some(broken) = play(plan.clone()).broken.first().map(|text| kind(text)) else {
+    let Some(violation_kind) = play(plan.clone())
+        .violations
+        .first()
+        .map(|text| message_kind(text))
+    else {
         return (plan, 1);
     };
     let fails = |plan: &Plan| {
         play(plan.clone())
-            .broken
+            .violations
             .first()
-            .is_some_and(|text| kind(text) == broken)
+            .is_some_and(|text| message_kind(text) == violation_kind)
     };
-    let (mut best, mut played) = (plan, 1);
+    let (mut smallest, mut played) = (plan, 1);
     loop {
         let mut smaller: Vec<Plan> = Vec::new();
-        for place in 0..best.faults.len() {
-            let mut plan = best.clone();
-            plan.faults.remove(place);
+        for index in 0..smallest.faults.len() {
+            let mut plan = smallest.clone();
+            plan.faults.remove(index);
             smaller.push(plan);
         }
-        for place in 0..best
+        for index in 0..smallest
             .habits
             .len()
-            .min(best.habits.len().saturating_sub(1) * 8)
+            .min(smallest.habits.len().saturating_sub(1) * 8)
         {
-            let mut plan = best.clone();
-            plan.habits.remove(place);
+            let mut plan = smallest.clone();
+            plan.habits.remove(index);
             plan.load *= plan.habits.len() as f64 / (plan.habits.len() + 1) as f64;
             smaller.push(plan);
         }
-        if best.matchers > 1 {
+        if smallest.matchers > 1 {
             smaller.push(Plan {
-                matchers: best.matchers - 1,
-                ..best.clone()
+                matchers: smallest.matchers - 1,
+                ..smallest.clone()
             });
         }
-        if best.asks > 1_000_000 {
+        if smallest.request_duration > 1_000_000 {
             smaller.push(Plan {
-                asks: best.asks / 2,
-                ..best.clone()
+                request_duration: smallest.request_duration / 2,
+                ..smallest.clone()
             });
         }
-        if best.load > 0.05 {
+        if smallest.load > 0.05 {
             smaller.push(Plan {
-                load: best.load / 2.0,
-                ..best.clone()
+                load: smallest.load / 2.0,
+                ..smallest.clone()
             });
         }
-        if best.partial {
+        if smallest.partial_io {
             smaller.push(Plan {
-                partial: false,
-                ..best.clone()
+                partial_io: false,
+                ..smallest.clone()
             });
         }
         let mut better = None;
         for plan in smaller {
-            if played >= most {
+            if played >= max_plans {
                 break;
             }
             played += 1;
@@ -174,8 +178,8 @@
             }
         }
         match better {
-            Some(plan) => best = plan,
-            None => return (best, played),
+            Some(plan) => smallest = plan,
+            None => return (smallest, played),
         }
     }
 }
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -6,11 +6,11 @@
 /// Whole matchers under faults: no rule is broken, and what the seeds are for is met.
 #[test]
 fn a_range_of_seeds_breaks_no_rule_and_meets_what_is_feared() {
-    let summary = seeds::run(Plan::of, 1, 48, 4, false, || (), |_| ());
+    let summary = seeds::run(Plan::from_seed, 1, 48, 4, false, || (), |_| ());
     let failed: Vec<_> = summary
         .failed
         .iter()
-        .map(|outcome| (outcome.seed, &outcome.broken))
+        .map(|outcome| (outcome.seed, &outcome.violations))
         .collect();
     assert!(failed.is_empty(), "{failed:?}");
     // Nobody should trust seeds that visit nothing.
@@ -31,9 +31,9 @@
         "the old process dies in an upgrade",
     ] {
         assert!(
-            summary.met.contains_key(name),
+            summary.coverage.contains_key(name),
             "{name} was not met: {:?}",
-            summary.met
+            summary.coverage
         );
     }
 }
@@ -42,11 +42,11 @@
 /// store of results goes to the youngest.
 #[test]
 fn chains_of_processes_keep_the_rules_whoever_of_them_dies() {
-    let summary = seeds::run(Plan::chained, 1, 24, 4, false, || (), |_| ());
+    let summary = seeds::run(Plan::with_upgrade_chains, 1, 24, 4, false, || (), |_| ());
     let failed: Vec<_> = summary
         .failed
         .iter()
-        .map(|outcome| (outcome.seed, &outcome.broken))
+        .map(|outcome| (outcome.seed, &outcome.violations))
         .collect();
     assert!(failed.is_empty(), "{failed:?}");
     for name in [
@@ -56,9 +56,9 @@
         "a repeat is told the first answer",
     ] {
         assert!(
-            summary.met.contains_key(name),
+            summary.coverage.contains_key(name),
             "{name} was not met: {:?}",
-            summary.met
+            summary.coverage
         );
     }
 }
@@ -68,16 +68,20 @@
 #[test]
 fn the_first_of_three_does_not_keep_the_store_from_the_third() {
     for seed in [773_604, 774_130] {
-        let outcome = seeds::play(Plan::of(seed));
-        assert!(outcome.broken.is_empty(), "{seed}: {:?}", outcome.broken);
+        let outcome = seeds::play(Plan::from_seed(seed));
+        assert!(
+            outcome.violations.is_empty(),
+            "{seed}: {:?}",
+            outcome.violations
+        );
     }
 }
 
 /// A keyed request was read some 30 ms before the stop of a process whose successor had died, and its answer came after it.
 #[test]
 fn what_is_read_right_before_the_stop_is_answered_before_it() {
-    let outcome = seeds::play(Plan::chained(12_809));
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    let outcome = seeds::play(Plan::with_upgrade_chains(12_809));
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
 }
 
 /// Two processes that have been succeeded start what they held; the third leaves room for that, and not only for what runs.
@@ -85,16 +89,20 @@
 #[test]
 fn three_processes_together_have_the_memory_and_the_descriptors_of_one() {
     for seed in [255, 11_809] {
-        let outcome = seeds::play(Plan::chained(seed));
-        assert!(outcome.broken.is_empty(), "{seed}: {:?}", outcome.broken);
+        let outcome = seeds::play(Plan::with_upgrade_chains(seed));
+        assert!(
+            outcome.violations.is_empty(),
+            "{seed}: {:?}",
+            outcome.violations
+        );
     }
 }
 
 #[test]
 fn the_same_seeds_pass_the_same_way_whoever_plays_them() {
-    let digest = |jobs| seeds::run(Plan::of, 3, 6, jobs, false, || (), |_| ()).digest;
+    let digest = |jobs| seeds::run(Plan::from_seed, 3, 6, jobs, false, || (), |_| ()).digest;
     assert_eq!(digest(1), digest(3));
-    let plan = Plan::of(5);
+    let plan = Plan::from_seed(5);
     assert_eq!(
         seeds::play(plan.clone()).digest,
         seeds::replay(plan).0.digest
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -22,8 +22,8 @@
 /// Plays, prints, and says what falls short.
 pub fn run(short: &mut Vec<String>) {
     let begun = Instant::now();
-    let summary = seeds::run(Plan::crowded, 1, SEEDS, cores(), false, || (), |_| ());
-    let met = |name: &str| summary.met.get(name).map_or(0, |met| met.1);
+    let summary = seeds::run(Plan::with_floods, 1, SEEDS, cores(), false, || (), |_| ());
+    let met = |name: &str| summary.coverage.get(name).map_or(0, |met| met.1);
     say!(
         "{SEEDS} seeds with floods in {:.1} s: {} broke a rule; {}",
         begun.elapsed().as_secs_f64(),
@@ -35,7 +35,7 @@
         short.push(format!(
             "crowded seed {}: {}",
             outcome.seed,
-            outcome.broken.join("; ")
+            outcome.violations.join("; ")
         ));
     }
     for name in HARD {
@@ -57,7 +57,7 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(Plan::crowded, 1, WITHIN, cores(), true, prepare, |_| ());
+        let summary = seeds::run(Plan::with_floods, 1, WITHIN, cores(), true, prepare, |_| ());
         match summary.failed.first() {
             Some(first) => found.push(format!("{bug:?} {}", first.seed)),
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -5,7 +5,7 @@
 use cleatpulley_emulators::host::look;
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::trial::{Going, Load, Report, Trial};
-use cleatpulley_simulator::plan::{Fault, Plan, Planned};
+use cleatpulley_simulator::plan::{Fault, Plan, PlannedFault};
 use cleatpulley_simulator::seeds;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -273,8 +273,8 @@
 }
 
 fn played(short: &mut Vec<String>) {
-    let summary = seeds::run(Plan::of, 1, SEEDS, jobs(), false, || (), |_| ());
-    let met = |name: &str| summary.met.get(name).map_or(0, |(times, _)| *times);
+    let summary = seeds::run(Plan::from_seed, 1, SEEDS, jobs(), false, || (), |_| ());
+    let met = |name: &str| summary.coverage.get(name).map_or(0, |(times, _)| *times);
     say!(
         "{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
          {} broke a rule",
@@ -289,7 +289,7 @@
         short.push(format!(
             "seed {}: {}",
             outcome.seed,
-            outcome.broken.join("; ")
+            outcome.violations.join("; ")
         ));
     }
 }
@@ -297,17 +297,17 @@
 /// The same seeds with two upgrades each, once with what the predecessor has learned and once without, as it is torn.
 fn learned() {
     let of = |seed: u64, torn: bool, load: f64| {
-        let mut plan = Plan::of(seed);
-        let (matcher, lasts) = (0, 0);
-        let upgrade = |at| Planned {
+        let mut plan = Plan::from_seed(seed);
+        let (matcher, duration) = (0, 0);
+        let upgrade = |at| PlannedFault {
             at,
-            lasts,
+            duration,
             matcher,
             fault: Fault::Upgrade(None),
         };
-        let tear = |at| Planned {
+        let tear = |at| PlannedFault {
             at,
-            lasts,
+            duration,
             matcher,
             fault: Fault::Torn,
         };
@@ -317,7 +317,7 @@
             plan.faults.extend(times.map(|at| tear(at - 1)));
             plan.faults.sort_by_key(|planned| planned.at);
         }
-        (plan.matchers, plan.load, plan.asks) = (1, load, 6 * SECOND);
+        (plan.matchers, plan.load, plan.request_duration) = (1, load, 6 * SECOND);
         plan
     };
     for load in [0.8, 1.0, 1.2] {
@@ -367,7 +367,7 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(Plan::of, 1, WITHIN, jobs(), true, prepare, |_| ());
+        let summary = seeds::run(Plan::from_seed, 1, WITHIN, jobs(), true, prepare, |_| ());
         match summary.failed.first() {
             Some(first) => found.push(format!("{bug:?} {}", first.seed)),
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
