--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -3,9 +3,9 @@
 use super::simulator::{cores, show};
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_emulators::site::Setup;
-use cleatpulley_simulator::front::Habit;
+use cleatpulley_simulator::event_queue::EventQueue;
+use cleatpulley_simulator::front_end::Habit;
 use cleatpulley_simulator::plan::Plan;
-use cleatpulley_simulator::queue::Queue;
 use cleatpulley_simulator::seeds;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -43,7 +43,7 @@
 /// Events that breed others at times like those of a history, in the made queue and in a binary heap.
 fn queue() {
     let gaps = |n: u64| [40, 120, 700, 2_000, 15_000, 300_000][(n % 6) as usize] + n % 37;
-    let (mut queue, mut heap, turns) = (Queue::default(), BinaryHeap::new(), 3_000_000);
+    let (mut queue, mut heap, turns) = (EventQueue::default(), BinaryHeap::new(), 3_000_000);
     (0..600_u64).for_each(|n| queue.push(gaps(n), n));
     let begun = Instant::now();
     for n in 0..turns {
@@ -67,9 +67,14 @@
 }
 
 fn speed(short: &mut Vec<String>) {
-    let mut plan = Plan::of(1);
+    let mut plan = Plan::from_seed(1);
     plan.faults.clear();
-    (plan.matchers, plan.cores, plan.asks, plan.partial) = (1, 12, 60_000_000, false);
+    (
+        plan.matchers,
+        plan.cores,
+        plan.request_duration,
+        plan.partial_io,
+    ) = (1, 12, 60_000_000, false);
     plan.habits.truncate(1);
     let calm = Habit {
         ajp: false,
@@ -100,24 +105,24 @@
     }
     let jobs = cores().min(4);
     let begun = Instant::now();
-    let summary = seeds::run(Plan::of, 1, SEEDS, jobs, false, || (), |_| ());
+    let summary = seeds::run(Plan::from_seed, 1, SEEDS, jobs, false, || (), |_| ());
     show(&summary, begun.elapsed(), jobs);
     for outcome in &summary.failed {
         short.push(format!(
             "seed {}: {}",
             outcome.seed,
-            outcome.broken.join("; ")
+            outcome.violations.join("; ")
         ));
     }
     for name in HARD {
-        if !summary.met.contains_key(name) {
+        if !summary.coverage.contains_key(name) {
             short.push(format!("no seed has met: {name}"));
         }
     }
 }
 
 fn same(short: &mut Vec<String>) {
-    let digest = |jobs| seeds::run(Plan::of, 1, 60, jobs, false, || (), |_| ()).digest;
+    let digest = |jobs| seeds::run(Plan::from_seed, 1, 60, jobs, false, || (), |_| ()).digest;
     let (one, many) = (digest(1), digest(cores().max(2)));
     say!("60 seeds by one job and by many: digests {one:016x} and {many:016x}");
     if one != many {
@@ -131,8 +136,9 @@
         return;
     }
     say!("injected bugs: seeds to the first find, faults before and after it was shrunk");
-    let any = InjectedBug::GENERAL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
-    let chains = InjectedBug::HOT_RESTART_CHAINS.map(|bug| (bug, Plan::chained as fn(u64) -> Plan));
+    let any = InjectedBug::GENERAL.map(|bug| (bug, Plan::from_seed as fn(u64) -> Plan));
+    let chains = InjectedBug::HOT_RESTART_CHAINS
+        .map(|bug| (bug, Plan::with_upgrade_chains as fn(u64) -> Plan));
     for (bug, plan) in any.into_iter().chain(chains) {
         inject_bug(Some(bug));
         let prepare = || {
@@ -163,8 +169,8 @@
             format!("{bug:?}"),
             first.seed,
             small.faults.len(),
-            small.asks as f64 / 1e6,
-            first.broken[0]
+            small.request_duration as f64 / 1e6,
+            first.violations[0]
         );
     }
     inject_bug(None);
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley simulator`: whole matchers on a virtual clock, with faults from seeds.
 
 use clap::{Args, Subcommand};
-use cleatpulley_simulator::plan::{Places, Plan};
+use cleatpulley_simulator::plan::{AdmissionMode, Plan};
 use cleatpulley_simulator::seeds::{self, Summary};
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -67,9 +67,9 @@
 impl Kind {
     fn plan(self, seed: u64) -> Plan {
         match self {
-            Self::Mixed => Plan::of(seed),
-            Self::Floods => Plan::crowded(seed),
-            Self::Upgrades => Plan::chained(seed),
+            Self::Mixed => Plan::from_seed(seed),
+            Self::Floods => Plan::with_floods(seed),
+            Self::Upgrades => Plan::with_upgrade_chains(seed),
         }
     }
 }
@@ -134,7 +134,7 @@
     }
     show(&summary, begun.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
-        say!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
+        say!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
     }
     say!(
         "{} seeds, {} broke a rule; digest {:016x}",
@@ -160,7 +160,7 @@
     let [sent, served, refused, failed, unreachable] = summary.counts;
     say!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
     say!("met:");
-    for (name, (times, seeds)) in &summary.met {
+    for (name, (times, seeds)) in &summary.coverage {
         say!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
@@ -172,17 +172,17 @@
         plan.matchers,
         plan.cores,
         plan.load * 100.0,
-        plan.asks as f64 / 1e6,
-        plan.sockets,
-        if plan.partial {
+        plan.request_duration as f64 / 1e6,
+        plan.max_descriptors,
+        if plan.partial_io {
             ", reads and writes cut short"
         } else {
             ""
         },
-        match plan.places {
-            Places::FirstCome => "",
-            Places::Named => ", places decided, the front ends' address named",
-            Places::Earned => ", places decided, standing earned",
+        match plan.admission {
+            AdmissionMode::Unrestricted => "",
+            AdmissionMode::Allowlist => ", places decided, the front ends' address named",
+            AdmissionMode::Reputation => ", places decided, standing earned",
         }
     );
     for (n, habit) in plan.habits.iter().enumerate() {
@@ -208,14 +208,14 @@
         outcome.events, outcome.digest
     );
     outcome
-        .broken
+        .violations
         .iter()
         .for_each(|what| drop(writeln!(out, "broken: {what}")));
-    status(outcome.broken.is_empty())
+    status(outcome.violations.is_empty())
 }
 
 fn shrink(whole: &Plan, most: u32) -> ExitCode {
-    if seeds::play(whole.clone()).broken.is_empty() {
+    if seeds::play(whole.clone()).violations.is_empty() {
         say!("seed {} breaks no rule", whole.seed);
         return ExitCode::SUCCESS;
     }
@@ -231,7 +231,7 @@
         .iter()
         .for_each(|line| say!("{line}"));
     outcome
-        .broken
+        .violations
         .iter()
         .for_each(|what| say!("broken: {what}"));
     ExitCode::FAILURE
