--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -185,7 +185,7 @@
             let opened = Journal::open(self.disk.clone(), options, now);
             self.store.open(opened, events);
         }
-        self.store.work(&mut self.jobs.drain(..), events);
+        self.store.execute(&mut self.jobs.drain(..), events);
         self.store.sync(events);
         self.store.maintain(now, 4_096, events);
         if self.store.is_open() {
@@ -327,7 +327,7 @@
     }
 
     fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.push(PersistenceJob::Recall(now, id, number, key));
+        self.push(PersistenceJob::LoadResult(now, id, number, key));
     }
 
     fn release(&mut self) {
--- a/crates/simulator/src/metrics_poller.rs
+++ b/crates/simulator/src/metrics_poller.rs
@@ -57,7 +57,7 @@
             return;
         };
         request.input.extend_from_slice(bytes);
-        let response = http::parse(&request.input, false);
+        let response = http::parse_response(&request.input, false);
         if matches!(response, Ok(None)) {
             return;
         }
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -4,11 +4,13 @@
 use super::{addresses, packet_size, wrong, Fault, Wrong};
 use crate::nginx;
 use cleatpulley_gateway::core::{Class, Settings};
-use cleatpulley_gateway::upstream::{Names, Speaks};
+use cleatpulley_gateway::upstream::{HeaderNames, TargetProtocol};
 use cleatpulley_gateway::{AnyPath, Options};
+use cleatpulley_protocol::ajp::class_table::ClassTable;
 use cleatpulley_protocol::ajp::client;
-use cleatpulley_protocol::ajp::server::{self, Defaults, Figures, Source};
-use cleatpulley_protocol::ajp::table::Table;
+use cleatpulley_protocol::ajp::server::{
+    self, ParameterDefaults, ParameterSource, ParameterSources,
+};
 use cleatpulley_routes::model::{Location, RewriteStep, Routes, CLASS_VARIABLE};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -132,8 +134,8 @@
 }
 
 impl LinksSection {
-    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, Wrong> {
-        use cleatpulley_tls::pair::{certificates, Pair};
+    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
+        use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
             (
@@ -141,12 +143,12 @@
                 format!("{}: {e}", roots_file.display()),
             )
         })?;
-        let roots = certificates(&roots_file, &bytes)
+        let roots = parse_certificates(&roots_file, &bytes)
             .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
         let own = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
-                let pair = Pair::load(&folder.join(certificate), &folder.join(key));
+                let pair = CertificateWithKey::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
             (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
@@ -163,14 +165,14 @@
             }
         }
         let clock = cleatpulley_tls::Clock::default();
-        let config = cleatpulley_tls::setup::client(
+        let config = cleatpulley_tls::config::client_config(
             &roots,
             own.as_ref(),
-            cleatpulley_tls::setup::Versions::Both,
+            cleatpulley_tls::config::ProtocolVersions::Both,
             &clock,
         );
         let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
-        Ok(cleatpulley_gateway::upstream::Links {
+        Ok(cleatpulley_gateway::upstream::TargetTls {
             config,
             server_name: self.server_name,
             clock,
@@ -209,7 +211,7 @@
             longest = longest.max(class.deadline_ms);
             classes.push(Class {
                 name: name.clone(),
-                effect: class.effect,
+                has_effect: class.effect,
                 deadline: class.deadline_ms * MS,
             });
         }
@@ -218,9 +220,9 @@
         }
         if self.stop_ms < self.drain_grace_ms + longest {
             let what = format!(
-                "{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
-                self.stop_ms, self.drain_grace_ms
-            );
+"{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
+self.stop_ms, self.drain_grace_ms
+);
             return wrong("stop_ms", what);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
@@ -255,8 +257,8 @@
             None | Some("frames") if self.targets.secret.is_some() => {
                 return wrong("targets.secret", "frames know no secret")
             }
-            None | Some("frames") => Speaks::Frames,
-            Some("ajp") => Speaks::Ajp(client::Options {
+            None | Some("frames") => TargetProtocol::Frames,
+            Some("ajp") => TargetProtocol::Ajp(client::Options {
                 packet_size: packet_size("targets", None)?,
                 secret: self.targets.secret.clone(),
                 server: (self.name.clone(), 0),
@@ -277,24 +279,24 @@
         let ajp = self.ajp.map(|ajp| ajp.check(self.seed)).transpose()?;
         Ok(Options {
             name: self.name,
-            frames,
-            host: self.frames_host,
+            frame_addresses: frames,
+            frames_host: self.frames_host,
             ajp,
             settings: Settings {
                 routes,
                 classes,
-                listen: self.routes_listen,
-                most_held: self.memory_mb * 1_000_000,
-                share: self.retry_share,
+                listen_address: self.routes_listen,
+                max_held_bytes: self.memory_mb * 1_000_000,
+                retry_share: self.retry_share,
                 seed: self.seed,
             },
-            speaks,
-            names: Names::default(),
-            addresses: resolved,
-            connections: self.targets.connections.unwrap_or(8),
-            sockets: self.sockets,
-            stop: self.stop_ms * MS,
-            grace: self.drain_grace_ms * MS,
+            target_protocol: speaks,
+            header_names: HeaderNames::default(),
+            target_addresses: resolved,
+            max_connections_per_target: self.targets.connections.unwrap_or(8),
+            max_descriptors: self.sockets,
+            shutdown_time: self.stop_ms * MS,
+            drain_grace: self.drain_grace_ms * MS,
             tls,
         })
     }
@@ -360,20 +362,20 @@
                 format!("{} is no loopback address, which takes a secret", listen[i]),
             );
         }
-        let header = |name: &str| Some(Source::Header(name.to_owned()));
-        let names = Names::default();
+        let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
+        let names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: packet_size("ajp.packet_size", self.packet_size)?,
-            max_body: self.max_body,
-            first_packet: 2_000 * MS,
-            body: 2_000 * MS,
-            idle: 30_000 * MS,
-            table: Table::default(),
-            lookup: Some(Arc::new(AnyPath)),
-            figures: Figures {
+            max_body_bytes: self.max_body,
+            packet_timeout: 2_000 * MS,
+            body_timeout: 2_000 * MS,
+            idle_timeout: 30_000 * MS,
+            class_table: ClassTable::default(),
+            class_lookup: Some(Arc::new(AnyPath)),
+            parameter_sources: ParameterSources {
                 id: header(&names.id),
-                door: header(&self.door_header),
+                received_at_ms: header(&self.door_header),
                 work_ms: header(&names.work_ms),
                 memory_kb: header(&names.memory_kb),
                 rank: header(&names.rank),
@@ -381,14 +383,14 @@
                 subject: header(&names.subject),
                 key: None,
             },
-            defaults: vec![Defaults {
-                work: 0,
+            parameter_defaults: vec![ParameterDefaults {
+                expected_work: 0,
                 memory_kb: 30.0,
                 rank: 0.5,
                 caller: 0,
-                needs_id: false,
+                requires_id: false,
             }],
-            seed,
+            id_seed: seed,
         };
         Ok((listen, settings, self.trusted_proxies))
     }
