--- a/crates/simulator/src/admission_rules.rs
+++ b/crates/simulator/src/admission_rules.rs
@@ -1,5 +1,6 @@
-//! Rules on places, judged from the books of strangers and front ends alone: who is known gets in while a stranger holds a
-//! place, a prefix with little gets in while another has much, and no address gets more than its cap.
+//! Rules of connection admission, checked only against the records of unknown clients and front
+//! ends: a known caller is admitted while an unknown client holds a slot, a prefix with few
+//! connections is admitted while another has many, and no address exceeds its limit.
 
 use crate::plan::AdmissionMode;
 use crate::simulation::{Simulation, MS, SECOND};
@@ -7,40 +8,41 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// What was closed may be on its way for so long, and what was opened.
+/// Time in which the closing or opening of a connection reaches the other side.
 const TRANSIT_TIME: Micros = 10 * MS;
-/// An address earns no more than one point in this time, and is known from so many on.
+/// An address earns at most one point in this interval, and is known from this number of points on.
 const POINT_INTERVAL: Micros = 100 * MS;
 pub(crate) const KNOWN_THRESHOLD_POINTS: usize = 5;
-/// What was earned so shortly before a process started may not have been written.
+/// Points earned within this time before a process started may not have been written.
 const REPUTATION_WRITE_DELAY: Micros = 2_500 * MS;
-/// New connections of an address: a second, and at once.
+/// Limit on new connections of an address: rate per second, and burst.
 pub(crate) const ADDRESS_RATE_LIMIT: (u32, u32) = (20, 40);
-/// A process has read what it was told of before by then.
+/// Time in which a new process has loaded the reputation stored before it.
 const REPUTATION_LOAD_TIME: Micros = 300 * MS;
 
-/// Somebody who got no place, to be judged a little later.
+/// A connection that was not admitted; checked a little later.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RejectedConnection {
     pub matcher: usize,
     pub at: Micros,
-    /// A stranger's probe, from a prefix that has nothing.
+    /// It came from the probe, an unknown client whose prefix has no connections.
     pub is_probe: bool,
 }
 
-/// The judge of places.
+/// Checker of the admission rules.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionRules {
     /// By machine: when callers at the front ends' address earned a point.
     points_earned_at: Vec<Vec<Micros>>,
     pending: Vec<RejectedConnection>,
-    /// By machine and address: the process, since when, and connections that got a place.
+    /// By machine and address: incarnation of the process, start of the count, and number of
+    /// admitted connections.
     admitted: BTreeMap<(usize, IpAddr), (u64, Micros, u32)>,
 }
 
 impl AdmissionRules {
-    /// A front end was served, on a connection that has a place. True where it was known before the process started, and a
-    /// flood is on.
+    /// Records that a front end was served on an admitted connection. Returns true if its address
+    /// was known before the process started and a flood is under way.
     pub(crate) fn on_served(&mut self, sim: &Simulation, m: usize) -> bool {
         let now = sim.now();
         self.points_earned_at
@@ -60,7 +62,8 @@
             })
     }
 
-    /// Points of callers at the front ends' address that were surely written before then.
+    /// Number of points of callers at the front ends' address that had certainly been written
+    /// before `started`.
     fn points_before(&self, m: usize, started: Micros) -> usize {
         let points_earned_at = self.points_earned_at.get(m).map_or(&[][..], Vec::as_slice);
         points_earned_at
@@ -69,7 +72,7 @@
             .count()
     }
 
-    /// Judges what has come; says what is wrong.
+    /// Checks the new events and returns the violations.
     pub(crate) fn check(&mut self, sim: &mut Simulation) -> Vec<String> {
         let mut violations = Vec::new();
         if sim.plan.admission == AdmissionMode::Unrestricted {
@@ -94,7 +97,7 @@
         violations
     }
 
-    /// One process serves there, and has for a while.
+    /// Returns true if a single process had been serving there for a while.
     fn is_settled(sim: &Simulation, m: usize, at: Micros) -> bool {
         let machine = &sim.machines[m];
         let alone = machine.processes.len() == 1
@@ -117,7 +120,7 @@
             .entry((m, from))
             .or_insert((incarnation, at, 0));
         if entry.0 != incarnation || sim.machines[m].processes.len() != 1 {
-            // A process counts for itself.
+            // Each process counts on its own.
             *entry = (incarnation, at, 0);
         }
         entry.2 += 1;
@@ -143,7 +146,7 @@
         if !Self::is_settled(sim, m, at) {
             return None;
         }
-        // Those that had a place before it came and have it still.
+        // Clients that were admitted before the rejected one arrived, and still are.
         let mut prefixes: BTreeMap<[u8; 3], usize> = BTreeMap::new();
         for client in sim.misbehaving_clients.unknown_clients.values() {
             if client.matcher == m
@@ -168,7 +171,8 @@
             .then(|| format!("m{m}: a known caller gets no place, while strangers have some"))
     }
 
-    /// Callers at the front ends' address have surely earned it: twice what it takes, written before the process started.
+    /// Returns true if callers at the front ends' address have certainly earned a known reputation:
+    /// twice the required points, written before the process started or earned since.
     fn is_known(&self, sim: &Simulation, m: usize, at: Micros) -> bool {
         let Some(process) = sim.machines[m].processes.first() else {
             return false;
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -1,13 +1,14 @@
-//! The event queue, made for a simulation: nearly all events come within a fraction of a second, and time never steps
-//! back. A ring of short stretches of time takes those, each sorted only when its turn comes; a binary heap takes the
-//! rest until they are near. `cleatpulley check simulator` measures it beside a binary heap alone.
+//! Event queue for a simulation: nearly all events are due within a fraction of a second, and time
+//! never goes back. A ring of short time buckets holds those, each sorted only when it becomes
+//! current; a binary heap holds the rest until they are near. `cleatpulley check simulator`
+//! compares it with a binary heap alone.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Microseconds of a stretch, as a power of two.
+/// Length of a bucket in microseconds, as a power of two.
 const BUCKET_BITS: u32 = 6;
-/// Stretches of the ring: a quarter of a second.
+/// Number of buckets in the ring: a quarter of a second.
 const RING_BUCKETS: u64 = 4_096;
 
 struct FarEvent<T> {
@@ -35,15 +36,15 @@
     }
 }
 
-/// Events in the order of their times, and of their coming where those agree.
+/// Events in the order of their times, and of insertion where times are equal.
 pub struct EventQueue<T> {
-    /// Events by stretch, in no order.
+    /// Events by bucket, unsorted.
     ring: Vec<Vec<(u64, u64, T)>>,
-    /// Stretches that hold something, as bits.
+    /// Bitmap of buckets that are not empty.
     occupied: Vec<u64>,
-    /// The stretch whose turn it is, its events sorted with the next at the end.
+    /// The current bucket, sorted with the next event at the end.
     current: Vec<(u64, u64, T)>,
-    /// Its number, from the beginning of time.
+    /// Number of the current bucket, counted from time 0.
     bucket: u64,
     far: BinaryHeap<Reverse<FarEvent<T>>>,
     number: u64,
@@ -65,7 +66,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an event; one that lies before the stretch whose turn it is counts as of its begin.
+    /// Adds an event; an event before the current bucket is moved to its start.
     pub fn push(&mut self, at: u64, event: T) {
         self.number += 1;
         self.len += 1;
@@ -93,7 +94,7 @@
         self.occupied[index / 64] |= 1 << (index % 64);
     }
 
-    /// The first stretch after this one that holds something in the ring.
+    /// Number of the next bucket in the ring that is not empty.
     fn next_occupied(&self) -> Option<u64> {
         let words = self.occupied.len();
         let from = ((self.bucket + 1) % RING_BUCKETS) as usize;
@@ -113,12 +114,12 @@
         None
     }
 
-    /// Takes the next event and its time.
+    /// Removes the next event; returns its time and the event.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         if self.current.is_empty() {
             let far = self.far.peek().map(|Reverse(far)| far.key.0 >> BUCKET_BITS);
             self.bucket = [self.next_occupied(), far].into_iter().flatten().min()?;
-            // What was far is near now, some of it.
+            // Moves events that have come within reach of the ring.
             while self
                 .far
                 .peek()
@@ -143,13 +144,13 @@
         Some((at, event))
     }
 
-    /// Events that wait.
+    /// Number of pending events.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// None waits.
+    /// Returns true if no event is pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! What a plan's faults do, and how they end.
+//! Effects of a plan's faults, and their end.
 
 use crate::front_end::FrontEnd;
 use crate::host::Event;
@@ -127,7 +127,7 @@
         self.net.borrow_mut().queue.push(ends, Event::FaultEnd(i));
     }
 
-    /// Takes note of floods that meet other troubles.
+    /// Records floods that coincide with other trouble.
     fn note_flood(&mut self, m: usize, fault: Fault, ends: Micros) {
         let now = self.now();
         let machine = &mut self.machines[m];
--- a/crates/simulator/src/front_end.rs
+++ b/crates/simulator/src/front_end.rs
@@ -1,5 +1,6 @@
-//! Front ends with habits: they try again without limit or not, give up early, send copies, choose by subject, heed
-//! advice or not, carry keys or not, and speak frames or AJP. Their books are their own; rules are judged from them.
+//! Front ends with different habits: they retry without limit or not, give up early, send hedged
+//! copies, choose the matcher by subject, honour backoff advice or not, send idempotency keys or
+//! not, and speak frames or AJP. Rules are checked against the records that they keep themselves.
 
 use crate::admission_rules::RejectedConnection;
 use cleatpulley_emulators::callers::{
@@ -15,31 +16,33 @@
 use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
-/// Requests open on one connection that speaks frames.
+/// Maximum number of open requests on one connection that speaks frames.
 const MAX_OPEN_PER_CONNECTION: usize = 32;
-/// The field and the header that keys stand in.
+/// Frame field that carries the idempotency key.
 pub const KEY_FIELD: &str = "once";
-/// Subjects; a few are asked for far more often than the rest.
+/// Number of subjects; a few are requested far more often than the rest.
 const SUBJECT_COUNT: f64 = 5_000.0;
 
-/// How a front end behaves.
+/// Behaviour of a front end. Histories print it with these names.
 #[derive(Debug, Clone)]
 pub struct Habit {
-    /// It speaks AJP.
+    /// Speaks AJP.
     pub ajp: bool,
-    /// It tries again after refusals and failures, as long as its client waits.
+    /// Retries after rejections and failures until the client's deadline.
     pub retries: bool,
-    /// It stops waiting after this time and tries elsewhere, without a word.
+    /// Stops waiting for a response after this time and tries elsewhere, without cancelling the
+    /// request.
     pub hasty: Option<Micros>,
-    /// It sends a second copy of safe requests after this time.
+    /// Sends a second copy of idempotent requests after this time.
     pub copies: Option<Micros>,
-    /// It chooses by the subject.
+    /// Chooses the matcher by the subject.
     pub by_subject: bool,
-    /// It heeds advice to stay away.
+    /// Honours advice to back off.
     pub heeds: bool,
-    /// Its requests with an effect carry keys, and come again also after they were served.
+    /// Requests with an effect carry idempotency keys, and are repeated even after they were
+    /// served.
     pub keyed: bool,
-    /// Connections to each matcher at most.
+    /// Maximum number of connections to each matcher.
     pub connections: usize,
 }
 
@@ -50,49 +53,49 @@
     until: Micros,
     attempts: u32,
     done: bool,
-    /// Where it may have run: only there it may come again.
+    /// Matcher where the request may have run; it may be sent again only there.
     bound_matcher: Option<usize>,
 }
 
-/// A try that has no answer.
+/// An attempt without a response so far.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// Matcher that it was sent to.
     pub matcher: usize,
-    /// When.
+    /// Time of sending.
     pub sent: Micros,
-    /// When its answer is due, pauses of the machine counted in.
+    /// Deadline of the response; pauses of the machine extend it.
     pub due: Micros,
-    /// On which connection.
+    /// Connection that it was sent on.
     pub link: Link,
     request_index: usize,
 }
 
-/// What is known of a try for good.
+/// Permanent record of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct SentAttempt {
-    /// Where it went.
+    /// Matcher that it was sent to.
     pub matcher: usize,
-    /// Its key.
+    /// Idempotency key.
     pub key: Option<u64>,
-    /// Its body is not that of its key.
+    /// Its body differs from that of the request that the key belongs to.
     pub has_conflicting_body: bool,
-    /// When it was sent.
+    /// Time of sending.
     pub at: Micros,
-    /// Its class.
+    /// Index of its class.
     pub kind: usize,
 }
 
-/// What became of a try, to be judged.
+/// Outcome of an attempt, to be checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was served with this.
+    /// Served with this result.
     Served(Vec<u8>),
-    /// It was turned away.
+    /// Rejected.
     Rejected,
-    /// It failed.
+    /// Failed.
     Failed,
-    /// Its connection ended without an answer.
+    /// The connection ended without a response.
     Lost,
 }
 
@@ -100,7 +103,7 @@
     matcher: usize,
     established: bool,
     goodbye_received: bool,
-    /// Nothing has come on it yet.
+    /// Nothing has been received on it yet.
     is_unused: bool,
     input: Vec<u8>,
     open: BTreeMap<u32, u64>,
@@ -124,15 +127,15 @@
     Hedge(usize),
 }
 
-/// The front end.
+/// A front end.
 pub struct FrontEnd {
-    /// Its habit.
+    /// Its behaviour.
     pub habit: Habit,
     number: usize,
     kinds: Vec<Kind>,
-    /// Where matchers listen: for frames and for AJP.
+    /// Addresses of the matchers' listeners: for frames and for AJP.
     matchers: Vec<(SocketAddr, SocketAddr)>,
-    /// Requests a second, now.
+    /// Current rate, in requests a second.
     pub rate: f64,
     until: Micros,
     next_at: Option<Micros>,
@@ -143,34 +146,35 @@
     requests: Vec<ClientRequest>,
     timers: BTreeSet<(Micros, Timer)>,
     avoid_until: Vec<Micros>,
-    /// Tries without an answer, by id.
+    /// Attempts without a response, by id.
     pub open: BTreeMap<u64, Attempt>,
-    /// Their due times.
+    /// Deadlines of the open attempts, with their ids.
     pub due_times: BTreeSet<(Micros, u64)>,
-    /// All tries.
+    /// All attempts, by id.
     pub sent: HashMap<u64, SentAttempt>,
-    /// What became of tries, until it is judged.
+    /// Outcomes of attempts that have not been checked yet.
     pub outcomes: Vec<(u64, Link, AttemptOutcome)>,
-    /// Answers that nobody asked for.
+    /// Number of responses that match no open attempt.
     pub unexpected_responses: u64,
-    /// Tries that were sent since this was last looked at, where that is wanted.
+    /// Ids of attempts sent since the last check; recorded only for a trace.
     pub new_attempts: Option<Vec<u64>>,
-    /// Tries that were given up because nobody accepted their connection.
+    /// Attempts that were abandoned because their connection was never accepted.
     abandoned: HashSet<u64>,
-    /// Tries whose connection was refused, and where, until that is judged.
+    /// Matchers that refused a connection, and the attempts on it, until they are checked.
     pub refused_connections: Vec<(usize, u64)>,
-    /// Connections that were told to part before anything came of them, to be judged.
+    /// Connections that received a goodbye before anything else, until they are checked.
     pub(crate) rejected_connections: Vec<RejectedConnection>,
-    /// All of those.
+    /// Links of all such connections.
     rejected_links: HashSet<Link>,
-    /// Connections that were broken on purpose.
+    /// Links whose connection a fault broke on purpose.
     pub excused_links: HashSet<Link>,
-    /// Asked, served and refused, tries and repeats among them.
+    /// Numbers of attempts: sent, served, rejected, failed or lost, and unreachable; retries and
+    /// repeats included.
     pub counts: [u64; 5],
 }
 
 impl FrontEnd {
-    /// One that asks from now on until then.
+    /// Creates a front end that sends requests from `now` until `until`.
     #[must_use]
     pub fn new(
         number: usize,
@@ -212,7 +216,7 @@
         }
     }
 
-    /// A class has an effect.
+    /// Returns true if a class has an effect.
     #[must_use]
     pub fn has_effect(&self, kind: usize) -> bool {
         self.kinds
@@ -220,13 +224,14 @@
             .is_some_and(|kind| kind.name == "claim-seat")
     }
 
-    /// Nothing is waited for, and nothing will be sent.
+    /// Returns true if no response is awaited and nothing will be sent.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.next_at.is_none() && self.open.is_empty() && self.timers.is_empty()
     }
 
-    /// A matcher stood still for so long: its answers are due later.
+    /// Extends the deadlines of a matcher's open attempts by the time in which its machine was
+    /// paused.
     pub fn extend_due_times(&mut self, matcher: usize, from: Micros, to: Micros) {
         for (id, attempt) in self
             .open
@@ -239,12 +244,12 @@
         }
     }
 
-    /// This connection was told to part before anything came of it.
+    /// Returns true if the connection received a goodbye before anything else.
     pub(crate) fn was_rejected(&self, link: Link) -> bool {
         self.rejected_links.contains(&link)
     }
 
-    /// Connections to a matcher.
+    /// Links to a matcher.
     #[must_use]
     pub fn links_to(&self, matcher: usize) -> Vec<Link> {
         let frame_connections = self
@@ -260,13 +265,13 @@
         frame_connections.chain(ajp).collect()
     }
 
-    /// Connections to a matcher that were ended on purpose.
+    /// Marks all links to a matcher as broken on purpose.
     pub fn excuse_links(&mut self, matcher: usize) {
         let links = self.links_to(matcher);
         self.excused_links.extend(links);
     }
 
-    /// Gives up a try that never reached its matcher.
+    /// Abandons an attempt that never reached its matcher.
     pub fn abandon(&mut self, id: u64) {
         if let Some(attempt) = self.open.remove(&id) {
             self.due_times.remove(&(attempt.due, id));
@@ -334,7 +339,7 @@
         let request = &mut self.requests[request_index];
         request.attempts += 1;
         let (kind, key) = (request.kind, request.key);
-        // Now and then somebody sends another body under a key that is taken.
+        // Occasionally a different body is sent under a key that is in use.
         let has_conflicting_body =
             key.is_some() && request.attempts > 1 && self.random.random_range(0..40) == 0;
         let body = match (key, has_conflicting_body) {
@@ -523,7 +528,7 @@
         };
         let connection = self.ajp.get_mut(&link)?;
         let mut bytes = Vec::new();
-        // So few headers fit.
+        // A request with so few headers fits into a packet.
         let _ = connection.client.request(now, &request, &mut bytes);
         connection.open = Some(id);
         send(
@@ -536,10 +541,11 @@
         Some(link)
     }
 
-    /// A try has its answer, or never will have one.
+    /// Handles the outcome of an attempt: a response, or none because the connection ended.
     fn on_outcome(&mut self, now: Micros, id: u64, response: Option<Said>) {
         let Some(attempt) = self.open.remove(&id) else {
-            // One that was given up in the backlog may still be accepted, and is answered then.
+            // An attempt that was abandoned in the backlog may still be accepted, and then gets a
+            // response.
             self.unexpected_responses += u64::from(!self.abandoned.remove(&id));
             return;
         };
@@ -568,7 +574,7 @@
                         self.avoid_until[attempt.matcher].max(now + later * MS);
                 }
             }
-            // What may have run comes again only there, and only under its key.
+            // A request that may have run is repeated only at the same matcher and under its key.
             Some(Said::Failed) | None => {
                 self.counts[3] += 1;
                 if response.is_none() {
@@ -611,7 +617,7 @@
                 };
                 let request = &mut self.requests[attempt.request_index];
                 let has_effect = self.kinds[request.kind].name == "claim-seat";
-                // It stops waiting without a word; what may run is not sent elsewhere.
+                // Stops waiting without cancelling; a request that may run is not sent elsewhere.
                 if has_effect {
                     request.bound_matcher = Some(attempt.matcher);
                 }
--- a/crates/simulator/src/handover.rs
+++ b/crates/simulator/src/handover.rs
@@ -1,5 +1,5 @@
-//! Where the processes of one machine meet while one takes another's place: messages and listening sockets pass between
-//! them, as over a Unix socket.
+//! Handover channels between the processes of one machine during an upgrade: messages and listening
+//! sockets pass over them, as over a Unix socket.
 
 use crate::host::{Event, SharedNetwork, VirtualHost, VirtualListener};
 use cleatpulley_policy::interface::Micros;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A message takes so long.
+/// Latency of a message.
 const MESSAGE_LATENCY: Micros = 40;
 
-/// What waits on one side of a passage.
+/// State of one side of a channel.
 #[derive(Default)]
 struct ChannelSide {
     matcher: usize,
@@ -22,21 +22,22 @@
     closed: bool,
 }
 
-/// The hall of one machine.
+/// Handover state of one machine.
 #[derive(Default)]
 pub struct HandoverState {
-    /// The life of the process that successors come to, and the passages that wait there.
+    /// Incarnation of the process that listens for successors, and the channels that wait to be
+    /// accepted.
     successor_listener: Option<(u64, VecDeque<usize>)>,
     channels: Vec<[ChannelSide; 2]>,
-    /// The next snapshot of what was learned has a bit turned on its way.
+    /// Changes a digit in the next snapshot of learned state.
     pub corrupt_next_snapshot: bool,
-    /// Lives that were told a torn snapshot.
+    /// Incarnations that received a corrupted snapshot.
     pub corrupted_incarnations: Vec<u64>,
 }
 
 type SharedHandoverState = Rc<RefCell<HandoverState>>;
 
-/// A process's end of a passage.
+/// A process's end of a channel.
 pub struct VirtualHandoverChannel {
     net: SharedNetwork,
     handover: SharedHandoverState,
@@ -64,7 +65,7 @@
 }
 
 impl VirtualHandoverChannel {
-    /// Comes to the process that serves.
+    /// Connects to the process that listens for successors.
     pub(crate) fn connect(host: &VirtualHost) -> io::Result<Self> {
         let mut handover = host.handover.borrow_mut();
         let number = handover.channels.len();
@@ -110,7 +111,7 @@
         if closed {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        // A digit of what was learned becomes another one.
+        // Changes one digit of the learned state.
         let learned = message.windows(9).position(|bytes| bytes == b"run_limit");
         if let (true, Some(digit_start)) = (handover.corrupt_next_snapshot, learned) {
             if let Some(digit) = message[digit_start..]
@@ -142,7 +143,7 @@
     }
 }
 
-/// Where successors come to.
+/// Listener for successors.
 pub struct VirtualSuccessorListener {
     net: SharedNetwork,
     handover: SharedHandoverState,
@@ -154,7 +155,7 @@
     fn drop(&mut self) {
         self.net.borrow_mut().release_descriptor(self.process);
         let mut handover = self.handover.borrow_mut();
-        // Another may have taken the name meanwhile.
+        // Another process may have taken over the name in the meantime.
         if let Some((_, waiting)) = handover
             .successor_listener
             .take_if(|(incarnation, _)| *incarnation == self.incarnation)
@@ -212,7 +213,7 @@
     }
 }
 
-/// A listening socket on its way.
+/// A listening socket in transit.
 pub struct VirtualReceivedSocket {
     net: SharedNetwork,
     address: SocketAddr,
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,4 +1,5 @@
-//! Matchers' host in the virtual world: sockets of the virtual network, its clock, and a keeper whose disk is in memory.
+//! Host of simulated matchers: sockets of the virtual network, its clock, and persistence on an
+//! in-memory disk.
 
 use crate::handover::{
     HandoverState, VirtualHandoverChannel, VirtualReceivedSocket, VirtualSuccessorListener,
@@ -23,51 +24,51 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What happens in the virtual world.
+/// Events of the simulation.
 #[derive(Debug)]
 pub enum Event {
-    /// On the network.
+    /// An event of the network.
     Network(NetworkEvent),
-    /// A matcher of this life is to take a turn.
+    /// The process of this matcher and incarnation is to be polled.
     Server(usize, u64),
-    /// A service has something to do.
+    /// A service's timer is due.
     Service(usize),
-    /// A matcher's keeper of this life has something to do.
+    /// The persistence worker of this matcher and incarnation has work to do.
     ResultPersistence(usize, u64),
-    /// Its book of earned standing has.
+    /// The reputation worker of this matcher and incarnation has work to do.
     ReputationStorage(usize, u64),
     /// A fault begins.
     FaultStart(usize),
     /// A fault ends.
     FaultEnd(usize),
-    /// A replaced matcher comes back.
+    /// A matcher without a process is started again.
     Restart(usize, u64),
-    /// Somebody has come to a matcher's process, or something was said to it, on their way to take a place.
+    /// A handover channel of this process has a connection or a message to read.
     HandoverChannel(usize, u64),
-    /// A process is looked after that is to take another's place.
+    /// The upgrades of this machine are to be checked.
     Rollout(usize),
-    /// Operators ask.
+    /// The metrics of all processes are requested.
     PollMetrics,
 }
 
-/// The network, shared by all who are on it.
+/// The network, shared by everything that is connected to it.
 pub type SharedNetwork = Rc<RefCell<Network<Event>>>;
 
-/// Who owns an end of a connection.
+/// Owner of an end of a connection.
 #[derive(Debug, Clone, Copy)]
 pub enum ConnectionOwner {
-    /// The party of a matcher's process, by its slot.
+    /// A socket owner within a matcher's process, by the slot of the process.
     Server(usize, SocketOwner),
     /// A link of a service.
     Service(usize, u64),
 }
 
 const NUMBER_MASK: u64 = (1 << 48) - 1;
-/// A store that another process has open is tried again after this time.
+/// Delay before retrying to open a store that another process holds locked.
 const LOCK_RETRY_DELAY: Micros = 50_000;
 
 impl ConnectionOwner {
-    /// As the network has it.
+    /// Encodes the owner as the number that the network stores.
     #[must_use]
     pub fn encode(self) -> u64 {
         let (kind, index, number) = match self {
@@ -84,7 +85,7 @@
         kind << 56 | (index as u64) << 48 | number & NUMBER_MASK
     }
 
-    /// From what the network has.
+    /// Decodes the number that the network stores.
     #[must_use]
     pub fn decode(code: u64) -> Self {
         let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER_MASK);
@@ -102,27 +103,27 @@
     }
 }
 
-/// Which process has a disk's store open, by its life.
+/// Lock of a disk's store: the incarnation of the process that holds it.
 pub type StoreLock = Rc<Cell<Option<u64>>>;
 
-/// A matcher's keeper, as its host has it.
+/// Persistence worker of a matcher's process.
 pub struct PersistenceWorker {
     lock: StoreLock,
     incarnation: u64,
-    /// It has closed the store, and nothing more is asked of it.
+    /// The store is closed, and no further jobs are accepted.
     closed: bool,
-    /// What it has to do.
+    /// Pending jobs.
     pub jobs: VecDeque<PersistenceJob>,
     store: ResultStore<SimulatedFolder>,
-    /// The disk; a crash leaves another.
+    /// The disk; a crash replaces it.
     pub disk: SimulatedFolder,
     scheduled: bool,
-    /// It does nothing before this time.
+    /// No job is done before this time.
     pub stalled_until: Micros,
 }
 
 impl PersistenceWorker {
-    /// One of a process on this disk, which a process before may have left.
+    /// Creates the worker of a process on this disk, which may hold data of earlier processes.
     #[must_use]
     pub fn new(disk: SimulatedFolder, lock: StoreLock, incarnation: u64) -> Self {
         let (jobs, store) = (VecDeque::new(), ResultStore::default());
@@ -138,16 +139,17 @@
         }
     }
 
-    /// Its process is gone: the system opens the lock.
+    /// Releases the lock of a process that has ended, as the operating system does.
     pub fn unlock(&self) {
         if self.lock.get() == Some(self.incarnation) {
             self.lock.set(None);
         }
     }
 
-    /// Does what there is to do and closes the store.
+    /// Does all pending jobs and closes the store.
     pub fn close(&mut self, now: Micros) {
-        // A disk that stands still is waited for there, as the keeper's thread does, and nothing is left for the next.
+        // As in the persistence thread, closing waits for a stalled disk, so that no job is left
+        // for the next process.
         self.stalled_until = self.stalled_until.min(now);
         self.run_jobs(now, &mut Vec::new());
         self.jobs.clear();
@@ -156,7 +158,7 @@
         self.closed = true;
     }
 
-    /// Does what there is to do; returns when it wants to go on.
+    /// Does the pending jobs; returns when it wants to be called again.
     pub fn run_jobs(&mut self, now: Micros, events: &mut Vec<DispatcherEvent>) -> Option<Micros> {
         self.scheduled = false;
         if self.closed {
@@ -196,24 +198,24 @@
     }
 }
 
-/// The virtual world, as one matcher sees it.
+/// The simulated environment as one process sees it.
 #[derive(Clone)]
 pub struct VirtualHost {
     /// The network.
     pub net: SharedNetwork,
-    /// Which matcher it is.
+    /// Index of the matcher.
     pub matcher: usize,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Its number among all processes that are there at a time.
+    /// Number that is unique among the processes that exist at the same time.
     pub slot: usize,
-    /// Where the machine's processes meet.
+    /// Handover state of the machine.
     pub handover: Rc<RefCell<HandoverState>>,
-    /// Its process, for descriptors.
+    /// Number of the process on the network, which counts its descriptors.
     pub process: usize,
-    /// Its keeper.
+    /// Its persistence worker.
     pub persistence: Rc<RefCell<PersistenceWorker>>,
-    /// Its book of earned standing.
+    /// Its reputation worker.
     pub reputation: Rc<RefCell<ReputationWorker>>,
 }
 
@@ -263,7 +265,7 @@
     }
 }
 
-/// A descriptor that is kept for later.
+/// A descriptor reserved for later use.
 pub struct VirtualReservedDescriptor {
     net: SharedNetwork,
     process: usize,
@@ -290,13 +292,13 @@
         }
     }
 
-    /// Where it listens, and its number there.
+    /// Address and number of the socket.
     pub(crate) fn address_and_number(&self) -> (SocketAddr, u64) {
         (self.address, self.number)
     }
 }
 
-/// A matcher's access to its keeper.
+/// Handle by which a matcher uses its persistence worker.
 pub struct VirtualResultPersistence {
     host: VirtualHost,
 }
@@ -304,14 +306,14 @@
 impl VirtualResultPersistence {
     fn push(&self, job: PersistenceJob) {
         let mut persistence = self.host.persistence.borrow_mut();
-        // Nobody takes what is asked of a keeper that was let go, also not the next one.
+        // Jobs for a closed worker are dropped; the next process's worker does not get them either.
         if persistence.closed {
             return;
         }
         persistence.jobs.push_back(job);
         if !std::mem::replace(&mut persistence.scheduled, true) {
             let mut net = self.host.net.borrow_mut();
-            // A sync takes its time, and what comes meanwhile shares the next.
+            // A sync takes time; jobs that arrive in the meantime share the next one.
             let at = net.now + 700 + (net.now / 7) % 900;
             net.queue.push(
                 at,
@@ -474,7 +476,8 @@
     }
 }
 
-/// Both ways are worth a try: an end may have become readable, writable or broken.
+/// Full readiness: an end may have become readable, writable or broken, so both directions are
+/// tried.
 pub const ALL_READY: Readiness = Readiness {
     readable: true,
     writable: true,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! The emulator: whole matchers, their fronts, links, pool and keeper, on a virtual clock and a virtual network. Faults
-//! and habits come from a seed; the rules are checked after each step from books that are not the program's; any failure
-//! is played again from its seed, and shrunk.
+//! Simulator: whole matchers with their front ends, runtime links, connection pools and
+//! persistence, on a virtual clock and a virtual network. Faults and habits are drawn from a seed.
+//! After each step the rules are checked against records that are not the program's own. Any
+//! failure can be replayed from its seed, and shrunk.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -1,4 +1,4 @@
-//! A matcher's machine: its processes, what they share, and how they come and go.
+//! A matcher's machine: its processes, their shared state, and their start and end.
 
 use crate::admission_rules;
 use crate::front_end::KEY_FIELD;
@@ -33,12 +33,12 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// So many turns at one moment are a loop at full speed.
+/// Polling a process this often at the same virtual time counts as a busy loop.
 const MAX_POLLS_PER_INSTANT: u32 = 3_000;
-/// Processes of a machine that are told apart at a time.
+/// Maximum number of processes of a machine that are distinguished at the same time.
 const PROCESS_SLOTS: usize = 16;
 
-/// An address of the virtual network.
+/// Returns an address of the virtual network.
 pub(crate) fn virtual_address(host: u8, port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, host], port))
 }
@@ -47,7 +47,7 @@
     virtual_address(10 + m as u8, 9_000 + address_index as u16)
 }
 
-/// The runtime's addresses for the process in a seat: it moves from one to the other with each new configuration.
+/// The runtime's two addresses for a process; each reload moves it from one to the other.
 fn runtime_addresses(m: usize, address_index: usize) -> [SocketAddr; 2] {
     let port = 7_300 + 2 * address_index as u16;
     [
@@ -60,20 +60,21 @@
 pub(crate) struct ServerProcess {
     pub server: Server<VirtualHost>,
     pub incarnation: u64,
-    /// Its descriptors.
+    /// Number of the process on the network, which counts its descriptors.
     pub process: usize,
-    /// Each process that takes another's place has a seat of its own, and with it an address of the runtime.
+    /// Index of its management and runtime addresses; each process that replaces a running one gets
+    /// addresses of its own.
     pub address_index: usize,
     pub management: SocketAddr,
     runtime_index: usize,
     pub services: Rc<RefCell<ServiceAddresses>>,
     pub persistence: Rc<RefCell<PersistenceWorker>>,
     pub reputation: Rc<RefCell<ReputationWorker>>,
-    /// A turn is due at once.
+    /// A poll is scheduled at the current time.
     poll_pending: bool,
     wake_at: Micros,
     polls: (Micros, u32),
-    /// It was told to leave to its successor.
+    /// When it was told to shut down in favour of its successor.
     pub shutdown_at: Option<Micros>,
     /// When it was started.
     pub started_at: Micros,
@@ -84,7 +85,7 @@
     number: usize,
     /// In the order of their starts.
     pub processes: Vec<ServerProcess>,
-    /// The life of the process that was started last.
+    /// Incarnation of the process that was started last.
     pub incarnation: u64,
     address_index: usize,
     pub frame_address: SocketAddr,
@@ -92,27 +93,27 @@
     pub handover: Rc<RefCell<HandoverState>>,
     pub disk: SimulatedFolder,
     pub store_lock: StoreLock,
-    /// The disk of the book of earned standing, and who has it open.
+    /// Disk of the reputation database, and its lock.
     pub reputation_disk: (SimulatedFolder, StoreLock),
     pub paused_since: Option<Micros>,
-    /// When the matcher was told to leave, without a successor.
+    /// When the matcher was told to shut down without a successor.
     pub drain_started_at: Option<Micros>,
     /// When a process last ended other than by leaving to its successor.
     pub ended_at: Micros,
-    /// Since when there is no more than one process.
+    /// Since when there has been at most one process.
     pub alone_since: Micros,
     /// When one of several processes was last killed.
     pub killed_at: Micros,
-    /// When its machine last stood still no more.
+    /// When the last pause of the machine ended.
     pub resumed_at: Micros,
     pub reload_started_at: Micros,
-    /// Until when its disk may fail it.
+    /// Time until which disk operations may fail.
     pub disk_trouble_until: Micros,
-    /// The next life has other settings.
+    /// The next process gets different settings.
     pub has_new_settings: bool,
-    /// Until when a flood is on, and until when descriptors are short.
+    /// End of the current flood, and end of the current shortage of descriptors.
     pub trouble_until: (Micros, Micros),
-    /// Memory that its settings name.
+    /// Memory limit of its settings.
     pub memory_kb: f64,
     pub runtime: Runtime,
 }
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The disk is in trouble until then, and its keeper somewhat longer.
+    /// Records disk trouble until this time; persistence needs a little longer to recover.
     pub(crate) fn extend_disk_trouble(&mut self, until: Micros) {
         self.disk_trouble_until = self.disk_trouble_until.max(until + SECOND);
     }
@@ -157,7 +158,7 @@
             .find(|process| process.incarnation == incarnation)
     }
 
-    /// The process that was started last, where it lives.
+    /// The process that was started last, if it is alive.
     pub(crate) fn newest(&mut self) -> Option<&mut ServerProcess> {
         self.processes.last_mut()
     }
@@ -168,7 +169,7 @@
 }
 
 impl Simulation {
-    /// The process in a slot.
+    /// Returns machine and incarnation of the process in a slot.
     pub(crate) fn process_in_slot(&self, slot: usize) -> Option<(usize, u64)> {
         let machine = self.machines.get(slot / PROCESS_SLOTS)?;
         let process = machine
@@ -178,7 +179,7 @@
         Some((slot / PROCESS_SLOTS, process.incarnation))
     }
 
-    /// Tells a process something; it takes a turn then.
+    /// Notifies a process and schedules a poll.
     pub(crate) fn notify(
         &mut self,
         m: usize,
@@ -191,7 +192,7 @@
         self.schedule_poll(m, incarnation);
     }
 
-    /// The same for all processes of a machine.
+    /// Notifies all processes of a machine.
     pub(crate) fn notify_all(&mut self, m: usize, action: impl Fn(&mut Server<VirtualHost>)) {
         let incarnations: Vec<_> = self.machines[m]
             .processes
@@ -203,7 +204,8 @@
             .for_each(|incarnation| self.notify(m, incarnation, &action));
     }
 
-    /// Starts a process: in the seat of the one before it, or in one of its own where that one still serves.
+    /// Starts a process: at the addresses of the previous one, or at its own where that one still
+    /// serves.
     pub(crate) fn start(&mut self, m: usize) {
         let is_replacement = !self.machines[m].processes.is_empty();
         let process = self.net.borrow_mut().add_process(self.plan.max_descriptors);
@@ -276,7 +278,7 @@
                 self.schedule_poll(m, incarnation);
                 self.record_trace(|| format!("m{m} starts, life {incarnation}"));
             }
-            // One that found no way to be met ends, and the one that serves goes on.
+            // A process that could not listen for successors ends, and the one that serves goes on.
             Err(e) if is_replacement && e.kind() == std::io::ErrorKind::AddrInUse => {
                 self.listeners.remove(&management);
                 self.record_coverage("a new process that met nobody ends");
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Who gets a place.
+    /// Settings of connection admission.
     fn admission(&self) -> Option<AdmissionSettings> {
         let (per_second, burst) = (
             f64::from(admission_rules::ADDRESS_RATE_LIMIT.0),
@@ -343,7 +345,7 @@
         }
     }
 
-    /// A machine that stood still goes on.
+    /// Continues after a pause of the machine.
     pub(crate) fn resume(&mut self, m: usize) {
         let clear_pending = |process: &mut ServerProcess| {
             process.poll_pending = false;
@@ -365,7 +367,7 @@
         let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
-        // What was scheduled before something else came up is out of date.
+        // This event was scheduled before a later change; it is obsolete.
         if paused_since || !(process.poll_pending || now >= process.wake_at) {
             return;
         }
@@ -385,7 +387,7 @@
         let next = process.server.poll();
         drop(was_told);
         if let Some(fault) = process.server.take_error() {
-            // A new process that can't have its sockets ends, and the one that serves goes on.
+            // A new process that can't open its sockets ends, and the one that serves goes on.
             if self
                 .rollouts
                 .iter()
@@ -414,7 +416,7 @@
             .push(next, Event::Server(m, incarnation));
     }
 
-    /// A process is gone, with all that it held.
+    /// Removes a process that has ended, with all that it held.
     pub(crate) fn remove(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
         let machine = &mut self.machines[m];
@@ -430,11 +432,11 @@
         process.persistence.borrow().unlock();
         process.reputation.borrow().unlock();
         self.listeners.remove(&process.management);
-        // Its sockets close now, and not in the middle of anything.
+        // Its sockets close here, when nothing of the simulation is borrowed.
         drop(process);
     }
 
-    /// A process that was told to leave has ended.
+    /// Handles the end of a process that was told to shut down.
     fn on_process_finished(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
         let was_told = self.machines[m]
@@ -447,7 +449,7 @@
             self.record_coverage("left to its successor");
             return;
         }
-        // One whose successor died after it was told leaves all the same: it will be killed.
+        // A process whose successor died after it was told to shut down ends all the same.
         if machine.drain_started_at.is_none() && !was_told {
             self.violations.push(format!(
                 "m{m} has ended without a successor, and was not told to"
@@ -465,7 +467,7 @@
             .push(now + 300 * MS, Event::Restart(m, incarnation));
     }
 
-    /// A runtime that comes up then, with the books of the one before it.
+    /// Creates a runtime that is reachable from `since` on, with the records of the previous one.
     pub(crate) fn create_runtime(&mut self, m: usize, since: Micros) -> Runtime {
         let machine = &mut self.machines[m];
         let mut runtime = self
@@ -477,7 +479,7 @@
 
     pub(crate) fn run_persistence(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
-        // What a process that is gone had asked for is not done by the next.
+        // Jobs of a process that has ended are not done by the next one.
         let Some(process) = self.machines[m].find(incarnation) else {
             return;
         };
@@ -495,7 +497,7 @@
         self.schedule_poll(m, incarnation);
     }
 
-    /// The book of earned standing of a process has something to do.
+    /// Runs the reputation worker of a process.
     pub(crate) fn run_reputation_storage(&mut self, m: usize, incarnation: u64) {
         let now = self.now();
         let Some(process) = self.machines[m].find(incarnation) else {
@@ -512,7 +514,7 @@
         }
     }
 
-    /// All processes of a machine die, and its runtime with them or not.
+    /// Kills all processes of a machine, and its runtime if `runtime` is set.
     pub(crate) fn crash(&mut self, m: usize, down: Micros, runtime: bool) {
         let now = self.now();
         if self.machines[m].processes.is_empty() {
@@ -553,13 +555,13 @@
             .push(now + down, Event::Restart(m, incarnation));
     }
 
-    /// The matcher is told to leave, without a successor.
+    /// Tells the matcher to shut down without a successor.
     pub(crate) fn drain(&mut self, m: usize) {
         let now = self.now();
         let slow = self.machines[m].runtime.slowing > 2.0;
         let stalled = self.misbehaving_clients.stalled.values().any(|on| *on == m);
         let machine = &mut self.machines[m];
-        // A process that stands still hears of nothing: the notice would come with its next turn.
+        // A paused process does not receive the notice: it would arrive with the next poll.
         let was_told = machine
             .processes
             .last()
@@ -582,7 +584,8 @@
         }
     }
 
-    /// A new configuration for the process that was started last: its runtime moves to another address.
+    /// Reloads the configuration of the process that was started last: its runtime moves to another
+    /// address.
     pub(crate) fn reload(&mut self, m: usize) {
         let now = self.now();
         let machine = &mut self.machines[m];
@@ -602,10 +605,10 @@
 
     fn options(&self, m: usize, address_index: usize, services: ServiceAddresses) -> Options {
         let machine = &self.machines[m];
-        // The stand-ins' settings are read by the program's own reader.
+        // The emulators' settings go through the program's own parser.
         let mut value = self.setup.settings();
         if machine.has_new_settings {
-            // So little that memory is what bounds it.
+            // Little enough that memory becomes the limit.
             value["specifics"]["memory_kb"] = (f64::from(self.plan.cores) * 400.0).into();
             value["specifics"]["advert"] = "none".into();
         }
@@ -640,7 +643,7 @@
             packet_timeout: 2 * SECOND,
             body_timeout: 1_500 * MS,
             idle_timeout: 30 * SECOND,
-            // The paths are plain and differ.
+            // The paths are plain and distinct.
             class_table: table.unwrap_or_else(|(_, error)| panic!("routes: {error}")),
             class_lookup: None,
             parameter_sources: ParameterSources {
--- a/crates/simulator/src/metrics_poller.rs
+++ b/crates/simulator/src/metrics_poller.rs
@@ -1,4 +1,5 @@
-//! Operators in the virtual world: each process is asked for its figures now and then, and answers in time.
+//! Simulated operators: they request the metrics of each process periodically, and have to get a
+//! response in time.
 
 use cleatpulley_emulators::{Effect, Link, Service};
 use cleatpulley_policy::interface::Micros;
@@ -6,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A call without an answer.
+/// A request without a response so far.
 #[derive(Debug, Clone)]
 pub(crate) struct MetricsRequest {
     pub matcher: usize,
@@ -16,21 +17,21 @@
     input: Vec<u8>,
 }
 
-/// Those who ask.
+/// The polling client.
 #[derive(Debug, Default)]
 pub(crate) struct MetricsPoller {
     last_link: Link,
     pub pending: BTreeMap<Link, MetricsRequest>,
     queued: Vec<(usize, u64, SocketAddr)>,
-    /// Connections that ended without a whole answer, until that is judged.
+    /// Requests whose connection ended without a whole response, until they are checked.
     pub failed: Vec<MetricsRequest>,
-    /// Answers that are no figures, likewise.
+    /// Responses that contain no metrics, until they are checked.
     pub malformed: Vec<String>,
     pub responses: u64,
 }
 
 impl MetricsPoller {
-    /// Asks a process.
+    /// Queues a request to a process.
     pub(crate) fn request(&mut self, matcher: usize, incarnation: u64, to: SocketAddr) {
         self.queued.push((matcher, incarnation, to));
     }
--- a/crates/simulator/src/misbehaving_clients.rs
+++ b/crates/simulator/src/misbehaving_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that open connections and say nothing, begin an AJP request and stop halfway through its body, or come by the
-//! thousand from addresses that nobody knows.
+//! Misbehaving clients: silent connections, AJP requests that stop halfway through their body, and
+//! floods from thousands of unknown addresses.
 
 use crate::admission_rules::RejectedConnection;
 use cleatpulley_emulators::{Effect, Link, Service};
@@ -9,41 +9,43 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// A health check by frames, without fields: what a flood says so that it does not pass for silent.
+/// A health check frame without fields: a flood sends it so that its connections do not count as
+/// silent.
 const HEALTH_CHECK_FRAME: [u8; 10] = [0, 0, 0, 6, 6, 0, 0, 0, 1, 0];
 
-/// A lone stranger knocks so often during a flood, from an address whose prefix nobody else has.
+/// Interval of the probe, a single unknown client that connects during a flood from an address
+/// whose prefix has no other connections.
 const PROBE_INTERVAL: Micros = 100_000;
-/// One whose connection ended comes back after this.
+/// Delay before a flood client reconnects after its connection ended.
 const RECONNECT_DELAY: Micros = 20_000;
 const PROBE_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 99, 0, 1));
 
-/// One whom nobody knows.
+/// A client from an unknown address.
 #[derive(Debug)]
 pub(crate) struct UnknownClient {
     pub matcher: usize,
     pub from: IpAddr,
-    /// When it was seen to have got a place.
+    /// When its connection was seen to be admitted.
     pub admitted_at: Option<Micros>,
     input: Vec<u8>,
-    /// It was told that it has none, or where it stands.
+    /// It has received a response: a health report, or a goodbye.
     has_response: bool,
-    /// Where it comes back to, and until when, where its connection ends before it is told to part.
+    /// Address and end time for reconnecting when its connection ends before it receives a goodbye.
     reconnect: Option<(SocketAddr, Micros)>,
 }
 
-/// A connection that is to be opened.
+/// A connection to be opened.
 #[derive(Debug)]
 struct PlannedConnection {
     matcher: usize,
     to: SocketAddr,
-    /// What is said first.
+    /// Bytes to send first.
     bytes: Vec<u8>,
-    /// A stranger's address, and until when it comes back.
+    /// Source address of an unknown client, and time until which it reconnects.
     from: Option<(IpAddr, Micros)>,
 }
 
-/// A lone stranger that knocks at a matcher from time to time.
+/// A probe that connects to a matcher periodically.
 #[derive(Debug)]
 struct ProbeSchedule {
     matcher: usize,
@@ -52,29 +54,29 @@
     until: Micros,
 }
 
-/// The clients.
+/// The misbehaving clients.
 #[derive(Default)]
 pub struct MisbehavingClients {
     last_link: Link,
-    /// What is sent once a connection stands.
+    /// Matcher and bytes to send once the connection is established.
     payloads: BTreeMap<Link, (usize, Vec<u8>)>,
     planned: Vec<PlannedConnection>,
     flood_connections: u64,
-    /// Strangers that come back, and when.
+    /// Unknown clients that reconnect, and when.
     reconnects: Vec<(Micros, PlannedConnection)>,
     probes: Vec<ProbeSchedule>,
-    /// Those of floods whose connections stand.
+    /// Unknown clients whose connection is open.
     pub(crate) unknown_clients: BTreeMap<Link, UnknownClient>,
-    /// Those that got a place, at whose matcher, and when; to be judged.
+    /// Admitted clients with their matcher, address and time, until they are checked.
     pub(crate) admitted: Vec<(usize, IpAddr, Micros)>,
-    /// Lone ones that got none.
+    /// Probes that were rejected, until they are checked.
     pub(crate) rejected: Vec<RejectedConnection>,
-    /// Connections that have sent half of a request, by matcher, as long as they stand.
+    /// Open connections that have sent half of a request, and their matcher.
     pub stalled: BTreeMap<Link, usize>,
 }
 
 impl MisbehavingClients {
-    /// Opens so many connections that say nothing.
+    /// Opens this many silent connections.
     pub fn open_silent(&mut self, matcher: usize, to: SocketAddr, number: usize) {
         let silent = |_| PlannedConnection {
             matcher,
@@ -85,8 +87,8 @@
         self.planned.extend((0..number).map(silent));
     }
 
-    /// Opens so many connections from so many addresses in 127.66.0.0/16, each with a health check, that stay. Meanwhile a
-    /// lone stranger knocks.
+    /// Opens connections from addresses in 127.66.0.0/16, each with a health check, that stay open.
+    /// Meanwhile a probe connects periodically.
     pub fn start_flood(
         &mut self,
         matcher: usize,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Begins a request and stops halfway.
+    /// Begins a request and stops halfway through its body.
     pub fn stall_request(&mut self, matcher: usize, to: SocketAddr) {
         let headers = [
             ("Content-Length", "1000"),
@@ -129,7 +131,7 @@
             ..OutgoingRequest::default()
         };
         let mut bytes = Vec::new();
-        // So few headers fit.
+        // A request with so few headers fits into a packet.
         let _ = push_forward_request(&mut bytes, &request, PACKET_SIZE);
         bytes.extend_from_slice(&[0x12, 0x34, 0x01, 0xF6, 0x01, 0xF4]);
         bytes.extend_from_slice(&[b'.'; 300]);
@@ -149,7 +151,7 @@
             .get_mut(&link)
             .filter(|payload| !payload.1.is_empty())
         {
-            // A flood's health check is whole: nothing of it stalls.
+            // The health check of a flood is complete and does not stall.
             if bytes[..] != HEALTH_CHECK_FRAME {
                 self.stalled.insert(link, *matcher);
             }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,6 +1,6 @@
-//! The network of the virtual world: connections with latency, bandwidth, partial reads and writes, backlogs, half-closes
-//! and resets, and descriptors that are counted. It knows nobody: whoever has an end of a connection is told what
-//! happened there.
+//! The simulated network: connections with latency, bandwidth, partial reads and writes, backlogs,
+//! half-closes and resets, and a count of descriptors. It knows nothing about its users: the owner
+//! of an end is notified of what happened there.
 
 use crate::event_queue::EventQueue;
 use cleatpulley_policy::interface::Micros;
@@ -10,56 +10,57 @@
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Bytes on their way or unread that a connection holds in one direction.
+/// Maximum number of bytes in flight or unread in one direction of a connection.
 const WINDOW_BYTES: usize = 65_536;
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const MAX_BACKLOG: usize = 1_024;
-/// Bytes that pass in a microsecond.
+/// Bandwidth of a connection.
 const BYTES_PER_MICROSECOND: usize = 100;
-/// A process with fewer descriptors left than this is short of them: its front end keeps some for other uses.
+/// A process with fewer free descriptors than this is short of them: its server reserves some for
+/// other uses.
 const LOW_DESCRIPTORS: usize = 70;
-/// The system's error where a process has no descriptor left.
+/// Error number of the operating system for a process without free descriptors.
 const EMFILE: i32 = 24;
 
 /// An end of a connection.
 pub type EndId = usize;
 
-/// What passes on the network.
+/// Events of the network.
 #[derive(Debug)]
 pub enum NetworkEvent {
-    /// A connection is asked for.
+    /// A connection is requested.
     Syn(EndId, SocketAddr),
-    /// It established, or was refused.
+    /// The connection is established, or was refused.
     ConnectResult(EndId, bool),
-    /// Bytes come.
+    /// Bytes arrive.
     Deliver(EndId, Vec<u8>),
     /// The peer sends no more.
     Fin(EndId),
-    /// The connection is over.
+    /// The connection was reset.
     Reset(EndId),
     /// There is room to write again.
     Writable(EndId),
 }
 
-/// What whoever has an end, or a listener, is told.
+/// Notification to the owner of an end or a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Notification {
     /// A connection waits to be accepted.
     Acceptable(SocketAddr),
-    /// It may be read from or written to, or is over.
+    /// An end may be readable or writable, or its connection is over.
     Ready(EndId),
 }
 
 #[derive(Debug, Default)]
 struct End {
-    /// Whose it is, by a number of the world's.
+    /// Owner, as a number defined by the simulation.
     owner: u64,
-    /// The process that it belongs to; its descriptors are counted.
+    /// Process whose descriptors it counts towards.
     process: usize,
     inbox: VecDeque<u8>,
-    /// Bytes that this end sent and the other has not read.
+    /// Bytes that this end sent and the peer has not read.
     in_flight: usize,
-    /// Nothing sent is delivered before this.
+    /// Arrival time of the last bytes sent; nothing later arrives before it.
     last_arrival: Micros,
     latency: Micros,
     connected: bool,
@@ -70,7 +71,7 @@
     write_shut: bool,
     closed: bool,
     write_blocked: bool,
-    /// When the listener's side accepted the connection.
+    /// When the listening side accepted the connection.
     accepted_at: Option<Micros>,
 }
 
@@ -82,7 +83,7 @@
     short_at: Micros,
 }
 
-/// A listening socket: one queue, whoever holds it. It is there until nobody does.
+/// A listening socket: one queue, shared by all its holders. It exists as long as it has one.
 #[derive(Debug)]
 struct ListeningSocket {
     number: u64,
@@ -90,34 +91,34 @@
     backlog: VecDeque<EndId>,
 }
 
-/// Who holds a listening socket that is on its way from one process to another.
+/// Holder of a listening socket that is in transit from one process to another.
 const IN_TRANSIT: usize = usize::MAX;
 
 /// The network.
 pub struct Network<E> {
-    /// The time.
+    /// Current virtual time.
     pub now: Micros,
-    /// All events of the world.
+    /// All events of the simulation.
     pub queue: EventQueue<E>,
     wrap_event: fn(NetworkEvent) -> E,
     random: SmallRng,
     ends: Vec<End>,
-    /// Several at one address share what comes there.
+    /// Connections to an address are distributed over its sockets.
     listening_sockets: BTreeMap<SocketAddr, Vec<ListeningSocket>>,
     last_socket_number: u64,
     processes: Vec<Process>,
-    /// Reads and writes are cut short now and then.
+    /// Reads and writes are occasionally cut short.
     pub partial_io: bool,
-    /// Accepts and connects that found no descriptor.
+    /// Number of accepts and connects that found no free descriptor.
     pub descriptor_exhaustions: u64,
-    /// When a queue of connections to be accepted was last full, by its address.
+    /// When the backlog of an address was last full.
     backlog_full_at: BTreeMap<SocketAddr, Micros>,
-    /// Ends that dialled from another address than that of front ends.
+    /// Source addresses of the ends that do not dial from the front ends' address.
     source_addresses: BTreeMap<EndId, IpAddr>,
 }
 
 impl<E> Network<E> {
-    /// One that begins at this time.
+    /// Creates a network that begins at this time.
     #[must_use]
     pub fn new(now: Micros, seed: u64, wrap_event: fn(NetworkEvent) -> E) -> Self {
         Self {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// A process that may hold so many descriptors.
+    /// Adds a process with a limit on its descriptors; returns its number.
     pub fn add_process(&mut self, max_descriptors: usize) -> usize {
         self.processes.push(Process {
             max_descriptors,
@@ -145,7 +146,7 @@
         self.processes.len() - 1
     }
 
-    /// Sets how many descriptors a process may hold; what it holds beyond that stays.
+    /// Sets the descriptor limit of a process; descriptors that it holds beyond it stay open.
     pub fn set_descriptor_limit(&mut self, process: usize, max_descriptors: usize) {
         self.record_shortage(process);
         self.processes[process].max_descriptors = max_descriptors;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Descriptors that a process holds.
+    /// Number of descriptors that a process holds.
     #[must_use]
     pub fn held_descriptors(&self, process: usize) -> usize {
         self.processes[process].held_descriptors
@@ -191,24 +192,25 @@
         Ok(())
     }
 
-    /// Takes a descriptor for something that is no connection.
+    /// Acquires a descriptor for something other than a connection.
     ///
     /// # Errors
-    /// Where none is left.
+    /// If none is free.
     pub fn acquire_descriptor(&mut self, process: usize) -> io::Result<()> {
         self.take_descriptor(process)
     }
 
-    /// Gives such a descriptor back.
+    /// Releases such a descriptor.
     pub fn release_descriptor(&mut self, process: usize) {
         self.record_shortage(process);
         self.processes[process].held_descriptors -= 1;
     }
 
-    /// Listens; beside others only where that is meant. Returns the number of the listening socket.
+    /// Listens on an address; beside other sockets only if `shared` is set. Returns the number of
+    /// the socket.
     ///
     /// # Errors
-    /// Where the address is taken or no descriptor is left.
+    /// If the address is in use or no descriptor is free.
     pub fn listen(&mut self, address: SocketAddr, process: usize, shared: bool) -> io::Result<u64> {
         if self.listening_sockets.contains_key(&address) && !shared {
             return Err(ErrorKind::AddrInUse.into());
@@ -238,17 +240,17 @@
             .find(|socket| socket.number == number)
     }
 
-    /// A listening socket goes on its way to another process.
+    /// Begins the transfer of a listening socket to another process.
     pub fn begin_transfer(&mut self, address: SocketAddr, number: u64) {
         if let Some(socket) = self.listening_socket(address, number) {
             socket.holders.push(IN_TRANSIT);
         }
     }
 
-    /// A process takes up a listening socket that was on its way.
+    /// Gives a process a listening socket that was in transit.
     ///
     /// # Errors
-    /// Where no descriptor is left.
+    /// If no descriptor is free.
     pub fn adopt_listener(
         &mut self,
         address: SocketAddr,
@@ -263,12 +265,13 @@
         Ok(())
     }
 
-    /// A listening socket that was on its way is given up, or was taken up.
+    /// Ends the transfer of a listening socket, whether it was adopted or not.
     pub fn end_transfer(&mut self, address: SocketAddr, number: u64) {
         self.close_listener(address, number, IN_TRANSIT);
     }
 
-    /// A process closes its listening socket. Where nobody else has it, what waits to be accepted is reset.
+    /// Closes a process's hold on a listening socket. Without another holder, connections that wait
+    /// to be accepted are reset.
     pub fn close_listener(&mut self, address: SocketAddr, number: u64, process: usize) {
         let Some(socket) = self.listening_socket(address, number) else {
             return;
@@ -304,7 +307,7 @@
         }
     }
 
-    /// Nobody listens there any more; what waits to be accepted is reset.
+    /// Closes all listening sockets of an address; connections that wait to be accepted are reset.
     pub fn stop_listening(&mut self, address: SocketAddr) {
         for socket in self.listening_sockets.remove(&address).unwrap_or_default() {
             for process in socket
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Processes that hold a listening socket there.
+    /// Number of holders of the listening sockets of an address.
     #[must_use]
     pub fn listener_count(&self, address: SocketAddr) -> usize {
         let listening_sockets = self
@@ -332,7 +335,7 @@
             .sum()
     }
 
-    /// Accepts a connection that waits at the first listening socket there.
+    /// Accepts a connection that waits at the first listening socket of an address.
     ///
     /// # Errors
     /// As [`accept_at`](Self::accept_at).
@@ -347,10 +350,10 @@
         self.accept_at(address, number, process, owner)
     }
 
-    /// Accepts a connection that waits at this listening socket, for a process that holds it.
+    /// Accepts a connection that waits at a listening socket, for a process that holds it.
     ///
     /// # Errors
-    /// `WouldBlock` where none waits; that of the system where no descriptor is left.
+    /// `WouldBlock` if none waits; the system's error if no descriptor is free.
     pub fn accept_at(
         &mut self,
         address: SocketAddr,
@@ -362,7 +365,7 @@
             .listening_socket(address, number)
             .ok_or(ErrorKind::NotConnected)?;
         let is_empty = socket.backlog.is_empty();
-        // The system looks for a descriptor before it looks whether anybody waits.
+        // The operating system checks for a free descriptor before it checks the backlog.
         self.take_descriptor(process)?;
         if is_empty {
             self.processes[process].held_descriptors -= 1;
@@ -373,7 +376,7 @@
             .and_then(|socket| socket.backlog.pop_front());
         let end = end.ok_or(ErrorKind::WouldBlock)?;
         (self.ends[end].owner, self.ends[end].process) = (owner, process);
-        // What came before it was accepted is there.
+        // Bytes may have arrived before the connection was accepted.
         let at = self.now;
         self.ends[end].accepted_at = Some(at);
         self.push(at, NetworkEvent::Writable(end));
@@ -383,16 +386,16 @@
     /// Begins to connect.
     ///
     /// # Errors
-    /// Where no descriptor is left.
+    /// If no descriptor is free.
     pub fn connect(&mut self, to: SocketAddr, process: usize, owner: u64) -> io::Result<EndId> {
         let from = self.front_end_address();
         self.connect_from(to, process, owner, from)
     }
 
-    /// Begins to connect, from this address.
+    /// Begins to connect from this address.
     ///
     /// # Errors
-    /// Where no descriptor is left.
+    /// If no descriptor is free.
     pub fn connect_from(
         &mut self,
         to: SocketAddr,
@@ -424,37 +427,37 @@
         Ok(end)
     }
 
-    /// Whose an end is.
+    /// Owner of an end.
     #[must_use]
     pub fn owner(&self, end: EndId) -> u64 {
         self.ends[end].owner
     }
 
-    /// Whose the other side of a connection is, where it was accepted.
+    /// Owner of the other end, if the connection was accepted.
     #[must_use]
     pub fn peer_owner(&self, end: EndId) -> Option<u64> {
         Some(self.ends[end ^ 1].owner).filter(|owner| *owner != u64::MAX)
     }
 
-    /// When the other side of a connection that an end dialled has accepted it.
+    /// When the other end accepted a connection that this end dialled.
     #[must_use]
     pub fn accepted_at(&self, end: EndId) -> Option<Micros> {
         self.ends[end ^ 1].accepted_at
     }
 
-    /// The address that front ends and proxies have.
+    /// Address of front ends and proxies.
     #[must_use]
     pub fn front_end_address(&self) -> IpAddr {
         IpAddr::V4(Ipv4Addr::LOCALHOST)
     }
 
-    /// When the queue of an address was last full.
+    /// When the backlog of an address was last full.
     #[must_use]
     pub fn backlog_full_at(&self, address: SocketAddr) -> Micros {
         self.backlog_full_at.get(&address).copied().unwrap_or(0)
     }
 
-    /// The address of the peer of an end that was accepted.
+    /// Address of the peer of an accepted end.
     #[must_use]
     pub fn peer_address(&self, end: EndId) -> IpAddr {
         self.source_addresses
@@ -463,7 +466,7 @@
             .unwrap_or_else(|| self.front_end_address())
     }
 
-    /// Takes note of what passed; returns who is to be told.
+    /// Handles an event; returns the notification that it causes.
     pub fn handle_event(&mut self, event: NetworkEvent) -> Option<Notification> {
         match event {
             NetworkEvent::Syn(end, to) => {
@@ -503,7 +506,7 @@
             }
             NetworkEvent::Deliver(end, bytes) => {
                 if self.ends[end].closed {
-                    // Whoever sends to nobody learns it.
+                    // Bytes sent to a closed end cause a reset.
                     let at = self.now + self.ends[end].latency;
                     self.push(at, NetworkEvent::Reset(end ^ 1));
                     return None;
@@ -547,7 +550,7 @@
         Ok(())
     }
 
-    /// The error that an end holds.
+    /// Returns the pending error of an end.
     ///
     /// # Errors
     /// That error.
@@ -555,17 +558,17 @@
         self.connection_error(end)
     }
 
-    /// It established, as far as its end knows.
+    /// Returns true if the connection is established, as far as this end knows.
     #[must_use]
     pub fn is_established(&self, end: EndId) -> bool {
         let end = &self.ends[end];
         end.connected && !end.reset && !end.refused
     }
 
-    /// Reads some of what has come.
+    /// Reads some of the bytes that have arrived.
     ///
     /// # Errors
-    /// `WouldBlock` where nothing has; that of the connection where it broke.
+    /// `WouldBlock` if there are none; the error of the connection if it broke.
     pub fn read(&mut self, end: EndId, buffer: &mut [u8]) -> io::Result<usize> {
         self.connection_error(end)?;
         if self.ends[end].inbox.is_empty() {
@@ -591,10 +594,10 @@
         Ok(number)
     }
 
-    /// Writes some of it.
+    /// Writes some of the bytes.
     ///
     /// # Errors
-    /// `WouldBlock` where there is no room; that of the connection where it broke.
+    /// `WouldBlock` if there is no room; the error of the connection if it broke.
     pub fn write(&mut self, end: EndId, bytes: &[u8]) -> io::Result<usize> {
         self.connection_error(end)?;
         if self.ends[end].write_shut {
@@ -633,7 +636,7 @@
         Ok(number)
     }
 
-    /// Sends no more.
+    /// Shuts down the sending direction.
     pub fn shutdown_write(&mut self, end: EndId) {
         if !std::mem::replace(&mut self.ends[end].write_shut, true) && self.is_established(end) {
             let at = self.ends[end]
@@ -643,7 +646,7 @@
         }
     }
 
-    /// Closes an end; closing over bytes that were not read resets the connection.
+    /// Closes an end; closing with unread bytes resets the connection.
     pub fn close(&mut self, end: EndId) {
         if std::mem::replace(&mut self.ends[end].closed, true) {
             return;
@@ -661,7 +664,7 @@
         self.ends[end].inbox = VecDeque::new();
     }
 
-    /// Resets a connection: what was on its way is lost on both sides.
+    /// Resets a connection: bytes in flight are lost in both directions.
     pub fn reset(&mut self, end: EndId) {
         let at = self.now;
         for end in [end, end ^ 1] {
@@ -669,7 +672,7 @@
         }
     }
 
-    /// Ends that a process holds and whose connection stands.
+    /// Established ends that a process holds.
     #[must_use]
     pub fn established_ends(&self, process: usize) -> Vec<EndId> {
         let mine = |(_, end): &(EndId, &End)| {
--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -1,4 +1,5 @@
-//! What a seed stands for: how many matchers and front ends there are, how they behave, and which faults come when.
+//! What a seed determines: the number of matchers and front ends, the front ends' habits, and the
+//! faults with their times.
 
 use crate::front_end::Habit;
 use cleatpulley_policy::interface::Micros;
@@ -10,86 +11,89 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Which process dies in an upgrade, and how long after the new one's start.
+/// Process that is killed during an upgrade, and the time after the start of the new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KilledProcess {
-    /// The new one.
+    /// The new process.
     New(Micros),
-    /// The one whose place it takes.
+    /// The process that it replaces.
     Old(Micros),
 }
 
-/// Kinds of faults, drawn by their numbers.
+/// Number of fault kinds; a kind is drawn by its number.
 const FAULT_KINDS: u32 = 27;
 
-/// What goes wrong.
+/// A fault. Histories print it with these names.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A process takes the place of the one that serves, and one of both may die over it.
+    /// A process replaces the running one; either may be killed meanwhile.
     Upgrade(Option<KilledProcess>),
-    /// What the next process is told that its predecessor had learned is torn.
+    /// The next snapshot of learned state that a process receives from its predecessor is
+    /// corrupted.
     Torn,
-    /// Connections are opened at the operators' address that say nothing, so many.
+    /// This many silent connections are opened to the management address.
     OperatorCrowd(usize),
-    /// A matcher dies and comes back after this time, cold; its runtime dies along, or lives on.
+    /// A matcher dies and restarts cold after some time; its runtime dies too, or lives on.
     Crash {
-        /// How long it is away.
+        /// Time until the restart.
         down: Micros,
         /// Its runtime dies too.
         runtime: bool,
     },
     /// A matcher's cores are slower by this factor.
     Slow(f64),
-    /// A matcher stands still.
+    /// A matcher's machine is paused.
     Pause,
-    /// The link to the runtime breaks, with what is on it.
+    /// The link to the runtime breaks, and messages in flight are lost.
     BreakLink,
-    /// The link breaks at the moment an answer is due.
+    /// The link breaks at the moment a response is due.
     BreakAtDue,
-    /// The store refuses, loses, resets or fails some of its calls, each of so many in a thousand.
+    /// The store rejects, loses, resets or fails some of its calls; each of these for this many
+    /// calls in a thousand.
     Store(u32),
-    /// Front ends' connections are reset, so many of them.
+    /// This many of the front ends' connections are reset.
     Resets(usize),
-    /// The directory is silent.
+    /// The directory does not respond.
     Directory,
-    /// The disk answers nobody.
+    /// The disk stalls.
     DiskStall,
-    /// The disk fails at an operation soon.
+    /// The disk fails at one of the next operations.
     DiskFail,
-    /// The disk is full from soon on.
+    /// The disk becomes full soon.
     DiskFull,
-    /// A matcher is told to leave, and replaced.
+    /// A matcher is told to shut down, and is replaced.
     Drain,
-    /// A new configuration: the runtime moves to another address.
+    /// A configuration reload: the runtime moves to another address.
     Reload,
-    /// Callers ask more by this factor.
+    /// Callers send more requests by this factor.
     Burst(f64),
-    /// Requests by AJP stop halfway through their bodies, so many.
+    /// This many AJP requests stop halfway through their bodies.
     Stalled(usize),
-    /// Connections are opened that say nothing, so many.
+    /// This many silent connections are opened.
     Crowd(usize),
-    /// The process has few descriptors left, so many.
+    /// The process has only this many descriptors left.
     Descriptors(usize),
-    /// The runtime tells notices again that it has told, after each of so many in a thousand and on each new link.
+    /// The runtime repeats notices that it has already sent: after each of this many in a thousand,
+    /// and on each new link.
     Repeats(u32),
     /// The link ends halfway through a notice.
     Tear,
-    /// The store's replies are unreadable or break off, so many in a thousand.
+    /// This many store replies in a thousand are malformed or end early.
     Spoilt(u32),
-    /// A matcher is told to leave, and its successor has other settings.
+    /// A matcher is told to shut down, and its successor has different settings.
     Renew,
-    /// Connections come from so many addresses other than the front ends', so many of them, each with a health check,
-    /// and stay.
+    /// Connections arrive from other addresses than the front ends', each with a health check, and
+    /// stay open.
     Flood {
-        /// Addresses.
+        /// Number of source addresses.
         sources: u32,
-        /// Connections.
+        /// Number of connections.
         number: usize,
     },
 }
 
 impl Fault {
-    /// Its name in reports.
+    /// Name in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -122,16 +126,16 @@
     }
 }
 
-/// A fault and its time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, from the beginning on.
+    /// Start, relative to the start of the simulation.
     pub at: Micros,
-    /// How long it lasts, where it lasts.
+    /// Duration of faults that last.
     pub duration: Micros,
-    /// The matcher that it strikes.
+    /// Index of the affected matcher.
     pub matcher: usize,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -146,46 +150,46 @@
     }
 }
 
-/// All that a seed stands for.
+/// Everything that a seed determines.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// Matchers.
+    /// Number of matchers.
     pub matchers: usize,
-    /// Cores of each.
+    /// Cores of each matcher.
     pub cores: u32,
-    /// Requests a second of all front ends, as a share of what the cores can do.
+    /// Request rate of all front ends together, as a share of the cores' capacity.
     pub load: f64,
-    /// Front ends.
+    /// Front ends, by their behaviour.
     pub habits: Vec<Habit>,
-    /// For how long they ask.
+    /// Time during which front ends send requests.
     pub request_duration: Micros,
-    /// Descriptors of a matcher.
+    /// Descriptor limit of a matcher's process.
     pub max_descriptors: usize,
-    /// Reads and writes are cut short now and then.
+    /// Reads and writes are occasionally cut short.
     pub partial_io: bool,
-    /// The window of kept results.
+    /// Deduplication window of stored results.
     pub deduplication_window: Micros,
-    /// The faults.
+    /// The faults, in the order of their starts.
     pub faults: Vec<PlannedFault>,
-    /// Who gets a place at a matcher.
+    /// Connection admission of the matchers.
     pub admission: AdmissionMode,
 }
 
-/// Who gets a place at a matcher.
+/// How matchers admit connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionMode {
-    /// Whoever comes first.
+    /// Every connection is admitted while there is room.
     Unrestricted,
-    /// The front ends' address is known by name.
+    /// The front ends' address is on the allowlist.
     Allowlist,
-    /// It can earn to be known, and what it earned outlives the process.
+    /// Addresses earn a reputation, which outlives the process.
     Reputation,
 }
 
 impl Plan {
-    /// That of a seed.
+    /// The plan of a seed.
     #[must_use]
     pub fn from_seed(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed ^ 0x5EED_5EED);
@@ -207,7 +211,8 @@
             faults: Vec::new(),
             admission: AdmissionMode::Unrestricted,
         };
-        // A swarm: each seed has a set of its own, so that no fault hides what another would show.
+        // Swarm testing: each seed draws its own set of fault kinds, so that no kind hides what
+        // another would show.
         for kind in 0..FAULT_KINDS {
             if random.random_range(0..100) < 28 {
                 for _ in 0..random.random_range(1..3) {
@@ -220,7 +225,7 @@
         if random.random_range(0..3) == 0 {
             plan.add_fault_pair(&mut random);
         }
-        // Drawn apart, so that what every other seed stands for stays as it was.
+        // Drawn from a separate generator, so that the rest of each seed's plan stays as it was.
         let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xF100_D5EE);
         plan.admission = *[
             AdmissionMode::Unrestricted,
@@ -230,8 +235,8 @@
         ]
         .choose(&mut extra_random)
         .unwrap_or(&AdmissionMode::Allowlist);
-        // Without decisions on places a flood that speaks and stays takes them all, and the door turns the next away,
-        // whoever they are: that is what they are for.
+        // Without admission control a flood that sends requests and stays takes all slots, and
+        // everyone after it is rejected: preventing that is the purpose of admission control.
         if plan.admission != AdmissionMode::Unrestricted && extra_random.random_range(0..2) == 0 {
             plan.add_floods(&mut extra_random);
         }
@@ -239,7 +244,7 @@
         plan
     }
 
-    /// One of those that decide on places, with floods: what is looked for there is met more often.
+    /// A plan with admission control and floods, so that their interaction is covered more often.
     #[must_use]
     pub fn with_floods(seed: u64) -> Self {
         let mut plan = Self::from_seed(seed);
@@ -256,7 +261,8 @@
         plan
     }
 
-    /// One with upgrades that fall into each other, some of whose processes die, and front ends that send keys.
+    /// A plan with overlapping upgrades, some of whose processes are killed, and front ends that
+    /// send idempotency keys.
     #[must_use]
     pub fn with_upgrade_chains(seed: u64) -> Self {
         let mut plan = Self::from_seed(seed);
@@ -267,7 +273,8 @@
         for _ in 0..extra_random.random_range(1..3) {
             let matcher = extra_random.random_range(0..plan.matchers);
             let mut at = extra_random.random_range(SECOND / 2..plan.request_duration);
-            // What a process has that nobody hears of counts where there is little left: of cores, or of descriptors.
+            // Resources that a process holds without reporting them matter when cores or
+            // descriptors are short.
             let shortage = match extra_random.random_range(0..3) {
                 0 => Some(Fault::Slow(extra_random.random_range(4.0..9.0))),
                 1 => Some(Fault::Crowd(extra_random.random_range(100..400))),
@@ -294,7 +301,8 @@
                     matcher,
                     fault: Fault::Upgrade(killed),
                 });
-                // Within the time in which the process before it still answers, and often before it has the place.
+                // Within the time in which the previous process still responds, and often before
+                // that one has taken over.
                 at += match extra_random.random_range(0..3) {
                     0 => extra_random.random_range(1..40) * MS,
                     1 => extra_random.random_range(40..300) * MS,
@@ -324,7 +332,8 @@
                 matcher,
                 fault,
             });
-            // The limit in the middle of a drain, of an upgrade, and a known caller that comes back after a restart.
+            // Puts the connection limit into a drain or an upgrade, and lets a known caller return
+            // after a restart.
             let companion = match random.random_range(0..6) {
                 0 => Fault::Drain,
                 1 => Fault::Upgrade(None),
@@ -390,7 +399,8 @@
         }
     }
 
-    /// Faults that are feared together, one shortly after the other on one matcher.
+    /// Adds two faults whose combination is critical, one shortly after the other on the same
+    /// matcher.
     fn add_fault_pair(&mut self, random: &mut SmallRng) {
         let pairs = [
             (1, 11),
@@ -425,7 +435,7 @@
     }
 }
 
-/// A moment in an upgrade: most of its steps lie in its first milliseconds.
+/// Draws a moment within an upgrade: most of its steps happen in the first milliseconds.
 fn upgrade_step_delay(random: &mut SmallRng) -> Micros {
     match random.random_range(0..3) {
         0 => random.random_range(0..2_000),
--- a/crates/simulator/src/reputation_storage.rs
+++ b/crates/simulator/src/reputation_storage.rs
@@ -1,4 +1,5 @@
-//! A matcher's book of earned standing in the virtual world, on a disk that outlives its processes.
+//! Storage of a matcher's reputation database in the simulation, on a disk that outlives its
+//! processes.
 
 use crate::host::{Event, StoreLock, VirtualHost};
 use cleatpulley_connection_admission::reputation_database::{ReputationDatabase, StoredReputation};
@@ -7,24 +8,24 @@
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_server::host::ReputationStorage;
 
-/// A store that another process has open is tried again after this time.
+/// Delay before retrying to open a store that another process holds locked.
 const LOCK_RETRY_DELAY: Micros = 50_000;
-/// A store that failed is tried again after this time.
+/// Delay before retrying to open a store that failed.
 const FAILURE_RETRY_DELAY: Micros = 500_000;
 
-/// The book, as its host has it.
+/// Reputation worker of a matcher's process.
 pub struct ReputationWorker {
     lock: StoreLock,
     incarnation: u64,
     disk: SimulatedFolder,
     database: Option<ReputationDatabase<SimulatedFolder>>,
     scheduled: bool,
-    /// What it held, until the matcher is told.
+    /// Loaded entries that the matcher has not received yet.
     pub loaded: Vec<StoredReputation>,
 }
 
 impl ReputationWorker {
-    /// That of a process on this disk, which a process before may have left.
+    /// Creates the worker of a process on this disk, which may hold data of earlier processes.
     #[must_use]
     pub fn new(disk: SimulatedFolder, lock: StoreLock, incarnation: u64) -> Self {
         Self {
@@ -37,14 +38,14 @@
         }
     }
 
-    /// Its process is gone: the system opens the lock.
+    /// Releases the lock of a process that has ended, as the operating system does.
     pub fn unlock(&self) {
         if self.lock.get() == Some(self.incarnation) {
             self.lock.set(None);
         }
     }
 
-    /// Does what there is to do; returns when it wants to go on.
+    /// Does the pending work; returns when it wants to be called again.
     pub fn run_jobs(&mut self, now: Micros) -> Option<Micros> {
         self.scheduled = false;
         let database = self.database.as_mut()?;
@@ -92,13 +93,13 @@
     }
 }
 
-/// A matcher's access to it.
+/// Handle by which a matcher uses its reputation worker.
 pub struct VirtualReputationStorage {
     host: VirtualHost,
 }
 
 impl VirtualReputationStorage {
-    /// Opens it soon.
+    /// Opens the storage and schedules the worker.
     #[must_use]
     pub fn new(host: &VirtualHost, max_entries: usize) -> Self {
         host.reputation.borrow_mut().database = Some(ReputationDatabase::new(max_entries));
--- a/crates/simulator/src/rollout.rs
+++ b/crates/simulator/src/rollout.rs
@@ -1,5 +1,6 @@
-//! Upgrades as the platform makes them: a process is started beside the one that serves; once it says that it takes clients the
-//! old one is told to leave, and is killed after its time. Either may die in any step.
+//! Upgrades as the platform performs them: it starts a process beside the running one, tells the
+//! old one to shut down once the new one accepts clients, and kills the old one when its shutdown
+//! time is over. Either may die at any step.
 
 use crate::host::{ConnectionOwner, Event};
 use crate::plan::KilledProcess;
@@ -8,28 +9,28 @@
 use cleatpulley_server::Server;
 use rand::Rng;
 
-/// The new process says yes within this time.
+/// Time within which the new process has to accept clients.
 const READY_TIMEOUT: Micros = 6 * SECOND;
-/// How often the platform looks.
+/// Interval of the platform's checks.
 const CHECK_INTERVAL: Micros = 3 * MS;
-/// An old process that is still there so long after its stop did not keep to it.
+/// An old process that is still alive this long after its shutdown time has violated it.
 const STOP_SLACK: Micros = 20 * MS;
 
-/// One upgrade under way.
+/// An upgrade in progress.
 pub(crate) struct Rollout {
     pub machine: usize,
-    /// The lives of both processes.
+    /// Incarnations of both processes.
     old: u64,
     pub new: u64,
     ready_by: Micros,
     kill: Option<(u64, Micros)>,
-    /// When the old one is told to leave, and when it was.
+    /// When the old process is to be told to shut down, and when it was.
     shutdown_due_at: Option<Micros>,
     pub shutdown_at: Option<Micros>,
 }
 
 impl Simulation {
-    /// Starts a process beside the one that serves.
+    /// Starts a process beside the running one.
     pub(crate) fn upgrade(&mut self, m: usize, killed: Option<KilledProcess>) {
         let now = self.now();
         let machine = &self.machines[m];
@@ -41,7 +42,7 @@
             .processes
             .last()
             .is_some_and(|process| process.server.accepts_clients());
-        // Three at a time are as many as the least descriptors are enough for.
+        // The smallest descriptor limit suffices for three processes at the same time.
         let busy = busy || machine.processes.len() > 2;
         if busy || !serves || machine.drain_started_at.is_some() || machine.paused_since.is_some() {
             return;
@@ -76,7 +77,7 @@
         self.net.borrow_mut().queue.push(now, Event::Rollout(m));
     }
 
-    /// Looks after the upgrades of a machine.
+    /// Checks the upgrades of a machine.
     pub(crate) fn check_rollouts(&mut self, m: usize) {
         let now = self.now();
         let mut rollouts = std::mem::take(&mut self.rollouts);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// True where there is more to look after.
+    /// Advances an upgrade; returns true if it has to be checked again.
     fn advance_rollout(&mut self, now: Micros, rollout: &mut Rollout) -> bool {
         let m = rollout.machine;
         if let Some((incarnation, _)) = rollout.kill.filter(|(_, at)| now >= *at) {
@@ -161,7 +162,8 @@
                         self.record_coverage("goes on with what was learned");
                     }
                 } else if now > rollout.ready_by {
-                    // The platform gives it up; trouble at the runtime may have kept it.
+                    // The platform gives up; a fault of the runtime may have delayed the new
+                    // process.
                     self.record_coverage("an upgrade given up");
                     self.kill(m, rollout.new, "late", false);
                     return false;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// A process is killed; the others of its machine live on.
+    /// Kills a process; the others of its machine live on.
     fn kill(&mut self, m: usize, incarnation: u64, role: &'static str, was_told: bool) {
         let now = self.now();
         let machine = &mut self.machines[m];
@@ -179,7 +181,8 @@
         if machine.find(incarnation).is_none() {
             return;
         }
-        // What it had accepted dies with it; what waits in a queue that another has too does not.
+        // Connections that it had accepted die with it; connections in a backlog that another
+        // process shares do not.
         let alone = machine.processes.len() == 1
             || self.net.borrow().listener_count(machine.frame_address) < 2
             || self.net.borrow().listener_count(machine.ajp_address) < 2;
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,4 +1,5 @@
-//! The rules, judged from the books of front ends, runtimes and the store alone, after each step.
+//! The rules, checked after each step against the records of front ends, runtimes and the store
+//! only.
 
 use crate::admission_rules::AdmissionRules;
 use crate::front_end::{Attempt, AttemptOutcome};
@@ -10,60 +11,64 @@
 use std::collections::{BTreeMap, HashMap};
 
 const MS: Micros = 1_000;
-/// An answer may come so much later than it is due: the slack, what sockets add, and the way.
+/// A response may arrive this long after its deadline: the allowed slack, the delay of sockets, and
+/// the network.
 const RESPONSE_SLACK: Micros = 60 * MS + 50 * MS + MS;
-/// What was sent so shortly before a stop or a close may have crossed it.
+/// A message sent within this time before a shutdown or a close may have crossed it.
 const IN_FLIGHT_TIME: Micros = 60 * MS;
 
-/// A store that was taken up is read in this time.
+/// Time in which a process reads the store that it has taken over.
 const STORE_RECOVERY_TIME: Micros = 5 * MS;
 
-/// One whose successor died takes no clients for so long, and what waits with them.
+/// Time in which a process whose successor died accepts no clients, so that they wait in the
+/// backlog.
 const SUCCESSOR_SEARCH_TIME: Micros = 60 * MS;
-/// A process whose successor died has found the next, or takes clients again, within this time.
+/// Within this time a process whose successor died has found the next one, or accepts clients
+/// again.
 const PREDECESSOR_SEARCH_TIME: Micros = 400 * MS;
-/// A process without any work lets go of the store of results within this time, where another has its endpoint.
+/// Time in which an idle process releases the store of results to the process that replaced it.
 const STORE_RELEASE_TIME: Micros = 500 * MS;
 
-/// Operators are owed an answer within this time, and what the way takes.
+/// Time in which a metrics request needs a response, including the network.
 const METRICS_RESPONSE_TIME: Micros = 1_000 * MS + MS;
-/// How often memory is counted.
+/// Interval of the memory check.
 const MEMORY_CHECK_INTERVAL: Micros = 20 * MS;
-/// Memory that a request says it takes, and times as much that it takes while it runs.
+/// Memory that a request declares, and the factor that applies while it runs.
 const REQUEST_MEMORY_KB: f64 = 20.0;
 const RUNNING_MEMORY_FACTOR: f64 = 4.0;
 
 #[derive(Debug, Default)]
 struct KeyHistory {
-    /// The id that ran, and whether with another body than most of its tries have.
+    /// Id of the attempt that ran, and whether its body differs from that of the key's other
+    /// attempts.
     ran: Option<(u64, bool)>,
     response: Option<Vec<u8>>,
     response_at: Micros,
 }
 
-/// The judge.
+/// Checker of the rules.
 #[derive(Debug, Default)]
 pub(crate) struct Rules {
     pub violations: Vec<String>,
-    /// What was met.
+    /// How often each coverage point was reached.
     pub coverage: BTreeMap<&'static str, u64>,
-    /// What is worth a line in a trace, where one is wanted.
+    /// A trace is wanted; its lines are collected here.
     traced: bool,
     pub trace_lines: Vec<String>,
-    /// Starts of each runtime that were looked at.
+    /// By machine: number of the runtime's starts that have been checked.
     starts: Vec<usize>,
     keys: HashMap<(usize, u64), KeyHistory>,
     cores: usize,
     slots: usize,
     overloaded_since: Vec<Option<Micros>>,
-    /// When memory was last counted.
+    /// When memory was last checked.
     memory_checked_at: Micros,
     admission_rules: AdmissionRules,
-    /// By machine: when its newest process last had no store of results.
+    /// By machine: when the newest process last did not hold the store of results.
     store_elsewhere_at: Vec<Micros>,
-    /// By machine: which process has the store.
+    /// By machine: incarnation that holds the store of results.
     store_owners: Vec<Option<u64>>,
-    /// By machine: since when one that has nothing to do has the store, which another waits for.
+    /// By machine: since when an idle process has held the store while another waits for it.
     idle_owner_since: Vec<Option<Micros>>,
 }
 
@@ -140,13 +145,13 @@
         }
     }
 
-    /// Whoever has nothing to do does not keep the store of results from the process that serves.
+    /// An idle process does not keep the store of results from the process that serves.
     fn check_owners(&mut self, sim: &Simulation) {
         self.idle_owner_since.resize(sim.machines.len(), None);
         let now = sim.clock();
         for (m, machine) in sim.machines.iter().enumerate() {
             let owner = match &machine.processes[..] {
-                // Most of the time there is one process, and nothing to look at.
+                // Most of the time there is a single process, and nothing to check.
                 [] | [_] => None,
                 [older @ .., newest] if newest.server.accepts_clients() => older
                     .iter()
@@ -174,7 +179,8 @@
         }
     }
 
-    /// Nothing with an effect runs twice, and nothing that came after the grace runs.
+    /// A request with an effect never runs twice, and a request that arrived after the drain grace
+    /// never runs.
     fn check_starts(&mut self, sim: &Simulation) {
         self.starts.resize(sim.machines.len(), 0);
         for (m, machine) in sim.machines.iter().enumerate() {
@@ -327,10 +333,12 @@
                                 .is_some_and(|(_, other)| other == sent.has_conflicting_body);
                             own && key.response.is_some() && key.response_at < sent.at
                         });
-                        // A disk that fails or stalls keeps a result from being read meanwhile, and takes nothing back.
-                        // Until its predecessor lets go of the store, a process takes no more of such requests than fit.
+                        // A disk that fails or stalls delays reading a result, but loses none.
+                        // Until its predecessor releases the store, a process holds only as many
+                        // keyed requests as fit.
                         let waits = self.store_elsewhere_at[m] + STORE_RECOVERY_TIME >= sent.at;
-                        // What came while the machine stood still, or looked for its next process, comes all at once, and no more of it may wait than fits.
+                        // Requests that arrived while the machine was paused, or searched for its
+                        // next process, arrive all at once; only as many as fit may wait.
                         let machine = &sim.machines[m];
                         let waits = waits
                             || sent.at
@@ -351,16 +359,19 @@
                     }
                     AttemptOutcome::Lost => {
                         let ended = sim.machines[m].ended_at;
-                        // What an idle connection's end crossed, or a matcher's, never ran.
+                        // A request that crossed the end of an idle connection, or of a matcher,
+                        // never ran.
                         let crossed = (sim.clock() < ended + 2 * IN_FLIGHT_TIME
                             && sent.at + IN_FLIGHT_TIME > ended)
                             || (sim.clock() < sent.at + IN_FLIGHT_TIME && !ran);
-                        // A pause over the stop leaves no time for what came within it.
+                        // A pause that spans the shutdown leaves no time for requests that arrived
+                        // during it.
                         let resumed = sim.machines[m].resumed_at;
                         let crossed = crossed
                             || (sent.at < resumed && ended < resumed + IN_FLIGHT_TIME && !ran);
                         let taken = !sim.front_end_endpoint(n).unaccepted.contains(&link);
-                        // Whoever waited in the queue of a machine that goes on is let in.
+                        // A connection in the backlog of a machine that goes on serving has to be
+                        // accepted.
                         let serves = sim.machines[m]
                             .processes
                             .last()
@@ -385,7 +396,7 @@
         }
     }
 
-    /// Each request has its answer by its due time, unless its connection was never accepted.
+    /// Each request gets its response by the deadline, unless its connection was never accepted.
     fn check_deadlines(&mut self, sim: &mut Simulation) {
         let now = sim.clock();
         for n in 0..sim.front_ends.len() {
@@ -407,7 +418,8 @@
                     continue;
                 };
                 let accepted_at = sim.front_end_endpoint(n).accepted_at(attempt.link);
-                // Where descriptors are short a connection is accepted late, and what came on it is read then.
+                // With few free descriptors a connection is accepted late, and its requests are
+                // read only then.
                 if sim.is_paused(attempt.matcher)
                     || accepted_at.is_some_and(|at| now <= at + RESPONSE_SLACK)
                 {
@@ -429,14 +441,14 @@
         }
     }
 
-    /// While a machine has a process that serves, nobody is refused at its door.
+    /// While a machine has a process that serves, its listeners refuse no connection.
     fn check_listeners(&mut self, sim: &mut Simulation) {
         for n in 0..sim.front_ends.len() {
             for (m, id) in std::mem::take(&mut sim.front_ends[n].refused_connections) {
                 let machine = &sim.machines[m];
                 let since = machine.ended_at.max(machine.killed_at);
                 let stays = machine.processes.len() > 1 && sim.clock() > since + 2 * IN_FLIGHT_TIME;
-                // A machine that stood still while a flood came has a full queue.
+                // A machine that was paused during a flood has a full backlog.
                 let full = sim
                     .net
                     .borrow()
@@ -462,7 +474,7 @@
                 .iter()
                 .map(|process| process.server.usage().descriptors)
                 .sum();
-            // Where the middle one dies, the first is found by the third within this time.
+            // When the second of three processes dies, the third finds the first within this time.
             let has_settled =
                 machine.killed_at == 0 || sim.clock() > machine.killed_at + PREDECESSOR_SEARCH_TIME;
             if has_settled && held > sim.plan.max_descriptors {
@@ -484,7 +496,7 @@
         }
     }
 
-    /// Operators are answered within a second.
+    /// Metrics requests get a response within a second.
     fn check_metrics_requests(&mut self, sim: &mut Simulation) {
         let now = sim.clock();
         for malformed in std::mem::take(&mut sim.metrics_poller.malformed) {
@@ -515,7 +527,8 @@
         }
     }
 
-    /// A warm server dies of more than six requests on each core, in the mean of two seconds.
+    /// A warm server is overloaded with more than six requests on each core, sustained for two
+    /// seconds.
     fn check_overload(&mut self, sim: &Simulation) {
         self.overloaded_since.resize(sim.machines.len(), None);
         let now = sim.clock();
@@ -531,7 +544,7 @@
         }
     }
 
-    /// What is held and what runs stays within the memory that the settings name.
+    /// Held and running requests stay within the memory limit of the settings.
     fn check_memory(&mut self, sim: &Simulation) {
         let now = sim.clock();
         if now < self.memory_checked_at + MEMORY_CHECK_INTERVAL {
@@ -543,7 +556,7 @@
             let mut held = 0;
             for (n, front_end) in sim.front_ends.iter().enumerate() {
                 let endpoint = sim.front_end_endpoint(n);
-                // What was sent just now may not have been read.
+                // A request sent just now may not have been read.
                 let read = |id: &u64, attempt: &Attempt| {
                     attempt.matcher == m
                         && attempt.sent + IN_FLIGHT_TIME < now
--- a/crates/simulator/src/seeds.rs
+++ b/crates/simulator/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Many seeds, one seed again, and a failing seed made small.
+//! Runs many seeds, replays one seed, and shrinks a failing plan.
 
 use crate::plan::Plan;
 use crate::simulation::{Outcome, Simulation};
@@ -6,40 +6,40 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Plays one plan.
+/// Runs one plan.
 #[must_use]
 pub fn play(plan: Plan) -> Outcome {
     Simulation::new(plan, false).run().0
 }
 
-/// Plays one plan and says what passed.
+/// Runs one plan with a trace of its events.
 #[must_use]
 pub fn replay(plan: Plan) -> (Outcome, Vec<String>) {
     let (outcome, trace) = Simulation::new(plan, true).run();
     (outcome, trace.unwrap_or_default())
 }
 
-/// What many seeds came to.
+/// Summary of many seeds.
 #[derive(Debug, Clone, Default)]
 pub struct Summary {
-    /// Seeds that were played.
+    /// Number of seeds that were run.
     pub seeds: u64,
-    /// Those that broke a rule, by seed.
+    /// Outcomes of the seeds that violated a rule, in the order of the seeds.
     pub failed: Vec<Outcome>,
-    /// Virtual time, in microseconds.
+    /// Simulated time, in microseconds.
     pub simulated: u64,
-    /// Events.
+    /// Number of events.
     pub events: u64,
-    /// Tries: sent, served, refused, failed, unreachable.
+    /// Numbers of attempts: sent, served, rejected, failed or lost, unreachable.
     pub counts: [u64; 5],
-    /// How often what was met, and in how many seeds.
+    /// How often each coverage point was reached, and in how many seeds.
     pub coverage: BTreeMap<&'static str, (u64, u64)>,
-    /// Of all digests, in the order of the seeds.
+    /// Digest of all digests, in the order of the seeds.
     pub digest: u64,
 }
 
-/// Plays seeds on so many threads, each with what `of` makes of it; `prepare` runs once on each of them. With `first` it
-/// stops at a failure.
+/// Runs seeds on `jobs` threads, with the plan that `make_plan` returns for each; `prepare` runs
+/// once on each thread. With `stop_at_failure` it stops at the first failure.
 pub fn run(
     make_plan: impl Fn(u64) -> Plan + Sync,
     from: u64,
@@ -100,11 +100,11 @@
     summary
 }
 
-/// Makes a failing plan smaller as long as it still breaks the same rule: fewer faults, fewer front ends, less time and
-/// load. Returns it and how many plans were played.
+/// Shrinks a failing plan as long as it still violates the same rule: fewer faults, fewer front
+/// ends, less time and load. Returns the smallest plan and the number of plans that were run.
 #[must_use]
 pub fn shrink(plan: Plan, max_plans: u32) -> (Plan, u32) {
-    // Ids and times differ from plan to plan.
+    // Ids and times differ between plans.
     let message_kind = |text: &str| -> String {
         let words = text
             .split_whitespace()
--- a/crates/simulator/src/service_endpoint.rs
+++ b/crates/simulator/src/service_endpoint.rs
@@ -1,4 +1,4 @@
-//! Services on the virtual network: what they want done is done, and what happens is told to them.
+//! Connects services to the virtual network: carries out their effects and passes events to them.
 
 use crate::host::{ConnectionOwner, Event, SharedNetwork};
 use crate::network::EndId;
@@ -17,25 +17,25 @@
     dialled: bool,
 }
 
-/// A service's place on the network.
+/// A service's endpoint on the network.
 pub struct ServiceEndpoint {
     net: SharedNetwork,
     number: usize,
     process: usize,
     connections: BTreeMap<Link, Connection>,
     last_accepted: Link,
-    /// Links that ended before the other side took them.
+    /// Links that ended before the other side accepted them.
     pub unaccepted: BTreeSet<Link>,
-    /// When it was last said to want something done.
+    /// Earliest scheduled wake-up.
     wake_at: Micros,
-    /// Nothing is told or done: its machine stands still.
+    /// The machine is paused: nothing is passed on or carried out.
     pub paused: bool,
     buffer: Vec<u8>,
     effects: Vec<Effect>,
 }
 
 impl ServiceEndpoint {
-    /// A place that may hold any number of descriptors.
+    /// Creates an endpoint without a descriptor limit.
     pub fn new(net: SharedNetwork, number: usize) -> Self {
         let process = net.borrow_mut().add_process(usize::MAX);
         Self {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Listens. In this world no address is taken twice, but by a service that moves.
+    /// Listens on an address. No address is used twice here, except by a service that moves.
     pub fn listen(&mut self, address: SocketAddr) {
-        // One that listens already goes on.
+        // A socket that already listens there stays.
         let _ = self.net.borrow_mut().listen(address, self.process, false);
     }
 
-    /// Accepts all that wait at this of the service's doors.
+    /// Accepts all waiting connections of this listener of the service.
     pub fn on_acceptable<S: Service + ?Sized>(
         &mut self,
         service: &mut S,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Something happened on a link.
+    /// Handles readiness of a link.
     pub fn on_ready<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
         let Some(connection) = self.connections.get_mut(&link) else {
             return;
@@ -157,7 +157,7 @@
                 .write(connection.end, &connection.output[sent..])
             {
                 Ok(n) => sent += n,
-                // A connection that broke is told of when it is read.
+                // The error is reported when the connection is read.
                 Err(_) => break,
             }
         }
@@ -167,10 +167,10 @@
         }
     }
 
-    /// Time has passed.
+    /// Lets the service do what is due.
     pub fn advance<S: Service + ?Sized>(&mut self, service: &mut S) {
         let now = self.net.borrow().now;
-        // What was scheduled before something else came up is out of date.
+        // This event was scheduled before a later change; it is obsolete.
         if now < self.wake_at {
             return;
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Says when the service wants something done.
+    /// Schedules the service's next wake-up.
     pub fn schedule<S: Service + ?Sized>(&mut self, service: &S) {
         let Some(next) = service.next() else { return };
         let mut net = self.net.borrow_mut();
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Tells a service something, and does what it wants done.
+    /// Calls a service and carries out the effects that it returns.
     pub fn call<S: Service + ?Sized>(
         &mut self,
         service: &mut S,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Connections that it has dialled and that stand.
+    /// Established connections that it dialled.
     #[must_use]
     pub fn dialled_connections(&self) -> Vec<(Link, EndId)> {
         let established = self
@@ -262,7 +262,7 @@
             .collect()
     }
 
-    /// Whose the other side of a link is, where it was accepted.
+    /// Owner of the other side of a link, if it was accepted.
     #[must_use]
     pub fn peer_owner(&self, link: Link) -> Option<u64> {
         self.connections
@@ -270,7 +270,7 @@
             .and_then(|connection| self.net.borrow().peer_owner(connection.end))
     }
 
-    /// When the other side of a link has accepted it.
+    /// When the other side of a link accepted it.
     #[must_use]
     pub fn accepted_at(&self, link: Link) -> Option<Micros> {
         self.connections
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,5 +1,5 @@
-//! The whole of it: matchers, what they talk to and front ends on one virtual clock, faults from the plan, and the rules
-//! checked after each step.
+//! The whole simulation: matchers, the services that they use, and front ends on one virtual clock,
+//! with the faults of a plan and the rules checked after each step.
 
 use crate::front_end::FrontEnd;
 use crate::host::{ConnectionOwner, Event, SharedNetwork, ALL_READY};
@@ -26,15 +26,15 @@
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// When every history begins: far from 0, as a Unix clock is.
+/// Start of every simulation: far from 0, as a Unix clock is.
 pub(crate) const START_TIME: Micros = 1_764_576_000 * SECOND;
-/// Time from the notice to leave to the stop, and the grace.
+/// Time from the notice to shut down to the end of the process, and the drain grace.
 pub(crate) const SHUTDOWN_TIME: Micros = 1_500 * MS;
 pub(crate) const DRAIN_GRACE: Micros = 800 * MS;
-/// After the last request and the last fault everything comes to rest within this time.
+/// Time in which everything comes to rest after the last request and the last fault.
 const SETTLE_TIME: Micros = 6 * SECOND;
 
-/// Operators ask each process so often.
+/// Interval of the metrics requests to each process.
 const METRICS_INTERVAL: Micros = 250 * MS;
 
 pub(crate) const STORE: usize = 0;
@@ -43,7 +43,7 @@
 pub(crate) const METRICS_POLLER: usize = 3;
 pub(crate) const FIRST_RUNTIME: usize = 4;
 
-/// One history.
+/// One simulation.
 pub struct Simulation {
     pub(crate) plan: Plan,
     pub(crate) setup: Setup,
@@ -61,50 +61,50 @@
     pub(crate) violations: Vec<String>,
     pub(crate) base_rates: Vec<f64>,
     descriptor_exhaustions: u64,
-    /// What passed, as numbers.
+    /// Digest of the events.
     digest: xxhash_rust::xxh3::Xxh3,
     events: u64,
-    /// Lines of what passed, where they are wanted.
+    /// Lines of the trace, if one is wanted.
     pub trace: Option<Vec<String>>,
-    /// How often what was met.
+    /// How often each coverage point was reached.
     pub coverage: BTreeMap<&'static str, u64>,
 }
 
-/// Who listens at an address.
+/// Owner of a listening address.
 #[derive(Clone, Copy)]
 pub(crate) enum ListenerOwner {
-    /// A matcher's processes, by this number of their listeners.
+    /// A matcher's processes, with the number of their listener.
     Server(usize, usize),
-    /// A process of a matcher answers operators there, by its life.
+    /// Management endpoint of a matcher's process, by its incarnation.
     Management(usize, u64),
-    /// A service, at this of its doors.
+    /// A service, with the number of its listener.
     Service(usize, usize),
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
-    /// Broken rules, and when.
+    /// Violated rules, with their times.
     pub violations: Vec<String>,
-    /// Of all that passed.
+    /// Digest of all events.
     pub digest: u64,
-    /// Virtual time that passed.
+    /// Simulated time that passed.
     pub simulated: Micros,
-    /// Events.
+    /// Number of events.
     pub events: u64,
-    /// Tries: sent, served, refused, failed, unreachable.
+    /// Numbers of attempts: sent, served, rejected, failed or lost, unreachable.
     pub counts: [u64; 5],
-    /// How often what was met.
+    /// How often each coverage point was reached.
     pub coverage: BTreeMap<&'static str, u64>,
 }
 
 impl Simulation {
-    /// The beginning of a history.
+    /// Creates a simulation at its start.
     ///
     /// # Panics
-    /// Where the stand-ins' settings are not those that the program reads.
+    /// If the program can't read the emulators' settings.
     #[must_use]
     pub fn new(plan: Plan, trace: bool) -> Self {
         let setup = Setup {
@@ -213,7 +213,7 @@
         *self.coverage.entry(action).or_default() += 1;
     }
 
-    /// Plays it to its end.
+    /// Runs the simulation to its end.
     #[must_use]
     pub fn run(mut self) -> (Outcome, Option<Vec<String>>) {
         let duration = |planned: &crate::plan::PlannedFault| planned.at + planned.duration;
@@ -276,7 +276,7 @@
         (outcome, self.trace)
     }
 
-    /// Handles an event; returns what it was, as a number.
+    /// Handles an event; returns a number that identifies it in the digest.
     fn handle(&mut self, event: Event) -> u64 {
         match event {
             Event::Network(event) => {
@@ -390,7 +390,7 @@
         action(&mut self.endpoints[endpoint], service);
     }
 
-    /// Lets operators ask each process, as long as anybody asks anything.
+    /// Requests the metrics of each process, as long as front ends send requests.
     fn poll_metrics(&mut self) {
         let now = self.now();
         for m in 0..self.machines.len() {
@@ -435,7 +435,7 @@
         }
     }
 
-    /// All is quiet: nothing may be left of what passed.
+    /// Checks that nothing is left over once everything is at rest.
     fn check_final_state(&mut self) {
         for n in 0..self.front_ends.len() {
             if !self.front_ends[n].open.is_empty() {
@@ -490,7 +490,7 @@
 }
 
 impl Simulation {
-    /// The platform sees that a request is over: its run ends at a call.
+    /// Ends the run of a request that is over, as the platform does: at its next call.
     pub(crate) fn request_over(&mut self, m: usize, id: u64) {
         let machine = &mut self.machines[m];
         self.endpoints[FIRST_RUNTIME + m].call(&mut machine.runtime, |runtime, now, out| {
@@ -498,17 +498,19 @@
         });
     }
 
-    /// A matcher's machine stands still.
+    /// Returns true if a matcher's machine is paused.
     pub(crate) fn is_paused(&self, m: usize) -> bool {
         self.machines[m].paused_since.is_some()
     }
 
-    /// A matcher has had room for many more connections for longer than it waits after an accept that failed.
+    /// Returns true if a matcher has had many free descriptors for longer than it waits after a
+    /// failed accept.
     pub(crate) fn has_free_descriptors(&self, m: usize) -> bool {
         let machine = &self.machines[m];
         let short =
             |p: &crate::machine::ServerProcess| self.net.borrow().short_at(p.process) + 60 * MS;
-        // In an upgrade those of one process are shared by two, and a crowd in the queue takes longer to pass.
+        // During an upgrade two processes share the descriptors of one, and a crowd in the backlog
+        // takes longer to accept.
         machine.processes.len() == 1
             && self.now() > machine.alone_since + SECOND
             && machine
@@ -517,17 +519,17 @@
                 .all(|process| self.now() > short(process))
     }
 
-    /// The time from the beginning on, for messages.
+    /// Time since the start, for messages.
     pub(crate) fn elapsed(&self) -> Micros {
         self.now() - START_TIME
     }
 
-    /// The endpoint of a front end.
+    /// Endpoint of a front end.
     pub(crate) fn front_end_endpoint(&self, n: usize) -> &ServiceEndpoint {
         &self.endpoints[FIRST_RUNTIME + self.machines.len() + n]
     }
 
-    /// The time.
+    /// Current virtual time.
     pub(crate) fn clock(&self) -> Micros {
         self.now()
     }
