--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -1,6 +1,7 @@
-//! What a seed stands for: how many matchers and front ends there are, how they behave, and which faults come when.
+//! What a seed determines: the number of matchers and front ends, the front ends' habits, and the
+//! faults with their times.
 
-use crate::front::Habit;
+use crate::front_end::Habit;
 use cleatpulley_policy::interface::Micros;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -10,86 +11,89 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Which process dies in an upgrade, and how long after the new one's start.
+/// Process that is killed during an upgrade, and the time after the start of the new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Killed {
-    /// The new one.
+pub enum KilledProcess {
+    /// The new process.
     New(Micros),
-    /// The one whose place it takes.
+    /// The process that it replaces.
     Old(Micros),
 }
 
-/// Kinds of faults, drawn by their numbers.
-const KINDS: u32 = 27;
+/// Number of fault kinds; a kind is drawn by its number.
+const FAULT_KINDS: u32 = 27;
 
-/// What goes wrong.
+/// A fault. Histories print it with these names.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A process takes the place of the one that serves, and one of both may die over it.
-    Upgrade(Option<Killed>),
-    /// What the next process is told that its predecessor had learned is torn.
+    /// A process replaces the running one; either may be killed meanwhile.
+    Upgrade(Option<KilledProcess>),
+    /// The next snapshot of learned state that a process receives from its predecessor is
+    /// corrupted.
     Torn,
-    /// Connections are opened at the operators' address that say nothing, so many.
+    /// This many silent connections are opened to the management address.
     OperatorCrowd(usize),
-    /// A matcher dies and comes back after this time, cold; its runtime dies along, or lives on.
+    /// A matcher dies and restarts cold after some time; its runtime dies too, or lives on.
     Crash {
-        /// How long it is away.
+        /// Time until the restart.
         down: Micros,
         /// Its runtime dies too.
         runtime: bool,
     },
     /// A matcher's cores are slower by this factor.
     Slow(f64),
-    /// A matcher stands still.
+    /// A matcher's machine is paused.
     Pause,
-    /// The link to the runtime breaks, with what is on it.
+    /// The link to the runtime breaks, and messages in flight are lost.
     BreakLink,
-    /// The link breaks at the moment an answer is due.
+    /// The link breaks at the moment a response is due.
     BreakAtDue,
-    /// The store refuses, loses, resets or fails some of its calls, each of so many in a thousand.
+    /// The store rejects, loses, resets or fails some of its calls; each of these for this many
+    /// calls in a thousand.
     Store(u32),
-    /// Front ends' connections are reset, so many of them.
+    /// This many of the front ends' connections are reset.
     Resets(usize),
-    /// The directory is silent.
+    /// The directory does not respond.
     Directory,
-    /// The disk answers nobody.
+    /// The disk stalls.
     DiskStall,
-    /// The disk fails at an operation soon.
+    /// The disk fails at one of the next operations.
     DiskFail,
-    /// The disk is full from soon on.
+    /// The disk becomes full soon.
     DiskFull,
-    /// A matcher is told to leave, and replaced.
+    /// A matcher is told to shut down, and is replaced.
     Drain,
-    /// A new configuration: the runtime moves to another address.
+    /// A configuration reload: the runtime moves to another address.
     Reload,
-    /// Callers ask more by this factor.
+    /// Callers send more requests by this factor.
     Burst(f64),
-    /// Requests by AJP stop halfway through their bodies, so many.
+    /// This many AJP requests stop halfway through their bodies.
     Stalled(usize),
-    /// Connections are opened that say nothing, so many.
+    /// This many silent connections are opened.
     Crowd(usize),
-    /// The process has few descriptors left, so many.
+    /// The process has only this many descriptors left.
     Descriptors(usize),
-    /// The runtime tells notices again that it has told, after each of so many in a thousand and on each new link.
+    /// The runtime repeats notices that it has already sent: after each of this many in a thousand,
+    /// and on each new link.
     Repeats(u32),
     /// The link ends halfway through a notice.
     Tear,
-    /// The store's replies are unreadable or break off, so many in a thousand.
+    /// This many store replies in a thousand are malformed or end early.
     Spoilt(u32),
-    /// A matcher is told to leave, and its successor has other settings.
+    /// A matcher is told to shut down, and its successor has different settings.
     Renew,
-    /// Connections come from so many addresses other than the front ends', so many of them, each with a health check,
-    /// and stay.
+    /// Connections arrive from other addresses than the front ends', each with a health check, and
+    /// stay open.
     Flood {
-        /// Addresses.
+        /// Number of source addresses.
         sources: u32,
-        /// Connections.
+        /// Number of connections.
         number: usize,
     },
 }
 
 impl Fault {
-    /// Its name in reports.
+    /// Name in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -122,77 +126,77 @@
     }
 }
 
-/// A fault and its time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Planned {
-    /// When it begins, from the beginning on.
+pub struct PlannedFault {
+    /// Start, relative to the start of the simulation.
     pub at: Micros,
-    /// How long it lasts, where it lasts.
-    pub lasts: Micros,
-    /// The matcher that it strikes.
+    /// Duration of faults that last.
+    pub duration: Micros,
+    /// Index of the affected matcher.
     pub matcher: usize,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-impl fmt::Display for Planned {
+impl fmt::Display for PlannedFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, lasts) = (self.at as f64 / 1e6, self.lasts as f64 / 1e6);
+        let (at, duration) = (self.at as f64 / 1e6, self.duration as f64 / 1e6);
         write!(
             f,
-            "{at:7.3} s  m{} {:?} for {lasts:.3} s",
+            "{at:7.3} s  m{} {:?} for {duration:.3} s",
             self.matcher, self.fault
         )
     }
 }
 
-/// All that a seed stands for.
+/// Everything that a seed determines.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// Matchers.
+    /// Number of matchers.
     pub matchers: usize,
-    /// Cores of each.
+    /// Cores of each matcher.
     pub cores: u32,
-    /// Requests a second of all front ends, as a share of what the cores can do.
+    /// Request rate of all front ends together, as a share of the cores' capacity.
     pub load: f64,
-    /// Front ends.
+    /// Front ends, by their behaviour.
     pub habits: Vec<Habit>,
-    /// For how long they ask.
-    pub asks: Micros,
-    /// Descriptors of a matcher.
-    pub sockets: usize,
-    /// Reads and writes are cut short now and then.
-    pub partial: bool,
-    /// The window of kept results.
-    pub window: Micros,
-    /// The faults.
-    pub faults: Vec<Planned>,
-    /// Who gets a place at a matcher.
-    pub places: Places,
+    /// Time during which front ends send requests.
+    pub request_duration: Micros,
+    /// Descriptor limit of a matcher's process.
+    pub max_descriptors: usize,
+    /// Reads and writes are occasionally cut short.
+    pub partial_io: bool,
+    /// Deduplication window of stored results.
+    pub deduplication_window: Micros,
+    /// The faults, in the order of their starts.
+    pub faults: Vec<PlannedFault>,
+    /// Connection admission of the matchers.
+    pub admission: AdmissionMode,
 }
 
-/// Who gets a place at a matcher.
+/// How matchers admit connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Places {
-    /// Whoever comes first.
-    FirstCome,
-    /// The front ends' address is known by name.
-    Named,
-    /// It can earn to be known, and what it earned outlives the process.
-    Earned,
+pub enum AdmissionMode {
+    /// Every connection is admitted while there is room.
+    Unrestricted,
+    /// The front ends' address is on the allowlist.
+    Allowlist,
+    /// Addresses earn a reputation, which outlives the process.
+    Reputation,
 }
 
 impl Plan {
-    /// That of a seed.
+    /// The plan of a seed.
     #[must_use]
-    pub fn of(seed: u64) -> Self {
+    pub fn from_seed(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed ^ 0x5EED_5EED);
         let matchers = *[1, 1, 2, 2, 3].choose(&mut random).unwrap_or(&1);
-        let asks = random.random_range(4..10) * SECOND;
+        let request_duration = random.random_range(4..10) * SECOND;
         let habits = (0..random.random_range(2..5))
-            .map(|number| habit(&mut random, number))
+            .map(|number| draw_habit(&mut random, number))
             .collect();
         let mut plan = Self {
             seed,
@@ -200,103 +204,109 @@
             cores: *[4, 6, 8].choose(&mut random).unwrap_or(&6),
             load: random.random_range(0.3..1.25),
             habits,
-            asks,
-            sockets: *[128, 192, 512].choose(&mut random).unwrap_or(&512),
-            partial: random.random(),
-            window: 60 * SECOND,
+            request_duration,
+            max_descriptors: *[128, 192, 512].choose(&mut random).unwrap_or(&512),
+            partial_io: random.random(),
+            deduplication_window: 60 * SECOND,
             faults: Vec::new(),
-            places: Places::FirstCome,
+            admission: AdmissionMode::Unrestricted,
         };
-        // A swarm: each seed has a set of its own, so that no fault hides what another would show.
-        for kind in 0..KINDS {
+        // Swarm testing: each seed draws its own set of fault kinds, so that no kind hides what
+        // another would show.
+        for kind in 0..FAULT_KINDS {
             if random.random_range(0..100) < 28 {
                 for _ in 0..random.random_range(1..3) {
-                    let at = random.random_range(SECOND / 2..asks);
-                    let planned = plan.draw(&mut random, kind, at);
+                    let at = random.random_range(SECOND / 2..request_duration);
+                    let planned = plan.draw_fault(&mut random, kind, at);
                     plan.faults.push(planned);
                 }
             }
         }
         if random.random_range(0..3) == 0 {
-            plan.combine(&mut random);
+            plan.add_fault_pair(&mut random);
         }
-        // Drawn apart, so that what every other seed stands for stays as it was.
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xF100_D5EE);
-        plan.places = *[
-            Places::FirstCome,
-            Places::FirstCome,
-            Places::Named,
-            Places::Earned,
+        // Drawn from a separate generator, so that the rest of each seed's plan stays as it was.
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xF100_D5EE);
+        plan.admission = *[
+            AdmissionMode::Unrestricted,
+            AdmissionMode::Unrestricted,
+            AdmissionMode::Allowlist,
+            AdmissionMode::Reputation,
         ]
-        .choose(&mut more)
-        .unwrap_or(&Places::Named);
-        // Without decisions on places a flood that speaks and stays takes them all, and the door turns the next away,
-        // whoever they are: that is what they are for.
-        if plan.places != Places::FirstCome && more.random_range(0..2) == 0 {
-            plan.flood(&mut more);
+        .choose(&mut extra_random)
+        .unwrap_or(&AdmissionMode::Allowlist);
+        // Without admission control a flood that sends requests and stays takes all slots, and
+        // everyone after it is rejected: preventing that is the purpose of admission control.
+        if plan.admission != AdmissionMode::Unrestricted && extra_random.random_range(0..2) == 0 {
+            plan.add_floods(&mut extra_random);
         }
         plan.faults.sort_by_key(|planned| planned.at);
         plan
     }
 
-    /// One of those that decide on places, with floods: what is looked for there is met more often.
+    /// A plan with admission control and floods, so that their interaction is covered more often.
     #[must_use]
-    pub fn crowded(seed: u64) -> Self {
-        let mut plan = Self::of(seed);
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xC204_D000);
-        if plan.places == Places::FirstCome {
-            plan.places = if more.random() {
-                Places::Named
+    pub fn with_floods(seed: u64) -> Self {
+        let mut plan = Self::from_seed(seed);
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xC204_D000);
+        if plan.admission == AdmissionMode::Unrestricted {
+            plan.admission = if extra_random.random() {
+                AdmissionMode::Allowlist
             } else {
-                Places::Earned
+                AdmissionMode::Reputation
             };
         }
-        plan.flood(&mut more);
+        plan.add_floods(&mut extra_random);
         plan.faults.sort_by_key(|planned| planned.at);
         plan
     }
 
-    /// One with upgrades that fall into each other, some of whose processes die, and front ends that send keys.
+    /// A plan with overlapping upgrades, some of whose processes are killed, and front ends that
+    /// send idempotency keys.
     #[must_use]
-    pub fn chained(seed: u64) -> Self {
-        let mut plan = Self::of(seed);
-        let mut more = SmallRng::seed_from_u64(seed ^ 0xC4A1_4ED0);
-        plan.habits.iter_mut().for_each(|habit| habit.keyed = true);
-        for _ in 0..more.random_range(1..3) {
-            let matcher = more.random_range(0..plan.matchers);
-            let mut at = more.random_range(SECOND / 2..plan.asks);
-            // What a process has that nobody hears of counts where there is little left: of cores, or of descriptors.
-            let short = match more.random_range(0..3) {
-                0 => Some(Fault::Slow(more.random_range(4.0..9.0))),
-                1 => Some(Fault::Crowd(more.random_range(100..400))),
+    pub fn with_upgrade_chains(seed: u64) -> Self {
+        let mut plan = Self::from_seed(seed);
+        let mut extra_random = SmallRng::seed_from_u64(seed ^ 0xC4A1_4ED0);
+        plan.habits
+            .iter_mut()
+            .for_each(|draw_habit| draw_habit.keyed = true);
+        for _ in 0..extra_random.random_range(1..3) {
+            let matcher = extra_random.random_range(0..plan.matchers);
+            let mut at = extra_random.random_range(SECOND / 2..plan.request_duration);
+            // Resources that a process holds without reporting them matter when cores or
+            // descriptors are short.
+            let shortage = match extra_random.random_range(0..3) {
+                0 => Some(Fault::Slow(extra_random.random_range(4.0..9.0))),
+                1 => Some(Fault::Crowd(extra_random.random_range(100..400))),
                 _ => None,
             };
-            if let Some(fault) = short {
+            if let Some(fault) = shortage {
                 let at = at.saturating_sub(300 * MS);
-                plan.faults.push(Planned {
+                plan.faults.push(PlannedFault {
                     at,
-                    lasts: 2_500 * MS,
+                    duration: 2_500 * MS,
                     matcher,
                     fault,
                 });
             }
-            for _ in 0..more.random_range(2..5) {
-                let killed = match more.random_range(0..5) {
-                    0 => Some(Killed::New(step(&mut more))),
-                    1 | 2 => Some(Killed::Old(step(&mut more))),
+            for _ in 0..extra_random.random_range(2..5) {
+                let killed = match extra_random.random_range(0..5) {
+                    0 => Some(KilledProcess::New(upgrade_step_delay(&mut extra_random))),
+                    1 | 2 => Some(KilledProcess::Old(upgrade_step_delay(&mut extra_random))),
                     _ => None,
                 };
-                plan.faults.push(Planned {
+                plan.faults.push(PlannedFault {
                     at,
-                    lasts: SECOND,
+                    duration: SECOND,
                     matcher,
                     fault: Fault::Upgrade(killed),
                 });
-                // Within the time in which the process before it still answers, and often before it has the place.
-                at += match more.random_range(0..3) {
-                    0 => more.random_range(1..40) * MS,
-                    1 => more.random_range(40..300) * MS,
-                    _ => more.random_range(300..1_500) * MS,
+                // Within the time in which the previous process still responds, and often before
+                // that one has taken over.
+                at += match extra_random.random_range(0..3) {
+                    0 => extra_random.random_range(1..40) * MS,
+                    1 => extra_random.random_range(40..300) * MS,
+                    _ => extra_random.random_range(300..1_500) * MS,
                 };
             }
         }
@@ -304,26 +314,27 @@
         plan
     }
 
-    fn flood(&mut self, random: &mut SmallRng) {
+    fn add_floods(&mut self, random: &mut SmallRng) {
         for _ in 0..random.random_range(1..3) {
-            let at = random.random_range(SECOND / 2..self.asks);
+            let at = random.random_range(SECOND / 2..self.request_duration);
             let sources = *[1, 3, 50, 5_000].choose(random).unwrap_or(&1);
             let fault = Fault::Flood {
                 sources,
                 number: random.random_range(50..1_500),
             };
-            let (lasts, matcher) = (
+            let (duration, matcher) = (
                 random.random_range(200..3_000) * MS,
                 random.random_range(0..self.matchers),
             );
-            self.faults.push(Planned {
+            self.faults.push(PlannedFault {
                 at,
-                lasts,
+                duration,
                 matcher,
                 fault,
             });
-            // The limit in the middle of a drain, of an upgrade, and a known caller that comes back after a restart.
-            let beside = match random.random_range(0..6) {
+            // Puts the connection limit into a drain or an upgrade, and lets a known caller return
+            // after a restart.
+            let companion = match random.random_range(0..6) {
                 0 => Fault::Drain,
                 1 => Fault::Upgrade(None),
                 2 => Fault::Crash {
@@ -333,17 +344,17 @@
                 3 => Fault::Descriptors(random.random_range(0..4)),
                 _ => continue,
             };
-            let at = at + random.random_range(0..lasts);
-            self.faults.push(Planned {
+            let at = at + random.random_range(0..duration);
+            self.faults.push(PlannedFault {
                 at,
-                lasts: SECOND,
+                duration: SECOND,
                 matcher,
-                fault: beside,
+                fault: companion,
             });
         }
     }
 
-    fn draw(&self, random: &mut SmallRng, kind: u32, at: Micros) -> Planned {
+    fn draw_fault(&self, random: &mut SmallRng, kind: u32, at: Micros) -> PlannedFault {
         let fault = match kind {
             0 => Fault::Crash {
                 down: random.random_range(50..1_500) * MS,
@@ -370,27 +381,28 @@
             19 => Fault::Spoilt(random.random_range(20..300)),
             20 => Fault::Renew,
             21 | 22 => Fault::Upgrade(None),
-            23 => Fault::Upgrade(Some(Killed::New(step(random)))),
-            24 => Fault::Upgrade(Some(Killed::Old(step(random)))),
+            23 => Fault::Upgrade(Some(KilledProcess::New(upgrade_step_delay(random)))),
+            24 => Fault::Upgrade(Some(KilledProcess::Old(upgrade_step_delay(random)))),
             25 => Fault::Torn,
             _ => Fault::OperatorCrowd(random.random_range(5..120)),
         };
-        let lasts = match fault {
+        let duration = match fault {
             Fault::Pause => random.random_range(20..700) * MS,
             Fault::BreakLink | Fault::BreakAtDue => random.random_range(0..400) * MS,
             _ => random.random_range(200..3_000) * MS,
         };
-        Planned {
+        PlannedFault {
             at,
-            lasts,
+            duration,
             matcher: random.random_range(0..self.matchers),
             fault,
         }
     }
 
-    /// Faults that are feared together, one shortly after the other on one matcher.
-    fn combine(&mut self, random: &mut SmallRng) {
-        let first = [
+    /// Adds two faults whose combination is critical, one shortly after the other on the same
+    /// matcher.
+    fn add_fault_pair(&mut self, random: &mut SmallRng) {
+        let pairs = [
             (1, 11),
             (14, 11),
             (12, 3),
@@ -412,19 +424,19 @@
             (26, 21),
             (16, 22),
         ];
-        let &(one, other) = first.choose(random).unwrap_or(&first[0]);
-        let at = random.random_range(SECOND / 2..self.asks);
-        let mut planned = self.draw(random, one, at);
-        planned.lasts = planned.lasts.max(SECOND);
+        let &(first_kind, second_kind) = pairs.choose(random).unwrap_or(&pairs[0]);
+        let at = random.random_range(SECOND / 2..self.request_duration);
+        let mut planned = self.draw_fault(random, first_kind, at);
+        planned.duration = planned.duration.max(SECOND);
         let later = at + random.random_range(1..300) * MS;
-        let mut second = self.draw(random, other, later);
+        let mut second = self.draw_fault(random, second_kind, later);
         second.matcher = planned.matcher;
         self.faults.extend([planned, second]);
     }
 }
 
-/// A moment in an upgrade: most of its steps lie in its first milliseconds.
-fn step(random: &mut SmallRng) -> Micros {
+/// Draws a moment within an upgrade: most of its steps happen in the first milliseconds.
+fn upgrade_step_delay(random: &mut SmallRng) -> Micros {
     match random.random_range(0..3) {
         0 => random.random_range(0..2_000),
         1 => random.random_range(0..20) * MS,
@@ -432,15 +444,15 @@
     }
 }
 
-fn habit(random: &mut SmallRng, number: usize) -> Habit {
-    let some = |random: &mut SmallRng, share: u32, from: Micros, to: Micros| {
+fn draw_habit(random: &mut SmallRng, number: usize) -> Habit {
+    let maybe_duration = |random: &mut SmallRng, share: u32, from: Micros, to: Micros| {
         (random.random_range(0..100) < share).then(|| random.random_range(from..to) * MS)
     };
     Habit {
         ajp: number % 2 == 1 && random.random_range(0..3) > 0,
         retries: random.random_range(0..4) > 0,
-        hasty: some(random, 25, 150, 900),
-        copies: some(random, 25, 100, 600),
+        hasty: maybe_duration(random, 25, 150, 900),
+        copies: maybe_duration(random, 25, 100, 600),
         by_subject: random.random_range(0..3) == 0,
         heeds: random.random_range(0..5) > 0,
         keyed: random.random_range(0..3) > 0,
