--- a/src/bin/cleatpulley-simulator-adapter.rs
+++ b/src/bin/cleatpulley-simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! Runs controllers on the JSON wire: rounds of events on standard input, actions on standard output.
+//! Runs controllers over the JSON protocol of the simulator: rounds of events on standard input,
+//! actions on standard output.
 
 #![forbid(unsafe_code)]
 
@@ -9,34 +10,34 @@
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("cleatpulley-simulator-adapter: {fault}");
+        Err(error) => {
+            eprintln!("cleatpulley-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers rounds until the input ends.
+/// Replies to rounds until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut adapter = Adapter::default();
     let mut line = String::new();
     let mut reply = String::new();
     loop {
         line.clear();
-        let read = input
+        let bytes_read = input
             .read_line(&mut line)
             .map_err(|e| format!("reading standard input: {e}"))?;
-        if read == 0 {
+        if bytes_read == 0 {
             return adapter.finish();
         }
-        for note in adapter.take(line.trim_end(), &mut reply)? {
-            eprintln!("cleatpulley-simulator-adapter: {note}");
+        for warning in adapter.handle_line(line.trim_end(), &mut reply)? {
+            eprintln!("cleatpulley-simulator-adapter: {warning}");
         }
         if !reply.is_empty() {
-            let sent = output
+            let written = output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush());
-            sent.map_err(|e| format!("writing standard output: {e}"))?;
+            written.map_err(|e| format!("writing standard output: {e}"))?;
             reply.clear();
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The JSON wire: lines to [`Event`]s and [`Action`]s to lines. Translation only; no decisions here.
+//! The JSON protocol of the simulator adapter. Decodes lines into [`Event`]s and encodes [`Action`]s
+//! as lines; all decisions are left to the [`Controller`].
 
 use cleatpulley_policy::interface::{Action, Event, Gauges, Micros, Outcome, Request, RequestId};
 use cleatpulley_policy::settings::SettingsDocument;
@@ -8,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Hosts one [`Controller`] for each instance and answers rounds of events.
+/// Runs one [`Controller`] per instance and replies to rounds of events with their actions.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<String, Instance>,
-    /// Instances of the open round, in the order of their first event.
+    /// Names of the instances with events in the open round, in the order of their first event.
     active: Vec<String>,
     round: Option<Round>,
     actions: Vec<Action>,
@@ -20,8 +21,9 @@
 
 struct Instance {
     controller: Controller,
-    classes: usize,
-    tenants: usize,
+    class_count: usize,
+    tenant_count: usize,
+    /// Events of the open round.
     events: Vec<Event>,
 }
 
@@ -31,40 +33,42 @@
 }
 
 impl Adapter {
-    /// Takes one line. When it closes a round the reply is appended to `reply`. Returns notes on lines that
-    /// were skipped.
+    /// Handles one line of input. A line that ends a round appends the reply to `reply`. Returns
+    /// warnings about lines that were skipped.
     ///
     /// # Errors
-    /// One line that names the round, the verb and the fault; the adapter can't go on after it.
-    pub fn take(&mut self, line: &str, reply: &mut String) -> Result<Vec<String>, String> {
+    /// The line is invalid; the error is one line with the round, the verb and the reason. The adapter
+    /// can't continue after it.
+    pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<Vec<String>, String> {
         if line.is_empty() {
             return Ok(Vec::new());
         }
         let value: Value =
-            serde_json::from_str(line).map_err(|e| self.fault("-", &format!("not JSON: {e}")))?;
+            serde_json::from_str(line).map_err(|e| self.error("-", &format!("not JSON: {e}")))?;
         let Some(verb) = value.get("verb").and_then(Value::as_str).map(str::to_owned) else {
-            return Err(self.fault("-", "missing field `verb`"));
+            return Err(self.error("-", "missing field `verb`"));
         };
         self.dispatch(&verb, value, reply)
     }
 
-    /// Ends the input.
+    /// Handles the end of the input.
     ///
     /// # Errors
-    /// When a round is still open.
+    /// A round is still open.
     pub fn finish(&self) -> Result<(), String> {
         match self.round {
             None => Ok(()),
-            Some(_) => Err(self.fault("-", "the input ended inside a round")),
+            Some(_) => Err(self.error("-", "the input ended inside a round")),
         }
     }
 
-    fn fault(&self, verb: &str, what: &str) -> String {
+    /// Formats a message about the current line.
+    fn error(&self, verb: &str, message: &str) -> String {
         let round = self
             .round
             .as_ref()
-            .map_or_else(|| "-".to_owned(), |r| r.number.to_string());
-        format!("round {round}, verb {verb}: {what}")
+            .map_or_else(|| "-".to_owned(), |round| round.number.to_string());
+        format!("round {round}, verb {verb}: {message}")
     }
 
     fn dispatch(
@@ -75,48 +79,48 @@
     ) -> Result<Vec<String>, String> {
         if verb == "tick" {
             if self.round.is_some() {
-                return Err(self.fault(verb, "the last round is still open"));
+                return Err(self.error(verb, "the last round is still open"));
             }
-            let tick: Tick = self.read(verb, value)?;
+            let tick: Tick = self.decode(verb, value)?;
             self.round = Some(Round {
                 clock: tick.clock,
                 number: tick.round,
             });
             return Ok(Vec::new());
         }
-        let Some(clock) = self.round.as_ref().map(|r| r.clock) else {
-            return Err(self.fault(verb, "no round is open"));
+        let Some(clock) = self.round.as_ref().map(|round| round.clock) else {
+            return Err(self.error(verb, "no round is open"));
         };
         match verb {
-            "go" => self.answer(reply),
-            "enlist" => self.enlist(verb, value)?,
+            "go" => self.run_round(reply),
+            "enlist" => self.add_instance(verb, value)?,
             "retire" => {
-                let who: Who = self.read(verb, value)?;
-                if self.instances.remove(&who.instance_id).is_none() {
-                    return Err(self.fault(verb, &format!("unknown instance {}", who.instance_id)));
+                let line: Retire = self.decode(verb, value)?;
+                if self.instances.remove(&line.instance_id).is_none() {
+                    return Err(self.error(verb, &format!("unknown instance {}", line.instance_id)));
                 }
             }
             "accept" | "needs" | "call_ended" | "withdrawn" | "leaving" | "wakeup" | "finished" => {
-                self.event(verb, value, clock)?;
+                self.push_event(verb, value, clock)?;
             }
-            _ => return Ok(vec![self.fault(verb, "unknown kind of event, skipped")]),
+            _ => return Ok(vec![self.error(verb, "unknown kind of event, skipped")]),
         }
         Ok(Vec::new())
     }
 
-    fn read<T: for<'a> Deserialize<'a>>(&self, verb: &str, value: Value) -> Result<T, String> {
-        serde_json::from_value(value).map_err(|e| self.fault(verb, &e.to_string()))
+    fn decode<T: for<'a> Deserialize<'a>>(&self, verb: &str, value: Value) -> Result<T, String> {
+        serde_json::from_value(value).map_err(|e| self.error(verb, &e.to_string()))
     }
 
-    fn enlist(&mut self, verb: &str, value: Value) -> Result<(), String> {
-        let line: Enlist = self.read(verb, value)?;
+    fn add_instance(&mut self, verb: &str, value: Value) -> Result<(), String> {
+        let line: Enlist = self.decode(verb, value)?;
         let settings = line.boot_info.into_settings();
         if settings.classes.is_empty() {
-            return Err(self.fault(verb, "no classes"));
+            return Err(self.error(verb, "no classes"));
         }
         let instance = Instance {
-            classes: settings.classes.len(),
-            tenants: settings.tenants.len(),
+            class_count: settings.classes.len(),
+            tenant_count: settings.tenants.len(),
             controller: Controller::new(settings, line.random_seed),
             events: vec![Event::Started],
         };
@@ -125,28 +129,28 @@
         Ok(())
     }
 
-    fn event(&mut self, verb: &str, value: Value, clock: Micros) -> Result<(), String> {
+    fn push_event(&mut self, verb: &str, value: Value, clock: Micros) -> Result<(), String> {
         let (name, event) = match verb {
             "accept" => {
-                let line: Accept = self.read(verb, value)?;
+                let line: Accept = self.decode(verb, value)?;
                 self.check_indexes(verb, &line)?;
                 (line.instance_id.clone(), Event::Arrived(line.request()))
             }
             "withdrawn" => {
-                let line: OfRequest = self.read(verb, value)?;
+                let line: RequestEvent = self.decode(verb, value)?;
                 (line.instance_id, Event::Abandoned(line.rid.0))
             }
             "needs" => {
-                let line: OfRequest = self.read(verb, value)?;
+                let line: RequestEvent = self.decode(verb, value)?;
                 (line.instance_id, Event::CallRequested(line.rid.0))
             }
             "call_ended" => {
-                let Ended {
+                let EndedEvent {
                     instance_id,
                     rid,
                     reason,
                     elapsed,
-                } = self.read(verb, value)?;
+                } = self.decode(verb, value)?;
                 (
                     instance_id,
                     Event::CallEnded {
@@ -157,12 +161,12 @@
                 )
             }
             "finished" => {
-                let Ended {
+                let EndedEvent {
                     instance_id,
                     rid,
                     reason,
                     elapsed,
-                } = self.read(verb, value)?;
+                } = self.decode(verb, value)?;
                 (
                     instance_id,
                     Event::RunEnded {
@@ -173,7 +177,7 @@
                 )
             }
             "leaving" => {
-                let line: Leaving = self.read(verb, value)?;
+                let line: Leaving = self.decode(verb, value)?;
                 (
                     line.instance_id,
                     Event::DrainStarted {
@@ -182,7 +186,7 @@
                 )
             }
             _ => {
-                let line: Wakeup = self.read(verb, value)?;
+                let line: Wakeup = self.decode(verb, value)?;
                 let gauges = Gauges {
                     runnable: line.health_info.runnable,
                     memory: line.health_info.mem_used,
@@ -197,7 +201,7 @@
             }
         };
         let Some(instance) = self.instances.get_mut(&name) else {
-            return Err(self.fault(verb, &format!("unknown instance {name}")));
+            return Err(self.error(verb, &format!("unknown instance {name}")));
         };
         if instance.events.is_empty() {
             self.active.push(name);
@@ -208,18 +212,19 @@
 
     fn check_indexes(&self, verb: &str, line: &Accept) -> Result<(), String> {
         let Some(instance) = self.instances.get(&line.instance_id) else {
-            return Err(self.fault(verb, &format!("unknown instance {}", line.instance_id)));
+            return Err(self.error(verb, &format!("unknown instance {}", line.instance_id)));
         };
-        if line.category >= instance.classes {
-            return Err(self.fault(verb, &format!("category {} is out of range", line.category)));
+        if line.category >= instance.class_count {
+            return Err(self.error(verb, &format!("category {} is out of range", line.category)));
         }
-        if line.tenant >= instance.tenants.max(1) {
-            return Err(self.fault(verb, &format!("tenant {} is out of range", line.tenant)));
+        if line.tenant >= instance.tenant_count.max(1) {
+            return Err(self.error(verb, &format!("tenant {} is out of range", line.tenant)));
         }
         Ok(())
     }
 
-    fn answer(&mut self, reply: &mut String) {
+    /// Ends the open round: passes the events to the controllers and appends their actions to `reply`.
+    fn run_round(&mut self, reply: &mut String) {
         let Some(round) = self.round.take() else {
             return;
         };
@@ -235,7 +240,7 @@
                 .controller
                 .step(round.clock, &events, &mut self.actions);
             for action in self.actions.drain(..) {
-                push_line(reply, &Line::of(&name, &action));
+                push_line(reply, &ActionLine::new(&name, &action));
             }
         }
         push_line(
@@ -251,7 +256,7 @@
 fn push_line(reply: &mut String, line: &impl Serialize) {
     match serde_json::to_string(line) {
         Ok(text) => reply.push_str(&text),
-        Err(fault) => unreachable!("plain structs of numbers and text always serialise: {fault}"),
+        Err(error) => unreachable!("structs of numbers and strings always serialize: {error}"),
     }
     reply.push('\n');
 }
@@ -263,7 +268,7 @@
 }
 
 #[derive(Deserialize)]
-struct Who {
+struct Retire {
     instance_id: String,
 }
 
@@ -275,35 +280,35 @@
     boot_info: SettingsDocument,
 }
 
-/// An id on the wire: 16 hex digits.
+/// A request id, encoded as 16 hex digits.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(try_from = "String")]
-struct Hex(RequestId);
+struct HexRequestId(RequestId);
 
-impl TryFrom<String> for Hex {
+impl TryFrom<String> for HexRequestId {
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
-        let plain = text
+        let is_lowercase_hex = text
             .bytes()
-            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+            .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
         match u64::from_str_radix(&text, 16) {
-            Ok(id) if plain && text.len() == 16 => Ok(Self(id)),
+            Ok(id) if is_lowercase_hex && text.len() == 16 => Ok(Self(id)),
             _ => Err(format!("request id {text:?} is not 16 hex digits")),
         }
     }
 }
 
 #[derive(Deserialize)]
-struct OfRequest {
+struct RequestEvent {
     instance_id: String,
-    rid: Hex,
+    rid: HexRequestId,
 }
 
 #[derive(Deserialize)]
-struct Ended {
+struct EndedEvent {
     instance_id: String,
-    rid: Hex,
+    rid: HexRequestId,
     reason: Reason,
     #[serde(default)]
     elapsed: Micros,
@@ -334,7 +339,7 @@
 #[derive(Deserialize)]
 struct Accept {
     instance_id: String,
-    rid: Hex,
+    rid: HexRequestId,
     #[serde(default)]
     not_after: Micros,
     #[serde(default)]
@@ -358,10 +363,12 @@
     tenant: usize,
 }
 
-/// Bits of `marks`.
-const HINT_VALID: u32 = 1;
-const FURTHER_TRY: u32 = 2;
-const WRITE: u32 = 4;
+/// Bit of `marks`: `size_hint` is valid.
+const SIZE_HINT_VALID_BIT: u32 = 1;
+/// Bit of `marks`: the request is a retry.
+const RETRY_BIT: u32 = 2;
+/// Bit of `marks`: the request is a write.
+const WRITE_BIT: u32 = 4;
 
 impl Accept {
     fn request(&self) -> Request {
@@ -374,20 +381,20 @@
             id: self.rid.0,
             respond_by: (self.not_after > 0).then_some(self.not_after),
             duplicate_of: prior
-                .and_then(|text| Hex::try_from(text).ok())
-                .map(|hex| hex.0)
+                .and_then(|text| HexRequestId::try_from(text).ok())
+                .map(|id| id.0)
                 .filter(|id| *id != 0),
             class: self.category,
             tenant: self.tenant,
             read_delay: self.queued_for,
-            expected_work: (self.marks & HINT_VALID != 0 && self.size_hint > 0)
+            expected_work: (self.marks & SIZE_HINT_VALID_BIT != 0 && self.size_hint > 0)
                 .then_some(self.size_hint),
-            is_retry: self.marks & FURTHER_TRY != 0,
-            is_write: self.marks & WRITE != 0,
+            is_retry: self.marks & RETRY_BIT != 0,
+            is_write: self.marks & WRITE_BIT != 0,
             has_subject: self
                 .entity
                 .as_ref()
-                .is_some_and(|key| key.as_str().is_some_and(|k| !k.is_empty())),
+                .is_some_and(|entity| entity.as_str().is_some_and(|text| !text.is_empty())),
             caller: self.author,
             rank: self.rank,
             memory_kb: self.mem_kb,
@@ -430,9 +437,9 @@
     round: u64,
 }
 
-/// One action on the wire; fields that an action has not are left out.
+/// The line of one action; it leaves out the fields that the action does not have.
 #[derive(Serialize, Default)]
-struct Line<'a> {
+struct ActionLine<'a> {
     verb: &'static str,
     instance_id: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -457,64 +464,64 @@
     from_state: Option<bool>,
 }
 
-impl<'a> Line<'a> {
-    fn of(instance_id: &'a str, action: &Action) -> Self {
-        let plain = |verb, id: Option<RequestId>| Line {
+impl<'a> ActionLine<'a> {
+    fn new(instance_id: &'a str, action: &Action) -> Self {
+        let line = |verb, id: Option<RequestId>| ActionLine {
             verb,
             instance_id,
-            rid: id.map(hex),
-            ..Line::default()
+            rid: id.map(format_request_id),
+            ..ActionLine::default()
         };
         match *action {
-            Action::Run(id) => plain("serve", Some(id)),
+            Action::Run(id) => line("serve", Some(id)),
             Action::Reject {
                 id,
-                retry_after: avoid_for,
-                no_failover: last,
-            } => Line {
-                cool_down: (avoid_for > 0).then_some(avoid_for),
-                dont_retry: last.then_some(true),
-                ..plain("not_now", Some(id))
+                retry_after,
+                no_failover,
+            } => ActionLine {
+                cool_down: (retry_after > 0).then_some(retry_after),
+                dont_retry: no_failover.then_some(true),
+                ..line("not_now", Some(id))
             },
-            Action::Fail(id) => plain("end_failed", Some(id)),
-            Action::Call { id, timeout } => Line {
+            Action::Fail(id) => line("end_failed", Some(id)),
+            Action::Call { id, timeout } => ActionLine {
                 within: Some(timeout),
-                ..plain("reach_out", Some(id))
+                ..line("reach_out", Some(id))
             },
-            Action::SkipCall(id) => plain("do_without", Some(id)),
-            Action::Preempt(id) => plain("yank", Some(id)),
-            Action::ShareResponse(id) => plain("echo", Some(id)),
-            Action::InsertKey { id, lifetime } => Line {
+            Action::SkipCall(id) => line("do_without", Some(id)),
+            Action::Preempt(id) => line("yank", Some(id)),
+            Action::ShareResponse(id) => line("echo", Some(id)),
+            Action::InsertKey { id, lifetime } => ActionLine {
                 lifetime: Some(lifetime),
-                ..plain("store_key", Some(id))
+                ..line("store_key", Some(id))
             },
-            Action::RemoveKey(id) => plain("drop_key", Some(id)),
-            Action::SetTimer { at, token } => Line {
+            Action::RemoveKey(id) => line("drop_key", Some(id)),
+            Action::SetTimer { at, token } => ActionLine {
                 moment: Some(at),
                 mark: Some(token),
-                ..plain("timer", None)
+                ..line("timer", None)
             },
-            Action::CloseIdleConnections(after) => Line {
-                lifetime: Some(after),
-                ..plain("idle", None)
+            Action::CloseIdleConnections(idle_timeout) => ActionLine {
+                lifetime: Some(idle_timeout),
+                ..line("idle", None)
             },
-            Action::SetFeedback(value) => Line {
+            Action::SetFeedback(value) => ActionLine {
                 x: Some(value),
-                ..plain("signal", None)
+                ..line("signal", None)
             },
             Action::SetHealth {
-                healthy: good,
+                healthy,
                 from_state,
-            } => Line {
-                active: Some(good),
+            } => ActionLine {
+                active: Some(healthy),
                 from_state: Some(from_state),
-                ..plain("health", None)
+                ..line("health", None)
             },
         }
     }
 }
 
-fn hex(id: RequestId) -> String {
+fn format_request_id(id: RequestId) -> String {
     let mut text = String::with_capacity(16);
     // Writing to a string can't fail.
     let _ = write!(text, "{id:016x}");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The wire, through the real binary.
+//! The JSON protocol of the simulator adapter, tested through its binary.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const BOOT: &str = concat!(
+const ENLIST_LINE: &str = concat!(
     r#"{"verb":"enlist","instance_id":"instance/1","random_seed":5,"boot_info":{"classes":[{"name":"a","#,
     r#""effect":"deduplicated","give_up":8000000,"on_time":2000000,"repeat_window":9000000,"value":1,"new":[]}],"#,
     r#""rules":{"answer_slack":60000,"drain_grace":2000000,"fall_multiple":6},"tick":4000,"later":{"x":1},"#,
@@ -11,27 +11,27 @@
     r#""calls_out":3,"calls_over":5000000,"class_calls":[true]}}}"#
 );
 
-fn host(lines: &[&str]) -> Output {
+fn run_adapter(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cleatpulley-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    let mut input = child.stdin.take().expect("its input is piped");
-    // A child that has ended on a bad line no longer reads: that is not this test's failure.
-    let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
-    drop(input);
-    child.wait_with_output().expect("the binary ends")
+        .expect("start the adapter");
+    let mut stdin = child.stdin.take().expect("standard input is a pipe");
+    // The write fails if the adapter has already exited on an invalid line, which is not an error of the test.
+    let _ = stdin.write_all((lines.join("\n") + "\n").as_bytes());
+    drop(stdin);
+    child.wait_with_output().expect("wait for the adapter")
 }
 
 fn text(bytes: &[u8]) -> String {
-    String::from_utf8(bytes.to_vec()).expect("UTF-8")
+    String::from_utf8(bytes.to_vec()).expect("the output is UTF-8")
 }
 
 #[test]
-fn answers_an_empty_round_and_succeeds_at_the_end_of_input() {
-    let output = host(&[
+fn replies_to_an_empty_round_and_succeeds_at_the_end_of_input() {
+    let output = run_adapter(&[
         r#"{"verb":"tick","clock":8412250,"round":1}"#,
         r#"{"verb":"go"}"#,
     ]);
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn request_runs_calls_and_ends_on_the_wire() {
-    let output = host(&[
+fn request_starts_a_run_and_a_call() {
+    let output = run_adapter(&[
         r#"{"verb":"tick","clock":1000000,"round":1}"#,
-        BOOT,
+        ENLIST_LINE,
         r#"{"verb":"accept","instance_id":"instance/1","rid":"00000000000000ff","not_after":9000000,"category":0,"mem_kb":10}"#,
         r#"{"verb":"go"}"#,
         r#"{"verb":"tick","clock":1004000,"round":2}"#,
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn forgets_a_retired_instance_whose_name_may_come_again_at_once() {
-    let output = host(&[
+fn instance_id_can_be_reused_in_the_round_that_retires_it() {
+    let output = run_adapter(&[
         r#"{"verb":"tick","clock":1000000,"round":1}"#,
-        BOOT,
+        ENLIST_LINE,
         r#"{"verb":"go"}"#,
         r#"{"verb":"tick","clock":1004000,"round":2}"#,
         r#"{"verb":"retire","instance_id":"instance/1"}"#,
-        BOOT,
+        ENLIST_LINE,
         r#"{"verb":"go"}"#,
         r#"{"verb":"tick","clock":1008000,"round":3}"#,
         r#"{"verb":"retire","instance_id":"instance/1"}"#,
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn instances_act_the_same_together_and_apart() {
-    let round = |names: &[&str]| {
+fn actions_of_an_instance_do_not_depend_on_other_instances() {
+    let actions = |names: &[&str]| {
         let mut lines = vec![r#"{"verb":"tick","clock":1000000,"round":1}"#.to_owned()];
         for name in names {
-            lines.push(BOOT.replace("instance/1", name));
+            lines.push(ENLIST_LINE.replace("instance/1", name));
             for id in 1..=9 {
                 lines.push(format!(
                     r#"{{"verb":"accept","instance_id":"{name}","rid":"{id:016x}","category":0}}"#
@@ -96,21 +96,21 @@
             }
         }
         lines.push(r#"{"verb":"go"}"#.to_owned());
-        let output = host(&lines.iter().map(String::as_str).collect::<Vec<_>>());
+        let output = run_adapter(&lines.iter().map(String::as_str).collect::<Vec<_>>());
         text(&output.stdout)
             .lines()
-            .filter(|l| l.contains("instance/4"))
+            .filter(|line| line.contains("instance/4"))
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let apart = round(&["instance/4"]);
-    assert!(apart.len() > 9);
-    assert_eq!(round(&["instance/2", "instance/4"]), apart);
+    let alone = actions(&["instance/4"]);
+    assert!(alone.len() > 9);
+    assert_eq!(actions(&["instance/2", "instance/4"]), alone);
 }
 
 #[test]
 fn reports_and_skips_an_event_of_unknown_kind() {
-    let output = host(&[
+    let output = run_adapter(&[
         r#"{"verb":"tick","clock":1,"round":4}"#,
         r#"{"verb":"novelty","instance_id":"instance/1"}"#,
         r#"{"verb":"go"}"#,
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_status_one_and_names_the_fault() {
+fn invalid_input_exits_with_status_1_and_names_the_error() {
     let accept =
         r#"{"verb":"accept","instance_id":"instance/1","rid":"00000000000000ff","category":3}"#;
     let cases: [(&[&str], &str); 7] = [
@@ -135,7 +135,7 @@
             "unknown instance instance/9",
         ),
         (
-            &[BOOT, accept],
+            &[ENLIST_LINE, accept],
             "round 7, verb accept: category 3 is out of range",
         ),
         (
@@ -144,12 +144,15 @@
         ),
         (&[], "round 7, verb -: the input ended inside a round"),
     ];
-    for (lines, fault) in cases {
-        let mut all = vec![r#"{"verb":"tick","clock":1,"round":7}"#];
-        all.extend(lines);
-        let output = host(&all);
-        assert_eq!(output.status.code(), Some(1), "{fault}");
-        let told = text(&output.stderr);
-        assert!(told.contains(fault) && told.lines().count() == 1, "{told}");
+    for (lines, expected) in cases {
+        let mut input = vec![r#"{"verb":"tick","clock":1,"round":7}"#];
+        input.extend(lines);
+        let output = run_adapter(&input);
+        assert_eq!(output.status.code(), Some(1), "{expected}");
+        let stderr = text(&output.stderr);
+        assert!(
+            stderr.contains(expected) && stderr.lines().count() == 1,
+            "{stderr}"
+        );
     }
 }
