--- a/tests/command_aliases.rs
+++ b/tests/command_aliases.rs
@@ -1,4 +1,4 @@
-//! Subcommands keep the names that they had before they were renamed.
+//! Renamed subcommands can still be called by their former names.
 
 use std::process::{Command, Output};
 
@@ -15,7 +15,7 @@
     String::from_utf8(output.stdout).expect("the help is UTF-8")
 }
 
-/// The help without its usage line, which shows the name that was typed.
+/// Returns the help without its usage line, which has the name that was typed.
 fn help_body(arguments: &[&str]) -> Vec<String> {
     help(arguments)
         .lines()
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,10 +1,10 @@
-//! The documentation leads somewhere: links between pages, and the paths of files that pages name,
-//! exist.
+//! Links between pages of the documentation, and the file paths that pages quote, lead to existing
+//! files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders of the repository: a quoted path that begins with one of them has to exist.
+/// Folders of the repository. A quoted path that begins with one of them has to exist.
 const TOP_FOLDERS: [&str; 8] = [
     "crates/", "src/", "tests/", "docs/", "deploy/", ".ci/", "journal/", "scripts/",
 ];
@@ -16,7 +16,7 @@
 fn pages_in(folder: &Path) -> Vec<PathBuf> {
     let mut pages = Vec::new();
     for entry in fs::read_dir(folder).expect("the folder exists") {
-        let path = entry.expect("an entry").path();
+        let path = entry.expect("read the entry").path();
         if path.is_dir() {
             pages.extend(pages_in(&path));
         } else if path.extension().is_some_and(|extension| extension == "md") {
@@ -27,7 +27,7 @@
     pages
 }
 
-/// All pages but the changelog, which names what stood where at its time.
+/// Returns all pages except the changelog, which names files of earlier releases.
 fn pages() -> Vec<PathBuf> {
     let mut pages = pages_in(&root().join("docs"));
     pages.push(root().join("README.md"));
@@ -35,7 +35,7 @@
     pages
 }
 
-/// The targets of links to other files: `[text](target)`.
+/// Returns the targets of links to other files: `[text](target)`.
 fn link_targets(text: &str) -> Vec<&str> {
     text.split("](")
         .skip(1)
@@ -45,7 +45,8 @@
         .collect()
 }
 
-/// The quoted paths of files and folders: `crates/policy/src`. One with `...` is a pattern.
+/// Returns the quoted paths of files and folders: `crates/policy/src`. A path with `...` is a pattern,
+/// which is left out.
 fn quoted_paths(text: &str) -> Vec<&str> {
     text.split('`')
         .skip(1)
@@ -65,8 +66,8 @@
 fn links_between_pages_lead_to_files() {
     let mut dead = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
-        let folder = page.parent().expect("a page has a folder");
+        let text = fs::read_to_string(&page).expect("read the page");
+        let folder = page.parent().expect("the page is in a folder");
         for target in link_targets(&text) {
             if !folder.join(target).exists() {
                 dead.push(format!("{}: {target}", page.display()));
@@ -80,7 +81,7 @@
 fn paths_that_pages_name_exist() {
     let mut dead = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
+        let text = fs::read_to_string(&page).expect("read the page");
         for path in quoted_paths(&text) {
             if !root().join(path).exists() {
                 dead.push(format!("{}: {path}", page.display()));
--- a/tests/signals.rs
+++ b/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals and kills in the first moments of a process. It reads its configuration from a pipe, so that the test holds it
-//! there until the signal was sent.
+//! Signals and kills during the start of a process. The process reads its configuration from a pipe,
+//! so that the test can keep it waiting there until the signal is sent.
 
 use cleatpulley_emulators::site::{Setup, Site};
 use std::fs::File;
@@ -14,13 +14,13 @@
         Command::new(program)
             .args(args)
             .status()
-            .expect("it is there")
+            .expect("run the command")
             .success(),
         "{program} {args:?}"
     );
 }
 
-fn signal(child: &Child, name: &str) {
+fn send_signal(child: &Child, name: &str) {
     run("kill", &["-s", name, &child.id().to_string()]);
 }
 
@@ -31,67 +31,70 @@
         .env_remove("TMPDIR")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts")
+        .expect("start the program")
 }
 
-/// The rest of its log, and how it ended.
-fn end(child: &mut Child, log: impl BufRead) -> (String, ExitStatus) {
+/// Waits for the exit of a process, and returns the rest of its log and its exit status.
+fn wait_for_exit(child: &mut Child, log: impl BufRead) -> (String, ExitStatus) {
     let lines: Vec<_> = log.lines().map_while(Result::ok).collect();
-    (lines.join("\n"), child.wait().expect("it ends"))
+    (lines.join("\n"), child.wait().expect("wait for the exit"))
 }
 
-/// Reads on in its log up to the line with this text.
-fn wait_for(child: &mut Child, log: &mut impl BufRead, text: &str) -> String {
+/// Reads the log up to the next line that contains this text, and returns that line.
+fn wait_for_log_line(child: &mut Child, log: &mut impl BufRead, text: &str) -> String {
     let mut line = String::new();
     while !line.contains(text) {
         line.clear();
         assert!(
-            log.read_line(&mut line).expect("a line") > 0,
-            "it ended: {:?}",
+            log.read_line(&mut line).expect("read the log") > 0,
+            "the process exited: {:?}",
             child.wait()
         );
     }
     line
 }
 
-/// A process that is sent a signal while it reads its configuration, which is a pipe, and its log. What it reads again later
-/// is a file in the pipe's place.
-fn signalled(name: &str) -> (Child, BufReader<ChildStderr>, Site, TempDir) {
-    let site = Site::start(Setup::default()).expect("a site");
-    let folder = tempfile::tempdir().expect("a folder");
+/// Starts a process and sends it a signal while it reads its configuration from a pipe. Returns the
+/// process and its log. A regular file replaces the pipe for later reloads.
+fn start_and_signal(name: &str) -> (Child, BufReader<ChildStderr>, Site, TempDir) {
+    let site = Site::start(Setup::default()).expect("start the emulated services");
+    let folder = tempfile::tempdir().expect("create a folder");
     let (pipe, file) = (
         folder.path().join("config.json"),
         folder.path().join("next.json"),
     );
-    run("mkfifo", &[pipe.to_str().expect("plain")]);
+    run("mkfifo", &[pipe.to_str().expect("the path is UTF-8")]);
     let mut child = serve(&pipe);
-    // Opens once the program opens its end.
-    let mut writer = File::options().write(true).open(&pipe).expect("a pipe");
-    signal(&child, name);
-    std::fs::write(&file, site.config.to_string()).expect("a file");
-    std::fs::rename(&file, &pipe).expect("in the pipe's place");
+    // Blocks until the program opens the pipe for reading.
+    let mut writer = File::options()
+        .write(true)
+        .open(&pipe)
+        .expect("open the pipe");
+    send_signal(&child, name);
+    std::fs::write(&file, site.config.to_string()).expect("write the configuration");
+    std::fs::rename(&file, &pipe).expect("replace the pipe");
     writer
         .write_all(site.config.to_string().as_bytes())
-        .expect("it reads");
+        .expect("write to the pipe");
     drop(writer);
-    let log = BufReader::new(child.stderr.take().expect("its log is piped"));
+    let log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
     (child, log, site, folder)
 }
 
-/// The usual meaning of SIGHUP is the end of the process.
+/// Without a handler, SIGHUP would terminate the process.
 #[test]
-fn a_new_configuration_while_the_first_is_read_ends_nobody() {
-    let (mut child, mut log, _site, _folder) = signalled("HUP");
-    wait_for(&mut child, &mut log, "configuration read again");
-    signal(&child, "TERM");
-    let (text, status) = end(&mut child, log);
+fn sighup_while_the_configuration_is_read_reloads_it_later() {
+    let (mut child, mut log, _site, _folder) = start_and_signal("HUP");
+    wait_for_log_line(&mut child, &mut log, "configuration read again");
+    send_signal(&child, "TERM");
+    let (text, status) = wait_for_exit(&mut child, log);
     assert_eq!(status.code(), Some(0), "{text}");
 }
 
 #[test]
-fn a_notice_to_leave_while_the_configuration_is_read_is_obeyed_in_order() {
-    let (mut child, log, _site, _folder) = signalled("TERM");
-    let (text, status) = end(&mut child, log);
+fn sigterm_while_the_configuration_is_read_shuts_down_gracefully() {
+    let (mut child, log, _site, _folder) = start_and_signal("TERM");
+    let (text, status) = wait_for_exit(&mut child, log);
     assert_eq!(status.code(), Some(0), "{text}");
     assert!(
         text.contains("leaving within") && text.contains("left"),
@@ -99,34 +102,35 @@
     );
 }
 
-/// Killed as soon as it listens, with a connection open: the next process has the address at once.
+/// A process that is killed as soon as it listens, with a connection open, does not block the address
+/// for the next process.
 #[test]
-fn after_a_kill_in_the_first_moments_the_next_listens_on_the_same_address() {
-    let site = Site::start(Setup::default()).expect("a site");
-    let folder = tempfile::tempdir().expect("a folder");
+fn next_process_can_listen_on_the_address_of_a_killed_one() {
+    let site = Site::start(Setup::default()).expect("start the emulated services");
+    let folder = tempfile::tempdir().expect("create a folder");
     let file = folder.path().join("config.json");
-    // A port of the system's choice that is free again.
+    // The port is chosen by the system, and free again once the listener is dropped.
     let address = TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
-        .expect("a port");
+        .and_then(|listener| listener.local_addr())
+        .expect("find a free port");
     let mut config = site.config.clone();
     config["listen"] = address.to_string().into();
-    std::fs::write(&file, config.to_string()).expect("a file");
+    std::fs::write(&file, config.to_string()).expect("write the configuration");
     let mut streams = Vec::new();
     for _ in 0..3 {
         let mut child = serve(&file);
-        let mut log = BufReader::new(child.stderr.take().expect("its log is piped"));
-        let line = wait_for(&mut child, &mut log, "listens on");
-        let told: SocketAddr = line
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
+        let line = wait_for_log_line(&mut child, &mut log, "listens on");
+        let logged_address: SocketAddr = line
             .trim()
             .rsplit(' ')
             .next()
-            .expect("a word")
+            .expect("the line has words")
             .parse()
-            .expect("an address");
-        assert_eq!(told, address);
-        streams.push(TcpStream::connect(address).expect("it listens"));
-        child.kill().expect("it runs");
-        child.wait().expect("it ends");
+            .expect("the last word is an address");
+        assert_eq!(logged_address, address);
+        streams.push(TcpStream::connect(address).expect("connect to the process"));
+        child.kill().expect("kill the process");
+        child.wait().expect("wait for the exit");
     }
 }
