--- a/src/commands/ajp.rs
+++ b/src/commands/ajp.rs
@@ -15,7 +15,7 @@
 
 /// What is asked.
 #[derive(Subcommand)]
-pub enum Ask {
+pub enum AjpCommand {
     /// Send a CPING and wait for the pong
     Ping(Server),
     /// Send one request and print the answer; ends with 0 for status 200, 3 for another, 4 where it is known that
@@ -58,10 +58,10 @@
 ///
 /// # Errors
 /// Where nothing could be sent or read, with the reason.
-pub fn run(ask: Ask) -> Result<ExitCode, String> {
+pub fn run(ask: AjpCommand) -> Result<ExitCode, String> {
     match ask {
-        Ask::Ping(server) => ping(&server),
-        Ask::Request(args) => request(&args),
+        AjpCommand::Ping(server) => ping(&server),
+        AjpCommand::Request(args) => request(&args),
     }
 }
 
@@ -125,7 +125,7 @@
     while !line.client.take_pong() {
         line.read(&mut input)?;
     }
-    say!(
+    print_line!(
         "pong from {} in {} us",
         server.to,
         begun.elapsed().as_micros()
@@ -183,9 +183,9 @@
 }
 
 fn show(response: &Response) {
-    say!("{}", response.status);
+    print_line!("{}", response.status);
     for (name, value) in &response.headers {
-        say!("{name}: {value}");
+        print_line!("{name}: {value}");
     }
-    say!("\n{}", String::from_utf8_lossy(&response.body));
+    print_line!("\n{}", String::from_utf8_lossy(&response.body));
 }
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -63,13 +63,13 @@
         Check::Idempotency => ("idempotency", super::bench_idempotency::run(&program)?),
     };
     for what in &short {
-        say!("falls short: {what}");
+        print_line!("falls short: {what}");
     }
     if short.is_empty() {
-        say!("{name}: ok");
+        print_line!("{name}: ok");
         return Ok(ExitCode::SUCCESS);
     }
-    say!("{name}: {} of its goals not met", short.len());
+    print_line!("{name}: {} of its goals not met", short.len());
     Ok(ExitCode::FAILURE)
 }
 
@@ -163,16 +163,16 @@
         push_chunks(&mut out, b"grid of 9b1f03aa5c7e2d41.", PACKET_SIZE);
         push_end(&mut out, true);
     });
-    say!("codec, a request of 12 headers, best of {rounds} rounds of {times}:");
-    say!(
+    print_line!("codec, a request of 12 headers, best of {rounds} rounds of {times}:");
+    print_line!(
         "  decode   AJP {decode:6.0} ns   httparse {parse:6.0} ns   ratio {:.2}",
         decode / parse
     );
-    say!(
+    print_line!(
         "  encode   AJP {encode:6.0} ns   HTTP/1.1 {write:6.0} ns   ratio {:.2}",
         encode / write
     );
-    say!("  answer   AJP {answer:6.0} ns");
+    print_line!("  answer   AJP {answer:6.0} ns");
     if decode > parse {
         short.push(format!(
             "decoding takes {:.2} times httparse, the goal is 1",
@@ -210,7 +210,7 @@
 
 fn cpu(program: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
     let (rate, seconds) = (10_000.0, 3);
-    say!(
+    print_line!(
         "CPU a request, runtime that answers at once, {rate:.0} requests a second for {seconds} s:"
     );
     let mut micros = Vec::new();
@@ -232,7 +232,7 @@
         let report = trial.play(program, |_, _| ())?;
         let total = report.total(front);
         let each = report.cpu as f64 / total.asked.max(1) as f64;
-        say!(
+        print_line!(
             "  {front:<7} {each:6.1} us   {:7.0} a second on one core   {} asked, {} served, {} refused, {connections} connections, {:.1} MB",
             1e6 / each,
             total.asked,
@@ -249,7 +249,7 @@
         micros.push(each);
     }
     let ratio = micros[1] / micros[0];
-    say!("  AJP takes {ratio:.2} times frames");
+    print_line!("  AJP takes {ratio:.2} times frames");
     if ratio > 1.3 {
         short.push(format!(
             "AJP takes {ratio:.2} times the CPU of frames a request, the goal is 1.3"
@@ -305,7 +305,7 @@
         each(begin, with_idle, idle.len()),
         each(with_idle, with_stalled, stalled.len()),
     );
-    say!("memory a connection, of 300: idle {idle_kb:.1} KB, stalled halfway through its body {stalled_kb:.1} KB");
+    print_line!("memory a connection, of 300: idle {idle_kb:.1} KB, stalled halfway through its body {stalled_kb:.1} KB");
     if stalled_kb > 32.0 {
         short.push(format!(
             "a stalled connection holds {stalled_kb:.0} KB, the goal is 32"
@@ -351,7 +351,7 @@
 
 fn mixed(program: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
     let seeds = 7..7 + MIXED;
-    say!("mixed load, {MIXED} seeds: half by frames and half by AJP, 90% of capacity, 160% for 2 s, then 110%:");
+    print_line!("mixed load, {MIXED} seeds: half by frames and half by AJP, 90% of capacity, 160% for 2 s, then 110%:");
     let program: PathBuf = program.to_owned();
     let reports = std::thread::scope(|scope| {
         let play = |seed| {
@@ -385,7 +385,7 @@
             .map(|broken| format!("a rule under the mixed load: {broken}")),
     );
     for (class, frames, ajp) in report.shares() {
-        say!(
+        print_line!(
             "  {class:<12} in time: frames {:5.1}%, AJP {:5.1}%",
             frames * 100.0,
             ajp * 100.0
@@ -416,7 +416,7 @@
         let total = report.total(front);
         let refused = total.refused_with_time + total.refused_bare;
         let early = total.refused_early as f64 / refused.max(1) as f64;
-        say!(
+        print_line!(
             "  refused by {front}: {refused}, {:.0}% of them within a tenth of the wanted time",
             early * 100.0
         );
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -69,7 +69,7 @@
         },
         prefix_lengths: PrefixLengths { ipv4: 24, ipv6: 64 },
         reputation: None,
-        sketch_width: cleatpulley::operator::admission::WIDTH,
+        sketch_width: cleatpulley::operator::admission::SKETCH_WIDTH,
         seed: 11,
     };
     let mut admission = Admission::new(settings, 0);
@@ -105,7 +105,7 @@
     let plain = begun.elapsed().as_nanos() as f64 / f64::from(calls);
     let map = buckets.capacity() * (size_of::<(IpAddr, (f64, u64))>() + 1);
     let wrong = f64::from(exact_in.saturating_sub(let_in)) / f64::from(exact_in.max(1));
-    say!(
+    print_line!(
         "a decision at a million addresses, 16,000 of them busy: {ours:.0} ns, a HashMap of buckets {plain:.0} ns; {:.1} and {:.1} \
          bytes an address; {:.3}% of what should have come in was kept out",
         admission.memory_bytes() as f64 / f64::from(MILLION),
@@ -230,7 +230,7 @@
         ("5,000 addresses, callers named", many, named),
         ("5,000 addresses, callers unknown", many, unknown),
     ];
-    say!(
+    print_line!(
         "{FLOOD} new connections a second against {SOCKETS} descriptors, each with a health check and then held, callers at 70% load:"
     );
     let mut all = Vec::new();
@@ -245,7 +245,7 @@
         });
         for ((name, ..), one) in pair.iter().zip(seen) {
             let one = one.map_err(|_| std::io::Error::other("a trial has ended early"))??;
-            say!(
+            print_line!(
                 "  {name:<42} {:5.1}% in time; a connection takes {:.1} ms, {:.0} at most, {} in vain; {} opened; {} descriptors, {:.1} MB",
                 one.served,
                 one.waits.get(one.waits.len() / 2).copied().unwrap_or(f64::NAN),
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -277,7 +277,7 @@
                     .filter(|id| ajp && !started.contains(id))
                     .count();
                 if crossed > 0 {
-                    say!(
+                    print_line!(
                         "  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
                     );
                 }
@@ -409,7 +409,7 @@
         .for_each(|callers| look(callers, Callers::finish));
     let (calm, change) = (since(&calm, &before), since(&after, &calm));
     let lost = 100.0 * (calm.1 - change.1);
-    say!(
+    print_line!(
         "{INSTANCES} instances, frames and AJP, {:.0}% load: in time {:.1}% of {} without, {:.1}% of {} through a replacement: \
          {lost:.1} points lost; refused {:.1}% and {:.1}%",
         100.0 * load,
@@ -450,7 +450,7 @@
         .and_then(|course| course.duration)
         .unwrap_or_default();
     let ratio = takes.as_secs_f64() * 1e6 / bound.max(1) as f64;
-    say!(
+    print_line!(
         "  it took {:.1} s, {ratio:.2} times the planner's {:.1} s",
         takes.as_secs_f64(),
         bound as f64 / 1e6
@@ -462,7 +462,7 @@
     }
     if let (Some(before), Some(after)) = (used, used_after) {
         let cpu = (after.0 - before.0) as f64 / 8e6;
-        say!(
+        print_line!(
             "  daemon with {INSTANCES} instances, asked 50 times a second: {:.1}% of a core, {:.1} MB",
             100.0 * cpu,
             after.1 as f64 / 1e3
@@ -495,7 +495,7 @@
         view.instances.len() == MANY && view.instances.iter().all(|one| one.phase == Phase::Cold)
     };
     let view = yard.wait("all there", all_cold)?;
-    say!(
+    print_line!(
         "{MANY} idle instances were there after {:.2} s",
         begun.elapsed().as_secs_f64()
     );
@@ -503,7 +503,7 @@
     std::thread::sleep(Duration::from_secs(4));
     if let (Some(before), Some(after)) = (before, yard.daemon_uses()) {
         let cpu = (after.0 - before.0) as f64 / begun.elapsed().as_micros() as f64;
-        say!(
+        print_line!(
             "  daemon: {:.1}% of a core, {:.1} MB",
             100.0 * cpu,
             after.1 as f64 / 1e3
@@ -521,7 +521,7 @@
         })?;
         worst = worst.max(begun.elapsed());
     }
-    say!(
+    print_line!(
         "  a death is shown after {:.1} ms, the longest of ten",
         worst.as_secs_f64() * 1e3
     );
@@ -542,7 +542,7 @@
             view.terminated.iter().any(|one| one.incarnation == number)
         })?;
         let hang = begun.elapsed().as_secs_f64();
-        say!("  one that hangs is killed and gone after {hang:.2} s, where silence of 1 s is allowed");
+        print_line!("  one that hangs is killed and gone after {hang:.2} s, where silence of 1 s is allowed");
     }
     let view = yard.wait("all there again", all_cold)?;
     let pids = |view: &FleetView| {
@@ -558,7 +558,7 @@
     yard.up().map_err(text)?;
     let begun = Instant::now();
     let view = yard.wait("taken up", |view| view.instances.len() == MANY)?;
-    say!(
+    print_line!(
         "  after the daemon's death the next has taken up all after {:.0} ms",
         begun.elapsed().as_secs_f64() * 1e3
     );
@@ -599,12 +599,12 @@
             });
         }
     });
-    say!(
+    print_line!(
         "{TRIALS} trials of the plan in {:.1} s; met:",
         begun.elapsed().as_secs_f64()
     );
     for (name, number) in met.into_inner().unwrap_or_default() {
-        say!("  {name:<44} {number:>8}");
+        print_line!("  {name:<44} {number:>8}");
     }
     short.extend(broken.into_inner().unwrap_or_default());
 }
@@ -652,7 +652,7 @@
 
 /// The planner's way beside fixed batches: the time, and the least capacity beyond what is needed.
 fn plans(short: &mut Vec<String>) {
-    say!("replacement of 20 instances, surge 4 at most: the planner beside fixed batches");
+    print_line!("replacement of 20 instances, surge 4 at most: the planner beside fixed batches");
     for load in [0.5, 0.7, 0.9, 0.97] {
         let question = question(20, load);
         let begun = Instant::now();
@@ -661,7 +661,7 @@
         let course = match answer {
             Ok(PlannerOutput::Possible(course)) => course,
             Ok(PlannerOutput::Impossible(_, limit)) => {
-                say!("  load {load:.2}: not possible: {limit}");
+                print_line!("  load {load:.2}: not possible: {limit}");
                 short.push(format!("no plan at load {load}"));
                 continue;
             }
@@ -671,7 +671,7 @@
             }
         };
         let takes = course.duration.unwrap_or_default();
-        say!(
+        print_line!(
             "  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
             course.batch,
             course.surge,
@@ -683,7 +683,7 @@
                 continue;
             };
             let holds = fixed.min_margin.0 >= 0.0;
-            say!(
+            print_line!(
                 "    fixed: batch {batch:>2}, surge {surge}: {:>5.1} s, margin {:>7.1} a second{}",
                 fixed.duration.unwrap_or_default() as f64 / 1e6,
                 fixed.min_margin.0,
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -59,9 +59,9 @@
 
 /// Entries by key and by age: the table, a map with an ordered set, a map with a timing wheel.
 fn table() {
-    say!("entries by key and by age, {MILLION} keys, ns a key (enter, find, age out):");
+    print_line!("entries by key and by age, {MILLION} keys, ns a key (enter, find, age out):");
     let show = |name: &str, figures: [f64; 3], more: String| {
-        say!(
+        print_line!(
             "  {name:<22} {:6.0} {:6.0} {:6.0}{more}",
             figures[0],
             figures[1],
@@ -177,7 +177,7 @@
     let took = begun.elapsed();
     let memory =
         (recovered.memory_bytes() as u64 + journal.stats().index_bytes) as f64 / MILLION as f64;
-    say!(
+    print_line!(
         "recovery: {} keys in {:.2} s; {memory:.0} bytes of memory a kept key, {:.0} on disk",
         recovered.len(),
         took.as_secs_f64(),
@@ -202,7 +202,7 @@
     let kills = 60;
     let begun = Instant::now();
     let (seen, keys) = Kills { kills, seed: 5 }.play(program, &home.join("kills"))?;
-    say!(
+    print_line!(
         "kills: {kills} in {:.1} s; {keys} keys, {} tries, {} served, {} of them with what had been told, {} unknown, {} turned away",
         begun.elapsed().as_secs_f64(),
         seen.asked,
@@ -258,7 +258,7 @@
 
 /// Keyed writes against a runtime that answers at once: what the keeper alone lets through.
 fn writes(program: &Path, home: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
-    say!("keyed writes, a runtime that answers at once, 3 s:");
+    print_line!("keyed writes, a runtime that answers at once, 3 s:");
     for rate in [500.0, 4_000.0] {
         let mut site = Kills::site(1);
         (site.instant, site.cores) = (true, 256);
@@ -274,7 +274,7 @@
         let total = report.total(Front::Frames);
         let (results, syncs) = kept(&report);
         let served = total.in_time + total.late;
-        say!(
+        print_line!(
             "  asked {rate:5.0} a second: {:5.0} served a second, {:.0}% turned away, median {:.1} ms, p99 {:.1} ms, {:.1} records a sync",
             served as f64 / 3.0,
             100.0 * (total.refused_with_time + total.refused_bare) as f64 / total.asked.max(1) as f64,
@@ -307,7 +307,7 @@
 }
 
 fn service(program: &Path, home: &Path, short: &mut Vec<String>) -> std::io::Result<()> {
-    say!(
+    print_line!(
         "service with keeping off and on, {} seeds of 6 s each, all four classes:",
         SEEDS.end - SEEDS.start
     );
@@ -362,7 +362,7 @@
             figures[usize::from(on)].add(&report, &site(1));
         }
         let [off, on] = figures;
-        say!(
+        print_line!(
             "  {:3.0}%: service {:.3} off, {:.3} on; claim-seat median {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms; find-race median {:.0} and {:.0} ms; {:.1} records a sync",
             share * 100.0,
             off.service(),
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -24,7 +24,7 @@
     let begun = Instant::now();
     let summary = seeds::run(Plan::crowded, 1, SEEDS, cores(), false, || (), |_| ());
     let met = |name: &str| summary.met.get(name).map_or(0, |met| met.1);
-    say!(
+    print_line!(
         "{SEEDS} seeds with floods in {:.1} s: {} broke a rule; {}",
         begun.elapsed().as_secs_f64(),
         summary.failed.len(),
@@ -64,7 +64,7 @@
         }
     }
     inject_bug(None);
-    say!(
+    print_line!(
         "injected bugs found in {:.1} s, with the first seed: {}",
         begun.elapsed().as_secs_f64(),
         found.join(", ")
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -83,7 +83,7 @@
 }
 
 fn lookups(short: &mut Vec<String>) -> Result<(), String> {
-    say!("look-ups a second, by locations: the trie, and a look at each prefix");
+    print_line!("look-ups a second, by locations: the trie, and a look at each prefix");
     let mut rates = Vec::new();
     for count in [10, 1_000, 100_000] {
         let prefixes = prefixes(count);
@@ -123,7 +123,7 @@
                     .max_by_key(|prefix| prefix.len()),
             );
         });
-        say!(
+        print_line!(
             "  {count:>7}: {:>6.1} million, {:>9.4} million, ratio {:.0}",
             1e-6 / trie,
             1e-6 / linear,
@@ -164,7 +164,7 @@
     let begun = Instant::now();
     let import = Import::read(&files, "f");
     let took = begun.elapsed();
-    say!(
+    print_line!(
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
         took.as_secs_f64() * 1e3,
@@ -182,7 +182,7 @@
     let files = BTreeMap::from([("f".to_owned(), noise)]);
     let begun = Instant::now();
     let import = Import::read(&files, "f");
-    say!(
+    print_line!(
         "10 MB of noise: refused with {} findings after {:.0} ms",
         import.diagnostics.len(),
         begun.elapsed().as_secs_f64() * 1e3
@@ -221,7 +221,9 @@
     let took = begun.elapsed().as_secs_f64();
     let tried: usize = reports.iter().map(|report| report.requests_checked).sum();
     let held = reports.iter().filter(|report| report.holds()).count();
-    say!("expectations over 30,000 subjects: {took:.2} s for {tried} requests; {held} of 4 hold");
+    print_line!(
+        "expectations over 30,000 subjects: {took:.2} s for {tried} requests; {held} of 4 hold"
+    );
     // One popular subject is on its own in another cell, which two of them have to find.
     let broken = reports
         .iter()
@@ -263,7 +265,7 @@
     let most = counts.values().copied().max().unwrap_or(0);
     let unevenness = f64::from(most) / 2_000.0;
     let share = f64::from(moved) / 32_000.0;
-    say!("consistent hash, 16 targets, 32,000 subjects: the fullest has {unevenness:.2} times its share; {:.1}% move when one goes, {needless} of them needlessly", share * 100.0);
+    print_line!("consistent hash, 16 targets, 32,000 subjects: the fullest has {unevenness:.2} times its share; {:.1}% move when one goes, {needless} of them needlessly", share * 100.0);
     if needless > 0 || unevenness > 1.25 || share > 1.5 / 16.0 {
         short.push(format!(
             "consistent hash: {unevenness:.2} times its share, {:.1}% move, {needless} needlessly",
@@ -312,7 +314,7 @@
 }
 
 fn ways(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
-    say!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow one");
+    print_line!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow one");
     let mut shares = BTreeMap::new();
     for (name, way) in [
         ("round robin", ""),
@@ -329,7 +331,7 @@
         relay.next = "error".to_owned();
         relay.acts = vec![(0, 0, Act::Slow(4.0))];
         let report = play(&relay, program, short)?;
-        say!(
+        print_line!(
             "  {name:18} {:5.1}%  {:4.0} ms  {:4.1}%",
             report.in_time() * 100.0,
             report.latency_ms.1,
@@ -361,7 +363,7 @@
         (3_200 * MS, 2, Act::Slow(4.0)),
         (4_000 * MS, 2, Act::Slow(1.0)),
     ];
-    say!("90% load, five targets: in time, turned away, failed, tries for each request, gateway's CPU a request and memory");
+    print_line!("90% load, five targets: in time, turned away, failed, tries for each request, gateway's CPU a request and memory");
     for (name, relay) in [
         ("calm", &calm),
         ("one dies, one drains, one slows", &troubled),
@@ -369,7 +371,7 @@
         let report = play(relay, program, short)?;
         let total = report.total();
         let refused = total.refused_bare + total.refused_with_time;
-        say!(
+        print_line!(
             "  {name:32} {:5.1}%  {refused:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
             report.in_time() * 100.0,
             total.failed,
@@ -378,7 +380,7 @@
             report.memory_kb as f64 / 1e3
         );
     }
-    say!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
+    print_line!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
     for front in [Front::Frames, Front::Ajp] {
         let mut relay = relay(0.0, 2.0);
         relay.way = "least_conn;".to_owned();
@@ -390,7 +392,7 @@
         relay.rates = vec![(front, 8_000.0)];
         let report = play(&relay, program, short)?;
         let (in_time, p99) = (report.in_time() * 100.0, report.latency_ms.1);
-        say!(
+        print_line!(
             "  {front:8} {in_time:5.1}%  {p99:.1} ms  {:.1} us  {:.1} MB",
             report.cpu,
             report.memory_kb as f64 / 1e3
@@ -401,7 +403,7 @@
             ));
         }
     }
-    say!("half of the targets fail all they run, half load: tries for each request, by the budget's share");
+    print_line!("half of the targets fail all they run, half load: tries for each request, by the budget's share");
     for share in [0.0, 0.1, 0.3] {
         let mut relay = relay(0.5, 2.0);
         relay.next = "error timeout http_503 http_500".to_owned();
@@ -414,7 +416,7 @@
         let report = play(&relay, program, short)?;
         let total = report.total();
         let most = 1.0 + share + 12.0 / total.asked.max(1) as f64;
-        say!(
+        print_line!(
             "  share {share:.1}: {:.3} of at most {most:.3}; {:.1}% in time",
             report.tries,
             report.in_time() * 100.0
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -166,7 +166,7 @@
     });
     times.sort_by(f64::total_cmp);
     let (p50, p99, worst) = (at(&times, 0.5), at(&times, 0.99), at(&times, 1.0));
-    say!(
+    print_line!(
         "operators at 110% load beside {CROWD} silent connections at each address ({} opened): {} answers, median {p50:.2} ms, \
          p99 {p99:.2} ms, worst {worst:.2} ms, {failed} without an answer",
         opened.load(Ordering::Relaxed),
@@ -179,7 +179,7 @@
     }
     let report = judged(going);
     // Callers whose connection the crowd kept out are no matter of the rules here.
-    say!(
+    print_line!(
         "  meanwhile {:.1}% of the clients' requests in time",
         served(&report)
     );
@@ -201,13 +201,13 @@
         .iter()
         .filter(|(.., t)| t.lost + t.unreachable > 0)
     {
-        say!(
+        print_line!(
             "  {front} {class}: {} lost, {} refused a connection",
             tally.lost,
             tally.unreachable
         );
     }
-    say!(
+    print_line!(
         "{UPGRADES} upgrades in a row at 80% load: {} requests ended at the door, {:.1}% in time, yes after {} ms and left after \
          {} ms at most, rules: {}",
         door(&report),
@@ -249,7 +249,7 @@
             Ok(())
         })?;
         let pairs = PAIRS.count() as f64;
-        say!(
+        print_line!(
             "ten seconds round an upgrade at {:.0}% load, {pairs} pairs: {:.2}% in time, {:.2}% in the same seconds without one",
             share * 100.0,
             with / pairs,
@@ -275,7 +275,7 @@
 fn played(short: &mut Vec<String>) {
     let summary = seeds::run(Plan::of, 1, SEEDS, jobs(), false, || (), |_| ());
     let met = |name: &str| summary.met.get(name).map_or(0, |(times, _)| *times);
-    say!(
+    print_line!(
         "{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
          {} broke a rule",
         met("upgrade"),
@@ -348,7 +348,7 @@
             .map(|one| (one - mean).powi(2))
             .sum::<f64>()
             / (number - 1.0);
-        say!(
+        print_line!(
             "what was learned passed on, {PAIRED} seeds with two upgrades at {:.0}% load, each with and without: {mean:+.3} points of \
              tries served, standard error {:.3}",
             load * 100.0,
@@ -374,7 +374,7 @@
         }
     }
     inject_bug(None);
-    say!(
+    print_line!(
         "injected bugs found, with the first seed: {}",
         found.join(", ")
     );
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -60,7 +60,7 @@
         }
     }
     let other = begun.elapsed().as_nanos() as f64 / turns as f64;
-    say!(
+    print_line!(
         "queue of 600 events, ns an event: ring and heap {own:.0}, BinaryHeap alone {other:.0}, ratio {:.2}",
         own / other
     );
@@ -89,7 +89,7 @@
     let begun = Instant::now();
     let outcome = seeds::play(plan);
     let ratio = outcome.simulated as f64 / 1e6 / begun.elapsed().as_secs_f64();
-    say!(
+    print_line!(
         "one matcher, {:.0} tries a second: {ratio:.0} times real time on one core",
         outcome.counts[0] as f64 / 60.0
     );
@@ -119,7 +119,7 @@
 fn same(short: &mut Vec<String>) {
     let digest = |jobs| seeds::run(Plan::of, 1, 60, jobs, false, || (), |_| ()).digest;
     let (one, many) = (digest(1), digest(cores().max(2)));
-    say!("60 seeds by one job and by many: digests {one:016x} and {many:016x}");
+    print_line!("60 seeds by one job and by many: digests {one:016x} and {many:016x}");
     if one != many {
         short.push("the same seeds pass differently with other job counts".to_owned());
     }
@@ -130,7 +130,7 @@
         short.push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
-    say!("injected bugs: seeds to the first find, faults before and after it was shrunk");
+    print_line!("injected bugs: seeds to the first find, faults before and after it was shrunk");
     let any = InjectedBug::GENERAL.map(|bug| (bug, Plan::of as fn(u64) -> Plan));
     let chains = InjectedBug::HOT_RESTART_CHAINS.map(|bug| (bug, Plan::chained as fn(u64) -> Plan));
     for (bug, plan) in any.into_iter().chain(chains) {
@@ -140,7 +140,7 @@
         };
         let summary = seeds::run(plan, 1, WITHIN, cores().min(4), true, prepare, |_| ());
         let Some(first) = summary.failed.first() else {
-            say!(
+            print_line!(
                 "  {:<18} not found in {} seeds",
                 format!("{bug:?}"),
                 summary.seeds
@@ -158,7 +158,7 @@
         }
         let faults = whole.faults.len();
         let (small, played) = seeds::shrink(whole, 12);
-        say!(
+        print_line!(
             "  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of asking, in {played} plans: {}",
             format!("{bug:?}"),
             first.seed,
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -407,7 +407,7 @@
     let files = Files::new()?;
     let (full, resumed) = handshakes(&files, Versions::Only13)?;
     let (full12, resumed12) = handshakes(&files, Versions::Only12)?;
-    say!(
+    print_line!(
         "TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
          1.2 full {full12:.0} us ({:.0}), resumed {resumed12:.0} us ({:.0})",
         1e6 / full,
@@ -425,7 +425,7 @@
     }
     let (plain, tls) = (median(plains), median(tlss));
     let ratio = tls / plain;
-    say!(
+    print_line!(
         "CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
     );
     if ratio >= GOAL_RATIO {
@@ -438,7 +438,7 @@
         idle(program, &files, false)?,
         in_flight(program, &files)?,
     );
-    say!(
+    print_line!(
         "memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
     );
     let (one, share, done) = flood(program, &files)?;
@@ -446,7 +446,7 @@
     let strangers = BOUND
         * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserved_share);
     let allowed = strangers * one / 1e6;
-    say!(
+    print_line!(
         "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
          at the matcher's {one:.0} us a handshake one at a time (before and after), the bound allows {:.1}%",
         share * 100.0,
--- a/src/commands/certs.rs
+++ b/src/commands/certs.rs
@@ -148,13 +148,13 @@
         made.key.as_bytes(),
     );
     let facts = pair.map_err(|e| e.to_string())?.facts;
-    say!(
+    print_line!(
         "{} for {}, valid until {} (Unix seconds)",
         certificate.display(),
         facts.names.join(", "),
         facts.not_after
     );
-    say!("{} (mode 0600)", key.display());
+    print_line!("{} (mode 0600)", key.display());
     Ok(())
 }
 
@@ -175,9 +175,9 @@
             create(&key, &made.key, 0o600)?;
             create(&certificate, &made.certificate, 0o644)?;
             create(&secret, &format!("{}\n", tickets::new_secret()?), 0o600)?;
-            say!("{}: the authority {name:?}", certificate.display());
-            say!("{} (mode 0600)", key.display());
-            say!(
+            print_line!("{}: the authority {name:?}", certificate.display());
+            print_line!("{} (mode 0600)", key.display());
+            print_line!(
                 "{}: the secret of ticket keys (mode 0600); every instance of the host names it",
                 secret.display()
             );
@@ -217,10 +217,10 @@
                 let facts = Facts::of(certificate)
                     .map_err(|what| format!("{}: certificate {}: {what}", file.display(), i + 1))?;
                 if i > 0 {
-                    say!();
+                    print_line!();
                 }
-                say!("{facts}");
-                say!(
+                print_line!("{facts}");
+                print_line!(
                     "days left    {}",
                     facts.left(now() as u64).div_euclid(86_400)
                 );
@@ -255,14 +255,14 @@
     let at = at.unwrap_or(now() as u64);
     let verdict = verdict::judge((file, &chain), (roots, &trusted), &name, at)?;
     let mut good = verdict.is_good();
-    say!(
+    print_line!(
         "as the server {name:?}: {}",
         verdict
             .as_server
             .as_deref()
             .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
-    say!(
+    print_line!(
         "as a client: {}",
         verdict
             .as_client
@@ -276,15 +276,15 @@
             key,
             &std::fs::read(key).map_err(|e| format!("{}: {e}", key.display()))?,
         ) {
-            Ok(_) => say!("key: it belongs to the certificate"),
+            Ok(_) => print_line!("key: it belongs to the certificate"),
             Err(fault) => {
                 good = false;
-                say!("key: {fault}");
+                print_line!("key: {fault}");
             }
         }
     }
     let left = facts.left(at);
-    say!("expires in {} days ({left} s)", left.div_euclid(86_400));
+    print_line!("expires in {} days ({left} s)", left.div_euclid(86_400));
     Ok(if good {
         ExitCode::SUCCESS
     } else {
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -15,11 +15,11 @@
 pub fn run() -> Result<(), String> {
     let site = Setup::default();
     let capacity = site.capacity();
-    say!(
+    print_line!(
         "Runtime, store and directory stand in on loopback: {} cores for about {capacity:.0} requests a second.",
         site.cores
     );
-    say!("Callers by frames and by AJP ask half of that for 6 s, twice that in a surge of 3 s, and half again.");
+    print_line!("Callers by frames and by AJP ask half of that for 6 s, twice that in a surge of 3 s, and half again.");
     let rate = |share: f64| capacity * share / 2.0;
     let rates = vec![
         (6 * SECOND, rate(0.5)),
--- a/src/commands/emulators.rs
+++ b/src/commands/emulators.rs
@@ -69,7 +69,7 @@
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     config["runtime"] = json!(site.runtimes[0].to_string());
-    say!(
+    print_line!(
         "runtime {}, store {}, directory {}; about {:.0} requests a second; configuration in {}",
         config["runtime"].as_str().unwrap_or_default(),
         config["store"].as_str().unwrap_or_default(),
@@ -77,7 +77,7 @@
         site.setup.capacity(),
         args.write_config.display(),
     );
-    say!(
+    print_line!(
         "next: cleatpulley serve --config {} --operator deploy/operator.jsonnet",
         args.write_config.display()
     );
@@ -90,7 +90,7 @@
         let fine = look(&site.runtime, |runtime| runtime.seen.fine);
         if fine != shown {
             let calls = look(&site.store, |store| store.seen.calls);
-            say!("{fine} runs ended well, {calls} calls to the store");
+            print_line!("{fine} runs ended well, {calls} calls to the store");
             shown = fine;
         }
     }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -153,7 +153,7 @@
 fn execute(args: &FleetArgs, command: &ControlCommand) -> Result<ExitCode, String> {
     let view = send_command(&load_config(&args.file)?.folder, command)?;
     if args.json {
-        say!(
+        print_line!(
             "{}",
             serde_json::to_string_pretty(&view).map_err(|e| e.to_string())?
         );
@@ -205,8 +205,8 @@
 }
 
 fn print_fleet(view: &FleetView) {
-    say!("{}", summary(view));
-    say!(
+    print_line!("{}", summary(view));
+    print_line!(
         "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>6} {:>8} {:>8} {:>5}",
         "name",
         "address",
@@ -220,7 +220,7 @@
         "held"
     );
     for instance in &view.instances {
-        say!(
+        print_line!(
             "{:<12} {:<21} {:>6} {:>4} {:<9} {:>7} {:>5.0}% {:>6.1}/s {:>7.1}% {:>5}",
             instance.slot.name,
             instance.slot.listen,
@@ -241,7 +241,7 @@
     {
         let reason = instance.failure_reason.as_deref().unwrap_or_default();
         let log_path = instance.log_path.display();
-        say!(
+        print_line!(
             "failed: instance {}, generation {}: {reason}; log {log_path}",
             instance.incarnation,
             instance.generation
@@ -260,7 +260,7 @@
     while view.replacement.is_some() {
         let line = summary(&view);
         if line != last_line {
-            say!("{line}");
+            print_line!("{line}");
             last_line = line;
         }
         std::thread::sleep(Duration::from_millis(200));
@@ -272,7 +272,7 @@
                 Err(error) if retries >= MAX_STATUS_RETRIES => return Err(error),
                 Err(error) => {
                     if retries == 0 {
-                        say!("{error}; waiting for it");
+                        print_line!("{error}; waiting for it");
                     }
                     retries += 1;
                     std::thread::sleep(Duration::from_millis(200));
@@ -280,7 +280,7 @@
             }
         };
     }
-    say!("{}", summary(&view));
+    print_line!("{}", summary(&view));
     Ok(if view.stable_generation == generation {
         ExitCode::SUCCESS
     } else {
@@ -306,7 +306,7 @@
                 "possible": false, "limit": limit, "what": limit.to_string(), "nearest": schedule
             }),
         };
-        say!("{value:#}");
+        print_line!("{value:#}");
     } else {
         print_plan(&config, input, &output);
     }
@@ -325,8 +325,8 @@
     let schedule = match output {
         PlannerOutput::Possible(schedule) => schedule,
         PlannerOutput::Impossible(schedule, limit) => {
-            say!("not possible: {limit}");
-            say!("the schedule with the largest margin:");
+            print_line!("not possible: {limit}");
+            print_line!("the schedule with the largest margin:");
             schedule
         }
     };
@@ -335,7 +335,7 @@
         .map_or("it does not end".to_owned(), |duration| {
             format!("{:.1} s", seconds(duration))
         });
-    say!(
+    print_line!(
         "{} instances, batch {}, surge {}: {duration}; least margin {:.1} requests a second at {:.1} s; {:.1} of {:.1} cores \
          at most",
         input.settings.instances,
@@ -346,7 +346,7 @@
         schedule.peak_cores,
         input.host.cores
     );
-    say!("\n{:>9}  {:<5}  {:>8}  place", "s", "step", "instance");
+    print_line!("\n{:>9}  {:<5}  {:>8}  place", "s", "step", "instance");
     for step in &schedule.steps {
         let kind = match step.kind {
             StepKind::Start => "start",
@@ -358,7 +358,7 @@
             .slots
             .get(step.slot)
             .map_or("", |slot| slot.name.as_str());
-        say!(
+        print_line!(
             "{:>9.2}  {kind:<5}  {:>8}  {slot}",
             seconds(step.at),
             step.incarnation
@@ -377,7 +377,7 @@
         .iter()
         .map(|sample| sample.1.max(sample.2))
         .fold(1.0, f64::max);
-    say!(
+    print_line!(
         "\n{:>9}  {:>9}  {:>9}  # capacity, | needed",
         "s",
         "capacity",
@@ -400,7 +400,7 @@
         bar[..column(available)].fill(b'#');
         bar[column(needed)] = b'|';
         let bar = String::from_utf8(bar).unwrap_or_default();
-        say!(
+        print_line!(
             "{:>9.2}  {available:>9.1}  {needed:>9.1}  {}",
             seconds(at),
             bar.trim_end()
--- a/src/commands/idempotency.rs
+++ b/src/commands/idempotency.rs
@@ -196,7 +196,7 @@
         .map_or(0, |bytes| u64::from_be_bytes(*bytes));
     let record = value.get(8..).and_then(KeyRecord::decode);
     let record = record.ok_or_else(|| format!("what is kept of {key:?} can't be read"))?;
-    say!("{}", shown(key, &record, expiry));
+    print_line!("{}", shown(key, &record, expiry));
     Ok(ExitCode::SUCCESS)
 }
 
@@ -219,7 +219,7 @@
     let store = reader(dir)?;
     let recovered = journal::recover(&store, now(), 0).map_err(|e| e.to_string())?;
     let stats = store.stats();
-    say!(
+    print_line!(
         "{} keys: {} with a result, {} that may have run; {} bytes on disk, {:.0} bytes of memory a key",
         recovered.len(),
         recovered.completed,
@@ -233,7 +233,7 @@
         } else {
             "given away"
         };
-        say!(
+        print_line!(
             "{}",
             json!({"range": fence.range, "epoch": fence.epoch, "keys": whose})
         );
@@ -251,7 +251,7 @@
     file.sync_all()
         .map_err(|e| format!("{}: {e}", to.display()))?;
     journal.close().map_err(|e| e.to_string())?;
-    say!("{entries} keys given away in {}", to.display());
+    print_line!("{entries} keys given away in {}", to.display());
     Ok(ExitCode::SUCCESS)
 }
 
@@ -261,6 +261,6 @@
     let taken = transfer::import(&mut journal, now(), &mut BufReader::new(file))
         .map_err(|e| format!("{}: {e}", from.display()))?;
     journal.close().map_err(|e| e.to_string())?;
-    say!("{taken} keys taken over from {}", from.display());
+    print_line!("{taken} keys taken over from {}", from.display());
     Ok(ExitCode::SUCCESS)
 }
--- a/src/commands/log_store.rs
+++ b/src/commands/log_store.rs
@@ -97,8 +97,8 @@
 
 fn stat(store: &Store<OsFolder>, found: &RecoveryReport) -> ExitCode {
     let stats = store.stats();
-    say!("{found}");
-    say!(
+    print_line!("{found}");
+    print_line!(
         "{} bytes in {} segments, {} of them live ({:.2} times the live); index {} bytes, {:.1} a key",
         stats.bytes,
         stats.segments,
@@ -113,14 +113,14 @@
 fn check(dir: &Dir) -> Result<ExitCode, Error> {
     let (store, found) = dir.reader()?;
     let checked = store.verify(|done, all| progress("reading", done, all))?;
-    say!("{found}");
-    say!(
+    print_line!("{found}");
+    print_line!(
         "{} good records in {} bytes",
         checked.records_read,
         checked.bytes
     );
     for (file, offset, bytes) in &checked.damaged_ranges {
-        say!("damaged: {file}: {bytes} bytes at {offset}");
+        print_line!("damaged: {file}: {bytes} bytes at {offset}");
     }
     let good = checked.damaged_ranges.is_empty()
         && found.quarantined.is_empty()
@@ -172,15 +172,15 @@
     let before = store.stats().bytes;
     maintain(&mut store)?;
     let after = store.stats().bytes;
-    say!("{found}");
-    say!("{before} bytes before, {after} after");
+    print_line!("{found}");
+    print_line!("{before} bytes before, {after} after");
     store.close()?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn repair(dir: &Dir) -> Result<ExitCode, Error> {
     let (mut store, found) = dir.writer(false)?;
-    say!("{found}");
+    print_line!("{found}");
     let checked = store.verify(|done, all| progress("reading", done, all))?;
     let mut names: Vec<_> = checked
         .damaged_ranges
@@ -191,8 +191,10 @@
     let rewritten = store.rewrite_segments(now(), &names)?;
     maintain(&mut store)?;
     match rewritten {
-        0 => say!("no segment had to be rewritten"),
-        _ => say!("{rewritten} damaged segments were rewritten; their files are kept as *.damaged"),
+        0 => print_line!("no segment had to be rewritten"),
+        _ => print_line!(
+            "{rewritten} damaged segments were rewritten; their files are kept as *.damaged"
+        ),
     }
     store.close()?;
     Ok(ExitCode::SUCCESS)
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley routes`: what an nginx configuration means here, and whether it does what is expected.
 
 use clap::Subcommand;
-use cleatpulley::nginx::{load, Disk};
+use cleatpulley::nginx::{load_routes, LocalFiles};
 use cleatpulley::operator;
 use cleatpulley_routes::diff::{describe_decision, diff_routes};
 use cleatpulley_routes::expectations::{check_expectations, Coverage, ExpectationFile, Outcome};
@@ -127,7 +127,7 @@
                     DirectiveSupport::Ignored => ("passed over", ""),
                     DirectiveSupport::Unsupported(why) => ("refused", *why),
                 };
-                say!(
+                print_line!(
                     "{}",
                     format!("{name:32} {contexts:5} {what:12} {why}").trim_end()
                 );
@@ -140,20 +140,23 @@
 fn import(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let show = |routes: &cleatpulley_routes::model::Routes| -> Result<ExitCode, String> {
         if as_json {
-            say!(
+            print_line!(
                 "{}",
                 serde_json::to_string_pretty(routes).map_err(|e| e.to_string())?
             );
         } else {
-            routes.to_lines().iter().for_each(|line| say!("{line}"));
+            routes
+                .to_lines()
+                .iter()
+                .for_each(|line| print_line!("{line}"));
         }
         Ok(ExitCode::SUCCESS)
     };
     if file.extension().is_some_and(|end| end == "json") {
-        return show(&load(file)?);
+        return show(&load_routes(file)?);
     }
     let name = file.to_str().ok_or("the file's name is no text")?;
-    let import = Import::read(&Disk, name);
+    let import = Import::read(&LocalFiles, name);
     for finding in &import.diagnostics {
         eprintln!("{}", finding.render());
     }
@@ -168,37 +171,40 @@
 }
 
 fn explain(file: &Path, asked: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
-    let table = Router::new(&load(file)?)?;
+    let table = Router::new(&load_routes(file)?)?;
     let (decision, said) = table.explain(asked)?;
     let comes_to = describe_decision(&Ok(decision));
     if as_json {
-        say!("{}", json!({ "weighed": said, "comes_to": comes_to }));
+        print_line!("{}", json!({ "weighed": said, "comes_to": comes_to }));
     } else {
-        said.iter().for_each(|line| say!("{line}"));
-        say!("comes to: {comes_to}");
+        said.iter().for_each(|line| print_line!("{line}"));
+        print_line!("comes to: {comes_to}");
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn differ(old: &Path, new: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let difference = diff_routes(&load(old)?, &load(new)?)?;
+    let difference = diff_routes(&load_routes(old)?, &load_routes(new)?)?;
     if as_json {
-        say!(
+        print_line!(
             "{}",
             serde_json::to_string(&difference).map_err(|e| e.to_string())?
         );
     } else {
         for moved in &difference.rerouted {
-            say!("- {}", moved.before);
-            say!("+ {}", moved.after);
-            say!(
+            print_line!("- {}", moved.before);
+            print_line!("+ {}", moved.after);
+            print_line!(
                 "    such as {} ({} of those tried)",
                 moved.example,
                 moved.count
             );
         }
-        difference.pools.iter().for_each(|line| say!("pool {line}"));
-        say!("{} requests tried", difference.probe_count);
+        difference
+            .pools
+            .iter()
+            .for_each(|line| print_line!("pool {line}"));
+        print_line!("{} requests tried", difference.probe_count);
     }
     Ok(if difference.is_empty() {
         ExitCode::SUCCESS
@@ -208,7 +214,7 @@
 }
 
 fn expect(file: &Path, expectations: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let routes = load(file)?;
+    let routes = load_routes(file)?;
     let text = operator::evaluate(expectations).map_err(|e| e.to_string())?;
     let mut reader = serde_json::Deserializer::from_str(&text);
     let read: ExpectationFile = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
@@ -225,10 +231,10 @@
         .parent()
         .map(Path::to_owned)
         .unwrap_or_default();
-    let reports = check_expectations(&routes, &read, &|name| load(&folder.join(name)))?;
+    let reports = check_expectations(&routes, &read, &|name| load_routes(&folder.join(name)))?;
     for report in &reports {
         if as_json {
-            say!(
+            print_line!(
                 "{}",
                 serde_json::to_string(report).map_err(|e| e.to_string())?
             );
@@ -236,17 +242,17 @@
         }
         let tried = report.requests_checked;
         match &report.outcome {
-            Outcome::Holds(Coverage::Proven) => say!("holds    {}: proven", report.name),
+            Outcome::Holds(Coverage::Proven) => print_line!("holds    {}: proven", report.name),
             Outcome::Holds(Coverage::Sampled) => {
-                say!(
+                print_line!(
                     "holds    {}: for {tried} requests that were tried",
                     report.name
                 )
             }
             Outcome::Broken { example, count } => {
-                say!("broken   {}: {example} ({count} found)", report.name)
+                print_line!("broken   {}: {example} ({count} found)", report.name)
             }
-            Outcome::Vacuous(why) => say!("vacuous  {}: {why}", report.name),
+            Outcome::Vacuous(why) => print_line!("vacuous  {}: {why}", report.name),
         }
     }
     let all = reports
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -134,9 +134,9 @@
     }
     show(&summary, begun.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
-        say!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
+        print_line!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
     }
-    say!(
+    print_line!(
         "{} seeds, {} broke a rule; digest {:016x}",
         summary.seeds,
         summary.failed.len(),
@@ -149,7 +149,7 @@
 pub fn show(summary: &Summary, took: Duration, jobs: usize) {
     let seconds = took.as_secs_f64().max(1e-9);
     let simulated = summary.simulated as f64 / 1e6;
-    say!(
+    print_line!(
         "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
         summary.seeds,
         summary.seeds as f64 / seconds,
@@ -158,15 +158,15 @@
         summary.events as f64 / 1e6
     );
     let [sent, served, refused, failed, unreachable] = summary.counts;
-    say!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
-    say!("met:");
+    print_line!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
+    print_line!("met:");
     for (name, (times, seeds)) in &summary.met {
-        say!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
+        print_line!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
 
 fn describe(plan: &Plan) {
-    say!(
+    print_line!(
         "seed {}: {} matchers of {} cores, {:.0}% load for {:.1} s, {} descriptors{}{}",
         plan.seed,
         plan.matchers,
@@ -186,9 +186,11 @@
         }
     );
     for (n, habit) in plan.habits.iter().enumerate() {
-        say!("  front end {n}: {habit:?}");
+        print_line!("  front end {n}: {habit:?}");
     }
-    plan.faults.iter().for_each(|planned| say!("  {planned}"));
+    plan.faults
+        .iter()
+        .for_each(|planned| print_line!("  {planned}"));
 }
 
 fn replay(plan: Plan, last: Option<usize>) -> ExitCode {
@@ -216,11 +218,11 @@
 
 fn shrink(whole: &Plan, most: u32) -> ExitCode {
     if seeds::play(whole.clone()).broken.is_empty() {
-        say!("seed {} breaks no rule", whole.seed);
+        print_line!("seed {} breaks no rule", whole.seed);
         return ExitCode::SUCCESS;
     }
     let (small, played) = seeds::shrink(whole.clone(), most);
-    say!(
+    print_line!(
         "{played} plans played; {} faults of {} are left:",
         small.faults.len(),
         whole.faults.len()
@@ -229,10 +231,10 @@
     let (outcome, trace) = seeds::replay(small);
     trace[trace.len().saturating_sub(40)..]
         .iter()
-        .for_each(|line| say!("{line}"));
+        .for_each(|line| print_line!("{line}"));
     outcome
         .broken
         .iter()
-        .for_each(|what| say!("broken: {what}"));
+        .for_each(|what| print_line!("broken: {what}"));
     ExitCode::FAILURE
 }
--- a/src/commands/upgrade.rs
+++ b/src/commands/upgrade.rs
@@ -1,6 +1,6 @@
 //! `cleatpulley upgrade`: puts a new process in the place of one that serves, and shows each step.
 
-use crate::Sourced;
+use crate::ConfigArgs;
 use clap::Args;
 use cleatpulley::protocol::http;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -25,7 +25,7 @@
     #[arg(long)]
     pid: u32,
     #[command(flatten)]
-    sourced: Sourced,
+    config_args: ConfigArgs,
     /// The program to start; this one unless set
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
@@ -49,9 +49,9 @@
 /// What went wrong, and who serves then.
 pub fn run(upgrade: Upgrade) -> Result<ExitCode, String> {
     let watch = open(upgrade.pid).map_err(|e| format!("--pid: process {}: {e}", upgrade.pid))?;
-    let args = upgrade.sourced.args();
-    let (config, ..) = upgrade.sourced.load()?;
-    let mgmt = config.mgmt.filter(|address| address.port() != 0);
+    let args = upgrade.config_args.to_arguments();
+    let (config, ..) = upgrade.config_args.load()?;
+    let mgmt = config.management.filter(|address| address.port() != 0);
     let mgmt = mgmt
         .ok_or("mgmt: the new process needs an address of its own, with a port, to be asked at")?;
     if ask(mgmt).is_ok() {
@@ -83,7 +83,7 @@
     let mut new = command
         .spawn()
         .map_err(|e| format!("--program: {}: {e}", program.display()))?;
-    say!(
+    print_line!(
         "1. process {} started, log in {}",
         new.id(),
         upgrade.log_file.display()
@@ -102,12 +102,12 @@
             upgrade.pid
         ));
     }
-    say!(
+    print_line!(
         "2. it takes clients after {} ms",
         begun.elapsed().as_millis()
     );
     pidfd_send_signal(&watch, Signal::TERM).map_err(|e| format!("process {}: {e}", upgrade.pid))?;
-    say!("3. process {} told to leave", upgrade.pid);
+    print_line!("3. process {} told to leave", upgrade.pid);
     let told = Instant::now();
     if !ended(&watch, Duration::from_secs_f64(upgrade.left_within)).map_err(|e| e.to_string())? {
         return Err(format!(
@@ -117,7 +117,7 @@
             new.id()
         ));
     }
-    say!(
+    print_line!(
         "4. it has left after {} ms; process {} serves at {}",
         told.elapsed().as_millis(),
         new.id(),
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
-//! The one place where the configuration is read, checked and given its defaults: flags come before the
-//! environment, and that before the file.
+//! Reads and checks the configuration and sets its defaults. Flags take precedence over the
+//! environment, and the environment takes precedence over the file.
 
-use crate::operator::Operator;
+use crate::operator::OperatorSettings;
 use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope;
 use cleatpulley_policy::interface::{Class, Effect, Micros, Settings};
@@ -11,24 +11,25 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const STOP_MS: u64 = 3_200;
-const SOCKETS: usize = 1_024;
-const MEMORY_MB: usize = 192;
-/// The platform's field that all tries of a keyed request share.
-const KEY_FIELD: &str = "unique";
-/// The protocol's largest result.
-const LARGEST_RESULT: usize = 4_096;
-/// Results of keyed requests take this part of the process's memory at most: as much again lies dead in files, which count
-/// as memory, before it is compacted away.
-const RESULTS_SHARE: usize = 4;
-/// Where nothing waits for a disk, a file that takes so long has failed.
-const STALL: Micros = 1_000_000;
-/// With fewer there is no room for front ends beside the matcher's own connections.
-const FEWEST_SOCKETS: usize = 128;
+const DEFAULT_STOP_MS: u64 = 3_200;
+const DEFAULT_MAX_SOCKETS: usize = 1_024;
+const DEFAULT_MEMORY_MB: usize = 192;
+/// The platform's frame field whose value is the same in all attempts of a keyed request.
+const DEFAULT_KEY_FRAME_FIELD: &str = "unique";
+/// Size of the largest result that the protocol allows.
+const MAX_RESULT_BYTES: usize = 4_096;
+/// Results of keyed requests take at most one part in this many of the process's memory. Up to the
+/// same amount again is dead data in files, which count as memory, until it is compacted.
+const RESULT_MEMORY_DIVISOR: usize = 4;
+/// These writes never wait for a disk, so one that takes this long has failed.
+const STALL_TIMEOUT_US: Micros = 1_000_000;
+/// With fewer sockets, the matcher's own connections leave no room for front ends.
+const MIN_SOCKETS: usize = 128;
 
-/// What flags and environment say; the file says the rest.
+/// Settings from flags and the environment, and the path of the configuration file, which has the
+/// rest.
 #[derive(Debug, Clone, Default)]
-pub struct Sources {
+pub struct ConfigSources {
     /// `--config` or `GW_CONFIG`.
     pub file: Option<PathBuf>,
     /// `--name` or `GW_NAME`.
@@ -36,18 +37,20 @@
     /// `--listen` or `GW_LISTEN`.
     pub listen: Option<String>,
     /// `--mgmt` or `GW_MGMT`.
-    pub mgmt: Option<String>,
+    pub management: Option<String>,
 }
 
-impl Sources {
-    /// Fills what no flag said from the environment.
+impl ConfigSources {
+    /// Sets what no flag has set from the environment; `variable` returns a variable's value.
     #[must_use]
-    pub fn or_environment(self, get: impl Fn(&str) -> Option<String>) -> Self {
+    pub fn or_environment(self, variable: impl Fn(&str) -> Option<String>) -> Self {
         Self {
-            file: self.file.or_else(|| get("GW_CONFIG").map(PathBuf::from)),
-            name: self.name.or_else(|| get("GW_NAME")),
-            listen: self.listen.or_else(|| get("GW_LISTEN")),
-            mgmt: self.mgmt.or_else(|| get("GW_MGMT")),
+            file: self
+                .file
+                .or_else(|| variable("GW_CONFIG").map(PathBuf::from)),
+            name: self.name.or_else(|| variable("GW_NAME")),
+            listen: self.listen.or_else(|| variable("GW_LISTEN")),
+            management: self.management.or_else(|| variable("GW_MGMT")),
         }
     }
 }
@@ -57,29 +60,29 @@
 pub struct Config {
     /// The matcher's name.
     pub name: String,
-    /// Where front ends connect.
+    /// The address that front ends connect to.
     pub listen: SocketAddr,
-    /// Where operators ask how it is, if anywhere.
-    pub mgmt: Option<SocketAddr>,
-    /// Where the runtime is.
+    /// The address of the management endpoint, if there is one.
+    pub management: Option<SocketAddr>,
+    /// The address of the runtime.
     pub runtime: SocketAddr,
-    /// Where the directory is.
-    pub lookup: SocketAddr,
-    /// Where the store is.
+    /// The address of the service registry.
+    pub registry: SocketAddr,
+    /// The address of the store.
     pub store: SocketAddr,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Time between the notice to leave and the stop.
-    pub stop: Micros,
-    /// Descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory that the process may take.
-    pub memory_mb: usize,
+    /// Time between the request to shut down and the stop, in microseconds.
+    pub shutdown_time: Micros,
+    /// Limit of descriptors of the process.
+    pub max_descriptors: usize,
+    /// Limit of memory of the process, in megabytes.
+    pub max_memory_mb: usize,
     /// Names of the classes, by index.
     pub class_names: Vec<String>,
-    /// Names of the gauges, in the order that the runtime tells them in.
+    /// Names of the gauges, in the order in which the runtime sends them.
     pub gauge_names: Vec<String>,
-    /// What the controller is told.
+    /// Settings of the overload controller.
     pub settings: Settings,
 }
 
@@ -107,118 +110,124 @@
 }
 
 impl Config {
-    /// Where the other parties are.
+    /// The addresses of the services that the matcher connects to.
     #[must_use]
-    pub fn parties(&self) -> ServiceAddresses {
+    pub fn service_addresses(&self) -> ServiceAddresses {
         ServiceAddresses {
             runtime: self.runtime,
             dependency: self.store,
-            registry: self.lookup,
+            registry: self.registry,
         }
     }
 
-    /// What is kept of keyed requests where no operator file says more: enough to tell their repeats within the window, for
-    /// as long as this matcher lives, whichever process it is. The folder is the process's own for its files.
-    fn results(&self, scratch: &Path) -> Option<IdempotencyOptions> {
+    /// The idempotency options without a `results` section in the operator file: enough to recognize
+    /// repeats of keyed requests within their window, for the lifetime of this matcher, across its
+    /// processes. `scratch_folder` is the process's folder for its own files.
+    fn default_idempotency_options(&self, scratch_folder: &Path) -> Option<IdempotencyOptions> {
         let classes = &self.settings.classes;
-        let keyed: Vec<_> = classes
+        let is_keyed: Vec<_> = classes
             .iter()
             .map(|class| class.effect == Effect::Deduplicated)
             .collect();
         let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
         let address = self.listen.to_string().replace([':', '[', ']'], "-");
-        let process = if self.listen.port() == 0 {
+        let process_id = if self.listen.port() == 0 {
             std::process::id()
         } else {
             0
         };
-        let entries = (self.memory_mb * 1_000_000 / RESULTS_SHARE / LARGEST_RESULT).max(1);
-        keyed.contains(&true).then(|| IdempotencyOptions {
-            folder: scratch.join(format!("results-{}-{address}-{process}", self.name)),
+        let max_entries =
+            (self.max_memory_mb * 1_000_000 / RESULT_MEMORY_DIVISOR / MAX_RESULT_BYTES).max(1);
+        is_keyed.contains(&true).then(|| IdempotencyOptions {
+            folder: scratch_folder.join(format!("results-{}-{address}-{process_id}", self.name)),
             is_durable: false,
-            classes: keyed,
+            classes: is_keyed,
             required: true,
             scope: KeyScope::Global,
             capacity: KeyTableOptions {
-                max_entries: entries,
-                max_result_bytes: entries * LARGEST_RESULT,
-                // From the run on, and as long again as a try may be on its way: one that was written within the window is
-                // told by it, however late it is read.
+                max_entries,
+                max_result_bytes: max_entries * MAX_RESULT_BYTES,
+                // The window starts with the run. The client timeout is added so that an attempt that was
+                // sent within the window is recognized, however late it is read.
                 deduplication_window: longest(|class| class.deduplication_window)
                     + longest(|class| class.client_timeout),
-                stall_timeout: STALL,
+                stall_timeout: STALL_TIMEOUT_US,
                 hash_seed: self.seed,
             },
-            // They are the process's own memory, and not of what requests are booked with.
+            // Keys take memory of the process itself, not of the memory that requests are accounted in.
             key_entry_kb: 0.0,
-            key_frame_field: Some(KEY_FIELD.to_owned()),
+            key_frame_field: Some(DEFAULT_KEY_FRAME_FIELD.to_owned()),
         })
     }
 
-    /// What is kept of keyed requests where no operator file says more, in one line; none where no class is keyed.
+    /// The idempotency options without a `results` section in the operator file, as one line; `None`
+    /// if no class is keyed.
     #[must_use]
-    pub fn shows_results(&self, scratch: &Path) -> Option<String> {
-        let results = self.results(scratch)?;
+    pub fn default_idempotency_summary(&self, scratch_folder: &Path) -> Option<String> {
+        let options = self.default_idempotency_options(scratch_folder)?;
         let mut line = String::new();
         // Writing to a string can't fail.
-        let _ = crate::operator::results::show(&results, &mut line);
+        let _ = crate::operator::results::write_summary(&options, &mut line);
         Some(line)
     }
 
-    /// All that a matcher is told, with what the operator file switches on; `scratch` is where its own files go.
+    /// The options of a server, with the settings of the operator file. `scratch_folder` is the
+    /// process's folder for its own files.
     #[must_use]
-    pub fn options(self, operator: Operator, scratch: &Path) -> Options {
-        let results = operator.results.or_else(|| self.results(scratch));
+    pub fn into_server_options(self, operator: OperatorSettings, scratch_folder: &Path) -> Options {
+        let idempotency = operator
+            .idempotency
+            .or_else(|| self.default_idempotency_options(scratch_folder));
         Options {
-            services: self.parties(),
+            services: self.service_addresses(),
             name: self.name,
             listen: self.listen,
-            management: self.mgmt,
+            management: self.management,
             shares_listener: false,
             handover_folder: None,
             seed: self.seed,
-            shutdown_time: self.stop,
-            max_descriptors: self.sockets,
+            shutdown_time: self.shutdown_time,
+            max_descriptors: self.max_descriptors,
             class_names: self.class_names,
             gauge_names: self.gauge_names,
             settings: self.settings,
             ajp: operator.ajp,
-            dependency_protocol: operator.store,
-            idempotency: results,
-            connection_admission: operator.admission.map(|settings| {
+            dependency_protocol: operator.dependency_protocol,
+            idempotency,
+            connection_admission: operator.connection_admission.map(|settings| {
                 cleatpulley_connection_admission::Settings {
                     seed: self.seed,
                     ..settings
                 }
             }),
-            reputation_folder: operator.standings,
+            reputation_folder: operator.reputation_folder,
             tls: operator.tls,
         }
     }
 
-    /// Reads the file that the sources name.
+    /// Reads the configuration file that `sources` names.
     ///
     /// # Errors
-    /// One line that names the faulty key.
-    pub fn load(sources: &Sources) -> Result<Self, String> {
+    /// The file can't be read or is invalid; the error is one line that names the invalid key.
+    pub fn load(sources: &ConfigSources) -> Result<Self, String> {
         let file = sources
             .file
             .as_deref()
-            .ok_or("GW_CONFIG (or --config): no configuration file is named")?;
+            .ok_or("GW_CONFIG (or --config): no configuration file given")?;
         let text = std::fs::read_to_string(file)
             .map_err(|e| format!("GW_CONFIG (or --config): {}: {e}", Path::display(file)))?;
         Self::parse(&text, sources)
     }
 
-    /// Checks the text of a configuration file.
+    /// Parses and checks the text of a configuration file.
     ///
     /// # Errors
-    /// One line that names the faulty key.
-    pub fn parse(text: &str, sources: &Sources) -> Result<Self, String> {
+    /// The text is invalid; the error is one line that names the invalid key.
+    pub fn parse(text: &str, sources: &ConfigSources) -> Result<Self, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut json).map_err(|e| {
             let path = e.path().to_string();
-            // No key where the text ends early.
+            // There is no key if the text ends early.
             if path == "." || path == "?" {
                 e.into_inner().to_string()
             } else {
@@ -228,50 +237,50 @@
         json.end().map_err(|e| e.to_string())?;
         file.settings
             .validate()
-            .map_err(|fault| format!("settings.{fault}"))?;
+            .map_err(|error| format!("settings.{error}"))?;
 
         let name = sources.name.clone().or(file.name).ok_or("name: missing")?;
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if name.is_empty() || !name.chars().all(plain) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        if name.is_empty() || !name.chars().all(is_allowed) {
             return Err(format!(
-                "name: {name:?} is not letters, digits, '-', '_' and '.'"
+                "name: {name:?} must consist of letters, digits, '-', '_' and '.'"
             ));
         }
         let seed = match &file.seed {
             None => 0,
             Some(text) => u64::from_str_radix(text, 16)
-                .map_err(|_| format!("seed: {text:?} is not up to 16 hex digits"))?,
+                .map_err(|_| format!("seed: {text:?} is not a number of up to 16 hex digits"))?,
         };
-        let stop_ms = file.stop_ms.unwrap_or(STOP_MS);
+        let stop_ms = file.stop_ms.unwrap_or(DEFAULT_STOP_MS);
         if stop_ms == 0 || stop_ms > 3_600_000 {
             return Err(format!("stop_ms: {stop_ms} is not within 1 to 3600000"));
         }
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS);
-        if sockets < FEWEST_SOCKETS {
+        let max_descriptors = file.limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS);
+        if max_descriptors < MIN_SOCKETS {
             return Err(format!(
-                "limits.sockets: {sockets} is less than {FEWEST_SOCKETS}"
+                "limits.sockets: {max_descriptors} is less than {MIN_SOCKETS}"
             ));
         }
-        let memory_mb = file.limits.memory_mb.unwrap_or(MEMORY_MB);
-        if memory_mb == 0 {
-            return Err("limits.memory_mb: 0 is no memory".to_owned());
+        let max_memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
+        if max_memory_mb == 0 {
+            return Err("limits.memory_mb: 0 is less than 1".to_owned());
         }
         Ok(Self {
-            listen: address("listen", sources.listen.as_ref().or(file.listen.as_ref()))?,
-            mgmt: sources
-                .mgmt
+            listen: parse_address("listen", sources.listen.as_ref().or(file.listen.as_ref()))?,
+            management: sources
+                .management
                 .as_ref()
                 .or(file.mgmt.as_ref())
-                .map(|text| address("mgmt", Some(text)))
+                .map(|text| parse_address("mgmt", Some(text)))
                 .transpose()?,
-            runtime: address("runtime", Some(&file.runtime))?,
-            lookup: address("lookup", Some(&file.lookup))?,
-            store: address("store", Some(&file.store))?,
+            runtime: parse_address("runtime", Some(&file.runtime))?,
+            registry: parse_address("lookup", Some(&file.lookup))?,
+            store: parse_address("store", Some(&file.store))?,
             name,
             seed,
-            stop: stop_ms * 1_000,
-            sockets,
-            memory_mb,
+            shutdown_time: stop_ms * 1_000,
+            max_descriptors,
+            max_memory_mb,
             class_names: file.settings.class_names(),
             gauge_names: file.settings.gauge_names(),
             settings: file.settings.into_settings(),
@@ -279,7 +288,7 @@
     }
 }
 
-fn address(key: &str, text: Option<&String>) -> Result<SocketAddr, String> {
+fn parse_address(key: &str, text: Option<&String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("{key}: missing"))?;
     text.parse()
         .map_err(|_| format!("{key}: {text:?} is not an address and port, such as 127.0.0.1:5050"))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! A matcher on real sockets, round an overload controller that lives inside each server of a fleet.
+//! A matcher with an overload controller in each server of a fleet.
 //!
-//! The packages below hold its parts; this one holds what is told to them ([`config`], [`operator`]) and the
-//! simulator's wire ([`wire`]).
+//! Its parts are in the packages below. This package reads their settings ([`config`], [`operator`],
+//! [`nginx`]) and has the protocol of the simulator adapter ([`wire`]).
 //!
-//! - [`policy`]: the controller, the types it is told in, and the settings object.
-//! - [`dispatcher`]: the core round it, without I/O and clock.
-//! - [`protocol`]: codecs and connections as state machines.
-//! - [`server`]: the event loop and the adapters.
+//! - [`policy`]: the overload controller, its events and actions, and its settings.
+//! - [`dispatcher`]: the core of a server around the controller, without I/O and clock.
+//! - [`protocol`]: codecs, and connections as state machines.
+//! - [`server`]: the event loop and its adapters.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,23 @@
-//! The command line of the matcher.
+//! The command-line program of the matcher.
 
 #![forbid(unsafe_code)]
 
-/// As `println`, but a reader that goes away, such as `head`, ends the program quietly.
-macro_rules! say {
+/// Prints a line like `println`, but exits with status 0 if the reader, such as `head`, has closed
+/// the pipe.
+macro_rules! print_line {
     () => {
-        say!("")
+        print_line!("")
     };
-    ($($what:tt)*) => {
-        crate::line(format_args!($($what)*))
+    ($($arguments:tt)*) => {
+        crate::write_stdout_line(format_args!($($arguments)*))
     };
 }
 
 mod commands;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use cleatpulley::config::{Config, Sources};
-use cleatpulley::operator::{cluster, Operator};
+use cleatpulley::config::{Config, ConfigSources};
+use cleatpulley::operator::{cluster, OperatorSettings};
 use cleatpulley::server::gossip;
 use cleatpulley::server::os_host::{serve_with, BlockedSignals, HostOptions, OsHost, Service};
 use cleatpulley::server::status_report::FleetLink;
@@ -32,71 +33,71 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// A matcher that serves front ends within what its cores and its store can do.
+/// A matcher that serves front ends within the capacity of its cores and of its store
 #[derive(Parser)]
 #[command(name = "cleatpulley", version, arg_required_else_help = true)]
 struct Cli {
-    /// How the log is written to standard error; RUST_LOG sets its level (error, warn, info, debug, trace)
+    /// Format of the log on standard error; RUST_LOG sets its level (error, warn, info, debug, trace)
     #[arg(long, global = true, value_enum, default_value = "text")]
-    log: LogForm,
+    log: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
-    /// A line of text for each event
+enum LogFormat {
+    /// One line of text per event
     Text,
-    /// A JSON object for each event
+    /// One JSON object per event
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM or SIGINT, then answer what is open and leave; SIGHUP reads the addresses of the
-    /// runtime, the store and the directory again
-    Serve(Serve),
-    /// Read and check the configuration and the operator file, and say what they come to
-    CheckConfig(Sourced),
-    /// Play the main job against stand-ins on loopback and show what was served; needs nothing else
+    /// Serve until SIGTERM or SIGINT, then finish open requests and exit; SIGHUP reloads the addresses of the
+    /// runtime, the store and the service registry
+    Serve(ServeArgs),
+    /// Read and check the configuration and the operator file, and print a summary of both
+    CheckConfig(ConfigArgs),
+    /// Run a short load test against emulated services on loopback and show the results; needs no setup
     Demo,
-    /// Stand in for runtime, store and directory, and write the configuration of a matcher that goes with them
+    /// Emulate the runtime, the store and the service registry, and write the configuration of a matcher for them
     #[command(alias = "standin")]
     Emulators(commands::emulators::EmulatorsArgs),
-    /// Ask an AJP server by hand
+    /// Send a ping or a single request to an AJP server
     #[command(subcommand)]
-    Ajp(commands::ajp::Ask),
-    /// Look at or mend an embedded store
+    Ajp(commands::ajp::AjpCommand),
+    /// Inspect or repair an embedded store
     #[command(subcommand, alias = "keep")]
     LogStore(commands::log_store::LogStore),
-    /// Make an authority and certificates for a fleet on one host, and say what a client would refuse in one
+    /// Create a certificate authority and certificates for a fleet on one host, and check if a client accepts one
     #[command(subcommand)]
     Certs(commands::certs::Certs),
-    /// Look at the kept results of keyed requests, or move them
+    /// Inspect the stored results of keyed requests, or move them to another store
     #[command(subcommand, alias = "results")]
     Idempotency(commands::idempotency::Idempotency),
-    /// Be a gateway before a fleet of matchers, by the gateway section of an operator file, until SIGTERM or SIGINT;
-    /// SIGHUP reads the routes and where targets are again
+    /// Run a gateway in front of a fleet of matchers, set up by the gateway section of an operator file, until SIGTERM
+    /// or SIGINT; SIGHUP reloads the routes and the addresses of targets
     Route {
         /// The operator file
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
-        /// Read and check it, and say what it comes to
+        /// Read and check the operator file, and print the routes
         #[arg(long)]
         check: bool,
     },
-    /// Read nginx's upstream and location blocks as routing, compare them, and check expectations
+    /// Read nginx's upstream and location blocks as routes, compare them, and check expectations
     #[command(subcommand)]
     Routes(commands::routes::Routes),
-    /// Play whole matchers on a virtual clock with faults from seeds, and check the rules after each step
+    /// Simulate whole matchers on a virtual clock with faults drawn from seeds, and check invariants after each step
     #[command(subcommand, alias = "seeds")]
     Simulator(commands::simulator::Simulator),
-    /// Put a new process in the place of one that serves, and show each step; ends with 1 where the old one serves on
+    /// Replace a running server by a new process and show each step; exits with 1 if the old one keeps serving
     Upgrade(commands::upgrade::Upgrade),
     /// Start, drain and replace many instances on one host
     #[command(subcommand)]
     Fleet(commands::fleet::FleetCommand),
-    /// Measure a part of the program beside what it is compared with; the last line says ok or what falls short
+    /// Benchmark a part of the program against its reference; the last line is ok or the limits that were missed
     #[command(subcommand)]
     Check(commands::bench::Check),
     /// Print the version
@@ -104,25 +105,25 @@
 }
 
 #[derive(Args)]
-struct Serve {
+struct ServeArgs {
     #[command(flatten)]
-    sourced: Sourced,
-    /// Where the daemon of a fleet listens for how its instances are
+    config_args: ConfigArgs,
+    /// The socket on which the fleet's daemon receives status reports of its instances
     #[arg(long, value_name = "SOCKET", requires = "fleet_instance")]
     fleet_socket: Option<PathBuf>,
     /// The instance's number and token in its fleet, as NUMBER:TOKEN
-    #[arg(long, requires = "fleet_socket", value_parser = instance)]
+    #[arg(long, requires = "fleet_socket", value_parser = parse_fleet_instance)]
     fleet_instance: Option<(u64, String)>,
-    /// The private folder in which it meets the process whose place it takes, and the one that takes its own
+    /// The private folder in which an upgrade connects the old and the new process
     #[arg(long, value_name = "FOLDER", env = "TMPDIR")]
     upgrade_folder: Option<PathBuf>,
-    /// Standard input is the listening socket for frames, shared with other processes
+    /// Use standard input as the listening socket for frames, shared with other processes
     #[arg(long)]
     inherit_listener: bool,
 }
 
-/// The listening socket that standard input is.
-fn inherited() -> Result<TcpListener, String> {
+/// Returns standard input as a listening socket.
+fn inherited_listener() -> Result<TcpListener, String> {
     let socket = std::io::stdin()
         .as_fd()
         .try_clone_to_owned()
@@ -131,41 +132,43 @@
     match socket.local_addr() {
         Ok(_) => Ok(socket),
         Err(e) => Err(format!(
-            "--inherit-listener: standard input is no listening socket: {e}"
+            "--inherit-listener: standard input is not a listening socket: {e}"
         )),
     }
 }
 
-fn instance(text: &str) -> Result<(u64, String), String> {
+fn parse_fleet_instance(text: &str) -> Result<(u64, String), String> {
     let parts = text
         .split_once(':')
         .and_then(|(number, token)| Some((number.parse().ok()?, token.to_owned())));
-    parts.ok_or_else(|| "not a number, a colon and a token".to_owned())
+    parts.ok_or_else(|| "expected NUMBER:TOKEN".to_owned())
 }
 
-/// Each option comes before its variable, and that before the file.
+/// Arguments that select the configuration and the operator file. A flag takes precedence over its
+/// environment variable, and the variable over the configuration file.
 #[derive(Args)]
-struct Sourced {
-    /// The configuration, as JSON [env: GW_CONFIG]
+struct ConfigArgs {
+    /// The configuration file, in JSON [env: GW_CONFIG]
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// The matcher's name [env: GW_NAME]
     #[arg(long)]
     name: Option<String>,
-    /// Where front ends connect [env: GW_LISTEN]
+    /// The address that front ends connect to [env: GW_LISTEN]
     #[arg(long, value_name = "ADDR")]
     listen: Option<String>,
-    /// Where operators ask how the process is: GET /_ready and /_vars [env: GW_MGMT]
+    /// The address of the management endpoint: GET /_ready and /_vars [env: GW_MGMT]
     #[arg(long, value_name = "ADDR")]
     mgmt: Option<String>,
-    /// The operator file, a Jsonnet template; without one nothing beyond the platform's protocol is on
+    /// The operator file, a Jsonnet template; without one only the platform's protocol is enabled
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
-impl Sourced {
-    /// The same as arguments of another process; what the environment says it hears by itself.
-    fn args(&self) -> Vec<std::ffi::OsString> {
+impl ConfigArgs {
+    /// Returns the same arguments for another process. Environment variables are left out because that
+    /// process inherits them.
+    fn to_arguments(&self) -> Vec<std::ffi::OsString> {
         let mut args: Vec<std::ffi::OsString> = Vec::new();
         let mut push = |name: &str, value: std::ffi::OsString| args.extend([name.into(), value]);
         if let Some(file) = &self.config {
@@ -186,20 +189,20 @@
         args
     }
 
-    fn load(self) -> Result<(Config, Operator, Sources), String> {
-        let sources = Sources {
+    fn load(self) -> Result<(Config, OperatorSettings, ConfigSources), String> {
+        let sources = ConfigSources {
             file: self.config,
             name: self.name,
             listen: self.listen,
-            mgmt: self.mgmt,
+            management: self.mgmt,
         };
         let sources = sources.or_environment(|key| std::env::var(key).ok());
         let config = Config::load(&sources)?;
         let operator = match &self.operator {
-            Some(file) => Operator::load(file, &config).map_err(|e| e.to_string())?,
+            Some(file) => OperatorSettings::load(file, &config).map_err(|e| e.to_string())?,
             None => {
-                let operator = Operator::default();
-                operator.covers(&config)?;
+                let operator = OperatorSettings::default();
+                operator.check_deduplicated_classes(&config)?;
                 operator
             }
         };
@@ -207,37 +210,40 @@
     }
 }
 
-/// The signals that a process which serves hears, held back while it reads its configuration.
-fn hold_signals() -> Result<Option<BlockedSignals>, String> {
+/// Blocks the signals that a serving process handles while it reads its configuration.
+fn block_signals() -> Result<Option<BlockedSignals>, String> {
     BlockedSignals::hold()
         .map(Some)
         .map_err(|e| format!("signals: {e}"))
 }
 
-/// A matcher's section on the other processes, where its operator file has one.
-fn cluster_of(file: Option<&Path>, name: &str) -> Result<Option<gossip::Options>, String> {
+/// Loads the `cluster` section of a matcher's operator file, if there is one.
+fn load_cluster_options(
+    file: Option<&Path>,
+    name: &str,
+) -> Result<Option<gossip::Options>, String> {
     let load = |file| cluster::load(file, Role::Server, name).map_err(|e| e.to_string());
     file.map(load).transpose().map(Option::flatten)
 }
 
-/// Lets what is served hear of the other processes, where that is set.
-fn accompany(
-    world: OsHost,
-    served: Box<dyn Service>,
+/// Adds gossip with the other processes to a service, if there are options for it.
+fn with_gossip(
+    host: OsHost,
+    service: Box<dyn Service>,
     cluster: Option<gossip::Options>,
 ) -> std::io::Result<Box<dyn Service>> {
     let Some(options) = cluster else {
-        return Ok(served);
+        return Ok(service);
     };
-    let gossip = gossip::Gossip::new(world, options)
+    let gossip = gossip::Gossip::new(host, options)
         .map_err(|e| std::io::Error::new(e.kind(), format!("cluster: {e}")))?;
-    Ok(Box::new(gossip::ServiceWithGossip::new(served, gossip)))
+    Ok(Box::new(gossip::ServiceWithGossip::new(service, gossip)))
 }
 
-fn line(what: std::fmt::Arguments<'_>) {
-    match writeln!(std::io::stdout(), "{what}") {
+fn write_stdout_line(arguments: std::fmt::Arguments<'_>) {
+    match writeln!(std::io::stdout(), "{arguments}") {
         Err(e) if e.kind() == std::io::ErrorKind::BrokenPipe => std::process::exit(0),
-        // Whoever takes this for the whole has to hear that it is not.
+        // The output is incomplete, which the exit status has to show.
         Err(e) => {
             eprintln!("cleatpulley: standard output: {e}");
             std::process::exit(1);
@@ -248,8 +254,8 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // Simulated matchers would log as if they were real.
-    let quiet = matches!(
+    // Off by default here: log lines of simulated matchers look like those of real ones.
+    let is_log_off = matches!(
         cli.command,
         Command::Simulator(_)
             | Command::Check(
@@ -258,37 +264,38 @@
                     | commands::bench::Check::ConnectionAdmission
             )
     );
-    log_to_standard_error(cli.log, quiet);
+    log_to_standard_error(cli.log, is_log_off);
     match run(cli.command) {
         Ok(code) => code,
-        Err(fault) => {
-            eprintln!("cleatpulley: {fault}");
+        Err(error) => {
+            eprintln!("cleatpulley: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn log_to_standard_error(form: LogForm, quiet: bool) {
-    let level = std::env::var("RUST_LOG")
+/// Sets up the log on standard error. `is_log_off` turns it off unless `RUST_LOG` is set.
+fn log_to_standard_error(format: LogFormat, is_log_off: bool) {
+    let targets = std::env::var("RUST_LOG")
         .ok()
         .and_then(|text| text.parse::<Targets>().ok());
-    let usual = if quiet {
+    let default_targets = if is_log_off {
         Targets::new()
     } else {
         Targets::new().with_default(tracing::Level::INFO)
     };
-    let level = level.unwrap_or(usual);
-    let registry = tracing_subscriber::registry().with(level);
+    let targets = targets.unwrap_or(default_targets);
+    let registry = tracing_subscriber::registry().with(targets);
     let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr);
-    match form {
-        LogForm::Text => registry.with(layer.with_ansi(false)).init(),
-        LogForm::Json => registry.with(layer.json()).init(),
+    match format {
+        LogFormat::Text => registry.with(layer.with_ansi(false)).init(),
+        LogFormat::Json => registry.with(layer.json()).init(),
     }
 }
 
 fn run(command: Command) -> Result<ExitCode, String> {
     match command {
-        Command::Ajp(ask) => return commands::ajp::run(ask),
+        Command::Ajp(command) => return commands::ajp::run(command),
         Command::Check(check) => return commands::bench::run(&check),
         Command::Upgrade(upgrade) => return commands::upgrade::run(upgrade),
         Command::Fleet(fleet) => return commands::fleet::run(&fleet),
@@ -300,7 +307,7 @@
         Command::Demo => commands::demo::run()?,
         Command::Emulators(args) => commands::emulators::run(&args)?,
         Command::Route { operator, check } => {
-            let signals = if check { None } else { hold_signals()? };
+            let signals = if check { None } else { block_signals()? };
             let options =
                 cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string())?;
             let cluster = cluster::load(&operator, Role::Gateway, &options.name)
@@ -311,31 +318,31 @@
                     .routes
                     .to_lines()
                     .iter()
-                    .for_each(|line| say!("{line}"));
-                say!("{}", cluster::show(cluster.as_ref()));
+                    .for_each(|line| print_line!("{line}"));
+                print_line!("{}", cluster::summary(cluster.as_ref()));
                 return Ok(ExitCode::SUCCESS);
             }
             let reload =
                 move || cleatpulley::operator::gateway::load(&operator).map_err(|e| e.to_string());
-            let gateway = |world| Gateway::new(world, options, Box::new(reload));
+            let new_gateway = |host| Gateway::new(host, options, Box::new(reload));
             serve_with(
                 HostOptions {
                     signals,
                     ..HostOptions::default()
                 },
-                |world| {
-                    let gateway = Box::new(gateway(world.clone())?);
-                    accompany(world, gateway, cluster)
+                |host| {
+                    let gateway = Box::new(new_gateway(host.clone())?);
+                    with_gossip(host, gateway, cluster)
                 },
             )
             .map_err(|e| e.to_string())?;
         }
-        Command::Serve(serve) => {
-            let signals = hold_signals()?;
-            let file = serve.sourced.operator.clone();
-            let (config, operator, sources) = serve.sourced.load()?;
-            let cluster = cluster_of(file.as_deref(), &config.name)?;
-            let link = serve.fleet_socket.zip(serve.fleet_instance);
+        Command::Serve(args) => {
+            let signals = block_signals()?;
+            let operator_file = args.config_args.operator.clone();
+            let (config, operator, sources) = args.config_args.load()?;
+            let cluster = load_cluster_options(operator_file.as_deref(), &config.name)?;
+            let link = args.fleet_socket.zip(args.fleet_instance);
             let link = link.map(|(socket, (incarnation, token))| FleetLink {
                 socket,
                 incarnation,
@@ -343,57 +350,57 @@
             });
             let reload = move || {
                 let config = Config::load(&sources)?;
-                Ok(config.parties())
+                Ok(config.service_addresses())
             };
-            let listener = serve.inherit_listener.then(inherited).transpose()?;
-            let hosted = link.is_some() || listener.is_some();
-            // A fleet's daemon hands its instances over by itself.
-            let meets_in = serve.upgrade_folder.filter(|_| !hosted);
-            let shares_addresses = meets_in.is_some();
+            let listener = args.inherit_listener.then(inherited_listener).transpose()?;
+            let is_fleet_instance = link.is_some() || listener.is_some();
+            // The fleet's daemon replaces its instances itself, without a hot restart.
+            let handover_folder = args.upgrade_folder.filter(|_| !is_fleet_instance);
+            let shares_addresses = handover_folder.is_some();
             let options = Options {
                 shares_listener: listener.is_some(),
-                handover_folder: meets_in,
-                ..config.options(operator, &std::env::temp_dir())
+                handover_folder,
+                ..config.into_server_options(operator, &std::env::temp_dir())
             };
-            let hosted = HostOptions {
+            let host_options = HostOptions {
                 signals,
                 link,
                 listener,
                 shares_addresses,
             };
-            serve_with(hosted, |world| {
-                let node = Box::new(Server::new(world.clone(), options, Box::new(reload))?);
-                accompany(world, node, cluster)
+            serve_with(host_options, |host| {
+                let server = Box::new(Server::new(host.clone(), options, Box::new(reload))?);
+                with_gossip(host, server, cluster)
             })
             .map_err(|e| e.to_string())?;
         }
-        Command::CheckConfig(sourced) => {
-            let file = sourced.operator.clone();
-            let (config, operator, _) = sourced.load()?;
-            let cluster = cluster_of(file.as_deref(), &config.name)?;
-            say!(
+        Command::CheckConfig(config_args) => {
+            let operator_file = config_args.operator.clone();
+            let (config, operator, _) = config_args.load()?;
+            let cluster = load_cluster_options(operator_file.as_deref(), &config.name)?;
+            print_line!(
                 "{}: listens on {}, runtime {}, store {}, directory {}; {} classes ({}), {} cores, {} sockets",
                 config.name,
                 config.listen,
                 config.runtime,
                 config.store,
-                config.lookup,
+                config.registry,
                 config.class_names.len(),
                 config.class_names.join(", "),
                 config.settings.cores,
-                config.sockets,
+                config.max_descriptors,
             );
-            say!("{operator}");
+            print_line!("{operator}");
             if let Some(line) = config
-                .shows_results(&std::env::temp_dir())
-                .filter(|_| operator.results.is_none())
+                .default_idempotency_summary(&std::env::temp_dir())
+                .filter(|_| operator.idempotency.is_none())
             {
-                say!("{line}");
+                print_line!("{line}");
             }
-            say!("{}", cluster::show(cluster.as_ref()));
+            print_line!("{}", cluster::summary(cluster.as_ref()));
         }
         Command::Version => {
-            say!("cleatpulley {}", env!("CARGO_PKG_VERSION"));
+            print_line!("cleatpulley {}", env!("CARGO_PKG_VERSION"));
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/src/nginx.rs
+++ b/src/nginx.rs
@@ -1,26 +1,26 @@
-//! Files of an nginx configuration on disk.
+//! Reads route tables from files: nginx configurations and the project's own JSON.
 
 use cleatpulley_routes::import::Import;
 use cleatpulley_routes::model::Routes;
 use cleatpulley_routes::syntax::FileSource;
 use std::path::Path;
 
-/// A file that is larger is no configuration.
-const LARGEST: u64 = 64 << 20;
+/// Maximum size of a file that is read; no configuration is larger.
+const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// The files of this machine.
-pub struct Disk;
+/// Files in the local file system.
+pub struct LocalFiles;
 
-impl FileSource for Disk {
+impl FileSource for LocalFiles {
     fn read(&self, name: &str) -> Result<Vec<u8>, String> {
-        let about = std::fs::metadata(name).map_err(|e| e.to_string())?;
-        if !about.is_file() {
-            return Err("it is no file".to_owned());
+        let metadata = std::fs::metadata(name).map_err(|e| e.to_string())?;
+        if !metadata.is_file() {
+            return Err("not a regular file".to_owned());
         }
-        if about.len() > LARGEST {
+        if metadata.len() > MAX_FILE_BYTES {
             return Err(format!(
-                "it has {} bytes, and {LARGEST} are read at most",
-                about.len()
+                "the file has {} bytes, which is more than {MAX_FILE_BYTES}",
+                metadata.len()
             ));
         }
         std::fs::read(name).map_err(|e| e.to_string())
@@ -34,27 +34,31 @@
             require_literal_separator: true,
             ..Default::default()
         };
-        let found = glob::glob_with(pattern, options).map_err(|e| e.to_string())?;
-        let name = |path: Result<std::path::PathBuf, glob::GlobError>| {
+        let paths = glob::glob_with(pattern, options).map_err(|e| e.to_string())?;
+        let to_name = |path: Result<std::path::PathBuf, glob::GlobError>| {
             let path = path.map_err(|e| e.to_string())?;
             path.into_os_string()
                 .into_string()
-                .map_err(|_| "a file's name is no text".to_owned())
+                .map_err(|_| "a file name is not valid UTF-8".to_owned())
         };
-        found.map(name).collect()
+        paths.map(to_name).collect()
     }
 }
 
-/// The table of a file: nginx's blocks, or the project's own JSON where the name ends so.
+/// Reads the routes of a file: the project's own JSON if the name ends with `.json`, otherwise an
+/// nginx configuration.
 ///
 /// # Errors
-/// All that is wrong with it, or can't be expressed.
-pub fn load(file: &Path) -> Result<Routes, String> {
+/// The file is invalid, or has routes that can't be expressed here; the error lists all faults.
+pub fn load_routes(file: &Path) -> Result<Routes, String> {
     let name = file
         .to_str()
-        .ok_or_else(|| format!("{}: its name is no text", file.display()))?;
-    if file.extension().is_some_and(|end| end == "json") {
-        let text = Disk.read(name).map_err(|e| format!("{name}: {e}"))?;
+        .ok_or_else(|| format!("{}: the file name is not valid UTF-8", file.display()))?;
+    if file
+        .extension()
+        .is_some_and(|extension| extension == "json")
+    {
+        let text = LocalFiles.read(name).map_err(|e| format!("{name}: {e}"))?;
         let routes: Routes = serde_json::from_slice(&text).map_err(|e| format!("{name}: {e}"))?;
         if let Some((location, pool)) = routes.find_missing_pool() {
             return Err(format!(
@@ -64,19 +68,18 @@
             ));
         }
         cleatpulley_routes::router::Router::new(&routes)
-            .map_err(|what| format!("{name}: {what}"))?;
+            .map_err(|error| format!("{name}: {error}"))?;
         return Ok(routes);
     }
-    let import = Import::read(&Disk, name);
+    let import = Import::read(&LocalFiles, name);
     if import.is_complete() {
         return Ok(import.routes);
     }
-    let faults = import
-        .diagnostics
-        .iter()
-        .filter(|one| one.severity != cleatpulley_routes::diagnostic::Severity::Difference);
-    let told: Vec<_> = faults
+    let errors = import.diagnostics.iter().filter(|diagnostic| {
+        diagnostic.severity != cleatpulley_routes::diagnostic::Severity::Difference
+    });
+    let messages: Vec<_> = errors
         .map(cleatpulley_routes::diagnostic::Diagnostic::render)
         .collect();
-    Err(told.join("\n"))
+    Err(messages.join("\n"))
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator file: what the platform's configuration does not know. A Jsonnet file with a section for each
-//! subsystem, all off unless they are there; read in this one place.
+//! The operator file: settings that the platform's configuration does not have. It is a Jsonnet file
+//! with one section per subsystem; a subsystem without a section is off.
 
 pub mod admission;
 pub mod cluster;
@@ -28,25 +28,27 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The largest body that may be set: beyond it a held request would be larger than what is booked for any.
-const LARGEST_BODY: usize = 1_048_576;
-/// What a body may take longer than its due time allows: the sweep that finds it, and the answer's way out.
-const MARGIN: Micros = 200_000;
+/// Upper bound of `ajp.max_body`: a held request with a larger body would exceed the memory that is
+/// accounted for a request.
+const MAX_BODY_BYTES: usize = 1_048_576;
+/// Time that the response to a late body takes beyond the body timeout: until the sweep finds the
+/// request, and until the response is sent.
+const BODY_TIMEOUT_MARGIN_US: Micros = 200_000;
 
-/// What is wrong with an operator file.
+/// An error in an operator file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct OperatorFileError {
     /// The file.
     pub file: PathBuf,
-    /// The line, where it is known.
+    /// The line, if known.
     pub line: Option<usize>,
-    /// The key, such as `ajp.routes[2].class`; empty where the file as a whole is meant.
+    /// The key, such as `ajp.routes[2].class`; empty if the error concerns the file as a whole.
     pub key: String,
-    /// What is wrong there.
-    pub what: String,
+    /// What is wrong with the key or the file.
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for OperatorFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if let Some(line) = self.line {
@@ -55,28 +57,28 @@
         if !self.key.is_empty() {
             write!(f, ": {}", self.key)?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for OperatorFileError {}
 
-/// What an operator file switches on.
+/// The settings of an operator file.
 #[derive(Debug, Clone, Default)]
-pub struct Operator {
-    /// The AJP front.
+pub struct OperatorSettings {
+    /// The AJP listeners.
     pub ajp: Option<AjpOptions>,
-    /// How the store is called.
-    pub store: dependency_pool::DependencyProtocol,
-    /// Kept results of keyed requests.
-    pub results: Option<IdempotencyOptions>,
-    /// Who gets a place.
-    pub admission: Option<cleatpulley_connection_admission::Settings>,
-    /// The folder that earned standing is kept in.
-    pub standings: Option<PathBuf>,
-    /// TLS on the fronts.
+    /// The protocol spoken with the store.
+    pub dependency_protocol: dependency_pool::DependencyProtocol,
+    /// Storage of the results of keyed requests.
+    pub idempotency: Option<IdempotencyOptions>,
+    /// Which clients get a connection slot.
+    pub connection_admission: Option<cleatpulley_connection_admission::Settings>,
+    /// The folder that the reputation of client addresses is persisted in, if it is.
+    pub reputation_folder: Option<PathBuf>,
+    /// TLS on the listeners.
     pub tls: Option<cleatpulley_server::tls_layer::TlsOptions>,
-    /// The names of the classes, for what is shown.
+    /// Names of the classes, for the summary.
     class_names: Vec<String>,
 }
 
@@ -88,13 +90,13 @@
     results: Option<results::ResultsSection>,
     admission: Option<admission::AdmissionSection>,
     tls: Option<tls::TlsSection>,
-    /// Read by [`fleet::FleetConfig::load`]: it concerns the daemon alone.
+    /// Read by [`fleet::FleetConfig::load`]: only the fleet's daemon uses it.
     #[serde(rename = "fleet")]
     _fleet: Option<serde::de::IgnoredAny>,
-    /// Read by [`gateway::load`]: a gateway is a process of its own.
+    /// Read by [`gateway::load`]: a gateway is a separate process.
     #[serde(rename = "gateway")]
     _gateway: Option<serde::de::IgnoredAny>,
-    /// Read by [`cluster::load`]: it concerns gateways as well.
+    /// Read by [`cluster::load`]: gateways use it too.
     #[serde(rename = "cluster")]
     _cluster: Option<serde::de::IgnoredAny>,
 }
@@ -115,9 +117,10 @@
     trusted_proxies: Vec<String>,
     #[serde(default)]
     routes: Vec<Route>,
-    /// An nginx configuration instead, and the `address:port` of it that counts.
+    /// An nginx configuration to read the routes from, instead of `routes`.
     #[serde(default)]
     routes_from: Option<PathBuf>,
+    /// The `address:port` in the nginx configuration whose servers apply.
     #[serde(default)]
     routes_listen: Option<String>,
     #[serde(default)]
@@ -150,12 +153,12 @@
 #[serde(deny_unknown_fields)]
 struct Route {
     path: String,
-    #[serde(default = "post")]
+    #[serde(default = "default_methods")]
     methods: Vec<String>,
     class: String,
 }
 
-fn post() -> Vec<String> {
+fn default_methods() -> Vec<String> {
     vec!["POST".to_owned()]
 }
 
@@ -192,47 +195,48 @@
     packet_size: Option<usize>,
 }
 
-/// A fault of a key, before the file and line are known.
-type Wrong = (String, String);
+/// A key and what is wrong with it, before the file and line are known.
+type KeyError = (String, String);
 
-fn wrong<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Wrong> {
-    Err((key.into(), what.into()))
+fn key_error<T>(key: impl Into<String>, message: impl Into<String>) -> Result<T, KeyError> {
+    Err((key.into(), message.into()))
 }
 
-impl Operator {
-    /// Evaluates an operator file and checks it against the configuration that it goes with.
+impl OperatorSettings {
+    /// Evaluates an operator file and checks it against the configuration that it is used with.
     ///
     /// # Errors
-    /// File, line where it is known, key, and what is wrong there.
-    pub fn load(file: &Path, config: &Config) -> Result<Self, Fault> {
+    /// The file is invalid; the error has the file, the line if known, the key, and what is wrong.
+    pub fn load(file: &Path, config: &Config) -> Result<Self, OperatorFileError> {
         let json = evaluate(file)?;
         let source = std::fs::read_to_string(file).unwrap_or_default();
         let folder = file.parent().map(Path::to_owned).unwrap_or_default();
-        Self::parse(&json, config, &folder).map_err(|(key, what)| {
-            let line = locate(&source, &key, &what);
-            Fault {
+        Self::parse(&json, config, &folder).map_err(|(key, message)| {
+            let line = find_line(&source, &key, &message);
+            OperatorFileError {
                 file: file.to_owned(),
                 line,
                 key,
-                what,
+                message,
             }
         })
     }
 
-    /// Whether classes whose further tries have to be known have their results kept.
+    /// Checks that results are stored for all deduplicated classes, whose retries are recognized by
+    /// their stored results.
     ///
     /// # Errors
-    /// The key of the configuration that is not covered.
-    pub fn covers(&self, config: &Config) -> Result<(), String> {
+    /// No results are stored for a deduplicated class; the error names its key in the configuration.
+    pub fn check_deduplicated_classes(&self, config: &Config) -> Result<(), String> {
         for (i, class) in config.settings.classes.iter().enumerate() {
-            // Without that section they are kept by themselves.
-            let kept = self
-                .results
+            // Without a `results` section, the default options cover these classes.
+            let is_stored = self
+                .idempotency
                 .as_ref()
-                .is_none_or(|results| results.classes[i]);
-            if class.effect == Effect::Deduplicated && !kept {
+                .is_none_or(|options| options.classes[i]);
+            if class.effect == Effect::Deduplicated && !is_stored {
                 return Err(format!(
-                    "settings.classes[{i}].effect: further tries can't be told without kept results of {:?}",
+                    "settings.classes[{i}].effect: retries can't be recognized without stored results of {:?}",
                     config.class_names[i]
                 ));
             }
@@ -240,48 +244,51 @@
         Ok(())
     }
 
-    fn parse(json: &str, config: &Config, folder: &Path) -> Result<Self, Wrong> {
+    fn parse(json: &str, config: &Config, folder: &Path) -> Result<Self, KeyError> {
         if !json.trim_start().starts_with('{') {
-            return wrong("", "it comes to something else than an object of sections");
+            return key_error(
+                "",
+                "the template does not evaluate to an object of sections",
+            );
         }
         let mut reader = serde_json::Deserializer::from_str(json);
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let key = e.path().to_string();
-            let what = e.into_inner().to_string();
-            // Lines of the evaluated text mean nothing to whoever wrote the template.
-            let what = what
+            let message = e.into_inner().to_string();
+            // Line numbers of the evaluated text do not exist in the template.
+            let message = message
                 .split(" at line ")
                 .next()
                 .unwrap_or_default()
                 .to_owned();
-            (if key == "." { String::new() } else { key }, what)
+            (if key == "." { String::new() } else { key }, message)
         })?;
         let ajp = file
             .ajp
             .map(|section| section.check(config, folder))
             .transpose()?;
-        let ajp_key = ajp
+        let ajp_sends_keys = ajp
             .as_ref()
             .is_some_and(|ajp| ajp.settings.figures.key.is_some());
         let admission = file
             .admission
             .map(|section| section.check(&config.name, folder))
             .transpose()?;
-        let (admission, standings) =
-            admission.map_or((None, None), |(admission, kept)| (Some(admission), kept));
+        let (connection_admission, reputation_folder) =
+            admission.map_or((None, None), |(settings, folder)| (Some(settings), folder));
         let operator = Self {
             ajp,
-            store: file
+            dependency_protocol: file
                 .store
                 .map(StoreSection::check)
                 .transpose()?
                 .unwrap_or_default(),
-            results: file
+            idempotency: file
                 .results
-                .map(|section| section.check(config, ajp_key))
+                .map(|section| section.check(config, ajp_sends_keys))
                 .transpose()?,
-            admission,
-            standings,
+            connection_admission,
+            reputation_folder,
             tls: file
                 .tls
                 .map(|section| section.check(config, folder))
@@ -289,17 +296,17 @@
             class_names: config.class_names.clone(),
         };
         operator
-            .covers(config)
-            .map_err(|what| ("results".to_owned(), what))?;
+            .check_deduplicated_classes(config)
+            .map_err(|message| ("results".to_owned(), message))?;
         Ok(operator)
     }
 }
 
-/// Runs a template; the result is JSON.
+/// Evaluates a Jsonnet template and returns the result as JSON.
 ///
 /// # Errors
-/// File and line, where they are known, and what is wrong there.
-pub fn evaluate(file: &Path) -> Result<String, Fault> {
+/// The template can't be evaluated; the error has the file, the line if known, and what is wrong.
+pub fn evaluate(file: &Path) -> Result<String, OperatorFileError> {
     let state = EvaluationState::default();
     state.with_stdlib();
     let folder = file.parent().map(Path::to_owned).unwrap_or_default();
@@ -310,102 +317,105 @@
         .evaluate_file_raw(file)
         .and_then(|value| state.manifest(value));
     value.map(|json| json.to_string()).map_err(|e| {
-        let fault = |file: PathBuf, line, what| Fault {
+        let error = |file: PathBuf, line, message| OperatorFileError {
             file,
             line,
             key: String::new(),
-            what,
+            message,
         };
-        // Guards against a panic of the evaluator, which can't show a place in nothing.
+        // The evaluator panics when it renders a location in an empty file.
         if let EvaluationError::ImportSyntaxError {
             path, source_code, ..
         } = e.error()
         {
             if source_code.is_empty() {
-                return fault(path.to_path_buf(), Some(1), "the file is empty".to_owned());
+                return error(path.to_path_buf(), Some(1), "the file is empty".to_owned());
             }
         }
         let text = state.stringify_err(&e);
         let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
-        let what = lines.next().unwrap_or("can't be evaluated").to_owned();
-        // The places follow, the innermost first, as FILE:LINE:COLUMN; the file may be one that was imported.
-        let place = lines.next().and_then(|line| {
-            let ends = [".jsonnet:", ".libsonnet:"]
+        let message = lines.next().unwrap_or("can't be evaluated").to_owned();
+        // The next lines are the stack trace, innermost location first, as FILE:LINE:COLUMN. The file may
+        // be an imported one.
+        let location = lines.next().and_then(|line| {
+            let path_ends = [".jsonnet:", ".libsonnet:"]
                 .iter()
-                .filter_map(|end| Some(line.find(end)? + end.len()));
-            let end = ends.min()?;
-            let number = line[end..]
+                .filter_map(|suffix| Some(line.find(suffix)? + suffix.len()));
+            let path_end = path_ends.min()?;
+            let number = line[path_end..]
                 .split(|c: char| !c.is_ascii_digit())
                 .next()?
                 .parse::<usize>()
                 .ok()?;
-            Some((PathBuf::from(&line[..end - 1]), number.max(1)))
+            Some((PathBuf::from(&line[..path_end - 1]), number.max(1)))
         });
-        match place {
-            Some((found, line)) => fault(found, Some(line), what),
+        match location {
+            Some((path, line)) => error(path, Some(line), message),
             None => {
-                let rest: Vec<_> = lines.take(3).collect();
-                let what = if rest.is_empty() {
-                    what
+                let trace: Vec<_> = lines.take(3).collect();
+                let message = if trace.is_empty() {
+                    message
                 } else {
-                    format!("{what} ({})", rest.join(", "))
+                    format!("{message} ({})", trace.join(", "))
                 };
-                fault(file.to_owned(), None, what)
+                error(file.to_owned(), None, message)
             }
         }
     })
 }
 
-/// The line where a key is written, looked for part by part; the template may build it elsewhere, and then no line
-/// is told.
-fn locate(source: &str, key: &str, what: &str) -> Option<usize> {
-    let unknown = what
+/// Returns the number of the line that sets `key` in the template, searching for the parts of the key
+/// one after the other. Returns `None` if no part of the key is found, such as for a key that another
+/// file sets.
+fn find_line(source: &str, key: &str, message: &str) -> Option<usize> {
+    let unknown_field = message
         .strip_prefix("unknown field `")
         .and_then(|rest| rest.split('`').next());
     let parts = key
         .split(['.', '['])
         .filter(|part| !part.ends_with(']') && !part.is_empty() && *part != "?");
-    let mut from = 0;
-    let mut found = None;
-    for part in parts.chain(unknown) {
-        let Some(at) = find_key(source, from, part) else {
+    let mut start = 0;
+    let mut last_match = None;
+    for part in parts.chain(unknown_field) {
+        let Some(offset) = find_key(source, start, part) else {
             break;
         };
-        from = at + part.len();
-        found = Some(at);
+        start = offset + part.len();
+        last_match = Some(offset);
     }
-    found.map(|at| source[..at].matches('\n').count() + 1)
+    last_match.map(|offset| source[..offset].matches('\n').count() + 1)
 }
 
-fn find_key(source: &str, from: usize, name: &str) -> Option<usize> {
-    source[from..]
+/// Returns the offset of the first object key `name` from `start` on, outside of comments.
+fn find_key(source: &str, start: usize, name: &str) -> Option<usize> {
+    source[start..]
         .match_indices(name)
-        .map(|(at, _)| from + at)
-        .find(|&at| {
-            let before = source[..at].chars().next_back();
-            let after = source[at + name.len()..].trim_start_matches(['"', '\'', ' ', '+']);
-            let comment = source[..at]
+        .map(|(offset, _)| start + offset)
+        .find(|&offset| {
+            let before = source[..offset].chars().next_back();
+            let after = source[offset + name.len()..].trim_start_matches(['"', '\'', ' ', '+']);
+            let is_comment = source[..offset]
                 .rsplit('\n')
                 .next()
                 .is_some_and(|line| line.contains("//") || line.contains('#'));
-            !comment
+            !is_comment
                 && !before.is_some_and(|c| c.is_alphanumeric() || c == '_')
                 && after.starts_with(':')
         })
 }
 
-fn addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, Wrong> {
-    let one = |(i, text): (usize, &String)| {
-        let what = || format!("{text:?} is not an address and port, such as 127.0.0.1:8009");
-        text.parse().map_err(|_| (format!("{key}[{i}]"), what()))
+fn parse_addresses(key: &str, texts: &[String]) -> Result<Vec<SocketAddr>, KeyError> {
+    let parse = |(i, text): (usize, &String)| {
+        let message = || format!("{text:?} is not an address and port, such as 127.0.0.1:8009");
+        text.parse().map_err(|_| (format!("{key}[{i}]"), message()))
     };
-    texts.iter().enumerate().map(one).collect()
+    texts.iter().enumerate().map(parse).collect()
 }
 
-fn packet_size(key: &str, size: Option<usize>) -> Result<usize, Wrong> {
+fn check_packet_size(key: &str, size: Option<usize>) -> Result<usize, KeyError> {
     let size = size.unwrap_or(PACKET_SIZE);
     if !PACKET_SIZES.contains(&size) {
-        return wrong(
+        return key_error(
             key,
             format!(
                 "{size} is not within {} to {}",
@@ -417,28 +427,31 @@
     Ok(size)
 }
 
-/// Classes of an imported table: a route has to name one, and where it leads is another's affair.
+/// Finds the class of a request by imported nginx routes. Only the class of a route is used here; its
+/// upstream is ignored.
 #[derive(Debug)]
-struct Imported {
-    table: cleatpulley_routes::router::Router,
+struct ImportedRoutes {
+    router: cleatpulley_routes::router::Router,
     listen: Option<String>,
-    classes: Vec<String>,
+    class_names: Vec<String>,
 }
 
-impl Lookup for Imported {
+impl Lookup for ImportedRoutes {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
-        let asked = asked(self.listen.as_deref(), head);
-        match self.table.route(&asked).map_err(|what| (404, what))? {
+        let request = asked(self.listen.as_deref(), head);
+        match self
+            .router
+            .route(&request)
+            .map_err(|message| (404, message))?
+        {
             RouteDecision::Forward {
                 class: Some(class), ..
             } => {
-                let found = self.classes.iter().position(|known| *known == class);
-                found.ok_or_else(|| (404, format!("{class:?} is no class")))
+                let index = self.class_names.iter().position(|name| *name == class);
+                index.ok_or_else(|| (404, format!("{class:?} is no class")))
             }
             RouteDecision::Forward { .. } => Err((404, "this route has no class".to_owned())),
-            RouteDecision::Respond {
-                status: code, text, ..
-            } => Err((code, text)),
+            RouteDecision::Respond { status, text, .. } => Err((status, text)),
         }
     }
 
@@ -447,134 +460,134 @@
     }
 }
 
-fn imported(
+fn load_imported_routes(
     file: &Path,
     listen: Option<String>,
     config: &Config,
-) -> Result<Arc<dyn Lookup>, Wrong> {
-    let fault = |what| ("routes_from".to_owned(), what);
-    let routes = crate::nginx::load(file).map_err(fault)?;
-    let table = cleatpulley_routes::router::Router::new(&routes).map_err(fault)?;
-    Ok(Arc::new(Imported {
-        table,
+) -> Result<Arc<dyn Lookup>, KeyError> {
+    let error = |message| ("routes_from".to_owned(), message);
+    let routes = crate::nginx::load_routes(file).map_err(error)?;
+    let router = cleatpulley_routes::router::Router::new(&routes).map_err(error)?;
+    Ok(Arc::new(ImportedRoutes {
+        router,
         listen,
-        classes: config.class_names.clone(),
+        class_names: config.class_names.clone(),
     }))
 }
 
-/// A header's name, or `attribute:` and the name of a request attribute.
-fn source(key: &str, text: Option<&String>) -> Result<Option<Source>, Wrong> {
+/// Parses the name of a header, or `attribute:` and the name of a request attribute.
+fn parse_source(key: &str, text: Option<&String>) -> Result<Option<Source>, KeyError> {
     let Some(text) = text else { return Ok(None) };
-    let (name, source): (&str, fn(String) -> Source) = match text.strip_prefix("attribute:") {
+    let (name, new_source): (&str, fn(String) -> Source) = match text.strip_prefix("attribute:") {
         Some(name) => (name, Source::Attribute),
         None => (text, Source::Header),
     };
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if name.is_empty() || !name.chars().all(plain) {
-        return wrong(
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() || !name.chars().all(is_allowed) {
+        return key_error(
             format!("figures.{key}"),
             format!("{text:?} is not the name of a header or attribute"),
         );
     }
-    Ok(Some(source(name.to_owned())))
+    Ok(Some(new_source(name.to_owned())))
 }
 
 impl AjpSection {
-    fn check(mut self, config: &Config, folder: &Path) -> Result<AjpOptions, Wrong> {
+    fn check(mut self, config: &Config, folder: &Path) -> Result<AjpOptions, KeyError> {
         self.routes_from = self.routes_from.map(|file| folder.join(file));
-        self.checked(config)
-            .map_err(|(key, what)| (format!("ajp.{key}"), what))
+        self.check_keys(config)
+            .map_err(|(key, message)| (format!("ajp.{key}"), message))
     }
 
-    fn checked(self, config: &Config) -> Result<AjpOptions, Wrong> {
-        let listen = addresses("listen", &self.listen)?;
+    fn check_keys(self, config: &Config) -> Result<AjpOptions, KeyError> {
+        let listen = parse_addresses("listen", &self.listen)?;
         if listen.is_empty() {
-            return wrong(
-                "listen",
-                "no address; leave the section out to switch AJP off",
-            );
+            return key_error("listen", "no address; to turn AJP off, remove the section");
         }
         match &self.secret {
             Some(secret) if secret.is_empty() => {
-                return wrong("secret", "it is empty; null asks for none")
+                return key_error("secret", "it is empty; for no secret, use null")
             }
             Some(_) => {}
-            // Whoever reaches the port speaks for all callers: beyond this machine that takes a secret.
+            // Any client that can connect may act for all callers, so a port that is reachable from other
+            // machines needs a secret.
             None => {
                 if let Some(i) = listen
                     .iter()
                     .position(|address| !address.ip().is_loopback())
                 {
-                    let what =
-                        format!("{} is no loopback address, which takes a secret", listen[i]);
-                    return wrong(format!("listen[{i}]"), what);
+                    let message = format!(
+                        "{} is not a loopback address, so a secret is required",
+                        listen[i]
+                    );
+                    return key_error(format!("listen[{i}]"), message);
                 }
             }
         }
         let max_body = self.max_body.unwrap_or(2_048);
-        if max_body > LARGEST_BODY {
-            return wrong(
+        if max_body > MAX_BODY_BYTES {
+            return key_error(
                 "max_body",
-                format!("{max_body} is more than {LARGEST_BODY}"),
+                format!("{max_body} is more than {MAX_BODY_BYTES}"),
             );
         }
-        let time = |key: &str, ms: u64| match ms {
+        let timeout = |key: &str, ms: u64| match ms {
             1..=86_400_000 => Ok(ms * 1_000),
-            _ => wrong(
+            _ => key_error(
                 format!("timeouts_ms.{key}"),
                 format!("{ms} is not within 1 to 86400000"),
             ),
         };
-        let body = time("body", self.timeouts_ms.body)?;
-        // A body that comes late has to be answered by its request's due time.
-        let shortest = config
+        let body_timeout = timeout("body", self.timeouts_ms.body)?;
+        // A request whose body is late still has to get its response before the client times out.
+        let min_client_timeout = config
             .settings
             .classes
             .iter()
             .map(|class| class.client_timeout)
             .min()
             .unwrap_or(0);
-        if body + MARGIN > shortest {
-            let what = format!(
-                "{} ms leave no time to answer: a class has {} ms in all",
-                body / 1_000,
-                shortest / 1_000
+        if body_timeout + BODY_TIMEOUT_MARGIN_US > min_client_timeout {
+            let message = format!(
+                "{} ms leave no time for the response: a class has a client timeout of {} ms",
+                body_timeout / 1_000,
+                min_client_timeout / 1_000
             );
-            return wrong("timeouts_ms.body", what);
+            return key_error("timeouts_ms.body", message);
         }
         let mut trusted = Vec::new();
         for (i, text) in self.trusted_proxies.iter().enumerate() {
             match text.parse::<IpAddr>() {
                 Ok(address) => trusted.push(address),
                 Err(_) => {
-                    return wrong(
+                    return key_error(
                         format!("trusted_proxies[{i}]"),
-                        format!("{text:?} is no address"),
+                        format!("{text:?} is not an IP address"),
                     )
                 }
             }
         }
         if self.figures.door.is_some() && trusted.is_empty() {
-            return wrong(
+            return key_error(
                 "figures.door",
-                "it is believed of trusted proxies only, and trusted_proxies names none",
+                "only trusted proxies may set it, and trusted_proxies is empty",
             );
         }
-        let class_of =
-            |key: &str, name: &str| match config.class_names.iter().position(|known| known == name)
+        let class_index =
+            |key: &str, name: &str| match config.class_names.iter().position(|class| class == name)
             {
-                Some(class) => Ok(class),
-                None => wrong(
+                Some(index) => Ok(index),
+                None => key_error(
                     key,
                     format!(
-                        "{name:?} is no class; there are {}",
+                        "{name:?} is not a class; the classes are {}",
                         config.class_names.join(", ")
                     ),
                 ),
             };
         let mut entries = Vec::new();
         for (i, route) in self.routes.into_iter().enumerate() {
-            let class = class_of(&format!("routes[{i}].class"), &route.class)?;
+            let class = class_index(&format!("routes[{i}].class"), &route.class)?;
             entries.push(Entry {
                 path: route.path,
                 methods: route.methods,
@@ -583,76 +596,82 @@
         }
         let lookup = match &self.routes_from {
             Some(_) if !entries.is_empty() => {
-                return wrong("routes_from", "there are routes as well")
+                return key_error("routes_from", "it can't be combined with routes")
             }
-            Some(file) => Some(imported(file, self.routes_listen.clone(), config)?),
-            None if entries.is_empty() => return wrong("routes", "no path leads to a class"),
+            Some(file) => Some(load_imported_routes(
+                file,
+                self.routes_listen.clone(),
+                config,
+            )?),
+            None if entries.is_empty() => return key_error("routes", "there is no route"),
             None => None,
         };
-        let table = Table::new(entries).map_err(|(i, what)| (format!("routes[{i}].path"), what))?;
+        let table =
+            Table::new(entries).map_err(|(i, message)| (format!("routes[{i}].path"), message))?;
         for name in self.classes.keys() {
-            class_of(&format!("classes.{name}"), name)?;
+            class_index(&format!("classes.{name}"), name)?;
         }
         let mut defaults = Vec::new();
         for (name, class) in config.class_names.iter().zip(&config.settings.classes) {
-            let own = self.classes.get(name).cloned().unwrap_or_default();
-            let all = &self.defaults;
-            let found = Defaults {
-                work: (own.work_ms.or(all.work_ms).unwrap_or(0.0).max(0.0) * 1_000.0) as Micros,
-                memory_kb: own.memory_kb.or(all.memory_kb).unwrap_or(30.0),
-                rank: own.rank.or(all.rank).unwrap_or(0.5),
-                caller: own.caller.or(all.caller).unwrap_or(0),
-                needs_id: own
+            let of_class = self.classes.get(name).cloned().unwrap_or_default();
+            let of_all = &self.defaults;
+            let class_defaults = Defaults {
+                work: (of_class.work_ms.or(of_all.work_ms).unwrap_or(0.0).max(0.0) * 1_000.0)
+                    as Micros,
+                memory_kb: of_class.memory_kb.or(of_all.memory_kb).unwrap_or(30.0),
+                rank: of_class.rank.or(of_all.rank).unwrap_or(0.5),
+                caller: of_class.caller.or(of_all.caller).unwrap_or(0),
+                needs_id: of_class
                     .needs_id
-                    .or(all.needs_id)
+                    .or(of_all.needs_id)
                     .unwrap_or(class.effect != Effect::Idempotent),
             };
-            let place = |key: &str| {
+            let full_key = |key: &str| {
                 if self.classes.contains_key(name) {
                     format!("classes.{name}.{key}")
                 } else {
                     format!("defaults.{key}")
                 }
             };
-            if !(found.memory_kb > 0.0 && found.memory_kb < 2_000.0) {
-                return wrong(
-                    place("memory_kb"),
-                    format!("{} is not above 0 and under 2000", found.memory_kb),
+            if !(class_defaults.memory_kb > 0.0 && class_defaults.memory_kb < 2_000.0) {
+                return key_error(
+                    full_key("memory_kb"),
+                    format!("{} is not above 0 and under 2000", class_defaults.memory_kb),
                 );
             }
-            if !(0.0..1.0).contains(&found.rank) {
-                return wrong(
-                    place("rank"),
-                    format!("{} is not from 0 to under 1", found.rank),
+            if !(0.0..1.0).contains(&class_defaults.rank) {
+                return key_error(
+                    full_key("rank"),
+                    format!("{} is not from 0 to under 1", class_defaults.rank),
                 );
             }
-            if found.needs_id && self.figures.id.is_none() {
-                let what = format!(
-                    "class {name:?} has an effect and needs ids, but no header is named for them"
+            if class_defaults.needs_id && self.figures.id.is_none() {
+                let message = format!(
+                    "class {name:?} has an effect and needs request ids, but no header for them is set"
                 );
-                return wrong("figures.id", what);
+                return key_error("figures.id", message);
             }
-            defaults.push(found);
+            defaults.push(class_defaults);
         }
         let figures = &self.figures;
         let settings = Settings {
             secret: self.secret.map(String::into_bytes),
-            packet_size: packet_size("packet_size", self.packet_size)?,
+            packet_size: check_packet_size("packet_size", self.packet_size)?,
             max_body,
-            first_packet: time("first_packet", self.timeouts_ms.first_packet)?,
-            body,
-            idle: time("idle", self.timeouts_ms.idle)?,
+            first_packet: timeout("first_packet", self.timeouts_ms.first_packet)?,
+            body: body_timeout,
+            idle: timeout("idle", self.timeouts_ms.idle)?,
             table,
             lookup,
             figures: Figures {
-                id: source("id", figures.id.as_ref())?,
-                door: source("door", figures.door.as_ref())?,
-                work_ms: source("work_ms", figures.work_ms.as_ref())?,
-                memory_kb: source("memory_kb", figures.memory_kb.as_ref())?,
-                rank: source("rank", figures.rank.as_ref())?,
-                caller: source("caller", figures.caller.as_ref())?,
-                subject: source("subject", figures.subject.as_ref())?,
-                key: source("key", figures.key.as_ref())?,
+                id: parse_source("id", figures.id.as_ref())?,
+                door: parse_source("door", figures.door.as_ref())?,
+                work_ms: parse_source("work_ms", figures.work_ms.as_ref())?,
+                memory_kb: parse_source("memory_kb", figures.memory_kb.as_ref())?,
+                rank: parse_source("rank", figures.rank.as_ref())?,
+                caller: parse_source("caller", figures.caller.as_ref())?,
+                subject: parse_source("subject", figures.subject.as_ref())?,
+                key: parse_source("key", figures.key.as_ref())?,
             },
             defaults,
             seed: config.seed,
@@ -666,18 +685,18 @@
 }
 
 impl StoreSection {
-    fn check(self) -> Result<dependency_pool::DependencyProtocol, Wrong> {
+    fn check(self) -> Result<dependency_pool::DependencyProtocol, KeyError> {
         match self.protocol.as_str() {
             "http" if self.secret.is_some() => {
-                wrong("store.secret", "HTTP to the store knows no secret")
+                key_error("store.secret", "a secret requires the protocol \"ajp\"")
             }
             "http" => Ok(dependency_pool::DependencyProtocol::Http),
             "ajp" => Ok(dependency_pool::DependencyProtocol::Ajp(client::Options {
-                packet_size: packet_size("store.packet_size", self.packet_size)?,
+                packet_size: check_packet_size("store.packet_size", self.packet_size)?,
                 secret: self.secret,
                 server: (String::new(), 0),
             })),
-            other => wrong(
+            other => key_error(
                 "store.protocol",
                 format!("{other:?} is neither \"http\" nor \"ajp\""),
             ),
@@ -685,13 +704,13 @@
     }
 }
 
-impl fmt::Display for Operator {
+impl fmt::Display for OperatorSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.ajp {
             None => writeln!(f, "ajp: off")?,
-            Some(front) => {
-                let listen: Vec<_> = front.listen.iter().map(ToString::to_string).collect();
-                let settings = &front.settings;
+            Some(ajp) => {
+                let listen: Vec<_> = ajp.listen.iter().map(ToString::to_string).collect();
+                let settings = &ajp.settings;
                 let ms = |micros: Micros| micros / 1_000;
                 writeln!(
                     f,
@@ -706,22 +725,22 @@
                 )?;
             }
         }
-        let speaks = match &self.store {
+        let protocol = match &self.dependency_protocol {
             dependency_pool::DependencyProtocol::Http => "HTTP",
             dependency_pool::DependencyProtocol::Ajp(_) => "AJP",
         };
-        write!(f, "store: called over {speaks}")?;
-        if let Some(settings) = &self.admission {
+        write!(f, "store: called over {protocol}")?;
+        if let Some(settings) = &self.connection_admission {
             writeln!(f)?;
-            admission::show(settings, self.standings.as_deref(), f)?;
+            admission::write_summary(settings, self.reputation_folder.as_deref(), f)?;
         }
-        if let Some(results) = &self.results {
+        if let Some(options) = &self.idempotency {
             writeln!(f)?;
-            results::show(results, f)?;
+            results::write_summary(options, f)?;
         }
         if let Some(tls) = &self.tls {
             writeln!(f)?;
-            tls::show(tls, &self.class_names, f)?;
+            tls::write_summary(tls, &self.class_names, f)?;
         }
         Ok(())
     }
--- a/src/operator/cluster.rs
+++ b/src/operator/cluster.rs
@@ -1,7 +1,8 @@
-//! The section on the other processes of the installation: who they are asked for, and by which keys they are believed.
+//! The `cluster` section: the contacts through which a process finds the other processes of the
+//! installation, and the keys that authenticate them.
 
 use super::section::read_section;
-use super::{wrong, Fault, Wrong};
+use super::{key_error, KeyError, OperatorFileError};
 use cleatpulley_membership::authentication::KeyRing;
 use cleatpulley_membership::{Identity, Label, Role, Settings};
 use cleatpulley_server::gossip::{Options, ReloadKeys};
@@ -9,9 +10,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const MS: u64 = 1_000;
-/// Contacts that are asked for the others: a few know all.
-const MOST_CONTACTS: usize = 16;
+const US_PER_MS: u64 = 1_000;
+/// Maximum number of contacts that are queried for the other members. A few are enough, since each
+/// knows all members.
+const MAX_CONTACTS: usize = 16;
 
 #[derive(Deserialize)]
 struct File {
@@ -44,23 +46,24 @@
     most: Option<usize>,
 }
 
-/// Reads the section, if there is one, for a process of this role; its name is this one unless the section has another.
+/// Reads the `cluster` section of an operator file, if there is one, for a process of this role.
+/// `name` is the name of the process unless the section sets another.
 ///
 /// # Errors
-/// File, line where it is known, key, and what is wrong there.
-pub fn load(file: &Path, role: Role, name: &str) -> Result<Option<Options>, Fault> {
+/// The file is invalid; the error has the file, the line if known, the key, and what is wrong.
+pub fn load(file: &Path, role: Role, name: &str) -> Result<Option<Options>, OperatorFileError> {
     read_section(file, |file: File, folder| {
         let checked = file
             .cluster
             .map(|section| section.check(folder, role, name))
             .transpose();
-        checked.map_err(|(key, what)| (format!("cluster.{key}"), what))
+        checked.map_err(|(key, message)| (format!("cluster.{key}"), message))
     })
 }
 
-/// What it comes to, in a line.
+/// Returns the options as one line.
 #[must_use]
-pub fn show(options: Option<&Options>) -> String {
+pub fn summary(options: Option<&Options>) -> String {
     let Some(options) = options else {
         return "cluster: off".to_owned();
     };
@@ -73,83 +76,89 @@
         identity.zone,
         options.listen,
         options.contacts.len(),
-        settings.probe_interval / MS,
-        settings.ack_timeout / MS,
-        settings.suspicion_timeout / MS,
+        settings.probe_interval / US_PER_MS,
+        settings.ack_timeout / US_PER_MS,
+        settings.suspicion_timeout / US_PER_MS,
     )
 }
 
 impl Section {
-    fn check(self, beside: &Path, role: Role, name: &str) -> Result<Options, Wrong> {
-        let label = |key: &str, text: String| {
-            Label::try_from(text.clone()).map_err(|why| (key.to_owned(), format!("{text:?} {why}")))
+    fn check(self, base_folder: &Path, role: Role, name: &str) -> Result<Options, KeyError> {
+        let parse_label = |key: &str, text: String| {
+            Label::try_from(text.clone())
+                .map_err(|error| (key.to_owned(), format!("{text:?} {error}")))
         };
-        let listen = address("listen", &self.listen)?;
-        let reached = match &self.advertise {
-            Some(text) => address("advertise", text)?,
+        let listen = parse_address("listen", &self.listen)?;
+        let advertised = match &self.advertise {
+            Some(text) => parse_address("advertise", text)?,
             None if listen.ip().is_unspecified() => {
-                return wrong(
+                return key_error(
                     "advertise",
-                    format!("{listen} is no address that others reach; say which one does"),
+                    format!("missing: other processes can't reach the listen address {listen}"),
                 );
             }
             None => listen,
         };
-        if self.contacts.len() > MOST_CONTACTS {
-            return wrong(
+        if self.contacts.len() > MAX_CONTACTS {
+            return key_error(
                 "contacts",
-                format!("there are {}, {MOST_CONTACTS} at most", self.contacts.len()),
+                format!(
+                    "there are {}, which is more than {MAX_CONTACTS}",
+                    self.contacts.len()
+                ),
             );
         }
         let contacts = self.contacts.iter().enumerate();
-        let contacts = contacts.map(|(i, text)| address(&format!("contacts[{i}]"), text));
-        let contacts = contacts.collect::<Result<Vec<_>, Wrong>>()?;
-        let usual = Settings::default();
-        let time = |set: Option<u64>, usual| set.map_or(usual, |ms| ms.saturating_mul(MS));
+        let contacts = contacts.map(|(i, text)| parse_address(&format!("contacts[{i}]"), text));
+        let contacts = contacts.collect::<Result<Vec<_>, KeyError>>()?;
+        let defaults = Settings::default();
+        let time_us = |setting_ms: Option<u64>, default_us| {
+            setting_ms.map_or(default_us, |ms| ms.saturating_mul(US_PER_MS))
+        };
         let settings = Settings {
-            probe_interval: time(self.probe_ms, usual.probe_interval),
-            ack_timeout: time(self.answer_ms, usual.ack_timeout),
-            suspicion_timeout: time(self.suspicion_ms, usual.suspicion_timeout),
-            down_retention: time(self.remembered_ms, usual.down_retention),
-            metric_lifetime: time(self.figures_ms, usual.metric_lifetime),
-            max_members: self.most.unwrap_or(usual.max_members),
+            probe_interval: time_us(self.probe_ms, defaults.probe_interval),
+            ack_timeout: time_us(self.answer_ms, defaults.ack_timeout),
+            suspicion_timeout: time_us(self.suspicion_ms, defaults.suspicion_timeout),
+            down_retention: time_us(self.remembered_ms, defaults.down_retention),
+            metric_lifetime: time_us(self.figures_ms, defaults.metric_lifetime),
+            max_members: self.most.unwrap_or(defaults.max_members),
         };
-        settings.check().map_err(|fault| {
-            let unit = if fault.key == "most" { "" } else { "_ms" };
-            (format!("{}{unit}", fault.key), fault.reason)
+        settings.check().map_err(|error| {
+            let unit_suffix = if error.key == "most" { "" } else { "_ms" };
+            (format!("{}{unit_suffix}", error.key), error.reason)
         })?;
         let identity = Identity {
-            name: label("name", self.name.unwrap_or_else(|| name.to_owned()))?,
+            name: parse_label("name", self.name.unwrap_or_else(|| name.to_owned()))?,
             incarnation: 0,
             boot_id: 0,
-            address: reached,
+            address: advertised,
             role,
-            zone: label("zone", self.zone)?,
-            host: label("host", self.host)?,
+            zone: parse_label("zone", self.zone)?,
+            host: parse_label("host", self.host)?,
         };
-        let file = beside.join(&self.keys);
-        let mut keys: ReloadKeys = Box::new(move || {
+        let file = base_folder.join(&self.keys);
+        let mut reload_keys: ReloadKeys = Box::new(move || {
             let text =
                 std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             let keys = KeyRing::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
             Ok(keys)
         });
-        keys().map_err(|error| ("keys".to_owned(), error.to_string()))?;
+        reload_keys().map_err(|error| ("keys".to_owned(), error.to_string()))?;
         if self.folder.as_os_str().is_empty() {
-            return wrong("folder", "it names no folder");
+            return key_error("folder", "it is empty");
         }
         Ok(Options {
             identity,
             listen,
             contacts,
             settings,
-            keys,
-            folder: beside.join(self.folder),
+            keys: reload_keys,
+            folder: base_folder.join(self.folder),
         })
     }
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddr, Wrong> {
-    let what = || format!("{text:?} is not an address and port, such as 127.0.0.1:7946");
-    text.parse().map_err(|_| (key.to_owned(), what()))
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, KeyError> {
+    let message = || format!("{text:?} is not an address and port, such as 127.0.0.1:7946");
+    text.parse().map_err(|_| (key.to_owned(), message()))
 }
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -1,6 +1,6 @@
 //! The `fleet` section of the operator file: places, releases, limits, and the properties that the planner needs.
 
-use super::{evaluate, locate, wrong, Fault, Wrong};
+use super::{evaluate, find_line, key_error, KeyError, OperatorFileError};
 use cleatpulley_fleet::instance_config::{Release, Slot};
 use cleatpulley_fleet::plan::FleetSettings;
 use cleatpulley_fleet::planner::{Forecast, HostProfile, PlannerInput};
@@ -177,21 +177,21 @@
     ///
     /// # Errors
     /// The file is invalid; the error has the file, the line if known, the key, and what is wrong.
-    pub fn load(file: &Path) -> Result<Self, Fault> {
+    pub fn load(file: &Path) -> Result<Self, OperatorFileError> {
         let json = evaluate(file)?;
         let source = std::fs::read_to_string(file).unwrap_or_default();
         Self::parse(&json).map_err(|(key, message)| {
-            let line = locate(&source, &key, &message);
-            Fault {
+            let line = find_line(&source, &key, &message);
+            OperatorFileError {
                 file: file.to_owned(),
                 line,
                 key,
-                what: message,
+                message,
             }
         })
     }
 
-    fn parse(json: &str) -> Result<Self, Wrong> {
+    fn parse(json: &str) -> Result<Self, KeyError> {
         let mut reader = serde_json::Deserializer::from_str(json);
         let file: File = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
             let key = e.path().to_string();
@@ -210,7 +210,7 @@
 }
 
 impl FleetSection {
-    fn check(self) -> Result<FleetConfig, Wrong> {
+    fn check(self) -> Result<FleetConfig, KeyError> {
         let needed = self.instances.saturating_add(self.surge);
         if self.slots.len() < needed {
             let message = format!(
@@ -219,7 +219,7 @@
                 self.instances,
                 self.surge
             );
-            return wrong("places", message);
+            return key_error("places", message);
         }
         let shared_address = self
             .listen
@@ -228,7 +228,7 @@
             .transpose()?;
         let slots = check_slots(&self.slots, shared_address)?;
         if self.releases.is_empty() {
-            return wrong("releases", "none: at least one release is needed");
+            return key_error("releases", "none: at least one release is needed");
         }
         let min_missing = if self.surge == 0 { 1 } else { 0 };
         let min_capacity = self
@@ -287,7 +287,7 @@
     }
 }
 
-fn parse_address(key: String, text: &str) -> Result<SocketAddr, Wrong> {
+fn parse_address(key: String, text: &str) -> Result<SocketAddr, KeyError> {
     let message = || format!("{text:?} is not an address and port, such as 127.0.0.1:5050");
     text.parse().map_err(|_| (key, message()))
 }
@@ -295,7 +295,7 @@
 fn check_slots(
     sections: &[SlotSection],
     shared_address: Option<SocketAddr>,
-) -> Result<Vec<Slot>, Wrong> {
+) -> Result<Vec<Slot>, KeyError> {
     let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
     let check_slot = |(i, section): (usize, &SlotSection)| {
         let is_name_character = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
@@ -304,33 +304,33 @@
                 "{:?} is not a name of letters, digits, '-', '_' and '.'",
                 section.name
             );
-            return wrong(format!("places[{i}].name"), message);
+            return key_error(format!("places[{i}].name"), message);
         }
         let key = || format!("places[{i}].listen");
         let listen = match (&section.listen, shared_address) {
             (Some(text), None) => parse_address(key(), text)?,
             (None, Some(shared_address)) => shared_address,
             (Some(_), Some(_)) => {
-                return wrong(
+                return key_error(
                     key(),
                     "conflicts with fleet.listen, the address of all places",
                 )
             }
             (None, None) => {
-                return wrong(
+                return key_error(
                     key(),
                     "missing, and there is no fleet.listen for all places",
                 )
             }
         };
         if !names.insert(section.name.clone()) {
-            return wrong(
+            return key_error(
                 format!("places[{i}].name"),
                 format!("{:?} is used twice", section.name),
             );
         }
         if shared_address.is_none() && !addresses.insert(listen) {
-            return wrong(key(), format!("{listen} is used twice"));
+            return key_error(key(), format!("{listen} is used twice"));
         }
         Ok(Slot {
             name: section.name.clone(),
@@ -342,7 +342,7 @@
 }
 
 impl HostSection {
-    fn check(&self) -> Result<HostProfile, Wrong> {
+    fn check(&self) -> Result<HostProfile, KeyError> {
         let positive = [
             ("cores", self.cores),
             ("cores_each", self.cores_per_instance),
@@ -351,14 +351,14 @@
         ];
         for (key, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return wrong(
+                return key_error(
                     format!("host.{key}"),
                     format!("{value} is not greater than 0"),
                 );
             }
         }
         if self.initial_warmth > 1.0 {
-            return wrong(
+            return key_error(
                 "host.cold_from",
                 format!("{} is a share above 1", self.initial_warmth),
             );
@@ -375,16 +375,16 @@
     }
 }
 
-fn check_forecast(points: &[(f64, f64)]) -> Result<Forecast, Wrong> {
+fn check_forecast(points: &[(f64, f64)]) -> Result<Forecast, KeyError> {
     let mut previous = -1.0;
     let mut checked = Vec::new();
     for (i, &(seconds, rate)) in points.iter().enumerate() {
         if !(seconds.is_finite() && (0.0..1e7).contains(&seconds) && seconds > previous) {
             let message = format!("{seconds} is not a time in seconds after the previous point");
-            return wrong(format!("demand[{i}]"), message);
+            return key_error(format!("demand[{i}]"), message);
         }
         if !(rate.is_finite() && rate >= 0.0) {
-            return wrong(
+            return key_error(
                 format!("demand[{i}]"),
                 format!("{rate} is not a number of requests per second"),
             );
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -1,7 +1,7 @@
 //! The section on a gateway: where callers come, which routes hold, where targets are.
 
 use super::section::read_section;
-use super::{addresses, packet_size, wrong, Fault, Wrong};
+use super::{check_packet_size, key_error, parse_addresses, KeyError, OperatorFileError};
 use crate::nginx;
 use cleatpulley_gateway::core::{Class, Settings};
 use cleatpulley_gateway::upstream::{Names, Speaks};
@@ -132,7 +132,7 @@
 }
 
 impl LinksSection {
-    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, Wrong> {
+    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::Links, KeyError> {
         use cleatpulley_tls::pair::{certificates, Pair};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
@@ -149,14 +149,14 @@
                 let pair = Pair::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
-            (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
+            (Some(_), None) => return key_error("targets.tls.key", "a certificate needs its key"),
             (None, Some(_)) => {
-                return wrong("targets.tls.certificate", "a key needs its certificate")
+                return key_error("targets.tls.certificate", "a key needs its certificate")
             }
         };
         if let Some(name) = &self.server_name {
             if cleatpulley_tls::rustls::pki_types::ServerName::try_from(name.as_str()).is_err() {
-                return wrong(
+                return key_error(
                     "targets.tls.server_name",
                     format!("{name:?} is no host's name or address"),
                 );
@@ -182,7 +182,7 @@
 ///
 /// # Errors
 /// File, line where it is known, key, and what is wrong there.
-pub fn load(file: &Path) -> Result<Options, Fault> {
+pub fn load(file: &Path) -> Result<Options, OperatorFileError> {
     read_section(file, |file: File, folder| {
         file.gateway
             .check(folder)
@@ -191,17 +191,17 @@
 }
 
 impl Section {
-    fn check(self, folder: &Path) -> Result<Options, Wrong> {
-        let routes =
-            nginx::load(&folder.join(&self.routes)).map_err(|what| ("routes".to_owned(), what))?;
-        let frames = addresses("frames", &self.frames)?;
+    fn check(self, folder: &Path) -> Result<Options, KeyError> {
+        let routes = nginx::load_routes(&folder.join(&self.routes))
+            .map_err(|what| ("routes".to_owned(), what))?;
+        let frames = parse_addresses("frames", &self.frames)?;
         if frames.is_empty() && self.ajp.is_none() {
-            return wrong("frames", "no address, and no AJP either: nobody could come");
+            return key_error("frames", "no address, and no AJP either: nobody could come");
         }
         let (mut classes, mut longest) = (Vec::new(), 0);
         for (name, class) in &self.classes {
             if !(1..=600_000).contains(&class.deadline_ms) {
-                return wrong(
+                return key_error(
                     format!("classes.{name}.deadline_ms"),
                     format!("{} is not within 1 to 600000", class.deadline_ms),
                 );
@@ -214,23 +214,23 @@
             });
         }
         if classes.is_empty() {
-            return wrong("classes", "there is none");
+            return key_error("classes", "there is none");
         }
         if self.stop_ms < self.drain_grace_ms + longest {
             let what = format!(
                 "{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
                 self.stop_ms, self.drain_grace_ms
             );
-            return wrong("stop_ms", what);
+            return key_error("stop_ms", what);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
-            return wrong(
+            return key_error(
                 "memory_mb",
                 format!("{} is not within 1 to 65536", self.memory_mb),
             );
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return wrong(
+            return key_error(
                 "retry_share",
                 format!("{} is not from 0 to 1", self.retry_share),
             );
@@ -245,7 +245,7 @@
                 .flat_map(|server| &server.listen_addresses)
                 .any(|(known, _)| known == at)
             {
-                return wrong(
+                return key_error(
                     "routes_listen",
                     format!("no server of the routes listens on {at}"),
                 );
@@ -253,16 +253,16 @@
         }
         let speaks = match self.targets.protocol.as_deref() {
             None | Some("frames") if self.targets.secret.is_some() => {
-                return wrong("targets.secret", "frames know no secret")
+                return key_error("targets.secret", "frames know no secret")
             }
             None | Some("frames") => Speaks::Frames,
             Some("ajp") => Speaks::Ajp(client::Options {
-                packet_size: packet_size("targets", None)?,
+                packet_size: check_packet_size("targets", None)?,
                 secret: self.targets.secret.clone(),
                 server: (self.name.clone(), 0),
             }),
             Some(other) => {
-                return wrong(
+                return key_error(
                     "targets.protocol",
                     format!("{other:?} is neither \"frames\" nor \"ajp\""),
                 )
@@ -305,7 +305,7 @@
     locations: &[Location],
     above: &[RewriteStep],
     classes: &BTreeMap<String, ClassSection>,
-) -> Result<(), Wrong> {
+) -> Result<(), KeyError> {
     for location in locations {
         for step in above.iter().chain(&location.steps) {
             let RewriteStep::Set { variable, value } = step else {
@@ -321,7 +321,7 @@
                     location.position,
                     classes.keys().cloned().collect::<Vec<_>>().join(", ")
                 );
-                return wrong("routes", what);
+                return key_error("routes", what);
             }
         }
         classes_known(&location.nested, above, classes)?;
@@ -332,7 +332,7 @@
 fn resolve(
     routes: &Routes,
     names: &BTreeMap<String, String>,
-) -> Result<HashMap<Arc<str>, SocketAddr>, Wrong> {
+) -> Result<HashMap<Arc<str>, SocketAddr>, KeyError> {
     let mut found = HashMap::new();
     for target in routes.pools.values().flat_map(|pool| &pool.targets) {
         let text = names.get(&target.address).unwrap_or(&target.address);
@@ -341,7 +341,7 @@
                 "{}: where {} leads is not told, and names are not looked up",
                 target.position, target.address
             );
-            return wrong("targets.names", what);
+            return key_error("targets.names", what);
         };
         found.insert(Arc::from(target.address.as_str()), address);
     }
@@ -349,13 +349,16 @@
 }
 
 impl AjpSection {
-    fn check(self, seed: u64) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), Wrong> {
-        let listen = addresses("ajp.listen", &self.listen)?;
+    fn check(
+        self,
+        seed: u64,
+    ) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), KeyError> {
+        let listen = parse_addresses("ajp.listen", &self.listen)?;
         if let Some(i) = listen
             .iter()
             .position(|at| !at.ip().is_loopback() && self.secret.is_none())
         {
-            return wrong(
+            return key_error(
                 format!("ajp.listen[{i}]"),
                 format!("{} is no loopback address, which takes a secret", listen[i]),
             );
@@ -364,7 +367,7 @@
         let names = Names::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
-            packet_size: packet_size("ajp.packet_size", self.packet_size)?,
+            packet_size: check_packet_size("ajp.packet_size", self.packet_size)?,
             max_body: self.max_body,
             first_packet: 2_000 * MS,
             body: 2_000 * MS,
--- a/src/operator/results.rs
+++ b/src/operator/results.rs
@@ -1,6 +1,6 @@
-//! The section on kept results.
+//! The `results` section: storage of the results of keyed requests.
 
-use super::{wrong, Wrong};
+use super::{key_error, KeyError};
 use crate::config::Config;
 use cleatpulley_dispatcher::key_table::KeyTableOptions;
 use cleatpulley_dispatcher::KeyScope;
@@ -10,26 +10,26 @@
 use std::fmt;
 use std::path::PathBuf;
 
-const MS: u64 = 1_000;
-/// A key is remembered for at most 30 days: what is kept for longer belongs into a database.
-const LONGEST_WINDOW_MS: u64 = 30 * 86_400_000;
+const US_PER_MS: u64 = 1_000;
+/// Keys are stored for at most 30 days. Data that has to live longer belongs in a database.
+const MAX_WINDOW_MS: u64 = 30 * 86_400_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ResultsSection {
     folder: String,
     classes: Vec<String>,
-    #[serde(default = "window")]
+    #[serde(default = "default_window_ms")]
     window_ms: u64,
-    #[serde(default = "entries")]
+    #[serde(default = "default_max_entries")]
     max_entries: usize,
-    #[serde(default = "megabytes")]
+    #[serde(default = "default_max_mb")]
     max_mb: usize,
-    #[serde(default = "stall")]
+    #[serde(default = "default_stall_ms")]
     stall_ms: u64,
-    #[serde(default = "entry")]
+    #[serde(default = "default_entry_kb")]
     entry_kb: f64,
-    #[serde(default = "owner")]
+    #[serde(default = "default_owner")]
     owner: String,
     #[serde(default)]
     required: bool,
@@ -37,180 +37,186 @@
     frame_field: Option<String>,
 }
 
-fn window() -> u64 {
+fn default_window_ms() -> u64 {
     600_000
 }
 
-fn entries() -> usize {
+fn default_max_entries() -> usize {
     200_000
 }
 
-fn megabytes() -> usize {
+fn default_max_mb() -> usize {
     256
 }
 
-fn stall() -> u64 {
+fn default_stall_ms() -> u64 {
     100
 }
 
-/// What an entry takes by measurement, rounded up.
-fn entry() -> f64 {
+/// Memory of one entry in KB, rounded up.
+fn default_entry_kb() -> f64 {
     0.2
 }
 
-fn owner() -> String {
+fn default_owner() -> String {
     "caller".to_owned()
 }
 
 impl ResultsSection {
-    /// Checks it; `ajp_key` says whether AJP callers may tell a key.
-    pub(super) fn check(self, config: &Config, ajp_key: bool) -> Result<IdempotencyOptions, Wrong> {
+    /// Checks the section. `ajp_sends_keys` is true if AJP requests may carry a key.
+    pub(super) fn check(
+        self,
+        config: &Config,
+        ajp_sends_keys: bool,
+    ) -> Result<IdempotencyOptions, KeyError> {
         if self.folder.is_empty() {
-            return wrong("results.folder", "it names no folder");
+            return key_error("results.folder", "it is empty");
         }
         if self.classes.is_empty() {
-            return wrong(
+            return key_error(
                 "results.classes",
-                "no class; leave the section out to keep nothing",
+                "no class; to store no results, remove the section",
             );
         }
-        let mut classes = vec![false; config.class_names.len()];
-        let window = self.window_ms.saturating_mul(MS);
-        if self.window_ms > LONGEST_WINDOW_MS {
-            return wrong(
+        let mut is_stored = vec![false; config.class_names.len()];
+        let window = self.window_ms.saturating_mul(US_PER_MS);
+        if self.window_ms > MAX_WINDOW_MS {
+            return key_error(
                 "results.window_ms",
-                format!(
-                    "{} is more than {LONGEST_WINDOW_MS}, 30 days",
-                    self.window_ms
-                ),
+                format!("{} is more than {MAX_WINDOW_MS}, 30 days", self.window_ms),
             );
         }
         for (i, name) in self.classes.iter().enumerate() {
             let key = format!("results.classes[{i}]");
-            let Some(place) = config.class_names.iter().position(|known| known == name) else {
-                return wrong(
+            let Some(index) = config.class_names.iter().position(|class| class == name) else {
+                return key_error(
                     key,
                     format!(
-                        "{name:?} is no class; there are {}",
+                        "{name:?} is not a class; the classes are {}",
                         config.class_names.join(", ")
                     ),
                 );
             };
-            let class = &config.settings.classes[place];
+            let class = &config.settings.classes[index];
             if class.effect == Effect::Idempotent {
-                return wrong(
+                return key_error(
                     key,
-                    format!("{name:?} is safe to repeat, and needs no result kept"),
+                    format!("{name:?} is idempotent and needs no stored results"),
                 );
             }
             if class.effect == Effect::Deduplicated && !self.required {
-                return wrong(
+                return key_error(
                     "results.required",
-                    format!("{name:?} is deduplicated, which takes a key with each request"),
+                    format!("{name:?} is deduplicated, so each request needs a key"),
                 );
             }
-            // Guards against a repeat that comes while its first is still owed an answer and finds no entry.
-            let least = class
+            // The entry has to exist for as long as a repeat may come: while the first attempt awaits its
+            // response, and within the deduplication window.
+            let min_window = class
                 .client_timeout
                 .max(if class.effect == Effect::Deduplicated {
                     class.deduplication_window
                 } else {
                     0
                 });
-            if window < least {
-                let what = format!(
-                    "{} is less than the {} ms in which {name:?} may come again",
+            if window < min_window {
+                let message = format!(
+                    "{} is less than the {} ms in which {name:?} may be retried",
                     self.window_ms,
-                    least / MS
+                    min_window / US_PER_MS
                 );
-                return wrong("results.window_ms", what);
+                return key_error("results.window_ms", message);
             }
-            classes[place] = true;
+            is_stored[index] = true;
         }
-        if !ajp_key && self.frame_field.is_none() {
-            return wrong(
+        if !ajp_sends_keys && self.frame_field.is_none() {
+            return key_error(
                 "results.frame_field",
-                "no front brings keys: name a field of frames, or ajp.figures.key",
+                "no protocol carries keys: set a field of frames, or ajp.figures.key",
             );
         }
         if let Some(field) = &self.frame_field {
-            let known = [
+            let protocol_fields = [
                 "verb", "txn", "door", "lb", "cpu", "ram", "standing", "item",
             ];
-            if field.is_empty() || field.len() > 255 || known.contains(&field.as_str()) {
-                return wrong(
+            if field.is_empty() || field.len() > 255 || protocol_fields.contains(&field.as_str()) {
+                return key_error(
                     "results.frame_field",
-                    format!("{field:?} is empty, too long or taken"),
+                    format!("{field:?} is empty, too long or already used"),
                 );
             }
         }
-        let within = |key: &str, value: usize, most: usize| match value {
-            _ if (1..=most).contains(&value) => Ok(value),
-            _ => wrong(
+        let check_range = |key: &str, value: usize, max: usize| match value {
+            _ if (1..=max).contains(&value) => Ok(value),
+            _ => key_error(
                 format!("results.{key}"),
-                format!("{value} is not within 1 to {most}"),
+                format!("{value} is not within 1 to {max}"),
             ),
         };
         if !(self.entry_kb >= 0.0 && self.entry_kb < 1_000.0) {
-            return wrong(
+            return key_error(
                 "results.entry_kb",
                 format!("{} is not from 0 to under 1000", self.entry_kb),
             );
         }
         if !(1..=60_000).contains(&self.stall_ms) {
-            return wrong(
+            return key_error(
                 "results.stall_ms",
                 format!("{} is not within 1 to 60000", self.stall_ms),
             );
         }
-        let owner = match self.owner.as_str() {
+        let scope = match self.owner.as_str() {
             "all" => KeyScope::Global,
             "caller" => KeyScope::PerCaller,
             other => {
-                return wrong(
+                return key_error(
                     "results.owner",
                     format!("{other:?} is neither \"all\" nor \"caller\""),
                 )
             }
         };
-        let bounds = KeyTableOptions {
-            max_entries: within("max_entries", self.max_entries, 50_000_000)?,
-            max_result_bytes: within("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
+        let capacity = KeyTableOptions {
+            max_entries: check_range("max_entries", self.max_entries, 50_000_000)?,
+            max_result_bytes: check_range("max_mb", self.max_mb, 1_000_000)? * 1_000_000,
             deduplication_window: window,
-            stall_timeout: self.stall_ms * MS,
+            stall_timeout: self.stall_ms * US_PER_MS,
             hash_seed: config.seed,
         };
         Ok(IdempotencyOptions {
             folder: PathBuf::from(self.folder),
             is_durable: true,
-            classes,
+            classes: is_stored,
             required: self.required,
-            scope: owner,
-            capacity: bounds,
+            scope,
+            capacity,
             key_entry_kb: self.entry_kb,
             key_frame_field: self.frame_field,
         })
     }
 }
 
-/// What they come to, in one line.
-pub(crate) fn show(results: &IdempotencyOptions, f: &mut impl fmt::Write) -> fmt::Result {
+/// Writes the options as one line.
+pub(crate) fn write_summary(options: &IdempotencyOptions, f: &mut impl fmt::Write) -> fmt::Result {
     let KeyTableOptions {
         max_entries: entries,
         max_result_bytes: bytes,
-        deduplication_window: window,
-        stall_timeout: stall,
+        deduplication_window,
+        stall_timeout,
         ..
-    } = results.capacity;
-    let kept = results.classes.iter().filter(|kept| **kept).count();
+    } = options.capacity;
+    let classes = options
+        .classes
+        .iter()
+        .filter(|is_stored| **is_stored)
+        .count();
     write!(
         f,
-        "results: of {kept} classes in {}; for {} ms, {entries} keys and {} MB at most; keys {}, {}; stalled after {} ms",
-        results.folder.display(),
-        window / MS,
+        "results: of {classes} classes in {}; for {} ms, {entries} keys and {} MB at most; keys {}, {}; stalled after {} ms",
+        options.folder.display(),
+        deduplication_window / US_PER_MS,
         bytes / 1_000_000,
-        if results.scope == KeyScope::Global { "shared by all callers" } else { "of each caller" },
-        if results.required { "required" } else { "optional" },
-        stall / MS,
+        if options.scope == KeyScope::Global { "shared by all callers" } else { "of each caller" },
+        if options.required { "required" } else { "optional" },
+        stall_timeout / US_PER_MS,
     )
 }
--- a/src/operator/section.rs
+++ b/src/operator/section.rs
@@ -1,38 +1,40 @@
-//! A subsystem's section, read from an operator file.
+//! Reads the section of one subsystem from an operator file.
 
-use super::{evaluate, locate, Fault, Wrong};
+use super::{evaluate, find_line, KeyError, OperatorFileError};
 use std::path::Path;
 
-/// Reads what one subsystem wants of an operator file, and checks it beside the file's folder.
+/// Evaluates an operator file, reads the sections that `F` has from it and checks them with `check`,
+/// which also gets the folder of the file.
 ///
 /// # Errors
-/// File, line where it is known, key, and what is wrong there.
+/// The file is invalid; the error has the file, the line if known, the key, and what is wrong.
 pub(super) fn read_section<F: serde::de::DeserializeOwned, T>(
     file: &Path,
-    check: impl FnOnce(F, &Path) -> Result<T, Wrong>,
-) -> Result<T, Fault> {
+    check: impl FnOnce(F, &Path) -> Result<T, KeyError>,
+) -> Result<T, OperatorFileError> {
     let json = evaluate(file)?;
     let source = std::fs::read_to_string(file).unwrap_or_default();
     let folder = file.parent().map(Path::to_owned).unwrap_or_default();
     let mut reader = serde_json::Deserializer::from_str(&json);
-    let read = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-        let (key, what) = (e.path().to_string(), e.inner().to_string());
-        // Lines of the evaluated text mean nothing to whoever wrote the template.
-        let what = what
+    let sections = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
+        let (key, message) = (e.path().to_string(), e.inner().to_string());
+        // Line numbers of the evaluated text do not exist in the template.
+        let message = message
             .split(" at line ")
             .next()
             .unwrap_or_default()
             .to_owned();
-        (if key == "." { String::new() } else { key }, what)
+        (if key == "." { String::new() } else { key }, message)
     });
-    read.and_then(|read| check(read, &folder))
-        .map_err(|(key, what)| {
-            let line = locate(&source, &key, &what);
-            Fault {
+    sections
+        .and_then(|sections| check(sections, &folder))
+        .map_err(|(key, message)| {
+            let line = find_line(&source, &key, &message);
+            OperatorFileError {
                 file: file.to_owned(),
                 line,
                 key,
-                what,
+                message,
             }
         })
 }
--- a/src/operator/tls.rs
+++ b/src/operator/tls.rs
@@ -1,9 +1,10 @@
-//! The section on TLS: the certificate and key, the clients' roots, where it is spoken, tickets shared by the instances of a
-//! host, the names that may ask for each class, and which handshakes run. Files are named relative to the operator file.
+//! The `tls` section: the certificate and its key, the roots for client certificates, the listeners
+//! that use TLS, session tickets shared by the instances of a host, the client names that each class
+//! permits, and limits of handshakes. Paths are relative to the operator file.
 
-use super::{wrong, Wrong};
+use super::{key_error, KeyError};
 use crate::config::Config;
-use cleatpulley_connection_admission::handshake::Settings as Handshaking;
+use cleatpulley_connection_admission::handshake::Settings as HandshakeSettings;
 use cleatpulley_server::error::CertificateError;
 use cleatpulley_server::tls_layer::{CertificateSource, LoadedCertificate, TlsOptions};
 use cleatpulley_tls::pair::{self, Pair};
@@ -16,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-const DAY_US: u64 = 86_400_000_000;
+const US_PER_DAY: u64 = 86_400_000_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -25,9 +26,9 @@
     key: String,
     #[serde(default)]
     clients: Option<ClientsSection>,
-    #[serde(default = "on")]
+    #[serde(default = "default_on")]
     on: Vec<String>,
-    #[serde(default = "versions")]
+    #[serde(default = "default_versions")]
     versions: Vec<String>,
     #[serde(default)]
     tickets: Option<TicketsSection>,
@@ -37,7 +38,7 @@
     handshakes: Option<HandshakesSection>,
     #[serde(default)]
     identities: Option<IdentitiesSection>,
-    #[serde(default = "warn_days")]
+    #[serde(default = "default_warn_days")]
     warn_days: u64,
 }
 
@@ -45,7 +46,7 @@
 #[serde(deny_unknown_fields)]
 struct ClientsSection {
     roots: String,
-    #[serde(default = "yes")]
+    #[serde(default = "default_required")]
     required: bool,
 }
 
@@ -53,7 +54,7 @@
 #[serde(deny_unknown_fields)]
 struct TicketsSection {
     secret: String,
-    #[serde(default = "period")]
+    #[serde(default = "default_period_s")]
     period_s: u64,
 }
 
@@ -90,26 +91,28 @@
 }
 
 impl IdentitiesSection {
-    fn check(self) -> Result<cleatpulley_connection_admission::identity::Settings, Wrong> {
+    fn check(self) -> Result<cleatpulley_connection_admission::identity::Settings, KeyError> {
         if self.places == Some(0) {
-            return wrong(
+            return key_error(
                 "tls.identities.places",
-                "0 lets nobody in; leave it out for no cap",
+                "0 admits no connection; for no limit, remove it",
             );
         }
         let rate = match (self.per_second, self.burst) {
             (None, None) => None,
-            (None, Some(_)) => return wrong("tls.identities.per_second", "a burst needs it"),
+            (None, Some(_)) => {
+                return key_error("tls.identities.per_second", "it is required with a burst")
+            }
             (Some(per_second), burst) => {
                 if !(per_second > 0.0 && per_second <= 1e6) {
-                    return wrong(
+                    return key_error(
                         "tls.identities.per_second",
                         format!("{per_second} is not above 0 and up to 1000000"),
                     );
                 }
                 let burst = burst.unwrap_or_else(|| per_second.max(1.0));
                 if !(1.0..=1e6).contains(&burst) {
-                    return wrong(
+                    return key_error(
                         "tls.identities.burst",
                         format!("{burst} is not within 1 to 1000000"),
                     );
@@ -117,51 +120,53 @@
                 Some(cleatpulley_connection_admission::rate_sketch::RateLimit { per_second, burst })
             }
         };
-        let named = self
+        let allowlist = self
             .named
             .iter()
             .map(|name| name.to_ascii_lowercase())
             .collect();
         Ok(cleatpulley_connection_admission::identity::Settings {
-            allowlist: named,
+            allowlist,
             slots: self.places,
             rate,
         })
     }
 }
 
-fn on() -> Vec<String> {
+fn default_on() -> Vec<String> {
     vec!["frames".to_owned()]
 }
 
-fn versions() -> Vec<String> {
+fn default_versions() -> Vec<String> {
     vec!["1.3".to_owned(), "1.2".to_owned()]
 }
 
-fn warn_days() -> u64 {
+fn default_warn_days() -> u64 {
     21
 }
 
-fn yes() -> bool {
+fn default_required() -> bool {
     true
 }
 
-/// Six hours: a ticket holds for its period and the next.
-fn period() -> u64 {
+/// Six hours. A ticket is valid in its own period and in the next one.
+fn default_period_s() -> u64 {
     21_600
 }
 
-/// The files, read anew whenever they change.
-struct Files {
+/// The files of a certificate, which are reloaded whenever they change.
+struct CertificateFiles {
     certificate: PathBuf,
     key: PathBuf,
+    /// The roots of client certificates, and whether a client certificate is required.
     roots: Option<(PathBuf, bool)>,
+    /// The secret of session tickets, and their period in seconds.
     tickets: Option<(PathBuf, u64)>,
     versions: Versions,
     clock: Clock,
 }
 
-impl Files {
+impl CertificateFiles {
     fn paths(&self) -> impl Iterator<Item = &Path> {
         let roots = self.roots.as_ref().map(|(path, _)| path.as_path());
         let tickets = self.tickets.as_ref().map(|(path, _)| path.as_path());
@@ -176,15 +181,19 @@
     }
 }
 
-impl Files {
-    /// The key of the section whose file a fault begins with.
-    fn key_of(&self, what: &str) -> &'static str {
-        let names = |path: &Path| what.starts_with(&path.display().to_string());
-        if self.roots.as_ref().is_some_and(|(path, _)| names(path)) {
+impl CertificateFiles {
+    /// Returns the key of the operator file that sets the path with which an error message begins.
+    fn key_for_error(&self, message: &str) -> &'static str {
+        let is_about = |path: &Path| message.starts_with(&path.display().to_string());
+        if self.roots.as_ref().is_some_and(|(path, _)| is_about(path)) {
             "tls.clients.roots"
-        } else if self.tickets.as_ref().is_some_and(|(path, _)| names(path)) {
+        } else if self
+            .tickets
+            .as_ref()
+            .is_some_and(|(path, _)| is_about(path))
+        {
             "tls.tickets.secret"
-        } else if names(&self.key) {
+        } else if is_about(&self.key) {
             "tls.key"
         } else {
             "tls.certificate"
@@ -192,14 +201,16 @@
     }
 }
 
-impl CertificateSource for Files {
+impl CertificateSource for CertificateFiles {
     fn stamp(&self) -> u64 {
         let mut hasher = std::collections::hash_map::DefaultHasher::new();
         for path in self.paths() {
-            let meta = std::fs::metadata(path).ok();
+            let metadata = std::fs::metadata(path).ok();
             (
-                meta.as_ref().and_then(|m| m.modified().ok()),
-                meta.map(|m| m.len()),
+                metadata
+                    .as_ref()
+                    .and_then(|metadata| metadata.modified().ok()),
+                metadata.map(|metadata| metadata.len()),
             )
                 .hash(&mut hasher);
         }
@@ -237,77 +248,77 @@
 }
 
 impl HandshakesSection {
-    fn check(self) -> Result<Handshaking, Wrong> {
-        let plain = Handshaking::default();
-        let within = |key: &str, value: f64, low: f64, high: f64| {
-            if (low..=high).contains(&value) {
+    fn check(self) -> Result<HandshakeSettings, KeyError> {
+        let defaults = HandshakeSettings::default();
+        let check_range = |key: &str, value: f64, min: f64, max: f64| {
+            if (min..=max).contains(&value) {
                 Ok(value)
             } else {
-                wrong(
+                key_error(
                     format!("tls.handshakes.{key}"),
-                    format!("{value} is not within {low} to {high}"),
+                    format!("{value} is not within {min} to {max}"),
                 )
             }
         };
-        let per_second = within(
+        let per_second = check_range(
             "per_second",
-            self.per_second.unwrap_or(plain.per_second),
+            self.per_second.unwrap_or(defaults.per_second),
             1.0,
             1e6,
         )?;
-        let burst = within(
+        let burst = check_range(
             "burst",
-            self.burst.unwrap_or(plain.burst.min(per_second)),
+            self.burst.unwrap_or(defaults.burst.min(per_second)),
             1.0,
             1e6,
         )?;
-        let at_once = within(
+        let max_running = check_range(
             "at_once",
-            self.at_once.unwrap_or(plain.max_running) as f64,
+            self.at_once.unwrap_or(defaults.max_running) as f64,
             1.0,
             65_536.0,
         )? as usize;
-        let resumed_cost = within(
+        let resumed_cost = check_range(
             "resumed_cost",
-            self.resumed_cost.unwrap_or(plain.resumed_cost),
+            self.resumed_cost.unwrap_or(defaults.resumed_cost),
             0.01,
             1.0,
         )?;
-        let reserve = within(
+        let reserved_share = check_range(
             "reserve",
-            self.reserve.unwrap_or(plain.reserved_share),
+            self.reserve.unwrap_or(defaults.reserved_share),
             0.0,
             0.9,
         )?;
-        let deadline_ms = self.deadline_ms.unwrap_or(plain.timeout / 1_000);
-        let deadline = within("deadline_ms", deadline_ms as f64, 50.0, 60_000.0)? as u64 * 1_000;
-        let waiting = within(
+        let timeout_ms = self.deadline_ms.unwrap_or(defaults.timeout / 1_000);
+        let timeout = check_range("deadline_ms", timeout_ms as f64, 50.0, 60_000.0)? as u64 * 1_000;
+        let max_waiting = check_range(
             "waiting",
-            self.waiting.unwrap_or(plain.max_waiting) as f64,
+            self.waiting.unwrap_or(defaults.max_waiting) as f64,
             0.0,
             65_536.0,
         )? as usize;
-        Ok(Handshaking {
+        Ok(HandshakeSettings {
             per_second,
             burst,
-            max_running: at_once,
+            max_running,
             resumed_cost,
-            reserved_share: reserve,
-            timeout: deadline,
-            max_waiting: waiting,
+            reserved_share,
+            timeout,
+            max_waiting,
         })
     }
 }
 
 impl TlsSection {
-    pub(super) fn check(self, config: &Config, folder: &Path) -> Result<TlsOptions, Wrong> {
-        let path = |text: &str| folder.join(text);
+    pub(super) fn check(self, config: &Config, base_folder: &Path) -> Result<TlsOptions, KeyError> {
+        let path = |text: &str| base_folder.join(text);
         let versions = match self.versions.iter().map(String::as_str).collect::<Vec<_>>()[..] {
             ["1.3", "1.2"] | ["1.2", "1.3"] => Versions::Both,
             ["1.3"] => Versions::Only13,
             ["1.2"] => Versions::Only12,
             _ => {
-                return wrong(
+                return key_error(
                     "tls.versions",
                     format!(
                         "{:?} is not [\"1.3\", \"1.2\"], [\"1.3\"] or [\"1.2\"]",
@@ -317,15 +328,15 @@
             }
         };
         let (mut frames, mut ajp, mut mgmt) = (false, false, false);
-        for (i, front) in self.on.iter().enumerate() {
-            match front.as_str() {
+        for (i, listener) in self.on.iter().enumerate() {
+            match listener.as_str() {
                 "frames" => frames = true,
                 "ajp" => ajp = true,
                 "mgmt" => mgmt = true,
                 _ => {
-                    return wrong(
+                    return key_error(
                         format!("tls.on[{i}]"),
-                        format!("{front:?} is not frames, ajp or mgmt"),
+                        format!("{listener:?} is not frames, ajp or mgmt"),
                     )
                 }
             }
@@ -333,27 +344,27 @@
         let mut permits = vec![None; config.class_names.len()];
         for (class, names) in self.permits {
             let Some(i) = config.class_names.iter().position(|name| *name == class) else {
-                return wrong(
+                return key_error(
                     format!("tls.permits.{class}"),
-                    "no such class in the settings",
+                    "the settings have no such class",
                 );
             };
             if names.is_empty() {
-                return wrong(
+                return key_error(
                     format!("tls.permits.{class}"),
-                    "no name: nobody could ask for it",
+                    "no name: no client could request the class",
                 );
             }
             permits[i] = Some(names.iter().map(|name| name.to_ascii_lowercase()).collect());
         }
         if permits.iter().any(Option::is_some) && self.clients.is_none() {
-            return wrong(
+            return key_error(
                 "tls.permits",
-                "names of clients need tls.clients: nobody would show one",
+                "client names require client certificates: set tls.clients",
             );
         }
         let clock = Clock::default();
-        let files = Files {
+        let files = CertificateFiles {
             certificate: path(&self.certificate),
             key: path(&self.key),
             roots: self
@@ -367,26 +378,26 @@
         };
         if let Some((_, period)) = files.tickets {
             if !(60..=7 * 86_400).contains(&period) {
-                return wrong(
+                return key_error(
                     "tls.tickets.period_s",
                     format!("{period} is not within 60 to 604800"),
                 );
             }
         }
-        // A pair that is faulty at the start is told at once, with its key and file.
+        // Reports an invalid certificate or key at the start, with the key of the operator file.
         files
             .load()
-            .map_err(|error| (files.key_of(&error.reason).to_owned(), error.reason))?;
+            .map_err(|error| (files.key_for_error(&error.reason).to_owned(), error.reason))?;
         let handshakes = self.handshakes.map(HandshakesSection::check).transpose()?;
         if self.identities.is_some() && files.roots.is_none() {
-            return wrong(
+            return key_error(
                 "tls.identities",
-                "names of clients need tls.clients: nobody would show one",
+                "client names require client certificates: set tls.clients",
             );
         }
         let identities = self.identities.map(IdentitiesSection::check).transpose()?;
         if !(1..=365).contains(&self.warn_days) {
-            return wrong(
+            return key_error(
                 "tls.warn_days",
                 format!("{} is not within 1 to 365", self.warn_days),
             );
@@ -399,13 +410,18 @@
             permits,
             handshakes,
             identities,
-            warn_before: self.warn_days * DAY_US,
+            warn_before: self.warn_days * US_PER_DAY,
             clock,
         })
     }
 }
 
-pub(super) fn show(tls: &TlsOptions, names: &[String], f: &mut fmt::Formatter<'_>) -> fmt::Result {
+/// Writes the options as one line.
+pub(super) fn write_summary(
+    tls: &TlsOptions,
+    class_names: &[String],
+    f: &mut fmt::Formatter<'_>,
+) -> fmt::Result {
     let on: Vec<_> = [("frames", tls.frames), ("ajp", tls.ajp), ("mgmt", tls.mgmt)]
         .into_iter()
         .filter_map(|(name, on)| on.then_some(name))
@@ -420,34 +436,40 @@
             facts.names.join(", "),
             facts.not_after
         )?,
-        Err(what) => write!(f, "; the certificate can't be read: {what}")?,
+        Err(error) => write!(f, "; the certificate can't be read: {error}")?,
     }
-    for (class, permit) in names.iter().zip(&tls.permits) {
-        if let Some(permit) = permit {
-            write!(f, "; {class} only for {}", permit.join(", "))?;
+    for (class, names) in class_names.iter().zip(&tls.permits) {
+        if let Some(names) = names {
+            write!(f, "; {class} only for {}", names.join(", "))?;
         }
     }
     if let Some(identities) = &tls.identities {
-        let places = identities
+        let slots = identities
             .slots
-            .map_or("any number of places".to_owned(), |most| {
-                format!("{most} places")
+            .map_or("any number of places".to_owned(), |slots| {
+                format!("{slots} places")
             });
         let rate = identities.rate.map_or("any rate".to_owned(), |rate| {
             format!("{} new a second", rate.per_second)
         });
         write!(
             f,
-            "; a certificate's name: {places}, {rate}, {} named",
+            "; a certificate's name: {slots}, {rate}, {} named",
             identities.allowlist.len()
         )?;
     }
     match &tls.handshakes {
         None => write!(f, "; each handshake begins at once"),
-        Some(h) => write!(
+        Some(handshakes) => write!(
             f,
             "; handshakes: {} a second ({} at once), {} at a time, a resumption costs {}, {:.0}% kept for known callers and resumptions, {} ms to end, {} may wait",
-            h.per_second, h.burst, h.max_running, h.resumed_cost, h.reserved_share * 100.0, h.timeout / 1_000, h.max_waiting
+            handshakes.per_second,
+            handshakes.burst,
+            handshakes.max_running,
+            handshakes.resumed_cost,
+            handshakes.reserved_share * 100.0,
+            handshakes.timeout / 1_000,
+            handshakes.max_waiting
         ),
     }
 }
