--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,11 +1,11 @@
-//! The configuration: what it comes to, and messages that name the faulty key.
+//! The configuration: the values it is read into, and errors that name the invalid key.
 
-use cleatpulley::config::{Config, Sources};
+use cleatpulley::config::{Config, ConfigSources};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::Command;
 
-fn good() -> Value {
+fn valid_config() -> Value {
     json!({
         "name": "n3", "listen": "127.0.0.1:5050", "runtime": "127.0.0.1:7300", "lookup": "127.0.0.1:7946",
         "store": "127.0.0.1:9042", "seed": "8c1f30d27a5be964", "stop_ms": 3200, "news": [],
@@ -17,21 +17,21 @@
     })
 }
 
-fn parse(value: &Value, sources: &Sources) -> Result<Config, String> {
+fn parse(value: &Value, sources: &ConfigSources) -> Result<Config, String> {
     Config::parse(&value.to_string(), sources)
 }
 
 #[test]
-fn a_good_file_is_read_and_flags_come_before_the_environment_and_that_before_the_file() {
-    let config = parse(&good(), &Sources::default()).expect("good");
+fn flags_take_precedence_over_the_environment_and_the_environment_over_the_file() {
+    let config = parse(&valid_config(), &ConfigSources::default()).expect("valid configuration");
     assert_eq!(
-        (config.name.as_str(), config.seed, config.stop),
+        (config.name.as_str(), config.seed, config.shutdown_time),
         ("n3", 0x8c1f_30d2_7a5b_e964, 3_200_000)
     );
     assert_eq!(config.class_names, ["a"]);
-    let flags = Sources {
+    let flags = ConfigSources {
         name: Some("flag".into()),
-        ..Sources::default()
+        ..ConfigSources::default()
     };
     let variables = |key: &str| {
         (key != "GW_CONFIG").then(|| {
@@ -43,25 +43,26 @@
             .into()
         })
     };
-    let config = parse(&good(), &flags.or_environment(variables)).expect("good");
+    let config =
+        parse(&valid_config(), &flags.or_environment(variables)).expect("valid configuration");
     assert_eq!((config.name.as_str(), config.listen.port()), ("flag", 1));
 }
 
 #[test]
-fn what_may_be_left_out_has_a_default() {
-    let mut value = good();
+fn optional_keys_have_defaults() {
+    let mut value = valid_config();
     for key in ["seed", "stop_ms", "limits"] {
         value.as_object_mut().expect("an object").remove(key);
     }
-    let config = parse(&value, &Sources::default()).expect("good");
+    let config = parse(&value, &ConfigSources::default()).expect("valid configuration");
     assert_eq!(
-        (config.seed, config.stop, config.sockets),
+        (config.seed, config.shutdown_time, config.max_descriptors),
         (0, 3_200_000, 1_024)
     );
 }
 
 #[test]
-fn a_fault_names_its_key() {
+fn errors_name_the_invalid_key() {
     let cases = [
         (
             "/runtime",
@@ -106,43 +107,43 @@
             "settings.specifics.memory_kb: -1",
         ),
     ];
-    for (place, wrong, message) in cases {
-        let mut value = good();
-        *value.pointer_mut(place).expect(place) = wrong;
-        let fault = parse(&value, &Sources::default()).expect_err(place);
+    for (pointer, invalid, message) in cases {
+        let mut value = valid_config();
+        *value.pointer_mut(pointer).expect(pointer) = invalid;
+        let error = parse(&value, &ConfigSources::default()).expect_err(pointer);
         assert!(
-            fault.starts_with(message),
-            "{fault:?} where {message:?} was meant"
+            error.starts_with(message),
+            "got {error:?}, expected {message:?}"
         );
     }
 }
 
 #[test]
-fn a_missing_key_is_named() {
+fn errors_name_the_missing_key() {
     for key in ["runtime", "lookup", "store", "settings"] {
-        let mut value = good();
+        let mut value = valid_config();
         value.as_object_mut().expect("an object").remove(key);
-        let fault = parse(&value, &Sources::default()).expect_err(key);
-        assert!(fault.contains(&format!("`{key}`")), "{fault}");
+        let error = parse(&value, &ConfigSources::default()).expect_err(key);
+        assert!(error.contains(&format!("`{key}`")), "{error}");
     }
 }
 
 #[test]
-fn the_program_says_what_is_wrong_and_ends_with_a_status_of_its_own() {
+fn prints_an_error_and_exits_with_the_status_of_its_kind() {
     let run = |arguments: &[&str]| {
         let program = env!("CARGO_BIN_EXE_cleatpulley");
         let output = Command::new(program)
             .args(arguments)
             .env_remove("GW_CONFIG")
             .output()
-            .expect("it runs");
+            .expect("run the program");
         (
             output.status.code(),
             String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
         )
     };
-    // 1 is a fault of what the program was given to read, 2 one of the command line.
-    for (arguments, code, message) in [
+    // Status 1 is for invalid files, status 2 for an invalid command line.
+    for (arguments, expected_status, message) in [
         (&["serve"][..], 1, "GW_CONFIG"),
         (&["serve", "--config", "/nowhere.json"], 1, "/nowhere.json"),
         (&["check-config", "--config", file!()], 1, "expected value"),
@@ -150,34 +151,41 @@
         (&["version", "--loud"], 2, "unexpected argument '--loud'"),
         (&[], 2, "Usage: cleatpulley"),
     ] {
-        let (found, said) = run(arguments);
+        let (status, output) = run(arguments);
         assert!(
-            found == Some(code) && said.contains(message),
-            "{arguments:?}: {said}"
+            status == Some(expected_status) && output.contains(message),
+            "{arguments:?}: {output}"
         );
     }
-    assert!(Path::new(file!()).exists(), "tests run from the root");
+    assert!(
+        Path::new(file!()).exists(),
+        "tests have to run in the root folder"
+    );
     assert_eq!(run(&["version"]).0, Some(0));
     assert!(run(&["--help"]).1.contains("check-config"));
 }
 
 #[test]
-fn the_operators_address_is_read_where_there_is_one() {
+fn management_address_is_optional_and_checked() {
     assert_eq!(
-        parse(&good(), &Sources::default()).expect("good").mgmt,
+        parse(&valid_config(), &ConfigSources::default())
+            .expect("valid configuration")
+            .management,
         None
     );
-    let mut file = good();
-    file["mgmt"] = json!("127.0.0.1:12000");
+    let mut value = valid_config();
+    value["mgmt"] = json!("127.0.0.1:12000");
     assert_eq!(
-        parse(&file, &Sources::default()).expect("good").mgmt,
+        parse(&value, &ConfigSources::default())
+            .expect("valid configuration")
+            .management,
         "127.0.0.1:12000".parse().ok()
     );
     let variables =
-        Sources::default().or_environment(|key| (key == "GW_MGMT").then(|| "::1".to_owned()));
-    let fault = parse(&file, &variables).expect_err("no port");
+        ConfigSources::default().or_environment(|key| (key == "GW_MGMT").then(|| "::1".to_owned()));
+    let error = parse(&value, &variables).expect_err("the address has no port");
     assert!(
-        fault.starts_with("mgmt: \"::1\" is not an address and port"),
-        "{fault}"
+        error.starts_with("mgmt: \"::1\" is not an address and port"),
+        "{error}"
     );
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,15 +1,16 @@
-//! Files that the program reads and answers that it gives keep their names and forms: those of release 0.2 are read, and
-//! come to the same.
+//! Compatibility of file formats and responses with release 0.2: its files are read into the same
+//! settings, and the output keeps its keys and texts.
 //!
-//! `fixtures/operator` has the platform's configuration and an operator file with every key of every section;
-//! `fixtures/deploy` is the example of release 0.2. `check-config.txt` and `route-check.txt` are what the program printed
-//! for them, with SERIAL and UNTIL in the place of what differs between certificates. `fixtures/vars.txt` lists the keys
-//! of `/_vars` with the kinds of their values.
+//! `fixtures/operator` has the platform's configuration and an operator file with every key of every
+//! section; `fixtures/deploy` is the example of release 0.2. `check-config.txt` and `route-check.txt`
+//! are the program's output for them, with the placeholders SERIAL and UNTIL for the values that
+//! differ between certificates. `fixtures/vars.txt` lists the keys of `/_vars` with the kinds of
+//! their values.
 
-use cleatpulley::config::{Config, Sources};
+use cleatpulley::config::{Config, ConfigSources};
 use cleatpulley::dispatcher::KeyScope;
 use cleatpulley::interface::{DependencyLimit, Effect, FeedbackKind, Preemption};
-use cleatpulley::operator::{evaluate, fleet::FleetConfig, gateway, Operator};
+use cleatpulley::operator::{evaluate, fleet::FleetConfig, gateway, OperatorSettings};
 use cleatpulley::protocol::ajp::server::Source;
 use cleatpulley::protocol::mgmt::{Answers, Connection};
 use cleatpulley::server::dependency_pool::DependencyProtocol;
@@ -31,55 +32,56 @@
         .join(name)
 }
 
-fn text(name: &str) -> String {
-    fs::read_to_string(fixture(name)).expect("a fixture")
+fn fixture_text(name: &str) -> String {
+    fs::read_to_string(fixture(name)).expect("read the fixture")
 }
 
-fn copy(from: &Path, to: &Path) {
-    for entry in fs::read_dir(from).expect("the fixture is there") {
-        let path = entry.expect("an entry").path();
-        let copied = to.join(path.file_name().expect("a name"));
-        if path.is_dir() {
-            fs::create_dir(&copied).expect("a folder");
-            copy(&path, &copied);
+fn copy_folder(from: &Path, to: &Path) {
+    for entry in fs::read_dir(from).expect("list the folder") {
+        let source = entry.expect("read the entry").path();
+        let target = to.join(source.file_name().expect("the entry has a name"));
+        if source.is_dir() {
+            fs::create_dir(&target).expect("create the folder");
+            copy_folder(&source, &target);
         } else {
-            fs::copy(&path, copied).expect("it is copied");
+            fs::copy(&source, target).expect("copy the file");
         }
     }
 }
 
-/// A copy of a folder of fixtures, with the authority, certificate and secrets that its files name.
-fn installed(name: &str) -> TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
-    copy(&fixture(name), folder.path());
+/// Copies a folder of fixtures and adds the authority, certificate and secrets that its files name.
+fn install_fixtures(name: &str) -> TempDir {
+    let folder = tempfile::tempdir().expect("create a folder");
+    copy_folder(&fixture(name), folder.path());
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("the clock is past 1970")
         .as_secs() as i64;
-    let ca = authority::init("test authority", now, 30).expect("an authority");
-    let made = authority::issue(
+    let ca = authority::init("test authority", now, 30).expect("create the authority");
+    let issued = authority::issue(
         (&ca.certificate, &ca.key),
         &["n3".to_owned()],
         None,
         now,
         30,
     );
-    let made = made.expect("a certificate");
+    let issued = issued.expect("issue the certificate");
     let secret = "ab".repeat(32);
     let files = [
         ("ca.pem", &ca.certificate),
-        ("n3.pem", &made.certificate),
-        ("n3.key", &made.key),
+        ("n3.pem", &issued.certificate),
+        ("n3.key", &issued.key),
         ("tickets.key", &secret),
     ];
     for (name, text) in files {
-        fs::write(folder.path().join(name), text).expect("it is written");
+        fs::write(folder.path().join(name), text).expect("write the file");
     }
     folder
 }
 
-/// What the program prints with these arguments in a folder; the certificate's own is replaced.
-fn printed(folder: &Path, arguments: &[&str]) -> String {
+/// Runs the program in a folder and returns its output, with placeholders for the certificate's serial
+/// number and expiry.
+fn program_output(folder: &Path, arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cleatpulley"));
     for variable in ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_MGMT"] {
         command.env_remove(variable);
@@ -89,22 +91,27 @@
         .current_dir(folder)
         .env("TMPDIR", "/scratch")
         .output()
-        .expect("it runs");
-    let complaint = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{arguments:?}: {complaint}");
-    let pair = Pair::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("a pair");
-    let said = String::from_utf8(output.stdout).expect("text");
-    said.replace(&pair.facts.serial, "SERIAL")
+        .expect("run the program");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{arguments:?}: {stderr}");
+    let pair = Pair::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("load the pair");
+    let stdout = String::from_utf8(output.stdout).expect("the output is UTF-8");
+    stdout
+        .replace(&pair.facts.serial, "SERIAL")
         .replace(&pair.facts.not_after.to_string(), "UNTIL")
 }
 
 fn config() -> Config {
-    Config::parse(&text("operator/matcher.json"), &Sources::default()).expect("good")
+    Config::parse(
+        &fixture_text("operator/matcher.json"),
+        &ConfigSources::default(),
+    )
+    .expect("valid configuration")
 }
 
 #[test]
-fn check_config_prints_what_release_0_2_prints() {
-    let folder = installed("operator");
+fn check_config_has_the_output_of_release_0_2() {
+    let folder = install_fixtures("operator");
     let arguments = [
         "check-config",
         "--config",
@@ -113,27 +120,29 @@
         "operator.jsonnet",
     ];
     assert_eq!(
-        printed(folder.path(), &arguments),
-        text("operator/check-config.txt")
+        program_output(folder.path(), &arguments),
+        fixture_text("operator/check-config.txt")
     );
-    let alone = ["check-config", "--config", "matcher.json"];
+    let without_operator_file = ["check-config", "--config", "matcher.json"];
     assert_eq!(
-        printed(folder.path(), &alone),
-        text("operator/check-config-alone.txt")
+        program_output(folder.path(), &without_operator_file),
+        fixture_text("operator/check-config-alone.txt")
     );
 }
 
 #[test]
-fn check_config_prints_the_same_of_the_example_of_release_0_2() {
-    let folder = installed("deploy");
+fn check_config_of_the_example_has_the_output_of_release_0_2() {
+    let folder = install_fixtures("deploy");
     fs::copy(
         fixture("operator/matcher.json"),
         folder.path().join("matcher.json"),
     )
-    .expect("it is copied");
-    let mut config: Value = serde_json::from_str(&text("operator/matcher.json")).expect("JSON");
+    .expect("copy the configuration");
+    let mut config: Value =
+        serde_json::from_str(&fixture_text("operator/matcher.json")).expect("JSON");
     config["settings"]["classes"][3]["effect"] = json!("at_most_once");
-    fs::write(folder.path().join("matcher.json"), config.to_string()).expect("it is written");
+    fs::write(folder.path().join("matcher.json"), config.to_string())
+        .expect("write the configuration");
     let arguments = [
         "check-config",
         "--config",
@@ -142,34 +151,34 @@
         "operator.jsonnet",
     ];
     assert_eq!(
-        printed(folder.path(), &arguments),
-        text("deploy/check-config.txt")
+        program_output(folder.path(), &arguments),
+        fixture_text("deploy/check-config.txt")
     );
 }
 
 #[test]
-fn route_check_prints_what_release_0_2_prints() {
-    let folder = installed("operator");
+fn route_check_has_the_output_of_release_0_2() {
+    let folder = install_fixtures("operator");
     let arguments = ["route", "--operator", "operator.jsonnet", "--check"];
     assert_eq!(
-        printed(folder.path(), &arguments),
-        text("operator/route-check.txt")
+        program_output(folder.path(), &arguments),
+        fixture_text("operator/route-check.txt")
     );
 }
 
-/// Keys that are unknown are refused: that each section is read shows that all its keys are known.
+/// Unknown keys are rejected, so a section that can be read shows that all its keys are known.
 #[test]
-fn the_operator_file_has_the_sections_and_keys_of_release_0_2() {
-    let folder = installed("operator");
+fn operator_file_has_the_sections_and_keys_of_release_0_2() {
+    let folder = install_fixtures("operator");
     let file = folder.path().join("operator.jsonnet");
-    let value: Value = serde_json::from_str(&evaluate(&file).expect("good")).expect("JSON");
+    let value: Value = serde_json::from_str(&evaluate(&file).expect("valid file")).expect("JSON");
     let sections: BTreeSet<&str> = value
         .as_object()
         .expect("sections")
         .keys()
         .map(String::as_str)
         .collect();
-    let all = [
+    let expected_sections = [
         "admission",
         "ajp",
         "cluster",
@@ -179,9 +188,9 @@
         "store",
         "tls",
     ];
-    assert_eq!(sections, BTreeSet::from(all));
-    let operator = Operator::load(&file, &config()).expect("good");
-    let ajp = operator.ajp.as_ref().expect("it is on");
+    assert_eq!(sections, BTreeSet::from(expected_sections));
+    let operator = OperatorSettings::load(&file, &config()).expect("valid file");
+    let ajp = operator.ajp.as_ref().expect("AJP is on");
     let figures = &ajp.settings.figures;
     let header = |name: &str| Some(Source::Header(name.to_owned()));
     assert_eq!(
@@ -199,7 +208,7 @@
     assert_eq!(figures.caller, Some(Source::Attribute("caller".to_owned())));
     assert_eq!(figures.key, header("Idempotency-Key"));
     let defaults = &ajp.settings.defaults;
-    let of = |class: usize| {
+    let class_defaults = |class: usize| {
         (
             defaults[class].work,
             defaults[class].memory_kb,
@@ -207,7 +216,7 @@
         )
     };
     assert_eq!(
-        (of(0), of(3)),
+        (class_defaults(0), class_defaults(3)),
         ((300_000, 31.0, 0.25), (180_000, 32.0, 0.75))
     );
     assert_eq!(
@@ -215,20 +224,24 @@
         (5, 6, true)
     );
     assert_eq!(ajp.settings.secret.as_deref(), Some(&b"a secret"[..]));
-    let DependencyProtocol::Ajp(store) = &operator.store else {
+    let DependencyProtocol::Ajp(store) = &operator.dependency_protocol else {
         panic!("the store is called over AJP")
     };
     assert_eq!(
         (store.secret.as_deref(), store.packet_size),
         (Some("another secret"), 16_384)
     );
-    let results = operator.results.as_ref().expect("they are kept");
+    let idempotency = operator.idempotency.as_ref().expect("results are stored");
     assert_eq!(
-        (results.scope, results.key_entry_kb, results.required),
+        (
+            idempotency.scope,
+            idempotency.key_entry_kb,
+            idempotency.required
+        ),
         (KeyScope::PerCaller, 0.25, true)
     );
-    assert_eq!(results.key_frame_field.as_deref(), Some("once"));
-    let tls = operator.tls.as_ref().expect("it is on");
+    assert_eq!(idempotency.key_frame_field.as_deref(), Some("once"));
+    let tls = operator.tls.as_ref().expect("TLS is on");
     assert_eq!(
         (tls.frames, tls.ajp, tls.mgmt, tls.warn_before),
         (true, true, true, 14 * 86_400_000_000)
@@ -236,8 +249,8 @@
 }
 
 #[test]
-fn the_fleet_section_comes_to_the_same_as_with_release_0_2() {
-    let fleet = FleetConfig::load(&fixture("operator/operator.jsonnet")).expect("good");
+fn fleet_section_has_the_values_of_release_0_2() {
+    let fleet = FleetConfig::load(&fixture("operator/operator.jsonnet")).expect("valid file");
     assert_eq!(
         (fleet.folder.to_str(), fleet.shared_address),
         (Some("/var/lib/cleatpulley-fleet"), None)
@@ -258,7 +271,7 @@
         serde_json::to_value(fleet.settings).expect("JSON"),
         expected
     );
-    let planner_input = fleet.planner_input.expect("a host is described");
+    let planner_input = fleet.planner_input.expect("the file describes a host");
     let host = json!({
         "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
         "warm_after": 4_000_000, "drain": 3_000_000,
@@ -273,24 +286,28 @@
     );
 }
 
-/// What is left out has the defaults of release 0.2.
+/// Covers the keys that can't be set together with those of `operator.jsonnet`. Keys that are left out
+/// have the defaults of release 0.2.
 #[test]
-fn keys_that_exclude_others_are_those_of_release_0_2() {
+fn mutually_exclusive_keys_are_those_of_release_0_2() {
     let file = fixture("operator/imported.jsonnet");
-    let operator = Operator::load(&file, &config()).expect("good");
+    let operator = OperatorSettings::load(&file, &config()).expect("valid file");
     assert!(
         operator
             .ajp
             .is_some_and(|ajp| ajp.settings.lookup.is_some()),
         "routes are imported"
     );
-    assert!(matches!(operator.store, DependencyProtocol::Http));
-    let results = operator.results.expect("they are kept");
+    assert!(matches!(
+        operator.dependency_protocol,
+        DependencyProtocol::Http
+    ));
+    let idempotency = operator.idempotency.expect("results are stored");
     assert_eq!(
-        (results.scope, results.capacity.deduplication_window),
+        (idempotency.scope, idempotency.capacity.deduplication_window),
         (KeyScope::Global, 600_000_000)
     );
-    let fleet = FleetConfig::load(&file).expect("good");
+    let fleet = FleetConfig::load(&file).expect("valid file");
     assert_eq!(fleet.shared_address, "127.0.0.1:7000".parse().ok());
     assert_eq!(
         (
@@ -301,7 +318,7 @@
         (1, 1, 3)
     );
     assert!(fleet.planner_input.is_none());
-    let options = gateway::load(&file).expect("good");
+    let options = gateway::load(&file).expect("valid file");
     assert_eq!(
         (options.name.as_str(), options.connections, options.sockets),
         ("gateway", 8, 1_024)
@@ -310,9 +327,9 @@
 }
 
 #[test]
-fn the_gateway_section_comes_to_the_same_as_with_release_0_2() {
-    let folder = installed("operator");
-    let options = gateway::load(&folder.path().join("operator.jsonnet")).expect("good");
+fn gateway_section_has_the_values_of_release_0_2() {
+    let folder = install_fixtures("operator");
+    let options = gateway::load(&folder.path().join("operator.jsonnet")).expect("valid file");
     assert_eq!(
         (options.name.as_str(), options.host.as_str()),
         ("gateway-1", "match.example.org")
@@ -337,7 +354,7 @@
             ("lobby-view", 6_500_000, false)
         ]
     );
-    let (listen, ajp, proxies) = options.ajp.expect("it is on");
+    let (listen, ajp, proxies) = options.ajp.expect("AJP is on");
     assert_eq!(
         (listen, proxies),
         (
@@ -358,17 +375,17 @@
 }
 
 #[test]
-fn the_platforms_configuration_comes_to_the_same_as_with_release_0_2() {
+fn platform_configuration_has_the_values_of_release_0_2() {
     let config = config();
     assert_eq!(
-        (config.name.as_str(), config.seed, config.stop),
+        (config.name.as_str(), config.seed, config.shutdown_time),
         ("n3", 0x8c1f_30d2_7a5b_e964, 4_200_000)
     );
-    assert_eq!((config.sockets, config.memory_mb), (512, 96));
-    let ports =
-        [config.listen, config.runtime, config.lookup, config.store].map(|address| address.port());
+    assert_eq!((config.max_descriptors, config.max_memory_mb), (512, 96));
+    let ports = [config.listen, config.runtime, config.registry, config.store]
+        .map(|address| address.port());
     assert_eq!(
-        (ports, config.mgmt),
+        (ports, config.management),
         ([5_050, 7_300, 7_946, 9_042], "127.0.0.1:12000".parse().ok())
     );
     assert_eq!(
@@ -479,52 +496,62 @@
 }
 
 #[test]
-fn words_of_the_platforms_configuration_mean_what_they_mean_to_release_0_2() {
-    let with = |key: &str, word: &str| {
-        let mut value: Value = serde_json::from_str(&text("operator/matcher.json")).expect("JSON");
-        value["settings"]["specifics"][key] = json!(word);
-        Config::parse(&value.to_string(), &Sources::default())
-            .expect("good")
+fn keywords_of_the_platform_configuration_have_the_meaning_of_release_0_2() {
+    let settings_with = |key: &str, keyword: &str| {
+        let mut value: Value =
+            serde_json::from_str(&fixture_text("operator/matcher.json")).expect("JSON");
+        value["settings"]["specifics"][key] = json!(keyword);
+        Config::parse(&value.to_string(), &ConfigSources::default())
+            .expect("valid configuration")
             .settings
     };
-    let adverts = [
+    let feedback_kinds = [
         ("floor", FeedbackKind::MinimumRank),
         ("weight", FeedbackKind::Weight),
         ("none", FeedbackKind::Unused),
     ];
-    adverts
-        .into_iter()
-        .for_each(|(word, advert)| assert_eq!(with("advert", word).feedback, advert, "{word}"));
-    for (word, halt) in [
+    feedback_kinds.into_iter().for_each(|(keyword, kind)| {
+        assert_eq!(settings_with("advert", keyword).feedback, kind, "{keyword}")
+    });
+    for (keyword, preemption) in [
         ("", Preemption::Never),
         ("silent", Preemption::Never),
         ("discard", Preemption::Discard),
     ] {
-        assert_eq!(with("halt", word).preemption, halt, "{word:?}");
+        assert_eq!(
+            settings_with("halt", keyword).preemption,
+            preemption,
+            "{keyword:?}"
+        );
     }
-    for (word, below) in [
+    for (keyword, dependency) in [
         ("tier", DependencyLimit::NextTier),
         ("nothing", DependencyLimit::NoDependency),
     ] {
-        assert_eq!(with("below", word).dependency, below, "{word}");
+        assert_eq!(
+            settings_with("below", keyword).dependency,
+            dependency,
+            "{keyword}"
+        );
     }
 }
 
 #[test]
-fn the_configuration_of_a_standin_has_the_keys_of_release_0_2() {
-    let site = Site::start(Setup::default()).expect("a site");
+fn configuration_of_the_emulators_has_the_keys_of_release_0_2() {
+    let site = Site::start(Setup::default()).expect("start the emulated services");
     let mut keys = BTreeSet::new();
-    list(&site.config, "", &mut keys);
-    let expected = text("standin-config.txt");
+    collect_keys(&site.config, "", &mut keys);
+    let expected = fixture_text("standin-config.txt");
     assert_eq!(
         keys.into_iter().collect::<Vec<_>>().join("\n") + "\n",
         expected
     );
 }
 
-struct Fixed(bool);
+/// A management endpoint with a fixed readiness.
+struct FixedReadiness(bool);
 
-impl Answers for Fixed {
+impl Answers for FixedReadiness {
     fn ready(&self) -> bool {
         self.0
     }
@@ -535,60 +562,66 @@
 }
 
 #[test]
-fn ready_is_answered_with_the_bytes_of_release_0_2() {
+fn response_to_ready_has_the_bytes_of_release_0_2() {
     for (ready, name) in [(true, "ready.http"), (false, "not-ready.http")] {
-        let mut out = Vec::new();
-        let call = b"GET /_ready HTTP/1.1\r\nHost: n3\r\n\r\n";
-        Connection::new(0).receive(1, call, &mut out, &Fixed(ready));
-        assert_eq!(String::from_utf8(out).expect("text"), text(name));
+        let mut output = Vec::new();
+        let request = b"GET /_ready HTTP/1.1\r\nHost: n3\r\n\r\n";
+        Connection::new(0).receive(1, request, &mut output, &FixedReadiness(ready));
+        assert_eq!(
+            String::from_utf8(output).expect("the response is UTF-8"),
+            fixture_text(name)
+        );
     }
 }
 
-/// The keys of a value, with the kinds of what they lead to.
-fn list(value: &Value, key: &str, keys: &mut BTreeSet<String>) {
+/// Collects the paths of all keys in a value, each with the kind of its value.
+fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     let kind = match value {
         Value::Null => "null",
         Value::Bool(_) => "bool",
         Value::Number(_) => "number",
         Value::String(_) => "string",
-        Value::Array(all) => {
-            all.iter()
-                .for_each(|one| list(one, &format!("{key}[]"), keys));
+        Value::Array(items) => {
+            items
+                .iter()
+                .for_each(|item| collect_keys(item, &format!("{path}[]"), keys));
             "array"
         }
-        Value::Object(all) => {
-            all.iter()
-                .for_each(|(name, one)| list(one, &format!("{key}/{name}"), keys));
+        Value::Object(fields) => {
+            fields
+                .iter()
+                .for_each(|(name, field)| collect_keys(field, &format!("{path}/{name}"), keys));
             "object"
         }
     };
-    keys.insert(format!("{key} {kind}"));
+    keys.insert(format!("{path} {kind}"));
 }
 
 #[test]
-fn figures_for_operators_have_the_keys_of_release_0_2() {
-    let folder = installed("operator");
-    let site = Site::start(Setup::default()).expect("a site");
-    let at = |name: &str| folder.path().join(name).display().to_string();
+fn vars_have_the_keys_of_release_0_2() {
+    let folder = install_fixtures("operator");
+    let site = Site::start(Setup::default()).expect("start the emulated services");
+    let path = |name: &str| folder.path().join(name).display().to_string();
     let operator = format!(
         "{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
          handshakes: {{ per_second: 100 }} }} }}",
-        at("n3.pem"),
-        at("n3.key")
+        path("n3.pem"),
+        path("n3.key")
     );
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
-    let matcher = Matcher::start(program, &site.config, Some(&operator)).expect("it starts");
-    let (status, body) = matcher.ask("/_ready").expect("an answer");
+    let matcher =
+        Matcher::start(program, &site.config, Some(&operator)).expect("start the matcher");
+    let (status, body) = matcher.ask("/_ready").expect("get /_ready");
     assert_eq!(
-        (status, String::from_utf8(body).expect("text")),
+        (status, String::from_utf8(body).expect("the body is UTF-8")),
         (200, "{\"ready\":true}\n".to_owned())
     );
-    let (status, body) = matcher.ask("/_vars").expect("an answer");
+    let (status, body) = matcher.ask("/_vars").expect("get /_vars");
     assert_eq!(status, 200);
     let mut keys = BTreeSet::new();
-    list(&serde_json::from_slice(&body).expect("JSON"), "", &mut keys);
+    collect_keys(&serde_json::from_slice(&body).expect("JSON"), "", &mut keys);
     assert_eq!(
         keys.into_iter().collect::<Vec<_>>().join("\n") + "\n",
-        text("vars.txt")
+        fixture_text("vars.txt")
     );
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,7 +1,7 @@
-//! The operator file: what it comes to, and faults that name file, line and key.
+//! The operator file: the settings it is read into, and errors that name file, line and key.
 
-use cleatpulley::config::{Config, Sources};
-use cleatpulley::operator::Operator;
+use cleatpulley::config::{Config, ConfigSources};
+use cleatpulley::operator::OperatorSettings;
 use cleatpulley::protocol::ajp::table::Found;
 use serde_json::json;
 use std::path::Path;
@@ -17,17 +17,17 @@
             "tick": 2000, "specifics": {"cores": 2, "memory_kb": 10_000.0}
         }
     });
-    Config::parse(&value.to_string(), &Sources::default()).expect("good")
+    Config::parse(&value.to_string(), &ConfigSources::default()).expect("valid configuration")
 }
 
-fn load(name: &str, text: &str) -> Result<Operator, String> {
+fn load(name: &str, text: &str) -> Result<OperatorSettings, String> {
     let file =
         std::env::temp_dir().join(format!("cleatpulley-{}-{name}.jsonnet", std::process::id()));
-    std::fs::write(&file, text).expect("a file");
-    let loaded = Operator::load(&file, &config());
-    std::fs::remove_file(&file).expect("it is there");
-    loaded.map_err(|fault| {
-        let text = fault.to_string();
+    std::fs::write(&file, text).expect("write the operator file");
+    let loaded = OperatorSettings::load(&file, &config());
+    std::fs::remove_file(&file).expect("remove the operator file");
+    loaded.map_err(|error| {
+        let text = error.to_string();
         text.split_once(".jsonnet")
             .map(|(_, rest)| rest.to_owned())
             .unwrap_or(text)
@@ -35,123 +35,137 @@
 }
 
 #[test]
-fn the_example_is_good_and_an_empty_file_switches_nothing_on() {
-    let operator = Operator::load(Path::new("deploy/operator.jsonnet"), &config()).expect("good");
-    let front = operator.ajp.as_ref().expect("it is on");
+fn example_file_is_valid_and_empty_file_enables_nothing() {
+    let operator = OperatorSettings::load(Path::new("deploy/operator.jsonnet"), &config())
+        .expect("valid file");
+    let ajp = operator.ajp.as_ref().expect("AJP is on");
     assert_eq!(
-        front.settings.table.find(b"POST", b"/claim-seat"),
+        ajp.settings.table.find(b"POST", b"/claim-seat"),
         Found::Class(3)
     );
-    assert_eq!(front.settings.defaults[3].work, 180_000);
-    assert!(front.settings.defaults[3].needs_id && !front.settings.defaults[0].needs_id);
-    let results = operator.results.as_ref().expect("it is on");
-    assert_eq!(results.classes, [false, false, false, true]);
-    assert_eq!(results.capacity.deduplication_window, 600_000_000);
-    let empty = load("nothing", "{}").expect("good");
+    assert_eq!(ajp.settings.defaults[3].work, 180_000);
+    assert!(ajp.settings.defaults[3].needs_id && !ajp.settings.defaults[0].needs_id);
+    let idempotency = operator.idempotency.as_ref().expect("results are stored");
+    assert_eq!(idempotency.classes, [false, false, false, true]);
+    assert_eq!(idempotency.capacity.deduplication_window, 600_000_000);
+    let empty = load("nothing", "{}").expect("valid file");
     assert!(empty.ajp.is_none());
     assert_eq!(empty.to_string(), "ajp: off\nstore: called over HTTP");
 }
 
-/// A class whose further tries have to be known has its results kept: by themselves under the platform's key where no
-/// operator file says how, and refused where one does and leaves the class or its key out.
+/// A deduplicated class needs stored results. Without an operator file they are stored by default,
+/// under the platform's key field. A `results` section that leaves out the class or doesn't require
+/// its key is rejected.
 #[test]
-fn a_deduplicated_class_takes_kept_results() {
+fn deduplicated_class_requires_stored_results() {
     let mut config = config();
     config.settings.classes[3].effect = cleatpulley::interface::Effect::Deduplicated;
     config.settings.classes[3].deduplication_window = 13_518_000;
-    assert!(Operator::default().covers(&config).is_ok());
+    assert!(OperatorSettings::default()
+        .check_deduplicated_classes(&config)
+        .is_ok());
     let options = config
         .clone()
-        .options(Operator::default(), Path::new("scratch"));
-    let kept = options.idempotency.expect("they are kept");
-    assert_eq!(kept.classes, [false, false, false, true]);
-    assert!(kept.required && !kept.is_durable && kept.folder.starts_with("scratch"));
-    assert_eq!(kept.key_frame_field.as_deref(), Some("unique"));
-    // What is written in the last moment of the window may be read as late as its caller waits.
-    let latest = config
+        .into_server_options(OperatorSettings::default(), Path::new("scratch"));
+    let idempotency = options.idempotency.expect("results are stored");
+    assert_eq!(idempotency.classes, [false, false, false, true]);
+    assert!(
+        idempotency.required
+            && !idempotency.is_durable
+            && idempotency.folder.starts_with("scratch")
+    );
+    assert_eq!(idempotency.key_frame_field.as_deref(), Some("unique"));
+    // A request that is sent at the end of the window may be read until its caller times out.
+    let max_client_timeout = config
         .settings
         .classes
         .iter()
         .map(|class| class.client_timeout)
         .max()
         .expect("classes");
-    assert_eq!(kept.capacity.deduplication_window, 13_518_000 + latest);
-    assert!(kept.capacity.max_result_bytes <= config.memory_mb * 250_000);
-    let mut two = config.clone();
-    two.settings.classes[2].effect = cleatpulley::interface::Effect::AtMostOnce;
-    let other =
+    assert_eq!(
+        idempotency.capacity.deduplication_window,
+        13_518_000 + max_client_timeout
+    );
+    assert!(idempotency.capacity.max_result_bytes <= config.max_memory_mb * 250_000);
+    let mut config_with_two_effects = config.clone();
+    config_with_two_effects.settings.classes[2].effect = cleatpulley::interface::Effect::AtMostOnce;
+    let file_without_class =
         std::env::temp_dir().join(format!("cleatpulley-{}-other.jsonnet", std::process::id()));
     std::fs::write(
-        &other,
+        &file_without_class,
         "{ results: { folder: 'x', classes: ['set-prefs'], frame_field: 'k' } }",
     )
-    .expect("a file");
-    let bare = Operator::load(&other, &two)
-        .expect_err("it is left out")
+    .expect("write the operator file");
+    let error = OperatorSettings::load(&file_without_class, &config_with_two_effects)
+        .expect_err("the class is left out")
         .to_string();
-    std::fs::remove_file(&other).expect("it is there");
+    std::fs::remove_file(&file_without_class).expect("remove the operator file");
     assert!(
-        bare.contains("results: settings.classes[3].effect: further tries"),
-        "{bare}"
+        error.contains(
+            "results: settings.classes[3].effect: retries can't be recognized without stored results"
+        ),
+        "{error}"
     );
     let file =
         std::env::temp_dir().join(format!("cleatpulley-{}-keyed.jsonnet", std::process::id()));
     let text = |required| {
         format!("{{ results: {{ folder: 'x', classes: ['claim-seat'], frame_field: 'k', required: {required} }} }}")
     };
-    std::fs::write(&file, text(true)).expect("a file");
-    let kept = Operator::load(&file, &config).expect("good");
-    assert!(kept.covers(&config).is_ok());
-    std::fs::write(&file, text(false)).expect("a file");
-    let fault = Operator::load(&file, &config)
-        .expect_err("a request without a key could not be told")
+    std::fs::write(&file, text(true)).expect("write the operator file");
+    let operator = OperatorSettings::load(&file, &config).expect("valid file");
+    assert!(operator.check_deduplicated_classes(&config).is_ok());
+    std::fs::write(&file, text(false)).expect("write the operator file");
+    let error = OperatorSettings::load(&file, &config)
+        .expect_err("a retry without a key can't be recognized")
         .to_string();
-    std::fs::remove_file(&file).expect("it is there");
-    assert!(fault.contains("results.required"), "{fault}");
+    std::fs::remove_file(&file).expect("remove the operator file");
+    assert!(error.contains("results.required"), "{error}");
 }
 
 #[test]
-fn faults_name_line_and_key() {
-    let with = |rest: &str| {
+fn errors_name_line_and_key() {
+    let ajp_with = |rest: &str| {
         format!("{{\n  ajp: {{\n    listen: ['127.0.0.1:1'],\n    figures: {{ id: 'X-Id' }},\n    routes: [{{ path: '/a', class: 'find-race' }}],\n    {rest}\n  }},\n}}\n")
     };
-    let results = |rest: &str| format!("{{\n  results: {{ folder: 'x',\n    {rest}\n  }},\n}}\n");
+    let results_with =
+        |rest: &str| format!("{{\n  results: {{ folder: 'x',\n    {rest}\n  }},\n}}\n");
     for (name, text, expected) in [
         ("syntax", "{\n  ajp: [1 2],\n}".to_owned(), ":2: "),
         (
             "safe",
-            results("classes: ['find-race'], frame_field: 'k'"),
-            ":3: results.classes[0]: \"find-race\" is safe",
+            results_with("classes: ['find-race'], frame_field: 'k'"),
+            ":3: results.classes[0]: \"find-race\" is idempotent",
         ),
         (
             "window",
-            results("classes: ['claim-seat'], frame_field: 'k', window_ms: 10"),
+            results_with("classes: ['claim-seat'], frame_field: 'k', window_ms: 10"),
             ":3: results.window_ms: 10 is less than",
         ),
         (
             "nokey",
-            results("classes: ['claim-seat']"),
-            ":2: results.frame_field: no front brings keys",
+            results_with("classes: ['claim-seat']"),
+            ":2: results.frame_field: no protocol carries keys",
         ),
         (
             "field",
-            results("classes: ['claim-seat'], frame_field: 'txn'"),
-            ":3: results.frame_field: \"txn\" is empty, too long or taken",
+            results_with("classes: ['claim-seat'], frame_field: 'txn'"),
+            ":3: results.frame_field: \"txn\" is empty, too long or already used",
         ),
         (
             "owner",
-            results("classes: ['claim-seat'], frame_field: 'k', owner: 'x'"),
+            results_with("classes: ['claim-seat'], frame_field: 'k', owner: 'x'"),
             ":3: results.owner: \"x\" is neither",
         ),
         (
             "stall",
-            results("classes: ['claim-seat'], frame_field: 'k', stall_ms: 0"),
+            results_with("classes: ['claim-seat'], frame_field: 'k', stall_ms: 0"),
             ":3: results.stall_ms: 0 is not within",
         ),
         (
             "array",
             "[1, 2]".to_owned(),
-            ": it comes to something else than an object",
+            ": the template does not evaluate to an object",
         ),
         ("empty", String::new(), ":1: the file is empty"),
         (
@@ -161,7 +175,7 @@
         ),
         (
             "unknown",
-            with("packets: 9"),
+            ajp_with("packets: 9"),
             ":6: ajp.packets: unknown field `packets`",
         ),
         (
@@ -171,80 +185,85 @@
         ),
         (
             "type",
-            with("packet_size: 'big'"),
+            ajp_with("packet_size: 'big'"),
             ":6: ajp.packet_size: invalid type: string \"big\"",
         ),
         (
             "size",
-            with("packet_size: 100"),
+            ajp_with("packet_size: 100"),
             ":6: ajp.packet_size: 100 is not within 8192 to 65536",
         ),
         (
             "class",
-            with("routes: [{ path: '/b', class: 'spin' }]").replacen(
+            ajp_with("routes: [{ path: '/b', class: 'spin' }]").replacen(
                 "    routes: [{ path: '/a', class: 'find-race' }],\n",
                 "",
                 1,
             ),
-            ":5: ajp.routes[0].class: \"spin\" is no class",
+            ":5: ajp.routes[0].class: \"spin\" is not a class",
         ),
         (
             "open",
-            with("listen: ['10.0.0.1:8009']").replacen("    listen: ['127.0.0.1:1'],\n", "", 1),
-            ":5: ajp.listen[0]: 10.0.0.1:8009 is no loopback address, which takes a secret",
+            ajp_with("listen: ['10.0.0.1:8009']").replacen("    listen: ['127.0.0.1:1'],\n", "", 1),
+            ":5: ajp.listen[0]: 10.0.0.1:8009 is not a loopback address, so a secret is required",
         ),
         (
             "body",
-            with("timeouts_ms: { body: 6000 }"),
+            ajp_with("timeouts_ms: { body: 6000 }"),
             ":6: ajp.timeouts_ms.body: 6000 ms leave no time",
         ),
         (
             "door",
-            with("figures+: { door: 'X-Door' }").replacen("    figures: { id: 'X-Id' },\n", "", 1),
-            ":5: ajp.figures.door: it is believed of trusted proxies only",
+            ajp_with("figures+: { door: 'X-Door' }").replacen(
+                "    figures: { id: 'X-Id' },\n",
+                "",
+                1,
+            ),
+            ":5: ajp.figures.door: only trusted proxies may set it",
         ),
         (
             "rank",
-            with("defaults: { rank: 1 }"),
+            ajp_with("defaults: { rank: 1 }"),
             ":6: ajp.defaults.rank: 1 is not from 0 to under 1",
         ),
-        ("secret", with("secret: ''"), ":6: ajp.secret: it is empty"),
+        (
+            "secret",
+            ajp_with("secret: ''"),
+            ":6: ajp.secret: it is empty",
+        ),
         (
             "store",
             "{\n  store: { protocol: 'smtp' },\n}".to_owned(),
             ":2: store.protocol: \"smtp\" is neither",
         ),
     ] {
-        let fault = load(name, &text).expect_err(name);
-        assert!(fault.starts_with(expected), "{name}: {fault}");
+        let error = load(name, &text).expect_err(name);
+        assert!(error.starts_with(expected), "{name}: {error}");
     }
-    let missing =
-        Operator::load(Path::new("/nowhere.jsonnet"), &config()).expect_err("there is none");
-    assert!(
-        missing.to_string().contains("/nowhere.jsonnet"),
-        "{missing}"
-    );
+    let error = OperatorSettings::load(Path::new("/nowhere.jsonnet"), &config())
+        .expect_err("the file does not exist");
+    assert!(error.to_string().contains("/nowhere.jsonnet"), "{error}");
 }
 
 #[test]
-fn a_class_with_an_effect_needs_an_id_unless_the_operator_says_otherwise() {
+fn class_with_an_effect_needs_an_id_unless_needs_id_is_false() {
     let text = |rest: &str| {
         format!("{{ ajp: {{ listen: ['127.0.0.1:1'], routes: [{{ path: '/a', class: 'claim-seat' }}], {rest} }} }}")
     };
-    let fault = load("no-id", &text("")).expect_err("no header is named");
+    let error = load("no-id", &text("")).expect_err("no header is set");
     assert!(
-        fault.contains("ajp.figures.id: class \"claim-seat\" has an effect"),
-        "{fault}"
+        error.contains("ajp.figures.id: class \"claim-seat\" has an effect"),
+        "{error}"
     );
-    load("waived", &text("defaults: { needs_id: false }")).expect("the operator has said so");
+    load("waived", &text("defaults: { needs_id: false }")).expect("needs_id is false");
 }
 
-/// A fault in a template is told with the template's name and line, not with those of the file that imports it.
+/// The error has the name and the line of the imported template, not those of the importing file.
 #[test]
-fn faults_of_an_imported_template_name_the_template() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn errors_in_an_imported_template_name_the_template() {
+    let dir = tempfile::tempdir().expect("create a folder");
     let file = dir.path().join("operator.jsonnet");
-    std::fs::write(&file, "\n\n(import 'part.libsonnet')").expect("a file");
+    std::fs::write(&file, "\n\n(import 'part.libsonnet')").expect("write the operator file");
     for (text, expected) in [
         (
             "{\n  ajp: missing,\n}",
@@ -252,18 +271,18 @@
         ),
         ("", ":1: the file is empty"),
     ] {
-        std::fs::write(dir.path().join("part.libsonnet"), text).expect("a file");
-        let fault = Operator::load(&file, &config())
-            .expect_err("faulty")
+        std::fs::write(dir.path().join("part.libsonnet"), text).expect("write the template");
+        let error = OperatorSettings::load(&file, &config())
+            .expect_err("the template is invalid")
             .to_string();
-        let (name, rest) = fault.split_once("part.libsonnet").unwrap_or(("", &fault));
-        assert!(!name.is_empty() && rest.starts_with(expected), "{fault}");
+        let (folder, rest) = error.split_once("part.libsonnet").unwrap_or(("", &error));
+        assert!(!folder.is_empty() && rest.starts_with(expected), "{error}");
     }
 }
 
 #[test]
-fn faults_of_the_section_on_admission_name_their_keys() {
-    for (section, fault) in [
+fn errors_in_the_admission_section_name_their_keys() {
+    for (section, expected) in [
         (
             "named: ['10.0.0.1/8']",
             "admission.named[0]: \"10.0.0.1/8\" has bits beyond its prefix",
@@ -278,11 +297,11 @@
         ),
         (
             "address: { places: 0 }",
-            "admission.address.places: 0 lets nobody in",
+            "admission.address.places: 0 admits no connection",
         ),
         (
             "address: { burst: 5 }",
-            "admission.address.per_second: a burst needs it",
+            "admission.address.per_second: it is required with a burst",
         ),
         (
             "prefix: { per_second: 0 }",
@@ -306,12 +325,12 @@
         ),
         ("reserves: 0.1", "unknown field `reserves`"),
     ] {
-        let told = load(
+        let error = load(
             "admission.jsonnet",
             &format!("{{ admission: {{ {section} }} }}"),
         )
         .map(drop)
         .expect_err(section);
-        assert!(told.contains(fault), "{section}: {told}");
+        assert!(error.contains(expected), "{section}: {error}");
     }
 }
