--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -6,9 +6,9 @@
 use asking::{push_ajp, push_frame};
 use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::client::{Client, Fate, Options};
-use cleatpulley_protocol::ajp::server::{FEEDBACK, NO_RETRY, RETRY_AFTER_MS};
-use cleatpulley_protocol::frame::codec::{self, Parsed};
+use cleatpulley_protocol::ajp::client::{Client, ExecutionState, Options};
+use cleatpulley_protocol::ajp::server::{FEEDBACK_HEADER, NO_RETRY_HEADER, RETRY_AFTER_MS_HEADER};
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame};
 use cleatpulley_routes::retry::AttemptFailure;
 use cleatpulley_server::buffered_connection::BufferedConnection;
 use cleatpulley_server::host::{Host, Readiness};
@@ -28,7 +28,7 @@
 
 /// What targets speak.
 #[derive(Debug, Clone)]
-pub enum Speaks {
+pub enum TargetProtocol {
     /// Frames.
     Frames,
     /// AJP.
@@ -37,7 +37,7 @@
 
 /// Headers that carry a request's figures to and from AJP.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct HeaderNames {
     /// The id.
     pub id: String,
     /// The work, in ms.
@@ -52,7 +52,7 @@
     pub subject: String,
 }
 
-impl Default for Names {
+impl Default for HeaderNames {
     fn default() -> Self {
         let name = str::to_owned;
         Self {
@@ -94,8 +94,8 @@
 /// The connections.
 pub struct Upstream<W: Host> {
     world: W,
-    speaks: Speaks,
-    names: Names,
+    speaks: TargetProtocol,
+    names: HeaderNames,
     classes: Vec<String>,
     /// Where each target's address leads.
     addresses: HashMap<Arc<str>, SocketAddr>,
@@ -111,13 +111,13 @@
     /// The connection that a request is on.
     at: HashMap<Number, (u64, u32)>,
     /// TLS to the targets, where it is spoken.
-    tls: Option<Links>,
+    tls: Option<TargetTls>,
 }
 
 /// TLS on the links to targets: what they share, the name that their certificates are to hold where it is not the
 /// target's own host, and the clock that certificates are judged by.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct TargetTls {
     /// What the sessions share.
     pub config: std::sync::Arc<cleatpulley_tls::rustls::ClientConfig>,
     /// The name asked for of every target; none: the host of the target's name.
@@ -141,8 +141,8 @@
     #[must_use]
     pub fn new(
         world: W,
-        speaks: Speaks,
-        names: Names,
+        speaks: TargetProtocol,
+        names: HeaderNames,
         classes: Vec<String>,
         addresses: HashMap<Arc<str>, SocketAddr>,
         most: usize,
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Speaks TLS to the targets from now on.
-    pub fn set_tls(&mut self, links: Links) {
+    /// TargetProtocol TLS to the targets from now on.
+    pub fn set_tls(&mut self, links: TargetTls) {
         self.tls = Some(links);
     }
 
@@ -254,7 +254,7 @@
         let here = || {
             own.iter()
                 .filter_map(|number| Some((number, self.lines.get(number)?)))
-                .filter(|(_, line)| !line.conn.ended)
+                .filter(|(_, line)| !line.conn.is_read_closed)
         };
         let best = here()
             .filter_map(|(number, line)| Some((free(line)?, *number)))
@@ -274,12 +274,12 @@
         let number = self.next;
         self.next += 1;
         let kind = match &self.speaks {
-            Speaks::Frames => Kind::Frames {
+            TargetProtocol::Frames => Kind::Frames {
                 open: BTreeMap::new(),
                 streams: 0,
                 gone: false,
             },
-            Speaks::Ajp(options) => Kind::Ajp {
+            TargetProtocol::Ajp(options) => Kind::Ajp {
                 client: Box::new(Client::new(options.clone(), now)),
                 asked: None,
             },
@@ -329,7 +329,9 @@
             Kind::Frames { .. } => line.up,
             // The connection ends with the request: what was not handed to the system never arrives.
             Kind::Ajp { client, .. } => {
-                line.up && client.fate(line.conn.unsent()) == Fate::MayHaveRun
+                line.up
+                    && client.execution_state(line.conn.unsent_bytes())
+                        == ExecutionState::MayHaveRun
             }
         })
     }
@@ -430,7 +432,8 @@
                 asked: Some(asked),
             } => {
                 self.at.remove(&asked);
-                let unread = !line.up || client.fate(line.conn.unsent()) == Fate::NeverRan;
+                let unread = !line.up
+                    || client.execution_state(line.conn.unsent_bytes()) == ExecutionState::NeverRan;
                 replies.push((
                     asked,
                     Reply::Nothing(if unread {
@@ -508,9 +511,9 @@
         let mut used = 0;
         match &mut self.kind {
             Kind::Frames { open, gone, .. } => loop {
-                match codec::parse(&input[used..]) {
-                    Parsed::Short => return Ok(used),
-                    Parsed::Frame {
+                match codec::parse_frame(&input[used..]) {
+                    ParsedFrame::Incomplete => return Ok(used),
+                    ParsedFrame::Frame {
                         kind,
                         stream,
                         payload,
@@ -519,8 +522,8 @@
                         used += payload.end;
                         self.used = now;
                         match kind {
-                            codec::GOODBYE => *gone = true,
-                            codec::ANSWER => {
+                            codec::GO_AWAY => *gone = true,
+                            codec::RESPONSE => {
                                 let Some((asked, _)) = open.remove(&stream) else {
                                     return Err(format!(
                                         "an answer on stream {stream}, which is not open"
@@ -536,7 +539,7 @@
                             _ => {}
                         }
                     }
-                    Parsed::Large { .. } | Parsed::Lost(_) => {
+                    ParsedFrame::Oversized { .. } | ParsedFrame::InvalidLength(_) => {
                         return Err("a frame that can't be read".to_owned())
                     }
                 }
@@ -547,7 +550,7 @@
                     .receive(now, input, self.conn.output())
                     .map_err(|e| e.to_string())?;
                 self.pushed += (self.conn.output().len() - before) as u64;
-                if let Some(response) = client.take() {
+                if let Some(response) = client.take_response() {
                     self.used = now;
                     let number = |name: &str| {
                         response
@@ -556,10 +559,11 @@
                     };
                     if let Some(asked) = asked.take() {
                         replies.extend(
-                            number(FEEDBACK).map(|most| (asked, Reply::Advised(most as u32))),
+                            number(FEEDBACK_HEADER)
+                                .map(|most| (asked, Reply::Advised(most as u32))),
                         );
-                        let later = number(RETRY_AFTER_MS).unwrap_or(0.0) as Micros * 1_000;
-                        let last = response.header(NO_RETRY) == Some("1");
+                        let later = number(RETRY_AFTER_MS_HEADER).unwrap_or(0.0) as Micros * 1_000;
+                        let last = response.header(NO_RETRY_HEADER) == Some("1");
                         let never = response.not_run();
                         replies.push((
                             asked,
@@ -578,7 +582,7 @@
                         ));
                     }
                     if !response.reuse {
-                        self.conn.ended = true;
+                        self.conn.is_read_closed = true;
                     }
                 }
                 Ok(used)
@@ -591,7 +595,7 @@
             Kind::Frames { open, gone, .. } => *gone && open.is_empty(),
             Kind::Ajp { .. } => false,
         };
-        self.conn.ended || idle
+        self.conn.is_read_closed || idle
     }
 }
 
@@ -599,7 +603,7 @@
 fn read_answer(payload: &[u8]) -> Result<(Reply, Option<u32>), String> {
     let broken = || "an answer that can't be read".to_owned();
     let (code, rest) = payload.split_first().ok_or_else(broken)?;
-    let (fields, body) = codec::fields(rest).ok_or_else(broken)?;
+    let (fields, body) = codec::parse_fields(rest).ok_or_else(broken)?;
     let find = |name: &str| {
         fields
             .iter()
--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -257,26 +257,31 @@
         stream.flush()?;
         stream.read(READ_LIMIT)?;
         if connection.report == ReportState::Idle {
-            return Ok(!stream.ended && stream.input.is_empty());
+            return Ok(!stream.is_read_closed && stream.input.is_empty());
         }
-        let response = http::parse(&stream.input, stream.ended).map_err(ReportError::Malformed)?;
+        let response = http::parse_response(&stream.input, stream.is_read_closed)
+            .map_err(ReportError::Malformed)?;
         match response {
             Some(response) => self.on_response(index, &response),
-            None if stream.ended => Err(ReportError::Closed),
+            None if stream.is_read_closed => Err(ReportError::Closed),
             None => Ok(true),
         }
     }
 
-    fn on_response(&mut self, index: usize, response: &http::Reply) -> Result<bool, ReportError> {
+    fn on_response(
+        &mut self,
+        index: usize,
+        response: &http::Response,
+    ) -> Result<bool, ReportError> {
         let connection = &mut self.connections[index];
-        connection.stream.input.drain(..response.size);
+        connection.stream.input.drain(..response.length);
         let was_late = matches!(connection.report, ReportState::Late { .. });
         connection.report = ReportState::Idle;
         if response.status != NO_CONTENT {
             return Err(ReportError::Status(response.status));
         }
         // Bytes after a response belong to no report.
-        let is_spent = response.closes || !connection.stream.input.is_empty();
+        let is_spent = response.closes_connection || !connection.stream.input.is_empty();
         if !self.is_healthy && !was_late {
             tracing::info!("registry: reports count again");
             self.is_healthy = true;
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -5,12 +5,12 @@
 use cleatpulley_emulators::callers::{request_frame, said, Said};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
-use cleatpulley_tls::authority::{self, Made};
-use cleatpulley_tls::pair::{certificates, Pair};
+use cleatpulley_tls::authority::{self, IssuedCertificate};
+use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
+use cleatpulley_tls::config::{self, ProtocolVersions};
 use cleatpulley_tls::rustls::{ClientConfig, ClientConnection, ServerConfig, StreamOwned};
 use cleatpulley_tls::session::Session;
-use cleatpulley_tls::setup::{self, Versions};
-use cleatpulley_tls::tickets::{Tickets, SECRET};
+use cleatpulley_tls::ticket_keys::{TicketKeys, SECRET_BYTES};
 use cleatpulley_tls::Clock;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,16 +37,17 @@
 
 struct Files {
     dir: tempfile::TempDir,
-    authority: Made,
+    authority: IssuedCertificate,
     clock: Clock,
 }
 
 impl Files {
     fn new() -> Result<Self, String> {
         let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let authority = authority::init("bench authority", now(), 2).map_err(|e| e.to_string())?;
+        let authority =
+            authority::create_authority("bench authority", now(), 2).map_err(|e| e.to_string())?;
         let names = ["n1".to_owned(), "127.0.0.1".to_owned()];
-        let made = authority::issue(
+        let made = authority::issue_certificate(
             (&authority.certificate, &authority.key),
             &names,
             None,
@@ -59,11 +60,11 @@
         };
         write("n1.pem", &made.certificate)?;
         write("n1.key", &made.key)?;
-        write("tickets.key", &"5a".repeat(SECRET))?;
+        write("tickets.key", &"5a".repeat(SECRET_BYTES))?;
         Ok(Self {
             dir,
             authority,
-            clock: Clock::at(now() as u64 * 1_000_000),
+            clock: Clock::from_unix_micros(now() as u64 * 1_000_000),
         })
     }
 
@@ -78,23 +79,33 @@
     }
 
     fn client(&self) -> Result<Arc<ClientConfig>, String> {
-        self.client_of(Versions::Both)
+        self.client_of(ProtocolVersions::Both)
     }
 
-    fn client_of(&self, versions: Versions) -> Result<Arc<ClientConfig>, String> {
-        let roots = certificates(Path::new("ca.pem"), self.authority.certificate.as_bytes())
+    fn client_of(&self, versions: ProtocolVersions) -> Result<Arc<ClientConfig>, String> {
+        let roots = parse_certificates(Path::new("ca.pem"), self.authority.certificate.as_bytes())
             .map_err(|e| e.to_string())?;
-        setup::client(&roots, None, versions, &self.clock)
+        config::client_config(&roots, None, versions, &self.clock)
     }
 
     fn server(&self) -> Result<Arc<ServerConfig>, String> {
-        let pair = Pair::load(
+        let pair = CertificateWithKey::load(
             &self.dir.path().join("n1.pem"),
             &self.dir.path().join("n1.key"),
         )
         .map_err(|e| e.to_string())?;
-        let tickets = Arc::new(Tickets::new(&[0x5a; SECRET], 21_600, self.clock.clone()));
-        setup::server(&pair, None, Versions::Both, Some(tickets), &self.clock)
+        let tickets = Arc::new(TicketKeys::new(
+            &[0x5a; SECRET_BYTES],
+            21_600,
+            self.clock.clone(),
+        ));
+        config::server_config(
+            &pair,
+            None,
+            ProtocolVersions::Both,
+            Some(tickets),
+            &self.clock,
+        )
     }
 }
 
@@ -115,10 +126,10 @@
                 .map_err(|e| e.to_string())?;
         }
         let begun = Instant::now();
-        ours.open(&to_server, &mut plain)
+        ours.decrypt(&to_server, &mut plain)
             .map_err(|e| e.to_string())?;
         let mut to_client = Vec::new();
-        ours.output(&mut to_client);
+        ours.take_output(&mut to_client);
         spent += begun.elapsed();
         let mut cursor = &to_client[..];
         while !cursor.is_empty() {
@@ -128,7 +139,7 @@
         if !ours.is_handshaking()
             && !theirs.is_handshaking()
             && !theirs.wants_write()
-            && !ours.wants_output()
+            && !ours.has_output()
         {
             break;
         }
@@ -145,7 +156,7 @@
 }
 
 /// Microseconds of a full and of a resumed handshake of a version, the median of many.
-fn handshakes(files: &Files, versions: Versions) -> Result<(f64, f64), String> {
+fn handshakes(files: &Files, versions: ProtocolVersions) -> Result<(f64, f64), String> {
     let server = files.server()?;
     let (mut full, mut resumed) = (Vec::new(), Vec::new());
     let remembers = files.client_of(versions)?;
@@ -320,7 +331,7 @@
 /// Kilobytes that each handshake in flight holds: a client's first flight, and nothing after it.
 fn in_flight(program: &Path, files: &Files) -> Result<f64, String> {
     let handshakes =
-        "handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
+"handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(handshakes)))?;
     let config = files.client()?;
     let base = rss(&matcher)?;
@@ -366,8 +377,8 @@
 /// rest, with how many a second ended.
 fn flood(program: &Path, files: &Files) -> Result<(f64, f64, f64), String> {
     let handshakes = format!(
-        "handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
-    );
+"handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
+);
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(&handshakes)))?;
     let rest = at_rest(&matcher)?;
     let before_flood = calm(&matcher, files, rest)?;
@@ -405,16 +416,16 @@
 /// Where something can't be started.
 pub fn run(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
     let files = Files::new()?;
-    let (full, resumed) = handshakes(&files, Versions::Only13)?;
-    let (full12, resumed12) = handshakes(&files, Versions::Only12)?;
+    let (full, resumed) = handshakes(&files, ProtocolVersions::Only13)?;
+    let (full12, resumed12) = handshakes(&files, ProtocolVersions::Only12)?;
     print_line!(
-        "TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
+"TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
          1.2 full {full12:.0} us ({:.0}), resumed {resumed12:.0} us ({:.0})",
-        1e6 / full,
-        1e6 / resumed,
-        1e6 / full12,
-        1e6 / resumed12
-    );
+1e6 / full,
+1e6 / resumed,
+1e6 / full12,
+1e6 / resumed12
+);
     // In turns, three of each: a matcher's CPU a request varies by some tenths from one run to the next.
     let (mut plains, mut tlss, mut plain_served, mut tls_served) = (Vec::new(), Vec::new(), 0, 0);
     for _ in 0..3 {
@@ -426,8 +437,8 @@
     let (plain, tls) = (median(plains), median(tlss));
     let ratio = tls / plain;
     print_line!(
-        "CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
-    );
+"CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
+);
     if ratio >= GOAL_RATIO {
         short.push(format!(
             "a request over TLS costs {ratio:.2} times plain, {GOAL_RATIO} asked"
@@ -439,19 +450,19 @@
         in_flight(program, &files)?,
     );
     print_line!(
-        "memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
-    );
+"memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
+);
     let (one, share, done) = flood(program, &files)?;
     // Strangers have what the reserve leaves of the rate.
     let strangers = BOUND
         * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserved_share);
     let allowed = strangers * one / 1e6;
     print_line!(
-        "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
+"a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
          at the matcher's {one:.0} us a handshake one at a time (before and after), the bound allows {:.1}%",
-        share * 100.0,
-        allowed * 100.0
-    );
+share * 100.0,
+allowed * 100.0
+);
     if share > allowed * (1.0 + GOAL_SHARE) {
         short.push(format!(
             "a flood of handshakes takes {:.1}% of a core where the bound allows {:.1}%",
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -11,12 +11,14 @@
 
 use crate::config::Config;
 use cleatpulley_dispatcher::RequestHead;
-use cleatpulley_gateway::core::asked;
+use cleatpulley_gateway::core::route_request;
 use cleatpulley_policy::interface::{Effect, Micros};
+use cleatpulley_protocol::ajp::class_table::{ClassRoute, ClassTable};
 use cleatpulley_protocol::ajp::client;
-use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZES};
-use cleatpulley_protocol::ajp::server::{Defaults, Figures, Lookup, Settings, Source};
-use cleatpulley_protocol::ajp::table::{Entry, Table};
+use cleatpulley_protocol::ajp::codec::{PACKET_SIZE, PACKET_SIZE_RANGE};
+use cleatpulley_protocol::ajp::server::{
+    ClassLookup, ParameterDefaults, ParameterSource, ParameterSources, Settings,
+};
 use cleatpulley_routes::router::RouteDecision;
 use cleatpulley_server::{dependency_pool, AjpOptions, IdempotencyOptions};
 use jrsonnet_evaluator::error::Error as EvaluationError;
@@ -269,7 +271,7 @@
             .transpose()?;
         let ajp_sends_keys = ajp
             .as_ref()
-            .is_some_and(|ajp| ajp.settings.figures.key.is_some());
+            .is_some_and(|ajp| ajp.settings.parameter_sources.key.is_some());
         let admission = file
             .admission
             .map(|section| section.check(&config.name, folder))
@@ -414,13 +416,13 @@
 
 fn check_packet_size(key: &str, size: Option<usize>) -> Result<usize, KeyError> {
     let size = size.unwrap_or(PACKET_SIZE);
-    if !PACKET_SIZES.contains(&size) {
+    if !PACKET_SIZE_RANGE.contains(&size) {
         return key_error(
             key,
             format!(
                 "{size} is not within {} to {}",
-                PACKET_SIZES.start(),
-                PACKET_SIZES.end()
+                PACKET_SIZE_RANGE.start(),
+                PACKET_SIZE_RANGE.end()
             ),
         );
     }
@@ -436,9 +438,9 @@
     class_names: Vec<String>,
 }
 
-impl Lookup for ImportedRoutes {
+impl ClassLookup for ImportedRoutes {
     fn find(&self, head: &RequestHead) -> Result<usize, (u16, String)> {
-        let request = asked(self.listen.as_deref(), head);
+        let request = route_request(self.listen.as_deref(), head);
         match self
             .router
             .route(&request)
@@ -455,7 +457,7 @@
         }
     }
 
-    fn relays(&self) -> bool {
+    fn forwards_requests(&self) -> bool {
         false
     }
 }
@@ -464,7 +466,7 @@
     file: &Path,
     listen: Option<String>,
     config: &Config,
-) -> Result<Arc<dyn Lookup>, KeyError> {
+) -> Result<Arc<dyn ClassLookup>, KeyError> {
     let error = |message| ("routes_from".to_owned(), message);
     let routes = crate::nginx::load_routes(file).map_err(error)?;
     let router = cleatpulley_routes::router::Router::new(&routes).map_err(error)?;
@@ -476,12 +478,13 @@
 }
 
 /// Parses the name of a header, or `attribute:` and the name of a request attribute.
-fn parse_source(key: &str, text: Option<&String>) -> Result<Option<Source>, KeyError> {
+fn parse_source(key: &str, text: Option<&String>) -> Result<Option<ParameterSource>, KeyError> {
     let Some(text) = text else { return Ok(None) };
-    let (name, new_source): (&str, fn(String) -> Source) = match text.strip_prefix("attribute:") {
-        Some(name) => (name, Source::Attribute),
-        None => (text, Source::Header),
-    };
+    let (name, new_source): (&str, fn(String) -> ParameterSource) =
+        match text.strip_prefix("attribute:") {
+            Some(name) => (name, ParameterSource::Attribute),
+            None => (text, ParameterSource::Header),
+        };
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || !name.chars().all(is_allowed) {
         return key_error(
@@ -588,7 +591,7 @@
         let mut entries = Vec::new();
         for (i, route) in self.routes.into_iter().enumerate() {
             let class = class_index(&format!("routes[{i}].class"), &route.class)?;
-            entries.push(Entry {
+            entries.push(ClassRoute {
                 path: route.path,
                 methods: route.methods,
                 class,
@@ -606,8 +609,8 @@
             None if entries.is_empty() => return key_error("routes", "there is no route"),
             None => None,
         };
-        let table =
-            Table::new(entries).map_err(|(i, message)| (format!("routes[{i}].path"), message))?;
+        let table = ClassTable::new(entries)
+            .map_err(|(i, message)| (format!("routes[{i}].path"), message))?;
         for name in self.classes.keys() {
             class_index(&format!("classes.{name}"), name)?;
         }
@@ -615,13 +618,13 @@
         for (name, class) in config.class_names.iter().zip(&config.settings.classes) {
             let of_class = self.classes.get(name).cloned().unwrap_or_default();
             let of_all = &self.defaults;
-            let class_defaults = Defaults {
-                work: (of_class.work_ms.or(of_all.work_ms).unwrap_or(0.0).max(0.0) * 1_000.0)
-                    as Micros,
+            let class_defaults = ParameterDefaults {
+                expected_work: (of_class.work_ms.or(of_all.work_ms).unwrap_or(0.0).max(0.0)
+                    * 1_000.0) as Micros,
                 memory_kb: of_class.memory_kb.or(of_all.memory_kb).unwrap_or(30.0),
                 rank: of_class.rank.or(of_all.rank).unwrap_or(0.5),
                 caller: of_class.caller.or(of_all.caller).unwrap_or(0),
-                needs_id: of_class
+                requires_id: of_class
                     .needs_id
                     .or(of_all.needs_id)
                     .unwrap_or(class.effect != Effect::Idempotent),
@@ -645,7 +648,7 @@
                     format!("{} is not from 0 to under 1", class_defaults.rank),
                 );
             }
-            if class_defaults.needs_id && self.figures.id.is_none() {
+            if class_defaults.requires_id && self.figures.id.is_none() {
                 let message = format!(
                     "class {name:?} has an effect and needs request ids, but no header for them is set"
                 );
@@ -657,15 +660,15 @@
         let settings = Settings {
             secret: self.secret.map(String::into_bytes),
             packet_size: check_packet_size("packet_size", self.packet_size)?,
-            max_body,
-            first_packet: timeout("first_packet", self.timeouts_ms.first_packet)?,
-            body: body_timeout,
-            idle: timeout("idle", self.timeouts_ms.idle)?,
-            table,
-            lookup,
-            figures: Figures {
+            max_body_bytes: max_body,
+            packet_timeout: timeout("first_packet", self.timeouts_ms.first_packet)?,
+            body_timeout,
+            idle_timeout: timeout("idle", self.timeouts_ms.idle)?,
+            class_table: table,
+            class_lookup: lookup,
+            parameter_sources: ParameterSources {
                 id: parse_source("id", figures.id.as_ref())?,
-                door: parse_source("door", figures.door.as_ref())?,
+                received_at_ms: parse_source("door", figures.door.as_ref())?,
                 work_ms: parse_source("work_ms", figures.work_ms.as_ref())?,
                 memory_kb: parse_source("memory_kb", figures.memory_kb.as_ref())?,
                 rank: parse_source("rank", figures.rank.as_ref())?,
@@ -673,12 +676,12 @@
                 subject: parse_source("subject", figures.subject.as_ref())?,
                 key: parse_source("key", figures.key.as_ref())?,
             },
-            defaults,
-            seed: config.seed,
+            parameter_defaults: defaults,
+            id_seed: config.seed,
         };
         Ok(AjpOptions {
             listen,
-            trusted,
+            trusted_proxies: trusted,
             settings,
         })
     }
@@ -713,16 +716,16 @@
                 let settings = &ajp.settings;
                 let ms = |micros: Micros| micros / 1_000;
                 writeln!(
-                    f,
-                    "ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
-                    listen.join(", "),
-                    if settings.secret.is_some() { "asked for" } else { "none" },
-                    settings.packet_size,
-                    settings.max_body,
-                    ms(settings.first_packet),
-                    ms(settings.body),
-                    ms(settings.idle),
-                )?;
+f,
+"ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
+listen.join(", "),
+if settings.secret.is_some() { "asked for" } else { "none" },
+settings.packet_size,
+settings.max_body_bytes,
+ms(settings.packet_timeout),
+ms(settings.body_timeout),
+ms(settings.idle_timeout),
+)?;
             }
         }
         let protocol = match &self.dependency_protocol {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -11,13 +11,13 @@
 use cleatpulley::dispatcher::KeyScope;
 use cleatpulley::interface::{DependencyLimit, Effect, FeedbackKind, Preemption};
 use cleatpulley::operator::{evaluate, fleet::FleetConfig, gateway, OperatorSettings};
-use cleatpulley::protocol::ajp::server::Source;
-use cleatpulley::protocol::mgmt::{Answers, Connection};
+use cleatpulley::protocol::ajp::server::ParameterSource;
+use cleatpulley::protocol::management::{Connection, ManagementData};
 use cleatpulley::server::dependency_pool::DependencyProtocol;
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority;
-use cleatpulley_tls::pair::Pair;
+use cleatpulley_tls::certificate::CertificateWithKey;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::fs;
@@ -57,8 +57,8 @@
         .duration_since(UNIX_EPOCH)
         .expect("the clock is past 1970")
         .as_secs() as i64;
-    let ca = authority::init("test authority", now, 30).expect("create the authority");
-    let issued = authority::issue(
+    let ca = authority::create_authority("test authority", now, 30).expect("create the authority");
+    let issued = authority::issue_certificate(
         (&ca.certificate, &ca.key),
         &["n3".to_owned()],
         None,
@@ -94,11 +94,12 @@
         .expect("run the program");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{arguments:?}: {stderr}");
-    let pair = Pair::load(&folder.join("n3.pem"), &folder.join("n3.key")).expect("load the pair");
+    let pair = CertificateWithKey::load(&folder.join("n3.pem"), &folder.join("n3.key"))
+        .expect("load the pair");
     let stdout = String::from_utf8(output.stdout).expect("the output is UTF-8");
     stdout
-        .replace(&pair.facts.serial, "SERIAL")
-        .replace(&pair.facts.not_after.to_string(), "UNTIL")
+        .replace(&pair.info.serial, "SERIAL")
+        .replace(&pair.info.not_after.to_string(), "UNTIL")
 }
 
 fn config() -> Config {
@@ -191,10 +192,10 @@
     assert_eq!(sections, BTreeSet::from(expected_sections));
     let operator = OperatorSettings::load(&file, &config()).expect("valid file");
     let ajp = operator.ajp.as_ref().expect("AJP is on");
-    let figures = &ajp.settings.figures;
-    let header = |name: &str| Some(Source::Header(name.to_owned()));
+    let figures = &ajp.settings.parameter_sources;
+    let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
     assert_eq!(
-        (&figures.id, &figures.door),
+        (&figures.id, &figures.received_at_ms),
         (&header("X-Request-Id"), &header("X-Door"))
     );
     assert_eq!(
@@ -205,12 +206,15 @@
         (&figures.rank, &figures.subject),
         (&header("X-Rank"), &header("X-Subject"))
     );
-    assert_eq!(figures.caller, Some(Source::Attribute("caller".to_owned())));
+    assert_eq!(
+        figures.caller,
+        Some(ParameterSource::Attribute("caller".to_owned()))
+    );
     assert_eq!(figures.key, header("Idempotency-Key"));
-    let defaults = &ajp.settings.defaults;
+    let defaults = &ajp.settings.parameter_defaults;
     let class_defaults = |class: usize| {
         (
-            defaults[class].work,
+            defaults[class].expected_work,
             defaults[class].memory_kb,
             defaults[class].rank,
         )
@@ -220,7 +224,11 @@
         ((300_000, 31.0, 0.25), (180_000, 32.0, 0.75))
     );
     assert_eq!(
-        (defaults[0].caller, defaults[3].caller, defaults[0].needs_id),
+        (
+            defaults[0].caller,
+            defaults[3].caller,
+            defaults[0].requires_id
+        ),
         (5, 6, true)
     );
     assert_eq!(ajp.settings.secret.as_deref(), Some(&b"a secret"[..]));
@@ -261,11 +269,11 @@
         Some(Path::new("/etc/cleatpulley/{place}.jsonnet"))
     );
     let expected = json!({
-        "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
-        "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
-        "crashes": 4,
-        "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
-        "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
+    "instances": 2, "surge": 1, "batch": 1, "minimum": 1.5,
+    "start_within": 5_100_000, "warm_within": 120_100_000, "drain_within": 10_100_000, "silent_within": 2_100_000,
+    "crashes": 4,
+    "verdict": {"samples": 501, "refused": 0.06, "failed": 0.02, "late": 0.07, "errors": 3.5},
+    "restart": {"first": 210_000, "most": 31_000_000, "budget": 21, "within": 61_000_000},
     });
     assert_eq!(
         serde_json::to_value(fleet.settings).expect("JSON"),
@@ -273,8 +281,8 @@
     );
     let planner_input = fleet.planner_input.expect("the file describes a host");
     let host = json!({
-        "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
-        "warm_after": 4_000_000, "drain": 3_000_000,
+    "cores": 24.0, "cores_each": 1.5, "rate_each": 150.0, "start": 500_000, "cold_from": 0.25,
+    "warm_after": 4_000_000, "drain": 3_000_000,
     });
     assert_eq!(
         serde_json::to_value(planner_input.host).expect("JSON"),
@@ -295,7 +303,7 @@
     assert!(
         operator
             .ajp
-            .is_some_and(|ajp| ajp.settings.lookup.is_some()),
+            .is_some_and(|ajp| ajp.settings.class_lookup.is_some()),
         "routes are imported"
     );
     assert!(matches!(
@@ -320,7 +328,11 @@
     assert!(fleet.planner_input.is_none());
     let options = gateway::load(&file).expect("valid file");
     assert_eq!(
-        (options.name.as_str(), options.connections, options.sockets),
+        (
+            options.name.as_str(),
+            options.max_connections_per_target,
+            options.max_descriptors
+        ),
         ("gateway", 8, 1_024)
     );
     assert!(options.ajp.is_none() && options.tls.is_none());
@@ -331,21 +343,27 @@
     let folder = install_fixtures("operator");
     let options = gateway::load(&folder.path().join("operator.jsonnet")).expect("valid file");
     assert_eq!(
-        (options.name.as_str(), options.host.as_str()),
+        (options.name.as_str(), options.frames_host.as_str()),
         ("gateway-1", "match.example.org")
     );
-    assert_eq!((options.connections, options.sockets), (9, 2_048));
-    assert_eq!((options.stop, options.grace), (11_000_000, 2_600_000));
+    assert_eq!(
+        (options.max_connections_per_target, options.max_descriptors),
+        (9, 2_048)
+    );
+    assert_eq!(
+        (options.shutdown_time, options.drain_grace),
+        (11_000_000, 2_600_000)
+    );
     let settings = &options.settings;
     assert_eq!(
-        (settings.share, settings.seed, settings.most_held),
+        (settings.retry_share, settings.seed, settings.max_held_bytes),
         (0.2, 77, 65_000_000)
     );
-    assert_eq!(settings.listen.as_deref(), Some("*:80"));
+    assert_eq!(settings.listen_address.as_deref(), Some("*:80"));
     let classes: Vec<_> = settings
         .classes
         .iter()
-        .map(|class| (class.name.as_str(), class.deadline, class.effect))
+        .map(|class| (class.name.as_str(), class.deadline, class.has_effect))
         .collect();
     assert_eq!(
         classes,
@@ -363,11 +381,11 @@
         )
     );
     assert_eq!(
-        (ajp.max_body, ajp.figures.door),
-        (4_097, Some(Source::Header("X-Came".to_owned())))
+        (ajp.max_body_bytes, ajp.parameter_sources.received_at_ms),
+        (4_097, Some(ParameterSource::Header("X-Came".to_owned())))
     );
     assert_eq!(
-        options.addresses.get("m1.example.org:7001"),
+        options.target_addresses.get("m1.example.org:7001"),
         Some(&([127, 0, 0, 1], 7_001).into())
     );
     let tls = options.tls.expect("targets are called over TLS");
@@ -551,12 +569,12 @@
 /// A management endpoint with a fixed readiness.
 struct FixedReadiness(bool);
 
-impl Answers for FixedReadiness {
-    fn ready(&self) -> bool {
+impl ManagementData for FixedReadiness {
+    fn is_ready(&self) -> bool {
         self.0
     }
 
-    fn vars(&self) -> Vec<u8> {
+    fn variables_json(&self) -> Vec<u8> {
         b"{}\n".to_vec()
     }
 }
@@ -603,11 +621,11 @@
     let site = Site::start(Setup::default()).expect("start the emulated services");
     let path = |name: &str| folder.path().join(name).display().to_string();
     let operator = format!(
-        "{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
+"{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
          handshakes: {{ per_second: 100 }} }} }}",
-        path("n3.pem"),
-        path("n3.key")
-    );
+path("n3.pem"),
+path("n3.key")
+);
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher =
         Matcher::start(program, &site.config, Some(&operator)).expect("start the matcher");
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -2,20 +2,20 @@
 
 use cleatpulley::config::{Config, ConfigSources};
 use cleatpulley::operator::OperatorSettings;
-use cleatpulley::protocol::ajp::table::Found;
+use cleatpulley::protocol::ajp::class_table::ClassMatch;
 use serde_json::json;
 use std::path::Path;
 
 fn config() -> Config {
     let class = |name: &str, effect: &str| json!({"name": name, "effect": effect, "give_up": 6_000_000, "on_time": 2_000_000});
     let value = json!({
-        "name": "n3", "listen": "127.0.0.1:5050", "runtime": "127.0.0.1:7300", "lookup": "127.0.0.1:7946",
-        "store": "127.0.0.1:9042",
-        "settings": {
-            "classes": [class("find-race", "idempotent"), class("lobby-view", "idempotent"),
-                        class("set-prefs", "idempotent"), class("claim-seat", "at_most_once")],
-            "tick": 2000, "specifics": {"cores": 2, "memory_kb": 10_000.0}
-        }
+    "name": "n3", "listen": "127.0.0.1:5050", "runtime": "127.0.0.1:7300", "lookup": "127.0.0.1:7946",
+    "store": "127.0.0.1:9042",
+    "settings": {
+    "classes": [class("find-race", "idempotent"), class("lobby-view", "idempotent"),
+    class("set-prefs", "idempotent"), class("claim-seat", "at_most_once")],
+    "tick": 2000, "specifics": {"cores": 2, "memory_kb": 10_000.0}
+    }
     });
     Config::parse(&value.to_string(), &ConfigSources::default()).expect("valid configuration")
 }
@@ -40,11 +40,14 @@
         .expect("valid file");
     let ajp = operator.ajp.as_ref().expect("AJP is on");
     assert_eq!(
-        ajp.settings.table.find(b"POST", b"/claim-seat"),
-        Found::Class(3)
+        ajp.settings.class_table.find(b"POST", b"/claim-seat"),
+        ClassMatch::Class(3)
+    );
+    assert_eq!(ajp.settings.parameter_defaults[3].expected_work, 180_000);
+    assert!(
+        ajp.settings.parameter_defaults[3].requires_id
+            && !ajp.settings.parameter_defaults[0].requires_id
     );
-    assert_eq!(ajp.settings.defaults[3].work, 180_000);
-    assert!(ajp.settings.defaults[3].needs_id && !ajp.settings.defaults[0].needs_id);
     let idempotency = operator.idempotency.as_ref().expect("results are stored");
     assert_eq!(idempotency.classes, [false, false, false, true]);
     assert_eq!(idempotency.capacity.deduplication_window, 600_000_000);
@@ -102,11 +105,11 @@
         .to_string();
     std::fs::remove_file(&file_without_class).expect("remove the operator file");
     assert!(
-        error.contains(
-            "results: settings.classes[3].effect: retries can't be recognized without stored results"
-        ),
-        "{error}"
-    );
+error.contains(
+"results: settings.classes[3].effect: retries can't be recognized without stored results"
+),
+"{error}"
+);
     let file =
         std::env::temp_dir().join(format!("cleatpulley-{}-keyed.jsonnet", std::process::id()));
     let text = |required| {
