--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -83,7 +83,7 @@
 }
 
 fn lookups(shortfalls: &mut Vec<String>) -> Result<(), String> {
-    say!("look-ups a second, by locations: the trie, and a linear search");
+    print_line!("look-ups a second, by locations: the trie, and a linear search");
     let mut rates = Vec::new();
     for count in [10, 1_000, 100_000] {
         let prefixes = prefixes(count);
@@ -123,7 +123,7 @@
                     .max_by_key(|prefix| prefix.len()),
             );
         });
-        say!(
+        print_line!(
             "  {count:>7}: {:>6.1} million, {:>9.4} million, ratio {:.0}",
             1e-6 / trie,
             1e-6 / linear,
@@ -164,7 +164,7 @@
     let started = Instant::now();
     let import = Import::read(&files, "f");
     let took = started.elapsed();
-    say!(
+    print_line!(
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
         took.as_secs_f64() * 1e3,
@@ -182,7 +182,7 @@
     let files = BTreeMap::from([("f".to_owned(), noise)]);
     let started = Instant::now();
     let import = Import::read(&files, "f");
-    say!(
+    print_line!(
         "10 MB of noise: rejected with {} diagnostics after {:.0} ms",
         import.diagnostics.len(),
         started.elapsed().as_secs_f64() * 1e3
@@ -225,7 +225,7 @@
     let took = started.elapsed().as_secs_f64();
     let request_count: usize = reports.iter().map(|report| report.requests_checked).sum();
     let held_count = reports.iter().filter(|report| report.holds()).count();
-    say!("expectations over 30,000 subjects: {took:.2} s for {request_count} requests; {held_count} of 4 hold");
+    print_line!("expectations over 30,000 subjects: {took:.2} s for {request_count} requests; {held_count} of 4 hold");
     // The map sends one popular subject to another cell, which two of the expectations have to find.
     let broken_count = reports
         .iter()
@@ -272,7 +272,7 @@
     let max_count = counts.values().copied().max().unwrap_or(0);
     let max_load_ratio = f64::from(max_count) / 2_000.0;
     let moved_share = f64::from(moved) / 32_000.0;
-    say!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
+    print_line!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
     if needlessly_moved > 0 || max_load_ratio > 1.25 || moved_share > 1.5 / 16.0 {
         shortfalls.push(format!(
 "consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
@@ -325,7 +325,7 @@
 }
 
 fn balancing_methods(program: &Path, shortfalls: &mut Vec<String>) -> Result<(), String> {
-    say!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow target");
+    print_line!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow target");
     let mut shares = BTreeMap::new();
     for (name, directive) in [
         ("round robin", ""),
@@ -342,7 +342,7 @@
         relay.next_upstream = "error".to_owned();
         relay.events = vec![(0, 0, TargetEvent::SetSlowdown(4.0))];
         let report = run_trial(&relay, program, shortfalls)?;
-        say!(
+        print_line!(
             "  {name:18} {:5.1}%  {:4.0} ms  {:4.1}%",
             report.on_time_share() * 100.0,
             report.latency_ms.1,
@@ -374,7 +374,7 @@
         (3_200 * MS, 2, TargetEvent::SetSlowdown(4.0)),
         (4_000 * MS, 2, TargetEvent::SetSlowdown(1.0)),
     ];
-    say!("90% load, five targets: in time, rejected, failed, attempts per request, gateway's CPU a request and memory");
+    print_line!("90% load, five targets: in time, rejected, failed, attempts per request, gateway's CPU a request and memory");
     for (name, relay) in [
         ("calm", &calm),
         ("one dies, one drains, one slows", &with_faults),
@@ -382,7 +382,7 @@
         let report = run_trial(relay, program, shortfalls)?;
         let total = report.total();
         let rejected = total.rejected_without_retry_after + total.rejected_with_retry_after;
-        say!(
+        print_line!(
             "  {name:32} {:5.1}%  {rejected:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
             report.on_time_share() * 100.0,
             total.failed,
@@ -391,7 +391,7 @@
             report.memory_kb as f64 / 1e3
         );
     }
-    say!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
+    print_line!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
     for front in [Protocol::Frames, Protocol::Ajp] {
         let mut relay = relay(0.0, 2.0);
         relay.balancing = "least_conn;".to_owned();
@@ -403,7 +403,7 @@
         relay.rates = vec![(front, 8_000.0)];
         let report = run_trial(&relay, program, shortfalls)?;
         let (in_time, p99) = (report.on_time_share() * 100.0, report.latency_ms.1);
-        say!(
+        print_line!(
             "  {front:8} {in_time:5.1}%  {p99:.1} ms  {:.1} us  {:.1} MB",
             report.cpu_per_request,
             report.memory_kb as f64 / 1e3
@@ -414,7 +414,7 @@
             ));
         }
     }
-    say!("half of the targets fail all requests, half load: attempts per request, by the retry share");
+    print_line!("half of the targets fail all requests, half load: attempts per request, by the retry share");
     for retry_share in [0.0, 0.1, 0.3] {
         let mut relay = relay(0.5, 2.0);
         relay.next_upstream = "error timeout http_503 http_500".to_owned();
@@ -427,7 +427,7 @@
         let report = run_trial(&relay, program, shortfalls)?;
         let total = report.total();
         let max_attempts = 1.0 + retry_share + 12.0 / total.issued.max(1) as f64;
-        say!(
+        print_line!(
             "  share {retry_share:.1}: {:.3} of at most {max_attempts:.3}; {:.1}% in time",
             report.attempts_per_request,
             report.on_time_share() * 100.0
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -1,7 +1,7 @@
 //! The `gateway` section of an operator file: listening addresses, routes, classes and targets of a gateway.
 
 use super::section::read_section;
-use super::{addresses, packet_size, wrong, Fault, Wrong};
+use super::{check_packet_size, key_error, parse_addresses, KeyError, OperatorFileError};
 use crate::nginx;
 use cleatpulley_gateway::core::{Class, Settings};
 use cleatpulley_gateway::upstream::{HeaderNames, TargetProtocol};
@@ -134,7 +134,7 @@
 }
 
 impl TargetTlsSection {
-    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
+    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, KeyError> {
         use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
@@ -151,14 +151,14 @@
                 let pair = CertificateWithKey::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
-            (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
+            (Some(_), None) => return key_error("targets.tls.key", "a certificate needs its key"),
             (None, Some(_)) => {
-                return wrong("targets.tls.certificate", "a key needs its certificate")
+                return key_error("targets.tls.certificate", "a key needs its certificate")
             }
         };
         if let Some(name) = &self.server_name {
             if cleatpulley_tls::rustls::pki_types::ServerName::try_from(name.as_str()).is_err() {
-                return wrong(
+                return key_error(
                     "targets.tls.server_name",
                     format!("{name:?} is not a host name or address"),
                 );
@@ -184,7 +184,7 @@
 ///
 /// # Errors
 /// Returns the file, the line where it is known, the key, and what is wrong there.
-pub fn load(file: &Path) -> Result<Options, Fault> {
+pub fn load(file: &Path) -> Result<Options, OperatorFileError> {
     read_section(file, |file: OperatorFile, folder| {
         file.gateway
             .check(folder)
@@ -193,12 +193,12 @@
 }
 
 impl GatewaySection {
-    fn check(self, folder: &Path) -> Result<Options, Wrong> {
-        let routes = nginx::load(&folder.join(&self.routes))
+    fn check(self, folder: &Path) -> Result<Options, KeyError> {
+        let routes = nginx::load_routes(&folder.join(&self.routes))
             .map_err(|message| ("routes".to_owned(), message))?;
-        let frame_addresses = addresses("frames", &self.frames)?;
+        let frame_addresses = parse_addresses("frames", &self.frames)?;
         if frame_addresses.is_empty() && self.ajp.is_none() {
-            return wrong(
+            return key_error(
                 "frames",
                 "no address, and no AJP section: no caller could connect",
             );
@@ -206,7 +206,7 @@
         let (mut classes, mut longest_deadline_ms) = (Vec::new(), 0);
         for (name, class) in &self.classes {
             if !(1..=600_000).contains(&class.deadline_ms) {
-                return wrong(
+                return key_error(
                     format!("classes.{name}.deadline_ms"),
                     format!("{} is not within 1 to 600000", class.deadline_ms),
                 );
@@ -219,23 +219,23 @@
             });
         }
         if classes.is_empty() {
-            return wrong("classes", "no class is defined");
+            return key_error("classes", "no class is defined");
         }
         if self.stop_ms < self.drain_grace_ms + longest_deadline_ms {
             let message = format!(
 "{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
 self.stop_ms, self.drain_grace_ms
 );
-            return wrong("stop_ms", message);
+            return key_error("stop_ms", message);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
-            return wrong(
+            return key_error(
                 "memory_mb",
                 format!("{} is not within 1 to 65536", self.memory_mb),
             );
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return wrong(
+            return key_error(
                 "retry_share",
                 format!("{} is not from 0 to 1", self.retry_share),
             );
@@ -250,7 +250,7 @@
                 .flat_map(|server| &server.listen_addresses)
                 .any(|(known, _)| known == address)
             {
-                return wrong(
+                return key_error(
                     "routes_listen",
                     format!("no server of the routes listens on {address}"),
                 );
@@ -258,16 +258,16 @@
         }
         let target_protocol = match self.targets.protocol.as_deref() {
             None | Some("frames") if self.targets.secret.is_some() => {
-                return wrong("targets.secret", "the frames protocol has no secret")
+                return key_error("targets.secret", "the frames protocol has no secret")
             }
             None | Some("frames") => TargetProtocol::Frames,
             Some("ajp") => TargetProtocol::Ajp(client::Options {
-                packet_size: packet_size("targets", None)?,
+                packet_size: check_packet_size("targets", None)?,
                 secret: self.targets.secret.clone(),
                 server: (self.name.clone(), 0),
             }),
             Some(other) => {
-                return wrong(
+                return key_error(
                     "targets.protocol",
                     format!("{other:?} is neither \"frames\" nor \"ajp\""),
                 )
@@ -306,7 +306,7 @@
     locations: &[Location],
     server_steps: &[RewriteStep],
     classes: &BTreeMap<String, ClassSection>,
-) -> Result<(), Wrong> {
+) -> Result<(), KeyError> {
     for location in locations {
         for step in server_steps.iter().chain(&location.steps) {
             let RewriteStep::Set { variable, value } = step else {
@@ -322,7 +322,7 @@
                     location.position,
                     classes.keys().cloned().collect::<Vec<_>>().join(", ")
                 );
-                return wrong("routes", message);
+                return key_error("routes", message);
             }
         }
         check_location_classes(&location.nested, server_steps, classes)?;
@@ -333,7 +333,7 @@
 fn resolve_targets(
     routes: &Routes,
     names: &BTreeMap<String, String>,
-) -> Result<HashMap<Arc<str>, SocketAddr>, Wrong> {
+) -> Result<HashMap<Arc<str>, SocketAddr>, KeyError> {
     let mut addresses = HashMap::new();
     for target in routes.pools.values().flat_map(|pool| &pool.targets) {
         let text = names.get(&target.address).unwrap_or(&target.address);
@@ -342,7 +342,7 @@
                 "{}: no address is given for {}, and names are not looked up",
                 target.position, target.address
             );
-            return wrong("targets.names", message);
+            return key_error("targets.names", message);
         };
         addresses.insert(Arc::from(target.address.as_str()), address);
     }
@@ -350,13 +350,16 @@
 }
 
 impl AjpSection {
-    fn check(self, seed: u64) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), Wrong> {
-        let listen = addresses("ajp.listen", &self.listen)?;
+    fn check(
+        self,
+        seed: u64,
+    ) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), KeyError> {
+        let listen = parse_addresses("ajp.listen", &self.listen)?;
         if let Some(index) = listen
             .iter()
             .position(|address| !address.ip().is_loopback() && self.secret.is_none())
         {
-            return wrong(
+            return key_error(
                 format!("ajp.listen[{index}]"),
                 format!(
                     "{} is no loopback address, which takes a secret",
@@ -368,7 +371,7 @@
         let header_names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
-            packet_size: packet_size("ajp.packet_size", self.packet_size)?,
+            packet_size: check_packet_size("ajp.packet_size", self.packet_size)?,
             max_body_bytes: self.max_body,
             packet_timeout: 2_000 * MS,
             body_timeout: 2_000 * MS,
