--- a/crates/server/src/host.rs
+++ b/crates/server/src/host.rs
@@ -89,7 +89,7 @@
     fn write(&mut self, command: KeyCommand);
 
     /// Loads the cached result of a key, as of `now`.
-    fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey);
+    fn load_result(&mut self, now: Micros, id: RequestId, load_number: u64, key: ScopedKey);
 
     /// Begins to close the storage: pending writes are completed in the background, and no further
     /// calls may follow.
--- a/crates/server/src/management_endpoint.rs
+++ b/crates/server/src/management_endpoint.rs
@@ -258,12 +258,12 @@
             return ControlFlow::Break(());
         }
         let is_sent = self.stream.unsent_bytes() == 0;
-        let is_answered = self.protocol.answered();
-        if is_answered && is_sent && !std::mem::replace(&mut self.is_finished, true) {
+        let has_response = self.protocol.answered();
+        if has_response && is_sent && !std::mem::replace(&mut self.is_finished, true) {
             self.stream.shutdown_write();
         }
         // A client that closed its write side before its request was complete gets no response.
-        if self.stream.is_read_closed && (!is_answered || is_sent) {
+        if self.stream.is_read_closed && (!has_response || is_sent) {
             return ControlFlow::Break(());
         }
         ControlFlow::Continue(())
--- a/crates/server/src/persistence_thread.rs
+++ b/crates/server/src/persistence_thread.rs
@@ -86,8 +86,8 @@
         self.submit(PersistenceJob::Write(command));
     }
 
-    fn load_result(&mut self, now: Micros, id: RequestId, number: u64, key: ScopedKey) {
-        self.submit(PersistenceJob::LoadResult(now, id, number, key));
+    fn load_result(&mut self, now: Micros, id: RequestId, load_number: u64, key: ScopedKey) {
+        self.submit(PersistenceJob::LoadResult(now, id, load_number, key));
     }
 
     fn release(&mut self) {
--- a/crates/server/src/persistence_thread/result_store.rs
+++ b/crates/server/src/persistence_thread/result_store.rs
@@ -138,11 +138,11 @@
         for job in jobs {
             match job {
                 PersistenceJob::Write(command) => self.write(&command, events),
-                PersistenceJob::LoadResult(now, id, number, key) => {
+                PersistenceJob::LoadResult(now, id, load_number, key) => {
                     let outcome = self.load_outcome(now, &key);
                     events.push(Event::CachedResultLoaded {
                         id,
-                        load_number: number,
+                        load_number,
                         outcome,
                     });
                 }
--- a/crates/server/src/status_report.rs
+++ b/crates/server/src/status_report.rs
@@ -143,8 +143,8 @@
             token: &self.link.token,
             pid: std::process::id(),
         })?;
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
+        let mut control_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut control_space);
         let listeners: Vec<_> = self.listener.iter().map(AsFd::as_fd).collect();
         if !listeners.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(&listeners));
