--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -1,4 +1,4 @@
-//! The AJP codec and connections, driven by bytes and time alone.
+//! Tests of the AJP codec and of the client's and server's connections, without sockets or clocks.
 
 use cleatpulley_dispatcher::{IncomingRequest, Response};
 use cleatpulley_protocol::ajp::class_table::{ClassRoute, ClassTable};
@@ -35,7 +35,7 @@
         packet_timeout: 2 * SECOND,
         body_timeout: 2 * SECOND,
         idle_timeout: 30 * SECOND,
-        class_table: ClassTable::new(vec![entry("/look", 0), entry("/seat", 1)]).expect("good"),
+        class_table: ClassTable::new(vec![entry("/look", 0), entry("/seat", 1)]).expect("valid"),
         class_lookup: None,
         parameter_sources: ParameterSources {
             id: header("X-Id"),
@@ -52,18 +52,18 @@
     }
 }
 
-/// A connection with a clock, and what came of the bytes.
-struct Peer {
+/// A server's connection with a clock, its input and output, and the requests it handed over.
+struct TestServer {
     connection: Connection,
     now: u64,
     input: Vec<u8>,
-    out: Vec<u8>,
-    arrivals: Vec<IncomingRequest>,
+    output: Vec<u8>,
+    requests: Vec<IncomingRequest>,
     classes: Vec<String>,
     feedback: Option<f64>,
 }
 
-impl Peer {
+impl TestServer {
     fn with(settings: Settings, trusted: bool) -> Self {
         let now = 1_764_576_000 * SECOND;
         let connection = Connection::new(Rc::new(settings), now, trusted);
@@ -72,8 +72,8 @@
             connection,
             now,
             input: Vec::new(),
-            out: Vec::new(),
-            arrivals: Vec::new(),
+            output: Vec::new(),
+            requests: Vec::new(),
             classes,
             feedback: None,
         }
@@ -83,7 +83,10 @@
         Self::with(settings(), false)
     }
 
-    fn tell<T>(&mut self, tell: impl FnOnce(&mut Connection, &Context, &mut Vec<u8>) -> T) -> T {
+    fn with_connection<T>(
+        &mut self,
+        action: impl FnOnce(&mut Connection, &Context, &mut Vec<u8>) -> T,
+    ) -> T {
         let context = Context {
             now: self.now,
             connection_id: 3,
@@ -91,38 +94,40 @@
             is_healthy: true,
             feedback: self.feedback,
         };
-        tell(&mut self.connection, &context, &mut self.out)
+        action(&mut self.connection, &context, &mut self.output)
     }
 
     fn send(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
-        let (input, mut arrivals) = (
+        let (input, mut requests) = (
             std::mem::take(&mut self.input),
-            std::mem::take(&mut self.arrivals),
+            std::mem::take(&mut self.requests),
         );
-        let used = self.tell(|connection, context, out| {
-            connection.receive(context, &input, out, &mut arrivals)
+        let consumed = self.with_connection(|connection, context, output| {
+            connection.receive(context, &input, output, &mut requests)
         });
-        assert!(used <= input.len());
-        self.input = input[used..].to_vec();
-        self.arrivals = arrivals;
+        assert!(consumed <= input.len());
+        self.input = input[consumed..].to_vec();
+        self.requests = requests;
     }
 
-    fn answer(&mut self, answer: &Response) -> bool {
-        let stream = self.arrivals.last().expect("a request").client.stream;
-        self.tell(|connection, context, out| connection.respond(context, stream, answer, out))
+    fn respond(&mut self, response: &Response) -> bool {
+        let stream = self.requests.last().expect("a request").client.stream;
+        self.with_connection(|connection, context, output| {
+            connection.respond(context, stream, response, output)
+        })
     }
 
-    /// The answers sent so far, read by the client's side.
+    /// Decodes and removes the responses sent so far.
     fn responses(&mut self) -> Vec<ClientResponse> {
         let mut responses = Vec::new();
-        let out = std::mem::take(&mut self.out);
+        let output = std::mem::take(&mut self.output);
         let mut at = 0;
         let mut current = ClientResponse::default();
         while let Some(payload) =
-            codec::parse_packet(&out[at..], Direction::ToProxy, PACKET_SIZE).expect("a packet")
+            codec::parse_packet(&output[at..], Direction::ToProxy, PACKET_SIZE).expect("a packet")
         {
-            let packet = &out[at..at + payload.end];
+            let packet = &output[at..at + payload.end];
             at += payload.end;
             let mut headers = [EMPTY_HEADER; MAX_HEADERS];
             match ServerPacket::decode(&packet[payload], &mut headers).expect("a reply") {
@@ -148,7 +153,7 @@
                 ServerPacket::GetBodyChunk(_) | ServerPacket::CPong => {}
             }
         }
-        assert_eq!(at, out.len(), "nothing but whole packets is sent");
+        assert_eq!(at, output.len(), "only complete packets are sent");
         responses
     }
 
@@ -159,7 +164,7 @@
     }
 }
 
-fn forward(uri: &str, headers: &[(&str, &str)]) -> Vec<u8> {
+fn forward_packet(uri: &str, headers: &[(&str, &str)]) -> Vec<u8> {
     let request = OutgoingRequest {
         method: "POST",
         uri,
@@ -170,20 +175,21 @@
         headers,
         ..OutgoingRequest::default()
     };
-    let mut out = Vec::new();
-    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
-    out
+    let mut output = Vec::new();
+    push_forward_request(&mut output, &request, PACKET_SIZE).expect("it fits");
+    output
 }
 
-fn body(data: &[u8]) -> Vec<u8> {
-    let mut out = Vec::new();
-    push_body(&mut out, data, PACKET_SIZE).expect("it fits");
-    out
+fn body_packet(data: &[u8]) -> Vec<u8> {
+    let mut output = Vec::new();
+    push_body(&mut output, data, PACKET_SIZE).expect("it fits");
+    output
 }
 
-/// Published example: a GET with coded and plain headers, every attribute and an integer one.
+/// A published example: a GET with coded and plain headers, every attribute with a code, a named
+/// one and the integer one.
 #[test]
-fn a_forward_request_with_every_attribute_is_read() {
+fn forward_request_with_every_attribute_is_decoded() {
     let mut packet = vec![0x12, 0x34, 0, 0, 2, 2];
     let string = |packet: &mut Vec<u8>, text: &str| {
         packet.extend_from_slice(&(text.len() as u16).to_be_bytes());
@@ -211,10 +217,10 @@
     packet[2..4].copy_from_slice(&length.to_be_bytes());
 
     let payload = codec::parse_packet(&packet, Direction::ToServer, PACKET_SIZE)
-        .expect("good")
-        .expect("whole");
+        .expect("valid")
+        .expect("complete");
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
-    let request = ForwardRequest::decode(&packet[payload], &mut headers).expect("good");
+    let request = ForwardRequest::decode(&packet[payload], &mut headers).expect("valid");
     assert_eq!(
         (request.method, request.uri),
         (&b"GET"[..], &b"/examples/numguess"[..])
@@ -234,7 +240,8 @@
     assert!(request
         .attributes()
         .any(|a| a == Attribute::Named(b"name", b"own")));
-    // Cut anywhere, and with any one byte changed: read or refused, never a panic.
+    // Truncated at any byte, or with any byte changed, the packet is decoded or rejected without a
+    // panic.
     for cut in 0..packet.len() {
         assert_eq!(
             codec::parse_packet(&packet[..cut], Direction::ToServer, PACKET_SIZE),
@@ -259,7 +266,7 @@
 }
 
 #[test]
-fn what_is_no_packet_is_refused_at_its_byte() {
+fn invalid_packet_is_rejected_with_its_offset() {
     assert_eq!(
         codec::parse_packet(b"GET / HTTP", Direction::ToServer, PACKET_SIZE)
             .expect_err("http")
@@ -274,7 +281,7 @@
     );
     assert_eq!(
         codec::parse_packet(b"AB\x00\x01\x09", Direction::ToServer, PACKET_SIZE)
-            .expect_err("way")
+            .expect_err("direction")
             .offset,
         0
     );
@@ -289,55 +296,59 @@
             .offset,
         2
     );
-    // A null path, a string without its zero, one past the packet, and more headers than are taken.
-    let good = forward("/look", &[]);
-    let place = good.windows(5).position(|w| w == b"/look").expect("there");
+    // A null path, a string without its terminating zero, one beyond the packet, and too many
+    // headers.
+    let valid_packet = forward_packet("/look", &[]);
+    let index = valid_packet
+        .windows(5)
+        .position(|w| w == b"/look")
+        .expect("the path is in the packet");
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
-    let mut null = good.clone();
-    null[place - 2..place].copy_from_slice(&[0xFF, 0xFF]);
+    let mut null = valid_packet.clone();
+    null[index - 2..index].copy_from_slice(&[0xFF, 0xFF]);
     assert_eq!(
         ForwardRequest::decode(&null[HEADER_BYTES..], &mut headers)
             .expect_err("null")
             .reason,
         "a request without a path"
     );
-    let mut open = good.clone();
-    open[place + 5] = b'x';
+    let mut open = valid_packet.clone();
+    open[index + 5] = b'x';
     let fault = ForwardRequest::decode(&open[HEADER_BYTES..], &mut headers).expect_err("no zero");
     assert_eq!(
         (fault.offset, fault.reason),
-        (place + 5, "a string without its closing zero")
+        (index + 5, "a string without its closing zero")
     );
-    let mut long = good;
-    long[place - 2..place].copy_from_slice(&[0x7F, 0xFF]);
+    let mut long = valid_packet;
+    long[index - 2..index].copy_from_slice(&[0x7F, 0xFF]);
     assert_eq!(
         ForwardRequest::decode(&long[HEADER_BYTES..], &mut headers)
             .expect_err("past")
             .reason,
         "a string goes on past its packet"
     );
-    let many: Vec<_> = (0..=MAX_HEADERS).map(|_| ("a", "b")).collect();
+    let headers_over_limit: Vec<_> = (0..=MAX_HEADERS).map(|_| ("a", "b")).collect();
     let request = OutgoingRequest {
         method: "POST",
         uri: "/look",
-        headers: &many,
+        headers: &headers_over_limit,
         ..OutgoingRequest::default()
     };
-    let mut out = Vec::new();
-    assert!(push_forward_request(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
+    let mut output = Vec::new();
+    assert!(push_forward_request(&mut output, &request, PACKET_SIZE).is_err() && output.is_empty());
     let big = "x".repeat(PACKET_SIZE);
     let request = OutgoingRequest {
         method: "POST",
         uri: &big,
         ..OutgoingRequest::default()
     };
-    assert!(push_forward_request(&mut out, &request, PACKET_SIZE).is_err() && out.is_empty());
+    assert!(push_forward_request(&mut output, &request, PACKET_SIZE).is_err() && output.is_empty());
 }
 
 #[test]
-fn a_request_is_handed_over_once_its_body_is_whole_and_answered_on_the_same_connection() {
-    let mut peer = Peer::new();
-    let begun = peer.now;
+fn request_is_handed_over_once_complete_and_gets_its_response() {
+    let mut server = TestServer::new();
+    let received_at = server.now;
     let headers = [
         ("X-Id", "9b1f03aa5c7e2d41"),
         ("X-Work", "12.5"),
@@ -345,53 +356,56 @@
         ("Content-Length", "5"),
         ("X-Subject", "s"),
     ];
-    let request = forward("/seat", &headers);
-    peer.send(&request[..20]);
-    peer.now += 300;
-    peer.send(&request[20..]);
-    peer.send(&body(b"ra"));
-    assert!(peer.arrivals.is_empty());
+    let request = forward_packet("/seat", &headers);
+    server.send(&request[..20]);
+    server.now += 300;
+    server.send(&request[20..]);
+    server.send(&body_packet(b"ra"));
+    assert!(server.requests.is_empty());
     assert_eq!(
-        peer.out,
+        server.output,
         [b'A', b'B', 0, 3, 6, 0, 3],
-        "the rest is asked for"
+        "the rest of the body is requested"
     );
-    peer.out.clear();
-    peer.send(&body(b"ce!"));
-    let arrival = peer.arrivals[0].clone();
+    server.output.clear();
+    server.send(&body_packet(b"ce!"));
+    let request = server.requests[0].clone();
     assert_eq!(
-        (arrival.class, arrival.id, arrival.expected_work),
+        (request.class, request.id, request.expected_work),
         (1, 0x9b1f_03aa_5c7e_2d41, 12_500)
     );
     assert_eq!(
-        (arrival.caller, arrival.memory_kb, arrival.rank),
+        (request.caller, request.memory_kb, request.rank),
         (7, 30.0, 0.5)
     );
     assert_eq!(
-        (arrival.received_at, arrival.has_subject),
-        (begun, true),
-        "the door is the first byte's time"
+        (request.received_at, request.has_subject),
+        (received_at, true),
+        "the arrival time is that of the first byte"
     );
     assert_eq!(
-        (arrival.key.as_deref(), &arrival.body[..]),
+        (request.key.as_deref(), &request.body[..]),
         (Some(&b"k1"[..]), &b"race!"[..])
     );
-    peer.feedback = Some(2.5);
-    assert!(peer.answer(&Response::Served(b"grid".to_vec())));
-    assert!(!peer.answer(&Response::Failed), "one answer and no more");
-    let response = peer.responses().remove(0);
+    server.feedback = Some(2.5);
+    assert!(server.respond(&Response::Served(b"grid".to_vec())));
+    assert!(
+        !server.respond(&Response::Failed),
+        "a request gets one response"
+    );
+    let response = server.responses().remove(0);
     assert_eq!(
         (response.status, &response.body[..], response.reuse),
         (200, &b"grid"[..], true)
     );
     assert_eq!(response.header("X-Feedback"), Some("2.5000"));
-    // The next on the same connection: refused, with the time to come back.
-    peer.send(&forward("/look", &[]));
-    assert!(peer.answer(&Response::Rejected {
+    // The next request on the same connection is rejected, with the time before a retry.
+    server.send(&forward_packet("/look", &[]));
+    assert!(server.respond(&Response::Rejected {
         retry_after: 1_200_000,
         no_failover: true
     }));
-    let response = peer.responses().remove(0);
+    let response = server.responses().remove(0);
     assert_eq!(
         (response.status, response.not_run(), response.reuse),
         (503, true, true)
@@ -404,39 +418,45 @@
         (Some("2"), Some("1200"))
     );
     assert_eq!(response.header("X-No-Retry"), Some("1"));
-    for (answer, status) in [(Response::Failed, 500), (Response::Expired, 504)] {
-        peer.send(&forward("/look", &[]));
-        assert!(peer.answer(&answer));
-        let response = peer.responses().remove(0);
+    for (response, status) in [(Response::Failed, 500), (Response::Expired, 504)] {
+        server.send(&forward_packet("/look", &[]));
+        assert!(server.respond(&response));
+        let response = server.responses().remove(0);
         assert!(
             response.status == status && !response.not_run(),
             "{response:?}"
         );
     }
     let ids: std::collections::BTreeSet<_> =
-        peer.arrivals.iter().map(|arrival| arrival.id).collect();
-    assert_eq!(ids.len(), 4, "requests without an id get one each");
+        server.requests.iter().map(|request| request.id).collect();
+    assert_eq!(ids.len(), 4, "requests without an id get different ids");
 }
 
 #[test]
-fn a_body_of_unknown_length_is_asked_for_until_an_empty_packet() {
-    let mut peer = Peer::new();
-    peer.send(&forward("/look", &[("Transfer-Encoding", "chunked")]));
-    assert_eq!(peer.out, [b'A', b'B', 0, 3, 6, 0x08, 0x01]);
-    peer.send(&body(b"one"));
-    peer.send(&body(b"two"));
-    peer.send(&[0x12, 0x34, 0, 0]);
-    assert_eq!(peer.arrivals[0].body, b"onetwo");
-    let mut peer = Peer::new();
-    peer.send(&forward("/look", &[("Transfer-Encoding", "chunked")]));
-    peer.send(&body(&[b'x'; 2_049]));
-    assert_eq!(peer.status(), 413);
+fn chunked_body_is_requested_until_an_empty_packet() {
+    let mut server = TestServer::new();
+    server.send(&forward_packet(
+        "/look",
+        &[("Transfer-Encoding", "chunked")],
+    ));
+    assert_eq!(server.output, [b'A', b'B', 0, 3, 6, 0x08, 0x01]);
+    server.send(&body_packet(b"one"));
+    server.send(&body_packet(b"two"));
+    server.send(&[0x12, 0x34, 0, 0]);
+    assert_eq!(server.requests[0].body, b"onetwo");
+    let mut server = TestServer::new();
+    server.send(&forward_packet(
+        "/look",
+        &[("Transfer-Encoding", "chunked")],
+    ));
+    server.send(&body_packet(&[b'x'; 2_049]));
+    assert_eq!(server.status(), 413);
 }
 
 #[test]
-fn what_can_not_be_served_is_answered_and_never_handed_over() {
+fn invalid_requests_get_an_error_and_are_not_handed_over() {
     let id = ("X-Id", "a");
-    let with = |headers: &[(&str, &str)]| forward("/look", headers);
+    let with = |headers: &[(&str, &str)]| forward_packet("/look", headers);
     let wrong_method = {
         let request = OutgoingRequest {
             method: "GET",
@@ -444,9 +464,9 @@
             secret: Some("pulley"),
             ..OutgoingRequest::default()
         };
-        let mut out = Vec::new();
-        push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
-        out
+        let mut output = Vec::new();
+        push_forward_request(&mut output, &request, PACKET_SIZE).expect("it fits");
+        output
     };
     let secret = |secret: Option<&str>| {
         let request = OutgoingRequest {
@@ -455,18 +475,18 @@
             secret,
             ..OutgoingRequest::default()
         };
-        let mut out = Vec::new();
-        push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
-        out
+        let mut output = Vec::new();
+        push_forward_request(&mut output, &request, PACKET_SIZE).expect("it fits");
+        output
     };
     for (bytes, status) in [
-        (forward("/spin", &[]), 404),
-        (forward("/look/../seat", &[]), 404),
+        (forward_packet("/spin", &[]), 404),
+        (forward_packet("/look/../seat", &[]), 404),
         (wrong_method, 405),
         (secret(None), 403),
         (secret(Some("pulleY")), 403),
         (secret(Some("pulley2")), 403),
-        (forward("/seat", &[]), 400),
+        (forward_packet("/seat", &[]), 400),
         (with(&[("Content-Length", "2049")]), 413),
         (with(&[("Content-Length", "-1")]), 400),
         (with(&[("Content-Length", "+1")]), 400),
@@ -486,10 +506,13 @@
         (with(&[("X-Key", "")]), 400),
         (with(&[id, ("X-Id", ""), ("X-Work", "-1")]), 400),
         (
-            [with(&[("Content-Length", "3")]), body(b"four")].concat(),
+            [with(&[("Content-Length", "3")]), body_packet(b"four")].concat(),
+            400,
+        ),
+        (
+            [with(&[("Content-Length", "3")]), body_packet(b"")].concat(),
             400,
         ),
-        ([with(&[("Content-Length", "3")]), body(b"")].concat(), 400),
         (
             [
                 with(&[("Content-Length", "3")]),
@@ -503,37 +526,42 @@
             400,
         ),
     ] {
-        let mut peer = Peer::new();
-        peer.send(&bytes);
-        let responses = peer.responses();
+        let mut server = TestServer::new();
+        server.send(&bytes);
+        let responses = server.responses();
         assert_eq!(responses.len(), 1, "{}", bytes.escape_ascii());
         assert_eq!(responses[0].status, status, "{}", bytes.escape_ascii());
         assert!(responses[0].not_run() && !responses[0].reuse);
         assert!(
-            peer.arrivals.is_empty() && peer.connection.status().state == ConnectionState::Closing
+            server.requests.is_empty()
+                && server.connection.status().state == ConnectionState::Closing
         );
         assert!(status != 405 || responses[0].header("Allow") == Some("POST"));
-        // Nothing that follows is read as a request.
-        peer.send(&with(&[]));
-        assert!(peer.arrivals.is_empty() && peer.out.is_empty());
+        // What follows is not read as a request.
+        server.send(&with(&[]));
+        assert!(server.requests.is_empty() && server.output.is_empty());
     }
-    // What can't be read, or must not be obeyed, ends the connection without a word.
+    // Input that is invalid, or must not be obeyed, ends the connection without a response.
     for bytes in [
         &b"GET / HTTP/1.1\r\n"[..],
         &[0x12, 0x34, 0, 1, 7],
         &[0x12, 0x34, 0, 0],
         &[0x12, 0x34, 0xFF, 0xFF],
-        &body(b"unasked"),
+        &body_packet(b"unasked"),
     ] {
-        let mut peer = Peer::new();
-        peer.send(bytes);
-        assert!(peer.out.is_empty() && peer.connection.status().state == ConnectionState::Closing);
+        let mut server = TestServer::new();
+        server.send(bytes);
+        assert!(
+            server.output.is_empty()
+                && server.connection.status().state == ConnectionState::Closing
+        );
     }
 }
 
-/// Guards against the hole of 2020: attributes that a client smuggles through must not steer anything.
+/// Guards against the AJP vulnerability of 2020: attributes that a client smuggles through the
+/// proxy must have no effect.
 #[test]
-fn attributes_are_passed_over_unless_named() {
+fn attributes_are_ignored_unless_configured() {
     let attributes = [
         ("javax.servlet.include.path_info", "/WEB-INF/web.xml"),
         ("X-Id", "b"),
@@ -547,149 +575,160 @@
         attributes: &attributes,
         ..OutgoingRequest::default()
     };
-    let mut out = Vec::new();
-    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
-    let mut peer = Peer::new();
-    peer.send(&out);
-    assert_eq!((peer.arrivals[0].id, peer.arrivals[0].rank), (0xa1, 0.25));
+    let mut output = Vec::new();
+    push_forward_request(&mut output, &request, PACKET_SIZE).expect("it fits");
+    let mut server = TestServer::new();
+    server.send(&output);
+    assert_eq!(
+        (server.requests[0].id, server.requests[0].rank),
+        (0xa1, 0.25)
+    );
 }
 
 #[test]
-fn a_door_is_believed_of_trusted_proxies_and_only_if_it_is_earlier() {
-    let now = Peer::new().now;
+fn arrival_time_is_accepted_from_trusted_proxies_if_not_in_the_future() {
+    let now = TestServer::new().now;
     for (trusted, ms, expected) in [
         (false, now / 1_000 - 500, now),
         (true, now / 1_000 - 500, now - 500_000),
         (true, now / 1_000 + 500, now),
     ] {
-        let mut peer = Peer::with(settings(), trusted);
-        peer.send(&forward("/look", &[("X-Door", &ms.to_string())]));
-        assert_eq!(peer.arrivals[0].received_at, expected);
+        let mut server = TestServer::with(settings(), trusted);
+        server.send(&forward_packet("/look", &[("X-Door", &ms.to_string())]));
+        assert_eq!(server.requests[0].received_at, expected);
     }
 }
 
 #[test]
-fn a_stalled_body_is_answered_in_its_time_and_holds_little() {
-    let mut peer = Peer::new();
-    peer.send(&forward("/look", &[("Content-Length", "2000")]));
-    peer.send(&body(&[b'x'; 900]));
-    let since = peer.now;
-    assert_eq!(peer.connection.deadline(), Some(since + 2 * SECOND));
-    // Bytes that make nothing whole win no time.
-    peer.now += SECOND;
-    peer.send(&[0x12]);
-    assert_eq!(peer.connection.deadline(), Some(since + 2 * SECOND));
-    peer.now += SECOND;
-    peer.tell(cleatpulley_protocol::state_machine::ConnectionStateMachine::handle_timeout);
-    assert_eq!(peer.status(), 408);
+fn stalled_body_times_out_with_status_408() {
+    let mut server = TestServer::new();
+    server.send(&forward_packet("/look", &[("Content-Length", "2000")]));
+    server.send(&body_packet(&[b'x'; 900]));
+    let since = server.now;
+    assert_eq!(server.connection.deadline(), Some(since + 2 * SECOND));
+    // An incomplete packet does not extend the deadline.
+    server.now += SECOND;
+    server.send(&[0x12]);
+    assert_eq!(server.connection.deadline(), Some(since + 2 * SECOND));
+    server.now += SECOND;
+    server.with_connection(
+        cleatpulley_protocol::state_machine::ConnectionStateMachine::handle_timeout,
+    );
+    assert_eq!(server.status(), 408);
     assert_eq!(
         (
-            peer.connection.status().state,
-            peer.connection.status().open_requests
+            server.connection.status().state,
+            server.connection.status().open_requests
         ),
         (ConnectionState::Closing, 0)
     );
 }
 
 #[test]
-fn leaving_closes_idle_connections_answers_open_ones_and_leaves_pings_alone() {
-    let leave = |peer: &mut Peer| {
-        peer.tell(cleatpulley_protocol::state_machine::ConnectionStateMachine::begin_shutdown);
+fn shutdown_closes_idle_connections_and_completes_open_requests() {
+    let begin_shutdown = |server: &mut TestServer| {
+        server.with_connection(
+            cleatpulley_protocol::state_machine::ConnectionStateMachine::begin_shutdown,
+        );
     };
-    let part = |peer: &mut Peer| {
-        peer.tell(
+    let stop_accepting = |server: &mut TestServer| {
+        server.with_connection(
             cleatpulley_protocol::state_machine::ConnectionStateMachine::stop_accepting_requests,
         );
     };
     let ping = [0x12, 0x34, 0, 1, 10];
-    // Idle: pinged before, closed now.
-    let mut peer = Peer::new();
-    peer.send(&ping);
-    assert_eq!(std::mem::take(&mut peer.out), [b'A', b'B', 0, 1, 9]);
-    leave(&mut peer);
-    assert_eq!(peer.connection.status().state, ConnectionState::Closing);
-    // New: a ping goes unanswered, a request is answered as the last.
-    let mut peer = Peer::new();
-    leave(&mut peer);
-    peer.send(&ping);
-    assert!(peer.out.is_empty() && peer.connection.status().state == ConnectionState::Closing);
-    let mut peer = Peer::new();
-    leave(&mut peer);
-    peer.send(&forward("/look", &[]));
-    part(&mut peer);
-    assert!(peer.answer(&Response::Served(Vec::new())));
+    // An idle connection that was used is closed at once.
+    let mut server = TestServer::new();
+    server.send(&ping);
+    assert_eq!(std::mem::take(&mut server.output), [b'A', b'B', 0, 1, 9]);
+    begin_shutdown(&mut server);
+    assert_eq!(server.connection.status().state, ConnectionState::Closing);
+    // On a new connection a ping gets no response, and a request gets the last one.
+    let mut server = TestServer::new();
+    begin_shutdown(&mut server);
+    server.send(&ping);
+    assert!(
+        server.output.is_empty() && server.connection.status().state == ConnectionState::Closing
+    );
+    let mut server = TestServer::new();
+    begin_shutdown(&mut server);
+    server.send(&forward_packet("/look", &[]));
+    stop_accepting(&mut server);
+    assert!(server.respond(&Response::Served(Vec::new())));
     assert!(
-        !peer.responses()[0].reuse && peer.connection.status().state == ConnectionState::Closing
+        !server.responses()[0].reuse
+            && server.connection.status().state == ConnectionState::Closing
     );
-    // Half a body: read on until the end is near, then told that it never ran.
-    let mut peer = Peer::new();
-    peer.send(&forward("/look", &[("Content-Length", "9")]));
-    leave(&mut peer);
-    assert_eq!(peer.connection.status().state, ConnectionState::Open);
-    part(&mut peer);
-    let response = peer.responses().remove(0);
+    // An incomplete body is read until the stop is near; the response then states that the request
+    // never ran.
+    let mut server = TestServer::new();
+    server.send(&forward_packet("/look", &[("Content-Length", "9")]));
+    begin_shutdown(&mut server);
+    assert_eq!(server.connection.status().state, ConnectionState::Open);
+    stop_accepting(&mut server);
+    let response = server.responses().remove(0);
     assert!(
         response.status == 503 && response.not_run() && response.header("Retry-After").is_some()
     );
 }
 
 #[test]
-fn a_second_request_while_one_is_open_is_not_served() {
-    let mut peer = Peer::new();
-    peer.send(&[forward("/look", &[]), forward("/look", &[])].concat());
-    assert_eq!(peer.arrivals.len(), 1);
-    assert!(peer.answer(&Response::Served(b"1".to_vec())));
-    let responses = peer.responses();
+fn second_request_while_one_is_open_ends_the_connection() {
+    let mut server = TestServer::new();
+    server.send(&[forward_packet("/look", &[]), forward_packet("/look", &[])].concat());
+    assert_eq!(server.requests.len(), 1);
+    assert!(server.respond(&Response::Served(b"1".to_vec())));
+    let responses = server.responses();
     assert!(responses.len() == 1 && !responses[0].reuse);
-    assert_eq!(peer.connection.status().state, ConnectionState::Closing);
+    assert_eq!(server.connection.status().state, ConnectionState::Closing);
 }
 
-/// A recorded conversation of three requests, cut at every byte: what was whole before is handed over, in its order,
-/// nothing else is, and no request stays open without an end.
+/// An exchange of three requests, truncated at every byte: exactly the requests that are complete
+/// are handed over, in their order, and none stays open without a deadline.
 #[test]
-fn a_conversation_cut_anywhere_hands_over_what_was_whole() {
+fn truncated_exchange_hands_over_the_complete_requests() {
     let parts = [
-        forward("/look", &[("Content-Length", "4")]),
-        body(b"grid"),
+        forward_packet("/look", &[("Content-Length", "4")]),
+        body_packet(b"grid"),
         vec![0x12, 0x34, 0, 1, 10],
-        forward("/seat", &[("X-Id", "seat-1")]),
-        forward("/look", &[("Transfer-Encoding", "chunked")]),
-        body(b"a"),
+        forward_packet("/seat", &[("X-Id", "seat-1")]),
+        forward_packet("/look", &[("Transfer-Encoding", "chunked")]),
+        body_packet(b"a"),
         vec![0x12, 0x34, 0, 0],
     ];
-    let whole = parts.concat();
+    let all_bytes = parts.concat();
     let mut ends = Vec::new();
     let mut at = 0;
     for part in &parts {
         at += part.len();
         ends.push(at);
     }
-    let handed_at = [ends[1], ends[3], ends[6]];
-    for cut in 0..=whole.len() {
-        let mut peer = Peer::new();
-        let mut handed = 0;
-        for byte in &whole[..cut] {
-            peer.send(std::slice::from_ref(byte));
-            if peer.arrivals.len() > handed {
-                handed += 1;
-                assert!(peer.answer(&Response::Served(b"ok".to_vec())));
+    let handed_over_at = [ends[1], ends[3], ends[6]];
+    for cut in 0..=all_bytes.len() {
+        let mut server = TestServer::new();
+        let mut handed_over = 0;
+        for byte in &all_bytes[..cut] {
+            server.send(std::slice::from_ref(byte));
+            if server.requests.len() > handed_over {
+                handed_over += 1;
+                assert!(server.respond(&Response::Served(b"ok".to_vec())));
             }
         }
         assert_eq!(
-            handed,
-            handed_at.iter().filter(|end| **end <= cut).count(),
+            handed_over,
+            handed_over_at.iter().filter(|end| **end <= cut).count(),
             "{cut}"
         );
-        assert_eq!(peer.connection.status().open_requests, 0);
+        assert_eq!(server.connection.status().open_requests, 0);
         assert!(
-            peer.connection.deadline().is_some(),
-            "it is given up in time"
+            server.connection.deadline().is_some(),
+            "a connection always has a deadline"
         );
     }
 }
 
 #[test]
-fn ids_are_hex_or_hashed() {
+fn request_ids_are_hex_or_hashed() {
     assert_eq!(parse_request_id(b"9b1f03aa5c7e2d41"), 0x9b1f_03aa_5c7e_2d41);
     assert_ne!(
         parse_request_id(b"+b1f03aa5c7e2d41"),
@@ -702,39 +741,39 @@
 }
 
 #[test]
-fn the_client_sends_asks_after_life_and_knows_what_may_have_run() {
+fn client_sends_requests_pings_and_knows_what_may_have_run() {
     let options = Options {
         packet_size: PACKET_SIZE,
         secret: Some("pulley".to_owned()),
         server: ("m".to_owned(), 1),
     };
     let mut client = Client::new(options, 0);
-    let mut peer = Peer::new();
+    let mut server = TestServer::new();
     let request = Request {
         method: "POST",
         uri: "/look",
         headers: &[],
         body: &[b'b'; 2_000],
     };
-    let mut out = Vec::new();
-    client.request(0, &request, &mut out).expect("it fits");
+    let mut output = Vec::new();
+    client.request(0, &request, &mut output).expect("it fits");
     assert_eq!(
         client.execution_state(1),
         ExecutionState::NeverRan,
-        "a byte of it is still here"
+        "the last byte was not sent"
     );
     assert_eq!(client.execution_state(0), ExecutionState::MayHaveRun);
-    peer.send(&out);
-    assert_eq!(peer.arrivals[0].body, request.body);
-    assert!(peer.answer(&Response::Served(vec![7; 20_000])));
-    let reply = std::mem::take(&mut peer.out);
+    server.send(&output);
+    assert_eq!(server.requests[0].body, request.body);
+    assert!(server.respond(&Response::Served(vec![7; 20_000])));
+    let reply = std::mem::take(&mut server.output);
     let mut more = Vec::new();
     for cut in [1, 9_000, reply.len()] {
         assert!(client.take_response().is_none());
-        let used = client.receive(0, &reply[..cut], &mut more).expect("good");
+        let consumed = client.receive(0, &reply[..cut], &mut more).expect("valid");
         if cut < reply.len() {
-            // What was used up stays so: begin anew with a client that saw nothing.
-            assert!(used <= cut);
+            // The client has consumed these bytes: start again with a new one.
+            assert!(consumed <= cut);
             client = Client::new(
                 Options {
                     packet_size: PACKET_SIZE,
@@ -748,26 +787,26 @@
                 .expect("it fits");
         }
     }
-    let response = client.take_response().expect("whole");
+    let response = client.take_response().expect("complete");
     assert!(
         response.status == 200
             && response.body == vec![7; 20_000]
             && response.reuse
             && client.is_idle()
     );
-    // Old: first a ping; until the pong nothing can have run.
-    out.clear();
+    // After an idle time a ping is sent first; until the pong, the request can't have run.
+    output.clear();
     client
-        .request(MIN_IDLE_BEFORE_PING, &request, &mut out)
+        .request(MIN_IDLE_BEFORE_PING, &request, &mut output)
         .expect("it fits");
-    assert_eq!(out, [0x12, 0x34, 0, 1, 10]);
+    assert_eq!(output, [0x12, 0x34, 0, 1, 10]);
     assert_eq!(client.execution_state(0), ExecutionState::NeverRan);
     let mut sent = Vec::new();
     client
         .receive(MIN_IDLE_BEFORE_PING, &[b'A', b'B', 0, 1, 9], &mut sent)
         .expect("a pong");
     assert!(sent.len() > 2_000 && client.execution_state(0) == ExecutionState::MayHaveRun);
-    // A reply that ends short of what it told, and one where none is due.
+    // A response shorter than its Content-Length, and one without a request.
     let mut short = Vec::new();
     push_send_headers(
         &mut short,
