--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,11 +1,13 @@
-//! TLS on every front and on the links to targets. rustls does the protocol and no I/O; what is here turns it into
-//! state machines fed with bytes and returning bytes ([`session`]), reads what a client offers before it has a place
-//! ([`client_hello`]), loads and checks pairs of certificate and key ([`certificate`]), builds what sessions share ([`config`]), keeps
-//! ticket keys that instances share and rotate ([`ticket_keys`]), and makes an authority and its certificates ([`authority`],
-//! [`verification`]).
+//! TLS for all listeners and for the connections to targets. rustls implements the protocol without
+//! I/O. This crate wraps it into state machines that take and return bytes ([`session`]), parses
+//! the ClientHello before a handshake is admitted ([`client_hello`]), loads and checks certificates
+//! with their keys ([`certificate`]), builds the configurations that sessions share ([`config`]),
+//! derives ticket keys that instances share and rotate ([`ticket_keys`]), issues certificates of an
+//! own authority ([`authority`]), and verifies certificates as clients and servers would
+//! ([`verification`]).
 //!
-//! Time comes from the caller, through a [`Clock`] that it sets: certificates are judged by the matcher's own time, so that
-//! a virtual world can play them.
+//! The caller sets the time through a [`Clock`]: certificates are checked by the matcher's own
+//! time, so that a simulation can control it.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -25,29 +27,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time that certificates and tickets are judged by: Unix microseconds, set by whoever owns the clock.
+/// The clock that certificates and tickets are checked by, in Unix microseconds; its owner sets it.
 #[derive(Debug, Clone, Default)]
 pub struct Clock(Arc<AtomicU64>);
 
 impl Clock {
-    /// One that says this time.
+    /// Creates a clock that shows this time.
     #[must_use]
     pub fn from_unix_micros(micros: u64) -> Self {
         Self(Arc::new(AtomicU64::new(micros)))
     }
 
-    /// It says this time from now on.
+    /// Sets the time.
     pub fn set(&self, micros: u64) {
         self.0.store(micros, Ordering::Relaxed);
     }
 
-    /// Unix microseconds.
+    /// Returns the time in Unix microseconds.
     #[must_use]
     pub fn unix_micros(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Unix seconds.
+    /// Returns the time in Unix seconds.
     #[must_use]
     pub fn unix_seconds(&self) -> u64 {
         self.unix_micros() / 1_000_000
@@ -62,7 +64,7 @@
     }
 }
 
-/// The cryptography that everything here uses.
+/// Returns the cryptography provider that this crate uses.
 #[must_use]
 pub fn crypto_provider() -> Arc<rustls::crypto::CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
--- a/crates/tls/src/verification.rs
+++ b/crates/tls/src/verification.rs
@@ -1,5 +1,5 @@
-//! What a client would refuse in a certificate, and why: the verdict of the same verifier that sessions use, at a time
-//! that is given, for a name that is given, as a server and as a client.
+//! Checks whether a certificate would be accepted for a given name at a given time, as a server's
+//! and as a client's certificate, by the verifiers that sessions use.
 
 use crate::certificate::{parse_certificates, CertificateInfo};
 use rustls::client::danger::ServerCertVerifier;
@@ -11,29 +11,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What was found.
+/// The result of a verification.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VerificationReport {
-    /// What the certificate says.
+    /// The contents of the certificate.
     pub certificate: CertificateInfo,
-    /// Refused as a server of the name, and why.
+    /// Why the certificate is rejected as that of a server with the name, if it is.
     pub server_error: Option<String>,
-    /// Refused as a client, and why.
+    /// Why the certificate is rejected as that of a client, if it is.
     pub client_error: Option<String>,
 }
 
 impl VerificationReport {
-    /// Nobody refuses it.
+    /// Returns whether the certificate is accepted both for a server and for a client.
     #[must_use]
     pub fn is_accepted(&self) -> bool {
         self.server_error.is_none() && self.client_error.is_none()
     }
 }
 
-/// Judges the chain in a file against the roots in another.
+/// Verifies the chain in a file against the roots in another file.
 ///
 /// # Errors
-/// Where a file holds no certificate, or the roots can't be used.
+/// Returns an error if a file has no certificate, or the roots can't be used.
 pub fn verify_files(
     chain: (&Path, &[u8]),
     roots: (&Path, &[u8]),
@@ -45,48 +45,48 @@
     verify_chain(&chain, &roots, name, now_seconds)
 }
 
-/// The same, for certificates that were read.
+/// Verifies a chain of certificates against roots.
 ///
 /// # Errors
-/// Where the roots can't be used.
+/// Returns an error if the roots can't be used.
 pub fn verify_chain(
     chain: &[CertificateDer<'static>],
     roots: &[CertificateDer<'static>],
     name: &str,
     now_seconds: u64,
 ) -> Result<VerificationReport, String> {
-    let Some((end, between)) = chain.split_first() else {
+    let Some((leaf, intermediates)) = chain.split_first() else {
         return Err("no certificate".to_owned());
     };
-    let facts = CertificateInfo::from_der(end)?;
-    let mut store = RootCertStore::empty();
+    let certificate = CertificateInfo::from_der(leaf)?;
+    let mut root_store = RootCertStore::empty();
     for (i, root) in roots.iter().enumerate() {
-        store
+        root_store
             .add(root.clone())
             .map_err(|e| format!("root {}: {e}", i + 1))?;
     }
-    let store = Arc::new(store);
+    let root_store = Arc::new(root_store);
     let now = UnixTime::since_unix_epoch(Duration::from_secs(now_seconds));
     let provider = crate::crypto_provider();
-    let server =
-        WebPkiServerVerifier::builder_with_provider(Arc::clone(&store), Arc::clone(&provider));
-    let server = server.build().map_err(|e| e.to_string())?;
+    let server_verifier =
+        WebPkiServerVerifier::builder_with_provider(Arc::clone(&root_store), Arc::clone(&provider));
+    let server_verifier = server_verifier.build().map_err(|e| e.to_string())?;
     let as_server = match ServerName::try_from(name.to_owned()) {
         Err(_) => Some(format!("{name:?} is no name a client could ask for")),
-        Ok(server_name) => server
-            .verify_server_cert(end, between, &server_name, &[], now)
+        Ok(server_name) => server_verifier
+            .verify_server_cert(leaf, intermediates, &server_name, &[], now)
             .err()
             .map(|e| e.to_string()),
     };
-    let client = WebPkiClientVerifier::builder_with_provider(store, provider)
+    let client_verifier = WebPkiClientVerifier::builder_with_provider(root_store, provider)
         .build()
         .map_err(|e| e.to_string())?;
-    let as_client = client
-        .verify_client_cert(end, between, now)
+    let as_client = client_verifier
+        .verify_client_cert(leaf, intermediates, now)
         .err()
         .map(|e| e.to_string());
     Ok(VerificationReport {
-        certificate: facts,
+        certificate,
         server_error: as_server,
         client_error: as_client,
     })
