--- a/crates/tls/src/authority.rs
+++ b/crates/tls/src/authority.rs
@@ -1,6 +1,6 @@
-//! An authority for a fleet on one host, and the certificates it issues: what `cleatpulley certs` makes. Keys are ECDSA
-//! P-256; times are given by the caller, in Unix seconds. Files are the caller's to write: a private key only ever leaves
-//! here as PEM to be written with mode 0600.
+//! A certificate authority for a fleet on one host, and the certificates it issues, for
+//! `cleatpulley certs`. Keys are ECDSA P-256; the caller passes times in Unix seconds and writes
+//! the files. A private key is only returned as PEM, to be written with mode 0600.
 
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
@@ -8,13 +8,13 @@
 };
 use time::OffsetDateTime;
 
-/// What can go wrong in making a certificate.
+/// An error in creating a certificate.
 #[derive(Debug, thiserror::Error)]
 pub enum AuthorityError {
-    /// A name that can't stand in a certificate, or a time out of range.
+    /// A name that is not allowed in a certificate, or a time out of range.
     #[error("{0}")]
     InvalidInput(String),
-    /// What the library said.
+    /// An error of the certificate library.
     #[error("{0}")]
     Generation(#[from] rcgen::Error),
 }
@@ -23,19 +23,19 @@
 pub struct IssuedCertificate {
     /// The certificate.
     pub certificate: String,
-    /// The private key: to be written 0600, never printed.
+    /// The private key: to be written with mode 0600, never printed.
     pub key: String,
 }
 
-fn at(seconds: i64) -> Result<OffsetDateTime, AuthorityError> {
+fn date_time(seconds: i64) -> Result<OffsetDateTime, AuthorityError> {
     OffsetDateTime::from_unix_timestamp(seconds)
         .map_err(|e| AuthorityError::InvalidInput(format!("time {seconds}: {e}")))
 }
 
-/// A new authority of this name, valid from `now` for so many days.
+/// Creates an authority with this name, valid from `now` for `days` days.
 ///
 /// # Errors
-/// Where the name or the times can't stand in a certificate.
+/// Returns an error if the name or the times are not allowed in a certificate.
 pub fn create_authority(
     name: &str,
     now: i64,
@@ -50,9 +50,9 @@
         KeyUsagePurpose::CrlSign,
         KeyUsagePurpose::DigitalSignature,
     ];
-    // A minute back: a clock of another process a little behind still takes it.
-    params.not_before = at(now - 60)?;
-    params.not_after = at(now + days * 86_400)?;
+    // A minute earlier, so that a process whose clock is slightly behind accepts it.
+    params.not_before = date_time(now - 60)?;
+    params.not_after = date_time(now + days * 86_400)?;
     let certificate = params.self_signed(&key)?;
     Ok(IssuedCertificate {
         certificate: certificate.pem(),
@@ -60,11 +60,13 @@
     })
 }
 
-/// A certificate for these names (hosts or addresses; the first is its common name) that servers and clients may both
-/// show, signed by the authority. Where `key` is given, it is kept (a renewal); otherwise a new one is made.
+/// Issues a certificate for these names (hosts or addresses; the first one is the common name), for
+/// use by servers and clients. A renewal passes the existing `key`; otherwise a new one is
+/// generated.
 ///
 /// # Errors
-/// Where a name can't stand in a certificate, a key or the authority can't be read, or the times are out of range.
+/// Returns an error if a name is not allowed in a certificate, a key or the authority can't be
+/// read, or the times are out of range.
 pub fn issue_certificate(
     authority: (&str, &str),
     names: &[String],
@@ -72,7 +74,7 @@
     now: i64,
     days: i64,
 ) -> Result<IssuedCertificate, AuthorityError> {
-    let Some(first) = names.first() else {
+    let Some(common_name) = names.first() else {
         return Err(AuthorityError::InvalidInput(
             "a certificate needs a name".to_owned(),
         ));
@@ -87,15 +89,15 @@
     let mut params = CertificateParams::new(names.to_vec())?;
     params
         .distinguished_name
-        .push(DnType::CommonName, first.as_str());
+        .push(DnType::CommonName, common_name.as_str());
     params.is_ca = IsCa::ExplicitNoCa;
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
     params.extended_key_usages = vec![
         ExtendedKeyUsagePurpose::ServerAuth,
         ExtendedKeyUsagePurpose::ClientAuth,
     ];
-    params.not_before = at(now - 60)?;
-    params.not_after = at(now + days * 86_400)?;
+    params.not_before = date_time(now - 60)?;
+    params.not_after = date_time(now + days * 86_400)?;
     params.use_authority_key_identifier_extension = true;
     let certificate = params.signed_by(&key, &issuer)?;
     Ok(IssuedCertificate {
