--- a/crates/tls/src/client_hello.rs
+++ b/crates/tls/src/client_hello.rs
@@ -1,13 +1,14 @@
-//! The first record of a TLS client, read before any session is made for it: whether it is TLS at all, which name it asks
-//! for, and whether it offers to resume a session. A handshake's place is decided on this (`cleatpulley_connection_admission::handshake`),
-//! so that a flood costs no more than these bytes until it has one.
+//! Parses the first record of a TLS client before a session is created: whether it is TLS at all,
+//! the requested server name, and whether the client offers to resume a session. The admission of
+//! handshakes (`cleatpulley_connection_admission::handshake`) is decided on this, so that a
+//! connection of a flood costs no more than these bytes until its handshake is admitted.
 //!
-//! Layouts are those of RFC 8446 (sections 4.1.2 and 4.2) and RFC 5077 (the ticket of TLS 1.2); nothing here is trusted
-//! beyond the bounds it was read within.
+//! The formats are those of RFC 8446 (sections 4.1.2 and 4.2) and RFC 5077 (the ticket of TLS 1.2).
+//! No length is trusted beyond the bounds of the data that contain it.
 
-/// Bytes of a record's head: type, version and length.
+/// Bytes of a record's header: type, version and length.
 pub const RECORD_HEADER_BYTES: usize = 5;
-/// The longest record that a peer may send: 2^14 bytes and the expansion that RFC 8446 section 5.2 allows.
+/// Maximum length of a record: 2^14 bytes and the expansion that RFC 8446 section 5.2 allows.
 pub const MAX_RECORD_BYTES: usize = 16_384 + 256;
 
 const HANDSHAKE: u8 = 22;
@@ -16,48 +17,48 @@
 const SESSION_TICKET: u16 = 35;
 const PRE_SHARED_KEY: u16 = 41;
 
-/// What the first record told.
+/// The relevant contents of the first record.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ClientHello {
-    /// The name it asks for (SNI), where it names one.
+    /// The requested server name (SNI), if any.
     pub server_name: Option<String>,
-    /// It offers a ticket or a key of an earlier session.
+    /// Whether the client offers a ticket or key of an earlier session.
     pub offers_resumption: bool,
-    /// Bytes that the record takes, its head among them.
+    /// Number of bytes of the record, its header included.
     pub record_bytes: usize,
 }
 
-/// What is wrong with the first bytes, and at which byte.
+/// What is wrong with the first bytes, and at which offset.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ClientHelloError {
-    /// Not a record of a handshake: no TLS client begins so.
+    /// Not a handshake record, with which every TLS client begins.
     #[error("byte {offset}: not the record of a TLS handshake")]
     NotTls {
-        /// Where.
+        /// Offset of the invalid byte.
         offset: usize,
     },
-    /// A length that does not fit where it stands.
+    /// A length that exceeds the data that contain it, or the maximum.
     #[error("byte {offset}: a length of {length} does not fit")]
     InvalidLength {
-        /// Where.
+        /// Offset of the invalid byte.
         offset: usize,
-        /// What it said.
+        /// The invalid length.
         length: usize,
     },
-    /// A handshake message other than the client's first.
+    /// A handshake message other than a ClientHello.
     #[error("byte {offset}: a handshake of type {message_type} where the ClientHello belongs")]
     NotClientHello {
-        /// Where.
+        /// Offset of the invalid byte.
         offset: usize,
-        /// Its type.
+        /// The type of the message.
         message_type: u8,
     },
 }
 
-/// Reads the first record, where it has come whole.
+/// Parses the first record; `None` if it is incomplete.
 ///
 /// # Errors
-/// Where the bytes are not those of a TLS client, with the byte at fault.
+/// Returns an error, with the offset, if the bytes are not those of a TLS client.
 pub fn parse_client_hello(bytes: &[u8]) -> Result<Option<ClientHello>, ClientHelloError> {
     if let Some(&kind) = bytes.first() {
         if kind != HANDSHAKE {
@@ -79,112 +80,112 @@
     let Some(fragment) = bytes.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length) else {
         return Ok(None);
     };
-    let mut offer = hello(fragment)?;
-    offer.record_bytes = RECORD_HEADER_BYTES + length;
-    Ok(Some(offer))
+    let mut client_hello = parse_message(fragment)?;
+    client_hello.record_bytes = RECORD_HEADER_BYTES + length;
+    Ok(Some(client_hello))
 }
 
-/// A cursor that knows where it is in the whole record.
+/// A cursor that knows its offset in the record.
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
-    /// Bytes before `bytes` in the record.
+    position: usize,
+    /// Offset of `bytes` in the record.
     base: usize,
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], ClientHelloError> {
-        let taken = self.bytes.get(self.at..self.at + n);
-        let taken = taken.ok_or(ClientHelloError::InvalidLength {
-            offset: self.base + self.at,
+    fn read_bytes(&mut self, n: usize) -> Result<&'a [u8], ClientHelloError> {
+        let bytes = self.bytes.get(self.position..self.position + n);
+        let bytes = bytes.ok_or(ClientHelloError::InvalidLength {
+            offset: self.base + self.position,
             length: n,
         })?;
-        self.at += n;
-        Ok(taken)
+        self.position += n;
+        Ok(bytes)
     }
 
-    fn number(&mut self, n: usize) -> Result<usize, ClientHelloError> {
+    fn read_uint(&mut self, n: usize) -> Result<usize, ClientHelloError> {
         Ok(self
-            .take(n)?
+            .read_bytes(n)?
             .iter()
             .fold(0, |sum, &b| sum << 8 | usize::from(b)))
     }
 
-    /// The part that a length of `n` bytes in front of it tells.
-    fn part(&mut self, n: usize) -> Result<Reader<'a>, ClientHelloError> {
-        let offset = self.base + self.at;
-        let length = self.number(n)?;
+    /// Reads a length of `n` bytes and returns the data of that length that follow.
+    fn read_vector(&mut self, n: usize) -> Result<Reader<'a>, ClientHelloError> {
+        let offset = self.base + self.position;
+        let length = self.read_uint(n)?;
         let bytes = self
-            .take(length)
+            .read_bytes(length)
             .map_err(|_| ClientHelloError::InvalidLength { offset, length })?;
         Ok(Reader {
             bytes,
-            at: 0,
+            position: 0,
             base: offset + n,
         })
     }
 
     fn is_empty(&self) -> bool {
-        self.at >= self.bytes.len()
+        self.position >= self.bytes.len()
     }
 }
 
-/// The ClientHello in a record's fragment. A hello longer than its first record is read as far as it goes: what lies
-/// beyond is not offered.
-fn hello(fragment: &[u8]) -> Result<ClientHello, ClientHelloError> {
+/// Parses the ClientHello in a record's fragment. One longer than its first record is read as far
+/// as it goes: offers beyond are not seen.
+fn parse_message(fragment: &[u8]) -> Result<ClientHello, ClientHelloError> {
     let mut record = Reader {
         bytes: fragment,
-        at: 0,
+        position: 0,
         base: RECORD_HEADER_BYTES,
     };
-    let message_type = record.number(1)? as u8;
+    let message_type = record.read_uint(1)? as u8;
     if message_type != CLIENT_HELLO {
         return Err(ClientHelloError::NotClientHello {
             offset: RECORD_HEADER_BYTES,
             message_type,
         });
     }
-    let length = record.number(3)?;
+    let length = record.read_uint(3)?;
     let body = &fragment[4..];
     let body = &body[..length.min(body.len())];
-    let mut hello = Reader {
+    let mut message = Reader {
         bytes: body,
-        at: 0,
+        position: 0,
         base: RECORD_HEADER_BYTES + 4,
     };
-    let mut offer = ClientHello::default();
-    let (Ok(_version), Ok(_random)) = (hello.take(2), hello.take(32)) else {
-        return Ok(offer);
+    let mut client_hello = ClientHello::default();
+    let (Ok(_version), Ok(_random)) = (message.read_bytes(2), message.read_bytes(32)) else {
+        return Ok(client_hello);
     };
     for width in [1, 2, 1] {
-        // The session's id, the cipher suites, the ways of compression.
-        if hello.part(width).is_err() {
-            return Ok(offer);
+        // The session id, the cipher suites, the compression methods.
+        if message.read_vector(width).is_err() {
+            return Ok(client_hello);
         }
     }
-    let Ok(mut extensions) = hello.part(2) else {
-        return Ok(offer);
+    let Ok(mut extensions) = message.read_vector(2) else {
+        return Ok(client_hello);
     };
     while !extensions.is_empty() {
-        let (Ok(kind), Ok(mut data)) = (extensions.number(2), extensions.part(2)) else {
+        let (Ok(kind), Ok(mut data)) = (extensions.read_uint(2), extensions.read_vector(2)) else {
             break;
         };
         match kind as u16 {
-            SERVER_NAME => offer.server_name = server_name(&mut data),
-            SESSION_TICKET => offer.offers_resumption |= !data.bytes.is_empty(),
-            PRE_SHARED_KEY => offer.offers_resumption = true,
+            SERVER_NAME => client_hello.server_name = server_name(&mut data),
+            SESSION_TICKET => client_hello.offers_resumption |= !data.bytes.is_empty(),
+            PRE_SHARED_KEY => client_hello.offers_resumption = true,
             _ => {}
         }
     }
-    Ok(offer)
+    Ok(client_hello)
 }
 
-/// The host name of RFC 6066 section 3, where it is one that can be read.
+/// Returns the host name of RFC 6066 section 3, if it is valid.
 fn server_name(data: &mut Reader<'_>) -> Option<String> {
-    let mut list = data.part(2).ok()?;
+    let mut list = data.read_vector(2).ok()?;
     while !list.is_empty() {
-        let kind = list.number(1).ok()?;
-        let name = list.part(2).ok()?;
+        let kind = list.read_uint(1).ok()?;
+        let name = list.read_vector(2).ok()?;
         if kind == 0 {
             let name = std::str::from_utf8(name.bytes).ok()?;
             return name
@@ -201,21 +202,21 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// A ClientHello with these extensions, in one record.
+    /// Encodes a ClientHello with these extensions in one record.
     fn record(extensions: &[(u16, Vec<u8>)]) -> Vec<u8> {
         let mut body = vec![3, 3];
         body.extend([7; 32]);
         body.push(0);
         body.extend([0, 2, 0x13, 0x01]);
         body.extend([1, 0]);
-        let mut listed = Vec::new();
+        let mut encoded_extensions = Vec::new();
         for (kind, data) in extensions {
-            listed.extend(kind.to_be_bytes());
-            listed.extend((data.len() as u16).to_be_bytes());
-            listed.extend(data);
+            encoded_extensions.extend(kind.to_be_bytes());
+            encoded_extensions.extend((data.len() as u16).to_be_bytes());
+            encoded_extensions.extend(data);
         }
-        body.extend((listed.len() as u16).to_be_bytes());
-        body.extend(listed);
+        body.extend((encoded_extensions.len() as u16).to_be_bytes());
+        body.extend(encoded_extensions);
         let mut message = vec![CLIENT_HELLO, 0];
         message.extend((body.len() as u16).to_be_bytes());
         message.extend(body);
@@ -225,7 +226,7 @@
         record
     }
 
-    fn name(host: &str) -> Vec<u8> {
+    fn server_name_extension(host: &str) -> Vec<u8> {
         let mut entry = vec![0];
         entry.extend((host.len() as u16).to_be_bytes());
         entry.extend(host.as_bytes());
@@ -235,21 +236,23 @@
     }
 
     #[test]
-    fn a_name_and_an_offer_to_resume_are_read() {
+    fn server_name_and_resumption_offer_are_parsed() {
         let bytes = record(&[
-            (SERVER_NAME, name("N1.Example")),
+            (SERVER_NAME, server_name_extension("N1.Example")),
             (PRE_SHARED_KEY, vec![0, 0]),
         ]);
-        let offer = parse_client_hello(&bytes).expect("a hello").expect("whole");
-        assert_eq!(offer.server_name.as_deref(), Some("n1.example"));
-        assert!(offer.offers_resumption);
-        assert_eq!(offer.record_bytes, bytes.len());
+        let client_hello = parse_client_hello(&bytes)
+            .expect("a ClientHello")
+            .expect("complete");
+        assert_eq!(client_hello.server_name.as_deref(), Some("n1.example"));
+        assert!(client_hello.offers_resumption);
+        assert_eq!(client_hello.record_bytes, bytes.len());
         let fresh = parse_client_hello(&record(&[(SESSION_TICKET, Vec::new())]))
-            .expect("a hello")
-            .expect("whole");
+            .expect("a ClientHello")
+            .expect("complete");
         assert!(
             !fresh.offers_resumption,
-            "an empty ticket asks for one and offers none"
+            "an empty ticket extension requests a ticket and offers none"
         );
         assert!(
             parse_client_hello(&record(&[(SESSION_TICKET, vec![1; 40])]))
@@ -260,16 +263,17 @@
     }
 
     #[test]
-    fn a_record_that_has_not_come_whole_waits() {
-        let bytes = record(&[(SERVER_NAME, name("n1"))]);
+    fn incomplete_record_returns_none() {
+        let bytes = record(&[(SERVER_NAME, server_name_extension("n1"))]);
         for cut in 0..bytes.len() {
             assert_eq!(parse_client_hello(&bytes[..cut]), Ok(None), "cut at {cut}");
         }
     }
 
-    /// Guards against taking a plain client's bytes, or an HTTP request, for a handshake.
+    /// Guards against taking the bytes of a client without TLS, such as an HTTP request, for a
+    /// handshake.
     #[test]
-    fn what_is_no_handshake_is_told_with_its_byte() {
+    fn invalid_input_is_rejected_with_its_offset() {
         assert_eq!(
             parse_client_hello(b"GET / HTTP/1.1\r\n"),
             Err(ClientHelloError::NotTls { offset: 0 })
@@ -298,9 +302,9 @@
     }
 
     proptest! {
-        /// No input makes it panic or read beyond what it was given.
+        /// No input causes a panic or a read beyond its end.
         #[test]
-        fn any_bytes_are_read_within_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..600), head in any::<bool>()) {
+        fn any_input_is_parsed_within_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..600), head in any::<bool>()) {
             let mut bytes = bytes;
             if head && bytes.len() > RECORD_HEADER_BYTES {
                 bytes[0] = HANDSHAKE;
@@ -313,8 +317,8 @@
         }
 
         #[test]
-        fn a_hello_cut_inside_its_extensions_still_says_what_it_has(cut in 0usize..60) {
-            let mut bytes = record(&[(SERVER_NAME, name("n7.example")), (PRE_SHARED_KEY, vec![0; 9])]);
+        fn truncated_client_hello_is_parsed_as_far_as_it_goes(cut in 0usize..60) {
+            let mut bytes = record(&[(SERVER_NAME, server_name_extension("n7.example")), (PRE_SHARED_KEY, vec![0; 9])]);
             let end = bytes.len() - cut;
             bytes.truncate(end);
             let length = (end - RECORD_HEADER_BYTES) as u16;
