--- a/crates/tls/src/certificate.rs
+++ b/crates/tls/src/certificate.rs
@@ -1,5 +1,6 @@
-//! A certificate's chain and its private key, read from PEM files and checked to belong together, with what operators
-//! are told of it: names, validity, fingerprint. A faulty pair is told with its file and reason, and is never half taken.
+//! A certificate chain and its private key, read from PEM files and checked to belong together, and
+//! the contents of the certificate shown to operators: names, validity, fingerprint. An error names
+//! the file and the reason; nothing is partially loaded.
 
 use ring::digest;
 use rustls::pki_types::pem::PemObject;
@@ -11,7 +12,7 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// What is wrong with a pair, and in which file.
+/// What is wrong with a certificate or its key, and in which file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {reason}", file.display())]
 pub struct CertificateError {
@@ -21,39 +22,39 @@
     pub reason: String,
 }
 
-fn fault<T>(file: &Path, what: impl Into<String>) -> Result<T, CertificateError> {
+fn certificate_error<T>(file: &Path, reason: impl Into<String>) -> Result<T, CertificateError> {
     Err(CertificateError {
         file: file.to_owned(),
-        reason: what.into(),
+        reason: reason.into(),
     })
 }
 
-/// What a certificate says of itself.
+/// The contents of a certificate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CertificateInfo {
-    /// Its subject, as text.
+    /// The subject, as text.
     pub subject: String,
-    /// Who issued it.
+    /// The issuer, as text.
     pub issuer: String,
-    /// Names and addresses it was issued for.
+    /// Host names and addresses that the certificate was issued for.
     pub names: Vec<String>,
-    /// Unix seconds from which it holds.
+    /// Start of the validity, in Unix seconds.
     pub not_before: i64,
-    /// Unix seconds until which it holds.
+    /// End of the validity, in Unix seconds.
     pub not_after: i64,
-    /// It may issue certificates.
+    /// Whether the certificate may issue others.
     pub is_ca: bool,
-    /// SHA-256 of the whole certificate, in hex.
+    /// SHA-256 of the whole certificate, in hexadecimal.
     pub fingerprint: String,
-    /// Its serial number, in hex.
+    /// The serial number, in hexadecimal.
     pub serial: String,
 }
 
 impl CertificateInfo {
-    /// Reads them from a certificate.
+    /// Parses a certificate.
     ///
     /// # Errors
-    /// Where it is no certificate that can be read.
+    /// Returns an error if the certificate can't be parsed.
     pub fn from_der(certificate: &CertificateDer<'_>) -> Result<Self, String> {
         let (_, parsed) = X509Certificate::from_der(certificate)
             .map_err(|e| format!("not a certificate: {e}"))?;
@@ -61,7 +62,7 @@
         Ok(Self {
             subject: parsed.subject().to_string(),
             issuer: parsed.issuer().to_string(),
-            names: names_of(&parsed),
+            names: names_of_parsed(&parsed),
             not_before: parsed.validity().not_before.timestamp(),
             not_after: parsed.validity().not_after.timestamp(),
             is_ca: parsed.is_ca(),
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Seconds until it no longer holds; below 0 where it has expired.
+    /// Returns the seconds until the end of the validity; negative if the certificate has expired.
     #[must_use]
     pub fn seconds_until_expiry(&self, now_seconds: u64) -> i64 {
         self.not_after - now_seconds as i64
@@ -105,7 +106,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn names_of(parsed: &X509Certificate<'_>) -> Vec<String> {
+fn names_of_parsed(parsed: &X509Certificate<'_>) -> Vec<String> {
     let mut names = Vec::new();
     if let Ok(Some(alternatives)) = parsed.subject_alternative_name() {
         for name in &alternatives.value.general_names {
@@ -127,27 +128,27 @@
         }
     }
     if names.is_empty() {
-        let common = parsed
+        let common_names = parsed
             .subject()
             .iter_common_name()
             .filter_map(|name| name.as_str().ok());
-        names.extend(common.map(str::to_ascii_lowercase));
+        names.extend(common_names.map(str::to_ascii_lowercase));
     }
     names
 }
 
-/// The names a certificate was issued for; none where it can't be read.
+/// Returns the names that a certificate was issued for; none if it can't be parsed.
 #[must_use]
 pub fn certificate_names(certificate: &CertificateDer<'_>) -> Vec<String> {
     X509Certificate::from_der(certificate)
-        .map(|(_, parsed)| names_of(&parsed))
+        .map(|(_, parsed)| names_of_parsed(&parsed))
         .unwrap_or_default()
 }
 
-/// Certificates of a PEM file, in their order.
+/// Parses the certificates of a PEM file, in their order.
 ///
 /// # Errors
-/// Where the file can't be read or holds none.
+/// Returns an error if the file is invalid or has no certificate.
 pub fn parse_certificates(
     file: &Path,
     bytes: &[u8],
@@ -156,28 +157,28 @@
     for (i, certificate) in CertificateDer::pem_slice_iter(bytes).enumerate() {
         match certificate {
             Ok(certificate) => chain.push(certificate),
-            Err(e) => return fault(file, format!("certificate {}: {e}", i + 1)),
+            Err(e) => return certificate_error(file, format!("certificate {}: {e}", i + 1)),
         }
     }
     if chain.is_empty() {
-        return fault(file, "no certificate in it (PEM, BEGIN CERTIFICATE)");
+        return certificate_error(file, "no certificate in it (PEM, BEGIN CERTIFICATE)");
     }
     Ok(chain)
 }
 
-/// A chain and its key that belong together.
+/// A certificate chain and the private key that belongs to it.
 #[derive(Clone)]
 pub struct CertificateWithKey {
-    /// The chain, its own certificate first.
+    /// The chain, the leaf certificate first.
     pub chain: Vec<CertificateDer<'static>>,
-    /// What the first certificate says.
+    /// The contents of the leaf certificate.
     pub info: CertificateInfo,
-    /// The chain and the key as rustls signs with them.
+    /// The chain and the key in the form that rustls uses.
     pub certified_key: Arc<CertifiedKey>,
 }
 
 impl fmt::Debug for CertificateWithKey {
-    // The key is never shown, not even by accident.
+    // The key is left out, so that it is never printed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Pair")
             .field("facts", &self.info)
@@ -187,19 +188,20 @@
 }
 
 impl CertificateWithKey {
-    /// Reads both files.
+    /// Loads both files.
     ///
     /// # Errors
-    /// The file that can't be read or does not fit, and why.
+    /// Returns the file that is invalid or does not match, and why.
     pub fn load(certificate: &Path, key: &Path) -> Result<Self, CertificateError> {
-        let read = |file: &Path| std::fs::read(file).or_else(|e| fault(file, e.to_string()));
-        Self::from_pem(certificate, &read(certificate)?, key, &read(key)?)
+        let read_file =
+            |file: &Path| std::fs::read(file).or_else(|e| certificate_error(file, e.to_string()));
+        Self::from_pem(certificate, &read_file(certificate)?, key, &read_file(key)?)
     }
 
-    /// Reads both from what the files hold.
+    /// Parses the contents of both files.
     ///
     /// # Errors
-    /// The file whose bytes do not fit, and why.
+    /// Returns the file that is invalid or does not match, and why.
     pub fn from_pem(
         certificate: &Path,
         chain: &[u8],
@@ -207,28 +209,28 @@
         key: &[u8],
     ) -> Result<Self, CertificateError> {
         let chain = parse_certificates(certificate, chain)?;
-        let facts =
-            CertificateInfo::from_der(&chain[0]).or_else(|what| fault(certificate, what))?;
-        // The error would tell of the file's shape only, never of the key's bytes.
+        let info = CertificateInfo::from_der(&chain[0])
+            .or_else(|reason| certificate_error(certificate, reason))?;
+        // The library's error describes the format of the file only, never the key's bytes.
         let Ok(key) = PrivateKeyDer::from_pem_slice(key) else {
-            return fault(
+            return certificate_error(
                 key_file,
                 "no private key in it (PEM, PKCS#8, SEC1 or PKCS#1)",
             );
         };
         let provider = crate::crypto_provider();
-        let signing = provider.key_provider.load_private_key(key);
-        let signing =
-            signing.or_else(|e| fault(key_file, format!("the key can't be used: {e}")))?;
-        let certified = CertifiedKey::new(chain.clone(), signing);
-        if let Err(e) = certified.keys_match() {
-            let what = format!("the key is not that of {}: {e}", certificate.display());
-            return fault(key_file, what);
+        let signing_key = provider.key_provider.load_private_key(key);
+        let signing_key = signing_key
+            .or_else(|e| certificate_error(key_file, format!("the key can't be used: {e}")))?;
+        let certified_key = CertifiedKey::new(chain.clone(), signing_key);
+        if let Err(e) = certified_key.keys_match() {
+            let reason = format!("the key is not that of {}: {e}", certificate.display());
+            return certificate_error(key_file, reason);
         }
         Ok(Self {
             chain,
-            info: facts,
-            certified_key: Arc::new(certified),
+            info,
+            certified_key: Arc::new(certified_key),
         })
     }
 }
