--- a/crates/tls/src/config.rs
+++ b/crates/tls/src/config.rs
@@ -1,5 +1,6 @@
-//! What the sessions of one front, or of one gateway's links, share: built once from a pair, roots and options, and
-//! built again when the files change. Nothing here reads a clock: the [`Clock`] that is passed in is.
+//! The TLS configurations that the sessions of a listener, or of a gateway's connections to its
+//! targets, share. They are built from a certificate, roots and options, and again when the files
+//! change. The time is that of the [`Clock`] passed in.
 
 use crate::certificate::CertificateWithKey;
 use crate::Clock;
@@ -14,23 +15,23 @@
 };
 use std::sync::Arc;
 
-/// Sessions of TLS 1.2 that are kept by id for resumption, where a client brings no ticket.
-const SESSIONS: usize = 1_024;
+/// Maximum number of TLS 1.2 sessions stored by id, for resumption by clients without tickets.
+const SESSION_CACHE_SIZE: usize = 1_024;
 
-/// Which versions are spoken.
+/// The TLS versions in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ProtocolVersions {
-    /// 1.3 and 1.2.
+    /// TLS 1.3 and 1.2.
     #[default]
     Both,
-    /// 1.3 alone.
+    /// TLS 1.3 only.
     Only13,
-    /// 1.2 alone.
+    /// TLS 1.2 only.
     Only12,
 }
 
 impl ProtocolVersions {
-    fn list(self) -> &'static [&'static SupportedProtocolVersion] {
+    fn as_rustls(self) -> &'static [&'static SupportedProtocolVersion] {
         static BOTH: [&SupportedProtocolVersion; 2] =
             [&rustls::version::TLS13, &rustls::version::TLS12];
         match self {
@@ -41,25 +42,26 @@
     }
 }
 
-/// Clients that are to show a certificate.
+/// Authentication of clients by certificates.
 #[derive(Debug, Clone)]
 pub struct ClientAuthentication {
-    /// Authorities whose certificates are believed.
+    /// Certificates of the trusted authorities.
     pub roots: Vec<CertificateDer<'static>>,
-    /// A client without one is turned away; otherwise it is let in unknown.
+    /// Whether a client without a certificate is rejected; otherwise it is accepted without an
+    /// identity.
     pub required: bool,
 }
 
 #[derive(Debug)]
-struct Own(Arc<CertifiedKey>);
+struct StaticCertificate(Arc<CertifiedKey>);
 
-impl ResolvesServerCert for Own {
+impl ResolvesServerCert for StaticCertificate {
     fn resolve(&self, _: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         Some(Arc::clone(&self.0))
     }
 }
 
-impl ResolvesClientCert for Own {
+impl ResolvesClientCert for StaticCertificate {
     fn resolve(&self, _: &[&[u8]], _: &[SignatureScheme]) -> Option<Arc<CertifiedKey>> {
         Some(Arc::clone(&self.0))
     }
@@ -69,7 +71,7 @@
     }
 }
 
-fn roots(certificates: &[CertificateDer<'static>]) -> Result<RootCertStore, String> {
+fn build_root_store(certificates: &[CertificateDer<'static>]) -> Result<RootCertStore, String> {
     let mut store = RootCertStore::empty();
     for (i, root) in certificates.iter().enumerate() {
         store
@@ -79,12 +81,13 @@
     Ok(store)
 }
 
-/// What the server's side of a front shares.
+/// Builds the configuration of a listener's sessions.
 ///
 /// # Errors
-/// Where the roots can't be used, or the versions and keys don't go together.
+/// Returns an error if the roots can't be used, or the versions don't match the cryptography
+/// provider.
 pub fn server_config(
-    pair: &CertificateWithKey,
+    certificate: &CertificateWithKey,
     clients: Option<&ClientAuthentication>,
     versions: ProtocolVersions,
     tickets: Option<Arc<dyn rustls::server::ProducesTickets>>,
@@ -93,13 +96,13 @@
     let provider = crate::crypto_provider();
     let builder =
         ServerConfig::builder_with_details(Arc::clone(&provider), Arc::new(clock.clone()))
-            .with_protocol_versions(versions.list())
+            .with_protocol_versions(versions.as_rustls())
             .map_err(|e| e.to_string())?;
     let builder = match clients {
         None => builder.with_no_client_auth(),
         Some(clients) => {
             let verifier = WebPkiClientVerifier::builder_with_provider(
-                Arc::new(roots(&clients.roots)?),
+                Arc::new(build_root_store(&clients.roots)?),
                 provider,
             );
             let verifier = if clients.required {
@@ -110,8 +113,10 @@
             builder.with_client_cert_verifier(verifier.build().map_err(|e| e.to_string())?)
         }
     };
-    let mut config = builder.with_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified_key))));
-    config.session_storage = ServerSessionMemoryCache::new(SESSIONS);
+    let mut config = builder.with_cert_resolver(Arc::new(StaticCertificate(Arc::clone(
+        &certificate.certified_key,
+    ))));
+    config.session_storage = ServerSessionMemoryCache::new(SESSION_CACHE_SIZE);
     if let Some(tickets) = tickets {
         config.ticketer = tickets;
     }
@@ -119,26 +124,27 @@
     Ok(Arc::new(config))
 }
 
-/// What a client's links share: the roots it believes, and the certificate it shows, if any.
+/// Builds the configuration of a client's sessions: the roots it trusts, and its certificate, if
+/// any.
 ///
 /// # Errors
-/// Where the roots can't be used.
+/// Returns an error if the roots can't be used.
 pub fn client_config(
-    roots_of: &[CertificateDer<'static>],
-    own: Option<&CertificateWithKey>,
+    roots: &[CertificateDer<'static>],
+    certificate: Option<&CertificateWithKey>,
     versions: ProtocolVersions,
     clock: &Clock,
 ) -> Result<Arc<ClientConfig>, String> {
     let builder =
         ClientConfig::builder_with_details(crate::crypto_provider(), Arc::new(clock.clone()))
-            .with_protocol_versions(versions.list())
+            .with_protocol_versions(versions.as_rustls())
             .map_err(|e| e.to_string())?
-            .with_root_certificates(roots(roots_of)?);
-    let config = match own {
+            .with_root_certificates(build_root_store(roots)?);
+    let config = match certificate {
         None => builder.with_no_client_auth(),
-        Some(pair) => {
-            builder.with_client_cert_resolver(Arc::new(Own(Arc::clone(&pair.certified_key))))
-        }
+        Some(certificate) => builder.with_client_cert_resolver(Arc::new(StaticCertificate(
+            Arc::clone(&certificate.certified_key),
+        ))),
     };
     Ok(Arc::new(config))
 }
