--- a/crates/tls/src/session.rs
+++ b/crates/tls/src/session.rs
@@ -1,5 +1,5 @@
-//! A TLS session as a state machine: ciphertext in, plaintext out, and the other way, with nothing read or written by
-//! itself. The same for both sides; what a peer may make it hold is bounded here.
+//! A TLS session as a state machine for both sides: takes ciphertext and returns plaintext, and the
+//! other way round, without I/O. What a peer can make it buffer is bounded here.
 
 use rustls::pki_types::ServerName;
 use rustls::{
@@ -8,62 +8,64 @@
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 
-/// Bytes that a handshake may take from the peer: a chain of a few certificates and a large hello.
+/// Maximum number of bytes of a handshake received from the peer; enough for a chain of a few
+/// certificates and a large ClientHello.
 pub const MAX_HANDSHAKE_BYTES: usize = 65_536;
-/// Bytes of records that carry nothing for us (empty ones, key updates, warnings, a refused renegotiation) that are
-/// taken in a row after the handshake; one more closes the connection.
+/// Maximum number of consecutive bytes, after the handshake, of records without application data
+/// (empty records, key updates, warnings, a rejected renegotiation); more of them end the session.
 pub const MAX_BYTES_WITHOUT_DATA: usize = 32_768;
 
-/// Why a session ends on the peer's account. Where the protocol has an alert, it waits in [`Session::take_output`].
+/// Why a session failed. If the protocol has an alert for it, [`Session::take_output`] returns it.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// What rustls found.
+    /// An error reported by rustls.
     #[error("tls: {0}")]
     Protocol(#[from] rustls::Error),
-    /// The handshake took more bytes than it may.
+    /// The handshake exceeded its limit of bytes.
     #[error("tls: the handshake took more than {MAX_HANDSHAKE_BYTES} bytes")]
     HandshakeTooLong,
-    /// Records that carry nothing came on and on.
-    #[error("tls: {MAX_BYTES_WITHOUT_DATA} bytes of records that carry nothing")]
+    /// Too many consecutive records without application data.
+    #[error("tls: {MAX_BYTES_WITHOUT_DATA} consecutive bytes of records without data")]
     TooManyBytesWithoutData,
-    /// The name to connect to is none.
-    #[error("tls: {0:?} is no name to connect to")]
+    /// The name of the server is invalid.
+    #[error("tls: invalid server name {0:?}")]
     InvalidServerName(String),
 }
 
-/// What [`decrypt`](Session::decrypt) came to.
+/// The result of [`decrypt`](Session::decrypt).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DecryptOutcome {
-    /// The peer has said that it sends no more (close_notify).
+    /// Whether the peer has sent close_notify, after which it sends no data.
     pub peer_closed: bool,
-    /// The handshake ended with these bytes.
+    /// Whether the handshake was completed by these bytes.
     pub handshake_completed: bool,
 }
 
 /// One side of a connection.
 pub struct Session {
     inner: Connection,
-    /// Bytes taken during the handshake.
-    handshake: usize,
-    /// Bytes taken since the last that carried something.
-    useless: usize,
+    /// Number of bytes received during the handshake.
+    handshake_bytes: usize,
+    /// Number of bytes received since the last application data.
+    bytes_without_data: usize,
 }
 
 impl Session {
-    /// The server's side of a connection that was accepted.
+    /// Creates the server side of an accepted connection.
     ///
     /// # Errors
-    /// Where rustls can't make one with what it shares.
+    /// Returns an error if rustls can't create a session with the configuration.
     pub fn accept(config: Arc<ServerConfig>) -> Result<Self, SessionError> {
         Ok(Self::new(Connection::Server(ServerConnection::new(
             config,
         )?)))
     }
 
-    /// The client's side of a connection to a server of this name (a host's name or an address).
+    /// Creates the client side of a connection to a server with this name (a host name or an
+    /// address).
     ///
     /// # Errors
-    /// Where the name is none, or rustls can't make one.
+    /// Returns an error if the name is invalid, or rustls can't create a session.
     pub fn connect(config: Arc<ClientConfig>, name: &str) -> Result<Self, SessionError> {
         let server = ServerName::try_from(name.to_owned())
             .map_err(|_| SessionError::InvalidServerName(name.to_owned()))?;
@@ -73,120 +75,126 @@
     }
 
     fn new(mut inner: Connection) -> Self {
-        // What is written is bounded by whoever writes it; a short write would lose an answer here.
+        // The caller bounds what it writes; a partial write would lose a response here.
         inner.set_buffer_limit(None);
         Self {
             inner,
-            handshake: 0,
-            useless: 0,
+            handshake_bytes: 0,
+            bytes_without_data: 0,
         }
     }
 
-    /// Takes what came from the peer and appends what it carried. Whatever comes of it, [`take_output`](Self::take_output) may
-    /// have bytes to send: the handshake's, or an alert.
+    /// Decrypts bytes received from the peer and appends the plaintext. Afterwards, also on an
+    /// error, [`take_output`](Self::take_output) may have bytes to send: those of the handshake, or
+    /// an alert.
     ///
     /// # Errors
-    /// Where the peer broke the protocol or the bounds; the session is over then.
+    /// Returns an error if the peer violated the protocol or a limit; the session is over then.
     pub fn decrypt(
         &mut self,
-        mut cipher: &[u8],
-        plain: &mut Vec<u8>,
+        mut ciphertext: &[u8],
+        plaintext: &mut Vec<u8>,
     ) -> Result<DecryptOutcome, SessionError> {
-        let mut opened = DecryptOutcome::default();
-        let handshaking = self.inner.is_handshaking();
-        while !cipher.is_empty() {
-            let before = cipher.len();
-            match self.inner.read_tls(&mut cipher) {
+        let mut outcome = DecryptOutcome::default();
+        let was_handshaking = self.inner.is_handshaking();
+        while !ciphertext.is_empty() {
+            let before = ciphertext.len();
+            match self.inner.read_tls(&mut ciphertext) {
                 Ok(_) => {}
-                // Its buffer is full of what it has not handed out; that is done below.
-                Err(e) if e.kind() == io::ErrorKind::Other && before == cipher.len() => {}
+                // The buffer of rustls is full of unread plaintext, which is read below.
+                Err(e) if e.kind() == io::ErrorKind::Other && before == ciphertext.len() => {}
                 Err(e) => {
                     return Err(SessionError::Protocol(rustls::Error::General(
                         e.to_string(),
                     )))
                 }
             }
-            let taken = before - cipher.len();
+            let consumed = before - ciphertext.len();
             let state = self.inner.process_new_packets()?;
             if self.inner.is_handshaking() {
-                self.handshake += taken;
-                if self.handshake > MAX_HANDSHAKE_BYTES {
+                self.handshake_bytes += consumed;
+                if self.handshake_bytes > MAX_HANDSHAKE_BYTES {
                     return Err(SessionError::HandshakeTooLong);
                 }
             }
-            let came = state.plaintext_bytes_to_read();
-            let start = plain.len();
-            if came > 0 {
-                plain.resize(start + came, 0);
-                let read = self.inner.reader().read(&mut plain[start..]).unwrap_or(0);
-                plain.truncate(start + read);
+            let plaintext_bytes = state.plaintext_bytes_to_read();
+            let start = plaintext.len();
+            if plaintext_bytes > 0 {
+                plaintext.resize(start + plaintext_bytes, 0);
+                let read = self
+                    .inner
+                    .reader()
+                    .read(&mut plaintext[start..])
+                    .unwrap_or(0);
+                plaintext.truncate(start + read);
             }
             if state.peer_has_closed() {
-                opened.peer_closed = true;
+                outcome.peer_closed = true;
             }
-            if plain.len() > start {
-                self.useless = 0;
-            } else if !self.inner.is_handshaking() && !handshaking {
-                self.useless += taken;
-                if self.useless > MAX_BYTES_WITHOUT_DATA {
+            if plaintext.len() > start {
+                self.bytes_without_data = 0;
+            } else if !self.inner.is_handshaking() && !was_handshaking {
+                self.bytes_without_data += consumed;
+                if self.bytes_without_data > MAX_BYTES_WITHOUT_DATA {
                     return Err(SessionError::TooManyBytesWithoutData);
                 }
             }
-            if taken == 0 && came == 0 {
-                if opened.peer_closed {
-                    // What comes after the peer's last word is nobody's.
+            if consumed == 0 && plaintext_bytes == 0 {
+                if outcome.peer_closed {
+                    // Data after close_notify are discarded.
                     break;
                 }
-                // Nothing moves: rustls takes no more until it is read, and nothing is there to read.
+                // No progress is possible: rustls accepts no input until its plaintext is read, and
+                // there is none.
                 return Err(SessionError::Protocol(rustls::Error::General(
                     "no progress".to_owned(),
                 )));
             }
         }
-        opened.handshake_completed = handshaking && !self.inner.is_handshaking();
-        Ok(opened)
+        outcome.handshake_completed = was_handshaking && !self.inner.is_handshaking();
+        Ok(outcome)
     }
 
-    /// Sends this; before the end of the handshake it waits for it.
-    pub fn encrypt(&mut self, plain: &[u8]) {
-        // Without a limit on the buffer, writing takes everything.
-        let _ = self.inner.writer().write_all(plain);
+    /// Encrypts data to be sent; before the end of the handshake they are buffered.
+    pub fn encrypt(&mut self, plaintext: &[u8]) {
+        // Can't fail: the buffer has no limit.
+        let _ = self.inner.writer().write_all(plaintext);
     }
 
-    /// Appends what is to be sent to the peer.
-    pub fn take_output(&mut self, cipher: &mut Vec<u8>) {
+    /// Appends the bytes to be sent to the peer.
+    pub fn take_output(&mut self, ciphertext: &mut Vec<u8>) {
         while self.inner.wants_write() {
-            match self.inner.write_tls(cipher) {
+            match self.inner.write_tls(ciphertext) {
                 Ok(0) | Err(_) => break,
                 Ok(_) => {}
             }
         }
     }
 
-    /// Whether there is something for [`take_output`](Self::take_output).
+    /// Returns whether [`take_output`](Self::take_output) has bytes to send.
     #[must_use]
     pub fn has_output(&self) -> bool {
         self.inner.wants_write()
     }
 
-    /// Says that nothing more is sent (close_notify); it goes out with the next [`take_output`](Self::take_output).
+    /// Sends close_notify, which the next [`take_output`](Self::take_output) returns.
     pub fn send_close_notify(&mut self) {
         self.inner.send_close_notify();
     }
 
-    /// The handshake is not over.
+    /// Returns whether the handshake is not completed yet.
     #[must_use]
     pub fn is_handshaking(&self) -> bool {
         self.inner.is_handshaking()
     }
 
-    /// The handshake resumed an earlier session.
+    /// Returns whether the handshake resumed an earlier session.
     #[must_use]
     pub fn is_resumed(&self) -> bool {
         self.inner.handshake_kind() == Some(HandshakeKind::Resumed)
     }
 
-    /// The version agreed on, as `1.2` or `1.3`.
+    /// Returns the negotiated version, as `1.2` or `1.3`.
     #[must_use]
     pub fn protocol_version(&self) -> Option<&'static str> {
         self.inner.protocol_version().map(|version| match version {
@@ -196,13 +204,14 @@
         })
     }
 
-    /// The names that the peer's certificate was issued for, where it showed one; it was checked against the roots.
+    /// Returns the names that the peer's certificate was issued for, if it has one; it was verified
+    /// against the roots.
     #[must_use]
     pub fn peer_names(&self) -> Vec<String> {
         let chain = self.inner.peer_certificates();
         chain
             .and_then(|chain| chain.first())
-            .map(|end| crate::certificate::certificate_names(end))
+            .map(|leaf| crate::certificate::certificate_names(leaf))
             .unwrap_or_default()
     }
 }
