--- a/crates/protocol/src/ajp/class_table.rs
+++ b/crates/protocol/src/ajp/class_table.rs
@@ -58,13 +58,13 @@
                 return Err((
                     index,
                     format!(
-                        "the path {:?} is neither plain nor plain with a /* at its end",
+                        "the path {:?} is neither an exact path nor one that ends with /*",
                         entry.path
                     ),
                 ));
             }
             if entry.methods.is_empty() {
-                return Err((index, format!("the path {:?} takes no method", entry.path)));
+                return Err((index, format!("the path {:?} has no methods", entry.path)));
             }
             let is_duplicate = if is_pattern {
                 table.patterns.iter().any(|(other, _)| *other == prefix)
@@ -72,10 +72,7 @@
                 table.exact.contains_key(&prefix)
             };
             if is_duplicate {
-                return Err((
-                    index,
-                    format!("the path {:?} has an entry already", entry.path),
-                ));
+                return Err((index, format!("the path {:?} is listed twice", entry.path)));
             }
             if is_pattern {
                 table.patterns.push((prefix, entry));
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -482,7 +482,7 @@
 
     #[test]
     fn field_with_invalid_value_is_named_in_the_error() {
-        for (place, value) in [
+        for (index, value) in [
             (1, "9b1f"),
             (1, "+b1f03aa5c7e2d41"),
             (2, "-1"),
@@ -493,28 +493,28 @@
             (6, "-0.1"),
         ] {
             let mut fields = VALID_FIELDS;
-            fields[place].1 = value;
+            fields[index].1 = value;
             let error = Request::decode(&payload_with(&fields, b""), None).expect_err(value);
-            assert!(error.contains(VALID_FIELDS[place].0), "{error}");
+            assert!(error.contains(VALID_FIELDS[index].0), "{error}");
         }
     }
 
     #[test]
     fn truncated_frame_is_incomplete_and_truncated_payload_is_an_error() {
         let payload = payload_with(&VALID_FIELDS, b"body");
-        let mut whole = Vec::new();
-        whole.extend_from_slice(&(payload.len() as u32 + 5).to_be_bytes());
-        whole.extend_from_slice(&[REQUEST, 0, 0, 0, 9]);
-        whole.extend_from_slice(&payload);
-        for cut in 0..whole.len() {
-            assert_eq!(parse_frame(&whole[..cut]), ParsedFrame::Incomplete);
+        let mut frame_bytes = Vec::new();
+        frame_bytes.extend_from_slice(&(payload.len() as u32 + 5).to_be_bytes());
+        frame_bytes.extend_from_slice(&[REQUEST, 0, 0, 0, 9]);
+        frame_bytes.extend_from_slice(&payload);
+        for cut in 0..frame_bytes.len() {
+            assert_eq!(parse_frame(&frame_bytes[..cut]), ParsedFrame::Incomplete);
         }
         let frame = ParsedFrame::Frame {
             kind: REQUEST,
             stream: 9,
-            payload: 9..whole.len(),
+            payload: 9..frame_bytes.len(),
         };
-        assert_eq!(parse_frame(&[&whole[..], &[1, 2, 3]].concat()), frame);
+        assert_eq!(parse_frame(&[&frame_bytes[..], &[1, 2, 3]].concat()), frame);
         for cut in 0..payload.len() - 4 {
             assert!(Request::decode(&payload[..cut], None).is_err());
         }
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -39,9 +39,9 @@
     output.extend_from_slice(body);
 }
 
-/// Parses the response at the front of `bytes`; `is_ended` says whether the peer has closed its side.
-/// Returns `None` if the response is incomplete. Skips interim responses (1xx), which the final one
-/// follows.
+/// Parses the response at the front of `bytes`; `is_ended` tells whether the peer has closed its
+/// side. Returns `None` if the response is incomplete. Skips interim responses (1xx), which the
+/// final one follows.
 ///
 /// # Errors
 /// Returns what is wrong with the response.
@@ -155,8 +155,8 @@
     #[test]
     fn response_is_parsed_once_complete() {
         let text = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nContent-Length: 3\r\n\r\nabcHTTP";
-        let whole = text.len() - 4;
-        for cut in 0..whole {
+        let response_bytes = text.len() - 4;
+        for cut in 0..response_bytes {
             assert_eq!(parse_response(&text[..cut], false), Ok(None));
         }
         let response = Response {
@@ -164,7 +164,7 @@
             not_run: true,
             closes_connection: false,
             body: b"abc".to_vec(),
-            length: whole,
+            length: response_bytes,
         };
         assert_eq!(parse_response(text, false), Ok(Some(response)));
     }
@@ -179,8 +179,8 @@
         assert!(response.closes_connection && response.body == b"abc");
         assert_eq!(
             parse_response(b"HTTP/1.1 204 No\r\n\r\n", false)
-                .expect("a reply")
-                .expect("whole")
+                .expect("a response")
+                .expect("complete")
                 .length,
             19
         );
@@ -194,8 +194,8 @@
             assert_eq!(parse_response(&text[..cut], false), Ok(None), "{cut}");
         }
         let response = parse_response(text, false)
-            .expect("a reply")
-            .expect("whole");
+            .expect("a response")
+            .expect("complete");
         assert_eq!(
             (response.status, &response.body[..], response.length),
             (200, &b"ok"[..], text.len())
--- a/crates/protocol/tests/ajp.rs
+++ b/crates/protocol/tests/ajp.rs
@@ -130,7 +130,9 @@
             let packet = &output[at..at + payload.end];
             at += payload.end;
             let mut headers = [EMPTY_HEADER; MAX_HEADERS];
-            match ServerPacket::decode(&packet[payload], &mut headers).expect("a reply") {
+            match ServerPacket::decode(&packet[payload], &mut headers)
+                .expect("a packet of the server")
+            {
                 ServerPacket::SendHeaders {
                     status, headers, ..
                 } => {
@@ -285,9 +287,9 @@
             .offset,
         0
     );
-    let most = [0x12, 0x34, 0x1F, 0xFC];
+    let largest = [0x12, 0x34, 0x1F, 0xFC];
     assert_eq!(
-        codec::parse_packet(&most, Direction::ToServer, PACKET_SIZE),
+        codec::parse_packet(&largest, Direction::ToServer, PACKET_SIZE),
         Ok(None)
     );
     assert_eq!(
@@ -314,9 +316,10 @@
     );
     let mut open = valid_packet.clone();
     open[index + 5] = b'x';
-    let fault = ForwardRequest::decode(&open[HEADER_BYTES..], &mut headers).expect_err("no zero");
+    let error = ForwardRequest::decode(&open[HEADER_BYTES..], &mut headers)
+        .expect_err("no terminating zero");
     assert_eq!(
-        (fault.offset, fault.reason),
+        (error.offset, error.reason),
         (index + 5, "a string without its closing zero")
     );
     let mut long = valid_packet;
@@ -766,12 +769,14 @@
     server.send(&output);
     assert_eq!(server.requests[0].body, request.body);
     assert!(server.respond(&Response::Served(vec![7; 20_000])));
-    let reply = std::mem::take(&mut server.output);
+    let response_bytes = std::mem::take(&mut server.output);
     let mut more = Vec::new();
-    for cut in [1, 9_000, reply.len()] {
+    for cut in [1, 9_000, response_bytes.len()] {
         assert!(client.take_response().is_none());
-        let consumed = client.receive(0, &reply[..cut], &mut more).expect("valid");
-        if cut < reply.len() {
+        let consumed = client
+            .receive(0, &response_bytes[..cut], &mut more)
+            .expect("valid");
+        if cut < response_bytes.len() {
             // The client has consumed these bytes: start again with a new one.
             assert!(consumed <= cut);
             client = Client::new(
--- a/crates/tls/src/client_hello.rs
+++ b/crates/tls/src/client_hello.rs
@@ -167,10 +167,12 @@
         return Ok(client_hello);
     };
     while !extensions.is_empty() {
-        let (Ok(kind), Ok(mut data)) = (extensions.read_uint(2), extensions.read_vector(2)) else {
+        let (Ok(extension_type), Ok(mut data)) =
+            (extensions.read_uint(2), extensions.read_vector(2))
+        else {
             break;
         };
-        match kind as u16 {
+        match extension_type as u16 {
             SERVER_NAME => client_hello.server_name = server_name(&mut data),
             SESSION_TICKET => client_hello.offers_resumption |= !data.bytes.is_empty(),
             PRE_SHARED_KEY => client_hello.offers_resumption = true,
@@ -184,9 +186,9 @@
 fn server_name(data: &mut Reader<'_>) -> Option<String> {
     let mut list = data.read_vector(2).ok()?;
     while !list.is_empty() {
-        let kind = list.read_uint(1).ok()?;
+        let name_type = list.read_uint(1).ok()?;
         let name = list.read_vector(2).ok()?;
-        if kind == 0 {
+        if name_type == 0 {
             let name = std::str::from_utf8(name.bytes).ok()?;
             return name
                 .bytes()
@@ -247,11 +249,11 @@
         assert_eq!(client_hello.server_name.as_deref(), Some("n1.example"));
         assert!(client_hello.offers_resumption);
         assert_eq!(client_hello.record_bytes, bytes.len());
-        let fresh = parse_client_hello(&record(&[(SESSION_TICKET, Vec::new())]))
+        let without_ticket = parse_client_hello(&record(&[(SESSION_TICKET, Vec::new())]))
             .expect("a ClientHello")
             .expect("complete");
         assert!(
-            !fresh.offers_resumption,
+            !without_ticket.offers_resumption,
             "an empty ticket extension requests a ticket and offers none"
         );
         assert!(
--- a/crates/tls/src/session/tests.rs
+++ b/crates/tls/src/session/tests.rs
@@ -252,16 +252,18 @@
 #[test]
 fn certificate_is_rejected_while_the_clock_is_before_its_start() {
     let peers = create_test_peers();
-    let fresh = issue(&peers.authority, "fe-4", NOW + 86_400, 30);
+    let not_yet_valid = issue(&peers.authority, "fe-4", NOW + 86_400, 30);
     peers.clock.set(NOW as u64 * 1_000_000 + DAY / 2);
-    let e = handshake_with_client_certificate(&peers, Some(&fresh), &peers.authority)
+    let e = handshake_with_client_certificate(&peers, Some(&not_yet_valid), &peers.authority)
         .expect_err("not yet valid");
     assert!(
         e.contains("NotValidYet") || e.contains("not valid yet"),
         "{e}"
     );
     peers.clock.set(NOW as u64 * 1_000_000 + 2 * DAY);
-    assert!(handshake_with_client_certificate(&peers, Some(&fresh), &peers.authority).is_ok());
+    assert!(
+        handshake_with_client_certificate(&peers, Some(&not_yet_valid), &peers.authority).is_ok()
+    );
 }
 
 fn connect_sessions(peers: &TestPeers) -> (Session, Session) {
--- a/crates/tls/src/verification.rs
+++ b/crates/tls/src/verification.rs
@@ -72,7 +72,7 @@
         WebPkiServerVerifier::builder_with_provider(Arc::clone(&root_store), Arc::clone(&provider));
     let server_verifier = server_verifier.build().map_err(|e| e.to_string())?;
     let as_server = match ServerName::try_from(name.to_owned()) {
-        Err(_) => Some(format!("{name:?} is no name a client could ask for")),
+        Err(_) => Some(format!("{name:?} is not a valid server name")),
         Ok(server_name) => server_verifier
             .verify_server_cert(leaf, intermediates, &server_name, &[], now)
             .err()
