--- a/crates/server/src/client_listener/machine_context.rs
+++ b/crates/server/src/client_listener/machine_context.rs
@@ -1,20 +1,20 @@
-//! What is passed to the machines of all connections.
+//! Context shared by the state machines of all connections.
 
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::state_machine::Context;
 
-/// What is passed to the machines of all connections.
+/// Context shared by the state machines of all connections.
 pub(super) struct MachineContext {
     /// Names of the request classes, by index.
     pub(super) class_names: Vec<String>,
-    /// How health checks are answered.
+    /// Result of health checks.
     pub(super) is_healthy: bool,
-    /// The value that all responses carry.
+    /// Feedback value that all responses carry.
     pub(super) feedback: Option<f64>,
 }
 
 impl MachineContext {
-    pub(super) fn at(&self, now: Micros, number: u64) -> Context<'_> {
+    pub(super) fn for_connection(&self, now: Micros, number: u64) -> Context<'_> {
         Context {
             now,
             connection_id: number,
--- a/crates/server/src/hot_restart/predecessor_messages.rs
+++ b/crates/server/src/hot_restart/predecessor_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the predecessor, and the effects of what this process decides as its successor.
+//! Messages of the predecessor, and execution of the effects of this process's successor side.
 
 use super::channel_message::{receive_message, ReceivedMessage};
 use super::step::HotRestartStep;
@@ -20,10 +20,10 @@
             let effects = match receive_message(channel) {
                 Ok(None) => return,
                 Ok(Some(ReceivedMessage { message, sockets })) => {
-                    if let Message::Rejected { reason: why } = &message {
+                    if let Message::Rejected { reason } = &message {
                         tracing::warn!(
-                            reason = %why,
-                            "upgrade: the process that serves hands nothing over yet"
+                            reason = %reason,
+                            "upgrade: the serving process rejected the handover"
                         );
                     }
                     let socket_count = sockets.len();
@@ -46,20 +46,20 @@
         }
     }
 
-    /// Lets time pass for the successor's side.
+    /// Handles expired deadlines of the successor's side.
     pub(super) fn poll_predecessor(
         &mut self,
         now: Micros,
-        is_up: bool,
+        can_serve: bool,
         steps: &mut Vec<HotRestartStep<H>>,
     ) {
         if let Some(predecessor) = &mut self.predecessor {
-            let effects = predecessor.protocol.poll(now, is_up);
+            let effects = predecessor.protocol.poll(now, can_serve);
             self.apply_successor_effects(now, effects, steps);
         }
     }
 
-    /// Executes what was decided; where that fails, what is decided then.
+    /// Executes effects; if that fails, executes the effects of the disconnection.
     fn apply_successor_effects(
         &mut self,
         now: Micros,
@@ -75,7 +75,7 @@
         tracing::info!(%error, "upgrade: the predecessor is gone");
         if let Some(predecessor) = &mut self.predecessor {
             let effects = predecessor.protocol.on_disconnected(now);
-            // Nothing is sent to a process that is gone, so that this can't fail.
+            // Nothing is sent to a lost process, so this can't fail.
             let _ = self.execute_successor_effects(effects, steps);
         }
     }
@@ -145,7 +145,7 @@
                     self.total_predecessor_usage(),
                 ));
             }
-            // The caller connects once all effects are executed.
+            // The caller connects after all effects have been executed.
             Effect::Reconnect => {}
         }
         Ok(())
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -1,8 +1,8 @@
 //! `cleatpulley check routes`: measures location look-ups, imports, expectations, the consistent hash, and a gateway whose
 //! targets die, drain, slow down or fail.
 
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::relay::{Act, Relay, Report};
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::gateway_trial::{GatewayTrial, Report, TargetEvent};
 use cleatpulley_emulators::target::Setup;
 use cleatpulley_routes::balancer::Balancer;
 use cleatpulley_routes::expectations::{check_expectations, ExpectationFile, Outcome};
@@ -83,7 +83,7 @@
 }
 
 fn lookups(shortfalls: &mut Vec<String>) -> Result<(), String> {
-    say!("look-ups a second, by locations: the trie, and a linear search");
+    print_line!("look-ups a second, by locations: the trie, and a linear search");
     let mut rates = Vec::new();
     for count in [10, 1_000, 100_000] {
         let prefixes = prefixes(count);
@@ -123,7 +123,7 @@
                     .max_by_key(|prefix| prefix.len()),
             );
         });
-        say!(
+        print_line!(
             "  {count:>7}: {:>6.1} million, {:>9.4} million, ratio {:.0}",
             1e-6 / trie,
             1e-6 / linear,
@@ -132,8 +132,8 @@
         if count == 1_000 && linear / trie < REQUIRED_SPEEDUP_SHARE * RECORDED_SPEEDUP {
             let ratio = linear / trie;
             shortfalls.push(format!(
-                "{ratio:.0} times as fast as a linear search among 1,000 prefixes, recorded {RECORDED_SPEEDUP}"
-            ));
+"{ratio:.0} times as fast as a linear search among 1,000 prefixes, recorded {RECORDED_SPEEDUP}"
+));
         }
         rates.push(1.0 / trie);
     }
@@ -164,7 +164,7 @@
     let started = Instant::now();
     let import = Import::read(&files, "f");
     let took = started.elapsed();
-    say!(
+    print_line!(
         "import of {lines} lines, {:.1} MB: {:.0} ms, {} directives",
         bytes as f64 / 1e6,
         took.as_secs_f64() * 1e3,
@@ -182,7 +182,7 @@
     let files = BTreeMap::from([("f".to_owned(), noise)]);
     let started = Instant::now();
     let import = Import::read(&files, "f");
-    say!(
+    print_line!(
         "10 MB of noise: rejected with {} diagnostics after {:.0} ms",
         import.diagnostics.len(),
         started.elapsed().as_secs_f64() * 1e3
@@ -199,20 +199,20 @@
 fn expectations(shortfalls: &mut Vec<String>) -> Result<(), String> {
     let configuration = |count: usize| {
         format!(
-            "{}upstream cell_b {{ server m99.example.org:9000; }}\nmap $http_x_subject $cell {{ default fleet; racer-7 cell_b; }}\nserver {{ server_name h;\n location /claim-seat {{ set $matcher_class claim-seat; proxy_pass http://fleet; }}\n location /lobby {{ proxy_pass http://$cell; }}\n}}\n",
-            upstream_block(count)
-        )
+"{}upstream cell_b {{ server m99.example.org:9000; }}\nmap $http_x_subject $cell {{ default fleet; racer-7 cell_b; }}\nserver {{ server_name h;\n location /claim-seat {{ set $matcher_class claim-seat; proxy_pass http://fleet; }}\n location /lobby {{ proxy_pass http://$cell; }}\n}}\n",
+upstream_block(count)
+)
     };
     let seat = json!({ "host": "h", "path": "/claim-seat" });
     let lobby = json!({ "host": "h", "path": "/lobby" });
     let expected = json!({
-        "subjects": { "popular": ["racer-1"], "samples": 30_000, "pattern": "racer-%d" },
-        "expect": [
-            { "name": "seats", "requests": [seat], "lands": { "pools": ["fleet"], "class": "claim-seat" } },
-            { "name": "lobbies", "requests": [lobby], "lands": { "pools": ["fleet"] } },
-            { "name": "one cell", "requests": [seat, lobby], "one_pool": true },
-            { "name": "few move", "requests": [seat], "moves": { "from": "before", "at_most": 0.07 } },
-        ],
+    "subjects": { "popular": ["racer-1"], "samples": 30_000, "pattern": "racer-%d" },
+    "expect": [
+    { "name": "seats", "requests": [seat], "lands": { "pools": ["fleet"], "class": "claim-seat" } },
+    { "name": "lobbies", "requests": [lobby], "lands": { "pools": ["fleet"] } },
+    { "name": "one cell", "requests": [seat, lobby], "one_pool": true },
+    { "name": "few move", "requests": [seat], "moves": { "from": "before", "at_most": 0.07 } },
+    ],
     });
     let expectation_file: ExpectationFile =
         serde_json::from_value(expected).map_err(|e| e.to_string())?;
@@ -225,7 +225,7 @@
     let took = started.elapsed().as_secs_f64();
     let request_count: usize = reports.iter().map(|report| report.requests_checked).sum();
     let held_count = reports.iter().filter(|report| report.holds()).count();
-    say!("expectations over 30,000 subjects: {took:.2} s for {request_count} requests; {held_count} of 4 hold");
+    print_line!("expectations over 30,000 subjects: {took:.2} s for {request_count} requests; {held_count} of 4 hold");
     // The map sends one popular subject to another cell, which two of the expectations have to find.
     let broken_count = reports
         .iter()
@@ -233,8 +233,8 @@
         .count();
     if took > 5.0 || held_count != 2 || broken_count != 2 {
         shortfalls.push(format!(
-            "expectations: {took:.1} s, {held_count} hold and {broken_count} are broken, expected two each: {reports:?}"
-        ));
+"expectations: {took:.1} s, {held_count} hold and {broken_count} are broken, expected two each: {reports:?}"
+));
     }
     Ok(())
 }
@@ -272,52 +272,52 @@
     let max_count = counts.values().copied().max().unwrap_or(0);
     let max_load_ratio = f64::from(max_count) / 2_000.0;
     let moved_share = f64::from(moved) / 32_000.0;
-    say!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
+    print_line!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
     if needlessly_moved > 0 || max_load_ratio > 1.25 || moved_share > 1.5 / 16.0 {
         shortfalls.push(format!(
-            "consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
-            moved_share * 100.0
-        ));
+"consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
+moved_share * 100.0
+));
     }
     Ok(())
 }
 
-fn relay(load: f64, seconds: f64) -> Relay {
+fn relay(load: f64, seconds: f64) -> GatewayTrial {
     let setup = Setup {
         workers: 4,
-        work: (10 * MS, 30 * MS),
-        patience: 120 * MS,
-        later: 50 * MS,
+        run_time: (10 * MS, 30 * MS),
+        max_wait: 120 * MS,
+        retry_after: 50 * MS,
         seed: 3,
     };
-    let mut relay = Relay {
+    let mut relay = GatewayTrial {
         targets: 5,
         setup,
-        way: String::new(),
-        words: "max_fails=2 fail_timeout=500ms".to_owned(),
-        next: "error timeout http_503".to_owned(),
+        balancing: String::new(),
+        server_options: "max_fails=2 fail_timeout=500ms".to_owned(),
+        next_upstream: "error timeout http_503".to_owned(),
         retry_share: 0.2,
         rates: Vec::new(),
-        time: (seconds * 1e6) as u64,
-        acts: Vec::new(),
-        reroute_at: None,
-        leave_at: None,
+        duration: (seconds * 1e6) as u64,
+        events: Vec::new(),
+        reload_at: None,
+        terminate_at: None,
         seed: 21,
     };
     let rate = relay.capacity() * load / 2.0;
-    relay.rates = vec![(Front::Frames, rate), (Front::Ajp, rate)];
+    relay.rates = vec![(Protocol::Frames, rate), (Protocol::Ajp, rate)];
     relay
 }
 
 fn run_trial(
-    relay: &Relay,
+    relay: &GatewayTrial,
     program: &Path,
     shortfalls: &mut Vec<String>,
 ) -> Result<Report, String> {
-    let report = relay.play(program).map_err(|e| e.to_string())?;
+    let report = relay.run(program).map_err(|e| e.to_string())?;
     shortfalls.extend(
         report
-            .broken
+            .violations
             .iter()
             .map(|rule| format!("rule broken at the gateway: {rule}")),
     );
@@ -325,7 +325,7 @@
 }
 
 fn balancing_methods(program: &Path, shortfalls: &mut Vec<String>) -> Result<(), String> {
-    say!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow target");
+    print_line!("one of five targets four times slower, 65% load: served within 400 ms, p99, share of the slow target");
     let mut shares = BTreeMap::new();
     for (name, directive) in [
         ("round robin", ""),
@@ -337,18 +337,18 @@
         ),
     ] {
         let mut relay = relay(0.65, 3.0);
-        relay.way = directive.to_owned();
+        relay.balancing = directive.to_owned();
         // Rejections are not retried, so that the result shows the balancing method alone.
-        relay.next = "error".to_owned();
-        relay.acts = vec![(0, 0, Act::Slow(4.0))];
+        relay.next_upstream = "error".to_owned();
+        relay.events = vec![(0, 0, TargetEvent::SetSlowdown(4.0))];
         let report = run_trial(&relay, program, shortfalls)?;
-        say!(
+        print_line!(
             "  {name:18} {:5.1}%  {:4.0} ms  {:4.1}%",
-            report.in_time() * 100.0,
+            report.on_time_share() * 100.0,
             report.latency_ms.1,
             report.shares[0] * 100.0
         );
-        shares.insert(name, report.in_time());
+        shares.insert(name, report.on_time_share());
     }
     for name in ["least connections", "random two"] {
         if shares[name] <= shares["round robin"] {
@@ -361,81 +361,81 @@
 }
 
 fn gateway_loads(program: &Path, shortfalls: &mut Vec<String>) -> Result<(), String> {
-    let calm = Relay {
-        way: "least_conn;".to_owned(),
+    let calm = GatewayTrial {
+        balancing: "least_conn;".to_owned(),
         ..relay(0.9, 5.0)
     };
     let mut with_faults = calm.clone();
-    with_faults.acts = vec![
-        (500 * MS, 0, Act::Kill),
-        (1_500 * MS, 0, Act::Revive),
-        (2_000 * MS, 1, Act::Drain(true)),
-        (2_800 * MS, 1, Act::Drain(false)),
-        (3_200 * MS, 2, Act::Slow(4.0)),
-        (4_000 * MS, 2, Act::Slow(1.0)),
+    with_faults.events = vec![
+        (500 * MS, 0, TargetEvent::Kill),
+        (1_500 * MS, 0, TargetEvent::Restart),
+        (2_000 * MS, 1, TargetEvent::SetDraining(true)),
+        (2_800 * MS, 1, TargetEvent::SetDraining(false)),
+        (3_200 * MS, 2, TargetEvent::SetSlowdown(4.0)),
+        (4_000 * MS, 2, TargetEvent::SetSlowdown(1.0)),
     ];
-    say!("90% load, five targets: in time, rejected, failed, attempts per request, gateway's CPU a request and memory");
+    print_line!("90% load, five targets: in time, rejected, failed, attempts per request, gateway's CPU a request and memory");
     for (name, relay) in [
         ("calm", &calm),
         ("one dies, one drains, one slows", &with_faults),
     ] {
         let report = run_trial(relay, program, shortfalls)?;
         let total = report.total();
-        let rejected = total.refused_bare + total.refused_with_time;
-        say!(
+        let rejected = total.rejected_without_retry_after + total.rejected_with_retry_after;
+        print_line!(
             "  {name:32} {:5.1}%  {rejected:5}  {:5}  {:.3}  {:.1} us  {:.1} MB",
-            report.in_time() * 100.0,
+            report.on_time_share() * 100.0,
             total.failed,
-            report.tries,
-            report.cpu,
+            report.attempts_per_request,
+            report.cpu_per_request,
             report.memory_kb as f64 / 1e3
         );
     }
-    say!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
-    for front in [Front::Frames, Front::Ajp] {
+    print_line!("8,000 a second, targets that answer at once: in time, p99, gateway's CPU a request and memory");
+    for front in [Protocol::Frames, Protocol::Ajp] {
         let mut relay = relay(0.0, 2.0);
-        relay.way = "least_conn;".to_owned();
+        relay.balancing = "least_conn;".to_owned();
         relay.setup = Setup {
             workers: 100_000,
-            work: (0, 0),
+            run_time: (0, 0),
             ..relay.setup
         };
         relay.rates = vec![(front, 8_000.0)];
         let report = run_trial(&relay, program, shortfalls)?;
-        let (in_time, p99) = (report.in_time() * 100.0, report.latency_ms.1);
-        say!(
+        let (in_time, p99) = (report.on_time_share() * 100.0, report.latency_ms.1);
+        print_line!(
             "  {front:8} {in_time:5.1}%  {p99:.1} ms  {:.1} us  {:.1} MB",
-            report.cpu,
+            report.cpu_per_request,
             report.memory_kb as f64 / 1e3
         );
-        if report.in_time() < 0.99 {
+        if report.on_time_share() < 0.99 {
             shortfalls.push(format!(
                 "{in_time:.1}% in time by {front} at 8,000 a second"
             ));
         }
     }
-    say!("half of the targets fail all requests, half load: attempts per request, by the retry share");
+    print_line!("half of the targets fail all requests, half load: attempts per request, by the retry share");
     for retry_share in [0.0, 0.1, 0.3] {
         let mut relay = relay(0.5, 2.0);
-        relay.next = "error timeout http_503 http_500".to_owned();
+        relay.next_upstream = "error timeout http_503 http_500".to_owned();
         relay.retry_share = retry_share;
-        relay.acts = vec![
-            (0, 0, Act::Faults(1_000)),
-            (0, 1, Act::Faults(1_000)),
-            (0, 2, Act::Faults(1_000)),
+        relay.events = vec![
+            (0, 0, TargetEvent::SetFailures(1_000)),
+            (0, 1, TargetEvent::SetFailures(1_000)),
+            (0, 2, TargetEvent::SetFailures(1_000)),
         ];
         let report = run_trial(&relay, program, shortfalls)?;
         let total = report.total();
-        let max_attempts = 1.0 + retry_share + 12.0 / total.asked.max(1) as f64;
-        say!(
+        let max_attempts = 1.0 + retry_share + 12.0 / total.issued.max(1) as f64;
+        print_line!(
             "  share {retry_share:.1}: {:.3} of at most {max_attempts:.3}; {:.1}% in time",
-            report.tries,
-            report.in_time() * 100.0
+            report.attempts_per_request,
+            report.on_time_share() * 100.0
         );
-        if report.tries > max_attempts {
+        if report.attempts_per_request > max_attempts {
             shortfalls.push(format!(
                 "{:.3} attempts per request where the budget allows {max_attempts:.3}",
-                report.tries
+                report.attempts_per_request
             ));
         }
     }
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -1,11 +1,11 @@
 //! `cleatpulley check service`: operators beside crowds, upgrades under load, and the same from seeds.
 
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
-use cleatpulley_emulators::callers::Front;
-use cleatpulley_emulators::host::look;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::host::with_lock;
 use cleatpulley_emulators::site::Setup;
-use cleatpulley_emulators::trial::{Going, Load, Report, Trial};
-use cleatpulley_simulator::plan::{Fault, Plan, Planned};
+use cleatpulley_emulators::trial::{Load, Report, RunningTrial, Trial};
+use cleatpulley_simulator::plan::{Fault, Plan, PlannedFault};
 use cleatpulley_simulator::seeds;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -57,34 +57,34 @@
 fn trial(share: f64, seconds: u64, processes: usize, seed: u64) -> Trial {
     let site = Setup {
         seed,
-        processes,
+        runtime_address_count: processes,
         ..Setup::default()
     };
     let load = |front, part: f64| Load {
-        front,
+        protocol: front,
         rates: vec![(seconds * SECOND, part * share * site.capacity())],
-        connections: if front == Front::Frames { 4 } else { 64 },
-        body: 64,
+        connections: if front == Protocol::Frames { 4 } else { 64 },
+        body_bytes: 64,
         key_field: None,
     };
-    let loads = vec![load(Front::Frames, 0.7), load(Front::Ajp, 0.3)];
+    let loads = vec![load(Protocol::Frames, 0.7), load(Protocol::Ajp, 0.3)];
     Trial {
         site,
         loads,
-        ajp: String::new(),
-        outside: String::new(),
-        leave_at: None,
+        ajp_options: String::new(),
+        operator_sections: String::new(),
+        terminate_at: None,
     }
 }
 
 /// Waits until all callers have their answers, and judges.
-fn judged(mut going: Going) -> Report {
+fn judged(mut going: RunningTrial) -> Report {
     let until = Instant::now() + Duration::from_secs(20);
-    let done = |going: &Going| {
+    let done = |going: &RunningTrial| {
         going
             .callers
             .iter()
-            .all(|callers| look(callers, |callers| callers.is_done()))
+            .all(|callers| with_lock(callers, |callers| callers.is_done()))
     };
     while !done(&going) && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(10));
@@ -95,7 +95,7 @@
 fn served(report: &Report) -> f64 {
     let (mut asked, mut in_time) = (0, 0);
     for (.., tally) in &report.tallies {
-        (asked, in_time) = (asked + tally.asked, in_time + tally.in_time);
+        (asked, in_time) = (asked + tally.issued, in_time + tally.on_time);
     }
     100.0 * in_time as f64 / asked.max(1) as f64
 }
@@ -104,7 +104,7 @@
     report
         .tallies
         .iter()
-        .map(|(.., tally)| tally.lost + tally.unreachable)
+        .map(|(.., tally)| tally.unanswered + tally.not_sent)
         .sum()
 }
 
@@ -156,7 +156,7 @@
         let begun = Instant::now();
         while begun.elapsed() < ASKED {
             let asked = Instant::now();
-            match going.matcher.ask("/_vars") {
+            match going.matcher.get("/_vars") {
                 Ok((200, _)) => times.push(asked.elapsed().as_secs_f64() * 1e3),
                 _ => failed += 1,
             }
@@ -166,20 +166,20 @@
     });
     times.sort_by(f64::total_cmp);
     let (p50, p99, worst) = (at(&times, 0.5), at(&times, 0.99), at(&times, 1.0));
-    say!(
-        "operators at 110% load beside {CROWD} silent connections at each address ({} opened): {} answers, median {p50:.2} ms, \
+    print_line!(
+"operators at 110% load beside {CROWD} silent connections at each address ({} opened): {} answers, median {p50:.2} ms, \
          p99 {p99:.2} ms, worst {worst:.2} ms, {failed} without an answer",
-        opened.load(Ordering::Relaxed),
-        times.len()
-    );
+opened.load(Ordering::Relaxed),
+times.len()
+);
     if failed > 0 || p99 > GOAL_MS {
         short.push(format!(
-            "operators: p99 {p99:.1} ms and {failed} without an answer, {GOAL_MS} ms and 0 are the goals"
-        ));
+"operators: p99 {p99:.1} ms and {failed} without an answer, {GOAL_MS} ms and 0 are the goals"
+));
     }
     let report = judged(going);
     // Callers whose connection the crowd kept out are no matter of the rules here.
-    say!(
+    print_line!(
         "  meanwhile {:.1}% of the clients' requests in time",
         served(&report)
     );
@@ -199,24 +199,24 @@
     for (front, class, tally) in report
         .tallies
         .iter()
-        .filter(|(.., t)| t.lost + t.unreachable > 0)
+        .filter(|(.., t)| t.unanswered + t.not_sent > 0)
     {
-        say!(
+        print_line!(
             "  {front} {class}: {} lost, {} refused a connection",
-            tally.lost,
-            tally.unreachable
+            tally.unanswered,
+            tally.not_sent
         );
     }
-    say!(
-        "{UPGRADES} upgrades in a row at 80% load: {} requests ended at the door, {:.1}% in time, yes after {} ms and left after \
+    print_line!(
+"{UPGRADES} upgrades in a row at 80% load: {} requests ended at the door, {:.1}% in time, yes after {} ms and left after \
          {} ms at most, rules: {}",
-        door(&report),
-        served(&report),
-        ready.as_millis(),
-        left.as_millis(),
-        if report.broken.is_empty() { "all held".to_owned() } else { report.broken.join("; ") }
-    );
-    if door(&report) > 0 || !report.broken.is_empty() {
+door(&report),
+served(&report),
+ready.as_millis(),
+left.as_millis(),
+if report.violations.is_empty() { "all held".to_owned() } else { report.violations.join("; ") }
+);
+    if door(&report) > 0 || !report.violations.is_empty() {
         short.push(format!(
             "{} requests ended at the door in {UPGRADES} upgrades",
             door(&report)
@@ -249,12 +249,12 @@
             Ok(())
         })?;
         let pairs = PAIRS.count() as f64;
-        say!(
-            "ten seconds round an upgrade at {:.0}% load, {pairs} pairs: {:.2}% in time, {:.2}% in the same seconds without one",
-            share * 100.0,
-            with / pairs,
-            without / pairs
-        );
+        print_line!(
+"ten seconds round an upgrade at {:.0}% load, {pairs} pairs: {:.2}% in time, {:.2}% in the same seconds without one",
+share * 100.0,
+with / pairs,
+without / pairs
+);
         if lost / pairs > GOAL_POINTS {
             short.push(format!(
                 "an upgrade at {:.0}% load costs {:.2} points",
@@ -273,23 +273,23 @@
 }
 
 fn played(short: &mut Vec<String>) {
-    let summary = seeds::run(Plan::of, 1, SEEDS, jobs(), false, || (), |_| ());
-    let met = |name: &str| summary.met.get(name).map_or(0, |(times, _)| *times);
-    say!(
-        "{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
+    let summary = seeds::run(Plan::from_seed, 1, SEEDS, jobs(), false, || (), |_| ());
+    let met = |name: &str| summary.coverage.get(name).map_or(0, |(times, _)| *times);
+    print_line!(
+"{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
          {} broke a rule",
-        met("upgrade"),
-        met("left to its successor"),
-        met("the new process dies before it is believed") + met("the new process dies after the old one was told to leave"),
-        met("the old process dies in an upgrade"),
-        met("a third process while the first still answers"),
-        summary.failed.len()
-    );
+met("upgrade"),
+met("left to its successor"),
+met("the new process dies before it is believed") + met("the new process dies after the old one was told to leave"),
+met("the old process dies in an upgrade"),
+met("a third process while the first still answers"),
+summary.failed.len()
+);
     for outcome in &summary.failed {
         short.push(format!(
             "seed {}: {}",
             outcome.seed,
-            outcome.broken.join("; ")
+            outcome.violations.join("; ")
         ));
     }
 }
@@ -297,17 +297,17 @@
 /// The same seeds with two upgrades each, once with what the predecessor has learned and once without, as it is torn.
 fn learned() {
     let of = |seed: u64, torn: bool, load: f64| {
-        let mut plan = Plan::of(seed);
-        let (matcher, lasts) = (0, 0);
-        let upgrade = |at| Planned {
+        let mut plan = Plan::from_seed(seed);
+        let (matcher, duration) = (0, 0);
+        let upgrade = |at| PlannedFault {
             at,
-            lasts,
+            duration,
             matcher,
             fault: Fault::Upgrade(None),
         };
-        let tear = |at| Planned {
+        let tear = |at| PlannedFault {
             at,
-            lasts,
+            duration,
             matcher,
             fault: Fault::Torn,
         };
@@ -317,7 +317,7 @@
             plan.faults.extend(times.map(|at| tear(at - 1)));
             plan.faults.sort_by_key(|planned| planned.at);
         }
-        (plan.matchers, plan.load, plan.asks) = (1, load, 6 * SECOND);
+        (plan.matchers, plan.load, plan.request_duration) = (1, load, 6 * SECOND);
         plan
     };
     for load in [0.8, 1.0, 1.2] {
@@ -348,12 +348,12 @@
             .map(|one| (one - mean).powi(2))
             .sum::<f64>()
             / (number - 1.0);
-        say!(
-            "what was learned passed on, {PAIRED} seeds with two upgrades at {:.0}% load, each with and without: {mean:+.3} points of \
+        print_line!(
+"what was learned passed on, {PAIRED} seeds with two upgrades at {:.0}% load, each with and without: {mean:+.3} points of \
              tries served, standard error {:.3}",
-            load * 100.0,
-            (spread / number).sqrt()
-        );
+load * 100.0,
+(spread / number).sqrt()
+);
     }
 }
 
@@ -367,14 +367,14 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(Plan::of, 1, WITHIN, jobs(), true, prepare, |_| ());
+        let summary = seeds::run(Plan::from_seed, 1, WITHIN, jobs(), true, prepare, |_| ());
         match summary.failed.first() {
             Some(first) => found.push(format!("{bug:?} {}", first.seed)),
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
         }
     }
     inject_bug(None);
-    say!(
+    print_line!(
         "injected bugs found, with the first seed: {}",
         found.join(", ")
     );
--- a/src/commands/routes.rs
+++ b/src/commands/routes.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley routes`: imports nginx configurations, explains and compares their routing, and checks expectations on it.
 
 use clap::Subcommand;
-use cleatpulley::nginx::{load, Disk};
+use cleatpulley::nginx::{load_routes, LocalFiles};
 use cleatpulley::operator;
 use cleatpulley_routes::diff::{describe_decision, diff_routes};
 use cleatpulley_routes::expectations::{check_expectations, Coverage, ExpectationFile, Outcome};
@@ -128,7 +128,7 @@
                     DirectiveSupport::Ignored => ("passed over", ""),
                     DirectiveSupport::Unsupported(reason) => ("refused", *reason),
                 };
-                say!(
+                print_line!(
                     "{}",
                     format!("{name:32} {contexts:5} {label:12} {reason}").trim_end()
                 );
@@ -141,12 +141,15 @@
 fn import(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let show = |routes: &cleatpulley_routes::model::Routes| -> Result<ExitCode, String> {
         if as_json {
-            say!(
+            print_line!(
                 "{}",
                 serde_json::to_string_pretty(routes).map_err(|e| e.to_string())?
             );
         } else {
-            routes.to_lines().iter().for_each(|line| say!("{line}"));
+            routes
+                .to_lines()
+                .iter()
+                .for_each(|line| print_line!("{line}"));
         }
         Ok(ExitCode::SUCCESS)
     };
@@ -154,10 +157,10 @@
         .extension()
         .is_some_and(|extension| extension == "json")
     {
-        return show(&load(file)?);
+        return show(&load_routes(file)?);
     }
     let name = file.to_str().ok_or("the file name is not valid UTF-8")?;
-    let import = Import::read(&Disk, name);
+    let import = Import::read(&LocalFiles, name);
     for diagnostic in &import.diagnostics {
         eprintln!("{}", diagnostic.render());
     }
@@ -175,37 +178,40 @@
 }
 
 fn explain(file: &Path, request: &RouteRequest<'_>, as_json: bool) -> Result<ExitCode, String> {
-    let router = Router::new(&load(file)?)?;
+    let router = Router::new(&load_routes(file)?)?;
     let (decision, steps) = router.explain(request)?;
     let destination = describe_decision(&Ok(decision));
     if as_json {
-        say!("{}", json!({ "weighed": steps, "comes_to": destination }));
+        print_line!("{}", json!({ "weighed": steps, "comes_to": destination }));
     } else {
-        steps.iter().for_each(|line| say!("{line}"));
-        say!("comes to: {destination}");
+        steps.iter().for_each(|line| print_line!("{line}"));
+        print_line!("comes to: {destination}");
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn diff(old: &Path, new: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let difference = diff_routes(&load(old)?, &load(new)?)?;
+    let difference = diff_routes(&load_routes(old)?, &load_routes(new)?)?;
     if as_json {
-        say!(
+        print_line!(
             "{}",
             serde_json::to_string(&difference).map_err(|e| e.to_string())?
         );
     } else {
         for change in &difference.rerouted {
-            say!("- {}", change.before);
-            say!("+ {}", change.after);
-            say!(
+            print_line!("- {}", change.before);
+            print_line!("+ {}", change.after);
+            print_line!(
                 "    such as {} ({} of those tried)",
                 change.example,
                 change.count
             );
         }
-        difference.pools.iter().for_each(|line| say!("pool {line}"));
-        say!("{} requests tried", difference.probe_count);
+        difference
+            .pools
+            .iter()
+            .for_each(|line| print_line!("pool {line}"));
+        print_line!("{} requests tried", difference.probe_count);
     }
     Ok(if difference.is_empty() {
         ExitCode::SUCCESS
@@ -215,7 +221,7 @@
 }
 
 fn check(file: &Path, expectations: &Path, as_json: bool) -> Result<ExitCode, String> {
-    let routes = load(file)?;
+    let routes = load_routes(file)?;
     let text = operator::evaluate(expectations).map_err(|e| e.to_string())?;
     let mut reader = serde_json::Deserializer::from_str(&text);
     let expectation_file: ExpectationFile =
@@ -233,10 +239,12 @@
         .parent()
         .map(Path::to_owned)
         .unwrap_or_default();
-    let reports = check_expectations(&routes, &expectation_file, &|name| load(&folder.join(name)))?;
+    let reports = check_expectations(&routes, &expectation_file, &|name| {
+        load_routes(&folder.join(name))
+    })?;
     for report in &reports {
         if as_json {
-            say!(
+            print_line!(
                 "{}",
                 serde_json::to_string(report).map_err(|e| e.to_string())?
             );
@@ -244,17 +252,17 @@
         }
         let request_count = report.requests_checked;
         match &report.outcome {
-            Outcome::Holds(Coverage::Proven) => say!("holds    {}: proven", report.name),
+            Outcome::Holds(Coverage::Proven) => print_line!("holds    {}: proven", report.name),
             Outcome::Holds(Coverage::Sampled) => {
-                say!(
+                print_line!(
                     "holds    {}: for {request_count} requests that were tried",
                     report.name
                 )
             }
             Outcome::Broken { example, count } => {
-                say!("broken   {}: {example} ({count} found)", report.name)
+                print_line!("broken   {}: {example} ({count} found)", report.name)
             }
-            Outcome::Vacuous(reason) => say!("vacuous  {}: {reason}", report.name),
+            Outcome::Vacuous(reason) => print_line!("vacuous  {}: {reason}", report.name),
         }
     }
     let all_hold = reports
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,9 +1,9 @@
 //! Runs a gateway process in front of emulated targets that die, drain, slow down and fail, and in front of a real matcher
 //! that speaks AJP.
 
-use cleatpulley_emulators::callers::Front;
+use cleatpulley_emulators::callers::Protocol;
+use cleatpulley_emulators::gateway_trial::{GatewayTrial, Report, TargetEvent};
 use cleatpulley_emulators::matcher::Matcher;
-use cleatpulley_emulators::relay::{Act, Relay, Report};
 use cleatpulley_emulators::site::{Setup as SiteSetup, Site};
 use cleatpulley_emulators::target::Setup;
 use std::path::PathBuf;
@@ -16,40 +16,40 @@
     PathBuf::from(env!("CARGO_BIN_EXE_cleatpulley"))
 }
 
-fn relay(load: f64, seconds: u64) -> Relay {
+fn relay(load: f64, seconds: u64) -> GatewayTrial {
     let setup = Setup {
         workers: 4,
-        work: (10 * MS, 30 * MS),
-        patience: 120 * MS,
-        later: 50 * MS,
+        run_time: (10 * MS, 30 * MS),
+        max_wait: 120 * MS,
+        retry_after: 50 * MS,
         seed: 3,
     };
-    let mut relay = Relay {
+    let mut relay = GatewayTrial {
         targets: 4,
         setup,
-        way: "least_conn;".to_owned(),
-        words: "max_fails=2 fail_timeout=500ms".to_owned(),
-        next: "error timeout http_503 http_500".to_owned(),
+        balancing: "least_conn;".to_owned(),
+        server_options: "max_fails=2 fail_timeout=500ms".to_owned(),
+        next_upstream: "error timeout http_503 http_500".to_owned(),
         retry_share: 0.2,
         rates: Vec::new(),
-        time: seconds * 1_000 * MS,
-        acts: Vec::new(),
-        reroute_at: None,
-        leave_at: None,
+        duration: seconds * 1_000 * MS,
+        events: Vec::new(),
+        reload_at: None,
+        terminate_at: None,
         seed: 12,
     };
     let rate = relay.capacity() * load / 2.0;
-    relay.rates = vec![(Front::Frames, rate), (Front::Ajp, rate)];
+    relay.rates = vec![(Protocol::Frames, rate), (Protocol::Ajp, rate)];
     relay
 }
 
 /// Serializes the trials under load: in parallel they would overload the cores of a small machine.
 static LOAD_TRIAL: Mutex<()> = Mutex::new(());
 
-fn run_trial(relay: &Relay) -> Report {
+fn run_trial(relay: &GatewayTrial) -> Report {
     let _guard = LOAD_TRIAL.lock().unwrap_or_else(PoisonError::into_inner);
-    let report = relay.play(&program()).expect("the trial runs");
-    assert_eq!(report.broken, Vec::<String>::new(), "{report:#?}");
+    let report = relay.run(&program()).expect("the trial runs");
+    assert_eq!(report.violations, Vec::<String>::new(), "{report:#?}");
     report
 }
 
@@ -59,24 +59,24 @@
 #[test]
 fn each_request_is_answered_once_while_targets_die_drain_and_slow_down() {
     let mut relay = relay(0.9, 4);
-    relay.acts = vec![
-        (700 * MS, 0, Act::Kill),
-        (1_400 * MS, 0, Act::Revive),
-        (1_700 * MS, 1, Act::Drain(true)),
-        (2_300 * MS, 1, Act::Drain(false)),
-        (2_500 * MS, 2, Act::Slow(5.0)),
-        (3_200 * MS, 2, Act::Slow(1.0)),
-        (3_300 * MS, 3, Act::Kill),
+    relay.events = vec![
+        (700 * MS, 0, TargetEvent::Kill),
+        (1_400 * MS, 0, TargetEvent::Restart),
+        (1_700 * MS, 1, TargetEvent::SetDraining(true)),
+        (2_300 * MS, 1, TargetEvent::SetDraining(false)),
+        (2_500 * MS, 2, TargetEvent::SetSlowdown(5.0)),
+        (3_200 * MS, 2, TargetEvent::SetSlowdown(1.0)),
+        (3_300 * MS, 3, TargetEvent::Kill),
     ];
     let report = run_trial(&relay);
     let total = report.total();
     // Guards against a trial in which nothing fails, or nothing is served.
     assert!(
-        total.in_time * 2 > total.asked && total.asked > 1_000,
+        total.on_time * 2 > total.issued && total.issued > 1_000,
         "{report:#?}"
     );
     assert!(
-        total.refused_bare + total.refused_with_time + total.failed > 0,
+        total.rejected_without_retry_after + total.rejected_with_retry_after + total.failed > 0,
         "{report:#?}"
     );
 }
@@ -85,24 +85,27 @@
 #[test]
 fn retries_stay_within_the_budget_while_targets_fail() {
     let mut relay = relay(0.5, 3);
-    relay.acts = vec![(0, 0, Act::Faults(1_000)), (0, 1, Act::Faults(1_000))];
+    relay.events = vec![
+        (0, 0, TargetEvent::SetFailures(1_000)),
+        (0, 1, TargetEvent::SetFailures(1_000)),
+    ];
     let report = run_trial(&relay);
     let total = report.total();
     // The retry share, and the retries that the budget begins with.
-    let max_attempts = 1.2 + 12.0 / total.asked as f64;
+    let max_attempts = 1.2 + 12.0 / total.issued as f64;
     assert!(
-        report.tries > 1.02 && report.tries <= max_attempts,
+        report.attempts_per_request > 1.02 && report.attempts_per_request <= max_attempts,
         "{} attempts for each request",
-        report.tries
+        report.attempts_per_request
     );
     assert!(total.failed > 0);
     // With a retry share of zero there are no retries beyond those that the budget begins with.
     relay.retry_share = 0.0;
     let report = run_trial(&relay);
     assert!(
-        report.tries <= 1.0 + 12.0 / report.total().asked as f64,
+        report.attempts_per_request <= 1.0 + 12.0 / report.total().issued as f64,
         "{}",
-        report.tries
+        report.attempts_per_request
     );
 }
 
@@ -110,11 +113,11 @@
 #[test]
 fn reload_under_load_fails_no_request() {
     let mut relay = relay(0.35, 3);
-    relay.reroute_at = Some((1_200 * MS, 2));
+    relay.reload_at = Some((1_200 * MS, 2));
     let report = run_trial(&relay);
     let total = report.total();
     assert!(
-        total.failed == 0 && total.in_time * 10 > total.asked * 8,
+        total.failed == 0 && total.on_time * 10 > total.issued * 8,
         "{report:#?}"
     );
     assert!(
@@ -128,25 +131,26 @@
 #[test]
 fn shutdown_under_load_answers_the_requests_that_were_read() {
     let mut relay = relay(0.6, 3);
-    relay.leave_at = Some(1_500 * MS);
+    relay.terminate_at = Some(1_500 * MS);
     let report = run_trial(&relay);
-    assert!(report.total().in_time > 500, "{report:#?}");
+    assert!(report.total().on_time > 500, "{report:#?}");
 }
 
 /// Requests by AJP go through a gateway that speaks AJP to a real matcher.
 #[test]
 fn real_matcher_behind_a_gateway_serves_over_ajp() {
     let site = Site::start(SiteSetup::default()).expect("a site");
-    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator("", "")))
+    let matcher = Matcher::start(&program(), &site.config, Some(&site.operator_file("", "")))
         .expect("the process starts");
     let at = matcher.ajp.expect("an AJP address");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n    location /lobby-view { set $matcher_class lobby-view; proxy_pass http://m; }\n    location /old { return 301 /seats; }\n}\n";
     let operator = format!(
-        "{{ gateway: {{ frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, routes: 'nginx.conf', \
+"{{ gateway: {{ frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, routes: 'nginx.conf', \
          targets: {{ protocol: 'ajp', names: {{ 'm7.portmore.example.org:9000': '{at}' }} }}, \
          classes: {{ 'claim-seat': {{ deadline_ms: 3900, effect: true }}, 'lobby-view': {{ deadline_ms: 6500, effect: false }} }} }} }}"
-    );
-    let gateway = Matcher::gateway(&program(), routes, &operator).expect("the process starts");
+);
+    let gateway =
+        Matcher::start_gateway(&program(), routes, &operator).expect("the process starts");
     let gateway_address = gateway.ajp.expect("an AJP address").to_string();
     let request = |path: &str, id: &str| {
         let id = format!("X-Request-Id:{id}");
@@ -266,9 +270,9 @@
     std::fs::write(&file, text).expect("file is written");
     let site = Site::start(SiteSetup::default()).expect("a site");
     let operator = format!(
-        "{{ ajp: {{ listen: ['127.0.0.1:0'], routes_from: '{}', figures: {{ id: 'X-Request-Id' }} }} }}",
-        file.display()
-    );
+"{{ ajp: {{ listen: ['127.0.0.1:0'], routes_from: '{}', figures: {{ id: 'X-Request-Id' }} }} }}",
+file.display()
+);
     let matcher =
         Matcher::start(&program(), &site.config, Some(&operator)).expect("the process starts");
     let at = matcher.ajp.expect("an AJP address").to_string();
