--- a/crates/emulators/src/callers.rs
+++ b/crates/emulators/src/callers.rs
@@ -1,5 +1,6 @@
-//! Callers that ask on a schedule, whatever is answered: front ends by frames, proxies by AJP. They keep books of
-//! their own, apart from the matcher's, from which the rules are judged.
+//! Open-loop callers, which send requests on a schedule independent of the responses: front ends
+//! that speak frames and proxies that speak AJP. They keep records of their own, independent of the
+//! matcher's, by which the rules are checked.
 
 use crate::runtime::result_of;
 use crate::{ConnectionId, Effect, Service};
@@ -13,15 +14,15 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// With a changed share, the longest gap without a look at it.
-const LOOK: Micros = 50_000;
+/// Longest interval between two reads of the rate share while it is not 1.
+const RATE_SHARE_CHECK_INTERVAL: Micros = 50_000;
 
-/// What callers speak.
+/// Protocol that callers speak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protocol {
-    /// Frames, many requests on a connection.
+    /// Frames, with many concurrent requests on a connection.
     Frames,
-    /// AJP, one request at a time on a connection.
+    /// AJP, with one request at a time on a connection.
     Ajp,
 }
 
@@ -34,86 +35,88 @@
     }
 }
 
-/// A class as its callers see it.
+/// A request class as its callers see it.
 #[derive(Debug, Clone)]
 pub struct CallerClass {
-    /// Its name; by AJP its path is a slash and this.
+    /// Name of the class; its path in AJP is a slash and this name.
     pub name: String,
-    /// Share of the requests.
+    /// Relative share of the requests.
     pub share: f64,
-    /// The hint of its work, in microseconds.
+    /// Expected work that requests state, in microseconds.
     pub work: Micros,
-    /// An answer is wanted within this time.
+    /// Time within which a response counts as on time.
     pub latency_objective: Micros,
-    /// A final answer is owed within this time.
+    /// Time within which a final response is due.
     pub deadline: Micros,
 }
 
-/// What callers do.
+/// Load that a group of callers generates.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// What they speak.
+    /// Protocol that the callers speak.
     pub protocol: Protocol,
-    /// Where the matcher listens for it.
+    /// Address on which the matcher listens for this protocol.
     pub address: SocketAddr,
-    /// Connections at most.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Requests a second, each until this time after the beginning.
+    /// Requests per second, each rate until this time after the start.
     pub rates: Vec<(Micros, f64)>,
-    /// The classes.
+    /// Request classes.
     pub classes: Vec<CallerClass>,
-    /// Bytes of a body.
+    /// Size of a request body in bytes.
     pub body_bytes: usize,
-    /// A secret, for AJP.
+    /// AJP secret.
     pub secret: Option<String>,
-    /// Numbers of callers.
+    /// Range from which caller numbers are drawn.
     pub caller_numbers: std::ops::Range<u64>,
-    /// An answer may come so much later than it is owed.
+    /// Tolerance after the deadline before a response counts as overdue.
     pub deadline_slack: Micros,
-    /// Each request brings a key of its own: in this field of frames, or in the header `Idempotency-Key`.
+    /// If set, each request has an idempotency key of its own: in this field of frames, or in the
+    /// AJP header `Idempotency-Key`.
     pub key_field: Option<String>,
-    /// Gaps between requests are drawn, and not even.
+    /// Whether intervals between requests are exponentially distributed instead of constant.
     pub random_intervals: bool,
-    /// For random numbers; two plans of one run need two seeds.
+    /// Seed of the random numbers; plans of one run need different seeds.
     pub seed: u64,
 }
 
-/// What became of the requests of a class.
+/// Counts of the requests of a class by outcome.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Sent.
+    /// Requests issued.
     pub issued: u64,
-    /// Served within the wanted time.
+    /// Served within the latency objective.
     pub on_time: u64,
-    /// Served later.
+    /// Served after the latency objective.
     pub late: u64,
-    /// Turned away, with the time to come back.
+    /// Rejected with a retry-after time.
     pub rejected_with_retry_after: u64,
-    /// Turned away without.
+    /// Rejected without a retry-after time.
     pub rejected_without_retry_after: u64,
-    /// Refused within a tenth of the wanted time.
+    /// Rejected within a tenth of the latency objective.
     pub rejected_early: u64,
     /// Failed.
     pub failed: u64,
-    /// Not answered, though their connection stood or was accepted.
+    /// Requests without a response whose connection had been established or accepted.
     pub unanswered: u64,
-    /// Their connection was refused: nothing ran.
+    /// Requests whose connection was refused, or for which no connection was free: none of them
+    /// ran.
     pub not_sent: u64,
-    /// Answered after the time that an answer is owed in.
+    /// Answered after the deadline and its tolerance.
     pub overdue: u64,
-    /// Served with something that no run made for them.
+    /// Served with a result that is not that of the request, or answered by a malformed response.
     pub wrong_result: u64,
 }
 
 impl Tally {
-    /// Requests that have come to an end, whichever.
+    /// Returns the number of requests that have ended, with any outcome.
     #[must_use]
     pub fn ended(&self) -> u64 {
         let refused = self.rejected_with_retry_after + self.rejected_without_retry_after;
         self.on_time + self.late + refused + self.failed + self.unanswered + self.not_sent
     }
 
-    /// Adds another's figures.
+    /// Adds the counts of another tally.
     pub fn add(&mut self, other: &Self) {
         self.issued += other.issued;
         self.on_time += other.on_time;
@@ -130,81 +133,81 @@
 }
 
 #[derive(Debug, Clone)]
-struct Asked {
+struct OpenRequest {
     id: u64,
-    kind: usize,
-    at: Micros,
-    /// It crossed the end of its connection once already.
-    again: bool,
+    class: usize,
+    scheduled_at: Micros,
+    /// Whether the request was already sent a second time, after its connection had ended.
+    retried: bool,
 }
 
-struct FrameLink {
-    up: bool,
-    gone: bool,
+struct FrameConnection {
+    established: bool,
+    goodbye_received: bool,
     input: Vec<u8>,
-    open: BTreeMap<u32, Asked>,
-    streams: u32,
-    /// Sent once the connection stands.
-    waiting: Vec<u8>,
+    open: BTreeMap<u32, OpenRequest>,
+    last_stream: u32,
+    /// Bytes to send once the connection is established.
+    unsent: Vec<u8>,
 }
 
-struct AjpLink {
+struct AjpConnection {
     client: Client,
     input: Vec<u8>,
-    asked: Option<Asked>,
-    /// When that was sent, on a connection that had carried one before.
+    request: Option<OpenRequest>,
+    /// Time at which the open request was sent, if the connection had carried one before.
     reused_at: Option<Micros>,
-    waiting: Vec<u8>,
-    up: bool,
+    unsent: Vec<u8>,
+    established: bool,
 }
 
-/// The callers.
+/// The callers of a load plan, as a state machine.
 pub struct Callers {
     plan: LoadPlan,
-    begin: Micros,
+    start: Micros,
     next_at: Option<Micros>,
-    /// Of the rate, so much is sent.
-    share: f64,
-    /// At the next time nothing is sent: it is only looked at again.
-    looks: bool,
+    /// Share of the planned rate at which requests are issued.
+    rate_share: f64,
+    /// Whether nothing is issued at `next_at`, where only the rate share is read again.
+    skip_next_request: bool,
     random: SmallRng,
-    links: ConnectionId,
-    frames: BTreeMap<ConnectionId, FrameLink>,
-    ajp: HashMap<ConnectionId, AjpLink>,
+    last_connection_id: ConnectionId,
+    frames: BTreeMap<ConnectionId, FrameConnection>,
+    ajp: HashMap<ConnectionId, AjpConnection>,
     idle: Vec<ConnectionId>,
-    queue: VecDeque<Asked>,
-    /// By class.
+    queue: VecDeque<OpenRequest>,
+    /// Outcomes by class.
     pub tallies: Vec<Tally>,
-    /// Answers that belong to no open request.
+    /// Responses that belong to no open request.
     pub unmatched_responses: u64,
-    /// Latencies of what was served, by class, from the time it was meant to be sent.
+    /// Latencies of served requests by class, from the scheduled send time.
     pub latencies: Vec<Vec<Micros>>,
-    /// Ids turned away, which must never have run.
+    /// Ids of rejected requests, which must never have run.
     pub rejected_ids: Vec<u64>,
-    /// Ids without an answer whose connection had stood.
+    /// Ids of requests without a response whose connection had been established.
     pub unanswered_ids: Vec<u64>,
-    /// All ids, and when they were meant to be sent.
+    /// All request ids with their scheduled send times.
     pub sent_requests: Vec<(u64, Micros)>,
-    /// Ids of the first class.
-    firsts: Vec<u64>,
-    over: bool,
+    /// Ids of the requests of the first class.
+    first_class_ids: Vec<u64>,
+    finished: bool,
 }
 
 impl Callers {
-    /// Callers that begin at this time.
+    /// Creates callers that start sending at this time.
     #[must_use]
-    pub fn new(plan: LoadPlan, begin: Micros) -> Self {
+    pub fn new(plan: LoadPlan, start: Micros) -> Self {
         let tallies = vec![Tally::default(); plan.classes.len()];
         let latencies = vec![Vec::new(); plan.classes.len()];
         let random = SmallRng::seed_from_u64(plan.seed);
         Self {
             plan,
-            begin,
-            next_at: Some(begin),
-            share: 1.0,
-            looks: false,
+            start,
+            next_at: Some(start),
+            rate_share: 1.0,
+            skip_next_request: false,
             random,
-            links: 1,
+            last_connection_id: 1,
             frames: BTreeMap::new(),
             ajp: HashMap::new(),
             idle: Vec::new(),
@@ -215,71 +218,79 @@
             rejected_ids: Vec::new(),
             unanswered_ids: Vec::new(),
             sent_requests: Vec::new(),
-            firsts: Vec::new(),
-            over: false,
+            first_class_ids: Vec::new(),
+            finished: false,
         }
     }
 
-    /// What they do.
+    /// Returns the load plan.
     #[must_use]
     pub fn plan(&self) -> &LoadPlan {
         &self.plan
     }
 
-    /// From now on so much of the rate is sent; it may be more than all. Gaps have to be random.
+    /// Sets the share of the planned rate at which requests are issued; it may exceed 1. Requires
+    /// random intervals.
     pub fn set_rate_share(&mut self, share: f64) {
-        self.share = share.max(0.0);
-        self.looks |= self.share == 0.0;
+        self.rate_share = share.max(0.0);
+        self.skip_next_request |= self.rate_share == 0.0;
     }
 
-    /// Nothing more is sent, and nothing is waited for.
+    /// Returns whether all requests were issued and none is open.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.next_at.is_none() && self.open_requests() == 0
     }
 
-    /// Requests without an answer so far.
+    /// Returns the number of requests that have no response yet.
     #[must_use]
     pub fn open_requests(&self) -> usize {
-        let frames: usize = self.frames.values().map(|link| link.open.len()).sum();
+        let frames: usize = self
+            .frames
+            .values()
+            .map(|connection| connection.open.len())
+            .sum();
         frames
             + self
                 .ajp
                 .values()
-                .filter(|link| link.asked.is_some())
+                .filter(|connection| connection.request.is_some())
                 .count()
             + self.queue.len()
     }
 
-    /// Ids of the first class, which in trials of a gateway has an effect.
+    /// Returns the ids of the requests of the first class, which has an effect in gateway trials.
     #[must_use]
     pub fn first_class_ids(&self) -> &[u64] {
-        &self.firsts
+        &self.first_class_ids
     }
 
-    /// Sends nothing more.
+    /// Issues no further requests.
     pub fn stop(&mut self) {
         self.next_at = None;
     }
 
-    /// Counts what has no answer as lost; nothing more is taken.
+    /// Issues no further requests, and counts open ones as unanswered.
     pub fn finish(&mut self) {
         self.next_at = None;
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.finished, true) {
             return;
         }
         let frames = self
             .frames
             .values_mut()
-            .flat_map(|link| std::mem::take(&mut link.open).into_values());
-        let ajp = self.ajp.values_mut().filter_map(|link| link.asked.take());
-        for asked in frames.chain(ajp).chain(self.queue.drain(..)) {
-            self.tallies[asked.kind].unanswered += 1;
-            self.unanswered_ids.push(asked.id);
+            .flat_map(|connection| std::mem::take(&mut connection.open).into_values());
+        let ajp = self
+            .ajp
+            .values_mut()
+            .filter_map(|connection| connection.request.take());
+        for request in frames.chain(ajp).chain(self.queue.drain(..)) {
+            self.tallies[request.class].unanswered += 1;
+            self.unanswered_ids.push(request.id);
         }
     }
 
-    /// All classes together.
+    /// Returns the sum of all classes.
     #[must_use]
     pub fn total(&self) -> Tally {
         let mut total = Tally::default();
@@ -288,7 +299,7 @@
     }
 
     fn rate(&self, now: Micros) -> Option<f64> {
-        let since = now.saturating_sub(self.begin);
+        let since = now.saturating_sub(self.start);
         self.plan
             .rates
             .iter()
@@ -296,83 +307,88 @@
             .map(|(_, rate)| *rate)
     }
 
-    fn ask(&mut self, now: Micros, at: Micros, out: &mut Vec<Effect>) {
-        let mut place = self
+    fn issue_request(&mut self, now: Micros, scheduled_at: Micros, out: &mut Vec<Effect>) {
+        let mut draw = self
             .random
-            .random_range(0.0..self.plan.classes.iter().map(|kind| kind.share).sum());
-        let mut kind = 0;
+            .random_range(0.0..self.plan.classes.iter().map(|class| class.share).sum());
+        let mut class = 0;
         for (i, other) in self.plan.classes.iter().enumerate() {
-            kind = i;
-            place -= other.share;
-            if place < 0.0 {
+            class = i;
+            draw -= other.share;
+            if draw < 0.0 {
                 break;
             }
         }
-        let asked = Asked {
+        let request = OpenRequest {
             id: self.random.random(),
-            kind,
-            at,
-            again: false,
+            class,
+            scheduled_at,
+            retried: false,
         };
-        self.tallies[kind].issued += 1;
-        self.sent_requests.push((asked.id, at));
-        if kind == 0 {
-            self.firsts.push(asked.id);
+        self.tallies[class].issued += 1;
+        self.sent_requests.push((request.id, scheduled_at));
+        if class == 0 {
+            self.first_class_ids.push(request.id);
         }
         match self.plan.protocol {
-            Protocol::Frames => self.ask_by_frames(asked, out),
+            Protocol::Frames => self.send_by_frames(request, out),
             Protocol::Ajp => {
-                self.queue.push_back(asked);
-                self.ask_by_ajp(now, out);
+                self.queue.push_back(request);
+                self.send_by_ajp(now, out);
             }
         }
     }
 
-    fn ask_by_frames(&mut self, asked: Asked, out: &mut Vec<Effect>) {
+    fn send_by_frames(&mut self, request: OpenRequest, out: &mut Vec<Effect>) {
         let best = self
             .frames
             .iter()
-            .filter(|(_, link)| !link.gone && link.open.len() < 32);
+            .filter(|(_, connection)| !connection.goodbye_received && connection.open.len() < 32);
         let best = best
-            .min_by_key(|(_, link)| link.open.len())
-            .map(|(link, l)| (*link, l.open.len()));
-        // One that was told to take no more only waits for its last answers: another may take its place.
-        let number = self.frames.values().filter(|link| !link.gone).count();
-        let link = match best {
-            Some((link, open)) if open == 0 || number >= self.plan.connections => link,
+            .min_by_key(|(_, connection)| connection.open.len())
+            .map(|(connection, l)| (*connection, l.open.len()));
+        // A connection that received a goodbye only waits for its last responses and may be
+        // replaced.
+        let number = self
+            .frames
+            .values()
+            .filter(|connection| !connection.goodbye_received)
+            .count();
+        let connection = match best {
+            Some((connection, open)) if open == 0 || number >= self.plan.connections => connection,
             _ if number < self.plan.connections => {
-                self.links += 2;
-                out.push(Effect::Connect(self.links, self.plan.address));
-                let fresh = FrameLink {
-                    up: false,
-                    gone: false,
+                self.last_connection_id += 2;
+                out.push(Effect::Connect(self.last_connection_id, self.plan.address));
+                let new_connection = FrameConnection {
+                    established: false,
+                    goodbye_received: false,
                     input: Vec::new(),
                     open: BTreeMap::new(),
-                    streams: 0,
-                    waiting: Vec::new(),
+                    last_stream: 0,
+                    unsent: Vec::new(),
                 };
-                self.frames.insert(self.links, fresh);
-                self.links
+                self.frames.insert(self.last_connection_id, new_connection);
+                self.last_connection_id
             }
-            // No place: this request is never sent, as a front end would do.
+            // All connections are at their limit: the request is dropped, as a front end would do.
             _ => {
-                self.tallies[asked.kind].not_sent += 1;
+                self.tallies[request.class].not_sent += 1;
                 return;
             }
         };
-        let kind = &self.plan.classes[asked.kind];
+        let class = &self.plan.classes[request.class];
         let caller = self.random.random_range(self.plan.caller_numbers.clone());
         let rank: f64 = self.random.random_range(0.0..0.99);
-        let Some(line) = self.frames.get_mut(&link) else {
+        let Some(state) = self.frames.get_mut(&connection) else {
             return;
         };
-        line.streams += 1;
+        state.last_stream += 1;
         let mut fields = vec![
-            ("verb", kind.name.clone()),
-            ("txn", format!("{:016x}", asked.id)),
-            ("door", (asked.at / 1_000).to_string()),
+            ("verb", class.name.clone()),
+            ("txn", format!("{:016x}", request.id)),
+            ("door", (request.scheduled_at / 1_000).to_string()),
             ("lb", caller.to_string()),
-            ("cpu", format!("{:.2}", kind.work as f64 / 1_000.0)),
+            ("cpu", format!("{:.2}", class.work as f64 / 1_000.0)),
             ("ram", "20".to_owned()),
             ("standing", format!("{rank:.4}")),
         ];
@@ -380,57 +396,61 @@
             self.plan
                 .key_field
                 .as_deref()
-                .map(|field| (field, format!("{:016x}", asked.id))),
+                .map(|field| (field, format!("{:016x}", request.id))),
         );
-        let frame = request_frame(line.streams, &fields, &vec![b'.'; self.plan.body_bytes]);
-        line.open.insert(line.streams, asked);
-        send_or_buffer(link, line.up, &mut line.waiting, frame, out);
+        let frame = request_frame(
+            state.last_stream,
+            &fields,
+            &vec![b'.'; self.plan.body_bytes],
+        );
+        state.open.insert(state.last_stream, request);
+        send_or_buffer(connection, state.established, &mut state.unsent, frame, out);
     }
 
-    fn ask_by_ajp(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while let Some(asked) = self.queue.pop_front() {
+    fn send_by_ajp(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        while let Some(request) = self.queue.pop_front() {
             let idle = self.idle.pop();
-            let link = match idle {
-                Some(link) => link,
+            let connection = match idle {
+                Some(connection) => connection,
                 None if self.ajp.len() < self.plan.connections => {
-                    self.links += 2;
-                    out.push(Effect::Connect(self.links, self.plan.address));
+                    self.last_connection_id += 2;
+                    out.push(Effect::Connect(self.last_connection_id, self.plan.address));
                     let options = Options {
                         packet_size: PACKET_SIZE,
                         secret: self.plan.secret.clone(),
                         server: ("matcher".to_owned(), self.plan.address.port()),
                     };
                     let client = Client::new(options, now);
-                    let (input, waiting) = (Vec::new(), Vec::new());
-                    let fresh = AjpLink {
+                    let (input, unsent) = (Vec::new(), Vec::new());
+                    let new_connection = AjpConnection {
                         client,
                         input,
-                        asked: None,
+                        request: None,
                         reused_at: None,
-                        waiting,
-                        up: false,
+                        unsent,
+                        established: false,
                     };
-                    self.ajp.insert(self.links, fresh);
-                    self.links
+                    self.ajp.insert(self.last_connection_id, new_connection);
+                    self.last_connection_id
                 }
                 None => {
-                    self.queue.push_front(asked);
+                    self.queue.push_front(request);
                     return;
                 }
             };
-            let kind = &self.plan.classes[asked.kind];
+            let class = &self.plan.classes[request.class];
             let caller = self
                 .random
                 .random_range(self.plan.caller_numbers.clone())
                 .to_string();
             let rank = format!("{:.4}", self.random.random_range(0.0..0.99));
             let (id, work) = (
-                format!("{:016x}", asked.id),
-                format!("{:.2}", kind.work as f64 / 1_000.0),
+                format!("{:016x}", request.id),
+                format!("{:.2}", class.work as f64 / 1_000.0),
             );
             let (door, uri, body) = (
-                (asked.at / 1_000).to_string(),
-                format!("/{}", kind.name),
+                (request.scheduled_at / 1_000).to_string(),
+                format!("/{}", class.name),
                 vec![b'.'; self.plan.body_bytes],
             );
             let mut headers = vec![
@@ -445,174 +465,192 @@
             if self.plan.key_field.is_some() {
                 headers.push(("Idempotency-Key", id.as_str()));
             }
-            let request = Request {
+            let ajp_request = Request {
                 method: "POST",
                 uri: &uri,
                 headers: &headers,
                 body: &body,
             };
-            let Some(line) = self.ajp.get_mut(&link) else {
+            let Some(state) = self.ajp.get_mut(&connection) else {
                 continue;
             };
             let mut bytes = Vec::new();
-            // So few headers fit.
-            let _ = line.client.request(now, &request, &mut bytes);
-            line.asked = Some(asked);
-            line.reused_at = idle.map(|_| now);
-            send_or_buffer(link, line.up, &mut line.waiting, bytes, out);
+            // The headers always fit into a packet.
+            let _ = state.client.request(now, &ajp_request, &mut bytes);
+            state.request = Some(request);
+            state.reused_at = idle.map(|_| now);
+            send_or_buffer(connection, state.established, &mut state.unsent, bytes, out);
         }
     }
 
-    fn answered(&mut self, now: Micros, asked: &Asked, answer: ResponseOutcome) {
-        let kind = &self.plan.classes[asked.kind];
-        let tally = &mut self.tallies[asked.kind];
-        let latency = now.saturating_sub(asked.at);
-        if latency > kind.deadline + self.plan.deadline_slack {
+    fn record_outcome(&mut self, now: Micros, request: &OpenRequest, outcome: ResponseOutcome) {
+        let class = &self.plan.classes[request.class];
+        let tally = &mut self.tallies[request.class];
+        let latency = now.saturating_sub(request.scheduled_at);
+        if latency > class.deadline + self.plan.deadline_slack {
             tally.overdue += 1;
         }
-        match answer {
+        match outcome {
             ResponseOutcome::Served(result) => {
-                if result != result_of(asked.id) {
+                if result != result_of(request.id) {
                     tally.wrong_result += 1;
-                } else if latency <= kind.latency_objective {
+                } else if latency <= class.latency_objective {
                     tally.on_time += 1;
                 } else {
                     tally.late += 1;
                 }
-                self.latencies[asked.kind].push(latency);
+                self.latencies[request.class].push(latency);
             }
-            ResponseOutcome::Refused(later) => {
-                if later > 0 {
+            ResponseOutcome::Rejected(retry_after_ms) => {
+                if retry_after_ms > 0 {
                     tally.rejected_with_retry_after += 1;
                 } else {
                     tally.rejected_without_retry_after += 1;
                 }
-                if latency * 10 <= kind.latency_objective {
+                if latency * 10 <= class.latency_objective {
                     tally.rejected_early += 1;
                 }
-                self.rejected_ids.push(asked.id);
+                self.rejected_ids.push(request.id);
             }
             ResponseOutcome::Failed => tally.failed += 1,
         }
     }
 
-    fn frames_came(
+    fn on_frame_data(
         &mut self,
         now: Micros,
-        link: ConnectionId,
+        connection: ConnectionId,
         bytes: &[u8],
         out: &mut Vec<Effect>,
     ) {
-        let Some(line) = self.frames.get_mut(&link) else {
+        let Some(state) = self.frames.get_mut(&connection) else {
             return;
         };
-        line.input.extend_from_slice(bytes);
-        let (answers, stray) = read_responses(&mut line.input, &mut line.open, &mut line.gone);
-        self.unmatched_responses += stray;
-        if line.gone && line.open.is_empty() {
-            self.frames.remove(&link);
-            out.push(Effect::Close(link));
+        state.input.extend_from_slice(bytes);
+        let (responses, unmatched) = read_responses(
+            &mut state.input,
+            &mut state.open,
+            &mut state.goodbye_received,
+        );
+        self.unmatched_responses += unmatched;
+        if state.goodbye_received && state.open.is_empty() {
+            self.frames.remove(&connection);
+            out.push(Effect::Close(connection));
         }
-        for (asked, said) in answers {
-            match said {
-                Some(said) => self.answered(now, &asked, said),
-                None => self.tallies[asked.kind].wrong_result += 1,
+        for (request, outcome) in responses {
+            match outcome {
+                Some(outcome) => self.record_outcome(now, &request, outcome),
+                None => self.tallies[request.class].wrong_result += 1,
             }
         }
     }
 
-    fn ajp_came(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(line) = self.ajp.get_mut(&link) else {
+    fn on_ajp_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(state) = self.ajp.get_mut(&connection) else {
             return;
         };
-        let Ok(response) = read_response(&mut line.client, &mut line.input, bytes, now, link, out)
-        else {
+        let Ok(response) = read_response(
+            &mut state.client,
+            &mut state.input,
+            bytes,
+            now,
+            connection,
+            out,
+        ) else {
             self.unmatched_responses += 1;
-            self.on_close(now, link, out);
+            self.on_close(now, connection, out);
             return;
         };
         if let Some(response) = response {
-            let asked = line.asked.take();
+            let request = state.request.take();
             if response.reuse {
-                self.idle.push(link);
+                self.idle.push(connection);
             } else {
-                self.ajp.remove(&link);
+                self.ajp.remove(&connection);
             }
-            match asked {
-                Some(asked) => {
-                    let said = ajp_response_outcome(&response);
-                    self.answered(now, &asked, said);
+            match request {
+                Some(request) => {
+                    let outcome = ajp_response_outcome(&response);
+                    self.record_outcome(now, &request, outcome);
                 }
                 None => self.unmatched_responses += 1,
             }
-            self.ask_by_ajp(now, out);
+            self.send_by_ajp(now, out);
         }
     }
 }
 
-/// What was sent so shortly before its connection ended without an answer may have crossed that.
-const CROSSING: Micros = 50_000;
+/// A request on a reused connection that was sent this shortly before the connection ended without
+/// a response may have crossed its closing.
+const CLOSE_RACE_WINDOW: Micros = 50_000;
 
-/// What an answer says.
+/// Outcome that a response reports.
 #[derive(Debug)]
 pub enum ResponseOutcome {
-    /// Served with this.
+    /// Served, with this result.
     Served(Vec<u8>),
-    /// With so many milliseconds to stay away.
-    Refused(u64),
+    /// Rejected, with the retry-after time in milliseconds; 0 without one.
+    Rejected(u64),
     /// Failed.
     Failed,
 }
 
-/// Sends, or keeps it until the connection stands.
+/// Sends bytes, or buffers them until the connection is established.
 pub fn send_or_buffer(
-    link: ConnectionId,
-    up: bool,
-    waiting: &mut Vec<u8>,
+    connection: ConnectionId,
+    established: bool,
+    unsent: &mut Vec<u8>,
     bytes: Vec<u8>,
     out: &mut Vec<Effect>,
 ) {
-    if up {
-        out.push(Effect::Send(link, bytes));
+    if established {
+        out.push(Effect::Send(connection, bytes));
     } else {
-        waiting.extend_from_slice(&bytes);
+        unsent.extend_from_slice(&bytes);
     }
 }
 
-/// Takes what came on an AJP connection; returns the response once it is whole. What the connection needs is among the effects:
-/// more of a body, its end after the last response, a reset after what can't be read.
+/// Processes bytes received on an AJP connection; returns the response once it is complete. Pushes
+/// the effects that the connection needs: more of a request body, a close after the last response,
+/// or a reset after a malformed packet.
 ///
 /// # Errors
-/// What can't be read: the connection is reset.
+/// Fails on a malformed packet; the connection is reset.
 pub fn read_response(
     client: &mut Client,
     input: &mut Vec<u8>,
     bytes: &[u8],
     now: Micros,
-    link: ConnectionId,
+    connection: ConnectionId,
     out: &mut Vec<Effect>,
 ) -> Result<Option<Response>, Fault> {
     input.extend_from_slice(bytes);
     let mut more = Vec::new();
     let taken = client.receive(now, input, &mut more);
     if !more.is_empty() {
-        out.push(Effect::Send(link, more));
+        out.push(Effect::Send(connection, more));
     }
-    let used = taken.inspect_err(|_| out.push(Effect::Reset(link)))?;
+    let used = taken.inspect_err(|_| out.push(Effect::Reset(connection)))?;
     input.drain(..used);
     let response = client.take();
     if response.as_ref().is_some_and(|response| !response.reuse) {
-        out.push(Effect::Close(link));
+        out.push(Effect::Close(connection));
     }
     Ok(response)
 }
 
-/// What an AJP response says.
+/// Returns the outcome that an AJP response reports.
 #[must_use]
 pub fn ajp_response_outcome(response: &Response) -> ResponseOutcome {
     match response.status {
         200 => ResponseOutcome::Served(response.body.clone()),
-        503 if response.not_run() => ResponseOutcome::Refused(
+        503 if response.not_run() => ResponseOutcome::Rejected(
             response
                 .header(RETRY_AFTER_MS)
                 .and_then(|ms| ms.parse().ok())
@@ -622,7 +660,7 @@
     }
 }
 
-/// A request as a frame.
+/// Encodes a request as a frame.
 #[must_use]
 pub fn request_frame(stream: u32, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let (mut payload, mut frame) = (Vec::new(), Vec::new());
@@ -632,14 +670,15 @@
     frame
 }
 
-/// Takes whole frames from the front of what a front end's connection has read: the answers to what is open on it, and
-/// how many belong to nothing. It notes the word that no new request may come.
+/// Removes the complete frames from the input of a front end's connection. Returns the responses to
+/// its open requests and the number of frames that belong to none; sets `goodbye_received` on a goodbye, after
+/// which no new request may be sent.
 pub fn read_responses<T>(
     input: &mut Vec<u8>,
     open: &mut BTreeMap<u32, T>,
-    gone: &mut bool,
+    goodbye_received: &mut bool,
 ) -> (Vec<(T, Option<ResponseOutcome>)>, u64) {
-    let (mut used, mut answers, mut stray) = (0, Vec::new(), 0);
+    let (mut used, mut responses, mut unmatched) = (0, Vec::new(), 0);
     while let Parsed::Frame {
         kind,
         stream,
@@ -651,120 +690,136 @@
         used += end;
         match kind {
             codec::ANSWER => match open.remove(&stream) {
-                Some(asked) => answers.push((asked, decode_response(payload))),
-                None => stray += 1,
+                Some(request) => responses.push((request, decode_response(payload))),
+                None => unmatched += 1,
             },
-            codec::GOODBYE => *gone = true,
-            _ => stray += 1,
+            codec::GOODBYE => *goodbye_received = true,
+            _ => unmatched += 1,
         }
     }
     input.drain(..used);
-    (answers, stray)
+    (responses, unmatched)
 }
 
-/// Reads the payload of an answer frame.
+/// Decodes the payload of a response frame.
 #[must_use]
 pub fn decode_response(payload: &[u8]) -> Option<ResponseOutcome> {
     let (&code, mut rest) = payload.split_first()?;
     let (&count, after) = rest.split_first()?;
     rest = after;
-    let mut later = 0;
+    let mut retry_after_ms = 0;
     for _ in 0..count {
         let (&size, after) = rest.split_first()?;
         let (name, after) = after.split_at_checked(usize::from(size))?;
         let (size, after) = after.split_first_chunk()?;
         let (value, after) = after.split_at_checked(usize::from(u16::from_be_bytes(*size)))?;
         if name == b"later" {
-            later = std::str::from_utf8(value).ok()?.parse().ok()?;
+            retry_after_ms = std::str::from_utf8(value).ok()?.parse().ok()?;
         }
         rest = after;
     }
     match code {
         0 => Some(ResponseOutcome::Served(rest.to_vec())),
-        1 => Some(ResponseOutcome::Refused(later)),
+        1 => Some(ResponseOutcome::Rejected(retry_after_ms)),
         2 => Some(ResponseOutcome::Failed),
         _ => None,
     }
 }
 
 impl Service for Callers {
-    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
-        let waiting = if let Some(line) = self.frames.get_mut(&link) {
-            line.up = true;
-            std::mem::take(&mut line.waiting)
-        } else if let Some(line) = self.ajp.get_mut(&link) {
-            line.up = true;
-            std::mem::take(&mut line.waiting)
+    fn on_open(&mut self, _: Micros, connection: ConnectionId, out: &mut Vec<Effect>) {
+        let unsent = if let Some(state) = self.frames.get_mut(&connection) {
+            state.established = true;
+            std::mem::take(&mut state.unsent)
+        } else if let Some(state) = self.ajp.get_mut(&connection) {
+            state.established = true;
+            std::mem::take(&mut state.unsent)
         } else {
             return;
         };
-        out.push(Effect::Send(link, waiting));
+        out.push(Effect::Send(connection, unsent));
     }
 
-    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         match self.plan.protocol {
-            Protocol::Frames => self.frames_came(now, link, bytes, out),
-            Protocol::Ajp => self.ajp_came(now, link, bytes, out),
+            Protocol::Frames => self.on_frame_data(now, connection, bytes, out),
+            Protocol::Ajp => self.on_ajp_data(now, connection, bytes, out),
         }
     }
 
-    fn on_close(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
-        self.idle.retain(|idle| *idle != link);
-        let mut lost = Vec::new();
-        let mut up = true;
-        if let Some(line) = self.frames.remove(&link) {
-            up = line.up;
-            lost.extend(line.open.into_values());
+    fn on_close(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Effect>) {
+        self.idle.retain(|idle| *idle != connection);
+        let mut unanswered = Vec::new();
+        let mut established = true;
+        if let Some(state) = self.frames.remove(&connection) {
+            established = state.established;
+            unanswered.extend(state.open.into_values());
         }
-        if let Some(line) = self.ajp.remove(&link) {
-            up = line.up;
-            match line.asked {
-                // AJP has no word to part: what crosses the end of an idle connection is sent once more, as by frames.
-                Some(asked)
-                    if !asked.again && line.reused_at.is_some_and(|at| now < at + CROSSING) =>
+        if let Some(state) = self.ajp.remove(&connection) {
+            established = state.established;
+            match state.request {
+                // AJP has no goodbye: a request that crosses the closing of an idle connection is
+                // sent once more, as with frames.
+                Some(request)
+                    if !request.retried
+                        && state
+                            .reused_at
+                            .is_some_and(|scheduled_at| now < scheduled_at + CLOSE_RACE_WINDOW) =>
                 {
-                    self.queue.push_front(Asked {
-                        again: true,
-                        ..asked
+                    self.queue.push_front(OpenRequest {
+                        retried: true,
+                        ..request
                     });
                 }
-                asked => lost.extend(asked),
+                request => unanswered.extend(request),
             }
         }
-        for asked in lost {
-            let tally = &mut self.tallies[asked.kind];
-            if up {
+        for request in unanswered {
+            let tally = &mut self.tallies[request.class];
+            if established {
                 tally.unanswered += 1;
-                self.unanswered_ids.push(asked.id);
+                self.unanswered_ids.push(request.id);
             } else {
                 tally.not_sent += 1;
             }
         }
         if self.plan.protocol == Protocol::Ajp {
-            self.ask_by_ajp(now, out);
+            self.send_by_ajp(now, out);
         }
     }
 
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while let Some(at) = self.next_at.filter(|at| *at <= now) {
-            let Some(rate) = self.rate(at) else {
+        while let Some(scheduled_at) = self.next_at.filter(|scheduled_at| *scheduled_at <= now) {
+            let Some(rate) = self.rate(scheduled_at) else {
                 self.next_at = None;
                 return;
             };
-            if !std::mem::take(&mut self.looks) {
-                self.ask(now, at, out);
+            if !std::mem::take(&mut self.skip_next_request) {
+                self.issue_request(now, scheduled_at, out);
             }
-            let mean = 1e6 / (rate * self.share).max(0.001);
+            let mean = 1e6 / (rate * self.rate_share).max(0.001);
             let draw: f64 = self.random.random_range(1e-9..1.0);
             let gap = if self.plan.random_intervals {
                 -draw.ln() * mean
             } else {
                 mean
             };
-            // The share may change before a long gap is over; a random one may begin anew at any time.
-            self.looks = self.share != 1.0 && gap > LOOK as f64;
-            let gap = if self.looks { LOOK } else { gap as Micros };
-            self.next_at = Some(at + gap.max(1));
+            // The rate share may change during a long interval; an exponential one may be drawn
+            // anew at any time without changing the distribution.
+            self.skip_next_request =
+                self.rate_share != 1.0 && gap > RATE_SHARE_CHECK_INTERVAL as f64;
+            let gap = if self.skip_next_request {
+                RATE_SHARE_CHECK_INTERVAL
+            } else {
+                gap as Micros
+            };
+            self.next_at = Some(scheduled_at + gap.max(1));
         }
     }
 
--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program that hear of each other, with folders as hosts and [`Wires`] between them: started,
-//! killed, stopped for a while, cut off and restarted by a test, and told as one timeline.
+//! Processes of the program that form a cluster, each with a folder in place of a host and with
+//! [`DatagramProxies`] between them. A test starts, kills, pauses, isolates and restarts them, and
+//! their steps are merged into one timeline.
 
 use crate::datagram_proxy::DatagramProxies;
 use crate::matcher::Matcher;
@@ -14,22 +15,22 @@
 
 struct Node {
     process: Option<Matcher>,
-    /// Where others reach it.
-    reached: SocketAddr,
-    /// The logs of its former lives.
-    before: Vec<String>,
+    /// Address on which the other processes reach it.
+    advertised: SocketAddr,
+    /// Log lines of its earlier processes, which were killed.
+    earlier_log: Vec<String>,
     folder: PathBuf,
 }
 
-/// The processes; all are ended when this is dropped.
+/// The processes of a cluster; all are killed when this is dropped.
 pub struct Cluster {
     program: PathBuf,
-    /// What lies between them.
+    /// The datagram proxies between the processes.
     pub network: DatagramProxies,
     nodes: BTreeMap<String, Node>,
     folder: PathBuf,
-    /// Added to the section of each, such as `probe_ms: 100`.
-    section: String,
+    /// Settings added to the `cluster` section of each process, such as `probe_ms: 100`.
+    cluster_settings: String,
     steps: Vec<Step>,
 }
 
@@ -41,11 +42,11 @@
 }
 
 impl Cluster {
-    /// None yet.
+    /// Creates a cluster without processes.
     ///
     /// # Errors
-    /// Where no folder can be had.
-    pub fn new(program: &Path, section: &str, seed: u64) -> io::Result<Self> {
+    /// Fails when its folder can't be created.
+    pub fn new(program: &Path, cluster_settings: &str, seed: u64) -> io::Result<Self> {
         static NUMBER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!(
@@ -62,24 +63,24 @@
             network: DatagramProxies::new(seed),
             nodes: BTreeMap::new(),
             folder,
-            section: section.to_owned(),
+            cluster_settings: cluster_settings.to_owned(),
             steps: Vec::new(),
         })
     }
 
-    /// Starts so many gateways, each of which is told of the first three.
+    /// Starts this many gateways, each configured with the first three as contacts.
     ///
     /// # Errors
-    /// Where one does not start.
+    /// Fails when one of them does not start.
     pub fn start_gateways(&mut self, count: usize) -> io::Result<Vec<String>> {
         let names: Vec<String> = (1..=count).map(|number| format!("g{number}")).collect();
         for name in &names {
-            let (reached, folder) = (self.network.start_proxy(name)?, self.folder.join(name));
+            let (advertised, folder) = (self.network.start_proxy(name)?, self.folder.join(name));
             std::fs::create_dir_all(&folder)?;
             let node = Node {
                 process: None,
-                reached,
-                before: Vec::new(),
+                advertised,
+                earlier_log: Vec::new(),
                 folder,
             };
             self.nodes.insert(name.clone(), node);
@@ -90,42 +91,42 @@
         Ok(names)
     }
 
-    /// Starts a process that is not there, on the folder that its former lives had.
+    /// Starts a process that does not run, on the folder of its earlier processes.
     ///
     /// # Errors
-    /// Where it does not start; its log is part of what is told.
+    /// Fails when it does not start; the error contains its log.
     pub fn start(&mut self, name: &str) -> io::Result<()> {
         self.add_step(name, "starts");
         let contacts: Vec<String> = self
             .nodes
             .values()
             .take(3)
-            .map(|node| format!("'{}'", node.reached))
+            .map(|node| format!("'{}'", node.advertised))
             .collect();
         let node = self
             .nodes
             .get_mut(name)
-            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
+            .ok_or_else(|| io::Error::other(format!("no process {name}")))?;
         let operator = format!(
             "{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
              routes: 'nginx.conf', classes: {{ a: {{ deadline_ms: 1000, effect: false }} }}, stop_ms: 4000 }}, \
              cluster: {{ listen: '127.0.0.1:0', advertise: '{}', contacts: [{}], zone: 'mona', host: '{name}', \
              keys: '{}', folder: '{}', {} }} }}",
-            node.reached,
+            node.advertised,
             contacts.join(", "),
             self.folder.join("cluster.keys").display(),
             node.folder.display(),
-            self.section,
+            self.cluster_settings,
         );
         let mut process = Matcher::start_gateway(&self.program, ROUTES, &operator)?;
         let line = process.wait_for_log("hears on ")?;
-        let at = line
+        let address = line
             .split("hears on ")
             .nth(1)
-            .and_then(|at| at.trim().parse().ok());
+            .and_then(|address| address.trim().parse().ok());
         self.network.set_address(
             name,
-            at.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))?,
+            address.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))?,
         );
         node.process = Some(process);
         Ok(())
@@ -135,91 +136,91 @@
         let node = self
             .nodes
             .get_mut(name)
-            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
+            .ok_or_else(|| io::Error::other(format!("no process {name}")))?;
         node.process
             .as_mut()
             .ok_or_else(|| io::Error::other(format!("{name} does not run")))
     }
 
-    /// Writes a step of the test's own.
-    pub fn add_step(&mut self, node: &str, what: &str) {
+    /// Adds a step of the test itself to the timeline.
+    pub fn add_step(&mut self, node: &str, step_name: &str) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |t| t.as_micros() as u64);
-        self.steps.push(Step::new(now, node, what));
+        self.steps.push(Step::new(now, node, step_name));
     }
 
-    /// KillTrial it.
+    /// Kills a process.
     ///
     /// # Errors
-    /// Where it does not run.
+    /// Fails when the process does not run.
     pub fn kill(&mut self, name: &str) -> io::Result<()> {
         self.add_step(name, "dies");
         self.process(name)?.kill();
         let node = self
             .nodes
             .get_mut(name)
-            .ok_or_else(|| io::Error::other(format!("no {name}")))?;
+            .ok_or_else(|| io::Error::other(format!("no process {name}")))?;
         if let Some(process) = node.process.take() {
-            node.before.extend(process.log());
+            node.earlier_log.extend(process.log());
         }
         Ok(())
     }
 
-    /// Lets it stand still.
+    /// Pauses a process with SIGSTOP.
     ///
     /// # Errors
-    /// Where it does not run.
+    /// Fails when the process does not run.
     pub fn pause(&mut self, name: &str) -> io::Result<()> {
         self.add_step(name, "stands still");
         self.process(name)?.pause()
     }
 
-    /// Lets it go on.
+    /// Resumes a paused process.
     ///
     /// # Errors
-    /// Where it does not run.
+    /// Fails when the process does not run.
     pub fn resume(&mut self, name: &str) -> io::Result<()> {
         self.add_step(name, "goes on");
         self.process(name)?.resume()
     }
 
-    /// The notice to leave.
+    /// Sends a process SIGTERM.
     ///
     /// # Errors
-    /// Where it does not run.
+    /// Fails when the process does not run.
     pub fn terminate(&mut self, name: &str) -> io::Result<()> {
         self.add_step(name, "is told to leave");
         self.process(name)?.terminate();
         Ok(())
     }
 
-    /// How often a step stands in the log of a process, in all its lives.
+    /// Returns how often a step occurs in the log of a process, including its earlier processes.
     #[must_use]
-    pub fn count_steps(&self, name: &str, what: &str) -> usize {
+    pub fn count_steps(&self, name: &str, step_name: &str) -> usize {
         let steps = self.steps_of(name);
-        steps.iter().filter(|step| step.what == what).count()
+        steps.iter().filter(|step| step.what == step_name).count()
     }
 
-    /// Waits until each of these has done that so many times.
+    /// Waits until the log of each of these processes has the step this many times.
     ///
     /// # Errors
-    /// Where one does not, with all that was done.
+    /// Fails after the timeout; the error contains the timeline.
     pub fn wait_for(
         &self,
         names: &[&str],
-        what: &str,
+        step_name: &str,
         times: usize,
-        patience: Duration,
+        timeout: Duration,
     ) -> io::Result<()> {
-        let since = std::time::Instant::now();
+        let started = std::time::Instant::now();
         while !names
             .iter()
-            .all(|name| self.count_steps(name, what) >= times)
+            .all(|name| self.count_steps(name, step_name) >= times)
         {
-            if since.elapsed() > patience {
+            if started.elapsed() > timeout {
                 return Err(io::Error::other(format!(
-                    "not all did {what:?} {times} times:\n{}",
+                    "not all processes have the step {step_name:?} {times} times:\n{}",
                     self.timeline().draw()
                 )));
             }
@@ -233,13 +234,13 @@
             return Vec::new();
         };
         let log = node.process.as_ref().map(Matcher::log).unwrap_or_default();
-        let lines = node.before.iter().chain(&log);
+        let lines = node.earlier_log.iter().chain(&log);
         lines
             .filter_map(|line| Step::read(line).ok().flatten())
             .collect()
     }
 
-    /// All that was done.
+    /// Returns the timeline of all steps.
     #[must_use]
     pub fn timeline(&self) -> Timeline {
         let mut steps = self.steps.clone();
--- a/crates/emulators/src/gateway_trial.rs
+++ b/crates/emulators/src/gateway_trial.rs
@@ -1,5 +1,5 @@
-//! A trial of a gateway: targets that die, drain, slow down and fail before it, callers by frames and AJP, and the rules
-//! judged from the books of targets and callers alone.
+//! Trials of a gateway with targets that die, drain, slow down and fail, and with callers that
+//! speak frames and AJP. The rules are checked from the records of targets and callers alone.
 
 use crate::callers::{CallerClass, Callers, LoadPlan, Protocol, Tally};
 use crate::host::{shared, with_lock, Clock, Host};
@@ -13,80 +13,81 @@
 
 const MS: Micros = 1_000;
 
-/// What happens to a target.
+/// A scripted event at a target.
 #[derive(Debug, Clone, Copy)]
 pub enum TargetEvent {
-    /// It dies.
+    /// Kills the target.
     Kill,
-    /// It comes back.
+    /// Starts it again on its old port.
     Restart,
-    /// It drains, or takes requests again.
+    /// Starts or ends draining.
     SetDraining(bool),
-    /// Its runs take so many times longer.
+    /// Sets the factor by which its runs take longer.
     SetSlowdown(f64),
-    /// Of a thousand runs so many fail.
+    /// Sets how many of each thousand runs fail.
     SetFailures(u32),
 }
 
-/// A trial.
+/// A trial of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayTrial {
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// How each works.
+    /// Configuration of each target.
     pub setup: Setup,
-    /// Added to the upstream block, such as `least_conn;`.
+    /// Directives added to the upstream block, such as `least_conn;`.
     pub balancing: String,
-    /// Added to each target's line, such as `max_fails=2`.
+    /// Parameters added to the `server` line of each target, such as `max_fails=2`.
     pub server_options: String,
-    /// Outcomes after which another target is tried.
+    /// Conditions of `proxy_next_upstream`, under which a request is retried at another target.
     pub next_upstream: String,
-    /// Further tries for each first try.
+    /// Maximum number of retries, as a share of first attempts.
     pub retry_share: f64,
-    /// Requests a second by each front.
+    /// Requests per second in each protocol.
     pub rates: Vec<(Protocol, f64)>,
-    /// For so long.
+    /// Time for which requests are sent.
     pub duration: Micros,
-    /// What happens, when and to which target.
+    /// Events, each with its time after the start and the index of its target.
     pub events: Vec<(Micros, usize, TargetEvent)>,
-    /// The gateway gets a table of the first so many targets alone.
+    /// Time after the start at which the gateway's routes are reduced to this number of first
+    /// targets.
     pub reload_at: Option<(Micros, usize)>,
-    /// The notice to leave comes to the gateway this long after the beginning.
+    /// Time after the start at which the gateway receives SIGTERM.
     pub terminate_at: Option<Micros>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a trial.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// By front.
+    /// Outcomes by protocol.
     pub tallies: Vec<(Protocol, Tally)>,
-    /// Rules that were broken.
+    /// Rule violations.
     pub violations: Vec<String>,
-    /// Requests that came to targets, for each that was asked.
+    /// Requests received by targets, per request issued.
     pub attempts_per_request: f64,
-    /// The share that each target ran, of all runs.
+    /// Share of all runs that each target had.
     pub shares: Vec<f64>,
-    /// Latency of what was served, at the middle and at 99 of 100, in ms.
+    /// Median and 99th percentile latency of served requests, in milliseconds.
     pub latency_ms: (f64, f64),
-    /// CPU of the gateway for each request, in microseconds.
+    /// CPU time of the gateway per request issued, in microseconds.
     pub cpu_per_request: f64,
-    /// Its memory at the peak, in KB.
+    /// Peak resident memory of the gateway, in KB.
     pub memory_kb: u64,
-    /// The last lines of its log.
+    /// Log of the gateway.
     pub log: Vec<String>,
 }
 
 impl Report {
-    /// Share served in time, of what was asked.
+    /// Returns the share of issued requests that were served on time.
     #[must_use]
     pub fn on_time_share(&self) -> f64 {
         let total = self.total();
         total.on_time as f64 / total.issued.max(1) as f64
     }
 
-    /// All fronts together.
+    /// Returns the sum of all protocols.
     #[must_use]
     pub fn total(&self) -> Tally {
         let mut total = Tally::default();
@@ -95,20 +96,20 @@
     }
 }
 
-/// The classes: one with an effect, and one that is safe.
-fn kinds() -> Vec<CallerClass> {
-    let kind = |name: &str, share| CallerClass {
+/// Returns the request classes: one with an effect, and one that is safe to retry.
+fn classes() -> Vec<CallerClass> {
+    let class = |name: &str, share| CallerClass {
         name: name.to_owned(),
         share,
         work: 20 * MS,
         latency_objective: 400 * MS,
         deadline: 1_500 * MS,
     };
-    vec![kind("claim-seat", 0.4), kind("lobby-view", 0.6)]
+    vec![class("claim-seat", 0.4), class("lobby-view", 0.6)]
 }
 
 impl GatewayTrial {
-    /// Requests a second that all targets can do.
+    /// Returns the requests per second that all targets together can serve.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let mean = (self.setup.run_time.0 + self.setup.run_time.1) as f64 / 2.0;
@@ -141,13 +142,13 @@
         )
     }
 
-    /// Plays it.
+    /// Runs the trial.
     ///
     /// # Errors
-    /// Where something does not start.
+    /// Fails when something does not start.
     pub fn run(&self, program: &Path) -> io::Result<Report> {
         let clock = Clock::default();
-        let place = |number: usize| {
+        let start_target = |number: usize| {
             TargetServer::start(
                 Setup {
                     seed: self.seed + number as u64,
@@ -157,25 +158,25 @@
             )
         };
         let mut targets = (0..self.targets)
-            .map(place)
+            .map(start_target)
             .collect::<io::Result<Vec<_>>>()?;
         let mut gateway =
             Matcher::start_gateway(program, &self.routes(&targets, 0), &self.operator())?;
-        let begin = clock.now() + 50 * MS;
-        let (mut host, mut all) = (Host::default(), Vec::new());
-        for (number, (front, rate)) in self.rates.iter().enumerate() {
-            let to = match front {
+        let start = clock.now() + 50 * MS;
+        let (mut host, mut all_callers) = (Host::default(), Vec::new());
+        for (number, (protocol, rate)) in self.rates.iter().enumerate() {
+            let address = match protocol {
                 Protocol::Frames => gateway.frames,
                 Protocol::Ajp => gateway
                     .ajp
-                    .ok_or_else(|| io::Error::other("the gateway speaks no AJP"))?,
+                    .ok_or_else(|| io::Error::other("the gateway does not listen for AJP"))?,
             };
             let plan = LoadPlan {
-                protocol: *front,
-                address: to,
+                protocol: *protocol,
+                address,
                 connections: 128,
                 rates: vec![(self.duration, *rate)],
-                classes: kinds(),
+                classes: classes(),
                 body_bytes: 64,
                 secret: None,
                 caller_numbers: 1..5,
@@ -184,20 +185,20 @@
                 random_intervals: true,
                 seed: self.seed * 100 + number as u64,
             };
-            let callers = shared(Callers::new(plan, begin));
+            let callers = shared(Callers::new(plan, start));
             host.add(callers.clone());
-            all.push(callers);
+            all_callers.push(callers);
         }
         let host = host.start(clock)?;
-        let mut acts = self.events.clone();
-        acts.sort_by_key(|(at, ..)| *at);
-        let mut acts = acts.into_iter().peekable();
-        let (mut left, mut used) = (false, (0, 0));
-        let (mut rerouted, mut came_at) = (false, Vec::new());
+        let mut pending_events = self.events.clone();
+        pending_events.sort_by_key(|(at, ..)| *at);
+        let mut pending_events = pending_events.into_iter().peekable();
+        let (mut terminated, mut resource_peaks) = (false, (0, 0));
+        let (mut routes_reloaded, mut received_at_reload) = (false, Vec::new());
         loop {
-            let now = clock.now().saturating_sub(begin);
-            while let Some((_, target, act)) = acts.next_if(|(at, ..)| *at <= now) {
-                match act {
+            let now = clock.now().saturating_sub(start);
+            while let Some((_, target, event)) = pending_events.next_if(|(at, ..)| *at <= now) {
+                match event {
                     TargetEvent::Kill => targets[target].kill(),
                     TargetEvent::Restart => targets[target].restart()?,
                     TargetEvent::SetDraining(draining) => {
@@ -215,23 +216,26 @@
                     }
                 }
             }
-            if let Some((_, first)) = self.reload_at.filter(|(at, _)| !rerouted && now >= *at) {
-                rerouted = true;
+            if let Some((_, first)) = self
+                .reload_at
+                .filter(|(at, _)| !routes_reloaded && now >= *at)
+            {
+                routes_reloaded = true;
                 gateway.reload_routes(&self.routes(&targets[..first], 1))?;
                 gateway.wait_for_log("routes read again")?;
-                came_at = targets
+                received_at_reload = targets
                     .iter()
                     .map(|target| with_lock(&target.target, |target| target.received))
                     .collect();
             }
-            if !left && self.terminate_at.is_some_and(|at| now >= at) {
-                left = true;
+            if !terminated && self.terminate_at.is_some_and(|at| now >= at) {
+                terminated = true;
                 gateway.terminate();
             }
             if let (Some((_, peak)), Some(cpu)) = (gateway.memory_kb(), gateway.cpu_micros()) {
-                used = (peak.max(used.0), cpu.max(used.1));
+                resource_peaks = (peak.max(resource_peaks.0), cpu.max(resource_peaks.1));
             }
-            let done = all
+            let done = all_callers
                 .iter()
                 .all(|callers| with_lock(callers, |callers| callers.is_done()));
             if now >= self.duration && done || now >= self.duration + 3_000 * MS {
@@ -240,96 +244,99 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let mut report = Report {
-            memory_kb: used.0,
+            memory_kb: resource_peaks.0,
             ..Report::default()
         };
-        let mut broken = |number: u64, what: &str| {
+        let mut add_violation = |number: u64, what: &str| {
             if number > 0 {
                 report.violations.push(format!("{number} {what}"));
             }
         };
-        if left {
+        if terminated {
             let status = gateway.wait_for_exit(Duration::from_secs(6));
-            broken(
+            add_violation(
                 u64::from(!status.is_ok_and(|status| status.success())),
-                "gateway did not leave well",
+                "gateway did not exit successfully",
             );
         } else {
-            broken(u64::from(!gateway.is_alive()), "gateway ended by itself");
+            add_violation(u64::from(!gateway.is_alive()), "gateway exited by itself");
         }
         drop(host);
         let mut runs: HashMap<u64, u32> = HashMap::new();
-        let mut own = Vec::new();
-        let mut came = 0;
+        let mut runs_by_target = Vec::new();
+        let mut received = 0;
         for target in &targets {
             with_lock(&target.target, |target| {
-                came += target.received;
-                own.push(target.runs.values().sum::<u32>());
+                received += target.received;
+                runs_by_target.push(target.runs.values().sum::<u32>());
                 for (id, count) in &target.runs {
                     *runs.entry(*id).or_default() += count;
                 }
             });
         }
         if let Some((_, first)) = self.reload_at {
-            // What was on its way as the table changed may still have come.
-            let after = |(target, came): (&TargetServer, &u64)| {
-                with_lock(&target.target, |target| target.received) > came + 2
+            // A few requests may have been in flight when the routes changed.
+            let received_more = |(target, received): (&TargetServer, &u64)| {
+                with_lock(&target.target, |target| target.received) > received + 2
             };
-            let still = targets
+            let late_targets = targets
                 .iter()
-                .zip(&came_at)
+                .zip(&received_at_reload)
                 .skip(first)
-                .filter(|pair| after(*pair))
+                .filter(|pair| received_more(*pair))
                 .count();
-            broken(
-                still as u64,
-                "targets that still got requests after they left the table",
+            add_violation(
+                late_targets as u64,
+                "targets that still received requests after their removal from the routes",
             );
         }
         let mut latencies = Vec::new();
-        for callers in &all {
+        for callers in &all_callers {
             with_lock(callers, |callers| {
                 callers.finish();
-                let (total, front) = (callers.total(), callers.plan().protocol);
-                // What crosses the end of an idle connection at a notice to leave may be lost by AJP, and never ran.
-                let crossed = |id: &&u64| left && front == Protocol::Ajp && !runs.contains_key(id);
-                let crossed = callers.unanswered_ids.iter().filter(crossed).count() as u64;
-                broken(
-                    total.unanswered - crossed,
-                    &format!("requests by {front} without an answer"),
+                let (total, protocol) = (callers.total(), callers.plan().protocol);
+                // Over AJP, a request that crosses the closing of an idle connection after SIGTERM
+                // may be lost; it never ran.
+                let lost_at_close =
+                    |id: &&u64| terminated && protocol == Protocol::Ajp && !runs.contains_key(id);
+                let lost_at_close =
+                    callers.unanswered_ids.iter().filter(lost_at_close).count() as u64;
+                add_violation(
+                    total.unanswered - lost_at_close,
+                    &format!("requests by {protocol} without a response"),
                 );
-                broken(
+                add_violation(
                     total.overdue,
-                    &format!("answers by {front} after the due time"),
+                    &format!("responses by {protocol} after the deadline"),
                 );
-                broken(
+                add_violation(
                     total.wrong_result,
-                    &format!("results by {front} that no run made for the request"),
+                    &format!("results by {protocol} that no run of the request produced"),
                 );
-                broken(
+                add_violation(
                     callers.unmatched_responses,
-                    &format!("answers by {front} that nobody asked for"),
+                    &format!("responses by {protocol} that belong to no request"),
                 );
-                let ran = callers
+                let rejected_and_run = callers
                     .rejected_ids
                     .iter()
                     .filter(|id| runs.contains_key(id))
                     .count();
-                broken(
-                    ran as u64,
-                    &format!("requests by {front} turned away that had run"),
+                add_violation(
+                    rejected_and_run as u64,
+                    &format!("requests by {protocol} rejected after they had run"),
                 );
-                let twice = callers
+                let repeated = callers
                     .first_class_ids()
                     .iter()
                     .filter(|id| runs.get(id).is_some_and(|runs| *runs > 1))
                     .count();
-                broken(
-                    twice as u64,
-                    &format!("claim-seat by {front} that ran twice"),
+                add_violation(
+                    repeated as u64,
+                    &format!("claim-seat requests by {protocol} that ran twice"),
                 );
                 latencies.extend(callers.latencies.concat());
-                report.tallies.push((front, total));
+                report.tallies.push((protocol, total));
             });
         }
         latencies.sort_unstable();
@@ -339,11 +346,11 @@
                 .map_or(0.0, |us| *us as f64 / 1e3)
         };
         report.latency_ms = (at(0.5), at(0.99));
-        let asked = report.total().issued.max(1) as f64;
-        report.attempts_per_request = came as f64 / asked;
-        report.cpu_per_request = used.1 as f64 / asked;
-        let all_runs: u32 = own.iter().sum();
-        report.shares = own
+        let issued = report.total().issued.max(1) as f64;
+        report.attempts_per_request = received as f64 / issued;
+        report.cpu_per_request = resource_peaks.1 as f64 / issued;
+        let all_runs: u32 = runs_by_target.iter().sum();
+        report.shares = runs_by_target
             .iter()
             .map(|runs| f64::from(*runs) / f64::from(all_runs.max(1)))
             .collect();
--- a/crates/emulators/src/host.rs
+++ b/crates/emulators/src/host.rs
@@ -1,4 +1,4 @@
-//! Services on loopback sockets: one thread, one poller.
+//! Runs services on loopback sockets, with one thread and one poller.
 
 use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
@@ -12,24 +12,24 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A service that others may look at while it runs.
+/// A service that other threads can access while it runs.
 pub type Shared<S> = Arc<Mutex<S>>;
 
-/// A service that may be looked at.
+/// Wraps a service so that other threads can access it while it runs.
 pub fn shared<S: Service>(service: S) -> Shared<S> {
     Arc::new(Mutex::new(service))
 }
 
-/// Looks at a shared service.
-pub fn with_lock<S: ?Sized, T>(shared: &Mutex<S>, with: impl FnOnce(&mut S) -> T) -> T {
-    with(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
+/// Locks a shared service and calls a closure with it.
+pub fn with_lock<S: ?Sized, T>(shared: &Mutex<S>, access: impl FnOnce(&mut S) -> T) -> T {
+    access(&mut shared.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// Longest wait without a look at whether it is over.
-const BREATH: Micros = 20_000;
-const CHUNK: usize = 65_536;
+/// Longest wait in the poller, after which the thread checks whether it must stop.
+const MAX_POLL_WAIT: Micros = 20_000;
+const READ_BUFFER_BYTES: usize = 65_536;
 
-/// Microseconds of the Unix clock, monotonic from the first use on.
+/// Unix time in microseconds, monotonic from the clock's creation.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     unix: Micros,
@@ -49,44 +49,44 @@
 }
 
 impl Clock {
-    /// The time.
+    /// Returns the current Unix time in microseconds.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.unix + self.start.elapsed().as_micros() as Micros
     }
 }
 
-struct Port {
+struct HostedService {
     service: Arc<Mutex<dyn Service>>,
 }
 
-struct Wire {
+struct ServiceSocket {
     stream: TcpStream,
-    port: usize,
-    link: ConnectionId,
+    service_index: usize,
+    connection: ConnectionId,
     out: Vec<u8>,
     sent: usize,
     connected: bool,
     closing: bool,
 }
 
-/// Services that wait to be started.
+/// Services that are to run on one thread, not yet started.
 #[derive(Default)]
 pub struct Host {
-    ports: Vec<Port>,
-    /// Listeners, each with the port it belongs to and its number among that port's.
-    doors: Vec<(TcpListener, usize, usize)>,
+    services: Vec<HostedService>,
+    /// Listeners, each with the index of its service and its index among that service's listeners.
+    listeners: Vec<(TcpListener, usize, usize)>,
 }
 
-/// A host that runs; it stops when this is dropped.
+/// A running host; it stops when this is dropped.
 pub struct Running {
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -94,291 +94,302 @@
 }
 
 impl Host {
-    /// Adds a service that listens; returns where.
+    /// Adds a service with one listener; returns the listener's address.
     ///
     /// # Errors
-    /// Where the address can't be listened on.
+    /// Fails when the address can't be bound.
     pub fn listen(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         service: Arc<Mutex<dyn Service>>,
     ) -> io::Result<SocketAddr> {
-        self.listen_at(&[at], service).map(|addresses| addresses[0])
+        self.listen_at(&[address], service)
+            .map(|addresses| addresses[0])
     }
 
-    /// Adds a service with several doors; returns where they are.
+    /// Adds a service with several listeners; returns their addresses.
     ///
     /// # Errors
-    /// Where an address can't be listened on.
+    /// Fails when an address can't be bound.
     pub fn listen_at(
         &mut self,
-        at: &[SocketAddr],
+        addresses: &[SocketAddr],
         service: Arc<Mutex<dyn Service>>,
     ) -> io::Result<Vec<SocketAddr>> {
-        let mut addresses = Vec::new();
-        for (door, address) in at.iter().enumerate() {
+        let mut bound_addresses = Vec::new();
+        for (listener_index, address) in addresses.iter().enumerate() {
             let listener = TcpListener::bind(*address)?;
-            addresses.push(listener.local_addr()?);
-            self.doors.push((listener, self.ports.len(), door));
+            bound_addresses.push(listener.local_addr()?);
+            self.listeners
+                .push((listener, self.services.len(), listener_index));
         }
-        self.ports.push(Port { service });
-        Ok(addresses)
+        self.services.push(HostedService { service });
+        Ok(bound_addresses)
     }
 
-    /// Adds a service that only dials.
+    /// Adds a service without listeners, which only opens connections.
     pub fn add(&mut self, service: Arc<Mutex<dyn Service>>) {
-        self.ports.push(Port { service });
+        self.services.push(HostedService { service });
     }
 
-    /// Runs in a thread of its own.
+    /// Starts the services on a thread of their own.
     ///
     /// # Errors
-    /// Where the system has no poller.
+    /// Fails when the system provides no poller.
     pub fn start(mut self, clock: Clock) -> io::Result<Running> {
         let poll = Poll::new()?;
-        for (place, (listener, ..)) in self.doors.iter_mut().enumerate() {
+        for (service_index, (listener, ..)) in self.listeners.iter_mut().enumerate() {
             poll.registry()
-                .register(listener, Token(place), Interest::READABLE)?;
+                .register(listener, Token(service_index), Interest::READABLE)?;
         }
-        let next_key = self.doors.len();
-        let over = Arc::new(AtomicBool::new(false));
-        let mut work = Work {
+        let next_token = self.listeners.len();
+        let stopping = Arc::new(AtomicBool::new(false));
+        let mut event_loop = EventLoop {
             poll,
-            ports: self.ports,
-            doors: self.doors,
-            wires: HashMap::new(),
-            keys: HashMap::new(),
-            next_key,
-            accepted: 0,
+            services: self.services,
+            listeners: self.listeners,
+            sockets: HashMap::new(),
+            tokens: HashMap::new(),
+            next_token,
+            last_accepted_id: 0,
             clock,
-            buffer: vec![0; CHUNK],
+            buffer: vec![0; READ_BUFFER_BYTES],
             effects: Vec::new(),
         };
-        let told = Arc::clone(&over);
+        let stop_requested = Arc::clone(&stopping);
         let thread = std::thread::spawn(move || {
             let mut events = Events::with_capacity(1_024);
-            while !told.load(Ordering::Relaxed) {
-                if work.turn(&mut events).is_err() {
+            while !stop_requested.load(Ordering::Relaxed) {
+                if event_loop.run_once(&mut events).is_err() {
                     return;
                 }
             }
         });
         Ok(Running {
-            over,
+            stopping,
             thread: Some(thread),
         })
     }
 }
 
-struct Work {
+struct EventLoop {
     poll: Poll,
-    ports: Vec<Port>,
-    doors: Vec<(TcpListener, usize, usize)>,
-    wires: HashMap<usize, Wire>,
-    keys: HashMap<(usize, ConnectionId), usize>,
-    next_key: usize,
-    accepted: ConnectionId,
+    services: Vec<HostedService>,
+    listeners: Vec<(TcpListener, usize, usize)>,
+    sockets: HashMap<usize, ServiceSocket>,
+    tokens: HashMap<(usize, ConnectionId), usize>,
+    next_token: usize,
+    last_accepted_id: ConnectionId,
     clock: Clock,
     buffer: Vec<u8>,
     effects: Vec<Effect>,
 }
 
-impl Work {
-    fn turn(&mut self, events: &mut Events) -> io::Result<()> {
+impl EventLoop {
+    fn run_once(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
         let next = self
-            .ports
+            .services
             .iter()
-            .filter_map(|port| with_lock(&port.service, |service| service.next_deadline()))
+            .filter_map(|hosted| with_lock(&hosted.service, |service| service.next_deadline()))
             .min();
-        let wait = next.map_or(BREATH, |at| at.saturating_sub(now)).min(BREATH);
+        let wait = next
+            .map_or(MAX_POLL_WAIT, |deadline| deadline.saturating_sub(now))
+            .min(MAX_POLL_WAIT);
         match self.poll.poll(events, Some(Duration::from_micros(wait))) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
         let now = self.clock.now();
         for event in events.iter() {
-            let Token(key) = event.token();
-            if key < self.doors.len() {
-                self.accept(now, key);
+            let Token(token) = event.token();
+            if token < self.listeners.len() {
+                self.accept(now, token);
             } else {
-                self.ready(now, key, event.is_writable());
+                self.on_readiness(now, token, event.is_writable());
             }
         }
-        for place in 0..self.ports.len() {
-            let due = with_lock(&self.ports[place].service, |service| {
+        for service_index in 0..self.services.len() {
+            let due = with_lock(&self.services[service_index].service, |service| {
                 service.next_deadline()
             })
-            .is_some_and(|at| at <= now);
+            .is_some_and(|deadline| deadline <= now);
             if due {
-                self.tell(place, |service, effects| service.advance(now, effects));
+                self.call_service(service_index, |service, effects| {
+                    service.advance(now, effects);
+                });
             }
         }
         Ok(())
     }
 
-    /// Tells a service something, and carries out what it wants done.
-    fn tell(&mut self, place: usize, what: impl FnOnce(&mut dyn Service, &mut Vec<Effect>)) {
+    /// Calls a service and applies the effects that it requests.
+    fn call_service(
+        &mut self,
+        service_index: usize,
+        call: impl FnOnce(&mut dyn Service, &mut Vec<Effect>),
+    ) {
         let mut effects = std::mem::take(&mut self.effects);
-        with_lock(&self.ports[place].service, |service| {
-            what(service, &mut effects);
+        with_lock(&self.services[service_index].service, |service| {
+            call(service, &mut effects);
         });
         while !effects.is_empty() {
-            let mut lost = Vec::new();
+            let mut failed = Vec::new();
             for effect in effects.drain(..) {
-                lost.extend(self.carry_out(place, effect));
+                failed.extend(self.apply_effect(service_index, effect));
             }
             let now = self.clock.now();
-            for link in lost {
-                with_lock(&self.ports[place].service, |service| {
-                    service.on_close(now, link, &mut effects);
+            for connection in failed {
+                with_lock(&self.services[service_index].service, |service| {
+                    service.on_close(now, connection, &mut effects);
                 });
             }
         }
         self.effects = effects;
     }
 
-    /// Does what a service wants; returns a link that could not be made or broke.
-    fn carry_out(&mut self, place: usize, effect: Effect) -> Option<ConnectionId> {
+    /// Applies an effect; returns the connection if it could not be opened or has failed.
+    fn apply_effect(&mut self, service_index: usize, effect: Effect) -> Option<ConnectionId> {
         match effect {
-            Effect::Send(link, bytes) => {
-                let key = *self.keys.get(&(place, link))?;
-                let wire = self.wires.get_mut(&key)?;
-                wire.out.extend_from_slice(&bytes);
-                if wire.connected && flush(wire).is_err() {
-                    self.drop_wire(key);
-                    return Some(link);
+            Effect::Send(connection, bytes) => {
+                let token = *self.tokens.get(&(service_index, connection))?;
+                let socket = self.sockets.get_mut(&token)?;
+                socket.out.extend_from_slice(&bytes);
+                if socket.connected && flush(socket).is_err() {
+                    self.remove_socket(token);
+                    return Some(connection);
                 }
                 None
             }
-            Effect::Close(link) => {
-                let key = *self.keys.get(&(place, link))?;
-                let wire = self.wires.get_mut(&key)?;
-                wire.closing = true;
-                if wire.sent == wire.out.len() {
-                    self.drop_wire(key);
+            Effect::Close(connection) => {
+                let token = *self.tokens.get(&(service_index, connection))?;
+                let socket = self.sockets.get_mut(&token)?;
+                socket.closing = true;
+                if socket.sent == socket.out.len() {
+                    self.remove_socket(token);
                 }
                 None
             }
-            Effect::Reset(link) => {
-                let key = *self.keys.get(&(place, link))?;
-                if let Some(wire) = self.wires.get(&key) {
-                    let _ = socket2::SockRef::from(&wire.stream).set_linger(Some(Duration::ZERO));
+            Effect::Reset(connection) => {
+                let token = *self.tokens.get(&(service_index, connection))?;
+                if let Some(socket) = self.sockets.get(&token) {
+                    let _ = socket2::SockRef::from(&socket.stream).set_linger(Some(Duration::ZERO));
                 }
-                self.drop_wire(key);
+                self.remove_socket(token);
                 None
             }
-            Effect::Connect(link, address) => match TcpStream::connect(address) {
+            Effect::Connect(connection, address) => match TcpStream::connect(address) {
                 Ok(stream) => self
-                    .add(place, link, stream, false)
+                    .add(service_index, connection, stream, false)
                     .is_none()
-                    .then_some(link),
-                Err(_) => Some(link),
+                    .then_some(connection),
+                Err(_) => Some(connection),
             },
-            Effect::ConnectFrom(link, address, from) => match dial_from(address, from) {
+            Effect::ConnectFrom(connection, address, from) => match connect_from(address, from) {
                 Ok(stream) => self
-                    .add(place, link, stream, false)
+                    .add(service_index, connection, stream, false)
                     .is_none()
-                    .then_some(link),
-                Err(_) => Some(link),
+                    .then_some(connection),
+                Err(_) => Some(connection),
             },
         }
     }
 
     fn add(
         &mut self,
-        port: usize,
-        link: ConnectionId,
+        service_index: usize,
+        connection: ConnectionId,
         mut stream: TcpStream,
         connected: bool,
     ) -> Option<usize> {
-        let key = self.next_key;
-        self.next_key += 1;
+        let token = self.next_token;
+        self.next_token += 1;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll
             .registry()
-            .register(&mut stream, Token(key), interest)
+            .register(&mut stream, Token(token), interest)
             .ok()?;
         let _ = stream.set_nodelay(true);
-        let wire = Wire {
+        let socket = ServiceSocket {
             stream,
-            port,
-            link,
+            service_index,
+            connection,
             out: Vec::new(),
             sent: 0,
             connected,
             closing: false,
         };
-        self.wires.insert(key, wire);
-        self.keys.insert((port, link), key);
-        Some(key)
+        self.sockets.insert(token, socket);
+        self.tokens.insert((service_index, connection), token);
+        Some(token)
     }
 
-    fn drop_wire(&mut self, key: usize) {
-        if let Some(mut wire) = self.wires.remove(&key) {
-            self.keys.remove(&(wire.port, wire.link));
-            let _ = self.poll.registry().deregister(&mut wire.stream);
+    fn remove_socket(&mut self, token: usize) {
+        if let Some(mut socket) = self.sockets.remove(&token) {
+            self.tokens
+                .remove(&(socket.service_index, socket.connection));
+            let _ = self.poll.registry().deregister(&mut socket.stream);
         }
     }
 
-    fn accept(&mut self, now: Micros, key: usize) {
-        let (place, door) = (self.doors[key].1, self.doors[key].2);
-        while let Ok((stream, _)) = self.doors[key].0.accept() {
-            self.accepted += 2;
-            let link = self.accepted;
-            if self.add(place, link, stream, true).is_some() {
-                self.tell(place, |service, effects| {
-                    service.on_accept(now, link, door, effects);
+    fn accept(&mut self, now: Micros, token: usize) {
+        let (service_index, listener_index) = (self.listeners[token].1, self.listeners[token].2);
+        while let Ok((stream, _)) = self.listeners[token].0.accept() {
+            self.last_accepted_id += 2;
+            let connection = self.last_accepted_id;
+            if self.add(service_index, connection, stream, true).is_some() {
+                self.call_service(service_index, |service, effects| {
+                    service.on_accept(now, connection, listener_index, effects);
                 });
             }
         }
     }
 
-    fn ready(&mut self, now: Micros, key: usize, writable: bool) {
-        let Some(wire) = self.wires.get_mut(&key) else {
+    fn on_readiness(&mut self, now: Micros, token: usize, writable: bool) {
+        let Some(socket) = self.sockets.get_mut(&token) else {
             return;
         };
-        let (place, link) = (wire.port, wire.link);
-        if writable && !wire.connected {
-            // The first writability tells how the connecting went.
-            let failed = wire.stream.take_error().ok().flatten().is_some()
-                || wire.stream.peer_addr().is_err();
+        let (service_index, connection) = (socket.service_index, socket.connection);
+        if writable && !socket.connected {
+            // The first writable event reports the result of connecting.
+            let failed = socket.stream.take_error().ok().flatten().is_some()
+                || socket.stream.peer_addr().is_err();
             if failed {
-                self.lose(now, key, place, link);
+                self.close_failed(now, token, service_index, connection);
                 return;
             }
-            wire.connected = true;
-            self.tell(place, |service, effects| {
-                service.on_open(now, link, effects);
+            socket.connected = true;
+            self.call_service(service_index, |service, effects| {
+                service.on_open(now, connection, effects);
             });
         }
-        let Some(wire) = self.wires.get_mut(&key) else {
+        let Some(socket) = self.sockets.get_mut(&token) else {
             return;
         };
-        if wire.connected && flush(wire).is_err() {
-            self.lose(now, key, place, link);
+        if socket.connected && flush(socket).is_err() {
+            self.close_failed(now, token, service_index, connection);
             return;
         }
-        if wire.closing && wire.sent == wire.out.len() {
-            self.drop_wire(key);
+        if socket.closing && socket.sent == socket.out.len() {
+            self.remove_socket(token);
             return;
         }
         let mut buffer = std::mem::take(&mut self.buffer);
-        while let Some(wire) = self.wires.get_mut(&key) {
-            match wire.stream.read(&mut buffer) {
+        while let Some(socket) = self.sockets.get_mut(&token) {
+            match socket.stream.read(&mut buffer) {
                 Ok(0) => {
-                    self.lose(now, key, place, link);
+                    self.close_failed(now, token, service_index, connection);
                     break;
                 }
-                Ok(n) => self.tell(place, |service, effects| {
-                    service.on_data(now, link, &buffer[..n], effects);
+                Ok(n) => self.call_service(service_index, |service, effects| {
+                    service.on_data(now, connection, &buffer[..n], effects);
                 }),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     break
                 }
                 Err(_) => {
-                    self.lose(now, key, place, link);
+                    self.close_failed(now, token, service_index, connection);
                     break;
                 }
             }
@@ -386,35 +397,41 @@
         self.buffer = buffer;
     }
 
-    fn lose(&mut self, now: Micros, key: usize, place: usize, link: ConnectionId) {
-        self.drop_wire(key);
-        self.tell(place, |service, effects| {
-            service.on_close(now, link, effects);
+    fn close_failed(
+        &mut self,
+        now: Micros,
+        token: usize,
+        service_index: usize,
+        connection: ConnectionId,
+    ) {
+        self.remove_socket(token);
+        self.call_service(service_index, |service, effects| {
+            service.on_close(now, connection, effects);
         });
     }
 }
 
-fn flush(wire: &mut Wire) -> io::Result<()> {
-    while wire.sent < wire.out.len() {
-        match wire.stream.write(&wire.out[wire.sent..]) {
-            Ok(n) => wire.sent += n,
+fn flush(socket: &mut ServiceSocket) -> io::Result<()> {
+    while socket.sent < socket.out.len() {
+        match socket.stream.write(&socket.out[socket.sent..]) {
+            Ok(n) => socket.sent += n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    wire.out.clear();
-    wire.sent = 0;
+    socket.out.clear();
+    socket.sent = 0;
     Ok(())
 }
 
-/// A connection from one of the host's loopback addresses.
-fn dial_from(to: SocketAddr, from: IpAddr) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
+/// Opens a connection from the given local address.
+fn connect_from(address: SocketAddr, from: IpAddr) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.bind(&SockAddr::from(SocketAddr::new(from, 0)))?;
-    match socket.connect(&SockAddr::from(to)) {
-        // A connection without waiting is on its way.
+    match socket.connect(&SockAddr::from(address)) {
+        // A nonblocking connect is in progress.
         Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => Err(e),
         _ => Ok(TcpStream::from_std(std::net::TcpStream::from(socket))),
     }
--- a/crates/emulators/src/keyed_retries.rs
+++ b/crates/emulators/src/keyed_retries.rs
@@ -1,5 +1,6 @@
-//! Callers that send the same keyed request again and again, without limit, while the matcher is killed and started
-//! again; and the judgement of what became of each key, from the books of the runtime and of these callers alone.
+//! Callers that repeat the same keyed requests without limit while the matcher is killed and
+//! restarted. The rules are checked for each key from the records of the runtime and of these
+//! callers alone.
 
 use crate::callers::{read_responses, request_frame, ResponseOutcome};
 use crate::host::{shared, with_lock, Host};
@@ -17,103 +18,105 @@
 use std::time::{Duration, Instant};
 
 const MS: Micros = 1_000;
-/// The field of frames that keys stand in.
+/// Frame field of the idempotency key.
 pub const KEY_FIELD: &str = "once";
 const CLASS: &str = "claim-seat";
-/// Requests open on one connection.
-const OPEN: usize = 32;
-const CONNECTIONS: usize = 6;
-/// Keys in use at a time; one that was served so often makes room for another.
-const SEATS: usize = 24;
-const ENOUGH: u32 = 4;
-/// In the end a result that was told counts as forgotten after so many failures in a row.
-const FORGOTTEN: u32 = 5;
-/// Results asked for again at a time in the end.
-const CONFIRMING: usize = 16;
-/// And all of them have to come within this time.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum number of open requests on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+const MAX_CONNECTIONS: usize = 6;
+/// Number of keys in use at the same time.
+const ACTIVE_KEYS: usize = 24;
+/// Number of served or failed attempts after which a key is replaced by a new one.
+const MAX_OUTCOMES_PER_KEY: u32 = 4;
+/// Consecutive failures in the final confirmation after which a delivered result counts as lost.
+const LOST_AFTER_FAILURES: u32 = 5;
+/// Number of results confirmed at the same time after the last kill.
+const CONCURRENT_CONFIRMATIONS: usize = 16;
+/// Timeout for the confirmation of all results.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Default)]
-struct Seat {
+struct KeyState {
     next_at: Micros,
-    /// The ids of its tries.
+    /// Ids of the attempts with this key.
     ids: Vec<u64>,
-    /// The result that somebody was told.
-    told: Option<Vec<u8>>,
+    /// The result that was first delivered to a caller.
+    delivered: Option<Vec<u8>>,
     served: u32,
     unknown: u32,
-    /// When tries of it were turned away.
-    refused: Vec<Micros>,
-    /// Failures in a row since its result was told: a disk that is slow for a moment makes some, as what waits for it
-    /// is bounded; a result that is forgotten goes on failing.
+    /// Times at which attempts were rejected.
+    rejected_at: Vec<Micros>,
+    /// Consecutive failures since the result was delivered. A momentarily slow disk causes some,
+    /// because the number of waiting requests is bounded; a lost result fails every time.
     failures: u32,
-    /// It was asked for after the last kill, and its result came again.
+    /// Whether the result was delivered again after the last kill.
     confirmed: bool,
 }
 
-struct Asked {
-    seat: u64,
+struct OpenRequest {
+    key: u64,
     at: Micros,
 }
 
 #[derive(Default)]
-struct Line {
-    up: bool,
-    gone: bool,
+struct Connection {
+    established: bool,
+    goodbye_received: bool,
     input: Vec<u8>,
-    open: BTreeMap<u32, Asked>,
-    streams: u32,
-    waiting: Vec<u8>,
+    open: BTreeMap<u32, OpenRequest>,
+    last_stream: u32,
+    unsent: Vec<u8>,
 }
 
-/// What was seen.
+/// Counters of what happened.
 #[derive(Debug, Clone, Default)]
 pub struct Stats {
-    /// Tries that were sent.
+    /// Attempts sent.
     pub sent: u64,
-    /// Served.
+    /// Attempts served.
     pub served: u64,
-    /// Served with a result that had been told before.
+    /// Attempts served with a result that had been delivered before.
     pub served_repeats: u64,
-    /// Failed: it may have run.
+    /// Attempts that failed and may have run.
     pub unknown: u64,
-    /// Turned away.
+    /// Attempts rejected.
     pub rejected: u64,
-    /// Rules that were broken.
+    /// Rule violations, at most 20.
     pub violations: Vec<String>,
 }
 
-/// The callers.
+/// Callers that repeat keyed requests.
 pub struct RetryingCallers {
-    to: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     random: SmallRng,
-    links: ConnectionId,
-    lines: BTreeMap<ConnectionId, Line>,
-    /// Connections to close.
-    spent: Vec<ConnectionId>,
-    seats: BTreeMap<u64, Seat>,
-    /// Those in use.
+    last_connection_id: ConnectionId,
+    connections: BTreeMap<ConnectionId, Connection>,
+    /// Connections to reset.
+    to_reset: Vec<ConnectionId>,
+    keys: BTreeMap<u64, KeyState>,
+    /// Keys in use.
     active: Vec<u64>,
-    next_seat: u64,
+    next_key: u64,
     next_at: Micros,
     deadline: Micros,
-    /// The last kill is over: only results that were told are asked for, until each has come again.
+    /// Whether the last kill is over, and only delivered results are requested until each was
+    /// delivered again.
     confirming: bool,
-    /// What was seen.
+    /// Counters of what happened.
     pub stats: Stats,
 }
 
 impl RetryingCallers {
     fn new(seed: u64, now: Micros, deadline: Micros) -> Self {
         Self {
-            to: None,
+            address: None,
             random: SmallRng::seed_from_u64(seed),
-            links: 1,
-            lines: BTreeMap::new(),
-            spent: Vec::new(),
-            seats: BTreeMap::new(),
+            last_connection_id: 1,
+            connections: BTreeMap::new(),
+            to_reset: Vec::new(),
+            keys: BTreeMap::new(),
             active: Vec::new(),
-            next_seat: 1,
+            next_key: 1,
             next_at: now,
             deadline,
             confirming: false,
@@ -121,98 +124,107 @@
         }
     }
 
-    /// The matcher listens here now, or nowhere: what is open is owed no answer then.
-    pub fn set_target(&mut self, to: Option<SocketAddr>) {
-        self.to = to;
-        if to.is_none() {
-            self.spent
-                .extend(std::mem::take(&mut self.lines).into_keys());
+    /// Sets the address of the matcher. `None` resets all connections; no response is due for their
+    /// open requests.
+    pub fn set_target(&mut self, address: Option<SocketAddr>) {
+        self.address = address;
+        if address.is_none() {
+            self.to_reset
+                .extend(std::mem::take(&mut self.connections).into_keys());
         }
     }
 
-    fn break_rule(&mut self, what: String) {
+    fn add_violation(&mut self, violation: String) {
         if self.stats.violations.len() < 20 {
-            self.stats.violations.push(what);
+            self.stats.violations.push(violation);
         }
     }
 
-    /// Asks from now on for results that were told, and for nothing else.
+    /// Requests only results that were already delivered from now on.
     fn confirm(&mut self) {
         self.confirming = true;
         self.active.clear();
-        for seat in self.seats.values_mut() {
-            (seat.failures, seat.confirmed) = (0, seat.told.is_none());
+        for key in self.keys.values_mut() {
+            (key.failures, key.confirmed) = (0, key.delivered.is_none());
         }
     }
 
-    /// Each result that was told has come again, or is forgotten.
-    fn is_settled(&self) -> bool {
-        self.seats.values().all(|seat| seat.confirmed)
+    /// Returns whether each delivered result was delivered again or counts as lost.
+    fn is_confirmed(&self) -> bool {
+        self.keys.values().all(|key| key.confirmed)
     }
 
-    fn ask(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        let Some(to) = self.to else { return };
+    fn send_due_requests(&mut self, now: Micros, out: &mut Vec<Effect>) {
+        let Some(address) = self.address else { return };
         if self.confirming {
-            self.active.retain(|seat| !self.seats[seat].confirmed);
-            let (seats, active) = (&self.seats, &mut self.active);
-            let rest = seats
+            self.active.retain(|key| !self.keys[key].confirmed);
+            let (keys, active) = (&self.keys, &mut self.active);
+            let rest = keys
                 .iter()
-                .filter(|(_, seat)| !seat.confirmed)
+                .filter(|(_, key)| !key.confirmed)
                 .map(|(number, _)| *number);
             active.extend(
-                rest.take(CONFIRMING)
+                rest.take(CONCURRENT_CONFIRMATIONS)
                     .filter(|number| !active.contains(number))
                     .collect::<Vec<_>>(),
             );
-            active.truncate(CONFIRMING);
+            active.truncate(CONCURRENT_CONFIRMATIONS);
         }
-        while !self.confirming && self.active.len() < SEATS {
-            self.seats.insert(
-                self.next_seat,
-                Seat {
+        while !self.confirming && self.active.len() < ACTIVE_KEYS {
+            self.keys.insert(
+                self.next_key,
+                KeyState {
                     next_at: now,
-                    ..Seat::default()
+                    ..KeyState::default()
                 },
             );
-            self.active.push(self.next_seat);
-            self.next_seat += 1;
+            self.active.push(self.next_key);
+            self.next_key += 1;
         }
         let due: Vec<u64> = self
             .active
             .iter()
             .copied()
-            .filter(|seat| self.seats[seat].next_at <= now)
+            .filter(|key| self.keys[key].next_at <= now)
             .collect();
         for number in due {
-            // Now and then one that was given up long ago comes again.
+            // Sometimes repeat a random key, which may have been replaced long ago.
             let number = match self.random.random_range(0..8) {
-                0 if !self.confirming => self.random.random_range(1..self.next_seat),
+                0 if !self.confirming => self.random.random_range(1..self.next_key),
                 _ => number,
             };
-            let best = self
-                .lines
-                .iter()
-                .filter(|(_, line)| !line.gone && line.open.len() < OPEN);
-            let best = best.map(|(link, line)| (line.open.len(), *link)).min();
-            let link = match best {
-                Some((open, link)) if open == 0 || self.lines.len() >= CONNECTIONS => link,
-                _ if self.lines.len() < CONNECTIONS => {
-                    self.links += 2;
-                    out.push(Effect::Connect(self.links, to));
-                    self.lines.insert(self.links, Line::default());
-                    self.links
+            let best = self.connections.iter().filter(|(_, state)| {
+                !state.goodbye_received && state.open.len() < MAX_OPEN_REQUESTS
+            });
+            let best = best
+                .map(|(connection, state)| (state.open.len(), *connection))
+                .min();
+            let connection = match best {
+                Some((open, connection))
+                    if open == 0 || self.connections.len() >= MAX_CONNECTIONS =>
+                {
+                    connection
+                }
+                _ if self.connections.len() < MAX_CONNECTIONS => {
+                    self.last_connection_id += 2;
+                    out.push(Effect::Connect(self.last_connection_id, address));
+                    self.connections
+                        .insert(self.last_connection_id, Connection::default());
+                    self.last_connection_id
                 }
                 _ => return,
             };
             let id: u64 = self.random.random();
             let gap = self.random.random_range(2..40) * MS;
-            let (Some(seat), Some(line)) = (self.seats.get_mut(&number), self.lines.get_mut(&link))
-            else {
+            let (Some(key), Some(state)) = (
+                self.keys.get_mut(&number),
+                self.connections.get_mut(&connection),
+            ) else {
                 continue;
             };
-            seat.next_at = now + gap;
-            seat.ids.push(id);
-            line.streams += 1;
+            key.next_at = now + gap;
+            key.ids.push(id);
+            state.last_stream += 1;
             let fields = [
                 ("verb", CLASS.to_owned()),
                 ("txn", format!("{id:016x}")),
@@ -223,137 +235,164 @@
                 ("standing", "0.5".to_owned()),
                 (KEY_FIELD, format!("seat {number}")),
             ];
-            let frame = request_frame(line.streams, &fields, format!("claim {number}").as_bytes());
-            line.open.insert(
-                line.streams,
-                Asked {
-                    seat: number,
+            let frame = request_frame(
+                state.last_stream,
+                &fields,
+                format!("claim {number}").as_bytes(),
+            );
+            state.open.insert(
+                state.last_stream,
+                OpenRequest {
+                    key: number,
                     at: now,
                 },
             );
             self.stats.sent += 1;
-            if line.up {
-                out.push(Effect::Send(link, frame));
+            if state.established {
+                out.push(Effect::Send(connection, frame));
             } else {
-                line.waiting.extend_from_slice(&frame);
+                state.unsent.extend_from_slice(&frame);
             }
         }
     }
 
-    fn answered(&mut self, now: Micros, asked: &Asked, said: Option<ResponseOutcome>) {
-        if now > asked.at + self.deadline + 200 * MS {
-            self.break_rule(format!("seat {}: answered after its due time", asked.seat));
+    fn on_response(
+        &mut self,
+        now: Micros,
+        request: &OpenRequest,
+        outcome: Option<ResponseOutcome>,
+    ) {
+        if now > request.at + self.deadline + 200 * MS {
+            self.add_violation(format!("key {}: answered after its deadline", request.key));
         }
-        let Some(seat) = self.seats.get_mut(&asked.seat) else {
+        let Some(key) = self.keys.get_mut(&request.key) else {
             return;
         };
-        let mut broken = None;
-        match said {
+        let mut violation = None;
+        match outcome {
             Some(ResponseOutcome::Served(result)) => {
                 self.stats.served += 1;
-                seat.served += 1;
-                seat.failures = 0;
-                seat.confirmed = self.confirming;
-                match &seat.told {
-                    Some(told) if *told != result => broken = Some("two results that differ"),
+                key.served += 1;
+                key.failures = 0;
+                key.confirmed = self.confirming;
+                match &key.delivered {
+                    Some(delivered) if *delivered != result => {
+                        violation = Some("two different results");
+                    }
                     Some(_) => self.stats.served_repeats += 1,
-                    None => seat.told = Some(result),
+                    None => key.delivered = Some(result),
                 }
-                if seat.served >= ENOUGH && !self.confirming {
-                    self.active.retain(|other| *other != asked.seat);
+                if key.served >= MAX_OUTCOMES_PER_KEY && !self.confirming {
+                    self.active.retain(|other| *other != request.key);
                 }
             }
-            Some(ResponseOutcome::Refused(_)) => {
+            Some(ResponseOutcome::Rejected(_)) => {
                 self.stats.rejected += 1;
-                seat.refused.push(now);
+                key.rejected_at.push(now);
             }
             Some(ResponseOutcome::Failed) => {
                 self.stats.unknown += 1;
-                seat.unknown += 1;
-                seat.failures += u32::from(seat.told.is_some());
-                if self.confirming && seat.failures >= FORGOTTEN && !seat.confirmed {
-                    seat.confirmed = true;
-                    broken = Some("a result that was told is forgotten");
+                key.unknown += 1;
+                key.failures += u32::from(key.delivered.is_some());
+                if self.confirming && key.failures >= LOST_AFTER_FAILURES && !key.confirmed {
+                    key.confirmed = true;
+                    violation = Some("a delivered result was lost");
                 }
-                if seat.unknown >= ENOUGH && !self.confirming {
-                    self.active.retain(|other| *other != asked.seat);
+                if key.unknown >= MAX_OUTCOMES_PER_KEY && !self.confirming {
+                    self.active.retain(|other| *other != request.key);
                 }
             }
-            None => broken = Some("an answer that can't be read"),
+            None => violation = Some("a malformed response"),
         }
-        if let Some(what) = broken {
-            self.break_rule(format!("seat {}: {what}", asked.seat));
+        if let Some(violation) = violation {
+            self.add_violation(format!("key {}: {violation}", request.key));
         }
     }
 
-    /// Judges all keys by what the runtime has seen started: class, number and last time by id.
-    pub fn judge(&mut self, starts: &HashMap<u64, (usize, u32, Micros)>) {
-        let mut broken = Vec::new();
-        for (number, seat) in &self.seats {
-            let ran: Vec<_> = seat
+    /// Checks the rules for all keys against the starts that the runtime recorded: class, number of
+    /// starts and time of the last one, by id.
+    pub fn check_rules(&mut self, starts: &HashMap<u64, (usize, u32, Micros)>) {
+        let mut violations = Vec::new();
+        for (number, key) in &self.keys {
+            let ran: Vec<_> = key
                 .ids
                 .iter()
                 .filter_map(|id| starts.get(id).map(|seen| (id, seen)))
                 .collect();
             let runs: u32 = ran.iter().map(|(_, seen)| seen.1).sum();
             if runs > 1 {
-                broken.push(format!("seat {number} ran {runs} times"));
+                violations.push(format!("key {number} ran {runs} times"));
             }
-            if let Some(told) = &seat.told {
-                if !ran.iter().any(|(id, _)| result_of(**id) == *told) {
-                    broken.push(format!("seat {number}: a result that no run of it made"));
+            if let Some(delivered) = &key.delivered {
+                if !ran.iter().any(|(id, _)| result_of(**id) == *delivered) {
+                    violations.push(format!(
+                        "key {number}: a result that no run of this key produced"
+                    ));
                 }
             }
             let after = |at: &&Micros| ran.iter().any(|(_, seen)| seen.2 < **at);
-            if seat.refused.iter().find(after).is_some() {
-                broken.push(format!("seat {number}: turned away after it had run"));
+            if key.rejected_at.iter().find(after).is_some() {
+                violations.push(format!("key {number}: rejected after it had run"));
             }
         }
-        broken.into_iter().for_each(|what| self.break_rule(what));
+        violations
+            .into_iter()
+            .for_each(|violation| self.add_violation(violation));
     }
 
-    /// Keys that were asked for.
+    /// Returns the number of keys used.
     #[must_use]
-    pub fn keys(&self) -> usize {
-        self.seats.len()
+    pub fn key_count(&self) -> usize {
+        self.keys.len()
     }
 }
 
 impl Service for RetryingCallers {
-    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
-        if let Some(line) = self.lines.get_mut(&link) {
-            line.up = true;
-            out.push(Effect::Send(link, std::mem::take(&mut line.waiting)));
+    fn on_open(&mut self, _: Micros, connection: ConnectionId, out: &mut Vec<Effect>) {
+        if let Some(state) = self.connections.get_mut(&connection) {
+            state.established = true;
+            out.push(Effect::Send(connection, std::mem::take(&mut state.unsent)));
         }
     }
 
-    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
-        let Some(line) = self.lines.get_mut(&link) else {
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(state) = self.connections.get_mut(&connection) else {
             return;
         };
-        line.input.extend_from_slice(bytes);
-        let (answers, stray) = read_responses(&mut line.input, &mut line.open, &mut line.gone);
-        if line.gone && line.open.is_empty() {
-            self.lines.remove(&link);
-            out.push(Effect::Close(link));
+        state.input.extend_from_slice(bytes);
+        let (responses, unmatched) = read_responses(
+            &mut state.input,
+            &mut state.open,
+            &mut state.goodbye_received,
+        );
+        if state.goodbye_received && state.open.is_empty() {
+            self.connections.remove(&connection);
+            out.push(Effect::Close(connection));
         }
-        for (asked, said) in answers {
-            self.answered(now, &asked, said);
+        for (request, outcome) in responses {
+            self.on_response(now, &request, outcome);
         }
-        if stray > 0 {
-            self.break_rule(format!("{stray} answers that nobody asked for"));
+        if unmatched > 0 {
+            self.add_violation(format!("{unmatched} responses that belong to no request"));
         }
     }
 
-    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
-        // A process that was killed owes nothing; that it did not end by itself is seen where it was started.
-        self.lines.remove(&link);
+    fn on_close(&mut self, _: Micros, connection: ConnectionId, _: &mut Vec<Effect>) {
+        // No response is due from a killed process; whether it exited by itself is checked in
+        // `run`.
+        self.connections.remove(&connection);
     }
 
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
         self.next_at = now + MS;
-        out.extend(self.spent.drain(..).map(Effect::Reset));
-        self.ask(now, out);
+        out.extend(self.to_reset.drain(..).map(Effect::Reset));
+        self.send_due_requests(now, out);
     }
 
     fn next_deadline(&self) -> Option<Micros> {
@@ -361,17 +400,17 @@
     }
 }
 
-/// A matcher with kept results that is killed again and again.
+/// A trial in which a matcher with stored results is killed repeatedly.
 #[derive(Debug, Clone)]
 pub struct KillTrial {
-    /// How often.
+    /// Number of kills.
     pub kills: u32,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 impl KillTrial {
-    /// A site whose only class has an effect.
+    /// Returns the configuration of a site whose only class has an effect.
     #[must_use]
     pub fn site(seed: u64) -> Setup {
         let class = Class {
@@ -382,8 +421,8 @@
             calls: (0, 0),
             latency_objective: 1_000 * MS,
             deadline: 2_500 * MS,
-            worth: 1.0,
-            skip_worth: 0.0,
+            weight: 1.0,
+            skip_weight_ratio: 0.0,
         };
         Setup {
             classes: vec![class],
@@ -393,7 +432,7 @@
         }
     }
 
-    /// The section of the operator file that keeps its results in this folder.
+    /// Returns the section of the operator file that stores results in this folder.
     #[must_use]
     pub fn operator_section(folder: &Path) -> String {
         format!(
@@ -402,10 +441,12 @@
         )
     }
 
-    /// Plays it; results are kept in this folder, which is not there yet.
+    /// Runs the trial, with results stored in this folder, which must not exist yet; returns the
+    /// counters and the number of keys.
     ///
     /// # Errors
-    /// Where something can't be started, or the matcher ends by itself.
+    /// Fails when something can't be started, when the matcher exits by itself, or when delivered
+    /// results can't be confirmed in time.
     pub fn run(&self, program: &Path, folder: &Path) -> io::Result<(Stats, usize)> {
         let site = Site::start(Self::site(self.seed))?;
         let operator = format!("{{ {} }}", Self::operator_section(folder));
@@ -424,14 +465,15 @@
             if kill < self.kills {
                 std::thread::sleep(Duration::from_micros(random.random_range(0..60_000)));
             } else {
-                // What is open is answered within its deadline, and then each result that was told is to come again.
+                // Open requests are answered within their deadlines; then each delivered result is
+                // requested again.
                 std::thread::sleep(Duration::from_millis(600));
                 with_lock(&callers, RetryingCallers::confirm);
-                let until = Instant::now() + PATIENCE;
-                while !with_lock(&callers, |callers| callers.is_settled()) {
+                let until = Instant::now() + CONFIRMATION_TIMEOUT;
+                while !with_lock(&callers, |callers| callers.is_confirmed()) {
                     if Instant::now() > until {
                         return Err(io::Error::other(
-                            "results that were told did not come again in time",
+                            "delivered results were not confirmed in time",
                         ));
                     }
                     std::thread::sleep(Duration::from_millis(5));
@@ -439,7 +481,7 @@
             }
             if !matcher.is_alive() {
                 return Err(io::Error::other(format!(
-                    "the matcher ended:\n{}",
+                    "the matcher exited by itself:\n{}",
                     matcher.log().join("\n")
                 )));
             }
@@ -449,8 +491,8 @@
         drop(running);
         let starts = with_lock(&site.runtime, |runtime| runtime.stats.starts.clone());
         Ok(with_lock(&callers, |callers| {
-            callers.judge(&starts);
-            (callers.stats.clone(), callers.keys())
+            callers.check_rules(&starts);
+            (callers.stats.clone(), callers.key_count())
         }))
     }
 }
--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -1,4 +1,5 @@
-//! A matcher as a child process: started with a configuration and an operator file, watched through its log.
+//! Runs a matcher or a gateway as a child process, with a configuration and an operator file, and
+//! reads its log.
 
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use serde_json::Value;
@@ -9,29 +10,29 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A start takes no longer, or it failed.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for log lines and management requests; a process that takes longer counts as failed.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The process; it is killed when this is dropped.
+/// The child process; it is killed when this is dropped.
 pub struct Matcher {
     child: Child,
     folder: PathBuf,
-    /// What it shares with the process that takes its place.
-    shared: Arc<Scratch>,
+    /// Temporary folder that it shares with its successor.
+    shared: Arc<TemporaryFolder>,
     operator: Option<String>,
     log: Arc<Mutex<Vec<String>>>,
-    /// Where it listens for frames.
+    /// Address on which it listens for frames.
     pub frames: SocketAddr,
-    /// Where it listens for AJP, if it does.
+    /// Address on which it listens for AJP, if it does.
     pub ajp: Option<SocketAddr>,
-    /// Where it answers operators, if it does.
+    /// Management address, if it has one.
     pub mgmt: Option<SocketAddr>,
 }
 
-/// A folder that goes when nobody has it any more.
-struct Scratch(PathBuf);
+/// A temporary folder that is deleted when its last owner is dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Drop for Scratch {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -55,13 +56,13 @@
         Ok(folder)
     }
 
-    /// Starts `program serve` and waits until it listens.
+    /// Starts `program serve` and waits until it listens and is connected to the runtime.
     ///
     /// # Errors
-    /// Where it does not; its log is part of what is told.
+    /// Fails when it does not start; the error contains its log.
     pub fn start(program: &Path, config: &Value, operator: Option<&str>) -> io::Result<Self> {
-        let shared = Arc::new(Scratch(Self::folder()?));
-        let mut matcher = Self::begin(program, config, operator, shared)?;
+        let shared = Arc::new(TemporaryFolder(Self::folder()?));
+        let mut matcher = Self::spawn_server(program, config, operator, shared)?;
         matcher.frames = matcher.wait_for_address("listens on ")?;
         if operator.is_some_and(|text| text.contains("ajp:")) {
             matcher.ajp = Some(matcher.wait_for_address("speaks AJP on ")?);
@@ -73,20 +74,20 @@
         Ok(matcher)
     }
 
-    /// Starts a process that is to take this one's place, with this configuration but for the addresses, which are the
-    /// same, and does not wait for it.
+    /// Starts a successor of this process, with the given configuration and the same listen
+    /// addresses, without waiting for it.
     ///
     /// # Errors
-    /// Where the system refuses.
+    /// Fails when the system rejects the operation.
     pub fn start_successor(&self, program: &Path, config: &Value) -> io::Result<Self> {
         let mut config = config.clone();
         config["listen"] = self.frames.to_string().into();
-        let anywhere = "listen: ['127.0.0.1:0']";
+        let any_port = "listen: ['127.0.0.1:0']";
         let operator = self.operator.as_deref().map(|text| match self.ajp {
-            Some(at) => text.replace(anywhere, &format!("listen: ['{at}']")),
+            Some(address) => text.replace(any_port, &format!("listen: ['{address}']")),
             None => text.to_owned(),
         });
-        let mut matcher = Self::begin(
+        let mut matcher = Self::spawn_server(
             program,
             &config,
             operator.as_deref(),
@@ -96,39 +97,39 @@
         Ok(matcher)
     }
 
-    /// Waits until it says that it takes clients; returns how long that took from now.
+    /// Waits until the process reports that it is ready; returns the time spent waiting.
     ///
     /// # Errors
-    /// Where it does not in this time.
-    pub fn wait_ready(&mut self, patience: Duration) -> io::Result<Duration> {
-        let since = Instant::now();
+    /// Fails when it does not do so within the timeout.
+    pub fn wait_ready(&mut self, timeout: Duration) -> io::Result<Duration> {
+        let started = Instant::now();
         if self.mgmt.is_none() {
             self.mgmt = Some(self.wait_for_address("operators are answered on ")?);
         }
         while !matches!(self.get("/_ready"), Ok((200, _))) {
-            if since.elapsed() > patience || !self.is_alive() {
+            if started.elapsed() > timeout || !self.is_alive() {
                 std::thread::sleep(Duration::from_millis(50));
                 return Err(io::Error::other(format!(
-                    "it is not ready:\n{}",
+                    "the process is not ready:\n{}",
                     self.log().join("\n")
                 )));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        Ok(since.elapsed())
+        Ok(started.elapsed())
     }
 
-    /// KillTrial it.
+    /// Kills the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    fn begin(
+    fn spawn_server(
         program: &Path,
         config: &Value,
         operator: Option<&str>,
-        shared: Arc<Scratch>,
+        shared: Arc<TemporaryFolder>,
     ) -> io::Result<Self> {
         let folder = Self::folder()?;
         let file = folder.join("config.json");
@@ -145,11 +146,11 @@
         Ok(matcher)
     }
 
-    /// Starts `program route` with an nginx configuration beside its operator file, and waits until it listens by frames and
-    /// by AJP.
+    /// Starts `program route` with an nginx configuration beside its operator file, and waits until
+    /// it listens for frames and AJP.
     ///
     /// # Errors
-    /// Where it does not; its log is part of what is told.
+    /// Fails when it does not start; the error contains its log.
     pub fn start_gateway(program: &Path, routes: &str, operator: &str) -> io::Result<Self> {
         let folder = Self::folder()?;
         std::fs::write(folder.join("nginx.conf"), routes)?;
@@ -157,17 +158,17 @@
         std::fs::write(&file, operator)?;
         let mut command = Command::new(program);
         command.arg("route").arg("--operator").arg(&file);
-        let shared = Arc::new(Scratch(Self::folder()?));
+        let shared = Arc::new(TemporaryFolder(Self::folder()?));
         let mut gateway = Self::spawn(command, folder, shared)?;
         gateway.frames = gateway.wait_for_address("listens on ")?;
         gateway.ajp = Some(gateway.wait_for_address("speaks AJP on ")?);
         Ok(gateway)
     }
 
-    /// Gives a gateway other routes, and tells it.
+    /// Replaces the routes of a gateway and sends it SIGHUP.
     ///
     /// # Errors
-    /// Where they can't be written.
+    /// Fails when the routes can't be written.
     pub fn reload_routes(&self, routes: &str) -> io::Result<()> {
         std::fs::write(self.folder.join("nginx.conf"), routes)?;
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
@@ -176,7 +177,11 @@
         Ok(())
     }
 
-    fn spawn(mut command: Command, folder: PathBuf, shared: Arc<Scratch>) -> io::Result<Self> {
+    fn spawn(
+        mut command: Command,
+        folder: PathBuf,
+        shared: Arc<TemporaryFolder>,
+    ) -> io::Result<Self> {
         command.env("TMPDIR", &shared.0);
         for variable in ["GW_CONFIG", "GW_NAME", "GW_LISTEN", "GW_MGMT"] {
             command.env_remove(variable);
@@ -208,21 +213,21 @@
         })
     }
 
-    /// Lets it have no more descriptors than that from now on, whatever it was told.
+    /// Lowers the descriptor limit of the running process, whatever its configuration says.
     ///
     /// # Errors
-    /// Where the system refuses.
-    pub fn limit_descriptors(&self, most: usize) -> io::Result<()> {
+    /// Fails when the system rejects the operation.
+    pub fn limit_descriptors(&self, max_descriptors: usize) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         let limit = Rlimit {
-            current: Some(most as u64),
-            maximum: Some(most as u64),
+            current: Some(max_descriptors as u64),
+            maximum: Some(max_descriptors as u64),
         };
         prlimit(pid, Resource::Nofile, limit)?;
         Ok(())
     }
 
-    /// Its log so far.
+    /// Returns the lines of its log so far.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         self.log
@@ -231,21 +236,21 @@
             .clone()
     }
 
-    /// Waits for a line of the log with this in it.
+    /// Waits for a log line that contains this text, and returns it.
     ///
     /// # Errors
-    /// Where it does not come, with the log.
+    /// Fails when no such line appears in time; the error contains the log.
     pub fn wait_for_log(&mut self, text: &str) -> io::Result<String> {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             // The thread that reads the log drops its handle after the last line of a process that ended.
             let complete = self.child.try_wait()?.is_some() && Arc::strong_count(&self.log) == 1;
             if let Some(line) = self.log().into_iter().find(|line| line.contains(text)) {
                 return Ok(line);
             }
-            if complete || since.elapsed() > PATIENCE {
+            if complete || started.elapsed() > PROCESS_TIMEOUT {
                 return Err(io::Error::other(format!(
-                    "no {text:?} in its log:\n{}",
+                    "no line with {text:?} in the log of the process:\n{}",
                     self.log().join("\n")
                 )));
             }
@@ -263,86 +268,87 @@
         address.ok_or_else(|| io::Error::other(format!("no address in {line:?}")))
     }
 
-    /// The notice to leave.
+    /// Sends the process SIGTERM.
     pub fn terminate(&self) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
-            // A process that is gone already is no failure here: waiting for it tells how it went.
+            // A process that has already ended is not an error here; its exit status is reported by
+            // waiting for it.
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
     fn signal(&self, signal: Signal) -> io::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| io::Error::other("it has no number"))?;
+        let pid = pid.ok_or_else(|| io::Error::other("the process has no valid id"))?;
         kill_process(pid, signal)?;
         Ok(())
     }
 
-    /// Lets it stand still until [`resume`](Self::resume).
+    /// Pauses the process with SIGSTOP until [`resume`](Self::resume).
     ///
     /// # Errors
-    /// Where it is gone.
+    /// Fails when the process has ended.
     pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     ///
     /// # Errors
-    /// Where it is gone.
+    /// Fails when the process has ended.
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     ///
     /// # Errors
-    /// Where it does not end in this time.
-    pub fn wait_for_exit(&mut self, patience: Duration) -> io::Result<ExitStatus> {
-        let since = Instant::now();
+    /// Fails when it does not exit within the timeout.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> io::Result<ExitStatus> {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            if since.elapsed() > patience {
-                return Err(io::Error::other("it does not end"));
+            if started.elapsed() > timeout {
+                return Err(io::Error::other("the process does not exit in time"));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Asks at the operators' address: the status and the body.
+    /// Sends a GET request to the management address; returns the status and the body.
     ///
     /// # Errors
-    /// Where it answers nobody there, or not whole.
+    /// Fails without a management address or a complete response.
     pub fn get(&self, path: &str) -> io::Result<(u16, Vec<u8>)> {
-        let at = self
+        let address = self
             .mgmt
-            .ok_or_else(|| io::Error::other("it answers no operators"))?;
-        let mut stream = TcpStream::connect(at)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes())?;
+            .ok_or_else(|| io::Error::other("the process has no management address"))?;
+        let mut stream = TcpStream::connect(address)?;
+        stream.set_read_timeout(Some(PROCESS_TIMEOUT))?;
+        stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
         let reply = cleatpulley_protocol::http::parse(&bytes, true).map_err(io::Error::other)?;
         reply
             .map(|reply| (reply.status, reply.body))
-            .ok_or_else(|| io::Error::other("no whole answer"))
+            .ok_or_else(|| io::Error::other("incomplete management response"))
     }
 
-    /// It still runs.
+    /// Returns whether the process still runs.
     pub fn is_alive(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    fn stat(&self, name: &str) -> Option<String> {
+    fn read_proc_file(&self, name: &str) -> Option<String> {
         std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).ok()
     }
 
-    /// Its memory in KB, now and at its peak, where the system tells.
+    /// Returns its current and peak resident memory in KB, if the system reports them.
     #[must_use]
     pub fn memory_kb(&self) -> Option<(u64, u64)> {
-        let status = self.stat("status")?;
+        let status = self.read_proc_file("status")?;
         let find = |key: &str| {
             let line = status.lines().find(|line| line.starts_with(key))?;
             line.split_whitespace().nth(1)?.parse().ok()
@@ -350,11 +356,11 @@
         Some((find("VmRSS:")?, find("VmHWM:")?))
     }
 
-    /// CPU that it used, in microseconds, where the system tells.
+    /// Returns the CPU time that it used in microseconds, if the system reports it.
     #[must_use]
     pub fn cpu_micros(&self) -> Option<u64> {
-        // In nanoseconds, and exact, where the system keeps it.
-        let stat = self.stat("schedstat")?;
+        // `schedstat` has the exact CPU time in nanoseconds.
+        let stat = self.read_proc_file("schedstat")?;
         stat.split_whitespace()
             .next()?
             .parse::<u64>()
@@ -374,7 +380,7 @@
         Some(numbers.filter(|number| *number >= first).count())
     }
 
-    /// Descriptors that it holds, where the system tells.
+    /// Returns the number of its open descriptors, if the system reports it.
     #[must_use]
     pub fn descriptor_count(&self) -> Option<usize> {
         Some(
--- a/crates/emulators/src/site.rs
+++ b/crates/emulators/src/site.rs
@@ -1,4 +1,5 @@
-//! A small site: runtime, store and directory on loopback, and the configuration of a matcher that goes with them.
+//! A small emulated site: runtime, store and service registry on loopback, and the configuration of
+//! a matcher that uses them.
 
 use crate::callers;
 use crate::host::{shared, Clock, Host, Running, Shared};
@@ -12,46 +13,54 @@
 
 const MS: Micros = 1_000;
 
-/// A class of the site.
+/// A request class of the site.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// It must never run twice.
+    /// Whether a request must not run twice.
     pub at_most_once: bool,
-    /// Share of the requests.
+    /// Relative share of the requests.
     pub share: f64,
-    /// Work on one core, from and to.
+    /// Minimum and maximum work of a request, as time on one core.
     pub work: (Micros, Micros),
-    /// Calls to the store, from and to.
+    /// Minimum and maximum number of calls to the store.
     pub calls: (u32, u32),
-    /// Wanted within.
+    /// Time within which a response is on time.
     pub latency_objective: Micros,
-    /// Owed within.
+    /// Time within which a final response is due.
     pub deadline: Micros,
-    /// Worth of an answer in time.
-    pub worth: f64,
-    /// Share of the worth that an answer without its calls keeps.
-    pub skip_worth: f64,
+    /// Weight of a response that is on time.
+    pub weight: f64,
+    /// Share of the weight that a response without its calls keeps.
+    pub skip_weight_ratio: f64,
 }
 
-/// The race matcher's four classes; their times are a quarter of the site's, so that a run shows more of them.
+/// Returns the four classes of the race matcher; their times are a quarter of those of the real
+/// site, so that a trial includes more requests.
 #[must_use]
 pub fn classes() -> Vec<Class> {
-    let class =
-        |name, once, share, work: (u64, u64), calls, aim: u64, deadline: u64, worth, skip_worth| {
-            Class {
-                name,
-                at_most_once: once,
-                share,
-                work: (work.0 * MS, work.1 * MS),
-                calls,
-                latency_objective: aim * MS,
-                deadline: deadline * MS,
-                worth,
-                skip_worth,
-            }
-        };
+    let class = |name,
+                 once,
+                 share,
+                 work: (u64, u64),
+                 calls,
+                 objective: u64,
+                 deadline: u64,
+                 weight,
+                 skip_weight_ratio| {
+        Class {
+            name,
+            at_most_once: once,
+            share,
+            work: (work.0 * MS, work.1 * MS),
+            calls,
+            latency_objective: objective * MS,
+            deadline: deadline * MS,
+            weight,
+            skip_weight_ratio,
+        }
+    };
     vec![
         class(
             "find-race",
@@ -100,30 +109,30 @@
     ]
 }
 
-/// How a site is set up.
+/// Configuration of a site.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The classes.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Cores of the runtime.
+    /// Number of cores of the runtime.
     pub cores: u32,
-    /// Runs end at once.
+    /// Whether runs end at once, without simulated work.
     pub instant_runs: bool,
-    /// The runtime has been up for so long: a cold one is slower at first.
+    /// Time for which the runtime has already been up; a cold one is slower at first.
     pub runtime_uptime: Micros,
-    /// The store.
+    /// Configuration of the store.
     pub store: store::Setup,
-    /// Descriptors of the matcher.
+    /// Maximum number of sockets of the matcher.
     pub sockets: usize,
-    /// Time from the notice to leave to the stop, and how long after it new requests may run.
+    /// Time from SIGTERM to the exit of the matcher.
     pub stop_timeout: Micros,
-    /// The grace of a drain.
+    /// Time after SIGTERM within which new requests may still run.
     pub drain_grace: Micros,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Where runtime, store and directory listen; port 0 lets the system choose.
+    /// Ports of the runtime, the store and the registry; 0 lets the system choose.
     pub ports: [u16; 3],
-    /// Addresses of the runtime: each process that takes another's place needs one of its own.
+    /// Number of listen addresses of the runtime; each successor of a matcher needs one of its own.
     pub runtime_address_count: usize,
 }
 
@@ -146,7 +155,7 @@
 }
 
 impl Setup {
-    /// Requests a second that the cores can do.
+    /// Returns the requests per second that the cores can serve.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
@@ -156,30 +165,30 @@
         f64::from(self.cores) * 1e6 / mean
     }
 
-    /// The classes as callers see them.
+    /// Returns the classes as callers see them.
     #[must_use]
     pub fn caller_classes(&self) -> Vec<callers::CallerClass> {
-        let kind = |class: &Class| callers::CallerClass {
+        let to_class = |class: &Class| callers::CallerClass {
             name: class.name.to_owned(),
             share: class.share,
             work: (class.work.0 + class.work.1) / 2,
             latency_objective: class.latency_objective,
             deadline: class.deadline,
         };
-        self.classes.iter().map(kind).collect()
+        self.classes.iter().map(to_class).collect()
     }
 
-    /// A runtime of this site that is up since then.
+    /// Creates a runtime of this site that started at this time.
     #[must_use]
-    pub fn runtime(&self, seed: u64, since: Micros) -> Runtime {
-        let kind = |class: &Class| runtime::RunClass {
+    pub fn runtime(&self, seed: u64, started_at: Micros) -> Runtime {
+        let to_class = |class: &Class| runtime::RunClass {
             name: class.name.to_owned(),
             work: class.work,
             calls: class.calls,
             at_most_once: class.at_most_once,
         };
         let setup = runtime::Setup {
-            classes: self.classes.iter().map(kind).collect(),
+            classes: self.classes.iter().map(to_class).collect(),
             cores: f64::from(self.cores),
             speed: 1.0,
             cold_from: 0.25,
@@ -188,21 +197,25 @@
             faults_per_mille: 0,
             seed,
         };
-        Runtime::new(setup, since)
+        Runtime::new(setup, started_at)
     }
 
-    /// The settings of a matcher of this site.
+    /// Returns the settings of a matcher of this site.
     #[must_use]
     pub fn settings(&self) -> Value {
         let classes = self.classes.iter().map(|class| {
             json!({
                 "name": class.name,
                 "effect": if class.at_most_once { "at_most_once" } else { "idempotent" },
-                "give_up": class.deadline, "on_time": class.latency_objective, "value": class.worth,
+                "give_up": class.deadline, "on_time": class.latency_objective, "value": class.weight,
             })
         });
         let calls: Vec<_> = self.classes.iter().map(|class| class.calls.1 > 0).collect();
-        let skip: Vec<_> = self.classes.iter().map(|class| class.skip_worth).collect();
+        let skip_weights: Vec<_> = self
+            .classes
+            .iter()
+            .map(|class| class.skip_weight_ratio)
+            .collect();
         json!({
             "classes": classes.collect::<Vec<_>>(),
             "limits": {"retry_after": true, "max_retry_after": 2_000_000},
@@ -210,7 +223,7 @@
                       "ramp_time": 4_000_000},
             "servers": 1, "tick": 2_000, "worth_by": "work",
             "specifics": {"advert": "allowance", "below": "one_for_all", "callers": 4, "calls_out": self.store.slots,
-                          "calls_over": 5_000_000, "class_calls": calls, "class_skip_worth": skip,
+                          "calls_over": 5_000_000, "class_calls": calls, "class_skip_worth": skip_weights,
                           "cores": self.cores, "entry_kb": 10.0, "idle": 30_000_000, "linger": 200_000,
                           "memory_kb": f64::from(self.cores) * 1_200.0, "run_factor": 4.0,
                           "own_stats": ["cpu_busy", "runnable", "mem_used", "sockets"]}
@@ -218,52 +231,52 @@
     }
 }
 
-/// The site, until it is dropped.
+/// A running site; its services stop when this is dropped.
 pub struct Site {
-    /// Its clock.
+    /// Clock of the services.
     pub clock: Clock,
     /// The runtime.
     pub runtime: Shared<Runtime>,
-    /// Where it is, for each process of a matcher.
+    /// Listen addresses of the runtime, one for each matcher process.
     pub runtime_addresses: Vec<SocketAddr>,
-    /// The store.
+    /// Configuration of the store.
     pub store: Shared<Store>,
-    /// The directory.
+    /// The service registry.
     pub registry: Shared<ServiceRegistry>,
-    /// A matcher's configuration; it listens on a port that the system chooses.
+    /// Configuration of a matcher that listens on a port chosen by the system.
     pub config: Value,
-    /// How it is set up.
+    /// Configuration of the site.
     pub setup: Setup,
     _running: Running,
 }
 
-/// A loopback address.
+/// Returns the loopback address with this port.
 #[must_use]
-pub fn local(port: u16) -> SocketAddr {
+pub fn loopback(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port)
 }
 
 impl Site {
-    /// Starts runtime, store and directory.
+    /// Starts the runtime, the store and the registry.
     ///
     /// # Errors
-    /// Where the system gives no port or poller.
+    /// Fails when the system provides no port or poller.
     pub fn start(setup: Setup) -> io::Result<Self> {
         let clock = Clock::default();
         let runtime =
             shared(setup.runtime(setup.seed, clock.now().saturating_sub(setup.runtime_uptime)));
         let store = shared(Store::new(setup.store.clone()));
-        let directory = shared(ServiceRegistry::default());
+        let registry = shared(ServiceRegistry::default());
         let mut host = Host::default();
-        let mut doors = vec![local(setup.ports[0])];
-        doors.resize(setup.runtime_address_count.max(1), local(0));
-        let runtimes = host.listen_at(&doors, runtime.clone())?;
-        let runtime_at = runtimes[0];
-        let store_at = host.listen(local(setup.ports[1]), store.clone())?;
-        let lookup_at = host.listen(local(setup.ports[2]), directory.clone())?;
+        let mut addresses = vec![loopback(setup.ports[0])];
+        addresses.resize(setup.runtime_address_count.max(1), loopback(0));
+        let runtime_addresses = host.listen_at(&addresses, runtime.clone())?;
+        let runtime_address = runtime_addresses[0];
+        let store_address = host.listen(loopback(setup.ports[1]), store.clone())?;
+        let registry_address = host.listen(loopback(setup.ports[2]), registry.clone())?;
         let config = json!({
             "name": "n1", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "seed": format!("{:x}", setup.seed),
-            "runtime": runtime_at.to_string(), "store": store_at.to_string(), "lookup": lookup_at.to_string(),
+            "runtime": runtime_address.to_string(), "store": store_address.to_string(), "lookup": registry_address.to_string(),
             "stop_ms": setup.stop_timeout / MS,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": setup.sockets},
             "settings": setup.settings(),
@@ -272,19 +285,19 @@
         Ok(Self {
             clock,
             runtime,
-            runtime_addresses: runtimes,
+            runtime_addresses,
             store,
-            registry: directory,
+            registry,
             config,
             setup,
             _running: running,
         })
     }
 
-    /// The text of an operator file that switches AJP on, on a port that the system chooses; `rest` is added to its
-    /// `ajp` section, `outside` stands beside it.
+    /// Returns the text of an operator file that enables AJP on a port chosen by the system.
+    /// `ajp_options` is added to its `ajp` section, `other_sections` follows that section.
     #[must_use]
-    pub fn operator_file(&self, rest: &str, outside: &str) -> String {
+    pub fn operator_file(&self, ajp_options: &str, other_sections: &str) -> String {
         let routes: Vec<_> = self
             .setup
             .classes
@@ -294,7 +307,7 @@
         format!(
             "{{\n  ajp: {{\n    listen: ['127.0.0.1:0'],\n    routes: [{}],\n    trusted_proxies: ['127.0.0.1'],\n    \
              figures: {{ id: 'X-Request-Id', work_ms: 'X-Work-Ms', memory_kb: 'X-Memory-Kb', rank: 'X-Rank', \
-             caller: 'X-Caller', door: 'X-Door', key: 'Idempotency-Key' }},\n    {rest}\n  }},\n  {outside}\n}}\n",
+             caller: 'X-Caller', door: 'X-Door', key: 'Idempotency-Key' }},\n    {ajp_options}\n  }},\n  {other_sections}\n}}\n",
             routes.join(", ")
         )
     }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -1,5 +1,5 @@
-//! The store's stand-in: calls over HTTP or AJP, whichever a connection begins with; slots, a line, slowing when
-//! crowded, and replies that are lost, refused or cut off.
+//! Emulates the store: calls over HTTP or AJP, detected from the first byte of a connection; slots,
+//! slower calls beyond them, and replies that are lost, rejected, reset, failed or malformed.
 
 use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
@@ -11,26 +11,26 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap};
 
-/// How a store is set up.
+/// Configuration of the store.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Calls that it works on at once without slowing.
+    /// Number of concurrent calls that it handles without slowing down.
     pub slots: usize,
-    /// Time of a call while it is not crowded.
+    /// Duration of a call while no more than `slots` calls are in progress.
     pub call_time: Micros,
-    /// Each further call beyond the slots makes all slower by this share.
+    /// Share by which each concurrent call beyond the slots lengthens a new call.
     pub thrash: f64,
-    /// Of a thousand calls, so many are turned away unseen.
+    /// Calls rejected without running, of each thousand.
     pub rejected_per_mille: u32,
-    /// Of a thousand calls, so many run and get no reply.
+    /// Calls that run and get no reply, of each thousand.
     pub unanswered_per_mille: u32,
-    /// Of a thousand calls, so many run and end in a reset.
+    /// Calls that run and end in a connection reset, of each thousand.
     pub reset_per_mille: u32,
-    /// Of a thousand calls, so many fail.
+    /// Calls that fail, of each thousand.
     pub failed_per_mille: u32,
-    /// Of a thousand calls, so many run and get a reply that nobody can read, or that breaks off.
+    /// Calls that run and get a malformed or truncated reply, of each thousand.
     pub malformed_per_mille: u32,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -50,174 +50,175 @@
     }
 }
 
-/// What was seen.
+/// Counters of what happened.
 #[derive(Debug, Clone, Default)]
 pub struct Stats {
-    /// Calls read.
+    /// Calls received.
     pub calls: u64,
-    /// Those that came over AJP.
+    /// Calls received over AJP.
     pub ajp_calls: u64,
-    /// Most calls at once.
+    /// Maximum number of concurrent calls.
     pub peak_calls: usize,
     /// Connections accepted.
     pub connections: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Fate {
+enum CallOutcome {
     Served,
     Failed,
-    Refused,
-    Lost,
+    Rejected,
+    Unanswered,
     Reset,
-    Spoilt,
+    Malformed,
 }
 
 #[derive(Debug, Default)]
-struct Caller {
+struct Connection {
     input: Vec<u8>,
-    /// It speaks AJP; not known before its first byte.
+    /// Whether the connection speaks AJP; unknown before its first byte.
     ajp: Option<bool>,
-    /// The rest of an AJP body that is still to come.
-    body_left: usize,
-    /// A call is being worked on.
+    /// Bytes of an AJP request body that have not arrived yet.
+    remaining_body: usize,
+    /// Whether a call is in progress.
     busy: bool,
 }
 
-/// The stand-in.
+/// The emulated store.
 pub struct Store {
     setup: Setup,
-    callers: HashMap<ConnectionId, Caller>,
-    ends: BTreeSet<(Micros, ConnectionId)>,
-    fates: HashMap<ConnectionId, (Micros, Fate)>,
+    connections: HashMap<ConnectionId, Connection>,
+    call_ends: BTreeSet<(Micros, ConnectionId)>,
+    outcomes: HashMap<ConnectionId, (Micros, CallOutcome)>,
     random: SmallRng,
-    /// What was seen.
+    /// Counters of what happened.
     pub stats: Stats,
-    /// Times slower than usual.
+    /// Factor by which calls take longer than usual.
     pub slowdown: f64,
 }
 
 impl Store {
-    /// A store.
+    /// Creates a store without connections.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
         let random = SmallRng::seed_from_u64(setup.seed);
         Self {
             setup,
-            callers: HashMap::new(),
-            ends: BTreeSet::new(),
-            fates: HashMap::new(),
+            connections: HashMap::new(),
+            call_ends: BTreeSet::new(),
+            outcomes: HashMap::new(),
             random,
             stats: Stats::default(),
             slowdown: 1.0,
         }
     }
 
-    /// From now on so many of a thousand calls are refused, lost, reset and failed, each.
+    /// Sets how many of each thousand calls are rejected, left unanswered, reset or failed, a
+    /// quarter each.
     pub fn set_fault_rate(&mut self, per_mille: u32) {
-        let of = &mut self.setup;
-        (of.rejected_per_mille, of.unanswered_per_mille) = (per_mille / 4, per_mille / 4);
-        (of.reset_per_mille, of.failed_per_mille) = (per_mille / 4, per_mille / 4);
+        let setup = &mut self.setup;
+        (setup.rejected_per_mille, setup.unanswered_per_mille) = (per_mille / 4, per_mille / 4);
+        (setup.reset_per_mille, setup.failed_per_mille) = (per_mille / 4, per_mille / 4);
     }
 
-    /// From now on so many of a thousand replies are spoilt.
+    /// Sets how many of each thousand replies are malformed.
     pub fn set_malformed_rate(&mut self, per_mille: u32) {
         self.setup.malformed_per_mille = per_mille;
     }
 
-    fn begin(&mut self, now: Micros, link: ConnectionId) {
+    fn start_call(&mut self, now: Micros, connection: ConnectionId) {
         self.stats.calls += 1;
-        let at = self.random.random_range(0..1_000);
+        let draw = self.random.random_range(0..1_000);
         let setup = &self.setup;
-        let mut bound = 0;
-        let mut fate = Fate::Served;
+        let mut upper_bound = 0;
+        let mut outcome = CallOutcome::Served;
         for (share, other) in [
-            (setup.rejected_per_mille, Fate::Refused),
-            (setup.unanswered_per_mille, Fate::Lost),
-            (setup.reset_per_mille, Fate::Reset),
-            (setup.failed_per_mille, Fate::Failed),
-            (setup.malformed_per_mille, Fate::Spoilt),
+            (setup.rejected_per_mille, CallOutcome::Rejected),
+            (setup.unanswered_per_mille, CallOutcome::Unanswered),
+            (setup.reset_per_mille, CallOutcome::Reset),
+            (setup.failed_per_mille, CallOutcome::Failed),
+            (setup.malformed_per_mille, CallOutcome::Malformed),
         ] {
-            if at >= bound && at < bound + share {
-                fate = other;
+            if draw >= upper_bound && draw < upper_bound + share {
+                outcome = other;
             }
-            bound += share;
+            upper_bound += share;
         }
-        let crowd = (self.ends.len() + 1).saturating_sub(setup.slots) as f64;
-        let time = setup.call_time as f64 * (1.0 + setup.thrash * crowd) * self.slowdown;
+        let excess_calls = (self.call_ends.len() + 1).saturating_sub(setup.slots) as f64;
+        let time = setup.call_time as f64 * (1.0 + setup.thrash * excess_calls) * self.slowdown;
         let end = now
-            + if fate == Fate::Refused {
+            + if outcome == CallOutcome::Rejected {
                 0
             } else {
                 time as Micros
             };
-        self.ends.insert((end, link));
-        self.stats.peak_calls = self.stats.peak_calls.max(self.ends.len());
-        self.fates.insert(link, (end, fate));
-        if let Some(caller) = self.callers.get_mut(&link) {
-            caller.busy = true;
+        self.call_ends.insert((end, connection));
+        self.stats.peak_calls = self.stats.peak_calls.max(self.call_ends.len());
+        self.outcomes.insert(connection, (end, outcome));
+        if let Some(state) = self.connections.get_mut(&connection) {
+            state.busy = true;
         }
     }
 
-    /// Reads what is whole of a caller's bytes; one call at a time.
-    fn read(&mut self, now: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
+    /// Processes the complete messages in a connection's input, one call at a time.
+    fn process_input(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Effect>) {
         loop {
-            let Some(caller) = self.callers.get_mut(&link) else {
+            let Some(state) = self.connections.get_mut(&connection) else {
                 return;
             };
-            if caller.busy {
+            if state.busy {
                 return;
             }
-            let Some(&first) = caller.input.first() else {
+            let Some(&first) = state.input.first() else {
                 return;
             };
-            let ajp = *caller.ajp.get_or_insert(first == 0x12);
-            let read = if ajp {
-                read_ajp(caller)
+            let ajp = *state.ajp.get_or_insert(first == 0x12);
+            let message = if ajp {
+                read_ajp(state)
             } else {
-                read_http(caller)
+                read_http(state)
             };
-            match read {
-                Ok(Read::Short) => return,
-                Ok(Read::Passed(bytes)) => {
+            match message {
+                Ok(Message::Incomplete) => return,
+                Ok(Message::NotACall(bytes)) => {
                     if !bytes.is_empty() {
-                        out.push(Effect::Send(link, bytes));
+                        out.push(Effect::Send(connection, bytes));
                     }
                 }
-                Ok(Read::Call) => {
+                Ok(Message::Call) => {
                     self.stats.ajp_calls += u64::from(ajp);
-                    self.begin(now, link);
+                    self.start_call(now, connection);
                 }
                 Err(()) => {
-                    self.forget(link);
-                    out.push(Effect::Close(link));
+                    self.remove_connection(connection);
+                    out.push(Effect::Close(connection));
                     return;
                 }
             }
         }
     }
 
-    fn forget(&mut self, link: ConnectionId) {
-        self.callers.remove(&link);
-        if let Some((end, _)) = self.fates.remove(&link) {
-            self.ends.remove(&(end, link));
+    fn remove_connection(&mut self, connection: ConnectionId) {
+        self.connections.remove(&connection);
+        if let Some((end, _)) = self.outcomes.remove(&connection) {
+            self.call_ends.remove(&(end, connection));
         }
     }
 }
 
-enum Read {
-    Short,
-    /// Something that is no call, and what is sent for it.
-    Passed(Vec<u8>),
+enum Message {
+    Incomplete,
+    /// A message that completes no call, and the bytes to send in response.
+    NotACall(Vec<u8>),
     Call,
 }
 
-fn read_http(caller: &mut Caller) -> Result<Read, ()> {
+fn read_http(state: &mut Connection) -> Result<Message, ()> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(&caller.input) {
-        Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) => return Ok(Read::Short),
+    let head_length = match request.parse(&state.input) {
+        Ok(httparse::Status::Complete(head_length)) => head_length,
+        Ok(httparse::Status::Partial) => return Ok(Message::Incomplete),
         Err(_) => return Err(()),
     };
     let length = request
@@ -226,70 +227,71 @@
         .find(|header| header.name.eq_ignore_ascii_case("Content-Length"));
     let length =
         length.and_then(|header| std::str::from_utf8(header.value).ok()?.trim().parse().ok());
-    let whole = head + length.unwrap_or(0usize).min(1_048_576);
-    if caller.input.len() < whole {
-        return Ok(Read::Short);
+    let request_length = head_length + length.unwrap_or(0usize).min(1_048_576);
+    if state.input.len() < request_length {
+        return Ok(Message::Incomplete);
     }
-    caller.input.drain(..whole);
-    Ok(Read::Call)
+    state.input.drain(..request_length);
+    Ok(Message::Call)
 }
 
-fn read_ajp(caller: &mut Caller) -> Result<Read, ()> {
-    let payload = match codec::packet(&caller.input, Way::ToServer, PACKET_SIZE) {
+fn read_ajp(state: &mut Connection) -> Result<Message, ()> {
+    let payload = match codec::packet(&state.input, Way::ToServer, PACKET_SIZE) {
         Ok(Some(payload)) => payload,
-        Ok(None) => return Ok(Read::Short),
+        Ok(None) => return Ok(Message::Incomplete),
         Err(_) => return Err(()),
     };
     let end = payload.end;
-    let bytes = &caller.input[payload];
-    let read = if caller.body_left > 0 {
+    let bytes = &state.input[payload];
+    let message = if state.remaining_body > 0 {
         let data = codec::body(bytes).map_err(|_| ())?.len();
-        caller.body_left = caller.body_left.checked_sub(data).ok_or(())?;
-        if caller.body_left == 0 {
-            Read::Call
+        state.remaining_body = state.remaining_body.checked_sub(data).ok_or(())?;
+        if state.remaining_body == 0 {
+            Message::Call
         } else {
-            let mut ask = Vec::new();
+            let mut get_body = Vec::new();
             codec::push_get_body(
-                &mut ask,
-                caller.body_left.min(PACKET_SIZE - codec::BODY_OVERHEAD),
+                &mut get_body,
+                state.remaining_body.min(PACKET_SIZE - codec::BODY_OVERHEAD),
             );
-            Read::Passed(ask)
+            Message::NotACall(get_body)
         }
     } else if bytes == [kind::CPING] {
         let mut pong = Vec::new();
         codec::push_cpong(&mut pong);
-        Read::Passed(pong)
+        Message::NotACall(pong)
     } else {
         let mut headers = [NO_HEADER; MOST_HEADERS];
         let request = Forward::decode(bytes, &mut headers).map_err(|_| ())?;
         let length = request
             .header("content-length")
             .map(|value| std::str::from_utf8(value).unwrap_or("x"));
-        caller.body_left = length.map_or(Ok(0), |text| text.parse::<usize>().map_err(|_| ()))?;
-        if caller.body_left == 0 {
-            Read::Call
+        state.remaining_body =
+            length.map_or(Ok(0), |text| text.parse::<usize>().map_err(|_| ()))?;
+        if state.remaining_body == 0 {
+            Message::Call
         } else {
-            Read::Passed(Vec::new())
+            Message::NotACall(Vec::new())
         }
     };
-    caller.input.drain(..end);
-    Ok(read)
+    state.input.drain(..end);
+    Ok(message)
 }
 
-fn reply(ajp: bool, fate: Fate) -> Vec<u8> {
-    let (status, message, body) = match fate {
-        Fate::Refused => (503, "Service Unavailable", &b""[..]),
-        Fate::Failed => (500, "Internal Server Error", &b""[..]),
+fn reply(ajp: bool, outcome: CallOutcome) -> Vec<u8> {
+    let (status, message, body) = match outcome {
+        CallOutcome::Rejected => (503, "Service Unavailable", &b""[..]),
+        CallOutcome::Failed => (500, "Internal Server Error", &b""[..]),
         _ => (200, "OK", &b"entry of the ledger"[..]),
     };
     let length = body.len().to_string();
     let mut headers = vec![("Content-Length", length.as_str())];
-    if fate == Fate::Refused {
+    if outcome == CallOutcome::Rejected {
         headers.push((NOT_RUN, "1"));
     }
     let mut out = Vec::new();
     if ajp {
-        // So little fits into any packet.
+        // The headers always fit into a packet.
         let _ = codec::push_send_headers(&mut out, status, message, &headers, PACKET_SIZE);
         codec::push_chunks(&mut out, body, PACKET_SIZE);
         codec::push_end(&mut out, true);
@@ -304,84 +306,94 @@
     out
 }
 
-/// A reply that is none, and whether the connection ends after it.
-fn spoilt(ajp: bool, which: u64) -> (Vec<u8>, bool) {
-    let mut bytes = reply(ajp, Fate::Served);
-    match which % 6 {
-        // It breaks off.
+/// Returns a malformed reply, and whether the connection is closed after it.
+fn malformed_reply(ajp: bool, variant: u64) -> (Vec<u8>, bool) {
+    let mut bytes = reply(ajp, CallOutcome::Served);
+    match variant % 6 {
+        // Truncated.
         0 => bytes.truncate(bytes.len() / 2),
         1 => bytes.truncate(bytes.len() - 1),
-        // Its first bytes are others.
+        // Wrong first bytes.
         2 => bytes[..4].copy_from_slice(b"\xFF\x00\r\n"),
-        // A second one that nobody asked for.
+        // A duplicate that belongs to no call.
         3 => bytes.extend_from_within(..),
-        // One without an end.
+        // Without an end.
         4 => bytes = vec![b'x'; 40_000],
-        // A length that is too long, or no number.
+        // A length that is too large or not a number.
         _ => match bytes.iter().position(|byte| *byte == b'1' && !ajp) {
-            Some(at) if bytes.len() > 40 => bytes
-                .splice(at.max(33)..at.max(33) + 2, *b"-9")
+            Some(position) if bytes.len() > 40 => bytes
+                .splice(position.max(33)..position.max(33) + 2, *b"-9")
                 .for_each(drop),
             _ => bytes[2..4].copy_from_slice(&[0xFF, 0xFF]),
         },
     }
-    (bytes, matches!(which % 6, 0 | 1))
+    (bytes, matches!(variant % 6, 0 | 1))
 }
 
 impl Service for Store {
-    fn on_open(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, connection: ConnectionId, _: &mut Vec<Effect>) {
         self.stats.connections += 1;
-        self.callers.insert(link, Caller::default());
+        self.connections.insert(connection, Connection::default());
     }
 
-    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
-        if let Some(caller) = self.callers.get_mut(&link) {
-            caller.input.extend_from_slice(bytes);
-            self.read(now, link, out);
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        if let Some(state) = self.connections.get_mut(&connection) {
+            state.input.extend_from_slice(bytes);
+            self.process_input(now, connection, out);
         }
     }
 
-    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
-        // Closing the connection gives up the call.
-        self.forget(link);
+    fn on_close(&mut self, _: Micros, connection: ConnectionId, _: &mut Vec<Effect>) {
+        // Closing the connection cancels the call.
+        self.remove_connection(connection);
     }
 
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        while let Some(&(end, link)) = self.ends.first() {
+        while let Some(&(end, connection)) = self.call_ends.first() {
             if end > now {
                 break;
             }
-            self.ends.pop_first();
-            let Some((_, fate)) = self.fates.remove(&link) else {
+            self.call_ends.pop_first();
+            let Some((_, outcome)) = self.outcomes.remove(&connection) else {
                 continue;
             };
-            let Some(caller) = self.callers.get_mut(&link) else {
+            let Some(state) = self.connections.get_mut(&connection) else {
                 continue;
             };
-            caller.busy = false;
-            match fate {
-                Fate::Lost => caller.busy = true,
-                Fate::Reset => {
-                    self.callers.remove(&link);
-                    out.push(Effect::Reset(link));
+            state.busy = false;
+            match outcome {
+                CallOutcome::Unanswered => state.busy = true,
+                CallOutcome::Reset => {
+                    self.connections.remove(&connection);
+                    out.push(Effect::Reset(connection));
                 }
-                Fate::Spoilt => {
-                    let (bytes, ends) = spoilt(caller.ajp == Some(true), self.stats.calls);
-                    out.push(Effect::Send(link, bytes));
-                    if ends {
-                        self.callers.remove(&link);
-                        out.push(Effect::Close(link));
+                CallOutcome::Malformed => {
+                    let (bytes, closes) =
+                        malformed_reply(state.ajp == Some(true), self.stats.calls);
+                    out.push(Effect::Send(connection, bytes));
+                    if closes {
+                        self.connections.remove(&connection);
+                        out.push(Effect::Close(connection));
                     }
                 }
-                fate => {
-                    out.push(Effect::Send(link, reply(caller.ajp == Some(true), fate)));
-                    self.read(now, link, out);
+                outcome => {
+                    out.push(Effect::Send(
+                        connection,
+                        reply(state.ajp == Some(true), outcome),
+                    ));
+                    self.process_input(now, connection, out);
                 }
             }
         }
     }
 
     fn next_deadline(&self) -> Option<Micros> {
-        self.ends.first().map(|&(end, _)| end)
+        self.call_ends.first().map(|&(end, _)| end)
     }
 }
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -1,5 +1,6 @@
-//! A matcher's stand-in behind a gateway: it takes requests by frames, works on them with a few workers, turns away what
-//! would wait too long, and keeps books of what it ran. It can be slowed, told to drain, made to fail and killed.
+//! Emulates a matcher behind a gateway: it receives requests as frames, serves them with a few
+//! workers, rejects those that would wait too long, and records what it ran. It can be slowed,
+//! drained, made to fail and killed.
 
 use crate::host::{shared, with_lock, Clock, Host, Running, Shared};
 use crate::runtime::result_of;
@@ -13,53 +14,53 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How a target works.
+/// Configuration of a target.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Requests that run at a time.
+    /// Maximum number of concurrent runs.
     pub workers: usize,
-    /// A run takes as long as this, evenly spread.
+    /// Minimum and maximum duration of a run; durations are uniformly distributed.
     pub run_time: (Micros, Micros),
-    /// A request that would wait for longer is turned away.
+    /// Expected wait above which a request is rejected.
     pub max_wait: Micros,
-    /// Told with a refusal.
+    /// Retry-after time of rejections.
     pub retry_after: Micros,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-struct Held {
-    link: ConnectionId,
+struct OpenRequest {
+    connection: ConnectionId,
     stream: u32,
     id: u64,
 }
 
-/// The target.
+/// An emulated target.
 pub struct Target {
     setup: Setup,
-    /// Runs take so many times longer.
+    /// Factor by which runs take longer than usual.
     pub slowdown: f64,
-    /// Of a thousand runs so many fail after they have run.
+    /// Runs that fail at their end, of each thousand.
     pub failed_per_mille: u32,
-    /// Requests are turned away, and connections told that no more may come.
+    /// Whether new requests are rejected and connections have to be sent a goodbye.
     draining: bool,
-    told: bool,
+    goodbye_sent: bool,
     random: SmallRng,
-    links: HashMap<ConnectionId, Vec<u8>>,
+    connections: HashMap<ConnectionId, Vec<u8>>,
     running: BTreeSet<(Micros, u64)>,
-    at: HashMap<u64, Held>,
+    open_requests: HashMap<u64, OpenRequest>,
     queue: VecDeque<(u64, Micros)>,
-    next: u64,
-    /// How often each request ran, by id.
+    last_number: u64,
+    /// Number of runs of each request, by id.
     pub runs: HashMap<u64, u32>,
-    /// Requests that came.
+    /// Number of requests received.
     pub received: u64,
-    /// Those that came after the word to drain.
+    /// Number of requests received while draining.
     pub received_while_draining: u64,
 }
 
 impl Target {
-    /// One that has not served yet.
+    /// Creates a target without connections.
     #[must_use]
     pub fn new(setup: Setup) -> Self {
         let random = SmallRng::seed_from_u64(setup.seed);
@@ -68,101 +69,113 @@
             slowdown: 1.0,
             failed_per_mille: 0,
             draining: false,
-            told: false,
+            goodbye_sent: false,
             random,
-            links: HashMap::new(),
+            connections: HashMap::new(),
             running: BTreeSet::new(),
-            at: HashMap::new(),
+            open_requests: HashMap::new(),
             queue: VecDeque::new(),
-            next: 0,
+            last_number: 0,
             runs: HashMap::new(),
             received: 0,
             received_while_draining: 0,
         }
     }
 
-    /// It drains from now on, or takes requests again.
+    /// Starts or ends draining.
     pub fn set_draining(&mut self, draining: bool) {
-        (self.draining, self.told) = (draining, false);
+        (self.draining, self.goodbye_sent) = (draining, false);
     }
 
-    /// Forgets what it holds, as a process does that dies; what it ran has run.
-    pub fn discard_open_requests(&mut self) {
-        self.links.clear();
+    /// Discards connections and open requests, as when a process dies; the record of runs stays.
+    pub fn reset(&mut self) {
+        self.connections.clear();
         self.running.clear();
-        self.at.clear();
+        self.open_requests.clear();
         self.queue.clear();
     }
 
-    fn answer(&self, link: ConnectionId, stream: u32, answer: &Response, out: &mut Vec<Effect>) {
+    fn respond(
+        &self,
+        connection: ConnectionId,
+        stream: u32,
+        response: &Response,
+        out: &mut Vec<Effect>,
+    ) {
         let mut bytes = Vec::new();
-        codec::push_answer(&mut bytes, stream, answer, None);
-        if self.links.contains_key(&link) {
-            out.push(Effect::Send(link, bytes));
+        codec::push_answer(&mut bytes, stream, response, None);
+        if self.connections.contains_key(&connection) {
+            out.push(Effect::Send(connection, bytes));
         }
     }
 
-    fn begin(&mut self, now: Micros) {
+    fn start_runs(&mut self, now: Micros) {
         while self.running.len() < self.setup.workers {
             let Some((number, _)) = self.queue.pop_front() else {
                 return;
             };
-            let Some(held) = self.at.get(&number) else {
+            let Some(request) = self.open_requests.get(&number) else {
                 continue;
             };
-            *self.runs.entry(held.id).or_default() += 1;
-            let work = self
+            *self.runs.entry(request.id).or_default() += 1;
+            let duration = self
                 .random
                 .random_range(self.setup.run_time.0..=self.setup.run_time.1)
                 as f64
                 * self.slowdown;
-            self.running.insert((now + work as Micros, number));
+            self.running.insert((now + duration as Micros, number));
         }
     }
 
-    fn request(
+    fn handle_request(
         &mut self,
         now: Micros,
-        link: ConnectionId,
+        connection: ConnectionId,
         stream: u32,
         payload: &[u8],
         out: &mut Vec<Effect>,
     ) {
         self.received += 1;
-        let refused = Response::Rejected {
+        let rejected = Response::Rejected {
             retry_after: self.setup.retry_after,
             no_failover: false,
         };
         if self.draining {
             self.received_while_draining += 1;
-            return self.answer(link, stream, &refused, out);
+            return self.respond(connection, stream, &rejected, out);
         }
         let Ok(request) = Request::decode(payload, None) else {
-            return self.answer(link, stream, &Response::Failed, out);
+            return self.respond(connection, stream, &Response::Failed, out);
         };
         let mean = (self.setup.run_time.0 + self.setup.run_time.1) as f64 / 2.0 * self.slowdown;
-        let wait = mean * self.queue.len() as f64 / self.setup.workers as f64;
-        if wait > self.setup.max_wait as f64 {
-            return self.answer(link, stream, &refused, out);
+        let expected_wait = mean * self.queue.len() as f64 / self.setup.workers as f64;
+        if expected_wait > self.setup.max_wait as f64 {
+            return self.respond(connection, stream, &rejected, out);
         }
-        self.next += 1;
-        self.at.insert(
-            self.next,
-            Held {
-                link,
+        self.last_number += 1;
+        self.open_requests.insert(
+            self.last_number,
+            OpenRequest {
+                connection,
                 stream,
                 id: request.txn,
             },
         );
-        self.queue.push_back((self.next, now));
-        self.begin(now);
+        self.queue.push_back((self.last_number, now));
+        self.start_runs(now);
     }
 }
 
 impl Service for Target {
-    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
-        let mut input = self.links.remove(&link).unwrap_or_default();
-        self.links.insert(link, Vec::new());
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
+        let mut input = self.connections.remove(&connection).unwrap_or_default();
+        self.connections.insert(connection, Vec::new());
         input.extend_from_slice(bytes);
         let mut used = 0;
         while let Parsed::Frame {
@@ -173,84 +186,86 @@
         {
             let payload = used + payload.start..used + payload.end;
             if kind == codec::REQUEST {
-                self.request(now, link, stream, &input[payload.clone()], out);
+                self.handle_request(now, connection, stream, &input[payload.clone()], out);
             }
             used = payload.end;
         }
         input.drain(..used);
-        self.links.insert(link, input);
+        self.connections.insert(connection, input);
     }
 
-    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
-        self.links.remove(&link);
+    fn on_close(&mut self, _: Micros, connection: ConnectionId, _: &mut Vec<Effect>) {
+        self.connections.remove(&connection);
     }
 
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
-        if self.draining && !std::mem::replace(&mut self.told, true) {
+        if self.draining && !std::mem::replace(&mut self.goodbye_sent, true) {
             let mut goodbye = Vec::new();
             codec::push_goodbye(&mut goodbye);
             out.extend(
-                self.links
+                self.connections
                     .keys()
-                    .map(|link| Effect::Send(*link, goodbye.clone())),
+                    .map(|connection| Effect::Send(*connection, goodbye.clone())),
             );
         }
-        while let Some(&(at, number)) = self.running.first().filter(|(at, _)| *at <= now) {
-            self.running.remove(&(at, number));
-            let Some(held) = self.at.remove(&number) else {
+        while let Some(&(ends_at, number)) =
+            self.running.first().filter(|(ends_at, _)| *ends_at <= now)
+        {
+            self.running.remove(&(ends_at, number));
+            let Some(request) = self.open_requests.remove(&number) else {
                 continue;
             };
-            let fails = self.random.random_range(0..1_000) < self.failed_per_mille;
-            let served = Response::Served(result_of(held.id));
-            let answer = if fails { Response::Failed } else { served };
-            self.answer(held.link, held.stream, &answer, out);
+            let is_failed = self.random.random_range(0..1_000) < self.failed_per_mille;
+            let served = Response::Served(result_of(request.id));
+            let response = if is_failed { Response::Failed } else { served };
+            self.respond(request.connection, request.stream, &response, out);
         }
-        self.begin(now);
+        self.start_runs(now);
     }
 
     fn next_deadline(&self) -> Option<Micros> {
-        let told = (self.draining && !self.told).then_some(0);
-        told.or_else(|| self.running.first().map(|(at, _)| *at))
+        let goodbye_deadline = (self.draining && !self.goodbye_sent).then_some(0);
+        goodbye_deadline.or_else(|| self.running.first().map(|(ends_at, _)| *ends_at))
     }
 }
 
-/// A target on a port of its own, which can be killed and started again there.
+/// A target that listens on a port of its own, and can be killed and restarted on it.
 pub struct TargetServer {
-    /// The target.
+    /// The emulated target.
     pub target: Shared<Target>,
-    /// Where it listens.
+    /// Address on which the target listens.
     pub address: SocketAddr,
     clock: Clock,
     running: Option<Running>,
 }
 
 impl TargetServer {
-    /// Starts one.
+    /// Starts a target on a port chosen by the system.
     ///
     /// # Errors
-    /// Where the system gives no port.
+    /// Fails when no port can be bound.
     pub fn start(setup: Setup, clock: Clock) -> io::Result<Self> {
         let target = shared(Target::new(setup));
         let mut host = Host::default();
-        let at = host.listen(([127, 0, 0, 1], 0).into(), target.clone())?;
+        let address = host.listen(([127, 0, 0, 1], 0).into(), target.clone())?;
         Ok(Self {
             target,
-            address: at,
+            address,
             clock,
             running: Some(host.start(clock)?),
         })
     }
 
-    /// It dies: its connections break, and new ones are refused.
+    /// Kills the target: its connections end, and new ones are refused.
     pub fn kill(&mut self) {
         self.running = None;
-        with_lock(&self.target, Target::discard_open_requests);
+        with_lock(&self.target, Target::reset);
     }
 
-    /// It comes back.
+    /// Starts the target on its old port.
     ///
     /// # Errors
-    /// Where its port is taken.
+    /// Fails when the port is in use.
     pub fn restart(&mut self) -> io::Result<()> {
         let mut host = Host::default();
         host.listen(self.address, self.target.clone())?;
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -529,7 +529,7 @@
         self.dues.remove(&(one.due, id));
         let fate = match &said {
             Some(ResponseOutcome::Served(result)) => Fate::Served(result.clone()),
-            Some(ResponseOutcome::Refused(_)) => Fate::Refused,
+            Some(ResponseOutcome::Rejected(_)) => Fate::Refused,
             Some(ResponseOutcome::Failed) => Fate::Failed,
             None => Fate::Lost,
         };
@@ -543,7 +543,7 @@
                 ask.done = !(ask.key.is_some() && ask.tried < 6 && self.habit.retries);
                 ask.bound = ask.key.map(|_| one.matcher);
             }
-            Some(ResponseOutcome::Refused(later)) => {
+            Some(ResponseOutcome::Rejected(later)) => {
                 self.counts[2] += 1;
                 if self.habit.heeds {
                     self.avoid[one.matcher] = self.avoid[one.matcher].max(now + later * MS);
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -197,8 +197,8 @@
         calls: (0, 0),
         latency_objective: 2 * SECOND,
         deadline: 6 * SECOND,
-        worth: 1.0,
-        skip_worth: 0.0,
+        weight: 1.0,
+        skip_weight_ratio: 0.0,
     };
     Setup {
         classes: vec![class("find-race")],
--- a/src/commands/bench_connection_admission.rs
+++ b/src/commands/bench_connection_admission.rs
@@ -198,14 +198,14 @@
     while Instant::now() < until && !going.callers.iter().all(|c| with_lock(c, |c| c.is_done())) {
         std::thread::sleep(Duration::from_millis(10));
     }
-    let report = going.judge();
+    let report = going.check_rules();
     let total = report.total(Protocol::Frames);
     seen.served = 100.0 * total.on_time as f64 / total.issued.max(1) as f64;
     // Requests that a crowd kept from being let in are told by the share served; here it counts that none was lost after.
     seen.broken = report
         .violations
         .iter()
-        .filter(|what| !what.contains("without an answer"))
+        .filter(|what| !what.contains("without a response"))
         .cloned()
         .collect();
     seen.opened = opened.load(Ordering::Relaxed);
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -299,7 +299,7 @@
         let Some(class) = site.classes.iter().find(|class| class.name == name) else {
             continue;
         };
-        let each = class.worth * (class.work.0 + class.work.1) as f64;
+        let each = class.weight * (class.work.0 + class.work.1) as f64;
         served += each * tally.on_time as f64;
         asked += each * tally.issued as f64;
     }
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -89,7 +89,7 @@
     while !done(&going) && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(10));
     }
-    going.judge()
+    going.check_rules()
 }
 
 fn served(report: &Report) -> f64 {
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -185,7 +185,7 @@
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.judge();
+    let report = going.check_rules();
     assert!(report.violations.is_empty(), "{report}");
     for front in [Protocol::Frames, Protocol::Ajp] {
         let total = report.total(front);
@@ -353,7 +353,7 @@
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.judge();
+    let report = going.check_rules();
     assert!(report.violations.is_empty(), "{report}");
 }
 
@@ -399,7 +399,7 @@
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.judge();
+    let report = going.check_rules();
     assert!(report.violations.is_empty(), "{report}");
     for front in [Protocol::Frames, Protocol::Ajp] {
         let total = report.total(front);
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -42,7 +42,7 @@
     };
     let mut going = trial.start(&program()).expect("it starts");
     assert_eq!(going.matcher.get("/_ready").expect("an answer").0, 200);
-    let end = going.begin + 1_600_000;
+    let end = going.start_at + 1_600_000;
     while going.site.clock.now() < end
         || !going
             .callers
@@ -52,7 +52,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let told = vars(&going.matcher);
-    let report = going.judge();
+    let report = going.check_rules();
     assert_eq!(report.violations, Vec::<String>::new());
     for (_, class, tally) in &report.tallies {
         let operation = &told["operations"][class];
@@ -166,7 +166,7 @@
     while !all_done(&going) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.judge();
+    let report = going.check_rules();
     assert_eq!(report.violations, Vec::<String>::new(), "{report}");
     let unreachable: u64 = report
         .tallies
@@ -211,11 +211,11 @@
     while !all_done(&going) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.judge();
+    let report = going.check_rules();
     let broken: Vec<_> = report
         .violations
         .iter()
-        .filter(|what| !what.contains("without an answer"))
+        .filter(|what| !what.contains("without a response"))
         .collect();
     assert!(broken.is_empty(), "{report}");
     let lost: u64 = report
@@ -253,7 +253,7 @@
     while !all_done(&going) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.judge();
+    let report = going.check_rules();
     assert_eq!(report.violations, Vec::<String>::new(), "{report}");
 }
 
@@ -283,11 +283,11 @@
     while !all_done(&going) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.judge();
+    let report = going.check_rules();
     let broken: Vec<_> = report
         .violations
         .iter()
-        .filter(|what| !what.contains("without an answer"))
+        .filter(|what| !what.contains("without a response"))
         .collect();
     assert!(broken.is_empty(), "{report}");
     let total = |of: fn(&cleatpulley_emulators::callers::Tally) -> u64| -> u64 {
