--- a/crates/emulators/src/callers.rs
+++ b/crates/emulators/src/callers.rs
@@ -6,9 +6,9 @@
 use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request, Response};
-use cleatpulley_protocol::ajp::codec::{Fault, PACKET_SIZE};
-use cleatpulley_protocol::ajp::server::RETRY_AFTER_MS;
-use cleatpulley_protocol::frame::codec::{self, Parsed};
+use cleatpulley_protocol::ajp::codec::{DecodeError, PACKET_SIZE};
+use cleatpulley_protocol::ajp::server::RETRY_AFTER_MS_HEADER;
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -629,7 +629,7 @@
     now: Micros,
     connection: ConnectionId,
     out: &mut Vec<Effect>,
-) -> Result<Option<Response>, Fault> {
+) -> Result<Option<Response>, DecodeError> {
     input.extend_from_slice(bytes);
     let mut more = Vec::new();
     let taken = client.receive(now, input, &mut more);
@@ -638,7 +638,7 @@
     }
     let used = taken.inspect_err(|_| out.push(Effect::Reset(connection)))?;
     input.drain(..used);
-    let response = client.take();
+    let response = client.take_response();
     if response.as_ref().is_some_and(|response| !response.reuse) {
         out.push(Effect::Close(connection));
     }
@@ -652,7 +652,7 @@
         200 => ResponseOutcome::Served(response.body.clone()),
         503 if response.not_run() => ResponseOutcome::Rejected(
             response
-                .header(RETRY_AFTER_MS)
+                .header(RETRY_AFTER_MS_HEADER)
                 .and_then(|ms| ms.parse().ok())
                 .unwrap_or(0),
         ),
@@ -679,21 +679,21 @@
     goodbye_received: &mut bool,
 ) -> (Vec<(T, Option<ResponseOutcome>)>, u64) {
     let (mut used, mut responses, mut unmatched) = (0, Vec::new(), 0);
-    while let Parsed::Frame {
+    while let ParsedFrame::Frame {
         kind,
         stream,
         payload,
-    } = codec::parse(&input[used..])
+    } = codec::parse_frame(&input[used..])
     {
         let end = payload.end;
         let payload = &input[used..][payload];
         used += end;
         match kind {
-            codec::ANSWER => match open.remove(&stream) {
+            codec::RESPONSE => match open.remove(&stream) {
                 Some(request) => responses.push((request, decode_response(payload))),
                 None => unmatched += 1,
             },
-            codec::GOODBYE => *goodbye_received = true,
+            codec::GO_AWAY => *goodbye_received = true,
             _ => unmatched += 1,
         }
     }
--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -108,16 +108,16 @@
             .get_mut(name)
             .ok_or_else(|| io::Error::other(format!("no process {name}")))?;
         let operator = format!(
-            "{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
+"{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
              routes: 'nginx.conf', classes: {{ a: {{ deadline_ms: 1000, effect: false }} }}, stop_ms: 4000 }}, \
              cluster: {{ listen: '127.0.0.1:0', advertise: '{}', contacts: [{}], zone: 'mona', host: '{name}', \
              keys: '{}', folder: '{}', {} }} }}",
-            node.advertised,
-            contacts.join(", "),
-            self.folder.join("cluster.keys").display(),
-            node.folder.display(),
-            self.cluster_settings,
-        );
+node.advertised,
+contacts.join(", "),
+self.folder.join("cluster.keys").display(),
+node.folder.display(),
+self.cluster_settings,
+);
         let mut process = Matcher::start_gateway(&self.program, ROUTES, &operator)?;
         let line = process.wait_for_log("hears on ")?;
         let address = line
@@ -199,7 +199,7 @@
     #[must_use]
     pub fn count_steps(&self, name: &str, step_name: &str) -> usize {
         let steps = self.steps_of(name);
-        steps.iter().filter(|step| step.what == step_name).count()
+        steps.iter().filter(|step| step.action == step_name).count()
     }
 
     /// Waits until the log of each of these processes has the step this many times.
@@ -236,7 +236,7 @@
         let log = node.process.as_ref().map(Matcher::log).unwrap_or_default();
         let lines = node.earlier_log.iter().chain(&log);
         lines
-            .filter_map(|line| Step::read(line).ok().flatten())
+            .filter_map(|line| Step::parse(line).ok().flatten())
             .collect()
     }
 
@@ -247,6 +247,6 @@
         self.nodes
             .keys()
             .for_each(|name| steps.extend(self.steps_of(name)));
-        Timeline::of(steps)
+        Timeline::from_steps(steps)
     }
 }
--- a/crates/emulators/src/matcher.rs
+++ b/crates/emulators/src/matcher.rs
@@ -68,7 +68,7 @@
             matcher.ajp = Some(matcher.wait_for_address("speaks AJP on ")?);
         }
         if config.get("mgmt").is_some() {
-            matcher.mgmt = Some(matcher.wait_for_address("operators are answered on ")?);
+            matcher.mgmt = Some(matcher.wait_for_address("management endpoint serves on ")?);
         }
         matcher.wait_for_log("runtime: running")?;
         Ok(matcher)
@@ -104,7 +104,7 @@
     pub fn wait_ready(&mut self, timeout: Duration) -> io::Result<Duration> {
         let started = Instant::now();
         if self.mgmt.is_none() {
-            self.mgmt = Some(self.wait_for_address("operators are answered on ")?);
+            self.mgmt = Some(self.wait_for_address("management endpoint serves on ")?);
         }
         while !matches!(self.get("/_ready"), Ok((200, _))) {
             if started.elapsed() > timeout || !self.is_alive() {
@@ -330,7 +330,8 @@
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes)?;
-        let reply = cleatpulley_protocol::http::parse(&bytes, true).map_err(io::Error::other)?;
+        let reply =
+            cleatpulley_protocol::http::parse_response(&bytes, true).map_err(io::Error::other)?;
         reply
             .map(|reply| (reply.status, reply.body))
             .ok_or_else(|| io::Error::other("incomplete management response"))
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -4,9 +4,9 @@
 use crate::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{
-    self, kind, Forward, Way, MOST_HEADERS, NO_HEADER, PACKET_SIZE,
+    self, packet_type, Direction, ForwardRequest, EMPTY_HEADER, MAX_HEADERS, PACKET_SIZE,
 };
-use cleatpulley_protocol::ajp::server::NOT_RUN;
+use cleatpulley_protocol::ajp::server::NOT_RUN_HEADER;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap};
@@ -236,7 +236,7 @@
 }
 
 fn read_ajp(state: &mut Connection) -> Result<Message, ()> {
-    let payload = match codec::packet(&state.input, Way::ToServer, PACKET_SIZE) {
+    let payload = match codec::parse_packet(&state.input, Direction::ToServer, PACKET_SIZE) {
         Ok(Some(payload)) => payload,
         Ok(None) => return Ok(Message::Incomplete),
         Err(_) => return Err(()),
@@ -244,7 +244,7 @@
     let end = payload.end;
     let bytes = &state.input[payload];
     let message = if state.remaining_body > 0 {
-        let data = codec::body(bytes).map_err(|_| ())?.len();
+        let data = codec::decode_body(bytes).map_err(|_| ())?.len();
         state.remaining_body = state.remaining_body.checked_sub(data).ok_or(())?;
         if state.remaining_body == 0 {
             Message::Call
@@ -256,13 +256,13 @@
             );
             Message::NotACall(get_body)
         }
-    } else if bytes == [kind::CPING] {
+    } else if bytes == [packet_type::CPING] {
         let mut pong = Vec::new();
         codec::push_cpong(&mut pong);
         Message::NotACall(pong)
     } else {
-        let mut headers = [NO_HEADER; MOST_HEADERS];
-        let request = Forward::decode(bytes, &mut headers).map_err(|_| ())?;
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let request = ForwardRequest::decode(bytes, &mut headers).map_err(|_| ())?;
         let length = request
             .header("content-length")
             .map(|value| std::str::from_utf8(value).unwrap_or("x"));
@@ -287,14 +287,14 @@
     let length = body.len().to_string();
     let mut headers = vec![("Content-Length", length.as_str())];
     if outcome == CallOutcome::Rejected {
-        headers.push((NOT_RUN, "1"));
+        headers.push((NOT_RUN_HEADER, "1"));
     }
     let mut out = Vec::new();
     if ajp {
         // The headers always fit into a packet.
         let _ = codec::push_send_headers(&mut out, status, message, &headers, PACKET_SIZE);
-        codec::push_chunks(&mut out, body, PACKET_SIZE);
-        codec::push_end(&mut out, true);
+        codec::push_body_chunks(&mut out, body, PACKET_SIZE);
+        codec::push_end_response(&mut out, true);
     } else {
         out.extend_from_slice(format!("HTTP/1.1 {status} {message}\r\n").as_bytes());
         for (name, value) in headers {
--- a/crates/emulators/src/target.rs
+++ b/crates/emulators/src/target.rs
@@ -7,7 +7,7 @@
 use crate::{ConnectionId, Effect, Service};
 use cleatpulley_dispatcher::Response;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::frame::codec::{self, Parsed, Request};
+use cleatpulley_protocol::frame::codec::{self, ParsedFrame, Request};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -103,7 +103,7 @@
         out: &mut Vec<Effect>,
     ) {
         let mut bytes = Vec::new();
-        codec::push_answer(&mut bytes, stream, response, None);
+        codec::push_response(&mut bytes, stream, response, None);
         if self.connections.contains_key(&connection) {
             out.push(Effect::Send(connection, bytes));
         }
@@ -158,7 +158,7 @@
             OpenRequest {
                 connection,
                 stream,
-                id: request.txn,
+                id: request.id,
             },
         );
         self.queue.push_back((self.last_number, now));
@@ -178,11 +178,11 @@
         self.connections.insert(connection, Vec::new());
         input.extend_from_slice(bytes);
         let mut used = 0;
-        while let Parsed::Frame {
+        while let ParsedFrame::Frame {
             kind,
             stream,
             payload,
-        } = codec::parse(&input[used..])
+        } = codec::parse_frame(&input[used..])
         {
             let payload = used + payload.start..used + payload.end;
             if kind == codec::REQUEST {
@@ -201,7 +201,7 @@
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>) {
         if self.draining && !std::mem::replace(&mut self.goodbye_sent, true) {
             let mut goodbye = Vec::new();
-            codec::push_goodbye(&mut goodbye);
+            codec::push_go_away(&mut goodbye);
             out.extend(
                 self.connections
                     .keys()
--- a/crates/server/src/client_listener/eviction.rs
+++ b/crates/server/src/client_listener/eviction.rs
@@ -1,4 +1,4 @@
-//! Giving up connection slots: for new connections, by idle timeouts, and while slots run short.
+//! Eviction of connections: for new ones, by idle timeouts, and while connection slots are scarce.
 
 use super::client_connection::ClientConnection;
 use super::ClientListener;
@@ -6,24 +6,24 @@
 use cleatpulley_dispatcher::Event;
 use cleatpulley_policy::interface::Micros;
 
-/// Interval at which idle and closing connections are looked for.
+/// Interval between sweeps for idle and closing connections.
 pub(super) const SWEEP_INTERVAL: Micros = 100_000;
-/// A sweep that is late by this time follows a pause of the machine, which is no silence of the
-/// clients.
+/// A sweep that is late by this time follows a pause of the machine, which must not count as idle
+/// time of clients.
 const PAUSE_THRESHOLD: Micros = 1_000_000;
-/// Beyond this share of the slots, idle connections are asked to close, the longest idle first.
-const SHORTAGE_SHARE: f64 = 0.75;
-/// An idle connection that was used within this time is not asked to: its client may be about to
-/// use it.
+/// Fraction of the slots beyond which clients of idle connections are notified to close, the
+/// longest idle first.
+const SCARCITY_SHARE: f64 = 0.75;
+/// An idle connection used within this time is spared: its client may be about to use it.
 const RECENT_USE: Micros = 300_000;
 
 impl<H: Host> ClientListener<H> {
-    /// Closes a connection without open requests, if there is one: first those that only wait for
-    /// their end, then those that never sent a complete message, the oldest first. Guards against
-    /// clients that take all slots and send nothing, while others wait to be accepted.
+    /// Closes a connection without open requests, if there is one: first those that are closing,
+    /// then those that never sent a complete message, the oldest first. Otherwise clients that send
+    /// nothing could take all slots while others wait to be accepted.
     pub(super) fn free_connection_slot(&mut self, now: Micros, events: &mut Vec<Event>) -> bool {
         while let Some(number) = self.next_evictable(now) {
-            // What it sent may have arrived since it was last read: closing would lose that.
+            // A request may have arrived since the connection was last read: closing would lose it.
             if let Some(connection) = self.connections.get_mut(&number) {
                 connection.stream.on_readiness(Readiness {
                     readable: true,
@@ -50,18 +50,18 @@
         evictable.min().map(|(_, number)| number)
     }
 
-    /// Looks after all connections: deadlines, idle timeouts, and the limit of connections.
+    /// Checks all connections for deadlines, idle timeouts and the connection limit.
     pub(super) fn sweep(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.acceptor.reserve_descriptor(&self.host);
-        // Connections that could not be closed yet when the limit was lowered.
+        // Closes connections that could not be closed yet when the limit was lowered.
         self.set_connection_limit(now, self.acceptor.max_connections, events);
         if self.acceptor.is_yielding() {
-            self.send_away(now);
+            self.request_close(now);
         }
         let was_paused = now >= self.sweeper.sweep_at + PAUSE_THRESHOLD;
         self.sweeper.sweep_at = now + SWEEP_INTERVAL;
         self.expire_connections(now, was_paused);
-        self.close_idle_in_shortage(now);
+        self.close_idle_when_slots_are_scarce(now);
     }
 
     fn expire_connections(&mut self, now: Micros, was_paused: bool) {
@@ -70,20 +70,21 @@
                 self.ready.push(number);
                 continue;
             }
-            let context = self.context.at(now, number);
+            let context = self.context.for_connection(now, number);
             let machine = &mut *connection.machine;
             let output = connection.stream.output();
-            if was_paused && machine.status().waits.is_some() {
-                machine.status_mut().waits = Some(now);
+            if was_paused && machine.status().waiting_since.is_some() {
+                machine.status_mut().waiting_since = Some(now);
             }
             if machine.deadline().is_some_and(|deadline| now >= deadline) {
-                machine.expire(&context, output);
+                machine.handle_timeout(&context, output);
             }
             let status = machine.status();
             let idle_timeout = self.sweeper.idle_timeout;
-            let is_timed_out = idle_timeout.is_some_and(|timeout| now >= status.used + timeout);
+            let is_timed_out =
+                idle_timeout.is_some_and(|timeout| now >= status.last_activity_at + timeout);
             if status.is_idle() && is_timed_out {
-                machine.part(&context, output);
+                machine.stop_accepting_requests(&context, output);
             }
             if !connection.is_open() {
                 self.ready.push(number);
@@ -91,9 +92,9 @@
         }
     }
 
-    /// Asks idle connections to close while slots run short.
-    fn close_idle_in_shortage(&mut self, now: Micros) {
-        let max_open = (SHORTAGE_SHARE * self.acceptor.max_connections as f64) as usize;
+    /// Notifies clients of idle connections to close while slots are scarce.
+    fn close_idle_when_slots_are_scarce(&mut self, now: Micros) {
+        let max_open = (SCARCITY_SHARE * self.acceptor.max_connections as f64) as usize;
         let open_count = self
             .connections
             .values()
@@ -105,21 +106,22 @@
         }
         for number in self.longest_idle(now, excess) {
             if let Some(connection) = self.connections.get_mut(&number) {
-                let context = self.context.at(now, number);
+                let context = self.context.for_connection(now, number);
                 connection
                     .machine
-                    .part(&context, connection.stream.output());
+                    .stop_accepting_requests(&context, connection.stream.output());
             }
             self.ready.push(number);
         }
     }
 
-    /// Returns the numbers of the connections that are idle longest, without those used recently.
+    /// Returns the numbers of the longest idle connections, except recently used ones.
     fn longest_idle(&self, now: Micros, count: usize) -> Vec<u64> {
         let last_use_of_idle = |(number, connection): (&u64, &ClientConnection<H>)| {
             let status = connection.machine.status();
             let is_idle = !connection.is_lingering() && status.is_idle();
-            (is_idle && now >= status.used + RECENT_USE).then_some((status.used, *number))
+            (is_idle && now >= status.last_activity_at + RECENT_USE)
+                .then_some((status.last_activity_at, *number))
         };
         let mut idle: Vec<_> = self
             .connections
--- a/crates/server/src/dependency_pool/dependency_connection.rs
+++ b/crates/server/src/dependency_pool/dependency_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the dependency, and what differs between the two protocols.
+//! A connection to the dependency, and the differences between the two protocols.
 
 use super::pending_call::PendingCall;
 use super::protocol::DependencyProtocol;
@@ -6,18 +6,18 @@
 use crate::host::Host;
 use crate::socket_owner::SocketOwner;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::ajp::client::{self, Client, Fate};
-use cleatpulley_protocol::{http, line};
+use cleatpulley_protocol::ajp::client::{self, Client, ExecutionState};
+use cleatpulley_protocol::{http, runtime_line};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Bytes of a reply that are read at once.
-const READ_LIMIT: usize = 2_097_152;
-/// Method and path of each call.
+/// Maximum number of bytes that one read leaves in the input of a connection.
+const READ_LIMIT_BYTES: usize = 2_097_152;
+/// HTTP method of each call.
 const METHOD: &str = "POST";
 const PATH: &str = "/query";
 
-/// The state of the protocol spoken on a connection.
+/// Protocol state of a connection.
 enum ProtocolState {
     Http,
     Ajp(Box<Client>),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A reply that can't be decoded; the codec says why.
+/// A reply that can't be decoded, with the error of the codec.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 struct MalformedReply(String);
@@ -48,13 +48,13 @@
     pub(super) stream: BufferedConnection<H>,
     protocol: ProtocolState,
     pub(super) address: SocketAddr,
-    /// None while it is idle.
+    /// `None` while the connection is idle.
     pub(super) call: Option<PendingCall>,
     pub(super) idle_since: Micros,
     /// Bytes of a call may have reached the dependency.
     pub(super) has_sent: bool,
-    /// It carried an earlier call, or leads to an address that the dependency has left: its end
-    /// says nothing about the call.
+    /// The connection carried an earlier call, or leads to a former address of the dependency: its
+    /// end says nothing about the call.
     pub(super) is_reused: bool,
 }
 
@@ -62,7 +62,7 @@
     /// Begins to connect.
     ///
     /// # Errors
-    /// Those of the system; a refusal may come at once.
+    /// Errors of the operating system; the connection may be refused immediately.
     pub(super) fn connect(
         host: &H,
         now: Micros,
@@ -86,7 +86,7 @@
     /// [`send_and_receive`](Self::send_and_receive).
     pub(super) fn start_call(&mut self, now: Micros, call: PendingCall) {
         let headers = [
-            ("X-For-Request", line::rid(call.id)),
+            ("X-For-Request", runtime_line::format_request_id(call.id)),
             ("X-Wait-Ms", call.remaining_millis(now).to_string()),
         ];
         let output = self.stream.output();
@@ -105,30 +105,30 @@
                     headers: &headers,
                     body: &call.body,
                 };
-                // These few headers fit into the smallest packet.
+                // These few headers fit into the smallest AJP packet.
                 let _ = client.request(now, &request, output);
             }
         }
         self.call = Some(call);
     }
 
-    /// Sends what waits and reads the reply, which counts once it is complete, even if the
-    /// connection broke after it.
+    /// Sends pending bytes and reads the reply. A complete reply counts even if the connection
+    /// broke after it.
     ///
     /// # Errors
-    /// Why the connection broke; [`InvalidData`](ErrorKind::InvalidData) where the reply is
+    /// The error that broke the connection; [`InvalidData`](ErrorKind::InvalidData) if the reply is
     /// malformed.
-    pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+    pub(super) fn send_and_receive(&mut self, now: Micros) -> io::Result<Option<http::Response>> {
         if !self.has_sent {
             self.stream.take_error()?;
         }
         let sent = self.stream.flush();
         self.has_sent |= sent.as_ref().is_ok_and(|sent| *sent > 0);
-        let read = self.stream.read(READ_LIMIT);
+        let read = self.stream.read(READ_LIMIT_BYTES);
         if self.call.is_some() {
             if let Some(reply) = self.take_reply(now)? {
-                // A failure shows again with the next use.
-                self.stream.ended |= sent.is_err() || read.is_err();
+                // The failure shows again with the next use.
+                self.stream.is_read_closed |= sent.is_err() || read.is_err();
                 return Ok(Some(reply));
             }
         }
@@ -137,8 +137,8 @@
         Ok(None)
     }
 
-    /// Takes the reply from what was read, once it is complete.
-    fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Reply>> {
+    /// Takes a complete reply from the input.
+    fn take_reply(&mut self, now: Micros) -> io::Result<Option<http::Response>> {
         let reply = match &mut self.protocol {
             ProtocolState::Http => take_http_reply(&mut self.stream),
             ProtocolState::Ajp(client) => take_ajp_reply(client, &mut self.stream, now),
@@ -146,60 +146,65 @@
         reply.map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
     }
 
-    /// Returns true where no reply can follow: it was closed, or has sent what belongs to no call.
+    /// Returns true if no reply can follow: the connection was closed, or has received bytes that
+    /// belong to no call.
     pub(super) fn is_unusable(&self) -> bool {
-        self.stream.ended || (self.call.is_none() && !self.stream.input.is_empty())
+        self.stream.is_read_closed || (self.call.is_none() && !self.stream.input.is_empty())
     }
 
-    /// Returns true where another call may follow. Bytes after a reply belong to no call: what came
-    /// before the next reply would be unknown.
+    /// Returns true if the connection can carry another call. Bytes after a reply belong to no call
+    /// and would corrupt the next reply.
     pub(super) fn is_reusable(&self) -> bool {
-        !self.stream.ended && self.stream.input.is_empty()
+        !self.stream.is_read_closed && self.stream.input.is_empty()
     }
 
-    /// Returns true where the dependency may have closed it while it was idle: then the call most
-    /// likely never ran, and its failure is no sign of a dependency at fault.
+    /// Returns true if the dependency may have closed the connection while it was idle: then the
+    /// call most likely never ran, and its failure does not indicate a fault of the dependency.
     pub(super) fn may_be_stale(&self) -> bool {
         self.is_reused && self.stream.input.is_empty()
     }
 
-    /// Returns true where the protocol proves that the call did not run: AJP shows that the
-    /// dependency can't have read all of it.
-    pub(super) fn has_call_never_run(&self) -> bool {
+    /// Returns true if the protocol proves that the call did not run: with AJP, if the dependency
+    /// can't have read all of the call.
+    pub(super) fn is_call_proven_not_run(&self) -> bool {
         match &self.protocol {
             ProtocolState::Http => false,
-            ProtocolState::Ajp(client) => client.fate(self.stream.unsent()) == Fate::NeverRan,
+            ProtocolState::Ajp(client) => {
+                client.execution_state(self.stream.unsent_bytes()) == ExecutionState::NeverRan
+            }
         }
     }
 }
 
 fn take_http_reply<H: Host>(
     stream: &mut BufferedConnection<H>,
-) -> Result<Option<http::Reply>, MalformedReply> {
-    let reply = http::parse(&stream.input, stream.ended).map_err(MalformedReply)?;
+) -> Result<Option<http::Response>, MalformedReply> {
+    let reply =
+        http::parse_response(&stream.input, stream.is_read_closed).map_err(MalformedReply)?;
     if let Some(reply) = &reply {
-        stream.input.drain(..reply.size);
+        stream.input.drain(..reply.length);
     }
     Ok(reply)
 }
 
-/// Reads on in an AJP reply, and sends the part of the call that the dependency asks for.
+/// Continues to read an AJP reply, and sends the part of the request body that the dependency
+/// requests.
 fn take_ajp_reply<H: Host>(
     client: &mut Client,
     stream: &mut BufferedConnection<H>,
     now: Micros,
-) -> Result<Option<http::Reply>, MalformedReply> {
+) -> Result<Option<http::Response>, MalformedReply> {
     let input = std::mem::take(&mut stream.input);
     let used = client.receive(now, &input, stream.output());
     stream.input = input;
     stream.consume(used.map_err(|error| MalformedReply(error.to_string()))?);
-    // A connection that broke shows with the next use.
+    // A broken connection shows with the next use.
     let _ = stream.flush();
-    Ok(client.take().map(|reply| http::Reply {
+    Ok(client.take_response().map(|reply| http::Response {
         status: reply.status,
         not_run: reply.not_run(),
-        closes: !reply.reuse,
+        closes_connection: !reply.reuse,
         body: reply.body,
-        size: 0,
+        length: 0,
     }))
 }
--- a/crates/server/src/server/management_view.rs
+++ b/crates/server/src/server/management_view.rs
@@ -1,4 +1,4 @@
-//! What a server shows of itself: usage, status and metrics.
+//! Usage, status and metrics of a server.
 
 use super::Server;
 use crate::host::Host;
@@ -8,10 +8,10 @@
 use crate::tls_layer::TlsState;
 use cleatpulley_connection_admission::handshake::HandshakeScheduler;
 use cleatpulley_policy::interface::Micros;
-use cleatpulley_protocol::mgmt;
+use cleatpulley_protocol::management;
 
 impl<H: Host> Server<H> {
-    /// Returns what it holds at this moment.
+    /// Returns the resources that the server holds.
     #[must_use]
     pub fn usage(&self) -> ServerUsage {
         let clients = self.adapters.client_listener.usage();
@@ -43,34 +43,34 @@
         }
     }
 
-    /// Returns its status, for the supervisor and for its peers.
+    /// Returns the status of the server, for the supervisor and for gossip.
     #[must_use]
     pub fn status(&self) -> Status {
         let total = self.dispatcher.counters().total();
         let warmth = if self.adapters.runtime.is_ready() {
             self.warm_up.warmth(self.now())
         } else {
-            // Without its runtime it serves nothing.
+            // A server without its runtime serves nothing.
             0.0
         };
         Status {
             warmth,
-            held: self.dispatcher.pending_count(),
-            drains: self.shutdown.has_begun(),
+            pending: self.dispatcher.pending_count(),
+            is_draining: self.shutdown.has_begun(),
             served: total.served,
-            late: total.expired,
-            refused: total.rejected,
+            expired: total.expired,
+            rejected: total.rejected,
             failed: total.server_failures(),
         }
     }
 }
 
-impl<H: Host> mgmt::Answers for Server<H> {
-    fn ready(&self) -> bool {
+impl<H: Host> management::ManagementData for Server<H> {
+    fn is_ready(&self) -> bool {
         self.accepts_clients()
     }
 
-    fn vars(&self) -> Vec<u8> {
+    fn variables_json(&self) -> Vec<u8> {
         let client_listener = &self.adapters.client_listener;
         let admission = client_listener.admission();
         let tls_metrics = self
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the metrics of TLS: the certificate's expiry, its renewals, and handshakes.
+/// Returns the TLS metrics: expiry and renewals of the certificate, and handshakes.
 fn tls_metrics(
     tls: &TlsState,
     handshakes: Option<&HandshakeScheduler>,
@@ -100,7 +100,7 @@
         "certificate": {
             "names": certificate.names,
             "serial": certificate.serial,
-            "expires_in_s": tls.seconds_left(now),
+            "expires_in_s": tls.seconds_until_expiry(now),
         },
         "renewed": renewals.accepted,
         "renewals_refused": renewals.rejected,
--- a/src/commands/ajp.rs
+++ b/src/commands/ajp.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley ajp`: asks a server by hand.
 
 use clap::{Args, Subcommand};
-use cleatpulley::protocol::ajp::client::{Client, Fate, Options, Request, Response};
+use cleatpulley::protocol::ajp::client::{Client, ExecutionState, Options, Request, Response};
 use cleatpulley::protocol::ajp::codec::PACKET_SIZE;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +15,7 @@
 
 /// What is asked.
 #[derive(Subcommand)]
-pub enum Ask {
+pub enum AjpCommand {
     /// Send a CPING and wait for the pong
     Ping(Server),
     /// Send one request and print the answer; ends with 0 for status 200, 3 for another, 4 where it is known that
@@ -58,10 +58,10 @@
 ///
 /// # Errors
 /// Where nothing could be sent or read, with the reason.
-pub fn run(ask: Ask) -> Result<ExitCode, String> {
+pub fn run(ask: AjpCommand) -> Result<ExitCode, String> {
     match ask {
-        Ask::Ping(server) => ping(&server),
-        Ask::Request(args) => request(&args),
+        AjpCommand::Ping(server) => ping(&server),
+        AjpCommand::Request(args) => request(&args),
     }
 }
 
@@ -125,7 +125,7 @@
     while !line.client.take_pong() {
         line.read(&mut input)?;
     }
-    say!(
+    print_line!(
         "pong from {} in {} us",
         server.to,
         begun.elapsed().as_micros()
@@ -161,13 +161,13 @@
     let mut input = Vec::new();
     let mut sent = line.stream.write_all(&out).map_err(|e| e.to_string());
     let response = loop {
-        if let Some(response) = line.client.take() {
+        if let Some(response) = line.client.take_response() {
             break response;
         }
         if let Err(fault) = sent.and_then(|()| line.read(&mut input)) {
-            let (word, code) = match line.client.fate(0) {
-                Fate::NeverRan => ("it never ran", NEVER_RAN),
-                Fate::MayHaveRun => ("it may have run", MAY_HAVE_RUN),
+            let (word, code) = match line.client.execution_state(0) {
+                ExecutionState::NeverRan => ("it never ran", NEVER_RAN),
+                ExecutionState::MayHaveRun => ("it may have run", MAY_HAVE_RUN),
             };
             eprintln!("cleatpulley: {fault}: {word}");
             return Ok(ExitCode::from(code));
@@ -183,9 +183,9 @@
 }
 
 fn show(response: &Response) {
-    say!("{}", response.status);
+    print_line!("{}", response.status);
     for (name, value) in &response.headers {
-        say!("{name}: {value}");
+        print_line!("{name}: {value}");
     }
-    say!("\n{}", String::from_utf8_lossy(&response.body));
+    print_line!("\n{}", String::from_utf8_lossy(&response.body));
 }
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -105,10 +105,10 @@
 
 fn operator(folder: &Path) -> String {
     format!(
-        "{{ ajp: {{ listen: ['127.0.0.1:0'], routes: [{{ path: '/claim-seat', class: 'claim-seat' }}], \
+"{{ ajp: {{ listen: ['127.0.0.1:0'], routes: [{{ path: '/claim-seat', class: 'claim-seat' }}], \
          figures: {{ id: 'X-Request-Id', key: 'Idempotency-Key' }} }}, {} }}",
-        KillTrial::operator_section(folder)
-    )
+KillTrial::operator_section(folder)
+)
 }
 
 fn by_ajp(matcher: &Matcher, id: &str, key: &str, body: &str) -> Output {
@@ -357,7 +357,7 @@
         "one run for each key"
     );
     assert!(
-        new.wait_for_log("results: 1 keys, 0 of them may have run")
+        new.wait_for_log("results: 1 keys recovered, 0 of them with an unknown outcome")
             .is_ok(),
         "{}",
         new.log().join("\n")
