--- a/crates/simulator/src/front_end.rs
+++ b/crates/simulator/src/front_end.rs
@@ -553,7 +553,7 @@
         self.due_times.remove(&(attempt.due, id));
         let outcome = match &response {
             Some(ResponseOutcome::Served(result)) => AttemptOutcome::Served(result.clone()),
-            Some(ResponseOutcome::Refused(_)) => AttemptOutcome::Rejected,
+            Some(ResponseOutcome::Rejected(_)) => AttemptOutcome::Rejected,
             Some(ResponseOutcome::Failed) => AttemptOutcome::Failed,
             None => AttemptOutcome::Lost,
         };
@@ -568,7 +568,7 @@
                     !(request.key.is_some() && request.attempts < 6 && self.habit.retries);
                 request.bound_matcher = request.key.map(|_| attempt.matcher);
             }
-            Some(ResponseOutcome::Refused(later)) => {
+            Some(ResponseOutcome::Rejected(later)) => {
                 self.counts[2] += 1;
                 if self.habit.heeds {
                     self.avoid_until[attempt.matcher] =
