--- a/crates/simulator/src/admission_rules.rs
+++ b/crates/simulator/src/admission_rules.rs
@@ -130,7 +130,7 @@
             sim.plan.admission == AdmissionMode::Allowlist && sim.machines[m].processes.len() == 1;
         (has_limit && entry.2 > limit).then(|| {
             format!(
-                "m{m}: {from} has got {} places within {} us, its cap is {limit}",
+                "m{m}: {from} got {} slots within {} us, its limit is {limit}",
                 entry.2,
                 at - entry.1
             )
@@ -163,12 +163,12 @@
         let largest = prefixes.values().copied().max().unwrap_or(0);
         if is_probe {
             return (largest >= 3).then(|| {
-                format!("m{m}: a caller of a prefix that has nothing gets no place, while another has {largest}")
+                format!("m{m}: a caller of a prefix without connections was not admitted, while another prefix has {largest}")
             });
         }
         let known = sim.plan.admission == AdmissionMode::Allowlist || self.is_known(sim, m, at);
         (known && largest > 0)
-            .then(|| format!("m{m}: a known caller gets no place, while strangers have some"))
+            .then(|| format!("m{m}: a known caller was not admitted, while unknown clients were"))
     }
 
     /// Returns true if callers at the front ends' address have certainly earned a known reputation:
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -164,7 +164,7 @@
     use rand::{Rng, SeedableRng};
 
     #[test]
-    fn events_come_in_the_order_of_time_and_then_of_their_coming() {
+    fn events_are_popped_in_the_order_of_time_and_then_of_insertion() {
         for (seed, span) in [(3, 50), (4, 2_000), (5, 400_000), (6, 9_000_000)] {
             let mut random = SmallRng::seed_from_u64(seed);
             let (mut queue, mut model, mut now) =
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -18,7 +18,7 @@
         self.record_coverage(planned.fault.name());
         let ends = now + planned.duration;
         if self.machines[m].drain_started_at.is_some() {
-            self.record_coverage("fault within a drain");
+            self.record_coverage("fault during a drain");
         }
         self.note_flood(m, planned.fault, ends);
         match planned.fault {
@@ -29,7 +29,7 @@
             }
             Fault::BreakLink => {
                 if now < self.machines[m].reload_started_at + 1_500 * MS {
-                    self.record_coverage("link break while a reload is on");
+                    self.record_coverage("link break during a reload");
                 }
                 self.break_link(m, ends);
             }
@@ -142,10 +142,10 @@
         }
         let (floods, machine) = (matches!(fault, Fault::Flood { .. }), &self.machines[m]);
         if floods && machine.drain_started_at.is_some() {
-            self.record_coverage("flood within a drain");
+            self.record_coverage("flood during a drain");
         }
         if floods && self.machines[m].processes.len() > 1 {
-            self.record_coverage("flood within an upgrade");
+            self.record_coverage("flood during an upgrade");
         }
     }
 
@@ -165,7 +165,7 @@
                 }
             }
             Fault::BreakAtDue => {
-                self.record_coverage("reply lost at its due time");
+                self.record_coverage("response lost at its deadline");
                 self.break_link(m, now + planned.duration);
             }
             Fault::Descriptors(_) => {
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -276,12 +276,12 @@
                     started_at: self.net.borrow().now,
                 });
                 self.schedule_poll(m, incarnation);
-                self.record_trace(|| format!("m{m} starts, life {incarnation}"));
+                self.record_trace(|| format!("m{m} starts, incarnation {incarnation}"));
             }
             // A process that could not listen for successors ends, and the one that serves goes on.
             Err(e) if is_replacement && e.kind() == std::io::ErrorKind::AddrInUse => {
                 self.listeners.remove(&management);
-                self.record_coverage("a new process that met nobody ends");
+                self.record_coverage("new process ends without a listener for successors");
             }
             Err(e) => self.violations.push(format!("m{m} can't start: {e}")),
         }
@@ -393,10 +393,10 @@
                 .iter()
                 .any(|rollout| rollout.new == incarnation && rollout.shutdown_at.is_none())
             {
-                self.record_coverage("a new process without descriptors ends");
+                self.record_coverage("new process ends without descriptors");
                 return self.remove(m, incarnation);
             }
-            self.violations.push(format!("m{m} can't go on: {fault}"));
+            self.violations.push(format!("m{m} failed: {fault}"));
             return;
         }
         if process.server.is_finished() {
@@ -405,7 +405,7 @@
             return;
         }
         if process.polls.1 > MAX_POLLS_PER_INSTANT {
-            self.violations.push(format!("m{m} loops at full speed"));
+            self.violations.push(format!("m{m} is in a busy loop"));
             return;
         }
         let next = next.max(now);
@@ -443,16 +443,16 @@
             .find(incarnation)
             .is_some_and(|process| process.shutdown_at.is_some());
         self.remove(m, incarnation);
-        self.record_trace(|| format!("m{m} has left, life {incarnation}"));
+        self.record_trace(|| format!("m{m} has shut down, incarnation {incarnation}"));
         let machine = &mut self.machines[m];
         if !machine.processes.is_empty() {
-            self.record_coverage("left to its successor");
+            self.record_coverage("shut down in favour of a successor");
             return;
         }
         // A process whose successor died after it was told to shut down ends all the same.
         if machine.drain_started_at.is_none() && !was_told {
             self.violations.push(format!(
-                "m{m} has ended without a successor, and was not told to"
+                "m{m} ended without a successor or a shutdown notice"
             ));
             return;
         }
@@ -577,10 +577,10 @@
         let incarnation = machine.processes[0].incarnation;
         self.notify(m, incarnation, Server::begin_shutdown);
         if slow {
-            self.record_coverage("told to leave while several times slower");
+            self.record_coverage("shutdown while several times slower");
         }
         if stalled {
-            self.record_coverage("a stalled body at the drain");
+            self.record_coverage("stalled body during a drain");
         }
     }
 
--- a/crates/simulator/src/rollout.rs
+++ b/crates/simulator/src/rollout.rs
@@ -55,7 +55,7 @@
             machine.processes.len() - 1,
         );
         if older_processes > 0 {
-            self.record_coverage("a third process while the first still answers");
+            self.record_coverage("third process while the first still responds");
         }
         self.start(m);
         let new = self.machines[m].incarnation;
@@ -124,7 +124,7 @@
                 let resumed = self.machines[m].resumed_at;
                 if now > was_told.max(resumed) + SHUTDOWN_TIME + STOP_SLACK {
                     self.violations.push(format!(
-                        "m{m}: the old process is still there after its stop"
+                        "m{m}: the old process is still alive after its shutdown time"
                     ));
                     return false;
                 }
@@ -150,21 +150,21 @@
                         .corrupted_incarnations
                         .contains(&rollout.new);
                     if torn {
-                        self.record_coverage("a torn snapshot");
+                        self.record_coverage("corrupted snapshot");
                     }
                     let learned = self.machines[m]
                         .find(rollout.new)
                         .is_some_and(|new| new.server.has_restored_learned_state());
                     if torn && learned {
                         self.violations
-                            .push(format!("m{m} believes a torn snapshot"));
+                            .push(format!("m{m} restored a corrupted snapshot"));
                     } else if learned {
-                        self.record_coverage("goes on with what was learned");
+                        self.record_coverage("learned state restored");
                     }
                 } else if now > rollout.ready_by {
                     // The platform gives up; a fault of the runtime may have delayed the new
                     // process.
-                    self.record_coverage("an upgrade given up");
+                    self.record_coverage("upgrade abandoned");
                     self.kill(m, rollout.new, "late", false);
                     return false;
                 }
@@ -196,12 +196,14 @@
             let links: Vec<_> = links.into_iter().filter(dead).collect();
             self.front_ends[n].excused_links.extend(links);
         }
-        self.record_trace(|| format!("m{m}: the {role} process of life {incarnation} is killed"));
+        self.record_trace(|| {
+            format!("m{m}: the {role} process of incarnation {incarnation} is killed")
+        });
         self.record_coverage(match (role, was_told) {
-            ("new", false) => "the new process dies before it is believed",
-            ("new", true) => "the new process dies after the old one was told to leave",
-            ("old", _) => "the old process dies in an upgrade",
-            _ => "the new process is given up",
+            ("new", false) => "new process dies before the old one is shut down",
+            ("new", true) => "new process dies after the old one is shut down",
+            ("old", _) => "old process dies during an upgrade",
+            _ => "new process killed after its start-up timeout",
         });
         self.remove(m, incarnation);
         let machine = &mut self.machines[m];
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -111,9 +111,9 @@
             if std::mem::replace(&mut self.store_owners[m], owner) != owner {
                 self.trace(|| match owner {
                     Some(incarnation) => {
-                        format!("m{m}: life {incarnation} has the store of results")
+                        format!("m{m}: incarnation {incarnation} holds the store of results")
                     }
-                    None => format!("m{m}: nobody has the store of results"),
+                    None => format!("m{m}: no process holds the store of results"),
                 });
             }
         }
@@ -132,14 +132,14 @@
         if most > 5 * self.slots {
             self.report_violation(
                 sim,
-                format!("the store holds {most} calls, past five times its slots"),
+                format!("the store has {most} calls, more than five times its slots"),
             );
         }
         for n in 0..sim.front_ends.len() {
             if sim.front_ends[n].unexpected_responses > 0 {
                 self.report_violation(
                     sim,
-                    format!("front end {n} got an answer that nobody asked for"),
+                    format!("front end {n} got a response to no open request"),
                 );
             }
         }
@@ -171,7 +171,7 @@
                         let incarnation = owner.incarnation;
                         self.report_violation(
                             sim,
-                            format!("m{m}: life {incarnation} has nothing to do and keeps the store of results"),
+                            format!("m{m}: incarnation {incarnation} is idle and keeps the store of results"),
                         );
                     }
                 }
@@ -194,7 +194,10 @@
                     .find_map(|front_end| front_end.sent.get(&id))
                     .copied()
                 else {
-                    self.report_violation(sim, format!("m{m} runs {id:016x}, which nobody sent"));
+                    self.report_violation(
+                        sim,
+                        format!("m{m} runs {id:016x}, which no front end sent"),
+                    );
                     continue;
                 };
                 if seen.starts.get(&id).is_some_and(|start| start.1 > 1)
@@ -208,7 +211,7 @@
                 {
                     self.report_violation(
                         sim,
-                        format!("m{m} runs {id:016x}, which came after the grace"),
+                        format!("m{m} runs {id:016x}, which arrived after the drain grace"),
                     );
                 }
                 if let Some(key) = sent.key {
@@ -242,7 +245,7 @@
                     .map_or(0, |attempt| attempt.link);
                 self.trace(|| {
                     format!(
-                        "front end {n} asks m{} for {id:016x}{key} on link {link}",
+                        "front end {n} sends {id:016x}{key} to m{} on link {link}",
                         sent.matcher
                     )
                 });
@@ -270,14 +273,14 @@
                             && self.admission_rules.on_served(sim, m)
                         {
                             self.record_coverage(
-                                "a known caller comes back after a restart within a flood",
+                                "known caller returns after a restart during a flood",
                             );
                         }
                         match sent.key {
                             None if result != result_of(id) => {
                                 self.report_violation(
                                     sim,
-                                    format!("{id:016x} is served what no run made for it"),
+                                    format!("{id:016x} got a result that its run did not produce"),
                                 );
                             }
                             None => {}
@@ -294,22 +297,24 @@
                                 {
                                     self.report_violation(
                                         sim,
-                                        format!("{id:016x} is served the result of another body"),
+                                        format!("{id:016x} got the result of a request with another body"),
                                     );
                                 }
                                 if repeated {
-                                    self.record_coverage("a repeat is told the first answer");
+                                    self.record_coverage("repeated key gets the first response");
                                 }
                                 if own.as_ref() != Some(&result) {
                                     self.report_violation(
                                         sim,
-                                        format!("key {key:x} is served what no run of it made"),
+                                        format!(
+                                            "key {key:x} got a result that no run of it produced"
+                                        ),
                                     );
                                 }
                                 if earlier_response.is_some_and(|response| response != result) {
                                     self.report_violation(
                                         sim,
-                                        format!("key {key:x} has two results"),
+                                        format!("key {key:x} got two different results"),
                                     );
                                 }
                             }
@@ -321,7 +326,7 @@
                         if ran || key.is_some_and(|key| key.ran.is_some()) {
                             self.report_violation(
                                 sim,
-                                format!("{id:016x} is turned away by m{m} after it ran"),
+                                format!("{id:016x} was rejected by m{m} after it ran"),
                             );
                         }
                     }
@@ -348,7 +353,7 @@
                         if was_served && !waits && sent.at > machine.disk_trouble_until {
                             self.report_violation(
                                 sim,
-                                format!("{id:016x} fails, though its key's result was told before"),
+                                format!("{id:016x} failed, though the result of its key was returned before"),
                             );
                         }
                         self.record_coverage(if ran {
@@ -380,16 +385,16 @@
                         if !taken && stays && !sim.front_ends[n].excused_links.contains(&link) {
                             self.report_violation(
                                 sim,
-                                format!("{id:016x}, sent to m{m}, was not let in"),
+                                format!("{id:016x}, sent to m{m}, was never accepted"),
                             );
                         }
                         if taken && !sim.front_ends[n].excused_links.contains(&link) && !crossed {
                             self.report_violation(
                                 sim,
-                                format!("{id:016x}, sent to m{m}, has lost its connection"),
+                                format!("{id:016x}, sent to m{m}, lost its connection"),
                             );
                         }
-                        self.record_coverage("lost with its connection");
+                        self.record_coverage("connection lost");
                     }
                 }
             }
@@ -430,11 +435,11 @@
                     let m = attempt.matcher;
                     self.report_violation(
                         sim,
-                        format!("{id:016x}, sent to m{m} {held:.3} s ago, has no answer in time"),
+                        format!("{id:016x}, sent to m{m} {held:.3} s ago, got no response by its deadline"),
                     );
                     return;
                 }
-                self.record_coverage("waited for its connection to be accepted until it was due");
+                self.record_coverage("connection not accepted by the request's deadline");
                 sim.front_ends[n].abandon(id);
                 sim.request_over(attempt.matcher, id);
             }
@@ -458,7 +463,7 @@
                 if stays && machine.drain_started_at.is_none() {
                     self.report_violation(
                         sim,
-                        format!("{id:016x} was refused at m{m}'s door in an upgrade"),
+                        format!("{id:016x} was refused by m{m}'s listener during an upgrade"),
                     );
                 }
             }
@@ -500,7 +505,7 @@
     fn check_metrics_requests(&mut self, sim: &mut Simulation) {
         let now = sim.clock();
         for malformed in std::mem::take(&mut sim.metrics_poller.malformed) {
-            self.report_violation(sim, format!("operators are told {malformed}"));
+            self.report_violation(sim, format!("malformed metrics: {malformed}"));
         }
         let late = |request: &&MetricsRequest| now > request.sent_at + METRICS_RESPONSE_TIME;
         let mut requests = std::mem::take(&mut sim.metrics_poller.failed);
@@ -518,7 +523,7 @@
                 self.report_violation(
                     sim,
                     format!(
-                        "m{}: an operator asked {ago:.3} s ago in vain",
+                        "m{}: no response to a metrics request of {ago:.3} s ago",
                         request.matcher
                     ),
                 );
@@ -536,7 +541,7 @@
             if machine.runtime.on_cores() > 6 * self.cores {
                 let since = *self.overloaded_since[m].get_or_insert(now);
                 if now > since + 2_000 * MS {
-                    self.report_violation(sim, format!("m{m}: the cores are jammed"));
+                    self.report_violation(sim, format!("m{m}: too many requests on the cores"));
                 }
             } else {
                 self.overloaded_since[m] = None;
@@ -589,7 +594,7 @@
                 );
             }
             if used > machine.memory_kb / 2.0 {
-                self.record_coverage("more than half of the memory is used");
+                self.record_coverage("more than half of the memory in use");
             }
         }
     }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -255,7 +255,7 @@
         }
         let violations = std::mem::take(&mut self.violations);
         if let Some(first) = violations.first().cloned() {
-            self.record_trace(|| format!("BROKEN: {first}"));
+            self.record_trace(|| format!("VIOLATION: {first}"));
         }
         for (name, number) in rules.coverage {
             *self.coverage.entry(name).or_default() += number;
@@ -431,7 +431,7 @@
                 .iter()
                 .any(|machine| machine.drain_started_at.is_some() && !machine.processes.is_empty())
         {
-            self.record_coverage("no descriptor left within a drain");
+            self.record_coverage("no descriptor left during a drain");
         }
     }
 
@@ -441,15 +441,16 @@
             if !self.front_ends[n].open.is_empty() {
                 let open = self.front_ends[n].open.len();
                 self.violations.push(format!(
-                    "front end {n} waits for {open} answers though all is quiet"
+                    "front end {n} waits for {open} responses after the simulation came to rest"
                 ));
             }
         }
         for m in 0..self.machines.len() {
             let [process] = &self.machines[m].processes[..] else {
                 let number = self.machines[m].processes.len();
-                self.violations
-                    .push(format!("m{m} has {number} processes though all is quiet"));
+                self.violations.push(format!(
+                    "m{m} has {number} processes after the simulation came to rest"
+                ));
                 continue;
             };
             let usage = process.server.usage();
@@ -459,15 +460,15 @@
             );
             let running = self.machines[m].runtime.running();
             let left = [
-                (usage.requests, "requests are known"),
-                (usage.pending, "answers are owed"),
-                (usage.open_requests, "requests count as open on connections"),
-                (usage.calls, "calls are out"),
-                (usage.active_key_runs, "runs of keys are on"),
-                (running, "runs are on"),
+                (usage.requests, "known requests"),
+                (usage.pending, "pending responses"),
+                (usage.open_requests, "requests open on connections"),
+                (usage.calls, "open calls"),
+                (usage.active_key_runs, "active runs of keys"),
+                (running, "active runs"),
                 (
                     held.abs_diff(known),
-                    "descriptors more or less than are known",
+                    "descriptors of difference to the known number",
                 ),
             ];
             if running > 0 {
@@ -481,8 +482,9 @@
             }
             for (number, description) in left {
                 if number > 0 {
-                    self.violations
-                        .push(format!("m{m}: {number} {description} though all is quiet"));
+                    self.violations.push(format!(
+                        "m{m}: {number} {description} after the simulation came to rest"
+                    ));
                 }
             }
         }
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -1,7 +1,7 @@
 //! The part of `cleatpulley check connection-admission` that is played in the emulator: floods, restarts and shortages from seeds, and
 //! injected bugs.
 
-use super::simulator::cores;
+use super::simulator::default_threads;
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_simulator::plan::Plan;
 use cleatpulley_simulator::seeds;
@@ -13,16 +13,24 @@
 const WITHIN: u64 = 300;
 /// Each has to be met.
 const HARD: [&str; 4] = [
-    "flood within a drain",
-    "flood within an upgrade",
+    "flood during a drain",
+    "flood during an upgrade",
     "flood while descriptors are short",
-    "a known caller comes back after a restart within a flood",
+    "known caller returns after a restart during a flood",
 ];
 
 /// Plays, prints, and says what falls short.
 pub fn run(short: &mut Vec<String>) {
     let begun = Instant::now();
-    let summary = seeds::run(Plan::with_floods, 1, SEEDS, cores(), false, || (), |_| ());
+    let summary = seeds::run(
+        Plan::with_floods,
+        1,
+        SEEDS,
+        default_threads(),
+        false,
+        || (),
+        |_| (),
+    );
     let met = |name: &str| summary.coverage.get(name).map_or(0, |met| met.1);
     say!(
         "{SEEDS} seeds with floods in {:.1} s: {} broke a rule; {}",
@@ -57,7 +65,15 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(Plan::with_floods, 1, WITHIN, cores(), true, prepare, |_| ());
+        let summary = seeds::run(
+            Plan::with_floods,
+            1,
+            WITHIN,
+            default_threads(),
+            true,
+            prepare,
+            |_| (),
+        );
         match summary.failed.first() {
             Some(first) => found.push(format!("{bug:?} {}", first.seed)),
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -279,10 +279,10 @@
         "{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
          {} broke a rule",
         met("upgrade"),
-        met("left to its successor"),
-        met("the new process dies before it is believed") + met("the new process dies after the old one was told to leave"),
-        met("the old process dies in an upgrade"),
-        met("a third process while the first still answers"),
+        met("shut down in favour of a successor"),
+        met("new process dies before the old one is shut down") + met("new process dies after the old one is shut down"),
+        met("old process dies during an upgrade"),
+        met("third process while the first still responds"),
         summary.failed.len()
     );
     for outcome in &summary.failed {
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -1,6 +1,6 @@
-//! `cleatpulley check simulator`: speed, coverage, the same history twice, and injected bugs.
+//! `cleatpulley check simulator`: speed, coverage, reproducibility, and injected bugs.
 
-use super::simulator::{cores, show};
+use super::simulator::{default_threads, print_summary};
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_simulator::event_queue::EventQueue;
@@ -12,61 +12,62 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Seeds for speed and coverage.
+/// Number of seeds for speed and coverage.
 const SEEDS: u64 = 400;
-/// An injected bug has to be found within so many.
-const WITHIN: u64 = 400;
-/// What the page of hard cases asks for; each has to be met.
-const HARD: [&str; 7] = [
-    "told to leave while several times slower",
-    "reply lost at its due time",
-    "link break while a reload is on",
+/// Number of seeds within which an injected bug has to be found.
+const MAX_SEEDS_TO_FIND_BUG: u64 = 400;
+/// Coverage points that the page of hard cases requires; each has to be reached.
+const REQUIRED_COVERAGE: [&str; 7] = [
+    "shutdown while several times slower",
+    "response lost at its deadline",
+    "link break during a reload",
     "crash between intent and result",
-    "a stalled body at the drain",
-    "no descriptor left within a drain",
-    "a repeat is told the first answer",
+    "stalled body during a drain",
+    "no descriptor left during a drain",
+    "repeated key gets the first response",
 ];
 
-/// Measures, prints, and says what falls short.
+/// Runs the measurements, prints them, and returns the shortfalls.
 ///
 /// # Errors
 /// None so far.
 pub fn run() -> Result<Vec<String>, String> {
-    let mut short = Vec::new();
-    queue();
-    speed(&mut short);
-    same(&mut short);
-    bugs(&mut short);
-    Ok(short)
+    let mut shortfalls = Vec::new();
+    measure_event_queue();
+    measure_speed(&mut shortfalls);
+    check_reproducibility(&mut shortfalls);
+    check_injected_bugs(&mut shortfalls);
+    Ok(shortfalls)
 }
 
-/// Events that breed others at times like those of a history, in the made queue and in a binary heap.
-fn queue() {
-    let gaps = |n: u64| [40, 120, 700, 2_000, 15_000, 300_000][(n % 6) as usize] + n % 37;
-    let (mut queue, mut heap, turns) = (EventQueue::default(), BinaryHeap::new(), 3_000_000);
-    (0..600_u64).for_each(|n| queue.push(gaps(n), n));
-    let begun = Instant::now();
-    for n in 0..turns {
+/// Compares the event queue with a binary heap, on events that schedule others at times like those
+/// of a simulation.
+fn measure_event_queue() {
+    let delay = |n: u64| [40, 120, 700, 2_000, 15_000, 300_000][(n % 6) as usize] + n % 37;
+    let (mut queue, mut heap, rounds) = (EventQueue::default(), BinaryHeap::new(), 3_000_000);
+    (0..600_u64).for_each(|n| queue.push(delay(n), n));
+    let started = Instant::now();
+    for n in 0..rounds {
         if let Some((at, event)) = queue.pop() {
-            queue.push(at + gaps(n + event), black_box(event));
+            queue.push(at + delay(n + event), black_box(event));
         }
     }
-    let own = begun.elapsed().as_nanos() as f64 / turns as f64;
-    (0..600_u64).for_each(|n| heap.push(Reverse((gaps(n), n, n))));
-    let begun = Instant::now();
-    for n in 0..turns {
+    let own_ns = started.elapsed().as_nanos() as f64 / rounds as f64;
+    (0..600_u64).for_each(|n| heap.push(Reverse((delay(n), n, n))));
+    let started = Instant::now();
+    for n in 0..rounds {
         if let Some(Reverse((at, _, event))) = heap.pop() {
-            heap.push(Reverse((at + gaps(n + event), n + 600, black_box(event))));
+            heap.push(Reverse((at + delay(n + event), n + 600, black_box(event))));
         }
     }
-    let other = begun.elapsed().as_nanos() as f64 / turns as f64;
+    let heap_ns = started.elapsed().as_nanos() as f64 / rounds as f64;
     say!(
-        "queue of 600 events, ns an event: ring and heap {own:.0}, BinaryHeap alone {other:.0}, ratio {:.2}",
-        own / other
+        "queue of 600 events, ns an event: ring and heap {own_ns:.0}, BinaryHeap alone {heap_ns:.0}, ratio {:.2}",
+        own_ns / heap_ns
     );
 }
 
-fn speed(short: &mut Vec<String>) {
+fn measure_speed(shortfalls: &mut Vec<String>) {
     let mut plan = Plan::from_seed(1);
     plan.faults.clear();
     (
@@ -76,7 +77,7 @@
         plan.partial_io,
     ) = (1, 12, 60_000_000, false);
     plan.habits.truncate(1);
-    let calm = Habit {
+    let simple_habit = Habit {
         ajp: false,
         retries: false,
         hasty: None,
@@ -84,92 +85,103 @@
         keyed: false,
         ..plan.habits[0].clone()
     };
-    plan.habits = vec![calm];
+    plan.habits = vec![simple_habit];
     plan.load = 150.0
         / Setup {
             cores: 12,
             ..Setup::default()
         }
         .capacity();
-    let begun = Instant::now();
+    let started = Instant::now();
     let outcome = seeds::play(plan);
-    let ratio = outcome.simulated as f64 / 1e6 / begun.elapsed().as_secs_f64();
+    let ratio = outcome.simulated as f64 / 1e6 / started.elapsed().as_secs_f64();
     say!(
-        "one matcher, {:.0} tries a second: {ratio:.0} times real time on one core",
+        "one matcher, {:.0} attempts a second: {ratio:.0} times real time on one core",
         outcome.counts[0] as f64 / 60.0
     );
     if ratio < 500.0 {
-        short.push(format!(
+        shortfalls.push(format!(
             "{ratio:.0} times real time on one core, the goal is 500"
         ));
     }
-    let jobs = cores().min(4);
-    let begun = Instant::now();
+    let jobs = default_threads().min(4);
+    let started = Instant::now();
     let summary = seeds::run(Plan::from_seed, 1, SEEDS, jobs, false, || (), |_| ());
-    show(&summary, begun.elapsed(), jobs);
+    print_summary(&summary, started.elapsed(), jobs);
     for outcome in &summary.failed {
-        short.push(format!(
+        shortfalls.push(format!(
             "seed {}: {}",
             outcome.seed,
             outcome.violations.join("; ")
         ));
     }
-    for name in HARD {
+    for name in REQUIRED_COVERAGE {
         if !summary.coverage.contains_key(name) {
-            short.push(format!("no seed has met: {name}"));
+            shortfalls.push(format!("no seed reached: {name}"));
         }
     }
 }
 
-fn same(short: &mut Vec<String>) {
+fn check_reproducibility(shortfalls: &mut Vec<String>) {
     let digest = |jobs| seeds::run(Plan::from_seed, 1, 60, jobs, false, || (), |_| ()).digest;
-    let (one, many) = (digest(1), digest(cores().max(2)));
-    say!("60 seeds by one job and by many: digests {one:016x} and {many:016x}");
-    if one != many {
-        short.push("the same seeds pass differently with other job counts".to_owned());
+    let (one_job, many_jobs) = (digest(1), digest(default_threads().max(2)));
+    say!("60 seeds by one job and by many jobs: digests {one_job:016x} and {many_jobs:016x}");
+    if one_job != many_jobs {
+        shortfalls.push("the same seeds give another digest with another job count".to_owned());
     }
 }
 
-fn bugs(short: &mut Vec<String>) {
+fn check_injected_bugs(shortfalls: &mut Vec<String>) {
     if !inject_bug(None) || !inject_bug(Some(InjectedBug::DeadlinesLate)) {
-        short.push("built without the feature `bug-injection`: no bug can be injected".to_owned());
+        shortfalls
+            .push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
-    say!("injected bugs: seeds to the first find, faults before and after it was shrunk");
-    let any = InjectedBug::GENERAL.map(|bug| (bug, Plan::from_seed as fn(u64) -> Plan));
+    say!("injected bugs: seeds until found, faults before and after shrinking");
+    let general = InjectedBug::GENERAL.map(|bug| (bug, Plan::from_seed as fn(u64) -> Plan));
     let chains = InjectedBug::HOT_RESTART_CHAINS
         .map(|bug| (bug, Plan::with_upgrade_chains as fn(u64) -> Plan));
-    for (bug, plan) in any.into_iter().chain(chains) {
+    for (bug, plan) in general.into_iter().chain(chains) {
         inject_bug(Some(bug));
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(plan, 1, WITHIN, cores().min(4), true, prepare, |_| ());
+        let summary = seeds::run(
+            plan,
+            1,
+            MAX_SEEDS_TO_FIND_BUG,
+            default_threads().min(4),
+            true,
+            prepare,
+            |_| (),
+        );
         let Some(first) = summary.failed.first() else {
             say!(
                 "  {:<18} not found in {} seeds",
                 format!("{bug:?}"),
                 summary.seeds
             );
-            short.push(format!("{bug:?} is not found in {WITHIN} seeds"));
+            shortfalls.push(format!(
+                "{bug:?} is not found in {MAX_SEEDS_TO_FIND_BUG} seeds"
+            ));
             continue;
         };
-        let whole = plan(first.seed);
-        let (again, _) = seeds::replay(whole.clone());
-        if again.digest != first.digest {
-            short.push(format!(
-                "{bug:?}: seed {} passes differently when it is played again",
+        let unshrunk = plan(first.seed);
+        let (replayed, _) = seeds::replay(unshrunk.clone());
+        if replayed.digest != first.digest {
+            shortfalls.push(format!(
+                "{bug:?}: seed {} gives another digest when it is replayed",
                 first.seed
             ));
         }
-        let faults = whole.faults.len();
-        let (small, played) = seeds::shrink(whole, 12);
+        let faults = unshrunk.faults.len();
+        let (smallest, played) = seeds::shrink(unshrunk, 12);
         say!(
-            "  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of asking, in {played} plans: {}",
+            "  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of requests, in {played} plans: {}",
             format!("{bug:?}"),
             first.seed,
-            small.faults.len(),
-            small.request_duration as f64 / 1e6,
+            smallest.faults.len(),
+            smallest.request_duration as f64 / 1e6,
             first.violations[0]
         );
     }
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -7,64 +7,64 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What is done.
+/// Subcommands of the simulator.
 #[derive(Subcommand)]
 pub enum Simulator {
-    /// Play many seeds, say which broke a rule, and how often what was met; ends with 1 where one did
+    /// Run many seeds and print which violated a rule and what was covered; exits with 1 if one did
     Run {
         /// The first seed
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// How many
+        /// Number of seeds
         #[arg(long, default_value_t = 1_000)]
         count: u64,
-        /// Threads; as many as there are cores unless set
+        /// Threads; the number of cores by default
         #[arg(long)]
         jobs: Option<usize>,
-        /// What each seed stands for
+        /// PlanKind of plan that each seed determines
         #[arg(long, value_enum, default_value = "mixed")]
-        plan: Kind,
+        plan: PlanKind,
     },
-    /// Play one seed and print what passed; ends with 1 where it broke a rule
+    /// Run one seed and print its history; exits with 1 if it violated a rule
     Replay {
         #[command(flatten)]
-        seed: Seed,
-        /// Only the last lines
+        seed: SeedArgs,
+        /// Print only the last lines
         #[arg(long)]
         last: Option<usize>,
     },
-    /// Find a smaller set of faults, callers and time that still breaks the rule that a seed breaks
+    /// Find a smaller set of faults, callers and time that still violates the same rule as a seed
     Shrink {
         #[command(flatten)]
-        seed: Seed,
-        /// Plans to try at most
+        seed: SeedArgs,
+        /// Maximum number of plans to run
         #[arg(long, default_value_t = 400)]
         most: u32,
     },
 }
 
-/// A seed.
+/// A seed with its kind of plan.
 #[derive(Args)]
-pub struct Seed {
+pub struct SeedArgs {
     /// The seed
     seed: u64,
-    /// What it stands for
+    /// PlanKind of plan that it determines
     #[arg(long, value_enum, default_value = "mixed")]
-    plan: Kind,
+    plan: PlanKind,
 }
 
-/// What seeds stand for.
+/// PlanKind of plan that a seed determines.
 #[derive(clap::ValueEnum, Clone, Copy)]
-pub enum Kind {
-    /// Whatever is drawn
+pub enum PlanKind {
+    /// General: any faults
     Mixed,
-    /// Floods of strangers, and decisions on places
+    /// Floods of unknown clients, with connection admission
     Floods,
-    /// Upgrades that fall into each other, and keys
+    /// Overlapping upgrades, with idempotency keys
     Upgrades,
 }
 
-impl Kind {
+impl PlanKind {
     fn plan(self, seed: u64) -> Plan {
         match self {
             Self::Mixed => Plan::from_seed(seed),
@@ -74,16 +74,16 @@
     }
 }
 
-impl Seed {
+impl SeedArgs {
     fn plan(&self) -> Plan {
         self.plan.plan(self.seed)
     }
 }
 
-/// Does it.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// Where the system tells no number of cores.
+/// None so far.
 pub fn run(command: &Simulator) -> Result<ExitCode, String> {
     match command {
         Simulator::Run {
@@ -91,35 +91,35 @@
             count,
             jobs,
             plan,
-        } => Ok(many(*from, *count, *jobs, *plan)),
+        } => Ok(run_many(*from, *count, *jobs, *plan)),
         Simulator::Replay { seed, last } => Ok(replay(seed.plan(), *last)),
         Simulator::Shrink { seed, most } => Ok(shrink(&seed.plan(), *most)),
     }
 }
 
-/// Threads unless somebody says how many.
-pub fn cores() -> usize {
+/// Default number of threads.
+pub fn default_threads() -> usize {
     std::thread::available_parallelism().map_or(4, usize::from)
 }
 
-fn status(good: bool) -> ExitCode {
-    if good {
+fn exit_code(success: bool) -> ExitCode {
+    if success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn many(from: u64, count: u64, jobs: Option<usize>, kind: Kind) -> ExitCode {
-    let begun = Instant::now();
-    let watched = std::io::stderr().is_terminal();
+fn run_many(from: u64, count: u64, jobs: Option<usize>, kind: PlanKind) -> ExitCode {
+    let started = Instant::now();
+    let is_terminal = std::io::stderr().is_terminal();
     let progress = |done: u64| {
-        if watched && (done.is_multiple_of(50) || done == count) {
+        if is_terminal && (done.is_multiple_of(50) || done == count) {
             eprint!("\r{done} of {count} seeds ");
             let _ = std::io::stderr().flush();
         }
     };
-    let jobs = jobs.unwrap_or_else(cores);
+    let jobs = jobs.unwrap_or_else(default_threads);
     let summary = seeds::run(
         |seed| kind.plan(seed),
         from,
@@ -129,25 +129,25 @@
         || (),
         progress,
     );
-    if watched {
+    if is_terminal {
         eprintln!();
     }
-    show(&summary, begun.elapsed(), jobs);
+    print_summary(&summary, started.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
         say!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
     }
     say!(
-        "{} seeds, {} broke a rule; digest {:016x}",
+        "{} seeds, {} violated a rule; digest {:016x}",
         summary.seeds,
         summary.failed.len(),
         summary.digest
     );
-    status(summary.failed.is_empty())
+    exit_code(summary.failed.is_empty())
 }
 
-/// Speed and coverage.
-pub fn show(summary: &Summary, took: Duration, jobs: usize) {
-    let seconds = took.as_secs_f64().max(1e-9);
+/// Prints speed and coverage.
+pub fn print_summary(summary: &Summary, elapsed: Duration, jobs: usize) {
+    let seconds = elapsed.as_secs_f64().max(1e-9);
     let simulated = summary.simulated as f64 / 1e6;
     say!(
         "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
@@ -157,15 +157,15 @@
         simulated / seconds / jobs as f64,
         summary.events as f64 / 1e6
     );
-    let [sent, served, refused, failed, unreachable] = summary.counts;
-    say!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
+    let [sent, served, rejected, failed, unreachable] = summary.counts;
+    say!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} unreachable");
     say!("met:");
     for (name, (times, seeds)) in &summary.coverage {
         say!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
 
-fn describe(plan: &Plan) {
+fn print_plan(plan: &Plan) {
     say!(
         "seed {}: {} matchers of {} cores, {:.0}% load for {:.1} s, {} descriptors{}{}",
         plan.seed,
@@ -181,8 +181,9 @@
         },
         match plan.admission {
             AdmissionMode::Unrestricted => "",
-            AdmissionMode::Allowlist => ", places decided, the front ends' address named",
-            AdmissionMode::Reputation => ", places decided, standing earned",
+            AdmissionMode::Allowlist =>
+                ", connection admission, the front ends' address on the allowlist",
+            AdmissionMode::Reputation => ", connection admission by reputation",
         }
     );
     for (n, habit) in plan.habits.iter().enumerate() {
@@ -192,12 +193,12 @@
 }
 
 fn replay(plan: Plan, last: Option<usize>) -> ExitCode {
-    describe(&plan);
+    print_plan(&plan);
     let (outcome, trace) = seeds::replay(plan);
     let from = last.map_or(0, |last| trace.len().saturating_sub(last));
     let mut out = std::io::stdout().lock();
     for line in &trace[from..] {
-        // Whoever reads may stop reading.
+        // The reader of the output may close it early.
         if writeln!(out, "{line}").is_err() {
             break;
         }
@@ -210,29 +211,29 @@
     outcome
         .violations
         .iter()
-        .for_each(|what| drop(writeln!(out, "broken: {what}")));
-    status(outcome.violations.is_empty())
+        .for_each(|violation| drop(writeln!(out, "violation: {violation}")));
+    exit_code(outcome.violations.is_empty())
 }
 
-fn shrink(whole: &Plan, most: u32) -> ExitCode {
-    if seeds::play(whole.clone()).violations.is_empty() {
-        say!("seed {} breaks no rule", whole.seed);
+fn shrink(plan: &Plan, max_plans: u32) -> ExitCode {
+    if seeds::play(plan.clone()).violations.is_empty() {
+        say!("seed {} violates no rule", plan.seed);
         return ExitCode::SUCCESS;
     }
-    let (small, played) = seeds::shrink(whole.clone(), most);
+    let (smallest, played) = seeds::shrink(plan.clone(), max_plans);
     say!(
-        "{played} plans played; {} faults of {} are left:",
-        small.faults.len(),
-        whole.faults.len()
+        "{played} plans run; {} of {} faults are left:",
+        smallest.faults.len(),
+        plan.faults.len()
     );
-    describe(&small);
-    let (outcome, trace) = seeds::replay(small);
+    print_plan(&smallest);
+    let (outcome, trace) = seeds::replay(smallest);
     trace[trace.len().saturating_sub(40)..]
         .iter()
         .for_each(|line| say!("{line}"));
     outcome
         .violations
         .iter()
-        .for_each(|what| say!("broken: {what}"));
+        .for_each(|violation| say!("violation: {violation}"));
     ExitCode::FAILURE
 }
