--- a/crates/server/src/client_listener/handshakes.rs
+++ b/crates/server/src/client_listener/handshakes.rs
@@ -1,6 +1,5 @@
-//! The handshakes of connections: each begins when
-//! [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides so, and its end shows the names
-//! of the client.
+//! TLS handshakes of connections: [`TlsHandshakes`](super::tls_handshakes::TlsHandshakes) decides
+//! when each begins, and a completed one yields the names in the client's certificate.
 
 use super::ClientListener;
 use crate::host::Host;
@@ -12,15 +11,15 @@
 use cleatpulley_policy::interface::Micros;
 
 impl<H: Host> ClientListener<H> {
-    /// Goes on with the handshake of a connection that was served: its offer is decided on, and its
-    /// end noted.
+    /// Advances the handshake of a connection that was served: schedules it after the client hello,
+    /// and handles its completion.
     pub(super) fn poll_handshake(&mut self, now: Micros, number: u64, events: &mut Vec<Event>) {
         self.decide_offer(now, number, events);
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let layer = connection.stream.layer_mut();
-        if layer.is_some_and(TlsLayer::take_established) {
+        let layer = connection.stream.tls_layer_mut();
+        if layer.is_some_and(TlsLayer::take_handshake_completion) {
             self.on_handshake_finished(now, number);
         }
     }
@@ -29,16 +28,16 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let Some(layer) = connection.stream.layer_mut() else {
+        let Some(layer) = connection.stream.tls_layer_mut() else {
             return;
         };
         let Some(offer) = layer.offer() else {
             return;
         };
-        layer.mark_decided();
+        layer.mark_offer_decided();
         let kind = HandshakeKind {
             is_resumption: offer.offers_resumption,
-            trust_level: connection.known,
+            trust_level: connection.trust_level,
         };
         match self.tls.decide(now, number, kind) {
             HandshakeDecision::Begin => self.begin_handshake(number, events),
@@ -54,7 +53,7 @@
         if let Some(handshakes) = &mut self.tls.handshakes {
             handshakes.on_ended(number);
         }
-        let session = connection.stream.layer().and_then(TlsLayer::session);
+        let session = connection.stream.tls_layer().and_then(TlsLayer::session);
         connection.certificate_names = session
             .map(cleatpulley_tls::session::Session::peer_names)
             .unwrap_or_default();
@@ -63,19 +62,19 @@
         };
         match identities.admit(now, number, &connection.certificate_names) {
             Ok(true) => {
-                connection.known = TrustLevel::Allowlisted;
+                connection.trust_level = TrustLevel::Allowlisted;
                 if let Some(admission) = &mut self.acceptor.admission {
                     admission.on_allowlisted(number);
                 }
             }
             Ok(false) => {}
-            Err(reason) => self.reject_name(now, number, &reason),
+            Err(reason) => self.reject_over_identity_limit(now, number, &reason),
         }
     }
 
-    /// Asks a client to close whose name has too many connections. Requests that it sent already
-    /// are served, since one with an idempotency key may have run before.
-    fn reject_name(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
+    /// Notifies a client to close whose certificate name has too many connections. Requests that it
+    /// has already sent are served, since one with an idempotency key may have run before.
+    fn reject_over_identity_limit(&mut self, now: Micros, number: u64, reason: &IdentityRejection) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -85,19 +84,19 @@
         );
         connection.is_rejected = true;
         self.acceptor.rejected_count += 1;
-        let context = self.context.at(now, number);
+        let context = self.context.for_connection(now, number);
         connection
             .machine
             .stop_accepting_requests(&context, connection.stream.output());
     }
 
-    /// Forwards the requests that were read from a connection; those that the names of its
-    /// certificate do not permit are forwarded as forbidden.
+    /// Forwards the requests read from a connection; those that its certificate names do not permit
+    /// are forwarded as forbidden.
     pub(super) fn forward_arrivals(&mut self, number: u64, events: &mut Vec<Event>) {
         let secure_connection = self
             .connections
             .get(&number)
-            .filter(|connection| connection.stream.layer().is_some());
+            .filter(|connection| connection.stream.tls_layer().is_some());
         for arrival in self.arrivals.drain(..) {
             let is_permitted = secure_connection.is_none_or(|connection| {
                 self.tls
@@ -111,18 +110,19 @@
         }
     }
 
-    /// Begins handshakes that waited and may begin now, and closes those past their deadline.
+    /// Begins queued handshakes that may begin now, and closes connections whose handshake is past
+    /// its deadline.
     pub(super) fn poll_handshakes(&mut self, now: Micros, events: &mut Vec<Event>) {
         let Some(handshakes) = &mut self.tls.handshakes else {
             return;
         };
-        let begun = handshakes.begin_queued(now);
-        let overdue = handshakes.take_expired(now);
-        for number in begun {
+        let startable = handshakes.begin_queued(now);
+        let expired = handshakes.take_expired(now);
+        for number in startable {
             self.begin_handshake(number, events);
         }
-        for number in overdue {
-            // Before its handshake has ended no request can be open on a connection.
+        for number in expired {
+            // No request can be open on a connection before its handshake has ended.
             let connection = self.connections.get(&number);
             if connection.is_some_and(|connection| connection.machine.status().open_requests == 0) {
                 tracing::debug!("front end connection {number}: the handshake did not end in time");
@@ -138,7 +138,7 @@
         };
         let config = tls.borrow().config();
         match connection.stream.begin_handshake(config) {
-            // What came with the first record is read now, and the reply is sent.
+            // The bytes received with the first record are processed now, and the reply is sent.
             Ok(()) => self.ready.push(number),
             Err(error) => {
                 tracing::debug!(%error, "front end connection {number}: no handshake");
--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -1,5 +1,5 @@
-//! The steps of a hot restart, as successor and as predecessor: what the server does when its
-//! [`HotRestart`] decides that it is time for it.
+//! Execution of the steps that a [`HotRestart`] requests from the server, as successor and as
+//! predecessor.
 
 use super::state::YieldState;
 use super::{Server, RESERVED_DESCRIPTORS};
@@ -16,13 +16,13 @@
 use std::io;
 use std::net::IpAddr;
 
-/// A process has at least so many client connections, however many its predecessor holds.
+/// Minimum limit of client connections, regardless of the connections of the predecessor.
 const MIN_CLIENT_CONNECTIONS: usize = 8;
-/// Wait before listening is tried again, after no descriptor was left for a listening socket.
+/// Delay before listening is retried after a shortage of file descriptors.
 const LISTEN_RETRY_INTERVAL: Micros = 20_000;
 
 impl<H: Host> Server<H> {
-    /// Goes on with taking over from a predecessor, and with handing over to a successor.
+    /// Advances the handover from a predecessor and to a successor.
     pub(super) fn poll_hot_restart(&mut self, now: Micros) {
         let Some(mut hot_restart) = self.handover.hot_restart.take() else {
             return;
@@ -30,15 +30,16 @@
         loop {
             let mut steps = Vec::new();
             let listeners: Vec<_> = self.adapters.client_listener.listeners().collect();
-            // A process that does not listen yet has nothing to take clients with.
-            let is_up = self.adapters.runtime.is_ready() && self.handover.retry_listen_at.is_none();
+            // A process that does not listen yet can't accept clients.
+            let can_serve =
+                self.adapters.runtime.is_ready() && self.handover.retry_listen_at.is_none();
             let usage = || self.combined_usage();
-            hot_restart.poll(now, is_up, &listeners, usage, &mut steps);
+            hot_restart.poll(now, can_serve, &listeners, usage, &mut steps);
             let adopts_listeners = steps
                 .iter()
                 .any(|step| matches!(step, HotRestartStep::AdoptListeners(_)));
             for step in steps {
-                self.take_step(now, step, &mut hot_restart);
+                self.execute_step(now, step, &mut hot_restart);
             }
             if !adopts_listeners {
                 break;
@@ -47,14 +48,19 @@
         self.handover.hot_restart = Some(hot_restart);
     }
 
-    fn take_step(&mut self, now: Micros, step: HotRestartStep<H>, hot_restart: &mut HotRestart<H>) {
+    fn execute_step(
+        &mut self,
+        now: Micros,
+        step: HotRestartStep<H>,
+        hot_restart: &mut HotRestart<H>,
+    ) {
         match step {
             HotRestartStep::AdoptListeners(listeners) => {
                 self.adopt_listeners(now, listeners, hot_restart);
             }
             HotRestartStep::Listen => {
                 tracing::warn!(
-                    "upgrade: nothing was passed on; listens in parallel to the process that serves"
+                    "upgrade: no listener was handed over; listening in parallel to the serving process"
                 );
                 self.listen();
             }
@@ -77,7 +83,8 @@
         }
     }
 
-    /// Takes the listeners of the predecessor over, and listens on what it did not hand over.
+    /// Adopts the listeners of the predecessor, and listens on the addresses that were not handed
+    /// over.
     fn adopt_listeners(
         &mut self,
         now: Micros,
@@ -91,14 +98,14 @@
         for listener in listeners {
             is_short_of_descriptors |= self.adopt_listener(listener);
         }
-        // Connections that wait in a queue that is not adopted would be lost with the predecessor.
-        if is_short_of_descriptors && hot_restart.retreat(now) {
+        // Connections pending on a listener that is not adopted would be lost with the predecessor.
+        if is_short_of_descriptors && hot_restart.on_adoption_failed(now) {
             return;
         }
         self.listen();
     }
 
-    /// Adopts one listener; returns true where no descriptor is left for it.
+    /// Adopts one listener; returns true if no file descriptor is left for it.
     fn adopt_listener(&mut self, listener: InheritedListener<H>) -> bool {
         let InheritedListener { address, socket } = listener;
         let host = &self.host;
@@ -114,11 +121,11 @@
             }
             Ok(false) => false,
             Err(error) if is_descriptor_shortage(&error) => {
-                tracing::warn!(%address, %error, "upgrade: an inherited listener is not adopted");
+                tracing::warn!(%address, %error, "upgrade: no descriptor is left to adopt an inherited listener");
                 true
             }
             Err(error) => {
-                tracing::warn!(%address, %error, "upgrade: an address is listened on anew");
+                tracing::warn!(%address, %error, "upgrade: an inherited listener is unusable; opening a new one");
                 false
             }
         }
@@ -142,7 +149,7 @@
         if let Some(admission) = self.adapters.client_listener.admission_mut() {
             tracing::info!(
                 addresses = reputation.len(),
-                "upgrade: reputation is taken over"
+                "upgrade: imported the reputation earned with the predecessor"
             );
             admission.import_reputation(now, reputation);
         }
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Hands the clients over to the successor, with what was learned of them.
+    /// Hands the clients over to the successor, with the learned state and the reputation.
     fn yield_connections(&mut self, now: Micros, hot_restart: &mut HotRestart<H>) {
         tracing::info!("upgrade: a successor takes clients from here on");
         self.handover.yield_state = YieldState::ConnectionsYielded { since: now };
@@ -193,7 +200,7 @@
         hot_restart.on_connections_yielded(self.combined_usage(), snapshot, reputation);
     }
 
-    /// Serves again, after the successor is gone.
+    /// Resumes serving after the successor was lost.
     fn resume_serving(&mut self, now: Micros, hot_restart: &mut HotRestart<H>) {
         self.reclaim_keys();
         self.adapters.client_listener.resume_accepting();
@@ -201,20 +208,20 @@
         self.share_descriptors(now);
         match self.shutdown.on_successor_lost() {
             Some(stop_at) => {
-                tracing::error!("upgrade: the successor is gone, and this process leaves as well");
-                // From here on it drains as one without a successor: clients are sent to other
+                tracing::error!("upgrade: the successor is gone; draining without a successor");
+                // Without a successor the process drains: clients are notified to use other
                 // servers.
                 self.events.push(Event::DrainStarted { stop_at });
                 self.adapters.client_listener.begin_shutdown(now);
             }
-            None => tracing::warn!("upgrade: the successor is gone; takes clients again"),
+            None => tracing::warn!("upgrade: the successor is gone; accepting clients again"),
         }
-        // A process that drains can be found as well: a new successor gets its listeners, with the
-        // connections that wait there.
+        // A draining process also listens for successors: a new one gets its listeners with the
+        // pending connections.
         self.listen_for_successors(hot_restart);
     }
 
-    /// Takes the idempotency keys back that a successor had, which is gone.
+    /// Takes back the idempotency keys after the successor that owned them was lost.
     fn reclaim_keys(&mut self) {
         let yield_state = std::mem::replace(&mut self.handover.yield_state, YieldState::Serving);
         let (YieldState::KeysReleased, Some(settings)) =
@@ -235,8 +242,9 @@
         }
     }
 
-    /// Releases the idempotency keys to the successor, once all requests that crossed the handover
-    /// have arrived and no run of a key is active: one process owns the keys at a time.
+    /// Releases the idempotency keys to the successor once all requests in flight during the
+    /// handover have arrived and no run with a key is active: only one process owns the keys at a
+    /// time.
     pub(super) fn release_keys(&mut self, now: Micros) {
         if !matches!(
             self.handover.yield_state,
@@ -244,18 +252,18 @@
         ) {
             return;
         }
-        if !self.adapters.client_listener.are_connections_sent_away() {
+        if !self.adapters.client_listener.is_close_requested_on_all() {
             self.handover.yield_state = YieldState::ConnectionsYielded { since: now };
             return;
         }
-        let has_crossing_requests = self.handover.yield_state.next_deadline(now).is_some();
+        let may_have_in_flight_requests = self.handover.yield_state.next_deadline(now).is_some();
         let Some(storage) = &mut self.key_persistence.storage else {
             return;
         };
-        if has_crossing_requests || !self.dispatcher.release_keys() {
+        if may_have_in_flight_requests || !self.dispatcher.release_keys() {
             return;
         }
-        tracing::info!("upgrade: the successor has the idempotency keys from here on");
+        tracing::info!("upgrade: released the idempotency keys to the successor");
         self.handover.yield_state = YieldState::KeysReleased;
         storage.release();
         if let Some(hot_restart) = &mut self.handover.hot_restart {
@@ -263,8 +271,8 @@
         }
     }
 
-    /// Limits the connections so that all processes of this server together hold no more
-    /// descriptors than one may.
+    /// Limits the connections so that all processes of this server together stay within the
+    /// descriptor limit of one.
     fn share_descriptors(&mut self, now: Micros) {
         let limits = self.shared_limits();
         let client_listener = &mut self.adapters.client_listener;
@@ -279,7 +287,7 @@
         let predecessor_descriptors = self.handover.predecessor_usage.descriptors;
         let has_predecessor = predecessor_descriptors > 0;
         let available = if has_predecessor {
-            // Each process needs some descriptors for itself.
+            // Each process needs some descriptors of its own.
             let taken = predecessor_descriptors + RESERVED_DESCRIPTORS / 2;
             max_client_connections.saturating_sub(taken)
         } else {
@@ -291,7 +299,7 @@
         } else {
             available
         };
-        // Where hardly anything is left, operators give up connections as well.
+        // If few descriptors are left, the limit of operators' connections is reduced as well.
         let is_scarce = available < 2 * MIN_CLIENT_CONNECTIONS;
         let management_connections = if has_yielded || (has_predecessor && is_scarce) {
             management_endpoint::MAX_CONNECTIONS / 4
@@ -307,8 +315,9 @@
         }
     }
 
-    /// Listens where no listener was handed over. Guards against ending for want of a descriptor,
-    /// which may be free a moment later: nobody else would serve the connections that wait.
+    /// Listens on all addresses without a listener. A shortage of descriptors does not end the
+    /// process but is retried: a descriptor may become free soon, and no other process would serve
+    /// the pending connections.
     pub(super) fn listen(&mut self) {
         self.handover.retry_listen_at = None;
         match self.adapters.client_listener.listen_expected() {
@@ -319,7 +328,7 @@
             }
             Err(failure) if is_descriptor_shortage(&failure.error) => {
                 let ListenFailure { address, error } = failure;
-                tracing::warn!(%address, %error, "upgrade: does not listen yet");
+                tracing::warn!(%address, %error, "upgrade: no descriptor is left to listen; retrying");
                 let retry_listen_at = self.host.now() + LISTEN_RETRY_INTERVAL;
                 self.handover.retry_listen_at = Some(retry_listen_at);
             }
@@ -333,8 +342,8 @@
         }
     }
 
-    /// Returns what this process and its predecessors use of the machine: a successor learns of
-    /// those only through this process.
+    /// Returns the machine resources used by this process and its predecessors: a successor learns
+    /// the usage of the predecessors only through this process.
     pub(super) fn combined_usage(&self) -> ProcessUsage {
         let own_usage = self.dispatcher.resource_usage();
         let predecessor_usage = self.handover.predecessor_usage;
@@ -347,17 +356,17 @@
     }
 }
 
-/// Limits of connections while several processes of this server share the descriptors of one.
+/// Connection limits while several processes of this server share the descriptor limit of one.
 struct SharedLimits {
     client_connections: usize,
     management_connections: usize,
 }
 
 fn reject_learned_state(error: &impl std::fmt::Display) {
-    tracing::warn!(%error, "upgrade: what the predecessor had learned is not restored");
+    tracing::warn!(%error, "upgrade: failed to restore the learned state of the predecessor");
 }
 
-/// Returns true where no descriptor is left, in this process or on the whole machine.
+/// Returns true if no file descriptor is left, in this process or on the whole machine.
 fn is_descriptor_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -23,7 +23,7 @@
         self.note_flood(m, planned.fault, ends);
         match planned.fault {
             Fault::Crash { down, runtime } => self.crash(m, down, runtime),
-            Fault::Slow(factor) => self.machines[m].runtime.slowing = factor,
+            Fault::Slow(factor) => self.machines[m].runtime.slowdown = factor,
             Fault::Pause => {
                 self.machines[m].paused_since = self.machines[m].paused_since.or(Some(now));
             }
@@ -46,7 +46,7 @@
                 }
                 return;
             }
-            Fault::Store(per_mille) => self.store.trouble(per_mille),
+            Fault::Store(per_mille) => self.store.set_fault_rate(per_mille),
             Fault::Resets(number) => self.reset(number),
             Fault::Directory => {
                 self.net
@@ -74,9 +74,11 @@
                 self.machines[m].has_new_settings = true;
                 self.drain(m);
             }
-            Fault::Repeats(per_mille) => self.machines[m].runtime.repeats = per_mille,
-            Fault::Tear => self.machines[m].runtime.tears = true,
-            Fault::Spoilt(per_mille) => self.store.spoil(per_mille),
+            Fault::Repeats(per_mille) => {
+                self.machines[m].runtime.repeated_notices_per_mille = per_mille;
+            }
+            Fault::Tear => self.machines[m].runtime.truncate_next_notice = true,
+            Fault::Spoilt(per_mille) => self.store.set_malformed_rate(per_mille),
             Fault::Reload => self.reload(m),
             Fault::Burst(factor) => {
                 self.front_ends
@@ -154,7 +156,7 @@
         let planned = self.plan.faults[i];
         let m = planned.matcher.min(self.machines.len() - 1);
         match planned.fault {
-            Fault::Slow(_) => self.machines[m].runtime.slowing = 1.0,
+            Fault::Slow(_) => self.machines[m].runtime.slowdown = 1.0,
             Fault::Pause => {
                 if let Some(since) = self.machines[m].paused_since.take() {
                     self.machines[m].resumed_at = now;
@@ -175,9 +177,9 @@
                         .set_descriptor_limit(process.process, self.plan.max_descriptors);
                 }
             }
-            Fault::Store(_) => self.store.trouble(0),
-            Fault::Spoilt(_) => self.store.spoil(0),
-            Fault::Repeats(_) => self.machines[m].runtime.repeats = 0,
+            Fault::Store(_) => self.store.set_fault_rate(0),
+            Fault::Spoilt(_) => self.store.set_malformed_rate(0),
+            Fault::Repeats(_) => self.machines[m].runtime.repeated_notices_per_mille = 0,
             Fault::Directory => {
                 self.endpoints[DIRECTORY].listen(virtual_address(1, 7_946));
             }
--- a/crates/simulator/src/front_end.rs
+++ b/crates/simulator/src/front_end.rs
@@ -4,9 +4,10 @@
 
 use crate::admission_rules::RejectedConnection;
 use cleatpulley_emulators::callers::{
-    read_answers, read_response, request_frame, said_by_ajp, send, Kind, Said,
+    ajp_response_outcome, read_response, read_responses, request_frame, send_or_buffer,
+    CallerClass, ResponseOutcome,
 };
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::client::{Client, Options, Request};
 use cleatpulley_protocol::ajp::codec::PACKET_SIZE;
@@ -67,7 +68,7 @@
     /// Deadline of the response; pauses of the machine extend it.
     pub due: Micros,
     /// Connection that it was sent on.
-    pub link: Link,
+    pub link: ConnectionId,
     request_index: usize,
 }
 
@@ -132,7 +133,7 @@
     /// Its behaviour.
     pub habit: Habit,
     number: usize,
-    kinds: Vec<Kind>,
+    kinds: Vec<CallerClass>,
     /// Addresses of the matchers' listeners: for frames and for AJP.
     matchers: Vec<(SocketAddr, SocketAddr)>,
     /// Current rate, in requests a second.
@@ -140,9 +141,9 @@
     until: Micros,
     next_at: Option<Micros>,
     random: SmallRng,
-    last_link: Link,
-    frame_connections: BTreeMap<Link, FrameConnection>,
-    ajp: BTreeMap<Link, AjpConnection>,
+    last_link: ConnectionId,
+    frame_connections: BTreeMap<ConnectionId, FrameConnection>,
+    ajp: BTreeMap<ConnectionId, AjpConnection>,
     requests: Vec<ClientRequest>,
     timers: BTreeSet<(Micros, Timer)>,
     avoid_until: Vec<Micros>,
@@ -153,7 +154,7 @@
     /// All attempts, by id.
     pub sent: HashMap<u64, SentAttempt>,
     /// Outcomes of attempts that have not been checked yet.
-    pub outcomes: Vec<(u64, Link, AttemptOutcome)>,
+    pub outcomes: Vec<(u64, ConnectionId, AttemptOutcome)>,
     /// Number of responses that match no open attempt.
     pub unexpected_responses: u64,
     /// Ids of attempts sent since the last check; recorded only for a trace.
@@ -165,9 +166,9 @@
     /// Connections that received a goodbye before anything else, until they are checked.
     pub(crate) rejected_connections: Vec<RejectedConnection>,
     /// Links of all such connections.
-    rejected_links: HashSet<Link>,
+    rejected_links: HashSet<ConnectionId>,
     /// Links whose connection a fault broke on purpose.
-    pub excused_links: HashSet<Link>,
+    pub excused_links: HashSet<ConnectionId>,
     /// Numbers of attempts: sent, served, rejected, failed or lost, and unreachable; retries and
     /// repeats included.
     pub counts: [u64; 5],
@@ -179,7 +180,7 @@
     pub fn new(
         number: usize,
         habit: Habit,
-        kinds: Vec<Kind>,
+        kinds: Vec<CallerClass>,
         matchers: Vec<(SocketAddr, SocketAddr)>,
         rate: f64,
         (now, until): (Micros, Micros),
@@ -245,13 +246,13 @@
     }
 
     /// Returns true if the connection received a goodbye before anything else.
-    pub(crate) fn was_rejected(&self, link: Link) -> bool {
+    pub(crate) fn was_rejected(&self, link: ConnectionId) -> bool {
         self.rejected_links.contains(&link)
     }
 
     /// Links to a matcher.
     #[must_use]
-    pub fn links_to(&self, matcher: usize) -> Vec<Link> {
+    pub fn links_to(&self, matcher: usize) -> Vec<ConnectionId> {
         let frame_connections = self
             .frame_connections
             .iter()
@@ -410,7 +411,7 @@
         key: Option<u64>,
         body: &[u8],
         out: &mut Vec<Effect>,
-    ) -> Option<Link> {
+    ) -> Option<ConnectionId> {
         let frame_connections = self.frame_connections.iter().filter(|(_, connection)| {
             connection.matcher == matcher && !connection.goodbye_received
         });
@@ -423,7 +424,7 @@
             Some((open, link)) if open == 0 || number >= self.habit.connections => link,
             _ if number < self.habit.connections => {
                 self.last_link += 2;
-                out.push(Effect::Dial(self.last_link, self.matchers[matcher].0));
+                out.push(Effect::Connect(self.last_link, self.matchers[matcher].0));
                 let (input, unsent, open) = (Vec::new(), Vec::new(), BTreeMap::new());
                 let connection = FrameConnection {
                     matcher,
@@ -455,7 +456,7 @@
         connection.last_stream += 1;
         connection.open.insert(connection.last_stream, id);
         let frame = request_frame(connection.last_stream, &fields, body);
-        send(
+        send_or_buffer(
             link,
             connection.established,
             &mut connection.unsent,
@@ -475,7 +476,7 @@
         key: Option<u64>,
         body: &[u8],
         out: &mut Vec<Effect>,
-    ) -> Option<Link> {
+    ) -> Option<ConnectionId> {
         let frame_connections = self
             .ajp
             .iter()
@@ -489,7 +490,7 @@
             Some(link) => link,
             None if number < self.habit.connections * 12 => {
                 self.last_link += 2;
-                out.push(Effect::Dial(self.last_link, self.matchers[matcher].1));
+                out.push(Effect::Connect(self.last_link, self.matchers[matcher].1));
                 let options = Options {
                     packet_size: PACKET_SIZE,
                     secret: None,
@@ -531,7 +532,7 @@
         // A request with so few headers fits into a packet.
         let _ = connection.client.request(now, &request, &mut bytes);
         connection.open = Some(id);
-        send(
+        send_or_buffer(
             link,
             connection.established,
             &mut connection.unsent,
@@ -542,7 +543,7 @@
     }
 
     /// Handles the outcome of an attempt: a response, or none because the connection ended.
-    fn on_outcome(&mut self, now: Micros, id: u64, response: Option<Said>) {
+    fn on_outcome(&mut self, now: Micros, id: u64, response: Option<ResponseOutcome>) {
         let Some(attempt) = self.open.remove(&id) else {
             // An attempt that was abandoned in the backlog may still be accepted, and then gets a
             // response.
@@ -551,9 +552,9 @@
         };
         self.due_times.remove(&(attempt.due, id));
         let outcome = match &response {
-            Some(Said::Served(result)) => AttemptOutcome::Served(result.clone()),
-            Some(Said::Refused(_)) => AttemptOutcome::Rejected,
-            Some(Said::Failed) => AttemptOutcome::Failed,
+            Some(ResponseOutcome::Served(result)) => AttemptOutcome::Served(result.clone()),
+            Some(ResponseOutcome::Refused(_)) => AttemptOutcome::Rejected,
+            Some(ResponseOutcome::Failed) => AttemptOutcome::Failed,
             None => AttemptOutcome::Lost,
         };
         self.outcomes.push((id, attempt.link, outcome));
@@ -561,13 +562,13 @@
         let request = &mut self.requests[attempt.request_index];
         let has_effect = self.kinds[request.kind].name == "claim-seat";
         match response {
-            Some(Said::Served(_)) => {
+            Some(ResponseOutcome::Served(_)) => {
                 self.counts[1] += 1;
                 request.done =
                     !(request.key.is_some() && request.attempts < 6 && self.habit.retries);
                 request.bound_matcher = request.key.map(|_| attempt.matcher);
             }
-            Some(Said::Refused(later)) => {
+            Some(ResponseOutcome::Refused(later)) => {
                 self.counts[2] += 1;
                 if self.habit.heeds {
                     self.avoid_until[attempt.matcher] =
@@ -575,7 +576,7 @@
                 }
             }
             // A request that may have run is repeated only at the same matcher and under its key.
-            Some(Said::Failed) | None => {
+            Some(ResponseOutcome::Failed) | None => {
                 self.counts[3] += 1;
                 if response.is_none() {
                     self.avoid_until[attempt.matcher] = now + 300 * MS;
@@ -635,13 +636,13 @@
         }
     }
 
-    fn on_frames(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_frames(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(connection) = self.frame_connections.get_mut(&link) else {
             return;
         };
         connection.input.extend_from_slice(bytes);
         let goodbye_received = connection.goodbye_received;
-        let (answers, unexpected_responses) = read_answers(
+        let (answers, unexpected_responses) = read_responses(
             &mut connection.input,
             &mut connection.open,
             &mut connection.goodbye_received,
@@ -668,7 +669,13 @@
         }
     }
 
-    fn on_ajp_bytes(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_ajp_bytes(
+        &mut self,
+        now: Micros,
+        link: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) {
         let Some(connection) = self.ajp.get_mut(&link) else {
             return;
         };
@@ -681,7 +688,7 @@
             out,
         ) else {
             self.unexpected_responses += 1;
-            self.closed(now, link, out);
+            self.on_close(now, link, out);
             return;
         };
         if let Some(response) = response {
@@ -690,7 +697,7 @@
                 self.ajp.remove(&link);
             }
             match open {
-                Some(id) => self.on_outcome(now, id, Some(said_by_ajp(&response))),
+                Some(id) => self.on_outcome(now, id, Some(ajp_response_outcome(&response))),
                 None => self.unexpected_responses += 1,
             }
         }
@@ -698,7 +705,7 @@
 }
 
 impl Service for FrontEnd {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         let unsent = if let Some(connection) = self.frame_connections.get_mut(&link) {
             connection.established = true;
             std::mem::take(&mut connection.unsent)
@@ -711,7 +718,7 @@
         out.push(Effect::Send(link, unsent));
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         if self.habit.ajp {
             self.on_ajp_bytes(now, link, bytes, out);
         } else {
@@ -719,7 +726,7 @@
         }
     }
 
-    fn closed(&mut self, now: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, now: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         let (mut lost, mut established) = (Vec::new(), true);
         if let Some(connection) = self.frame_connections.remove(&link) {
             established = connection.established;
@@ -757,7 +764,7 @@
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         let timer = self.timers.first().map(|(at, _)| *at);
         [self.next_at, timer].into_iter().flatten().min()
     }
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -473,7 +473,7 @@
         let mut runtime = self
             .setup
             .runtime(self.plan.seed ^ m as u64 ^ machine.incarnation << 20, since);
-        runtime.seen = std::mem::take(&mut machine.runtime.seen);
+        runtime.stats = std::mem::take(&mut machine.runtime.stats);
         runtime
     }
 
@@ -558,7 +558,7 @@
     /// Tells the matcher to shut down without a successor.
     pub(crate) fn drain(&mut self, m: usize) {
         let now = self.now();
-        let slow = self.machines[m].runtime.slowing > 2.0;
+        let slow = self.machines[m].runtime.slowdown > 2.0;
         let stalled = self.misbehaving_clients.stalled.values().any(|on| *on == m);
         let machine = &mut self.machines[m];
         // A paused process does not receive the notice: it would arrive with the next poll.
--- a/crates/simulator/src/metrics_poller.rs
+++ b/crates/simulator/src/metrics_poller.rs
@@ -1,7 +1,7 @@
 //! Simulated operators: they request the metrics of each process periodically, and have to get a
 //! response in time.
 
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::http;
 use std::collections::BTreeMap;
@@ -20,8 +20,8 @@
 /// The polling client.
 #[derive(Debug, Default)]
 pub(crate) struct MetricsPoller {
-    last_link: Link,
-    pub pending: BTreeMap<Link, MetricsRequest>,
+    last_link: ConnectionId,
+    pub pending: BTreeMap<ConnectionId, MetricsRequest>,
     queued: Vec<(usize, u64, SocketAddr)>,
     /// Requests whose connection ended without a whole response, until they are checked.
     pub failed: Vec<MetricsRequest>,
@@ -38,7 +38,7 @@
 }
 
 impl Service for MetricsPoller {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         if let Some(request) = self.pending.get(&link) {
             let mut bytes = Vec::new();
             http::push_request(
@@ -53,7 +53,7 @@
         }
     }
 
-    fn received(&mut self, _: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, _: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(request) = self.pending.get_mut(&link) else {
             return;
         };
@@ -79,7 +79,7 @@
         }
     }
 
-    fn closed(&mut self, _: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, _: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.failed.extend(self.pending.remove(&link));
     }
 
@@ -97,11 +97,11 @@
                     input: Vec::new(),
                 },
             );
-            out.push(Effect::Dial(link, to));
+            out.push(Effect::Connect(link, to));
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         (!self.queued.is_empty()).then_some(0)
     }
 }
--- a/crates/simulator/src/misbehaving_clients.rs
+++ b/crates/simulator/src/misbehaving_clients.rs
@@ -2,7 +2,7 @@
 //! floods from thousands of unknown addresses.
 
 use crate::admission_rules::RejectedConnection;
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use cleatpulley_protocol::ajp::codec::{push_forward_request, OutgoingRequest, PACKET_SIZE};
 use cleatpulley_protocol::frame::codec::{self as frames, ParsedFrame};
@@ -57,22 +57,22 @@
 /// The misbehaving clients.
 #[derive(Default)]
 pub struct MisbehavingClients {
-    last_link: Link,
+    last_link: ConnectionId,
     /// Matcher and bytes to send once the connection is established.
-    payloads: BTreeMap<Link, (usize, Vec<u8>)>,
+    payloads: BTreeMap<ConnectionId, (usize, Vec<u8>)>,
     planned: Vec<PlannedConnection>,
     flood_connections: u64,
     /// Unknown clients that reconnect, and when.
     reconnects: Vec<(Micros, PlannedConnection)>,
     probes: Vec<ProbeSchedule>,
     /// Unknown clients whose connection is open.
-    pub(crate) unknown_clients: BTreeMap<Link, UnknownClient>,
+    pub(crate) unknown_clients: BTreeMap<ConnectionId, UnknownClient>,
     /// Admitted clients with their matcher, address and time, until they are checked.
     pub(crate) admitted: Vec<(usize, IpAddr, Micros)>,
     /// Probes that were rejected, until they are checked.
     pub(crate) rejected: Vec<RejectedConnection>,
     /// Open connections that have sent half of a request, and their matcher.
-    pub stalled: BTreeMap<Link, usize>,
+    pub stalled: BTreeMap<ConnectionId, usize>,
 }
 
 impl MisbehavingClients {
@@ -145,7 +145,7 @@
 }
 
 impl Service for MisbehavingClients {
-    fn opened(&mut self, _: Micros, link: Link, out: &mut Vec<Effect>) {
+    fn on_open(&mut self, _: Micros, link: ConnectionId, out: &mut Vec<Effect>) {
         if let Some((matcher, bytes)) = self
             .payloads
             .get_mut(&link)
@@ -159,7 +159,7 @@
         }
     }
 
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>) {
+    fn on_data(&mut self, now: Micros, link: ConnectionId, bytes: &[u8], out: &mut Vec<Effect>) {
         self.stalled.remove(&link);
         let Some(client) = self
             .unknown_clients
@@ -189,11 +189,11 @@
         }
         if is_probe {
             out.push(Effect::Close(link));
-            self.closed(now, link, out);
+            self.on_close(now, link, out);
         }
     }
 
-    fn closed(&mut self, now: Micros, link: Link, _: &mut Vec<Effect>) {
+    fn on_close(&mut self, now: Micros, link: ConnectionId, _: &mut Vec<Effect>) {
         self.payloads.remove(&link);
         self.stalled.remove(&link);
         let Some(UnknownClient {
@@ -260,14 +260,14 @@
                             reconnect,
                         },
                     );
-                    Effect::DialFrom(link, to, from)
+                    Effect::ConnectFrom(link, to, from)
                 }
-                None => Effect::Dial(link, to),
+                None => Effect::Connect(link, to),
             });
         }
     }
 
-    fn next(&self) -> Option<Micros> {
+    fn next_deadline(&self) -> Option<Micros> {
         if !self.planned.is_empty() {
             return Some(0);
         }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -128,7 +128,7 @@
         for message in self.admission_rules.check(sim) {
             self.report_violation(sim, message);
         }
-        let most = sim.store.seen.most;
+        let most = sim.store.stats.peak_calls;
         if most > 5 * self.slots {
             self.report_violation(
                 sim,
@@ -170,9 +170,9 @@
                     if now > since + STORE_RELEASE_TIME {
                         let incarnation = owner.incarnation;
                         self.report_violation(
-                            sim,
-                            format!("m{m}: incarnation {incarnation} is idle and keeps the store of results"),
-                        );
+sim,
+format!("m{m}: incarnation {incarnation} is idle and keeps the store of results"),
+);
                     }
                 }
             }
@@ -184,8 +184,8 @@
     fn check_starts(&mut self, sim: &Simulation) {
         self.starts.resize(sim.machines.len(), 0);
         for (m, machine) in sim.machines.iter().enumerate() {
-            let seen = &machine.runtime.seen;
-            while let Some(&id) = seen.order.get(self.starts[m]) {
+            let seen = &machine.runtime.stats;
+            while let Some(&id) = seen.start_order.get(self.starts[m]) {
                 self.starts[m] += 1;
                 self.trace(|| format!("m{m} runs {id:016x}"));
                 let Some(sent) = sim
@@ -256,7 +256,7 @@
                 };
                 let m = sent.matcher;
                 sim.request_over(m, id);
-                let ran = sim.machines[m].runtime.seen.starts.contains_key(&id);
+                let ran = sim.machines[m].runtime.stats.starts.contains_key(&id);
                 self.trace(|| {
                     let description = match &outcome {
                         AttemptOutcome::Served(_) => "served",
@@ -296,9 +296,9 @@
                                 if ran.is_some_and(|(_, other)| other != sent.has_conflicting_body)
                                 {
                                     self.report_violation(
-                                        sim,
-                                        format!("{id:016x} got the result of a request with another body"),
-                                    );
+sim,
+format!("{id:016x} got the result of a request with another body"),
+);
                                 }
                                 if repeated {
                                     self.record_coverage("repeated key gets the first response");
@@ -352,9 +352,9 @@
                                     .max(machine.killed_at + SUCCESSOR_SEARCH_TIME);
                         if was_served && !waits && sent.at > machine.disk_trouble_until {
                             self.report_violation(
-                                sim,
-                                format!("{id:016x} failed, though the result of its key was returned before"),
-                            );
+sim,
+format!("{id:016x} failed, though the result of its key was returned before"),
+);
                         }
                         self.record_coverage(if ran {
                             "failed after a start"
@@ -434,9 +434,9 @@
                     let held = (now - attempt.sent) as f64 / 1e6;
                     let m = attempt.matcher;
                     self.report_violation(
-                        sim,
-                        format!("{id:016x}, sent to m{m} {held:.3} s ago, got no response by its deadline"),
-                    );
+sim,
+format!("{id:016x}, sent to m{m} {held:.3} s ago, got no response by its deadline"),
+);
                     return;
                 }
                 self.record_coverage("connection not accepted by the request's deadline");
@@ -538,7 +538,7 @@
         self.overloaded_since.resize(sim.machines.len(), None);
         let now = sim.clock();
         for (m, machine) in sim.machines.iter().enumerate() {
-            if machine.runtime.on_cores() > 6 * self.cores {
+            if machine.runtime.runs_on_cores() > 6 * self.cores {
                 let since = *self.overloaded_since[m].get_or_insert(now);
                 if now > since + 2_000 * MS {
                     self.report_violation(sim, format!("m{m}: too many requests on the cores"));
@@ -557,7 +557,7 @@
         }
         self.memory_checked_at = now;
         for (m, machine) in sim.machines.iter().enumerate() {
-            let runs = machine.runtime.running();
+            let runs = machine.runtime.running_count();
             let mut held = 0;
             for (n, front_end) in sim.front_ends.iter().enumerate() {
                 let endpoint = sim.front_end_endpoint(n);
@@ -568,7 +568,7 @@
                         && endpoint
                             .accepted_at(attempt.link)
                             .is_some_and(|at| at + IN_FLIGHT_TIME < now)
-                        && !machine.runtime.runs(*id)
+                        && !machine.runtime.is_running(*id)
                 };
                 held += front_end
                     .open
--- a/crates/simulator/src/service_endpoint.rs
+++ b/crates/simulator/src/service_endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::host::{ConnectionOwner, Event, SharedNetwork};
 use crate::network::EndId;
-use cleatpulley_emulators::{Effect, Link, Service};
+use cleatpulley_emulators::{ConnectionId, Effect, Service};
 use cleatpulley_policy::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -22,10 +22,10 @@
     net: SharedNetwork,
     number: usize,
     process: usize,
-    connections: BTreeMap<Link, Connection>,
-    last_accepted: Link,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last_accepted: ConnectionId,
     /// Links that ended before the other side accepted them.
-    pub unaccepted: BTreeSet<Link>,
+    pub unaccepted: BTreeSet<ConnectionId>,
     /// Earliest scheduled wake-up.
     wake_at: Micros,
     /// The machine is paused: nothing is passed on or carried out.
@@ -82,13 +82,13 @@
                 },
             );
             self.call(service, |service, now, out| {
-                service.opened_at(now, link, listener, out);
+                service.on_accept(now, link, listener, out);
             });
         }
     }
 
     /// Handles readiness of a link.
-    pub fn on_ready<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
+    pub fn on_ready<S: Service + ?Sized>(&mut self, service: &mut S, link: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&link) else {
             return;
         };
@@ -102,7 +102,7 @@
                 return;
             }
             connection.established = true;
-            self.call(service, |service, now, out| service.opened(now, link, out));
+            self.call(service, |service, now, out| service.on_open(now, link, out));
         }
         self.flush(link);
         let mut buffer = std::mem::take(&mut self.buffer);
@@ -114,7 +114,7 @@
                     break;
                 }
                 Ok(n) => self.call(service, |service, now, out| {
-                    service.received(now, link, &buffer[..n], out);
+                    service.on_data(now, link, &buffer[..n], out);
                 }),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {
@@ -126,7 +126,7 @@
         self.buffer = buffer;
     }
 
-    fn on_connection_lost<S: Service + ?Sized>(&mut self, service: &mut S, link: Link) {
+    fn on_connection_lost<S: Service + ?Sized>(&mut self, service: &mut S, link: ConnectionId) {
         if self
             .connections
             .get(&link)
@@ -136,16 +136,18 @@
             self.unaccepted.insert(link);
         }
         self.remove_connection(link);
-        self.call(service, |service, now, out| service.closed(now, link, out));
+        self.call(service, |service, now, out| {
+            service.on_close(now, link, out);
+        });
     }
 
-    fn remove_connection(&mut self, link: Link) {
+    fn remove_connection(&mut self, link: ConnectionId) {
         if let Some(connection) = self.connections.remove(&link) {
             self.net.borrow_mut().close(connection.end);
         }
     }
 
-    fn flush(&mut self, link: Link) {
+    fn flush(&mut self, link: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&link) else {
             return;
         };
@@ -175,7 +177,7 @@
             return;
         }
         self.wake_at = Micros::MAX;
-        if service.next().is_some_and(|at| at <= now) {
+        if service.next_deadline().is_some_and(|at| at <= now) {
             self.call(service, cleatpulley_emulators::Service::advance);
         } else {
             self.schedule(service);
@@ -184,7 +186,9 @@
 
     /// Schedules the service's next wake-up.
     pub fn schedule<S: Service + ?Sized>(&mut self, service: &S) {
-        let Some(next) = service.next() else { return };
+        let Some(next) = service.next_deadline() else {
+            return;
+        };
         let mut net = self.net.borrow_mut();
         let next = next.max(net.now);
         if next < self.wake_at {
@@ -229,12 +233,12 @@
                     self.remove_connection(link);
                 }
             }
-            Effect::Dial(link, to) => self.dial(link, to, None),
-            Effect::DialFrom(link, to, from) => self.dial(link, to, Some(from)),
+            Effect::Connect(link, to) => self.dial(link, to, None),
+            Effect::ConnectFrom(link, to, from) => self.dial(link, to, Some(from)),
         }
     }
 
-    fn dial(&mut self, link: Link, to: SocketAddr, from: Option<IpAddr>) {
+    fn dial(&mut self, link: ConnectionId, to: SocketAddr, from: Option<IpAddr>) {
         let owner = ConnectionOwner::Service(self.number, link).encode();
         let mut net = self.net.borrow_mut();
         let from = from.unwrap_or_else(|| net.front_end_address());
@@ -252,7 +256,7 @@
 
     /// Established connections that it dialled.
     #[must_use]
-    pub fn dialled_connections(&self) -> Vec<(Link, EndId)> {
+    pub fn dialled_connections(&self) -> Vec<(ConnectionId, EndId)> {
         let established = self
             .connections
             .iter()
@@ -264,7 +268,7 @@
 
     /// Owner of the other side of a link, if it was accepted.
     #[must_use]
-    pub fn peer_owner(&self, link: Link) -> Option<u64> {
+    pub fn peer_owner(&self, link: ConnectionId) -> Option<u64> {
         self.connections
             .get(&link)
             .and_then(|connection| self.net.borrow().peer_owner(connection.end))
@@ -272,7 +276,7 @@
 
     /// When the other side of a link accepted it.
     #[must_use]
-    pub fn accepted_at(&self, link: Link) -> Option<Micros> {
+    pub fn accepted_at(&self, link: ConnectionId) -> Option<Micros> {
         self.connections
             .get(&link)
             .and_then(|connection| self.net.borrow().accepted_at(connection.end))
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -11,7 +11,7 @@
 use crate::rollout::Rollout;
 use crate::rules::Rules;
 use crate::service_endpoint::ServiceEndpoint;
-use cleatpulley_emulators::directory::Directory;
+use cleatpulley_emulators::registry::ServiceRegistry;
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_emulators::store::Store;
 use cleatpulley_emulators::Service;
@@ -51,7 +51,7 @@
     pub(crate) machines: Vec<Machine>,
     pub(crate) front_ends: Vec<FrontEnd>,
     pub(crate) store: Store,
-    directory: Directory,
+    directory: ServiceRegistry,
     pub(crate) misbehaving_clients: MisbehavingClients,
     pub(crate) metrics_poller: MetricsPoller,
     pub(crate) rollouts: Vec<Rollout>,
@@ -110,8 +110,8 @@
         let setup = Setup {
             cores: plan.cores,
             seed: plan.seed,
-            stop: SHUTDOWN_TIME,
-            grace: DRAIN_GRACE,
+            stop_timeout: SHUTDOWN_TIME,
+            drain_grace: DRAIN_GRACE,
             ..Setup::default()
         };
         let mut net = Network::new(START_TIME, plan.seed, Event::Network);
@@ -144,7 +144,15 @@
         let span = (START_TIME + 200 * MS, START_TIME + plan.request_duration);
         let front_end = |(n, habit): (usize, &crate::front_end::Habit)| {
             let seed = plan.seed.wrapping_mul(31).wrapping_add(n as u64);
-            FrontEnd::new(n, habit.clone(), setup.kinds(), to.clone(), all, span, seed)
+            FrontEnd::new(
+                n,
+                habit.clone(),
+                setup.caller_classes(),
+                to.clone(),
+                all,
+                span,
+                seed,
+            )
         };
         let front_ends: Vec<_> = plan.habits.iter().enumerate().map(front_end).collect();
         let base_rates = front_ends.iter().map(|front_end| front_end.rate).collect();
@@ -156,7 +164,7 @@
         let mut sim = Self {
             random: SmallRng::seed_from_u64(plan.seed ^ 0xFA17),
             store: Store::new(setup.store.clone()),
-            directory: Directory::default(),
+            directory: ServiceRegistry::default(),
             misbehaving_clients: MisbehavingClients::default(),
             metrics_poller: MetricsPoller::default(),
             rollouts: Vec::new(),
@@ -458,7 +466,7 @@
                 self.net.borrow().held_descriptors(process.process),
                 usage.descriptors,
             );
-            let running = self.machines[m].runtime.running();
+            let running = self.machines[m].runtime.running_count();
             let left = [
                 (usage.requests, "known requests"),
                 (usage.pending, "pending responses"),
@@ -474,7 +482,7 @@
             if running > 0 {
                 let ids: Vec<_> = self.machines[m]
                     .runtime
-                    .ids()
+                    .running_ids()
                     .iter()
                     .map(|id| format!("{id:016x}"))
                     .collect();
@@ -496,7 +504,7 @@
     pub(crate) fn request_over(&mut self, m: usize, id: u64) {
         let machine = &mut self.machines[m];
         self.endpoints[FIRST_RUNTIME + m].call(&mut machine.runtime, |runtime, now, out| {
-            runtime.request_over(now, id, out);
+            runtime.end_request(now, id, out);
         });
     }
 
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -61,10 +61,10 @@
         }
     }
     let heap_ns = started.elapsed().as_nanos() as f64 / rounds as f64;
-    say!(
-        "queue of 600 events, ns an event: ring and heap {own_ns:.0}, BinaryHeap alone {heap_ns:.0}, ratio {:.2}",
-        own_ns / heap_ns
-    );
+    print_line!(
+"queue of 600 events, ns an event: ring and heap {own_ns:.0}, BinaryHeap alone {heap_ns:.0}, ratio {:.2}",
+own_ns / heap_ns
+);
 }
 
 fn measure_speed(shortfalls: &mut Vec<String>) {
@@ -95,7 +95,7 @@
     let started = Instant::now();
     let outcome = seeds::play(plan);
     let ratio = outcome.simulated as f64 / 1e6 / started.elapsed().as_secs_f64();
-    say!(
+    print_line!(
         "one matcher, {:.0} attempts a second: {ratio:.0} times real time on one core",
         outcome.counts[0] as f64 / 60.0
     );
@@ -125,7 +125,9 @@
 fn check_reproducibility(shortfalls: &mut Vec<String>) {
     let digest = |jobs| seeds::run(Plan::from_seed, 1, 60, jobs, false, || (), |_| ()).digest;
     let (one_job, many_jobs) = (digest(1), digest(default_threads().max(2)));
-    say!("60 seeds by one job and by many jobs: digests {one_job:016x} and {many_jobs:016x}");
+    print_line!(
+        "60 seeds by one job and by many jobs: digests {one_job:016x} and {many_jobs:016x}"
+    );
     if one_job != many_jobs {
         shortfalls.push("the same seeds give another digest with another job count".to_owned());
     }
@@ -137,7 +139,7 @@
             .push("built without the feature `bug-injection`: no bug can be injected".to_owned());
         return;
     }
-    say!("injected bugs: seeds until found, faults before and after shrinking");
+    print_line!("injected bugs: seeds until found, faults before and after shrinking");
     let general = InjectedBug::GENERAL.map(|bug| (bug, Plan::from_seed as fn(u64) -> Plan));
     let chains = InjectedBug::HOT_RESTART_CHAINS
         .map(|bug| (bug, Plan::with_upgrade_chains as fn(u64) -> Plan));
@@ -156,7 +158,7 @@
             |_| (),
         );
         let Some(first) = summary.failed.first() else {
-            say!(
+            print_line!(
                 "  {:<18} not found in {} seeds",
                 format!("{bug:?}"),
                 summary.seeds
@@ -176,14 +178,14 @@
         }
         let faults = unshrunk.faults.len();
         let (smallest, played) = seeds::shrink(unshrunk, 12);
-        say!(
-            "  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of requests, in {played} plans: {}",
-            format!("{bug:?}"),
-            first.seed,
-            smallest.faults.len(),
-            smallest.request_duration as f64 / 1e6,
-            first.violations[0]
-        );
+        print_line!(
+"  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of requests, in {played} plans: {}",
+format!("{bug:?}"),
+first.seed,
+smallest.faults.len(),
+smallest.request_duration as f64 / 1e6,
+first.violations[0]
+);
     }
     inject_bug(None);
 }
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -2,7 +2,7 @@
 //! matcher on a warm TLS connection beside a plain one; what idle connections and handshakes in flight hold; and what share
 //! of the CPU a flood of handshakes takes against the bound that was set.
 
-use cleatpulley_emulators::callers::{request_frame, said, Said};
+use cleatpulley_emulators::callers::{decode_response, request_frame, ResponseOutcome};
 use cleatpulley_emulators::matcher::Matcher;
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_tls::authority::{self, IssuedCertificate};
@@ -221,7 +221,10 @@
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
             let mut payload = vec![0; length.saturating_sub(5)];
             stream.read_exact(&mut payload)?;
-            served += u32::from(matches!(said(&payload), Some(Said::Served(_))));
+            served += u32::from(matches!(
+                decode_response(&payload),
+                Some(ResponseOutcome::Served(_))
+            ));
         }
         id += 16;
     }
@@ -234,7 +237,7 @@
 /// A matcher of an instant runtime, with this operator file.
 fn matcher(program: &Path, operator: &str) -> Result<(Site, Matcher), String> {
     let site = Site::start(Setup {
-        instant: true,
+        instant_runs: true,
         cores: 64,
         ..Setup::default()
     })
@@ -271,7 +274,7 @@
     for (n, stream) in streams.iter_mut().enumerate() {
         rounds(stream, 1 + n as u32 * 100_000, 16).map_err(|e| e.to_string())?;
     }
-    let before = matcher.cpu().ok_or("no CPU figure")?;
+    let before = matcher.cpu_micros().ok_or("no CPU figure")?;
     let served = std::thread::scope(|scope| {
         let asking: Vec<_> = streams
             .iter_mut()
@@ -287,7 +290,7 @@
             })
             .sum::<Result<u32, String>>()
     })?;
-    let spent = matcher.cpu().ok_or("no CPU figure")? - before;
+    let spent = matcher.cpu_micros().ok_or("no CPU figure")? - before;
     Ok((spent as f64 / 16_000.0, served))
 }
 
@@ -331,7 +334,7 @@
 /// Kilobytes that each handshake in flight holds: a client's first flight, and nothing after it.
 fn in_flight(program: &Path, files: &Files) -> Result<f64, String> {
     let handshakes =
-        "handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
+"handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(handshakes)))?;
     let config = files.client()?;
     let base = rss(&matcher)?;
@@ -352,9 +355,9 @@
 
 /// Microseconds of the matcher's CPU in a second while nothing comes.
 fn at_rest(matcher: &Matcher) -> Result<f64, String> {
-    let before = matcher.cpu().ok_or("no CPU figure")?;
+    let before = matcher.cpu_micros().ok_or("no CPU figure")?;
     std::thread::sleep(Duration::from_millis(500));
-    Ok((matcher.cpu().ok_or("no CPU figure")? - before) as f64 * 2.0)
+    Ok((matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64 * 2.0)
 }
 
 /// Matcher's CPU for each whole handshake, accept and close among them, where they come one at a time: microseconds.
@@ -363,11 +366,11 @@
     let fresh: Vec<_> = (0..count)
         .map(|_| files.client())
         .collect::<Result<_, _>>()?;
-    let (before, begun) = (matcher.cpu().ok_or("no CPU figure")?, Instant::now());
+    let (before, begun) = (matcher.cpu_micros().ok_or("no CPU figure")?, Instant::now());
     for config in &fresh {
         tls_to(config, matcher.frames).map_err(|e| e.to_string())?;
     }
-    let spent = (matcher.cpu().ok_or("no CPU figure")? - before) as f64
+    let spent = (matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64
         - rest * begun.elapsed().as_secs_f64();
     Ok(spent / f64::from(count))
 }
@@ -377,13 +380,13 @@
 /// rest, with how many a second ended.
 fn flood(program: &Path, files: &Files) -> Result<(f64, f64, f64), String> {
     let handshakes = format!(
-        "handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
-    );
+"handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
+);
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(&handshakes)))?;
     let rest = at_rest(&matcher)?;
     let before_flood = calm(&matcher, files, rest)?;
     let (over, done) = (AtomicBool::new(false), AtomicU64::new(0));
-    let (before, begun) = (matcher.cpu().ok_or("no CPU figure")?, Instant::now());
+    let (before, begun) = (matcher.cpu_micros().ok_or("no CPU figure")?, Instant::now());
     std::thread::scope(|scope| {
         for _ in 0..FLOODERS {
             scope.spawn(|| {
@@ -400,7 +403,7 @@
         over.store(true, Ordering::Relaxed);
     });
     let elapsed = begun.elapsed().as_secs_f64();
-    let spent = (matcher.cpu().ok_or("no CPU figure")? - before) as f64 - rest * elapsed;
+    let spent = (matcher.cpu_micros().ok_or("no CPU figure")? - before) as f64 - rest * elapsed;
     let after_flood = calm(&matcher, files, rest)?;
     let one = f64::midpoint(before_flood, after_flood);
     Ok((
@@ -418,14 +421,14 @@
     let files = Files::new()?;
     let (full, resumed) = handshakes(&files, ProtocolVersions::Only13)?;
     let (full12, resumed12) = handshakes(&files, ProtocolVersions::Only12)?;
-    say!(
-        "TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
+    print_line!(
+"TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
          1.2 full {full12:.0} us ({:.0}), resumed {resumed12:.0} us ({:.0})",
-        1e6 / full,
-        1e6 / resumed,
-        1e6 / full12,
-        1e6 / resumed12
-    );
+1e6 / full,
+1e6 / resumed,
+1e6 / full12,
+1e6 / resumed12
+);
     // In turns, three of each: a matcher's CPU a request varies by some tenths from one run to the next.
     let (mut plains, mut tlss, mut plain_served, mut tls_served) = (Vec::new(), Vec::new(), 0, 0);
     for _ in 0..3 {
@@ -436,9 +439,9 @@
     }
     let (plain, tls) = (median(plains), median(tlss));
     let ratio = tls / plain;
-    say!(
-        "CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
-    );
+    print_line!(
+"CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
+);
     if ratio >= GOAL_RATIO {
         short.push(format!(
             "a request over TLS costs {ratio:.2} times plain, {GOAL_RATIO} asked"
@@ -449,20 +452,20 @@
         idle(program, &files, false)?,
         in_flight(program, &files)?,
     );
-    say!(
-        "memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
-    );
+    print_line!(
+"memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
+);
     let (one, share, done) = flood(program, &files)?;
     // Strangers have what the reserve leaves of the rate.
     let strangers = BOUND
         * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserved_share);
     let allowed = strangers * one / 1e6;
-    say!(
-        "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
+    print_line!(
+"a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
          at the matcher's {one:.0} us a handshake one at a time (before and after), the bound allows {:.1}%",
-        share * 100.0,
-        allowed * 100.0
-    );
+share * 100.0,
+allowed * 100.0
+);
     if share > allowed * (1.0 + GOAL_SHARE) {
         short.push(format!(
             "a flood of handshakes takes {:.1}% of a core where the bound allows {:.1}%",
--- a/src/commands/certs.rs
+++ b/src/commands/certs.rs
@@ -148,13 +148,13 @@
         made.key.as_bytes(),
     );
     let facts = pair.map_err(|e| e.to_string())?.info;
-    say!(
+    print_line!(
         "{} for {}, valid until {} (Unix seconds)",
         certificate.display(),
         facts.names.join(", "),
         facts.not_after
     );
-    say!("{} (mode 0600)", key.display());
+    print_line!("{} (mode 0600)", key.display());
     Ok(())
 }
 
@@ -180,9 +180,9 @@
                 &format!("{}\n", ticket_keys::generate_secret()?),
                 0o600,
             )?;
-            say!("{}: the authority {name:?}", certificate.display());
-            say!("{} (mode 0600)", key.display());
-            say!(
+            print_line!("{}: the authority {name:?}", certificate.display());
+            print_line!("{} (mode 0600)", key.display());
+            print_line!(
                 "{}: the secret of ticket keys (mode 0600); every instance of the host names it",
                 secret.display()
             );
@@ -228,10 +228,10 @@
                 let facts = CertificateInfo::from_der(certificate)
                     .map_err(|what| format!("{}: certificate {}: {what}", file.display(), i + 1))?;
                 if i > 0 {
-                    say!();
+                    print_line!();
                 }
-                say!("{facts}");
-                say!(
+                print_line!("{facts}");
+                print_line!(
                     "days left    {}",
                     facts.seconds_until_expiry(now() as u64).div_euclid(86_400)
                 );
@@ -267,14 +267,14 @@
     let at = at.unwrap_or(now() as u64);
     let verdict = verification::verify_files((file, &chain), (roots, &trusted), &name, at)?;
     let mut good = verdict.is_accepted();
-    say!(
+    print_line!(
         "as the server {name:?}: {}",
         verdict
             .server_error
             .as_deref()
             .map_or("taken".to_owned(), |why| format!("refused: {why}"))
     );
-    say!(
+    print_line!(
         "as a client: {}",
         verdict
             .client_error
@@ -288,15 +288,15 @@
             key,
             &std::fs::read(key).map_err(|e| format!("{}: {e}", key.display()))?,
         ) {
-            Ok(_) => say!("key: it belongs to the certificate"),
+            Ok(_) => print_line!("key: it belongs to the certificate"),
             Err(fault) => {
                 good = false;
-                say!("key: {fault}");
+                print_line!("key: {fault}");
             }
         }
     }
     let left = facts.seconds_until_expiry(at);
-    say!("expires in {} days ({left} s)", left.div_euclid(86_400));
+    print_line!("expires in {} days ({left} s)", left.div_euclid(86_400));
     Ok(if good {
         ExitCode::SUCCESS
     } else {
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -134,9 +134,9 @@
     }
     print_summary(&summary, started.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
-        say!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
+        print_line!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
     }
-    say!(
+    print_line!(
         "{} seeds, {} violated a rule; digest {:016x}",
         summary.seeds,
         summary.failed.len(),
@@ -149,24 +149,24 @@
 pub fn print_summary(summary: &Summary, elapsed: Duration, jobs: usize) {
     let seconds = elapsed.as_secs_f64().max(1e-9);
     let simulated = summary.simulated as f64 / 1e6;
-    say!(
-        "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
-        summary.seeds,
-        summary.seeds as f64 / seconds,
-        simulated / seconds,
-        simulated / seconds / jobs as f64,
-        summary.events as f64 / 1e6
-    );
+    print_line!(
+"{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
+summary.seeds,
+summary.seeds as f64 / seconds,
+simulated / seconds,
+simulated / seconds / jobs as f64,
+summary.events as f64 / 1e6
+);
     let [sent, served, rejected, failed, unreachable] = summary.counts;
-    say!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} unreachable");
-    say!("met:");
+    print_line!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} unreachable");
+    print_line!("met:");
     for (name, (times, seeds)) in &summary.coverage {
-        say!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
+        print_line!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
 
 fn print_plan(plan: &Plan) {
-    say!(
+    print_line!(
         "seed {}: {} matchers of {} cores, {:.0}% load for {:.1} s, {} descriptors{}{}",
         plan.seed,
         plan.matchers,
@@ -187,9 +187,11 @@
         }
     );
     for (n, habit) in plan.habits.iter().enumerate() {
-        say!("  front end {n}: {habit:?}");
+        print_line!("  front end {n}: {habit:?}");
     }
-    plan.faults.iter().for_each(|planned| say!("  {planned}"));
+    plan.faults
+        .iter()
+        .for_each(|planned| print_line!("  {planned}"));
 }
 
 fn replay(plan: Plan, last: Option<usize>) -> ExitCode {
@@ -217,11 +219,11 @@
 
 fn shrink(plan: &Plan, max_plans: u32) -> ExitCode {
     if seeds::play(plan.clone()).violations.is_empty() {
-        say!("seed {} violates no rule", plan.seed);
+        print_line!("seed {} violates no rule", plan.seed);
         return ExitCode::SUCCESS;
     }
     let (smallest, played) = seeds::shrink(plan.clone(), max_plans);
-    say!(
+    print_line!(
         "{played} plans run; {} of {} faults are left:",
         smallest.faults.len(),
         plan.faults.len()
@@ -230,10 +232,10 @@
     let (outcome, trace) = seeds::replay(smallest);
     trace[trace.len().saturating_sub(40)..]
         .iter()
-        .for_each(|line| say!("{line}"));
+        .for_each(|line| print_line!("{line}"));
     outcome
         .violations
         .iter()
-        .for_each(|violation| say!("violation: {violation}"));
+        .for_each(|violation| print_line!("violation: {violation}"));
     ExitCode::FAILURE
 }
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -1,7 +1,7 @@
-//! The section on a gateway: where callers come, which routes hold, where targets are.
+//! The `gateway` section of an operator file: listening addresses, routes, classes and targets of a gateway.
 
 use super::section::read_section;
-use super::{addresses, packet_size, wrong, Fault, Wrong};
+use super::{check_packet_size, key_error, parse_addresses, KeyError, OperatorFileError};
 use crate::nginx;
 use cleatpulley_gateway::core::{Class, Settings};
 use cleatpulley_gateway::upstream::{HeaderNames, TargetProtocol};
@@ -21,14 +21,14 @@
 const MS: u64 = 1_000;
 
 #[derive(Deserialize)]
-struct File {
-    gateway: Section,
+struct OperatorFile {
+    gateway: GatewaySection,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Section {
-    #[serde(default = "name")]
+struct GatewaySection {
+    #[serde(default = "default_name")]
     name: String,
     #[serde(default)]
     frames: Vec<String>,
@@ -40,42 +40,42 @@
     routes_listen: Option<String>,
     classes: BTreeMap<String, ClassSection>,
     #[serde(default)]
-    targets: Targets,
-    #[serde(default = "share")]
+    targets: TargetsSection,
+    #[serde(default = "default_retry_share")]
     retry_share: f64,
-    #[serde(default = "sockets")]
+    #[serde(default = "default_max_descriptors")]
     sockets: usize,
-    #[serde(default = "stop")]
+    #[serde(default = "default_stop_ms")]
     stop_ms: u64,
-    #[serde(default = "grace")]
+    #[serde(default = "default_drain_grace_ms")]
     drain_grace_ms: u64,
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
     #[serde(default)]
     seed: u64,
 }
 
-fn memory() -> usize {
+fn default_memory_mb() -> usize {
     64
 }
 
-fn name() -> String {
+fn default_name() -> String {
     "gateway".to_owned()
 }
 
-fn share() -> f64 {
+fn default_retry_share() -> f64 {
     0.1
 }
 
-fn sockets() -> usize {
+fn default_max_descriptors() -> usize {
     1_024
 }
 
-fn stop() -> u64 {
+fn default_stop_ms() -> u64 {
     10_000
 }
 
-fn grace() -> u64 {
+fn default_drain_grace_ms() -> u64 {
     2_500
 }
 
@@ -87,19 +87,19 @@
     secret: Option<String>,
     #[serde(default)]
     packet_size: Option<usize>,
-    #[serde(default = "body")]
+    #[serde(default = "default_max_body")]
     max_body: usize,
     #[serde(default)]
     trusted_proxies: Vec<IpAddr>,
-    #[serde(default = "door")]
+    #[serde(default = "default_door_header")]
     door_header: String,
 }
 
-fn body() -> usize {
+fn default_max_body() -> usize {
     2_048
 }
 
-fn door() -> String {
+fn default_door_header() -> String {
     "X-Door".to_owned()
 }
 
@@ -112,18 +112,18 @@
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct Targets {
+struct TargetsSection {
     protocol: Option<String>,
     secret: Option<String>,
     connections: Option<usize>,
-    /// Where names lead: they are not looked up.
+    /// Socket addresses of targets that the routes give by name: names are not looked up.
     names: BTreeMap<String, String>,
-    tls: Option<LinksSection>,
+    tls: Option<TargetTlsSection>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct LinksSection {
+struct TargetTlsSection {
     roots: String,
     #[serde(default)]
     certificate: Option<String>,
@@ -133,8 +133,8 @@
     server_name: Option<String>,
 }
 
-impl LinksSection {
-    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, Wrong> {
+impl TargetTlsSection {
+    fn check(self, folder: &Path) -> Result<cleatpulley_gateway::upstream::TargetTls, KeyError> {
         use cleatpulley_tls::certificate::{parse_certificates, CertificateWithKey};
         let roots_file = folder.join(&self.roots);
         let bytes = std::fs::read(&roots_file).map_err(|e| {
@@ -145,33 +145,33 @@
         })?;
         let roots = parse_certificates(&roots_file, &bytes)
             .map_err(|e| ("targets.tls.roots".to_owned(), e.to_string()))?;
-        let own = match (self.certificate, self.key) {
+        let client_pair = match (self.certificate, self.key) {
             (None, None) => None,
             (Some(certificate), Some(key)) => {
                 let pair = CertificateWithKey::load(&folder.join(certificate), &folder.join(key));
                 Some(pair.map_err(|e| ("targets.tls.certificate".to_owned(), e.to_string()))?)
             }
-            (Some(_), None) => return wrong("targets.tls.key", "a certificate needs its key"),
+            (Some(_), None) => return key_error("targets.tls.key", "a certificate needs its key"),
             (None, Some(_)) => {
-                return wrong("targets.tls.certificate", "a key needs its certificate")
+                return key_error("targets.tls.certificate", "a key needs its certificate")
             }
         };
         if let Some(name) = &self.server_name {
             if cleatpulley_tls::rustls::pki_types::ServerName::try_from(name.as_str()).is_err() {
-                return wrong(
+                return key_error(
                     "targets.tls.server_name",
-                    format!("{name:?} is no host's name or address"),
+                    format!("{name:?} is not a host name or address"),
                 );
             }
         }
         let clock = cleatpulley_tls::Clock::default();
         let config = cleatpulley_tls::config::client_config(
             &roots,
-            own.as_ref(),
+            client_pair.as_ref(),
             cleatpulley_tls::config::ProtocolVersions::Both,
             &clock,
         );
-        let config = config.map_err(|what| ("targets.tls.roots".to_owned(), what))?;
+        let config = config.map_err(|message| ("targets.tls.roots".to_owned(), message))?;
         Ok(cleatpulley_gateway::upstream::TargetTls {
             config,
             server_name: self.server_name,
@@ -183,32 +183,35 @@
 /// Reads the gateway's section of an operator file.
 ///
 /// # Errors
-/// File, line where it is known, key, and what is wrong there.
-pub fn load(file: &Path) -> Result<Options, Fault> {
-    read_section(file, |file: File, folder| {
+/// Returns the file, the line where it is known, the key, and what is wrong there.
+pub fn load(file: &Path) -> Result<Options, OperatorFileError> {
+    read_section(file, |file: OperatorFile, folder| {
         file.gateway
             .check(folder)
-            .map_err(|(key, what)| (format!("gateway.{key}"), what))
+            .map_err(|(key, message)| (format!("gateway.{key}"), message))
     })
 }
 
-impl Section {
-    fn check(self, folder: &Path) -> Result<Options, Wrong> {
-        let routes =
-            nginx::load(&folder.join(&self.routes)).map_err(|what| ("routes".to_owned(), what))?;
-        let frames = addresses("frames", &self.frames)?;
-        if frames.is_empty() && self.ajp.is_none() {
-            return wrong("frames", "no address, and no AJP either: nobody could come");
+impl GatewaySection {
+    fn check(self, folder: &Path) -> Result<Options, KeyError> {
+        let routes = nginx::load_routes(&folder.join(&self.routes))
+            .map_err(|message| ("routes".to_owned(), message))?;
+        let frame_addresses = parse_addresses("frames", &self.frames)?;
+        if frame_addresses.is_empty() && self.ajp.is_none() {
+            return key_error(
+                "frames",
+                "no address, and no AJP section: no caller could connect",
+            );
         }
-        let (mut classes, mut longest) = (Vec::new(), 0);
+        let (mut classes, mut longest_deadline_ms) = (Vec::new(), 0);
         for (name, class) in &self.classes {
             if !(1..=600_000).contains(&class.deadline_ms) {
-                return wrong(
+                return key_error(
                     format!("classes.{name}.deadline_ms"),
                     format!("{} is not within 1 to 600000", class.deadline_ms),
                 );
             }
-            longest = longest.max(class.deadline_ms);
+            longest_deadline_ms = longest_deadline_ms.max(class.deadline_ms);
             classes.push(Class {
                 name: name.clone(),
                 has_effect: class.effect,
@@ -216,70 +219,66 @@
             });
         }
         if classes.is_empty() {
-            return wrong("classes", "there is none");
+            return key_error("classes", "no class is defined");
         }
-        if self.stop_ms < self.drain_grace_ms + longest {
-            let what = format!(
-"{} ms leave no time to answer after a grace of {} ms what is owed within {longest} ms",
+        if self.stop_ms < self.drain_grace_ms + longest_deadline_ms {
+            let message = format!(
+"{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
 self.stop_ms, self.drain_grace_ms
 );
-            return wrong("stop_ms", what);
+            return key_error("stop_ms", message);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
-            return wrong(
+            return key_error(
                 "memory_mb",
                 format!("{} is not within 1 to 65536", self.memory_mb),
             );
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return wrong(
+            return key_error(
                 "retry_share",
                 format!("{} is not from 0 to 1", self.retry_share),
             );
         }
         for server in &routes.servers {
-            classes_known(&server.locations, &server.steps, &self.classes)?;
+            check_location_classes(&server.locations, &server.steps, &self.classes)?;
         }
-        if let Some(at) = &self.routes_listen {
+        if let Some(address) = &self.routes_listen {
             if !routes
                 .servers
                 .iter()
                 .flat_map(|server| &server.listen_addresses)
-                .any(|(known, _)| known == at)
+                .any(|(known, _)| known == address)
             {
-                return wrong(
+                return key_error(
                     "routes_listen",
-                    format!("no server of the routes listens on {at}"),
+                    format!("no server of the routes listens on {address}"),
                 );
             }
         }
-        let speaks = match self.targets.protocol.as_deref() {
+        let target_protocol = match self.targets.protocol.as_deref() {
             None | Some("frames") if self.targets.secret.is_some() => {
-                return wrong("targets.secret", "frames know no secret")
+                return key_error("targets.secret", "the frames protocol has no secret")
             }
             None | Some("frames") => TargetProtocol::Frames,
             Some("ajp") => TargetProtocol::Ajp(client::Options {
-                packet_size: packet_size("targets", None)?,
+                packet_size: check_packet_size("targets", None)?,
                 secret: self.targets.secret.clone(),
                 server: (self.name.clone(), 0),
             }),
             Some(other) => {
-                return wrong(
+                return key_error(
                     "targets.protocol",
                     format!("{other:?} is neither \"frames\" nor \"ajp\""),
                 )
             }
         };
-        let resolved = resolve(&routes, &self.targets.names)?;
-        let tls = self
-            .targets
-            .tls
-            .map(|links| links.check(folder))
-            .transpose()?;
+        let target_addresses = resolve_targets(&routes, &self.targets.names)?;
+        let tls = self.targets.tls.map(|tls| tls.check(folder)).transpose()?;
         let ajp = self.ajp.map(|ajp| ajp.check(self.seed)).transpose()?;
         Ok(Options {
             name: self.name,
-            frame_addresses: frames,
+            frame_addresses,
             frames_host: self.frames_host,
             ajp,
             settings: Settings {
@@ -290,9 +289,9 @@
                 retry_share: self.retry_share,
                 seed: self.seed,
             },
-            target_protocol: speaks,
+            target_protocol,
             header_names: HeaderNames::default(),
-            target_addresses: resolved,
+            target_addresses,
             max_connections_per_target: self.targets.connections.unwrap_or(8),
             max_descriptors: self.sockets,
             shutdown_time: self.stop_ms * MS,
@@ -302,14 +301,14 @@
     }
 }
 
-/// Each location that passes on has to know its class, where it stands there in plain text.
-fn classes_known(
+/// Checks that each class a location sets in plain text is defined in the section.
+fn check_location_classes(
     locations: &[Location],
-    above: &[RewriteStep],
+    server_steps: &[RewriteStep],
     classes: &BTreeMap<String, ClassSection>,
-) -> Result<(), Wrong> {
+) -> Result<(), KeyError> {
     for location in locations {
-        for step in above.iter().chain(&location.steps) {
+        for step in server_steps.iter().chain(&location.steps) {
             let RewriteStep::Set { variable, value } = step else {
                 continue;
             };
@@ -318,55 +317,61 @@
                 && !value.is_empty()
                 && !classes.contains_key(value)
             {
-                let what = format!(
+                let message = format!(
                     "{}: {value:?} is no class; there are {}",
                     location.position,
                     classes.keys().cloned().collect::<Vec<_>>().join(", ")
                 );
-                return wrong("routes", what);
+                return key_error("routes", message);
             }
         }
-        classes_known(&location.nested, above, classes)?;
+        check_location_classes(&location.nested, server_steps, classes)?;
     }
     Ok(())
 }
 
-fn resolve(
+fn resolve_targets(
     routes: &Routes,
     names: &BTreeMap<String, String>,
-) -> Result<HashMap<Arc<str>, SocketAddr>, Wrong> {
-    let mut found = HashMap::new();
+) -> Result<HashMap<Arc<str>, SocketAddr>, KeyError> {
+    let mut addresses = HashMap::new();
     for target in routes.pools.values().flat_map(|pool| &pool.targets) {
         let text = names.get(&target.address).unwrap_or(&target.address);
         let Ok(address) = text.parse() else {
-            let what = format!(
-                "{}: where {} leads is not told, and names are not looked up",
+            let message = format!(
+                "{}: no address is given for {}, and names are not looked up",
                 target.position, target.address
             );
-            return wrong("targets.names", what);
+            return key_error("targets.names", message);
         };
-        found.insert(Arc::from(target.address.as_str()), address);
+        addresses.insert(Arc::from(target.address.as_str()), address);
     }
-    Ok(found)
+    Ok(addresses)
 }
 
 impl AjpSection {
-    fn check(self, seed: u64) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), Wrong> {
-        let listen = addresses("ajp.listen", &self.listen)?;
-        if let Some(i) = listen
+    fn check(
+        self,
+        seed: u64,
+    ) -> Result<(Vec<SocketAddr>, server::Settings, Vec<IpAddr>), KeyError> {
+        let listen = parse_addresses("ajp.listen", &self.listen)?;
+        if let Some(index) = listen
             .iter()
-            .position(|at| !at.ip().is_loopback() && self.secret.is_none())
+            .position(|address| !address.ip().is_loopback() && self.secret.is_none())
         {
-            return wrong(
-                format!("ajp.listen[{i}]"),
-                format!("{} is no loopback address, which takes a secret", listen[i]),
+            return key_error(
+                format!("ajp.listen[{index}]"),
+                format!(
+                    "{} is no loopback address, which takes a secret",
+                    listen[index]
+                ),
             );
         }
         let header = |name: &str| Some(ParameterSource::Header(name.to_owned()));
-        let names = HeaderNames::default();
+        let header_names = HeaderNames::default();
         let settings = server::Settings {
             secret: self.secret.map(String::into_bytes),
-            packet_size: packet_size("ajp.packet_size", self.packet_size)?,
+            packet_size: check_packet_size("ajp.packet_size", self.packet_size)?,
             max_body_bytes: self.max_body,
             packet_timeout: 2_000 * MS,
             body_timeout: 2_000 * MS,
@@ -374,13 +379,13 @@
             class_table: ClassTable::default(),
             class_lookup: Some(Arc::new(AnyPath)),
             parameter_sources: ParameterSources {
-                id: header(&names.id),
+                id: header(&header_names.id),
                 received_at_ms: header(&self.door_header),
-                work_ms: header(&names.work_ms),
-                memory_kb: header(&names.memory_kb),
-                rank: header(&names.rank),
-                caller: header(&names.caller),
-                subject: header(&names.subject),
+                work_ms: header(&header_names.work_ms),
+                memory_kb: header(&header_names.memory_kb),
+                rank: header(&header_names.rank),
+                caller: header(&header_names.caller),
+                subject: header(&header_names.subject),
                 key: None,
             },
             parameter_defaults: vec![ParameterDefaults {
