--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley check fleet`: trials of the plan, the planner beside fixed batches, a replacement of twenty instances
 //! under load, and the daemon's own figures.
 
-use super::simulator::cores;
+use super::simulator::default_jobs;
 use cleatpulley_emulators::callers::{Callers, Front, Plan, Tally};
 use cleatpulley_emulators::host::{look, shared, Clock, Host as Services, Running, Shared};
 use cleatpulley_emulators::site::{Setup, Site};
@@ -577,7 +577,7 @@
     );
     let begun = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..cores().min(4) {
+        for _ in 0..default_jobs().min(4) {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= TRIALS {
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -1,7 +1,7 @@
 //! The part of `cleatpulley check connection-admission` that is played in the emulator: floods, restarts and shortages from seeds, and
 //! injected bugs.
 
-use super::simulator::cores;
+use super::simulator::default_jobs;
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_simulator::plan::Plan;
 use cleatpulley_simulator::seeds;
@@ -22,7 +22,15 @@
 /// Plays, prints, and says what falls short.
 pub fn run(short: &mut Vec<String>) {
     let begun = Instant::now();
-    let summary = seeds::run(Plan::crowded, 1, SEEDS, cores(), false, || (), |_| ());
+    let summary = seeds::run(
+        Plan::crowded,
+        1,
+        SEEDS,
+        default_jobs(),
+        false,
+        || (),
+        |_| (),
+    );
     let met = |name: &str| summary.met.get(name).map_or(0, |met| met.1);
     print_line!(
         "{SEEDS} seeds with floods in {:.1} s: {} broke a rule; {}",
@@ -57,7 +65,15 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(Plan::crowded, 1, WITHIN, cores(), true, prepare, |_| ());
+        let summary = seeds::run(
+            Plan::crowded,
+            1,
+            WITHIN,
+            default_jobs(),
+            true,
+            prepare,
+            |_| (),
+        );
         match summary.failed.first() {
             Some(first) => found.push(format!("{bug:?} {}", first.seed)),
             None => short.push(format!("{bug:?} is not found in {WITHIN} seeds")),
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -1,6 +1,6 @@
 //! `cleatpulley check simulator`: speed, coverage, the same history twice, and injected bugs.
 
-use super::simulator::{cores, show};
+use super::simulator::{default_jobs, print_summary};
 use cleatpulley::policy::bug_injection::{inject_bug, InjectedBug};
 use cleatpulley_emulators::site::Setup;
 use cleatpulley_simulator::front::Habit;
@@ -98,10 +98,10 @@
             "{ratio:.0} times real time on one core, the goal is 500"
         ));
     }
-    let jobs = cores().min(4);
+    let jobs = default_jobs().min(4);
     let begun = Instant::now();
     let summary = seeds::run(Plan::of, 1, SEEDS, jobs, false, || (), |_| ());
-    show(&summary, begun.elapsed(), jobs);
+    print_summary(&summary, begun.elapsed(), jobs);
     for outcome in &summary.failed {
         short.push(format!(
             "seed {}: {}",
@@ -118,7 +118,7 @@
 
 fn same(short: &mut Vec<String>) {
     let digest = |jobs| seeds::run(Plan::of, 1, 60, jobs, false, || (), |_| ()).digest;
-    let (one, many) = (digest(1), digest(cores().max(2)));
+    let (one, many) = (digest(1), digest(default_jobs().max(2)));
     print_line!("60 seeds by one job and by many: digests {one:016x} and {many:016x}");
     if one != many {
         short.push("the same seeds pass differently with other job counts".to_owned());
@@ -138,7 +138,15 @@
         let prepare = || {
             inject_bug(Some(bug));
         };
-        let summary = seeds::run(plan, 1, WITHIN, cores().min(4), true, prepare, |_| ());
+        let summary = seeds::run(
+            plan,
+            1,
+            WITHIN,
+            default_jobs().min(4),
+            true,
+            prepare,
+            |_| (),
+        );
         let Some(first) = summary.failed.first() else {
             print_line!(
                 "  {:<18} not found in {} seeds",
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `cleatpulley demo`: the main job against the stand-ins, in under twenty seconds.
+//! `cleatpulley demo`: a load test of one matcher against emulated services, in under twenty seconds.
 
 use cleatpulley_emulators::callers::Front;
 use cleatpulley_emulators::host::look;
@@ -6,25 +6,25 @@
 use cleatpulley_emulators::trial::{Going, Load, Trial};
 use std::io::Write;
 
-const SECOND: u64 = 1_000_000;
+const US_PER_SECOND: u64 = 1_000_000;
 
-/// Plays a calm stretch and a surge on both fronts, and prints what was served.
+/// Runs normal load, a surge and a shutdown over frames and AJP, and prints the results.
 ///
 /// # Errors
-/// Where something can't be started, or a rule was broken.
+/// Something can't be started, or an invariant was violated.
 pub fn run() -> Result<(), String> {
     let site = Setup::default();
     let capacity = site.capacity();
     print_line!(
-        "Runtime, store and directory stand in on loopback: {} cores for about {capacity:.0} requests a second.",
+        "Runtime, store and service registry are emulated on loopback: {} cores for about {capacity:.0} requests a second.",
         site.cores
     );
-    print_line!("Callers by frames and by AJP ask half of that for 6 s, twice that in a surge of 3 s, and half again.");
-    let rate = |share: f64| capacity * share / 2.0;
+    print_line!("Callers over frames and AJP send half of that for 6 s, twice that in a surge of 3 s, and half of it again.");
+    let rate_per_front = |share: f64| capacity * share / 2.0;
     let rates = vec![
-        (6 * SECOND, rate(0.5)),
-        (9 * SECOND, rate(2.0)),
-        (14 * SECOND, rate(0.5)),
+        (6 * US_PER_SECOND, rate_per_front(0.5)),
+        (9 * US_PER_SECOND, rate_per_front(2.0)),
+        (14 * US_PER_SECOND, rate_per_front(0.5)),
     ];
     let load = |front, connections| Load {
         front,
@@ -34,7 +34,7 @@
         key_field: None,
     };
     let loads = vec![load(Front::Frames, 8), load(Front::Ajp, 200)];
-    let leave_at = Some(13 * SECOND);
+    let leave_at = Some(13 * US_PER_SECOND);
     let trial = Trial {
         site,
         loads,
@@ -43,28 +43,28 @@
         leave_at,
     };
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut shown = 0.0;
-    let progress = |going: &Going, at: f64| {
-        if at >= shown + 0.5 {
-            shown = at;
-            let phase = match at {
-                ..6.0 => "calm",
+    let mut last_shown_s = 0.0;
+    let progress = |going: &Going, elapsed_s: f64| {
+        if elapsed_s >= last_shown_s + 0.5 {
+            last_shown_s = elapsed_s;
+            let phase = match elapsed_s {
+                ..6.0 => "normal",
                 6.0..9.0 => "surge",
-                9.0..13.0 => "calm again",
-                _ => "leaving",
+                9.0..13.0 => "normal",
+                _ => "shutdown",
             };
             let totals = going
                 .callers
                 .iter()
                 .map(|callers| look(callers, |callers| callers.total()));
-            let (asked, served, refused) = totals.fold((0, 0, 0), |sum, t| {
+            let (sent, served, rejected) = totals.fold((0, 0, 0), |sum, tally| {
                 (
-                    sum.0 + t.asked,
-                    sum.1 + t.in_time + t.late,
-                    sum.2 + t.refused_with_time + t.refused_bare,
+                    sum.0 + tally.asked,
+                    sum.1 + tally.in_time + tally.late,
+                    sum.2 + tally.refused_with_time + tally.refused_bare,
                 )
             });
-            eprint!("\r{at:5.1} s  {phase:<10}  asked {asked}, served {served}, turned away {refused}   ");
+            eprint!("\r{elapsed_s:5.1} s  {phase:<10}  sent {sent}, served {served}, rejected {rejected}   ");
             let _ = std::io::stderr().flush();
         }
     };
@@ -74,6 +74,6 @@
     if report.broken.is_empty() {
         Ok(())
     } else {
-        Err("a rule was broken".to_owned())
+        Err("an invariant was violated".to_owned())
     }
 }
--- a/src/commands/emulators.rs
+++ b/src/commands/emulators.rs
@@ -1,4 +1,5 @@
-//! `cleatpulley emulators`: runtime, store and directory to talk to, and the configuration that goes with them.
+//! `cleatpulley emulators`: emulates the runtime, the store and the service registry, and writes the
+//! configuration of a matcher for them.
 
 use clap::Args;
 use cleatpulley_emulators::host::look;
@@ -8,39 +9,39 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How the stand-ins are set up.
+/// Arguments of `cleatpulley emulators`.
 #[derive(Args)]
 pub struct EmulatorsArgs {
-    /// Where the matcher's configuration is written
+    /// The file to write the matcher's configuration to
     #[arg(long, value_name = "FILE", default_value = "standin.json")]
     write_config: PathBuf,
-    /// Where that matcher is to listen
+    /// The listen address of that matcher
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:5050")]
     listen: String,
-    /// Where operators are to ask it; the port rises by one with each further configuration
+    /// The matcher's management address; each further configuration has the next port
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:12000")]
     mgmt: std::net::SocketAddr,
-    /// Configurations that are written, for processes that take each other's place: FILE, FILE.2, FILE.3
+    /// Number of configurations to write, for processes that replace each other: FILE, FILE.2, FILE.3
     #[arg(long, default_value_t = 1)]
     processes: u16,
     /// Cores of the runtime
     #[arg(long, default_value_t = 6)]
     cores: u32,
-    /// Time of a store call in milliseconds
+    /// Duration of a store call in milliseconds
     #[arg(long, default_value_t = 10)]
     store_ms: u64,
-    /// For random numbers
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// End after so many seconds; without it, with a signal
+    /// Seconds to run; without it, until a signal
     #[arg(long)]
     seconds: Option<u64>,
 }
 
-/// Runs until it is told to end.
+/// Runs the emulators for the given time, or until a signal ends the process.
 ///
 /// # Errors
-/// Where ports or the file can't be had.
+/// A port can't be bound or a file can't be written.
 pub fn run(args: &EmulatorsArgs) -> Result<(), String> {
     let store = store::Setup {
         time: args.store_ms * 1_000,
@@ -70,7 +71,7 @@
     }
     config["runtime"] = json!(site.runtimes[0].to_string());
     print_line!(
-        "runtime {}, store {}, directory {}; about {:.0} requests a second; configuration in {}",
+        "runtime {}, store {}, service registry {}; about {:.0} requests a second; configuration in {}",
         config["runtime"].as_str().unwrap_or_default(),
         config["store"].as_str().unwrap_or_default(),
         config["lookup"].as_str().unwrap_or_default(),
@@ -81,17 +82,17 @@
         "next: cleatpulley serve --config {} --operator deploy/operator.jsonnet",
         args.write_config.display()
     );
-    let mut shown = 0;
+    let mut last_shown = 0;
     for second in 0.. {
-        if args.seconds.is_some_and(|most| second >= most) {
+        if args.seconds.is_some_and(|limit| second >= limit) {
             break;
         }
         std::thread::sleep(Duration::from_secs(1));
-        let fine = look(&site.runtime, |runtime| runtime.seen.fine);
-        if fine != shown {
+        let succeeded = look(&site.runtime, |runtime| runtime.seen.fine);
+        if succeeded != last_shown {
             let calls = look(&site.store, |store| store.seen.calls);
-            print_line!("{fine} runs ended well, {calls} calls to the store");
-            shown = fine;
+            print_line!("{succeeded} runs succeeded, {calls} calls to the store");
+            last_shown = succeeded;
         }
     }
     Ok(())
--- a/src/commands/idempotency.rs
+++ b/src/commands/idempotency.rs
@@ -1,4 +1,5 @@
-//! `cleatpulley idempotency`: looks at the kept results of keyed requests, and moves them from one store to another.
+//! `cleatpulley idempotency`: inspects the stored results of keyed requests, and moves them from one
+//! store to another.
 
 use clap::{Args, Subcommand};
 use cleatpulley_idempotency::fence::KeyRange;
@@ -15,102 +16,102 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Status where a key is not kept.
-const NOT_KEPT: u8 = 3;
+/// Exit status if nothing is stored for a key.
+const EXIT_KEY_NOT_FOUND: u8 = 3;
 
-/// What is done.
+/// Subcommands of `cleatpulley idempotency`.
 #[derive(Subcommand)]
 pub enum Idempotency {
-    /// Print what is kept of one key, as JSON; ends with 3 where nothing is. Works beside a running matcher
+    /// Print the record of one key, as JSON; exits with 3 if there is none. May run while a matcher uses the store
     Get {
         /// The folder of the store
         dir: PathBuf,
         /// The class, by its position in the settings
         #[arg(long)]
         class: u16,
-        /// The caller whose key it is; 0 where all callers share theirs
+        /// The caller that the key belongs to; 0 if keys are shared by all callers
         #[arg(long, default_value_t = 0)]
         owner: u64,
-        /// The key, as its callers tell it
+        /// The key, as callers send it
         key: String,
     },
-    /// Print all that is kept, the oldest first, as JSON lines. Works beside a running matcher
+    /// Print all records, oldest first, as JSON lines. May run while a matcher uses the store
     List {
         /// The folder of the store
         dir: PathBuf,
         #[command(flatten)]
         range: RangeArgs,
-        /// Only keys that may have run and have no result
+        /// Only keys whose request may have run and has no result
         #[arg(long)]
         unknown: bool,
     },
-    /// Print figures and fences. Works beside a running matcher
+    /// Print statistics and fences. May run while a matcher uses the store
     Stat {
         /// The folder of the store
         dir: PathBuf,
     },
-    /// Give a range of keys away: write what is kept of it to a file, and admit no new key of it any more. No matcher
-    /// may use the store meanwhile
+    /// Hand over a range of keys: write its records to a file, and accept no new key of the range from then on. No
+    /// matcher may use the store meanwhile
     Export {
         /// The folder of the store
         dir: PathBuf,
         #[command(flatten)]
         range: RangeArgs,
-        /// Above that of all earlier moves of these keys
+        /// The epoch of the move, above those of all earlier moves of these keys
         #[arg(long)]
         epoch: u64,
-        /// The file; it must not be there yet
+        /// The file to write; it must not exist
         #[arg(long)]
         out: PathBuf,
     },
-    /// Take over what another store has given away. No matcher may use this store meanwhile
+    /// Take over keys that another store has handed over. No matcher may use this store meanwhile
     Import {
-        /// The folder of the store; it is created where it is not there
+        /// The folder of the store; it is created if it does not exist
         dir: PathBuf,
-        /// The file
+        /// The file that the export has written
         file: PathBuf,
     },
 }
 
-/// A range of keys; all of them where nothing is said.
+/// Arguments that select a range of keys; all keys by default.
 #[derive(Args)]
 pub struct RangeArgs {
-    /// The keys of this caller
+    /// All keys of this caller
     #[arg(long, conflicts_with_all = ["from", "to"])]
     owner: Option<u64>,
-    /// From this scoped key on, in hex digits: owner (8 bytes), class (2), key
+    /// First scoped key of the range, in hex digits: owner (8 bytes), class (2), key
     #[arg(long)]
     from: Option<String>,
-    /// Up to this one, which does not belong to the range
+    /// End of the range: the first scoped key after it
     #[arg(long)]
     to: Option<String>,
 }
 
 impl RangeArgs {
-    fn range(&self) -> Result<KeyRange, String> {
+    fn to_key_range(&self) -> Result<KeyRange, String> {
         if let Some(owner) = self.owner {
             return Ok(KeyRange::of_owner(owner));
         }
-        let bound = |name: &str, text: &Option<String>| match text {
+        let parse_bound = |name: &str, text: &Option<String>| match text {
             None => Ok(Vec::new()),
             Some(text) => from_hex(text)
-                .ok_or_else(|| format!("--{name}: {text:?} is no even number of hex digits")),
+                .ok_or_else(|| format!("--{name}: {text:?} is not an even number of hex digits")),
         };
         let range = KeyRange {
-            start: bound("from", &self.from)?,
-            end: bound("to", &self.to)?,
+            start: parse_bound("from", &self.from)?,
+            end: parse_bound("to", &self.to)?,
         };
         if !range.end.is_empty() && range.end <= range.start {
-            return Err("--to: it is not beyond --from".to_owned());
+            return Err("--to: it is not after --from".to_owned());
         }
         Ok(range)
     }
 }
 
-/// Does it.
+/// Runs a subcommand.
 ///
 /// # Errors
-/// One line that says what is wrong.
+/// The arguments are invalid, or the store or a file can't be read or written; the error is one line.
 pub fn run(command: &Idempotency) -> Result<ExitCode, String> {
     match command {
         Idempotency::Get {
@@ -123,25 +124,25 @@
             dir,
             range,
             unknown,
-        } => list(dir, &range.range()?, *unknown),
+        } => list(dir, &range.to_key_range()?, *unknown),
         Idempotency::Stat { dir } => stat(dir),
         Idempotency::Export {
             dir,
             range,
             epoch,
             out,
-        } => export(dir, &range.range()?, *epoch, out),
+        } => export(dir, &range.to_key_range()?, *epoch, out),
         Idempotency::Import { dir, file } => import(dir, file),
     }
 }
 
-fn now() -> u64 {
+fn now_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_micros() as u64)
 }
 
-fn reader(dir: &Path) -> Result<Store<OsFolder>, String> {
+fn open_read_only(dir: &Path) -> Result<Store<OsFolder>, String> {
     let folder = OsFolder::new(dir, false)
         .map_err(Error::folder)
         .map_err(|e| e.to_string())?;
@@ -150,22 +151,23 @@
         .map_err(|e| e.to_string())
 }
 
-fn writer(dir: &Path, create: bool) -> Result<Journal<OsFolder>, String> {
+fn open_journal(dir: &Path, create: bool) -> Result<Journal<OsFolder>, String> {
     let folder = OsFolder::new(dir, create)
         .map_err(Error::folder)
         .map_err(|e| e.to_string())?;
     let options = Options {
-        seed: now(),
+        seed: now_us(),
         ..Options::default()
     };
-    Journal::open(folder, options, now())
+    Journal::open(folder, options, now_us())
         .map(|opened| opened.journal)
         .map_err(|e| e.to_string())
 }
 
-fn shown(key: &ScopedKey, record: &KeyRecord, expiry: u64) -> Value {
-    let told = String::from_utf8_lossy(key.client_key());
-    let left = expiry.saturating_sub(now()) / 1_000;
+/// Converts a record to JSON; `expiry` is in Unix microseconds.
+fn to_json(key: &ScopedKey, record: &KeyRecord, expiry: u64) -> Value {
+    let client_key = String::from_utf8_lossy(key.client_key());
+    let remaining_ms = expiry.saturating_sub(now_us()) / 1_000;
     let (state, result) = match record {
         KeyRecord::Intent { .. } => ("may have run", None),
         KeyRecord::Completed {
@@ -179,36 +181,36 @@
     };
     let digest = format!("{:032x}", record.digest());
     let (owner, class) = (key.owner(), key.class());
-    json!({"owner": owner, "class": class, "key": told, "state": state, "result": result, "digest": digest,
-           "expires_in_ms": left})
+    json!({"owner": owner, "class": class, "key": client_key, "state": state, "result": result, "digest": digest,
+           "expires_in_ms": remaining_ms})
 }
 
 fn get(dir: &Path, key: &ScopedKey) -> Result<ExitCode, String> {
-    let value = reader(dir)?
-        .get(now(), key.as_bytes())
+    let value = open_read_only(dir)?
+        .get(now_us(), key.as_bytes())
         .map_err(|e| e.to_string())?;
     let Some(value) = value else {
-        eprintln!("nothing is kept of {key:?}");
-        return Ok(ExitCode::from(NOT_KEPT));
+        eprintln!("no record of {key:?}");
+        return Ok(ExitCode::from(EXIT_KEY_NOT_FOUND));
     };
     let expiry = value
         .first_chunk()
         .map_or(0, |bytes| u64::from_be_bytes(*bytes));
     let record = value.get(8..).and_then(KeyRecord::decode);
-    let record = record.ok_or_else(|| format!("what is kept of {key:?} can't be read"))?;
-    print_line!("{}", shown(key, &record, expiry));
+    let record = record.ok_or_else(|| format!("the record of {key:?} can't be decoded"))?;
+    print_line!("{}", to_json(key, &record, expiry));
     Ok(ExitCode::SUCCESS)
 }
 
 fn list(dir: &Path, range: &KeyRange, unknown: bool) -> Result<ExitCode, String> {
-    let store = reader(dir)?;
+    let store = open_read_only(dir)?;
     let mut out = std::io::stdout().lock();
-    let mut open = true;
-    journal::for_each_record(&store, now(), |key, record, expiry| {
-        let wanted = !unknown || matches!(record, KeyRecord::Intent { .. });
-        if open && wanted && range.contains(&key) {
-            // Whoever reads may stop reading.
-            open = writeln!(out, "{}", shown(&key, &record, expiry)).is_ok();
+    let mut is_output_open = true;
+    journal::for_each_record(&store, now_us(), |key, record, expiry| {
+        let is_selected = !unknown || matches!(record, KeyRecord::Intent { .. });
+        if is_output_open && is_selected && range.contains(&key) {
+            // A write fails if the reader has closed the pipe.
+            is_output_open = writeln!(out, "{}", to_json(&key, &record, expiry)).is_ok();
         }
     })
     .map_err(|e| e.to_string())?;
@@ -216,8 +218,8 @@
 }
 
 fn stat(dir: &Path) -> Result<ExitCode, String> {
-    let store = reader(dir)?;
-    let recovered = journal::recover(&store, now(), 0).map_err(|e| e.to_string())?;
+    let store = open_read_only(dir)?;
+    let recovered = journal::recover(&store, now_us(), 0).map_err(|e| e.to_string())?;
     let stats = store.stats();
     print_line!(
         "{} keys: {} with a result, {} that may have run; {} bytes on disk, {:.0} bytes of memory a key",
@@ -228,39 +230,39 @@
         (recovered.memory_bytes() as f64 + stats.index_bytes as f64) / recovered.len().max(1) as f64
     );
     for fence in recovered.fences.as_slice() {
-        let whose = if fence.is_owned {
+        let state = if fence.is_owned {
             "taken over"
         } else {
             "given away"
         };
         print_line!(
             "{}",
-            json!({"range": fence.range, "epoch": fence.epoch, "keys": whose})
+            json!({"range": fence.range, "epoch": fence.epoch, "keys": state})
         );
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn export(dir: &Path, range: &KeyRange, epoch: u64, to: &Path) -> Result<ExitCode, String> {
-    let mut journal = writer(dir, false)?;
-    let file = File::create_new(to).map_err(|e| format!("{}: {e}", to.display()))?;
+fn export(dir: &Path, range: &KeyRange, epoch: u64, target: &Path) -> Result<ExitCode, String> {
+    let mut journal = open_journal(dir, false)?;
+    let file = File::create_new(target).map_err(|e| format!("{}: {e}", target.display()))?;
     let mut out = BufWriter::new(file);
-    let entries =
-        transfer::export(&mut journal, now(), range, epoch, &mut out).map_err(|e| e.to_string())?;
+    let exported = transfer::export(&mut journal, now_us(), range, epoch, &mut out)
+        .map_err(|e| e.to_string())?;
     let file = out.into_inner().map_err(|e| e.to_string())?;
     file.sync_all()
-        .map_err(|e| format!("{}: {e}", to.display()))?;
+        .map_err(|e| format!("{}: {e}", target.display()))?;
     journal.close().map_err(|e| e.to_string())?;
-    print_line!("{entries} keys given away in {}", to.display());
+    print_line!("{exported} keys given away in {}", target.display());
     Ok(ExitCode::SUCCESS)
 }
 
-fn import(dir: &Path, from: &Path) -> Result<ExitCode, String> {
-    let file = File::open(from).map_err(|e| format!("{}: {e}", from.display()))?;
-    let mut journal = writer(dir, true)?;
-    let taken = transfer::import(&mut journal, now(), &mut BufReader::new(file))
-        .map_err(|e| format!("{}: {e}", from.display()))?;
+fn import(dir: &Path, source: &Path) -> Result<ExitCode, String> {
+    let file = File::open(source).map_err(|e| format!("{}: {e}", source.display()))?;
+    let mut journal = open_journal(dir, true)?;
+    let imported = transfer::import(&mut journal, now_us(), &mut BufReader::new(file))
+        .map_err(|e| format!("{}: {e}", source.display()))?;
     journal.close().map_err(|e| e.to_string())?;
-    print_line!("{taken} keys taken over from {}", from.display());
+    print_line!("{imported} keys taken over from {}", source.display());
     Ok(ExitCode::SUCCESS)
 }
--- a/src/commands/log_store.rs
+++ b/src/commands/log_store.rs
@@ -1,4 +1,4 @@
-//! `cleatpulley log-store`: looks at an embedded store, and mends one.
+//! `cleatpulley log-store`: inspects and repairs an embedded store.
 
 use clap::{Args, Subcommand};
 use cleatpulley_log_store::files::OsFolder;
@@ -9,25 +9,25 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Status where damage was found.
-const DAMAGED: u8 = 3;
-/// Bytes of maintenance between two looks at the progress.
-const PIECE: usize = 1_048_576;
+/// Exit status if damage was found.
+const EXIT_DAMAGED: u8 = 3;
+/// Bytes of maintenance between two updates of the progress.
+const MAINTENANCE_STEP_BYTES: usize = 1_048_576;
 
-/// What is done.
+/// Subcommands of `cleatpulley log-store`.
 #[derive(Subcommand)]
 pub enum LogStore {
-    /// Print figures, without changing anything; works beside a running program
+    /// Print statistics without changing anything; may run while a program uses the store
     Stat(Dir),
-    /// Read everything and say what is damaged, by file and offset; ends with 3 where something is
+    /// Read everything and print damaged ranges by file and offset; exits with 3 if there are any
     Check(Dir),
-    /// Print all that lives, the oldest first, as JSON lines: seq, key, value (text, or hex behind 0x)
+    /// Print all live records, oldest first, as JSON lines: seq, key, value (text, or hex with the prefix 0x)
     Dump(Dir),
-    /// Do all maintenance that is due: compaction, hints
+    /// Run all pending maintenance: compaction, hint files
     Compact(Dir),
-    /// Cut a torn end, set what can't be read aside, and rewrite segments with damage; loses no healthy record
+    /// Truncate a torn end, set unreadable files aside, and rewrite damaged segments; keeps all intact records
     Repair(Dir),
-    /// Write numbered batches until it is killed, and print each number once it is durable: for tests
+    /// For tests: write numbered batches until killed, and print each number once it is durable
     #[command(hide = true)]
     Exercise {
         #[command(flatten)]
@@ -38,54 +38,56 @@
     },
 }
 
-/// The folder.
+/// Argument that selects the store.
 #[derive(Args)]
 pub struct Dir {
     /// The store's folder
     dir: PathBuf,
 }
 
-fn now() -> u64 {
+fn now_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_micros() as u64)
 }
 
 impl Dir {
-    fn reader(&self) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
+    fn open_read_only(&self) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
         Store::open_read_only(OsFolder::new(&self.dir, false).map_err(Error::folder)?)
     }
 
-    fn writer(&self, create: bool) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
+    fn open(&self, create: bool) -> Result<(Store<OsFolder>, RecoveryReport), Error> {
         let folder = OsFolder::new(&self.dir, create).map_err(Error::folder)?;
         Store::open(
             folder,
             Options {
-                seed: now(),
+                seed: now_us(),
                 ..Options::default()
             },
         )
     }
 }
 
-/// Shows how far long work has come, where somebody looks.
-fn progress(what: &str, done: u64, all: u64) {
+/// Shows the progress of a task on standard error, if that is a terminal.
+fn show_progress(task: &str, done: u64, total: u64) {
     if std::io::stderr().is_terminal() {
-        eprint!("\r{what}: {:3}% ", done * 100 / all.max(1));
+        eprint!("\r{task}: {:3}% ", done * 100 / total.max(1));
         let _ = std::io::stderr().flush();
-        if done >= all {
+        if done >= total {
             eprintln!();
         }
     }
 }
 
-/// Does it.
+/// Runs a subcommand.
 ///
 /// # Errors
-/// The store's, in one line.
+/// The store failed; the error is one line.
 pub fn run(command: &LogStore) -> Result<ExitCode, String> {
     match command {
-        LogStore::Stat(dir) => dir.reader().map(|(store, found)| stat(&store, &found)),
+        LogStore::Stat(dir) => dir
+            .open_read_only()
+            .map(|(store, report)| stat(&store, &report)),
         LogStore::Check(dir) => check(dir),
         LogStore::Dump(dir) => dump(dir),
         LogStore::Compact(dir) => compact(dir),
@@ -95,9 +97,9 @@
     .map_err(|e| e.to_string())
 }
 
-fn stat(store: &Store<OsFolder>, found: &RecoveryReport) -> ExitCode {
+fn stat(store: &Store<OsFolder>, report: &RecoveryReport) -> ExitCode {
     let stats = store.stats();
-    print_line!("{found}");
+    print_line!("{report}");
     print_line!(
         "{} bytes in {} segments, {} of them live ({:.2} times the live); index {} bytes, {:.1} a key",
         stats.bytes,
@@ -111,9 +113,9 @@
 }
 
 fn check(dir: &Dir) -> Result<ExitCode, Error> {
-    let (store, found) = dir.reader()?;
-    let checked = store.verify(|done, all| progress("reading", done, all))?;
-    print_line!("{found}");
+    let (store, report) = dir.open_read_only()?;
+    let checked = store.verify(|done, total| show_progress("reading", done, total))?;
+    print_line!("{report}");
     print_line!(
         "{} good records in {} bytes",
         checked.records_read,
@@ -122,17 +124,17 @@
     for (file, offset, bytes) in &checked.damaged_ranges {
         print_line!("damaged: {file}: {bytes} bytes at {offset}");
     }
-    let good = checked.damaged_ranges.is_empty()
-        && found.quarantined.is_empty()
-        && found.damaged_ranges.is_empty();
-    Ok(if good {
+    let is_intact = checked.damaged_ranges.is_empty()
+        && report.quarantined.is_empty()
+        && report.damaged_ranges.is_empty();
+    Ok(if is_intact {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(DAMAGED)
+        ExitCode::from(EXIT_DAMAGED)
     })
 }
 
-fn text(bytes: &[u8]) -> String {
+fn to_text_or_hex(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.starts_with("0x") => text.to_owned(),
         _ => bytes
@@ -142,54 +144,56 @@
 }
 
 fn dump(dir: &Dir) -> Result<ExitCode, Error> {
-    let (store, _) = dir.reader()?;
+    let (store, _) = dir.open_read_only()?;
     let mut out = std::io::stdout().lock();
-    store.for_each_by_sequence(now(), |seq, key, value| {
-        // Whoever reads may stop reading.
+    store.for_each_by_sequence(now_us(), |seq, key, value| {
+        // A write fails if the reader has closed the pipe, which ends the iteration.
         writeln!(
             out,
             "{}",
-            json!({"seq": seq, "key": text(key), "value": text(value)})
+            json!({"seq": seq, "key": to_text_or_hex(key), "value": to_text_or_hex(value)})
         )
         .is_ok()
     })?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn maintain(store: &mut Store<OsFolder>) -> Result<(), Error> {
+fn run_maintenance(store: &mut Store<OsFolder>) -> Result<(), Error> {
     let mut done = 0;
-    while store.run_maintenance_step(now(), PIECE)? == MaintenanceStatus::MoreToDo {
-        done += PIECE as u64;
-        let all = store.stats().bytes.max(done + 1);
-        progress("compacting", done, all);
+    while store.run_maintenance_step(now_us(), MAINTENANCE_STEP_BYTES)?
+        == MaintenanceStatus::MoreToDo
+    {
+        done += MAINTENANCE_STEP_BYTES as u64;
+        let total = store.stats().bytes.max(done + 1);
+        show_progress("compacting", done, total);
     }
-    progress("compacting", 1, 1);
+    show_progress("compacting", 1, 1);
     Ok(())
 }
 
 fn compact(dir: &Dir) -> Result<ExitCode, Error> {
-    let (mut store, found) = dir.writer(false)?;
+    let (mut store, report) = dir.open(false)?;
     let before = store.stats().bytes;
-    maintain(&mut store)?;
+    run_maintenance(&mut store)?;
     let after = store.stats().bytes;
-    print_line!("{found}");
+    print_line!("{report}");
     print_line!("{before} bytes before, {after} after");
     store.close()?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn repair(dir: &Dir) -> Result<ExitCode, Error> {
-    let (mut store, found) = dir.writer(false)?;
-    print_line!("{found}");
-    let checked = store.verify(|done, all| progress("reading", done, all))?;
-    let mut names: Vec<_> = checked
+    let (mut store, report) = dir.open(false)?;
+    print_line!("{report}");
+    let checked = store.verify(|done, total| show_progress("reading", done, total))?;
+    let mut damaged_files: Vec<_> = checked
         .damaged_ranges
         .iter()
         .map(|(file, ..)| file.clone())
         .collect();
-    names.dedup();
-    let rewritten = store.rewrite_segments(now(), &names)?;
-    maintain(&mut store)?;
+    damaged_files.dedup();
+    let rewritten = store.rewrite_segments(now_us(), &damaged_files)?;
+    run_maintenance(&mut store)?;
     match rewritten {
         0 => print_line!("no segment had to be rewritten"),
         _ => print_line!(
@@ -202,7 +206,7 @@
 
 /// Batch `n` sets two of 64 keys to `n` and deletes a third.
 fn exercise(dir: &Dir, from: u64) -> Result<ExitCode, Error> {
-    let (mut store, _) = dir.writer(true)?;
+    let (mut store, _) = dir.open(true)?;
     let mut out = std::io::stdout().lock();
     for n in from.. {
         let key = |n: u64| (n % 64).to_be_bytes();
@@ -217,7 +221,7 @@
                 break;
             }
         }
-        store.run_maintenance_step(now(), 20_000)?;
+        store.run_maintenance_step(now_us(), 20_000)?;
     }
     store.close()?;
     Ok(ExitCode::SUCCESS)
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -1,4 +1,4 @@
-//! `cleatpulley simulator`: whole matchers on a virtual clock, with faults from seeds.
+//! `cleatpulley simulator`: simulates whole matchers on a virtual clock, with faults drawn from seeds.
 
 use clap::{Args, Subcommand};
 use cleatpulley_simulator::plan::{Places, Plan};
@@ -7,64 +7,65 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What is done.
+/// Subcommands of `cleatpulley simulator`.
 #[derive(Subcommand)]
 pub enum Simulator {
-    /// Play many seeds, say which broke a rule, and how often what was met; ends with 1 where one did
+    /// Run many seeds and print those that violated an invariant, and how often each situation occurred; exits with 1
+    /// if any did
     Run {
         /// The first seed
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// How many
+        /// Number of seeds
         #[arg(long, default_value_t = 1_000)]
         count: u64,
-        /// Threads; as many as there are cores unless set
+        /// Number of threads [default: number of cores]
         #[arg(long)]
         jobs: Option<usize>,
-        /// What each seed stands for
+        /// The kind of plan that is drawn from each seed
         #[arg(long, value_enum, default_value = "mixed")]
-        plan: Kind,
+        plan: PlanKind,
     },
-    /// Play one seed and print what passed; ends with 1 where it broke a rule
+    /// Run one seed and print its trace; exits with 1 if it violated an invariant
     Replay {
         #[command(flatten)]
-        seed: Seed,
-        /// Only the last lines
+        seed: SeedArgs,
+        /// Print only this many lines from the end of the trace
         #[arg(long)]
         last: Option<usize>,
     },
-    /// Find a smaller set of faults, callers and time that still breaks the rule that a seed breaks
+    /// Find a smaller set of faults, callers and time that still violates the invariant that a seed violates
     Shrink {
         #[command(flatten)]
-        seed: Seed,
-        /// Plans to try at most
+        seed: SeedArgs,
+        /// Maximum number of plans to run
         #[arg(long, default_value_t = 400)]
         most: u32,
     },
 }
 
-/// A seed.
+/// Arguments that select one plan.
 #[derive(Args)]
-pub struct Seed {
+pub struct SeedArgs {
     /// The seed
     seed: u64,
-    /// What it stands for
+    /// The kind of plan that is drawn from the seed
     #[arg(long, value_enum, default_value = "mixed")]
-    plan: Kind,
+    plan: PlanKind,
 }
 
-/// What seeds stand for.
+/// The kinds of plans that can be drawn from a seed.
 #[derive(clap::ValueEnum, Clone, Copy)]
-pub enum Kind {
-    /// Whatever is drawn
+pub enum PlanKind {
+    /// Any faults
     Mixed,
-    /// Floods of strangers, and decisions on places
+    /// Floods of connections from unknown addresses, with connection admission
     Floods,
-    /// Upgrades that fall into each other, and keys
+    /// Overlapping upgrades, with keyed requests
     Upgrades,
 }
 
-impl Kind {
+impl PlanKind {
     fn plan(self, seed: u64) -> Plan {
         match self {
             Self::Mixed => Plan::of(seed),
@@ -74,16 +75,16 @@
     }
 }
 
-impl Seed {
+impl SeedArgs {
     fn plan(&self) -> Plan {
         self.plan.plan(self.seed)
     }
 }
 
-/// Does it.
+/// Runs a subcommand.
 ///
 /// # Errors
-/// Where the system tells no number of cores.
+/// None at present; the type is that of all subcommands.
 pub fn run(command: &Simulator) -> Result<ExitCode, String> {
     match command {
         Simulator::Run {
@@ -91,35 +92,35 @@
             count,
             jobs,
             plan,
-        } => Ok(many(*from, *count, *jobs, *plan)),
+        } => Ok(run_seeds(*from, *count, *jobs, *plan)),
         Simulator::Replay { seed, last } => Ok(replay(seed.plan(), *last)),
         Simulator::Shrink { seed, most } => Ok(shrink(&seed.plan(), *most)),
     }
 }
 
-/// Threads unless somebody says how many.
-pub fn cores() -> usize {
+/// Returns the default number of threads.
+pub fn default_jobs() -> usize {
     std::thread::available_parallelism().map_or(4, usize::from)
 }
 
-fn status(good: bool) -> ExitCode {
-    if good {
+fn exit_status(success: bool) -> ExitCode {
+    if success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn many(from: u64, count: u64, jobs: Option<usize>, kind: Kind) -> ExitCode {
-    let begun = Instant::now();
-    let watched = std::io::stderr().is_terminal();
+fn run_seeds(from: u64, count: u64, jobs: Option<usize>, kind: PlanKind) -> ExitCode {
+    let started_at = Instant::now();
+    let is_terminal = std::io::stderr().is_terminal();
     let progress = |done: u64| {
-        if watched && (done.is_multiple_of(50) || done == count) {
+        if is_terminal && (done.is_multiple_of(50) || done == count) {
             eprint!("\r{done} of {count} seeds ");
             let _ = std::io::stderr().flush();
         }
     };
-    let jobs = jobs.unwrap_or_else(cores);
+    let jobs = jobs.unwrap_or_else(default_jobs);
     let summary = seeds::run(
         |seed| kind.plan(seed),
         from,
@@ -129,43 +130,43 @@
         || (),
         progress,
     );
-    if watched {
+    if is_terminal {
         eprintln!();
     }
-    show(&summary, begun.elapsed(), jobs);
+    print_summary(&summary, started_at.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
         print_line!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
     }
     print_line!(
-        "{} seeds, {} broke a rule; digest {:016x}",
+        "{} seeds, {} violated an invariant; digest {:016x}",
         summary.seeds,
         summary.failed.len(),
         summary.digest
     );
-    status(summary.failed.is_empty())
+    exit_status(summary.failed.is_empty())
 }
 
-/// Speed and coverage.
-pub fn show(summary: &Summary, took: Duration, jobs: usize) {
-    let seconds = took.as_secs_f64().max(1e-9);
-    let simulated = summary.simulated as f64 / 1e6;
+/// Prints the speed and the coverage of a run.
+pub fn print_summary(summary: &Summary, elapsed: Duration, jobs: usize) {
+    let seconds = elapsed.as_secs_f64().max(1e-9);
+    let simulated_s = summary.simulated as f64 / 1e6;
     print_line!(
         "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
         summary.seeds,
         summary.seeds as f64 / seconds,
-        simulated / seconds,
-        simulated / seconds / jobs as f64,
+        simulated_s / seconds,
+        simulated_s / seconds / jobs as f64,
         summary.events as f64 / 1e6
     );
-    let [sent, served, refused, failed, unreachable] = summary.counts;
-    print_line!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
+    let [sent, served, rejected, failed, unreachable] = summary.counts;
+    print_line!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} found no matcher");
     print_line!("met:");
     for (name, (times, seeds)) in &summary.met {
         print_line!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
 
-fn describe(plan: &Plan) {
+fn print_plan(plan: &Plan) {
     print_line!(
         "seed {}: {} matchers of {} cores, {:.0}% load for {:.1} s, {} descriptors{}{}",
         plan.seed,
@@ -175,31 +176,31 @@
         plan.asks as f64 / 1e6,
         plan.sockets,
         if plan.partial {
-            ", reads and writes cut short"
+            ", partial reads and writes"
         } else {
             ""
         },
         match plan.places {
             Places::FirstCome => "",
-            Places::Named => ", places decided, the front ends' address named",
-            Places::Earned => ", places decided, standing earned",
+            Places::Named => ", connection admission with the front ends' address on the allowlist",
+            Places::Earned => ", connection admission with reputation",
         }
     );
-    for (n, habit) in plan.habits.iter().enumerate() {
-        print_line!("  front end {n}: {habit:?}");
+    for (n, behavior) in plan.habits.iter().enumerate() {
+        print_line!("  front end {n}: {behavior:?}");
     }
     plan.faults
         .iter()
-        .for_each(|planned| print_line!("  {planned}"));
+        .for_each(|fault| print_line!("  {fault}"));
 }
 
 fn replay(plan: Plan, last: Option<usize>) -> ExitCode {
-    describe(&plan);
+    print_plan(&plan);
     let (outcome, trace) = seeds::replay(plan);
     let from = last.map_or(0, |last| trace.len().saturating_sub(last));
     let mut out = std::io::stdout().lock();
     for line in &trace[from..] {
-        // Whoever reads may stop reading.
+        // A write fails if the reader has closed the pipe.
         if writeln!(out, "{line}").is_err() {
             break;
         }
@@ -212,29 +213,29 @@
     outcome
         .broken
         .iter()
-        .for_each(|what| drop(writeln!(out, "broken: {what}")));
-    status(outcome.broken.is_empty())
+        .for_each(|violation| drop(writeln!(out, "broken: {violation}")));
+    exit_status(outcome.broken.is_empty())
 }
 
-fn shrink(whole: &Plan, most: u32) -> ExitCode {
-    if seeds::play(whole.clone()).broken.is_empty() {
-        print_line!("seed {} breaks no rule", whole.seed);
+fn shrink(plan: &Plan, max_plans: u32) -> ExitCode {
+    if seeds::play(plan.clone()).broken.is_empty() {
+        print_line!("seed {} violates no invariant", plan.seed);
         return ExitCode::SUCCESS;
     }
-    let (small, played) = seeds::shrink(whole.clone(), most);
+    let (shrunk, plans_run) = seeds::shrink(plan.clone(), max_plans);
     print_line!(
-        "{played} plans played; {} faults of {} are left:",
-        small.faults.len(),
-        whole.faults.len()
+        "{plans_run} plans run; {} faults of {} are left:",
+        shrunk.faults.len(),
+        plan.faults.len()
     );
-    describe(&small);
-    let (outcome, trace) = seeds::replay(small);
+    print_plan(&shrunk);
+    let (outcome, trace) = seeds::replay(shrunk);
     trace[trace.len().saturating_sub(40)..]
         .iter()
         .for_each(|line| print_line!("{line}"));
     outcome
         .broken
         .iter()
-        .for_each(|what| print_line!("broken: {what}"));
+        .for_each(|violation| print_line!("broken: {violation}"));
     ExitCode::FAILURE
 }
--- a/src/commands/upgrade.rs
+++ b/src/commands/upgrade.rs
@@ -1,4 +1,4 @@
-//! `cleatpulley upgrade`: puts a new process in the place of one that serves, and shows each step.
+//! `cleatpulley upgrade`: replaces a running server by a new process and shows each step.
 
 use crate::ConfigArgs;
 use clap::Args;
@@ -14,49 +14,50 @@
 use std::process::{Child, Command, ExitCode, Stdio};
 use std::time::{Duration, Instant};
 
-/// An answer at the operators' address comes within this time.
-const ANSWERED: Duration = Duration::from_secs(1);
-const LOOKS: Duration = Duration::from_millis(5);
+/// Timeout of a request to the management endpoint.
+const MANAGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is to be upgraded, and to what.
+/// Arguments of `cleatpulley upgrade`.
 #[derive(Args)]
 pub struct Upgrade {
-    /// The process that serves
+    /// The process id of the running server
     #[arg(long)]
     pid: u32,
     #[command(flatten)]
     config_args: ConfigArgs,
-    /// The program to start; this one unless set
+    /// The program to start [default: this program]
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// The folder in which both processes meet: that of the process that serves
+    /// The folder through which both processes connect: the upgrade folder of the running server
     #[arg(long, value_name = "FOLDER", env = "TMPDIR")]
     upgrade_folder: PathBuf,
-    /// Where the new process writes its log, after what is there
+    /// The file that the log of the new process is appended to
     #[arg(long, value_name = "FILE")]
     log_file: PathBuf,
-    /// The new process says within so many seconds that it takes clients, or is ended
+    /// Seconds until the new process has to be ready; it is killed if it is not
     #[arg(long, default_value_t = 6.0)]
     ready_within: f64,
-    /// The old one has left so many seconds after it was told to, or is told of; it is not killed
+    /// Seconds until the old process has to exit after SIGTERM; it is reported but not killed if it does not
     #[arg(long, default_value_t = 10.0)]
     left_within: f64,
 }
 
-/// Does it.
+/// Runs the upgrade.
 ///
 /// # Errors
-/// What went wrong, and who serves then.
+/// The upgrade failed; the error says why, and which process serves.
 pub fn run(upgrade: Upgrade) -> Result<ExitCode, String> {
-    let watch = open(upgrade.pid).map_err(|e| format!("--pid: process {}: {e}", upgrade.pid))?;
+    let old_process =
+        open_process(upgrade.pid).map_err(|e| format!("--pid: process {}: {e}", upgrade.pid))?;
     let args = upgrade.config_args.to_arguments();
     let (config, ..) = upgrade.config_args.load()?;
-    let mgmt = config.management.filter(|address| address.port() != 0);
-    let mgmt = mgmt
-        .ok_or("mgmt: the new process needs an address of its own, with a port, to be asked at")?;
-    if ask(mgmt).is_ok() {
+    let management = config.management.filter(|address| address.port() != 0);
+    let management = management
+        .ok_or("mgmt: the new process needs a management address with a port of its own")?;
+    if request_ready_status(management).is_ok() {
         return Err(format!(
-            "mgmt: somebody answers at {mgmt} already; the new process needs another address"
+            "mgmt: another process listens on {management}; the new process needs another address"
         ));
     }
     let program = match upgrade.program {
@@ -78,56 +79,59 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(log);
-    // It outlives this command and its terminal.
+    // The new process has to outlive this command and its terminal.
     command.process_group(0);
-    let mut new = command
+    let mut new_process = command
         .spawn()
         .map_err(|e| format!("--program: {}: {e}", program.display()))?;
     print_line!(
         "1. process {} started, log in {}",
-        new.id(),
+        new_process.id(),
         upgrade.log_file.display()
     );
-    let begun = Instant::now();
-    if let Err(fault) = wait_ready(
-        &mut new,
-        mgmt,
+    let started_at = Instant::now();
+    if let Err(error) = wait_until_ready(
+        &mut new_process,
+        management,
         Duration::from_secs_f64(upgrade.ready_within),
     ) {
-        // It never was believed: the old one takes clients again at once.
-        let _ = new.kill();
-        let _ = new.wait();
+        // The new process has not taken over, so the old one accepts clients again immediately.
+        let _ = new_process.kill();
+        let _ = new_process.wait();
         return Err(format!(
-            "{fault}; it was ended, and process {} serves on",
+            "{error}; it was killed, and process {} keeps serving",
             upgrade.pid
         ));
     }
     print_line!(
         "2. it takes clients after {} ms",
-        begun.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
-    pidfd_send_signal(&watch, Signal::TERM).map_err(|e| format!("process {}: {e}", upgrade.pid))?;
-    print_line!("3. process {} told to leave", upgrade.pid);
-    let told = Instant::now();
-    if !ended(&watch, Duration::from_secs_f64(upgrade.left_within)).map_err(|e| e.to_string())? {
+    pidfd_send_signal(&old_process, Signal::TERM)
+        .map_err(|e| format!("process {}: {e}", upgrade.pid))?;
+    print_line!("3. process {} was sent SIGTERM", upgrade.pid);
+    let signaled_at = Instant::now();
+    if !wait_for_exit(&old_process, Duration::from_secs_f64(upgrade.left_within))
+        .map_err(|e| e.to_string())?
+    {
         return Err(format!(
-            "process {} has not left {} s after it was told to; process {} serves",
+            "process {} has not exited {} s after SIGTERM; process {} serves",
             upgrade.pid,
             upgrade.left_within,
-            new.id()
+            new_process.id()
         ));
     }
     print_line!(
         "4. it has left after {} ms; process {} serves at {}",
-        told.elapsed().as_millis(),
-        new.id(),
+        signaled_at.elapsed().as_millis(),
+        new_process.id(),
         config.listen
     );
     Ok(ExitCode::SUCCESS)
 }
 
-/// A process, by a descriptor that means no other one later.
-fn open(pid: u32) -> io::Result<OwnedFd> {
+/// Opens a process descriptor, which can't refer to another process if the id is reused.
+fn open_process(pid: u32) -> io::Result<OwnedFd> {
     let pid = i32::try_from(pid)
         .ok()
         .and_then(Pid::from_raw)
@@ -135,57 +139,68 @@
     Ok(pidfd_open(pid, PidfdFlags::empty())?)
 }
 
-/// Whether a process ends within this time.
-fn ended(watch: &OwnedFd, patience: Duration) -> io::Result<bool> {
-    let until = Instant::now() + patience;
+/// Waits for the exit of a process, and returns whether it exits within the timeout.
+fn wait_for_exit(process: &OwnedFd, timeout: Duration) -> io::Result<bool> {
+    let deadline = Instant::now() + timeout;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let wait = Timespec {
-            tv_sec: left.as_secs() as i64,
-            tv_nsec: i64::from(left.subsec_nanos()),
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let poll_timeout = Timespec {
+            tv_sec: remaining.as_secs() as i64,
+            tv_nsec: i64::from(remaining.subsec_nanos()),
         };
         match poll(
-            &mut [PollFd::from_borrowed_fd(watch.as_fd(), PollFlags::IN)],
-            Some(&wait),
+            &mut [PollFd::from_borrowed_fd(process.as_fd(), PollFlags::IN)],
+            Some(&poll_timeout),
         ) {
-            Ok(number) => return Ok(number > 0),
+            Ok(ready_count) => return Ok(ready_count > 0),
             Err(e) if e == rustix::io::Errno::INTR => {}
             Err(e) => return Err(e.into()),
         }
     }
 }
 
-fn wait_ready(new: &mut Child, mgmt: SocketAddr, patience: Duration) -> Result<(), String> {
-    let begun = Instant::now();
+fn wait_until_ready(
+    process: &mut Child,
+    management: SocketAddr,
+    timeout: Duration,
+) -> Result<(), String> {
+    let started_at = Instant::now();
     loop {
-        if let Ok(Some(status)) = new.try_wait() {
+        if let Ok(Some(status)) = process.try_wait() {
             return Err(format!(
-                "the new process has ended with {status}: look at its log"
+                "the new process has exited with {status}: see its log"
             ));
         }
-        if matches!(ask(mgmt), Ok(200)) {
+        if matches!(request_ready_status(management), Ok(200)) {
             return Ok(());
         }
-        if begun.elapsed() > patience {
+        if started_at.elapsed() > timeout {
             return Err(format!(
-                "the new process takes no clients after {patience:?}: look at its log"
+                "the new process is not ready after {timeout:?}: see its log"
             ));
         }
-        std::thread::sleep(LOOKS);
+        std::thread::sleep(READY_POLL_INTERVAL);
     }
 }
 
-/// The status of `/_ready`.
-fn ask(mgmt: SocketAddr) -> io::Result<u16> {
-    let mut stream = TcpStream::connect_timeout(&mgmt, ANSWERED)?;
-    stream.set_read_timeout(Some(ANSWERED))?;
+/// Requests `/_ready` from a management endpoint and returns the status of the response.
+fn request_ready_status(management: SocketAddr) -> io::Result<u16> {
+    let mut stream = TcpStream::connect_timeout(&management, MANAGEMENT_TIMEOUT)?;
+    stream.set_read_timeout(Some(MANAGEMENT_TIMEOUT))?;
     let mut bytes = Vec::new();
-    http::push_request(&mut bytes, "GET", "/_ready", &mgmt.to_string(), &[], b"");
+    http::push_request(
+        &mut bytes,
+        "GET",
+        "/_ready",
+        &management.to_string(),
+        &[],
+        b"",
+    );
     stream.write_all(&bytes)?;
     bytes.clear();
     stream.read_to_end(&mut bytes)?;
-    let reply = http::parse_response(&bytes, true).map_err(io::Error::other)?;
-    reply
-        .map(|reply| reply.status)
+    let response = http::parse_response(&bytes, true).map_err(io::Error::other)?;
+    response
+        .map(|response| response.status)
         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
