--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,68 +1,82 @@
-//! Stand-ins for what a matcher talks to: the runtime, the store, the directory, and callers by frames and by AJP.
+//! Emulators of the peers of a matcher: the runtime, the store, the service registry, and callers
+//! that speak frames or AJP.
 //!
-//! Each is a state machine behind [`Service`]: bytes, connections and time in, [`Effect`]s out. [`host`] puts them
-//! on loopback sockets; a virtual clock may drive them as well. They speak the published protocols from the other
-//! side, are seeded, and can lose, delay and reset.
+//! Each is a state machine behind [`Service`]: bytes, connection events and time in, [`Effect`]s
+//! out. [`host`] runs them on loopback sockets; a simulator with a virtual clock can run them as
+//! well. They implement the peer's side of the published protocols, are seeded, and can lose, delay
+//! and reset.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod callers;
 pub mod cluster;
-pub mod directory;
+pub mod datagram_proxy;
 pub mod flood;
+pub mod gateway_trial;
 pub mod host;
-pub mod keyed;
+pub mod keyed_retries;
 pub mod matcher;
-pub mod relay;
+pub mod registry;
 pub mod runtime;
 pub mod site;
 pub mod store;
 pub mod target;
 pub mod trial;
-pub mod wires;
 
 use cleatpulley_policy::interface::Micros;
 use std::net::SocketAddr;
 
-/// A connection of a service, by a number that is never used again: even where it was accepted, odd where the
-/// service dialled it.
-pub type Link = u64;
+/// Identifies a connection of a service. Ids are never reused; accepted connections have even ids,
+/// connections that the service opened have odd ones.
+pub type ConnectionId = u64;
 
-/// What a service wants done.
+/// An I/O operation that a service requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send these bytes.
-    Send(Link, Vec<u8>),
-    /// Close, after all has been sent.
-    Close(Link),
-    /// Reset at once, with what was not sent.
-    Reset(Link),
-    /// Open a connection; the service chose an odd number for it.
-    Dial(Link, SocketAddr),
-    /// The same, from this address of the host's.
-    DialFrom(Link, SocketAddr, std::net::IpAddr),
+    /// Sends these bytes.
+    Send(ConnectionId, Vec<u8>),
+    /// Closes the connection after all pending bytes have been sent.
+    Close(ConnectionId),
+    /// Resets the connection at once and discards unsent bytes.
+    Reset(ConnectionId),
+    /// Opens a connection to this address, under an odd id that the service chose.
+    Connect(ConnectionId, SocketAddr),
+    /// Opens a connection to this address from the given local address.
+    ConnectFrom(ConnectionId, SocketAddr, std::net::IpAddr),
 }
 
-/// A party as a state machine.
+/// A network peer as a state machine.
 pub trait Service: Send {
-    /// A connection stands.
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Vec<Effect>) {}
+    /// Handles a connection that is established.
+    fn on_open(&mut self, _now: Micros, _connection: ConnectionId, _out: &mut Vec<Effect>) {}
 
-    /// A connection stands that came to this of the service's doors, counted from 0.
-    fn opened_at(&mut self, now: Micros, link: Link, _door: usize, out: &mut Vec<Effect>) {
-        self.opened(now, link, out);
+    /// Handles a connection that was accepted on the service's listener of this index.
+    fn on_accept(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _listener: usize,
+        out: &mut Vec<Effect>,
+    ) {
+        self.on_open(now, connection, out);
     }
 
-    /// Bytes came.
-    fn received(&mut self, now: Micros, link: Link, bytes: &[u8], out: &mut Vec<Effect>);
+    /// Handles received bytes.
+    fn on_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    );
 
-    /// A connection is over, or could not be made.
-    fn closed(&mut self, now: Micros, link: Link, out: &mut Vec<Effect>);
+    /// Handles a connection that ended or could not be established.
+    fn on_close(&mut self, now: Micros, connection: ConnectionId, out: &mut Vec<Effect>);
 
-    /// Time has passed.
+    /// Runs whatever is due at `now`.
     fn advance(&mut self, now: Micros, out: &mut Vec<Effect>);
 
-    /// When [`advance`](Self::advance) has something to do next.
-    fn next(&self) -> Option<Micros>;
+    /// Returns the time at which [`advance`](Self::advance) is next due.
+    fn next_deadline(&self) -> Option<Micros>;
 }
--- a/crates/server/src/runtime_link/notices.rs
+++ b/crates/server/src/runtime_link/notices.rs
@@ -1,4 +1,4 @@
-//! The notices of the runtime, as events.
+//! Decoding of the runtime's notices into events.
 
 use super::{LinkState, RuntimeLink, MAX_LINE_BYTES};
 use crate::host::Host;
@@ -6,21 +6,21 @@
 use cleatpulley_policy::interface::{Gauges, Micros, Outcome};
 use cleatpulley_protocol::runtime_line::{self, Notice};
 
-/// A runtime whose uptime is smaller than before by more than this was restarted; a smaller
-/// difference is one of the clock.
+/// A runtime whose uptime has decreased by more than this was restarted; a smaller difference is
+/// clock error.
 const RESTART_MARGIN: Micros = 1_000_000;
 
-/// Why a line of the runtime is skipped.
+/// Error of a line of the runtime that is skipped.
 #[derive(Debug, thiserror::Error)]
 enum NoticeError {
-    /// It can't be decoded; the codec says why.
+    /// The line can't be decoded; contains the error of the codec.
     #[error("{0}")]
     Malformed(String),
-    #[error("a call without a number")]
+    #[error("call request without a notice number")]
     CallWithoutNumber,
-    #[error("nack of {0:?}")]
+    #[error("nack of unknown command {0:?}")]
     UnknownCommand(String),
-    #[error("unknown kind {0:?}")]
+    #[error("unknown notice kind {0:?}")]
     UnknownKind(String),
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl<H: Host> RuntimeLink<H> {
-    /// Takes all complete lines from what was read.
+    /// Handles all complete lines of the input.
     pub(super) fn read_lines(&mut self, events: &mut Vec<Event>) {
         let Some(link) = &mut self.link else { return };
         let mut input = std::mem::take(&mut link.stream.input);
@@ -50,7 +50,7 @@
         if input.len() > MAX_LINE_BYTES {
             tracing::warn!(
                 bytes = input.len(),
-                "runtime: a line without an end skipped"
+                "runtime: line beyond the maximum length skipped"
             );
             input.clear();
         }
@@ -62,7 +62,7 @@
     fn read_line(&mut self, line: &[u8], events: &mut Vec<Event>) -> Result<(), NoticeError> {
         let notice = Notice::decode(line)?;
         if let Some(number) = notice.number {
-            // A new link repeats notices that the old one may have carried.
+            // A new link repeats notices that may have arrived on the old one.
             if number <= self.last_notice {
                 return Ok(());
             }
@@ -80,14 +80,15 @@
         Ok(())
     }
 
-    /// The runtime is up and has answered `sync`.
+    /// Handles the runtime's response to `sync`.
     fn on_ready(&mut self, notice: &Notice, events: &mut Vec<Event>) {
         let uptime = notice.duration();
         tracing::info!("runtime: {}, up for {} ms", notice.status, uptime / 1_000);
         let previous_uptime = std::mem::replace(&mut self.uptime, uptime);
         if previous_uptime > uptime + RESTART_MARGIN {
-            // Another process: what ran there is gone, with the notices of it.
-            tracing::warn!("runtime: it was started again; what ran there has no end");
+            // The runtime is another process: the runs of the previous one are lost, with their
+            // notices.
+            tracing::warn!("runtime: restarted; its previous runs are lost");
             self.last_notice = 0;
             self.uncertain_commands.clear();
             events.push(Event::RuntimeReplaced);
@@ -99,7 +100,7 @@
         }
         self.is_healthy = true;
         events.push(Event::RuntimeReady(uptime));
-        // The gauges follow all notices that the runtime had for this process.
+        // The gauges follow all notices that the runtime had pending for this process.
         self.read_gauges();
         self.marks.barrier = self.marks.last_sent;
     }
@@ -116,16 +117,20 @@
             "broken_off" => Outcome::Cancelled,
             "late" => Outcome::NotStarted,
             other => {
-                tracing::warn!(status = other, "runtime: unknown end taken for a failure");
+                tracing::warn!(
+                    status = other,
+                    "runtime: unknown run status counts as a failure"
+                );
                 Outcome::Failure
             }
         };
-        // A result that can't be read must reach no client, but the run is over all the same.
+        // A result that can't be decoded must not reach a client, but the run has ended
+        // nevertheless.
         let result = notice.body().unwrap_or_else(|error| {
-            tracing::warn!(request = %runtime_line::format_request_id(id), %error, "runtime: a result is lost");
-            outcome = Outcome::Failure;
-            Vec::new()
-        });
+tracing::warn!(request = %runtime_line::format_request_id(id), %error, "runtime: malformed result; the run counts as a failure");
+outcome = Outcome::Failure;
+Vec::new()
+});
         self.uncertain_commands.retain(|command| command.id != id);
         events.push(Event::RunEnded {
             id,
@@ -166,7 +171,8 @@
         }
     }
 
-    /// The runtime has read all lines up to the request for gauges with this mark.
+    /// Handles the confirmation that the runtime has read all lines up to the gauge request with
+    /// this mark.
     pub(super) fn confirm(&mut self, mark: u64, events: &mut Vec<Event>) {
         self.marks.last_confirmed = self.marks.last_confirmed.max(mark);
         self.outgoing.confirm(mark);
@@ -194,7 +200,7 @@
         other => return Err(NoticeError::UnknownCommand(other.to_owned())),
     };
     let name = &*notice.status;
-    tracing::warn!(command = name, request = %runtime_line::format_request_id(id), "runtime: a command is rejected");
+    tracing::warn!(command = name, request = %runtime_line::format_request_id(id), "runtime: command rejected");
     events.push(Event::CommandRejected { id, command });
     Ok(())
 }
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -2,8 +2,8 @@
 //! under load, and the daemon's own figures.
 
 use super::simulator::default_jobs;
-use cleatpulley_emulators::callers::{Callers, Front, Plan, Tally};
-use cleatpulley_emulators::host::{look, shared, Clock, Host as Services, Running, Shared};
+use cleatpulley_emulators::callers::{Callers, LoadPlan, Protocol, Tally};
+use cleatpulley_emulators::host::{shared, with_lock, Clock, Host as Services, Running, Shared};
 use cleatpulley_emulators::site::{Setup, Site};
 use cleatpulley_fleet::control_protocol::{ControlCommand, ControlResponse, FleetView};
 use cleatpulley_fleet::daemon::send_command;
@@ -123,10 +123,10 @@
         let release = format!("{{ program: '{}'{operator} }}", program.display());
         let file = folder.join("fleet.jsonnet");
         let text = format!(
-            "{{ fleet: {{ folder: '{}', places: [{}], releases: {{ '1': {release}, '2': {release} }}, {rest} }} }}",
-            folder.join("state").display(),
-            places.join(", ")
-        );
+"{{ fleet: {{ folder: '{}', places: [{}], releases: {{ '1': {release}, '2': {release} }}, {rest} }} }}",
+folder.join("state").display(),
+places.join(", ")
+);
         fs::write(&file, text)?;
         Ok(Self {
             folder,
@@ -217,8 +217,8 @@
         let all = weights.iter().sum::<f64>().max(0.1);
         for (pair, weight) in self.callers.iter().zip(weights) {
             for callers in pair {
-                look(callers, |callers| {
-                    callers.set_share(weight / all * INSTANCES as f64)
+                with_lock(callers, |callers| {
+                    callers.set_rate_share(weight / all * INSTANCES as f64)
                 });
             }
         }
@@ -229,7 +229,7 @@
         self.callers
             .iter()
             .flatten()
-            .for_each(|callers| look(callers, |callers| total.add(&callers.total())));
+            .for_each(|callers| with_lock(callers, |callers| total.add(&callers.total())));
         total
     }
 
@@ -243,45 +243,48 @@
         };
         let (mut twice, mut started, mut starts) = (0, HashSet::new(), 0);
         for site in &self.sites {
-            look(&site.runtime, |runtime| {
-                twice += runtime.run_twice().len();
-                starts += runtime.seen.starts.len();
-                started.extend(runtime.seen.starts.keys().copied());
+            with_lock(&site.runtime, |runtime| {
+                twice += runtime.ids_run_twice().len();
+                starts += runtime.stats.starts.len();
+                started.extend(runtime.stats.starts.keys().copied());
             });
         }
         count(twice + starts - started.len(), "requests ran twice");
         let total = self.total();
         count(total.overdue as usize, "answers after the due time");
         count(
-            total.wrong as usize,
+            total.wrong_result as usize,
             "results that no run made for the request",
         );
-        count(
-            total.unreachable as usize,
-            "requests that found no listener",
-        );
+        count(total.not_sent as usize, "requests that found no listener");
         for callers in self.callers.iter().flatten() {
-            look(callers, |callers| {
-                count(callers.stray as usize, "answers that nobody asked for");
+            with_lock(callers, |callers| {
+                count(
+                    callers.unmatched_responses as usize,
+                    "answers that nobody asked for",
+                );
                 let ran = callers
-                    .refused
+                    .rejected_ids
                     .iter()
                     .filter(|id| started.contains(id))
                     .count();
                 count(ran, "requests turned away that had run");
                 // A proxy may send on an idle AJP connection that is closed at this moment: what never ran may come again.
-                let ajp = callers.plan().front == Front::Ajp;
+                let ajp = callers.plan().protocol == Protocol::Ajp;
                 let crossed = callers
-                    .lost
+                    .unanswered_ids
                     .iter()
                     .filter(|id| ajp && !started.contains(id))
                     .count();
                 if crossed > 0 {
                     print_line!(
-                        "  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
-                    );
+"  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
+);
                 }
-                count(callers.lost.len() - crossed, "requests without an answer");
+                count(
+                    callers.unanswered_ids.len() - crossed,
+                    "requests without an answer",
+                );
             });
         }
         broken
@@ -294,16 +297,16 @@
     let share = |of: fn(&Tally) -> u64| (of(later) - of(earlier)) as f64 / number.max(1) as f64;
     (
         number,
-        share(|tally| tally.in_time),
-        share(|tally| tally.refused_bare + tally.refused_with_time),
+        share(|tally| tally.on_time),
+        share(|tally| tally.rejected_without_retry_after + tally.rejected_with_retry_after),
     )
 }
 
 fn under_load(program: &Path, load: f64, short: &mut Vec<String>) -> Result<(), String> {
     let setup = |seed| Setup {
         cores: 4,
-        stop: 1_500_000,
-        grace: 1_000_000,
+        stop_timeout: 1_500_000,
+        drain_grace: 1_000_000,
         seed,
         ..Setup::default()
     };
@@ -312,10 +315,10 @@
     let ajp = ports(places).map_err(text)?;
     for (i, port) in ajp.iter().enumerate() {
         let site = Site::start(setup(i as u64)).map_err(text)?;
-        look(&site.runtime, |runtime| runtime.cold_with_new = true);
+        with_lock(&site.runtime, |runtime| runtime.cold_for_new_matcher = true);
         configs.push(site.config.to_string());
         operators.push(
-            site.operator("", "")
+            site.operator_file("", "")
                 .replace("127.0.0.1:0", &format!("{HOST}:{port}")),
         );
         sites.push(site);
@@ -336,26 +339,26 @@
     let rate = load * setup(0).capacity() / 2.0;
     for i in 0..places {
         let pair = [
-            (Front::Frames, listen[i]),
-            (Front::Ajp, SocketAddr::from((HOST, ajp[i]))),
+            (Protocol::Frames, listen[i]),
+            (Protocol::Ajp, SocketAddr::from((HOST, ajp[i]))),
         ]
         .map(|(front, to)| {
-            let plan = Plan {
-                front,
-                to,
-                connections: if front == Front::Ajp { 64 } else { 4 },
+            let plan = LoadPlan {
+                protocol: front,
+                address: to,
+                connections: if front == Protocol::Ajp { 64 } else { 4 },
                 rates: vec![(3_600 * SECOND, rate)],
-                kinds: setup(0).kinds(),
-                body: 200,
+                classes: setup(0).caller_classes(),
+                body_bytes: 200,
                 secret: None,
-                callers: 1..4,
-                slack: 110_000,
+                caller_numbers: 1..4,
+                deadline_slack: 110_000,
                 key_field: None,
-                random_gaps: true,
+                random_intervals: true,
                 seed: 1_000 * i as u64 + front as u64,
             };
             let one = shared(Callers::new(plan, clock.now()));
-            look(&one, |callers| callers.set_share(0.0));
+            with_lock(&one, |callers| callers.set_rate_share(0.0));
             services.add(one.clone());
             one
         });
@@ -400,26 +403,26 @@
         .callers
         .iter()
         .flatten()
-        .for_each(|callers| look(callers, Callers::stop));
+        .for_each(|callers| with_lock(callers, Callers::stop));
     std::thread::sleep(Duration::from_millis(2_700));
     senders
         .callers
         .iter()
         .flatten()
-        .for_each(|callers| look(callers, Callers::finish));
+        .for_each(|callers| with_lock(callers, Callers::finish));
     let (calm, change) = (since(&calm, &before), since(&after, &calm));
     let lost = 100.0 * (calm.1 - change.1);
     print_line!(
-        "{INSTANCES} instances, frames and AJP, {:.0}% load: in time {:.1}% of {} without, {:.1}% of {} through a replacement: \
+"{INSTANCES} instances, frames and AJP, {:.0}% load: in time {:.1}% of {} without, {:.1}% of {} through a replacement: \
          {lost:.1} points lost; refused {:.1}% and {:.1}%",
-        100.0 * load,
-        100.0 * calm.1,
-        calm.0,
-        100.0 * change.1,
-        change.0,
-        100.0 * calm.2,
-        100.0 * change.2
-    );
+100.0 * load,
+100.0 * calm.1,
+calm.0,
+100.0 * change.1,
+change.0,
+100.0 * calm.2,
+100.0 * change.2
+);
     if view.stable_generation != 2 {
         short.push(format!(
             "load {load}: the replacement went back: {:?}",
@@ -463,10 +466,10 @@
     if let (Some(before), Some(after)) = (used, used_after) {
         let cpu = (after.0 - before.0) as f64 / 8e6;
         print_line!(
-            "  daemon with {INSTANCES} instances, asked 50 times a second: {:.1}% of a core, {:.1} MB",
-            100.0 * cpu,
-            after.1 as f64 / 1e3
-        );
+"  daemon with {INSTANCES} instances, asked 50 times a second: {:.1}% of a core, {:.1} MB",
+100.0 * cpu,
+after.1 as f64 / 1e3
+);
     }
     yard.ask(&ControlCommand::Shutdown)?;
     Ok(())
@@ -475,8 +478,8 @@
 /// The daemon with many instances that have nothing to do: CPU, memory, deaths, hangs, and its own death.
 fn many(program: &Path, short: &mut Vec<String>) -> Result<(), String> {
     let site = Site::start(Setup {
-        stop: 300_000,
-        grace: 100_000,
+        stop_timeout: 300_000,
+        drain_grace: 100_000,
         ..Setup::default()
     })
     .map_err(text)?;
@@ -485,9 +488,9 @@
     config["runtime"] = "127.0.0.1:9".into();
     let configs = vec![config.to_string(); MANY];
     let rest = format!(
-        "instances: {MANY}, surge: 0, batch: 1, timeouts_ms: {{ start: 20000, warm: 600000, drain: 2000, silent: 1000 }}, \
+"instances: {MANY}, surge: 0, batch: 1, timeouts_ms: {{ start: 20000, warm: 600000, drain: 2000, silent: 1000 }}, \
          restart: {{ first_ms: 10, most_ms: 20, budget: 1000, within_ms: 1000 }}"
-    );
+);
     let mut yard = Yard::new(program, "many", &configs, &[], &rest).map_err(text)?;
     yard.up().map_err(text)?;
     let begun = Instant::now();
@@ -672,12 +675,12 @@
         };
         let takes = course.duration.unwrap_or_default();
         print_line!(
-            "  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
-            course.batch,
-            course.surge,
-            takes as f64 / 1e6,
-            course.min_margin.0
-        );
+"  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
+course.batch,
+course.surge,
+takes as f64 / 1e6,
+course.min_margin.0
+);
         for (batch, surge) in [(1, 0), (1, 1), (2, 0), (5, 0), (10, 0), (20, 0)] {
             let Some(fixed) = planner::simulate(&question, batch, surge) else {
                 continue;
--- a/src/commands/bench_places.rs
+++ b/src/commands/bench_places.rs
@@ -23,7 +23,7 @@
 pub fn run(short: &mut Vec<String>) {
     let begun = Instant::now();
     let summary = seeds::run(
-        Plan::crowded,
+        Plan::with_floods,
         1,
         SEEDS,
         default_jobs(),
@@ -31,7 +31,7 @@
         || (),
         |_| (),
     );
-    let met = |name: &str| summary.met.get(name).map_or(0, |met| met.1);
+    let met = |name: &str| summary.coverage.get(name).map_or(0, |met| met.1);
     print_line!(
         "{SEEDS} seeds with floods in {:.1} s: {} broke a rule; {}",
         begun.elapsed().as_secs_f64(),
@@ -43,7 +43,7 @@
         short.push(format!(
             "crowded seed {}: {}",
             outcome.seed,
-            outcome.broken.join("; ")
+            outcome.violations.join("; ")
         ));
     }
     for name in HARD {
@@ -66,7 +66,7 @@
             inject_bug(Some(bug));
         };
         let summary = seeds::run(
-            Plan::crowded,
+            Plan::with_floods,
             1,
             WITHIN,
             default_jobs(),
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley simulator`: simulates whole matchers on a virtual clock, with faults drawn from seeds.
 
 use clap::{Args, Subcommand};
-use cleatpulley_simulator::plan::{Places, Plan};
+use cleatpulley_simulator::plan::{AdmissionMode, Plan};
 use cleatpulley_simulator::seeds::{self, Summary};
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -68,9 +68,9 @@
 impl PlanKind {
     fn plan(self, seed: u64) -> Plan {
         match self {
-            Self::Mixed => Plan::of(seed),
-            Self::Floods => Plan::crowded(seed),
-            Self::Upgrades => Plan::chained(seed),
+            Self::Mixed => Plan::from_seed(seed),
+            Self::Floods => Plan::with_floods(seed),
+            Self::Upgrades => Plan::with_upgrade_chains(seed),
         }
     }
 }
@@ -135,7 +135,7 @@
     }
     print_summary(&summary, started_at.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
-        print_line!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
+        print_line!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
     }
     print_line!(
         "{} seeds, {} violated an invariant; digest {:016x}",
@@ -151,17 +151,17 @@
     let seconds = elapsed.as_secs_f64().max(1e-9);
     let simulated_s = summary.simulated as f64 / 1e6;
     print_line!(
-        "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
-        summary.seeds,
-        summary.seeds as f64 / seconds,
-        simulated_s / seconds,
-        simulated_s / seconds / jobs as f64,
-        summary.events as f64 / 1e6
-    );
+"{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
+summary.seeds,
+summary.seeds as f64 / seconds,
+simulated_s / seconds,
+simulated_s / seconds / jobs as f64,
+summary.events as f64 / 1e6
+);
     let [sent, served, rejected, failed, unreachable] = summary.counts;
     print_line!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} found no matcher");
     print_line!("met:");
-    for (name, (times, seeds)) in &summary.met {
+    for (name, (times, seeds)) in &summary.coverage {
         print_line!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
@@ -173,17 +173,18 @@
         plan.matchers,
         plan.cores,
         plan.load * 100.0,
-        plan.asks as f64 / 1e6,
-        plan.sockets,
-        if plan.partial {
+        plan.request_duration as f64 / 1e6,
+        plan.max_descriptors,
+        if plan.partial_io {
             ", partial reads and writes"
         } else {
             ""
         },
-        match plan.places {
-            Places::FirstCome => "",
-            Places::Named => ", connection admission with the front ends' address on the allowlist",
-            Places::Earned => ", connection admission with reputation",
+        match plan.admission {
+            AdmissionMode::Unrestricted => "",
+            AdmissionMode::Allowlist =>
+                ", connection admission with the front ends' address on the allowlist",
+            AdmissionMode::Reputation => ", connection admission with reputation",
         }
     );
     for (n, behavior) in plan.habits.iter().enumerate() {
@@ -211,14 +212,14 @@
         outcome.events, outcome.digest
     );
     outcome
-        .broken
+        .violations
         .iter()
         .for_each(|violation| drop(writeln!(out, "broken: {violation}")));
-    exit_status(outcome.broken.is_empty())
+    exit_status(outcome.violations.is_empty())
 }
 
 fn shrink(plan: &Plan, max_plans: u32) -> ExitCode {
-    if seeds::play(plan.clone()).broken.is_empty() {
+    if seeds::play(plan.clone()).violations.is_empty() {
         print_line!("seed {} violates no invariant", plan.seed);
         return ExitCode::SUCCESS;
     }
@@ -234,7 +235,7 @@
         .iter()
         .for_each(|line| print_line!("{line}"));
     outcome
-        .broken
+        .violations
         .iter()
         .for_each(|violation| print_line!("broken: {violation}"));
     ExitCode::FAILURE
--- a/src/main.rs
+++ b/src/main.rs
@@ -88,7 +88,7 @@
     },
     /// Read nginx's upstream and location blocks as routes, compare them, and check expectations
     #[command(subcommand)]
-    Routes(commands::routes::Routes),
+    Routes(commands::routes::RoutesCommand),
     /// Simulate whole matchers on a virtual clock with faults drawn from seeds, and check invariants after each step
     #[command(subcommand, alias = "seeds")]
     Simulator(commands::simulator::Simulator),
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -629,12 +629,12 @@
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher =
         Matcher::start(program, &site.config, Some(&operator)).expect("start the matcher");
-    let (status, body) = matcher.ask("/_ready").expect("get /_ready");
+    let (status, body) = matcher.get("/_ready").expect("get /_ready");
     assert_eq!(
         (status, String::from_utf8(body).expect("the body is UTF-8")),
         (200, "{\"ready\":true}\n".to_owned())
     );
-    let (status, body) = matcher.ask("/_vars").expect("get /_vars");
+    let (status, body) = matcher.get("/_vars").expect("get /_vars");
     assert_eq!(status, 200);
     let mut keys = BTreeSet::new();
     collect_keys(&serde_json::from_slice(&body).expect("JSON"), "", &mut keys);
