--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -198,7 +198,7 @@
     #[must_use]
     pub fn count(&self, name: &str, what: &str) -> usize {
         let steps = self.steps_of(name);
-        steps.iter().filter(|step| step.what == what).count()
+        steps.iter().filter(|step| step.action == what).count()
     }
 
     /// Waits until each of these has done that so many times.
@@ -217,7 +217,7 @@
             if since.elapsed() > patience {
                 return Err(io::Error::other(format!(
                     "not all did {what:?} {times} times:\n{}",
-                    self.timeline().draw()
+                    self.timeline().render()
                 )));
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -232,7 +232,7 @@
         let log = node.process.as_ref().map(Matcher::log).unwrap_or_default();
         let lines = node.before.iter().chain(&log);
         lines
-            .filter_map(|line| Step::read(line).ok().flatten())
+            .filter_map(|line| Step::parse(line).ok().flatten())
             .collect()
     }
 
@@ -243,6 +243,6 @@
         self.nodes
             .keys()
             .for_each(|name| steps.extend(self.steps_of(name)));
-        Timeline::of(steps)
+        Timeline::new(steps)
     }
 }
--- a/crates/membership/tests/gossip/emulated_network.rs
+++ b/crates/membership/tests/gossip/emulated_network.rs
@@ -385,6 +385,6 @@
     }
 
     pub fn timeline(&self) -> Timeline {
-        Timeline::of(self.steps.clone())
+        Timeline::new(self.steps.clone())
     }
 }
--- a/crates/membership/tests/gossip/timelines.rs
+++ b/crates/membership/tests/gossip/timelines.rs
@@ -86,8 +86,8 @@
 fn read_drawing(name: &str, timeline: &Timeline) -> Drawing {
     let file = format!("{TIMELINE_FOLDER}/{name}.txt");
     if std::env::var_os("SKETCH").is_some() {
-        std::fs::write(&file, Drawing::sketch(timeline, 800 * MS)).expect("a writable file");
+        std::fs::write(&file, Drawing::generate(timeline, 800 * MS)).expect("a writable file");
     }
     let text = std::fs::read_to_string(&file).expect("a drawing");
-    Drawing::read(&text).unwrap_or_else(|error| panic!("{file}: {error}"))
+    Drawing::parse(&text).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
--- a/crates/timeline/src/drawing.rs
+++ b/crates/timeline/src/drawing.rs
@@ -1,6 +1,6 @@
-//! Drawn files, and how a timeline is compared with one.
+//! Drawings: recorded files of expected steps that a timeline is compared with.
 //!
-//! A drawing has a row of column names, then rows with text in one column each:
+//! A drawing has a header with the names of the nodes, one per column, then rows with text in one column each:
 //!
 //! ```text
 //! g1              | g2              | m1
@@ -13,17 +13,18 @@
 //!                 | sees m1 go      |
 //! ```
 //!
-//! The rows of one column come in this order. Between columns nothing is said, but a line of dashes ties them: all above it
-//! came before all below it. A cell `...` stands for any steps of its node, also none. Empty lines and those that begin with
-//! `#` count for nothing. A drawing says nothing of nodes without a column.
+//! The steps of a node have to occur in the order of the rows of its column. Steps of different columns are ordered only by
+//! horizontal rules of dashes: all steps above a rule occur before all steps below it. A cell `...` matches any number of
+//! steps of its node, including none. Empty lines and lines that start with `#` are ignored, and so are nodes without a
+//! column.
 
-use super::{draw, Step, Timeline};
+use super::{render, Step, Timeline};
 use std::fmt;
 
-/// Any steps of its node.
-const ANY: &str = "...";
+/// The cell that matches any number of steps of its node.
+const ANY_STEPS: &str = "...";
 
-/// A drawn file.
+/// The expected timeline of a recorded file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drawing {
     nodes: Vec<String>,
@@ -33,63 +34,65 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Row {
+    /// The number of the row's line in the file.
     line: usize,
-    /// Ties above it.
+    /// The number of horizontal rules above the row.
     block: usize,
     column: usize,
-    what: String,
+    action: String,
 }
 
-/// Why a text is no drawing.
+/// Why a drawing can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoDrawing {
-    /// It has no row of names.
-    #[error("there is no row with the names of the nodes")]
-    Names,
-    /// A name stands twice, or is empty.
-    #[error("line {0}: the names of the columns have to differ and not be empty")]
-    Name(usize),
-    /// A row has no text, or more than one.
-    #[error("line {0}: a row has text in one of {1} columns")]
-    Row(usize, usize),
+pub enum DrawingParseError {
+    /// The header is missing.
+    #[error("the header with the names of the nodes is missing")]
+    MissingHeader,
+    /// The header in this line has an empty or a duplicate name.
+    #[error("line {0}: the names of the nodes have to be distinct and not empty")]
+    InvalidNodeName(usize),
+    /// The row in this line does not have text in exactly one of this number of columns.
+    #[error("line {0}: a row has text in exactly one of {1} columns")]
+    InvalidRow(usize, usize),
 }
 
-/// A timeline and a drawing differ.
+/// The first difference between a timeline and a drawing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Differs {
-    /// The line of the drawing that does not fit; none where more happened than is drawn.
+pub struct Mismatch {
+    /// The line of the drawing that does not match; `None` if the timeline has an additional step.
     pub line: Option<usize>,
-    /// Why.
-    pub why: String,
-    shown: String,
+    /// Why the line or the step does not match.
+    pub reason: String,
+    /// Both timelines as text, with the difference marked in each.
+    comparison: String,
 }
 
-impl fmt::Display for Differs {
+impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}\n{}", self.why, self.shown)
+        write!(f, "{}\n{}", self.reason, self.comparison)
     }
 }
 
-impl std::error::Error for Differs {}
+impl std::error::Error for Mismatch {}
 
 impl Drawing {
-    /// Reads a drawing.
+    /// Parses a drawing.
     ///
     /// # Errors
-    /// The first line that does not fit.
-    pub fn read(text: &str) -> Result<Self, NoDrawing> {
+    /// The first line that is malformed.
+    pub fn parse(text: &str) -> Result<Self, DrawingParseError> {
         let lines = text
             .lines()
             .enumerate()
-            .map(|(at, line)| (at + 1, line.trim_end()));
+            .map(|(index, line)| (index + 1, line.trim_end()));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-        let (line, names) = lines.next().ok_or(NoDrawing::Names)?;
+        let (line, names) = lines.next().ok_or(DrawingParseError::MissingHeader)?;
         let nodes: Vec<String> = cells(names).map(str::to_owned).collect();
-        let twice = |node: &String| {
+        let is_invalid = |node: &String| {
             node.is_empty() || nodes.iter().filter(|other| *other == node).count() > 1
         };
-        if nodes.iter().any(twice) {
-            return Err(NoDrawing::Name(line));
+        if nodes.iter().any(is_invalid) {
+            return Err(DrawingParseError::InvalidNodeName(line));
         }
         let (mut rows, mut block) = (Vec::new(), 0);
         for (line, text) in lines {
@@ -99,15 +102,15 @@
             }
             let mut filled = cells(text).enumerate().filter(|(_, cell)| !cell.is_empty());
             match (filled.next(), filled.next()) {
-                (Some((column, what)), None) if column < nodes.len() => {
+                (Some((column, action)), None) if column < nodes.len() => {
                     rows.push(Row {
                         line,
                         block,
                         column,
-                        what: what.to_owned(),
+                        action: action.to_owned(),
                     });
                 }
-                _ => return Err(NoDrawing::Row(line, nodes.len())),
+                _ => return Err(DrawingParseError::InvalidRow(line, nodes.len())),
             }
         }
         Ok(Self {
@@ -117,88 +120,89 @@
         })
     }
 
-    /// Draws a timeline in this form, tied where all that came before a moment lies a while before all that came after: to
-    /// begin a file with.
+    /// Generates the text of a drawing from a timeline, as a first version of a recorded file. A horizontal rule separates two
+    /// consecutive steps that are more than `min_gap_us` microseconds apart.
     #[must_use]
-    pub fn sketch(timeline: &Timeline, while_us: u64) -> String {
+    pub fn generate(timeline: &Timeline, min_gap_us: u64) -> String {
         let nodes = timeline.nodes();
         let width = |node: &&str| {
-            let of = timeline
+            let widths = timeline
                 .steps()
                 .iter()
                 .filter(|step| step.node == *node)
-                .map(|step| step.what.len());
-            of.max().unwrap_or(0).max(node.len())
+                .map(|step| step.action.len());
+            widths.max().unwrap_or(0).max(node.len())
         };
         let widths: Vec<usize> = nodes.iter().map(width).collect();
-        let row = |filled: &dyn Fn(usize) -> String| {
+        let row = |content: &dyn Fn(usize) -> String| {
             let cells = widths
                 .iter()
                 .enumerate()
-                .map(|(at, width)| format!("{:<width$}", filled(at)));
+                .map(|(column, width)| format!("{:<width$}", content(column)));
             cells.collect::<Vec<_>>().join(" | ").trim_end().to_owned() + "\n"
         };
-        let mut drawn = row(&|at| nodes[at].to_owned());
-        let mut before = None;
+        let mut text = row(&|column| nodes[column].to_owned());
+        let mut previous_us = None;
         for step in timeline.steps() {
-            if before.is_some_and(|before| step.at > before + while_us) {
-                drawn.push_str("----\n");
+            if previous_us.is_some_and(|previous_us| step.time_us > previous_us + min_gap_us) {
+                text.push_str("----\n");
             }
-            before = Some(step.at);
-            drawn += &row(&|at| {
-                if nodes[at] == step.node {
-                    step.what.clone()
+            previous_us = Some(step.time_us);
+            text += &row(&|column| {
+                if nodes[column] == step.node {
+                    step.action.clone()
                 } else {
                     String::new()
                 }
             });
         }
-        drawn
+        text
     }
 
-    /// Compares.
+    /// Compares a timeline with the drawing.
     ///
     /// # Errors
     /// The first difference.
-    pub fn check(&self, timeline: &Timeline) -> Result<(), Differs> {
-        // By row: the place of the step that it stands for, and the times of all of them.
+    pub fn check(&self, timeline: &Timeline) -> Result<(), Mismatch> {
+        // By row: the times of the first and of the last step that it matches, in microseconds.
         let mut times: Vec<Option<(u64, u64)>> = vec![None; self.rows.len()];
         for (column, node) in self.nodes.iter().enumerate() {
             self.check_column(timeline, column, node, &mut times)?;
         }
         let mut latest: Option<(usize, u64)> = None;
         for block in 0..=self.rows.last().map_or(0, |row| row.block) {
-            let of_block = || {
+            let rows_of_block = || {
                 self.rows
                     .iter()
                     .zip(&times)
                     .filter(move |(row, _)| row.block == block)
             };
-            for (row, time) in of_block() {
-                if let (Some((line, before)), Some((first, _))) = (latest, *time) {
-                    if first < before {
-                        let why = format!(
-                            "line {}: comes before what is drawn above it in line {line}",
+            for (row, time) in rows_of_block() {
+                if let (Some((line, latest_us)), Some((first, _))) = (latest, *time) {
+                    if first < latest_us {
+                        let reason = format!(
+                            "line {}: occurs before the step above the rule in line {line}",
                             row.line
                         );
-                        return Err(self.differs(timeline, Some(row.line), why, Some(first)));
+                        return Err(self.mismatch(timeline, Some(row.line), reason, Some(first)));
                     }
                 }
             }
-            let last = of_block().filter_map(|(row, time)| time.map(|(_, last)| (row.line, last)));
+            let last =
+                rows_of_block().filter_map(|(row, time)| time.map(|(_, last)| (row.line, last)));
             latest = last.max_by_key(|(_, last)| *last).or(latest);
         }
         Ok(())
     }
 
-    /// The rows of one column, in their order.
+    /// Compares the steps of one node with the rows of its column, and records their times in `times`.
     fn check_column(
         &self,
         timeline: &Timeline,
         column: usize,
         node: &str,
         times: &mut [Option<(u64, u64)>],
-    ) -> Result<(), Differs> {
+    ) -> Result<(), Mismatch> {
         let mut steps = timeline
             .steps()
             .iter()
@@ -207,61 +211,74 @@
         let rows: Vec<usize> = (0..self.rows.len())
             .filter(|&row| self.rows[row].column == column)
             .collect();
-        let mut any = false;
+        let mut skips_steps = false;
         for row in rows {
-            let Row { line, what, .. } = &self.rows[row];
-            if what == ANY {
-                any = true;
+            let Row { line, action, .. } = &self.rows[row];
+            if action == ANY_STEPS {
+                skips_steps = true;
                 continue;
             }
-            let step = if any {
-                steps.by_ref().find(|step| step.what == *what)
+            let step = if skips_steps {
+                steps.by_ref().find(|step| step.action == *action)
             } else {
                 steps.next()
             };
-            any = false;
+            skips_steps = false;
             match step {
-                Some(step) if step.what == *what => times[row] = Some((step.at, step.at)),
+                Some(step) if step.action == *action => {
+                    times[row] = Some((step.time_us, step.time_us));
+                }
                 Some(step) => {
-                    let why = format!(
-                        "line {line}: {node} {}, where the drawing has: {what}",
-                        step.what
+                    let reason = format!(
+                        "line {line}: step of {node} is `{}`, expected `{action}`",
+                        step.action
                     );
-                    return Err(self.differs(timeline, Some(*line), why, Some(step.at)));
+                    return Err(self.mismatch(timeline, Some(*line), reason, Some(step.time_us)));
                 }
                 None => {
-                    let why = format!("line {line}: {node} did not: {what}");
-                    return Err(self.differs(timeline, Some(*line), why, None));
+                    let reason = format!("line {line}: step `{action}` of {node} is missing");
+                    return Err(self.mismatch(timeline, Some(*line), reason, None));
                 }
             }
         }
         match steps.next() {
-            Some(Step { what, at, .. }) if !any => {
-                let why = format!("{node} {what}, which is not drawn");
-                Err(self.differs(timeline, None, why, Some(*at)))
+            Some(Step {
+                action, time_us, ..
+            }) if !skips_steps => {
+                let reason = format!("step `{action}` of {node} is not in the drawing");
+                Err(self.mismatch(timeline, None, reason, Some(*time_us)))
             }
             _ => Ok(()),
         }
     }
 
-    fn differs(
+    fn mismatch(
         &self,
         timeline: &Timeline,
         line: Option<usize>,
-        why: String,
-        at: Option<u64>,
-    ) -> Differs {
-        let marked = at.and_then(|at| timeline.steps().iter().position(|step| step.at == at));
-        let came = draw::draw(timeline, &timeline.nodes(), marked);
+        reason: String,
+        time_us: Option<u64>,
+    ) -> Mismatch {
+        let marked = time_us.and_then(|time_us| {
+            timeline
+                .steps()
+                .iter()
+                .position(|step| step.time_us == time_us)
+        });
+        let actual = render::render(timeline, &timeline.nodes(), marked);
         let expected = self.text.lines().enumerate().map(|(number, text)| {
             let mark = if line == Some(number + 1) { '>' } else { ' ' };
             format!("{mark}{text}\n")
         });
-        let shown = format!(
-            "as it came:\n{came}\nas it is drawn:\n{}",
+        let comparison = format!(
+            "actual:\n{actual}\nexpected:\n{}",
             expected.collect::<String>()
         );
-        Differs { line, why, shown }
+        Mismatch {
+            line,
+            reason,
+            comparison,
+        }
     }
 }
 
@@ -273,41 +290,42 @@
 mod tests {
     use super::*;
 
-    const DRAWN: &str =
+    const DRAWING: &str =
         "# two nodes\na     | b\nfirst |\n      | one\n----\nends  |\n      | ...\n      | two\n";
 
-    fn steps(of: &[(u64, &str, &str)]) -> Timeline {
-        Timeline::of(
-            of.iter()
-                .map(|(at, node, what)| Step::new(*at, node, *what))
+    fn timeline(steps: &[(u64, &str, &str)]) -> Timeline {
+        Timeline::new(
+            steps
+                .iter()
+                .map(|(time_us, node, action)| Step::new(*time_us, node, *action))
                 .collect(),
         )
     }
 
     #[test]
-    fn columns_are_in_order_and_ties_count_between_them() {
-        let drawing = Drawing::read(DRAWN).expect("a drawing");
-        for fits in [
-            steps(&[
+    fn accepts_steps_in_column_order_that_rules_keep_apart() {
+        let drawing = Drawing::parse(DRAWING).expect("a drawing");
+        for matching in [
+            timeline(&[
                 (1, "a", "first"),
                 (2, "b", "one"),
                 (3, "a", "ends"),
                 (4, "b", "two"),
             ]),
-            steps(&[
+            timeline(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "two"),
                 (4, "a", "ends"),
             ]),
-            steps(&[
+            timeline(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "else"),
                 (4, "b", "two"),
                 (9, "a", "ends"),
             ]),
-            steps(&[
+            timeline(&[
                 (1, "b", "one"),
                 (1, "c", "not drawn"),
                 (2, "a", "first"),
@@ -315,41 +333,43 @@
                 (4, "a", "ends"),
             ]),
         ] {
-            assert_eq!(fits.check(&drawing), Ok(()), "{}", fits.draw());
+            assert_eq!(matching.check(&drawing), Ok(()), "{}", matching.render());
         }
     }
 
     #[test]
-    fn the_first_difference_is_marked() {
-        let drawing = Drawing::read(DRAWN).expect("a drawing");
-        let tied = steps(&[
+    fn reports_and_marks_first_difference() {
+        let drawing = Drawing::parse(DRAWING).expect("a drawing");
+        let out_of_order = timeline(&[
             (1, "a", "first"),
             (2, "a", "ends"),
             (3, "b", "one"),
             (4, "b", "two"),
         ]);
-        let differs = tied.check(&drawing).expect_err("one came too late");
+        let mismatch = out_of_order
+            .check(&drawing)
+            .expect_err("a step below the rule occurs before one above it");
         assert_eq!(
-            (differs.line, differs.why.as_str()),
+            (mismatch.line, mismatch.reason.as_str()),
             (
                 Some(6),
-                "line 6: comes before what is drawn above it in line 4"
+                "line 6: occurs before the step above the rule in line 4"
             )
         );
-        let other = steps(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
-        let differs = other.check(&drawing).expect_err("another step");
-        assert_eq!(differs.line, Some(4));
+        let unexpected = timeline(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
+        let mismatch = unexpected.check(&drawing).expect_err("unexpected step");
+        assert_eq!(mismatch.line, Some(4));
         assert!(
-            differs.to_string().contains("\n>   0.0  .      none\n")
-                && differs.to_string().contains("\n>      | one\n"),
-            "{differs}"
+            mismatch.to_string().contains("\n>   0.0  .      none\n")
+                && mismatch.to_string().contains("\n>      | one\n"),
+            "{mismatch}"
         );
-        let fewer = steps(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
+        let missing = timeline(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
         assert_eq!(
-            fewer.check(&drawing).expect_err("too few").why,
-            "line 8: b did not: two"
+            missing.check(&drawing).expect_err("missing step").reason,
+            "line 8: step `two` of b is missing"
         );
-        let more = steps(&[
+        let additional = timeline(&[
             (1, "a", "first"),
             (2, "b", "one"),
             (3, "a", "ends"),
@@ -357,29 +377,44 @@
             (5, "a", "more"),
         ]);
         assert_eq!(
-            more.check(&drawing).expect_err("too many").why,
-            "a more, which is not drawn"
+            additional
+                .check(&drawing)
+                .expect_err("additional step")
+                .reason,
+            "step `more` of a is not in the drawing"
         );
     }
 
     #[test]
-    fn a_faulty_drawing_is_told_by_its_line() {
-        assert_eq!(Drawing::read("# nothing\n"), Err(NoDrawing::Names));
-        assert_eq!(Drawing::read("a | a\n"), Err(NoDrawing::Name(1)));
-        assert_eq!(Drawing::read("a | b\nx | y\n"), Err(NoDrawing::Row(2, 2)));
+    fn rejects_malformed_drawings_with_line_number() {
+        assert_eq!(
+            Drawing::parse("# nothing\n"),
+            Err(DrawingParseError::MissingHeader)
+        );
+        assert_eq!(
+            Drawing::parse("a | a\n"),
+            Err(DrawingParseError::InvalidNodeName(1))
+        );
         assert_eq!(
-            Drawing::read("a | b\n\n  |  | c\n"),
-            Err(NoDrawing::Row(3, 2))
+            Drawing::parse("a | b\nx | y\n"),
+            Err(DrawingParseError::InvalidRow(2, 2))
+        );
+        assert_eq!(
+            Drawing::parse("a | b\n\n  |  | c\n"),
+            Err(DrawingParseError::InvalidRow(3, 2))
         );
     }
 
     #[test]
-    fn a_sketch_is_a_drawing_of_its_timeline() {
-        let timeline = steps(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
-        let sketch = Drawing::sketch(&timeline, 100);
-        assert_eq!(sketch, "a     | b\nfirst |\n      | one\n----\nends  |\n");
+    fn generated_drawing_matches_its_timeline() {
+        let timeline = timeline(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
+        let generated = Drawing::generate(&timeline, 100);
+        assert_eq!(
+            generated,
+            "a     | b\nfirst |\n      | one\n----\nends  |\n"
+        );
         assert_eq!(
-            timeline.check(&Drawing::read(&sketch).expect("a drawing")),
+            timeline.check(&Drawing::parse(&generated).expect("a drawing")),
             Ok(())
         );
     }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,69 +1,71 @@
-//! What several processes did, told as steps and drawn as text.
+//! Timelines of the steps that several processes log, rendered as text and compared with recorded drawings.
 //!
-//! Every party writes a [`Step`] a line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in microseconds, the
-//! node, what it did, and after `<-` why, where that is known. Other lines are no steps, so that steps may stand in any log. A
-//! [`Timeline`] reads them, sorts them and draws a column for each node; [`drawing`] compares it with a drawn file, in which
-//! the order of one column counts, and the order between columns only where a line across ties them.
+//! Each process writes one [`Step`] per line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in microseconds,
+//! the node, its action, and after `<-` the cause, if known. All other lines are ignored, so that steps can be part of any
+//! log. A [`Timeline`] parses and sorts the steps and renders one column per node. [`drawing`] compares it with a recorded
+//! file, which defines the order of the steps in each column; a horizontal rule orders the steps of different columns.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod draw;
 pub mod drawing;
+mod render;
 
-pub use drawing::{Differs, Drawing};
+pub use drawing::{Drawing, Mismatch};
 
 use std::fmt;
 
-/// What stands before a step in the log of a process.
-const LOGGED: &str = " timeline: @ ";
+/// The text before the time of a step in the log of a process.
+const LOG_PREFIX: &str = " timeline: @ ";
 
-/// One step of one node.
+/// One step of a node.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
-    /// When, in microseconds.
-    pub at: u64,
-    /// Who.
+    /// The time of the step in microseconds.
+    pub time_us: u64,
+    /// The name of the node.
     pub node: String,
-    /// What it did.
-    pub what: String,
-    /// Why, where that is known.
+    /// What the node did.
+    pub action: String,
+    /// Why the node did it, if known.
     pub cause: Option<String>,
 }
 
 impl Step {
-    /// A step without a cause.
+    /// Returns a step without a cause.
     #[must_use]
-    pub fn new(at: u64, node: &str, what: impl Into<String>) -> Self {
+    pub fn new(time_us: u64, node: &str, action: impl Into<String>) -> Self {
         Self {
-            at,
+            time_us,
             node: node.to_owned(),
-            what: what.into(),
+            action: action.into(),
             cause: None,
         }
     }
 
-    /// Reads a line; none where it is no step.
+    /// Parses a line of a log. Returns `None` if the line is not a step.
     ///
     /// # Errors
-    /// Where it begins like one and is none.
-    pub fn read(line: &str) -> Result<Option<Self>, NoStep> {
+    /// If the line starts like a step, but is malformed.
+    pub fn parse(line: &str) -> Result<Option<Self>, StepParseError> {
         let line = line.trim();
-        let in_log = line.split_once(LOGGED).map(|(_, step)| step);
+        let in_log = line.split_once(LOG_PREFIX).map(|(_, step)| step);
         let Some(rest) = in_log.or(line.strip_prefix("@ ")) else {
             return Ok(None);
         };
-        let (at, rest) = rest.split_once(' ').ok_or(NoStep::Short)?;
-        let at = at.parse().map_err(|_| NoStep::Time(at.to_owned()))?;
-        let (node, what) = rest.split_once(' ').ok_or(NoStep::Short)?;
-        let (what, cause) = match what.split_once(" <- ") {
-            Some((what, cause)) => (what, Some(cause.to_owned())),
-            None => (what, None),
+        let (time, rest) = rest.split_once(' ').ok_or(StepParseError::MissingPart)?;
+        let time_us = time
+            .parse()
+            .map_err(|_| StepParseError::InvalidTime(time.to_owned()))?;
+        let (node, action) = rest.split_once(' ').ok_or(StepParseError::MissingPart)?;
+        let (action, cause) = match action.split_once(" <- ") {
+            Some((action, cause)) => (action, Some(cause.to_owned())),
+            None => (action, None),
         };
         Ok(Some(Self {
-            at,
+            time_us,
             node: node.to_owned(),
-            what: what.to_owned(),
+            action: action.to_owned(),
             cause,
         }))
     }
@@ -71,56 +73,59 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "@ {} {} {}", self.at, self.node, self.what)?;
+        write!(f, "@ {} {} {}", self.time_us, self.node, self.action)?;
         self.cause
             .iter()
             .try_for_each(|cause| write!(f, " <- {cause}"))
     }
 }
 
-/// Why a line that begins like a step is none.
+/// Why a line that starts like a step can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoStep {
-    /// A part is missing.
-    #[error("a step is `@`, a time in microseconds, a node and what it did")]
-    Short,
-    /// The time is none.
-    #[error("`{0}` is no time in microseconds")]
-    Time(String),
+pub enum StepParseError {
+    /// The node or its action is missing.
+    #[error("a step consists of `@`, a time in microseconds, a node and its action")]
+    MissingPart,
+    /// The time is not a number.
+    #[error("`{0}` is not a time in microseconds")]
+    InvalidTime(String),
 }
 
-/// Steps of several nodes, in the order of their times.
+/// The steps of several nodes, sorted by time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Timeline {
     steps: Vec<Step>,
 }
 
 impl Timeline {
-    /// Of these steps. Those of one time and one node keep their order.
+    /// Returns the timeline of these steps. Steps with the same time keep their order.
     #[must_use]
-    pub fn of(mut steps: Vec<Step>) -> Self {
-        steps.sort_by_key(|step| step.at);
+    pub fn new(mut steps: Vec<Step>) -> Self {
+        steps.sort_by_key(|step| step.time_us);
         Self { steps }
     }
 
-    /// The steps in the lines of a text.
+    /// Parses the steps among the lines of a text.
     ///
     /// # Errors
-    /// The number of the first line that begins like a step and is none, and why.
-    pub fn read(text: &str) -> Result<Self, (usize, NoStep)> {
+    /// The number of the first line that starts like a step, but is malformed, and the reason.
+    pub fn parse(text: &str) -> Result<Self, (usize, StepParseError)> {
         let lines = text.lines().enumerate();
-        let steps = lines
-            .filter_map(|(at, line)| Step::read(line).map_err(|why| (at + 1, why)).transpose());
-        Ok(Self::of(steps.collect::<Result<_, _>>()?))
+        let steps = lines.filter_map(|(index, line)| {
+            Step::parse(line)
+                .map_err(|error| (index + 1, error))
+                .transpose()
+        });
+        Ok(Self::new(steps.collect::<Result<_, _>>()?))
     }
 
-    /// All of them.
+    /// Returns all steps.
     #[must_use]
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// The nodes, in the order in which they first did something.
+    /// Returns the nodes in the order of their first steps.
     #[must_use]
     pub fn nodes(&self) -> Vec<&str> {
         let mut nodes: Vec<&str> = Vec::new();
@@ -132,17 +137,17 @@
         nodes
     }
 
-    /// Draws a column for each node, times from the first step on in milliseconds.
+    /// Renders one column per node, with times in milliseconds since the first step.
     #[must_use]
-    pub fn draw(&self) -> String {
-        draw::draw(self, &self.nodes(), None)
+    pub fn render(&self) -> String {
+        render::render(self, &self.nodes(), None)
     }
 
-    /// Compares with a drawing.
+    /// Compares the timeline with a drawing.
     ///
     /// # Errors
-    /// The first difference, with both drawn.
-    pub fn check(&self, drawing: &Drawing) -> Result<(), Differs> {
+    /// The first difference, with both timelines as text.
+    pub fn check(&self, drawing: &Drawing) -> Result<(), Mismatch> {
         drawing.check(self)
     }
 }
@@ -152,40 +157,40 @@
     use super::*;
 
     #[test]
-    fn steps_are_read_as_they_are_written_from_any_log() {
+    fn parses_steps_as_displayed_and_from_any_log() {
         let step = Step {
             cause: Some("no answer".into()),
             ..Step::new(1_500_000, "g1", "sees m2 go")
         };
         assert_eq!(step.to_string(), "@ 1500000 g1 sees m2 go <- no answer");
-        assert_eq!(Step::read(&step.to_string()), Ok(Some(step)));
-        assert_eq!(Step::read("2026 INFO something else"), Ok(None));
+        assert_eq!(Step::parse(&step.to_string()), Ok(Some(step)));
+        assert_eq!(Step::parse("2026 INFO something else"), Ok(None));
         assert_eq!(
-            Step::read("2026-12-02T00:00:00Z  INFO timeline: @ 7 g1 starts"),
+            Step::parse("2026-12-02T00:00:00Z  INFO timeline: @ 7 g1 starts"),
             Ok(Some(Step::new(7, "g1", "starts")))
         );
         assert_eq!(
-            Step::read("@ soon g1 goes"),
-            Err(NoStep::Time("soon".into()))
+            Step::parse("@ soon g1 goes"),
+            Err(StepParseError::InvalidTime("soon".into()))
         );
         let log = "INFO begins\n@ 2 b second\n  @ 1 a first\nINFO ends\n";
-        let timeline = Timeline::read(log).expect("two steps");
+        let timeline = Timeline::parse(log).expect("two steps");
         assert_eq!(timeline.nodes(), ["a", "b"]);
         assert_eq!(
-            Timeline::read("\n@ 1 a").expect_err("short"),
-            (2, NoStep::Short)
+            Timeline::parse("\n@ 1 a").expect_err("short"),
+            (2, StepParseError::MissingPart)
         );
     }
 
     #[test]
-    fn a_column_stands_for_each_node() {
+    fn renders_one_column_per_node() {
         let steps = vec![
             Step::new(1_000, "g1", "asks"),
             Step::new(2_500, "m-long", "answers"),
             Step::new(2_500, "g1", "ends"),
         ];
-        let drawn = Timeline::of(steps).draw();
+        let rendered = Timeline::new(steps).render();
         let expected = "     ms  g1    m-long \n    0.0  asks  .      \n    1.5  .     answers\n    1.5  ends  .      \n";
-        assert_eq!(drawn, expected, "\n{drawn}");
+        assert_eq!(rendered, expected, "\n{rendered}");
     }
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -39,7 +39,7 @@
 fn compare(cluster: &Cluster, name: &str) {
     let file = format!("{}/tests/timelines/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let drawing =
-        Drawing::read(&std::fs::read_to_string(file).expect("a drawing")).expect("a drawing");
+        Drawing::parse(&std::fs::read_to_string(file).expect("a drawing")).expect("a drawing");
     if let Err(differs) = cluster.timeline().check(&drawing) {
         panic!("{name}: {differs}");
     }
@@ -121,7 +121,7 @@
                 cluster.count(name, &format!("sees {other} go")),
                 0,
                 "{}",
-                cluster.timeline().draw()
+                cluster.timeline().render()
             );
         }
     }
