--- a/crates/consensus/src/change.rs
+++ b/crates/consensus/src/change.rs
@@ -99,10 +99,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidChange {
     /// The name of the subject is empty or too long; the field is its length in bytes.
-    #[error("a name has 1 to {MAX_NAME_BYTES} bytes, and not {0}")]
+    #[error("a name must have 1 to {MAX_NAME_BYTES} bytes, not {0}")]
     NameLength(usize),
     /// The value is too large; the field is its length in bytes.
-    #[error("a value has {MAX_VALUE_BYTES} bytes at most, and not {0}")]
+    #[error("a value must have at most {MAX_VALUE_BYTES} bytes, not {0}")]
     ValueTooLarge(usize),
 }
 
--- a/crates/consensus/src/configuration.rs
+++ b/crates/consensus/src/configuration.rs
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MembersError {
     /// The number of members is not 3, 5 or 7.
-    #[error("a group has 3, 5 or 7 members, and not {0}")]
+    #[error("a group must have 3, 5 or 7 members, not {0}")]
     Count(usize),
     /// A process is listed twice.
-    #[error("the members of a group are distinct")]
+    #[error("the members of a group must be distinct")]
     Duplicate,
     /// A member's id is out of bounds.
-    #[error("the id of a member lies between 1 and 64, and {0} does not")]
+    #[error("the id of a member must be between 1 and 64, not {0}")]
     NodeIdOutOfRange(NodeId),
 }
 
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,4 +1,4 @@
-//! Read leases: until when a process may act on its epoch without asking the others again.
+//! Read leases: until when a process may act on its epoch without probing the others again.
 //!
 //! A process probes all members for the number of entries that they have accepted. Suppose a
 //! quorum, the process itself included, has accepted no more entries than the process knows to be
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Goes over to the quorum of another configuration. Probes of the previous one are abandoned;
+    /// Changes to the quorum of another configuration. Probes of the previous one are abandoned;
     /// a lease that is held stays so until it expires.
     pub fn change_quorum(&mut self, quorum_size: usize) {
         self.quorum_size = quorum_size;
@@ -104,14 +104,17 @@
 
     /// Records the response of a member. Responses to probes that are not outstanding are ignored.
     pub fn on_response(&mut self, probe: ProbeId, member: NodeId, accepted_index: LogIndex) {
-        let matching = self.outstanding.iter_mut().find(|other| other.id == probe);
+        let matching = self
+            .outstanding
+            .iter_mut()
+            .find(|outstanding| outstanding.id == probe);
         if let Some(outstanding) = matching {
             outstanding.accepted_indexes.insert(member, accepted_index);
         }
     }
 
-    /// Extends the lease from the start of the newest probe that is confirmed, where so many
-    /// entries are decided here.
+    /// Extends the lease from the start of the newest confirmed probe, given the number of entries
+    /// that are decided here.
     pub fn renew(&mut self, decided_index: LogIndex) {
         let newest_confirmed = self
             .outstanding
--- a/crates/consensus/src/lease/tests.rs
+++ b/crates/consensus/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease against hand-made responses.
+//! Tests of the lease against constructed responses.
 
 use super::{Lease, ProbeId};
 use crate::change::LogIndex;
@@ -15,13 +15,13 @@
     assert_eq!(
         lease.expires_at(),
         None,
-        "one has accepted more than is decided here"
+        "a member has accepted more than is decided here"
     );
     lease.renew(LogIndex(6));
     assert_eq!(
         lease.expires_at(),
         Some(1_100),
-        "however late the response came"
+        "the lease counts from the start of the probe"
     );
     let second = lease.start_probe(1_050);
     lease.on_response(second, 2, LogIndex(6));
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -9,7 +9,7 @@
 //!   order. The number of decided changes is its epoch.
 //! - [`DurableLog`], the library's log on a [`DurableStorage`]: everything a message rests on is
 //!   durable before that message is handed out.
-//! - [`lease`]: for how long a process may act on its epoch without asking the others again. A
+//! - [`lease`]: for how long a process may act on its epoch without probing the others again. A
 //!   minority partition sees its lease expire, and decides nothing, since decisions need a quorum.
 //! - [`Configuration`], the members of the group, which the log itself can replace.
 
--- a/crates/consensus/src/log/error.rs
+++ b/crates/consensus/src/log/error.rs
@@ -19,13 +19,13 @@
         source: postcard::Error,
     },
     /// An entry is missing between others.
-    #[error("entry {missing_index} is missing, and later ones are there")]
+    #[error("entry {missing_index} is missing, but later ones exist")]
     MissingEntry {
         /// The index of the first entry that is missing.
         missing_index: usize,
     },
     /// More entries are recorded as decided than the log has.
-    #[error("{decided} entries are decided, and the log ends at {end}")]
+    #[error("{decided} entries are decided, but the log ends at {end}")]
     DecidedBeyondEnd {
         /// The number of decided entries.
         decided: usize,
@@ -41,7 +41,7 @@
         base: Epoch,
     },
     /// Entries that the stored table lacks were trimmed.
-    #[error("the table has {applied} entries applied, and {compacted} were trimmed from the log")]
+    #[error("the table has {applied} entries applied, but {compacted} were trimmed from the log")]
     TableBeforeLog {
         /// The number of entries of the log that the table has applied.
         applied: usize,
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -23,14 +23,15 @@
         /// The library's message.
         message: PaxosMessage<Change>,
     },
-    /// Asks how far the recipient's log is accepted, in order to renew the sender's lease.
+    /// Requests the number of entries that the recipient's log has accepted, to renew the sender's
+    /// lease.
     AcceptedIndexRequest {
         /// The configuration that the sender is in.
         configuration: ConfigurationId,
         /// The probe that the request belongs to.
         probe: ProbeId,
     },
-    /// Answers an [`AcceptedIndexRequest`](Self::AcceptedIndexRequest).
+    /// The response to an [`AcceptedIndexRequest`](Self::AcceptedIndexRequest).
     AcceptedIndexResponse {
         /// The configuration that the sender is in.
         configuration: ConfigurationId,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -96,7 +96,7 @@
         Ok(node)
     }
 
-    /// Reports that a new session stands with a process; messages on older ones are lost.
+    /// Reports that a new session with a process is established; messages on older ones are lost.
     pub fn on_connected(&mut self, now: Micros, peer: NodeId) {
         self.outbox.connect(peer);
         self.reconnect_member(peer);
@@ -163,7 +163,8 @@
         Ok(id)
     }
 
-    /// Starts an election in which this process stands, as before the leader is shut down by plan.
+    /// Starts an election with this process as a candidate, as before a planned shutdown of the
+    /// leader.
     pub fn campaign(&mut self, now: Micros) {
         if let Some(paxos) = &mut self.paxos {
             paxos.try_become_leader();
--- a/crates/consensus/src/node/event.rs
+++ b/crates/consensus/src/node/event.rs
@@ -19,7 +19,7 @@
     /// The table was replaced by one of this epoch, without a [`Decided`](Self::Decided) for each
     /// change in between.
     TableInstalled(Epoch),
-    /// Another process leads; `None` if no leader is known.
+    /// The leader has changed; `None` if no leader is known.
     LeaderChanged(Option<NodeId>),
     /// The lease is held: the current epoch may be acted on.
     LeaseAcquired,
--- a/crates/consensus/src/node/messages.rs
+++ b/crates/consensus/src/node/messages.rs
@@ -52,7 +52,7 @@
                 probe,
             } => {
                 if self.is_current(sender, configuration) {
-                    self.answer_probe(sender, probe);
+                    self.respond_to_probe(sender, probe);
                 }
             }
             Message::AcceptedIndexResponse {
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns whether the sender is in the same configuration. Otherwise the message is void, and
-    /// whichever of the two is behind gets the later configuration.
+    /// Returns whether the sender is in the same configuration. Otherwise the message is ignored, and
+    /// whichever of the two is behind is sent the later configuration.
     fn is_current(&mut self, sender: NodeId, configuration: ConfigurationId) -> bool {
         match configuration.cmp(&self.configuration.id) {
             Ordering::Equal => true,
@@ -98,7 +98,7 @@
         }
     }
 
-    fn answer_probe(&mut self, sender: NodeId, probe: ProbeId) {
+    fn respond_to_probe(&mut self, sender: NodeId, probe: ProbeId) {
         let accepted_index = self.paxos.as_ref().map_or(LogIndex(0), accepted_index);
         let response = Message::AcceptedIndexResponse {
             configuration: self.configuration.id,
@@ -108,8 +108,8 @@
         self.outbox.send(sender, &response);
     }
 
-    /// Asks a process in a later configuration for it: to a request that names the earlier one it
-    /// answers with the later.
+    /// Requests the configuration of a process that is in a later one: a request that names the
+    /// earlier configuration is answered with the later one.
     fn request_configuration(&mut self, recipient: NodeId) {
         let request = Message::AcceptedIndexRequest {
             configuration: self.configuration.id,
--- a/crates/consensus/src/node/outbox.rs
+++ b/crates/consensus/src/node/outbox.rs
@@ -29,12 +29,12 @@
         self.connected.remove(&peer);
     }
 
-    /// Returns the processes that a session stands with.
+    /// Returns the processes with an established session.
     pub(super) fn connected_peers(&self) -> Vec<NodeId> {
         self.connected.iter().copied().collect()
     }
 
-    /// Queues a message. It is dropped if no session stands with the recipient: what matters is
+    /// Queues a message. It is dropped if there is no session with the recipient: what matters is
     /// sent again on the next one.
     pub(super) fn send(&mut self, recipient: NodeId, message: &Message) {
         if self.connected.contains(&recipient) {
--- a/crates/consensus/src/node/progress.rs
+++ b/crates/consensus/src/node/progress.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Trims the log, on the leader, where it has become long.
+    /// Trims the log on the leader, if it has more than twice the retained number of decided entries.
     pub(super) fn trim_log(&mut self) {
         let Some(paxos) = &mut self.paxos else {
             return;
--- a/crates/consensus/src/node/reconfiguration.rs
+++ b/crates/consensus/src/node/reconfiguration.rs
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Goes over to the next configuration, where the log has decided its stop sign.
+    /// Changes to the next configuration, if the log has decided its stop sign.
     pub(super) fn adopt_decided_configuration(&mut self) {
         let Some(stop_sign) = self.paxos.as_ref().and_then(Paxos::is_reconfigured) else {
             return;
@@ -53,7 +53,7 @@
         self.enter(configuration, self.table.clone());
     }
 
-    /// Goes over to a later configuration that another process has sent with its initial table.
+    /// Changes to a later configuration that another process has sent with its initial table.
     /// One that contradicts itself or this process's table is ignored.
     pub(super) fn install_configuration(
         &mut self,
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -6,9 +6,9 @@
 
 /// The bounds of [`Settings::tick_interval`]: 1 ms to 1 s.
 const TICK_INTERVALS: RangeInclusive<Micros> = 1_000..=1_000_000;
-/// Fewer ticks would let one late heartbeat start an election.
+/// The minimum election timeout: with fewer ticks, one late heartbeat would start an election.
 const MIN_ELECTION_TIMEOUT_TICKS: u64 = 3;
-/// A lease lasts for as many probes at least, so that losing one does not end it.
+/// The minimum number of probes during a lease, so that losing one does not end it.
 const MIN_PROBES_PER_LEASE: u64 = 4;
 
 /// The settings of a node.
@@ -20,9 +20,9 @@
     pub members: Vec<NodeId>,
     /// The interval between two ticks of the library's logical clock, in microseconds.
     pub tick_interval: Micros,
-    /// An election starts after as many ticks without a heartbeat of the leader.
+    /// The number of ticks without a heartbeat of the leader after which an election starts.
     pub election_timeout_ticks: u64,
-    /// For how long after it was known to be the latest an epoch may be acted on, in microseconds.
+    /// How long an epoch may be acted on after it was known to be the latest, in microseconds.
     pub lease_duration: Micros,
     /// The interval between two probes that renew the lease, in microseconds.
     pub probe_interval: Micros,
@@ -77,16 +77,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The id of this process is out of bounds.
-    #[error("the id of a process lies between 1 and 64, and {0} does not")]
+    #[error("the id of a process must be between 1 and 64, not {0}")]
     NodeIdOutOfRange(NodeId),
     /// The initial members can't form a group.
     #[error("the initial members can't form a group")]
     Members(#[from] MembersError),
     /// The tick interval is out of bounds.
-    #[error("a tick takes 1 ms to 1 s, and not {0} us")]
+    #[error("a tick must take 1 ms to 1 s, not {0} us")]
     TickInterval(Micros),
     /// The election timeout has too few ticks.
-    #[error("an election timeout has {MIN_ELECTION_TIMEOUT_TICKS} ticks at least, and not {0}")]
+    #[error("an election timeout must have at least {MIN_ELECTION_TIMEOUT_TICKS} ticks, not {0}")]
     ElectionTimeout(u64),
     /// The probe interval is 0, or one lost probe could end the lease.
     #[error("the lease lasts less than {MIN_PROBES_PER_LEASE} probes: a lost one would end it")]
