--- a/crates/consensus/tests/consensus/agreement.rs
+++ b/crates/consensus/tests/consensus/agreement.rs
@@ -88,7 +88,7 @@
 #[test]
 fn agrees_on_every_epoch_and_applies_each_change_once_under_faults() {
     let mut decided = 0;
-    let mut lost = 0;
+    let mut expired_leases = 0;
     for seed in 0..120 {
         let members: &[NodeId] = if seed % 3 == 0 {
             &[1, 2, 3, 4, 5]
@@ -103,23 +103,23 @@
         );
         assert_eq!(cluster.disagreement(), None, "seed {seed}");
         decided += cluster.observed.decided.len();
-        lost += cluster.observed.expired_leases;
+        expired_leases += cluster.observed.expired_leases;
     }
-    // Seeds in which nothing is decided, or no lease expires, would prove nothing.
+    // The test proves nothing if no seed decides changes or lets leases expire.
     assert!(
-        decided > 2_000 && lost > 100,
-        "{decided} decided, {lost} leases ended"
+        decided > 2_000 && expired_leases > 100,
+        "{decided} decided, {expired_leases} leases expired"
     );
 }
 
-/// Checks the checks: the same seeds find a disk that loses what it reported to be durable.
+/// Proves that the checks work: the same seeds detect a disk that loses what it reported to be durable.
 #[test]
 fn finds_disks_that_lose_synced_writes() {
     for fault in [DiskFault::IgnoredSyncs, DiskFault::LostNewestEntry] {
-        let found = (0..200).find(|seed| {
+        let failing_seed = (0..200).find(|seed| {
             let cluster = run_with_faults(*seed, &[1, 2, 3], fault);
             !cluster.observed.violations.is_empty()
         });
-        assert!(found.is_some(), "{fault:?}");
+        assert!(failing_seed.is_some(), "{fault:?}");
     }
 }
--- a/crates/consensus/tests/consensus/cluster.rs
+++ b/crates/consensus/tests/consensus/cluster.rs
@@ -20,7 +20,7 @@
 
 /// The virtual time at which each cluster starts.
 const START: u64 = 1_000 * SECOND;
-/// The least time that a message travels.
+/// The minimum delay of a message.
 const MIN_DELAY: u64 = 100;
 
 /// The time at which a process is to be polled.
@@ -109,12 +109,12 @@
         self.disks.insert(id, disk.after_crash());
         for other in self.running() {
             self.network.drop_in_flight([id, other]);
-            let other_node = self.nodes.get_mut(&other).expect("it runs");
+            let other_node = self.nodes.get_mut(&other).expect("the node is running");
             other_node.on_disconnected(id);
         }
     }
 
-    /// Replaces the session between two processes. What was on its way on the old one is lost.
+    /// Replaces the session between two processes. Messages in flight on the old one are lost.
     pub fn connect(&mut self, ends: [NodeId; 2]) {
         self.network.drop_in_flight(ends);
         let now = self.now;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Mends all cut links and replaces all sessions, as the keepalive of a real session would once
+    /// Restores all cut links and replaces all sessions, as the keepalive of a real session would once
     /// its messages are lost.
     pub fn heal(&mut self, members: &[NodeId]) {
         self.network.cut.clear();
@@ -196,7 +196,8 @@
             .nodes
             .iter()
             .find(|(id, node)| configuration.has_member(**id) && node.pending_proposals() > 0);
-        pending.map(|(id, node)| format!("{} changes of {id} wait", node.pending_proposals()))
+        pending
+            .map(|(id, node)| format!("{} changes of {id} are pending", node.pending_proposals()))
     }
 
     fn running(&self) -> Vec<NodeId> {
@@ -218,7 +219,10 @@
     }
 
     fn poll(&mut self, id: NodeId) {
-        self.nodes.get_mut(&id).expect("it runs").poll(self.now);
+        self.nodes
+            .get_mut(&id)
+            .expect("the node is running")
+            .poll(self.now);
         self.collect(id);
     }
 
@@ -234,7 +238,7 @@
         }
         if let Some(node) = self.nodes.get_mut(&link.recipient) {
             node.handle_message(now, link.sender, &message.bytes)
-                .expect("it is a message");
+                .expect("the message is valid");
             self.collect(link.recipient);
         }
     }
@@ -269,7 +273,7 @@
     fn observe(&mut self, id: NodeId, event: Event) {
         if event == Event::Failed {
             let failure = self.nodes[&id].failure();
-            let cause = root_cause(failure.expect("it has failed"));
+            let cause = root_cause(failure.expect("the node has failed"));
             self.observed.violations.push(format!("{id}: {cause}"));
         }
         self.observed.record(ReportedEvent {
@@ -291,7 +295,7 @@
         let limit = decided_at + self.settings.lease_duration;
         if node.lease().is_held(self.now) && self.now > limit {
             self.observed.violations.push(format!(
-                "{id} acts on epoch {epoch} by its lease, {} us after the next",
+                "{id} holds a lease on epoch {epoch} {} us after the next was decided",
                 self.now - decided_at
             ));
         }
--- a/crates/consensus/tests/consensus/lease.rs
+++ b/crates/consensus/tests/consensus/lease.rs
@@ -25,11 +25,11 @@
     let expiry = cluster.observed.events.iter().find(|reported| {
         reported.at > since && reported.node == leader && reported.event == Event::LeaseExpired
     });
-    let lasted = expiry.expect("the expiry is reported").at - since;
+    let held_for = expiry.expect("the expiry is reported").at - since;
     assert!(
-        lasted <= cluster.settings.lease_duration
-            && lasted + SECOND > cluster.settings.lease_duration,
-        "{lasted}"
+        held_for <= cluster.settings.lease_duration
+            && held_for + SECOND > cluster.settings.lease_duration,
+        "{held_for}"
     );
     assert!(cluster.nodes[&rest[1]].lease().is_held(cluster.now));
     cluster.heal(&[1, 2, 3, 4, 5]);
--- a/crates/consensus/tests/consensus/membership_change.rs
+++ b/crates/consensus/tests/consensus/membership_change.rs
@@ -13,12 +13,12 @@
     cluster.run(SECOND);
     assert!(
         cluster.nodes[&4].leader().is_none(),
-        "it is not a member yet"
+        "process 4 is not a member yet"
     );
     cluster
         .nodes
         .get_mut(&2)
-        .expect("it runs")
+        .expect("the node is running")
         .propose_configuration(vec![1, 2, 4])
         .expect("the configuration is proposed");
     cluster.propose(1, 9);
--- a/crates/consensus/tests/consensus/model.rs
+++ b/crates/consensus/tests/consensus/model.rs
@@ -44,7 +44,7 @@
     Campaign(NodeId),
     /// Crashes a process and starts it again.
     Crash(NodeId),
-    /// Replaces a session, with the loss of what is on its way.
+    /// Replaces a session, with the loss of the messages in flight.
     Reconnect([NodeId; 2]),
 }
 
@@ -103,7 +103,7 @@
         let node = Node::new(Settings::new(id, NODES.to_vec()), disk, incarnation);
         Self {
             id,
-            node: node.expect("it starts"),
+            node: node.expect("the node starts"),
             incarnation,
             has_failed: false,
         }
@@ -128,7 +128,7 @@
             Input::Disconnected(peer) => node.on_disconnected(*peer),
             Input::Message { sender, bytes } => node
                 .handle_message(NOW, *sender, bytes)
-                .expect("it is a message"),
+                .expect("the message is valid"),
             Input::Campaign => node.campaign(NOW),
             Input::Propose(number) => {
                 let subject = Subject {
@@ -136,7 +136,7 @@
                     name: number.to_string(),
                 };
                 node.propose(NOW, subject, Some(vec![*number]), None)
-                    .expect("it is within bounds");
+                    .expect("the change is within bounds");
             }
             Input::Crash => self.restart(),
         }
--- a/crates/consensus/tests/consensus/model_checking.rs
+++ b/crates/consensus/tests/consensus/model_checking.rs
@@ -80,16 +80,16 @@
             .target_state_count(target_states(3_000))
             .spawn_bfs()
             .join();
-        let broken = violated_invariants(&checker);
+        let violated = violated_invariants(&checker);
         let states = checker.unique_state_count();
         let depth = checker.max_depth();
         println!("{case}: {states} states to depth {depth}");
-        assert_eq!(broken, Vec::<&str>::new(), "{case}");
+        assert_eq!(violated, Vec::<&str>::new(), "{case}");
         assert!(states >= 1_000, "{case}: {states} states");
     }
 }
 
-/// Checks the checks: random walks through the same model violate an invariant where the disks are
+/// Proves that the checks work: random walks through the same model violate an invariant where the disks are
 /// faulty, and never where they are sound.
 #[test]
 fn random_walks_find_faulty_disks() {
@@ -119,17 +119,20 @@
             .finish_when(HasDiscoveries::AnyFailures)
             .spawn_simulation(7, UniformChooser)
             .join();
-        let broken = violated_invariants(&checker);
-        println!("{fault:?}: {broken:?} in {} states", checker.state_count());
+        let violated = violated_invariants(&checker);
+        println!(
+            "{fault:?}: {violated:?} in {} states",
+            checker.state_count()
+        );
         assert_eq!(
-            broken.is_empty(),
+            violated.is_empty(),
             fault == DiskFault::None,
-            "{fault:?}: {broken:?}"
+            "{fault:?}: {violated:?}"
         );
     }
 }
 
-/// What the walk of [`walk_with_crash_after_promise`] came to.
+/// The result of [`walk_with_crash_after_promise`].
 struct WalkResult {
     is_invariant_violated: bool,
     /// The decisions of all processes, to explain a failed assertion.
@@ -149,22 +152,24 @@
         participants: PARTICIPANTS,
     };
     let mut state = model.init_states().remove(0);
-    let act = |state: &mut State, action| {
-        *state = model.next_state(state, action).expect("it is possible");
+    let apply = |state: &mut State, action| {
+        *state = model
+            .next_state(state, action)
+            .expect("the action is possible");
     };
     let exchange = |state: &mut State, ends: [NodeId; 2]| {
         let [forth, back] = Link::both(ends);
         while model.deliver(state, forth) || model.deliver(state, back) {}
     };
     let [prepare, promise] = Link::both([3, 2]);
-    act(&mut state, Action::Campaign(3));
-    act(&mut state, Action::Deliver(prepare));
-    act(&mut state, Action::Deliver(promise));
-    act(&mut state, Action::Propose(1));
-    act(&mut state, Action::Crash(2));
+    apply(&mut state, Action::Campaign(3));
+    apply(&mut state, Action::Deliver(prepare));
+    apply(&mut state, Action::Deliver(promise));
+    apply(&mut state, Action::Propose(1));
+    apply(&mut state, Action::Crash(2));
     exchange(&mut state, [1, 2]);
     exchange(&mut state, [2, 3]);
-    act(&mut state, Action::Propose(3));
+    apply(&mut state, Action::Propose(3));
     exchange(&mut state, [2, 3]);
     let is_invariant_violated = model
         .properties()
--- a/crates/consensus/tests/consensus/network.rs
+++ b/crates/consensus/tests/consensus/network.rs
@@ -4,7 +4,7 @@
 use cleatpulley_consensus::NodeId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A message on its way.
+/// A message in flight.
 pub struct InFlight {
     arrives_at: u64,
     pub bytes: Vec<u8>,
@@ -20,7 +20,7 @@
 }
 
 impl Network {
-    /// Returns a network without messages on their way.
+    /// Returns a network without messages in flight.
     pub fn new(max_jitter: u64) -> Self {
         Self {
             in_flight: BTreeMap::new(),
--- a/crates/consensus/tests/consensus/observations.rs
+++ b/crates/consensus/tests/consensus/observations.rs
@@ -56,14 +56,14 @@
         });
         if first.change != change.id {
             self.violations.push(format!(
-                "{} holds {:?} to be epoch {epoch}, another {:?}",
+                "{} reports {:?} for epoch {epoch}, another process {:?}",
                 reported.node, change.id, first.change
             ));
         }
         let is_first_report = first.at == reported.at;
         if *outcome == Outcome::Applied && is_first_report && !self.applied.insert(change.id) {
             self.violations
-                .push(format!("{:?} counts twice", change.id));
+                .push(format!("{:?} is applied twice", change.id));
         }
     }
 }
--- a/crates/consensus/tests/consensus/storage.rs
+++ b/crates/consensus/tests/consensus/storage.rs
@@ -17,8 +17,11 @@
     assert_eq!(cluster.disagreement(), None);
     let table = cluster.nodes[&1].table().clone();
     assert_eq!(table.epoch, 100);
-    let kept = cluster.nodes[&1].log().entries(0..1_000).len();
-    assert!(kept < 40, "{kept} entries are in the log");
+    let retained_entries = cluster.nodes[&1].log().entries(0..1_000).len();
+    assert!(
+        retained_entries < 40,
+        "{retained_entries} entries are in the log"
+    );
     [1, 2, 3].into_iter().for_each(|id| cluster.crash(id));
     [1, 2, 3].into_iter().for_each(|id| cluster.start(id));
     assert_eq!(
--- a/crates/consensus/tests/consensus/validation.rs
+++ b/crates/consensus/tests/consensus/validation.rs
@@ -5,12 +5,17 @@
 
 #[test]
 fn rejects_invalid_settings_changes_configurations_and_messages() {
-    let fault = |settings: Settings| settings.check().expect_err("it is invalid").key();
-    assert_eq!(fault(Settings::new(0, vec![1, 2, 3])), "me");
-    assert_eq!(fault(Settings::new(1, vec![1, 2])), "members");
-    assert_eq!(fault(Settings::new(1, vec![1, 2, 2])), "members");
+    let invalid_key = |settings: Settings| {
+        settings
+            .check()
+            .expect_err("the settings are invalid")
+            .key()
+    };
+    assert_eq!(invalid_key(Settings::new(0, vec![1, 2, 3])), "me");
+    assert_eq!(invalid_key(Settings::new(1, vec![1, 2])), "members");
+    assert_eq!(invalid_key(Settings::new(1, vec![1, 2, 2])), "members");
     assert_eq!(
-        fault(Settings {
+        invalid_key(Settings {
             lease_duration: 1,
             ..Settings::new(1, vec![1, 2, 3])
         }),
@@ -18,7 +23,7 @@
     );
     let settings = Settings::new(1, vec![1, 2, 3]);
     let mut node: Node<_> =
-        Node::new(settings, FaultyDisk::default(), Incarnation(1)).expect("it starts");
+        Node::new(settings, FaultyDisk::default(), Incarnation(1)).expect("the node starts");
     let unnamed = Subject {
         kind: SubjectKind::Pool,
         name: String::new(),
