--- a/crates/log-store/src/format/tests.rs
+++ b/crates/log-store/src/format/tests.rs
@@ -24,16 +24,16 @@
         b"key",
         b"value",
     );
-    let read = decode_record_header(&bytes, Salt(5), 100).expect("good");
+    let decoded = decode_record_header(&bytes, Salt(5), 100).expect("the header is intact");
     assert_eq!(
         RecordHeader {
             body_checksum: 0,
-            ..read
+            ..decoded
         },
         batch_start_header()
     );
-    assert_eq!(read.size(), bytes.len());
-    assert!(is_body_intact(&read, &bytes[RECORD_HEADER_BYTES..]));
+    assert_eq!(decoded.size(), bytes.len());
+    assert!(is_body_intact(&decoded, &bytes[RECORD_HEADER_BYTES..]));
     assert_eq!(
         (
             decode_record_header(&bytes, Salt(5), 101),
@@ -41,12 +41,12 @@
         ),
         (None, None)
     );
-    for at in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut changed = bytes.clone();
-        changed[at] ^= 1;
-        let good = decode_record_header(&changed, Salt(5), 100)
+        changed[offset] ^= 1;
+        let is_intact = decode_record_header(&changed, Salt(5), 100)
             .is_some_and(|header| is_body_intact(&header, &changed[RECORD_HEADER_BYTES..]));
-        assert!(!good, "{at}");
+        assert!(!is_intact, "{offset}");
     }
 }
 
@@ -66,13 +66,13 @@
         decode_segment_header(&bytes[..79]),
         DecodedSegmentHeader::Damaged
     );
-    for at in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut changed = bytes;
-        changed[at] ^= 0x40;
+        changed[offset] ^= 0x40;
         assert_eq!(
             decode_segment_header(&changed),
             DecodedSegmentHeader::Valid(header),
-            "{at}"
+            "{offset}"
         );
     }
     let mut newer = bytes;
--- a/crates/log-store/src/index/tests.rs
+++ b/crates/log-store/src/index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the index against a plain set.
+//! Tests of the index against a reference set.
 
 use super::*;
 use rand::rngs::SmallRng;
@@ -9,43 +9,46 @@
     RecordLocation::new((number % 7) as u16, number + 1, 8 * (number as usize % 100))
 }
 
-/// With few fingerprints (long runs, the upper end among them) and with many.
+/// Covers few fingerprints, which make long runs up to the end of the table, and many.
 #[test]
-fn index_has_the_same_entries_as_a_plain_set_after_random_changes() {
-    for prints in [4_u32, 300, u32::MAX] {
-        let mut random = SmallRng::seed_from_u64(u64::from(prints));
+fn index_has_the_same_entries_as_a_reference_set_after_random_changes() {
+    for fingerprint_count in [4_u32, 300, u32::MAX] {
+        let mut random = SmallRng::seed_from_u64(u64::from(fingerprint_count));
         let mut index = Index::default();
-        let mut plain = BTreeSet::new();
+        let mut expected = BTreeSet::new();
         for n in 0..6_000 {
-            let print = u32::MAX - random.random_range(0..prints);
+            let fingerprint = u32::MAX - random.random_range(0..fingerprint_count);
             if random.random_range(0..3) == 0 {
-                let some = plain
+                let existing = expected
                     .iter()
-                    .nth(random.random_range(0..plain.len().max(1)))
+                    .nth(random.random_range(0..expected.len().max(1)))
                     .copied();
-                if let Some((print, at)) = some {
-                    plain.remove(&(print, at));
-                    assert!(index.remove(print, at) && !index.contains(print, at));
+                if let Some((fingerprint, known_location)) = existing {
+                    expected.remove(&(fingerprint, known_location));
+                    assert!(
+                        index.remove(fingerprint, known_location)
+                            && !index.contains(fingerprint, known_location)
+                    );
                 }
             } else {
-                plain.insert((print, location(n)));
-                index.insert(print, location(n));
-                assert!(index.contains(print, location(n)));
+                expected.insert((fingerprint, location(n)));
+                index.insert(fingerprint, location(n));
+                assert!(index.contains(fingerprint, location(n)));
             }
-            assert_eq!(index.len(), plain.len());
+            assert_eq!(index.len(), expected.len());
         }
-        let all: BTreeSet<_> = index.iter().collect();
-        assert_eq!(all, plain);
+        let actual: BTreeSet<_> = index.iter().collect();
+        assert_eq!(actual, expected);
         assert!(index.iter().map(|entry| entry.0).is_sorted());
-        for (print, at) in &plain {
-            assert!(index.replace(*print, *at, location(9_999_999)));
-            assert!(!index.remove(*print, *at));
-            assert!(index.replace(*print, location(9_999_999), *at));
+        for (fingerprint, known_location) in &expected {
+            assert!(index.replace(*fingerprint, *known_location, location(9_999_999)));
+            assert!(!index.remove(*fingerprint, *known_location));
+            assert!(index.replace(*fingerprint, location(9_999_999), *known_location));
         }
         assert!(!index.remove(1, location(1)));
-        let entries: Vec<_> = plain.iter().copied().collect();
+        let entries: Vec<_> = expected.iter().copied().collect();
         let mut built = Index::build(&entries);
-        assert!(built.iter().eq(entries.iter().copied()) && built.len() == plain.len());
+        assert!(built.iter().eq(entries.iter().copied()) && built.len() == expected.len());
         built.insert(u32::MAX, location(9_999_999));
         assert!(built.contains(u32::MAX, location(9_999_999)));
     }
@@ -58,6 +61,6 @@
     for n in 0..100_000 {
         index.insert(random.random(), location(n));
     }
-    let each = index.memory_bytes() as f64 / 100_000.0;
-    assert!(each < 24.0, "{each}");
+    let bytes_per_entry = index.memory_bytes() as f64 / 100_000.0;
+    assert!(bytes_per_entry < 24.0, "{bytes_per_entry}");
 }
--- a/crates/log-store/src/recovery/tests.rs
+++ b/crates/log-store/src/recovery/tests.rs
@@ -41,8 +41,8 @@
     };
     let mut filter = RetentionFilter::new(tail, RECORD_BYTES);
     let mut retained = Vec::new();
-    for (i, letter) in letters.chars().enumerate() {
-        let sequence = i as u64 + 1;
+    for (index, letter) in letters.chars().enumerate() {
+        let sequence = index as u64 + 1;
         match letter {
             'x' => filter.push_damage(RECORD_BYTES * sequence, RECORD_BYTES),
             's' => filter.push_record(record(sequence, true, true), &mut retained),
@@ -64,7 +64,7 @@
 
 #[test]
 fn retains_synced_records_individually_and_later_ones_up_to_first_damage() {
-    for (newest, text, counts, cut) in [
+    for (is_newest, letters, expected_sequences, expected_size) in [
         (true, "sss", &[1, 2, 3][..], 400),
         (true, "ssx", &[1, 2], 300),
         (true, "sxs", &[1], 200),
@@ -82,9 +82,13 @@
         (false, "sf", &[1, 2], 300),
     ] {
         let Filtered {
-            sequences: found,
-            valid_size: at,
-        } = filter_segment(newest, text);
-        assert_eq!((&found[..], at), (counts, cut), "{newest} {text}");
+            sequences,
+            valid_size,
+        } = filter_segment(is_newest, letters);
+        assert_eq!(
+            (&sequences[..], valid_size),
+            (expected_sequences, expected_size),
+            "{is_newest} {letters}"
+        );
     }
 }
--- a/crates/log-store/src/scan/tests.rs
+++ b/crates/log-store/src/scan/tests.rs
@@ -35,35 +35,42 @@
 
 fn scan_sequences(bytes: &[u8]) -> Vec<u64> {
     let mut sequences = Vec::new();
-    let mut at = 0;
+    let mut offset = 0;
     loop {
-        match scan_record(&bytes[at..], SALT, at as u64, true) {
+        match scan_record(&bytes[offset..], SALT, offset as u64, true) {
             ScanResult::Record(header) => {
                 sequences.push(header.sequence);
-                at += header.size();
+                offset += header.size();
             }
             ScanResult::Damaged(length) => {
                 assert!(length > 0);
-                at += length;
+                offset += length;
             }
-            ScanResult::NeedMore(_) => unreachable!("all is there"),
+            ScanResult::NeedMore(_) => unreachable!("the segment is complete"),
             ScanResult::End => return sequences,
         }
     }
 }
 
 #[test]
-fn flipped_byte_loses_its_record_and_cut_loses_records_after_it() {
+fn flipped_byte_loses_its_record_and_truncation_loses_records_after_it() {
     let EncodedRecords { bytes, starts } = encode_records(5);
     assert_eq!(scan_sequences(&bytes), [0, 1, 2, 3, 4]);
-    for at in 0..bytes.len() {
-        let hit = starts.iter().rposition(|start| *start <= at).expect("one") as u64;
+    for offset in 0..bytes.len() {
+        let damaged = starts
+            .iter()
+            .rposition(|start| *start <= offset)
+            .expect("a record starts there or before") as u64;
         let mut changed = bytes.clone();
-        changed[at] ^= 0x55;
-        let left: Vec<_> = (0..5).filter(|sequence| *sequence != hit).collect();
-        assert_eq!(scan_sequences(&changed), left, "flip at {at}");
-        let whole: Vec<_> = (0..hit).collect();
-        assert_eq!(scan_sequences(&bytes[..at]), whole, "cut at {at}");
+        changed[offset] ^= 0x55;
+        let remaining: Vec<_> = (0..5).filter(|sequence| *sequence != damaged).collect();
+        assert_eq!(scan_sequences(&changed), remaining, "flipped at {offset}");
+        let complete: Vec<_> = (0..damaged).collect();
+        assert_eq!(
+            scan_sequences(&bytes[..offset]),
+            complete,
+            "truncated at {offset}"
+        );
     }
 }
 
@@ -73,18 +80,18 @@
     bytes[starts[1] + 3] ^= 1;
     for window in [1, 7, 50, 200, 1_000] {
         let mut sequences = Vec::new();
-        let mut at = 0;
-        let mut have = window;
+        let mut offset = 0;
+        let mut length = window;
         loop {
-            let end = (at + have).min(bytes.len());
-            match scan_record(&bytes[at..end], SALT, at as u64, end == bytes.len()) {
+            let end = (offset + length).min(bytes.len());
+            match scan_record(&bytes[offset..end], SALT, offset as u64, end == bytes.len()) {
                 ScanResult::Record(header) => {
                     sequences.push(header.sequence);
-                    at += header.size();
-                    have = window;
+                    offset += header.size();
+                    length = window;
                 }
-                ScanResult::Damaged(length) => at += length,
-                ScanResult::NeedMore(needed) => have = needed.max(have + 1),
+                ScanResult::Damaged(damaged_length) => offset += damaged_length,
+                ScanResult::NeedMore(needed) => length = needed.max(length + 1),
                 ScanResult::End => break,
             }
         }
--- a/crates/log-store/tests/common/driver.rs
+++ b/crates/log-store/tests/common/driver.rs
@@ -23,7 +23,7 @@
     pub store: Option<Store<SimulatedFolder>>,
     random: SmallRng,
     pub now: u64,
-    /// What was synced successfully.
+    /// The content that was synced successfully.
     acknowledged: Model,
     /// The batches that were written after that, in their order.
     unsynced: Vec<Vec<ModelChange>>,
@@ -50,26 +50,26 @@
     /// Opens the store and checks that it holds what was acknowledged and the first of the unsynced
     /// batches, completely.
     pub fn open(&mut self) -> Result<(), Error> {
-        let (store, found) = Store::open(self.disk.clone(), small_segment_options())?;
+        let (store, report) = Store::open(self.disk.clone(), small_segment_options())?;
         assert!(
-            found.damaged_ranges.is_empty() && found.quarantined.is_empty(),
-            "{found}"
+            report.damaged_ranges.is_empty() && report.quarantined.is_empty(),
+            "{report}"
         );
         let content = content_of(&store, self.now)?;
         let mut expected = self.acknowledged.clone();
-        let mut tried = 0;
+        let mut applied_batches = 0;
         while expected.live_content(self.now) != content {
-            let Some(batch) = self.unsynced.get(tried) else {
+            let Some(batch) = self.unsynced.get(applied_batches) else {
                 let acknowledged = self.acknowledged.live_content(self.now);
                 let keys = differing_keys(&acknowledged, &content);
                 panic!(
-                    "what is there is no state that was ever promised: {} batches pending, \
-                     {found}; {keys:?} differ",
+                    "the content matches no state that a crash may leave: {} batches unsynced, \
+                     {report}; {keys:?} differ",
                     self.unsynced.len()
                 )
             };
             expected.apply(batch);
-            tried += 1;
+            applied_batches += 1;
         }
         // Opening synced the store: from here on its content is durable.
         self.acknowledged = expected;
@@ -82,7 +82,7 @@
     pub fn close(&mut self) {
         self.store
             .take()
-            .expect("it is open")
+            .expect("the store is open")
             .close()
             .expect("nothing fails");
         self.acknowledge(self.unsynced.len());
@@ -93,9 +93,9 @@
         let Some(mut store) = self.store.take() else {
             return Ok(());
         };
-        let done = self.step_on(&mut store);
+        let result = self.step_on(&mut store);
         self.store = Some(store);
-        done
+        result
     }
 
     fn step_on(&mut self, store: &mut Store<SimulatedFolder>) -> Result<(), Error> {
@@ -107,9 +107,9 @@
             }
             14 => {
                 let synced = self.unsynced.len();
-                if let Some(mut syncing) = store.begin_sync()? {
-                    syncing.run();
-                    store.complete_sync(syncing)?;
+                if let Some(mut pending_sync) = store.begin_sync()? {
+                    pending_sync.run();
+                    store.complete_sync(pending_sync)?;
                 }
                 self.acknowledge(synced);
             }
@@ -194,9 +194,9 @@
             for batch in &self.unsynced {
                 expected.apply(batch);
             }
-            let found = content_of(store, self.now).expect("it is read");
+            let actual = content_of(store, self.now).expect("the content is read");
             let expected = expected.live_content(self.now);
-            let keys = differing_keys(&found, &expected);
+            let keys = differing_keys(&actual, &expected);
             assert!(
                 keys.is_empty(),
                 "{keys:?} differ at {}: {:?}",
--- a/crates/log-store/tests/common/maintenance.rs
+++ b/crates/log-store/tests/common/maintenance.rs
@@ -1,14 +1,14 @@
-//! Running maintenance to its end.
+//! Running maintenance until it is idle.
 
 use cleatpulley_log_store::simulated_folder::SimulatedFolder;
 use cleatpulley_log_store::{MaintenanceStatus, Store};
 
-/// Most steps before maintenance counts as endless.
+/// Number of steps after which maintenance counts as endless.
 const MAX_STEPS: usize = 10_000;
 
 /// Maintains a store until it has nothing to do, and fails if that does not happen.
 pub fn maintain_until_idle(store: &mut Store<SimulatedFolder>, now: u64, budget: usize) {
-    let turns = (0..MAX_STEPS)
+    let steps = (0..MAX_STEPS)
         .take_while(|_| {
             store
                 .run_maintenance_step(now, budget)
@@ -17,8 +17,8 @@
         })
         .count();
     assert!(
-        turns < 10_000,
-        "maintenance never ends: {:?}",
+        steps < 10_000,
+        "maintenance does not become idle: {:?}",
         store.stats()
     );
 }
--- a/crates/log-store/tests/common/model.rs
+++ b/crates/log-store/tests/common/model.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What is not expired at `now`.
+    /// The content that is not expired at `now`.
     pub fn live_content(&self, now: u64) -> Content {
         let live = self
             .values
@@ -49,34 +49,34 @@
     }
 }
 
-/// Keys whose values differ, with the lengths of both values: all that a failure has to show.
-pub fn differing_keys(one: &Content, other: &Content) -> BTreeSet<String> {
-    let keys = one
+/// Keys whose values differ, with the lengths of both values.
+pub fn differing_keys(left: &Content, right: &Content) -> BTreeSet<String> {
+    let keys = left
         .keys()
-        .chain(other.keys())
-        .filter(|key| one.get(*key) != other.get(*key));
+        .chain(right.keys())
+        .filter(|key| left.get(*key) != right.get(*key));
     let describe = |key: &Vec<u8>| {
         let size = |content: &Content| content.get(key).map(Vec::len);
-        format!("{} {:?}/{:?}", key.escape_ascii(), size(one), size(other))
+        format!("{} {:?}/{:?}", key.escape_ascii(), size(left), size(right))
     };
     keys.map(describe).collect()
 }
 
-/// Everything that a store holds, read both by age and by key.
+/// The live content of a store, read both by sequence number and by key.
 pub fn content_of(store: &Store<SimulatedFolder>, now: u64) -> Result<Content, Error> {
-    let mut all = Content::new();
+    let mut content = Content::new();
     let mut last = 0;
-    store.for_each_by_sequence(now, |seq, key, value| {
-        assert!(seq > last, "by age");
-        last = seq;
+    store.for_each_by_sequence(now, |sequence, key, value| {
+        assert!(sequence > last, "sequence numbers rise");
+        last = sequence;
         assert!(
-            all.insert(key.to_vec(), value.to_vec()).is_none(),
-            "a key twice"
+            content.insert(key.to_vec(), value.to_vec()).is_none(),
+            "the key occurs once"
         );
         true
     })?;
-    for (key, value) in &all {
+    for (key, value) in &content {
         assert_eq!(store.get(now, key)?.as_ref(), Some(value));
     }
-    Ok(all)
+    Ok(content)
 }
--- a/crates/log-store/tests/crashes.rs
+++ b/crates/log-store/tests/crashes.rs
@@ -41,8 +41,8 @@
     driver.open().expect("nothing fails");
 }
 
-/// The seeds come from a fixed generator, so that the verdict is the same every time. Proptest
-/// prints a failing one. `LOG_STORE_SEEDS=N` plays N histories.
+/// The seeds come from a fixed generator, so that the result is the same every time. Proptest
+/// prints a failing seed. `LOG_STORE_SEEDS=N` plays N histories.
 #[test]
 fn histories_of_generated_seeds_with_crashes_agree_with_the_model() {
     let cases = std::env::var("LOG_STORE_SEEDS")
@@ -55,11 +55,11 @@
         ..ProptestConfig::default()
     };
     let rng = TestRng::deterministic_rng(config.rng_algorithm);
-    let played = TestRunner::new_with_rng(config, rng).run(&any::<u64>(), |seed| {
+    let result = TestRunner::new_with_rng(config, rng).run(&any::<u64>(), |seed| {
         play_history(seed);
         Ok(())
     });
-    played.unwrap_or_else(|e| panic!("{e}"));
+    result.unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[test]
@@ -89,18 +89,18 @@
 
 #[test]
 fn crash_at_any_operation_loses_nothing_acknowledged() {
-    let (whole, operations) = play_workload(&SimulatedFolder::default(), &[]);
-    let stats = whole.store.as_ref().expect("it is open").stats();
+    let (driver, operations) = play_workload(&SimulatedFolder::default(), &[]);
+    let stats = driver.store.as_ref().expect("the store is open").stats();
     assert!(
         stats.compacted_segments >= 4 && stats.segments > 1,
-        "the workload meets compaction: {stats:?}"
+        "the workload does not reach compaction: {stats:?}"
     );
     for at in 0..operations {
         for seed in 0..3 {
             let (mut driver, _) = play_workload(&SimulatedFolder::default(), &[Fault::CrashAt(at)]);
             driver.store = None;
             driver.disk = driver.disk.after_crash(at * 3 + seed);
-            driver.open().expect("it opens");
+            driver.open().expect("the store opens");
         }
     }
 }
@@ -115,54 +115,57 @@
             eprintln!("{fault:?}"); // Shown where the test fails.
             let (mut driver, _) = play_workload(&SimulatedFolder::default(), &[fault]);
             driver.check();
-            let store = driver.store.take().expect("it is open");
+            let store = driver.store.take().expect("the store is open");
             if store.write_fault().is_some() {
                 poisoned += 1;
                 let mut store = store;
-                let refused = store.write(Batch::default().put(b"k", b"v", None));
-                assert!(matches!(refused, Err(Error::WritesDisabled(_))));
-                assert!(store.get(driver.now, b"key1").is_ok(), "reads go on");
+                let rejected = store.write(Batch::default().put(b"k", b"v", None));
+                assert!(matches!(rejected, Err(Error::WritesDisabled(_))));
+                assert!(
+                    store.get(driver.now, b"key1").is_ok(),
+                    "reads still succeed"
+                );
             }
             driver.disk = driver.disk.after_crash(at);
-            driver.open().expect("it opens");
+            driver.open().expect("the store opens");
         }
     }
-    assert!(poisoned > 10, "{poisoned} faults met a sync");
+    assert!(poisoned > 10, "only {poisoned} faults poisoned the store");
 }
 
 /// Writes to a full disk fail as a whole, compaction changes nothing, reads succeed, and writes
 /// succeed again once there is space.
 #[test]
 fn full_disk_loses_nothing_acknowledged_and_writes_resume_when_there_is_space() {
-    for room in (0..6_000).step_by(97) {
+    for free_bytes in (0..6_000).step_by(97) {
         let disk = SimulatedFolder::default();
-        let mut driver = StoreDriver::with_disk(disk.clone(), room as u64);
+        let mut driver = StoreDriver::with_disk(disk.clone(), free_bytes as u64);
         driver.open().expect("nothing fails yet");
         for _ in 0..40 {
             driver.step().expect("nothing fails yet");
         }
-        disk.set_faults(&[Fault::Full(0, disk.total_bytes() as usize + room)]);
-        let mut full = 0;
+        disk.set_faults(&[Fault::Full(0, disk.total_bytes() as usize + free_bytes)]);
+        let mut disk_full_errors = 0;
         for _ in 0..120 {
             match driver.step() {
                 Ok(()) => {}
-                Err(Error::DiskFull { .. }) => full += 1,
-                Err(e) => panic!("{e}"),
+                Err(Error::DiskFull { .. }) => disk_full_errors += 1,
+                Err(error) => panic!("{error}"),
             }
             driver.check();
         }
         assert!(
-            room > 4_000 || full > 0,
-            "the disk was never full at {room}"
+            free_bytes > 4_000 || disk_full_errors > 0,
+            "the disk was never full with {free_bytes} bytes free"
         );
         disk.set_faults(&[]);
         for _ in 0..40 {
-            driver.step().expect("there is room again");
+            driver.step().expect("the disk has space again");
         }
         driver.check();
         driver.store = None;
-        driver.disk = disk.after_crash(room as u64);
-        driver.open().expect("it opens");
+        driver.disk = disk.after_crash(free_bytes as u64);
+        driver.open().expect("the store opens");
     }
 }
 
@@ -171,8 +174,8 @@
 /// more.
 #[test]
 fn writes_of_the_next_process_after_a_failed_sync_are_durable() {
-    let mut failed = 0;
-    for (step, next) in (0..12).flat_map(|step| (1..5).map(move |next| (step, next))) {
+    let mut failed_opens = 0;
+    for (step, distance) in (0..12).flat_map(|step| (1..5).map(move |distance| (step, distance))) {
         let disk = SimulatedFolder::default();
         let (mut store, _) =
             Store::open(disk.clone(), small_segment_options()).expect("nothing fails");
@@ -183,8 +186,8 @@
         disk.release_lock();
         // The disk of a process fails while the store is being opened, and again while that is
         // undone. The machine runs on.
-        disk.set_faults(&[Fault::FailOnce(step), Fault::FailOnce(step + next)]);
-        failed += u32::from(Store::open(disk.clone(), small_segment_options()).is_err());
+        disk.set_faults(&[Fault::FailOnce(step), Fault::FailOnce(step + distance)]);
+        failed_opens += u32::from(Store::open(disk.clone(), small_segment_options()).is_err());
         disk.set_faults(&[]);
         disk.release_lock();
         let (mut store, _) =
@@ -194,15 +197,15 @@
             .expect("nothing fails any more");
         store.sync().expect("nothing fails any more");
         drop(store);
-        let (store, _) =
-            Store::open(disk.after_crash(step), small_segment_options()).expect("it recovers");
+        let (store, _) = Store::open(disk.after_crash(step), small_segment_options())
+            .expect("the store recovers");
         for (key, value) in [(b"a", b"1"), (b"c", b"3")] {
             assert_eq!(
-                store.get(0, key).expect("whole").as_deref(),
+                store.get(0, key).expect("the record is intact").as_deref(),
                 Some(&value[..]),
-                "step {step} {next}"
+                "step {step} {distance}"
             );
         }
     }
-    assert!(failed > 0, "nobody should trust faults that hit nothing");
+    assert!(failed_opens > 0, "no fault made an opening fail");
 }
--- a/crates/log-store/tests/damage.rs
+++ b/crates/log-store/tests/damage.rs
@@ -34,7 +34,7 @@
 /// Builds a store with sealed segments, some with hint files, a compacted one, batches and deletes.
 fn build_store() -> BuiltStore {
     let disk = SimulatedFolder::default();
-    let (mut store, _) = Store::open(disk.clone(), options()).expect("it opens");
+    let (mut store, _) = Store::open(disk.clone(), options()).expect("the store opens");
     let mut random = SmallRng::seed_from_u64(11);
     let mut content = BTreeMap::new();
     for n in 0..150_u32 {
@@ -51,7 +51,7 @@
                 content.insert(key, value);
             }
         }
-        store.write(batch).expect("room");
+        store.write(batch).expect("the disk has space");
         if n % 5 == 0 {
             store.sync().expect("nothing fails");
         }
@@ -67,12 +67,12 @@
     }
 }
 
-/// The position of a record in its segment.
+/// The byte range of a record in its segment.
 #[derive(Clone)]
-struct Spot {
+struct RecordSpan {
     start: usize,
     end: usize,
-    /// Where its batch ends.
+    /// Offset after the last record of its batch.
     batch_end: usize,
     key: Vec<u8>,
     sequence: u64,
@@ -80,130 +80,137 @@
 }
 
 /// The records of each segment.
-fn find_spots(disk: &SimulatedFolder) -> BTreeMap<String, Vec<Spot>> {
-    let mut all = BTreeMap::new();
-    for name in disk.list().expect("names") {
+fn find_record_spans(disk: &SimulatedFolder) -> BTreeMap<String, Vec<RecordSpan>> {
+    let mut spans_by_file = BTreeMap::new();
+    for name in disk.list().expect("the folder is listed") {
         if matches!(FileKind::from_name(&name), FileKind::Segment(_)) {
-            let spots = find_spots_in_segment(&disk.file_bytes(&name));
-            all.insert(name, spots);
+            let spans = find_record_spans_in_segment(&disk.file_bytes(&name));
+            spans_by_file.insert(name, spans);
         }
     }
-    all
+    spans_by_file
 }
 
-fn find_spots_in_segment(bytes: &[u8]) -> Vec<Spot> {
+fn find_record_spans_in_segment(bytes: &[u8]) -> Vec<RecordSpan> {
     let DecodedSegmentHeader::Valid(header) = decode_segment_header(bytes) else {
-        panic!("a good head")
+        panic!("the segment header is damaged")
     };
-    let mut spots: Vec<Spot> = Vec::new();
-    let mut at = SEGMENT_HEADER_BYTES;
-    let mut batch = 0;
-    while let ScanResult::Record(record) = scan_record(&bytes[at..], header.salt, at as u64, true) {
-        let end = at + record.size();
+    let mut spans: Vec<RecordSpan> = Vec::new();
+    let mut offset = SEGMENT_HEADER_BYTES;
+    let mut batch_start = 0;
+    while let ScanResult::Record(record) =
+        scan_record(&bytes[offset..], header.salt, offset as u64, true)
+    {
+        let end = offset + record.size();
         if matches!(record.kind, RecordKind::Put | RecordKind::Tombstone) {
             if record.starts_batch {
-                batch = spots.len();
+                batch_start = spans.len();
             }
-            spots.push(Spot {
-                start: at,
+            spans.push(RecordSpan {
+                start: offset,
                 end,
                 batch_end: end,
-                key: bytes[at + RECORD_HEADER_BYTES..][..record.key_len].to_vec(),
+                key: bytes[offset + RECORD_HEADER_BYTES..][..record.key_len].to_vec(),
                 sequence: record.sequence,
                 is_tombstone: record.kind == RecordKind::Tombstone,
             });
-            spots[batch..]
+            spans[batch_start..]
                 .iter_mut()
-                .for_each(|spot| spot.batch_end = end);
+                .for_each(|span| span.batch_end = end);
         }
-        at = end;
+        offset = end;
     }
-    assert_eq!(at, bytes.len());
-    spots
+    assert_eq!(offset, bytes.len());
+    spans
 }
 
 /// The newest record of a key.
 struct NewestRecord {
     file: String,
-    spot: Spot,
+    span: RecordSpan,
 }
 
 /// The newest record of each key.
-fn newest_records(spots: &BTreeMap<String, Vec<Spot>>) -> BTreeMap<Vec<u8>, NewestRecord> {
+fn newest_records(spans: &BTreeMap<String, Vec<RecordSpan>>) -> BTreeMap<Vec<u8>, NewestRecord> {
     let mut newest: BTreeMap<Vec<u8>, NewestRecord> = BTreeMap::new();
-    for (file, spots) in spots {
-        for spot in spots {
+    for (file, spans) in spans {
+        for span in spans {
             let newest_sequence = newest
-                .get(&spot.key)
-                .map_or(0, |record| record.spot.sequence);
-            if spot.sequence > newest_sequence {
+                .get(&span.key)
+                .map_or(0, |record| record.span.sequence);
+            if span.sequence > newest_sequence {
                 let record = NewestRecord {
                     file: file.clone(),
-                    spot: spot.clone(),
+                    span: span.clone(),
                 };
-                newest.insert(spot.key.clone(), record);
+                newest.insert(span.key.clone(), record);
             }
         }
     }
     newest
 }
 
-/// Opens a damaged store and checks that all keys except those in `hit` have their values.
+/// Opens a damaged store and checks that all keys except `damaged_keys` have their values.
 fn check_undamaged_keys(
     disk: &SimulatedFolder,
     content: &Content,
-    hit: &BTreeSet<Vec<u8>>,
-    what: &str,
+    damaged_keys: &BTreeSet<Vec<u8>>,
+    case: &str,
 ) {
-    let (store, _) = Store::open(disk.clone(), options()).unwrap_or_else(|e| panic!("{what}: {e}"));
+    let (store, _) =
+        Store::open(disk.clone(), options()).unwrap_or_else(|error| panic!("{case}: {error}"));
     for n in 0..40 {
         let key = format!("key{n:02}").into_bytes();
         match store.get(0, &key) {
-            Ok(value) if !hit.contains(&key) => {
+            Ok(value) if !damaged_keys.contains(&key) => {
                 assert_eq!(
                     value.as_ref(),
                     content.get(&key),
-                    "{what}: {}",
+                    "{case}: {}",
                     key.escape_ascii()
                 );
             }
             Ok(_) => {}
             Err(Error::DamagedRecord { .. }) => {
-                assert!(hit.contains(&key), "{what}: {} is lost", key.escape_ascii());
+                assert!(
+                    damaged_keys.contains(&key),
+                    "{case}: {} is lost",
+                    key.escape_ascii()
+                );
             }
-            Err(e) => panic!("{what}: {e}"),
+            Err(error) => panic!("{case}: {error}"),
         }
     }
 }
 
-/// The key of the damaged record then has an error, no value, or the value before.
+/// Reading the key of the damaged record returns an error, no value, or the previous value.
 #[test]
 fn flipped_bit_at_any_byte_affects_only_the_record_it_is_in() {
     let BuiltStore { disk, content } = build_store();
-    let spots = find_spots(&disk);
+    let spans = find_record_spans(&disk);
     let hints = disk
         .file_names()
         .iter()
         .filter(|name| name.ends_with(".hint"))
         .count();
-    assert!(spots.len() >= 3 && hints >= 1, "{:?}", disk.file_names());
+    assert!(spans.len() >= 3 && hints >= 1, "{:?}", disk.file_names());
     for name in disk.file_names() {
         let bytes = disk.file_bytes(&name);
-        for at in 0..bytes.len() {
+        for offset in 0..bytes.len() {
             let mut changed = bytes.clone();
-            changed[at] ^= 1 << (at % 8);
+            changed[offset] ^= 1 << (offset % 8);
             let copy = disk.durable_copy();
             copy.put_file(&name, changed);
-            let within = |spot: &&Spot| spot.start <= at && at < spot.end;
-            let hit = spots
+            let within = |span: &&RecordSpan| span.start <= offset && offset < span.end;
+            let damaged_key = spans
                 .get(&name)
-                .and_then(|spots| spots.iter().find(within))
-                .map(|spot| spot.key.clone());
+                .and_then(|spans| spans.iter().find(within))
+                .map(|span| span.key.clone());
             check_undamaged_keys(
                 &copy,
                 &content,
-                &hit.into_iter().collect(),
-                &format!("{name} flipped at {at}"),
+                &damaged_key.into_iter().collect(),
+                &format!("{name} flipped at {offset}"),
             );
         }
     }
@@ -213,23 +220,29 @@
 #[test]
 fn truncation_at_any_byte_affects_only_records_after_it_in_that_file() {
     let BuiltStore { disk, content } = build_store();
-    let spots = find_spots(&disk);
-    let newest = newest_records(&spots);
+    let spans = find_record_spans(&disk);
+    let newest = newest_records(&spans);
     for name in disk.file_names() {
         let bytes = disk.file_bytes(&name);
-        for at in 0..bytes.len() {
+        for offset in 0..bytes.len() {
             let copy = disk.durable_copy();
-            copy.put_file(&name, bytes[..at].to_vec());
+            copy.put_file(&name, bytes[..offset].to_vec());
             // Without its header nothing of a file can be read.
             let is_lost = |record: &NewestRecord| {
-                record.file == name && (record.spot.batch_end > at || at < SEGMENT_HEADER_BYTES)
+                record.file == name
+                    && (record.span.batch_end > offset || offset < SEGMENT_HEADER_BYTES)
             };
-            let hit = newest
+            let damaged_keys = newest
                 .iter()
                 .filter(|(_, record)| is_lost(record))
                 .map(|(key, _)| key.clone())
                 .collect();
-            check_undamaged_keys(&copy, &content, &hit, &format!("{name} cut at {at}"));
+            check_undamaged_keys(
+                &copy,
+                &content,
+                &damaged_keys,
+                &format!("{name} truncated at {offset}"),
+            );
         }
     }
 }
@@ -238,45 +251,45 @@
 #[test]
 fn check_reports_damage_by_file_and_offset_and_the_damaged_file_survives() {
     let BuiltStore { disk, content } = build_store();
-    let spots = find_spots(&disk);
-    let newest = newest_records(&spots);
+    let spans = find_record_spans(&disk);
+    let newest = newest_records(&spans);
     let (key, record) = newest
         .iter()
-        .find(|(_, record)| !record.spot.is_tombstone)
+        .find(|(_, record)| !record.span.is_tombstone)
         .expect("a live key");
     let name = &record.file;
-    let from = &record.spot.start;
+    let start = &record.span.start;
     let mut bytes = disk.file_bytes(name);
-    bytes[from + RECORD_HEADER_BYTES] ^= 1;
+    bytes[start + RECORD_HEADER_BYTES] ^= 1;
     disk.put_file(name, bytes);
-    let (mut store, _) = Store::open(disk.clone(), options()).expect("it opens");
-    let checked = store.verify(|_, _| ()).expect("it is read");
-    assert_eq!(checked.damaged_ranges.len(), 1);
+    let (mut store, _) = Store::open(disk.clone(), options()).expect("the store opens");
+    let report = store.verify(|_, _| ()).expect("the record is read");
+    assert_eq!(report.damaged_ranges.len(), 1);
     assert_eq!(
-        (&checked.damaged_ranges[0].0, checked.damaged_ranges[0].1),
-        (name, *from as u64)
+        (&report.damaged_ranges[0].0, report.damaged_ranges[0].1),
+        (name, *start as u64)
     );
     for n in 0..400_u32 {
         store
             .write(Batch::default().put(&n.to_le_bytes(), &[1; 40], None))
-            .expect("room");
+            .expect("the disk has space");
         store
             .write(Batch::default().delete(&n.to_le_bytes()))
-            .expect("room");
+            .expect("the disk has space");
         maintain_until_idle(&mut store, 0, 900);
     }
     for (other, value) in content.iter().filter(|(other, _)| *other != key) {
         assert_eq!(
-            store.get(0, other).expect("it is read").as_ref(),
+            store.get(0, other).expect("the record is read").as_ref(),
             Some(value)
         );
     }
-    let aside = disk
+    let is_quarantined = disk
         .file_names()
         .iter()
         .any(|name| name.ends_with(".damaged"));
     assert!(
-        aside || disk.file_names().contains(name),
+        is_quarantined || disk.file_names().contains(name),
         "{:?}",
         disk.file_names()
     );
--- a/crates/log-store/tests/stored_format.rs
+++ b/crates/log-store/tests/stored_format.rs
@@ -1,10 +1,10 @@
-//! The files of the embedded store keep their bytes: stores that release 0.2 wrote are read in full, and the same
-//! operations still write the same files.
+//! Compatibility of the stored format: stores that release 0.2 wrote are read completely, and the same operations still
+//! write the same files byte for byte.
 //!
-//! `fixtures/closed` was compacted and closed, with a hint for each segment; `fixtures/open` is a copy of a store that was
-//! still in use. The text files of the same names list what lives: key, expiry and value, as hex digits. The salts of segments
-//! come from the store's random numbers: another generator of those changes the files that are written, though not their
-//! format.
+//! `fixtures/closed` was compacted and closed, with a hint file for each segment; `fixtures/open` is a copy of a store that
+//! was still open. The text files of the same names list the live records: key, expiry time and value, keys and values as
+//! hex digits. The salts of segments come from the store's random number generator: another generator changes the written
+//! files, but not their format.
 
 use cleatpulley_log_store::files::OsFolder;
 use cleatpulley_log_store::{Batch, MaintenanceStatus, Options, Store};
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// Values with an expiry before it have expired, those after it live.
+/// The time of all reads, in microseconds.
 const NOW: u64 = 2_000_000;
 
 fn fixture(name: &str) -> PathBuf {
@@ -22,26 +22,31 @@
         .join(name)
 }
 
-/// The names and bytes of a store's files, its lock left out.
-fn files_of(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+/// The names and bytes of a store's files, except its lock file.
+fn read_files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(folder).expect("the folder exists");
     let names = entries.map(|entry| {
         entry
-            .expect("an entry")
+            .expect("the entry is read")
             .file_name()
             .into_string()
-            .expect("plain text")
+            .expect("the name is UTF-8")
     });
     let stored = names.filter(|name| name != "lock");
     stored
-        .map(|name| (name.clone(), fs::read(folder.join(&name)).expect("a file")))
+        .map(|name| {
+            (
+                name.clone(),
+                fs::read(folder.join(&name)).expect("the file is read"),
+            )
+        })
         .collect()
 }
 
-fn copy_of(name: &str) -> TempDir {
-    let copy = tempfile::tempdir().expect("a folder");
-    for (name, bytes) in files_of(&fixture(name)) {
-        fs::write(copy.path().join(name), bytes).expect("it is written");
+fn copy_fixture(name: &str) -> TempDir {
+    let copy = tempfile::tempdir().expect("the folder is created");
+    for (name, bytes) in read_files(&fixture(name)) {
+        fs::write(copy.path().join(name), bytes).expect("the write succeeds");
     }
     copy
 }
@@ -56,65 +61,68 @@
 }
 
 fn folder(path: &Path) -> OsFolder {
-    OsFolder::new(path, true).expect("a folder")
+    OsFolder::new(path, true).expect("the folder is created")
 }
 
-fn opened(path: &Path) -> Store<OsFolder> {
-    Store::open(folder(path), options()).expect("it opens").0
+fn open_store(path: &Path) -> Store<OsFolder> {
+    Store::open(folder(path), options())
+        .expect("the store opens")
+        .0
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
-    let pair = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
-    (0..hex.len()).step_by(2).map(pair).collect()
+fn decode_hex(hex: &str) -> Vec<u8> {
+    let byte =
+        |position: usize| u8::from_str_radix(&hex[position..position + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// What a list says that lives at this time.
-fn listed(name: &str, now: u64) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    let text = fs::read_to_string(fixture(name)).expect("a list");
-    let mut all = BTreeMap::new();
+/// The records of a list that are live at `now`.
+fn expected_content(name: &str, now: u64) -> BTreeMap<Vec<u8>, Vec<u8>> {
+    let text = fs::read_to_string(fixture(name)).expect("the list is read");
+    let mut records = BTreeMap::new();
     for line in text.lines() {
-        let parts: Vec<&str> = line.split(' ').collect();
-        let [key, expiry, value] = parts[..] else {
-            panic!("{line:?} is no line of the list")
+        let fields: Vec<&str> = line.split(' ').collect();
+        let [key, expiry, value] = fields[..] else {
+            panic!("malformed line {line:?}")
         };
-        let expiry: u64 = expiry.parse().expect("a number");
+        let expiry: u64 = expiry.parse().expect("the expiry time is a number");
         if expiry == 0 || expiry > now {
-            all.insert(bytes(key), bytes(value));
+            records.insert(decode_hex(key), decode_hex(value));
         }
     }
-    all
+    records
 }
 
-/// All that a store holds, read both by age and by key.
+/// The live content of a store, read both by sequence number and by key.
 fn content(store: &Store<OsFolder>, now: u64) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    let mut all = BTreeMap::new();
-    let read = store.for_each_by_sequence(now, |_, key, value| {
+    let mut records = BTreeMap::new();
+    let result = store.for_each_by_sequence(now, |_, key, value| {
         assert!(
-            all.insert(key.to_vec(), value.to_vec()).is_none(),
-            "{} is there twice",
+            records.insert(key.to_vec(), value.to_vec()).is_none(),
+            "key {} occurs twice",
             key.escape_ascii()
         );
         true
     });
-    read.expect("it is read");
-    for (key, value) in &all {
+    result.expect("the store is read");
+    for (key, value) in &records {
         assert_eq!(
-            store.get(now, key).expect("it is read").as_ref(),
+            store.get(now, key).expect("the record is read").as_ref(),
             Some(value)
         );
     }
-    all
+    records
 }
 
 fn key(number: u64) -> Vec<u8> {
     format!("key-{number:02}").into_bytes()
 }
 
-/// Every third value is text that can be compressed, the others are noise.
+/// Every third value is compressible text, the others are pseudo-random bytes.
 fn value(number: u64, version: u64) -> Vec<u8> {
     if number.is_multiple_of(3) {
         return format!("value {number} of version {version}; ")
@@ -122,57 +130,58 @@
             .into_bytes();
     }
     let mut state = number * 1_000 + version + 1;
-    let noise = |_| {
+    let next_byte = |_| {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         (state >> 56) as u8
     };
-    (0..30 + number).map(noise).collect()
+    (0..30 + number).map(next_byte).collect()
 }
 
-fn maintained(store: &mut Store<OsFolder>) {
+fn maintain_until_idle(store: &mut Store<OsFolder>) {
     while store
         .run_maintenance_step(0, 4_096)
-        .expect("it is maintained")
+        .expect("maintenance succeeds")
         == MaintenanceStatus::MoreToDo
     {}
 }
 
-/// Overwrites, deletes and batches over several segments, compacted in between; then opened once more and closed.
+/// Writes overwrites, deletes and batches over several segments with compaction in between, closes the store, opens it again
+/// for further writes and closes it.
 fn write_closed(path: &Path) {
-    let mut store = opened(path);
+    let mut store = open_store(path);
     for number in 0..60 {
         store
             .write(Batch::default().put(&key(number), &value(number, 0), None))
-            .expect("it is written");
+            .expect("the write succeeds");
     }
     for first in (0..30).step_by(5) {
         let puts = (first..first + 5).fold(Batch::default(), |batch, number| {
             batch.put(&key(number), &value(number, 1), None)
         });
-        store.write(puts).expect("it is written");
+        store.write(puts).expect("the write succeeds");
     }
     let deletes = (10..15).fold(Batch::default(), |batch, number| batch.delete(&key(number)));
-    store.write(deletes).expect("it is written");
-    store.sync().expect("it is durable");
-    maintained(&mut store);
+    store.write(deletes).expect("the write succeeds");
+    store.sync().expect("the sync succeeds");
+    maintain_until_idle(&mut store);
     assert!(
         store.stats().compacted_segments > 0,
-        "something was compacted"
+        "segments are compacted"
     );
     let expiring = Batch::default()
         .put(b"expires-early", b"gone", Some(NOW / 2))
         .put(b"expires-late", b"there", Some(NOW * 2))
         .put(b"empty", b"", None)
         .put(b"", b"the empty key", None);
-    store.write(expiring).expect("it is written");
-    store.close().expect("it closes");
-    let mut store = opened(path);
+    store.write(expiring).expect("the write succeeds");
+    store.close().expect("the store closes");
+    let mut store = open_store(path);
     for number in 50..60 {
         store
             .write(Batch::default().put(&key(number), &value(number, 2), None))
-            .expect("it is written");
+            .expect("the write succeeds");
     }
     store
         .write(
@@ -180,142 +189,151 @@
                 .delete(&key(55))
                 .put(&key(10), b"once more", None),
         )
-        .expect("it is written");
-    store.close().expect("it closes");
+        .expect("the write succeeds");
+    store.close().expect("the store closes");
 }
 
-/// Some writes of a store that stays open.
+/// Writes to a store that stays open.
 fn write_open(path: &Path) -> Store<OsFolder> {
-    let mut store = opened(path);
+    let mut store = open_store(path);
     for number in 0..20 {
         store
             .write(Batch::default().put(&key(number), &value(number, 0), None))
-            .expect("it is written");
+            .expect("the write succeeds");
     }
     store
         .write(Batch::default().delete(&key(3)).delete(&key(4)))
-        .expect("it is written");
-    store.sync().expect("it is durable");
+        .expect("the write succeeds");
+    store.sync().expect("the sync succeeds");
     store
         .write(Batch::default().put(&key(5), &value(5, 1), None))
-        .expect("it is written");
+        .expect("the write succeeds");
     store
 }
 
 #[test]
 fn opens_a_compacted_store_written_by_release_0_2() {
-    let copy = copy_of("closed");
-    let (store, found) = Store::open(folder(copy.path()), options()).expect("it opens");
-    // The newest segment is always read itself.
+    let copy = copy_fixture("closed");
+    let (store, report) = Store::open(folder(copy.path()), options()).expect("the store opens");
+    // The newest segment is read without its hint file.
     assert!(
-        found.segments >= 3 && found.segments_with_hint + 1 == found.segments,
-        "{found}"
+        report.segments >= 3 && report.segments_with_hint + 1 == report.segments,
+        "{report}"
     );
     assert!(
-        found.torn_tail_bytes == 0 && found.removed_leftovers == 0,
-        "{found}"
+        report.torn_tail_bytes == 0 && report.removed_leftovers == 0,
+        "{report}"
     );
     assert!(
-        found.damaged_ranges.is_empty() && found.quarantined.is_empty(),
-        "{found}"
+        report.damaged_ranges.is_empty() && report.quarantined.is_empty(),
+        "{report}"
     );
-    assert_eq!(content(&store, NOW), listed("closed.txt", NOW));
+    assert_eq!(content(&store, NOW), expected_content("closed.txt", NOW));
     assert!(store
         .verify(|_, _| {})
-        .expect("it is read")
+        .expect("the record is read")
         .damaged_ranges
         .is_empty());
-    for gone in [key(11), key(14), key(55), b"expires-early".to_vec()] {
+    for absent_key in [key(11), key(14), key(55), b"expires-early".to_vec()] {
         assert_eq!(
-            store.get(NOW, &gone).expect("it is read"),
+            store.get(NOW, &absent_key).expect("the record is read"),
             None,
             "{}",
-            gone.escape_ascii()
+            absent_key.escape_ascii()
         );
     }
     assert_eq!(
-        store.get(NOW, &key(10)).expect("it is read").as_deref(),
+        store
+            .get(NOW, &key(10))
+            .expect("the record is read")
+            .as_deref(),
         Some(&b"once more"[..])
     );
     assert_eq!(
-        store.get(NOW, &key(20)).expect("it is read"),
+        store.get(NOW, &key(20)).expect("the record is read"),
         Some(value(20, 1)),
-        "the overwritten one is gone"
+        "the newer value is returned"
     );
     assert_eq!(
-        store.get(NOW * 2, b"expires-late").expect("it is read"),
+        store
+            .get(NOW * 2, b"expires-late")
+            .expect("the record is read"),
         None
     );
 }
 
 #[test]
-fn hints_of_release_0_2_say_the_same_as_its_segments() {
-    let copy = copy_of("closed");
-    let hints: Vec<String> = files_of(copy.path())
+fn content_is_the_same_without_the_hint_files_of_release_0_2() {
+    let copy = copy_fixture("closed");
+    let hints: Vec<String> = read_files(copy.path())
         .into_keys()
         .filter(|name| name.ends_with(".hint"))
         .collect();
     assert!(hints.len() >= 3, "{hints:?}");
     hints
         .iter()
-        .for_each(|name| fs::remove_file(copy.path().join(name)).expect("it was there"));
-    let (store, found) = Store::open(folder(copy.path()), options()).expect("it opens");
+        .for_each(|name| fs::remove_file(copy.path().join(name)).expect("removed"));
+    let (store, report) = Store::open(folder(copy.path()), options()).expect("the store opens");
     assert_eq!(
-        (found.segments_with_hint, found.damaged_ranges.len()),
+        (report.segments_with_hint, report.damaged_ranges.len()),
         (0, 0),
-        "{found}"
+        "{report}"
     );
-    assert_eq!(content(&store, NOW), listed("closed.txt", NOW));
+    assert_eq!(content(&store, NOW), expected_content("closed.txt", NOW));
 }
 
 #[test]
 fn opens_a_store_that_release_0_2_did_not_close() {
-    let copy = copy_of("open");
-    let (store, found) = Store::open(folder(copy.path()), options()).expect("it opens");
+    let copy = copy_fixture("open");
+    let (store, report) = Store::open(folder(copy.path()), options()).expect("the store opens");
     assert!(
-        found.damaged_ranges.is_empty() && found.quarantined.is_empty(),
-        "{found}"
+        report.damaged_ranges.is_empty() && report.quarantined.is_empty(),
+        "{report}"
     );
-    assert_eq!(content(&store, NOW), listed("open.txt", NOW));
-    assert_eq!(store.get(NOW, &key(4)).expect("it is read"), None);
+    assert_eq!(content(&store, NOW), expected_content("open.txt", NOW));
+    assert_eq!(store.get(NOW, &key(4)).expect("the record is read"), None);
     assert_eq!(
-        store.get(NOW, &key(5)).expect("it is read"),
+        store.get(NOW, &key(5)).expect("the record is read"),
         Some(value(5, 1))
     );
 }
 
 #[test]
-fn goes_on_writing_to_a_store_of_release_0_2() {
-    let copy = copy_of("closed");
-    let mut store = opened(copy.path());
+fn writes_to_a_store_of_release_0_2() {
+    let copy = copy_fixture("closed");
+    let mut store = open_store(copy.path());
     store
         .write(Batch::default().put(b"new", b"value", None).delete(&key(1)))
-        .expect("it is written");
-    store.sync().expect("it is durable");
-    maintained(&mut store);
-    store.close().expect("it closes");
-    let mut expected = listed("closed.txt", NOW);
+        .expect("the write succeeds");
+    store.sync().expect("the sync succeeds");
+    maintain_until_idle(&mut store);
+    store.close().expect("the store closes");
+    let mut expected = expected_content("closed.txt", NOW);
     expected.insert(b"new".to_vec(), b"value".to_vec());
     expected.remove(&key(1));
-    assert_eq!(content(&opened(copy.path()), NOW), expected);
+    assert_eq!(content(&open_store(copy.path()), NOW), expected);
 }
 
 #[test]
 fn writes_the_same_files_as_release_0_2() {
-    let closed = tempfile::tempdir().expect("a folder");
+    let closed = tempfile::tempdir().expect("the folder is created");
     write_closed(closed.path());
-    let open = tempfile::tempdir().expect("a folder");
+    let open = tempfile::tempdir().expect("the folder is created");
     let store = write_open(open.path());
     for (path, name) in [(closed.path(), "closed"), (open.path(), "open")] {
-        let (ours, theirs) = (files_of(path), files_of(&fixture(name)));
+        let (written, recorded) = (read_files(path), read_files(&fixture(name)));
         assert!(
-            ours.keys().eq(theirs.keys()),
+            written.keys().eq(recorded.keys()),
             "{name}: {:?} and {:?}",
-            ours.keys(),
-            theirs.keys()
+            written.keys(),
+            recorded.keys()
         );
-        for (file, bytes) in ours {
-            assert_eq!(hex(&bytes), hex(&theirs[&file]), "{name}: {file}");
+        for (file, bytes) in written {
+            assert_eq!(
+                encode_hex(&bytes),
+                encode_hex(&recorded[&file]),
+                "{name}: {file}"
+            );
         }
     }
     drop(store);
