--- a/crates/log-store/src/active_segment.rs
+++ b/crates/log-store/src/active_segment.rs
@@ -64,7 +64,7 @@
             .remove(name)
             .and_then(|()| self.files.sync_folder());
         if let Err(source) = removed {
-            self.poison(Error::io(name, "take back a new segment")(source));
+            self.poison(Error::io(name, "remove a new segment")(source));
         }
     }
 
@@ -100,7 +100,7 @@
         self.durable_size = self.durable_size.min(file.size.saturating_sub(1));
         self.files
             .truncate(file.handle, file.size)
-            .map_err(Error::io(&file.name, "give back the reserve"))
+            .map_err(Error::io(&file.name, "release the reserved space"))
     }
 
     /// Makes the active segment durable, ends it with a sync mark and seals it, so that the next
--- a/crates/log-store/src/engine.rs
+++ b/crates/log-store/src/engine.rs
@@ -157,7 +157,7 @@
         };
         // A part of a record must not stay where the next one is to begin.
         if let Err(source) = self.files.truncate(file, offset) {
-            let error = Error::io(name, "take back a write")(source);
+            let error = Error::io(name, "undo a write")(source);
             return Err(self.poison(error));
         }
         Err(error)
--- a/crates/log-store/src/error.rs
+++ b/crates/log-store/src/error.rs
@@ -7,12 +7,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// An operation of the file system failed.
-    #[error("{file}: {doing}: {source}")]
+    #[error("{file}: {operation}: {source}")]
     Io {
         /// Name of the file, or `folder` for the folder itself.
         file: String,
         /// The operation that failed.
-        doing: &'static str,
+        operation: &'static str,
         /// The error of the file system.
         source: io::Error,
     },
@@ -46,7 +46,7 @@
         version: u32,
     },
     /// The folder contains a file that does not belong to a store.
-    #[error("{file}: not a file of this store; nothing was touched")]
+    #[error("{file}: not a file of this store; the folder was left unchanged")]
     ForeignFile {
         /// Name of the file.
         file: String,
@@ -58,14 +58,14 @@
     #[error("the store is open for reading only")]
     ReadOnly,
     /// A size exceeds its limit.
-    #[error("{what} of {size} where {most} are the most")]
+    #[error("{what} of {size} exceeds the maximum of {max}")]
     TooLarge {
         /// What is too large.
         what: &'static str,
         /// Its size.
         size: usize,
         /// The largest size allowed.
-        most: usize,
+        max: usize,
     },
 }
 
@@ -75,19 +75,19 @@
     pub fn folder(source: io::Error) -> Self {
         Self::Io {
             file: "folder".to_owned(),
-            doing: "open",
+            operation: "open",
             source,
         }
     }
 
     /// Converts an I/O error of an operation on a file, for use in `map_err`.
-    pub(crate) fn io(file: &str, doing: &'static str) -> impl FnOnce(io::Error) -> Self {
+    pub(crate) fn io(file: &str, operation: &'static str) -> impl FnOnce(io::Error) -> Self {
         let file = file.to_owned();
         move |source| match source.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Self::DiskFull { file },
             _ => Self::Io {
                 file,
-                doing,
+                operation,
                 source,
             },
         }
--- a/crates/log-store/src/files.rs
+++ b/crates/log-store/src/files.rs
@@ -173,7 +173,7 @@
     fn file(&self, handle: FileHandle) -> io::Result<&File> {
         self.files
             .get(&handle)
-            .ok_or_else(|| io::Error::other("a handle that was closed"))
+            .ok_or_else(|| io::Error::other("the file handle is closed"))
     }
 }
 
--- a/crates/log-store/src/index_rebuild.rs
+++ b/crates/log-store/src/index_rebuild.rs
@@ -73,7 +73,7 @@
         let sort_keys = sort_by_fingerprint(candidates);
         let candidate_at = |sort_key: u64| candidates[sort_key as u32 as usize];
         let mut entries = Vec::with_capacity(candidates.len());
-        for group in sort_keys.chunk_by(|one, other| has_same_fingerprint(*one, *other)) {
+        for group in sort_keys.chunk_by(|first, second| has_same_fingerprint(*first, *second)) {
             if let [only] = group {
                 self.add_entry(&candidate_at(*only), &mut entries);
                 continue;
@@ -137,6 +137,6 @@
     sort_keys
 }
 
-fn has_same_fingerprint(one: u64, other: u64) -> bool {
-    one >> POSITION_BITS == other >> POSITION_BITS
+fn has_same_fingerprint(first: u64, second: u64) -> bool {
+    first >> POSITION_BITS == second >> POSITION_BITS
 }
--- a/crates/log-store/src/lib.rs
+++ b/crates/log-store/src/lib.rs
@@ -11,8 +11,8 @@
 //!
 //! # fn main() -> Result<(), cleatpulley_log_store::Error> {
 //! let folder = OsFolder::new("data", true).map_err(cleatpulley_log_store::Error::folder)?;
-//! let (mut store, found) = Store::open(folder, Options::default())?;
-//! println!("{found}");
+//! let (mut store, report) = Store::open(folder, Options::default())?;
+//! println!("{report}");
 //! store.write(Batch::default().put(b"key", b"value", None))?;
 //! store.sync()?;
 //! assert_eq!(store.get(0, b"key")?.as_deref(), Some(&b"value"[..]));
@@ -24,7 +24,7 @@
 //!
 //! From the bottom up; a file uses only files that are earlier in this list:
 //!
-//! - `files`, `memory`: the file system interface, its real and its simulated implementation
+//! - `files`, `simulated_folder`: the file system interface, its real and its simulated implementation
 //! - `format`, `hint`, `scan`, `index`: encodings and the index, without I/O
 //! - `error`: errors
 //! - `compaction_policy`, `recovery`: what to compact or evict, and what to retain after a crash;
--- a/crates/log-store/src/maintenance/output_file.rs
+++ b/crates/log-store/src/maintenance/output_file.rs
@@ -93,7 +93,7 @@
         engine
             .files
             .rename(&self.name, final_name)
-            .map_err(Error::io(final_name, "give the name"))
+            .map_err(Error::io(final_name, "rename"))
     }
 
     /// Closes and removes the file. A failure is ignored: the next opening removes unfinished
--- a/crates/log-store/src/open.rs
+++ b/crates/log-store/src/open.rs
@@ -33,9 +33,9 @@
             engine.create_active_segment()?;
         }
         engine.rewrite_unproven(&recovered.unproven)?;
-        let mut found = recovered.found;
-        found.keys = engine.index.len() as u64;
-        Ok((engine, found))
+        let mut report = recovered.report;
+        report.keys = engine.index.len() as u64;
+        Ok((engine, report))
     }
 
     /// Opens a store for reading only.
@@ -45,9 +45,9 @@
     pub(crate) fn open_read_only(files: F) -> Result<(Self, RecoveryReport), Error> {
         let mut engine = Self::new(files, Options::default());
         let mut retries = 0;
-        let mut found = loop {
+        let mut report = loop {
             match engine.recover(OpenMode::ReadOnly) {
-                Ok(recovered) => break recovered.found,
+                Ok(recovered) => break recovered.report,
                 // A writer compacted segments after the folder was listed.
                 Err(error) if is_file_missing(&error) && retries < MAX_READ_ONLY_RETRIES => {
                     retries += 1;
@@ -57,8 +57,8 @@
             }
         };
         engine.make_read_only();
-        found.keys = engine.index.len() as u64;
-        Ok((engine, found))
+        report.keys = engine.index.len() as u64;
+        Ok((engine, report))
     }
 
     fn close_segments(&mut self) {
@@ -70,23 +70,27 @@
     }
 
     fn recover(&mut self, mode: OpenMode) -> Result<Recovered, Error> {
-        let mut found = RecoveryReport::default();
+        let mut report = RecoveryReport::default();
         let mut listing = FolderListing::read(&self.files)?;
-        found.quarantined.append(&mut listing.quarantined);
+        report.quarantined.append(&mut listing.quarantined);
         self.next_segment_id = listing
             .newest_segment_id()
             .map_or(SegmentId(1), |newest| SegmentId(newest.0 + 1));
-        let mut opened = open_segments(&mut self.files, &mut listing, mode, &mut found)?;
-        set_replaced_aside(&mut opened, &mut listing);
-        listing.add_orphaned_hints(|id| opened.iter().any(|one| one.segment.header.id == id));
+        let mut opened = open_segments(&mut self.files, &mut listing, mode, &mut report)?;
+        move_replaced_to_leftovers(&mut opened, &mut listing);
+        listing.add_orphaned_hints(|id| {
+            opened
+                .iter()
+                .any(|opened_segment| opened_segment.segment.header.id == id)
+        });
         if mode == OpenMode::ReadWrite {
             self.remove_leftovers(&listing.leftovers)?;
-            found.removed_leftovers = listing.leftovers.len();
+            report.removed_leftovers = listing.leftovers.len();
         }
         let newest_id = newest_written_segment(&opened);
-        let mut recovery = SegmentRecovery::new(self, mode, newest_id, listing.hint_ids, found);
-        for one in opened {
-            recovery.recover_segment(one.segment)?;
+        let mut recovery = SegmentRecovery::new(self, mode, newest_id, listing.hint_ids, report);
+        for opened_segment in opened {
+            recovery.recover_segment(opened_segment.segment)?;
         }
         let recovered = recovery.finish();
         if let Some(slot) = recovered.empty_newest {
@@ -94,7 +98,7 @@
         }
         self.rebuild_index(&recovered.candidates)?;
         Ok(Recovered {
-            found: recovered.found,
+            report: recovered.report,
             unproven: recovered.unproven,
         })
     }
@@ -154,23 +158,25 @@
     }
 }
 
-/// What recovery found in a folder.
+/// The result of recovering a folder.
 struct Recovered {
-    found: RecoveryReport,
+    report: RecoveryReport,
     unproven: Vec<UnprovenRecord>,
 }
 
 /// Moves segments that compaction replaced to the leftovers. They must not be read: tombstones that
 /// shadow their records may be gone.
-fn set_replaced_aside(opened: &mut Vec<OpenedSegment>, listing: &mut FolderListing) {
+fn move_replaced_to_leftovers(opened: &mut Vec<OpenedSegment>, listing: &mut FolderListing) {
     let replaced: BTreeSet<SegmentId> = opened
         .iter()
-        .flat_map(|one| one.replaced_ids.iter().copied())
+        .flat_map(|opened_segment| opened_segment.replaced_ids.iter().copied())
         .collect();
-    opened.retain(|one| {
-        let is_replaced = replaced.contains(&one.segment.header.id);
+    opened.retain(|opened_segment| {
+        let is_replaced = replaced.contains(&opened_segment.segment.header.id);
         if is_replaced {
-            listing.leftovers.push(one.segment.file.name.clone());
+            listing
+                .leftovers
+                .push(opened_segment.segment.file.name.clone());
         }
         !is_replaced
     });
@@ -180,8 +186,8 @@
 fn newest_written_segment(opened: &[OpenedSegment]) -> Option<SegmentId> {
     opened
         .iter()
-        .filter(|one| !one.segment.header.compacted)
-        .map(|one| one.segment.header.id)
+        .filter(|opened_segment| !opened_segment.segment.header.compacted)
+        .map(|opened_segment| opened_segment.segment.header.id)
         .max()
 }
 
--- a/crates/log-store/src/options.rs
+++ b/crates/log-store/src/options.rs
@@ -44,7 +44,7 @@
         Err(Error::TooLarge {
             what: "a segment",
             size: self.segment_bytes as usize,
-            most: *SEGMENT_BYTES_RANGE.end() as usize,
+            max: *SEGMENT_BYTES_RANGE.end() as usize,
         })
     }
 }
--- a/crates/log-store/src/read_path.rs
+++ b/crates/log-store/src/read_path.rs
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// If the file system fails to read.
-    pub(crate) fn visit_by_age(
+    pub(crate) fn visit_by_sequence(
         &self,
         now: u64,
         mut visit: impl FnMut(u64, &[u8], &[u8]) -> bool,
--- a/crates/log-store/src/report.rs
+++ b/crates/log-store/src/report.rs
@@ -62,7 +62,11 @@
             self.keys, self.segments, self.segments_with_hint, self.records_read
         )?;
         if self.torn_tail_bytes > 0 {
-            write!(f, "; a torn end of {} bytes was cut", self.torn_tail_bytes)?;
+            write!(
+                f,
+                "; a torn tail of {} bytes was truncated",
+                self.torn_tail_bytes
+            )?;
         }
         if self.removed_leftovers > 0 {
             write!(
--- a/crates/log-store/src/segment_opening.rs
+++ b/crates/log-store/src/segment_opening.rs
@@ -40,14 +40,14 @@
     files: &mut F,
     listing: &mut FolderListing,
     mode: OpenMode,
-    found: &mut RecoveryReport,
+    report: &mut RecoveryReport,
 ) -> Result<Vec<OpenedSegment>, Error> {
     let mut opened = Vec::new();
     let newest_id = listing.newest_segment_id();
     for id in &listing.segment_ids {
         let is_newest = Some(*id) == newest_id;
-        match open_segment(files, *id, is_newest, mode, found)? {
-            OpenOutcome::Opened(one) => opened.push(one),
+        match open_segment(files, *id, is_newest, mode, report)? {
+            OpenOutcome::Opened(segment) => opened.push(segment),
             OpenOutcome::NeverWritten(name) => listing.leftovers.push(name),
             OpenOutcome::Quarantined => {}
         }
@@ -60,13 +60,11 @@
     id: SegmentId,
     is_newest: bool,
     mode: OpenMode,
-    found: &mut RecoveryReport,
+    report: &mut RecoveryReport,
 ) -> Result<OpenOutcome, Error> {
     let name = segment_file_name(id);
     let file = files.open(&name).map_err(Error::io(&name, "open"))?;
-    let size = files
-        .size(file)
-        .map_err(Error::io(&name, "look at the size"))?;
+    let size = files.size(file).map_err(Error::io(&name, "get the size"))?;
     let bytes = read_range(files, file, &name, 0, SEGMENT_HEADER_BYTES)?;
     match decode_segment_header(&bytes) {
         DecodedSegmentHeader::Valid(header) if header.id == id => {
@@ -86,7 +84,7 @@
             if is_newest && size <= SEGMENT_HEADER_BYTES as u64 {
                 return Ok(OpenOutcome::NeverWritten(name));
             }
-            quarantine(files, id, name, mode, found)?;
+            quarantine(files, id, name, mode, report)?;
             Ok(OpenOutcome::Quarantined)
         }
     }
@@ -104,17 +102,17 @@
     id: SegmentId,
     name: String,
     mode: OpenMode,
-    found: &mut RecoveryReport,
+    report: &mut RecoveryReport,
 ) -> Result<(), Error> {
     if mode == OpenMode::ReadOnly {
-        found.quarantined.push(name);
+        report.quarantined.push(name);
         return Ok(());
     }
     let quarantined_name = quarantined_file_name(id);
     files
         .rename(&name, &quarantined_name)
-        .map_err(Error::io(&name, "set aside"))?;
-    found.quarantined.push(quarantined_name);
+        .map_err(Error::io(&name, "quarantine"))?;
+    report.quarantined.push(quarantined_name);
     Ok(())
 }
 
--- a/crates/log-store/src/segment_recovery.rs
+++ b/crates/log-store/src/segment_recovery.rs
@@ -33,7 +33,7 @@
 
 /// What was recovered from all segments.
 pub(crate) struct RecoveredSegments {
-    pub found: RecoveryReport,
+    pub report: RecoveryReport,
     pub candidates: Vec<IndexCandidate>,
     pub unproven: Vec<UnprovenRecord>,
     /// The newest segment if it has no records. It must not be written to: a sync of it may have
@@ -59,7 +59,7 @@
         mode: OpenMode,
         newest_id: Option<SegmentId>,
         hint_ids: BTreeSet<SegmentId>,
-        found: RecoveryReport,
+        report: RecoveryReport,
     ) -> Self {
         Self {
             engine,
@@ -67,7 +67,7 @@
             newest_id,
             hint_ids,
             recovered: RecoveredSegments {
-                found,
+                report,
                 candidates: Vec::new(),
                 unproven: Vec::new(),
                 empty_newest: None,
@@ -87,7 +87,7 @@
         let id = segment.header.id;
         let is_newest = Some(id) == self.newest_id;
         let slot = self.engine.segments.insert(segment)?;
-        self.recovered.found.segments += 1;
+        self.recovered.report.segments += 1;
         let is_hint_usable = self.hint_ids.contains(&id) && !is_newest;
         let is_hint_read = is_hint_usable && self.read_hint(slot)?;
         if !is_hint_read {
@@ -137,8 +137,8 @@
             let candidate = IndexCandidate::account(segment, &record);
             self.recovered.candidates.extend(candidate);
         }
-        self.recovered.found.records_read += entries.entry_count() as u64;
-        self.recovered.found.segments_with_hint += 1;
+        self.recovered.report.records_read += entries.entry_count() as u64;
+        self.recovered.report.segments_with_hint += 1;
         Ok(true)
     }
 
@@ -149,9 +149,7 @@
         let Ok(file) = files.open(&name) else {
             return Ok(None);
         };
-        let size = files
-            .size(file)
-            .map_err(Error::io(&name, "look at the size"))?;
+        let size = files.size(file).map_err(Error::io(&name, "get the size"))?;
         let length = usize::try_from(size).unwrap_or(usize::MAX);
         let bytes = read_range(files, file, &name, 0, length);
         files.close(file);
@@ -178,8 +176,8 @@
         let verdict = filter.finish(size);
         for span in &verdict.damage {
             let name = &segment.file.name;
-            let found = &mut self.recovered.found;
-            found.add_damage(name, span.offset, span.length);
+            let report = &mut self.recovered.report;
+            report.add_damage(name, span.offset, span.length);
         }
         segment.is_damaged = !verdict.damage.is_empty();
         segment.file.size = verdict.valid_size;
@@ -205,7 +203,7 @@
         while let Some(segment) = self.engine.segments.get_mut(slot) {
             match reader.peek(&self.engine.files, segment)? {
                 SegmentItem::Record(header) => {
-                    self.recovered.found.records_read += 1;
+                    self.recovered.report.records_read += 1;
                     let record = RecoveredRecord {
                         header,
                         offset: reader.offset(),
@@ -233,10 +231,12 @@
     fn collect_unproven(&mut self, first_candidate: usize, synced_end: u64) {
         let unproven = self.recovered.candidates[first_candidate..]
             .iter()
-            .filter(|one| one.is_put && u64::from(one.location.offset) >= synced_end)
-            .map(|one| UnprovenRecord {
-                fingerprint: one.fingerprint,
-                location: one.location,
+            .filter(|candidate| {
+                candidate.is_put && u64::from(candidate.location.offset) >= synced_end
+            })
+            .map(|candidate| UnprovenRecord {
+                fingerprint: candidate.fingerprint,
+                location: candidate.location,
             });
         self.recovered.unproven.extend(unproven);
     }
@@ -250,7 +250,7 @@
         let tail = file.size..file_size;
         // Zeros were reserved ahead of writing and are no torn write.
         if !is_range_zero(&self.engine.files, file.handle, &file.name, tail)? {
-            self.recovered.found.torn_tail_bytes += file_size - file.size;
+            self.recovered.report.torn_tail_bytes += file_size - file.size;
         }
         if self.mode == OpenMode::ReadOnly {
             return Ok(());
@@ -258,7 +258,7 @@
         self.engine
             .files
             .truncate(file.handle, file.size)
-            .map_err(Error::io(&file.name, "cut the torn end"))?;
+            .map_err(Error::io(&file.name, "truncate the torn tail"))?;
         // Durable before anything is written after it: otherwise the torn tail might reappear
         // behind newer records.
         self.sync_segment(slot)
--- a/crates/log-store/src/segment_table.rs
+++ b/crates/log-store/src/segment_table.rs
@@ -34,7 +34,7 @@
         let slot = SegmentSlot::try_from(position).map_err(|_| Error::TooLarge {
             what: "a number of segments",
             size: position,
-            most: usize::from(SegmentSlot::MAX),
+            max: usize::from(SegmentSlot::MAX),
         })?;
         self.slots[position] = Some(segment);
         Ok(slot)
--- a/crates/log-store/src/simulated_folder/disk.rs
+++ b/crates/log-store/src/simulated_folder/disk.rs
@@ -60,7 +60,7 @@
     /// Counts an operation that changes something.
     ///
     /// # Errors
-    /// If a fault says so.
+    /// If a fault applies to this operation, or the machine has crashed.
     pub(super) fn begin_operation(&mut self) -> io::Result<WriteExtent> {
         let number = self.operations;
         self.operations += 1;
@@ -133,7 +133,7 @@
         self.handles
             .get(&handle)
             .copied()
-            .ok_or_else(|| io::Error::other("a handle that was closed"))
+            .ok_or_else(|| io::Error::other("the file handle is closed"))
     }
 
     pub(super) fn inode(&self, handle: FileHandle) -> io::Result<&Inode> {
@@ -148,9 +148,9 @@
 
     /// Syncs a file, which counts as an operation.
     pub(super) fn sync_inode(&mut self, number: u64) -> io::Result<()> {
-        let begun = self.begin_operation();
+        let operation = self.begin_operation();
         let inode = self.inodes.get_mut(&number).ok_or_else(no_such_inode)?;
-        if let Err(error) = begun {
+        if let Err(error) = operation {
             inode.fail_sync();
             return Err(error);
         }
@@ -257,11 +257,11 @@
 
     /// The disk after the machine was stopped cleanly: everything is durable.
     pub(super) fn after_clean_stop(&self) -> Self {
-        let settled = |inode: &Inode| Inode::durable(inode.data().to_vec());
+        let durable_inode = |inode: &Inode| Inode::durable(inode.data().to_vec());
         let inodes = self
             .inodes
             .iter()
-            .map(|(number, inode)| (*number, settled(inode)))
+            .map(|(number, inode)| (*number, durable_inode(inode)))
             .collect();
         self.successor(inodes, self.names.current.clone())
     }
--- a/crates/log-store/src/store.rs
+++ b/crates/log-store/src/store.rs
@@ -30,18 +30,18 @@
     /// for writing ([`Error::Locked`]), if the folder contains other files ([`Error::ForeignFile`]) or
     /// a newer format ([`Error::UnsupportedVersion`]), or if the file system fails.
     pub fn open(files: F, options: Options) -> Result<(Self, RecoveryReport), Error> {
-        let (engine, found) = Engine::open(files, options)?;
-        Ok((Self { engine, job: None }, found))
+        let (engine, report) = Engine::open(files, options)?;
+        Ok((Self { engine, job: None }, report))
     }
 
     /// Opens a store for reading only, even while another process writes to it. It shows the state
     /// at this moment and changes nothing in the folder.
     ///
     /// # Errors
-    /// As [`open`](Self::open), except that another writer is no error.
+    /// As [`open`](Self::open), except that another writer is not an error.
     pub fn open_read_only(files: F) -> Result<(Self, RecoveryReport), Error> {
-        let (engine, found) = Engine::open_read_only(files)?;
-        Ok((Self { engine, job: None }, found))
+        let (engine, report) = Engine::open_read_only(files)?;
+        Ok((Self { engine, job: None }, report))
     }
 
     /// The value of a key, unless it has expired at `now`.
@@ -52,7 +52,7 @@
         self.engine.get(now, key)
     }
 
-    /// Calls `each` with sequence number, key and value of every record that is live at `now`, the
+    /// Calls `visit` with sequence number, key and value of every record that is live at `now`, the
     /// oldest first, until it returns `false`. Damaged records are skipped.
     ///
     /// # Errors
@@ -60,9 +60,9 @@
     pub fn for_each_by_sequence(
         &self,
         now: u64,
-        each: impl FnMut(u64, &[u8], &[u8]) -> bool,
+        visit: impl FnMut(u64, &[u8], &[u8]) -> bool,
     ) -> Result<(), Error> {
-        self.engine.visit_by_age(now, each)
+        self.engine.visit_by_sequence(now, visit)
     }
 
     /// Appends a batch to the log. Reads see it at once; [`sync`](Self::sync) makes it durable.
@@ -100,8 +100,8 @@
     ///
     /// # Errors
     /// As [`sync`](Self::sync), and if the sync was never run.
-    pub fn complete_sync(&mut self, done: PendingSync) -> Result<(), Error> {
-        self.engine.complete_sync(done)
+    pub fn complete_sync(&mut self, sync: PendingSync) -> Result<(), Error> {
+        self.engine.complete_sync(sync)
     }
 
     /// Why the store accepts no more writes, if an error left the content of the disk unknown.
--- a/crates/log-store/src/write_path.rs
+++ b/crates/log-store/src/write_path.rs
@@ -276,9 +276,9 @@
     Ok(encoded_bytes)
 }
 
-fn check_limit(what: &'static str, size: usize, most: usize) -> Result<(), Error> {
-    if size > most {
-        return Err(Error::TooLarge { what, size, most });
+fn check_limit(what: &'static str, size: usize, max: usize) -> Result<(), Error> {
+    if size > max {
+        return Err(Error::TooLarge { what, size, max });
     }
     Ok(())
 }
