--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,8 +1,11 @@
-//! Matchers' host in the virtual world: sockets of the virtual network, its clock, and a keeper whose disk is in memory.
+//! Host of simulated matchers: sockets of the virtual network, its clock, and persistence on an
+//! in-memory disk.
 
-use crate::hall::{Hall, VirtualPassage, VirtualPassed, VirtualPost};
-use crate::net::{EndId, Net, NetEvent};
-use crate::shelf::{Shelf, VirtualStandings};
+use crate::handover::{
+    HandoverState, VirtualHandoverChannel, VirtualReceivedSocket, VirtualSuccessorListener,
+};
+use crate::network::{EndId, Network, NetworkEvent};
+use crate::reputation_storage::{ReputationWorker, VirtualReputationStorage};
 use cleatpulley_dispatcher::key_table::KeyCommand;
 use cleatpulley_dispatcher::Event as DispatcherEvent;
 use cleatpulley_idempotency::journal::Journal;
@@ -21,71 +24,71 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What happens in the virtual world.
+/// Events of the simulation.
 #[derive(Debug)]
 pub enum Event {
-    /// On the network.
-    Net(NetEvent),
-    /// A matcher of this life is to take a turn.
+    /// An event of the network.
+    Network(NetworkEvent),
+    /// The process of this matcher and incarnation is to be polled.
     Server(usize, u64),
-    /// A service has something to do.
+    /// A service's timer is due.
     Service(usize),
-    /// A matcher's keeper of this life has something to do.
+    /// The persistence worker of this matcher and incarnation has work to do.
     ResultPersistence(usize, u64),
-    /// Its book of earned standing has.
-    Shelf(usize, u64),
+    /// The reputation worker of this matcher and incarnation has work to do.
+    ReputationStorage(usize, u64),
     /// A fault begins.
-    Fault(usize),
+    FaultStart(usize),
     /// A fault ends.
-    Undo(usize),
-    /// A replaced matcher comes back.
-    Revive(usize, u64),
-    /// Somebody has come to a matcher's process, or something was said to it, on their way to take a place.
+    FaultEnd(usize),
+    /// A matcher without a process is started again.
+    Restart(usize, u64),
+    /// A handover channel of this process has a connection or a message to read.
     HandoverChannel(usize, u64),
-    /// A process is looked after that is to take another's place.
+    /// The upgrades of this machine are to be checked.
     Rollout(usize),
-    /// Operators ask.
-    Inspect,
+    /// The metrics of all processes are requested.
+    PollMetrics,
 }
 
-/// The network, shared by all who are on it.
-pub type Shared = Rc<RefCell<Net<Event>>>;
+/// The network, shared by everything that is connected to it.
+pub type SharedNetwork = Rc<RefCell<Network<Event>>>;
 
-/// Who owns an end of a connection.
+/// Owner of an end of a connection.
 #[derive(Debug, Clone, Copy)]
-pub enum Owner {
-    /// The party of a matcher's process, by its slot.
+pub enum ConnectionOwner {
+    /// A socket owner within a matcher's process, by the slot of the process.
     Server(usize, SocketOwner),
     /// A link of a service.
     Service(usize, u64),
 }
 
-const NUMBER: u64 = (1 << 48) - 1;
-/// A store that another process has open is tried again after this time.
-const LOCKED: Micros = 50_000;
+const NUMBER_MASK: u64 = (1 << 48) - 1;
+/// Delay before retrying to open a store that another process holds locked.
+const LOCK_RETRY_DELAY: Micros = 50_000;
 
-impl Owner {
-    /// As the network has it.
+impl ConnectionOwner {
+    /// Encodes the owner as the number that the network stores.
     #[must_use]
     pub fn encode(self) -> u64 {
         let (kind, index, number) = match self {
-            Self::Server(node, SocketOwner::ClientConnection(number)) => (0, node, number),
-            Self::Server(node, SocketOwner::Runtime) => (1, node, 0),
-            Self::Server(node, SocketOwner::Dependency(number)) => (2, node, number),
-            Self::Server(node, SocketOwner::Registry(number)) => (3, node, number),
-            Self::Server(node, SocketOwner::GatewayTarget(number)) => (5, node, number),
-            Self::Server(node, SocketOwner::Predecessor) => (7, node, 0),
-            Self::Server(node, SocketOwner::Successor) => (8, node, 0),
-            Self::Server(node, SocketOwner::Management(number)) => (6, node, number),
+            Self::Server(matcher, SocketOwner::ClientConnection(number)) => (0, matcher, number),
+            Self::Server(matcher, SocketOwner::Runtime) => (1, matcher, 0),
+            Self::Server(matcher, SocketOwner::Dependency(number)) => (2, matcher, number),
+            Self::Server(matcher, SocketOwner::Registry(number)) => (3, matcher, number),
+            Self::Server(matcher, SocketOwner::GatewayTarget(number)) => (5, matcher, number),
+            Self::Server(matcher, SocketOwner::Predecessor) => (7, matcher, 0),
+            Self::Server(matcher, SocketOwner::Successor) => (8, matcher, 0),
+            Self::Server(matcher, SocketOwner::Management(number)) => (6, matcher, number),
             Self::Service(service, link) => (4, service, link),
         };
-        kind << 56 | (index as u64) << 48 | number & NUMBER
+        kind << 56 | (index as u64) << 48 | number & NUMBER_MASK
     }
 
-    /// From what the network has.
+    /// Decodes the number that the network stores.
     #[must_use]
     pub fn decode(code: u64) -> Self {
-        let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER);
+        let (index, number) = ((code >> 48 & 0xFF) as usize, code & NUMBER_MASK);
         match code >> 56 {
             0 => Self::Server(index, SocketOwner::ClientConnection(number)),
             1 => Self::Server(index, SocketOwner::Runtime),
@@ -100,90 +103,94 @@
     }
 }
 
-/// Which process has a disk's store open, by its life.
-pub type Lock = Rc<Cell<Option<u64>>>;
+/// Lock of a disk's store: the incarnation of the process that holds it.
+pub type StoreLock = Rc<Cell<Option<u64>>>;
 
-/// A matcher's keeper, as its host has it.
-pub struct Desk {
-    lock: Lock,
-    life: u64,
-    /// It has closed the store, and nothing more is asked of it.
-    released: bool,
-    /// What it has to do.
+/// Persistence worker of a matcher's process.
+pub struct PersistenceWorker {
+    lock: StoreLock,
+    incarnation: u64,
+    /// The store is closed, and no further jobs are accepted.
+    closed: bool,
+    /// Pending jobs.
     pub jobs: VecDeque<PersistenceJob>,
-    core: ResultStore<SimulatedFolder>,
-    /// The disk; a crash leaves another.
+    store: ResultStore<SimulatedFolder>,
+    /// The disk; a crash replaces it.
     pub disk: SimulatedFolder,
     scheduled: bool,
-    /// It does nothing before this time.
+    /// No job is done before this time.
     pub stalled_until: Micros,
 }
 
-impl Desk {
-    /// One of a process on this disk, which a process before may have left.
+impl PersistenceWorker {
+    /// Creates the worker of a process on this disk, which may hold data of earlier processes.
     #[must_use]
-    pub fn new(disk: SimulatedFolder, lock: Lock, life: u64) -> Self {
-        let (jobs, core) = (VecDeque::new(), ResultStore::default());
+    pub fn new(disk: SimulatedFolder, lock: StoreLock, incarnation: u64) -> Self {
+        let (jobs, store) = (VecDeque::new(), ResultStore::default());
         Self {
             lock,
-            life,
-            released: false,
+            incarnation,
+            closed: false,
             jobs,
-            core,
+            store,
             disk,
             scheduled: false,
             stalled_until: 0,
         }
     }
 
-    /// Its process is gone: the system opens the lock.
-    pub fn abandon(&self) {
-        if self.lock.get() == Some(self.life) {
+    /// Releases the lock of a process that has ended, as the operating system does.
+    pub fn unlock(&self) {
+        if self.lock.get() == Some(self.incarnation) {
             self.lock.set(None);
         }
     }
 
-    /// Does what there is to do and closes the store.
+    /// Does all pending jobs and closes the store.
     pub fn close(&mut self, now: Micros) {
-        // A disk that stands still is waited for there, as the keeper's thread does, and nothing is left for the next.
+        // As in the persistence thread, closing waits for a stalled disk, so that no job is left
+        // for the next process.
         self.stalled_until = self.stalled_until.min(now);
-        self.work(now, &mut Vec::new());
+        self.run_jobs(now, &mut Vec::new());
         self.jobs.clear();
-        self.core.close();
-        self.abandon();
-        self.released = true;
+        self.store.close();
+        self.unlock();
+        self.closed = true;
     }
 
-    /// Does what there is to do; returns when it wants to go on.
-    pub fn work(&mut self, now: Micros, facts: &mut Vec<DispatcherEvent>) -> Option<Micros> {
+    /// Does the pending jobs; returns when it wants to be called again.
+    pub fn run_jobs(&mut self, now: Micros, events: &mut Vec<DispatcherEvent>) -> Option<Micros> {
         self.scheduled = false;
-        if self.released {
+        if self.closed {
             return None;
         }
         if now < self.stalled_until {
             self.scheduled = true;
             return Some(self.stalled_until);
         }
-        if !self.core.is_open() {
-            let taken = self.lock.get().is_some_and(|life| life != self.life);
-            if taken && !is_bug_injected(InjectedBug::LockIgnored) {
-                self.core.open(Err(Error::Locked), facts);
+        if !self.store.is_open() {
+            let is_locked = self
+                .lock
+                .get()
+                .is_some_and(|incarnation| incarnation != self.incarnation);
+            if is_locked && !is_bug_injected(InjectedBug::LockIgnored) {
+                self.store.open(Err(Error::Locked), events);
                 self.scheduled = true;
-                return Some(now + LOCKED);
+                return Some(now + LOCK_RETRY_DELAY);
             }
-            self.lock.set(Some(self.life));
+            self.lock.set(Some(self.incarnation));
             self.disk.release_lock();
             let options = Options {
                 segment_bytes: 16_384,
                 ..Options::default()
             };
             let opened = Journal::open(self.disk.clone(), options, now);
-            self.core.open(opened, facts);
+            self.store.open(opened, events);
         }
-        self.core.execute(&mut self.jobs.drain(..), facts);
-        self.core.sync(facts);
-        self.core.maintain(now, 4_096, facts);
-        if self.core.is_open() {
+        self.store.execute(&mut self.jobs.drain(..), events);
+        self.store.sync(events);
+        self.store.maintain(now, 4_096, events);
+        if self.store.is_open() {
             return None;
         }
         self.scheduled = true;
@@ -191,30 +198,30 @@
     }
 }
 
-/// The virtual world, as one matcher sees it.
+/// The simulated environment as one process sees it.
 #[derive(Clone)]
-pub struct Virtual {
+pub struct VirtualHost {
     /// The network.
-    pub net: Shared,
-    /// Which matcher it is.
-    pub node: usize,
-    /// Its life.
-    pub life: u64,
-    /// Its number among all processes that are there at a time.
+    pub net: SharedNetwork,
+    /// Index of the matcher.
+    pub matcher: usize,
+    /// Incarnation of the process.
+    pub incarnation: u64,
+    /// Number that is unique among the processes that exist at the same time.
     pub slot: usize,
-    /// Where the machine's processes meet.
-    pub hall: Rc<RefCell<Hall>>,
-    /// Its process, for descriptors.
+    /// Handover state of the machine.
+    pub handover: Rc<RefCell<HandoverState>>,
+    /// Number of the process on the network, which counts its descriptors.
     pub process: usize,
-    /// Its keeper.
-    pub desk: Rc<RefCell<Desk>>,
-    /// Its book of earned standing.
-    pub shelf: Rc<RefCell<Shelf>>,
+    /// Its persistence worker.
+    pub persistence: Rc<RefCell<PersistenceWorker>>,
+    /// Its reputation worker.
+    pub reputation: Rc<RefCell<ReputationWorker>>,
 }
 
 /// A connection.
 pub struct VirtualStream {
-    net: Shared,
+    net: SharedNetwork,
     end: EndId,
 }
 
@@ -234,17 +241,17 @@
     }
 
     fn shutdown_write(&self) {
-        self.net.borrow_mut().finish(self.end);
+        self.net.borrow_mut().shutdown_write(self.end);
     }
 
     fn take_error(&self) -> io::Result<()> {
-        self.net.borrow_mut().check(self.end)
+        self.net.borrow_mut().pending_error(self.end)
     }
 }
 
 /// A listening socket.
 pub struct VirtualListener {
-    net: Shared,
+    net: SharedNetwork,
     address: SocketAddr,
     number: u64,
     process: usize,
@@ -254,24 +261,29 @@
     fn drop(&mut self) {
         self.net
             .borrow_mut()
-            .close_door(self.address, self.number, self.process);
+            .close_listener(self.address, self.number, self.process);
     }
 }
 
-/// A descriptor that is kept for later.
-pub struct VirtualSpare {
-    net: Shared,
+/// A descriptor reserved for later use.
+pub struct VirtualReservedDescriptor {
+    net: SharedNetwork,
     process: usize,
 }
 
-impl Drop for VirtualSpare {
+impl Drop for VirtualReservedDescriptor {
     fn drop(&mut self) {
-        self.net.borrow_mut().let_go(self.process);
+        self.net.borrow_mut().release_descriptor(self.process);
     }
 }
 
 impl VirtualListener {
-    pub(crate) fn new(net: Shared, address: SocketAddr, number: u64, process: usize) -> Self {
+    pub(crate) fn new(
+        net: SharedNetwork,
+        address: SocketAddr,
+        number: u64,
+        process: usize,
+    ) -> Self {
         Self {
             net,
             address,
@@ -280,38 +292,38 @@
         }
     }
 
-    /// Where it listens, and its number there.
-    pub(crate) fn at(&self) -> (SocketAddr, u64) {
+    /// Address and number of the socket.
+    pub(crate) fn address_and_number(&self) -> (SocketAddr, u64) {
         (self.address, self.number)
     }
 }
 
-/// A matcher's access to its keeper.
-pub struct VirtualKeeper {
-    world: Virtual,
+/// Handle by which a matcher uses its persistence worker.
+pub struct VirtualResultPersistence {
+    host: VirtualHost,
 }
 
-impl VirtualKeeper {
+impl VirtualResultPersistence {
     fn push(&self, job: PersistenceJob) {
-        let mut desk = self.world.desk.borrow_mut();
-        // Nobody takes what is asked of a keeper that was let go, also not the next one.
-        if desk.released {
+        let mut persistence = self.host.persistence.borrow_mut();
+        // Jobs for a closed worker are dropped; the next process's worker does not get them either.
+        if persistence.closed {
             return;
         }
-        desk.jobs.push_back(job);
-        if !std::mem::replace(&mut desk.scheduled, true) {
-            let mut net = self.world.net.borrow_mut();
-            // A sync takes its time, and what comes meanwhile shares the next.
+        persistence.jobs.push_back(job);
+        if !std::mem::replace(&mut persistence.scheduled, true) {
+            let mut net = self.host.net.borrow_mut();
+            // A sync takes time; jobs that arrive in the meantime share the next one.
             let at = net.now + 700 + (net.now / 7) % 900;
             net.queue.push(
                 at,
-                Event::ResultPersistence(self.world.node, self.world.life),
+                Event::ResultPersistence(self.host.matcher, self.host.incarnation),
             );
         }
     }
 }
 
-impl ResultPersistence for VirtualKeeper {
+impl ResultPersistence for VirtualResultPersistence {
     fn write(&mut self, effect: KeyCommand) {
         self.push(PersistenceJob::Write(effect));
     }
@@ -321,64 +333,79 @@
     }
 
     fn release(&mut self) {
-        let now = self.world.net.borrow().now;
-        self.world.desk.borrow_mut().close(now);
+        let now = self.host.net.borrow().now;
+        self.host.persistence.borrow_mut().close(now);
     }
 
     fn stop(self) {
-        let now = self.world.net.borrow().now;
-        self.world.desk.borrow_mut().work(now, &mut Vec::new());
+        let now = self.host.net.borrow().now;
+        self.host
+            .persistence
+            .borrow_mut()
+            .run_jobs(now, &mut Vec::new());
     }
 }
 
-impl Host for Virtual {
+impl Host for VirtualHost {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
-    type ResultPersistence = VirtualKeeper;
-    type SuccessorListener = VirtualPost;
-    type ReservedDescriptor = VirtualSpare;
-    type ReputationStorage = VirtualStandings;
-    type HandoverChannel = VirtualPassage;
-
-    fn reserve_descriptor(&self) -> io::Result<VirtualSpare> {
-        self.net.borrow_mut().hold(self.process)?;
-        Ok(VirtualSpare {
+    type ResultPersistence = VirtualResultPersistence;
+    type SuccessorListener = VirtualSuccessorListener;
+    type ReservedDescriptor = VirtualReservedDescriptor;
+    type ReputationStorage = VirtualReputationStorage;
+    type HandoverChannel = VirtualHandoverChannel;
+
+    fn reserve_descriptor(&self) -> io::Result<VirtualReservedDescriptor> {
+        self.net.borrow_mut().acquire_descriptor(self.process)?;
+        Ok(VirtualReservedDescriptor {
             net: Rc::clone(&self.net),
             process: self.process,
         })
     }
 
-    fn open_reputation_storage(&self, _: PathBuf, most: usize) -> io::Result<VirtualStandings> {
-        Ok(VirtualStandings::new(self, most))
+    fn open_reputation_storage(
+        &self,
+        _: PathBuf,
+        max_entries: usize,
+    ) -> io::Result<VirtualReputationStorage> {
+        Ok(VirtualReputationStorage::new(self, max_entries))
     }
 
     fn is_address_in_use(&self, address: SocketAddr) -> bool {
-        self.net.borrow().listeners(address) > 0
+        self.net.borrow().listener_count(address) > 0
     }
 
     fn adopt_listener(
         &self,
-        passed: VirtualPassed,
+        passed: VirtualReceivedSocket,
         address: SocketAddr,
         _: usize,
     ) -> io::Result<VirtualListener> {
-        passed.take_up(address, self.process)
+        passed.adopt_listener(address, self.process)
     }
 
-    fn listen_for_successors(&self, _: &HandoverAddress, _: usize) -> io::Result<VirtualPost> {
-        VirtualPost::new(self)
+    fn listen_for_successors(
+        &self,
+        _: &HandoverAddress,
+        _: usize,
+    ) -> io::Result<VirtualSuccessorListener> {
+        VirtualSuccessorListener::new(self)
     }
 
-    fn accept_successor(&self, post: &VirtualPost, _: SocketOwner) -> io::Result<VirtualPassage> {
-        post.welcome(self)
+    fn accept_successor(
+        &self,
+        listener: &VirtualSuccessorListener,
+        _: SocketOwner,
+    ) -> io::Result<VirtualHandoverChannel> {
+        listener.accept(self)
     }
 
     fn connect_to_predecessor(
         &self,
         _: &HandoverAddress,
         _: SocketOwner,
-    ) -> io::Result<VirtualPassage> {
-        VirtualPassage::visit(self)
+    ) -> io::Result<VirtualHandoverChannel> {
+        VirtualHandoverChannel::connect(self)
     }
 
     fn now(&self) -> Micros {
@@ -406,12 +433,12 @@
     fn accept(
         &self,
         listener: &VirtualListener,
-        party: SocketOwner,
+        socket_owner: SocketOwner,
     ) -> io::Result<(VirtualStream, IpAddr)> {
         let mut net = self.net.borrow_mut();
-        let owner = Owner::Server(self.slot, party).encode();
+        let owner = ConnectionOwner::Server(self.slot, socket_owner).encode();
         let end = net.accept_at(listener.address, listener.number, self.process, owner)?;
-        let address = net.address_of(end);
+        let address = net.peer_address(end);
         Ok((
             VirtualStream {
                 net: Rc::clone(&self.net),
@@ -421,8 +448,8 @@
         ))
     }
 
-    fn connect(&self, to: SocketAddr, party: SocketOwner) -> io::Result<VirtualStream> {
-        let owner = Owner::Server(self.slot, party).encode();
+    fn connect(&self, to: SocketAddr, socket_owner: SocketOwner) -> io::Result<VirtualStream> {
+        let owner = ConnectionOwner::Server(self.slot, socket_owner).encode();
         let end = self.net.borrow_mut().connect(to, self.process, owner)?;
         Ok(VirtualStream {
             net: Rc::clone(&self.net),
@@ -435,23 +462,23 @@
         _folder: PathBuf,
         _seed: u64,
         _lasting: bool,
-    ) -> io::Result<VirtualKeeper> {
+    ) -> io::Result<VirtualResultPersistence> {
         let mut net = self.net.borrow_mut();
         let at = net.now + 3_000;
-        let mut desk = self.desk.borrow_mut();
-        desk.abandon();
-        (desk.scheduled, desk.released, desk.core) = (true, false, ResultStore::default());
+        let mut persistence = self.persistence.borrow_mut();
+        persistence.unlock();
+        (persistence.scheduled, persistence.closed, persistence.store) =
+            (true, false, ResultStore::default());
         net.queue
-            .push(at, Event::ResultPersistence(self.node, self.life));
+            .push(at, Event::ResultPersistence(self.matcher, self.incarnation));
         drop(net);
-        Ok(VirtualKeeper {
-            world: self.clone(),
-        })
+        Ok(VirtualResultPersistence { host: self.clone() })
     }
 }
 
-/// Both ways are worth a try: an end may have become readable, writable or broken.
-pub const READY: Readiness = Readiness {
+/// Full readiness: an end may have become readable, writable or broken, so both directions are
+/// tried.
+pub const ALL_READY: Readiness = Readiness {
     readable: true,
     writable: true,
 };
--- a/crates/timeline/src/drawing.rs
+++ b/crates/timeline/src/drawing.rs
@@ -1,6 +1,6 @@
-//! Drawings: recorded files of expected steps that a timeline is compared with.
+//! Drawings, which are expected timelines in text files, and the comparison of a timeline with one.
 //!
-//! A drawing has a header with the names of the nodes, one per column, then rows with text in one column each:
+//! A drawing has a row with the names of the nodes, then rows with text in one column each:
 //!
 //! ```text
 //! g1              | g2              | m1
@@ -13,18 +13,17 @@
 //!                 | sees m1 go      |
 //! ```
 //!
-//! The steps of a node have to occur in the order of the rows of its column. Steps of different columns are ordered only by
-//! horizontal rules of dashes: all steps above a rule occur before all steps below it. A cell `...` matches any number of
-//! steps of its node, including none. Empty lines and lines that start with `#` are ignored, and so are nodes without a
-//! column.
+//! The steps of a node have to follow in the order of its column. Steps of different columns may come in any order, except
+//! across a line of dashes: all steps above it come before all below it. A cell `...` matches any number of steps of its
+//! node, including none. Empty lines and lines that begin with `#` are ignored. Nodes without a column are not compared.
 
-use super::{render, Step, Timeline};
+use super::{draw, Step, Timeline};
 use std::fmt;
 
-/// The cell that matches any number of steps of its node.
-const ANY_STEPS: &str = "...";
+/// Cell that matches any number of steps of its node.
+const WILDCARD: &str = "...";
 
-/// The expected timeline of a recorded file.
+/// A parsed drawing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drawing {
     nodes: Vec<String>,
@@ -34,65 +33,63 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Row {
-    /// The number of the row's line in the file.
     line: usize,
-    /// The number of horizontal rules above the row.
+    /// Number of lines of dashes above the row.
     block: usize,
     column: usize,
     action: String,
 }
 
-/// Why a drawing can't be parsed.
+/// Reason for which a text is not a valid drawing.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum DrawingParseError {
-    /// The header is missing.
-    #[error("the header with the names of the nodes is missing")]
-    MissingHeader,
-    /// The header in this line has an empty or a duplicate name.
-    #[error("line {0}: the names of the nodes have to be distinct and not empty")]
-    InvalidNodeName(usize),
-    /// The row in this line does not have text in exactly one of this number of columns.
-    #[error("line {0}: a row has text in exactly one of {1} columns")]
+pub enum DrawingError {
+    /// There is no row with the names of the nodes.
+    #[error("there is no row with the names of the nodes")]
+    MissingNames,
+    /// A name is empty or appears twice.
+    #[error("line {0}: the names of the columns have to differ and not be empty")]
+    InvalidName(usize),
+    /// A row has text in no column, or in more than one.
+    #[error("line {0}: a row has text in one of {1} columns")]
     InvalidRow(usize, usize),
 }
 
 /// The first difference between a timeline and a drawing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mismatch {
-    /// The line of the drawing that does not match; `None` if the timeline has an additional step.
+pub struct TimelineMismatch {
+    /// Line of the drawing that does not match; `None` where the timeline has a step that is not drawn.
     pub line: Option<usize>,
-    /// Why the line or the step does not match.
-    pub reason: String,
-    /// Both timelines as text, with the difference marked in each.
+    /// Description of the difference.
+    pub message: String,
     comparison: String,
 }
 
-impl fmt::Display for Mismatch {
+impl fmt::Display for TimelineMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}\n{}", self.reason, self.comparison)
+        write!(f, "{}\n{}", self.message, self.comparison)
     }
 }
 
-impl std::error::Error for Mismatch {}
+impl std::error::Error for TimelineMismatch {}
 
 impl Drawing {
     /// Parses a drawing.
     ///
     /// # Errors
-    /// The first line that is malformed.
-    pub fn parse(text: &str) -> Result<Self, DrawingParseError> {
+    /// Returns the first invalid line.
+    pub fn parse(text: &str) -> Result<Self, DrawingError> {
         let lines = text
             .lines()
             .enumerate()
             .map(|(index, line)| (index + 1, line.trim_end()));
         let mut lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
-        let (line, names) = lines.next().ok_or(DrawingParseError::MissingHeader)?;
+        let (line, names) = lines.next().ok_or(DrawingError::MissingNames)?;
         let nodes: Vec<String> = cells(names).map(str::to_owned).collect();
         let is_invalid = |node: &String| {
             node.is_empty() || nodes.iter().filter(|other| *other == node).count() > 1
         };
         if nodes.iter().any(is_invalid) {
-            return Err(DrawingParseError::InvalidNodeName(line));
+            return Err(DrawingError::InvalidName(line));
         }
         let (mut rows, mut block) = (Vec::new(), 0);
         for (line, text) in lines {
@@ -110,7 +107,7 @@
                         action: action.to_owned(),
                     });
                 }
-                _ => return Err(DrawingParseError::InvalidRow(line, nodes.len())),
+                _ => return Err(DrawingError::InvalidRow(line, nodes.len())),
             }
         }
         Ok(Self {
@@ -120,35 +117,35 @@
         })
     }
 
-    /// Generates the text of a drawing from a timeline, as a first version of a recorded file. A horizontal rule separates two
-    /// consecutive steps that are more than `min_gap_us` microseconds apart.
+    /// Draws a timeline in the format of drawings, as a first version of a file. A line of dashes separates steps that are
+    /// more than `min_gap_us` microseconds apart.
     #[must_use]
-    pub fn generate(timeline: &Timeline, min_gap_us: u64) -> String {
+    pub fn from_timeline(timeline: &Timeline, min_gap_us: u64) -> String {
         let nodes = timeline.nodes();
-        let width = |node: &&str| {
-            let widths = timeline
+        let column_width = |node: &&str| {
+            let lengths = timeline
                 .steps()
                 .iter()
                 .filter(|step| step.node == *node)
                 .map(|step| step.action.len());
-            widths.max().unwrap_or(0).max(node.len())
+            lengths.max().unwrap_or(0).max(node.len())
         };
-        let widths: Vec<usize> = nodes.iter().map(width).collect();
-        let row = |content: &dyn Fn(usize) -> String| {
+        let widths: Vec<usize> = nodes.iter().map(column_width).collect();
+        let row = |cell: &dyn Fn(usize) -> String| {
             let cells = widths
                 .iter()
                 .enumerate()
-                .map(|(column, width)| format!("{:<width$}", content(column)));
+                .map(|(column, width)| format!("{:<width$}", cell(column)));
             cells.collect::<Vec<_>>().join(" | ").trim_end().to_owned() + "\n"
         };
-        let mut text = row(&|column| nodes[column].to_owned());
+        let mut drawn = row(&|column| nodes[column].to_owned());
         let mut previous_us = None;
         for step in timeline.steps() {
             if previous_us.is_some_and(|previous_us| step.time_us > previous_us + min_gap_us) {
-                text.push_str("----\n");
+                drawn.push_str("----\n");
             }
             previous_us = Some(step.time_us);
-            text += &row(&|column| {
+            drawn += &row(&|column| {
                 if nodes[column] == step.node {
                     step.action.clone()
                 } else {
@@ -156,15 +153,15 @@
                 }
             });
         }
-        text
+        drawn
     }
 
     /// Compares a timeline with the drawing.
     ///
     /// # Errors
-    /// The first difference.
-    pub fn check(&self, timeline: &Timeline) -> Result<(), Mismatch> {
-        // By row: the times of the first and of the last step that it matches, in microseconds.
+    /// Returns the first difference.
+    pub fn check(&self, timeline: &Timeline) -> Result<(), TimelineMismatch> {
+        // For each row, the times of the first and the last step that it matches.
         let mut times: Vec<Option<(u64, u64)>> = vec![None; self.rows.len()];
         for (column, node) in self.nodes.iter().enumerate() {
             self.check_column(timeline, column, node, &mut times)?;
@@ -178,31 +175,31 @@
                     .filter(move |(row, _)| row.block == block)
             };
             for (row, time) in rows_of_block() {
-                if let (Some((line, latest_us)), Some((first, _))) = (latest, *time) {
-                    if first < latest_us {
-                        let reason = format!(
-                            "line {}: occurs before the step above the rule in line {line}",
+                if let (Some((line, before)), Some((first, _))) = (latest, *time) {
+                    if first < before {
+                        let message = format!(
+                            "line {}: comes before what is drawn above it in line {line}",
                             row.line
                         );
-                        return Err(self.mismatch(timeline, Some(row.line), reason, Some(first)));
+                        return Err(self.mismatch(timeline, Some(row.line), message, Some(first)));
                     }
                 }
             }
-            let last =
+            let last_times =
                 rows_of_block().filter_map(|(row, time)| time.map(|(_, last)| (row.line, last)));
-            latest = last.max_by_key(|(_, last)| *last).or(latest);
+            latest = last_times.max_by_key(|(_, last)| *last).or(latest);
         }
         Ok(())
     }
 
-    /// Compares the steps of one node with the rows of its column, and records their times in `times`.
+    /// Compares the steps of one node with the rows of its column, and sets the times of the rows.
     fn check_column(
         &self,
         timeline: &Timeline,
         column: usize,
         node: &str,
         times: &mut [Option<(u64, u64)>],
-    ) -> Result<(), Mismatch> {
+    ) -> Result<(), TimelineMismatch> {
         let mut steps = timeline
             .steps()
             .iter()
@@ -211,42 +208,42 @@
         let rows: Vec<usize> = (0..self.rows.len())
             .filter(|&row| self.rows[row].column == column)
             .collect();
-        let mut skips_steps = false;
+        let mut after_wildcard = false;
         for row in rows {
             let Row { line, action, .. } = &self.rows[row];
-            if action == ANY_STEPS {
-                skips_steps = true;
+            if action == WILDCARD {
+                after_wildcard = true;
                 continue;
             }
-            let step = if skips_steps {
+            let step = if after_wildcard {
                 steps.by_ref().find(|step| step.action == *action)
             } else {
                 steps.next()
             };
-            skips_steps = false;
+            after_wildcard = false;
             match step {
                 Some(step) if step.action == *action => {
                     times[row] = Some((step.time_us, step.time_us));
                 }
                 Some(step) => {
-                    let reason = format!(
-                        "line {line}: step of {node} is `{}`, expected `{action}`",
+                    let message = format!(
+                        "line {line}: {node} {}, where the drawing has: {action}",
                         step.action
                     );
-                    return Err(self.mismatch(timeline, Some(*line), reason, Some(step.time_us)));
+                    return Err(self.mismatch(timeline, Some(*line), message, Some(step.time_us)));
                 }
                 None => {
-                    let reason = format!("line {line}: step `{action}` of {node} is missing");
-                    return Err(self.mismatch(timeline, Some(*line), reason, None));
+                    let message = format!("line {line}: {node} did not: {action}");
+                    return Err(self.mismatch(timeline, Some(*line), message, None));
                 }
             }
         }
         match steps.next() {
             Some(Step {
                 action, time_us, ..
-            }) if !skips_steps => {
-                let reason = format!("step `{action}` of {node} is not in the drawing");
-                Err(self.mismatch(timeline, None, reason, Some(*time_us)))
+            }) if !after_wildcard => {
+                let message = format!("{node} {action}, which is not drawn");
+                Err(self.mismatch(timeline, None, message, Some(*time_us)))
             }
             _ => Ok(()),
         }
@@ -256,16 +253,16 @@
         &self,
         timeline: &Timeline,
         line: Option<usize>,
-        reason: String,
+        message: String,
         time_us: Option<u64>,
-    ) -> Mismatch {
-        let marked = time_us.and_then(|time_us| {
+    ) -> TimelineMismatch {
+        let marked_step = time_us.and_then(|time_us| {
             timeline
                 .steps()
                 .iter()
                 .position(|step| step.time_us == time_us)
         });
-        let actual = render::render(timeline, &timeline.nodes(), marked);
+        let actual = draw::draw(timeline, &timeline.nodes(), marked_step);
         let expected = self.text.lines().enumerate().map(|(number, text)| {
             let mark = if line == Some(number + 1) { '>' } else { ' ' };
             format!("{mark}{text}\n")
@@ -274,9 +271,9 @@
             "actual:\n{actual}\nexpected:\n{}",
             expected.collect::<String>()
         );
-        Mismatch {
+        TimelineMismatch {
             line,
-            reason,
+            message,
             comparison,
         }
     }
@@ -293,8 +290,8 @@
     const DRAWING: &str =
         "# two nodes\na     | b\nfirst |\n      | one\n----\nends  |\n      | ...\n      | two\n";
 
-    fn timeline(steps: &[(u64, &str, &str)]) -> Timeline {
-        Timeline::new(
+    fn timeline_of(steps: &[(u64, &str, &str)]) -> Timeline {
+        Timeline::from_steps(
             steps
                 .iter()
                 .map(|(time_us, node, action)| Step::new(*time_us, node, *action))
@@ -303,29 +300,29 @@
     }
 
     #[test]
-    fn accepts_steps_in_column_order_that_rules_keep_apart() {
+    fn compares_order_within_columns_and_across_lines_of_dashes() {
         let drawing = Drawing::parse(DRAWING).expect("a drawing");
         for matching in [
-            timeline(&[
+            timeline_of(&[
                 (1, "a", "first"),
                 (2, "b", "one"),
                 (3, "a", "ends"),
                 (4, "b", "two"),
             ]),
-            timeline(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "two"),
                 (4, "a", "ends"),
             ]),
-            timeline(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (2, "a", "first"),
                 (3, "b", "else"),
                 (4, "b", "two"),
                 (9, "a", "ends"),
             ]),
-            timeline(&[
+            timeline_of(&[
                 (1, "b", "one"),
                 (1, "c", "not drawn"),
                 (2, "a", "first"),
@@ -333,43 +330,41 @@
                 (4, "a", "ends"),
             ]),
         ] {
-            assert_eq!(matching.check(&drawing), Ok(()), "{}", matching.render());
+            assert_eq!(matching.check(&drawing), Ok(()), "{}", matching.draw());
         }
     }
 
     #[test]
-    fn reports_and_marks_first_difference() {
+    fn marks_the_first_difference() {
         let drawing = Drawing::parse(DRAWING).expect("a drawing");
-        let out_of_order = timeline(&[
+        let wrong_order = timeline_of(&[
             (1, "a", "first"),
             (2, "a", "ends"),
             (3, "b", "one"),
             (4, "b", "two"),
         ]);
-        let mismatch = out_of_order
-            .check(&drawing)
-            .expect_err("a step below the rule occurs before one above it");
+        let mismatch = wrong_order.check(&drawing).expect_err("a step is too late");
         assert_eq!(
-            (mismatch.line, mismatch.reason.as_str()),
+            (mismatch.line, mismatch.message.as_str()),
             (
                 Some(6),
-                "line 6: occurs before the step above the rule in line 4"
+                "line 6: comes before what is drawn above it in line 4"
             )
         );
-        let unexpected = timeline(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
-        let mismatch = unexpected.check(&drawing).expect_err("unexpected step");
+        let other = timeline_of(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
+        let mismatch = other.check(&drawing).expect_err("another step");
         assert_eq!(mismatch.line, Some(4));
         assert!(
             mismatch.to_string().contains("\n>   0.0  .      none\n")
                 && mismatch.to_string().contains("\n>      | one\n"),
             "{mismatch}"
         );
-        let missing = timeline(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
+        let fewer = timeline_of(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
         assert_eq!(
-            missing.check(&drawing).expect_err("missing step").reason,
-            "line 8: step `two` of b is missing"
+            fewer.check(&drawing).expect_err("too few").message,
+            "line 8: b did not: two"
         );
-        let additional = timeline(&[
+        let more = timeline_of(&[
             (1, "a", "first"),
             (2, "b", "one"),
             (3, "a", "ends"),
@@ -377,44 +372,35 @@
             (5, "a", "more"),
         ]);
         assert_eq!(
-            additional
-                .check(&drawing)
-                .expect_err("additional step")
-                .reason,
-            "step `more` of a is not in the drawing"
+            more.check(&drawing).expect_err("too many").message,
+            "a more, which is not drawn"
         );
     }
 
     #[test]
-    fn rejects_malformed_drawings_with_line_number() {
+    fn reports_the_line_of_an_invalid_drawing() {
         assert_eq!(
             Drawing::parse("# nothing\n"),
-            Err(DrawingParseError::MissingHeader)
-        );
-        assert_eq!(
-            Drawing::parse("a | a\n"),
-            Err(DrawingParseError::InvalidNodeName(1))
+            Err(DrawingError::MissingNames)
         );
+        assert_eq!(Drawing::parse("a | a\n"), Err(DrawingError::InvalidName(1)));
         assert_eq!(
             Drawing::parse("a | b\nx | y\n"),
-            Err(DrawingParseError::InvalidRow(2, 2))
+            Err(DrawingError::InvalidRow(2, 2))
         );
         assert_eq!(
             Drawing::parse("a | b\n\n  |  | c\n"),
-            Err(DrawingParseError::InvalidRow(3, 2))
+            Err(DrawingError::InvalidRow(3, 2))
         );
     }
 
     #[test]
-    fn generated_drawing_matches_its_timeline() {
-        let timeline = timeline(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
-        let generated = Drawing::generate(&timeline, 100);
-        assert_eq!(
-            generated,
-            "a     | b\nfirst |\n      | one\n----\nends  |\n"
-        );
+    fn drawing_made_from_a_timeline_matches_it() {
+        let timeline = timeline_of(&[(1, "a", "first"), (2, "b", "one"), (900, "a", "ends")]);
+        let text = Drawing::from_timeline(&timeline, 100);
+        assert_eq!(text, "a     | b\nfirst |\n      | one\n----\nends  |\n");
         assert_eq!(
-            timeline.check(&Drawing::parse(&generated).expect("a drawing")),
+            timeline.check(&Drawing::parse(&text).expect("a drawing")),
             Ok(())
         );
     }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,38 +1,38 @@
-//! Timelines of the steps that several processes log, rendered as text and compared with recorded drawings.
+//! Timelines of several processes: parses the steps that they log, draws them as text and compares them with drawings.
 //!
-//! Each process writes one [`Step`] per line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in microseconds,
-//! the node, its action, and after `<-` the cause, if known. All other lines are ignored, so that steps can be part of any
-//! log. A [`Timeline`] parses and sorts the steps and renders one column per node. [`drawing`] compares it with a recorded
-//! file, which defines the order of the steps in each column; a horizontal rule orders the steps of different columns.
+//! Every process writes one [`Step`] on a line: `@ 1500000 g1 sees m2 go <- no answer for 3 s`, with the time in
+//! microseconds, the node, what it did, and its cause after `<-`, where that is known. Other lines are ignored, so any log may
+//! contain steps. A [`Timeline`] sorts the steps by time and draws one column for each node. [`drawing`] compares it with a
+//! drawing, which gives the order of the steps in each column; a line of dashes gives an order across columns.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod draw;
 pub mod drawing;
-mod render;
 
-pub use drawing::{Drawing, Mismatch};
+pub use drawing::{Drawing, TimelineMismatch};
 
 use std::fmt;
 
-/// The text before the time of a step in the log of a process.
+/// Text before a step in the log of a process.
 const LOG_PREFIX: &str = " timeline: @ ";
 
-/// One step of a node.
+/// One step of one node.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
-    /// The time of the step in microseconds.
+    /// Time, in microseconds.
     pub time_us: u64,
-    /// The name of the node.
+    /// Name of the node.
     pub node: String,
     /// What the node did.
     pub action: String,
-    /// Why the node did it, if known.
+    /// Cause of the step, where it is known.
     pub cause: Option<String>,
 }
 
 impl Step {
-    /// Returns a step without a cause.
+    /// Creates a step without a cause.
     #[must_use]
     pub fn new(time_us: u64, node: &str, action: impl Into<String>) -> Self {
         Self {
@@ -43,21 +43,21 @@
         }
     }
 
-    /// Parses a line of a log. Returns `None` if the line is not a step.
+    /// Parses a line. Returns `None` where it contains no step.
     ///
     /// # Errors
-    /// If the line starts like a step, but is malformed.
-    pub fn parse(line: &str) -> Result<Option<Self>, StepParseError> {
+    /// Where the line begins like a step, but is malformed.
+    pub fn parse(line: &str) -> Result<Option<Self>, StepError> {
         let line = line.trim();
         let in_log = line.split_once(LOG_PREFIX).map(|(_, step)| step);
         let Some(rest) = in_log.or(line.strip_prefix("@ ")) else {
             return Ok(None);
         };
-        let (time, rest) = rest.split_once(' ').ok_or(StepParseError::MissingPart)?;
-        let time_us = time
+        let (time_us, rest) = rest.split_once(' ').ok_or(StepError::MissingPart)?;
+        let time_us = time_us
             .parse()
-            .map_err(|_| StepParseError::InvalidTime(time.to_owned()))?;
-        let (node, action) = rest.split_once(' ').ok_or(StepParseError::MissingPart)?;
+            .map_err(|_| StepError::InvalidTime(time_us.to_owned()))?;
+        let (node, action) = rest.split_once(' ').ok_or(StepError::MissingPart)?;
         let (action, cause) = match action.split_once(" <- ") {
             Some((action, cause)) => (action, Some(cause.to_owned())),
             None => (action, None),
@@ -80,52 +80,52 @@
     }
 }
 
-/// Why a line that starts like a step can't be parsed.
+/// Reason for which a line that begins like a step is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum StepParseError {
-    /// The node or its action is missing.
-    #[error("a step consists of `@`, a time in microseconds, a node and its action")]
+pub enum StepError {
+    /// The time, the node or the action is missing.
+    #[error("a step is `@`, a time in microseconds, a node and its action")]
     MissingPart,
     /// The time is not a number.
     #[error("`{0}` is not a time in microseconds")]
     InvalidTime(String),
 }
 
-/// The steps of several nodes, sorted by time.
+/// Steps of several nodes, in the order of their times.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Timeline {
     steps: Vec<Step>,
 }
 
 impl Timeline {
-    /// Returns the timeline of these steps. Steps with the same time keep their order.
+    /// Creates a timeline of these steps. Steps at the same time keep their order.
     #[must_use]
-    pub fn new(mut steps: Vec<Step>) -> Self {
+    pub fn from_steps(mut steps: Vec<Step>) -> Self {
         steps.sort_by_key(|step| step.time_us);
         Self { steps }
     }
 
-    /// Parses the steps among the lines of a text.
+    /// Parses the steps in the lines of a text.
     ///
     /// # Errors
-    /// The number of the first line that starts like a step, but is malformed, and the reason.
-    pub fn parse(text: &str) -> Result<Self, (usize, StepParseError)> {
+    /// Returns the number of the first malformed line, and the reason.
+    pub fn parse(text: &str) -> Result<Self, (usize, StepError)> {
         let lines = text.lines().enumerate();
         let steps = lines.filter_map(|(index, line)| {
             Step::parse(line)
                 .map_err(|error| (index + 1, error))
                 .transpose()
         });
-        Ok(Self::new(steps.collect::<Result<_, _>>()?))
+        Ok(Self::from_steps(steps.collect::<Result<_, _>>()?))
     }
 
-    /// Returns all steps.
+    /// Returns the steps, sorted by time.
     #[must_use]
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// Returns the nodes in the order of their first steps.
+    /// Returns the names of the nodes, in the order of their first steps.
     #[must_use]
     pub fn nodes(&self) -> Vec<&str> {
         let mut nodes: Vec<&str> = Vec::new();
@@ -137,17 +137,17 @@
         nodes
     }
 
-    /// Renders one column per node, with times in milliseconds since the first step.
+    /// Draws one column for each node, with the times since the first step in milliseconds.
     #[must_use]
-    pub fn render(&self) -> String {
-        render::render(self, &self.nodes(), None)
+    pub fn draw(&self) -> String {
+        draw::draw(self, &self.nodes(), None)
     }
 
     /// Compares the timeline with a drawing.
     ///
     /// # Errors
-    /// The first difference, with both timelines as text.
-    pub fn check(&self, drawing: &Drawing) -> Result<(), Mismatch> {
+    /// Returns the first difference, with the timeline and the drawing.
+    pub fn check(&self, drawing: &Drawing) -> Result<(), TimelineMismatch> {
         drawing.check(self)
     }
 }
@@ -157,7 +157,7 @@
     use super::*;
 
     #[test]
-    fn parses_steps_as_displayed_and_from_any_log() {
+    fn parses_the_steps_of_any_log() {
         let step = Step {
             cause: Some("no answer".into()),
             ..Step::new(1_500_000, "g1", "sees m2 go")
@@ -171,26 +171,26 @@
         );
         assert_eq!(
             Step::parse("@ soon g1 goes"),
-            Err(StepParseError::InvalidTime("soon".into()))
+            Err(StepError::InvalidTime("soon".into()))
         );
         let log = "INFO begins\n@ 2 b second\n  @ 1 a first\nINFO ends\n";
-        let timeline = Timeline::parse(log).expect("two steps");
+        let timeline = Timeline::parse(log).expect("two valid steps");
         assert_eq!(timeline.nodes(), ["a", "b"]);
         assert_eq!(
-            Timeline::parse("\n@ 1 a").expect_err("short"),
-            (2, StepParseError::MissingPart)
+            Timeline::parse("\n@ 1 a").expect_err("the action is missing"),
+            (2, StepError::MissingPart)
         );
     }
 
     #[test]
-    fn renders_one_column_per_node() {
+    fn draws_one_column_for_each_node() {
         let steps = vec![
             Step::new(1_000, "g1", "asks"),
             Step::new(2_500, "m-long", "answers"),
             Step::new(2_500, "g1", "ends"),
         ];
-        let rendered = Timeline::new(steps).render();
+        let drawn = Timeline::from_steps(steps).draw();
         let expected = "     ms  g1    m-long \n    0.0  asks  .      \n    1.5  .     answers\n    1.5  ends  .      \n";
-        assert_eq!(rendered, expected, "\n{rendered}");
+        assert_eq!(drawn, expected, "\n{drawn}");
     }
 }
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -1,7 +1,7 @@
 //! `cleatpulley simulator`: whole matchers on a virtual clock, with faults from seeds.
 
 use clap::{Args, Subcommand};
-use cleatpulley_simulator::plan::{Places, Plan};
+use cleatpulley_simulator::plan::{AdmissionMode, Plan};
 use cleatpulley_simulator::seeds::{self, Summary};
 use std::io::{IsTerminal, Write};
 use std::process::ExitCode;
@@ -67,9 +67,9 @@
 impl Kind {
     fn plan(self, seed: u64) -> Plan {
         match self {
-            Self::Mixed => Plan::of(seed),
-            Self::Floods => Plan::crowded(seed),
-            Self::Upgrades => Plan::chained(seed),
+            Self::Mixed => Plan::from_seed(seed),
+            Self::Floods => Plan::with_floods(seed),
+            Self::Upgrades => Plan::with_upgrade_chains(seed),
         }
     }
 }
@@ -134,9 +134,9 @@
     }
     show(&summary, begun.elapsed(), jobs);
     for outcome in summary.failed.iter().take(20) {
-        say!("seed {}: {}", outcome.seed, outcome.broken.join("; "));
+        print_line!("seed {}: {}", outcome.seed, outcome.violations.join("; "));
     }
-    say!(
+    print_line!(
         "{} seeds, {} broke a rule; digest {:016x}",
         summary.seeds,
         summary.failed.len(),
@@ -149,46 +149,48 @@
 pub fn show(summary: &Summary, took: Duration, jobs: usize) {
     let seconds = took.as_secs_f64().max(1e-9);
     let simulated = summary.simulated as f64 / 1e6;
-    say!(
-        "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
-        summary.seeds,
-        summary.seeds as f64 / seconds,
-        simulated / seconds,
-        simulated / seconds / jobs as f64,
-        summary.events as f64 / 1e6
-    );
+    print_line!(
+"{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
+summary.seeds,
+summary.seeds as f64 / seconds,
+simulated / seconds,
+simulated / seconds / jobs as f64,
+summary.events as f64 / 1e6
+);
     let [sent, served, refused, failed, unreachable] = summary.counts;
-    say!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
-    say!("met:");
-    for (name, (times, seeds)) in &summary.met {
-        say!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
+    print_line!("tries: {sent} sent, {served} served, {refused} refused, {failed} failed or lost, {unreachable} found nobody");
+    print_line!("met:");
+    for (name, (times, seeds)) in &summary.coverage {
+        print_line!("  {name:<55} {times:>9} times in {seeds:>6} seeds");
     }
 }
 
 fn describe(plan: &Plan) {
-    say!(
+    print_line!(
         "seed {}: {} matchers of {} cores, {:.0}% load for {:.1} s, {} descriptors{}{}",
         plan.seed,
         plan.matchers,
         plan.cores,
         plan.load * 100.0,
-        plan.asks as f64 / 1e6,
-        plan.sockets,
-        if plan.partial {
+        plan.request_duration as f64 / 1e6,
+        plan.max_descriptors,
+        if plan.partial_io {
             ", reads and writes cut short"
         } else {
             ""
         },
-        match plan.places {
-            Places::FirstCome => "",
-            Places::Named => ", places decided, the front ends' address named",
-            Places::Earned => ", places decided, standing earned",
+        match plan.admission {
+            AdmissionMode::Unrestricted => "",
+            AdmissionMode::Allowlist => ", places decided, the front ends' address named",
+            AdmissionMode::Reputation => ", places decided, standing earned",
         }
     );
     for (n, habit) in plan.habits.iter().enumerate() {
-        say!("  front end {n}: {habit:?}");
+        print_line!("  front end {n}: {habit:?}");
     }
-    plan.faults.iter().for_each(|planned| say!("  {planned}"));
+    plan.faults
+        .iter()
+        .for_each(|planned| print_line!("  {planned}"));
 }
 
 fn replay(plan: Plan, last: Option<usize>) -> ExitCode {
@@ -208,19 +210,19 @@
         outcome.events, outcome.digest
     );
     outcome
-        .broken
+        .violations
         .iter()
         .for_each(|what| drop(writeln!(out, "broken: {what}")));
-    status(outcome.broken.is_empty())
+    status(outcome.violations.is_empty())
 }
 
 fn shrink(whole: &Plan, most: u32) -> ExitCode {
-    if seeds::play(whole.clone()).broken.is_empty() {
-        say!("seed {} breaks no rule", whole.seed);
+    if seeds::play(whole.clone()).violations.is_empty() {
+        print_line!("seed {} breaks no rule", whole.seed);
         return ExitCode::SUCCESS;
     }
     let (small, played) = seeds::shrink(whole.clone(), most);
-    say!(
+    print_line!(
         "{played} plans played; {} faults of {} are left:",
         small.faults.len(),
         whole.faults.len()
@@ -229,10 +231,10 @@
     let (outcome, trace) = seeds::replay(small);
     trace[trace.len().saturating_sub(40)..]
         .iter()
-        .for_each(|line| say!("{line}"));
+        .for_each(|line| print_line!("{line}"));
     outcome
-        .broken
+        .violations
         .iter()
-        .for_each(|what| say!("broken: {what}"));
+        .for_each(|what| print_line!("broken: {what}"));
     ExitCode::FAILURE
 }
