--- a/crates/timeline/src/drawing.rs
+++ b/crates/timeline/src/drawing.rs
@@ -47,10 +47,10 @@
     #[error("there is no row with the names of the nodes")]
     MissingNames,
     /// A name is empty or appears twice.
-    #[error("line {0}: the names of the columns have to differ and not be empty")]
+    #[error("line {0}: the names of the columns must be distinct and not empty")]
     InvalidName(usize),
     /// A row has text in no column, or in more than one.
-    #[error("line {0}: a row has text in one of {1} columns")]
+    #[error("line {0}: a row must have text in exactly one of {1} columns")]
     InvalidRow(usize, usize),
 }
 
@@ -178,7 +178,7 @@
                 if let (Some((line, before)), Some((first, _))) = (latest, *time) {
                     if first < before {
                         let message = format!(
-                            "line {}: comes before what is drawn above it in line {line}",
+                            "line {}: occurs before the step above the dashes in line {line}",
                             row.line
                         );
                         return Err(self.mismatch(timeline, Some(row.line), message, Some(first)));
@@ -227,13 +227,13 @@
                 }
                 Some(step) => {
                     let message = format!(
-                        "line {line}: {node} {}, where the drawing has: {action}",
+                        "line {line}: step of {node} is `{}`, expected `{action}`",
                         step.action
                     );
                     return Err(self.mismatch(timeline, Some(*line), message, Some(step.time_us)));
                 }
                 None => {
-                    let message = format!("line {line}: {node} did not: {action}");
+                    let message = format!("line {line}: step `{action}` of {node} is missing");
                     return Err(self.mismatch(timeline, Some(*line), message, None));
                 }
             }
@@ -242,7 +242,7 @@
             Some(Step {
                 action, time_us, ..
             }) if !after_wildcard => {
-                let message = format!("{node} {action}, which is not drawn");
+                let message = format!("step `{action}` of {node} is not in the drawing");
                 Err(self.mismatch(timeline, None, message, Some(*time_us)))
             }
             _ => Ok(()),
@@ -348,7 +348,7 @@
             (mismatch.line, mismatch.message.as_str()),
             (
                 Some(6),
-                "line 6: comes before what is drawn above it in line 4"
+                "line 6: occurs before the step above the dashes in line 4"
             )
         );
         let other = timeline_of(&[(1, "a", "first"), (2, "b", "none"), (3, "a", "ends")]);
@@ -362,7 +362,7 @@
         let fewer = timeline_of(&[(1, "a", "first"), (2, "b", "one"), (3, "a", "ends")]);
         assert_eq!(
             fewer.check(&drawing).expect_err("too few").message,
-            "line 8: b did not: two"
+            "line 8: step `two` of b is missing"
         );
         let more = timeline_of(&[
             (1, "a", "first"),
@@ -373,7 +373,7 @@
         ]);
         assert_eq!(
             more.check(&drawing).expect_err("too many").message,
-            "a more, which is not drawn"
+            "step `more` of a is not in the drawing"
         );
     }
 
