--- a/crates/server/src/registry_client.rs
+++ b/crates/server/src/registry_client.rs
@@ -34,7 +34,7 @@
     Status(u16),
     #[error("closed by the registry")]
     Closed,
-    #[error("no response in time; still waiting for it")]
+    #[error("no answer in time, which is waited for")]
     Overdue,
 }
 
