--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -16,9 +16,9 @@
     let site = Setup::default();
     let capacity = site.capacity();
     print_line!(
-"Runtime, store and service registry are emulated on loopback: {} cores for about {capacity:.0} requests a second.",
-site.cores
-);
+        "Runtime, store and service registry are emulated on loopback: {} cores for about {capacity:.0} requests a second.",
+        site.cores
+    );
     print_line!("Callers over frames and AJP send half of that for 6 s, twice that in a surge of 3 s, and half of it again.");
     let rate_per_front = |share: f64| capacity * share / 2.0;
     let rates = vec![
--- a/src/commands/emulators.rs
+++ b/src/commands/emulators.rs
@@ -71,13 +71,13 @@
     }
     config["runtime"] = json!(site.runtime_addresses[0].to_string());
     print_line!(
-"runtime {}, store {}, service registry {}; about {:.0} requests a second; configuration in {}",
-config["runtime"].as_str().unwrap_or_default(),
-config["store"].as_str().unwrap_or_default(),
-config["lookup"].as_str().unwrap_or_default(),
-site.setup.capacity(),
-args.write_config.display(),
-);
+        "runtime {}, store {}, service registry {}; about {:.0} requests a second; configuration in {}",
+        config["runtime"].as_str().unwrap_or_default(),
+        config["store"].as_str().unwrap_or_default(),
+        config["lookup"].as_str().unwrap_or_default(),
+        site.setup.capacity(),
+        args.write_config.display(),
+    );
     print_line!(
         "next: cleatpulley serve --config {} --operator deploy/operator.jsonnet",
         args.write_config.display()
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,12 +5,12 @@
 /// Prints a line like `println`, but exits with status 0 if the reader, such as `head`, has closed
 /// the pipe.
 macro_rules! print_line {
-() => {
-print_line!("")
-};
-($($arguments:tt)*) => {
-crate::write_stdout_line(format_args!($($arguments)*))
-};
+    () => {
+        print_line!("")
+    };
+    ($($arguments:tt)*) => {
+        crate::write_stdout_line(format_args!($($arguments)*))
+    };
 }
 
 mod commands;
@@ -379,17 +379,17 @@
             let (config, operator, _) = config_args.load()?;
             let cluster = load_cluster_options(operator_file.as_deref(), &config.name)?;
             print_line!(
-"{}: listens on {}, runtime {}, store {}, directory {}; {} classes ({}), {} cores, {} sockets",
-config.name,
-config.listen,
-config.runtime,
-config.store,
-config.registry,
-config.class_names.len(),
-config.class_names.join(", "),
-config.settings.cores,
-config.max_descriptors,
-);
+                "{}: listens on {}, runtime {}, store {}, directory {}; {} classes ({}), {} cores, {} sockets",
+                config.name,
+                config.listen,
+                config.runtime,
+                config.store,
+                config.registry,
+                config.class_names.len(),
+                config.class_names.join(", "),
+                config.settings.cores,
+                config.max_descriptors,
+            );
             print_line!("{operator}");
             if let Some(line) = config
                 .default_idempotency_summary(&std::env::temp_dir())
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -238,9 +238,9 @@
                 .is_none_or(|options| options.classes[i]);
             if class.effect == Effect::Deduplicated && !is_stored {
                 return Err(format!(
-"settings.classes[{i}].effect: retries can't be recognized without stored results of {:?}",
-config.class_names[i]
-));
+                    "settings.classes[{i}].effect: retries can't be recognized without stored results of {:?}",
+                    config.class_names[i]
+                ));
             }
         }
         Ok(())
@@ -650,8 +650,8 @@
             }
             if class_defaults.requires_id && self.figures.id.is_none() {
                 let message = format!(
-"class {name:?} has an effect and needs request ids, but no header for them is set"
-);
+                    "class {name:?} has an effect and needs request ids, but no header for them is set"
+                );
                 return key_error("figures.id", message);
             }
             defaults.push(class_defaults);
@@ -716,16 +716,16 @@
                 let settings = &ajp.settings;
                 let ms = |micros: Micros| micros / 1_000;
                 writeln!(
-f,
-"ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
-listen.join(", "),
-if settings.secret.is_some() { "asked for" } else { "none" },
-settings.packet_size,
-settings.max_body_bytes,
-ms(settings.packet_timeout),
-ms(settings.body_timeout),
-ms(settings.idle_timeout),
-)?;
+                    f,
+                    "ajp: listens on {}; secret {}; packets of {}, bodies of {} bytes at most; first packet {} ms, body {} ms, idle {} ms",
+                    listen.join(", "),
+                    if settings.secret.is_some() { "asked for" } else { "none" },
+                    settings.packet_size,
+                    settings.max_body_bytes,
+                    ms(settings.packet_timeout),
+                    ms(settings.body_timeout),
+                    ms(settings.idle_timeout),
+                )?;
             }
         }
         let protocol = match &self.dependency_protocol {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -621,11 +621,11 @@
     let site = Site::start(Setup::default()).expect("start the emulated services");
     let path = |name: &str| folder.path().join(name).display().to_string();
     let operator = format!(
-"{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
+        "{{ admission: {{ address: {{ places: 100 }} }}, tls: {{ certificate: '{}', key: '{}', on: ['frames'], \
          handshakes: {{ per_second: 100 }} }} }}",
-path("n3.pem"),
-path("n3.key")
-);
+        path("n3.pem"),
+        path("n3.key")
+    );
     let program = Path::new(env!("CARGO_BIN_EXE_cleatpulley"));
     let matcher =
         Matcher::start(program, &site.config, Some(&operator)).expect("start the matcher");
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -105,11 +105,11 @@
         .to_string();
     std::fs::remove_file(&file_without_class).expect("remove the operator file");
     assert!(
-error.contains(
-"results: settings.classes[3].effect: retries can't be recognized without stored results"
-),
-"{error}"
-);
+        error.contains(
+            "results: settings.classes[3].effect: retries can't be recognized without stored results"
+        ),
+        "{error}"
+    );
     let file =
         std::env::temp_dir().join(format!("cleatpulley-{}-keyed.jsonnet", std::process::id()));
     let text = |required| {
