--- a/crates/emulators/src/cluster.rs
+++ b/crates/emulators/src/cluster.rs
@@ -108,16 +108,16 @@
             .get_mut(name)
             .ok_or_else(|| io::Error::other(format!("no process {name}")))?;
         let operator = format!(
-"{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
+            "{{ gateway: {{ name: '{name}', frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, \
              routes: 'nginx.conf', classes: {{ a: {{ deadline_ms: 1000, effect: false }} }}, stop_ms: 4000 }}, \
              cluster: {{ listen: '127.0.0.1:0', advertise: '{}', contacts: [{}], zone: 'mona', host: '{name}', \
              keys: '{}', folder: '{}', {} }} }}",
-node.advertised,
-contacts.join(", "),
-self.folder.join("cluster.keys").display(),
-node.folder.display(),
-self.cluster_settings,
-);
+            node.advertised,
+            contacts.join(", "),
+            self.folder.join("cluster.keys").display(),
+            node.folder.display(),
+            self.cluster_settings,
+        );
         let mut process = Matcher::start_gateway(&self.program, ROUTES, &operator)?;
         let line = process.wait_for_log("hears on ")?;
         let address = line
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -331,8 +331,8 @@
             ..
         } = &self.core.counts;
         tracing::info!(
-"{requests} requests: {served} served, {refused} rejected, {failed} failed, {returned} answered by routes; {first} first attempts and {again} retries"
-);
+            "{requests} requests: {served} served, {refused} rejected, {failed} failed, {returned} answered by routes; {first} first attempts and {again} retries"
+        );
     }
 
     fn status(&self) -> Status {
--- a/crates/server/src/runtime_link/notices.rs
+++ b/crates/server/src/runtime_link/notices.rs
@@ -127,10 +127,10 @@
         // A result that can't be decoded must not reach a client, but the run has ended
         // nevertheless.
         let result = notice.body().unwrap_or_else(|error| {
-tracing::warn!(request = %runtime_line::format_request_id(id), %error, "runtime: malformed result; the run counts as a failure");
-outcome = Outcome::Failure;
-Vec::new()
-});
+                tracing::warn!(request = %runtime_line::format_request_id(id), %error, "runtime: malformed result; the run counts as a failure");
+                outcome = Outcome::Failure;
+                Vec::new()
+            });
         self.uncertain_commands.retain(|command| command.id != id);
         events.push(Event::RunEnded {
             id,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -170,9 +170,9 @@
                     if now > since + STORE_RELEASE_TIME {
                         let incarnation = owner.incarnation;
                         self.report_violation(
-sim,
-format!("m{m}: incarnation {incarnation} is idle and keeps the store of results"),
-);
+                            sim,
+                            format!("m{m}: incarnation {incarnation} is idle and keeps the store of results"),
+                        );
                     }
                 }
             }
@@ -296,9 +296,9 @@
                                 if ran.is_some_and(|(_, other)| other != sent.has_conflicting_body)
                                 {
                                     self.report_violation(
-sim,
-format!("{id:016x} got the result of a request with another body"),
-);
+                                        sim,
+                                        format!("{id:016x} got the result of a request with another body"),
+                                    );
                                 }
                                 if repeated {
                                     self.record_coverage("repeated key gets the first response");
@@ -352,9 +352,9 @@
                                     .max(machine.killed_at + SUCCESSOR_SEARCH_TIME);
                         if was_served && !waits && sent.at > machine.disk_trouble_until {
                             self.report_violation(
-sim,
-format!("{id:016x} failed, though the result of its key was returned before"),
-);
+                                sim,
+                                format!("{id:016x} failed, though the result of its key was returned before"),
+                            );
                         }
                         self.record_coverage(if ran {
                             "failed after a start"
@@ -434,9 +434,9 @@
                     let held = (now - attempt.sent) as f64 / 1e6;
                     let m = attempt.matcher;
                     self.report_violation(
-sim,
-format!("{id:016x}, sent to m{m} {held:.3} s ago, got no response by its deadline"),
-);
+                        sim,
+                        format!("{id:016x}, sent to m{m} {held:.3} s ago, got no response by its deadline"),
+                    );
                     return;
                 }
                 self.record_coverage("connection not accepted by the request's deadline");
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -233,13 +233,13 @@
         let total = report.total(front);
         let each = report.cpu as f64 / total.issued.max(1) as f64;
         print_line!(
-"  {front:<7} {each:6.1} us   {:7.0} a second on one core   {} asked, {} served, {} refused, {connections} connections, {:.1} MB",
-1e6 / each,
-total.issued,
-total.on_time + total.late,
-total.rejected_with_retry_after + total.rejected_without_retry_after,
-report.memory_kb as f64 / 1e3,
-);
+            "  {front:<7} {each:6.1} us   {:7.0} a second on one core   {} asked, {} served, {} refused, {connections} connections, {:.1} MB",
+            1e6 / each,
+            total.issued,
+            total.on_time + total.late,
+            total.rejected_with_retry_after + total.rejected_without_retry_after,
+            report.memory_kb as f64 / 1e3,
+        );
         if !report.violations.is_empty() {
             short.push(format!(
                 "rules under the instant runtime by {front}: {}",
@@ -405,12 +405,12 @@
         // So few requests differ by chance: what counts is what chance does not explain.
         if (frames - ajp).abs() > APART + ERRORS * error {
             short.push(format!(
-"{class}: {:.1}% by frames and {:.1}% by AJP, more than {:.0} points and {ERRORS} standard errors of {:.1} apart",
-frames * 100.0,
-ajp * 100.0,
-APART * 100.0,
-error * 100.0
-));
+                    "{class}: {:.1}% by frames and {:.1}% by AJP, more than {:.0} points and {ERRORS} standard errors of {:.1} apart",
+                    frames * 100.0,
+                    ajp * 100.0,
+                    APART * 100.0,
+                    error * 100.0
+                ));
         }
     }
     for front in [Protocol::Frames, Protocol::Ajp] {
--- a/src/commands/bench_fleet.rs
+++ b/src/commands/bench_fleet.rs
@@ -123,10 +123,10 @@
         let release = format!("{{ program: '{}'{operator} }}", program.display());
         let file = folder.join("fleet.jsonnet");
         let text = format!(
-"{{ fleet: {{ folder: '{}', places: [{}], releases: {{ '1': {release}, '2': {release} }}, {rest} }} }}",
-folder.join("state").display(),
-places.join(", ")
-);
+            "{{ fleet: {{ folder: '{}', places: [{}], releases: {{ '1': {release}, '2': {release} }}, {rest} }} }}",
+            folder.join("state").display(),
+            places.join(", ")
+        );
         fs::write(&file, text)?;
         Ok(Self {
             folder,
@@ -278,8 +278,8 @@
                     .count();
                 if crossed > 0 {
                     print_line!(
-"  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
-);
+                            "  {crossed} requests by AJP crossed the end of their idle connection, and never ran"
+                        );
                 }
                 count(
                     callers.unanswered_ids.len() - crossed,
@@ -413,16 +413,16 @@
     let (calm, change) = (since(&calm, &before), since(&after, &calm));
     let lost = 100.0 * (calm.1 - change.1);
     print_line!(
-"{INSTANCES} instances, frames and AJP, {:.0}% load: in time {:.1}% of {} without, {:.1}% of {} through a replacement: \
+        "{INSTANCES} instances, frames and AJP, {:.0}% load: in time {:.1}% of {} without, {:.1}% of {} through a replacement: \
          {lost:.1} points lost; refused {:.1}% and {:.1}%",
-100.0 * load,
-100.0 * calm.1,
-calm.0,
-100.0 * change.1,
-change.0,
-100.0 * calm.2,
-100.0 * change.2
-);
+        100.0 * load,
+        100.0 * calm.1,
+        calm.0,
+        100.0 * change.1,
+        change.0,
+        100.0 * calm.2,
+        100.0 * change.2
+    );
     if view.stable_generation != 2 {
         short.push(format!(
             "load {load}: the replacement went back: {:?}",
@@ -466,10 +466,10 @@
     if let (Some(before), Some(after)) = (used, used_after) {
         let cpu = (after.0 - before.0) as f64 / 8e6;
         print_line!(
-"  daemon with {INSTANCES} instances, asked 50 times a second: {:.1}% of a core, {:.1} MB",
-100.0 * cpu,
-after.1 as f64 / 1e3
-);
+            "  daemon with {INSTANCES} instances, asked 50 times a second: {:.1}% of a core, {:.1} MB",
+            100.0 * cpu,
+            after.1 as f64 / 1e3
+        );
     }
     yard.ask(&ControlCommand::Shutdown)?;
     Ok(())
@@ -488,9 +488,9 @@
     config["runtime"] = "127.0.0.1:9".into();
     let configs = vec![config.to_string(); MANY];
     let rest = format!(
-"instances: {MANY}, surge: 0, batch: 1, timeouts_ms: {{ start: 20000, warm: 600000, drain: 2000, silent: 1000 }}, \
+        "instances: {MANY}, surge: 0, batch: 1, timeouts_ms: {{ start: 20000, warm: 600000, drain: 2000, silent: 1000 }}, \
          restart: {{ first_ms: 10, most_ms: 20, budget: 1000, within_ms: 1000 }}"
-);
+    );
     let mut yard = Yard::new(program, "many", &configs, &[], &rest).map_err(text)?;
     yard.up().map_err(text)?;
     let begun = Instant::now();
@@ -675,12 +675,12 @@
         };
         let takes = course.duration.unwrap_or_default();
         print_line!(
-"  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
-course.batch,
-course.surge,
-takes as f64 / 1e6,
-course.min_margin.0
-);
+            "  load {load:.2}: batch {:>2}, surge {}: {:>5.1} s, margin {:>7.1} a second; computed in {computed:.2} s",
+            course.batch,
+            course.surge,
+            takes as f64 / 1e6,
+            course.min_margin.0
+        );
         for (batch, surge) in [(1, 0), (1, 1), (2, 0), (5, 0), (10, 0), (20, 0)] {
             let Some(fixed) = planner::simulate(&question, batch, surge) else {
                 continue;
--- a/src/commands/bench_idempotency.rs
+++ b/src/commands/bench_idempotency.rs
@@ -203,14 +203,14 @@
     let begun = Instant::now();
     let (seen, keys) = KillTrial { kills, seed: 5 }.run(program, &home.join("kills"))?;
     print_line!(
-"kills: {kills} in {:.1} s; {keys} keys, {} tries, {} served, {} of them with what had been told, {} unknown, {} turned away",
-begun.elapsed().as_secs_f64(),
-seen.sent,
-seen.served,
-seen.served_repeats,
-seen.unknown,
-seen.rejected
-);
+        "kills: {kills} in {:.1} s; {keys} keys, {} tries, {} served, {} of them with what had been told, {} unknown, {} turned away",
+        begun.elapsed().as_secs_f64(),
+        seen.sent,
+        seen.served,
+        seen.served_repeats,
+        seen.unknown,
+        seen.rejected
+    );
     short.extend(
         seen.violations
             .iter()
@@ -275,13 +275,13 @@
         let (results, syncs) = kept(&report);
         let served = total.on_time + total.late;
         print_line!(
-"  asked {rate:5.0} a second: {:5.0} served a second, {:.0}% turned away, median {:.1} ms, p99 {:.1} ms, {:.1} records a sync",
-served as f64 / 3.0,
-100.0 * (total.rejected_with_retry_after + total.rejected_without_retry_after) as f64 / total.issued.max(1) as f64,
-report.latency_ms[0].1,
-report.latency_ms[0].2,
-2.0 * results as f64 / syncs.max(1) as f64
-);
+            "  asked {rate:5.0} a second: {:5.0} served a second, {:.0}% turned away, median {:.1} ms, p99 {:.1} ms, {:.1} records a sync",
+            served as f64 / 3.0,
+            100.0 * (total.rejected_with_retry_after + total.rejected_without_retry_after) as f64 / total.issued.max(1) as f64,
+            report.latency_ms[0].1,
+            report.latency_ms[0].2,
+            2.0 * results as f64 / syncs.max(1) as f64
+        );
         short.extend(
             report
                 .violations
@@ -363,13 +363,13 @@
         }
         let [off, on] = figures;
         print_line!(
-"  {:3.0}%: service {:.3} off, {:.3} on; claim-seat median {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms; find-race median {:.0} and {:.0} ms; {:.1} records a sync",
-share * 100.0,
-off.service(),
-on.service(),
-off.claim.0, on.claim.0, off.claim.1, on.claim.1, off.find, on.find,
-2.0 * on.kept.0 as f64 / on.kept.1.max(1) as f64
-);
+            "  {:3.0}%: service {:.3} off, {:.3} on; claim-seat median {:.0} and {:.0} ms, p99 {:.0} and {:.0} ms; find-race median {:.0} and {:.0} ms; {:.1} records a sync",
+            share * 100.0,
+            off.service(),
+            on.service(),
+            off.claim.0, on.claim.0, off.claim.1, on.claim.1, off.find, on.find,
+            2.0 * on.kept.0 as f64 / on.kept.1.max(1) as f64
+        );
         let lost = 1.0 - on.service() / off.service().max(1e-9);
         if share > 1.0 && lost > 0.03 {
             short.push(format!(
--- a/src/commands/bench_routes.rs
+++ b/src/commands/bench_routes.rs
@@ -132,8 +132,8 @@
         if count == 1_000 && linear / trie < REQUIRED_SPEEDUP_SHARE * RECORDED_SPEEDUP {
             let ratio = linear / trie;
             shortfalls.push(format!(
-"{ratio:.0} times as fast as a linear search among 1,000 prefixes, recorded {RECORDED_SPEEDUP}"
-));
+                    "{ratio:.0} times as fast as a linear search among 1,000 prefixes, recorded {RECORDED_SPEEDUP}"
+                ));
         }
         rates.push(1.0 / trie);
     }
@@ -199,9 +199,9 @@
 fn expectations(shortfalls: &mut Vec<String>) -> Result<(), String> {
     let configuration = |count: usize| {
         format!(
-"{}upstream cell_b {{ server m99.example.org:9000; }}\nmap $http_x_subject $cell {{ default fleet; racer-7 cell_b; }}\nserver {{ server_name h;\n location /claim-seat {{ set $matcher_class claim-seat; proxy_pass http://fleet; }}\n location /lobby {{ proxy_pass http://$cell; }}\n}}\n",
-upstream_block(count)
-)
+            "{}upstream cell_b {{ server m99.example.org:9000; }}\nmap $http_x_subject $cell {{ default fleet; racer-7 cell_b; }}\nserver {{ server_name h;\n location /claim-seat {{ set $matcher_class claim-seat; proxy_pass http://fleet; }}\n location /lobby {{ proxy_pass http://$cell; }}\n}}\n",
+            upstream_block(count)
+        )
     };
     let seat = json!({ "host": "h", "path": "/claim-seat" });
     let lobby = json!({ "host": "h", "path": "/lobby" });
@@ -233,8 +233,8 @@
         .count();
     if took > 5.0 || held_count != 2 || broken_count != 2 {
         shortfalls.push(format!(
-"expectations: {took:.1} s, {held_count} hold and {broken_count} are broken, expected two each: {reports:?}"
-));
+                "expectations: {took:.1} s, {held_count} hold and {broken_count} are broken, expected two each: {reports:?}"
+            ));
     }
     Ok(())
 }
@@ -275,9 +275,9 @@
     print_line!("consistent hash, 16 targets, 32,000 subjects: the fullest has {max_load_ratio:.2} times its share; {:.1}% move when one is removed, {needlessly_moved} of them needlessly", moved_share * 100.0);
     if needlessly_moved > 0 || max_load_ratio > 1.25 || moved_share > 1.5 / 16.0 {
         shortfalls.push(format!(
-"consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
-moved_share * 100.0
-));
+                "consistent hash: {max_load_ratio:.2} times its share, {:.1}% move, {needlessly_moved} needlessly",
+                moved_share * 100.0
+            ));
     }
     Ok(())
 }
--- a/src/commands/bench_service.rs
+++ b/src/commands/bench_service.rs
@@ -167,15 +167,15 @@
     times.sort_by(f64::total_cmp);
     let (p50, p99, worst) = (at(&times, 0.5), at(&times, 0.99), at(&times, 1.0));
     print_line!(
-"operators at 110% load beside {CROWD} silent connections at each address ({} opened): {} answers, median {p50:.2} ms, \
+        "operators at 110% load beside {CROWD} silent connections at each address ({} opened): {} answers, median {p50:.2} ms, \
          p99 {p99:.2} ms, worst {worst:.2} ms, {failed} without an answer",
-opened.load(Ordering::Relaxed),
-times.len()
-);
+        opened.load(Ordering::Relaxed),
+        times.len()
+    );
     if failed > 0 || p99 > GOAL_MS {
         short.push(format!(
-"operators: p99 {p99:.1} ms and {failed} without an answer, {GOAL_MS} ms and 0 are the goals"
-));
+                "operators: p99 {p99:.1} ms and {failed} without an answer, {GOAL_MS} ms and 0 are the goals"
+            ));
     }
     let report = judged(going);
     // Callers whose connection the crowd kept out are no matter of the rules here.
@@ -208,14 +208,14 @@
         );
     }
     print_line!(
-"{UPGRADES} upgrades in a row at 80% load: {} requests ended at the door, {:.1}% in time, yes after {} ms and left after \
+        "{UPGRADES} upgrades in a row at 80% load: {} requests ended at the door, {:.1}% in time, yes after {} ms and left after \
          {} ms at most, rules: {}",
-door(&report),
-served(&report),
-ready.as_millis(),
-left.as_millis(),
-if report.violations.is_empty() { "all held".to_owned() } else { report.violations.join("; ") }
-);
+        door(&report),
+        served(&report),
+        ready.as_millis(),
+        left.as_millis(),
+        if report.violations.is_empty() { "all held".to_owned() } else { report.violations.join("; ") }
+    );
     if door(&report) > 0 || !report.violations.is_empty() {
         short.push(format!(
             "{} requests ended at the door in {UPGRADES} upgrades",
@@ -250,11 +250,11 @@
         })?;
         let pairs = PAIRS.count() as f64;
         print_line!(
-"ten seconds round an upgrade at {:.0}% load, {pairs} pairs: {:.2}% in time, {:.2}% in the same seconds without one",
-share * 100.0,
-with / pairs,
-without / pairs
-);
+            "ten seconds round an upgrade at {:.0}% load, {pairs} pairs: {:.2}% in time, {:.2}% in the same seconds without one",
+            share * 100.0,
+            with / pairs,
+            without / pairs
+        );
         if lost / pairs > GOAL_POINTS {
             short.push(format!(
                 "an upgrade at {:.0}% load costs {:.2} points",
@@ -276,15 +276,15 @@
     let summary = seeds::run(Plan::from_seed, 1, SEEDS, jobs(), false, || (), |_| ());
     let met = |name: &str| summary.coverage.get(name).map_or(0, |(times, _)| *times);
     print_line!(
-"{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
+        "{SEEDS} seeds: {} upgrades, {} left to a successor, the new process died in {}, the old one in {}, three processes in {}; \
          {} broke a rule",
-met("upgrade"),
-met("shut down in favour of a successor"),
-met("new process dies before the old one is shut down") + met("new process dies after the old one is shut down"),
-met("old process dies during an upgrade"),
-met("third process while the first still responds"),
-summary.failed.len()
-);
+        met("upgrade"),
+        met("shut down in favour of a successor"),
+        met("new process dies before the old one is shut down") + met("new process dies after the old one is shut down"),
+        met("old process dies during an upgrade"),
+        met("third process while the first still responds"),
+        summary.failed.len()
+    );
     for outcome in &summary.failed {
         short.push(format!(
             "seed {}: {}",
@@ -349,11 +349,11 @@
             .sum::<f64>()
             / (number - 1.0);
         print_line!(
-"what was learned passed on, {PAIRED} seeds with two upgrades at {:.0}% load, each with and without: {mean:+.3} points of \
+            "what was learned passed on, {PAIRED} seeds with two upgrades at {:.0}% load, each with and without: {mean:+.3} points of \
              tries served, standard error {:.3}",
-load * 100.0,
-(spread / number).sqrt()
-);
+            load * 100.0,
+            (spread / number).sqrt()
+        );
     }
 }
 
--- a/src/commands/bench_simulator.rs
+++ b/src/commands/bench_simulator.rs
@@ -62,9 +62,9 @@
     }
     let heap_ns = started.elapsed().as_nanos() as f64 / rounds as f64;
     print_line!(
-"queue of 600 events, ns an event: ring and heap {own_ns:.0}, BinaryHeap alone {heap_ns:.0}, ratio {:.2}",
-own_ns / heap_ns
-);
+        "queue of 600 events, ns an event: ring and heap {own_ns:.0}, BinaryHeap alone {heap_ns:.0}, ratio {:.2}",
+        own_ns / heap_ns
+    );
 }
 
 fn measure_speed(shortfalls: &mut Vec<String>) {
@@ -179,13 +179,13 @@
         let faults = unshrunk.faults.len();
         let (smallest, played) = seeds::shrink(unshrunk, 12);
         print_line!(
-"  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of requests, in {played} plans: {}",
-format!("{bug:?}"),
-first.seed,
-smallest.faults.len(),
-smallest.request_duration as f64 / 1e6,
-first.violations[0]
-);
+            "  {:<18} {:>4} seeds   faults {faults:>2} to {:>2}, {:.1} s of requests, in {played} plans: {}",
+            format!("{bug:?}"),
+            first.seed,
+            smallest.faults.len(),
+            smallest.request_duration as f64 / 1e6,
+            first.violations[0]
+        );
     }
     inject_bug(None);
 }
--- a/src/commands/bench_tls.rs
+++ b/src/commands/bench_tls.rs
@@ -334,7 +334,7 @@
 /// Kilobytes that each handshake in flight holds: a client's first flight, and nothing after it.
 fn in_flight(program: &Path, files: &Files) -> Result<f64, String> {
     let handshakes =
-"handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
+    "handshakes: { per_second: 100000, burst: 100000, at_once: 1000, waiting: 1000, deadline_ms: 60000 }";
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(handshakes)))?;
     let config = files.client()?;
     let base = rss(&matcher)?;
@@ -380,8 +380,8 @@
 /// rest, with how many a second ended.
 fn flood(program: &Path, files: &Files) -> Result<(f64, f64, f64), String> {
     let handshakes = format!(
-"handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
-);
+        "handshakes: {{ per_second: {BOUND}, burst: 10, at_once: 8, waiting: 64, deadline_ms: 2000 }}"
+    );
     let (_site, matcher) = matcher(program, &format!("{{ {} }}", files.section(&handshakes)))?;
     let rest = at_rest(&matcher)?;
     let before_flood = calm(&matcher, files, rest)?;
@@ -422,13 +422,13 @@
     let (full, resumed) = handshakes(&files, ProtocolVersions::Only13)?;
     let (full12, resumed12) = handshakes(&files, ProtocolVersions::Only12)?;
     print_line!(
-"TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
+        "TLS handshakes, the server's side on one core: 1.3 full {full:.0} us ({:.0} a second), resumed by a shared ticket {resumed:.0} us ({:.0}); \
          1.2 full {full12:.0} us ({:.0}), resumed {resumed12:.0} us ({:.0})",
-1e6 / full,
-1e6 / resumed,
-1e6 / full12,
-1e6 / resumed12
-);
+        1e6 / full,
+        1e6 / resumed,
+        1e6 / full12,
+        1e6 / resumed12
+    );
     // In turns, three of each: a matcher's CPU a request varies by some tenths from one run to the next.
     let (mut plains, mut tlss, mut plain_served, mut tls_served) = (Vec::new(), Vec::new(), 0, 0);
     for _ in 0..3 {
@@ -440,8 +440,8 @@
     let (plain, tls) = (median(plains), median(tlss));
     let ratio = tls / plain;
     print_line!(
-"CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
-);
+        "CPU a request on four warm connections, 16 at a time, medians of three: plain {plain:.1} us, TLS {tls:.1} us, {ratio:.2} times (goal under {GOAL_RATIO}); served {plain_served} and {tls_served} of 48000"
+    );
     if ratio >= GOAL_RATIO {
         short.push(format!(
             "a request over TLS costs {ratio:.2} times plain, {GOAL_RATIO} asked"
@@ -453,19 +453,19 @@
         in_flight(program, &files)?,
     );
     print_line!(
-"memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
-);
+        "memory, {HELD} at a time: an idle TLS connection {idle_tls:.1} KB beside {idle_plain:.1} KB plain; a handshake in flight {flight:.1} KB"
+    );
     let (one, share, done) = flood(program, &files)?;
     // Strangers have what the reserve leaves of the rate.
     let strangers = BOUND
         * (1.0 - cleatpulley_connection_admission::handshake::Settings::default().reserved_share);
     let allowed = strangers * one / 1e6;
     print_line!(
-"a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
+        "a flood of full handshakes from {FLOODERS} callers, strangers bound to {strangers:.0} a second: {done:.0} a second ended, taking {:.1}% of a core; \
          at the matcher's {one:.0} us a handshake one at a time (before and after), the bound allows {:.1}%",
-share * 100.0,
-allowed * 100.0
-);
+        share * 100.0,
+        allowed * 100.0
+    );
     if share > allowed * (1.0 + GOAL_SHARE) {
         short.push(format!(
             "a flood of handshakes takes {:.1}% of a core where the bound allows {:.1}%",
--- a/src/commands/simulator.rs
+++ b/src/commands/simulator.rs
@@ -150,13 +150,13 @@
     let seconds = elapsed.as_secs_f64().max(1e-9);
     let simulated = summary.simulated as f64 / 1e6;
     print_line!(
-"{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
-summary.seeds,
-summary.seeds as f64 / seconds,
-simulated / seconds,
-simulated / seconds / jobs as f64,
-summary.events as f64 / 1e6
-);
+        "{} seeds in {seconds:.1} s by {jobs} jobs: {:.0} seeds a second, {:.0} simulated seconds a second, {:.0} for each job; {:.1} million events",
+        summary.seeds,
+        summary.seeds as f64 / seconds,
+        simulated / seconds,
+        simulated / seconds / jobs as f64,
+        summary.events as f64 / 1e6
+    );
     let [sent, served, rejected, failed, unreachable] = summary.counts;
     print_line!("attempts: {sent} sent, {served} served, {rejected} rejected, {failed} failed or lost, {unreachable} unreachable");
     print_line!("met:");
--- a/src/operator/gateway.rs
+++ b/src/operator/gateway.rs
@@ -223,9 +223,9 @@
         }
         if self.stop_ms < self.drain_grace_ms + longest_deadline_ms {
             let message = format!(
-"{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
-self.stop_ms, self.drain_grace_ms
-);
+                "{} ms leave no time after the drain grace of {} ms for a response due within {longest_deadline_ms} ms",
+                self.stop_ms, self.drain_grace_ms
+            );
             return key_error("stop_ms", message);
         }
         if !(1..=65_536).contains(&self.memory_mb) {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -145,10 +145,10 @@
     let at = matcher.ajp.expect("an AJP address");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n    location /lobby-view { set $matcher_class lobby-view; proxy_pass http://m; }\n    location /old { return 301 /seats; }\n}\n";
     let operator = format!(
-"{{ gateway: {{ frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, routes: 'nginx.conf', \
+        "{{ gateway: {{ frames: ['127.0.0.1:0'], frames_host: 'm', ajp: {{ listen: ['127.0.0.1:0'] }}, routes: 'nginx.conf', \
          targets: {{ protocol: 'ajp', names: {{ 'm7.portmore.example.org:9000': '{at}' }} }}, \
          classes: {{ 'claim-seat': {{ deadline_ms: 3900, effect: true }}, 'lobby-view': {{ deadline_ms: 6500, effect: false }} }} }} }}"
-);
+    );
     let gateway =
         Matcher::start_gateway(&program(), routes, &operator).expect("the process starts");
     let gateway_address = gateway.ajp.expect("an AJP address").to_string();
@@ -270,9 +270,9 @@
     std::fs::write(&file, text).expect("file is written");
     let site = Site::start(SiteSetup::default()).expect("a site");
     let operator = format!(
-"{{ ajp: {{ listen: ['127.0.0.1:0'], routes_from: '{}', figures: {{ id: 'X-Request-Id' }} }} }}",
-file.display()
-);
+        "{{ ajp: {{ listen: ['127.0.0.1:0'], routes_from: '{}', figures: {{ id: 'X-Request-Id' }} }} }}",
+        file.display()
+    );
     let matcher =
         Matcher::start(&program(), &site.config, Some(&operator)).expect("the process starts");
     let at = matcher.ajp.expect("an AJP address").to_string();
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -105,10 +105,10 @@
 
 fn operator(folder: &Path) -> String {
     format!(
-"{{ ajp: {{ listen: ['127.0.0.1:0'], routes: [{{ path: '/claim-seat', class: 'claim-seat' }}], \
+        "{{ ajp: {{ listen: ['127.0.0.1:0'], routes: [{{ path: '/claim-seat', class: 'claim-seat' }}], \
          figures: {{ id: 'X-Request-Id', key: 'Idempotency-Key' }} }}, {} }}",
-KillTrial::operator_section(folder)
-)
+        KillTrial::operator_section(folder)
+    )
 }
 
 fn by_ajp(matcher: &Matcher, id: &str, key: &str, body: &str) -> Output {
