--- a/crates/server/src/server/handover.rs
+++ b/crates/server/src/server/handover.rs
@@ -60,7 +60,7 @@
             }
             HotRestartStep::Listen => {
                 tracing::warn!(
-                    "upgrade: no listener was handed over; listening in parallel to the serving process"
+                    "upgrade: nothing was passed on; listens in parallel to the process that serves"
                 );
                 self.listen();
             }
@@ -208,13 +208,13 @@
         self.share_descriptors(now);
         match self.shutdown.on_successor_lost() {
             Some(stop_at) => {
-                tracing::error!("upgrade: the successor is gone; draining without a successor");
+                tracing::error!("upgrade: the successor is gone, and this process leaves as well");
                 // Without a successor the process drains: clients are notified to use other
                 // servers.
                 self.events.push(Event::DrainStarted { stop_at });
                 self.adapters.client_listener.begin_shutdown(now);
             }
-            None => tracing::warn!("upgrade: the successor is gone; accepting clients again"),
+            None => tracing::warn!("upgrade: the successor is gone; takes clients again"),
         }
         // A draining process also listens for successors: a new one gets its listeners with the
         // pending connections.
@@ -263,7 +263,7 @@
         if may_have_in_flight_requests || !self.dispatcher.release_keys() {
             return;
         }
-        tracing::info!("upgrade: released the idempotency keys to the successor");
+        tracing::info!("upgrade: the successor has the idempotency keys from here on");
         self.handover.yield_state = YieldState::KeysReleased;
         storage.release();
         if let Some(hot_restart) = &mut self.handover.hot_restart {
@@ -363,7 +363,7 @@
 }
 
 fn reject_learned_state(error: &impl std::fmt::Display) {
-    tracing::warn!(%error, "upgrade: failed to restore the learned state of the predecessor");
+    tracing::warn!(%error, "upgrade: what the predecessor had learned is not restored");
 }
 
 /// Returns true if no file descriptor is left, in this process or on the whole machine.
