--- a/crates/protocol/src/ajp/server.rs
+++ b/crates/protocol/src/ajp/server.rs
@@ -175,8 +175,8 @@
                             self.hand_over(*incoming, requests);
                             return;
                         }
-                        // A body of declared length is sent without a request for it; one without must
-                        // be requested.
+                        // A body of declared length is sent without a request for it; one
+                        // without must be requested.
                         if declared_length.is_none() {
                             self.push_body_request(self.settings.max_body_bytes + 1, output);
                         }
