--- a/crates/server/src/handover_channel.rs
+++ b/crates/server/src/handover_channel.rs
@@ -1,5 +1,5 @@
-//! The handover channel of the real host: a Unix socket of whole packets in a private folder, over
-//! which the two processes of a hot restart send messages and listening sockets.
+//! The handover channel on the operating system: a Unix SEQPACKET socket in a private folder, over
+//! which the two processes of a hot restart exchange messages and listening sockets.
 
 use crate::host::{self, HandoverAddress};
 use crate::os_host::event_loop::Watch;
@@ -19,33 +19,33 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Sockets that come along with one message at most.
-const MAX_SOCKETS: usize = 16;
-/// Successors that may wait to be accepted.
-const BACKLOG: i32 = 4;
-/// Access rights of the socket's file: only the same user may connect.
+/// Maximum number of sockets that one message carries.
+const MAX_SOCKETS_PER_MESSAGE: usize = 16;
+/// Maximum number of pending successors.
+const SUCCESSOR_BACKLOG: i32 = 4;
+/// File mode of the socket: only the same user may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Why a socket or a process at the other end of the channel is not accepted.
+/// Error of a received socket or of the process at the other end of the channel.
 #[derive(Debug, thiserror::Error)]
-enum RejectedPeer {
-    #[error("a socket was handed over that is no stream socket")]
-    NoStreamSocket,
-    #[error("a socket was handed over that does not listen")]
+enum HandoverError {
+    #[error("received socket is not a stream socket")]
+    NotStreamSocket,
+    #[error("received socket is not listening")]
     NotListening,
-    #[error("a socket that listens on {actual} was handed over for {expected}")]
-    OtherAddress {
+    #[error("received socket listens on {actual}, expected {expected}")]
+    AddressMismatch {
         actual: SocketAddr,
         expected: SocketAddr,
     },
-    #[error("process {process} of user {user} is not ours")]
-    OtherUser { process: i32, user: u32 },
+    #[error("process {process} belongs to another user, {user}")]
+    UserMismatch { process: i32, user: u32 },
 }
 
-impl From<RejectedPeer> for io::Error {
-    fn from(error: RejectedPeer) -> Self {
+impl From<HandoverError> for io::Error {
+    fn from(error: HandoverError) -> Self {
         let kind = match error {
-            RejectedPeer::OtherUser { .. } => io::ErrorKind::PermissionDenied,
+            HandoverError::UserMismatch { .. } => io::ErrorKind::PermissionDenied,
             _ => io::ErrorKind::InvalidData,
         };
         Self::new(kind, error)
@@ -67,27 +67,27 @@
     }
 }
 
-/// A socket as it was handed over.
+/// A received socket.
 pub struct ReceivedSocket(OwnedFd);
 
 impl ReceivedSocket {
-    /// Returns the socket, where it is a stream socket that listens on this address.
+    /// Returns the socket if it is a stream socket that listens on this address.
     ///
     /// # Errors
-    /// What else it is.
+    /// If the socket is not a stream socket, does not listen, or has another address.
     pub(crate) fn into_listener(self, address: SocketAddr) -> io::Result<TcpListener> {
         if sockopt::socket_type(&self.0)? != SocketType::STREAM {
-            return Err(RejectedPeer::NoStreamSocket.into());
+            return Err(HandoverError::NotStreamSocket.into());
         }
         if !sockopt::socket_acceptconn(&self.0)? {
-            return Err(RejectedPeer::NotListening.into());
+            return Err(HandoverError::NotListening.into());
         }
         let listener = TcpListener::from(self.0);
         let actual = listener.local_addr()?;
-        let has_port = address.port() == 0 || actual.port() == address.port();
-        if actual.ip() != address.ip() || !has_port {
+        let is_port_matching = address.port() == 0 || actual.port() == address.port();
+        if actual.ip() != address.ip() || !is_port_matching {
             let expected = address;
-            return Err(RejectedPeer::OtherAddress { actual, expected }.into());
+            return Err(HandoverError::AddressMismatch { actual, expected }.into());
         }
         Ok(listener)
     }
@@ -100,11 +100,12 @@
     fn send(&self, message: &[u8], listeners: &[&Self::Listener]) -> io::Result<()> {
         let sockets: Vec<_> = listeners
             .iter()
-            .take(MAX_SOCKETS)
+            .take(MAX_SOCKETS_PER_MESSAGE)
             .map(|listener| listener.socket().as_fd())
             .collect();
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
+        let mut control_space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+        let mut control = SendAncillaryBuffer::new(&mut control_space);
         if !sockets.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(&sockets));
         }
@@ -117,10 +118,12 @@
     }
 
     fn receive(&self) -> io::Result<(Vec<u8>, Vec<ReceivedSocket>)> {
-        // One byte more than any message has: a longer one is noticed, and not cut silently.
+        // One byte more than the longest message, so that a longer one is detected and not silently
+        // truncated.
         let mut bytes = vec![0; MAX_MESSAGE_BYTES + 1];
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
-        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let mut control_space =
+            [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+        let mut control = RecvAncillaryBuffer::new(&mut control_space);
         let flags = RecvFlags::DONTWAIT | RecvFlags::CMSG_CLOEXEC;
         let received = recvmsg(
             &*self.socket,
@@ -141,12 +144,12 @@
 
 fn create_socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None)?;
-    // Guards the event loop against a process that does not accept.
+    // A process that does not accept must not block the event loop.
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// Returns the path of the socket that the processes of this address meet at.
+/// Returns the path of the socket for this address.
 fn socket_path(handover_address: &HandoverAddress) -> PathBuf {
     let HandoverAddress {
         folder,
@@ -157,22 +160,22 @@
     folder.join(format!("{name}@{address}.upgrade"))
 }
 
-/// Listens for successors. A process that listened there before keeps the connections it has.
+/// Listens for successors. A process that listened on the path before keeps its connections.
 pub(crate) fn listen(handover_address: &HandoverAddress) -> io::Result<Socket> {
     let path = socket_path(handover_address);
     let socket = create_socket()?;
-    // The path may belong to a process that is gone, or to the predecessor: the new socket is
-    // created under a name of its own, and takes the path over once it listens.
-    let own_path = path.with_extension(std::process::id().to_string());
-    let _ = fs::remove_file(&own_path);
-    socket.bind(&SockAddr::unix(&own_path)?)?;
-    fs::set_permissions(&own_path, fs::Permissions::from_mode(SOCKET_MODE))?;
-    socket.listen(BACKLOG)?;
-    fs::rename(&own_path, &path)?;
+    // The path may belong to an ended process or to the predecessor: the new socket is created
+    // under a temporary path and renamed to the final one once it listens.
+    let temporary_path = path.with_extension(std::process::id().to_string());
+    let _ = fs::remove_file(&temporary_path);
+    socket.bind(&SockAddr::unix(&temporary_path)?)?;
+    fs::set_permissions(&temporary_path, fs::Permissions::from_mode(SOCKET_MODE))?;
+    socket.listen(SUCCESSOR_BACKLOG)?;
+    fs::rename(&temporary_path, &path)?;
     Ok(socket)
 }
 
-/// Accepts a successor that waits. One of another user is closed before it is read from.
+/// Accepts a pending successor. A connection of another user is closed without reading from it.
 pub(crate) fn accept(listener: &Socket) -> io::Result<Socket> {
     let (socket, _) = listener.accept()?;
     socket.set_nonblocking(true)?;
@@ -180,7 +183,7 @@
     Ok(socket)
 }
 
-/// Connects to the process that serves, if there is one.
+/// Connects to the serving process, if there is one.
 pub(crate) fn connect(handover_address: &HandoverAddress) -> io::Result<Socket> {
     let socket = create_socket()?;
     socket.connect(&SockAddr::unix(socket_path(handover_address))?)?;
@@ -188,13 +191,13 @@
     Ok(socket)
 }
 
-/// Guards against a process of another user: it must neither get our sockets nor give us its own.
+/// Rejects a process of another user: it must neither receive our sockets nor pass its own to us.
 fn check_user(socket: &Socket) -> io::Result<()> {
     let peer = sockopt::socket_peercred(socket)?;
     if peer.uid == rustix::process::geteuid() {
         return Ok(());
     }
-    let error = RejectedPeer::OtherUser {
+    let error = HandoverError::UserMismatch {
         process: peer.pid.as_raw_pid(),
         user: peer.uid.as_raw(),
     };
