--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -1,5 +1,6 @@
-//! The AJP front of the program itself, against the stand-ins: what the rules ask when callers stall, cut, resend,
-//! and when the matcher has to leave. Judged from the stand-ins' books, not the matcher's.
+//! The AJP listener of the program with the emulators: rules that hold when callers stall, disconnect and
+//! resend, and when the matcher is terminated. They are checked from the records of the emulators, not
+//! of the matcher.
 
 use cleatpulley::protocol::ajp::client::{Client, ExecutionState, Options, Request, Response};
 use cleatpulley::protocol::ajp::codec::{
@@ -17,23 +18,23 @@
 use std::time::{Duration, Instant};
 
 const SECOND: u64 = 1_000_000;
-/// Nothing takes so long but a failure.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of every wait; only a failure takes longer.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_cleatpulley"))
 }
 
 fn start(setup: Setup, rest: &str) -> (Site, Matcher, SocketAddr) {
-    let site = Site::start(setup).expect("the stand-ins start");
+    let site = Site::start(setup).expect("start the emulated services");
     let matcher = Matcher::start(program(), &site.config, Some(&site.operator_file(rest, "")))
-        .expect("it starts");
-    let to = matcher.ajp.expect("it speaks AJP");
+        .expect("start the process");
+    let to = matcher.ajp.expect("an AJP address");
     (site, matcher, to)
 }
 
-/// A site where each run takes this long on a core of its own.
-fn steady(ms: u64) -> Setup {
+/// Returns a site where each run takes this long on a core of its own.
+fn site_with_fixed_work(ms: u64) -> Setup {
     let mut setup = Setup {
         cores: 64,
         ..Setup::default()
@@ -45,7 +46,7 @@
     setup
 }
 
-/// A caller that waits for its answers.
+/// A caller that waits for each response.
 struct Caller {
     stream: TcpStream,
     client: Client,
@@ -53,9 +54,11 @@
 
 impl Caller {
     fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
+        let stream = TcpStream::connect(to).expect("connect to the process");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("set the timeout");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
         let options = Options {
             packet_size: PACKET_SIZE,
             secret: None,
@@ -76,12 +79,14 @@
             body,
         };
         let mut out = Vec::new();
-        self.client.request(0, &request, &mut out).expect("it fits");
-        self.stream.write_all(&out).expect("it is read");
+        self.client
+            .request(0, &request, &mut out)
+            .expect("the request fits into a packet");
+        self.stream.write_all(&out).expect("send the bytes");
     }
 
-    /// The answer; none where the connection ended before it.
-    fn answer(&mut self) -> Option<Response> {
+    /// Returns the response, or `None` if the connection ended before it.
+    fn read_response(&mut self) -> Option<Response> {
         let mut input = Vec::new();
         let mut buffer = [0; 4_096];
         loop {
@@ -92,20 +97,20 @@
                 Ok(0) => return None,
                 Ok(n) => input.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no answer: {e}"),
+                Err(e) => panic!("no response: {e}"),
             }
             let mut more = Vec::new();
             let used = self
                 .client
                 .receive(0, &input, &mut more)
-                .expect("a good answer");
+                .expect("valid response");
             input.drain(..used);
-            self.stream.write_all(&more).expect("it is read");
+            self.stream.write_all(&more).expect("send the bytes");
         }
     }
 }
 
-fn forward(path: &str, headers: &[(&str, &str)]) -> Vec<u8> {
+fn forward_packet(path: &str, headers: &[(&str, &str)]) -> Vec<u8> {
     let request = OutgoingRequest {
         method: "POST",
         uri: path,
@@ -113,20 +118,20 @@
         ..OutgoingRequest::default()
     };
     let mut out = Vec::new();
-    push_forward_request(&mut out, &request, PACKET_SIZE).expect("it fits");
+    push_forward_request(&mut out, &request, PACKET_SIZE).expect("the request fits into a packet");
     out
 }
 
-fn body(data: &[u8]) -> Vec<u8> {
+fn body_packet(data: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    push_body(&mut out, data, PACKET_SIZE).expect("it fits");
+    push_body(&mut out, data, PACKET_SIZE).expect("the request fits into a packet");
     out
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < PATIENCE, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -137,13 +142,13 @@
     })
 }
 
-/// 300 callers stall halfway through their bodies while good ones ask on both fronts: the stalled get their answer,
-/// hold little, and the good ones lose nothing.
+/// 300 callers stall halfway through their bodies while others send requests in both protocols: the
+/// stalled ones get a response and use little memory, and the others lose no request.
 #[test]
-fn stalled_bodies_are_answered_and_good_callers_lose_nothing() {
-    let site = steady(5);
-    let load = |front| Load {
-        protocol: front,
+fn stalled_bodies_time_out_and_other_callers_lose_no_request() {
+    let site = site_with_fixed_work(5);
+    let load = |protocol| Load {
+        protocol,
         rates: vec![(4 * SECOND, 60.0)],
         connections: 16,
         body_bytes: 100,
@@ -156,103 +161,107 @@
         operator_sections: String::new(),
         terminate_at: None,
     };
-    let mut going = trial.start(program()).expect("it starts");
-    let to = going.matcher.ajp.expect("it speaks AJP");
+    let mut trial_run = trial.start(program()).expect("start the process");
+    let to = trial_run.matcher.ajp.expect("an AJP address");
     let half = [
-        forward("/find-race", &[("Content-Length", "2000")]),
-        body(&[b'x'; 900]),
+        forward_packet("/find-race", &[("Content-Length", "2000")]),
+        body_packet(&[b'x'; 900]),
     ]
     .concat();
-    let before = going.matcher.memory_kb();
+    let before = trial_run.matcher.memory_kb();
     let mut stalled: Vec<_> = (0..300).map(|_| Caller::connect(to)).collect();
     for caller in &mut stalled {
-        caller.stream.write_all(&half).expect("it is read");
+        caller.stream.write_all(&half).expect("send the bytes");
     }
     for caller in &mut stalled {
         let mut answer = Vec::new();
         caller
             .stream
             .read_to_end(&mut answer)
-            .expect("an answer and the end");
+            .expect("read until the end");
         let status = answer.windows(3).any(|part| part == [4, 1, 0x98]);
         assert!(status, "no status 408 in {}", answer.escape_ascii());
     }
-    if let (Some(before), Some(after)) = (before, going.matcher.memory_kb()) {
+    if let (Some(before), Some(after)) = (before, trial_run.matcher.memory_kb()) {
         let each = after.1.saturating_sub(before.0) / 300;
         assert!(each < 64, "{each} KB for each stalled connection");
     }
-    wait_until("the good callers are done", || {
-        going
+    wait_until("the other callers are done", || {
+        trial_run
             .callers
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     assert!(report.violations.is_empty(), "{report}");
-    for front in [Protocol::Frames, Protocol::Ajp] {
-        let total = report.total(front);
+    for protocol in [Protocol::Frames, Protocol::Ajp] {
+        let total = report.total(protocol);
         assert_eq!((total.failed, total.not_sent), (0, 0), "{report}");
     }
 }
 
-/// A conversation cut at every byte: only what was whole runs, nothing panics, and all places are given back.
+/// A request is cut off at every byte: only complete requests run, the process survives, and all
+/// descriptors are released.
 #[test]
 fn connections_cut_at_every_byte_leak_nothing() {
-    let (site, mut matcher, to) = start(steady(1), "");
+    let (site, mut matcher, to) = start(site_with_fixed_work(1), "");
     let request = [
-        forward(
+        forward_packet(
             "/claim-seat",
             &[
                 ("Content-Length", "4"),
                 ("X-Request-Id", "00000000000000c1"),
             ],
         ),
-        body(b"seat"),
+        body_packet(b"seat"),
     ]
     .concat();
     let before = matcher.descriptor_count();
     for cut in 0..request.len() {
-        let mut stream = TcpStream::connect(to).expect("it listens");
-        stream.write_all(&request[..cut]).expect("it is read");
+        let mut stream = TcpStream::connect(to).expect("connect to the process");
+        stream.write_all(&request[..cut]).expect("send the bytes");
     }
-    let mut whole = Caller::connect(to);
-    whole.stream.write_all(&request).expect("it is read");
-    wait_until("the whole one runs", || starts(&site) == 1);
-    drop(whole);
+    let mut complete = Caller::connect(to);
+    complete.stream.write_all(&request).expect("send the bytes");
+    wait_until("the complete request runs", || starts(&site) == 1);
+    drop(complete);
     let mut good = Caller::connect(to);
     good.send("/find-race", "00000000000000c2", b"race");
-    assert_eq!(good.answer().expect("an answer").status, 200);
+    assert_eq!(good.read_response().expect("get a response").status, 200);
     drop(good);
-    assert_eq!(starts(&site), 2, "nothing that was cut has run");
-    wait_until("descriptors are given back", || {
+    assert_eq!(starts(&site), 2, "no incomplete request has run");
+    wait_until("descriptors are released", || {
         matcher.descriptor_count() <= before
     });
     assert!(matcher.is_alive());
 }
 
-/// The proxy sends a write again over a fresh connection while the first try runs: it does not run again, and the
-/// second try is told that it may have run.
+/// A proxy resends a write over a new connection while the first attempt runs: it does not run again, and
+/// the response to the second attempt says that it may have run.
 #[test]
 fn a_resent_id_does_not_run_again() {
-    let (site, _matcher, to) = start(steady(600), "");
+    let (site, _matcher, to) = start(site_with_fixed_work(600), "");
     let mut first = Caller::connect(to);
     first.send("/claim-seat", "00000000000000d1", b"seat");
-    wait_until("it runs", || starts(&site) == 1);
+    wait_until("run the command", || starts(&site) == 1);
     let Caller { stream, client } = first;
     assert_eq!(client.execution_state(0), ExecutionState::MayHaveRun);
     drop(stream);
     let mut second = Caller::connect(to);
     second.send("/claim-seat", "00000000000000d1", b"seat");
-    let answer = second.answer().expect("an answer");
+    let answer = second.read_response().expect("get a response");
     assert!(answer.status == 500 && !answer.not_run(), "{answer:?}");
     assert!(answer.reuse, "the connection is as good as before");
-    // A write without an id could not be told from its repeat.
+    // A write without an id could not be distinguished from its repetition.
     second
         .stream
-        .write_all(&forward("/claim-seat", &[]))
-        .expect("it is read");
+        .write_all(&forward_packet("/claim-seat", &[]))
+        .expect("send the bytes");
     let mut rest = Vec::new();
-    second.stream.read_to_end(&mut rest).expect("the end");
+    second
+        .stream
+        .read_to_end(&mut rest)
+        .expect("read until the end");
     assert!(
         rest.windows(3).any(|part| part == [4, 1, 0x90]),
         "no status 400 in {}",
@@ -264,9 +273,10 @@
         .is_empty()));
 }
 
-/// The notice to leave, while bodies are half read, requests are held, and runs are under way, on both fronts.
+/// SIGTERM arrives while bodies are incomplete, requests are queued and runs are in progress, in both
+/// protocols.
 #[test]
-fn leaving_answers_all_that_was_read_on_both_fronts() {
+fn draining_answers_all_requests_that_were_read_in_both_protocols() {
     let mut setup = Setup {
         stop_timeout: 3 * SECOND,
         drain_grace: SECOND,
@@ -274,8 +284,8 @@
     };
     setup.classes = classes();
     let rate = setup.capacity() * 0.6;
-    let load = |front| Load {
-        protocol: front,
+    let load = |protocol| Load {
+        protocol,
         rates: vec![(4 * SECOND, rate)],
         connections: 64,
         body_bytes: 64,
@@ -288,50 +298,50 @@
         operator_sections: String::new(),
         terminate_at: None,
     };
-    let mut going = trial.start(program()).expect("it starts");
-    let to = going.matcher.ajp.expect("it speaks AJP");
+    let mut trial_run = trial.start(program()).expect("start the process");
+    let to = trial_run.matcher.ajp.expect("an AJP address");
     let open = || {
-        going
+        trial_run
             .callers
             .iter()
             .map(|callers| with_lock(callers, |callers| callers.open_requests()))
             .sum::<usize>()
     };
-    wait_until("requests run and are held", || {
-        with_lock(&going.site.runtime, |runtime| runtime.running_count()) >= 6 && open() >= 12
+    wait_until("requests run and are queued", || {
+        with_lock(&trial_run.site.runtime, |runtime| runtime.running_count()) >= 6 && open() >= 12
     });
     let half = [
-        forward("/find-race", &[("Content-Length", "900")]),
-        body(&[b'x'; 400]),
+        forward_packet("/find-race", &[("Content-Length", "900")]),
+        body_packet(&[b'x'; 400]),
     ]
     .concat();
     let mut stalled: Vec<_> = (0..20).map(|_| Caller::connect(to)).collect();
     for caller in &mut stalled {
-        caller.stream.write_all(&half).expect("it is read");
+        caller.stream.write_all(&half).expect("send the bytes");
     }
-    // One body that is whole only after the notice: it is answered as any other.
+    // One body that is complete only after SIGTERM: it is answered like any other.
     let mut late = Caller::connect(to);
-    late.stream.write_all(&half).expect("it is read");
+    late.stream.write_all(&half).expect("send the bytes");
     // Idle connections are closed at once.
     let mut idle = Caller::connect(to);
     idle.stream
         .write_all(&[0x12, 0x34, 0, 1, 10])
-        .expect("it is read");
-    idle.stream.read_exact(&mut [0; 5]).expect("a pong");
-    going.terminate();
-    let noticed = Instant::now();
-    assert_eq!(idle.stream.read(&mut [0; 1]).expect("an end"), 0);
+        .expect("send the bytes");
+    idle.stream.read_exact(&mut [0; 5]).expect("read the CPong");
+    trial_run.terminate();
+    let terminated = Instant::now();
+    assert_eq!(idle.stream.read(&mut [0; 1]).expect("read the end"), 0);
     assert!(
-        noticed.elapsed() < Duration::from_secs(2),
-        "an idle connection lingers"
+        terminated.elapsed() < Duration::from_secs(2),
+        "an idle connection stays open"
     );
     late.stream
-        .write_all(&body(&[b'x'; 500]))
-        .expect("it is read");
+        .write_all(&body_packet(&[b'x'; 500]))
+        .expect("send the bytes");
     let mut answer = Vec::new();
     late.stream
         .read_to_end(&mut answer)
-        .expect("an answer and the end");
+        .expect("read until the end");
     assert!(
         answer.ends_with(&[b'A', b'B', 0, 2, 5, 0]),
         "{}",
@@ -342,27 +352,27 @@
         caller
             .stream
             .read_to_end(&mut answer)
-            .expect("an answer and the end");
+            .expect("read until the end");
         assert!(
             answer.ends_with(&[b'A', b'B', 0, 2, 5, 0]),
             "{}",
             answer.escape_ascii()
         );
     }
-    wait_until("the callers have their answers", || {
-        going
+    wait_until("the callers have their responses", || {
+        trial_run
             .callers
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     assert!(report.violations.is_empty(), "{report}");
 }
 
-/// Both kinds of callers at 110% of what the cores can do, with a surge, and a store over AJP that loses, refuses,
-/// fails and resets some calls.
+/// Callers in both protocols at 110% of the cores' capacity, with a surge, and a store over AJP that
+/// rejects, fails and resets some calls and leaves some unanswered.
 #[test]
-fn a_mixed_load_keeps_the_rules_for_both_kinds_alike() {
+fn a_mixed_load_keeps_the_rules_in_both_protocols() {
     let store = store::Setup {
         rejected_per_mille: 10,
         unanswered_per_mille: 3,
@@ -380,8 +390,8 @@
         (3 * SECOND, 1.6 * half),
         (6 * SECOND, 1.1 * half),
     ];
-    let load = |front, connections| Load {
-        protocol: front,
+    let load = |protocol, connections| Load {
+        protocol,
         rates: rates.clone(),
         connections,
         body_bytes: 200,
@@ -394,27 +404,27 @@
         operator_sections: "store: { protocol: 'ajp' },".to_owned(),
         terminate_at: None,
     };
-    let mut going = trial.start(program()).expect("it starts");
+    let mut trial_run = trial.start(program()).expect("start the process");
     wait_until("all is sent and answered", || {
-        going
+        trial_run
             .callers
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     });
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     assert!(report.violations.is_empty(), "{report}");
-    for front in [Protocol::Frames, Protocol::Ajp] {
-        let total = report.total(front);
+    for protocol in [Protocol::Frames, Protocol::Ajp] {
+        let total = report.total(protocol);
         assert!(
             total.issued > 200 && total.on_time * 2 > total.issued,
             "{report}"
         );
         assert_eq!(
             total.rejected_without_retry_after, 0,
-            "every refusal tells when to come back\n{report}"
+            "every rejection has a retry-after time\n{report}"
         );
     }
-    let (calls, ajp) = with_lock(&going.site.store, |store| {
+    let (calls, ajp) = with_lock(&trial_run.site.store, |store| {
         (store.stats.calls, store.stats.ajp_calls)
     });
     assert!(
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,5 @@
-//! Plays the recorded byte exchanges of `tests/exchanges/` against the program and compares.
+//! Replays the recorded byte exchanges of `tests/exchanges/` against the program and compares its
+//! output.
 //!
 //! A file is a list of steps, one a line; `#` begins a remark. A step is a party, a direction and bytes:
 //! `>` is sent to the program, `<` is what the program must send next.
@@ -28,8 +29,8 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nothing takes so long but a failure.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of every wait; only a failure takes longer.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn config() -> Value {
     let class = |name: &str, effect: &str, value: u64| json!({"name": name, "effect": effect, "give_up": 30_000_000, "on_time": 5_000_000, "value": value});
@@ -51,10 +52,10 @@
 }
 
 struct Player {
-    lets: HashMap<String, String>,
+    variables: HashMap<String, String>,
     config: Value,
     descriptors: u32,
-    crowd: Vec<TcpStream>,
+    idle_connections: Vec<TcpStream>,
     listeners: HashMap<&'static str, TcpListener>,
     file: PathBuf,
     streams: HashMap<String, BufReader<TcpStream>>,
@@ -67,9 +68,9 @@
             let state = child.try_wait();
             let _ = child.kill();
             let _ = child.wait();
-            forget(child.id());
+            remove_stored_results(child.id());
             if std::thread::panicking() {
-                eprintln!("the program: {state:?}, and what it said last:");
+                eprintln!("the program: {state:?}, with the last lines of its log:");
                 log.iter().for_each(|line| eprintln!("{line}"));
             }
         }
@@ -77,13 +78,13 @@
     }
 }
 
-/// Removes what a process that was killed has kept of keys.
-fn forget(process: u32) {
+/// Removes the stored results of a killed process.
+fn remove_stored_results(process: u32) {
     let folder = format!("results-n3-127.0.0.1-0-{process}");
     let _ = std::fs::remove_dir_all(std::env::temp_dir().join(folder));
 }
 
-fn millis() -> i64 {
+fn unix_millis() -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
@@ -127,13 +128,13 @@
                     } else {
                         shift.parse().expect("a shift")
                     };
-                    top.extend_from_slice((millis() + shift).to_string().as_bytes());
+                    top.extend_from_slice((unix_millis() + shift).to_string().as_bytes());
                 }
-                '$' => top.extend(self.bytes(&self.lets[&word[1..]])),
+                '$' => top.extend(self.bytes(&self.variables[&word[1..]])),
                 _ => {
                     let (times, pair) = word.split_once('*').unwrap_or(("1", word));
                     let once = match pair.strip_prefix('$') {
-                        Some(name) => self.bytes(&self.lets[name]),
+                        Some(name) => self.bytes(&self.variables[name]),
                         None => vec![u8::from_str_radix(pair, 16).expect("a hex pair")],
                     };
                     top.extend(once.repeat(times.parse().expect("a count")));
@@ -168,29 +169,29 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| sender.send(line))
         });
-        let first = log.recv_timeout(PATIENCE).expect("a first line");
+        let first = log.recv_timeout(TIMEOUT).expect("a first line");
         let address = first
             .split("listens on ")
             .nth(1)
-            .expect("it listens")
+            .expect("connect to the program")
             .parse()
             .expect("an address");
         self.child = Some((child, address, log));
         address
     }
 
-    /// New addresses for all parties but the program, and a configuration that tells of them.
+    /// Binds new addresses for all parties but the program, and writes a configuration with them.
     fn listen(&mut self) {
         for (party, key) in [
             ("runtime", "runtime"),
             ("store", "store"),
             ("directory", "lookup"),
         ] {
-            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+            let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
             self.config[key] = json!(listener.local_addr().expect("an address").to_string());
             self.listeners.insert(party, listener);
         }
-        std::fs::write(&self.file, self.config.to_string()).expect("a file");
+        std::fs::write(&self.file, self.config.to_string()).expect("write the configuration");
     }
 
     fn signal(&mut self, name: &str) {
@@ -212,10 +213,12 @@
             let listens = party.trim_end_matches(|c: char| c.is_ascii_digit());
             let stream = match self.listeners.get(listens) {
                 Some(listener) => accept(listener),
-                None => TcpStream::connect(address).expect("it listens"),
+                None => TcpStream::connect(address).expect("connect to the program"),
             };
-            stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-            stream.set_nodelay(true).expect("no delay");
+            stream
+                .set_read_timeout(Some(TIMEOUT))
+                .expect("set the timeout");
+            stream.set_nodelay(true).expect("set TCP_NODELAY");
             self.streams
                 .insert(party.to_owned(), BufReader::new(stream));
         }
@@ -226,7 +229,7 @@
         self.stream(party)
             .get_mut()
             .write_all(bytes)
-            .expect("the program reads");
+            .expect("send the bytes");
     }
 
     fn expect_line(&mut self, text: &str) {
@@ -238,8 +241,8 @@
         let since = Instant::now();
         loop {
             assert!(
-                since.elapsed() < PATIENCE,
-                "nothing but questions for the gauges came"
+                since.elapsed() < TIMEOUT,
+                "only requests for gauges were received"
             );
             let mut line = String::new();
             let read = self.stream("runtime").read_line(&mut line);
@@ -295,7 +298,8 @@
             while have < got.len() {
                 match stream.read(&mut got[have..]) {
                     Ok(n) if n > 0 => have += n,
-                    // A read with a time-out is not taken up again by the system where the machine has paused.
+                    // The system does not restart a read with a timeout after the machine was
+                    // paused.
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
                     end => {
                         eprintln!("after {have} bytes: {end:?}");
@@ -303,7 +307,7 @@
                     }
                 }
             }
-            assert_eq!(show(&got[..have]), show(&expected));
+            assert_eq!(escape(&got[..have]), escape(&expected));
         }
     }
 
@@ -312,7 +316,7 @@
         match word {
             "let" => {
                 let (name, bytes) = rest.split_once(' ').expect("a name and bytes");
-                self.lets.insert(name.to_owned(), bytes.to_owned());
+                self.variables.insert(name.to_owned(), bytes.to_owned());
             }
             "config" => {
                 let (key, value) = rest.split_once(' ').expect("a key and a value");
@@ -328,18 +332,18 @@
                 let address = self.start();
                 let (number, bytes) = rest.split_once(' ').unwrap_or((rest, ""));
                 let (number, bytes) = (number.parse().unwrap_or(0), self.bytes(bytes));
-                self.crowd = (0..number)
-                    .map(|_| TcpStream::connect(address).expect("it listens"))
+                self.idle_connections = (0..number)
+                    .map(|_| TcpStream::connect(address).expect("connect to the program"))
                     .collect();
-                for stream in &mut self.crowd {
-                    stream.write_all(&bytes).expect("the program reads");
+                for stream in &mut self.idle_connections {
+                    stream.write_all(&bytes).expect("send the bytes");
                 }
             }
             "signal" => self.signal(rest),
             "reload" => {
                 match rest {
                     "" => self.listen(),
-                    text => std::fs::write(&self.file, text).expect("a file"),
+                    text => std::fs::write(&self.file, text).expect("write the configuration"),
                 }
                 self.signal("HUP");
             }
@@ -349,15 +353,15 @@
                     .kill()
                     .and_then(|()| child.wait())
                     .expect("it is ended");
-                forget(child.id());
+                remove_stored_results(child.id());
                 self.streams.clear();
                 self.listeners.clear();
             }
             "exit" => {
                 let (child, _, log) = self.child.as_mut().expect("it runs");
-                // Its log ends when it does.
+                // The log ends when the process exits.
                 while log
-                    .recv_timeout(PATIENCE)
+                    .recv_timeout(TIMEOUT)
                     .map_err(|e| assert_eq!(e, RecvTimeoutError::Disconnected))
                     .is_ok()
                 {}
@@ -369,7 +373,7 @@
             "log" => {
                 let log = &self.child.as_ref().expect("it runs").2;
                 while !log
-                    .recv_timeout(PATIENCE)
+                    .recv_timeout(TIMEOUT)
                     .expect("the line is logged")
                     .contains(rest)
                 {}
@@ -389,13 +393,13 @@
                     let stream = self.stream(party).get_mut();
                     stream
                         .set_write_timeout(Some(Duration::from_millis(300)))
-                        .expect("a time-out");
+                        .expect("set the timeout");
                     let taken = (0..10_000)
                         .take_while(|_| stream.write_all(&bytes).is_ok())
                         .count();
                     assert!(
                         taken < 10_000,
-                        "the program takes all, though nobody reads its answers"
+                        "the program keeps reading although its responses are not read"
                     );
                 }
                 ("accept", _) => {
@@ -425,7 +429,7 @@
     }
 }
 
-/// Waits for a connection, but not for ever.
+/// Waits for a connection, with a timeout.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("a mode");
     let since = Instant::now();
@@ -435,14 +439,14 @@
                 stream.set_nonblocking(false).expect("a mode");
                 return stream;
             }
-            Err(_) => assert!(since.elapsed() < PATIENCE, "the program does not connect"),
+            Err(_) => assert!(since.elapsed() < TIMEOUT, "the program does not connect"),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Bytes as a failure shows them.
-fn show(bytes: &[u8]) -> String {
+/// Formats bytes for failure messages.
+fn escape(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
@@ -450,10 +454,10 @@
     let file = format!("{}/tests/exchanges/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&file).expect("the file is there");
     let mut player = Player {
-        lets: HashMap::new(),
+        variables: HashMap::new(),
         config: config(),
         descriptors: 1_024,
-        crowd: Vec::new(),
+        idle_connections: Vec::new(),
         listeners: HashMap::new(),
         file: std::env::temp_dir().join(format!("cleatpulley-{}-{name}.json", std::process::id())),
         streams: HashMap::new(),
@@ -485,7 +489,7 @@
             play(stringify!($name));
         })*
 
-        /// Guards against a recording that no test plays.
+        /// Guards against a recording that no test replays.
         #[test]
         fn every_recording_is_played() {
             let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Kept results on a real process, real files and real sockets.
+//! Stored results of keyed requests, on a real process with real files and sockets.
 
 use cleatpulley_emulators::callers::Protocol;
 use cleatpulley_emulators::host::with_lock;
@@ -16,45 +16,46 @@
     PathBuf::from(env!("CARGO_BIN_EXE_cleatpulley"))
 }
 
-/// Tries of the same keys without end, a matcher killed at random points of its work, and a runtime that lives on.
+/// Callers repeat the same keys without limit while the matcher is killed at random points and the
+/// runtime lives on.
 #[test]
-fn a_matcher_killed_again_and_again_runs_no_key_twice() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn a_matcher_that_is_killed_repeatedly_runs_no_key_twice() {
+    let dir = tempfile::tempdir().expect("create a folder");
     let kills = KillTrial {
         kills: 120,
         seed: 11,
     };
     let (seen, keys) = kills
         .run(&program(), &dir.path().join("kept"))
-        .expect("it plays");
+        .expect("run the trial");
     assert_eq!(seen.violations, Vec::<String>::new(), "{seen:?}");
-    // Nobody should trust kills that hit nothing.
+    // The kills must have interrupted requests, or the test proves nothing.
     assert!(
         keys > 50 && seen.served_repeats > 50 && seen.unknown > 10,
         "{keys} keys, {seen:?}"
     );
 }
 
-/// A connection by hand, which speaks frames.
-struct Line {
+/// A client connection that speaks frames.
+struct FrameClient {
     stream: TcpStream,
     streams: u32,
 }
 
-impl Line {
+impl FrameClient {
     fn new(matcher: &Matcher) -> Self {
-        let stream = TcpStream::connect(matcher.frames).expect("it listens");
+        let stream = TcpStream::connect(matcher.frames).expect("connect to the process");
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
-            .expect("a time-out");
+            .expect("set the timeout");
         Self { stream, streams: 0 }
     }
 
-    fn ask(&mut self, id: u64, key: &str, body: &str) {
+    fn send_request(&mut self, id: u64, key: &str, body: &str) {
         self.streams += 1;
         let now = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
-            .expect("a clock");
+            .expect("the clock is past 1970");
         let (id, now) = (format!("{id:016x}"), now.as_millis().to_string());
         let fields = [
             ("verb", "claim-seat"),
@@ -78,17 +79,19 @@
         frame.push(0);
         frame.extend_from_slice(&self.streams.to_be_bytes());
         frame.extend_from_slice(&payload);
-        self.stream.write_all(&frame).expect("it is taken");
+        self.stream.write_all(&frame).expect("send the bytes");
     }
 
-    /// The code and the body of the next answer; its fields are passed over.
-    fn answer(&mut self) -> (u8, Vec<u8>) {
+    /// Returns the code and the body of the next response, without its fields.
+    fn read_response(&mut self) -> (u8, Vec<u8>) {
         loop {
             let mut head = [0; 9];
-            self.stream.read_exact(&mut head).expect("an answer");
+            self.stream.read_exact(&mut head).expect("read a response");
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
             let mut payload = vec![0; length - 5];
-            self.stream.read_exact(&mut payload).expect("whole");
+            self.stream
+                .read_exact(&mut payload)
+                .expect("read the payload");
             if head[4] != 1 {
                 continue;
             }
@@ -111,12 +114,12 @@
 )
 }
 
-fn by_ajp(matcher: &Matcher, id: &str, key: &str, body: &str) -> Output {
+fn request_by_ajp(matcher: &Matcher, id: &str, key: &str, body: &str) -> Output {
     let (id, key) = (
         format!("X-Request-Id:{id}"),
         format!("Idempotency-Key:{key}"),
     );
-    let at = matcher.ajp.expect("it speaks AJP").to_string();
+    let at = matcher.ajp.expect("an AJP address").to_string();
     let args = [
         "ajp",
         "request",
@@ -132,106 +135,114 @@
     Command::new(program())
         .args(args)
         .output()
-        .expect("it runs")
+        .expect("run the command")
 }
 
-/// Ten tries at once by six connections and one by the other front share one run; so do those that come after it, also
-/// after a restart, also where the first's caller has left; another body is refused in its own words.
+/// Concurrent attempts with one key on several connections share one run, as do later attempts, also
+/// after a restart and when the first caller has left. A request with the same key and another body is
+/// rejected with a message of its own. Requests over AJP have another owner and thus a run of their own.
 #[test]
-fn repeats_share_one_run_on_both_fronts_and_after_a_restart() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn repeats_share_one_run_in_both_protocols_and_after_a_restart() {
+    let dir = tempfile::tempdir().expect("create a folder");
     let folder = dir.path().join("kept");
     let mut setup = KillTrial::site(3);
     setup.classes[0].work = (150_000, 150_000);
-    let site = Site::start(setup).expect("a site");
-    let matcher =
-        Matcher::start(&program(), &site.config, Some(&operator(&folder))).expect("it starts");
-    let mut first = Line::new(&matcher);
-    first.ask(1, "a", "seat 7");
-    let mut lines: Vec<Line> = (0..6).map(|_| Line::new(&matcher)).collect();
-    for (n, line) in lines.iter_mut().enumerate() {
-        line.ask(10 + n as u64, "a", "seat 7");
-        line.ask(20 + n as u64, "a", "seat 7");
+    let site = Site::start(setup).expect("start the emulated services");
+    let matcher = Matcher::start(&program(), &site.config, Some(&operator(&folder)))
+        .expect("start the process");
+    let mut first = FrameClient::new(&matcher);
+    first.send_request(1, "a", "seat 7");
+    let mut clients: Vec<FrameClient> = (0..6).map(|_| FrameClient::new(&matcher)).collect();
+    for (n, client) in clients.iter_mut().enumerate() {
+        client.send_request(10 + n as u64, "a", "seat 7");
+        client.send_request(20 + n as u64, "a", "seat 7");
     }
     // The first caller leaves while it runs.
     while with_lock(&site.runtime, |runtime| runtime.running_count()) == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     drop(first);
-    let other_front = by_ajp(&matcher, "00000000000000aa", "a", "seat 7");
-    // The key is the caller's, and both fronts say caller 1 and 0: another space of keys, another run.
-    assert!(other_front.status.success(), "{other_front:?}");
+    let ajp_response = request_by_ajp(&matcher, "00000000000000aa", "a", "seat 7");
+    // Keys belong to a caller, which is 1 over frames and 0 over AJP: the key spaces differ, and so do
+    // the runs.
+    assert!(ajp_response.status.success(), "{ajp_response:?}");
     let expected = (0, cleatpulley_emulators::runtime::result_of(1));
-    for line in &mut lines {
+    for client in &mut clients {
         assert_eq!(
-            (line.answer(), line.answer()),
+            (client.read_response(), client.read_response()),
             (expected.clone(), expected.clone())
         );
     }
-    let again = by_ajp(&matcher, "00000000000000ab", "a", "seat 7");
-    assert_eq!(again.stdout, other_front.stdout, "byte for byte");
-    let taken = by_ajp(&matcher, "00000000000000ac", "a", "seat 8");
+    let again = request_by_ajp(&matcher, "00000000000000ab", "a", "seat 7");
+    assert_eq!(
+        again.stdout, ajp_response.stdout,
+        "the responses are identical"
+    );
+    let taken = request_by_ajp(&matcher, "00000000000000ac", "a", "seat 8");
     assert!(
         String::from_utf8_lossy(&taken.stdout).starts_with("422"),
         "{taken:?}"
     );
-    lines[0].ask(40, "a", "seat 8");
+    clients[0].send_request(40, "a", "seat 8");
     assert_eq!(
-        lines[0].answer(),
+        clients[0].read_response(),
         (2, b"the key belongs to another request".to_vec())
     );
     drop(matcher);
     let mut matcher = Matcher::start(&program(), &site.config, Some(&operator(&folder)))
-        .expect("it starts again");
-    let mut line = Line::new(&matcher);
-    line.ask(50, "a", "seat 7");
-    assert_eq!(line.answer(), expected);
-    // Within the drain what is kept is still told, and nothing runs for it.
+        .expect("restart the process");
+    let mut client = FrameClient::new(&matcher);
+    client.send_request(50, "a", "seat 7");
+    assert_eq!(client.read_response(), expected);
+    // While draining, stored results are still returned, without a run.
     matcher.terminate();
-    line.ask(51, "a", "seat 7");
-    assert_eq!(line.answer(), expected);
-    drop(line);
+    client.send_request(51, "a", "seat 7");
+    assert_eq!(client.read_response(), expected);
+    drop(client);
     let status = matcher
         .wait_for_exit(Duration::from_secs(5))
-        .expect("it ends");
+        .expect("wait for the exit");
     assert!(status.success(), "{}", matcher.log().join("\n"));
     let runs = with_lock(&site.runtime, |runtime| runtime.stats.starts.len());
-    assert_eq!(runs, 2, "one for each space of keys");
-    results_by_hand(&folder);
+    assert_eq!(runs, 2, "one run for each key space");
+    check_results_command(&folder);
 }
 
-fn tool(args: &[&str]) -> Output {
+fn results_command(args: &[&str]) -> Output {
     Command::new(program())
         .arg("results")
         .args(args)
         .output()
-        .expect("it runs")
+        .expect("run the command")
 }
 
-/// The commands for operators, on what the test above has left.
-fn results_by_hand(folder: &Path) {
-    let dir = folder.to_str().expect("text");
+/// Checks the `results` commands on the folder that the test above has left.
+fn check_results_command(folder: &Path) {
+    let dir = folder.to_str().expect("the path is UTF-8");
     let text = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
-    let got = tool(&["get", dir, "--class", "0", "--owner", "1", "a"]);
+    let got = results_command(&["get", dir, "--class", "0", "--owner", "1", "a"]);
     assert!(
         text(&got).contains("\"state\":\"served\"")
             && text(&got).contains("grid of 0000000000000001")
     );
     assert_eq!(
-        tool(&["get", dir, "--class", "0", "b"]).status.code(),
+        results_command(&["get", dir, "--class", "0", "b"])
+            .status
+            .code(),
         Some(3)
     );
-    assert_eq!(text(&tool(&["list", dir])).lines().count(), 2);
-    assert_eq!(text(&tool(&["list", dir, "--unknown"])), "");
-    assert!(text(&tool(&["stat", dir])).starts_with("2 keys: 2 with a result, 0 that may have run"));
-    // Caller 1's keys move to another store, and only one of them owns them at a time.
+    assert_eq!(text(&results_command(&["list", dir])).lines().count(), 2);
+    assert_eq!(text(&results_command(&["list", dir, "--unknown"])), "");
+    assert!(text(&results_command(&["stat", dir]))
+        .starts_with("2 keys: 2 with a result, 0 that may have run"));
+    // The keys of caller 1 move to another store; only one store owns them at a time.
     let (file, other) = (format!("{dir}.export"), format!("{dir}.other"));
-    let moved = tool(&[
+    let moved = results_command(&[
         "export", dir, "--owner", "1", "--epoch", "1", "--out", &file,
     ]);
     assert!(text(&moved).starts_with("1 keys given away"), "{moved:?}");
-    assert!(text(&tool(&["stat", dir])).contains("given away"));
-    assert!(!tool(&[
+    assert!(text(&results_command(&["stat", dir])).contains("given away"));
+    assert!(!results_command(&[
         "export",
         dir,
         "--owner",
@@ -243,37 +254,43 @@
     ])
     .status
     .success());
-    let taken = tool(&["import", &other, &file]);
+    let taken = results_command(&["import", &other, &file]);
     assert!(text(&taken).starts_with("1 keys taken over"), "{taken:?}");
-    assert!(text(&tool(&["get", &other, "--class", "0", "--owner", "1", "a"])).contains("served"));
-    let twice = tool(&["import", &other, &file]);
+    assert!(text(&results_command(&[
+        "get", &other, "--class", "0", "--owner", "1", "a"
+    ]))
+    .contains("served"));
+    let twice = results_command(&["import", &other, &file]);
     assert!(
         String::from_utf8_lossy(&twice.stderr).contains("epoch 1 is not above 1"),
         "{twice:?}"
     );
-    // A file that is cut or changed anywhere is refused, and says where.
-    let whole = std::fs::read(&file).expect("the file");
-    for cut in 0..whole.len() {
-        std::fs::write(format!("{file}.cut"), &whole[..cut]).expect("written");
+    // A file that is truncated anywhere is rejected.
+    let whole = std::fs::read(&file).expect("read the file");
+    for length in 0..whole.len() {
+        std::fs::write(format!("{file}.cut"), &whole[..length]).expect("write the file");
         let journal = cleatpulley_log_store::simulated_folder::SimulatedFolder::default();
         let mut journal =
             cleatpulley_idempotency::journal::Journal::open(journal, Default::default(), 0)
-                .expect("open")
+                .expect("open the journal")
                 .journal;
         let refused =
-            cleatpulley_idempotency::transfer::import(&mut journal, 0, &mut &whole[..cut]);
-        assert!(refused.is_err() || cut + 1 == whole.len(), "cut at {cut}");
+            cleatpulley_idempotency::transfer::import(&mut journal, 0, &mut &whole[..length]);
+        assert!(
+            refused.is_err() || length + 1 == whole.len(),
+            "truncated to {length}"
+        );
     }
 }
 
-/// A store that can't be read: nobody knows what has run, so that keyed requests fail at once, and all others are
-/// served.
+/// When the results can't be read, it is unknown which keys have run: keyed requests fail at once, and
+/// all others are served.
 #[test]
-fn without_a_disk_only_keyed_requests_fail() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn when_results_cannot_be_stored_only_keyed_requests_fail() {
+    let dir = tempfile::tempdir().expect("create a folder");
     let folder = dir.path().join("kept");
-    // A file stands where the folder should.
-    std::fs::write(&folder, "in the way").expect("written");
+    // A file has the name of the folder.
+    std::fs::write(&folder, "in the way").expect("write the file");
     let load = |front| Load {
         protocol: front,
         rates: vec![(2_000_000, 40.0)],
@@ -288,13 +305,13 @@
         operator_sections: KillTrial::operator_section(&folder),
         terminate_at: None,
     };
-    let report = trial.run(&program(), |_, _| ()).expect("it plays");
+    let report = trial.run(&program(), |_, _| ()).expect("run the trial");
     assert_eq!(report.violations, Vec::<String>::new());
-    let mut asked = 0;
+    let mut keyed_requests = 0;
     for (front, class, tally) in &report.tallies {
         if class == "claim-seat" {
             assert_eq!(tally.on_time + tally.late, 0, "{front} {tally:?}");
-            asked += tally.issued;
+            keyed_requests += tally.issued;
         } else {
             assert!(
                 tally.on_time * 10 > tally.issued * 8,
@@ -302,51 +319,53 @@
             );
         }
     }
-    assert!(asked > 10);
+    assert!(keyed_requests > 10);
     assert!(report
         .log
         .iter()
         .any(|line| line.contains("nothing can be kept for now")));
 }
 
-/// While one process takes the place of another, a repeat at the new one gets the answer of the run at the old one; keys that
-/// come later run at the new one; the store has one owner at a time.
+/// During an upgrade, a repeat at the new process gets the response of the run at the old one, new keys
+/// run at the new process, and the store has one owner at a time.
 #[test]
-fn a_repeat_in_an_upgrade_gets_the_first_answer() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn a_repeat_during_an_upgrade_gets_the_first_response() {
+    let dir = tempfile::tempdir().expect("create a folder");
     let folder = dir.path().join("kept");
     let mut setup = KillTrial::site(4);
     setup.classes[0].work = (150_000, 150_000);
     setup.runtime_address_count = 2;
-    let site = Site::start(setup).expect("a site");
-    let mut old =
-        Matcher::start(&program(), &site.config, Some(&operator(&folder))).expect("it starts");
-    let mut first = Line::new(&old);
-    first.ask(1, "a", "seat 7");
+    let site = Site::start(setup).expect("start the emulated services");
+    let mut old = Matcher::start(&program(), &site.config, Some(&operator(&folder)))
+        .expect("start the process");
+    let mut first = FrameClient::new(&old);
+    first.send_request(1, "a", "seat 7");
     while with_lock(&site.runtime, |runtime| runtime.running_count()) == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut config = site.config.clone();
     config["runtime"] = site.runtime_addresses[1].to_string().into();
-    let mut new = old.start_successor(&program(), &config).expect("it starts");
+    let mut new = old
+        .start_successor(&program(), &config)
+        .expect("start the process");
     new.wait_ready(Duration::from_secs(6))
-        .expect("it takes clients");
+        .expect("the new process is ready");
     old.terminate();
-    // The old one's key still runs there.
-    let mut second = Line::new(&new);
-    second.ask(2, "a", "seat 7");
-    second.ask(3, "b", "seat 8");
-    let answers = [second.answer(), second.answer()];
+    // The first request still runs at the old process.
+    let mut second = FrameClient::new(&new);
+    second.send_request(2, "a", "seat 7");
+    second.send_request(3, "b", "seat 8");
+    let responses = [second.read_response(), second.read_response()];
     let expected = [1, 3].map(|id| (0, cleatpulley_emulators::runtime::result_of(id)));
-    assert_eq!(first.answer(), expected[0]);
+    assert_eq!(first.read_response(), expected[0]);
     assert!(
-        expected.iter().all(|one| answers.contains(one)),
-        "{answers:?}"
+        expected.iter().all(|response| responses.contains(response)),
+        "{responses:?}"
     );
     drop(first);
     assert!(
         old.wait_for_exit(Duration::from_secs(5))
-            .expect("it ends")
+            .expect("wait for the exit")
             .success(),
         "{}",
         old.log().join("\n")
--- a/tests/log_store.rs
+++ b/tests/log_store.rs
@@ -24,7 +24,7 @@
     Command::new(env!("CARGO_BIN_EXE_cleatpulley"))
 }
 
-/// What batch `n` of `keep exercise` does.
+/// Applies the changes of batch `n` of `keep exercise` to the expected content.
 fn apply(content: &mut BTreeMap<Vec<u8>, Vec<u8>>, n: u64) {
     let key = |n: u64| (n % 64).to_be_bytes().to_vec();
     let value = [&n.to_be_bytes()[..], &vec![n as u8; (n % 900) as usize]].concat();
@@ -33,9 +33,9 @@
     content.remove(&key(n * 17 + 5));
 }
 
-fn read(dir: &Path) -> BTreeMap<Vec<u8>, Vec<u8>> {
-    let folder = OsFolder::new(dir, false).expect("it is there");
-    let (store, found) = Store::open_read_only(folder).expect("it opens");
+fn read_content(dir: &Path) -> BTreeMap<Vec<u8>, Vec<u8>> {
+    let folder = OsFolder::new(dir, false).expect("open the folder");
+    let (store, found) = Store::open_read_only(folder).expect("open the store");
     assert!(
         found.damaged_ranges.is_empty() && found.quarantined.is_empty(),
         "{found}"
@@ -45,15 +45,16 @@
         .for_each_by_sequence(0, |_, key, value| {
             content.insert(key.to_vec(), value.to_vec()).is_none()
         })
-        .expect("it is read");
+        .expect("read the store");
     content
 }
 
-/// Kills the writer dozens of times: what was acknowledged is there, batches are whole, and nothing else is.
+/// The writer is killed dozens of times: acknowledged batches are stored, batches are atomic, and the
+/// store contains nothing else.
 #[test]
-fn a_writer_killed_at_random_points_loses_nothing_acknowledged() {
+fn a_writer_killed_at_random_points_loses_no_acknowledged_batch() {
     let _alone = run_alone();
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create a folder");
     let (mut content, mut next) = (BTreeMap::new(), 1);
     for kill in 0..40_u64 {
         let mut child = program()
@@ -61,83 +62,87 @@
             .arg(dir.path())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
+            .expect("start the process");
+        let mut lines =
+            BufReader::new(child.stdout.take().expect("standard output is a pipe")).lines();
         let mut acked = next - 1;
-        // Where it is killed is its own affair: somewhere after so many acknowledgements.
+        // Kill it at some point after this many acknowledgements.
         for _ in 0..(kill * 7) % 30 {
-            let line = lines.next().expect("a line").expect("text");
-            acked = line.parse().expect("a number");
+            let line = lines
+                .next()
+                .expect("read a line")
+                .expect("the line is UTF-8");
+            acked = line.parse().expect("the line is a number");
         }
         std::thread::sleep(Duration::from_micros((kill * 137) % 2_000));
-        child.kill().expect("it runs");
-        child.wait().expect("it ends");
-        // What it still said before it died counts as well.
+        child.kill().expect("kill the process");
+        child.wait().expect("wait for the exit");
+        // Acknowledgements that were written before the kill count as well.
         if let Some(Ok(line)) = lines.map_while(Result::ok).last().map(|line| line.parse()) {
             acked = acked.max(line);
         }
-        let found = read(dir.path());
+        let found = read_content(dir.path());
         let mut at = next - 1;
         while content != found || at < acked {
             at += 1;
             assert!(
                 at < acked + 2_000,
-                "kill {kill}: no state from {acked} on is what is there"
+                "kill {kill}: the content matches no state from batch {acked} on"
             );
             apply(&mut content, at);
         }
         next = at + 1;
     }
-    assert!(next > 400, "it got as far as {next}");
+    assert!(next > 400, "the writer reached batch {next}");
 }
 
 #[test]
-fn the_commands_tell_figures_damage_and_contents_and_mend() {
+fn the_commands_report_counts_damage_and_content_and_repair_damage() {
     let _alone = run_alone();
-    let dir = tempfile::tempdir().expect("a folder");
-    let folder = || OsFolder::new(dir.path(), true).expect("a folder");
+    let dir = tempfile::tempdir().expect("create a folder");
+    let folder = || OsFolder::new(dir.path(), true).expect("create a folder");
     for round in 0..2_u8 {
-        let (mut store, _) = Store::open(folder(), Options::default()).expect("it opens");
+        let (mut store, _) = Store::open(folder(), Options::default()).expect("open the store");
         for n in 0..100_u8 {
             store
                 .write(Batch::default().put(&[b'k', round, n], &[n; 50], None))
-                .expect("room");
+                .expect("write the batch");
         }
-        store.close().expect("nothing fails");
+        store.close().expect("close the store");
     }
     let run = |command: &str| {
-        let output = program()
+        let result = program()
             .args(["keep", command])
             .arg(dir.path())
             .output()
-            .expect("it runs");
+            .expect("run the command");
         (
-            output.status.code(),
-            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
+            result.status.code(),
+            String::from_utf8_lossy(&[result.stdout, result.stderr].concat()).into_owned(),
         )
     };
-    let (code, said) = run("stat");
+    let (code, output) = run("stat");
     assert!(
-        code == Some(0) && said.contains("200 keys in 2 segments"),
-        "{said}"
+        code == Some(0) && output.contains("200 keys in 2 segments"),
+        "{output}"
     );
     assert_eq!(run("check").0, Some(0));
     assert_eq!(run("dump").1.lines().count(), 200);
     // Flip a byte in the middle of the first segment's values.
     let file = dir.path().join("0000000000000001.seg");
-    let mut bytes = std::fs::read(&file).expect("it is there");
+    let mut bytes = std::fs::read(&file).expect("read the segment");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0x20;
-    std::fs::write(&file, bytes).expect("it is written");
-    let (code, said) = run("check");
+    std::fs::write(&file, bytes).expect("write the file");
+    let (code, output) = run("check");
     assert!(
-        code == Some(3) && said.contains("damaged: 0000000000000001.seg: "),
-        "{said}"
+        code == Some(3) && output.contains("damaged: 0000000000000001.seg: "),
+        "{output}"
     );
-    let (code, said) = run("repair");
+    let (code, output) = run("repair");
     assert!(
-        code == Some(0) && said.contains("1 damaged segments were rewritten"),
-        "{said}"
+        code == Some(0) && output.contains("1 damaged segments were rewritten"),
+        "{output}"
     );
     assert!(
         dir.path().join("0000000000000001.damaged").exists(),
@@ -149,17 +154,17 @@
         "one record is lost and no other"
     );
     assert_eq!(run("compact").0, Some(0));
-    std::fs::write(dir.path().join("notes.txt"), "mine").expect("it is written");
-    let (code, said) = run("compact");
-    assert!(code == Some(1) && said.contains("notes.txt"), "{said}");
-    let (code, said) = run("check");
+    std::fs::write(dir.path().join("notes.txt"), "mine").expect("write the file");
+    let (code, output) = run("compact");
+    assert!(code == Some(1) && output.contains("notes.txt"), "{output}");
+    let (code, output) = run("check");
     assert!(
-        code == Some(1) && said.contains("notes.txt: not a file of this store"),
-        "{said}"
+        code == Some(1) && output.contains("notes.txt: not a file of this store"),
+        "{output}"
     );
     let nowhere = program()
         .args(["keep", "stat", "/nowhere"])
         .output()
-        .expect("it runs");
+        .expect("run the command");
     assert_eq!(nowhere.status.code(), Some(1));
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,4 +1,4 @@
-//! Daily service on real processes: the operators' address, and upgrades in place.
+//! Operation of real processes: the management address, and upgrades without downtime.
 
 use cleatpulley_emulators::callers::Protocol;
 use cleatpulley_emulators::host::with_lock;
@@ -16,14 +16,14 @@
 }
 
 fn vars(matcher: &Matcher) -> Value {
-    let (status, body) = matcher.get("/_vars").expect("figures");
+    let (status, body) = matcher.get("/_vars").expect("get /_vars");
     assert_eq!(status, 200);
-    serde_json::from_slice(&body).expect("JSON")
+    serde_json::from_slice(&body).expect("valid JSON")
 }
 
-/// The figures are those of the books that the callers and the runtime keep.
+/// The reported counts equal those that the callers recorded.
 #[test]
-fn the_figures_are_what_callers_and_runtime_saw() {
+fn the_reported_counts_equal_those_of_the_callers() {
     let trial = Trial {
         site: Setup {
             seed: 5,
@@ -40,78 +40,82 @@
         operator_sections: String::new(),
         terminate_at: None,
     };
-    let mut going = trial.start(&program()).expect("it starts");
-    assert_eq!(going.matcher.get("/_ready").expect("an answer").0, 200);
-    let end = going.start_at + 1_600_000;
-    while going.site.clock.now() < end
-        || !going
+    let mut trial_run = trial.start(&program()).expect("start the process");
+    assert_eq!(
+        trial_run.matcher.get("/_ready").expect("get a response").0,
+        200
+    );
+    let end = trial_run.start_at + 1_600_000;
+    while trial_run.site.clock.now() < end
+        || !trial_run
             .callers
             .iter()
             .all(|callers| with_lock(callers, |callers| callers.is_done()))
     {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let told = vars(&going.matcher);
-    let report = going.check_rules();
+    let figures = vars(&trial_run.matcher);
+    let report = trial_run.check_rules();
     assert_eq!(report.violations, Vec::<String>::new());
     for (_, class, tally) in &report.tallies {
-        let operation = &told["operations"][class];
+        let operation = &figures["operations"][class];
         let refused = tally.rejected_with_retry_after + tally.rejected_without_retry_after;
         assert_eq!(
             operation["fulfilled"],
             tally.on_time + tally.late,
-            "{class}: {told}"
+            "{class}: {figures}"
         );
-        assert_eq!(operation["throttled"], refused, "{class}: {told}");
-        assert_eq!(operation["faulted"], tally.failed, "{class}: {told}");
+        assert_eq!(operation["throttled"], refused, "{class}: {figures}");
+        assert_eq!(operation["faulted"], tally.failed, "{class}: {figures}");
     }
-    assert_eq!(told["open_requests"], 0);
-    assert!(told["relayed"].as_u64() > Some(50), "{told}");
+    assert_eq!(figures["open_requests"], 0);
+    assert!(figures["relayed"].as_u64() > Some(50), "{figures}");
 }
 
-/// Guards against callers that hold connections and ask nothing, at both addresses, more of them than there are places.
+/// Guards against callers that hold more connections than there are places at both addresses and never
+/// send a complete request.
 #[test]
-fn operators_are_answered_beside_a_silent_crowd() {
+fn the_management_address_responds_while_silent_connections_take_all_places() {
     let site = Site::start(Setup {
         sockets: 256,
         ..Setup::default()
     })
-    .expect("a site");
-    let matcher = Matcher::start(&program(), &site.config, None).expect("it starts");
+    .expect("start the emulated services");
+    let matcher = Matcher::start(&program(), &site.config, None).expect("start the process");
     let mgmt = matcher.mgmt.expect("the management endpoint serves");
-    let mut crowd: Vec<TcpStream> = Vec::new();
+    let mut silent_connections: Vec<TcpStream> = Vec::new();
     for n in 0..600 {
         let to = if n % 2 == 0 { mgmt } else { matcher.frames };
-        let mut stream = TcpStream::connect(to).expect("it listens");
-        stream.write_all(b"GET /_vars HT").expect("it is taken");
-        crowd.push(stream);
+        let mut stream = TcpStream::connect(to).expect("connect to the process");
+        stream.write_all(b"GET /_vars HT").expect("send the bytes");
+        silent_connections.push(stream);
         if n % 40 == 0 {
-            assert_eq!(matcher.get("/_ready").expect("an answer").0, 200);
+            assert_eq!(matcher.get("/_ready").expect("get a response").0, 200);
         }
     }
-    assert_eq!(matcher.get("/_vars").expect("an answer").0, 200);
-    assert_eq!(matcher.get("/nothing").expect("an answer").0, 404);
+    assert_eq!(matcher.get("/_vars").expect("get a response").0, 200);
+    assert_eq!(matcher.get("/nothing").expect("get a response").0, 404);
     assert!(
         matcher.descriptor_count().is_none_or(|held| held <= 256),
         "{:?}",
         matcher.descriptor_count()
     );
-    // One call a connection, whole or in pieces.
-    let mut stream = TcpStream::connect(mgmt).expect("it listens");
+    // One request per connection, complete or in pieces.
+    let mut stream = TcpStream::connect(mgmt).expect("connect to the process");
     stream
         .write_all(b"GET /_ready HTTP/1.1\r\n")
-        .expect("it is taken");
+        .expect("send the bytes");
     stream
         .write_all(b"\r\nGET /_vars HTTP/1.1\r\n\r\n")
-        .expect("it is taken");
+        .expect("send the bytes");
     let mut text = String::new();
     stream
         .read_to_string(&mut text)
-        .expect("an answer and the end");
+        .expect("read until the end");
     assert_eq!(text.matches("HTTP/1.1").count(), 1, "{text}");
 }
 
-/// Callers at most of the cores' capacity, by frames and by AJP.
+/// Returns a trial with callers in both protocols at this share of the cores' capacity.
 fn under_load(share: f64, seconds: f64, processes: usize, seed: u64) -> Trial {
     let site = Setup {
         seed,
@@ -138,22 +142,24 @@
     }
 }
 
-fn all_done(going: &RunningTrial) -> bool {
-    going
+fn all_callers_done(trial_run: &RunningTrial) -> bool {
+    trial_run
         .callers
         .iter()
         .all(|callers| with_lock(callers, |callers| callers.is_done()))
 }
 
-/// No request is lost, refused at the door or run twice, however often the process is replaced.
+/// No request is lost, left unsent or run twice, however often the process is replaced.
 #[test]
 fn twenty_upgrades_in_a_row_under_load_lose_nothing() {
     const UPGRADES: usize = 20;
     let trial = under_load(0.8, 9.0, UPGRADES + 1, 11);
-    let mut going = trial.start(&program()).expect("it starts");
+    let mut trial_run = trial.start(&program()).expect("start the process");
     std::thread::sleep(Duration::from_millis(300));
     for number in 1..=UPGRADES {
-        let (ready, left) = going.upgrade(&program(), number).expect("an upgrade");
+        let (ready, left) = trial_run
+            .upgrade(&program(), number)
+            .expect("upgrade the matcher");
         assert!(
             ready < Duration::from_secs(2),
             "{number}: ready after {ready:?}"
@@ -163,10 +169,10 @@
             "{number}: left after {left:?}"
         );
     }
-    while !all_done(&going) {
+    while !all_callers_done(&trial_run) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     assert_eq!(report.violations, Vec::<String>::new(), "{report}");
     let unreachable: u64 = report
         .tallies
@@ -178,14 +184,15 @@
     assert!(frames.on_time * 100 > frames.issued * 90, "{report}");
 }
 
-/// The new process dies in each step of an upgrade: the old one serves on, and the next attempt succeeds. Where the old one
-/// dies after the hand-over, nothing that waits is lost.
+/// The new process is killed in each step of an upgrade: the old one continues to serve, and the next
+/// attempt succeeds. Only requests that the new process had read are lost.
 #[test]
-fn whoever_dies_in_an_upgrade_the_other_goes_on() {
+fn when_the_new_process_dies_during_an_upgrade_the_old_one_continues() {
     let trial = under_load(0.5, 6.0, 12, 12);
-    let mut going = trial.start(&program()).expect("it starts");
-    // Before it listens, while it asks, and after it has taken over, when what it read dies with it.
-    for (number, words) in [
+    let mut trial_run = trial.start(&program()).expect("start the process");
+    // Before it listens, while it connects to its predecessor, and after it has taken over, when the
+    // requests that it read are lost with it.
+    for (number, log_text) in [
         "",
         "management endpoint serves",
         "listens on",
@@ -194,29 +201,29 @@
     .iter()
     .enumerate()
     {
-        let mut new = going
+        let mut new = trial_run
             .begin_upgrade(&program(), number + 1)
-            .expect("it starts");
-        if !words.is_empty() {
-            new.wait_for_log(words).expect("it gets there");
+            .expect("start the process");
+        if !log_text.is_empty() {
+            new.wait_for_log(log_text).expect("the new process logs it");
         }
         new.kill();
         let begun = std::time::Instant::now();
-        while !matches!(going.matcher.get("/_ready"), Ok((200, _))) {
+        while !matches!(trial_run.matcher.get("/_ready"), Ok((200, _))) {
             assert!(
                 begun.elapsed() < Duration::from_secs(2),
-                "the old one serves again: {words}"
+                "the old one serves again: {log_text}"
             );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
-    going
+    trial_run
         .upgrade(&program(), 6)
         .expect("the next attempt succeeds");
-    while !all_done(&going) {
+    while !all_callers_done(&trial_run) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     let broken: Vec<_> = report
         .violations
         .iter()
@@ -230,107 +237,126 @@
         .sum();
     assert!(
         lost < 40,
-        "only what the one that took over had read is lost: {report}"
+        "only requests that the new process had read are lost: {report}"
     );
 }
 
-/// A second upgrade begins while the first old process still answers what it read: three processes are alive.
+/// A second upgrade starts while the first old process still answers requests that it read: three
+/// processes are alive.
 #[test]
-fn a_second_upgrade_may_come_while_the_first_is_not_over() {
+fn a_second_upgrade_can_start_before_the_first_is_complete() {
     let trial = under_load(0.7, 3.0, 4, 13);
-    let mut going = trial.start(&program()).expect("it starts");
+    let mut trial_run = trial.start(&program()).expect("start the process");
     std::thread::sleep(Duration::from_millis(500));
-    let mut second = going.begin_upgrade(&program(), 1).expect("it starts");
-    second.wait_ready(Duration::from_secs(6)).expect("ready");
-    let mut first = std::mem::replace(&mut going.matcher, second);
-    let mut third = going.begin_upgrade(&program(), 2).expect("it starts");
-    third.wait_ready(Duration::from_secs(6)).expect("ready");
-    let mut second = std::mem::replace(&mut going.matcher, third);
+    let mut second = trial_run
+        .begin_upgrade(&program(), 1)
+        .expect("start the process");
+    second
+        .wait_ready(Duration::from_secs(6))
+        .expect("the new process is ready");
+    let mut first = std::mem::replace(&mut trial_run.matcher, second);
+    let mut third = trial_run
+        .begin_upgrade(&program(), 2)
+        .expect("start the process");
+    third
+        .wait_ready(Duration::from_secs(6))
+        .expect("the new process is ready");
+    let mut second = std::mem::replace(&mut trial_run.matcher, third);
     assert!(first.is_alive() && second.is_alive());
     first.terminate();
     second.terminate();
     for old in [&mut first, &mut second] {
         assert!(old
             .wait_for_exit(Duration::from_secs(4))
-            .expect("it ends")
+            .expect("wait for the exit")
             .success());
     }
-    while !all_done(&going) {
+    while !all_callers_done(&trial_run) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     assert_eq!(report.violations, Vec::<String>::new(), "{report}");
 }
 
-/// The middle one of three processes is killed while the first still answers: the first goes behind the third, takes no clients
-/// beside it, and nothing is lost but what the dead one had read.
+/// The middle one of three processes is killed while the first still answers requests: the first becomes
+/// the predecessor of the third, admits no clients beside it, and only requests that the killed process
+/// had read are lost.
 #[test]
-fn the_first_of_three_goes_behind_the_third_when_the_middle_one_is_killed() {
+fn the_first_of_three_becomes_the_predecessor_of_the_third_when_the_second_is_killed() {
     let trial = under_load(0.7, 3.0, 4, 17);
-    let mut going = trial.start(&program()).expect("it starts");
+    let mut trial_run = trial.start(&program()).expect("start the process");
     std::thread::sleep(Duration::from_millis(500));
-    let mut second = going.begin_upgrade(&program(), 1).expect("it starts");
-    second.wait_ready(Duration::from_secs(6)).expect("ready");
-    let mut first = std::mem::replace(&mut going.matcher, second);
-    let mut third = going.begin_upgrade(&program(), 2).expect("it starts");
-    third.wait_ready(Duration::from_secs(6)).expect("ready");
-    let mut second = std::mem::replace(&mut going.matcher, third);
+    let mut second = trial_run
+        .begin_upgrade(&program(), 1)
+        .expect("start the process");
+    second
+        .wait_ready(Duration::from_secs(6))
+        .expect("the new process is ready");
+    let mut first = std::mem::replace(&mut trial_run.matcher, second);
+    let mut third = trial_run
+        .begin_upgrade(&program(), 2)
+        .expect("start the process");
+    third
+        .wait_ready(Duration::from_secs(6))
+        .expect("the new process is ready");
+    let mut second = std::mem::replace(&mut trial_run.matcher, third);
     first.terminate();
     second.kill();
-    // Where the first had answered all by then, there is nobody to go behind.
+    // If the first had answered all its requests by then, it has exited and does not connect.
     if first.is_alive() {
-        let _ = going
+        let _ = trial_run
             .matcher
             .wait_for_log("connected to an earlier predecessor");
     }
     assert!(first
         .wait_for_exit(Duration::from_secs(4))
-        .expect("it ends")
+        .expect("wait for the exit")
         .success());
-    while !all_done(&going) {
+    while !all_callers_done(&trial_run) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let report = going.check_rules();
+    let report = trial_run.check_rules();
     let broken: Vec<_> = report
         .violations
         .iter()
         .filter(|what| !what.contains("without a response"))
         .collect();
     assert!(broken.is_empty(), "{report}");
-    let total = |of: fn(&cleatpulley_emulators::callers::Tally) -> u64| -> u64 {
-        report.tallies.iter().map(|(.., tally)| of(tally)).sum()
+    let total = |count: fn(&cleatpulley_emulators::callers::Tally) -> u64| -> u64 {
+        report.tallies.iter().map(|(.., tally)| count(tally)).sum()
     };
     assert!(
         total(|tally| tally.unanswered) < 40,
-        "only what the dead one had read: {report}"
+        "only requests that the killed process had read are lost: {report}"
     );
     assert_eq!(total(|tally| tally.not_sent), 0, "{report}");
 }
 
-/// Guards against an address that is shared by mistake: a process that can't take another's place does not listen beside it.
+/// Guards against an address that is shared by mistake: a process that can't succeed another one does
+/// not listen on the same address.
 #[test]
-fn a_stranger_on_the_address_is_a_fault() {
+fn a_process_with_another_name_on_the_same_address_fails() {
     let site = Site::start(Setup {
         runtime_address_count: 2,
         ..Setup::default()
     })
-    .expect("a site");
-    let matcher = Matcher::start(&program(), &site.config, None).expect("it starts");
+    .expect("start the emulated services");
+    let matcher = Matcher::start(&program(), &site.config, None).expect("start the process");
     let mut config = site.config.clone();
     config["name"] = "n2".into();
-    let mut stranger = matcher
+    let mut intruder = matcher
         .start_successor(&program(), &config)
-        .expect("it starts");
-    assert!(!stranger
+        .expect("start the process");
+    assert!(!intruder
         .wait_for_exit(Duration::from_secs(10))
-        .expect("it ends")
+        .expect("wait for the exit")
         .success());
     assert!(
-        stranger
+        intruder
             .wait_for_log("another process listens there")
             .is_ok(),
         "{}",
-        stranger.log().join("\n")
+        intruder.log().join("\n")
     );
-    assert_eq!(matcher.get("/_ready").expect("an answer").0, 200);
+    assert_eq!(matcher.get("/_ready").expect("get a response").0, 200);
 }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -1,5 +1,5 @@
-//! TLS on a real process: requests over it, names that may ask for a class, a certificate renewed in place, and a flood
-//! of handshakes that are begun and left while a named caller comes in.
+//! TLS on a real process: requests over TLS, classes permitted to certificate names, a certificate that is
+//! renewed on disk, and a flood of abandoned handshakes while a known caller connects.
 
 use cleatpulley_emulators::callers::{decode_response, request_frame, ResponseOutcome};
 use cleatpulley_emulators::matcher::Matcher;
@@ -25,7 +25,7 @@
         .map_or(0, |at| at.as_secs() as i64)
 }
 
-/// An authority, the matcher's certificate and two callers' in a folder.
+/// A folder with an authority, the matcher's certificate and those of two callers.
 struct Files {
     dir: tempfile::TempDir,
     authority: IssuedCertificate,
@@ -33,15 +33,15 @@
 
 impl Files {
     fn new() -> Self {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("create a folder");
         let authority =
-            authority::create_authority("test authority", now(), 30).expect("an authority");
-        std::fs::write(dir.path().join("ca.pem"), &authority.certificate).expect("written");
+            authority::create_authority("test authority", now(), 30).expect("create the authority");
+        std::fs::write(dir.path().join("ca.pem"), &authority.certificate).expect("write the file");
         let files = Self { dir, authority };
         for name in ["n1", "fe-1", "fe-2"] {
             files.issue(name, 30);
         }
-        std::fs::write(files.path("tickets.key"), "ab".repeat(32)).expect("written");
+        std::fs::write(files.path("tickets.key"), "ab".repeat(32)).expect("write the file");
         files
     }
 
@@ -58,14 +58,15 @@
             now(),
             days,
         );
-        let made = made.expect("issued");
-        // Whole files, as `certs renew` writes them.
+        let made = made.expect("issue the certificate");
+        // Replace each file atomically, as `certs renew` does.
         for (text, file) in [
             (made.key, format!("{name}.key")),
             (made.certificate, format!("{name}.pem")),
         ] {
-            std::fs::write(self.path(&format!("{file}.new")), text).expect("written");
-            std::fs::rename(self.path(&format!("{file}.new")), self.path(&file)).expect("renamed");
+            std::fs::write(self.path(&format!("{file}.new")), text).expect("write the file");
+            std::fs::rename(self.path(&format!("{file}.new")), self.path(&file))
+                .expect("rename the file");
         }
     }
 
@@ -74,7 +75,7 @@
             &self.path(&format!("{name}.pem")),
             &self.path(&format!("{name}.key")),
         )
-        .expect("a pair")
+        .expect("load the pair")
     }
 
     fn section(&self, more: &str) -> String {
@@ -94,16 +95,19 @@
 
 fn connect(files: &Files, to: SocketAddr, own: Option<&str>) -> std::io::Result<Tls> {
     let roots = parse_certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes())
-        .expect("roots");
+        .expect("parse the roots");
     let own = own.map(|name| files.pair(name));
     let clock = Clock::from_unix_micros(now() as u64 * 1_000_000);
     let config = config::client_config(&roots, own.as_ref(), ProtocolVersions::Both, &clock)
-        .expect("a client's setup");
-    let name = "127.0.0.1".try_into().expect("a name");
+        .expect("create the client configuration");
+    let name = "127.0.0.1".try_into().expect("valid server name");
     let tcp = TcpStream::connect(to)?;
     tcp.set_read_timeout(Some(Duration::from_secs(5)))?;
-    let mut tls = StreamOwned::new(ClientConnection::new(config, name).expect("a session"), tcp);
-    // The handshake is done by the first write and flush.
+    let mut tls = StreamOwned::new(
+        ClientConnection::new(config, name).expect("create the session"),
+        tcp,
+    );
+    // The first flush starts the handshake.
     tls.flush()?;
     while tls.conn.is_handshaking() {
         tls.conn.complete_io(&mut tls.sock)?;
@@ -124,11 +128,11 @@
         ("ram", "20".to_owned()),
         ("standing", "0.5000".to_owned()),
     ];
-    // A stream is new with each request on a connection.
+    // Each request on a connection needs a new stream number.
     request_frame(id as u32, &fields, b"lobby")
 }
 
-fn ask(tls: &mut Tls, class: &str, id: u64) -> Option<ResponseOutcome> {
+fn send_request(tls: &mut Tls, class: &str, id: u64) -> Option<ResponseOutcome> {
     tls.write_all(&request(class, id)).ok()?;
     let mut head = [0; 9];
     tls.read_exact(&mut head).ok()?;
@@ -138,11 +142,12 @@
     decode_response(&payload)
 }
 
-/// The figures, asked for over TLS at the operators' address.
+/// Reads the figures over TLS at the management address.
 fn vars(files: &Files, matcher: &Matcher) -> Value {
-    let mut tls = connect(files, matcher.mgmt.expect("an address"), None).expect("a handshake");
+    let mut tls = connect(files, matcher.mgmt.expect("a management address"), None)
+        .expect("complete the handshake");
     tls.write_all(b"GET /_vars HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n\r\n")
-        .expect("asked");
+        .expect("send the request");
     let mut answer = Vec::new();
     let _ = tls.read_to_end(&mut answer);
     let text = String::from_utf8_lossy(&answer);
@@ -151,8 +156,13 @@
 }
 
 fn serial(tls: &Tls) -> String {
-    let chain = tls.conn.peer_certificates().expect("a certificate");
-    CertificateInfo::from_der(&chain[0]).expect("facts").serial
+    let chain = tls
+        .conn
+        .peer_certificates()
+        .expect("the server has a certificate");
+    CertificateInfo::from_der(&chain[0])
+        .expect("parse the certificate")
+        .serial
 }
 
 fn start(files: &Files, more: &str) -> (Site, Matcher) {
@@ -160,48 +170,51 @@
         instant_runs: true,
         ..Setup::default()
     })
-    .expect("a site");
+    .expect("start the emulated services");
     let mut config = site.config.clone();
     config["mgmt"] = Value::from("127.0.0.1:0");
     let operator = format!("{{ {} }}", files.section(more));
-    let matcher = Matcher::start(&program(), &config, Some(&operator)).expect("it starts");
+    let matcher = Matcher::start(&program(), &config, Some(&operator)).expect("start the process");
     (site, matcher)
 }
 
 #[test]
-fn requests_are_served_over_tls_and_a_class_only_to_the_names_permitted() {
+fn requests_are_served_over_tls_and_a_restricted_class_only_for_permitted_names() {
     let files = Files::new();
     let (_site, matcher) = start(&files, "permits: { 'set-prefs': ['fe-1'] }");
-    let mut anyone = connect(&files, matcher.frames, None).expect("a handshake");
+    let mut anonymous = connect(&files, matcher.frames, None).expect("complete the handshake");
     assert!(matches!(
-        ask(&mut anyone, "lobby-view", 1),
+        send_request(&mut anonymous, "lobby-view", 1),
         Some(ResponseOutcome::Served(_))
     ));
     assert!(
         matches!(
-            ask(&mut anyone, "set-prefs", 2),
+            send_request(&mut anonymous, "set-prefs", 2),
             Some(ResponseOutcome::Failed)
         ),
-        "nobody's certificate: forbidden"
+        "no certificate: forbidden"
     );
-    let mut fe2 = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
+    let mut fe2 = connect(&files, matcher.frames, Some("fe-2")).expect("complete the handshake");
     assert!(
-        matches!(ask(&mut fe2, "set-prefs", 3), Some(ResponseOutcome::Failed)),
+        matches!(
+            send_request(&mut fe2, "set-prefs", 3),
+            Some(ResponseOutcome::Failed)
+        ),
         "another name: forbidden"
     );
-    let mut fe1 = connect(&files, matcher.frames, Some("fe-1")).expect("a handshake");
+    let mut fe1 = connect(&files, matcher.frames, Some("fe-1")).expect("complete the handshake");
     assert!(matches!(
-        ask(&mut fe1, "set-prefs", 4),
+        send_request(&mut fe1, "set-prefs", 4),
         Some(ResponseOutcome::Served(_))
     ));
-    // A plain client on a TLS port gets nothing it could take for an answer.
-    let mut plain = TcpStream::connect(matcher.frames).expect("it listens");
+    // A client without TLS on a TLS port gets nothing that it could take for a response.
+    let mut plain = TcpStream::connect(matcher.frames).expect("connect to the process");
     plain
         .set_read_timeout(Some(Duration::from_secs(5)))
-        .expect("a timeout");
+        .expect("set the timeout");
     plain
         .write_all(&[0, 0, 0, 6, 6, 0, 0, 0, 1, 0])
-        .expect("written");
+        .expect("send the frame");
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
     assert!(answer.is_empty(), "{answer:?}");
@@ -219,48 +232,51 @@
 }
 
 #[test]
-fn a_renewed_certificate_is_taken_up_in_place_and_a_faulty_one_changes_nothing() {
+fn a_renewed_certificate_is_loaded_without_restart_and_an_invalid_one_is_ignored() {
     let files = Files::new();
     let (_site, mut matcher) = start(&files, "");
-    let mut before = connect(&files, matcher.frames, None).expect("a handshake");
+    let mut before = connect(&files, matcher.frames, None).expect("complete the handshake");
     let old = serial(&before);
     files.issue("n1", 60);
-    let begun = Instant::now();
+    let started = Instant::now();
     let renewed = loop {
-        let tls = connect(&files, matcher.frames, None).expect("a handshake");
+        let tls = connect(&files, matcher.frames, None).expect("complete the handshake");
         if serial(&tls) != old {
             break serial(&tls);
         }
-        assert!(begun.elapsed() < Duration::from_secs(10), "never taken up");
+        assert!(
+            started.elapsed() < Duration::from_secs(10),
+            "the renewed certificate is not loaded"
+        );
         std::thread::sleep(Duration::from_millis(100));
     };
     assert!(
         matches!(
-            ask(&mut before, "lobby-view", 1),
+            send_request(&mut before, "lobby-view", 1),
             Some(ResponseOutcome::Served(_))
         ),
-        "an open connection goes on"
+        "an open connection continues"
     );
-    // The key of another name: the pair does not fit, and what is in use stays.
-    std::fs::copy(files.path("fe-1.key"), files.path("n1.key")).expect("copied");
+    // The key of another name: it does not match the certificate, and the one in use stays.
+    std::fs::copy(files.path("fe-1.key"), files.path("n1.key")).expect("copy the file");
     matcher
         .wait_for_log("the certificate in use stays")
-        .expect("told");
-    let tls = connect(&files, matcher.frames, None).expect("a handshake");
+        .expect("the error is logged");
+    let tls = connect(&files, matcher.frames, None).expect("complete the handshake");
     assert_eq!(serial(&tls), renewed);
     let line = matcher
         .log()
         .into_iter()
         .find(|line| line.contains("in use stays"))
-        .expect("a line");
+        .expect("find the line");
     assert!(
         line.contains("n1.key") && line.contains("not that of"),
         "{line}"
     );
 }
 
-/// A client's first flight, from a loopback address of its own, and nothing after it: a handshake begun and left.
-fn begun_and_left(files: &Files, to: SocketAddr, number: u32) -> Option<socket2::Socket> {
+/// Sends the first flight of a handshake from a loopback address of its own, and nothing after it.
+fn abandon_handshake(files: &Files, to: SocketAddr, number: u32) -> Option<socket2::Socket> {
     use socket2::{Domain, SockAddr, Socket, Type};
     let roots =
         parse_certificates(Path::new("ca.pem"), files.authority.certificate.as_bytes()).ok()?;
@@ -284,9 +300,10 @@
     Some(socket)
 }
 
-/// Guards against handshakes begun and left, and those that come a byte at a time, taking what known callers need.
+/// Guards against abandoned handshakes, and handshakes sent byte by byte, taking the capacity that known
+/// callers need.
 #[test]
-fn handshakes_begun_and_left_keep_no_named_caller_out() {
+fn abandoned_handshakes_do_not_block_known_callers() {
     let files = Files::new();
     let handshakes =
         "handshakes: { per_second: 50, burst: 10, at_once: 4, deadline_ms: 500, waiting: 16 }";
@@ -294,58 +311,65 @@
         &files,
         &format!("{handshakes} }}, admission: {{ named: ['127.0.0.1'] "),
     );
-    let mut left: Vec<_> = (0..100)
-        .filter_map(|n| begun_and_left(&files, matcher.frames, n))
+    let mut abandoned: Vec<_> = (0..100)
+        .filter_map(|n| abandon_handshake(&files, matcher.frames, n))
         .collect();
-    let mut slow = TcpStream::connect(matcher.frames).expect("it listens");
-    let begun = Instant::now();
+    let mut slow = TcpStream::connect(matcher.frames).expect("connect to the process");
+    let started = Instant::now();
     let mut served = 0;
-    while begun.elapsed() < Duration::from_secs(3) {
+    while started.elapsed() < Duration::from_secs(3) {
         let _ = slow.write_all(&[22]);
-        let more =
-            (0..20).filter_map(|n| begun_and_left(&files, matcher.frames, 100 + served * 20 + n));
-        left.extend(more);
-        let asked = Instant::now();
-        let mut tls =
-            connect(&files, matcher.frames, Some("fe-1")).expect("a handshake in the flood");
+        let more = (0..20)
+            .filter_map(|n| abandon_handshake(&files, matcher.frames, 100 + served * 20 + n));
+        abandoned.extend(more);
+        let connecting = Instant::now();
+        let mut tls = connect(&files, matcher.frames, Some("fe-1"))
+            .expect("complete the handshake during the flood");
         assert!(
-            asked.elapsed() < Duration::from_millis(300),
+            connecting.elapsed() < Duration::from_millis(300),
             "{:?}",
-            asked.elapsed()
+            connecting.elapsed()
         );
         assert!(matches!(
-            ask(&mut tls, "lobby-view", 1),
+            send_request(&mut tls, "lobby-view", 1),
             Some(ResponseOutcome::Served(_))
         ));
         served += 1;
     }
     assert!(
-        served > 5 && left.len() > 150,
-        "{served} served, {} left",
-        left.len()
+        served > 5 && abandoned.len() > 150,
+        "{served} served, {} abandoned",
+        abandoned.len()
     );
     let figures = vars(&files, &matcher);
-    let of = |name: &str| figures["tls"]["handshakes"][name].as_u64().unwrap_or(0);
-    // Strangers began at most at their share of the rate; the rest waited or were closed.
-    assert!(of("full") <= 10 + served as u64 + 3 * 38 + 5, "{figures}");
-    assert!(of("overdue") + of("refused") >= 100, "{figures}");
+    let count = |name: &str| figures["tls"]["handshakes"][name].as_u64().unwrap_or(0);
+    // Unknown callers started handshakes at most at their share of the rate; the rest waited or were closed.
+    assert!(
+        count("full") <= 10 + served as u64 + 3 * 38 + 5,
+        "{figures}"
+    );
+    assert!(count("overdue") + count("refused") >= 100, "{figures}");
 }
 
 #[test]
-fn a_name_over_its_places_is_refused_and_a_named_one_is_not() {
+fn a_certificate_name_over_its_limit_is_rejected_and_a_known_one_is_not() {
     let files = Files::new();
     let (_site, matcher) = start(&files, "identities: { named: ['fe-1'], places: 1 }");
-    let mut first = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
+    let mut first = connect(&files, matcher.frames, Some("fe-2")).expect("complete the handshake");
     assert!(matches!(
-        ask(&mut first, "lobby-view", 1),
+        send_request(&mut first, "lobby-view", 1),
         Some(ResponseOutcome::Served(_))
     ));
-    let mut second = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
-    // Told to send nothing more on it (type 9); what it asked is answered, once, and it is closed soon after that.
-    let begun = Instant::now();
-    second.write_all(&request("lobby-view", 2)).expect("sent");
+    let mut second = connect(&files, matcher.frames, Some("fe-2")).expect("complete the handshake");
+    // It receives a goodbye (type 9); its open request is answered once, and it is closed soon after that.
+    let started = Instant::now();
+    second
+        .write_all(&request("lobby-view", 2))
+        .expect("send the request");
     let mut rest = Vec::new();
-    second.read_to_end(&mut rest).expect("an orderly end");
+    second
+        .read_to_end(&mut rest)
+        .expect("read until the orderly end");
     let (mut at, mut kinds) = (0, Vec::new());
     while let Some(head) = rest.get(at..at + 9) {
         kinds.push(head[4]);
@@ -354,32 +378,32 @@
     kinds.sort_unstable();
     assert_eq!(kinds, [1, 9], "one place for fe-2: {rest:?}");
     assert!(
-        begun.elapsed() < Duration::from_secs(2),
+        started.elapsed() < Duration::from_secs(2),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     let mut named: Vec<_> = (0..5)
-        .map(|_| connect(&files, matcher.frames, Some("fe-1")).expect("a handshake"))
+        .map(|_| connect(&files, matcher.frames, Some("fe-1")).expect("complete the handshake"))
         .collect();
     for (n, tls) in named.iter_mut().enumerate() {
         assert!(matches!(
-            ask(tls, "lobby-view", 3 + n as u64),
+            send_request(tls, "lobby-view", 3 + n as u64),
             Some(ResponseOutcome::Served(_))
         ));
     }
     drop(first);
     std::thread::sleep(Duration::from_millis(100));
-    let mut again = connect(&files, matcher.frames, Some("fe-2")).expect("a handshake");
+    let mut again = connect(&files, matcher.frames, Some("fe-2")).expect("complete the handshake");
     assert!(
         matches!(
-            ask(&mut again, "lobby-view", 9),
+            send_request(&mut again, "lobby-view", 9),
             Some(ResponseOutcome::Served(_))
         ),
-        "its place is free again"
+        "its place was released"
     );
 }
 
-/// A gateway that speaks AJP over TLS to a matcher, showing a certificate whose name the class asks for.
+/// A gateway speaks AJP over TLS to a matcher and presents a certificate whose name the class requires.
 #[test]
 fn a_gateway_reaches_a_matcher_over_tls_with_its_own_certificate() {
     let files = Files::new();
@@ -387,7 +411,7 @@
         instant_runs: true,
         ..Setup::default()
     })
-    .expect("a site");
+    .expect("start the emulated services");
     let at = |name: &str| files.path(name).display().to_string();
     let tls = format!(
         "tls: {{ certificate: '{}', key: '{}', clients: {{ roots: '{}' }}, on: ['ajp'], permits: {{ 'claim-seat': ['fe-1'] }} }}",
@@ -400,8 +424,8 @@
         &site.config,
         Some(&site.operator_file("", &tls)),
     )
-    .expect("it starts");
-    let to = matcher.ajp.expect("it speaks AJP");
+    .expect("start the process");
+    let to = matcher.ajp.expect("an AJP address");
     let routes = "upstream m { server m7.portmore.example.org:9000; }\nserver {\n    location /seats { set $matcher_class claim-seat; proxy_pass http://m/claim-seat; }\n}\n";
     let gateway = |own: &str| {
         let operator = format!(
@@ -413,10 +437,10 @@
             at(&format!("{own}.pem")),
             at(&format!("{own}.key")),
         );
-        Matcher::start_gateway(&program(), routes, &operator).expect("it starts")
+        Matcher::start_gateway(&program(), routes, &operator).expect("start the process")
     };
-    let ask = |gateway: &Matcher, id: &str| {
-        let to = gateway.ajp.expect("it speaks AJP").to_string();
+    let send_request = |gateway: &Matcher, id: &str| {
+        let to = gateway.ajp.expect("an AJP address").to_string();
         let id = format!("X-Request-Id:{id}");
         let args = [
             "ajp",
@@ -433,14 +457,14 @@
         let output = std::process::Command::new(program())
             .args(args)
             .output()
-            .expect("it runs");
+            .expect("run the command");
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    let served = ask(&gateway("fe-1"), "00000000000000aa");
+    let served = send_request(&gateway("fe-1"), "00000000000000aa");
     assert!(
         served.starts_with("200") && served.contains("grid of 00000000000000aa"),
         "{served}"
     );
-    let forbidden = ask(&gateway("fe-2"), "00000000000000ab");
+    let forbidden = send_request(&gateway("fe-2"), "00000000000000ab");
     assert!(forbidden.starts_with("403"), "{forbidden}");
 }
