--- a/crates/server/src/hot_restart/channel_message.rs
+++ b/crates/server/src/hot_restart/channel_message.rs
@@ -14,7 +14,7 @@
 /// Error that ends a handover channel.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ChannelError {
-    #[error("channel closed by the peer")]
+    #[error("it ended")]
     Closed,
     #[error(transparent)]
     Malformed(#[from] DecodeError),
