--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -196,15 +196,16 @@
 
     fn signal(&mut self, name: &str) {
         self.start();
-        let line = format!(
-            "kill -{name} {}",
-            self.child.as_ref().expect("it runs").0.id()
-        );
+        let process = self.child.as_ref().expect("it runs").0.id();
+        let line = format!("kill -{name} {process}");
         assert!(Command::new("sh")
             .args(["-c", &line])
             .status()
             .expect("kill")
             .success());
+        if name == "STOP" {
+            wait_until_stopped(process);
+        }
     }
 
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
@@ -429,6 +430,22 @@
     }
 }
 
+/// Waits until the system has stopped a process: on a busy machine SIGSTOP takes effect late, and what is
+/// sent meanwhile would reach the process before it stops.
+fn wait_until_stopped(process: u32) {
+    let since = Instant::now();
+    loop {
+        let stat =
+            std::fs::read_to_string(format!("/proc/{process}/stat")).expect("read the state");
+        let (_, state) = stat.rsplit_once(')').expect("a state after the name");
+        if state.trim_start().starts_with('T') {
+            return;
+        }
+        assert!(since.elapsed() < TIMEOUT, "the program does not stop");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
 /// Waits for a connection, with a timeout.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("a mode");
