--- a/deploy/operator.jsonnet
+++ b/deploy/operator.jsonnet
@@ -1,5 +1,5 @@
 // The operator file of an installation with AJP callers. Nothing on kingston-match names it: all of it is off there.
-// See docs/operate/ajp.md and results.md; `cleatpulley check-config --operator deploy/operator.jsonnet` shows what it comes to.
+// See docs/operate/ajp.md and idempotency.md; `cleatpulley check-config --operator deploy/operator.jsonnet` shows what it comes to.
 local ajp = import 'templates/ajp.libsonnet';
 local results = import 'templates/results.libsonnet';
 
